--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -55,6 +55,9 @@
 constexpr Duration kFirstTrial = milliseconds(1000);
 constexpr Duration kMaxTrial = milliseconds(8000);
 constexpr int kTrialsToReturn = 2;
+// Of a cold upstream's budget, what a sidecar may spend that does not call it as a rule: calls that others of its
+// subset fail are pushed on to it. The rest is for those that have it in their subset.
+constexpr double kOutsideSubset = 0.25;
 // Subsetting: over as many upstreams as it calls about once in this share of the time after which an idle
 // connection is closed, over kLeastSubset at least, and over all until its rate has been seen for kRateKnown.
 constexpr double kVisit = 0.25;
@@ -213,6 +216,7 @@
     std::vector<UpstreamPtr> entering;
     for (const UpstreamInfo& info : update.upstreams) Adopt(info, entering);
     Order();
+    MarkSubset();
     // With the whole list known: a turn drawn from the sum so far would put the first ones of the list first
     // at every sidecar, and a fleet of them would send their first calls to the same few.
     for (const UpstreamPtr& u : entering) Enter(*u);
@@ -244,10 +248,26 @@
   // connection, fill the upstreams' tables, and tell nothing of the next. Where calls are many it is the
   // list.
   double SubsetSize() const {
-    if (now_ - started_ < kRateKnown || usual_rate_ <= 0) return static_cast<double>(order_.size());
+    if (!KnowsRate()) return static_cast<double>(order_.size());
     return std::max(kLeastSubset, usual_rate_ * kVisit * Seconds(settings_.limits.idle_close));
   }
 
+  bool KnowsRate() const { return now_ - started_ >= kRateKnown && usual_rate_ > 0; }
+
+  // Which upstreams a call reaches while none of them is tried, full or waiting for its budget: as in Pick().
+  void MarkSubset() {
+    double room = SubsetSize();
+    double weight = 0;
+    for (const UpstreamPtr& u : order_) {
+      u->in_subset = room > 0;
+      if (!u->in_subset || u->info.state != UpstreamState::kServing) continue;
+      weight += u->info.weight;
+      if (!u->ejected && !Suspect(*u)) room -= Warmth(*u);
+    }
+    // Before the rate is known it is the whole list, which must not be remembered as a subset.
+    subset_weight_ = KnowsRate() ? std::max(weight, subset_weight_) : 0;
+  }
+
   void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
     UpstreamPtr& u = index_[info.id.value];
     const bool was_serving = u && u->info.state == UpstreamState::kServing;
@@ -1061,11 +1081,21 @@
     // Calls that nobody serves are no load that warm ones bear, beyond the most that was served while there
     // were such.
     const double asked = knows_warm_ ? std::min(cold_asked_ / 2, cold_most_) : cold_asked_ / 2;
-    const double usual =
-        std::max(cold_served_, asked) * u.info.weight / std::max(usual_weight_, u.info.weight);
+    const double usual = std::max(cold_served_, asked) * ColdShare(u);
     return settings_.rules.fall_multiple * kColdSafety * Warmth(u) * usual;
   }
 
+  // Of what this sidecar sends, what a warm upstream of this weight would usually get from it. A big fleet's sidecars
+  // each call a few upstreams of a long list: those that call this one have to make up its part for all the others,
+  // who never spend what they are owed. Whoever has it in its subset sends it its share of the subset, and in the mean
+  // over the fleet these shares add up to the share by the list.
+  double ColdShare(const Upstream& u) const {
+    const double of_list = u.info.weight / std::max(usual_weight_, u.info.weight);
+    if (subset_weight_ <= 0) return of_list;
+    const double of_subset = u.in_subset ? u.info.weight / std::max(subset_weight_, u.info.weight) : 0;
+    return kOutsideSubset * of_list + (1 - kOutsideSubset) * of_subset;
+  }
+
   // The usual rate and weight change slowly: a burst or the loss of half the list must not raise the budgets.
   void UpdateUsual() {
     const double dt = Seconds(kHousekeeping);
@@ -1086,6 +1116,8 @@
     const bool learnt = age >= 2 * Seconds(settings_.rules.fall_window);
     knows_warm_ = knows_warm_ || (learnt && telling_weight_ > 0 && 2 * telling_weight_ >= serving_weight_);
     usual_weight_ = std::max(ListedWeight(), usual_weight_ * fading);
+    subset_weight_ *= fading;
+    MarkSubset();
   }
 
   // ---- Timers and small helpers ----
@@ -1202,7 +1234,8 @@
   std::map<std::string, Zone> zones_;
   std::ptrdiff_t lost_zones_ = 0;
   double retry_budget_ = kRetryBurst;
-  double usual_weight_ = 0;  // the list's weight, slow to fall
+  double usual_weight_ = 0;   // the list's weight, slow to fall
+  double subset_weight_ = 0;  // the subset's, likewise; 0 until the rate is known
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/state.h
+++ b/src/state.h
@@ -56,6 +56,7 @@
   UpstreamInfo info;
   std::uint64_t rank = 0;  // its place in this sidecar's order
   bool listed = true;      // in the list that is being taken in
+  bool in_subset = false;  // calls reach it while nothing is tried twice
   // Ejection.
   int failure_run = 0;
   bool ejected = false;
