--- a/core/clock.h
+++ b/core/clock.h
@@ -1,5 +1,5 @@
-// The program's one clock: steady, in microseconds; Unix times from outside are converted here and nowhere
-// else.
+// The program's one clock: steady, in microseconds. The machine's wall clock is read here for what others say in Unix
+// time; it may be stepped at any moment, by any amount, so no span of time is ever measured by it.
 #pragma once
 
 #include <chrono>
@@ -22,19 +22,17 @@
 
 inline TimePoint Now() { return ToTimePoint(std::chrono::steady_clock::now()); }
 
-// Between Unix time and the steady clock. Read once for each process, so that the same Unix time is the same
-// TimePoint in every list: the module takes a start time that moved for a new process.
-class UnixClock {
- public:
-  UnixClock()
-      : offset_(std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()) -
-                Now().time_since_epoch()) {}
-  TimePoint FromMilliseconds(std::int64_t unix_ms) const {
-    return TimePoint(std::chrono::milliseconds(unix_ms) - offset_);
-  }
-
- private:
-  Duration offset_;
+// Both clocks, read at one moment.
+struct ClockReading {
+  TimePoint now;         // the steady one
+  Duration unix_time{};  // the wall clock's, since 1970
+
+  // The moment that has this Unix time, as far as the wall clock was right when it was read.
+  TimePoint At(std::chrono::milliseconds other_unix_time) const { return now + (other_unix_time - unix_time); }
 };
 
+inline ClockReading ReadClocks() {
+  return {Now(), std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch())};
+}
+
 }  // namespace mothrack
--- a/http/discovery.cpp
+++ b/http/discovery.cpp
@@ -13,6 +13,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "core/write_stream.h"
 #include "http/messages.h"
 
 namespace mothrack {
@@ -45,7 +46,7 @@
 
 }  // namespace
 
-MembershipList ParseList(const json& body, const UnixClock& clock) {
+MembershipList ParseList(const json& body) {
   MembershipList list;
   list.revision = body.at("rev").get<std::uint64_t>();
   list.update.kind =
@@ -66,7 +67,6 @@
     location.boot_ms = target.value("boot_ms", std::int64_t{0});
     if (location.boot_ms < 0 || location.boot_ms > kMostBootMs) throw std::runtime_error("bad boot_ms");
     if (!(info.weight >= 0 && info.weight <= kMostWeight)) throw std::runtime_error("bad capacity_hint");
-    if (location.boot_ms > 0) info.started = clock.FromMilliseconds(location.boot_ms);
     const auto text = target.value("endpoint", "");
     if (const auto endpoint = ParseEndpoint(text)) {
       location.endpoint = *endpoint;
@@ -84,7 +84,7 @@
 // One connection to discovery and the call on it. A new one is made after any failure.
 class Discovery::Call : public std::enable_shared_from_this<Call> {
  public:
-  explicit Call(Discovery& owner) : owner_(&owner), stream_(owner.io_) {}
+  explicit Call(Discovery& owner) : owner_(&owner), stream_(owner.io_), write_stream_(stream_) {}
 
   // Ends in a failure after `most`; whoever gives it up earlier drops it.
   void Start(const std::string& target, Duration most) {
@@ -110,7 +110,7 @@
 
  private:
   void Write() {
-    http::async_write(stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
+    http::async_write(write_stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
       if (self->owner_ == nullptr) return;
       if (error) return self->owner_->Failed(*self, error);
       self->Read();
@@ -145,6 +145,7 @@
 
   Discovery* owner_;
   boost::beast::tcp_stream stream_;
+  WriteStream<boost::beast::tcp_stream> write_stream_;
   boost::beast::flat_buffer buffer_;
   http::request<http::empty_body> request_;
   std::optional<http::response_parser<http::string_body>> parser_;
@@ -152,11 +153,11 @@
 };
 
 Discovery::Discovery(boost::asio::io_context& io, Endpoint endpoint, const NewsTerms& terms, std::uint64_t seed,
-                     const UnixClock& clock, Logger& log, OnList on_list)
+                     StartTimes& start_times, Logger& log, OnList on_list)
     : io_(io),
       endpoint_(std::move(endpoint)),
       terms_(terms),
-      clock_(clock),
+      start_times_(start_times),
       log_(log),
       on_list_(std::move(on_list)),
       pause_(io),
@@ -227,7 +228,7 @@
 void Discovery::Answered(Call& call, const std::string& body) {
   MembershipList list;
   try {
-    list = ParseList(json::parse(body), clock_);
+    list = ParseList(json::parse(body));
   } catch (const std::exception& e) {
     return Failed(call, std::string("malformed list: ") + e.what());
   }
@@ -248,6 +249,7 @@
   news_ = !list.update.upstreams.empty();
   revision_ = list.revision;
   StartIn(std::max(Duration::zero(), Duration(asked_ + kLeastGap - Now())));
+  start_times_.Place(list, ReadClocks());
   on_list_(std::move(list));
 }
 
--- a/http/discovery.h
+++ b/http/discovery.h
@@ -14,6 +14,7 @@
 #include "core/clock.h"
 #include "core/log.h"
 #include "core/membership.h"
+#include "core/start_times.h"
 #include "http/news.h"
 #include "kestrellb/balancer.h"
 #include "nlohmann/json.hpp"
@@ -21,16 +22,18 @@
 namespace mothrack {
 
 // One answer of discovery. Throws std::exception, naming what is wrong with the list. A list is a telling in order:
-// where an id is in it twice, what is said of it last counts, and it is told once.
-MembershipList ParseList(const nlohmann::json& body, const UnixClock& clock);
+// where an id is in it twice, what is said of it last counts, and it is told once. When processes started is left to
+// StartTimes.
+MembershipList ParseList(const nlohmann::json& body);
 
 class Discovery {
  public:
   using OnList = std::function<void(MembershipList)>;
 
-  // Asks again by itself whatever becomes of a call, as the terms say; `seed` spreads that.
+  // Asks again by itself whatever becomes of a call, as the terms say; `seed` spreads that. `start_times` must outlive
+  // it, and places each list before `on_list` gets it.
   Discovery(boost::asio::io_context& io, Endpoint endpoint, const NewsTerms& terms, std::uint64_t seed,
-            const UnixClock& clock, Logger& log, OnList on_list);
+            StartTimes& start_times, Logger& log, OnList on_list);
   ~Discovery();
 
   // The list of this version is held already: what is asked for is what changed since. Before the first Ask().
@@ -64,7 +67,7 @@
   boost::asio::io_context& io_;
   Endpoint endpoint_;
   const NewsTerms terms_;
-  const UnixClock& clock_;
+  StartTimes& start_times_;
   Logger& log_;
   const OnList on_list_;
   boost::asio::steady_timer pause_;
--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -9,11 +9,11 @@
 
 using kestrellb::MembershipUpdate;
 
-MembershipList Known(const nlohmann::json& known, const UnixClock& clock) {
+MembershipList Known(const nlohmann::json& known) {
   MembershipList list;
   if (!known.is_null()) {
     try {
-      list = ParseList(known, clock);
+      list = ParseList(known);
     } catch (const std::exception& e) {
       throw ConfigError(std::string("LB_CONFIG: known: ") + e.what());
     }
@@ -40,12 +40,13 @@
 
 Sidecar::Sidecar(boost::asio::io_context& io, const Config& config, const Inheritance& inheritance,
                  Descriptors& descriptors, Logger& log, std::function<void()> on_ready)
-    : log_(log),
+    : start_times_(ReadClocks()),
+      log_(log),
       budget_(config.memory / kBodiesShare),
       transport_(io, config.settings.limits, config.settings.load_by_probe, descriptors, budget_),
       dispatcher_(io, config.settings, config.seed, transport_, log, [this] { discovery_.Ask(); }),
       discovery_(
-          io, config.discovery, NewsTerms::For(NewsRules::Of(config.settings)), config.seed, unix_clock_, log,
+          io, config.discovery, NewsTerms::For(NewsRules::Of(config.settings)), config.seed, start_times_, log,
           [this](MembershipList list) {
             dispatcher_.Apply(std::move(list));
             if (!ready_) TakeClients();
@@ -58,7 +59,9 @@
   for (const std::string& id : inheritance.ids) dispatcher_.KnowKey(id);
   front_.Rest(inheritance.resting);
   ShareMemory(inheritance.share_memory);
-  MembershipList known = Known(config.known, unix_clock_);
+  start_times_.Import(inheritance.starts, inheritance.last_list);
+  MembershipList known = Known(config.known);
+  start_times_.Place(known, ReadClocks());
   // A service that all sidecars ask is asked for what changed since then: after a mass restart whole lists for all
   // are the most it could be asked for.
   if (config.settings.membership_on_request && !config.known.is_null()) discovery_.Hold(known.revision);
@@ -78,7 +81,7 @@
 }
 
 void Sidecar::Reconfigure(const Config& config) {
-  Known(config.known, unix_clock_);  // checked like the rest, though the list from discovery is newer
+  Known(config.known);  // checked like the rest, though the list from discovery is newer
   log_.Line("configuration read again");
   discovery_.MoveTo(config.discovery);
 }
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -5,6 +5,7 @@
 #include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <utility>
@@ -15,6 +16,7 @@
 #include "core/descriptors.h"
 #include "core/dispatcher.h"
 #include "core/log.h"
+#include "core/start_times.h"
 #include "http/discovery.h"
 #include "http/front.h"
 #include "http/transport.h"
@@ -32,6 +34,8 @@
     bool share_memory = false;  // with the one that served before
     std::set<std::string> bans{};
     std::vector<std::string> ids{};
+    std::vector<ProcessStart> starts{};  // of upstreams' processes, as the other process placed them
+    std::optional<TimePoint> last_list{};  // when it read its last list
   };
 
   // Starts at once: binds, hands the module the known list and asks discovery. Throws where it cannot.
@@ -47,6 +51,8 @@
   // Another process of this sidecar has half of the memory for bodies.
   void ShareMemory(bool on) { on ? budget_.Halve() : budget_.Restore(); }
   std::vector<std::string> RecentIds() const { return dispatcher_.RecentKeys(); }
+  std::vector<ProcessStart> ProcessStarts() const { return start_times_.Export(); }
+  std::optional<TimePoint> LastList() const { return start_times_.last_list(); }
   void KnowId(const std::string& id) { dispatcher_.KnowKey(id); }
   void ObserveIds(std::function<void(const std::string&)> on_id) { dispatcher_.ObserveKeys(std::move(on_id)); }
 
@@ -70,7 +76,7 @@
   void Reconfigure(const Config& config);
 
  private:
-  const UnixClock unix_clock_;
+  StartTimes start_times_;
   Logger& log_;
   ByteBudget budget_;
   HttpTransport transport_;
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -294,7 +294,7 @@
 // ---- Lists ----
 
 MembershipList Parsed(const json& targets) {
-  return ParseList(json{{"rev", 1}, {"all", true}, {"targets", targets}}, UnixClock());
+  return ParseList(json{{"rev", 1}, {"all", true}, {"targets", targets}});
 }
 
 TEST(Lists, WhatIsSaidLastOfAnIdCountsOnce) {
@@ -409,7 +409,7 @@
 class Loop {
  public:
   Loop(const NewsTerms& terms, const Endpoint& endpoint)
-      : discovery(io, endpoint, terms, 7, clock_, log_,
+      : discovery(io, endpoint, terms, 7, start_times_, log_,
                   [this](MembershipList list) {
                     revision = static_cast<int>(list.revision);
                     ++lists;
@@ -437,7 +437,7 @@
   boost::asio::io_context io;
 
  private:
-  UnixClock clock_;
+  StartTimes start_times_{ReadClocks()};
   std::ostringstream text_;
   Logger log_{"test", text_};
 
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -173,8 +173,7 @@
     }
     return json{{word("/f/version"), 7}, {word("/f/full"), true}, {word("/f/list"), targets}};
   };
-  const UnixClock clock;
-  const auto read = ParseList(list(real), clock);
+  const auto read = ParseList(list(real));
   ASSERT_EQ(read.update.upstreams.size(), 2U);
   EXPECT_EQ(read.revision, 7U);
   const auto& info = read.update.upstreams[1];
@@ -191,7 +190,7 @@
     const std::string name =
         std::string(pointer).starts_with("/f/") ? real.at(Pointer(pointer)).get<std::string>() : "spoilt";
     try {
-      ParseList(list(spoilt), clock);
+      ParseList(list(spoilt));
       ADD_FAILURE() << pointer << " was not missed";
     } catch (const std::exception& e) {
       EXPECT_NE(std::string(e.what()).find(name), std::string::npos) << pointer << ": " << e.what();
