--- a/handover/handover.cpp
+++ b/handover/handover.cpp
@@ -11,6 +11,7 @@
 #include <chrono>
 #include <cstring>
 #include <stdexcept>
+#include <string_view>
 #include <thread>
 #include <utility>
 
@@ -46,7 +47,33 @@
   header->cmsg_type = SCM_RIGHTS;
   header->cmsg_len = CMSG_LEN(sizeof socket);
   std::memcpy(CMSG_DATA(header), &socket, sizeof socket);
-  return ::sendmsg(to, &message, MSG_NOSIGNAL) == 1;
+  ssize_t sent = 0;
+  do {
+    sent = ::sendmsg(to, &message, MSG_NOSIGNAL);
+  } while (sent < 0 && errno == EINTR);
+  return sent == 1;
+}
+
+// All of it, on a socket that blocks; false where the connection broke.
+bool SendAll(int to, std::string_view text) {
+  while (!text.empty()) {
+    const ssize_t sent = ::send(to, text.data(), text.size(), MSG_NOSIGNAL);
+    if (sent < 0 && errno != EINTR) return false;
+    if (sent > 0) text.remove_prefix(static_cast<std::size_t>(sent));
+  }
+  return true;
+}
+
+// Is there something to read, or the end, before `until`?
+bool Readable(int descriptor, std::chrono::steady_clock::time_point until) {
+  while (true) {
+    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
+    if (left.count() <= 0) return false;
+    pollfd ready{descriptor, POLLIN, 0};
+    const int events = ::poll(&ready, 1, static_cast<int>(left.count()));
+    if (events >= 0) return events > 0;
+    if (errno != EINTR) return false;
+  }
 }
 
 // What came, and the socket that came along, if any.
@@ -58,7 +85,10 @@
   message.msg_iovlen = 1;
   message.msg_control = control.bytes.data();
   message.msg_controllen = control.bytes.size();
-  const ssize_t got = ::recvmsg(from, &message, MSG_CMSG_CLOEXEC);
+  ssize_t got = 0;
+  do {
+    got = ::recvmsg(from, &message, MSG_CMSG_CLOEXEC);
+  } while (got < 0 && errno == EINTR);
   for (cmsghdr* header = got > 0 ? CMSG_FIRSTHDR(&message) : nullptr; header != nullptr;
        header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
@@ -78,14 +108,10 @@
 std::optional<json> AskOnce(Protocol::socket& socket, std::chrono::steady_clock::time_point until,
                             int& listening, std::string& rest) {
   const std::string ask = json{{"takeover", kVersion}}.dump() + '\n';
-  if (::send(socket.native_handle(), ask.data(), ask.size(), MSG_NOSIGNAL) != static_cast<ssize_t>(ask.size())) {
-    return std::nullopt;
-  }
+  if (!SendAll(socket.native_handle(), ask)) return std::nullopt;
   std::string text;
   while (text.size() < kLongestLine) {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
-    pollfd ready{socket.native_handle(), POLLIN, 0};
-    if (left.count() <= 0 || ::poll(&ready, 1, static_cast<int>(left.count())) <= 0) return std::nullopt;
+    if (!Readable(socket.native_handle(), until)) return std::nullopt;
     std::array<char, kReadSize> part;
     const ssize_t got = Receive(socket.native_handle(), part.data(), part.size(), listening);
     if (got <= 0) return std::nullopt;
--- a/handover/link.cpp
+++ b/handover/link.cpp
@@ -69,7 +69,7 @@
 
 void Link::Write() {
   writing_ = std::exchange(out_, {});
-  boost::asio::async_write(socket_, boost::asio::buffer(writing_),
+  boost::asio::async_write(write_stream_, boost::asio::buffer(writing_),
                            [self = shared_from_this()](error_code error, std::size_t) {
                              self->writing_.clear();
                              if (!self->on_line_) return;
--- a/handover/link.h
+++ b/handover/link.h
@@ -8,6 +8,8 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
+#include "core/write_stream.h"
+
 namespace mothrack::handover {
 
 // Longer than a state with all ids that are remembered.
@@ -20,7 +22,8 @@
   using OnEnd = std::function<void()>;
 
   // `read` has come already, and is not looked at yet.
-  explicit Link(Socket socket, std::string read = {}) : socket_(std::move(socket)), in_(std::move(read)) {}
+  explicit Link(Socket socket, std::string read = {})
+      : socket_(std::move(socket)), write_stream_(socket_), in_(std::move(read)) {}
 
   // Reads from now on. `on_end` is called once, when the other process is gone or talks nonsense; nothing is
   // called after Drop().
@@ -39,6 +42,7 @@
   void End();
 
   Socket socket_;
+  WriteStream<Socket> write_stream_;
   OnLine on_line_;
   OnEnd on_end_;
   std::string in_;
--- a/handover/state.cpp
+++ b/handover/state.cpp
@@ -1,5 +1,7 @@
 #include "handover/state.h"
 
+#include <fcntl.h>
+#include <sys/stat.h>
 #include <unistd.h>
 
 #include <cerrno>
@@ -7,6 +9,7 @@
 #include <cstring>
 #include <fstream>
 #include <stdexcept>
+#include <string_view>
 
 namespace mothrack::handover {
 namespace {
@@ -23,14 +26,51 @@
   }
 }
 
+// False, and errno set, unless all of it is on disk.
+bool WriteAndSync(const std::string& file, std::string_view text) {
+  const int descriptor = ::open(file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, S_IRUSR | S_IWUSR);
+  if (descriptor < 0) return false;
+  bool good = true;
+  while (good && !text.empty()) {
+    const ssize_t written = ::write(descriptor, text.data(), text.size());
+    good = written > 0 || (written < 0 && errno == EINTR);
+    if (written > 0) text.remove_prefix(static_cast<std::size_t>(written));
+  }
+  good = good && ::fsync(descriptor) == 0;
+  const int error = errno;
+  ::close(descriptor);
+  errno = error;
+  return good;
+}
+
+// False, and errno set, where a rename in the file's directory may not outlive a crash of the machine.
+bool SyncDirectoryOf(const std::string& file) {
+  const auto slash = file.rfind('/');
+  const std::string directory = slash == std::string::npos ? "." : file.substr(0, slash + 1);
+  const int descriptor = ::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
+  if (descriptor < 0) return false;
+  const bool good = ::fsync(descriptor) == 0;
+  const int error = errno;
+  ::close(descriptor);
+  errno = error;
+  return good;
+}
+
 }  // namespace
 
 json ToJson(const State& state) {
-  return {{"version", kVersion},
-          {"bans", state.bans},
-          {"ids", state.ids},
-          {"resting", state.resting},
-          {"sockets", state.sockets}};
+  json object = {{"version", kVersion},
+                 {"bans", state.bans},
+                 {"ids", state.ids},
+                 {"resting", state.resting},
+                 {"sockets", state.sockets}};
+  if (!state.last_list) return object;
+  json& starts = object["starts"] = json::array();
+  for (const ProcessStart& process : state.starts) {
+    starts.push_back({process.uid, process.boot_ms, process.started.time_since_epoch().count()});
+  }
+  object["last_list_us"] = state.last_list->time_since_epoch().count();
+  return object;
 }
 
 State FromJson(const json& object) {
@@ -41,34 +81,34 @@
     state.ids = object.at("ids").get<std::vector<std::string>>();
     state.resting = object.at("resting").get<bool>();
     state.sockets = object.at("sockets").get<std::size_t>();
+    if (!object.contains("last_list_us")) return state;
+    state.last_list = TimePoint(Duration(object.at("last_list_us").get<Duration::rep>()));
+    for (const json& process : object.at("starts")) {
+      state.starts.push_back({process.at(0).get<std::string>(), process.at(1).get<std::int64_t>(),
+                              TimePoint(Duration(process.at(2).get<Duration::rep>()))});
+    }
     return state;
   } catch (const json::exception& e) {
     throw std::runtime_error(e.what());
   }
 }
 
-void WriteBans(const std::string& file, const std::set<std::string>& bans, Logger& log) {
+std::optional<std::string> WriteBans(const std::string& file, const std::set<std::string>& bans) {
+  const std::string text = json{{"version", kVersion}, {"bans", bans}}.dump() + '\n';
   const std::string fresh = file + '.' + std::to_string(::getpid());
-  {
-    std::ofstream stream(fresh);
-    stream << json{{"version", kVersion}, {"bans", bans}} << '\n';
-    stream.flush();
-    if (!stream) {
-      log.Line("bans are not kept for a next process: can't write " + fresh);
-      std::remove(fresh.c_str());
-      return;
-    }
-  }
-  if (std::rename(fresh.c_str(), file.c_str()) != 0) {
-    log.Line("bans are not kept for a next process: " + file + ": " + std::strerror(errno));
-    std::remove(fresh.c_str());
+  if (WriteAndSync(fresh, text) && std::rename(fresh.c_str(), file.c_str()) == 0 && SyncDirectoryOf(file)) {
+    return std::nullopt;
   }
+  std::string fault = file + ": " + std::strerror(errno);
+  ::unlink(fresh.c_str());
+  return fault;
 }
 
 std::set<std::string> ReadBans(const std::string& file, Logger& log) {
   std::ifstream stream(file);
-  if (!stream) return {};
+  if (!stream && errno == ENOENT) return {};
   try {
+    if (!stream) throw std::runtime_error(std::strerror(errno));
     const json object = json::parse(stream, nullptr, false);
     CheckVersion(object);
     return object.at("bans").get<std::set<std::string>>();
--- a/node/program.cpp
+++ b/node/program.cpp
@@ -221,6 +221,7 @@
                            {"process", admin::ProcessReport(told_.sockets())},
                            {"missed_wakeups", sidecar_ ? sidecar_->missed() : 0},
                            {"pools", std::move(pools)}};
+    if (const auto& fault = succession_.bans_fault()) told["bans_not_kept"] = *fault;
     if (peers_) told["peers"] = peers_->Report();
     return told;
   }
--- a/node/succession.cpp
+++ b/node/succession.cpp
@@ -14,6 +14,8 @@
 // For the serving process to answer, and to wait for another successor of it.
 constexpr Duration kPatience = std::chrono::seconds(3);
 constexpr auto kGiveBack = std::chrono::milliseconds(100);
+// Until bans that could not be written are written again.
+constexpr auto kWriteAgain = std::chrono::seconds(1);
 // Kept by the one that leaves, for its last answers.
 constexpr std::size_t kLeastKept = 32;
 // "." and a process id behind the path of the socket.
@@ -23,7 +25,7 @@
 
 Succession::Succession(boost::asio::io_context& io, const std::string& path, Descriptors& descriptors,
                        Logger& log)
-    : io_(io), path_(path), descriptors_(descriptors), log_(log), give_back_(io) {
+    : io_(io), path_(path), descriptors_(descriptors), log_(log), give_back_(io), write_again_(io) {
   if (path_.empty()) return;
   if (path_.size() + kLongestSuffix >= sizeof(sockaddr_un::sun_path)) {
     const auto slash = path_.rfind('/');
@@ -54,6 +56,8 @@
   inheritance.wait_for_list = inheritance.share_memory = true;
   inheritance.resting = taken_->state.resting;
   inheritance.ids = taken_->state.ids;
+  inheritance.starts = taken_->state.starts;
+  inheritance.last_list = taken_->state.last_list;
   return inheritance;
 }
 
@@ -84,8 +88,19 @@
   if (handover_) handover_->Tell({{"rest", on}});
 }
 
+// What people were told holds from now on: it is kept in memory, and written again until it is on disk.
 void Succession::KeepBans() {
-  if (!path_.empty()) handover::WriteBans(path_ + ".bans", bans_, log_);
+  if (path_.empty()) return;
+  const auto fault = handover::WriteBans(path_ + ".bans", bans_);
+  if (fault && !bans_fault_) log_.Line("bans are not kept for a next process yet: " + *fault);
+  if (!fault && bans_fault_) log_.Line("bans are kept for a next process again");
+  bans_fault_ = fault;
+  write_again_.cancel();
+  if (!fault) return;
+  write_again_.expires_after(kWriteAgain);
+  write_again_.async_wait([this](const boost::system::error_code& error) {
+    if (!error) KeepBans();
+  });
 }
 
 handover::State Succession::GiveState() {
@@ -93,6 +108,8 @@
   state.bans = bans_;
   state.ids = sidecar_->RecentIds();
   state.resting = sidecar_->resting();
+  state.starts = sidecar_->ProcessStarts();
+  state.last_list = sidecar_->LastList();
   kept_ = std::max(descriptors_.used(), descriptors_.full() / 2);
   descriptors_.Cap(kept_);
   sidecar_->ShareMemory(true);
--- a/node/succession.h
+++ b/node/succession.h
@@ -31,6 +31,8 @@
   // Taken out by hand, or put back, here and at the other process; false where it was never listed.
   bool Ban(Sidecar& sidecar, const std::string& uid, bool banned);
   void Rest(Sidecar& sidecar, bool on);
+  // Why the bans are not on disk as they are held; absent while they are. They are written again until then.
+  const std::optional<std::string>& bans_fault() const { return bans_fault_; }
 
  private:
   handover::State GiveState() override;
@@ -54,6 +56,8 @@
   std::set<std::string> bans_;  // held by this process
   Sidecar* sidecar_ = nullptr;  // once it takes clients
   boost::asio::steady_timer give_back_;
+  boost::asio::steady_timer write_again_;
+  std::optional<std::string> bans_fault_;
   std::size_t kept_ = 0;  // descriptors, while a successor may use the rest
   std::unique_ptr<handover::Handover> handover_;
 };
