--- a/admin/server.cpp
+++ b/admin/server.cpp
@@ -14,6 +14,8 @@
 #include <stdexcept>
 #include <utility>
 
+#include "core/write_stream.h"
+
 namespace mothrack::admin {
 namespace {
 
@@ -107,7 +109,7 @@
 class Server::Visit : public std::enable_shared_from_this<Visit> {
  public:
   Visit(Server& owner, Protocol::socket socket)
-      : owner_(&owner), stream_(std::move(socket)), timer_(owner.io_) {
+      : owner_(&owner), stream_(std::move(socket)), write_stream_(stream_), timer_(owner.io_) {
     parser_.header_limit(kMostHeader);
     parser_.body_limit(owner.bounds_.body);
   }
@@ -165,7 +167,7 @@
     // What is no UTF-8 (a name from outside) is replaced, never thrown at.
     response_.body() = answer.body.dump(-1, ' ', false, json::error_handler_t::replace) + '\n';
     response_.prepare_payload();
-    http::async_write(stream_, response_, [self = shared_from_this()](error_code error, std::size_t) {
+    http::async_write(write_stream_, response_, [self = shared_from_this()](error_code error, std::size_t) {
       if (self->owner_ == nullptr) return;
       if (error) return self->End();
       self->answering_ = false;
@@ -194,6 +196,7 @@
 
   Server* owner_;
   Protocol::socket stream_;
+  WriteStream<Protocol::socket> write_stream_;
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_{kMostHeader + 1024};
   http::request_parser<http::string_body> parser_;
--- a/core/acceptor.cpp
+++ b/core/acceptor.cpp
@@ -1,21 +1,27 @@
 #include "core/acceptor.h"
 
-#include <poll.h>
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <algorithm>
 #include <boost/asio/detail/socket_option.hpp>
 #include <boost/asio/post.hpp>
 #include <boost/system/error_code.hpp>
+#include <cerrno>
 #include <utility>
 
+#include "core/system_calls.h"
+
 namespace mothrack {
 namespace {
 
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-constexpr Duration kPause = std::chrono::milliseconds(20);
+// After accept() failed: a lack of descriptors or memory for a moment costs little, one that lasts no spin. Doubled from
+// the least to the most while nothing is accepted. Where it is the owner that has no room, the most.
+constexpr Duration kLeastPause = std::chrono::milliseconds(1);
+constexpr Duration kMostPause = std::chrono::milliseconds(20);
 // A handler that is put off runs behind a look of the event loop at the system, but ahead of what that found; put off
 // twice it runs behind both.
 constexpr int kRounds = 2;
@@ -28,9 +34,32 @@
          error == boost::system::errc::too_many_files_open_in_system;
 }
 
-// Of the connection at the head of the queue, which is gone; nothing is wrong with the listening socket.
+// Of the connection at the head of the queue, which is gone, or of this one call; nothing is wrong with the listening
+// socket. accept(2): what the network did to a connection in the queue is passed on as an error of accept, and is to
+// be taken like EAGAIN by calling again; EPERM is a firewall's word on one client.
 bool IsOfOneClient(const error_code& error) {
-  return error == boost::asio::error::connection_aborted || error == boost::system::errc::protocol_error;
+  if (error.category() != boost::system::system_category()) return false;
+  switch (error.value()) {
+    case EINTR:
+    case ECONNABORTED:
+    case EPERM:
+    case EPROTO:
+    case ENETDOWN:
+    case ENOPROTOOPT:
+    case EHOSTDOWN:
+    case ENONET:
+    case EHOSTUNREACH:
+    case EOPNOTSUPP:
+    case ENETUNREACH:
+    case ETIMEDOUT:
+    case ECONNRESET:
+    case ENOSR:
+    case ESOCKTNOSUPPORT:
+    case EPROTONOSUPPORT:
+      return true;
+    default:
+      return false;
+  }
 }
 
 }  // namespace
@@ -43,6 +72,7 @@
       log_(log),
       socket_(io),
       pause_(io),
+      retry_pause_(kLeastPause),
       paused_(where.paused),
       self_(std::make_shared<Acceptor*>(this)) {
   const auto protocol = where.endpoint.protocol();
@@ -81,12 +111,12 @@
     if (error == boost::asio::error::operation_aborted) return acceptor.Wait();
     // Nobody foresaw it, and it must not end the listening.
     acceptor.log_.Line(acceptor.label_ + "waiting for clients: " + error.message());
-    acceptor.WaitLater();
+    acceptor.WaitLater(kMostPause);
   });
 }
 
-void Acceptor::WaitLater() {
-  pause_.expires_after(kPause);
+void Acceptor::WaitLater(Duration pause) {
+  pause_.expires_after(pause);
   pause_.async_wait([this](error_code error) {
     if (error || !socket_.is_open() || paused_) return;
     // A wait that missed a client does not hear of it after the pause either.
@@ -94,10 +124,8 @@
   });
 }
 
-bool Acceptor::ClientWaits() {
-  pollfd listening{socket_.native_handle(), POLLIN, 0};
-  return ::poll(&listening, 1, 0) == 1 && (listening.revents & POLLIN) != 0;
-}
+// Where the system can't tell somebody may wait: closing over a client would reset it.
+bool Acceptor::ClientWaits() { return (PollNow(socket_.native_handle(), POLLIN).value_or(POLLIN) & POLLIN) != 0; }
 
 void Acceptor::Look() {
   // Without a wait there is a pause, which ends by a timer.
@@ -127,24 +155,30 @@
   int gone = 0;
   while (true) {
     while (!owner_.Room()) {
-      if (!owner_.MakeRoom()) return WaitLater();
+      if (!owner_.MakeRoom()) return WaitLater(kMostPause);
     }
     tcp::socket socket(io_);
     error_code error;
     socket_.accept(socket, error);
     if (!error) {
+      retry_pause_ = kLeastPause;
       owner_.Admit(std::move(socket));
       // Room for the next is made only once it is there: it would be this one's that had said nothing yet.
       if (!owner_.Room()) break;
       continue;
     }
     if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) break;
-    if (IsOfOneClient(error) && ++gone < kMostGone) continue;
+    if (IsOfOneClient(error)) {
+      if (++gone < kMostGone) continue;
+      return WaitLater(NextRetryPause());
+    }
     log_.Line(label_ + "accept: " + error.message());
     if (error == boost::asio::error::bad_descriptor) return;
-    // Guards against a spin where descriptors or memory ran out: the client stays in the backlog.
-    if (IsExhausted(error)) owner_.MakeRoom();
-    return WaitLater();
+    // Guards against a spin where descriptors or memory ran out: the client stays in the backlog. Other connections
+    // make room only for a lack that outlasts a pause.
+    const bool lasting = retry_pause_ > kLeastPause;
+    if (IsExhausted(error) && lasting) owner_.MakeRoom();
+    return WaitLater(NextRetryPause());
   }
   Wait();
 }
@@ -168,6 +202,10 @@
   if (!ignored) ::close(handle);
 }
 
+Duration Acceptor::NextRetryPause() {
+  return std::exchange(retry_pause_, std::min(retry_pause_ * 2, kMostPause));
+}
+
 // Closing over clients that wait resets them. An error alone says nothing of whether somebody waits: it may be
 // of one client, or of descriptors that ran out.
 bool Acceptor::Close() {
--- a/core/acceptor.h
+++ b/core/acceptor.h
@@ -67,7 +67,8 @@
 
  private:
   void Wait();
-  void WaitLater();
+  void WaitLater(Duration pause);
+  Duration NextRetryPause();
   void Accept();
   bool ClientWaits();
   void LookAgain(int rounds);
@@ -78,6 +79,7 @@
   Logger& log_;
   boost::asio::ip::tcp::acceptor socket_;
   boost::asio::steady_timer pause_;
+  Duration retry_pause_;  // the next one after a failure of accept()
   bool paused_ = false;
   bool waiting_ = false;  // the event loop is to tell of the next client
   bool looking_ = false;  // a look found one that the event loop may still tell of
--- a/dns/tcp_link.cpp
+++ b/dns/tcp_link.cpp
@@ -4,6 +4,8 @@
 #include <array>
 #include <boost/asio/post.hpp>
 
+#include "core/system_calls.h"
+
 namespace mothrack::dns {
 namespace {
 
@@ -112,10 +114,9 @@
   if (closed_ || retired_) return false;
   if (!connected_ || open_.size() > 0) return true;
   // The event of its close may not have been delivered yet.
-  std::uint8_t byte = 0;
   error_code error;
-  socket_.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, error);
-  if (error == boost::asio::error::would_block || (!error && !abandoned_.empty())) return true;
+  PeekByte(socket_, error);
+  if (WouldBlock(error) || (!error && !abandoned_.empty())) return true;
   Close();
   return false;
 }
@@ -125,9 +126,9 @@
   while (!frames_.empty()) {
     Frame& frame = frames_.front();
     error_code error;
-    front_written_ += socket_.write_some(
-        boost::asio::buffer(frame.bytes.data() + front_written_, frame.bytes.size() - front_written_), error);
-    if (error == boost::asio::error::would_block) {
+    front_written_ += WriteSome(
+        socket_, boost::asio::buffer(frame.bytes.data() + front_written_, frame.bytes.size() - front_written_), error);
+    if (WouldBlock(error)) {
       flushing_ = true;
       socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
         self->flushing_ = false;
@@ -169,9 +170,9 @@
 void TcpLink::Receive() {
   static thread_local std::array<std::uint8_t, kReadSize> bytes;
   error_code error;
-  const std::size_t size = socket_.read_some(boost::asio::buffer(bytes), error);
+  const std::size_t size = ReadSome(socket_, boost::asio::buffer(bytes), error);
   read_.Add(Bytes(bytes).first(size));
-  if (error == boost::asio::error::would_block) return Wait();
+  if (WouldBlock(error)) return Wait();
   if (error || (open_.size() == 0 && abandoned_.empty())) return Break();
   Take();
   if (!closed_) Wait();
--- a/dns/tcp_server.cpp
+++ b/dns/tcp_server.cpp
@@ -8,6 +8,7 @@
 #include <utility>
 #include <vector>
 
+#include "core/system_calls.h"
 #include "dns/frames.h"
 
 namespace mothrack::dns {
@@ -97,8 +98,8 @@
   void Receive() {
     static thread_local std::array<std::uint8_t, kReadSize> bytes;
     error_code error;
-    const std::size_t size = socket_.read_some(boost::asio::buffer(bytes), error);
-    if (error == boost::asio::error::would_block) return Wait();
+    const std::size_t size = ReadSome(socket_, boost::asio::buffer(bytes), error);
+    if (WouldBlock(error)) return Wait();
     if (error == boost::asio::error::eof) {
       // It may have closed its sending side only: what it asked is answered first.
       ended_ = true;
@@ -150,8 +151,8 @@
   void Flush() {
     if (flushing_ || closed_) return;
     error_code error;
-    const std::size_t size = socket_.write_some(boost::asio::buffer(unwritten_), error);
-    if (error && error != boost::asio::error::would_block) return Close();
+    const std::size_t size = WriteSome(socket_, boost::asio::buffer(unwritten_), error);
+    if (error && !WouldBlock(error)) return Close();
     if (size > 0) write_began_ = Now();
     unwritten_.erase(unwritten_.begin(), unwritten_.begin() + static_cast<std::ptrdiff_t>(size));
     if (!unwritten_.empty()) {
--- a/fleet/client.cpp
+++ b/fleet/client.cpp
@@ -11,6 +11,7 @@
 #include <utility>
 
 #include "core/address.h"
+#include "core/write_stream.h"
 
 namespace mothrack::fleet {
 namespace {
@@ -24,7 +25,7 @@
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(boost::asio::io_context& io, Question question, std::function<void(Reply)> hear)
-      : socket_(io), timer_(io), question_(std::move(question)), hear_(std::move(hear)) {
+      : socket_(io), write_stream_(socket_), timer_(io), question_(std::move(question)), hear_(std::move(hear)) {
     parser_.body_limit(kLongestReply);
   }
 
@@ -55,7 +56,7 @@
     if (!question_.token.empty()) request_.set(http::field::authorization, "Bearer " + question_.token);
     if (question_.body) request_.body() = question_.body->dump();
     request_.prepare_payload();
-    http::async_write(socket_, request_, [self = shared_from_this()](error_code error, std::size_t) {
+    http::async_write(write_stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
       if (error) return self->End({error.message(), 0, nullptr});
       http::async_read(self->socket_, self->buffer_, self->parser_, [self](error_code failed, std::size_t) {
         if (failed) return self->End({failed.message(), 0, nullptr});
@@ -76,6 +77,7 @@
   }
 
   Protocol::socket socket_;
+  WriteStream<Protocol::socket> write_stream_;
   boost::asio::steady_timer timer_;
   const Question question_;
   std::function<void(Reply)> hear_;
--- a/fleet/processes.cpp
+++ b/fleet/processes.cpp
@@ -101,9 +101,10 @@
   return ::rename(fresh.c_str(), path.c_str()) == 0;
 }
 
-void SyncDirectory(const std::string& path) {
+// False, and errno set, where what was made or renamed in it may be gone after a crash of the machine.
+bool SyncDirectory(const std::string& path) {
   const Fd directory(::open(path.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC));
-  if (directory) ::fsync(directory.get());
+  return directory && ::fsync(directory.get()) == 0;
 }
 
 std::string ReadFile(const std::string& path) {
@@ -495,11 +496,15 @@
     fs::remove_all(fresh, error);
     return generation + ": " + fault;
   }
-  SyncDirectory(fresh);
+  if (!SyncDirectory(fresh)) return fresh + ": " + std::strerror(errno);
   fs::rename(fresh, to, error);
   if (error) return to + ": " + error.message();
-  SyncDirectory(directory_ + "/generations");
-  return {};
+  const std::string parent = directory_ + "/generations";
+  if (SyncDirectory(parent)) return {};
+  // Taken back, as far as that goes: who is told of a fault may ask again, and must not be told that it is there.
+  const std::string fault = parent + ": " + std::strerror(errno);
+  fs::rename(to, fresh, error);
+  return fault;
 }
 
 std::string Processes::LogTail(const std::string& instance, std::size_t bytes) const {
--- a/http/body_writer.cpp
+++ b/http/body_writer.cpp
@@ -6,6 +6,8 @@
 #include <cstdio>
 #include <string_view>
 
+#include "core/system_calls.h"
+
 namespace mothrack {
 namespace {
 
@@ -39,10 +41,8 @@
     const std::array<boost::asio::const_buffer, 2> parts = {boost::asio::buffer(frame.data(), frame.size()),
                                                             boost::asio::buffer(bytes.data(), bytes.size())};
     error_code error;
-    std::size_t size = socket.write_some(parts, error);
-    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) {
-      return Progress::kSocketFull;
-    }
+    std::size_t size = WriteSome(socket, parts, error);
+    if (WouldBlock(error)) return Progress::kSocketFull;
     if (error) return Progress::kFailed;
     const std::size_t framed = std::min(size, frame.size());
     frame_at_ += framed;
--- a/http/front.cpp
+++ b/http/front.cpp
@@ -91,10 +91,13 @@
   return response;
 }
 
-Duration ShortestDeadline(const kestrellb::Settings& settings) {
-  Duration shortest = Duration::max();
-  for (const auto& known : settings.classes) shortest = std::min(shortest, known.deadline);
-  return shortest;
+DeadlineRange DeadlinesOf(const kestrellb::Settings& settings) {
+  DeadlineRange range{Duration::max(), Duration::zero()};
+  for (const auto& known : settings.classes) {
+    range.shortest = std::min(range.shortest, known.deadline);
+    range.longest = std::max(range.longest, known.deadline);
+  }
+  return range;
 }
 
 ComingBody Coming(Final& final) {
@@ -119,7 +122,7 @@
 HttpFront::HttpFront(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors,
                      ByteBudget& budget, Logger& log, Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
-      listener_(io, where, descriptors, budget, log, ShortestDeadline(dispatcher.settings()),
+      listener_(io, where, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
                 [this](HttpRequest request, ComingBody coming, Listener::Reply reply) {
                   return Take(std::move(request), std::move(coming), std::move(reply));
                 }) {
--- a/http/listener.cpp
+++ b/http/listener.cpp
@@ -13,9 +13,13 @@
 #include <chrono>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <utility>
 #include <vector>
 
+#include "core/system_calls.h"
+#include "core/write_stream.h"
+
 namespace mothrack {
 namespace {
 
@@ -54,9 +58,19 @@
 constexpr Duration kWriteIdleTimeout = seconds(30);
 // Clients go on opening connections for a moment after a planned stop began.
 constexpr Duration kAcceptWhileDraining = milliseconds(800);
+// SIGKILL may follow SIGTERM after the longest deadline, which counts as kMostDeadline at most, and this.
+constexpr Duration kMostDeadline = seconds(3);
+constexpr Duration kKillAfter = milliseconds(700);
+// By so much earlier all is over.
+constexpr Duration kKillMargin = milliseconds(50);
 // A connection opened in that time is about to carry a request.
 constexpr Duration kFreshConnection = milliseconds(300);
 
+// Until when a planned stop is to be over.
+Duration StopWithin(Duration longest_deadline) {
+  return std::min(longest_deadline, kMostDeadline) + kKillAfter - kKillMargin;
+}
+
 HttpResponse Plain(http::status status, const std::string& text) {
   HttpResponse response(status, 11);
   response.set(http::field::content_type, "text/plain");
@@ -78,7 +92,8 @@
   Connection(Listener& owner, tcp::socket socket)
       : owner_(&owner),
         slot_(std::in_place, owner.descriptors_, Descriptors::Side::kClient),
-        socket_(std::move(socket)) {
+        socket_(std::move(socket)),
+        write_stream_(socket_) {
     buffer_.max_size(kMostRead);
     NewParser();
   }
@@ -141,10 +156,13 @@
 
   // The client has closed its end, or all of the connection; also where bytes wait ahead of that.
   bool ClientDisconnected() {
-    pollfd client{socket_.native_handle(), POLLRDHUP, 0};
-    return ::poll(&client, 1, 0) == 1 && (client.revents & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+    const auto events = PollNow(socket_.native_handle(), POLLRDHUP);
+    return (events.value_or(0) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   }
 
+  // All is answered, and only its client's close is waited for.
+  bool AwaitsItsClient() const { return state_ == State::kLingering || state_ == State::kHalfClosed; }
+
   // Which goes first when descriptors run out, the lowest number first; nothing where it must stay. Usual
   // clients' connections outlast those of clients that say nothing.
   std::optional<int> EvictionRank(TimePoint now) const {
@@ -225,10 +243,9 @@
   // Of a half-closed connection something is to be read. If it is the end, all is done; else the sweep looks
   // for that behind what waits.
   void AwaitClose() {
-    char byte = 0;
     error_code error;
-    socket_.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, error);
-    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) return Read();
+    PeekByte(socket_, error);
+    if (WouldBlock(error)) return Read();
     if (error) Close();
   }
 
@@ -237,15 +254,15 @@
     char bytes[kReadSize];
     error_code error;
     while (!error && dropped_ <= kMostLinger) {
-      dropped_ += socket_.read_some(boost::asio::buffer(bytes), error);
+      dropped_ += ReadSome(socket_, boost::asio::buffer(bytes), error);
     }
   }
 
   void Receive() {
     const std::size_t room = std::min(buffer_.max_size() - buffer_.size(), upload_ ? kMostRead : kReadSize);
     error_code error;
-    const std::size_t size = socket_.read_some(buffer_.prepare(room), error);
-    if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) return Read();
+    const std::size_t size = ReadSome(socket_, buffer_.prepare(room), error);
+    if (WouldBlock(error)) return Read();
     if (error) return Close();
     buffer_.commit(size);
     Progress();
@@ -303,6 +320,7 @@
       if (parser_->is_header_done() && !std::exchange(head_checked_, true)) {
         if (const char* fault = FramingFault(parser_->get())) return Reject(http::status::bad_request, fault);
         Continue();
+        if (closed_) return;
       }
       if (parser_->is_done()) {
         if (!upload_) return Serve(Whole(), {});
@@ -371,9 +389,13 @@
   // A client that asked whether to go on waits for this before it sends the body.
   void Continue() {
     if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) return;
-    static constexpr char kGoOn[] = "HTTP/1.1 100 Continue\r\n\r\n";
-    error_code ignored;
-    socket_.write_some(boost::asio::buffer(kGoOn, sizeof kGoOn - 1), ignored);
+    static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+    std::string_view rest = kContinue;
+    error_code error;
+    while (!rest.empty() && !error) rest.remove_prefix(WriteSome(socket_, boost::asio::buffer(rest), error));
+    // None of it is no harm: the client goes on after a pause of its own (RFC 9110 section 10.1.1). A part of it would
+    // be taken for the beginning of the answer.
+    if (!rest.empty() && rest.size() < kContinue.size()) Close();
   }
 
   void Serve(HttpRequest request, ComingBody coming) {
@@ -420,7 +442,7 @@
     if (coming) return AnswerAsItComes(std::move(coming));
     response_.keep_alive(!close_after_);
     response_.prepare_payload();
-    http::async_write(socket_, response_, [self = shared_from_this()](error_code error, std::size_t) {
+    http::async_write(write_stream_, response_, [self = shared_from_this()](error_code error, std::size_t) {
       if (self->closed_ || self->owner_ == nullptr) return;
       if (error) return self->Close();
       self->Answered();
@@ -503,6 +525,7 @@
   Listener* owner_;
   std::optional<Descriptors::Slot> slot_;
   tcp::socket socket_;
+  WriteStream<tcp::socket> write_stream_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::request_parser<PieceBody>> parser_;
   HttpResponse response_;
@@ -532,13 +555,14 @@
 };
 
 Listener::Listener(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors,
-                   ByteBudget& budget, Logger& log, Duration shortest_deadline, OnRequest on_request)
+                   ByteBudget& budget, Logger& log, const DeadlineRange& deadlines, OnRequest on_request)
     : descriptors_(descriptors),
       budget_(budget),
       log_(log),
       on_request_(std::move(on_request)),
       acceptor_(io, where, "", *this, log),
-      sweep_every_(std::clamp(shortest_deadline / kSweepsInDeadline, kLook, kSweep)),
+      sweep_every_(std::clamp(deadlines.shortest / kSweepsInDeadline, kLook, kSweep)),
+      stop_within_(StopWithin(deadlines.longest)),
       sweep_(io) {
   ScheduleSweep();
 }
@@ -631,8 +655,15 @@
   Heard(now);
   const std::vector<std::shared_ptr<Connection>> all(connections_.begin(), connections_.end());
   unread_ = false;
+  const Duration drained = drained_ ? now - drain_started_ : Duration::zero();
+  // From here on there is no time left to wait for what a fresh connection would bring.
+  const bool last_call = drained >= stop_within_ - kLinger;
   for (const auto& connection : all) {
-    const bool rests = resting() && connection->Idle() && !connection->Fresh(now);
+    if (drained >= stop_within_ && connection->AwaitsItsClient()) {
+      connection->CloseNow();
+      continue;
+    }
+    const bool rests = resting() && connection->Idle() && (last_call || !connection->Fresh(now));
     if (rests && !connection->HasUnreadBytes()) connection->HalfClose();
     connection->CloseIfOverdue(now);
     if (!connection->ReadsNothing()) continue;
@@ -643,8 +674,8 @@
     }
   }
   // Without room for those that wait they are asked in until the others have had their time.
-  const Duration drained = drained_ ? now - drain_started_ : Duration::zero();
-  if (drained <= kAcceptWhileDraining || !acceptor_.is_open() || acceptor_.Close()) return;
+  if (drained <= std::min(kAcceptWhileDraining, stop_within_ - kLinger) || !acceptor_.is_open()) return;
+  if (acceptor_.Close()) return;
   if (drained > kAcceptWhileDraining + kRequestTimeout) acceptor_.Release();
 }
 
--- a/http/listener.h
+++ b/http/listener.h
@@ -17,6 +17,12 @@
 
 namespace mothrack {
 
+// Of the requests that a deployment has, from their last byte on.
+struct DeadlineRange {
+  Duration shortest;
+  Duration longest;
+};
+
 class Listener : private Acceptor::Owner {
  public:
   // The body of an answer may still be coming.
@@ -31,9 +37,10 @@
   using OnRequest = std::function<Taken(HttpRequest request, ComingBody coming, Reply reply)>;
 
   // Binds and listens; throws boost::system::system_error.
-  // `shortest_deadline` is of a request: a client that the system does not tell of is found well within it.
+  // A client that the system does not tell of is found well within the shortest deadline of a request. A planned stop
+  // ends ahead of the SIGKILL that may follow the longest one.
   Listener(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors,
-           ByteBudget& budget, Logger& log, Duration shortest_deadline, OnRequest on_request);
+           ByteBudget& budget, Logger& log, const DeadlineRange& deadlines, OnRequest on_request);
   ~Listener();
 
   Endpoint local() const { return acceptor_.local(); }
@@ -72,6 +79,7 @@
   std::set<std::shared_ptr<Connection>> connections_;
   Acceptor acceptor_;
   const Duration sweep_every_;
+  const Duration stop_within_;  // of a planned stop, from its start
   TimePoint looked_;  // for clients that wait
   boost::asio::steady_timer sweep_;
   std::function<void()> drained_;  // set while draining
--- a/http/transport.cpp
+++ b/http/transport.cpp
@@ -15,10 +15,14 @@
 #include <boost/beast/http/read.hpp>
 #include <boost/beast/http/serializer.hpp>
 #include <boost/beast/http/write.hpp>
+#include <cerrno>
 #include <charconv>
 #include <chrono>
 #include <utility>
 
+#include "core/system_calls.h"
+#include "core/write_stream.h"
+
 namespace mothrack {
 namespace {
 
@@ -92,6 +96,28 @@
   return codings == 1 && boost::beast::iequals(header[http::field::transfer_encoding], "chunked");
 }
 
+// Of a connection that did not come up: this machine lacked something (a port, memory, a route) or was interrupted. It
+// says nothing of the upstream, and nothing was sent. connect(2), ip(7).
+bool IsLocalFailure(const error_code& error) {
+  if (error.category() != boost::system::system_category()) return false;
+  switch (error.value()) {
+    case EADDRNOTAVAIL:
+    case EADDRINUSE:
+    case EAGAIN:
+    case EINTR:
+    case EMFILE:
+    case ENETDOWN:
+    case ENETUNREACH:
+    case ENFILE:
+    case ENOBUFS:
+    case ENOMEM:
+    case EPERM:
+      return true;
+    default:
+      return false;
+  }
+}
+
 Outcome Classify(const http::response_header<>& header) {
   const unsigned status = header.result_int();
   if (status == 200) return Outcome::kServed;
@@ -112,6 +138,7 @@
         pool_(pool),
         slot_(std::in_place, owner.descriptors_, Descriptors::Side::kUpstream),
         socket_(owner.io_),
+        write_stream_(socket_),
         timer_(owner.io_) {
     buffer_.max_size(kMostRead);
   }
@@ -145,7 +172,7 @@
     const auto pool = pool_.lock();
     socket_.async_connect(pool->location.endpoint, [self = shared_from_this()](error_code error) {
       if (self->closed_) return;
-      if (error) return self->End(Cause::kBroken);
+      if (error) return self->End(IsLocalFailure(error) ? Cause::kNotSent : Cause::kBroken);
       self->connected_ = true;
       if (self->abandoned_) return self->Unused();
       self->phase_ = Phase::kWriting;
@@ -189,10 +216,9 @@
   // have been delivered yet.
   bool LooksAlive() {
     if (closed_) return false;
-    char byte = 0;
     error_code error;
-    socket_.receive(boost::asio::buffer(&byte, 1), tcp::socket::message_peek, error);
-    return error == boost::asio::error::would_block;
+    PeekByte(socket_, error);
+    return WouldBlock(error);
   }
 
   ExchangeId id() const { return id_; }
@@ -250,7 +276,7 @@
     sending_->prepare_payload();
     serializer_.emplace(*sending_);
     write_pending_ = true;
-    http::async_write(socket_, *serializer_, [self = shared_from_this()](error_code error, std::size_t) {
+    http::async_write(write_stream_, *serializer_, [self = shared_from_this()](error_code error, std::size_t) {
       self->write_pending_ = false;
       if (self->serializer_->is_done()) self->Written();
       if (self->ending_) return self->Finish(*self->ending_);
@@ -510,6 +536,7 @@
   std::weak_ptr<Pool> pool_;
   std::optional<Descriptors::Slot> slot_;
   tcp::socket socket_;
+  WriteStream<tcp::socket> write_stream_;
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_;
   std::optional<http::response_parser<PieceBody>> parser_;
--- a/tests/acceptor_test.cpp
+++ b/tests/acceptor_test.cpp
@@ -5,6 +5,7 @@
 #include <sys/epoll.h>
 #include <sys/resource.h>
 #include <sys/socket.h>
+#include <sys/timerfd.h>
 #include <unistd.h>
 
 #include <boost/asio/io_context.hpp>
@@ -32,6 +33,8 @@
   std::function<void()> after_refusal;  // once, when accept has found nobody
   int lost_wakes = 0;                   // of the next that tell of a client
   int blocked = 0;                      // calls that would have waited without an end
+  int interrupts = 0;                   // of the next looks at its queue
+  int timers = 0;                       // set by the event loop
   std::map<int, void*> registered;      // with epoll, by descriptor
 } system_;
 
@@ -78,9 +81,20 @@
     errno = EINTR;
     return -1;
   }
+  if (system_.interrupts > 0 && count == 1 && fds->fd == system_.listening) {
+    --system_.interrupts;
+    errno = EINTR;
+    return -1;
+  }
   return next(fds, count, timeout);
 }
 
+extern "C" int timerfd_settime(int fd, int flags, const itimerspec* value, itimerspec* old) noexcept {
+  static const auto next = Next<int(int, int, const itimerspec*, itimerspec*)>("timerfd_settime");
+  ++system_.timers;
+  return next(fd, flags, value, old);
+}
+
 extern "C" int epoll_ctl(int epoll, int what, int fd, epoll_event* event) {
   static const auto next = Next<int(int, int, int, epoll_event*)>("epoll_ctl");
   if (event != nullptr) system_.registered[fd] = event->data.ptr;
@@ -120,7 +134,7 @@
     system_.takes = false;
     system_.descriptors = RLIM_INFINITY;
     system_.after_refusal = nullptr;
-    system_.blocked = 0;
+    system_.blocked = system_.interrupts = system_.timers = 0;
     ListenOn where(Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
     where.paused = paused;
     acceptor.emplace(io, where, "", static_cast<Acceptor::Owner&>(*this), log);
@@ -128,7 +142,10 @@
   }
 
   bool Room() const override { return room > 0; }
-  bool MakeRoom() override { return false; }
+  bool MakeRoom() override {
+    ++made_room;
+    return false;
+  }
   void Admit(tcp::socket socket) override {
     --room;
     admitted.push_back(std::move(socket));
@@ -155,6 +172,7 @@
   }
 
   int room = 1 << 30;
+  int made_room = 0;  // calls
   Logger log{"t"};
   boost::asio::io_context own;  // of the clients: never run
   boost::asio::io_context io{1};
@@ -237,6 +255,48 @@
   EXPECT_EQ(admitted.size(), 1U);
 }
 
+// What befell one client, or one call, is no reason to keep the others waiting.
+TEST_F(AcceptorTest, AnErrorOfOneClientOrAnInterruptionDelaysNobody) {
+  for (const int error : {EINTR, ECONNABORTED, EPERM, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH,
+                          EOPNOTSUPP, ENETUNREACH, ETIMEDOUT}) {
+    const std::size_t before = admitted.size();
+    Settle();
+    system_.fails = 3;
+    system_.error = error;
+    system_.timers = 0;
+    Connect();
+    EXPECT_TRUE(Admits(before + 1)) << error;
+    EXPECT_EQ(system_.timers, 0) << "a pause, with error " << error;
+  }
+}
+
+// A lack that is over at the next call closes nobody's connection; one that lasts does.
+TEST_F(AcceptorTest, OnlyALackThatLastsMakesRoomByClosingOthers) {
+  for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS}) {
+    const std::size_t before = admitted.size();
+    Settle();
+    made_room = 0;
+    system_.error = error;
+    system_.fails = 1;
+    Connect();
+    EXPECT_TRUE(Admits(before + 1)) << error;
+    EXPECT_EQ(made_room, 0) << error;
+    system_.fails = 3;
+    Connect();
+    EXPECT_TRUE(Admits(before + 2)) << error;
+    EXPECT_EQ(made_room, 2) << error;
+  }
+}
+
+TEST_F(AcceptorTest, WhereTheLookAtTheQueueIsInterruptedItIsTakenAgainAheadOfTheClose) {
+  Settle();
+  Connect();
+  system_.interrupts = 3;
+  EXPECT_TRUE(acceptor->Close());
+  EXPECT_EQ(admitted.size(), 1U);
+  EXPECT_EQ(system_.interrupts, 0);
+}
+
 TEST_F(AcceptorTest, ASystemThatOnlyFailsIsNotAskedWithoutAnEnd) {
   Settle();
   system_.fails = 1000;
--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -274,7 +274,12 @@
   if (!options.operator_file.empty()) std::ofstream(operator_path_) << options.operator_file;
 
   std::vector<std::string> environment = options.environment;
-  if (options.full_send != 0 || options.few_sockets != 0 || options.lost_wakes) {
+  if (!options.fault_plan.empty()) {
+    environment.push_back("LD_PRELOAD=" MOTHRACK_FAULT_INJECTION);
+    environment.push_back("FAULT_PLAN=" + options.fault_plan);
+    // The sanitizers want to be loaded first; here the faults are.
+    environment.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
+  } else if (options.full_send != 0 || options.few_sockets != 0 || options.lost_wakes) {
     environment.push_back("LD_PRELOAD=" + std::string(options.full_send != 0     ? MOTHRACK_FULL_SEND
                                                       : options.few_sockets != 0 ? MOTHRACK_FEW_SOCKETS
                                                                                  : MOTHRACK_LOST_WAKES));
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -171,6 +171,7 @@
     std::vector<std::string> environment{};  // further NAME=VALUE
     int full_send = 0;    // of its datagrams, the system takes only every so manieth at the first try
     int few_sockets = 0;  // the system gives it no socket of this number or more
+    std::string fault_plan = "";  // the file of a FaultPlan by which its system calls fail; empty: none
     bool lost_wakes = false;  // the system never tells it of a client that waits
     bool held_log = false;    // its log takes no byte until ReadLog(): it stops at its first line
   };
--- a/tests/standins/traffic.cpp
+++ b/tests/standins/traffic.cpp
@@ -19,22 +19,24 @@
 
 Upstream::Handler Runs::Handler() {
   return [this](Wire& wire, const Request& request, int) {
-    if (request.method() == boost::beast::http::verb::post) {
-      const std::lock_guard lock(mutex_);
-      ++runs_[request.body()];
-    }
+    if (request.method() == boost::beast::http::verb::post) Note(request.body());
     wire.Answer(200, "fine");
   };
 }
 
+void Runs::Note(const std::string& id) {
+  const std::lock_guard lock(mutex_);
+  ++runs_[id];
+}
+
 std::map<std::string, int> Runs::all() const {
   const std::lock_guard lock(mutex_);
   return runs_;
 }
 
 Traffic::Traffic(const std::vector<std::uint16_t>& ports, std::chrono::milliseconds every,
-                 std::function<void(const Ended&)> told)
-    : told_(std::move(told)) {
+                 std::function<void(const Ended&)> told, int requests_on_a_connection)
+    : told_(std::move(told)), requests_on_a_connection_(requests_on_a_connection) {
   for (std::size_t i = 0; i < ports.size(); ++i) {
     threads_.emplace_back([this, i, port = ports[i], every] { Send(i, port, every); });
   }
@@ -77,7 +79,8 @@
               : response->result_int() == 503 ? End::kRefused
                                               : End::kFailed;
       }
-      if (!response || !response->keep_alive()) error = boost::asio::error::eof;
+      const bool enough = requests_on_a_connection_ > 0 && i % requests_on_a_connection_ == 0;
+      if (!response || !response->keep_alive() || enough) error = boost::asio::error::eof;
     }
     if (error) wire.reset();
     ++counts_[static_cast<std::size_t>(end)];
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -21,6 +21,7 @@
 class Runs {
  public:
   Upstream::Handler Handler();
+  void Note(const std::string& id);  // it ran
   std::map<std::string, int> all() const;
 
  private:
@@ -49,9 +50,10 @@
     std::chrono::steady_clock::time_point begin, end;
   };
 
-  // Begins at once; each sends so often. `told`: by the clients' threads.
+  // Begins at once; each sends so often. `told`: by the clients' threads. With `requests_on_a_connection` a client closes
+  // its connection after so many.
   Traffic(const std::vector<std::uint16_t>& ports, std::chrono::milliseconds every,
-          std::function<void(const Ended&)> told = {});
+          std::function<void(const Ended&)> told = {}, int requests_on_a_connection = 0);
   ~Traffic();
   // Ends it, and tells how the unsafe requests ended, by their ids.
   std::map<std::string, End> Stop();
@@ -62,6 +64,7 @@
   void Send(std::size_t number, std::uint16_t port, std::chrono::milliseconds every);
 
   const std::function<void(const Ended&)> told_;
+  const int requests_on_a_connection_;
   std::atomic<bool> stopping_{false};
   std::atomic<std::size_t> counts_[6]{};
   std::mutex mutex_;
