--- a/admin/door.cpp
+++ b/admin/door.cpp
@@ -24,7 +24,10 @@
           [this](const Call& call) { return Guard(call); }, log) {}
 
 std::vector<Route> Door::Routes() {
-  return {{"GET", "/v1/status", [this](const Call& call) { return Answer{200, source_.status(After(call))}; }},
+  return {{"GET", "/v1/status",
+           [this](const Call& call) {
+             return Answer{200, source_.status(After(call))};
+           }},
           {"POST", "/v1/reload",
            [this](const Call&) {
              const std::string fault = source_.reload();
--- a/admin/door.h
+++ b/admin/door.h
@@ -4,8 +4,8 @@
 //   POST /v1/reload              reads the configuration again: 200, or 409 with the fault, the old one stays
 //   POST /v1/drain               begins the planned stop: 202
 //
-// An address wants `Authorization: Bearer TOKEN` (RFC 6750 section 2.1). More than kPerSecond answers a second
-// are refused with 429 unlooked at, so that whoever polls can't take the time that requests need.
+// An address wants `Authorization: Bearer TOKEN` (RFC 6750 section 2.1). More than kPerSecond answers a
+// second are refused with 429 unlooked at, so that whoever polls can't take the time that requests need.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/admin/ops.cpp
+++ b/admin/ops.cpp
@@ -28,7 +28,10 @@
              const bool ready = source_.ready();
              return Answer{ready ? 200U : 503U, {{"ready", ready}}};
            }},
-          {"GET", "/ops/stats", [this](const Call&) { return Answer{200, source_.stats()}; }},
+          {"GET", "/ops/stats",
+           [this](const Call&) {
+             return Answer{200, source_.stats()};
+           }},
           {"PUT", "/ops/upstreams/down",
            [this](const Call& call) { return OfUpstream(call, source_.ban, "down"); }},
           {"PUT", "/ops/upstreams/up",
--- a/admin/ops.h
+++ b/admin/ops.h
@@ -1,5 +1,5 @@
-// The platform's address for operators (LB_OPS): what the people on call ask of the sidecar and tell it. 2xx is
-// yes, 4xx and 5xx are no; see docs/operators/on_call.md.
+// The platform's address for operators (LB_OPS): what the people on call ask of the sidecar and tell it. 2xx
+// is yes, 4xx and 5xx are no; see docs/operators/on_call.md.
 //
 //   GET /ops/readiness              yes while it takes clients
 //   GET /ops/stats                  the figures
--- a/admin/report.cpp
+++ b/admin/report.cpp
@@ -30,8 +30,8 @@
   return "gone";
 }
 
-// Member by member, each moved into its place: as a list in braces every pair is an array first, which was most of what
-// an answer cost.
+// Member by member, each moved into its place: as a list in braces every pair is an array first, which was
+// most of what an answer cost.
 json ToJson(const kestrellb::UpstreamView& view, TimePoint now, std::int64_t unix_now) {
   json upstream = json::object();
   upstream.emplace("id", view.id.value);
--- a/admin/server.cpp
+++ b/admin/server.cpp
@@ -180,11 +180,12 @@
 
   void Linger() {
     buffer_.clear();
-    stream_.async_read_some(buffer_.prepare(1024), [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->owner_ == nullptr) return;
-      if (error) return self->End();
-      self->Linger();
-    });
+    stream_.async_read_some(buffer_.prepare(1024),
+                            [self = shared_from_this()](error_code error, std::size_t) {
+                              if (self->owner_ == nullptr) return;
+                              if (error) return self->End();
+                              self->Linger();
+                            });
   }
 
   void End() {
@@ -287,7 +288,8 @@
 Answer Server::Serve(const Call& call) {
   if (guard_) {
     if (const auto refused = guard_(call)) {
-      if (refused->status == 401) return Refuse(call, 401, "no valid token", refused->body.value("error", ""));
+      if (refused->status == 401)
+        return Refuse(call, 401, "no valid token", refused->body.value("error", ""));
       return *refused;
     }
   }
--- a/admin/server.h
+++ b/admin/server.h
@@ -1,7 +1,7 @@
-// Where operators call: HTTP/1.1 with JSON answers on a Unix socket or an address. One call a connection. Up to
-// a bound of connections are open at once, each for kPatience at most; where another comes, the one goes that has
-// waited longest for the rest of its call. So a caller that holds its connection never keeps another waiting.
-// Errors are {"error": text}.
+// Where operators call: HTTP/1.1 with JSON answers on a Unix socket or an address. One call a connection. Up
+// to a bound of connections are open at once, each for kPatience at most; where another comes, the one goes
+// that has waited longest for the rest of its call. So a caller that holds its connection never keeps another
+// waiting. Errors are {"error": text}.
 #pragma once
 
 #include <boost/asio/generic/stream_protocol.hpp>
@@ -37,7 +37,8 @@
 
 inline Answer Fault(unsigned status, const std::string& why) { return {status, {{"error", why}}}; }
 
-// Does it give this token, as `Authorization: Bearer TOKEN` (RFC 6750 section 2.1)? Compared in constant time.
+// Does it give this token, as `Authorization: Bearer TOKEN` (RFC 6750 section 2.1)? Compared in constant
+// time.
 bool HoldsToken(const Call& call, const std::string& token);
 
 // A part of a URL as it was before it was escaped (RFC 3986 section 2.1); what is no escape stays as it is.
@@ -68,8 +69,8 @@
 
   // Listens at once. `label` begins its log lines. Throws std::runtime_error, which names the place, where it
   // can't.
-  Server(boost::asio::io_context& io, Place place, Bounds bounds, std::string label, std::vector<Route> routes,
-         Guard guard, Logger& log);
+  Server(boost::asio::io_context& io, Place place, Bounds bounds, std::string label,
+         std::vector<Route> routes, Guard guard, Logger& log);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -1,6 +1,6 @@
-// Many peers in made-up time, each putting one 60-byte value every so often: what it costs, how soon all know, how old
-// what is seen is. Arguments: numbers of members (10 100 300 2000), then `key=value` for terms: fanout, gossip, rate,
-// retransmit.
+// Many peers in made-up time, each putting one 60-byte value every so often: what it costs, how soon all
+// know, how old what is seen is. Arguments: numbers of members (10 100 300 2000), then `key=value` for terms:
+// fanout, gossip, rate, retransmit.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -19,7 +19,8 @@
 double At(std::vector<std::int64_t>& all, double share) {
   if (all.empty()) return -1;
   std::sort(all.begin(), all.end());
-  return static_cast<double>(all[static_cast<std::size_t>(share * static_cast<double>(all.size() - 1))]) / 1000;
+  return static_cast<double>(all[static_cast<std::size_t>(share * static_cast<double>(all.size() - 1))]) /
+         1000;
 }
 
 // A second in which each puts its value at its own tenth of every `put` seconds; 0: nobody does.
@@ -77,7 +78,8 @@
   }
   std::vector<std::int64_t> ages;
   for (std::size_t i = 0; i < members; ++i) {
-    for (const auto& view : net.nodes[i].core->Values("load", net.LocalNow(i))) ages.push_back(view.age.count());
+    for (const auto& view : net.nodes[i].core->Values("load", net.LocalNow(i)))
+      ages.push_back(view.age.count());
   }
   const double seen = static_cast<double>(ages.size()) / static_cast<double>(members * members);
   changed = net.now;
@@ -88,10 +90,10 @@
   net.Kill(dead);
   for (int s = 0; s < (large ? 15 : 60) && known.size() < members - 1; ++s) Second(net, dead, put);
   const double each = static_cast<double>(members) * seconds;
-  std::printf("| %zu | %zu | %.1f | %.1f | %.2f / %.2f / %.0f%% | %.1f / %.1f | %.1f / %.1f / %.0f%% |", members,
-              put, static_cast<double>(bytes) / each / 1000, static_cast<double>(datagrams) / each,
-              At(heard, 0.5), At(heard, 1), share * 100, At(known, 0.5), At(known, 1), At(ages, 0.5), At(ages, 0.99),
-              seen * 100);
+  std::printf("| %zu | %zu | %.1f | %.1f | %.2f / %.2f / %.0f%% | %.1f / %.1f | %.1f / %.1f / %.0f%% |",
+              members, put, static_cast<double>(bytes) / each / 1000, static_cast<double>(datagrams) / each,
+              At(heard, 0.5), At(heard, 1), share * 100, At(known, 0.5), At(known, 1), At(ages, 0.5),
+              At(ages, 0.99), seen * 100);
   std::fflush(stdout);
   // A bad night: one datagram in ten lost.
   net.Start(dead, 1'000'000'000);
@@ -101,8 +103,8 @@
   net.links = {10, 0, 10, 40};
   const int bad = large ? 10 : members > 100 ? 60 : 300;
   for (int s = 0; s < bad; ++s) Second(net, none, put);
-  std::printf(" %d in %d s | %.2f | %lld |%s\n", false_deaths, bad, cpu / each * 1000, static_cast<long long>(joined),
-              net.violation.c_str());
+  std::printf(" %d in %d s | %.2f | %lld |%s\n", false_deaths, bad, cpu / each * 1000,
+              static_cast<long long>(joined), net.violation.c_str());
   std::fflush(stdout);
 }
 
@@ -128,7 +130,8 @@
   if (sizes.empty()) sizes = {10, 100, 300, 2000};
   std::printf(
       "| members | a value every, s | kB/s sent | datagrams/s | a change is at half / all, s / reached | a "
-      "death is known to half / all, s | age seen: median / 99th, s / seen | false deaths at 10%% loss | ms of "
+      "death is known to half / all, s | age seen: median / 99th, s / seen | false deaths at 10%% loss | ms "
+      "of "
       "processor a second | all joined after, s |\n|---|---|---|---|---|---|---|---|---|---|\n");
   for (const std::size_t members : sizes) {
     std::vector<std::size_t> every = {0, 1};
--- a/bench/peers_wire.cpp
+++ b/bench/peers_wire.cpp
@@ -44,8 +44,8 @@
   const std::string foreign = *stranger.Close(bytes);
   std::string posing = foreign;  // names our key without having it
   std::copy(ring[0].id.begin(), ring[0].id.end(), posing.begin() + 2);
-  std::printf("| %s | %zu | %zu | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f |\n", name, bytes.size(), sealed.size(),
-              Nanoseconds([&] { g_sink += Write(message).size(); }),
+  std::printf("| %s | %zu | %zu | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f |\n", name, bytes.size(),
+              sealed.size(), Nanoseconds([&] { g_sink += Write(message).size(); }),
               Nanoseconds([&] { g_sink += Read(bytes)->news.size(); }),
               Nanoseconds([&] { g_sink += from.Close(bytes)->size(); }),
               Nanoseconds([&] { g_sink += to.Open(sealed).payload.size(); }),
@@ -84,14 +84,16 @@
   };
   fill(gossip, gossip.news, Member);
   fill(values, values.values, [](std::size_t i) {
-    return Value{Member(i).life, "evidence", 4711 + i, Duration(1234), Duration(10'000), std::string(64, 'v')};
+    return Value{Member(i).life, "evidence",       4711 + i,
+                 Duration(1234), Duration(10'000), std::string(64, 'v')};
   });
   fill(digest, digest.digest, [](std::size_t i) {
     return DigestLine{Member(i).life, i % 3, State::kAlive, 0x9e3779b97f4a7c15 * (i + 1)};
   });
   std::printf("a full gossip: %zu news; values of 64 bytes: %zu; digest: %zu lines\n", gossip.news.size(),
               values.values.size(), digest.digest.size());
-  std::printf("| datagram | bytes | sealed | write | read | seal | open, repeated | unknown key | forged |\n");
+  std::printf(
+      "| datagram | bytes | sealed | write | read | seal | open, repeated | unknown key | forged |\n");
   Report("ping with a subject", ping, ring, others);
   Report("gossip, full", gossip, ring, others);
   Report("values, full", values, ring, others);
--- a/bench/ring_bench.cpp
+++ b/bench/ring_bench.cpp
@@ -1,7 +1,7 @@
-// ring_bench: weighted rendezvous (ring/) beside a continuum of virtual nodes, multi-probe hashing and a filled table,
-// at 10, 100 and 1,000 nodes of mixed capacities. Spread (the most loaded node's share over its weight's), movement at
-// a join, a leave and a halved capacity over the least that must move, time of a lookup, memory. The module's pick
-// last.
+// ring_bench: weighted rendezvous (ring/) beside a continuum of virtual nodes, multi-probe hashing and a
+// filled table, at 10, 100 and 1,000 nodes of mixed capacities. Spread (the most loaded node's share over its
+// weight's), movement at a join, a leave and a halved capacity over the least that must move, time of a
+// lookup, memory. The module's pick last.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -30,7 +30,8 @@
 struct Rendezvous {
   explicit Rendezvous(const Nodes& nodes) {
     std::vector<Node> all;
-    for (const auto& node : nodes) all.push_back({node.uid, LevelOf(static_cast<std::uint64_t>(1024 * node.weight))});
+    for (const auto& node : nodes)
+      all.push_back({node.uid, LevelOf(static_cast<std::uint64_t>(1024 * node.weight))});
     ring = mothrack::ring::Ring(1, all);
     for (const auto& node : ring.nodes()) {
       for (std::uint32_t i = 0; i < nodes.size(); ++i) {
@@ -59,7 +60,8 @@
   explicit Continuum(const Nodes& nodes, double per_weight = 160) : count(nodes.size()) {
     for (std::uint32_t i = 0; i < nodes.size(); ++i) {
       const auto many = static_cast<std::uint64_t>(per_weight * nodes[i].weight);
-      for (std::uint64_t k = 0; k < many; ++k) points.push_back({Mix(NodeHash(nodes[i].uid) + Mix(k + 1)), i});
+      for (std::uint64_t k = 0; k < many; ++k)
+        points.push_back({Mix(NodeHash(nodes[i].uid) + Mix(k + 1)), i});
     }
     std::sort(points.begin(), points.end());
   }
@@ -108,8 +110,8 @@
     double most = 0;
     for (const auto& node : nodes) {
       const auto hash = NodeHash(node.uid);
-      takers.push_back(
-          {static_cast<std::uint32_t>(hash % kSlots), static_cast<std::uint32_t>(Mix(hash) % (kSlots - 1)) + 1});
+      takers.push_back({static_cast<std::uint32_t>(hash % kSlots),
+                        static_cast<std::uint32_t>(Mix(hash) % (kSlots - 1)) + 1});
       most = std::max(most, node.weight);
     }
     for (std::uint32_t filled = 0; filled < kSlots;) {
@@ -147,8 +149,10 @@
   return first;
 }
 
-// Moved keys over those whose owner's share had to change hands, of the same keys: those that left or came to the node.
-double Movement(const std::vector<std::uint32_t>& before, const std::vector<std::uint32_t>& after, std::uint32_t node) {
+// Moved keys over those whose owner's share had to change hands, of the same keys: those that left or came to
+// the node.
+double Movement(const std::vector<std::uint32_t>& before, const std::vector<std::uint32_t>& after,
+                std::uint32_t node) {
   int moved = 0;
   int must = 0;
   for (int i = 0; i < kKeys; ++i) {
@@ -193,8 +197,9 @@
   for (int i = 0; i < count; ++i) spread = std::max(spread, owned[i] / (kKeys * nodes[i].weight / all));
   const auto join = First(more);
   std::printf("| %s | %d | %.3f | %.3f | %.3f | %.3f | %.0f | %.0f | %.0f |\n", name, count, spread,
-              Movement(first, join, count), Movement(join, first, count), Movement(first, First(less), count / 2),
-              Nanoseconds(kind, 1), Nanoseconds(kind, 3), kind.bytes() / 1024.0);
+              Movement(first, join, count), Movement(join, first, count),
+              Movement(first, First(less), count / 2), Nanoseconds(kind, 1), Nanoseconds(kind, 3),
+              kind.bytes() / 1024.0);
 }
 
 // A request through the module alone: arrival, its actions, its end.
--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -1,10 +1,11 @@
-// Many members over three zones in made-up time: how soon nothing is sent to a lost zone by anybody, for how long the
-// members disagree, what the cold zone is sent when it is back, and whether a zone is ever left that should not be.
-//   zones_bench [NIGHTS [MEMBERS [NAME]]]      the figures of docs/design/zones.md; NIGHTS calm and overloaded ones
-//   (NAME nights), 20 and 5 of the others at most
-// Links, servers and the module are models: servers of a zone are one queue; a member spreads its calls by the shares
-// it is given, passes over a zone of which it found three upstreams silent itself (as the module does), and sends to
-// cold upstreams by its allowance alone.
+// Many members over three zones in made-up time: how soon nothing is sent to a lost zone by anybody, for how
+// long the members disagree, what the cold zone is sent when it is back, and whether a zone is ever left that
+// should not be.
+//   zones_bench [NIGHTS [MEMBERS [NAME]]]      the figures of docs/design/zones.md; NIGHTS calm and
+//   overloaded ones (NAME nights), 20 and 5 of the others at most
+// Links, servers and the module are models: servers of a zone are one queue; a member spreads its calls by
+// the shares it is given, passes over a zone of which it found three upstreams silent itself (as the module
+// does), and sends to cold upstreams by its allowance alone.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -157,16 +158,17 @@
 
   void Turn() {
     for (int z = 0; z < kZones; ++z) {
-      queue_[z] =
-          LostNow(z) && n_.part >= 1 && !n_.cut ? 0 : std::max(0.0, queue_[z] - capacity_ * Warmth(z) * kTick / 1000);
+      queue_[z] = LostNow(z) && n_.part >= 1 && !n_.cut
+                      ? 0
+                      : std::max(0.0, queue_[z] - capacity_ * Warmth(z) * kTick / 1000);
     }
     for (const Ending& e : std::exchange(endings_[now_ / kTick % 1024], {})) {
       Member& m = members_[e.member];
       m.observer->OnAttemptEnd({names_[e.zone], names_[e.zone] + std::to_string(e.upstream), 0, e.outcome,
                                 Duration(now_ - e.sent), e.in_time, false, true},
                                At(now_));
-      // As the module: it stands where a tenth is late, over its range in some two seconds; of a zone taken to be lost
-      // it learns nothing.
+      // As the module: it stands where a tenth is late, over its range in some two seconds; of a zone taken
+      // to be lost it learns nothing.
       const bool late = e.outcome != Outcome::kAnswered || !e.in_time;
       const double step = 1 / std::max(12.0, m.rate * 2);
       if (m.silent_run[e.zone] < 3) m.shed = std::clamp(m.shed + (late ? step : -step / 9), 0.0, 0.9);
@@ -252,7 +254,8 @@
     int zone = 0;
     while (zone < kZones - 1 && at >= weight[zone]) at -= weight[zone++];
     if (Warmth(zone) < 1) m.bucket[zone] -= 1;
-    if (zone == 0 && LostNow(0) && n_.part >= 1 && !Apart(m.zone, 1) && (n_.lost_again < 0 || now_ < n_.back_at))
+    if (zone == 0 && LostNow(0) && n_.part >= 1 && !Apart(m.zone, 1) &&
+        (n_.lost_again < 0 || now_ < n_.back_at))
       m.last_sent = now_;
     Send(i, zone);
   }
@@ -347,8 +350,8 @@
         share += s.share;
         low = std::min(low, s.generation), high = std::max(high, s.generation);
       }
-      std::printf("  | in %2d sus %2d lvg %2d left %2d ret %2d gen %u-%u share %4d", of[0], of[1], of[2], of[3], of[4],
-                  low, high, share / n_.members);
+      std::printf("  | in %2d sus %2d lvg %2d left %2d ret %2d gen %u-%u share %4d", of[0], of[1], of[2],
+                  of[3], of[4], low, high, share / n_.members);
     }
     std::printf(" queue %.0f %.0f %.0f\n", queue_[0], queue_[1], queue_[2]);
   }
@@ -393,7 +396,8 @@
       if (allowed > 0) r_.used_of_allowance = std::max(r_.used_of_allowance, in_second / allowed);
     }
     const int back = n_.back_again >= 0 ? n_.back_again : n_.back_at;
-    if (back >= 0 && now_ > back && r_.full_at < 0 && all_full && now_ > back + 1000) r_.full_at = now_ - back;
+    if (back >= 0 && now_ > back && r_.full_at < 0 && all_full && now_ > back + 1000)
+      r_.full_at = now_ - back;
   }
 
   const Night n_;
@@ -426,7 +430,8 @@
   std::vector<std::thread> threads;
   for (int t = 0; t < kThreads; ++t) {
     threads.emplace_back([&, t] {
-      for (int s = t; s < seeds; s += kThreads) results[static_cast<std::size_t>(s)] = World(night, s + 1).Play();
+      for (int s = t; s < seeds; s += kThreads)
+        results[static_cast<std::size_t>(s)] = World(night, s + 1).Play();
     });
   }
   for (std::thread& t : threads) t.join();
@@ -445,7 +450,8 @@
     bytes += 1000.0 * r.bytes / night.length / night.members / seeds;
   }
   std::printf(
-      "%-16s %4d %-6s last sent %5.0f/%5.0f ms (median member %5.0f)  apart %5.0f  into lost %6.0f  refused %.3f  "
+      "%-16s %4d %-6s last sent %5.0f/%5.0f ms (median member %5.0f)  apart %5.0f  into lost %6.0f  refused "
+      "%.3f  "
       "failed %.3f  cold %.2f/%.2f (of allowance %.2f)  full %6.0f  leaves %d, false %d  %.0f B/s\n",
       night.name, night.members, night.shared ? "fleet" : "alone", Of(left, 0.5), Of(left, 1), Of(half, 0.5),
       Of(apart, 0.5), Of(into, 0.5), Of(refused, 0.5), Of(lost, 0.5), Of(cold, 0.5), Of(cold, 1), Of(used, 1),
--- a/core/acceptor.cpp
+++ b/core/acceptor.cpp
@@ -18,12 +18,13 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// After accept() failed: a lack of descriptors or memory for a moment costs little, one that lasts no spin. Doubled from
-// the least to the most while nothing is accepted. Where it is the owner that has no room, the most.
+// After accept() failed: a lack of descriptors or memory for a moment costs little, one that lasts no spin.
+// Doubled from the least to the most while nothing is accepted. Where it is the owner that has no room, the
+// most.
 constexpr Duration kLeastPause = std::chrono::milliseconds(1);
 constexpr Duration kMostPause = std::chrono::milliseconds(20);
-// A handler that is put off runs behind a look of the event loop at the system, but ahead of what that found; put off
-// twice it runs behind both.
+// A handler that is put off runs behind a look of the event loop at the system, but ahead of what that found;
+// put off twice it runs behind both.
 constexpr int kRounds = 2;
 // Clients that left ahead of their turn, one behind the other, before others get theirs.
 constexpr int kMostGone = 64;
@@ -34,9 +35,9 @@
          error == boost::system::errc::too_many_files_open_in_system;
 }
 
-// Of the connection at the head of the queue, which is gone, or of this one call; nothing is wrong with the listening
-// socket. accept(2): what the network did to a connection in the queue is passed on as an error of accept, and is to
-// be taken like EAGAIN by calling again; EPERM is a firewall's word on one client.
+// Of the connection at the head of the queue, which is gone, or of this one call; nothing is wrong with the
+// listening socket. accept(2): what the network did to a connection in the queue is passed on as an error of
+// accept, and is to be taken like EAGAIN by calling again; EPERM is a firewall's word on one client.
 bool IsOfOneClient(const error_code& error) {
   if (error.category() != boost::system::system_category()) return false;
   switch (error.value()) {
@@ -89,8 +90,8 @@
     socket_.listen(boost::asio::socket_base::max_listen_connections);
   }
   socket_.non_blocking(true);
-  // Else asio takes a client that left ahead of its turn for a reason to block until the next one comes, and with it
-  // everything that this event loop serves.
+  // Else asio takes a client that left ahead of its turn for a reason to block until the next one comes, and
+  // with it everything that this event loop serves.
   socket_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
   Wait();
 }
@@ -125,7 +126,9 @@
 }
 
 // Where the system can't tell somebody may wait: closing over a client would reset it.
-bool Acceptor::ClientWaits() { return (PollNow(socket_.native_handle(), POLLIN).value_or(POLLIN) & POLLIN) != 0; }
+bool Acceptor::ClientWaits() {
+  return (PollNow(socket_.native_handle(), POLLIN).value_or(POLLIN) & POLLIN) != 0;
+}
 
 void Acceptor::Look() {
   // Without a wait there is a pause, which ends by a timer.
@@ -145,7 +148,8 @@
     acceptor.looking_ = false;
     if (told || acceptor.paused_ || !acceptor.socket_.is_open() || !acceptor.ClientWaits()) return;
     if (acceptor.missed_++ == 0) {
-      acceptor.log_.Line(acceptor.label_ + "a client waited and the system did not tell; further ones are only counted");
+      acceptor.log_.Line(acceptor.label_ +
+                         "a client waited and the system did not tell; further ones are only counted");
     }
     acceptor.Accept();
   });
@@ -174,8 +178,8 @@
     }
     log_.Line(label_ + "accept: " + error.message());
     if (error == boost::asio::error::bad_descriptor) return;
-    // Guards against a spin where descriptors or memory ran out: the client stays in the backlog. Other connections
-    // make room only for a lack that outlasts a pause.
+    // Guards against a spin where descriptors or memory ran out: the client stays in the backlog. Other
+    // connections make room only for a lack that outlasts a pause.
     const bool lasting = retry_pause_ > kLeastPause;
     if (IsExhausted(error) && lasting) owner_.MakeRoom();
     return WaitLater(NextRetryPause());
@@ -206,8 +210,8 @@
   return std::exchange(retry_pause_, std::min(retry_pause_ * 2, kMostPause));
 }
 
-// Closing over clients that wait resets them. An error alone says nothing of whether somebody waits: it may be
-// of one client, or of descriptors that ran out.
+// Closing over clients that wait resets them. An error alone says nothing of whether somebody waits: it may
+// be of one client, or of descriptors that ran out.
 bool Acceptor::Close() {
   if (ClientWaits()) Accept();
   if (ClientWaits()) return false;
--- a/core/acceptor.h
+++ b/core/acceptor.h
@@ -1,8 +1,8 @@
 // A listening TCP socket. Room for a connection is made only once a client waits for it; where the system has
 // no descriptor or memory left, clients stay in the backlog for a moment instead of the program spinning.
 //
-// The event loop is told once of a client that waits. Whoever owns an Acceptor calls Look() now and then, so that a
-// client is taken also where that once was missed: docs/design/wakeups.md.
+// The event loop is told once of a client that waits. Whoever owns an Acceptor calls Look() now and then, so
+// that a client is taken also where that once was missed: docs/design/wakeups.md.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,9 +20,10 @@
 
 // Where to listen.
 struct ListenOn {
-  ListenOn(Endpoint endpoint) : endpoint(std::move(endpoint)) {}  // NOLINT: an endpoint alone is the usual case
+  ListenOn(Endpoint endpoint)
+      : endpoint(std::move(endpoint)) {}  // NOLINT: an endpoint alone is the usual case
   Endpoint endpoint;
-  int taken = -1;           // a socket that listens already, to be taken over; the endpoint tells its protocol
+  int taken = -1;  // a socket that listens already, to be taken over; the endpoint tells its protocol
   bool share_port = false;  // another process of the same user may listen there, too (SO_REUSEPORT)
   bool paused = false;      // accepts only after Resume()
 };
@@ -43,8 +44,7 @@
 
   // Binds and listens, and calls `owner` from the event loop until Close(); throws
   // boost::system::system_error. `label` begins its log lines, as "dns: ".
-  Acceptor(boost::asio::io_context& io, const ListenOn& where, std::string label, Owner& owner,
-           Logger& log);
+  Acceptor(boost::asio::io_context& io, const ListenOn& where, std::string label, Owner& owner, Logger& log);
 
   Endpoint local() const { return socket_.local_endpoint(); }
   bool is_open() const { return socket_.is_open(); }
@@ -59,8 +59,8 @@
   bool paused() const { return paused_; }
   int native_handle() { return socket_.native_handle(); }
 
-  // Takes clients that wait although the event loop has had its chance to tell of them. Costs one system call where
-  // there is none. To be called from the event loop.
+  // Takes clients that wait although the event loop has had its chance to tell of them. Costs one system call
+  // where there is none. To be called from the event loop.
   void Look();
   // Times that only a look found clients: more than 0 is a fault of the system or of the event loop.
   std::uint64_t missed() const { return missed_; }
@@ -85,7 +85,8 @@
   bool looking_ = false;  // a look found one that the event loop may still tell of
   std::uint64_t woken_ = 0;
   std::uint64_t missed_ = 0;
-  const std::shared_ptr<Acceptor*> self_;  // goes with this: handlers that are still to come must not touch it
+  const std::shared_ptr<Acceptor*>
+      self_;  // goes with this: handlers that are still to come must not touch it
 };
 
 }  // namespace mothrack
--- a/core/allowance.h
+++ b/core/allowance.h
@@ -1,4 +1,5 @@
-// So many a second, and a burst of them after a pause: for log lines and answers that must not take what requests need.
+// So many a second, and a burst of them after a pause: for log lines and answers that must not take what
+// requests need.
 #pragma once
 
 #include <algorithm>
--- a/core/clock.h
+++ b/core/clock.h
@@ -1,5 +1,5 @@
-// The program's one clock: steady, in microseconds. The machine's wall clock is read here for what others say in Unix
-// time; it may be stepped at any moment, by any amount, so no span of time is ever measured by it.
+// The program's one clock: steady, in microseconds. The machine's wall clock is read here for what others say
+// in Unix time; it may be stepped at any moment, by any amount, so no span of time is ever measured by it.
 #pragma once
 
 #include <chrono>
@@ -28,7 +28,9 @@
   Duration unix_time{};  // the wall clock's, since 1970
 
   // The moment that has this Unix time, as far as the wall clock was right when it was read.
-  TimePoint At(std::chrono::milliseconds other_unix_time) const { return now + (other_unix_time - unix_time); }
+  TimePoint At(std::chrono::milliseconds other_unix_time) const {
+    return now + (other_unix_time - unix_time);
+  }
 };
 
 inline ClockReading ReadClocks() {
--- a/core/descriptors.h
+++ b/core/descriptors.h
@@ -16,8 +16,8 @@
   explicit Descriptors(std::size_t limit, std::size_t further = 0)
       : fixed_(kFixed + further), full_(limit > fixed_ ? limit - fixed_ : 1), limit_(full_) {}
 
-  // Another process of this sidecar may hold some of them: this one may not have more than `most` by now. What
-  // is over stays until it is closed.
+  // Another process of this sidecar may hold some of them: this one may not have more than `most` by now.
+  // What is over stays until it is closed.
   void Cap(std::size_t most) { limit_ = std::clamp<std::size_t>(most, 1, full_); }
   void Uncap() { limit_ = full_; }
   std::size_t full() const { return full_; }
--- a/core/dispatcher.cpp
+++ b/core/dispatcher.cpp
@@ -14,7 +14,8 @@
 using kestrellb::RequestId;
 
 // Keys are never used again by honest clients, so they need no longer memory than a copy that crosses the
-// answer takes: at least this, and as long as a request may be under way or its repeats are told apart upstream.
+// answer takes: at least this, and as long as a request may be under way or its repeats are told apart
+// upstream.
 constexpr Duration kLeastKeyMemory = std::chrono::seconds(5);
 constexpr std::size_t kMostEndedKeys = 8192;
 
@@ -228,8 +229,8 @@
   ForgetIfDone(id);
 }
 
-// Behind the module's own word: what it calls off ends by that. Left are attempts that it keeps for what their outcome
-// tells (trials), and all of them where the settings allow no cancelling.
+// Behind the module's own word: what it calls off ends by that. Left are attempts that it keeps for what
+// their outcome tells (trials), and all of them where the settings allow no cancelling.
 void Dispatcher::AbandonUnsent(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.out == 0) return;
--- a/core/dispatcher.h
+++ b/core/dispatcher.h
@@ -34,14 +34,16 @@
   // `transport` and `log` must outlive it. The membership held comes first, by Apply() with kRestored.
   Dispatcher(boost::asio::io_context& io, const kestrellb::Settings& settings, std::uint64_t seed,
              Transport& transport, Logger& log, OnSubscribe on_subscribe = nullptr)
-      : Dispatcher(std::make_unique<LoopAlarm>(io), settings, seed, transport, log, std::move(on_subscribe)) {}
+      : Dispatcher(std::make_unique<LoopAlarm>(io), settings, seed, transport, log, std::move(on_subscribe)) {
+  }
   // With a clock of its own, which must not call it once it is destroyed.
   Dispatcher(std::unique_ptr<Alarm> alarm, const kestrellb::Settings& settings, std::uint64_t seed,
              Transport& transport, Logger& log, OnSubscribe on_subscribe = nullptr);
 
   // Takes a request in; nothing, and no Final, where its key is taken.
   std::optional<kestrellb::RequestId> Take(NewRequest request);
-  // The last byte of a request has come that was taken while its body still came: its time counts from now on.
+  // The last byte of a request has come that was taken while its body still came: its time counts from now
+  // on.
   void Whole(kestrellb::RequestId id, TimePoint deadline);
   // The client left: no Final is owed any more.
   void Gone(kestrellb::RequestId id);
--- a/core/exchange.h
+++ b/core/exchange.h
@@ -40,7 +40,7 @@
   // Of a request that was not served: what the last attempt got, where that is an answer of its own that says
   // more than the front could.
   std::unique_ptr<Reply> reply;
-  bool streaming = false;  // the body of `reply` still comes; Gone() may be told until it has
+  bool streaming = false;                  // the body of `reply` still comes; Gone() may be told until it has
   Duration retry_after{};                  // of a refusal; zero: no advice
   bool late = false;                       // the request's time is over
   std::size_t attempts = 0;                // made so far; some may still be out
@@ -89,17 +89,17 @@
   // What membership tells of one upstream. Where it drains, is gone, moved or started anew, nothing that has
   // not begun to be written to it is written any more: such attempts end as not sent.
   virtual void Apply(const std::string& uid, const Location& location) = 0;
-  // Its end is told exactly once, also where nothing could be sent, perhaps at once. `timeout` counts from now
-  // on, or from when the last byte is written of a message that is still coming, and covers all that the attempt
-  // takes until an answer has started. Never sends a message twice by itself.
+  // Its end is told exactly once, also where nothing could be sent, perhaps at once. `timeout` counts from
+  // now on, or from when the last byte is written of a message that is still coming, and covers all that the
+  // attempt takes until an answer has started. Never sends a message twice by itself.
   virtual void Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message,
                     Duration timeout, ExchangeHooks hooks) = 0;
   virtual void Probe(ExchangeId id, const std::string& uid, OnEnd on_end) = 0;
   // Stops waiting; the exchange still ends once. Unknown ids are ignored.
   virtual void Cancel(ExchangeId id) = 0;
-  // Its request has its final answer, or its client left: what is not wholly written by now never will be, and the
-  // exchange ends as not sent or as cancelled. What is written goes on. A connection that is coming up may be waited
-  // for, since how that ends tells of the upstream. Unknown ids are ignored.
+  // Its request has its final answer, or its client left: what is not wholly written by now never will be,
+  // and the exchange ends as not sent or as cancelled. What is written goes on. A connection that is coming
+  // up may be waited for, since how that ends tells of the upstream. Unknown ids are ignored.
   virtual void Abandon(ExchangeId id) = 0;
   virtual void CloseIdle(const std::string& uid) = 0;
 };
--- a/core/roster.h
+++ b/core/roster.h
@@ -1,6 +1,6 @@
-// Membership as it counts: what discovery tells, and what people say of upstreams laid over it. The two are kept
-// apart, so that whatever the list says a ban holds until it is taken back, and then what the list says by then
-// counts. A banned upstream drains: nothing new goes there.
+// Membership as it counts: what discovery tells, and what people say of upstreams laid over it. The two are
+// kept apart, so that whatever the list says a ban holds until it is taken back, and then what the list says
+// by then counts. A banned upstream drains: nothing new goes there.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +16,12 @@
 
 class Roster {
  public:
-  // Takes in what discovery tells; gives what is to be told on, with those that a whole list leaves out as gone.
+  // Takes in what discovery tells; gives what is to be told on, with those that a whole list leaves out as
+  // gone.
   MembershipList Take(MembershipList list);
 
-  // What is to be told on, perhaps nothing; absent where the upstream was never listed. Calls may come more than
-  // once.
+  // What is to be told on, perhaps nothing; absent where the upstream was never listed. Calls may come more
+  // than once.
   std::optional<MembershipList> Ban(const std::string& uid);
   std::optional<MembershipList> Unban(const std::string& uid);
   // Bans that another process took over: also of upstreams that this one has not heard of.
--- a/core/stream.h
+++ b/core/stream.h
@@ -1,7 +1,7 @@
-// The body of one message on its way through the sidecar, in bounded pieces: one side appends what has come, the
-// other takes what it can pass on, and what is held in between is bounded by a window, which is this stream's share
-// of the process's budget. What was taken is kept too, as long as it is little, so that the body can be sent again
-// from its beginning.
+// The body of one message on its way through the sidecar, in bounded pieces: one side appends what has come,
+// the other takes what it can pass on, and what is held in between is bounded by a window, which is this
+// stream's share of the process's budget. What was taken is kept too, as long as it is little, so that the
+// body can be sent again from its beginning.
 #pragma once
 
 #include <cstddef>
@@ -18,8 +18,9 @@
  public:
   explicit ByteBudget(std::size_t bytes) : bytes_(bytes), full_(bytes) {}
 
-  // What each open stream may hold: enough to keep both sides busy, never so little that it stands still. The sum
-  // may pass the budget by kLeastWindow for each stream beyond what it allows: streams are as many as descriptors.
+  // What each open stream may hold: enough to keep both sides busy, never so little that it stands still. The
+  // sum may pass the budget by kLeastWindow for each stream beyond what it allows: streams are as many as
+  // descriptors.
   std::size_t Window() const;
   // Another process of this sidecar has the other half.
   void Halve() { bytes_ = full_ / 2; }
@@ -61,7 +62,8 @@
 
   // ---- The side that takes; one at a time ----
 
-  // Begins at the first byte; false where that is held no more. What another one took so far counts as not taken.
+  // Begins at the first byte; false where that is held no more. What another one took so far counts as not
+  // taken.
   bool Begin();
   // Whoever began takes no more: another may begin.
   void Leave();
@@ -86,7 +88,7 @@
 
   ByteBudget& budget_;
   const std::size_t keep_;
-  std::string bytes_;       // from base_ on, behind `head_` that are dropped already
+  std::string bytes_;  // from base_ on, behind `head_` that are dropped already
   std::size_t head_ = 0;
   std::uint64_t base_ = 0;  // of the body's bytes, the first one held
   std::uint64_t next_ = 0;  // the next one to be taken
--- a/core/system_calls.h
+++ b/core/system_calls.h
@@ -1,5 +1,5 @@
-// System calls on sockets that never block, made again where a signal interrupted them: EINTR says nothing of the
-// socket, and whoever took it for an error would close a connection over a request that it had read.
+// System calls on sockets that never block, made again where a signal interrupted them: EINTR says nothing of
+// the socket, and whoever took it for an error would close a connection over a request that it had read.
 #pragma once
 
 #include <poll.h>
@@ -13,8 +13,8 @@
 
 namespace mothrack {
 
-// The events among `events` (poll(2)) that hold for the descriptor now, errors and hang-ups included; absent where
-// the system can't tell (ENOMEM).
+// The events among `events` (poll(2)) that hold for the descriptor now, errors and hang-ups included; absent
+// where the system can't tell (ENOMEM).
 inline std::optional<short> PollNow(int descriptor, short events) {
   pollfd polled{descriptor, events, 0};
   int ready = 0;
--- a/core/tally.h
+++ b/core/tally.h
@@ -20,7 +20,7 @@
     kestrellb::ClassId request_class{};
     std::optional<kestrellb::TenantId> tenant{};
     std::uint64_t taken = 0;
-    std::uint64_t sent = 0;  // attempts written whole
+    std::uint64_t sent = 0;                        // attempts written whole
     std::array<std::uint64_t, kOutcomes> ended{};  // by Outcome
     std::uint64_t Of(Outcome outcome) const { return ended[static_cast<std::size_t>(outcome)]; }
   };
--- a/core/timers.h
+++ b/core/timers.h
@@ -19,7 +19,8 @@
  public:
   virtual ~Alarm() = default;
   virtual TimePoint Now() const = 0;
-  // Calls `due` once, at or after `at`, from the loop and never from within Set(); not at all once it is destroyed.
+  // Calls `due` once, at or after `at`, from the loop and never from within Set(); not at all once it is
+  // destroyed.
   virtual void Set(TimePoint at, std::function<void()> due) = 0;
 };
 
@@ -40,7 +41,8 @@
  public:
   using OnDue = std::function<void(std::uint64_t token)>;
   Timers(std::unique_ptr<Alarm> alarm, OnDue on_due) : alarm_(std::move(alarm)), on_due_(std::move(on_due)) {}
-  Timers(boost::asio::io_context& io, OnDue on_due) : Timers(std::make_unique<LoopAlarm>(io), std::move(on_due)) {}
+  Timers(boost::asio::io_context& io, OnDue on_due)
+      : Timers(std::make_unique<LoopAlarm>(io), std::move(on_due)) {}
 
   // Counts from the next Arm() on: whoever sets several arms once.
   void Set(TimePoint at, std::uint64_t token) { queue_.emplace(at, token); }
--- a/core/write_stream.h
+++ b/core/write_stream.h
@@ -1,14 +1,15 @@
 // An asynchronous write stream that survives short writes.
 //
-// The event loop registers sockets edge-triggered and takes a write that moved less than it was given for a full
-// socket buffer: the next asynchronous write then waits for an edge. The system may also move less although there is
-// room (send(2) promises no more than one byte); then no edge ever comes, and the writer waits for ever. So after a
-// short write this stream asks the system anew whether the socket is writable, which arms the edge again: it comes at
-// once where there is room. Boost.Asio 1.74, epoll_reactor::start_op and reactive_socket_send_op.
+// The event loop registers sockets edge-triggered and takes a write that moved less than it was given for a
+// full socket buffer: the next asynchronous write then waits for an edge. The system may also move less
+// although there is room (send(2) promises no more than one byte); then no edge ever comes, and the writer
+// waits for ever. So after a short write this stream asks the system anew whether the socket is writable,
+// which arms the edge again: it comes at once where there is room. Boost.Asio 1.74, epoll_reactor::start_op
+// and reactive_socket_send_op.
 //
-// Every composed asynchronous write of the program (boost::asio::async_write, boost::beast::http::async_write) goes
-// through one of these. A writer that calls write_some() itself until the system says EAGAIN, and only then waits, is
-// safe without it.
+// Every composed asynchronous write of the program (boost::asio::async_write,
+// boost::beast::http::async_write) goes through one of these. A writer that calls write_some() itself until
+// the system says EAGAIN, and only then waits, is safe without it.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -19,8 +20,8 @@
 
 namespace mothrack {
 
-// `Stream` is a socket, or a Beast stream that has one. It is referred to and must outlive all its writes. To be
-// used on the thread of the stream's event loop; one write at a time.
+// `Stream` is a socket, or a Beast stream that has one. It is referred to and must outlive all its writes. To
+// be used on the thread of the stream's event loop; one write at a time.
 template <typename Stream>
 class WriteStream {
  public:
@@ -34,12 +35,11 @@
   template <typename Buffers, typename Handler>
   void async_write_some(const Buffers& buffers, Handler&& handler) {
     const std::size_t size = boost::asio::buffer_size(buffers);
-    stream_.async_write_some(
-        buffers, [this, size, handler = std::forward<Handler>(handler)](boost::system::error_code error,
-                                                                        std::size_t written) mutable {
-          if (!error && written < size) ArmWritable();
-          handler(error, written);
-        });
+    stream_.async_write_some(buffers, [this, size, handler = std::forward<Handler>(handler)](
+                                          boost::system::error_code error, std::size_t written) mutable {
+      if (!error && written < size) ArmWritable();
+      handler(error, written);
+    });
   }
 
  private:
--- a/dns/tcp_link.cpp
+++ b/dns/tcp_link.cpp
@@ -127,7 +127,8 @@
     Frame& frame = frames_.front();
     error_code error;
     front_written_ += WriteSome(
-        socket_, boost::asio::buffer(frame.bytes.data() + front_written_, frame.bytes.size() - front_written_), error);
+        socket_,
+        boost::asio::buffer(frame.bytes.data() + front_written_, frame.bytes.size() - front_written_), error);
     if (WouldBlock(error)) {
       flushing_ = true;
       socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
--- a/dns/transport.cpp
+++ b/dns/transport.cpp
@@ -284,8 +284,8 @@
   End(it->second, over ? Outcome::kTimeout : Outcome::kCancelled, nullptr);
 }
 
-// Over UDP a query is written at once. One that waits for its TCP connection has been had by its resolver where that
-// answer was truncated, and ends by what that says.
+// Over UDP a query is written at once. One that waits for its TCP connection has been had by its resolver
+// where that answer was truncated, and ends by what that says.
 void Transport::Abandon(ExchangeId id) {
   const auto it = attempts_.find(id);
   if (it == attempts_.end() || !it->second.link || it->second.written) return;
--- a/fleet/agent.cpp
+++ b/fleet/agent.cpp
@@ -155,7 +155,8 @@
     const InstanceRecord& record = kept.instance.record();
     if (record != kept.saved) {
       const std::string end = record.phase == Phase::kFailed ? " failed: " + record.why : " done";
-      if (store_.SaveRecord(name, record, {unix_ms, record.step.change, name + ": " + record.step.token() + end})) {
+      if (store_.SaveRecord(name, record,
+                            {unix_ms, record.step.change, name + ": " + record.step.token() + end})) {
         kept.saved = record;
       }
     }
--- a/fleet/agent.h
+++ b/fleet/agent.h
@@ -1,6 +1,6 @@
-// An agent's logic: the lease, the instances and their steps of one machine, without sockets, clocks and processes. It
-// answers commands (fleet/agent_api.h carries them over HTTP), looks after its instances, and acts by a Machine. What
-// it says of itself is on disk first; what the disk refuses has not happened.
+// An agent's logic: the lease, the instances and their steps of one machine, without sockets, clocks and
+// processes. It answers commands (fleet/agent_api.h carries them over HTTP), looks after its instances, and
+// acts by a Machine. What it says of itself is on disk first; what the disk refuses has not happened.
 //
 // Where the store takes nothing it goes on supervising by what it remembers, and takes no step of any change.
 #pragma once
@@ -42,16 +42,16 @@
 
   // `instances`: those that it looks after, each with the generation that it begins with.
   Agent(Store& store, Machine& machine, const Stored& stored,
-        const std::map<std::string, std::string>& instances, const InstanceLimits& limits, Duration lease_time,
-        TimePoint now);
+        const std::map<std::string, std::string>& instances, const InstanceLimits& limits,
+        Duration lease_time, TimePoint now);
 
   Answer Highest(TimePoint now) const;
   Answer Acquire(Epoch epoch, const Holder& holder, TimePoint now, std::int64_t unix_ms);
   Answer Open(Epoch epoch, const Holder& holder, const Plan& plan, TimePoint now, std::int64_t unix_ms);
   Answer Renew(Epoch epoch, const std::string& tool, TimePoint now);
   Answer Release(Epoch epoch, const std::string& tool, bool close, std::int64_t unix_ms);
-  Answer Take(const std::string& instance, const Step& step, Epoch epoch, const std::string& tool, TimePoint now,
-              std::int64_t unix_ms);
+  Answer Take(const std::string& instance, const Step& step, Epoch epoch, const std::string& tool,
+              TimePoint now, std::int64_t unix_ms);
 
   // Looks after every instance. Call it at least every Tick, and whenever a process changed.
   static constexpr Duration kTick{100};
@@ -61,7 +61,9 @@
   Report ReportOf(const std::string& instance);
   std::vector<std::string> Names() const;
   // That the instance is to run with, by what is on disk.
-  const std::string& GenerationOf(const std::string& instance) const { return kept_.at(instance).saved.generation; }
+  const std::string& GenerationOf(const std::string& instance) const {
+    return kept_.at(instance).saved.generation;
+  }
   bool WantedOf(const std::string& instance) const { return kept_.at(instance).saved.wanted; }
   const LeaseState& lease() const { return lease_.state(); }
   std::optional<Holder> holder(TimePoint now) const { return lease_.holder(now); }
--- a/fleet/agent_api.cpp
+++ b/fleet/agent_api.cpp
@@ -17,7 +17,9 @@
 constexpr std::size_t kLogTail = 16 * 1024;
 
 json ToAnswer(const Agent::Answer& answer) {
-  json told = {{"verdict", Name(answer.verdict)}, {"open", answer.open}, {"highest", answer.highest},
+  json told = {{"verdict", Name(answer.verdict)},
+               {"open", answer.open},
+               {"highest", answer.highest},
                {"refused", answer.refused}};
   if (answer.holder) told["holder"] = ToJson(*answer.holder);
   if (answer.report) told["report"] = ToJson(*answer.report);
@@ -39,9 +41,7 @@
 
 }  // namespace
 
-TimePoint SteadyNow() {
-  return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now());
-}
+TimePoint SteadyNow() { return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()); }
 
 std::int64_t UnixNow() {
   return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()).count();
@@ -55,10 +55,12 @@
       store_(store),
       log_(log),
       allowance_(kPerSecond, kPerSecond, Now()),
-      server_(io,
-              {"agent.listen", file.listen.rfind("unix:", 0) == 0 ? file.listen.substr(5) : std::string(),
-               ParseEndpoint(file.listen)},
-              {kConnections, kMostBody}, "agent: ", Routes(), [this](const Call& call) { return Guard(call); }, log) {}
+      server_(
+          io,
+          {"agent.listen", file.listen.rfind("unix:", 0) == 0 ? file.listen.substr(5) : std::string(),
+           ParseEndpoint(file.listen)},
+          {kConnections, kMostBody}, "agent: ", Routes(), [this](const Call& call) { return Guard(call); },
+          log) {}
 
 std::optional<Answer> AgentApi::Guard(const Call& call) {
   if (!allowance_.Take(Now())) return admin::Fault(429, "too many requests; ask less often");
@@ -121,76 +123,86 @@
 }
 
 std::vector<admin::Route> AgentApi::Routes() {
-  return {
-      {"GET", "/v1/agent", [this](const Call&) { return Answer{200, About()}; }},
-      {"GET", "/v1/history",
-       [this](const Call& call) {
-         const std::size_t most = std::strtoul(call.query.c_str(), nullptr, 10);
-         json events = json::array();
-         for (const Event& event : store_.Events(std::clamp<std::size_t>(most == 0 ? 50 : most, 1, kMostEvents))) {
-           events.push_back({{"at_unix_ms", event.at_unix_ms}, {"change", event.change}, {"line", event.line}});
-         }
-         return Answer{200, {{"events", std::move(events)}}};
-       }},
-      {"GET", "/v1/plan",
-       [this](const Call& call) {
-         const Plan* plan = agent_.PlanOf(admin::Unescaped(call.query));
-         return plan != nullptr ? Answer{200, ToJson(*plan)} : admin::Fault(404, "no such change was opened here");
-       }},
-      {"GET", "/v1/generation",
-       [this](const Call& call) {
-         const auto files = processes_.FilesOf(admin::Unescaped(call.query));
-         return files.empty() ? admin::Fault(404, "no such generation") : Answer{200, {{"files", files}}};
-       }},
-      {"GET", "/v1/log",
-       [this](const Call& call) {
-         const auto names = agent_.Names();
-         const std::string name = admin::Unescaped(call.query);
-         if (std::find(names.begin(), names.end(), name) == names.end()) return admin::Fault(404, "no such instance");
-         return Answer{200, {{"log", processes_.LogTail(name, kLogTail)}}};
-       }},
-      {"POST", "/v1/lease",
-       [this](const Call& call) { return WithBody(call, [this](const json& asked) { return Lease(asked); }); }},
-      {"POST", "/v1/report",
-       [this](const Call& call) {
-         return WithBody(call, [this](const json& asked) {
-           const Agent::Answer answer =
-               agent_.Renew(Member<std::uint64_t>(asked, "epoch"), Member<std::string>(asked, "tool"), SteadyNow());
-           json told = ToAnswer(answer);
-           if (answer.verdict == LeaseBook::Verdict::kGranted) {
-             for (const std::string& name : agent_.Names()) told["reports"][name] = ToJson(agent_.ReportOf(name));
-           }
-           return Answer{200, std::move(told)};
-         });
-       }},
-      {"POST", "/v1/take",
-       [this](const Call& call) {
-         return WithBody(call, [this](const json& asked) {
-           const auto name = Member<std::string>(asked, "instance");
-           const Agent::Answer answer =
-               agent_.Take(name, StepFrom(Member<json>(asked, "step")), Member<std::uint64_t>(asked, "epoch"),
-                           Member<std::string>(asked, "tool"), SteadyNow(), UnixNow());
-           if (!answer.refused.empty()) log_.Line("agent: refused a step of " + name.substr(0, 64) + ": " + answer.refused);
-           if (on_taken_) on_taken_();
-           return Answer{200, ToAnswer(answer)};
-         });
-       }},
-      {"POST", "/v1/generation", [this](const Call& call) {
-         return WithBody(call, [this](const json& asked) {
-           std::map<std::string, std::string> files;
-           const json given = Member<json>(asked, "files");
-           if (!given.is_object()) return admin::Fault(400, "files is of the wrong kind");
-           for (const auto& [name, text] : given.items()) {
-             if (!text.is_string()) return admin::Fault(400, "files: " + name + " is no text");
-             files[name] = text.get<std::string>();
-           }
-           const auto generation = Member<std::string>(asked, "name");
-           const std::string fault = processes_.Keep(generation, files);
-           if (!fault.empty()) return admin::Fault(409, fault);
-           store_.Note({UnixNow(), "", "kept generation " + generation});
-           return Answer{200, {{"kept", generation}}};
-         });
-       }}};
+  return {{"GET", "/v1/agent",
+           [this](const Call&) {
+             return Answer{200, About()};
+           }},
+          {"GET", "/v1/history",
+           [this](const Call& call) {
+             const std::size_t most = std::strtoul(call.query.c_str(), nullptr, 10);
+             json events = json::array();
+             for (const Event& event :
+                  store_.Events(std::clamp<std::size_t>(most == 0 ? 50 : most, 1, kMostEvents))) {
+               events.push_back(
+                   {{"at_unix_ms", event.at_unix_ms}, {"change", event.change}, {"line", event.line}});
+             }
+             return Answer{200, {{"events", std::move(events)}}};
+           }},
+          {"GET", "/v1/plan",
+           [this](const Call& call) {
+             const Plan* plan = agent_.PlanOf(admin::Unescaped(call.query));
+             return plan != nullptr ? Answer{200, ToJson(*plan)}
+                                    : admin::Fault(404, "no such change was opened here");
+           }},
+          {"GET", "/v1/generation",
+           [this](const Call& call) {
+             const auto files = processes_.FilesOf(admin::Unescaped(call.query));
+             return files.empty() ? admin::Fault(404, "no such generation") : Answer{200, {{"files", files}}};
+           }},
+          {"GET", "/v1/log",
+           [this](const Call& call) {
+             const auto names = agent_.Names();
+             const std::string name = admin::Unescaped(call.query);
+             if (std::find(names.begin(), names.end(), name) == names.end())
+               return admin::Fault(404, "no such instance");
+             return Answer{200, {{"log", processes_.LogTail(name, kLogTail)}}};
+           }},
+          {"POST", "/v1/lease",
+           [this](const Call& call) {
+             return WithBody(call, [this](const json& asked) { return Lease(asked); });
+           }},
+          {"POST", "/v1/report",
+           [this](const Call& call) {
+             return WithBody(call, [this](const json& asked) {
+               const Agent::Answer answer = agent_.Renew(Member<std::uint64_t>(asked, "epoch"),
+                                                         Member<std::string>(asked, "tool"), SteadyNow());
+               json told = ToAnswer(answer);
+               if (answer.verdict == LeaseBook::Verdict::kGranted) {
+                 for (const std::string& name : agent_.Names())
+                   told["reports"][name] = ToJson(agent_.ReportOf(name));
+               }
+               return Answer{200, std::move(told)};
+             });
+           }},
+          {"POST", "/v1/take",
+           [this](const Call& call) {
+             return WithBody(call, [this](const json& asked) {
+               const auto name = Member<std::string>(asked, "instance");
+               const Agent::Answer answer = agent_.Take(
+                   name, StepFrom(Member<json>(asked, "step")), Member<std::uint64_t>(asked, "epoch"),
+                   Member<std::string>(asked, "tool"), SteadyNow(), UnixNow());
+               if (!answer.refused.empty())
+                 log_.Line("agent: refused a step of " + name.substr(0, 64) + ": " + answer.refused);
+               if (on_taken_) on_taken_();
+               return Answer{200, ToAnswer(answer)};
+             });
+           }},
+          {"POST", "/v1/generation", [this](const Call& call) {
+             return WithBody(call, [this](const json& asked) {
+               std::map<std::string, std::string> files;
+               const json given = Member<json>(asked, "files");
+               if (!given.is_object()) return admin::Fault(400, "files is of the wrong kind");
+               for (const auto& [name, text] : given.items()) {
+                 if (!text.is_string()) return admin::Fault(400, "files: " + name + " is no text");
+                 files[name] = text.get<std::string>();
+               }
+               const auto generation = Member<std::string>(asked, "name");
+               const std::string fault = processes_.Keep(generation, files);
+               if (!fault.empty()) return admin::Fault(409, fault);
+               store_.Note({UnixNow(), "", "kept generation " + generation});
+               return Answer{200, {{"kept", generation}}};
+             });
+           }}};
 }
 
 }  // namespace mothrack::fleet
--- a/fleet/agent_api.h
+++ b/fleet/agent_api.h
@@ -10,8 +10,8 @@
 //   POST /v1/take                  operator  {"epoch", "tool", "instance", "step"}
 //   POST /v1/generation            operator  {"name", "files": {name: text}}
 //
-// On a Unix socket whoever may open it is an operator. Refused commands are logged. More than kPerSecond answers a
-// second are refused with 429 unlooked at.
+// On a Unix socket whoever may open it is an operator. Refused commands are logged. More than kPerSecond
+// answers a second are refused with 429 unlooked at.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,8 +30,8 @@
 class AgentApi {
  public:
   // Listens at once; throws std::runtime_error where it can't.
-  AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, Processes& processes, Store& store,
-           Logger& log);
+  AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, Processes& processes,
+           Store& store, Logger& log);
 
   std::string local() const { return server_.local(); }
   // Told under "peers", where the agent has some.
--- a/fleet/agent_file.cpp
+++ b/fleet/agent_file.cpp
@@ -1,6 +1,7 @@
 #include "fleet/agent_file.h"
 
 #include <sys/stat.h>
+#include <toml++/toml.h>
 
 #include <fstream>
 #include <set>
@@ -8,8 +9,6 @@
 #include <string_view>
 #include <utility>
 
-#include <toml++/toml.h>
-
 #include "fleet/client.h"
 #include "fleet/wire.h"
 
@@ -158,8 +157,10 @@
     if (!(words >> role) || role.front() == '#') continue;
     words >> token;
     const std::string where = path + " line " + std::to_string(number);
-    if (role != "viewer" && role != "operator") section.Fault("tokens", where + ": begins with viewer or operator");
-    if (token.size() < kShortestToken) section.Fault("tokens", where + ": a token has 16 characters at least");
+    if (role != "viewer" && role != "operator")
+      section.Fault("tokens", where + ": begins with viewer or operator");
+    if (token.size() < kShortestToken)
+      section.Fault("tokens", where + ": a token has 16 characters at least");
     if (!tokens.emplace(token, role == "viewer" ? Role::kViewer : Role::kOperator).second) {
       section.Fault("tokens", where + ": the same token stands there twice");
     }
@@ -173,7 +174,8 @@
   spec.name = section.Named("name");
   spec.command = section.Texts("command");
   if (spec.command.empty()) section.Fault("command", "is missing; give the program and its arguments");
-  if (spec.command.front().front() != '/') section.Fault("command", "begins with a whole path, as /usr/bin/mothrack");
+  if (spec.command.front().front() != '/')
+    section.Fault("command", "begins with a whole path, as /usr/bin/mothrack");
   spec.environment = section.Pairs("environment");
   spec.door = section.Text("door", "unix:{directory}/door");
   spec.generation = section.Named("generation");
@@ -192,7 +194,8 @@
     return section_.Has(key) ? std::optional(section_.Number(key, least, least, most)) : std::nullopt;
   }
   std::optional<std::vector<std::string>> Texts(const char* key) override { return section_.Texts(key); }
-  [[noreturn]] void Fail(const std::string& key, std::optional<std::size_t>, const std::string& what) override {
+  [[noreturn]] void Fail(const std::string& key, std::optional<std::size_t>,
+                         const std::string& what) override {
     section_.Fault(key, what);  // which element it is, `what` quotes
   }
 
@@ -226,9 +229,12 @@
     l.stop = limits->Milliseconds("stop_ms", l.stop, Duration(100), Duration(600'000));
     l.ready = limits->Milliseconds("ready_ms", l.ready, Duration(100), Duration(600'000));
     l.first_pause = limits->Milliseconds("first_pause_ms", l.first_pause, Duration(100), Duration(60'000));
-    l.longest_pause = limits->Milliseconds("longest_pause_ms", l.longest_pause, l.first_pause, Duration(600'000));
-    l.crashes = static_cast<std::size_t>(limits->Number("crashes", static_cast<std::int64_t>(l.crashes), 1, 100));
-    l.crash_window = limits->Milliseconds("crash_window_ms", l.crash_window, Duration(1000), Duration(3'600'000));
+    l.longest_pause =
+        limits->Milliseconds("longest_pause_ms", l.longest_pause, l.first_pause, Duration(600'000));
+    l.crashes =
+        static_cast<std::size_t>(limits->Number("crashes", static_cast<std::int64_t>(l.crashes), 1, 100));
+    l.crash_window =
+        limits->Milliseconds("crash_window_ms", l.crash_window, Duration(1000), Duration(3'600'000));
     file.process_limits.log_bytes = static_cast<std::uint64_t>(limits->Number(
         "log_bytes", static_cast<std::int64_t>(file.process_limits.log_bytes), 4096, std::int64_t{1} << 30));
     limits->End();
@@ -240,10 +246,12 @@
   std::set<std::string> names;
   for (Section& section : whole.Tables("instance")) {
     file.instances.push_back(ReadInstance(section));
-    if (!names.insert(file.instances.back().name).second) section.Fault("name", "is that of another instance, too");
+    if (!names.insert(file.instances.back().name).second)
+      section.Fault("name", "is that of another instance, too");
   }
   if (file.instances.empty()) whole.Fault("", "there is no [[instance]]");
-  if (file.instances.size() > kMostInstances) whole.Fault("instance", "more than " + std::to_string(kMostInstances));
+  if (file.instances.size() > kMostInstances)
+    whole.Fault("instance", "more than " + std::to_string(kMostInstances));
 #ifdef MOTHRACK_WITH_PEERS
   if (auto peers = whole.Table("peers")) {
     PeersSection section(*peers);
--- a/fleet/agent_file.h
+++ b/fleet/agent_file.h
@@ -1,5 +1,6 @@
-// The files that an operator writes for agents and tools (TOML): the fleet file of one machine, and the list of agents
-// that a tool calls. Each fault names file, line or key, and the mend; nothing of a file with one counts.
+// The files that an operator writes for agents and tools (TOML): the fleet file of one machine, and the list
+// of agents that a tool calls. Each fault names file, line or key, and the mend; nothing of a file with one
+// counts.
 #pragma once
 
 #include <map>
@@ -26,14 +27,15 @@
 struct AgentFile {
   std::string name;
   std::string hall;
-  std::string listen;     // "unix:/path" or a loopback address
-  std::string directory;  // of its state
+  std::string listen;                  // "unix:/path" or a loopback address
+  std::string directory;               // of its state
   std::map<std::string, Role> tokens;  // of an address; by the token
   Duration lease_time{10'000};
   InstanceLimits limits;
   Processes::Limits process_limits;
-  std::vector<std::string> check;                   // a command that says whether a generation's files are good
-  std::map<std::string, std::string> generations;   // that it begins with: name, and a directory with the files
+  std::vector<std::string> check;  // a command that says whether a generation's files are good
+  std::map<std::string, std::string>
+      generations;  // that it begins with: name, and a directory with the files
   std::vector<InstanceSpec> instances;
 #ifdef MOTHRACK_WITH_PEERS
   std::optional<peers::Settings> peers;
--- a/fleet/agent_main.cpp
+++ b/fleet/agent_main.cpp
@@ -1,6 +1,6 @@
 // mothrack-agent: looks after the sidecars of one machine, by its fleet file.
-#include <sys/file.h>
 #include <fcntl.h>
+#include <sys/file.h>
 #include <unistd.h>
 
 #include <CLI/CLI.hpp>
@@ -61,8 +61,8 @@
 
 int Run(const std::string& path) {
   std::signal(SIGPIPE, SIG_IGN);
-  // A file at its limit is a disk that takes no more: what write() returns says so, to the store and to whoever asks.
-  // Its sidecars inherit that, or a line of their log would end them.
+  // A file at its limit is a disk that takes no more: what write() returns says so, to the store and to
+  // whoever asks. Its sidecars inherit that, or a line of their log would end them.
   std::signal(SIGXFSZ, SIG_IGN);
   const AgentFile file = LoadAgentFile(path);
   const int lock = LockDirectory(file.directory);
@@ -135,7 +135,8 @@
 
 int main(int argc, char** argv) {
   CLI::App app{
-      "mothrack-agent: looks after the sidecars of one machine. It starts, stops and restarts them, adopts what runs\n"
+      "mothrack-agent: looks after the sidecars of one machine. It starts, stops and restarts them, adopts "
+      "what runs\n"
       "when it is started anew, and takes changes from mothrackctl. SIGTERM ends it; the sidecars run on."};
   app.set_version_flag("--version", "mothrack-agent " MOTHRACK_VERSION);
   std::string path;
--- a/fleet/change.cpp
+++ b/fleet/change.cpp
@@ -8,9 +8,9 @@
 
 // A command without an answer is repeated.
 constexpr Duration kAskAgain{500};
-// News of an instance is asked for so often: a batch waits for news three times (its steps' end, the watch's end, the
-// others' being well), and a rolling change is as slow as the sum of those. One report of an agent answers for all of
-// its instances, so this is 16 answers a second of each agent that the change touches.
+// News of an instance is asked for so often: a batch waits for news three times (its steps' end, the watch's
+// end, the others' being well), and a rolling change is as slow as the sum of those. One report of an agent
+// answers for all of its instances, so this is 16 answers a second of each agent that the change touches.
 constexpr Duration kNewsEvery{60};
 // The lease is confirmed so often within its time.
 constexpr int kRenewals = 6;
@@ -166,7 +166,8 @@
   batches_.erase(batches_.begin() + static_cast<std::ptrdiff_t>(batch_));
   batches_.push_back(current);
   std::reverse(batches_.begin(), batches_.end());
-  for (Progress& progress : progress_) progress.before.reset(), progress.done.reset(), progress.commanded.reset();
+  for (Progress& progress : progress_)
+    progress.before.reset(), progress.done.reset(), progress.commanded.reset();
   Enter(0, now);
 }
 
--- a/fleet/change.h
+++ b/fleet/change.h
@@ -74,14 +74,14 @@
 
  private:
   struct Progress {
-    std::optional<Report> report;    // the latest
-    std::uint64_t number = 0;        // of the question that it answers
-    TimePoint heard;                 // when that question left
-    std::optional<TimePoint> asked;  // when the last question left
+    std::optional<Report> report;        // the latest
+    std::uint64_t number = 0;            // of the question that it answers
+    TimePoint heard;                     // when that question left
+    std::optional<TimePoint> asked;      // when the last question left
     std::optional<TimePoint> commanded;  // when its step was, the last time
-    bool sent = false;               // a step was commanded, whether or not it was taken
-    std::optional<Report> before;    // when its step was about to be commanded
-    std::optional<Report> done;      // when its step was first seen to have ended well
+    bool sent = false;                   // a step was commanded, whether or not it was taken
+    std::optional<Report> before;        // when its step was about to be commanded
+    std::optional<Report> done;          // when its step was first seen to have ended well
   };
 
   // Has the target's agent taken this change's step, in the direction that it goes now? One that failed for
--- a/fleet/claim.h
+++ b/fleet/claim.h
@@ -33,9 +33,10 @@
         Duration patience, TimePoint now);
 
   void Looked(const std::string& agent, Epoch highest);
-  // Of kAcquire and kOpen alike; `tool`: whose question is answered; `holder`: who is in the way; `open`: this change is, there.
-  void Answered(const std::string& tool, const std::string& agent, Epoch epoch,
-                LeaseBook::Verdict verdict, const std::optional<Holder>& holder, bool open);
+  // Of kAcquire and kOpen alike; `tool`: whose question is answered; `holder`: who is in the way; `open`:
+  // this change is, there.
+  void Answered(const std::string& tool, const std::string& agent, Epoch epoch, LeaseBook::Verdict verdict,
+                const std::optional<Holder>& holder, bool open);
 
   // Call it after each of the above, and at least every kTurn.
   static constexpr Duration kTurn{100};
--- a/fleet/client.cpp
+++ b/fleet/client.cpp
@@ -25,7 +25,11 @@
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
   Exchange(boost::asio::io_context& io, Question question, std::function<void(Reply)> hear)
-      : socket_(io), write_stream_(socket_), timer_(io), question_(std::move(question)), hear_(std::move(hear)) {
+      : socket_(io),
+        write_stream_(socket_),
+        timer_(io),
+        question_(std::move(question)),
+        hear_(std::move(hear)) {
     parser_.body_limit(kLongestReply);
   }
 
@@ -98,11 +102,14 @@
   if (place.rfind(kUnix, 0) == 0) {
     const std::size_t length = place.size() - kUnix.size();
     if (length == 0) return "names no path";
-    return length < sizeof(sockaddr_un::sun_path) ? "" : "is longer than the system's 107 bytes for a Unix socket";
+    return length < sizeof(sockaddr_un::sun_path) ? ""
+                                                  : "is longer than the system's 107 bytes for a Unix socket";
   }
   const auto endpoint = ParseEndpoint(place);
   if (!endpoint) return "is neither unix:/path nor an address and port";
-  return endpoint->address().is_loopback() ? "" : "is no loopback address; agents are reached on their own machine";
+  return endpoint->address().is_loopback()
+             ? ""
+             : "is no loopback address; agents are reached on their own machine";
 }
 
 void Ask(boost::asio::io_context& io, Question question, Duration patience, std::function<void(Reply)> hear) {
--- a/fleet/ctl_main.cpp
+++ b/fleet/ctl_main.cpp
@@ -31,7 +31,15 @@
 using nlohmann::json;
 
 // Scripts rely on these: docs/operators/fleet.md.
-enum Exit { kDone = 0, kUsage = 1, kRefused = 2, kHeldThere = 3, kTurnedBack = 4, kStoppedThere = 5, kNotReached = 6 };
+enum Exit {
+  kDone = 0,
+  kUsage = 1,
+  kRefused = 2,
+  kHeldThere = 3,
+  kTurnedBack = 4,
+  kStoppedThere = 5,
+  kNotReached = 6
+};
 
 struct Asked {
   std::string agents = "agents.toml";
@@ -84,7 +92,8 @@
 std::map<std::string, std::string> FilesIn(const std::string& directory) {
   std::map<std::string, std::string> files;
   std::error_code error;
-  for (std::filesystem::directory_iterator it(directory, error), end; !error && it != end; it.increment(error)) {
+  for (std::filesystem::directory_iterator it(directory, error), end; !error && it != end;
+       it.increment(error)) {
     if (!it->is_regular_file()) continue;
     std::ostringstream text;
     text << std::ifstream(it->path(), std::ios::binary).rdbuf();
@@ -98,7 +107,8 @@
  public:
   explicit Ctl(const Asked& asked)
       : asked_(asked),
-        driver_(io_, LoadAgentsFile(asked.agents), [](const std::string& line) { std::cout << Plain(line) << std::endl; }),
+        driver_(io_, LoadAgentsFile(asked.agents),
+                [](const std::string& line) { std::cout << Plain(line) << std::endl; }),
         signals_(io_, SIGINT, SIGTERM) {
     signals_.async_wait([this](const boost::system::error_code& error, int) {
       if (!error) driver_.Interrupt();
@@ -145,7 +155,8 @@
         plan.targets.push_back({{agent.name, name}, agent.hall, from, configures ? asked_.generation : from});
       }
     }
-    if (!wanted.empty()) return Refused(kUsage, "there is no instance " + Names(wanted) + "; see mothrackctl status");
+    if (!wanted.empty())
+      return Refused(kUsage, "there is no instance " + Names(wanted) + "; see mothrackctl status");
     if (plan.targets.empty()) {
       std::cout << "nothing to change: every instance has " << asked_.generation << std::endl;
       return kDone;
@@ -158,12 +169,13 @@
       for (const Target& target : plan.targets) touched.insert(target.name.agent);
       const json body = {{"name", asked_.generation}, {"files", files}};
       for (const auto& [agent, reply] : driver_.AskAll("POST", "/v1/generation", body, touched)) {
-        if (!reply.ok()) return Refused(kRefused, agent + " does not take " + asked_.generation + ": " + reply.why() +
-                                                      "; nothing has changed");
+        if (!reply.ok())
+          return Refused(kRefused, agent + " does not take " + asked_.generation + ": " + reply.why() +
+                                       "; nothing has changed");
       }
     }
-    std::cout << plan.id << ": " << plan.targets.size() << " instances in " << Batches(plan).size() << " batches"
-              << std::endl;
+    std::cout << plan.id << ": " << plan.targets.size() << " instances in " << Batches(plan).size()
+              << " batches" << std::endl;
     return Told(driver_.Carry(plan, fleet::Change::Aim::kForward, false, plan.who, LeaseTime()));
   }
 
@@ -188,11 +200,14 @@
   int History() {
     std::multimap<std::int64_t, std::vector<std::string>> rows;
     std::set<std::string> missing;
-    for (const auto& [agent, reply] : driver_.AskAll("GET", "/v1/history?" + std::to_string(asked_.most), {})) {
+    for (const auto& [agent, reply] :
+         driver_.AskAll("GET", "/v1/history?" + std::to_string(asked_.most), {})) {
       if (!reply.ok()) missing.insert(agent);
-      for (const json& event : reply.body.is_object() ? reply.body.value("events", json::array()) : json::array()) {
+      for (const json& event :
+           reply.body.is_object() ? reply.body.value("events", json::array()) : json::array()) {
         const auto at = event.value("at_unix_ms", std::int64_t{0});
-        rows.emplace(at, std::vector<std::string>{ClockText(at), agent, event.value("change", ""), event.value("line", "")});
+        rows.emplace(at, std::vector<std::string>{ClockText(at), agent, event.value("change", ""),
+                                                  event.value("line", "")});
       }
     }
     std::vector<std::vector<std::string>> table = {{"WHEN", "AGENT", "CHANGE", "WHAT"}};
@@ -213,16 +228,19 @@
     }
     const json& i = about_[agent]["instances"][name];
     const json& step = i["step"];
-    std::cout << asked_.instance << ": " << StateOf(i) << ", generation " << Plain(i.value("generation", "")) << " of "
-              << Plain(i.value("configured", "")) << " configured, pid " << i.value("pid", 0) << '\n'
+    std::cout << asked_.instance << ": " << StateOf(i) << ", generation " << Plain(i.value("generation", ""))
+              << " of " << Plain(i.value("configured", "")) << " configured, pid " << i.value("pid", 0)
+              << '\n'
               << "  requests since its start: " << i.value("taken", 0) << " taken, " << i.value("bad", 0)
               << " refused or failed\n";
     if (i.value("phase", "none") != "none") {
-      std::cout << "  last step: " << (step.value("undo", false) ? "undo of " : "") << Plain(step.value("change", ""))
-                << " to " << Plain(step.value("generation", "")) << ", " << i.value("phase", "")
+      std::cout << "  last step: " << (step.value("undo", false) ? "undo of " : "")
+                << Plain(step.value("change", "")) << " to " << Plain(step.value("generation", "")) << ", "
+                << i.value("phase", "")
                 << (i.value("why", "").empty() ? "" : ": " + Plain(i.value("why", ""))) << '\n';
     }
-    if (i.value("held", false)) std::cout << "  it ended too often and is not started again: restart it once mended\n";
+    if (i.value("held", false))
+      std::cout << "  it ended too often and is not started again: restart it once mended\n";
     const auto log = driver_.AskAll("GET", "/v1/log?" + name, {}, {agent});
     std::cout << "  the end of its log:\n";
     std::istringstream lines(log.at(agent).ok() ? log.at(agent).body.value("log", "") : log.at(agent).why());
@@ -263,7 +281,8 @@
 
   Duration LeaseTime() const {
     std::int64_t shortest = 10'000;
-    for (const auto& [agent, about] : about_) shortest = std::min(shortest, about.value("lease_ms", shortest));
+    for (const auto& [agent, about] : about_)
+      shortest = std::min(shortest, about.value("lease_ms", shortest));
     return Duration(shortest);
   }
 
@@ -283,7 +302,8 @@
   }
 
   std::string Screen() const {
-    std::vector<std::vector<std::string>> rows = {{"HALL", "AGENT", "INSTANCE", "STATE", "GENERATION", "TAKEN", "BAD", "STEP"}};
+    std::vector<std::vector<std::string>> rows = {
+        {"HALL", "AGENT", "INSTANCE", "STATE", "GENERATION", "TAKEN", "BAD", "STEP"}};
     std::string notes;
     std::size_t ready = 0;
     std::size_t all = 0;
@@ -300,17 +320,20 @@
         ready += state == "ready" ? 1 : 0;
         const std::string phase = i.value("phase", "none");
         rows.push_back({agent.hall, agent.name, name, state, i.value("generation", ""),
-                        std::to_string(i.value("taken", std::uint64_t{0})), std::to_string(i.value("bad", std::uint64_t{0})),
+                        std::to_string(i.value("taken", std::uint64_t{0})),
+                        std::to_string(i.value("bad", std::uint64_t{0})),
                         phase == "none" ? "" : i["step"].value("change", "") + ' ' + phase});
       }
-      if (const std::string fault = about.value("fault", ""); !fault.empty()) notes += agent.name + ": " + fault + '\n';
+      if (const std::string fault = about.value("fault", ""); !fault.empty())
+        notes += agent.name + ": " + fault + '\n';
       if (about.contains("open") && told.insert(about["open"].value("change", "")).second) {
-        notes += "open: " + about["open"].value("change", "") + " by " + about["open"].value("who", "") + " (" +
-                 about["open"].value("why", "") + ")" +
-                 (about.contains("holder") ? ", held by " + about["holder"].value("who", "") + " since " +
-                                                 ClockText(about["holder"].value("since_unix_ms", std::int64_t{0}))
-                                           : ", nobody holds it: resume or abort") +
-                 '\n';
+        notes +=
+            "open: " + about["open"].value("change", "") + " by " + about["open"].value("who", "") + " (" +
+            about["open"].value("why", "") + ")" +
+            (about.contains("holder") ? ", held by " + about["holder"].value("who", "") + " since " +
+                                            ClockText(about["holder"].value("since_unix_ms", std::int64_t{0}))
+                                      : ", nobody holds it: resume or abort") +
+            '\n';
       }
     }
     std::string plain;
@@ -327,7 +350,9 @@
       for (const std::size_t i : batch) {
         const Target& t = plan.targets[i];
         std::cout << "  " << t.hall << ' ' << t.name.agent << '/' << t.name.instance << ": "
-                  << (plan.kind == StepKind::kStop ? "stop" : t.from == t.to ? "restart with " + t.to : t.from + " -> " + t.to)
+                  << (plan.kind == StepKind::kStop ? "stop"
+                      : t.from == t.to             ? "restart with " + t.to
+                                                   : t.from + " -> " + t.to)
                   << '\n';
       }
     }
@@ -342,12 +367,14 @@
       for (const std::string& name : names) {
         const auto now = files.find(name);
         const std::string text = Difference(before.value(name, ""), now == files.end() ? "" : now->second);
-        if (!text.empty()) std::cout << first.from << " -> " << asked_.generation << ": " << name << '\n' << text;
+        if (!text.empty())
+          std::cout << first.from << " -> " << asked_.generation << ": " << name << '\n' << text;
       }
     }
     for (const auto& [agent, about] : about_) {
       if (!about.contains("open")) continue;
-      std::cout << "would be refused: " << Plain(about["open"].value("change", "")) << " is open at " << agent << '\n';
+      std::cout << "would be refused: " << Plain(about["open"].value("change", "")) << " is open at " << agent
+                << '\n';
       return kRefused;
     }
     return kDone;
@@ -365,7 +392,8 @@
       return std::nullopt;
     }
     if (!unreached_.empty()) {
-      no_plan_ = Refused(kNotReached, "no change is open where one was reached; not reached: " + Names(unreached_));
+      no_plan_ =
+          Refused(kNotReached, "no change is open where one was reached; not reached: " + Names(unreached_));
     } else {
       Refused(kRefused, "no change is open");
     }
@@ -374,8 +402,8 @@
 
   static bool LeftOpen(const Driver::Outcome& outcome) {
     if (outcome.left_open.empty()) return false;
-    std::cout << "still open at " << Names(outcome.left_open) << ", which can't be reached: abort once they are back"
-              << std::endl;
+    std::cout << "still open at " << Names(outcome.left_open)
+              << ", which can't be reached: abort once they are back" << std::endl;
     return true;
   }
 
@@ -414,8 +442,10 @@
       ->check(CLI::Range(std::size_t{1}, std::size_t{1000}));
   command->add_flag("--no-canary", asked.no_canary, "the first one does not go alone");
   command->add_flag("--roll-back", asked.roll_back, "undo where a gate fails, instead of holding");
-  command->add_option("--watch-ms", asked.watch_ms, "for which a batch must look well")->check(CLI::Range(0, 600'000));
-  command->add_option("--step-limit-ms", asked.step_limit_ms, "for a batch's steps")->check(CLI::Range(1000, 3'600'000));
+  command->add_option("--watch-ms", asked.watch_ms, "for which a batch must look well")
+      ->check(CLI::Range(0, 600'000));
+  command->add_option("--step-limit-ms", asked.step_limit_ms, "for a batch's steps")
+      ->check(CLI::Range(1000, 3'600'000));
   command->add_flag("--dry-run", asked.dry_run, "only show what would be done");
 }
 
@@ -425,12 +455,15 @@
 int main(int argc, char** argv) {
   using namespace mothrack::fleet;
   std::signal(SIGPIPE, SIG_IGN);
-  CLI::App app{"mothrackctl: sees, changes and restarts many sidecars together. Nothing is ever asked of a person; exit\n"
-               "codes: 0 done, 1 usage, 2 refused, 3 held, 4 rolled back, 5 aborted, 6 not all agents reached."};
+  CLI::App app{
+      "mothrackctl: sees, changes and restarts many sidecars together. Nothing is ever asked of a person; "
+      "exit\n"
+      "codes: 0 done, 1 usage, 2 refused, 3 held, 4 rolled back, 5 aborted, 6 not all agents reached."};
   app.set_version_flag("--version", "mothrackctl " MOTHRACK_VERSION);
   app.require_subcommand(1);
   Asked asked;
-  app.add_option("--agents", asked.agents, "the list of agents (TOML), as deploy/agents.toml")->type_name("FILE");
+  app.add_option("--agents", asked.agents, "the list of agents (TOML), as deploy/agents.toml")
+      ->type_name("FILE");
   CLI::App* status = app.add_subcommand("status", "every instance of every hall");
   status->add_flag("--json", asked.json, "for scripts");
   status->add_flag("--watch", asked.watch, "again every second");
@@ -441,14 +474,16 @@
     command->add_option("--dir", asked.directory, "its files; else it is there already")->type_name("DIR");
   }
   CLI::App* restart = app.add_subcommand("restart", "all, in batches");
-  CLI::App* drain = app.add_subcommand("drain", "planned stop of some of one hall; they stay down until restarted");
+  CLI::App* drain =
+      app.add_subcommand("drain", "planned stop of some of one hall; they stay down until restarted");
   for (CLI::App* command : {plan, apply, restart, drain}) AddChangeOptions(command, asked);
   drain->get_option("--only")->required();
   plan->get_option("--why")->required(false);
   CLI::App* resume = app.add_subcommand("resume", "carry the open change on");
   CLI::App* undo = app.add_subcommand("undo", "undo the open change");
   CLI::App* abort = app.add_subcommand("abort", "close the open change as it stands");
-  for (CLI::App* command : {resume, undo, abort}) command->add_option("--who", asked.who, "in whose name; else the user's");
+  for (CLI::App* command : {resume, undo, abort})
+    command->add_option("--who", asked.who, "in whose name; else the user's");
   CLI::App* history = app.add_subcommand("history", "what the agents did, by time");
   history->add_option("--most", asked.most, "of each agent")->check(CLI::Range(1, 500));
   CLI::App* explain = app.add_subcommand("explain", "one instance: why it is as it is");
--- a/fleet/driver.cpp
+++ b/fleet/driver.cpp
@@ -74,7 +74,8 @@
 }
 
 std::map<std::string, Reply> Driver::AskAll(const std::string& method, const std::string& target,
-                                            const std::optional<json>& body, const std::set<std::string>& only) {
+                                            const std::optional<json>& body,
+                                            const std::set<std::string>& only) {
   // Filled by answers that come after this has returned, too: it lives as long as they may.
   const auto replies = std::make_shared<std::map<std::string, Reply>>();
   std::size_t asked = 0;
@@ -91,8 +92,8 @@
 Holder Driver::HolderOf(const Plan& plan, const std::string& who) {
   char host[64] = "";
   ::gethostname(host, sizeof host - 1);
-  const std::string tool =
-      std::string(host) + '.' + std::to_string(::getpid()) + '.' + RandomText() + '.' + std::to_string(++claims_);
+  const std::string tool = std::string(host) + '.' + std::to_string(::getpid()) + '.' + RandomText() + '.' +
+                           std::to_string(++claims_);
   return {plan.id, who, plan.why, UnixNow(), tool};
 }
 
@@ -123,18 +124,21 @@
           const bool opens = c.kind == ClaimCommand::Kind::kOpen;
           json body = {{"ask", opens ? "open" : "acquire"}, {"epoch", c.epoch}, {"holder", ToJson(holder)}};
           if (opens) body["plan"] = ToJson(plan);
-          Send(c.agent, "/v1/lease", std::move(body), [&claim, &fault, c, tool = holder.tool](const Reply& reply) {
-            const auto read = ReadAnswer(reply);
-            if (!read && reply.fault.empty()) fault = c.agent + ": " + reply.why();
-            if (!read) return;  // without an answer it is asked again
-            if (!read->refused.empty()) fault = c.agent + ": " + read->refused;
-            if (read->refused.empty()) claim.Answered(tool, c.agent, c.epoch, read->verdict, read->holder, read->open);
-          });
+          Send(c.agent, "/v1/lease", std::move(body),
+               [&claim, &fault, c, tool = holder.tool](const Reply& reply) {
+                 const auto read = ReadAnswer(reply);
+                 if (!read && reply.fault.empty()) fault = c.agent + ": " + reply.why();
+                 if (!read) return;  // without an answer it is asked again
+                 if (!read->refused.empty()) fault = c.agent + ": " + read->refused;
+                 if (read->refused.empty())
+                   claim.Answered(tool, c.agent, c.epoch, read->verdict, read->holder, read->open);
+               });
           break;
         }
         case ClaimCommand::Kind::kRelease:
           Send(c.agent, "/v1/lease",
-               {{"ask", "release"}, {"epoch", c.epoch}, {"tool", holder.tool}, {"close", false}}, [](const Reply&) {});
+               {{"ask", "release"}, {"epoch", c.epoch}, {"tool", holder.tool}, {"close", false}},
+               [](const Reply&) {});
           break;
       }
       lease.epoch = std::max(lease.epoch, c.epoch);
@@ -196,8 +200,10 @@
              change.Renewed(agent, now);
              for (const auto& [name, number] : asked) {
                const json& told = reply.body.value("reports", json::object());
-               if (told.contains(name.instance)) change.Heard(name, number, ReportFrom(told[name.instance]), now);
-               else change.Refused(name, "its agent has no such instance");
+               if (told.contains(name.instance))
+                 change.Heard(name, number, ReportFrom(told[name.instance]), now);
+               else
+                 change.Refused(name, "its agent has no such instance");
              }
            });
     }
--- a/fleet/driver.h
+++ b/fleet/driver.h
@@ -1,5 +1,5 @@
-// A tool's side of a change over the network: drives Claim and Change (which decide) by asking the agents. It may die
-// at any time; see fleet/change.h for what that leaves.
+// A tool's side of a change over the network: drives Claim and Change (which decide) by asking the agents. It
+// may die at any time; see fleet/change.h for what that leaves.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,10 +24,11 @@
   static constexpr Duration kPatience{3000};
 
   // `say`: a line for the operator.
-  Driver(boost::asio::io_context& io, std::vector<AgentPlace> agents, std::function<void(const std::string&)> say);
+  Driver(boost::asio::io_context& io, std::vector<AgentPlace> agents,
+         std::function<void(const std::string&)> say);
 
   struct Outcome {
-    std::string refused;            // why it was not begun; empty: it was
+    std::string refused;  // why it was not begun; empty: it was
     ChangeEnd end = ChangeEnd::kHeld;
     std::string why;
     std::set<std::string> left_open;  // agents that were not reached for the close
--- a/fleet/lease.h
+++ b/fleet/lease.h
@@ -46,7 +46,8 @@
   Verdict Acquire(Epoch epoch, const Holder& holder, TimePoint now);
   // May a command of this epoch and tool be taken? That renews the lease.
   Verdict Use(Epoch epoch, const std::string& tool, TimePoint now);
-  // The holder's change begins; of another holder than the lease was granted to, or of another change: kFenced.
+  // The holder's change begins; of another holder than the lease was granted to, or of another change:
+  // kFenced.
   Verdict Open(Epoch epoch, const Holder& holder, TimePoint now);
   // The holder is done; with `close`, so is its change. Of another epoch or tool: nothing happens.
   void Release(Epoch epoch, const std::string& tool, bool close);
--- a/fleet/processes.cpp
+++ b/fleet/processes.cpp
@@ -66,8 +66,8 @@
 
 int PidFd(pid_t pid) { return static_cast<int>(::syscall(SYS_pidfd_open, pid, 0)); }
 
-// When the kernel started it, in ticks since boot: field 22, counted behind the name, which may hold anything. 0: there
-// is no such process.
+// When the kernel started it, in ticks since boot: field 22, counted behind the name, which may hold
+// anything. 0: there is no such process.
 std::uint64_t StartTime(pid_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/stat");
   std::string line;
@@ -167,8 +167,9 @@
   }
 };
 
-Processes::Processes(boost::asio::io_context& io, std::string directory, const std::vector<InstanceSpec>& specs,
-                     std::vector<std::string> check, const Limits& limits, Logger& log)
+Processes::Processes(boost::asio::io_context& io, std::string directory,
+                     const std::vector<InstanceSpec>& specs, std::vector<std::string> check,
+                     const Limits& limits, Logger& log)
     : io_(io), directory_(std::move(directory)), check_(std::move(check)), limits_(limits), log_(log) {
   std::error_code error;
   fs::create_directories(directory_ + "/generations", error);
@@ -181,7 +182,8 @@
     if (error) throw std::runtime_error(held->directory + ": " + error.message());
     Adopt(*held);
     if (held->pid != 0) {
-      log_.Line(spec.name + ": adopted, pid " + std::to_string(held->pid) + ", generation " + held->generation);
+      log_.Line(spec.name + ": adopted, pid " + std::to_string(held->pid) + ", generation " +
+                held->generation);
     }
     held_.emplace(spec.name, std::move(held));
   }
@@ -192,7 +194,8 @@
 
 Processes::Held& Processes::Of(const std::string& instance) { return *held_.at(instance); }
 
-// The lock says that a process lives; the file says which. Its start time tells it from one that has its number since.
+// The lock says that a process lives; the file says which. Its start time tells it from one that has its
+// number since.
 void Processes::Adopt(Held& held) {
   if (!LockedByAnother(held.path("lock"))) return;
   const json file = json::parse(ReadFile(held.path("process.json")), nullptr, false);
@@ -215,11 +218,12 @@
   const int copy = ::fcntl(held->alive.get(), F_DUPFD_CLOEXEC, 0);
   if (copy < 0) return;  // the tick finds its end, later
   held->end = std::make_unique<boost::asio::posix::stream_descriptor>(io_, copy);
-  held->end->async_wait(boost::asio::posix::stream_descriptor::wait_read,
-                        [this, weak = std::weak_ptr(held), pid = held->pid](const boost::system::error_code& error) {
-                          const auto held = weak.lock();
-                          if (!error && held && held->pid == pid) News();
-                        });
+  held->end->async_wait(
+      boost::asio::posix::stream_descriptor::wait_read,
+      [this, weak = std::weak_ptr(held), pid = held->pid](const boost::system::error_code& error) {
+        const auto held = weak.lock();
+        if (!error && held && held->pid == pid) News();
+      });
 }
 
 void Processes::Look(TimePoint now) {
@@ -275,7 +279,8 @@
         for (const json& pool : body.value("pools", json::array())) {
           for (const json& row : pool.value("counters", json::array())) {
             taken += row.value("taken", std::uint64_t{0});
-            for (const char* outcome : {"refused", "failed", "late"}) bad += row.value(outcome, std::uint64_t{0});
+            for (const char* outcome : {"refused", "failed", "late"})
+              bad += row.value(outcome, std::uint64_t{0});
           }
         }
         held->taken = taken;
@@ -316,7 +321,8 @@
 }
 
 // The files of a generation as this instance gets them; where they lie.
-std::string Processes::Prepare(const Held& held, const std::string& generation, const std::string& from) const {
+std::string Processes::Prepare(const Held& held, const std::string& generation,
+                               const std::string& from) const {
   const std::string to = held.path("files") + '/' + generation;
   std::error_code error;
   fs::create_directories(to, error);
@@ -380,14 +386,17 @@
 
 void Processes::Start(Held& held, const Action& action) {
   if (held.pid != 0) return;
-  const std::string files = Prepare(held, action.generation, directory_ + "/generations/" + action.generation);
-  if (files.empty()) return log_.Line(held.spec.name + ": can't be started: no files of " + action.generation);
+  const std::string files =
+      Prepare(held, action.generation, directory_ + "/generations/" + action.generation);
+  if (files.empty())
+    return log_.Line(held.spec.name + ": can't be started: no files of " + action.generation);
   // All that allocates comes before the fork.
   const auto words = held.words(files);
   std::vector<std::string> texts;
   for (const std::string& word : held.spec.command) texts.push_back(Replaced(word, words));
   const std::size_t arguments = texts.size();
-  for (const auto& [name, value] : held.spec.environment) texts.push_back(name + '=' + Replaced(value, words));
+  for (const auto& [name, value] : held.spec.environment)
+    texts.push_back(name + '=' + Replaced(value, words));
   std::vector<char*> argv;
   std::vector<char*> envp;
   for (std::size_t i = 0; i < texts.size(); ++i) (i < arguments ? argv : envp).push_back(texts[i].data());
@@ -406,7 +415,9 @@
     ::setsid();
     const int lock = ::open(lock_path.c_str(), O_RDWR | O_CREAT, kPrivate);
     if (lock < 0 || ::flock(lock, LOCK_EX | LOCK_NB) != 0) ::_exit(kNoExec);
-    const json file = {{"pid", ::getpid()}, {"started", StartTime(::getpid())}, {"token", token},
+    const json file = {{"pid", ::getpid()},
+                       {"started", StartTime(::getpid())},
+                       {"token", token},
                        {"generation", generation}};
     if (!WriteFile(file_path, file.dump())) ::_exit(kNoExec);
     const int log = ::open(log_path.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, kPrivate);
@@ -414,7 +425,8 @@
     ::dup2(none, 0);
     ::dup2(log, 1);
     ::dup2(log, 2);
-    // Nothing else of the agent's goes along: whoever held its listening socket would stand in its successor's way.
+    // Nothing else of the agent's goes along: whoever held its listening socket would stand in its
+    // successor's way.
     ::dup2(lock, kLockFd);
     CloseFrom(kLockFd + 1);
     ::signal(SIGPIPE, SIG_DFL);
@@ -433,8 +445,8 @@
             (token.empty() ? "" : ", for " + token));
 }
 
-// The process holds its log open, so the file itself stays: it is copied aside and cut. Lines that come between the two
-// are lost; a pipe through the agent would lose them all when the agent dies.
+// The process holds its log open, so the file itself stays: it is copied aside and cut. Lines that come
+// between the two are lost; a pipe through the agent would lose them all when the agent dies.
 void Processes::BoundLog(const Held& held) const {
   const std::string path = held.path("log");
   std::error_code error;
@@ -451,7 +463,8 @@
 std::vector<std::string> Processes::Generations() const {
   std::set<std::string> names;
   std::error_code error;
-  for (fs::directory_iterator it(directory_ + "/generations", error), end; !error && it != end; it.increment(error)) {
+  for (fs::directory_iterator it(directory_ + "/generations", error), end; !error && it != end;
+       it.increment(error)) {
     const std::string name = it->path().filename().string();
     if (GoodName(name)) names.insert(name);
   }
@@ -475,14 +488,18 @@
   const std::string to = directory_ + "/generations/" + generation;
   for (const auto& [name, text] : files) {
     if (!GoodName(name)) return "files: '" + name + "' is no name for a file of a generation";
-    if (text.size() > kMostFileBytes) return name + ": longer than " + std::to_string(kMostFileBytes) + " bytes";
+    if (text.size() > kMostFileBytes)
+      return name + ": longer than " + std::to_string(kMostFileBytes) + " bytes";
   }
   std::error_code error;
   if (HasGeneration(generation)) {
-    return FilesOf(generation) == files ? "" : generation + " is there with other files; give the new ones a name of their own";
+    return FilesOf(generation) == files
+               ? ""
+               : generation + " is there with other files; give the new ones a name of their own";
   }
   if (Generations().size() >= kMostGenerations) {
-    return "there are " + std::to_string(kMostGenerations) + " generations already; remove some that nothing runs";
+    return "there are " + std::to_string(kMostGenerations) +
+           " generations already; remove some that nothing runs";
   }
   // Under a name that is none first: a generation is there whole, or not.
   const std::string fresh = directory_ + "/generations/." + generation;
@@ -501,7 +518,8 @@
   if (error) return to + ": " + error.message();
   const std::string parent = directory_ + "/generations";
   if (SyncDirectory(parent)) return {};
-  // Taken back, as far as that goes: who is told of a fault may ask again, and must not be told that it is there.
+  // Taken back, as far as that goes: who is told of a fault may ask again, and must not be told that it is
+  // there.
   const std::string fault = parent + ": " + std::strerror(errno);
   fs::rename(to, fresh, error);
   return fault;
--- a/fleet/processes.h
+++ b/fleet/processes.h
@@ -1,14 +1,17 @@
-// The processes of a machine's instances: started with a configuration generation, adopted after the agent's own death,
-// stopped, their logs bounded.
+// The processes of a machine's instances: started with a configuration generation, adopted after the agent's
+// own death, stopped, their logs bounded.
 //
 // One directory an instance:
-//   lock          locked by the process for as long as it lives, whoever its parent is. Nobody starts a second one over
+//   lock          locked by the process for as long as it lives, whoever its parent is. Nobody starts a
+//   second one over
 //                 it; and a file beside it counts only while the lock is held
-//   process.json  pid, its start time by the kernel, token and generation; written by the process itself, under the
+//   process.json  pid, its start time by the kernel, token and generation; written by the process itself,
+//   under the
 //                 lock and before it becomes the sidecar
 //   log, log.1    its standard output and error
-// And one a generation, with its files: generations/NAME/. What is started for an instance gets, in the files and in
-// its command and environment, {instance}, {directory} (the instance's) and {generation} (a directory with the files).
+// And one a generation, with its files: generations/NAME/. What is started for an instance gets, in the files
+// and in its command and environment, {instance}, {directory} (the instance's) and {generation} (a directory
+// with the files).
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -36,11 +39,12 @@
  public:
   struct Limits {
     Duration check{5000};  // for the command that checks a generation
-    std::uint64_t log_bytes = 8 * 1024 * 1024;  // then the log is moved aside, and the one moved before is gone
+    std::uint64_t log_bytes =
+        8 * 1024 * 1024;  // then the log is moved aside, and the one moved before is gone
     Duration door_patience{1000};
-    Duration door_idle{1000};   // between two questions to a door
-    Duration door_absent{20};   // the same while it is awaited and not there
-    Duration door_busy{60};     // the same while something is awaited of it; the door answers 20 times a second
+    Duration door_idle{1000};  // between two questions to a door
+    Duration door_absent{20};  // the same while it is awaited and not there
+    Duration door_busy{60};  // the same while something is awaited of it; the door answers 20 times a second
   };
 
   // Adopts what runs. Throws std::runtime_error where the directory can't be used.
@@ -51,8 +55,8 @@
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
-  // Called from the event loop when a process has ended or its door said something new: Look() and Agent::Live() are
-  // due. Between such calls a tick is enough.
+  // Called from the event loop when a process has ended or its door said something new: Look() and
+  // Agent::Live() are due. Between such calls a tick is enough.
   void OnNews(std::function<void()> on_news) { on_news_ = std::move(on_news); }
 
   // Looks for what has ended, asks the doors, moves logs aside. Call it before Agent::Live().
@@ -63,8 +67,8 @@
   std::pair<std::uint64_t, std::uint64_t> Requests(const std::string& instance) override;
   bool HasGeneration(const std::string& generation) const override;
 
-  // Keeps a generation: its files by their names, checked as the first instance gets them. The fault; empty: it is
-  // kept, or was with the same files. Nothing else happens while the check runs.
+  // Keeps a generation: its files by their names, checked as the first instance gets them. The fault; empty:
+  // it is kept, or was with the same files. Nothing else happens while the check runs.
   std::string Keep(const std::string& generation, const std::map<std::string, std::string>& files);
   std::vector<std::string> Generations() const;
   // As they were given; none where there is no such generation.
--- a/fleet/show.cpp
+++ b/fleet/show.cpp
@@ -69,7 +69,8 @@
   for (const std::size_t mark : marks) {
     const std::size_t from = std::max(shown, mark > around ? mark - around : 0);
     if (from > shown) text += "  ...\n";
-    for (shown = from; shown < std::min(all.size(), mark + around + 1); ++shown) text += Plain(all[shown]) + '\n';
+    for (shown = from; shown < std::min(all.size(), mark + around + 1); ++shown)
+      text += Plain(all[shown]) + '\n';
   }
   if (shown < all.size()) text += "  ...\n";
   return text;
--- a/fleet/show.h
+++ b/fleet/show.h
@@ -9,8 +9,8 @@
 // Columns as wide as their widest cell, two spaces between; the first row is the head.
 std::string Table(const std::vector<std::vector<std::string>>& rows);
 
-// Lines that went ("-") and came ("+"), with `around` lines that stayed on either side; empty where nothing differs.
-// Beyond kMostLines a side only says so: the comparison costs the product of both.
+// Lines that went ("-") and came ("+"), with `around` lines that stayed on either side; empty where nothing
+// differs. Beyond kMostLines a side only says so: the comparison costs the product of both.
 std::string Difference(const std::string& before, const std::string& after, std::size_t around = 2);
 constexpr std::size_t kMostLines = 2000;
 
--- a/fleet/sqlite_store.cpp
+++ b/fleet/sqlite_store.cpp
@@ -19,10 +19,12 @@
 constexpr int kBusyMs = 500;
 
 constexpr const char* kSchema =
-    "CREATE TABLE lease (one INTEGER PRIMARY KEY CHECK (one = 1), highest INTEGER NOT NULL, holder TEXT, open TEXT);"
+    "CREATE TABLE lease (one INTEGER PRIMARY KEY CHECK (one = 1), highest INTEGER NOT NULL, holder TEXT, "
+    "open TEXT);"
     "CREATE TABLE record (instance TEXT PRIMARY KEY, json TEXT NOT NULL);"
     "CREATE TABLE plan (id TEXT PRIMARY KEY, number INTEGER NOT NULL, json TEXT NOT NULL);"
-    "CREATE TABLE event (number INTEGER PRIMARY KEY AUTOINCREMENT, at INTEGER NOT NULL, change TEXT, line TEXT);";
+    "CREATE TABLE event (number INTEGER PRIMARY KEY AUTOINCREMENT, at INTEGER NOT NULL, change TEXT, line "
+    "TEXT);";
 
 }  // namespace
 
@@ -31,7 +33,8 @@
     Open(path);
     Read();
   } catch (const std::exception& e) {
-    fault_ = path + ": " + e.what() + "; put a copy that is whole in its place, or move it away to begin anew";
+    fault_ =
+        path + ": " + e.what() + "; put a copy that is whole in its place, or move it away to begin anew";
   }
 }
 
@@ -41,16 +44,16 @@
   db_ = std::make_unique<sql::Database>(path);
   ::chmod(path.c_str(), 0600);
   db_->WaitFor(kBusyMs);
-  // Written ahead and synced before a commit returns; the rollback journal rather than WAL, as saves are few and one
-  // file is easier to copy than three.
+  // Written ahead and synced before a commit returns; the rollback journal rather than WAL, as saves are few
+  // and one file is easier to copy than three.
   db_->Run("PRAGMA journal_mode = DELETE");
   db_->Run("PRAGMA synchronous = FULL");
   Statement version(*db_, "PRAGMA user_version");
   version.Step();
   const auto found = version.Number(0);
   if (found > kVersion) {
-    throw std::runtime_error("was written by a later version (" + std::to_string(found) + ", this one knows " +
-                             std::to_string(kVersion) + ")");
+    throw std::runtime_error("was written by a later version (" + std::to_string(found) +
+                             ", this one knows " + std::to_string(kVersion) + ")");
   }
   Statement check(*db_, "PRAGMA quick_check(1)");
   if (!check.Step() || check.Text(0) != "ok") throw std::runtime_error("is damaged: " + check.Text(0));
@@ -103,7 +106,8 @@
     if (state.open) lease.Text(3, ToJson(*state.open).dump());
     lease.Step();
     if (opened == nullptr) return;
-    Statement plan(*db_, "INSERT OR REPLACE INTO plan VALUES (?, (SELECT COALESCE(MAX(number), 0) + 1 FROM plan), ?)");
+    Statement plan(
+        *db_, "INSERT OR REPLACE INTO plan VALUES (?, (SELECT COALESCE(MAX(number), 0) + 1 FROM plan), ?)");
     plan.Text(1, opened->id).Text(2, ToJson(*opened).dump()).Step();
     Statement old(*db_, "DELETE FROM plan WHERE number <= (SELECT MAX(number) FROM plan) - ?");
     old.Number(1, kMostPlans).Step();
--- a/fleet/sqlite_store.h
+++ b/fleet/sqlite_store.h
@@ -1,6 +1,6 @@
-// An agent's store in one SQLite file, each save a transaction that is on disk when it returns (synchronous = FULL, a
-// journal that is written before). A file that is damaged, of a later version or not to be written is said so and
-// left as it is: whatever can be read of it counts, nothing is saved.
+// An agent's store in one SQLite file, each save a transaction that is on disk when it returns (synchronous =
+// FULL, a journal that is written before). A file that is damaged, of a later version or not to be written is
+// said so and left as it is: whatever can be read of it counts, nothing is saved.
 #pragma once
 
 #include <functional>
--- a/fleet/store.h
+++ b/fleet/store.h
@@ -1,5 +1,6 @@
-// What an agent must not forget, behind an interface that may fail at each call: the lease, the plans of changes that
-// were opened, how far each instance's step is. fleet/sqlite_store.h keeps it on disk; tests let it fail at will.
+// What an agent must not forget, behind an interface that may fail at each call: the lease, the plans of
+// changes that were opened, how far each instance's step is. fleet/sqlite_store.h keeps it on disk; tests let
+// it fail at will.
 #pragma once
 
 #include <cstdint>
@@ -29,8 +30,8 @@
 class Store {
  public:
   virtual ~Store() = default;
-  // Each is one whole step: durable when it returns true, nothing changed when it returns false. `note` is kept with
-  // it; empty: none.
+  // Each is one whole step: durable when it returns true, nothing changed when it returns false. `note` is
+  // kept with it; empty: none.
   virtual bool SaveLease(const LeaseState& state, const Plan* opened, const Event& note) = 0;
   virtual bool SaveRecord(const std::string& instance, const InstanceRecord& record, const Event& note) = 0;
   // For people only: may be lost.
--- a/fleet/wire.cpp
+++ b/fleet/wire.cpp
@@ -26,7 +26,9 @@
   return names.at(static_cast<std::size_t>(value));
 }
 
-Duration Milliseconds(const json& from, const char* name) { return Duration(Member<std::int64_t>(from, name)); }
+Duration Milliseconds(const json& from, const char* name) {
+  return Duration(Member<std::int64_t>(from, name));
+}
 
 json ToJson(const Policy& p) {
   return {{"max_unavailable", p.max_unavailable},
@@ -56,7 +58,8 @@
 
 template <typename T>
 T Member(const json& from, const char* name) {
-  if (!from.is_object() || !from.contains(name)) throw std::invalid_argument(std::string(name) + " is missing");
+  if (!from.is_object() || !from.contains(name))
+    throw std::invalid_argument(std::string(name) + " is missing");
   const json& value = from[name];
   bool right = false;
   if constexpr (std::is_same_v<T, bool>) {
@@ -89,17 +92,23 @@
 }
 
 json ToJson(const Holder& h) {
-  return {{"change", h.change}, {"who", h.who}, {"why", h.why}, {"since_unix_ms", h.since_unix_ms}, {"tool", h.tool}};
+  return {{"change", h.change},
+          {"who", h.who},
+          {"why", h.why},
+          {"since_unix_ms", h.since_unix_ms},
+          {"tool", h.tool}};
 }
 
 Holder HolderFrom(const json& from) {
-  return {Member<std::string>(from, "change"), Member<std::string>(from, "who"), Member<std::string>(from, "why"),
-          Member<std::int64_t>(from, "since_unix_ms"), Member<std::string>(from, "tool")};
+  return {Member<std::string>(from, "change"), Member<std::string>(from, "who"),
+          Member<std::string>(from, "why"), Member<std::int64_t>(from, "since_unix_ms"),
+          Member<std::string>(from, "tool")};
 }
 
 json ToJson(const Step& s) {
-  return {{"change", s.change}, {"kind", NameIn(kKinds, s.kind)}, {"undo", s.undo},
-          {"generation", s.generation}, {"epoch", s.epoch}, {"from", s.from}};
+  return {{"change", s.change}, {"kind", NameIn(kKinds, s.kind)},
+          {"undo", s.undo},     {"generation", s.generation},
+          {"epoch", s.epoch},   {"from", s.from}};
 }
 
 Step StepFrom(const json& from) {
@@ -116,11 +125,18 @@
 json ToJson(const Plan& plan) {
   json targets = json::array();
   for (const Target& t : plan.targets) {
-    targets.push_back({{"agent", t.name.agent}, {"instance", t.name.instance}, {"hall", t.hall}, {"from", t.from},
+    targets.push_back({{"agent", t.name.agent},
+                       {"instance", t.name.instance},
+                       {"hall", t.hall},
+                       {"from", t.from},
                        {"to", t.to}});
   }
-  return {{"id", plan.id}, {"who", plan.who}, {"why", plan.why}, {"kind", NameIn(kKinds, plan.kind)},
-          {"targets", std::move(targets)}, {"policy", ToJson(plan.policy)}};
+  return {{"id", plan.id},
+          {"who", plan.who},
+          {"why", plan.why},
+          {"kind", NameIn(kKinds, plan.kind)},
+          {"targets", std::move(targets)},
+          {"policy", ToJson(plan.policy)}};
 }
 
 Plan PlanFrom(const json& from) {
@@ -140,8 +156,9 @@
 }
 
 json ToJson(const Report& r) {
-  return {{"step", ToJson(r.step)}, {"phase", Name(r.phase)}, {"why", r.why}, {"running", r.running},
-          {"ready", r.ready}, {"held", r.held}, {"generation", r.generation}, {"taken", r.taken}, {"bad", r.bad}};
+  return {{"step", ToJson(r.step)},     {"phase", Name(r.phase)}, {"why", r.why},
+          {"running", r.running},       {"ready", r.ready},       {"held", r.held},
+          {"generation", r.generation}, {"taken", r.taken},       {"bad", r.bad}};
 }
 
 Report ReportFrom(const json& from) {
@@ -159,8 +176,8 @@
 }
 
 json ToJson(const InstanceRecord& r) {
-  return {{"wanted", r.wanted}, {"generation", r.generation}, {"token", r.token}, {"step", ToJson(r.step)},
-          {"phase", Name(r.phase)}, {"why", r.why}};
+  return {{"wanted", r.wanted},     {"generation", r.generation}, {"token", r.token},
+          {"step", ToJson(r.step)}, {"phase", Name(r.phase)},     {"why", r.why}};
 }
 
 InstanceRecord RecordFrom(const json& from) {
@@ -176,9 +193,11 @@
 
 bool GoodName(const std::string& name) {
   const auto good = [](char c) {
-    return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' || c == '_' || c == '.';
+    return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
+           c == '_' || c == '.';
   };
-  return !name.empty() && name.size() <= 64 && name.front() != '.' && std::all_of(name.begin(), name.end(), good);
+  return !name.empty() && name.size() <= 64 && name.front() != '.' &&
+         std::all_of(name.begin(), name.end(), good);
 }
 
 }  // namespace mothrack::fleet
--- a/fleet/wire.h
+++ b/fleet/wire.h
@@ -1,5 +1,6 @@
-// The fleet's values as JSON: on disk, and between agents and tools. Reading throws std::invalid_argument, which names
-// what is missing or wrong; what is unknown is skipped, so that a newer tool and an older agent understand each other.
+// The fleet's values as JSON: on disk, and between agents and tools. Reading throws std::invalid_argument,
+// which names what is missing or wrong; what is unknown is skipped, so that a newer tool and an older agent
+// understand each other.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -32,8 +33,8 @@
 template <typename T>
 T Member(const nlohmann::json& json, const char* name);
 
-// Names of instances, agents and generations become parts of paths: letters, digits, '-', '_' and '.', at most 64, no
-// dot first.
+// Names of instances, agents and generations become parts of paths: letters, digits, '-', '_' and '.', at
+// most 64, no dot first.
 bool GoodName(const std::string& name);
 
 }  // namespace mothrack::fleet
--- a/freeze/conflicts.cpp
+++ b/freeze/conflicts.cpp
@@ -9,12 +9,15 @@
 
 Relation Compare(const Names& touched, const Names& scope) {
   if (touched.empty()) return Relation::kOverlapping;
-  const auto in = std::count_if(touched.begin(), touched.end(), [&](const auto& name) { return scope.contains(name); });
+  const auto in =
+      std::count_if(touched.begin(), touched.end(), [&](const auto& name) { return scope.contains(name); });
   if (in == 0) return Relation::kOutside;
   return in == static_cast<std::ptrdiff_t>(touched.size()) ? Relation::kInside : Relation::kOverlapping;
 }
 
-bool Apart(const Names& a, const Names& b) { return !a.empty() && !b.empty() && Compare(a, b) == Relation::kOutside; }
+bool Apart(const Names& a, const Names& b) {
+  return !a.empty() && !b.empty() && Compare(a, b) == Relation::kOutside;
+}
 
 // By change kind and relation, a letter for each incident kind: Blocked, Paused, Allowed, Remedy.
 constexpr const char* kTable[8][4] = {
--- a/freeze/conflicts.h
+++ b/freeze/conflicts.h
@@ -1,5 +1,5 @@
-// What may go on while something is wrong: change kind x where it lies to the incident's scope x incident kind. The
-// table stands in docs/design/freeze.md, "What conflicts", and a test holds the two together.
+// What may go on while something is wrong: change kind x where it lies to the incident's scope x incident
+// kind. The table stands in docs/design/freeze.md, "What conflicts", and a test holds the two together.
 #pragma once
 
 #include <cstdint>
@@ -55,8 +55,9 @@
 Relation RelationOf(const Footprint& footprint, const Scope& scope);
 Effect EffectOf(ChangeKind change, Relation relation, IncidentKind incident);
 
-// Must two changes not run at once? Those that touch instances come one at a time, as the lease has it (fleet/lease.h),
-// and so do those that move zones: each counts on the room that the rest has. Of one of each, those that may meet.
+// Must two changes not run at once? Those that touch instances come one at a time, as the lease has it
+// (fleet/lease.h), and so do those that move zones: each counts on the room that the rest has. Of one of
+// each, those that may meet.
 bool Exclude(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt);
 
 }  // namespace mothrack::freeze
--- a/freeze/desk.cpp
+++ b/freeze/desk.cpp
@@ -3,7 +3,8 @@
 namespace mothrack::freeze {
 
 namespace {
-// Ages that are only renewed: a third of what they lapse by, so that a new coordinator finds no fresh one stale.
+// Ages that are only renewed: a third of what they lapse by, so that a new coordinator finds no fresh one
+// stale.
 constexpr Duration kRewrite = kEvidenceLasts / 3;
 }  // namespace
 
@@ -56,7 +57,8 @@
   if (!leader.empty() && voter_.role() == Voter::Role::kFollower) return "ask " + leader;
   std::string missing;
   for (const std::string& name : voter_.Missing(now)) missing += (missing.empty() ? "" : ", ") + name;
-  return "nobody coordinates changes; not heard of: " + (missing.empty() ? "none, wait for the election" : missing);
+  return "nobody coordinates changes; not heard of: " +
+         (missing.empty() ? "none, wait for the election" : missing);
 }
 
 Desk::Receipt Desk::Change(TimePoint now, const Edit& edit, std::vector<VoterMessage>& out) {
--- a/freeze/desk.h
+++ b/freeze/desk.h
@@ -1,5 +1,6 @@
-// A voter with what it does when it is coordinator: it reads the replicated state once it has won, changes it by writes
-// that count once they are committed, and answers agents and operators from what is committed, while its lease holds.
+// A voter with what it does when it is coordinator: it reads the replicated state once it has won, changes it
+// by writes that count once they are committed, and answers agents and operators from what is committed,
+// while its lease holds.
 //
 // A value, like the voter in it: for Decide (freeze/voter.h).
 #pragma once
@@ -29,8 +30,8 @@
   // Why it does not, for people: who leads, or who is missing.
   std::string Leaderless(TimePoint now) const;
 
-  // A change of the state is decided once it is committed; until then Decided() says no, and after another coordinator
-  // won nobody knows: ask again, everything here can be repeated.
+  // A change of the state is decided once it is committed; until then Decided() says no, and after another
+  // coordinator won nobody knows: ask again, everything here can be repeated.
   struct Receipt {
     Term term = 0;
     std::uint64_t version = 0;  // 0: nothing was begun, and why
@@ -44,7 +45,8 @@
 
   // For an agent's question. Nothing: it does not lead.
   std::optional<Word> Confirm(const std::string& change, TimePoint now);
-  // Evidence is heard often and seldom changes anything: what only renews is kept here, and written now and then.
+  // Evidence is heard often and seldom changes anything: what only renews is kept here, and written now and
+  // then.
   void Hear(const Evidence& evidence, TimePoint now, std::vector<VoterMessage>& out);
   // Committed.
   const Ledger* state() const { return state_ ? &*state_ : nullptr; }
--- a/freeze/incidents.cpp
+++ b/freeze/incidents.cpp
@@ -23,8 +23,8 @@
 }
 
 Incident* Incidents::Of(IncidentKind kind, const Scope& scope) {
-  const auto it =
-      std::find_if(all_.begin(), all_.end(), [&](const Incident& i) { return i.kind == kind && i.scope == scope; });
+  const auto it = std::find_if(all_.begin(), all_.end(),
+                               [&](const Incident& i) { return i.kind == kind && i.scope == scope; });
   return it == all_.end() ? nullptr : &*it;
 }
 
@@ -33,10 +33,11 @@
   return it == all_.end() ? nullptr : &*it;
 }
 
-std::uint64_t Incidents::Add(IncidentKind kind, const Scope& scope, const std::string& cause, const std::string& owner,
-                             Duration lasts, TimePoint now, std::string& why) {
+std::uint64_t Incidents::Add(IncidentKind kind, const Scope& scope, const std::string& cause,
+                             const std::string& owner, Duration lasts, TimePoint now, std::string& why) {
   if (cause.size() > kLongestText || owner.size() > kLongestText || scope.names.size() > kMostNames ||
-      std::any_of(scope.names.begin(), scope.names.end(), [](const auto& n) { return n.size() > kLongestText; })) {
+      std::any_of(scope.names.begin(), scope.names.end(),
+                  [](const auto& n) { return n.size() > kLongestText; })) {
     why = "a cause, owner or name is longer than " + std::to_string(kLongestText) +
           " bytes, or the scope has more than " + std::to_string(kMostNames) +
           " names; shorten it, or take a wider scope";
@@ -55,8 +56,8 @@
   return last_id_;
 }
 
-std::uint64_t Incidents::Open(const Scope& scope, const std::string& cause, const std::string& owner, Duration lasts,
-                              TimePoint now, std::string& why) {
+std::uint64_t Incidents::Open(const Scope& scope, const std::string& cause, const std::string& owner,
+                              Duration lasts, TimePoint now, std::string& why) {
   if (cause.empty() || owner.empty()) return why = "an incident needs a cause and an owner", 0;
   if (Incident* same = Of(IncidentKind::kOperator, scope)) {
     Renew(same->id, owner, now);
--- a/freeze/incidents.h
+++ b/freeze/incidents.h
@@ -1,9 +1,10 @@
-// What is wrong in the fleet, as its operators and its evidence say. Incidents are part of the coordinator's replicated
-// state; while one is open, stale or calming, the table of freeze/conflicts.h holds for its scope. Nothing of it lifts
-// itself because nobody speaks: an incident that nobody renews is stale, is shown as that, and freezes on.
+// What is wrong in the fleet, as its operators and its evidence say. Incidents are part of the coordinator's
+// replicated state; while one is open, stale or calming, the table of freeze/conflicts.h holds for its scope.
+// Nothing of it lifts itself because nobody speaks: an incident that nobody renews is stale, is shown as
+// that, and freezes on.
 //
-// Times are of the coordinator's steady clock; what is replicated is ages (Pack). Another coordinator counts on from
-// the age that it reads, so that what is to lapse lapses late, never early.
+// Times are of the coordinator's steady clock; what is replicated is ages (Pack). Another coordinator counts
+// on from the age that it reads, so that what is to lapse lapses late, never early.
 #pragma once
 
 #include <cstdint>
@@ -28,7 +29,8 @@
 inline constexpr std::size_t kMostNames = 16;  // in an incident's scope
 // Without evidence, or past an operator's own end: stale.
 inline constexpr Duration kEvidenceLasts{30'000};
-// Hysteresis of refusals, as a share of all requests: calm is a quarter of what opens one, and lasts ten times as long.
+// Hysteresis of refusals, as a share of all requests: calm is a quarter of what opens one, and lasts ten
+// times as long.
 inline constexpr double kRefusalsOpen = 0.20;
 inline constexpr double kRefusalsCalm = 0.05;
 inline constexpr Duration kRefusalsFor{3'000};
@@ -39,7 +41,8 @@
 struct Evidence {
   IncidentKind kind = IncidentKind::kRefusals;
   Scope scope{};
-  double level = 0;    // share refused; halls with an instance held; of a zone: 1 left, between while it returns, 0 in
+  double level =
+      0;  // share refused; halls with an instance held; of a zone: 1 left, between while it returns, 0 in
   Duration lasted{0};  // at or above that level
 };
 
--- a/freeze/ledger.cpp
+++ b/freeze/ledger.cpp
@@ -10,7 +10,8 @@
   for (const Incident& incident : incidents.all()) {
     if (!incident.Freezes()) continue;
     Effect effect = EffectOf(kind, RelationOf(footprint, incident.scope), incident.kind);
-    std::string why = "incident " + std::to_string(incident.id) + " (" + incident.cause + ", " + incident.owner + ')';
+    std::string why =
+        "incident " + std::to_string(incident.id) + " (" + incident.cause + ", " + incident.owner + ')';
     if (effect == Effect::kRemedy) {
       effect = remedies.contains(incident.id) ? Effect::kAllowed : Effect::kPaused;
       why += "; as its remedy, name it";
@@ -50,7 +51,8 @@
       own = &permit;
       if (permit.over) return "its former permit is still on its way; ask again";
       if (permit.kind == ask.kind && permit.footprint == ask.footprint) continue;
-      End(permit, Word::State::kBlocked, "it goes on as " + std::string(kChangeKinds[static_cast<int>(ask.kind)]), now);
+      End(permit, Word::State::kBlocked,
+          "it goes on as " + std::string(kChangeKinds[static_cast<int>(ask.kind)]), now);
       return "its former permit is still on its way; ask again";
     }
     if (Exclude(permit.kind, permit.footprint, ask.kind, ask.footprint))
@@ -104,7 +106,8 @@
 
 void Ledger::Settle(TimePoint now) {
   incidents.Turn(now);
-  std::erase_if(permits_, [&](const Permit& p) { return p.over && now - p.since >= Lengthened(kPermitTime); });
+  std::erase_if(permits_,
+                [&](const Permit& p) { return p.over && now - p.since >= Lengthened(kPermitTime); });
   for (Permit& permit : permits_) {
     if (permit.over) continue;
     if (now - permit.asked >= kPermitIdle) {
@@ -140,8 +143,8 @@
 
 bool Ledger::Alike(const Ledger& other) const {
   const auto alike = [](const Permit& a, const Permit& b) {
-    return a.change == b.change && a.kind == b.kind && a.batch == b.batch && a.state == b.state && a.over == b.over &&
-           a.remedies == b.remedies && a.footprint == b.footprint;
+    return a.change == b.change && a.kind == b.kind && a.batch == b.batch && a.state == b.state &&
+           a.over == b.over && a.remedies == b.remedies && a.footprint == b.footprint;
   };
   return incidents.Alike(other.incidents) && told_ == other.told_ &&
          std::equal(permits_.begin(), permits_.end(), other.permits_.begin(), other.permits_.end(), alike);
@@ -189,7 +192,8 @@
     Permit p;
     p.change = unpacker.Text();
     p.kind = static_cast<ChangeKind>(unpacker.Number(7));
-    for (auto* names : {&p.footprint.halls, &p.footprint.zones, &p.footprint.generations, &p.footprint.instances}) {
+    for (auto* names :
+         {&p.footprint.halls, &p.footprint.zones, &p.footprint.generations, &p.footprint.instances}) {
       *names = unpacker.Names();
     }
     p.who = unpacker.Text();
--- a/freeze/ledger.h
+++ b/freeze/ledger.h
@@ -1,6 +1,6 @@
-// The coordinator's state, which survives any minority of the voters: incidents, permits, and the glass that was
-// broken. Its rules for permits are here; it is replicated as bytes (freeze/voter.h), and what is not committed does
-// not count.
+// The coordinator's state, which survives any minority of the voters: incidents, permits, and the glass that
+// was broken. Its rules for permits are here; it is replicated as bytes (freeze/voter.h), and what is not
+// committed does not count.
 #pragma once
 
 #include <map>
@@ -19,7 +19,8 @@
 inline constexpr std::size_t kMostGlassKept = 32;
 // A footprint that names more instances tells its halls only.
 inline constexpr std::size_t kMostInstances = 256;
-// Nobody asked about it for so long: its change is forgotten here; the fleet's lease keeps it open (fleet/lease.h).
+// Nobody asked about it for so long: its change is forgotten here; the fleet's lease keeps it open
+// (fleet/lease.h).
 inline constexpr Duration kPermitIdle{60'000};
 
 struct Permit {
@@ -31,7 +32,8 @@
   std::uint32_t batch = 0;             // the last that may begin
   Word::State state = Word::State::kRunning;
   std::string why{};
-  bool over = false;  // done, withdrawn or followed by another kind: in force until no agent can have it any more
+  bool over =
+      false;  // done, withdrawn or followed by another kind: in force until no agent can have it any more
   TimePoint since{};  // of `over`
   TimePoint asked{};  // for the last time
 };
@@ -63,7 +65,8 @@
   Word Confirm(const std::string& change, TimePoint now);
   // Notes that an agent has; each is kept once, the latest kMostGlassKept.
   void Broken(const std::vector<Glass>& glass);
-  // This state is committed, after `before`: until now agents were told that one, so what has ended counts from now.
+  // This state is committed, after `before`: until now agents were told that one, so what has ended counts
+  // from now.
   void Committed(const Ledger& before, TimePoint now);
   // Time passes, incidents come and go: permits follow.
   void Settle(TimePoint now);
--- a/freeze/pack.h
+++ b/freeze/pack.h
@@ -1,5 +1,5 @@
-// The replicated state as bytes: numbers and strings, each ended by a colon or led by its length, so that a reader that
-// is handed anything else says so.
+// The replicated state as bytes: numbers and strings, each ended by a colon or led by its length, so that a
+// reader that is handed anything else says so.
 #pragma once
 
 #include <charconv>
--- a/freeze/permits.cpp
+++ b/freeze/permits.cpp
@@ -20,7 +20,8 @@
   std::erase_if(known_, [&](const auto& entry) { return entry.second.until + kForgotten < asked; });
   const TimePoint until = asked + Shortened(kPermitTime);
   const auto known = known_.find(word.change);
-  if (known != known_.end() && until < known->second.until && word.version == known->second.word.version) return true;
+  if (known != known_.end() && until < known->second.until && word.version == known->second.word.version)
+    return true;
   known_[word.change] = {word, until};
   return true;
 }
@@ -33,8 +34,10 @@
   const bool fresh = it != known_.end() && now < it->second.until;
   if (!fresh) {
     if (!leaderless_.empty()) return {Verdict::kLapsed, leaderless_};
-    if (it == known_.end()) return {Verdict::kNone, "the coordinator has not said that " + change + " may go on"};
-    return {Verdict::kLapsed, "no word of the coordinator of term " + std::to_string(record_.term) + " for too long"};
+    if (it == known_.end())
+      return {Verdict::kNone, "the coordinator has not said that " + change + " may go on"};
+    return {Verdict::kLapsed,
+            "no word of the coordinator of term " + std::to_string(record_.term) + " for too long"};
   }
   const Word& word = it->second.word;
   if (word.state == Word::State::kBlocked) return {Verdict::kBlocked, word.why};
@@ -49,7 +52,8 @@
 std::string PermitBook::BreakGlass(const std::string& change, const std::string& who, bool viewer,
                                    const std::string& why, TimePoint now) {
   if (viewer) return "a viewer can't break the glass; ask an operator";
-  if (why.empty() || who.empty() || change.empty()) return "say who breaks the glass, for which change, and why";
+  if (why.empty() || who.empty() || change.empty())
+    return "say who breaks the glass, for which change, and why";
   if (record_.untold.size() >= kMostGlass)
     return "the coordinator has not heard of the last " + std::to_string(kMostGlass);
   record_.untold.push_back({++record_.glasses, agent_, change, who, why.substr(0, 200)});
--- a/freeze/permits.h
+++ b/freeze/permits.h
@@ -1,10 +1,11 @@
-// An agent's part in a freeze. It grants the lease of a change, and takes each of its steps, only while it has a permit
-// that the coordinator of the highest term it knows has confirmed a short while ago; a word of an older term is refused
-// however late it comes. So a freeze is in force at every agent within kPermitTime of its decision, also at one that
-// nobody can tell: an agent counts from when it *asked*, and the coordinator answers only while its lease holds.
+// An agent's part in a freeze. It grants the lease of a change, and takes each of its steps, only while it
+// has a permit that the coordinator of the highest term it knows has confirmed a short while ago; a word of
+// an older term is refused however late it comes. So a freeze is in force at every agent within kPermitTime
+// of its decision, also at one that nobody can tell: an agent counts from when it *asked*, and the
+// coordinator answers only while its lease holds.
 //
-// With no coordinator nothing new begins and what runs holds. Break-glass is the operator's way past that, at this
-// agent, for a while; it is written down first and told to the coordinator once there is one.
+// With no coordinator nothing new begins and what runs holds. Break-glass is the operator's way past that, at
+// this agent, for a while; it is written down first and told to the coordinator once there is one.
 //
 // A value, like fleet/lease.h: let a copy decide, make its record durable, keep the copy.
 #pragma once
@@ -21,8 +22,8 @@
 
 namespace mothrack::freeze {
 
-// From a decision until no agent acts against it, by true time (the issue asks for 2 s): an agent's own count is
-// shortened, so that a clock that runs slow stays within it.
+// From a decision until no agent acts against it, by true time (the issue asks for 2 s): an agent's own count
+// is shortened, so that a clock that runs slow stays within it.
 inline constexpr Duration kPermitTime{2000};
 // How often an agent asks for one that is in use: three chances before it lapses.
 inline constexpr Duration kPermitAsk{500};
@@ -83,8 +84,8 @@
   // May the change's lease be granted (batch 0), or a step of its batch be taken, at this instant?
   Answer May(const std::string& change, ChangeKind kind, std::uint32_t batch, TimePoint now) const;
   // Empty: done, once the record is durable; else why not.
-  std::string BreakGlass(const std::string& change, const std::string& who, bool viewer, const std::string& why,
-                         TimePoint now);
+  std::string BreakGlass(const std::string& change, const std::string& who, bool viewer,
+                         const std::string& why, TimePoint now);
   // The coordinator has the notes up to this number in its committed state.
   void Told(std::uint64_t number);
 
--- a/freeze/voter.cpp
+++ b/freeze/voter.cpp
@@ -12,7 +12,8 @@
 constexpr char kNobody = '-';
 }  // namespace
 
-Voter::Trust Voter::TrustOf(const std::optional<VoterRecord>& record, const std::optional<Seal>& seal, bool founding) {
+Voter::Trust Voter::TrustOf(const std::optional<VoterRecord>& record, const std::optional<Seal>& seal,
+                            bool founding) {
   if (!record && !seal) return founding ? Trust::kSound : Trust::kOld;
   return record && !record->old && seal && SealOf(*record) >= *seal ? Trust::kSound : Trust::kOld;
 }
@@ -156,7 +157,8 @@
 // What follows once enough have answered. A fleet of one voter needs no answer.
 void Voter::Progress(TimePoint now, std::vector<VoterMessage>& out) {
   if (role_ == Role::kLost && Counted(granted_) >= Majority()) {
-    // Above whatever it may have voted or held, as far as these know; of the rest, they answer for it (Counted).
+    // Above whatever it may have voted or held, as far as these know; of the rest, they answer for it
+    // (Counted).
     record_.old = false;
     record_.life = wanted_;
     record_.term = std::max(record_.term, joined_term_);
@@ -206,7 +208,8 @@
   if (role_ != Role::kFollower) Follow(now);
   Quiet(now);
   coordinator_ = message.from;
-  if (message.kind == Kind::kWrite && message.stamp > record_.stamp && message.value.size() <= kLargestValue) {
+  if (message.kind == Kind::kWrite && message.stamp > record_.stamp &&
+      message.value.size() <= kLargestValue) {
     record_.stamp = message.stamp;
     record_.value = message.value;
   }
@@ -226,7 +229,8 @@
       break;
     case Kind::kAsk:
       answer.kind = Kind::kVote;
-      // In the middle of another's lease its term is not taken over either, or every lonely voter would end one.
+      // In the middle of another's lease its term is not taken over either, or every lonely voter would end
+      // one.
       if (now >= quiet_until_ && message.term > record_.term) {
         record_.term = message.term;
         record_.voted = message.from;
@@ -253,7 +257,8 @@
   answer.lives = record_.lives;
   if (answer.kind == Kind::kJoined) answer.lives[message.from] = known_[message.from];
   if (answer.kind != Kind::kPreTold) answer.stamp = record_.stamp;
-  if (answer.granted && (answer.kind == Kind::kVote || answer.kind == Kind::kJoined)) answer.value = record_.value;
+  if (answer.granted && (answer.kind == Kind::kVote || answer.kind == Kind::kJoined))
+    answer.value = record_.value;
   out.push_back(answer);
 }
 
@@ -279,10 +284,12 @@
     if (role_ == Role::kLost) Join(message, now);
     return;
   }
-  const bool answer = message.kind == Kind::kPreTold || message.kind == Kind::kVote || message.kind == Kind::kHeld;
+  const bool answer =
+      message.kind == Kind::kPreTold || message.kind == Kind::kVote || message.kind == Kind::kHeld;
   if (role_ == Role::kLost || !answer) return;
   if (message.kind == Kind::kPreTold) {
-    if (role_ == Role::kAsking && message.granted && message.stamp.term == std::max(record_.term, seen_) + 1) {
+    if (role_ == Role::kAsking && message.granted &&
+        message.stamp.term == std::max(record_.term, seen_) + 1) {
       granted_[message.from] = message.life;
     } else if (!message.granted) {
       seen_ = std::max(seen_, message.term);
@@ -312,7 +319,8 @@
 }
 
 void Voter::Heard(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out) {
-  if (message.to != settings_.self || message.from == settings_.self || !settings_.voters.contains(message.from))
+  if (message.to != settings_.self || message.from == settings_.self ||
+      !settings_.voters.contains(message.from))
     return;
   const VoterRecord before = record_;
   const std::size_t first = out.size();
@@ -321,7 +329,8 @@
   told = std::max(told, Seal{message.life, message.serial});
   known_[message.from] = std::max(known_[message.from], message.life);
   for (const auto& [name, life] : message.lives) known_[name] = std::max(known_[name], life);
-  // It has told more than it knows, or has asked to join as a later life before its present file was put back.
+  // It has told more than it knows, or has asked to join as a later life before its present file was put
+  // back.
   const auto self = known_.find(settings_.self);
   const bool forgot = (message.your_life == record_.life && message.your_serial > record_.serial) ||
                       (self != known_.end() && self->second > record_.life);
--- a/freeze/voter.h
+++ b/freeze/voter.h
@@ -1,17 +1,18 @@
-// One voter of the election of the coordinator, and of the register that keeps its state: a value of at most 64 KiB,
-// replaced as a whole. docs/design/freeze.md says why it is no log.
+// One voter of the election of the coordinator, and of the register that keeps its state: a value of at most
+// 64 KiB, replaced as a whole. docs/design/freeze.md says why it is no log.
 //
 //   * A term has one coordinator: each voter votes once a term, on disk before it is told.
-//   * What a majority holds on disk is committed. Votes bring what the voter holds, so whoever wins has read the latest
-//   from a majority; it writes that anew under its own term, and acts only once a majority holds it.
-//   * The coordinator's lease counts from when it *asked* a majority, shortened; a voter that heard lets nobody else
-//   win for as long, lengthened. With every steady clock within kClockRate of true time the lease has ended at its
-//   holder before another can win. A voter that starts lets nobody win for the whole of that time: it may have
-//   promised.
-//   * A voter whose file is older than what it has told takes no part. It joins as another life, once as many others as
-//   are a majority of all have that life on disk and told what they hold; what it told in a former life counts no more.
-//   Whose file is old is told by the seal, the number of the last write, kept in another place; and by any peer that
-//   has heard of a later write.
+//   * What a majority holds on disk is committed. Votes bring what the voter holds, so whoever wins has read
+//   the latest from a majority; it writes that anew under its own term, and acts only once a majority holds
+//   it.
+//   * The coordinator's lease counts from when it *asked* a majority, shortened; a voter that heard lets
+//   nobody else win for as long, lengthened. With every steady clock within kClockRate of true time the lease
+//   has ended at its holder before another can win. A voter that starts lets nobody win for the whole of that
+//   time: it may have promised.
+//   * A voter whose file is older than what it has told takes no part. It joins as another life, once as many
+//   others as are a majority of all have that life on disk and told what they hold; what it told in a former
+//   life counts no more. Whose file is old is told by the seal, the number of the last write, kept in another
+//   place; and by any peer that has heard of a later write.
 //
 // A value: let a copy decide, make its record durable, keep the copy, and only then send (Decide).
 #pragma once
@@ -114,7 +115,8 @@
   enum class Trust : std::uint8_t { kSound, kOld };
 
   // `seal`: nothing where it is missing. A fleet is founded once, by an operator, with `founding`.
-  static Trust TrustOf(const std::optional<VoterRecord>& record, const std::optional<Seal>& seal, bool founding);
+  static Trust TrustOf(const std::optional<VoterRecord>& record, const std::optional<Seal>& seal,
+                       bool founding);
 
   Voter(VoterSettings settings, VoterRecord record, Trust trust, TimePoint now);
 
@@ -122,9 +124,11 @@
   // Call it at least every kTurn.
   static constexpr Duration kTurn{100};
   void Turn(TimePoint now, std::vector<VoterMessage>& out);
-  // Only of a coordinator whose lease holds: the version that is committed once committed() has come to it; 0: no.
+  // Only of a coordinator whose lease holds: the version that is committed once committed() has come to it;
+  // 0: no.
   std::uint64_t Write(const std::string& value, TimePoint now, std::vector<VoterMessage>& out);
-  // The disk did not take what a copy decided. Whoever leads steps down: what it could not write may be on its disk.
+  // The disk did not take what a copy decided. Whoever leads steps down: what it could not write may be on
+  // its disk.
   void DiskRefused(TimePoint now);
 
   const VoterRecord& record() const { return record_; }
@@ -185,8 +189,8 @@
   std::uint64_t committed_ = 0;
 };
 
-// Where a voter's record is kept. True: the record, and then its seal in another place, are durable; false: nothing may
-// be told, though the record may be there.
+// Where a voter's record is kept. True: the record, and then its seal in another place, are durable; false:
+// nothing may be told, though the record may be there.
 class VoterStore {
  public:
   virtual ~VoterStore() = default;
--- a/fuzz/peers_wire_fuzz.cpp
+++ b/fuzz/peers_wire_fuzz.cpp
@@ -1,5 +1,5 @@
-// What comes from another peer once its seal is open. What can be read is written, read again and must be the same, and
-// take no more bytes than the core reckons with. Broken invariants abort.
+// What comes from another peer once its seal is open. What can be read is written, read again and must be the
+// same, and take no more bytes than the core reckons with. Broken invariants abort.
 #include <cstdint>
 #include <cstdlib>
 
--- a/handover/handover.cpp
+++ b/handover/handover.cpp
@@ -67,7 +67,8 @@
 // Is there something to read, or the end, before `until`?
 bool Readable(int descriptor, std::chrono::steady_clock::time_point until) {
   while (true) {
-    const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
+    const auto left =
+        std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
     if (left.count() <= 0) return false;
     pollfd ready{descriptor, POLLIN, 0};
     const int events = ::poll(&ready, 1, static_cast<int>(left.count()));
--- a/handover/handover.h
+++ b/handover/handover.h
@@ -1,10 +1,12 @@
-// Two processes of one sidecar, the serving one and its successor, beside each other for a while. The successor
-// finds the serving one by a Unix socket in the directory that they share, and is handed the listening socket
-// itself (SCM_RIGHTS, unix(7)), so that no connection in the kernel's queue is lost when either ends; and what must
-// hold across the change (state.h). From then on each tells the other what it is told, until one of them ends.
+// Two processes of one sidecar, the serving one and its successor, beside each other for a while. The
+// successor finds the serving one by a Unix socket in the directory that they share, and is handed the
+// listening socket itself (SCM_RIGHTS, unix(7)), so that no connection in the kernel's queue is lost when
+// either ends; and what must hold across the change (state.h). From then on each tells the other what it is
+// told, until one of them ends.
 //
-// Lines, either way (link.h): {"takeover":1} asks; the state answers, or {"busy":true} while another successor
-// gets ready; {"ready":true} says that the successor takes clients; {"ban":ID}, {"unban":ID}, {"rest":bool},
+// Lines, either way (link.h): {"takeover":1} asks; the state answers, or {"busy":true} while another
+// successor gets ready; {"ready":true} says that the successor takes clients; {"ban":ID}, {"unban":ID},
+// {"rest":bool},
 // {"id":ID}, {"sockets":N}.
 #pragma once
 
@@ -29,8 +31,8 @@
   std::shared_ptr<Link> link;
 };
 
-// Asks the process that serves by `path`, for at most `patience`. Nothing where none does, or what it says can't
-// be used, which is logged. Blocks: to be called before anything is served.
+// Asks the process that serves by `path`, for at most `patience`. Nothing where none does, or what it says
+// can't be used, which is logged. Blocks: to be called before anything is served.
 std::optional<Taken> TakeOver(boost::asio::io_context& io, const std::string& path, Duration patience,
                               Logger& log);
 
--- a/handover/link.cpp
+++ b/handover/link.cpp
@@ -40,17 +40,17 @@
 void Link::Read() {
   const std::size_t had = in_.size();
   in_.resize(had + kReadSize);
-  socket_.async_read_some(
-      boost::asio::buffer(in_.data() + had, kReadSize),
-      [self = shared_from_this(), had](error_code error, std::size_t size) {
-        self->in_.resize(had + (error ? 0 : size));
-        if (!self->on_line_) return;
-        if (error) return self->End();
-        if (self->TakeLines(had)) self->Read();
-      });
+  socket_.async_read_some(boost::asio::buffer(in_.data() + had, kReadSize),
+                          [self = shared_from_this(), had](error_code error, std::size_t size) {
+                            self->in_.resize(had + (error ? 0 : size));
+                            if (!self->on_line_) return;
+                            if (error) return self->End();
+                            if (self->TakeLines(had)) self->Read();
+                          });
 }
 
-// Whole lines in what has come, of which `looked` bytes are known to hold no end of one; false where this ended.
+// Whole lines in what has come, of which `looked` bytes are known to hold no end of one; false where this
+// ended.
 bool Link::TakeLines(std::size_t looked) {
   std::size_t begin = 0;
   for (auto end = in_.find('\n', looked); end != std::string::npos; end = in_.find('\n', begin)) {
--- a/handover/state.h
+++ b/handover/state.h
@@ -1,5 +1,5 @@
-// What a successor is told, as JSON of a stated version; and the file in which bans outlive a process that can't
-// be asked any more.
+// What a successor is told, as JSON of a stated version; and the file in which bans outlive a process that
+// can't be asked any more.
 #pragma once
 
 #include <cstddef>
@@ -22,8 +22,8 @@
   std::vector<std::string> ids;  // of requests that must not be taken again
   bool resting = false;          // emptied by hand
   std::size_t sockets = 0;       // that the serving process may hold from now on
-  // When upstreams' processes started, on this machine's steady clock, and when the last list was read. Optional: a
-  // state without them is an earlier program's.
+  // When upstreams' processes started, on this machine's steady clock, and when the last list was read.
+  // Optional: a state without them is an earlier program's.
   std::vector<ProcessStart> starts;
   std::optional<TimePoint> last_list;
 };
@@ -32,11 +32,11 @@
 // Throws std::runtime_error, which says what is wrong with it.
 State FromJson(const nlohmann::json& json);
 
-// `file` is replaced whole or not at all, and on disk when this returns nothing; else it says what went wrong. Waits for
-// the disk.
+// `file` is replaced whole or not at all, and on disk when this returns nothing; else it says what went
+// wrong. Waits for the disk.
 std::optional<std::string> WriteBans(const std::string& file, const std::set<std::string>& bans);
-// None where there is no such file; one that can't be read, is cut short or of another version is logged and ignored
-// whole.
+// None where there is no such file; one that can't be read, is cut short or of another version is logged and
+// ignored whole.
 std::set<std::string> ReadBans(const std::string& file, Logger& log);
 
 }  // namespace mothrack::handover
--- a/http/body_writer.cpp
+++ b/http/body_writer.cpp
@@ -29,8 +29,8 @@
       if (framing_ == Framing::kChunked) {
         // The first chunk's frame follows the head; the later ones end the chunk before.
         std::array<char, 32> text;
-        const int size = std::snprintf(text.data(), text.size(), "%s%zx\r\n%s", written_ > 0 ? "\r\n" : "", chunk_,
-                                       ends ? "\r\n" : "");
+        const int size = std::snprintf(text.data(), text.size(), "%s%zx\r\n%s", written_ > 0 ? "\r\n" : "",
+                                       chunk_, ends ? "\r\n" : "");
         frame_.assign(text.data(), static_cast<std::size_t>(size));
         frame_at_ = 0;
         last_ = ends;
--- a/http/body_writer.h
+++ b/http/body_writer.h
@@ -1,6 +1,6 @@
-// Writes a message's head and then its body as it comes out of a Stream, framed by its length, in chunks (RFC 9112
-// section 7.1) or by the end of the connection. Never blocks and holds no bytes of the body: whoever has the
-// socket calls again when there is room in it, or more in the stream.
+// Writes a message's head and then its body as it comes out of a Stream, framed by its length, in chunks (RFC
+// 9112 section 7.1) or by the end of the connection. Never blocks and holds no bytes of the body: whoever has
+// the socket calls again when there is room in it, or more in the stream.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
--- a/http/discovery.cpp
+++ b/http/discovery.cpp
@@ -152,8 +152,8 @@
   bool connected_ = false;
 };
 
-Discovery::Discovery(boost::asio::io_context& io, Endpoint endpoint, const NewsTerms& terms, std::uint64_t seed,
-                     StartTimes& start_times, Logger& log, OnList on_list)
+Discovery::Discovery(boost::asio::io_context& io, Endpoint endpoint, const NewsTerms& terms,
+                     std::uint64_t seed, StartTimes& start_times, Logger& log, OnList on_list)
     : io_(io),
       endpoint_(std::move(endpoint)),
       terms_(terms),
@@ -264,9 +264,9 @@
   Failed(why, kind);
 }
 
-// The old list stands, and its version: what changed since is asked for again, which costs a service that all ask
-// the least. An agent is this machine's own, and may have started anew and count from elsewhere: the whole list,
-// which it gives at no cost, and which costs this process what it is to read.
+// The old list stands, and its version: what changed since is asked for again, which costs a service that all
+// ask the least. An agent is this machine's own, and may have started anew and count from elsewhere: the
+// whole list, which it gives at no cost, and which costs this process what it is to read.
 void Discovery::Failed(const std::string& why, FailedCall::Kind kind) {
   if (call_) std::exchange(call_, nullptr)->Drop();
   ++counts_.failed;
--- a/http/discovery.h
+++ b/http/discovery.h
@@ -21,22 +21,23 @@
 
 namespace mothrack {
 
-// One answer of discovery. Throws std::exception, naming what is wrong with the list. A list is a telling in order:
-// where an id is in it twice, what is said of it last counts, and it is told once. When processes started is left to
-// StartTimes.
+// One answer of discovery. Throws std::exception, naming what is wrong with the list. A list is a telling in
+// order: where an id is in it twice, what is said of it last counts, and it is told once. When processes
+// started is left to StartTimes.
 MembershipList ParseList(const nlohmann::json& body);
 
 class Discovery {
  public:
   using OnList = std::function<void(MembershipList)>;
 
-  // Asks again by itself whatever becomes of a call, as the terms say; `seed` spreads that. `start_times` must outlive
-  // it, and places each list before `on_list` gets it.
+  // Asks again by itself whatever becomes of a call, as the terms say; `seed` spreads that. `start_times`
+  // must outlive it, and places each list before `on_list` gets it.
   Discovery(boost::asio::io_context& io, Endpoint endpoint, const NewsTerms& terms, std::uint64_t seed,
             StartTimes& start_times, Logger& log, OnList on_list);
   ~Discovery();
 
-  // The list of this version is held already: what is asked for is what changed since. Before the first Ask().
+  // The list of this version is held already: what is asked for is what changed since. Before the first
+  // Ask().
   void Hold(std::uint64_t revision) { revision_ = revision; }
   // Asks for the list now and watches it from then on. Nothing to do where that is under way.
   void Ask();
@@ -72,12 +73,13 @@
   const OnList on_list_;
   boost::asio::steady_timer pause_;
   std::shared_ptr<Call> call_;
-  std::shared_ptr<Call> overdue_;  // given up for a whole list, and heard all the same if it answers before others
+  std::shared_ptr<Call>
+      overdue_;  // given up for a whole list, and heard all the same if it answers before others
   bool running_ = false;
-  bool heard_ = false;  // there was an answer, and no failure since: the next call is a watch
-  bool news_ = false;   // there was something in it
-  bool watch_ = false;  // the call that is out is one
-  std::uint64_t turn_ = 0;                 // counts the calls, begun or planned: an older plan is void
+  bool heard_ = false;      // there was an answer, and no failure since: the next call is a watch
+  bool news_ = false;       // there was something in it
+  bool watch_ = false;      // the call that is out is one
+  std::uint64_t turn_ = 0;  // counts the calls, begun or planned: an older plan is void
   std::optional<std::uint64_t> revision_;  // absent: the whole list is needed
   TimePoint asked_;
   int failures_ = 0;  // in a row
--- a/http/listener.cpp
+++ b/http/listener.cpp
@@ -1,7 +1,5 @@
 #include "http/listener.h"
 
-#include "http/body_writer.h"
-
 #include <poll.h>
 
 #include <boost/asio/socket_base.hpp>
@@ -19,6 +17,7 @@
 
 #include "core/system_calls.h"
 #include "core/write_stream.h"
+#include "http/body_writer.h"
 
 namespace mothrack {
 namespace {
@@ -29,7 +28,8 @@
 using std::chrono::seconds;
 
 constexpr Duration kSweep = milliseconds(250);
-// With shorter deadlines it sweeps this often within the shortest, for the sake of clients in the system's queue.
+// With shorter deadlines it sweeps this often within the shortest, for the sake of clients in the system's
+// queue.
 constexpr int kSweepsInDeadline = 3;
 // While requests pass, that queue is looked at this often: a system call in 20 ms is nothing beside them.
 constexpr Duration kLook = milliseconds(20);
@@ -52,8 +52,9 @@
 // Nor is more than this read behind a request that is being served.
 constexpr std::size_t kMostLinger = 256 * 1024;
 constexpr std::size_t kReadSize = 8192;
-// A body may come as slowly as this, bytes a second, and an answer be taken with pauses as long: usual clients on
-// bad lines. The system may hold much of an answer, which the client takes before any of ours moves on.
+// A body may come as slowly as this, bytes a second, and an answer be taken with pauses as long: usual
+// clients on bad lines. The system may hold much of an answer, which the client takes before any of ours
+// moves on.
 constexpr std::int64_t kLeastRate = 16 * 1024;
 constexpr Duration kWriteIdleTimeout = seconds(30);
 // Clients go on opening connections for a moment after a planned stop began.
@@ -133,8 +134,8 @@
   }
 
   // Ends an idle connection of which nobody needs the descriptor at once. What arrives between the last look
-  // and this finds no reset: its client sees the end of the connection, closes its own, and only then does this
-  // one.
+  // and this finds no reset: its client sees the end of the connection, closes its own, and only then does
+  // this one.
   void HalfClose() {
     state_ = State::kHalfClosed;
     since_ = Now();
@@ -393,8 +394,8 @@
     std::string_view rest = kContinue;
     error_code error;
     while (!rest.empty() && !error) rest.remove_prefix(WriteSome(socket_, boost::asio::buffer(rest), error));
-    // None of it is no harm: the client goes on after a pause of its own (RFC 9110 section 10.1.1). A part of it would
-    // be taken for the beginning of the answer.
+    // None of it is no harm: the client goes on after a pause of its own (RFC 9110 section 10.1.1). A part of
+    // it would be taken for the beginning of the answer.
     if (!rest.empty() && rest.size() < kContinue.size()) Close();
   }
 
@@ -539,13 +540,13 @@
   bool unused_ = true;    // nothing has ever come
   bool excused_ = false;  // it was overdue once, and more had come
   bool head_checked_ = false;
-  std::size_t scanned_ = 0;   // of a head that is still to come whole
-  std::size_t dropped_ = 0;   // bytes read behind a flood's request, or since the last answer
+  std::size_t scanned_ = 0;  // of a head that is still to come whole
+  std::size_t dropped_ = 0;  // bytes read behind a flood's request, or since the last answer
   bool close_after_ = false;
-  bool cut_upload_ = false;    // it was answered before its body had come
-  bool flooded_ = false;       // more came ahead of an answer than is kept: none of it is read as a request
-  std::uint64_t came_ = 0;     // of the body
-  Duration blocked_{};         // the time for which nothing was read since nobody took it
+  bool cut_upload_ = false;  // it was answered before its body had come
+  bool flooded_ = false;     // more came ahead of an answer than is kept: none of it is read as a request
+  std::uint64_t came_ = 0;   // of the body
+  Duration blocked_{};       // the time for which nothing was read since nobody took it
   std::optional<TimePoint> blocked_since_;
   bool parsing_ = false;
   bool pumping_ = false;
@@ -583,8 +584,8 @@
 bool Listener::MakeRoom() {
   const TimePoint now = Now();
   // Those of which more has come than was read are no candidates; there are few. What still arrives between
-  // the look and the close gets a reset, which takes nothing along: whoever sends a request has its last answer
-  // whole.
+  // the look and the close gets a reset, which takes nothing along: whoever sends a request has its last
+  // answer whole.
   std::set<Connection*> busy;
   while (true) {
     std::shared_ptr<Connection> best;
--- a/http/listener.h
+++ b/http/listener.h
@@ -37,10 +37,10 @@
   using OnRequest = std::function<Taken(HttpRequest request, ComingBody coming, Reply reply)>;
 
   // Binds and listens; throws boost::system::system_error.
-  // A client that the system does not tell of is found well within the shortest deadline of a request. A planned stop
-  // ends ahead of the SIGKILL that may follow the longest one.
-  Listener(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors,
-           ByteBudget& budget, Logger& log, const DeadlineRange& deadlines, OnRequest on_request);
+  // A client that the system does not tell of is found well within the shortest deadline of a request. A
+  // planned stop ends ahead of the SIGKILL that may follow the longest one.
+  Listener(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors, ByteBudget& budget,
+           Logger& log, const DeadlineRange& deadlines, OnRequest on_request);
   ~Listener();
 
   Endpoint local() const { return acceptor_.local(); }
@@ -80,7 +80,7 @@
   Acceptor acceptor_;
   const Duration sweep_every_;
   const Duration stop_within_;  // of a planned stop, from its start
-  TimePoint looked_;  // for clients that wait
+  TimePoint looked_;            // for clients that wait
   boost::asio::steady_timer sweep_;
   std::function<void()> drained_;  // set while draining
   bool resting_ = false;
--- a/http/messages.h
+++ b/http/messages.h
@@ -14,8 +14,8 @@
 #include <cstdint>
 #include <memory>
 #include <optional>
-#include <string>
 #include <sstream>
+#include <string>
 #include <utility>
 
 #include "core/exchange.h"
@@ -49,7 +49,8 @@
   ComingBody coming;
 };
 
-// What a parser has read of a body and nobody has taken yet; it stops with http::error::need_buffer at `room`.
+// What a parser has read of a body and nobody has taken yet; it stops with http::error::need_buffer at
+// `room`.
 struct Piece {
   std::string bytes;
   std::size_t room = 0;
@@ -86,14 +87,15 @@
   };
 };
 
-// Bodies up to this are kept whole on their way: what is sent again is all there, and an answer that breaks is
-// never begun. Longer ones pass through in pieces.
+// Bodies up to this are kept whole on their way: what is sent again is all there, and an answer that breaks
+// is never begun. Longer ones pass through in pieces.
 constexpr std::size_t kBufferLimit = 64 * 1024;
 // An answer that does not tell its length may begin its way from this on: it may take long to grow further.
 constexpr std::size_t kLeastStreamed = 16 * 1024;
 // No longer body is passed on at all.
 constexpr std::uint64_t kMostBody = 64 * 1024 * 1024;
-// A request's body that was passed on is kept until it is longer than this, to be sent again where nothing ran.
+// A request's body that was passed on is kept until it is longer than this, to be sent again where nothing
+// ran.
 constexpr std::size_t kMostKept = 512 * 1024;
 constexpr std::uint32_t kMostHeader = 16 * 1024;
 // What a connection reads ahead of its parser.
--- a/http/transport.cpp
+++ b/http/transport.cpp
@@ -1,7 +1,5 @@
 #include "http/transport.h"
 
-#include "http/body_writer.h"
-
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
 
@@ -22,6 +20,7 @@
 
 #include "core/system_calls.h"
 #include "core/write_stream.h"
+#include "http/body_writer.h"
 
 namespace mothrack {
 namespace {
@@ -44,8 +43,8 @@
 // A body that its upstream does not take, and an answer that stops, for so long are given up.
 constexpr Duration kWriteIdleTimeout = std::chrono::seconds(5);
 constexpr Duration kAnswerIdleTimeout = std::chrono::seconds(15);
-// An answer that does not tell its length is kept whole like one that does, but no longer than this once it is no
-// small one: what has come of a long answer may not be kept from its client for 2 s.
+// An answer that does not tell its length is kept whole like one that does, but no longer than this once it
+// is no small one: what has come of a long answer may not be kept from its client for 2 s.
 constexpr Duration kBufferingTimeout = std::chrono::seconds(1);
 // No load is beyond this, whatever its unit.
 constexpr double kMostLoad = 1e6;
@@ -88,7 +87,8 @@
 }
 
 // Does the head tell where a served answer ends? One that ends with its connection is told by that (RFC 9112
-// section 6.3) where its head says that the connection ends; otherwise it can't be told from one that was cut.
+// section 6.3) where its head says that the connection ends; otherwise it can't be told from one that was
+// cut.
 bool TellsItsEnd(const http::response_parser<PieceBody>& parser) {
   const auto& header = parser.get();
   const auto codings = header.count(http::field::transfer_encoding);
@@ -96,8 +96,8 @@
   return codings == 1 && boost::beast::iequals(header[http::field::transfer_encoding], "chunked");
 }
 
-// Of a connection that did not come up: this machine lacked something (a port, memory, a route) or was interrupted. It
-// says nothing of the upstream, and nothing was sent. connect(2), ip(7).
+// Of a connection that did not come up: this machine lacked something (a port, memory, a route) or was
+// interrupted. It says nothing of the upstream, and nothing was sent. connect(2), ip(7).
 bool IsLocalFailure(const error_code& error) {
   if (error.category() != boost::system::system_category()) return false;
   switch (error.value()) {
@@ -196,7 +196,8 @@
     Finish(cause);
   }
 
-  // Its request is over. A connection that comes up late must not carry it any more: it would run after its answer.
+  // Its request is over. A connection that comes up late must not carry it any more: it would run after its
+  // answer.
   void Abandon() {
     if (phase_ == Phase::kConnecting) abandoned_ = true;
     if (phase_ == Phase::kWriting && !written_) End(Cause::kCancelled);
@@ -239,8 +240,8 @@
     Write();
   }
 
-  // A plain close leaves what the system has taken to be delivered, however late: the request would begin long after
-  // it was given up. A reset takes that back.
+  // A plain close leaves what the system has taken to be delivered, however late: the request would begin
+  // long after it was given up. A reset takes that back.
   void DiscardUnsent() {
     int unsent = 0;
     if (closed_ || ::ioctl(socket_.native_handle(), SIOCOUTQ, &unsent) != 0 || unsent <= 0) return;
@@ -276,14 +277,15 @@
     sending_->prepare_payload();
     serializer_.emplace(*sending_);
     write_pending_ = true;
-    http::async_write(write_stream_, *serializer_, [self = shared_from_this()](error_code error, std::size_t) {
-      self->write_pending_ = false;
-      if (self->serializer_->is_done()) self->Written();
-      if (self->ending_) return self->Finish(*self->ending_);
-      if (self->closed_) return;
-      if (error) return self->End(Cause::kBroken);
-      self->phase_ = Phase::kWaiting;
-    });
+    http::async_write(write_stream_, *serializer_,
+                      [self = shared_from_this()](error_code error, std::size_t) {
+                        self->write_pending_ = false;
+                        if (self->serializer_->is_done()) self->Written();
+                        if (self->ending_) return self->Finish(*self->ending_);
+                        if (self->closed_) return;
+                        if (error) return self->End(Cause::kBroken);
+                        self->phase_ = Phase::kWaiting;
+                      });
   }
 
   void Written() {
@@ -474,7 +476,8 @@
       Close();
     }
     on_end(std::move(result));
-    if (stream) stream->End(Stream::State::kWhole);  // last: whoever ends it is not asked about the request again
+    if (stream)
+      stream->End(Stream::State::kWhole);  // last: whoever ends it is not asked about the request again
   }
 
   // It came up for nothing, and waits for the next request.
@@ -557,7 +560,8 @@
   bool written_ = false;              // its last byte
   bool abandoned_ = false;            // its request is over: it is not written any more
   bool started_ = false;              // the answer is passed on as it comes
-  std::optional<TimePoint> buffering_until_;  // of an answer that does not tell its length and has not started
+  std::optional<TimePoint>
+      buffering_until_;  // of an answer that does not tell its length and has not started
   bool pumping_ = false;
   bool waits_to_write_ = false;
   bool reading_more_ = false;
--- a/include/kestrellb/balancer.h
+++ b/include/kestrellb/balancer.h
@@ -100,8 +100,8 @@
   Duration answer_grace =
       std::chrono::milliseconds(20);               // a final answer this long after the deadline counts
   Duration ask_within = std::chrono::seconds(10);  // membership on request: ask at least this often
-  // A draining upstream gets nothing new from then on, counted from the telling. The module stops at once; what
-  // brings it the lists has this long for that.
+  // A draining upstream gets nothing new from then on, counted from the telling. The module stops at once;
+  // what brings it the lists has this long for that.
   Duration drain_within = std::chrono::milliseconds(500);
   // A fresh upstream starts at `cold_from` of its capacity and is warm after `cold_time`. All sidecars
   // together must not send it more than `fall_multiple` times its present capacity within any `fall_window`.
@@ -169,8 +169,8 @@
   TimePoint deadline{};            // when the client gives up on this try
   std::optional<Duration> work{};  // expected work, where it is known
   bool client_retry = false;       // a client's own repeat, where clients say so
-  // Its body is still coming: its time, which is as long as `deadline` is off now, counts from RequestWhole on. Its
-  // attempts may begin before.
+  // Its body is still coming: its time, which is as long as `deadline` is off now, counts from RequestWhole
+  // on. Its attempts may begin before.
   bool arriving = false;
 };
 
@@ -198,8 +198,8 @@
   std::optional<double> rate;  // requests served a second
 };
 
-// A streamed answer has begun: the request is the client's now and has no deadline any more. It counts as served
-// in time or late by now; only a break of it is still a failure of its upstream.
+// A streamed answer has begun: the request is the client's now and has no deadline any more. It counts as
+// served in time or late by now; only a break of it is still a failure of its upstream.
 struct AnswerStarted {
   RequestId request{};
   AttemptId attempt{};
@@ -229,8 +229,8 @@
   LoadReport load;
 };
 
-using Event = std::variant<MembershipUpdate, RequestArrived, RequestWhole, AnswerStarted, AttemptEnded, RequestGone,
-                           TimerFired, ProbeEnded>;
+using Event = std::variant<MembershipUpdate, RequestArrived, RequestWhole, AnswerStarted, AttemptEnded,
+                           RequestGone, TimerFired, ProbeEnded>;
 
 // ---- Actions ----
 
@@ -291,7 +291,7 @@
   // Refusals and failures by their reason: overload, nobody to send to, given up after attempts.
   std::uint64_t overload = 0, nobody = 0, given_up = 0;
   std::uint64_t ejected = 0, returned = 0;
-  double held = 0, shed = 0;  // calls held; the share of the work asked for that is refused as overload
+  double held = 0, shed = 0;    // calls held; the share of the work asked for that is refused as overload
   double rate = 0, subset = 0;  // requests a second, as usual; upstreams it spreads them over
 };
 
--- a/node/count_lines.h
+++ b/node/count_lines.h
@@ -1,5 +1,5 @@
-// A line of counts in the log, once in a while: what this sidecar did since the last one, and what it goes by. Off
-// unless asked for (`--counts`); tools/fleet_counts.py adds up those of a fleet.
+// A line of counts in the log, once in a while: what this sidecar did since the last one, and what it goes
+// by. Off unless asked for (`--counts`); tools/fleet_counts.py adds up those of a fleet.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/node/peers_link.cpp
+++ b/node/peers_link.cpp
@@ -26,7 +26,8 @@
   }
 }
 
-PeersLink::PeersLink(boost::asio::io_context& io, const OperatorFile& file, const std::string& name, Logger& log)
+PeersLink::PeersLink(boost::asio::io_context& io, const OperatorFile& file, const std::string& name,
+                     Logger& log)
     : settings_(SectionOf(file)), link_(io, *file.peers, name, log) {}
 
 void PeersLink::Follow(const OperatorFile& file, Logger& log) {
--- a/node/peers_link.h
+++ b/node/peers_link.h
@@ -1,5 +1,5 @@
-// The sidecar's tie to its peers (peers/link.h), if the operator's file asks and the program was built with it; else
-// nothing of it is linked, and no thread, no socket and no byte is spent.
+// The sidecar's tie to its peers (peers/link.h), if the operator's file asks and the program was built with
+// it; else nothing of it is linked, and no thread, no socket and no byte is spent.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,8 +23,8 @@
     return file.peers ? peers::Link::kFixedDescriptors : 0;
   }
   // Nothing where the file has no [peers]. Throws ConfigError.
-  static std::unique_ptr<PeersLink> Of(boost::asio::io_context& io, const OperatorFile& file, const std::string& name,
-                                       Logger& log);
+  static std::unique_ptr<PeersLink> Of(boost::asio::io_context& io, const OperatorFile& file,
+                                       const std::string& name, Logger& log);
 
   PeersLink(boost::asio::io_context& io, const OperatorFile& file, const std::string& name, Logger& log);
 
@@ -41,7 +41,8 @@
 class PeersLink {
  public:
   static std::size_t FixedDescriptors(const OperatorFile&) { return 0; }
-  static std::unique_ptr<PeersLink> Of(boost::asio::io_context&, const OperatorFile&, const std::string&, Logger&) {
+  static std::unique_ptr<PeersLink> Of(boost::asio::io_context&, const OperatorFile&, const std::string&,
+                                       Logger&) {
     return nullptr;
   }
   void Follow(const OperatorFile&, Logger&) {}
--- a/node/program.cpp
+++ b/node/program.cpp
@@ -17,9 +17,9 @@
 #include "admin/ops.h"
 #include "admin/report.h"
 #include "config.h"
-#include "count_lines.h"
 #include "core/descriptors.h"
 #include "core/log.h"
+#include "count_lines.h"
 #include "dns/service.h"
 #include "handover/handover.h"
 #include "operator_file.h"
@@ -102,7 +102,8 @@
       std::cerr << told_.name() << ": listening on " << sidecar_->local() << std::endl;
       if (options.counts_s) {
         const auto every = std::chrono::duration<double>(*options.counts_s);
-        counts_ = std::make_unique<CountLines>(io, std::chrono::duration_cast<Duration>(every), *sidecar_, log_);
+        counts_ =
+            std::make_unique<CountLines>(io, std::chrono::duration_cast<Duration>(every), *sidecar_, log_);
       }
     }
     if (told_.platform && told_.platform->ops) {
@@ -262,11 +263,12 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     boost::asio::io_context io(1);
-    // Before there is a listening socket: a signal that comes while the program starts must not end it over clients that
-    // wait in the backlog. It is handled once the event loop runs.
+    // Before there is a listening socket: a signal that comes while the program starts must not end it over
+    // clients that wait in the backlog. It is handled once the event loop runs.
     boost::asio::signal_set reload(io, SIGHUP);
     boost::asio::signal_set stop(io, SIGTERM, SIGINT);
-    Program program(io, [&] { return Read(options.path, variable); }, options);
+    Program program(
+        io, [&] { return Read(options.path, variable); }, options);
     const std::function<void()> reload_on_signal = [&] {
       reload.async_wait([&](const boost::system::error_code& error, int) {
         if (error) return;
--- a/node/sidecar.cpp
+++ b/node/sidecar.cpp
@@ -45,12 +45,12 @@
       budget_(config.memory / kBodiesShare),
       transport_(io, config.settings.limits, config.settings.load_by_probe, descriptors, budget_),
       dispatcher_(io, config.settings, config.seed, transport_, log, [this] { discovery_.Ask(); }),
-      discovery_(
-          io, config.discovery, NewsTerms::For(NewsRules::Of(config.settings)), config.seed, start_times_, log,
-          [this](MembershipList list) {
-            dispatcher_.Apply(std::move(list));
-            if (!ready_) TakeClients();
-          }),
+      discovery_(io, config.discovery, NewsTerms::For(NewsRules::Of(config.settings)), config.seed,
+                 start_times_, log,
+                 [this](MembershipList list) {
+                   dispatcher_.Apply(std::move(list));
+                   if (!ready_) TakeClients();
+                 }),
       on_ready_(std::move(on_ready)),
       list_awaited_(io),
       front_(io, Where(config, inheritance), descriptors, budget_, log, dispatcher_) {
@@ -62,8 +62,8 @@
   start_times_.Import(inheritance.starts, inheritance.last_list);
   MembershipList known = Known(config.known);
   start_times_.Place(known, ReadClocks());
-  // A service that all sidecars ask is asked for what changed since then: after a mass restart whole lists for all
-  // are the most it could be asked for.
+  // A service that all sidecars ask is asked for what changed since then: after a mass restart whole lists
+  // for all are the most it could be asked for.
   if (config.settings.membership_on_request && !config.known.is_null()) discovery_.Hold(known.revision);
   dispatcher_.Apply(std::move(known));
   // Where membership is told on request, the module asks.
--- a/node/sidecar.h
+++ b/node/sidecar.h
@@ -27,14 +27,14 @@
  public:
   // What a process brings along that did not start from nothing.
   struct Inheritance {
-    int listening = -1;         // the socket where clients wait; -1: to be bound
-    bool share_port = false;    // another process may listen there, too
+    int listening = -1;          // the socket where clients wait; -1: to be bound
+    bool share_port = false;     // another process may listen there, too
     bool wait_for_list = false;  // clients are taken once discovery has told the list, or after a short while
     bool resting = false;
     bool share_memory = false;  // with the one that served before
     std::set<std::string> bans{};
     std::vector<std::string> ids{};
-    std::vector<ProcessStart> starts{};  // of upstreams' processes, as the other process placed them
+    std::vector<ProcessStart> starts{};    // of upstreams' processes, as the other process placed them
     std::optional<TimePoint> last_list{};  // when it read its last list
   };
 
@@ -54,7 +54,9 @@
   std::vector<ProcessStart> ProcessStarts() const { return start_times_.Export(); }
   std::optional<TimePoint> LastList() const { return start_times_.last_list(); }
   void KnowId(const std::string& id) { dispatcher_.KnowKey(id); }
-  void ObserveIds(std::function<void(const std::string&)> on_id) { dispatcher_.ObserveKeys(std::move(on_id)); }
+  void ObserveIds(std::function<void(const std::string&)> on_id) {
+    dispatcher_.ObserveKeys(std::move(on_id));
+  }
 
   Endpoint local() const { return front_.local(); }
   // For people who look.
--- a/node/succession.cpp
+++ b/node/succession.cpp
@@ -167,7 +167,8 @@
     sidecar_->Unban(uid);
   }
   if (const auto id = text("id"); !id.empty()) sidecar_->KnowId(id);
-  if (const auto it = line.find("rest"); it != line.end() && it->is_boolean()) sidecar_->Rest(it->get<bool>());
+  if (const auto it = line.find("rest"); it != line.end() && it->is_boolean())
+    sidecar_->Rest(it->get<bool>());
   if (const auto it = line.find("sockets"); it != line.end() && it->is_number_unsigned()) {
     if (!handover_ || handover_->has_predecessor()) PredecessorKeeps(it->get<std::size_t>());
   }
--- a/node/succession.h
+++ b/node/succession.h
@@ -1,6 +1,6 @@
-// One process of the sidecar following another under load: what this one inherits, what it tells the other while
-// both run, and how the two share their limits (docs/design/service.md, section 2). Without a directory to share
-// it does nothing, and bans hold as long as the process.
+// One process of the sidecar following another under load: what this one inherits, what it tells the other
+// while both run, and how the two share their limits (docs/design/service.md, section 2). Without a directory
+// to share it does nothing, and bans hold as long as the process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,7 +19,8 @@
 
 class Succession : private handover::Handover::Owner {
  public:
-  // `path` begins the names of the files; empty: no process follows another. Asks the one that serves, if any.
+  // `path` begins the names of the files; empty: no process follows another. Asks the one that serves, if
+  // any.
   Succession(boost::asio::io_context& io, const std::string& path, Descriptors& descriptors, Logger& log);
   ~Succession();
 
--- a/peers/anti_entropy.cpp
+++ b/peers/anti_entropy.cpp
@@ -43,9 +43,10 @@
     }
     const bool later = line == nullptr || Judge(&theirs, news, By::kGossip);
     const auto* said = values.Of(news.life);
-    const bool differs = said != nullptr && !said->empty() &&
-                         (line == nullptr || (line->life.born <= news.life.born &&
-                                              (line->life != news.life || line->values != values.HashOf(news.life))));
+    const bool differs =
+        said != nullptr && !said->empty() &&
+        (line == nullptr || (line->life.born <= news.life.born &&
+                             (line->life != news.life || line->values != values.HashOf(news.life))));
     std::size_t size = later ? MostSize(news) : 0;
     if (differs) {
       for (const auto& [key, held] : *said) size += MostSize(held.value);
@@ -63,7 +64,8 @@
     if (!differs) continue;
     ++turn_;
     for (std::size_t i = 0; i < said->size(); ++i) {
-      const auto& held = std::next(said->begin(), static_cast<std::ptrdiff_t>((i + turn_) % said->size()))->second;
+      const auto& held =
+          std::next(said->begin(), static_cast<std::ptrdiff_t>((i + turn_) % said->size()))->second;
       if (MostSize(held.value) > room) continue;
       room -= MostSize(held.value);
       records.values.push_back(Values::Told(held, now));
--- a/peers/anti_entropy.h
+++ b/peers/anti_entropy.h
@@ -1,5 +1,6 @@
-// What gossip lost: a digest of a range of names goes to one member, which answers with what is later there. The ranges
-// follow one another around the names, so a round's cost grows with the fleet but a second's does not. Pure.
+// What gossip lost: a digest of a range of names goes to one member, which answers with what is later there.
+// The ranges follow one another around the names, so a round's cost grows with the fleet but a second's does
+// not. Pure.
 #pragma once
 
 #include <string>
@@ -12,9 +13,10 @@
 class AntiEntropy {
  public:
   // The next range, as many lines as fit into `room`.
-  void Ask(Message& digest, std::size_t room, TimePoint now, const Membership& membership, const Values& values);
-  // What is later here, in the order of names, until `room` is full: then range_to says how far it went. Returns how
-  // many pieces it holds.
+  void Ask(Message& digest, std::size_t room, TimePoint now, const Membership& membership,
+           const Values& values);
+  // What is later here, in the order of names, until `room` is full: then range_to says how far it went.
+  // Returns how many pieces it holds.
   std::size_t Answer(const Message& digest, Message& records, std::size_t room, TimePoint now,
                      const Membership& membership, const Values& values);
   // The answer to the last question: the next range begins where it ended. False for another's or a late one.
--- a/peers/core.cpp
+++ b/peers/core.cpp
@@ -15,8 +15,8 @@
 
 // Of the tokens that may be sent at once, so many are the probes' and acks' alone.
 constexpr std::int64_t kKeptForProbes = 3;
-// A seed or a dead one is asked this much less often than members are: it costs one datagram in ten at most, and two
-// halves find together within seconds.
+// A seed or a dead one is asked this much less often than members are: it costs one datagram in ten at most,
+// and two halves find together within seconds.
 constexpr int kReunion = 10;
 // Who hears of a leaving at first hand: one lost datagram in ten leaves seven that tell it on.
 constexpr std::size_t kFarewells = 8;
@@ -66,8 +66,8 @@
         TakeNews(sender, By::kGossip, now, out);
         Read(message, from, now, out);
       } else if (message.kind == Kind::kPing || message.kind == Kind::kAck) {
-        // It never speaks again, but is told why: a process whose clock went back has to be born later. An ack is told
-        // by what nobody answers, or the two would go on for ever.
+        // It never speaks again, but is told why: a process whose clock went back has to be born later. An
+        // ack is told by what nobody answers, or the two would go on for ever.
         Message why = Start(message.kind == Kind::kPing ? Kind::kAck : Kind::kGossip);
         why.sequence = message.sequence;
         why.news.push_back(*later);
@@ -180,13 +180,15 @@
   enum What { kForProbes, kForNews };
   enum class Pace { kNone, kFast, kSlow };
 
-  Duration Phase(Duration every) { return Duration(random_.Below(static_cast<std::size_t>(every.count()) + 1)); }
+  Duration Phase(Duration every) {
+    return Duration(random_.Below(static_cast<std::size_t>(every.count()) + 1));
+  }
 
   // Gossip that waited for news may have been due long since.
   void Due(TimePoint now) { due_ = std::max(now, next()); }
 
-  // This process was not run for longer than a probe's time, or it was called late: what is due now was due while
-  // nobody could be heard, so it judges nobody by it.
+  // This process was not run for longer than a probe's time, or it was called late: what is due now was due
+  // while nobody could be heard, so it judges nobody by it.
   void Wake(TimePoint now) {
     if (now <= due_ || now - due_ <= terms_.probe_every) return;
     members_.Postpone(now - due_);
@@ -216,7 +218,8 @@
     return size >= kMostDatagram ? 0 : kMostDatagram - size;
   }
 
-  // What is known of a later life than this one's, or of its end. A value may be all that came of a later life.
+  // What is known of a later life than this one's, or of its end. A value may be all that came of a later
+  // life.
   std::optional<MemberNews> LaterThan(const MemberNews& news) const {
     const auto* held = members_.Find(news.life.name);
     if (held != nullptr && (news.life.born < held->news.life.born ||
@@ -284,18 +287,23 @@
         Send(subject.address, std::move(ping), kForProbes, now, out);
         break;
       }
-      case Kind::kNack: probes_.Nacked(message.sender.life.name, message.sequence); break;
+      case Kind::kNack:
+        probes_.Nacked(message.sender.life.name, message.sequence);
+        break;
       case Kind::kGossip:
         if (!subject.life.name.empty() && subject.state == State::kSuspect) {
           TakeNews(subject, By::kGossip, now, out);
           members_.Accuse(subject.life.name, subject.incarnation, message.sender.life.name);
         }
         break;
-      case Kind::kDigest: Answer(message, from, now, out); break;
+      case Kind::kDigest:
+        Answer(message, from, now, out);
+        break;
       case Kind::kRecords:
         if (anti_entropy_.Answered(message)) CatchUp(from, now, out);
         break;
-      case Kind::kLeave: break;  // its sender's news have said it
+      case Kind::kLeave:
+        break;  // its sender's news have said it
     }
   }
 
@@ -308,7 +316,8 @@
       }
       const auto* held = members_.Find(line.life.name);
       if (held == nullptr) continue;
-      // Whom it holds for dead hears of it through those that know better, and refutes: one question heals both sides.
+      // Whom it holds for dead hears of it through those that know better, and refutes: one question heals
+      // both sides.
       MemberNews news = held->news;
       news.life = line.life;
       news.incarnation = line.incarnation;
@@ -332,8 +341,8 @@
     if (Send(address, std::move(digest), kForNews, now, out)) ++counts_.digests;
   }
 
-  // The first time around as fast as answers come; then, where all start at once and those asked knew little themselves,
-  // at the pace of gossip until a round brought nothing new.
+  // The first time around as fast as answers come; then, where all start at once and those asked knew little
+  // themselves, at the pace of gossip until a round brought nothing new.
   void CatchUp(const std::string& from, TimePoint now, Out& out) {
     if (catching_up_ == Pace::kNone) return;
     if (anti_entropy_.round()) {
@@ -406,8 +415,8 @@
     }
   }
 
-  // While it is alone all seeds and one that is held for dead; afterwards one of them, but for seeds that are the
-  // address of a live one.
+  // While it is alone all seeds and one that is held for dead; afterwards one of them, but for seeds that are
+  // the address of a live one.
   void Reunite(TimePoint now, Out& out) {
     const bool alone = members_.live().empty();
     reunion_at_ = now + terms_.probe_every * (alone ? 1 : kReunion);
@@ -497,13 +506,16 @@
     auto result = values_.Take(value, now);
     for (Value& lapsed : result.lapsed) Lapsed(std::move(lapsed), out);
     switch (result.verdict) {
-      case Values::Verdict::kFull: ++counts_.not_taken; break;
+      case Values::Verdict::kFull:
+        ++counts_.not_taken;
+        break;
       case Values::Verdict::kTaken:
         ++counts_.values_taken;
         spread_.Add(value.owner.name, value.key, now - value.age);
         Changed(Change::What::kValue, value, out);
         break;
-      default: ++counts_.values_old;
+      default:
+        ++counts_.values_old;
     }
   }
 
@@ -512,7 +524,8 @@
     if (reply == Reply::kNothing) return;
     if (reply == Reply::kReborn) {
       // Two processes of one name would outbid each other without end: not more often than that.
-      if (news.life.born >= kMostNumber - kRebirths || (reborn_ && now < *reborn_ + terms_.probe_every)) return;
+      if (news.life.born >= kMostNumber - kRebirths || (reborn_ && now < *reborn_ + terms_.probe_every))
+        return;
       reborn_ = now;
       // Two that are born after the same former one, one after the other, must not be of one life.
       self_.life.born = news.life.born + 1 + random_.Below(kRebirths);
@@ -596,7 +609,9 @@
 std::size_t Core::known() const { return impl_->known(); }
 std::vector<MemberView> Core::members() const { return impl_->members(); }
 std::optional<MemberView> Core::Find(const std::string& name) const { return impl_->Find(name); }
-std::vector<ValueView> Core::Values(const std::string& key, TimePoint now) const { return impl_->ValuesOf(key, now); }
+std::vector<ValueView> Core::Values(const std::string& key, TimePoint now) const {
+  return impl_->ValuesOf(key, now);
+}
 const Counts& Core::counts() const { return impl_->counts(); }
 
 }  // namespace mothrack::peers
--- a/peers/core.h
+++ b/peers/core.h
@@ -1,6 +1,7 @@
-// Who is there, and what is known: membership by SWIM with Lifeguard's refinements, and small values that merge in any
-// order. A state machine without I/O, clock and thread: messages and time go in, datagrams and changes come out. The
-// same seed and inputs give the same outputs. docs/design/peers.md has its rules as tables.
+// Who is there, and what is known: membership by SWIM with Lifeguard's refinements, and small values that
+// merge in any order. A state machine without I/O, clock and thread: messages and time go in, datagrams and
+// changes come out. The same seed and inputs give the same outputs. docs/design/peers.md has its rules as
+// tables.
 #pragma once
 
 #include <cstdint>
@@ -19,12 +20,12 @@
   Duration probe_every{500};
   Duration probe_patience{200};  // for the ack, then `indirect` others are asked until the round is over
   std::size_t indirect = 3;
-  double suspicion = 4;          // least time of a suspicion: this x log10(members, 10 at least) x probe_every
+  double suspicion = 4;  // least time of a suspicion: this x log10(members, 10 at least) x probe_every
   double longest_suspicion = 6;  // without confirmations: this many times the least
   Duration gossip_every{100};
-  std::size_t fanout = 2;        // datagrams of news each time; none where there is no news
-  double retransmit = 4;         // each piece of news is sent this x log10(members + 1) times, rounded up
-  Duration digest_every{1000};   // one range to one member
+  std::size_t fanout = 2;            // datagrams of news each time; none where there is no news
+  double retransmit = 4;             // each piece of news is sent this x log10(members + 1) times, rounded up
+  Duration digest_every{1000};       // one range to one member
   std::size_t datagrams_per_s = 40;  // sent in all, whatever the fleet's size; acks count too
   Duration remember_dead{300'000};
 };
@@ -71,8 +72,8 @@
   Core(Core&&) noexcept;
   Core& operator=(Core&&) noexcept;
 
-  // Addresses of which one at least is asked until a member is known; also asked now and then afterwards, so that two
-  // halves that took each other for dead find together again.
+  // Addresses of which one at least is asked until a member is known; also asked now and then afterwards, so
+  // that two halves that took each other for dead find together again.
   void Seeds(std::vector<std::string> addresses);
   // A datagram came, checked and read.
   void Hear(const Message& message, const std::string& from, TimePoint now, Out& out);
@@ -84,8 +85,8 @@
   void Leave(TimePoint now, Out& out);
 
   const MemberNews& self() const;
-  int health() const;  // 0: well; to 8: it hears so little that it had better doubt itself
-  std::size_t alive() const;    // itself and the suspected included
+  int health() const;         // 0: well; to 8: it hears so little that it had better doubt itself
+  std::size_t alive() const;  // itself and the suspected included
   // The live ones and those that died within the last `remember_dead`, itself included; not who left.
   std::size_t known() const;
   std::vector<MemberView> members() const;  // itself not; by name
