--- a/peers/keys.cpp
+++ b/peers/keys.cpp
@@ -25,7 +25,8 @@
 enum Purpose : std::uint64_t { kSealPurpose = 1, kIdPurpose = 2 };
 
 void NeedSodium() {
-  if (sodium_init() < 0) throw std::runtime_error("libsodium cannot be used on this machine: no source of randomness");
+  if (sodium_init() < 0)
+    throw std::runtime_error("libsodium cannot be used on this machine: no source of randomness");
 }
 
 // What was read of the file: zeroed whichever way Load ends.
@@ -46,18 +47,22 @@
   // Not blocking: a pipe of that name must not hold the task up.
   const File file{::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK)};
   const auto fault = [&](const std::string& what) { throw KeyFileError(path + ": " + what); };
-  if (file.fd < 0) fault(std::string("cannot be opened: ") + std::strerror(errno) + "; make it with mode 0600");
+  if (file.fd < 0)
+    fault(std::string("cannot be opened: ") + std::strerror(errno) + "; make it with mode 0600");
   // Of what was opened, not of the path: they may differ by now.
   struct stat about {};
-  if (::fstat(file.fd, &about) != 0) fault(std::string("cannot be asked for its owner: ") + std::strerror(errno));
+  if (::fstat(file.fd, &about) != 0)
+    fault(std::string("cannot be asked for its owner: ") + std::strerror(errno));
   if (!S_ISREG(about.st_mode)) fault("is no regular file; give the path of one");
   if (about.st_uid != ::geteuid()) {
     fault("belongs to user " + std::to_string(about.st_uid) + "; chown it to " + std::to_string(::geteuid()) +
           ", who runs this");
   }
-  if ((about.st_mode & 0177) != 0) fault("others may use it; chmod 0600 it, and change the keys if they were read");
+  if ((about.st_mode & 0177) != 0)
+    fault("others may use it; chmod 0600 it, and change the keys if they were read");
   while (content.size < content.bytes.size()) {
-    const auto got = ::read(file.fd, content.bytes.data() + content.size, content.bytes.size() - content.size);
+    const auto got =
+        ::read(file.fd, content.bytes.data() + content.size, content.bytes.size() - content.size);
     if (got < 0 && errno == EINTR) continue;
     if (got < 0) fault(std::string("cannot be read: ") + std::strerror(errno));
     if (got == 0) return;
@@ -77,13 +82,14 @@
 std::optional<std::string> Decode(std::string_view text, Secret& key) {
   const bool base64 = text.size() == kBase64Size && text.back() == '=';
   if (!base64 && text.size() != kHexSize) {
-    return std::string("a key of ") + std::to_string(text.size()) + " characters, where 64 hex or 44 base64 are wanted";
+    return std::string("a key of ") + std::to_string(text.size()) +
+           " characters, where 64 hex or 44 base64 are wanted";
   }
   std::size_t size = 0;
-  const bool read = base64
-                        ? sodium_base642bin(key.data(), kKeySize, text.data(), text.size(), nullptr, &size, nullptr,
-                                            sodium_base64_VARIANT_ORIGINAL) == 0
-                        : sodium_hex2bin(key.data(), kKeySize, text.data(), text.size(), nullptr, &size, nullptr) == 0;
+  const bool read =
+      base64 ? sodium_base642bin(key.data(), kKeySize, text.data(), text.size(), nullptr, &size, nullptr,
+                                 sodium_base64_VARIANT_ORIGINAL) == 0
+             : sodium_hex2bin(key.data(), kKeySize, text.data(), text.size(), nullptr, &size, nullptr) == 0;
   if (!read || size != kKeySize) return base64 ? "the key is not base64" : "the key is not hex";
   if (std::all_of(key.data(), key.data() + kKeySize, [&](auto byte) { return byte == *key.data(); })) {
     return "the key is one byte over and over";  // a placeholder that somebody forgot
@@ -133,7 +139,8 @@
     if (const auto wrong = Decode(text, bytes)) fault(*wrong + kMend);
     ring.push_back(MakeKey(bytes.data()));
     lines.push_back(number);
-    // By the name, so that two keys whose names happen to be the same are not taken either: one would go unheard.
+    // By the name, so that two keys whose names happen to be the same are not taken either: one would go
+    // unheard.
     if (ring.size() == 2 && ring[0].id == ring[1].id) {
       fault("the same key as in line " + std::to_string(lines[0]) + "; take out one of the two");
     }
--- a/peers/keys.h
+++ b/peers/keys.h
@@ -1,6 +1,6 @@
-// The cluster's keys, out of a file that nobody else may read. One key a line, 32 random bytes as hex or base64; what
-// is sealed is sealed with the first, and both are accepted. So a key is changed without a pause: the new one second
-// everywhere, then first everywhere, then the old one taken out everywhere.
+// The cluster's keys, out of a file that nobody else may read. One key a line, 32 random bytes as hex or
+// base64; what is sealed is sealed with the first, and both are accepted. So a key is changed without a
+// pause: the new one second everywhere, then first everywhere, then the old one taken out everywhere.
 #pragma once
 
 #include <array>
@@ -20,7 +20,8 @@
   using std::runtime_error::runtime_error;
 };
 
-// Bytes in memory of their own: kept out of swap and core files where the system allows it, zeroed when given back.
+// Bytes in memory of their own: kept out of swap and core files where the system allows it, zeroed when given
+// back.
 class Secret {
  public:
   Secret();
@@ -47,7 +48,8 @@
 // Of 32 bytes as they stand in a file.
 Key MakeKey(const std::uint8_t* bytes);
 
-// Throws KeyFileError; the ring in use is the caller's until this one is whole, so a bad file changes nothing.
+// Throws KeyFileError; the ring in use is the caller's until this one is whole, so a bad file changes
+// nothing.
 KeyRing Load(const std::string& path);
 
 }  // namespace mothrack::peers
--- a/peers/link.cpp
+++ b/peers/link.cpp
@@ -75,18 +75,19 @@
 }
 
 void Link::Await() {
-  wake_.async_wait(boost::asio::posix::descriptor_base::wait_read, [this](const boost::system::error_code& error) {
-    if (error) return;
-    auto& pictures = task_->pictures();
-    pictures.Quiet();
-    // What came before the newest is of no use; the box's bound is that of the turns.
-    for (std::size_t i = 0; i < kMostPictures; ++i) {
-      auto picture = pictures.Take();
-      if (!picture) break;
-      latest_ = std::move(*picture);
-    }
-    Await();
-  });
+  wake_.async_wait(boost::asio::posix::descriptor_base::wait_read,
+                   [this](const boost::system::error_code& error) {
+                     if (error) return;
+                     auto& pictures = task_->pictures();
+                     pictures.Quiet();
+                     // What came before the newest is of no use; the box's bound is that of the turns.
+                     for (std::size_t i = 0; i < kMostPictures; ++i) {
+                       auto picture = pictures.Take();
+                       if (!picture) break;
+                       latest_ = std::move(*picture);
+                     }
+                     Await();
+                   });
 }
 
 std::optional<Duration> Link::age() const {
@@ -117,7 +118,8 @@
   // Whoever looks, looks for those that are not well.
   std::vector<const MemberView*> order;
   for (const MemberView& member : picture.members) order.push_back(&member);
-  std::stable_partition(order.begin(), order.end(), [](const auto* m) { return m->news.state != State::kAlive; });
+  std::stable_partition(order.begin(), order.end(),
+                        [](const auto* m) { return m->news.state != State::kAlive; });
   json members = json::array();
   const TimePoint now = SteadyNow();
   for (std::size_t i = 0; i < order.size() && i < kMostMembers; ++i) {
--- a/peers/link.h
+++ b/peers/link.h
@@ -1,5 +1,5 @@
-// The loop's side of the peers' task: keeps the latest picture, with its age, and tells it. Lives in the thread of the
-// event loop that it is given; whatever becomes of the task, nothing here waits.
+// The loop's side of the peers' task: keeps the latest picture, with its age, and tells it. Lives in the
+// thread of the event loop that it is given; whatever becomes of the task, nothing here waits.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/peers/mailbox.h
+++ b/peers/mailbox.h
@@ -1,13 +1,14 @@
-// What the serving loop and the peers' task say to each other: values in two bounded boxes, each with an eventfd that
-// wakes the other side. Neither side ever waits for the other. A full box drops its oldest message and counts it.
+// What the serving loop and the peers' task say to each other: values in two bounded boxes, each with an
+// eventfd that wakes the other side. Neither side ever waits for the other. A full box drops its oldest
+// message and counts it.
 #pragma once
 
+#include <concurrentqueue/concurrentqueue.h>
 #include <sys/eventfd.h>
 #include <unistd.h>
 
 #include <atomic>
 #include <cerrno>
-#include <concurrentqueue/concurrentqueue.h>
 #include <cstddef>
 #include <cstdint>
 #include <memory>
@@ -31,14 +32,15 @@
 struct RekeyNow {};  // reads the key file again
 using ToTask = std::variant<PutValue, LeaveNow, RekeyNow>;
 
-// Every value of an owner four times over: a later put of a key makes the former worthless, so a task that is further
-// behind than this has lost nothing that would still count, as long as the loop repeats what it puts.
+// Every value of an owner four times over: a later put of a key makes the former worthless, so a task that is
+// further behind than this has lost nothing that would still count, as long as the loop repeats what it puts.
 constexpr std::size_t kMostToTask = 4 * kMostKeys;
-// Only the latest picture counts. A second one, so that the task does not throw out what the loop is about to take.
+// Only the latest picture counts. A second one, so that the task does not throw out what the loop is about to
+// take.
 constexpr std::size_t kMostPictures = 2;
 
-// To the loop: one picture, whole, each time something changed (at most ten a second); the loop keeps the latest and
-// knows by `made` how old it is.
+// To the loop: one picture, whole, each time something changed (at most ten a second); the loop keeps the
+// latest and knows by `made` how old it is.
 struct Picture {
   TimePoint made;  // this machine's steady clock: both threads read the same
   MemberNews self;
@@ -47,14 +49,15 @@
   std::vector<MemberView> members;
   std::vector<Value> values;  // ages as of `made`
   Counts counts;
-  std::uint64_t dropped = 0;                 // messages, by both boxes
-  std::uint64_t unheard = 0, unread = 0;     // datagrams with a wrong seal; that could not be read
-  std::uint64_t repeated = 0;                // datagrams that were heard before, or are older than the window
-  std::uint64_t unsent = 0;                  // datagrams that the system did not take
+  std::uint64_t dropped = 0;              // messages, by both boxes
+  std::uint64_t unheard = 0, unread = 0;  // datagrams with a wrong seal; that could not be read
+  std::uint64_t repeated = 0;             // datagrams that were heard before, or are older than the window
+  std::uint64_t unsent = 0;               // datagrams that the system did not take
 };
 using PicturePtr = std::shared_ptr<const Picture>;
 
-// One direction: one thread pushes, one takes; lock-free, and neither ever waits. Only pushing at the bound drops.
+// One direction: one thread pushes, one takes; lock-free, and neither ever waits. Only pushing at the bound
+// drops.
 template <typename T>
 class Box {
  public:
@@ -67,8 +70,8 @@
   Box& operator=(const Box&) = delete;
 
   void Push(T value) {
-    // Its place is taken first, so that there are never more than the bound. Where the other side took the last one
-    // meanwhile there is nothing to drop, and room.
+    // Its place is taken first, so that there are never more than the bound. Where the other side took the
+    // last one meanwhile there is nothing to drop, and room.
     T oldest;
     if (size_.fetch_add(1) >= bound_ && queue_.try_dequeue(oldest)) {
       size_.fetch_sub(1);
@@ -82,15 +85,17 @@
     Wake();
   }
 
-  // Wakes the other side without a message. Tells the system only where it was not told since the other side's Quiet().
+  // Wakes the other side without a message. Tells the system only where it was not told since the other
+  // side's Quiet().
   void Wake() {
     if (told_.exchange(true)) return;
     const std::uint64_t one = 1;
-    [[maybe_unused]] const auto written = ::write(wake_, &one, sizeof one);  // never full: it is read before the next
+    [[maybe_unused]] const auto written =
+        ::write(wake_, &one, sizeof one);  // never full: it is read before the next
   }
 
-  // The other side, awake: from here on a push wakes it again. Call it before taking, not after: what is pushed in
-  // between is either taken or wakes.
+  // The other side, awake: from here on a push wakes it again. Call it before taking, not after: what is
+  // pushed in between is either taken or wakes.
   void Quiet() {
     std::uint64_t count = 0;
     [[maybe_unused]] const auto got = ::read(wake_, &count, sizeof count);
--- a/peers/membership.cpp
+++ b/peers/membership.cpp
@@ -115,14 +115,15 @@
 }
 
 Duration Membership::Suspicion(const Member& member) const {
-  const double least = terms_.suspicion * std::log10(std::max<double>(10, static_cast<double>(live_.size() + 1))) *
+  const double least = terms_.suspicion *
+                       std::log10(std::max<double>(10, static_cast<double>(live_.size() + 1))) *
                        static_cast<double>(terms_.probe_every.count());
   const double longest = least * std::max(1.0, terms_.longest_suspicion);
   const auto wanted = static_cast<double>(std::min(kConfirmations, live_.empty() ? 0 : live_.size() - 1));
   if (wanted < 1) return Duration(std::llround(least));  // nobody is there who could confirm
   const double had = member.accusers.empty() ? 0 : static_cast<double>(member.accusers.size() - 1);
-  return Duration(std::llround(
-      std::max(least, longest - (longest - least) * std::log(had + 1) / std::log(wanted + 1))));
+  return Duration(
+      std::llround(std::max(least, longest - (longest - least) * std::log(had + 1) / std::log(wanted + 1))));
 }
 
 void Membership::Postpone(Duration gap) {
@@ -175,7 +176,8 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> Membership::Some(std::size_t count, const std::string& not_this, Random& random) const {
+std::vector<std::string> Membership::Some(std::size_t count, const std::string& not_this,
+                                          Random& random) const {
   std::vector<std::string> some;
   // Drawn until there are enough: `count` is small, and a fleet of few ends by the second bound.
   for (std::size_t tries = 0; some.size() < count && tries < 8 * count && !live_.empty(); ++tries) {
--- a/peers/message.cpp
+++ b/peers/message.cpp
@@ -22,7 +22,8 @@
 std::size_t MostSize(const DigestLine& line) { return kText + SizeOf(line.life) + 2 * kNumber + kSmall; }
 
 std::size_t MostSize(const MemberNews& news) {
-  return kText + SizeOf(news.life) + kNumber + 2 * kSmall + kText + news.address.size() + kText + news.zone.size();
+  return kText + SizeOf(news.life) + kNumber + 2 * kSmall + kText + news.address.size() + kText +
+         news.zone.size();
 }
 
 std::size_t MostSize(const Value& value) {
--- a/peers/message.h
+++ b/peers/message.h
@@ -11,7 +11,7 @@
 
 // SWIM's messages with Lifeguard's nack; and anti-entropy in ranges of names, so that its cost is bounded.
 enum class Kind : std::uint8_t {
-  kPing = 1,     // answer me by kAck with my `sequence`
+  kPing = 1,  // answer me by kAck with my `sequence`
   kAck = 2,
   kPingFor = 3,  // ping `subject` for me; answer kAck if it did, kNack if it did not in time
   kNack = 4,
@@ -34,8 +34,8 @@
   Kind kind = Kind::kGossip;
   MemberNews sender;           // of whoever sends it, its own newest word on itself
   std::uint64_t sequence = 0;  // of kPing, kAck, kPingFor, kNack
-  MemberNews subject;          // of kPingFor: whom; of kPing: what the sender thinks of the one pinged (buddy system);
-                               // of kGossip: one that the sender itself had no answer from, and suspects
+  MemberNews subject;          // of kPingFor: whom; of kPing: what the sender thinks of the one pinged (buddy
+                       // system); of kGossip: one that the sender itself had no answer from, and suspects
   std::string range_from, range_to;  // of kDigest and kRecords; an empty range_to: to the end of all names
   std::vector<DigestLine> digest;
   std::vector<MemberNews> news;
--- a/peers/probes.cpp
+++ b/peers/probes.cpp
@@ -6,20 +6,25 @@
 
 Verdict Judge(Outcome outcome) {
   switch (outcome) {
-    case Outcome::kAcked: return {-1, false};
+    case Outcome::kAcked:
+      return {-1, false};
     // Half the fleet lost is no reason to look more slowly at the other half.
-    case Outcome::kAllNacked: return {0, true};
+    case Outcome::kAllNacked:
+      return {0, true};
     case Outcome::kNackMissed:
-    case Outcome::kNobody: return {1, true};
+    case Outcome::kNobody:
+      return {1, true};
     case Outcome::kDoubted:
-    case Outcome::kStopped: return {1, false};
+    case Outcome::kStopped:
+      return {1, false};
   }
   return {};
 }
 
 Probes::Probes(const Terms& terms, TimePoint now, Random& random)
     // Those that start together do not ask together.
-    : terms_(terms), next_(now + Duration(random.Below(static_cast<std::size_t>(terms.probe_every.count())))) {}
+    : terms_(terms),
+      next_(now + Duration(random.Below(static_cast<std::size_t>(terms.probe_every.count())))) {}
 
 Probes::Step Probes::Next(TimePoint now, const Membership& membership, Random& random) {
   Step step;
@@ -35,9 +40,9 @@
     }
     if (now < round_->end) return step;
     step.what = Step::What::kOver;
-    step.outcome = !any_helper_         ? Outcome::kNobody
-                   : helpers_.empty()   ? Outcome::kAllNacked
-                                        : Outcome::kNackMissed;
+    step.outcome = !any_helper_       ? Outcome::kNobody
+                   : helpers_.empty() ? Outcome::kAllNacked
+                                      : Outcome::kNackMissed;
     round_.reset();
     return step;
   }
@@ -61,9 +66,15 @@
   ++at_;
   helpers_.clear();
   any_helper_ = false;
-  round_ = Round{news.life.name, NewSequence(), news.life.born, news.incarnation, now + terms_.probe_patience * (health_ + 1),
-                 now + every, false};
-  step = {Step::What::kPing, news.life.name, round_->sequence, news.life.born, news.incarnation, Outcome::kAcked};
+  round_ = Round{news.life.name,
+                 NewSequence(),
+                 news.life.born,
+                 news.incarnation,
+                 now + terms_.probe_patience * (health_ + 1),
+                 now + every,
+                 false};
+  step = {Step::What::kPing, news.life.name,   round_->sequence,
+          news.life.born,    news.incarnation, Outcome::kAcked};
   return step;
 }
 
@@ -107,7 +118,9 @@
   return over;
 }
 
-void Probes::Learn(Outcome outcome) { health_ = std::clamp(health_ + Judge(outcome).health, 0, kWorstHealth); }
+void Probes::Learn(Outcome outcome) {
+  health_ = std::clamp(health_ + Judge(outcome).health, 0, kWorstHealth);
+}
 
 void Probes::Restart(TimePoint now) {
   round_.reset();
--- a/peers/probes.h
+++ b/peers/probes.h
@@ -1,5 +1,6 @@
-// Whom to ask next, and what no answer means. One round at a time: a ping, then `indirect` others are asked, then it is
-// over. Health is this member's doubt in itself: it waits longer, and asks less often, the less it hears. Pure.
+// Whom to ask next, and what no answer means. One round at a time: a ping, then `indirect` others are asked,
+// then it is over. Health is this member's doubt in itself: it waits longer, and asks less often, the less it
+// hears. Pure.
 #pragma once
 
 #include <map>
@@ -18,12 +19,12 @@
 
 // How a round ended, or what else tells this member of itself.
 enum class Outcome {
-  kAcked,      // by the one asked, or by another on its behalf, before the round was over
-  kAllNacked,  // no ack, and every other that was asked answered so: this member hears well
-  kNackMissed, // no ack, and another that was asked said nothing
-  kNobody,     // no ack, and there was no other to ask
-  kDoubted,    // it had to refute
-  kStopped,    // its own process did not run for a while
+  kAcked,       // by the one asked, or by another on its behalf, before the round was over
+  kAllNacked,   // no ack, and every other that was asked answered so: this member hears well
+  kNackMissed,  // no ack, and another that was asked said nothing
+  kNobody,      // no ack, and there was no other to ask
+  kDoubted,     // it had to refute
+  kStopped,     // its own process did not run for a while
 };
 struct Verdict {
   int health = 0;        // added, within 0 and kWorstHealth
@@ -42,7 +43,7 @@
     enum class What { kNone, kPing, kAskOthers, kOver } what = What::kNone;
     std::string name;
     std::uint64_t sequence = 0, born = 0, incarnation = 0;  // of what was asked, and of the one asked
-    Outcome outcome = Outcome::kAcked;  // kOver
+    Outcome outcome = Outcome::kAcked;                      // kOver
   };
 
   Probes(const Terms& terms, TimePoint now, Random& random);
--- a/peers/rate.h
+++ b/peers/rate.h
@@ -1,5 +1,5 @@
-// Datagrams a second. What came together is sent together up to a fifth of the second's number, the rest by rate: so no
-// second, wherever it begins, has more than the number.
+// Datagrams a second. What came together is sent together up to a fifth of the second's number, the rest by
+// rate: so no second, wherever it begins, has more than the number.
 #pragma once
 
 #include <algorithm>
--- a/peers/seal.cpp
+++ b/peers/seal.cpp
@@ -16,7 +16,9 @@
 
 using Tag = std::array<std::uint8_t, kSealTag>;
 
-const std::uint8_t* Bytes(std::string_view text) { return reinterpret_cast<const std::uint8_t*>(text.data()); }
+const std::uint8_t* Bytes(std::string_view text) {
+  return reinterpret_cast<const std::uint8_t*>(text.data());
+}
 
 void AddNumber(std::string& to, std::uint64_t number) {
   for (int shift = 56; shift >= 0; shift -= 8) to.push_back(static_cast<char>(number >> shift));
@@ -89,7 +91,8 @@
 }
 
 Seal::Opened Seal::Look(std::string_view datagram) {
-  if (datagram.size() < kSealHead + kSealTag || datagram.size() > kMostDatagram || !datagram.starts_with(kMagic)) {
+  if (datagram.size() < kSealHead + kSealTag || datagram.size() > kMostDatagram ||
+      !datagram.starts_with(kMagic)) {
     return {Verdict::kNoDatagram, {}};
   }
   const auto key = std::find_if(ring_.begin(), ring_.end(), [&](const Key& one) {
@@ -103,7 +106,8 @@
   }
   // Only now: what nobody sealed must not move the window.
   const std::uint64_t stream = NumberAt(datagram, kStreamAt);
-  if (stream == stream_ || !window_.Take(stream, NumberAt(datagram, kCountAt))) return {Verdict::kRepeated, {}};
+  if (stream == stream_ || !window_.Take(stream, NumberAt(datagram, kCountAt)))
+    return {Verdict::kRepeated, {}};
   return {Verdict::kHeard, covered.substr(kSealHead)};
 }
 
--- a/peers/seal.h
+++ b/peers/seal.h
@@ -1,10 +1,10 @@
-// The seal around each datagram: whoever has none of the cluster's keys is not heard. It tells that a datagram comes
-// whole from a member, and not that it is secret; docs/design/peers_wire.md says why.
+// The seal around each datagram: whoever has none of the cluster's keys is not heard. It tells that a
+// datagram comes whole from a member, and not that it is secret; docs/design/peers_wire.md says why.
 //
 //   magic (2) | key's name (4) | stream (8) | count (8) | payload | tag (16)
 //
-// A stream is one process: a number drawn at its start. Its datagrams are counted through, whoever they go to, so that
-// one that comes again is known.
+// A stream is one process: a number drawn at its start. Its datagrams are counted through, whoever they go
+// to, so that one that comes again is known.
 #pragma once
 
 #include <array>
@@ -25,8 +25,9 @@
 static_assert(kSealHead + kSealTag <= kSealSize);
 constexpr std::size_t kMostPayload = kMostDatagram - kSealSize;
 
-// Which counts of each stream were heard: the latest, and a bit for each of the 64 up to it. What lies further back is
-// taken for heard: at 40 datagrams a second it is 1.6 s late, which no probe waits for, and news comes again.
+// Which counts of each stream were heard: the latest, and a bit for each of the 64 up to it. What lies
+// further back is taken for heard: at 40 datagrams a second it is 1.6 s late, which no probe waits for, and
+// news comes again.
 class ReplayWindow {
  public:
   // As many streams as members; beyond, the one that was silent for longest is forgotten.
--- a/peers/settings.cpp
+++ b/peers/settings.cpp
@@ -31,7 +31,8 @@
   }
   if (endpoint->port() == 0 && any_port) return *endpoint;
   if (endpoint->port() < kLeastPort) {
-    source.Fail(key, element, Quoted(text) + " has no port of 1024 or above; give one, as \"127.0.0.1:7600\"");
+    source.Fail(key, element,
+                Quoted(text) + " has no port of 1024 or above; give one, as \"127.0.0.1:7600\"");
   }
   return *endpoint;
 }
@@ -64,8 +65,9 @@
   }
   settings.zone = source.Text("zone").value_or(zone);
   if (!GoodName(settings.zone)) {
-    source.Fail("zone", std::nullopt, "must be the hall it stands in: letters, digits, '-', '_' and '.', at most " +
-                                          std::to_string(kMostName) + ", no dot first");
+    source.Fail("zone", std::nullopt,
+                "must be the hall it stands in: letters, digits, '-', '_' and '.', at most " +
+                    std::to_string(kMostName) + ", no dot first");
   }
   settings.key_file = needed("key_file", "/etc/mothrack/peers.keys");
   try {
@@ -75,7 +77,8 @@
   }
   const auto seeds = source.Texts("seeds").value_or(std::vector<std::string>());
   if (seeds.size() > kMostSeeds) {
-    source.Fail("seeds", std::nullopt, "are more than " + std::to_string(kMostSeeds) + "; one that answers is enough");
+    source.Fail("seeds", std::nullopt,
+                "are more than " + std::to_string(kMostSeeds) + "; one that answers is enough");
   }
   std::set<Endpoint> known;
   for (std::size_t i = 0; i < seeds.size(); ++i) {
@@ -85,7 +88,8 @@
     }
   }
   for (const TimeOf& time : kTimes) {
-    if (const auto value = source.Number(time.key, time.least, time.most)) settings.terms.*time.at = Duration(*value);
+    if (const auto value = source.Number(time.key, time.least, time.most))
+      settings.terms.*time.at = Duration(*value);
   }
   for (const CountOf& count : kCounts) {
     if (const auto value = source.Number(count.key, count.least, count.most)) {
--- a/peers/settings.h
+++ b/peers/settings.h
@@ -1,5 +1,5 @@
-// What the operator's file of a sidecar, and the fleet file of an agent, say under [peers]. Both files are read by the
-// same rules, through a Source each.
+// What the operator's file of a sidecar, and the fleet file of an agent, say under [peers]. Both files are
+// read by the same rules, through a Source each.
 #pragma once
 
 #include <cstdint>
@@ -41,12 +41,12 @@
 // The settings that have a number, as the file names them; for printing them all.
 struct TimeOf {
   const char* key;
-  Duration Terms::* at;
+  Duration Terms::*at;
   std::int64_t least, most;
 };
 struct CountOf {
   const char* key;
-  std::size_t Terms::* at;
+  std::size_t Terms::*at;
   std::int64_t least, most;
 };
 extern const std::vector<TimeOf> kTimes;
--- a/peers/spread.cpp
+++ b/peers/spread.cpp
@@ -35,8 +35,8 @@
   }
 }
 
-void Spread::Fill(Message& message, std::size_t room, std::size_t most, TimePoint now, const Membership& membership,
-                  const Values& values) {
+void Spread::Fill(Message& message, std::size_t room, std::size_t most, TimePoint now,
+                  const Membership& membership, const Values& values) {
   std::vector<Id> told, gone;
   int misfits = 0;
   for (auto it = order_.begin(); it != order_.end() && misfits < kMisfits; ++it) {
--- a/peers/spread.h
+++ b/peers/spread.h
@@ -1,5 +1,5 @@
-// What is still to be told on, and what of it goes into the next datagram: who is there before what they say, the least
-// told first, of these the youngest. Pure.
+// What is still to be told on, and what of it goes into the next datagram: who is there before what they say,
+// the least told first, of these the youngest. Pure.
 #pragma once
 
 #include <map>
@@ -15,7 +15,8 @@
 
 class Spread {
  public:
-  // New: it counts from nothing. `key` empty: of the member itself. `of`: when it became so, by this member's clock.
+  // New: it counts from nothing. `key` empty: of the member itself. `of`: when it became so, by this member's
+  // clock.
   void Add(const std::string& name, const std::string& key, TimePoint of);
   void Drop(const std::string& name, const std::string& key);
   // Puts in what fits into `room`; each piece at most `most` times in all.
--- a/peers/task.cpp
+++ b/peers/task.cpp
@@ -25,16 +25,17 @@
 namespace mothrack::peers {
 namespace {
 
-// Read in one turn. With the longest message it takes a healthy machine well under 10 ms, after which the boxes and the
-// clock have their turn again: a flood delays the task's own probes by that much and no more.
+// Read in one turn. With the longest message it takes a healthy machine well under 10 ms, after which the
+// boxes and the clock have their turn again: a flood delays the task's own probes by that much and no more.
 constexpr int kMostReads = 64;
 // After the system refused to read, so that a broken socket does not make the thread spin.
 constexpr Duration kDeaf{100};
-// Pictures: at most this often where something changed, at least this often where nothing did, so that the loop can
-// tell calm from death.
+// Pictures: at most this often where something changed, at least this often where nothing did, so that the
+// loop can tell calm from death.
 constexpr Duration kSoonest{100};
 constexpr Duration kLatest{1000};
-constexpr std::size_t kMostPictureKeys = 64;  // kinds of values in a picture; the parts of the fleet use a handful
+constexpr std::size_t kMostPictureKeys =
+    64;  // kinds of values in a picture; the parts of the fleet use a handful
 // Where nothing is due.
 constexpr Duration kLongestSleep{1000};
 constexpr double kLinesPerSecond = 1;
@@ -93,7 +94,8 @@
     if (::bind(fd_, place.data(), static_cast<socklen_t>(place.size())) != 0) {
       const int error = errno;
       ::close(fd_);
-      throw TaskError("peers.listen: " + Text(listen) + ": " + TextOf(error) + "; free the address, or name another");
+      throw TaskError("peers.listen: " + Text(listen) + ": " + TextOf(error) +
+                      "; free the address, or name another");
     }
   }
   ~Socket() { ::close(fd_); }
@@ -122,8 +124,10 @@
 
 MemberNews SelfOf(const Settings& settings, const std::string& name, const Endpoint& local) {
   if (!GoodName(name)) {
-    throw TaskError("peers: " + name.substr(0, kMostName) + " can be no member's name; make it letters, digits, '-', "
-                    "'_' and '.', at most " + std::to_string(kMostName) + ", no dot first");
+    throw TaskError("peers: " + name.substr(0, kMostName) +
+                    " can be no member's name; make it letters, digits, '-', "
+                    "'_' and '.', at most " +
+                    std::to_string(kMostName) + ", no dot first");
   }
   MemberNews self;
   self.life = {name, UnixMicroseconds()};
@@ -188,13 +192,16 @@
     if (now >= due) Picture(now);
   }
 
-  // Two descriptors, known beforehand: poll is one call where epoll would be one, too, and a further descriptor.
+  // Two descriptors, known beforehand: poll is one call where epoll would be one, too, and a further
+  // descriptor.
   void Wait() {
     const TimePoint now = SteadyNow();
-    const TimePoint due = std::min({core.next(), pictured + (changed ? kSoonest : kLatest), now + kLongestSleep});
+    const TimePoint due =
+        std::min({core.next(), pictured + (changed ? kSoonest : kLatest), now + kLongestSleep});
     // At least 1 ms: whatever the core says is due, the thread does not spin.
     const auto wait = std::clamp<std::int64_t>((due - now).count(), 1, kLongestSleep.count());
-    pollfd awaited[2] = {{to_task.descriptor(), POLLIN, 0}, {now >= deaf_until ? socket.fd() : -1, POLLIN, 0}};
+    pollfd awaited[2] = {{to_task.descriptor(), POLLIN, 0},
+                         {now >= deaf_until ? socket.fd() : -1, POLLIN, 0}};
     if (::poll(awaited, 2, static_cast<int>(wait)) > 0 && awaited[0].revents != 0) to_task.Quiet();
   }
 
@@ -203,7 +210,8 @@
       const auto message = to_task.Take();
       if (!message) return;
       if (const auto* put = std::get_if<PutValue>(&*message)) {
-        if (!core.Put(put->key, put->bytes, put->lasts, now)) talk.Line("value " + put->key + " is beyond a bound");
+        if (!core.Put(put->key, put->bytes, put->lasts, now))
+          talk.Line("value " + put->key + " is beyond a bound");
         Know(put->key);
         changed = true;
       } else if (std::holds_alternative<LeaveNow>(*message)) {
@@ -279,7 +287,8 @@
 
   // A refusal that stays is one line; how often shows in `unsent` and in the age of what is heard.
   void SayOnce(const std::string& what, int error) {
-    if (said.insert(error).second) talk.Line("the system refuses " + what + ": " + TextOf(error) + "; does without");
+    if (said.insert(error).second)
+      talk.Line("the system refuses " + what + ": " + TextOf(error) + "; does without");
   }
 
   void Note(const Change& change) {
--- a/peers/task.h
+++ b/peers/task.h
@@ -1,5 +1,6 @@
-// The peers' own thread: it owns the socket, the keys and the core, and tells the loop by pictures in a box. Nothing of
-// it is waited for but its end, and that for kStopPatience at most. docs/design/peers_task.md has the reasons.
+// The peers' own thread: it owns the socket, the keys and the core, and tells the loop by pictures in a box.
+// Nothing of it is waited for but its end, and that for kStopPatience at most. docs/design/peers_task.md has
+// the reasons.
 #pragma once
 
 #include <cstdint>
--- a/peers/types.h
+++ b/peers/types.h
@@ -1,5 +1,6 @@
-// Words that the peers share: who a member is, what is said of it, and what it says. Pure: nothing here does I/O or
-// reads a clock. A TimePoint is of one machine's steady clock and is never compared with another machine's.
+// Words that the peers share: who a member is, what is said of it, and what it says. Pure: nothing here does
+// I/O or reads a clock. A TimePoint is of one machine's steady clock and is never compared with another
+// machine's.
 #pragma once
 
 #include <chrono>
@@ -25,8 +26,8 @@
 
 enum class Role : std::uint8_t { kSidecar = 1, kAgent = 2 };
 
-// One process of a member. `born` is greater for a later process of the same name: the Unix time of its start in
-// microseconds, or one more than what it hears of a former one whose clock was ahead.
+// One process of a member. `born` is greater for a later process of the same name: the Unix time of its start
+// in microseconds, or one more than what it hears of a former one whose clock was ahead.
 struct Life {
   std::string name;
   std::uint64_t born = 0;
@@ -54,14 +55,15 @@
 // Later life; then higher incarnation; then the graver state (alive, suspect, dead, left).
 bool Supersedes(const MemberNews& news, const MemberNews& held);
 
-// A small value with an owner. The owner's latest version counts, in whatever order versions come; it lapses when its
-// age reaches `lasts`, everywhere, without any clock being compared: each holder adds the time that it held it.
+// A small value with an owner. The owner's latest version counts, in whatever order versions come; it lapses
+// when its age reaches `lasts`, everywhere, without any clock being compared: each holder adds the time that
+// it held it.
 struct Value {
   Life owner;
   std::string key;
   std::uint64_t version = 0;  // raised by its owner with each change
-  Duration age{0};            // since its owner put it, as far as the sender can tell; never less than is true but for
-                              // the time on the wire
+  Duration age{0};  // since its owner put it, as far as the sender can tell; never less than is true but for
+                    // the time on the wire
   Duration lasts{0};
   std::string bytes;
   bool operator==(const Value&) const = default;
--- a/peers/values.cpp
+++ b/peers/values.cpp
@@ -17,9 +17,9 @@
 }  // namespace
 
 bool Fine(const Value& value) {
-  return Fine(value.owner) && !value.key.empty() && value.key.size() <= kMostKey && value.bytes.size() <= kMostValue &&
-         value.version > 0 && value.version <= kMostNumber && value.age.count() >= 0 && value.lasts.count() > 0 &&
-         value.lasts <= kLongestLife;
+  return Fine(value.owner) && !value.key.empty() && value.key.size() <= kMostKey &&
+         value.bytes.size() <= kMostValue && value.version > 0 && value.version <= kMostNumber &&
+         value.age.count() >= 0 && value.lasts.count() > 0 && value.lasts <= kLongestLife;
 }
 
 Values::Result Values::Take(const Value& value, TimePoint now) {
@@ -56,7 +56,8 @@
   return result;
 }
 
-bool Values::Put(const Life& life, const std::string& key, const std::string& bytes, Duration lasts, TimePoint now) {
+bool Values::Put(const Life& life, const std::string& key, const std::string& bytes, Duration lasts,
+                 TimePoint now) {
   Owner& owner = owners_[life.name];
   owner.born = life.born;
   if (!owner.keys.contains(key) && owner.keys.size() >= kMostKeys) return false;
@@ -67,10 +68,12 @@
 
 bool Values::Outdo(const Value& value) {
   const auto owner = owners_.find(value.owner.name);
-  if (owner == owners_.end() || owner->second.born != value.owner.born || value.version >= kMostNumber) return false;
+  if (owner == owners_.end() || owner->second.born != value.owner.born || value.version >= kMostNumber)
+    return false;
   const auto it = owner->second.keys.find(value.key);
   if (it == owner->second.keys.end() || it->second.value.version >= value.version) return false;
-  owner->second.hash += peers::HashOf(value.key, value.version + 1) - peers::HashOf(value.key, it->second.value.version);
+  owner->second.hash +=
+      peers::HashOf(value.key, value.version + 1) - peers::HashOf(value.key, it->second.value.version);
   it->second.value.version = value.version + 1;
   return true;
 }
--- a/peers/values.h
+++ b/peers/values.h
@@ -17,18 +17,18 @@
 class Values {
  public:
   struct Held {
-    Value value;          // `age` as of when it came
+    Value value;  // `age` as of when it came
     TimePoint came;
     TimePoint due;        // looked at then; not after it has lapsed
     bool lapsed = false;  // without bytes; its version is kept, so no old copy comes back
     Duration AgeAt(TimePoint now) const { return value.age + (now - came); }
   };
   enum class Verdict {
-    kTaken,   // told on
-    kAged,    // the same version, but older than was thought: its age is taken, not told on
-    kOld,     // a former life's, an earlier version, or the same
-    kNoted,   // later, but its time is over: its version is remembered, and what it replaces lapses
-    kFull,    // too many keys or owners
+    kTaken,  // told on
+    kAged,   // the same version, but older than was thought: its age is taken, not told on
+    kOld,    // a former life's, an earlier version, or the same
+    kNoted,  // later, but its time is over: its version is remembered, and what it replaces lapses
+    kFull,   // too many keys or owners
   };
   struct Result {
     Verdict verdict = Verdict::kOld;
@@ -37,7 +37,8 @@
 
   Result Take(const Value& value, TimePoint now);
   // The owner's own: a version above all before. False where there are too many keys.
-  bool Put(const Life& owner, const std::string& key, const std::string& bytes, Duration lasts, TimePoint now);
+  bool Put(const Life& owner, const std::string& key, const std::string& bytes, Duration lasts,
+           TimePoint now);
   // Somebody tells a later version of an own value than was ever put: the own one is put above it.
   bool Outdo(const Value& value);
   // The former life's values are nobody's any more; those of `keep` go over into this life.
@@ -65,8 +66,8 @@
   void Lapsed(Held& held);
 
   std::map<std::string, Owner> owners_;
-  // Each held value once, at a moment not after its time: renewed ones are looked at again, so that a new version
-  // costs nothing here.
+  // Each held value once, at a moment not after its time: renewed ones are looked at again, so that a new
+  // version costs nothing here.
   std::set<std::tuple<TimePoint, std::string, std::string>> due_;
 };
 
--- a/peers/wire.cpp
+++ b/peers/wire.cpp
@@ -10,7 +10,9 @@
 
 constexpr char kVersionTag = 0x08;  // field 1, a varint
 
-bool LetterOrDigit(char c) { return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9'); }
+bool LetterOrDigit(char c) {
+  return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9');
+}
 
 // The version without a parser: the rest of a later one may have a form that ours calls malformed.
 std::optional<std::uint64_t> VersionOf(std::string_view bytes) {
@@ -39,12 +41,15 @@
  public:
   bool Take(const pb::Datagram& from, Message& to) {
     if (!Enum(from.kind(), Kind::kLeave, to.kind, "kind is none")) return false;
-    if (!Fine(from.has_sender(), "nobody is named as the sender") || !Take(from.sender(), to.sender)) return false;
+    if (!Fine(from.has_sender(), "nobody is named as the sender") || !Take(from.sender(), to.sender))
+      return false;
     to.sequence = from.sequence();
     if (from.has_subject() && !Take(from.subject(), to.subject)) return false;
-    if (!Fine(to.kind != Kind::kPingFor || from.has_subject(), "a ping for another names no other")) return false;
+    if (!Fine(to.kind != Kind::kPingFor || from.has_subject(), "a ping for another names no other"))
+      return false;
     if (!Range(from.range_from(), to.range_from) || !Range(from.range_to(), to.range_to)) return false;
-    return TakeAll(from.digest(), to.digest) && TakeAll(from.news(), to.news) && TakeAll(from.values(), to.values);
+    return TakeAll(from.digest(), to.digest) && TakeAll(from.news(), to.news) &&
+           TakeAll(from.values(), to.values);
   }
   const char* why() const { return why_; }
 
@@ -68,7 +73,8 @@
            Count(born, to.born);
   }
   bool Time(std::uint64_t ms, Duration& to) {
-    if (!Fine(ms <= static_cast<std::uint64_t>(kLongestLife.count()), "an age or a life is above ten minutes")) {
+    if (!Fine(ms <= static_cast<std::uint64_t>(kLongestLife.count()),
+              "an age or a life is above ten minutes")) {
       return false;
     }
     to = Duration(static_cast<Duration::rep>(ms));
@@ -123,12 +129,12 @@
 
 bool GoodAddress(std::string_view address) {
   const auto good = [](char c) {
-    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F') || c == '.' || c == ':' ||
-           c == '[' || c == ']';
+    return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F') || c == '.' ||
+           c == ':' || c == '[' || c == ']';
   };
   const auto colon = address.rfind(':');
-  return address.size() <= kMostAddress && colon != std::string_view::npos && colon > 0 && colon + 1 < address.size() &&
-         std::all_of(address.begin(), address.end(), good) &&
+  return address.size() <= kMostAddress && colon != std::string_view::npos && colon > 0 &&
+         colon + 1 < address.size() && std::all_of(address.begin(), address.end(), good) &&
          std::all_of(address.begin() + static_cast<std::ptrdiff_t>(colon) + 1, address.end(),
                      [](char c) { return c >= '0' && c <= '9'; });
 }
--- a/peers/wire.h
+++ b/peers/wire.h
@@ -1,5 +1,5 @@
-// A message as bytes (peers.proto) and back. Whatever comes is checked against the bounds of types.h before anyone
-// else sees it: what was read may be used without another look.
+// A message as bytes (peers.proto) and back. Whatever comes is checked against the bounds of types.h before
+// anyone else sees it: what was read may be used without another look.
 #pragma once
 
 #include <cstdint>
@@ -26,13 +26,14 @@
 
 // The rule of the fleet's names: letters, digits, '-', '_' and '.', at most 64, no dot first.
 bool GoodName(std::string_view name);
-// "ip:port": digits, hex digits, '.', ':', '[' and ']', at most 48. Whether one can send there, the socket tells.
+// "ip:port": digits, hex digits, '.', ':', '[' and ']', at most 48. Whether one can send there, the socket
+// tells.
 bool GoodAddress(std::string_view address);
 // Printable ASCII without blanks, at most 24.
 bool GoodKey(std::string_view key);
 
-// Of a message within the bounds; never more bytes than MostSize() of its parts in sum. A subject without a name is
-// none and is left out.
+// Of a message within the bounds; never more bytes than MostSize() of its parts in sum. A subject without a
+// name is none and is left out.
 std::string Write(const Message& message);
 
 // Nothing where it can't be used; `why`, where it is asked for, then says what stands against it.
--- a/ring/load.cpp
+++ b/ring/load.cpp
@@ -28,7 +28,8 @@
 }
 
 void Load::Hear(const std::string& member, Told told, Duration age, TimePoint now) {
-  if (age >= terms_.life || told.in_flight.size() > kMostNodes || told.heavy.size() > Told::kMostHeavy) return;
+  if (age >= terms_.life || told.in_flight.size() > kMostNodes || told.heavy.size() > Told::kMostHeavy)
+    return;
   const auto held = told_.find(member);
   if (held == told_.end() ? told_.size() >= kMostMembers : held->second.at > now - age) return;
   told_[member] = {std::move(told), now - age};
@@ -88,7 +89,8 @@
   return at == owners_.end() ? 1 : at->second;
 }
 
-void Load::Pick(std::uint64_t key, std::uint64_t request, std::size_t most, std::vector<std::uint32_t>& nodes) {
+void Load::Pick(std::uint64_t key, std::uint64_t request, std::size_t most,
+                std::vector<std::uint32_t>& nodes) {
   nodes.clear();
   sketch_.Add(key);
   ++asked_;
@@ -113,7 +115,8 @@
 }
 
 void Load::Turn(TimePoint now) {
-  const auto lapsed = std::erase_if(told_, [&](const auto& from) { return now - from.second.at >= terms_.life; });
+  const auto lapsed =
+      std::erase_if(told_, [&](const auto& from) { return now - from.second.at >= terms_.life; });
   if (lapsed > 0) Sum();
   if (now - rolled_ < terms_.period) return;
   // After a pause of several periods there is no telling which one it was asked in.
@@ -135,16 +138,18 @@
   for (const auto& [key, rate] : rates) {
     if (rate > 0) order.emplace_back(rate, key);
   }
-  std::sort(order.begin(), order.end(),
-            [](const auto& a, const auto& b) { return a.first != b.first ? a.first > b.first : a.second < b.second; });
+  std::sort(order.begin(), order.end(), [](const auto& a, const auto& b) {
+    return a.first != b.first ? a.first > b.first : a.second < b.second;
+  });
   if (order.size() > Sketch::kSize) order.resize(Sketch::kSize);
   own_rates_.clear();
   for (const auto& [rate, key] : order) own_rates_[key] = rate;
 
-  // The fleet's: what is hot for all may be lukewarm at each. Of its own rates a member uses what it tells, so that all
-  // add up the same.
+  // The fleet's: what is hot for all may be lukewarm at each. Of its own rates a member uses what it tells,
+  // so that all add up the same.
   std::uint64_t all = rate_;
-  std::map<std::uint64_t, std::pair<std::uint64_t, std::uint32_t>> keys;  // rate, and the owners that were gone by
+  std::map<std::uint64_t, std::pair<std::uint64_t, std::uint32_t>>
+      keys;  // rate, and the owners that were gone by
   for (const auto& [key, owners] : owners_) keys.try_emplace(key, 0, owners);
   for (std::size_t i = 0; i < std::min(order.size(), Told::kMostHeavy); ++i)
     keys[order[i].second].first = order[i].first;
--- a/ring/load.h
+++ b/ring/load.h
@@ -1,14 +1,15 @@
-// Keeps a ring's nodes within bounds: an ordered list of owners for a request, without those that are full, and spread
-// where its key is hot.
-//   * No node above (1 + e) of its share, by weight, of what the fleet has in flight, or above a few. What others have
-//   is as old as they
-//     last told; what is older than its life is not used, and a member that hears nobody goes by its own counts, of
-//     which each node has its share as well.
-//   * A key that the fleet asks for more often than one node is allowed for one key goes to as many of its first owners
-//     as it takes, each request to one of them by its hash. Members with the same counts come to the same number, also
-//     within the hysteresis: each tells the number that it goes by.
-// Pure; bounded, whatever is asked for and told. What the list holds is advice: the module passes an owner over that is
-// ejected, cold or in a zone that is left.
+// Keeps a ring's nodes within bounds: an ordered list of owners for a request, without those that are full,
+// and spread where its key is hot.
+//   * No node above (1 + e) of its share, by weight, of what the fleet has in flight, or above a few. What
+//   others have is as old as they
+//     last told; what is older than its life is not used, and a member that hears nobody goes by its own
+//     counts, of which each node has its share as well.
+//   * A key that the fleet asks for more often than one node is allowed for one key goes to as many of its
+//   first owners
+//     as it takes, each request to one of them by its hash. Members with the same counts come to the same
+//     number, also within the hysteresis: each tells the number that it goes by.
+// Pure; bounded, whatever is asked for and told. What the list holds is advice: the module passes an owner
+// over that is ejected, cold or in a zone that is left.
 #pragma once
 
 #include <array>
@@ -28,16 +29,19 @@
       250;  // e, in thousandths: at 0.25 few requests leave their first owner, and none is overloaded
   std::uint32_t least =
       4;  // in flight at a node that never count as too many: else light traffic would leave its owner
-  std::uint32_t hot = 500;       // a node's allowance for one key, in thousandths of what a mean node is asked for
-  std::uint32_t hot_least = 50;  // that allowance is never below as many in a period: a quiet fleet has no hot key
-  std::uint32_t cool = 750;      // fewer owners once they would have less than this of the allowance, in thousandths
-  std::uint32_t spread = 16;     // owners of one key at most
-  Duration life{2'000};          // of what another member told
-  Duration period{1'000};        // rates are taken over one, and smoothed by a half
+  std::uint32_t hot = 500;  // a node's allowance for one key, in thousandths of what a mean node is asked for
+  std::uint32_t hot_least =
+      50;  // that allowance is never below as many in a period: a quiet fleet has no hot key
+  std::uint32_t cool =
+      750;  // fewer owners once they would have less than this of the allowance, in thousandths
+  std::uint32_t spread = 16;  // owners of one key at most
+  Duration life{2'000};       // of what another member told
+  Duration period{1'000};     // rates are taken over one, and smoothed by a half
 };
 
-// The keys asked for most, in bounded memory (space saving): a key with more than 1 / kSize of all requests is among
-// them, its count too high by at most what `extra` says. 64 x 24 bytes; one pass over them a request.
+// The keys asked for most, in bounded memory (space saving): a key with more than 1 / kSize of all requests
+// is among them, its count too high by at most what `extra` says. 64 x 24 bytes; one pass over them a
+// request.
 class Sketch {
  public:
   static constexpr std::size_t kSize = 64;
@@ -85,8 +89,8 @@
   // Rates are taken and lapsed counts leave. Call it four times a period, or more often.
   void Turn(TimePoint now);
 
-  // Nodes for a request in the order in which to try them, by index in ring()->nodes(); at most `most`. `request` is
-  // any number that differs from request to request. Empty only where no node serves.
+  // Nodes for a request in the order in which to try them, by index in ring()->nodes(); at most `most`.
+  // `request` is any number that differs from request to request. Empty only where no node serves.
   void Pick(std::uint64_t key, std::uint64_t request, std::size_t most, std::vector<std::uint32_t>& nodes);
   // An attempt went to a node, or ended there.
   void Began(std::string_view uid);
--- a/ring/maker.cpp
+++ b/ring/maker.cpp
@@ -7,8 +7,8 @@
 namespace mothrack::ring {
 namespace {
 
-// A member that makes a generation a second for as long as it lives is below it by far; one that claims more would
-// leave no numbers for the others.
+// A member that makes a generation a second for as long as it lives is below it by far; one that claims more
+// would leave no numbers for the others.
 constexpr std::uint64_t kMostNumber = std::uint64_t{1} << 48;
 
 // Heavier is greater. Gone is the lightest.
@@ -17,13 +17,14 @@
 bool SameContent(const Place& a, const Place& b) { return Heaviness(a) == Heaviness(b); }
 
 bool Sound(const Place& place) {
-  return !place.uid.empty() && place.uid.size() <= kMostUid && place.number > 0 && place.number <= kMostNumber &&
-         place.part <= Part::kWhole;
+  return !place.uid.empty() && place.uid.size() <= kMostUid && place.number > 0 &&
+         place.number <= kMostNumber && place.part <= Part::kWhole;
 }
 
 }  // namespace
 
-// The lighter, as that one does no harm: a node that was overrated falls over, one that was underrated has room.
+// The lighter, as that one does no harm: a node that was overrated falls over, one that was underrated has
+// room.
 bool Supersedes(const Place& place, const Place& held) {
   if (place.number != held.number) return place.number > held.number;
   return Heaviness(place) < Heaviness(held);
@@ -31,8 +32,9 @@
 
 Part Maker::PartAt(Duration age) const {
   if (age >= terms_.cold_time) return Part::kWhole;
-  const std::int64_t warmth =
-      terms_.cold_from + (1000 - terms_.cold_from) * std::max<std::int64_t>(age.count(), 0) / terms_.cold_time.count();
+  const std::int64_t warmth = terms_.cold_from + (1000 - terms_.cold_from) *
+                                                     std::max<std::int64_t>(age.count(), 0) /
+                                                     terms_.cold_time.count();
   return warmth >= 500 ? Part::kHalf : warmth >= 250 ? Part::kQuarter : Part::kNone;
 }
 
@@ -44,7 +46,8 @@
     wanted.part = PartAt(news->age);
     if (has) {
       // A measurement that lapsed is no reason to go back to the hint.
-      wanted.level = news->measured ? Settle(held.place->level, *news->measured, terms_.band) : held.place->level;
+      wanted.level =
+          news->measured ? Settle(held.place->level, *news->measured, terms_.band) : held.place->level;
       if (SameContent(wanted, *held.place)) return std::nullopt;
     } else {
       if (wanted.part == Part::kNone) return std::nullopt;
@@ -60,7 +63,9 @@
 
 // Noise around a change of one direction does not begin its time anew, a change of direction does.
 void Maker::Note(Held& held, std::optional<Place> wanted, TimePoint now) {
-  const auto direction = [&](const Place& due) { return held.place ? Heaviness(due) < Heaviness(*held.place) : false; };
+  const auto direction = [&](const Place& due) {
+    return held.place ? Heaviness(due) < Heaviness(*held.place) : false;
+  };
   if (wanted && (!held.due || direction(*wanted) != direction(*held.due))) held.due_since = now;
   held.due = std::move(wanted);
 }
@@ -87,7 +92,8 @@
 }
 
 bool Maker::Turn(const std::vector<NodeNews>& list, bool cut_off, TimePoint now) {
-  // What waited is begun anew once it hears again: a node that was missing before may have been back in between.
+  // What waited is begun anew once it hears again: a node that was missing before may have been back in
+  // between.
   if (cut_off) {
     for (auto& [uid, held] : held_) {
       held.due.reset();
@@ -142,8 +148,8 @@
     if (at == held_.end()) held.passed = true;
     held.place = place;
     held.changed = now;
-    // It may be what was due, or make something else due: the next turn says so, and its time begins anew, as whoever
-    // changed it may know more.
+    // It may be what was due, or make something else due: the next turn says so, and its time begins anew, as
+    // whoever changed it may know more.
     held.due.reset();
     changed = true;
   }
@@ -154,7 +160,8 @@
 void Maker::Rebuild() {
   std::vector<Node> nodes;
   for (const auto& [uid, held] : held_) {
-    if (held.place && !held.place->gone) nodes.push_back({uid, held.place->level, held.place->part, held.passed});
+    if (held.place && !held.place->gone)
+      nodes.push_back({uid, held.place->level, held.place->part, held.passed});
   }
   ring_ = std::make_shared<const Ring>(number_, std::move(nodes));
 }
--- a/ring/maker.h
+++ b/ring/maker.h
@@ -1,20 +1,21 @@
-// Makes the generations of the ring, by the same rules at every member: what the list of nodes says, and what other
-// members made, go in; rings come out. Nobody is asked and nobody leads: a change that every member comes to by itself
-// is the same change, and two that differ are merged to one at all.
+// Makes the generations of the ring, by the same rules at every member: what the list of nodes says, and what
+// other members made, go in; rings come out. Nobody is asked and nobody leads: a change that every member
+// comes to by itself is the same change, and two that differ are merged to one at all.
 //
-// What is held of a node is its place: level, part of its weight, and the number of the generation in which it last
-// changed. Of two places the later counts, of two of one generation the lighter (Supersedes): so places merge in any
-// order, however often, and members that know the same places serve by the same ring. The number of a generation is the
-// highest in its places; its content has a hash.
+// What is held of a node is its place: level, part of its weight, and the number of the generation in which
+// it last changed. Of two places the later counts, of two of one generation the lighter (Supersedes): so
+// places merge in any order, however often, and members that know the same places serve by the same ring. The
+// number of a generation is the highest in its places; its content has a hash.
 //
-// How long two members may disagree, where news of nodes and places reach every member within S, and all turn every T:
+// How long two members may disagree, where news of nodes and places reach every member within S, and all turn
+// every T:
 //   * that a node is gone, leaving or cold is followed at once, without a generation: S + T;
-//   * a change of places: 2S + T from when the first member makes it (S for its places to arrive; once more where
-//   another
+//   * a change of places: 2S + T from when the first member makes it (S for its places to arrive; once more
+//   where another
 //     member, not having heard of them, made its own of the same number);
 //   * a change that news makes due is made within `window` + T of the first member's hearing of it.
-// That wants `settle` >= S + T: a member that has not heard yet why a place changed waits that long before it would
-// change it back, and hears in the meantime. docs/design/ring.md has the rules as tables.
+// That wants `settle` >= S + T: a member that has not heard yet why a place changed waits that long before it
+// would change it back, and hears in the meantime. docs/design/ring.md has the rules as tables.
 #pragma once
 
 #include <chrono>
@@ -33,19 +34,21 @@
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 struct Terms {
-  Duration settle{1'500};       // a change has to be due for as long; no less than S + T
-  Duration window{5'000};       // what is due waits for what still settles, at most as long: one generation
-  Duration grace{60'000};       // a node that is missing keeps its place
-  Duration remember{600'000};   // places that are given up: longer than any member is cut off without starting anew
+  Duration settle{1'500};  // a change has to be due for as long; no less than S + T
+  Duration window{5'000};  // what is due waits for what still settles, at most as long: one generation
+  Duration grace{60'000};  // a node that is missing keeps its place
+  Duration remember{
+      600'000};  // places that are given up: longer than any member is cut off without starting anew
   Duration stale_after{5'000};  // without fresh news a member says so
   int band = kBand;
-  // What the module takes of fresh upstreams (kestrellb::Rules): thousandths of the capacity at the start, and when it
-  // is whole. A node's part of its weight is never above that.
+  // What the module takes of fresh upstreams (kestrellb::Rules): thousandths of the capacity at the start,
+  // and when it is whole. A node's part of its weight is never above that.
   std::uint32_t cold_from = 100;
   Duration cold_time{20'000};
 };
 
-// What the merged list says of a node. One that is missing in the list is not known to be left: it may be back.
+// What the merged list says of a node. One that is missing in the list is not known to be left: it may be
+// back.
 struct NodeNews {
   enum class State : std::uint8_t { kActive, kLeaving, kLeft };
   std::string uid;
@@ -76,11 +79,12 @@
  public:
   explicit Maker(const Terms& terms, TimePoint now) : terms_(terms), fresh_(now) {}
 
-  // Places that another member holds, in any order, all or some. True where ring() is another now. What no member of
-  // ours could have sent is not taken, and counted.
+  // Places that another member holds, in any order, all or some. True where ring() is another now. What no
+  // member of ours could have sent is not taken, and counted.
   bool Merge(const std::vector<Place>& places, TimePoint now);
-  // The list as it is now. A member that is `cut_off` (hears fewer than half of those it knew) learns nothing from it:
-  // it serves by what it has. Call it every T, and when the list changes. True where ring() is another now.
+  // The list as it is now. A member that is `cut_off` (hears fewer than half of those it knew) learns nothing
+  // from it: it serves by what it has. Call it every T, and when the list changes. True where ring() is
+  // another now.
   bool Turn(const std::vector<NodeNews>& list, bool cut_off, TimePoint now);
 
   std::shared_ptr<const Ring> ring() const { return ring_; }
--- a/ring/ring.cpp
+++ b/ring/ring.cpp
@@ -11,8 +11,8 @@
 
 constexpr int kFraction = 58;  // bits behind the point: the longest time, 64 ln 2 = 44.4, still fits 64 bits
 
-// 2^(-i/8) in 2^-63rds, 2^(i/8) in 2^-14ths, and 2^(i/16) in 2^-32nds rounded up. Written out, as no library's pow()
-// is the same everywhere.
+// 2^(-i/8) in 2^-63rds, 2^(i/8) in 2^-14ths, and 2^(i/16) in 2^-32nds rounded up. Written out, as no
+// library's pow() is the same everywhere.
 constexpr std::array<std::uint64_t, 8> kInverse = {0x8000000000000000, 0x75606373ee921c97, 0x6ba27e656b4eb57a,
                                                    0x62b39508aa836d6f, 0x5a827999fcef3242, 0x52ff6b54d8a89c75,
                                                    0x4c1bf828c6dc54b8, 0x45cae0f1f545eb73};
@@ -51,7 +51,9 @@
 };
 constexpr Tables kTables;
 
-std::uint64_t High(std::uint64_t a, std::uint64_t b) { return static_cast<std::uint64_t>((Wide{a} * b) >> 64); }
+std::uint64_t High(std::uint64_t a, std::uint64_t b) {
+  return static_cast<std::uint64_t>((Wide{a} * b) >> 64);
+}
 
 // In whole octaves down, as the levels are eighths.
 int DownBy(Part part) { return part == Part::kWhole ? 0 : part == Part::kHalf ? kStepsPerOctave : kDeepest; }
@@ -96,8 +98,8 @@
   const int shift = std::countl_zero(u);
   u <<= shift;
   const std::uint64_t i = (u >> 56) - 128;
-  // u is a little below the upper end c of its 256th: u = c (1 - r), with r below 1/128. Next to one c is one, so that
-  // the short times, which decide, keep their relative precision.
+  // u is a little below the upper end c of its 256th: u = c (1 - r), with r below 1/128. Next to one c is
+  // one, so that the short times, which decide, keep their relative precision.
   const std::uint64_t off = (i == 127 ? 0 : (129 + i) << 56) - u;
   const std::uint64_t r = static_cast<std::uint64_t>((Wide{off} * kTables.reciprocal[i]) >> 63);
   // r + r^2/2 + ... + r^5/5
@@ -109,16 +111,19 @@
   return static_cast<std::uint64_t>(shift) * kTables.ln2 + kTables.log[i] + (series >> (64 - kFraction));
 }
 
-Ring::Ring(std::uint64_t generation, std::vector<Node> nodes) : generation_(generation), nodes_(std::move(nodes)) {
+Ring::Ring(std::uint64_t generation, std::vector<Node> nodes)
+    : generation_(generation), nodes_(std::move(nodes)) {
   std::stable_sort(nodes_.begin(), nodes_.end(), [](const Node& a, const Node& b) { return a.uid < b.uid; });
-  nodes_.erase(std::unique(nodes_.begin(), nodes_.end(), [](const Node& a, const Node& b) { return a.uid == b.uid; }),
-               nodes_.end());
+  nodes_.erase(
+      std::unique(nodes_.begin(), nodes_.end(), [](const Node& a, const Node& b) { return a.uid == b.uid; }),
+      nodes_.end());
   if (nodes_.size() > kMostNodes) nodes_.resize(kMostNodes);
   std::string content;
   weights_.resize(nodes_.size());
   for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
     const Node& node = nodes_[i];
-    content.append({static_cast<char>(node.uid.size()), static_cast<char>(node.level), static_cast<char>(node.part)});
+    content.append(
+        {static_cast<char>(node.uid.size()), static_cast<char>(node.level), static_cast<char>(node.part)});
     content.append(node.uid);
     if (node.passed || node.part == Part::kNone) continue;
     const unsigned step = node.level + kDeepest - DownBy(node.part);
@@ -133,8 +138,8 @@
   owners.clear();
   most = std::min(most, slots_.size());
   if (most == 0) return;
-  // A heap with the latest on top. A time is never shorter than what it is drawn from, -ln(1 - v) >= v: most nodes are
-  // ruled out by that alone.
+  // A heap with the latest on top. A time is never shorter than what it is drawn from, -ln(1 - v) >= v: most
+  // nodes are ruled out by that alone.
   std::uint64_t latest = ~std::uint64_t{0};
   for (const Slot& slot : slots_) {
     const std::uint64_t v = Mix(key ^ slot.hash);
--- a/ring/ring.h
+++ b/ring/ring.h
@@ -1,10 +1,11 @@
-// Which nodes a key belongs to, in order: weighted rendezvous. Each node draws an exponential time for the key at the
-// rate of its weight, and the earliest is the owner. So a node that comes takes its share from all others alike and
-// nothing else moves, one that goes (or is passed over) gives up its own keys alone, and a weight that changes by c
-// moves c. A node that is passed over and one that is not there lead to the same owners.
+// Which nodes a key belongs to, in order: weighted rendezvous. Each node draws an exponential time for the
+// key at the rate of its weight, and the earliest is the owner. So a node that comes takes its share from all
+// others alike and nothing else moves, one that goes (or is passed over) gives up its own keys alone, and a
+// weight that changes by c moves c. A node that is passed over and one that is not there lead to the same
+// owners.
 //
-// All in integers: members that run on other machines, compilers or math libraries get the same owners bit for bit.
-// docs/design/ring.md has the options weighed.
+// All in integers: members that run on other machines, compilers or math libraries get the same owners bit
+// for bit. docs/design/ring.md has the options weighed.
 #pragma once
 
 #include <cstddef>
@@ -18,8 +19,8 @@
 
 __extension__ using Wide = unsigned __int128;
 
-// Seeds of xxHash64, fixed for good: with another one every key would move. Keys and nodes have each their own, so
-// that a key spelled as a node's uid is not special.
+// Seeds of xxHash64, fixed for good: with another one every key would move. Keys and nodes have each their
+// own, so that a key spelled as a node's uid is not special.
 constexpr std::uint64_t kKeySeed = 0x6b65792d72696e67;   // "key-ring"
 constexpr std::uint64_t kNodeSeed = 0x6e6f64652d726e67;  // "node-rng"
 
@@ -40,9 +41,10 @@
 
 // In thousandths of a unit; below one, one is taken.
 Level LevelOf(std::uint64_t capacity);
-// The level that is held counts until capacity is `band` sixteenths of an octave (half steps) off its centre. With the
-// three that a maker uses: whoever sees noise of less than one step (9.05% up, 8.3% down) around the capacity at which
-// the level was taken never leaves it, as that capacity was at most half a step off the centre.
+// The level that is held counts until capacity is `band` sixteenths of an octave (half steps) off its centre.
+// With the three that a maker uses: whoever sees noise of less than one step (9.05% up, 8.3% down) around the
+// capacity at which the level was taken never leaves it, as that capacity was at most half a step off the
+// centre.
 constexpr int kBand = 3;
 Level Settle(std::optional<Level> held, std::uint64_t capacity, int band = kBand);
 
@@ -63,7 +65,9 @@
 struct Owner {
   Wide cost = 0;
   std::uint32_t node = 0;  // index into Ring::nodes()
-  bool operator<(const Owner& other) const { return cost != other.cost ? cost < other.cost : node < other.node; }
+  bool operator<(const Owner& other) const {
+    return cost != other.cost ? cost < other.cost : node < other.node;
+  }
 };
 
 // Of one generation; never changes. Safe to read from any thread.
@@ -73,13 +77,13 @@
   // In any order; of two with one uid the first counts, and what is beyond kMostNodes by uid is not in it.
   Ring(std::uint64_t generation, std::vector<Node> nodes);
 
-  // The first `most` owners, in order; fewer where there are not as many that serve. `owners` is overwritten: keep it
-  // for the next call and nothing is allocated.
+  // The first `most` owners, in order; fewer where there are not as many that serve. `owners` is overwritten:
+  // keep it for the next call and nothing is allocated.
   void Owners(std::uint64_t key, std::size_t most, std::vector<Owner>& owners) const;
 
   std::uint64_t generation() const { return generation_; }
-  // Of the nodes, their levels and parts: equal content has an equal hash at every member. Not of who is passed over:
-  // that follows the list of nodes at once, and has no generation.
+  // Of the nodes, their levels and parts: equal content has an equal hash at every member. Not of who is
+  // passed over: that follows the list of nodes at once, and has no generation.
   std::uint64_t hash() const { return hash_; }
   const std::vector<Node>& nodes() const { return nodes_; }  // by uid
   std::optional<std::uint32_t> Find(std::string_view uid) const;
--- a/src/balancer.cpp
+++ b/src/balancer.cpp
@@ -55,8 +55,8 @@
 constexpr Duration kFirstTrial = milliseconds(1000);
 constexpr Duration kMaxTrial = milliseconds(8000);
 constexpr int kTrialsToReturn = 2;
-// Of a cold upstream's budget, what a sidecar may spend that does not call it as a rule: calls that others of its
-// subset fail are pushed on to it. The rest is for those that have it in their subset.
+// Of a cold upstream's budget, what a sidecar may spend that does not call it as a rule: calls that others of
+// its subset fail are pushed on to it. The rest is for those that have it in their subset.
 constexpr double kOutsideSubset = 0.25;
 // Subsetting: over as many upstreams as it calls about once in this share of the time after which an idle
 // connection is closed, over kLeastSubset at least, and over all until its rate has been seen for kRateKnown.
@@ -1085,10 +1085,10 @@
     return settings_.rules.fall_multiple * kColdSafety * Warmth(u) * usual;
   }
 
-  // Of what this sidecar sends, what a warm upstream of this weight would usually get from it. A big fleet's sidecars
-  // each call a few upstreams of a long list: those that call this one have to make up its part for all the others,
-  // who never spend what they are owed. Whoever has it in its subset sends it its share of the subset, and in the mean
-  // over the fleet these shares add up to the share by the list.
+  // Of what this sidecar sends, what a warm upstream of this weight would usually get from it. A big fleet's
+  // sidecars each call a few upstreams of a long list: those that call this one have to make up its part for
+  // all the others, who never spend what they are owed. Whoever has it in its subset sends it its share of
+  // the subset, and in the mean over the fleet these shares add up to the share by the list.
   double ColdShare(const Upstream& u) const {
     const double of_list = u.info.weight / std::max(usual_weight_, u.info.weight);
     if (subset_weight_ <= 0) return of_list;
--- a/tests/acceptor_test.cpp
+++ b/tests/acceptor_test.cpp
@@ -1,5 +1,8 @@
-// The acceptor on a loopback socket of its own, with a system that errs on demand: wake-ups that get lost, clients that
-// left ahead of their turn, no descriptor left. The system's calls are the test's own here, and pass on to the real ones.
+// The acceptor on a loopback socket of its own, with a system that errs on demand: wake-ups that get lost,
+// clients that left ahead of their turn, no descriptor left. The system's calls are the test's own here, and
+// pass on to the real ones.
+#include "core/acceptor.h"
+
 #include <dlfcn.h>
 #include <poll.h>
 #include <sys/epoll.h>
@@ -18,7 +21,6 @@
 #include <utility>
 #include <vector>
 
-#include "core/acceptor.h"
 #include "gtest/gtest.h"
 
 namespace {
@@ -26,10 +28,10 @@
 // What the system does to the one listening socket under test.
 struct System {
   int listening = -1;
-  int fails = 0;  // of the next calls of accept
-  int error = 0;  // with this
-  bool takes = false;  // and the client at the head of the queue is gone then
-  rlim_t descriptors = RLIM_INFINITY;  // the limit while it accepts: the sanitizers need some at other times
+  int fails = 0;                        // of the next calls of accept
+  int error = 0;                        // with this
+  bool takes = false;                   // and the client at the head of the queue is gone then
+  rlim_t descriptors = RLIM_INFINITY;   // the limit while it accepts: the sanitizers need some at other times
   std::function<void()> after_refusal;  // once, when accept has found nobody
   int lost_wakes = 0;                   // of the next that tell of a client
   int blocked = 0;                      // calls that would have waited without an end
@@ -161,7 +163,8 @@
   bool Admits(std::size_t count) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(2);
     io.restart();
-    while (admitted.size() < count && std::chrono::steady_clock::now() < until) io.run_one_for(milliseconds(20));
+    while (admitted.size() < count && std::chrono::steady_clock::now() < until)
+      io.run_one_for(milliseconds(20));
     return admitted.size() >= count;
   }
   // Lets the event loop do what is to be done by now.
@@ -257,8 +260,8 @@
 
 // What befell one client, or one call, is no reason to keep the others waiting.
 TEST_F(AcceptorTest, AnErrorOfOneClientOrAnInterruptionDelaysNobody) {
-  for (const int error : {EINTR, ECONNABORTED, EPERM, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET, EHOSTUNREACH,
-                          EOPNOTSUPP, ENETUNREACH, ETIMEDOUT}) {
+  for (const int error : {EINTR, ECONNABORTED, EPERM, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET,
+                          EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH, ETIMEDOUT}) {
     const std::size_t before = admitted.size();
     Settle();
     system_.fails = 3;
--- a/tests/bulk_test.cpp
+++ b/tests/bulk_test.cpp
@@ -214,8 +214,8 @@
   Upstream upstream(Upstream::Echo("u"));
   Refusing refusing;
   Upstream full([](Wire& wire, const Request&, int) { wire.Answer(503, "x", "X-Not-Processed: 1\r\n"); });
-  Node node(Served(List({Target("u1", refusing.address()), Target("u2", upstream.address()),
-                         Target("u3", full.address())})));
+  Node node(Served(List(
+      {Target("u1", refusing.address()), Target("u2", upstream.address()), Target("u3", full.address())})));
   ASSERT_TRUE(node.Listening());
   const std::string body = Pattern(300 * 1024);
   Client client(node.port());
@@ -271,7 +271,8 @@
   const std::string text = GetText("/page/x", "slow");
   Client client(node.port());
   for (std::size_t i = 0; i < 4; ++i) {
-    ASSERT_TRUE(client.Send(text.substr(i * text.size() / 4, (i + 1) * text.size() / 4 - i * text.size() / 4)));
+    ASSERT_TRUE(
+        client.Send(text.substr(i * text.size() / 4, (i + 1) * text.size() / 4 - i * text.size() / 4)));
     if (i < 3) std::this_thread::sleep_for(milliseconds(650));
   }
   const auto response = client.Read();
--- a/tests/changes_model.cpp
+++ b/tests/changes_model.cpp
@@ -226,8 +226,8 @@
 
   void Boot(Host& host);
 
-  // An agent dies here where the seed or the script says so: at each of its durable steps and of its actions, just
-  // before it, or just after it and before what follows from it.
+  // An agent dies here where the seed or the script says so: at each of its durable steps and of its actions,
+  // just before it, or just after it and before what follows from it.
   void Point(bool after) {
     if (script_ != nullptr) {
       const int point = history_.points++;
@@ -288,7 +288,8 @@
   template <typename Serve, typename Hear>
   void Ask(Tool& tool, const std::string& name, Serve serve, Hear hear, double late = 0.02) {
     Host& host = Of(name);
-    if (script_ != nullptr && tool.who == tools_.front().who && history_.commands++ == script_->tool_dies_at) {
+    if (script_ != nullptr && tool.who == tools_.front().who &&
+        history_.commands++ == script_->tool_dies_at) {
       tool_dies_ = true;
     }
     const auto arrive = [this, &tool, &host, life = tool.life, serve, hear] {
@@ -309,7 +310,8 @@
   }
 
   void Live(Host& host) {
-    std::erase_if(host.processes, [&](const auto& p) { return p.second.ends_at && now_ >= *p.second.ends_at; });
+    std::erase_if(host.processes,
+                  [&](const auto& p) { return p.second.ends_at && now_ >= *p.second.ends_at; });
     if (host.up) {
       Call(host, [this](Agent& agent) { return agent.Live(now_, 0), true; });
     } else if (now_ >= host.back_at) {
@@ -397,7 +399,8 @@
     }
     if (script_ != nullptr && (open.empty() ? history_.changes > 0 || &tool != &tools_.front() : calm_)) {
       const auto busy = [](const Tool& t) { return !t.up || t.claim || t.change; };
-      through_ = open.empty() && history_.changes > 0 && std::none_of(tools_.begin(), tools_.end(), busy) && Settled();
+      through_ = open.empty() && history_.changes > 0 && std::none_of(tools_.begin(), tools_.end(), busy) &&
+                 Settled();
       if (open.empty()) return;
     }
     bool resumes = false;
@@ -423,7 +426,8 @@
       resumes = true;
       tool.aim = script_ != nullptr ? script_->then
                  : calm_            ? Change::Aim::kUndo
-                 : Chance(0.5) ? Change::Aim::kUndo : Change::Aim::kForward;
+                 : Chance(0.5)      ? Change::Aim::kUndo
+                                    : Change::Aim::kForward;
     }
     if (const auto fault = FaultOf(tool.plan)) return Violation(*fault);
     std::set<std::string> names;
@@ -440,8 +444,7 @@
       switch (c.kind) {
         case ClaimCommand::Kind::kLook:
           Ask(
-              tool, c.agent,
-              [this](Agent& agent) { return agent.Highest(now_); },
+              tool, c.agent, [this](Agent& agent) { return agent.Highest(now_); },
               [&tool, name = c.agent](const Agent::Answer& a) {
                 if (tool.claim) tool.claim->Looked(name, a.highest);
               });
@@ -455,7 +458,8 @@
                                                            : agent.Acquire(c.epoch, holder, now_, 0);
               },
               [&tool, c, holder](const Agent::Answer& a) {
-                if (tool.claim && a.refused.empty()) tool.claim->Answered(holder.tool, c.agent, c.epoch, a.verdict, a.holder, a.open);
+                if (tool.claim && a.refused.empty())
+                  tool.claim->Answered(holder.tool, c.agent, c.epoch, a.verdict, a.holder, a.open);
               });
           break;
         case ClaimCommand::Kind::kRelease:
@@ -595,8 +599,8 @@
         if (it == host.processes.end()) {
           if (!host.agent->ReportOf(name).held) return false;
         } else if (it->second.generation != record.generation) {
-          Violation(host.name + '/' + name + " runs " + it->second.generation + ", and " +
-                    record.generation + " is on record");
+          Violation(host.name + '/' + name + " runs " + it->second.generation + ", and " + record.generation +
+                    " is on record");
         }
       }
     }
@@ -668,7 +672,8 @@
   host.machine = std::make_unique<Box>(*this, host);
   std::map<std::string, std::string> begin;
   for (const auto& [name, record] : host.disk.records) begin[name] = "g0";
-  host.agent = std::make_unique<Agent>(*host.store, *host.machine, host.disk, begin, Limits(), kLeaseTime, now_);
+  host.agent =
+      std::make_unique<Agent>(*host.store, *host.machine, host.disk, begin, Limits(), kLeaseTime, now_);
 }
 
 }  // namespace
--- a/tests/changes_model.h
+++ b/tests/changes_model.h
@@ -1,6 +1,6 @@
 // A fleet in one thread and in made-up time: the program's own agents (fleet/agent.h) over made-up disks and
-// processes, its own claims and changes in made-up tools, and the messages between them. All of these fail, at moments
-// drawn from one seed or at one that a script names.
+// processes, its own claims and changes in made-up tools, and the messages between them. All of these fail,
+// at moments drawn from one seed or at one that a script names.
 #pragma once
 
 #include <cstdint>
@@ -24,8 +24,8 @@
   int aborted = 0;
   int saves_failed = 0;
   int started_again = 0;  // for a step that had a process already, after that one's end
-  // Of a script: places where an agent may die (before and after each durable step and each action), and commands that
-  // the first operator sent.
+  // Of a script: places where an agent may die (before and after each durable step and each action), and
+  // commands that the first operator sent.
   int points = 0;
   int commands = 0;
 };
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -174,15 +174,15 @@
   EXPECT_TRUE(open.granted()) << open.refused();
 }
 
-// History 98150: ann's first claim, for c1, was refused, and its question to "a" was still on its way. It came when her
-// second, for c4, had chosen the same epoch, and was taken for the second's: c1 was then open at "a", c4 elsewhere, and
-// neither could be closed.
+// History 98150: ann's first claim, for c1, was refused, and its question to "a" was still on its way. It
+// came when her second, for c4, had chosen the same epoch, and was taken for the second's: c1 was then open
+// at "a", c4 elsewhere, and neither could be closed.
 TEST(Claim, AnswersToAnEarlierClaimAreNotTakenForItsOwn) {
   Agents agents;
   const Holder first{"c1", "ann", "a test", 0, "ann.1"};
   const Holder second{"c4", "ann", "a test", 0, "ann.2"};
   Claim claim(second.tool, agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
-  agents.Turn(claim, second, At(0));                 // asks for the highest epoch
+  agents.Turn(claim, second, At(0));                  // asks for the highest epoch
   agents.Turn(claim, second, At(1), agents.Names());  // asks "a" for epoch 1, which takes its time
   LeaseBook& a = agents.books.at("a");
   claim.Answered(first.tool, "a", 1, a.Acquire(1, first, At(2)), std::nullopt, false);
@@ -657,7 +657,8 @@
 
 // ---- Histories ----
 
-// HISTORIES sets how many, HISTORIES_FROM the first seed (1). Each must reach what it is meant to: see the sums.
+// HISTORIES sets how many, HISTORIES_FROM the first seed (1). Each must reach what it is meant to: see the
+// sums.
 TEST(Histories, KeepTheRulesAndComeToAnEnd) {
   const char* set = std::getenv("HISTORIES");
   const std::uint64_t count = set == nullptr ? 1000 : std::strtoull(set, nullptr, 10);
@@ -694,13 +695,14 @@
 
 constexpr std::uint64_t kScriptSeed = 7;
 
-// Agents' deaths before and after every durable step and every action of a change, one at a time. The operator's tool
-// lives on where it can, and a second one finishes what it leaves.
+// Agents' deaths before and after every durable step and every action of a change, one at a time. The
+// operator's tool lives on where it can, and a second one finishes what it leaves.
 TEST(CrashPoints, AnAgentThatDiesAtAnyOfThemLeavesAKnownState) {
   const testing::History calm = testing::Play(kScriptSeed, testing::Script{});
   ASSERT_EQ(calm.violation, "");
   ASSERT_EQ(calm.end, "completed");
-  // Of eight instances: taken, stopped, started, done; of four agents: claimed, opened, closed. Each before and after.
+  // Of eight instances: taken, stopped, started, done; of four agents: claimed, opened, closed. Each before
+  // and after.
   ASSERT_GE(calm.points, 2 * (8 * 4 + 4 * 3));
   std::map<std::string, int> ends;
   for (const Change::Aim then : {Change::Aim::kForward, Change::Aim::kUndo}) {
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -243,8 +243,8 @@
     RecordProperty(tag + "_of_bound", std::to_string(fleet.worst.over));
     RecordProperty(tag + "_sent", std::to_string(fleet.PartSent()));
     if (std::getenv("COLD_FIGURES") != nullptr) {
-      std::printf("%s seed %d: %.2f of the bound, %.2f sent\n", GetParam().name, static_cast<int>(seed), fleet.worst.over,
-                  fleet.PartSent());
+      std::printf("%s seed %d: %.2f of the bound, %.2f sent\n", GetParam().name, static_cast<int>(seed),
+                  fleet.worst.over, fleet.PartSent());
     }
   }
 }
@@ -263,8 +263,8 @@
         Case{"OneJoins", 300, 40, 1, 0.75, Trouble::kNone, 1s, 10s, 0.6},
         Case{"HalfReplaced", 300, 40, 20, 0.75, Trouble::kNone, 1s, 10s, 1},
         Case{"HalfReplaced30", 30, 10, 5, 0.5, Trouble::kNone, 1s, 10s, 1},
-        // The same in small fleets, whose sidecars each know most of the traffic, and in big ones, whose sidecars each
-        // call a few of a long list.
+        // The same in small fleets, whose sidecars each know most of the traffic, and in big ones, whose
+        // sidecars each call a few of a long list.
         Case{"AllNew1", 1, 4, 4, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
         Case{"AllNew2", 2, 6, 6, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
         Case{"AllNew5", 5, 8, 8, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -143,7 +143,8 @@
   EXPECT_EQ(dispatcher.open(), 0U);
 }
 
-// Its two copies may be out at once, and the one that has not begun when the request is over must never begin.
+// Its two copies may be out at once, and the one that has not begun when the request is over must never
+// begin.
 TEST_F(DispatcherTest, WhatHasNotBegunEndsWithItsRequest) {
   kestrellb::Settings settings = TestSettings();
   settings.limits.cancel = false;  // so that the module calls nothing off
@@ -165,13 +166,15 @@
     EXPECT_EQ(owner.open(), 0U);
     return told;
   };
-  EXPECT_EQ(over("its client left", [](Dispatcher& owner, ScriptedTransport&, kestrellb::RequestId id) {
-              owner.Gone(id);
-            }), 0);
-  EXPECT_EQ(over("its time is over", [this](Dispatcher&, ScriptedTransport& carrier, kestrellb::RequestId) {
-              while (!carrier.out.empty() && io.run_one() > 0) {
-              }
-            }), 1);
+  EXPECT_EQ(over("its client left",
+                 [](Dispatcher& owner, ScriptedTransport&, kestrellb::RequestId id) { owner.Gone(id); }),
+            0);
+  EXPECT_EQ(over("its time is over",
+                 [this](Dispatcher&, ScriptedTransport& carrier, kestrellb::RequestId) {
+                   while (!carrier.out.empty() && io.run_one() > 0) {
+                   }
+                 }),
+            1);
 }
 
 TEST_F(DispatcherTest, TransportMayEndAttemptsBeforeSendReturns) {
@@ -227,15 +230,17 @@
   EXPECT_EQ(finals.size(), 1U);
 }
 
-// As long as its class lets it be under way, or upstreams tell its repeats apart; whatever another deployment has.
+// As long as its class lets it be under way, or upstreams tell its repeats apart; whatever another deployment
+// has.
 TEST_F(DispatcherTest, KeysAreKnownForAsLongAsTheSettingsSay) {
   struct Case {
     int deadline_s, window_s;
     kestrellb::Effect effect;
     int known_s;
   };
-  for (const Case& c : {Case{1, 0, kestrellb::Effect::kSafe, 5}, Case{12, 0, kestrellb::Effect::kUnsafe, 12},
-                        Case{1, 20, kestrellb::Effect::kKeyed, 20}, Case{1, 20, kestrellb::Effect::kSafe, 5}}) {
+  for (const Case& c :
+       {Case{1, 0, kestrellb::Effect::kSafe, 5}, Case{12, 0, kestrellb::Effect::kUnsafe, 12},
+        Case{1, 20, kestrellb::Effect::kKeyed, 20}, Case{1, 20, kestrellb::Effect::kSafe, 5}}) {
     kestrellb::Settings settings = TestSettings();
     settings.classes.resize(1);
     settings.classes[0].deadline = std::chrono::seconds(c.deadline_s);
@@ -470,7 +475,8 @@
   ASSERT_TRUE(told);
   EXPECT_EQ(told->locations.at("a").state, UpstreamState::kDraining);
   // Left out by a whole list it is gone; it is banned still when it is back.
-  EXPECT_EQ(roster.Take(Listed(MembershipUpdate::Kind::kFull, {"b"})).locations.at("a").state, UpstreamState::kGone);
+  EXPECT_EQ(roster.Take(Listed(MembershipUpdate::Kind::kFull, {"b"})).locations.at("a").state,
+            UpstreamState::kGone);
   EXPECT_EQ(roster.listed(), 1U);
   told = roster.Ban("a");
   ASSERT_TRUE(told);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,4 +1,7 @@
-// Until when news may be missing: the statement as a table, and the real loop against sources that fall silent.
+// Until when news may be missing: the statement as a table, and the real loop against sources that fall
+// silent.
+#include "http/discovery.h"
+
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -14,7 +17,6 @@
 #include <vector>
 
 #include "helpers.h"
-#include "http/discovery.h"
 #include "http/news.h"
 #include "standins/peers.h"
 #include "wire.h"
@@ -65,9 +67,10 @@
           << Text(rules) << ", case " << static_cast<int>(news);
       // The operators' terms, whatever the settings: 6 s, and for a call that may wait 2 s after that wait.
       const bool waits = rules.on_request && news == NewsCase::kWatch;
-      EXPECT_LE(AllowedBy(rules, news),
-                (waits ? terms.wait + seconds(2) : Duration(seconds(6))) + std::min<Duration>(rules.drain_within, seconds(2)));
-      // Given up, a watch is a failed call like others: told within 6 s wherever the service takes 1 s for the next.
+      EXPECT_LE(AllowedBy(rules, news), (waits ? terms.wait + seconds(2) : Duration(seconds(6))) +
+                                            std::min<Duration>(rules.drain_within, seconds(2)));
+      // Given up, a watch is a failed call like others: told within 6 s wherever the service takes 1 s for
+      // the next.
       EXPECT_LE(terms.wait + terms.watch_patience + seconds(1),
                 seconds(6) + std::min<Duration>(rules.drain_within, seconds(2)));
     }
@@ -77,7 +80,8 @@
   }
 }
 
-// The change is there, and discovery can be reached, from the moment in which the failed call is lost to it on.
+// The change is there, and discovery can be reached, from the moment in which the failed call is lost to it
+// on.
 TEST(NewsStatement, IsKeptAfterAnyFailedCall) {
   using Kind = FailedCall::Kind;
   for (const NewsRules& rules : AllRules()) {
@@ -92,17 +96,21 @@
           const auto pause = [&](Kind kind, Duration lasted) {
             return terms.PauseAfter({kind, watch, in_row, lasted}, spread);
           };
-          const Duration silent = AllowedBy(rules, watch ? NewsCase::kWatch : NewsCase::kAfterOutage) - MarginOf(rules);
-          EXPECT_LE(patience + pause(Kind::kSilent, patience) + terms.answer, silent) << Text(rules) << in_row;
+          const Duration silent =
+              AllowedBy(rules, watch ? NewsCase::kWatch : NewsCase::kAfterOutage) - MarginOf(rules);
+          EXPECT_LE(patience + pause(Kind::kSilent, patience) + terms.answer, silent)
+              << Text(rules) << in_row;
           for (int tenth = 0; tenth <= 10; ++tenth) {
             const Duration lasted = patience * tenth / 10;
-            const Duration since = watch ? Duration::zero() : lasted;  // a watch would have told until it broke
+            const Duration since =
+                watch ? Duration::zero() : lasted;  // a watch would have told until it broke
             EXPECT_LE(since + pause(Kind::kFault, lasted) + terms.answer, most) << Text(rules) << in_row;
             EXPECT_LE(pause(Kind::kOlder, lasted), terms.fault_pause) << Text(rules) << in_row;
             // And is no hammering.
             EXPECT_GE(pause(Kind::kFault, lasted), std::min<Duration>(terms.fault_pause, milliseconds(25)));
-            const Duration rhythm = in_row > 1 && rules.on_request ? std::min<Duration>(seconds(3), terms.retry_within)
-                                                                   : Duration::zero();
+            const Duration rhythm = in_row > 1 && rules.on_request
+                                        ? std::min<Duration>(seconds(3), terms.retry_within)
+                                        : Duration::zero();
             EXPECT_GE(lasted + pause(Kind::kFault, lasted), rhythm);
           }
         }
@@ -111,8 +119,8 @@
   }
 }
 
-// The module's own asking, where no loop of ours stands between it and discovery: the failed call and the next take up
-// to the service's 2 s each.
+// The module's own asking, where no loop of ours stands between it and discovery: the failed call and the
+// next take up to the service's 2 s each.
 TEST(NewsStatement, IsKeptByTheModuleAtAnySetting) {
   for (const int ask_within : {1, 5, 10, 30, 600}) {
     for (int seed = 1; seed <= 20; ++seed) {
@@ -154,7 +162,8 @@
     const NewsRules rules = Rules(row.on_request, milliseconds(500));
     const int number = static_cast<int>(row.news);
     EXPECT_EQ(AllowedBy(rules, row.news), milliseconds(row.allowed_ms)) << row.on_request << number;
-    EXPECT_EQ(WorstOf(NewsTerms::For(rules), row.news), milliseconds(row.worst_ms)) << row.on_request << number;
+    EXPECT_EQ(WorstOf(NewsTerms::For(rules), row.news), milliseconds(row.worst_ms))
+        << row.on_request << number;
   }
 }
 
@@ -203,8 +212,9 @@
       const bool back = at >= away_;
       if (back) first_ = std::max(first_, at - away_);
       const auto same_second = [from = at - seconds(1)](Duration time) { return time > from; };
-      if (back && std::count_if(taken.rbegin(), taken.rbegin() + std::min<std::size_t>(taken.size(), each_second),
-                                same_second) < each_second) {
+      if (back &&
+          std::count_if(taken.rbegin(), taken.rbegin() + std::min<std::size_t>(taken.size(), each_second),
+                        same_second) < each_second) {
         taken.push_back(at);
         last_ = at - away_;
         continue;
@@ -212,7 +222,8 @@
       const bool silent = !back && way_ == FailedCall::Kind::kSilent;
       const Duration lasted = silent ? terms_.retry_patience : Duration::zero();
       const auto kind = silent ? FailedCall::Kind::kSilent : FailedCall::Kind::kFault;
-      due.emplace_back(at + lasted + terms_.PauseAfter({kind, false, ++failures_[sidecar], lasted}, Draw()), sidecar);
+      due.emplace_back(at + lasted + terms_.PauseAfter({kind, false, ++failures_[sidecar], lasted}, Draw()),
+                       sidecar);
       std::push_heap(due.begin(), due.end(), later);
     }
   }
@@ -259,8 +270,8 @@
     Was was;
     int busiest;  // calls in the worst second from the return on
   };
-  // 75 are the least where each calls within 4 s: twice that. Those that were given up together have 1.5 s to spread
-  // over, which is 200 and what chance adds.
+  // 75 are the least where each calls within 4 s: twice that. Those that were given up together have 1.5 s to
+  // spread over, which is 200 and what chance adds.
   const Row rows[] = {{FailedCall::Kind::kFault, Was::kWatching, 150},
                       {FailedCall::Kind::kSilent, Was::kWatching, 150},
                       {FailedCall::Kind::kSilent, Was::kInStep, 225},
@@ -269,9 +280,9 @@
   for (const Row& row : rows) {
     for (const int away_ms : {100, 700, 1500, 3000, 8000, 30000, 300000}) {
       const Fleet fleet(row.way, row.was, milliseconds(away_ms));
-      const std::string text = std::to_string(static_cast<int>(row.way)) + std::to_string(static_cast<int>(row.was)) +
-                               ", away " + std::to_string(away_ms) + " ms: " +
-                               std::to_string(fleet.Busiest(milliseconds(away_ms)));
+      const std::string text =
+          std::to_string(static_cast<int>(row.way)) + std::to_string(static_cast<int>(row.was)) + ", away " +
+          std::to_string(away_ms) + " ms: " + std::to_string(fleet.Busiest(milliseconds(away_ms)));
       EXPECT_LE(fleet.Busiest(milliseconds(away_ms)), row.busiest) << text;
       // A watch that fell silent is out for all of its wait, and its patience.
       const bool watches = row.way == FailedCall::Kind::kSilent && row.was != Was::kJustStarted;
@@ -313,18 +324,20 @@
 
 // Where in a call its silence begins.
 enum class Point { kBeforeItIsRead, kBeforeTheHead, kInTheHead, kInTheBody };
-constexpr Point kPoints[] = {Point::kBeforeItIsRead, Point::kBeforeTheHead, Point::kInTheHead, Point::kInTheBody};
+constexpr Point kPoints[] = {Point::kBeforeItIsRead, Point::kBeforeTheHead, Point::kInTheHead,
+                             Point::kInTheBody};
 
 std::string Whole(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
 }
 
 std::string Indented(int revision) {
-  return json{{"rev", revision}, {"all", true}, {"targets", json::array({Target("u1", "127.0.0.1:1")})}}.dump(2);
+  return json{{"rev", revision}, {"all", true}, {"targets", json::array({Target("u1", "127.0.0.1:1")})}}.dump(
+      2);
 }
 
-// Tells its revision; a call from `silent_from` on, `silent` of them, falls silent for good. Watches it holds until
-// they are over, unless there is something newer.
+// Tells its revision; a call from `silent_from` on, `silent` of them, falls silent for good. Watches it holds
+// until they are over, unless there is something newer.
 class Source {
  public:
   struct Seen {
@@ -409,11 +422,10 @@
 class Loop {
  public:
   Loop(const NewsTerms& terms, const Endpoint& endpoint)
-      : discovery(io, endpoint, terms, 7, start_times_, log_,
-                  [this](MembershipList list) {
-                    revision = static_cast<int>(list.revision);
-                    ++lists;
-                  }) {}
+      : discovery(io, endpoint, terms, 7, start_times_, log_, [this](MembershipList list) {
+          revision = static_cast<int>(list.revision);
+          ++lists;
+        }) {}
 
   bool Until(const std::function<bool()>& condition, Duration most = seconds(20)) {
     const TimePoint end = Now() + most;
@@ -461,8 +473,8 @@
   return terms;
 }
 
-// Calls from this one on come in the rhythm of a run of failures: no sooner and no later after one another than the
-// terms say.
+// Calls from this one on come in the rhythm of a run of failures: no sooner and no later after one another
+// than the terms say.
 void ExpectRhythm(const NewsTerms& terms, const std::vector<Source::Seen>& seen, std::size_t from) {
   for (std::size_t i = from; i < seen.size(); ++i) {
     const Duration gap = seen[i].at - seen[i - 1].at;
@@ -618,8 +630,8 @@
   }
 }
 
-// It takes longer than the first call for a whole list is given, or than any is, each time; and so does its next list
-// after each silent watch.
+// It takes longer than the first call for a whole list is given, or than any is, each time; and so does its
+// next list after each silent watch.
 TEST(Loop, AgentThatIsSlowToGiveAListIsHeardInItsTime) {
   for (const int takes_ms : {200, 500, 2000}) {
     for (const int drain_ms : {100, 500}) {
@@ -644,7 +656,8 @@
   }
 }
 
-// Two calls are out: the one that was given up answers first, is listened to from then on, and the other is dropped.
+// Two calls are out: the one that was given up answers first, is listened to from then on, and the other is
+// dropped.
 TEST(Loop, AnsweredByACallThatWasGivenUpGoesOnWithIt) {
   const NewsTerms terms = NewsTerms::For(Rules(false, kDrain));
   const Duration takes = terms.list_patience + terms.retry_patience * 5 / 6;
@@ -693,7 +706,8 @@
 
 TEST(Loop, ChangesOlderThanWhatIsHeldAreNotTaken) {
   const auto changes = [](int revision) {
-    return Whole(json{{"rev", revision}, {"all", false}, {"targets", json::array({Target("u1", "", "left")})}}.dump());
+    return Whole(
+        json{{"rev", revision}, {"all", false}, {"targets", json::array({Target("u1", "", "left")})}}.dump());
   };
   Source source;
   source.Tell(5);
--- a/tests/fleet_programs_test.cpp
+++ b/tests/fleet_programs_test.cpp
@@ -1,5 +1,5 @@
-// The agent and the tool as programs, with real sidecars under them: what they do when one of them dies at any moment,
-// when two operators meet, when a configuration is bad.
+// The agent and the tool as programs, with real sidecars under them: what they do when one of them dies at
+// any moment, when two operators meet, when a configuration is bad.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -54,7 +54,8 @@
   EXPECT_TRUE(Eventually([&] { return fleet.Instance(0, 1).value("ready", false); }));
   const int pid = fleet.Pid(0, 1);
   ::kill(pid, SIGKILL);
-  EXPECT_TRUE(Eventually([&] { return fleet.Instance(0, 1).value("ready", false) && fleet.Pid(0, 1) != pid; }));
+  EXPECT_TRUE(
+      Eventually([&] { return fleet.Instance(0, 1).value("ready", false) && fleet.Pid(0, 1) != pid; }));
   const auto told = fleet.Ctl({"explain", "a0/n0"});
   EXPECT_NE(told.out.find("not started again"), std::string::npos) << told.out;
 }
@@ -99,7 +100,8 @@
   ASSERT_TRUE(fleet.AllReady("g1"));
   EXPECT_EQ(fleet.Pid(0, 0), pid);
   ::kill(pid, SIGKILL);
-  EXPECT_TRUE(Eventually([&] { return fleet.Instance(0, 0).value("ready", false) && fleet.Pid(0, 0) != pid; }));
+  EXPECT_TRUE(
+      Eventually([&] { return fleet.Instance(0, 0).value("ready", false) && fleet.Pid(0, 0) != pid; }));
   const auto restart = fleet.Ctl(With({"restart", "--why", "a test"}));
   EXPECT_EQ(restart.code, 2) << restart.out;
   EXPECT_NE(restart.out.find("disk takes nothing"), std::string::npos) << restart.out;
@@ -194,8 +196,8 @@
   EXPECT_EQ(fleet.Ctl({"status"}).code, 6);
 }
 
-// A rolling change, with the tool or agents killed at moments drawn from a seed; then somebody resumes. FLEET_RUNS sets
-// how many, FLEET_SEED the first seed.
+// A rolling change, with the tool or agents killed at moments drawn from a seed; then somebody resumes.
+// FLEET_RUNS sets how many, FLEET_SEED the first seed.
 TEST(Ctl, KilledAtAnyMomentAChangeIsCarriedToItsEnd) {
   const char* runs = std::getenv("FLEET_RUNS");
   const char* from = std::getenv("FLEET_SEED");
@@ -204,7 +206,8 @@
     std::mt19937 random(static_cast<unsigned>(seed));
     Fleet fleet({4, 2, "", "", false});
     ASSERT_TRUE(fleet.AllReady("g1"));
-    const pid_t tool = fleet.StartCtl(With({"apply", "g2", "--dir", fleet.Generation("g2"), "--why", "a test"}));
+    const pid_t tool =
+        fleet.StartCtl(With({"apply", "g2", "--dir", fleet.Generation("g2"), "--why", "a test"}));
     for (int kills = 0; kills < 3; ++kills) {
       std::this_thread::sleep_for(milliseconds(random() % 2500));
       const int agent = static_cast<int>(random() % 4);
@@ -223,7 +226,8 @@
     })) << seed;
     if (code != 0) fleet.Ctl(With({"apply", "g2", "--dir", fleet.path("g2"), "--why", "the rest"}));
     EXPECT_TRUE(fleet.AllReady("g2")) << "seed " << seed << ": " << fleet.Ctl({"status"}).out;
-    for (int a = 0; a < 4; ++a) EXPECT_FALSE(fleet.Status()["agents"]["a" + std::to_string(a)].contains("open"));
+    for (int a = 0; a < 4; ++a)
+      EXPECT_FALSE(fleet.Status()["agents"]["a" + std::to_string(a)].contains("open"));
   }
 }
 
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -78,8 +78,9 @@
   EXPECT_EQ(w.Spread(200).size(), 20u);
 }
 
-// What a hundred sidecars with a trickle each may send a cold upstream is, in sum, a flow from its first second on: a
-// budget that is a fraction of a call for each must not make all of them wait until it is a whole one.
+// What a hundred sidecars with a trickle each may send a cold upstream is, in sum, a flow from its first
+// second on: a budget that is a fraction of a call for each must not make all of them wait until it is a
+// whole one.
 TEST(SlowStartOfAFleet, ATrickleFromEachAddsUpToTheBudgetFromTheFirstSecondOn) {
   constexpr int kSidecars = 100, kUpstreams = 20, kSeconds = 4;
   const auto calls = [](World& w, Duration time) {
@@ -99,8 +100,9 @@
     w->Change(cold);
     sent += calls(*w, Duration(1s) * kSeconds);
   }
-  // Warm it would take a 21st of all; cold it can take a tenth to a quarter of that, and is owed no more. Where each
-  // waits for a whole call of its budget first, or its turn stands still meanwhile, it is sent a third of this.
+  // Warm it would take a 21st of all; cold it can take a tenth to a quarter of that, and is owed no more.
+  // Where each waits for a whole call of its budget first, or its turn stands still meanwhile, it is sent a
+  // third of this.
   const double share = kSidecars * 16.5 * kSeconds / (kUpstreams + 1);
   EXPECT_GT(sent, 0.045 * share);
   EXPECT_LT(sent, 0.45 * share);
@@ -138,7 +140,8 @@
   EXPECT_GT(fast, 1.25 * slow);
 }
 
-// Machines that are gone fill a sidecar's memory with failures to connect; those that replace them have no connection.
+// Machines that are gone fill a sidecar's memory with failures to connect; those that replace them have no
+// connection.
 TEST(SlowStartOfAFleet, FailuresToConnectElsewhereKeepNobodyFromNewUpstreams) {
   World w;
   w.List(8);
@@ -167,8 +170,8 @@
   EXPECT_GT(serve(200), 12);
 }
 
-// Two halls of six; `calls` calls 20 ms apart, those to a silent hall time out. How many went to "there", and how many
-// were refused.
+// Two halls of six; `calls` calls 20 ms apart, those to a silent hall time out. How many went to "there", and
+// how many were refused.
 struct Halls {
   Halls() {
     std::vector<UpstreamInfo> list;
--- a/tests/freeze_model.cpp
+++ b/tests/freeze_model.cpp
@@ -149,8 +149,8 @@
   std::string Told() const {
     std::string text;
     for (const auto& m : machines_) {
-      text += "; " + m->name + (m->up ? " role " + std::to_string(static_cast<int>(m->role)) : " down") + " term " +
-              std::to_string(m->file ? m->file->term : 0);
+      text += "; " + m->name + (m->up ? " role " + std::to_string(static_cast<int>(m->role)) : " down") +
+              " term " + std::to_string(m->file ? m->file->term : 0);
       if (m->file)
         text += " file " + std::to_string(m->file->life) + '.' + std::to_string(m->file->serial) +
                 (m->file->old ? " old" : "");
@@ -175,7 +175,8 @@
       if (m->up && Chance(0.0004 * trouble_)) Kill(*m);
       if (m->up && now_ >= m->stopped_until && Chance(0.0004 * trouble_)) Stop(*m);
       // The one that leads, for longer than its lease.
-      if (m->up && now_ >= m->stopped_until && m->role == Voter::Role::kCoordinator && Chance(0.002 * trouble_))
+      if (m->up && now_ >= m->stopped_until && m->role == Voter::Role::kCoordinator &&
+          Chance(0.002 * trouble_))
         Stop(*m);
       if (Chance(m->disk_full ? 0.01 : 0.0005 * trouble_)) m->disk_full = !m->disk_full;
     }
@@ -194,9 +195,9 @@
     }
   }
 
-  // What harms only together. Half of the rest hears nothing while the coordinator and the others go on; those come
-  // back with what they had before, as the coordinator falls silent. Or: it is cut off, and all others start anew at
-  // once.
+  // What harms only together. Half of the rest hears nothing while the coordinator and the others go on;
+  // those come back with what they had before, as the coordinator falls silent. Or: it is cut off, and all
+  // others start anew at once.
   void Trap() {
     Machine* leader = Leader();
     if (leader == nullptr) return;
@@ -216,7 +217,8 @@
       for (Machine* m : rest) anew(*m, false);
       return;
     }
-    const std::vector<Machine*> deaf(rest.begin(), rest.begin() + static_cast<std::ptrdiff_t>(rest.size() / 2));
+    const std::vector<Machine*> deaf(rest.begin(),
+                                     rest.begin() + static_cast<std::ptrdiff_t>(rest.size() / 2));
     rest.erase(rest.begin(), rest.begin() + static_cast<std::ptrdiff_t>(deaf.size()));
     for (Machine* m : deaf) m->group = 1;
     later_.emplace(now_ + 600 + Upto(1500), [this, leader, deaf, rest, anew] {
@@ -258,7 +260,8 @@
     if (!(old && others) && !old_copy) return;
     if (m.copies.size() < 2) return;
     ++history_.old_copies;
-    m.file = m.copies[m.copies.size() - 2 - (script_ != nullptr ? 0 : Upto(static_cast<int>(m.copies.size()) - 2))];
+    m.file = m.copies[m.copies.size() - 2 -
+                      (script_ != nullptr ? 0 : Upto(static_cast<int>(m.copies.size()) - 2))];
   }
 
   void Boot(Machine& m) {
@@ -271,7 +274,8 @@
     auto trust = Voter::TrustOf(m.file, m.seal, false);
     if (planted_ == Planted::kOldCopyTrusted) trust = Voter::Trust::kSound;
     const Duration before = planted_ == Planted::kNoQuietStart ? settings.lease * 2 : Duration(0);
-    m.desk = std::make_unique<Desk>(Voter(settings, m.file.value_or(VoterRecord()), trust, Clock(m) - before));
+    m.desk =
+        std::make_unique<Desk>(Voter(settings, m.file.value_or(VoterRecord()), trust, Clock(m) - before));
     m.book = std::make_unique<PermitBook>(m.name, m.permits);
     m.words.clear();
     m.role = m.desk->voter().role();
@@ -320,8 +324,9 @@
     const auto send = [&](std::vector<VoterMessage>& messages) {
       for (VoterMessage& message : messages) {
         Machine& to = *machines_[static_cast<std::size_t>(message.to[1] - '0')];
-        Send(m, to,
-             [this, &to, message] { Act(to, [&](Desk& desk, auto& more) { desk.Heard(message, Clock(to), more); }); });
+        Send(m, to, [this, &to, message] {
+          Act(to, [&](Desk& desk, auto& more) { desk.Heard(message, Clock(to), more); });
+        });
       }
     };
     try {
@@ -343,7 +348,8 @@
     const Voter& voter = m.desk->voter();
     if (m.role == Voter::Role::kLost && voter.role() == Voter::Role::kFollower) ++history_.joined;
     if (voter.role() != m.role && voter.role() == Voter::Role::kTaking) {
-      if (!winners_.emplace(voter.term(), m.name).second) Violation("two won term " + std::to_string(voter.term()));
+      if (!winners_.emplace(voter.term(), m.name).second)
+        Violation("two won term " + std::to_string(voter.term()));
     }
     if (voter.role() != m.role && voter.role() == Voter::Role::kCoordinator) Won(m);
     m.role = voter.role();
@@ -357,7 +363,8 @@
     ++history_.elections;
     const auto at = written_.find(m.desk->record().value);
     if ((at == written_.end() ? Stamp() : at->second) < committed_) {
-      Violation(m.name + " won term " + std::to_string(m.desk->voter().term()) + " without what was committed");
+      Violation(m.name + " won term " + std::to_string(m.desk->voter().term()) +
+                " without what was committed");
     }
   }
 
@@ -373,7 +380,8 @@
 
   bool Leads(const Machine& m) const {
     if (!m.up) return false;
-    if (planted_ == Planted::kLeaseIgnored) return m.role == Voter::Role::kCoordinator && m.desk->state() != nullptr;
+    if (planted_ == Planted::kLeaseIgnored)
+      return m.role == Voter::Role::kCoordinator && m.desk->state() != nullptr;
     return m.desk->Leads(Clock(m));
   }
 
@@ -401,7 +409,8 @@
       }
       Send(other, m, [this, &m, word, asked, life, why = other.desk->Leaderless(Clock(other))] {
         if (m.life != life) return;
-        word ? Hear(m, *word, planted_ == Planted::kCountedFromHearing ? Clock(m) : asked) : m.book->Leaderless(why);
+        word ? Hear(m, *word, planted_ == Planted::kCountedFromHearing ? Clock(m) : asked)
+             : m.book->Leaderless(why);
       });
     });
   }
@@ -501,7 +510,8 @@
           Clock(leader),
           [&](Ledger& ledger) {
             std::string why;
-            freeze.id = ledger.incidents.Open(freeze.scope, "a test", "ann", Duration(20'000), Clock(leader), why);
+            freeze.id =
+                ledger.incidents.Open(freeze.scope, "a test", "ann", Duration(20'000), Clock(leader), why);
             return why;
           },
           out);
@@ -528,7 +538,8 @@
     Act(leader, [&](Desk& desk, auto& out) {
       desk.Change(
           Clock(leader),
-          [&](Ledger& ledger) { return ledger.incidents.Close(freeze.id, Clock(leader)), std::string(); }, out);
+          [&](Ledger& ledger) { return ledger.incidents.Close(freeze.id, Clock(leader)), std::string(); },
+          out);
     });
   }
 
@@ -546,7 +557,8 @@
       if (Chance(0.02)) {
         Act(*leader, [&](Desk& desk, auto& out) {
           desk.Change(
-              Clock(*leader), [&](Ledger& l) { return l.Done(change.name, Clock(*leader)), std::string(); }, out);
+              Clock(*leader), [&](Ledger& l) { return l.Done(change.name, Clock(*leader)), std::string(); },
+              out);
         });
         continue;
       }
@@ -622,7 +634,8 @@
       Ask(*leader, last);
       const bool all = std::all_of(machines_.begin(), machines_.end(), [&](const auto& m) {
         return m->up &&
-               m->book->May("last", ChangeKind::kRestart, 0, Clock(*m)).verdict == PermitBook::Verdict::kAllowed &&
+               m->book->May("last", ChangeKind::kRestart, 0, Clock(*m)).verdict ==
+                   PermitBook::Verdict::kAllowed &&
                m->permits.untold.empty() && m->role != Voter::Role::kLost;
       });
       if (all) stage_ = 2;
@@ -635,8 +648,8 @@
       Look(freezes_.back());
       stage_ = 3;
       if (freezes_.back().closing || (freezes_.back().acked < 0 && now_ > since_ + 2000)) stage_ = 2;
-      through_ =
-          freezes_.back().acked >= 0 && !freezes_.back().closing && now_ > freezes_.back().acked + kPermitBound + 200;
+      through_ = freezes_.back().acked >= 0 && !freezes_.back().closing &&
+                 now_ > freezes_.back().acked + kPermitBound + 200;
     }
   }
 
@@ -694,12 +707,13 @@
   void CheckFreeze(const Machine& m, const Change& change, ChangeKind kind, const Freeze& freeze) {
     if (freeze.acked < 0 || freeze.closing) return;
     const Effect effect = EffectOf(kind, RelationOf(change.footprint, freeze.scope), IncidentKind::kOperator);
-    if (effect == Effect::kAllowed || (effect == Effect::kRemedy && change.remedies.contains(freeze.id))) return;
+    if (effect == Effect::kAllowed || (effect == Effect::kRemedy && change.remedies.contains(freeze.id)))
+      return;
     const auto limit = freeze.limit.find({change.name, kind});
     const std::int64_t last = limit == freeze.limit.end() ? -1 : limit->second;
     if (InForce(m, change, kind, static_cast<std::uint32_t>(last + 1))) {
-      Violation(change.name + " begins batch " + std::to_string(last + 1) + " at " + m.name + " in incident " +
-                std::to_string(freeze.id));
+      Violation(change.name + " begins batch " + std::to_string(last + 1) + " at " + m.name +
+                " in incident " + std::to_string(freeze.id));
     }
     if (effect == Effect::kBlocked && now_ > freeze.acked + kPermitBound) {
       Violation(change.name + " goes on at " + m.name + " in incident " + std::to_string(freeze.id));
@@ -731,7 +745,9 @@
 
 }  // namespace
 
-History Play(std::uint64_t seed, int voters, Planted planted) { return World(seed, voters, planted, nullptr).Run(); }
+History Play(std::uint64_t seed, int voters, Planted planted) {
+  return World(seed, voters, planted, nullptr).Run();
+}
 History Play(std::uint64_t seed, int voters, const Script& script) {
   return World(seed, voters, Planted::kNothing, &script).Run();
 }
--- a/tests/freeze_model.h
+++ b/tests/freeze_model.h
@@ -1,6 +1,7 @@
-// Three or five machines in one thread and in made-up time, each with a voter, a desk and an agent's permits of the
-// program's own, a disk and a clock of the model, and messages between them; operators who open and close incidents,
-// and tools that want permits. All of these fail, at moments drawn from one seed or at one that a script names.
+// Three or five machines in one thread and in made-up time, each with a voter, a desk and an agent's permits
+// of the program's own, a disk and a clock of the model, and messages between them; operators who open and
+// close incidents, and tools that want permits. All of these fail, at moments drawn from one seed or at one
+// that a script names.
 #pragma once
 
 #include <cstdint>
--- a/tests/freeze_test.cpp
+++ b/tests/freeze_test.cpp
@@ -1,5 +1,5 @@
-// The change-freeze coordinator: the tables of docs/design/freeze.md row by row, its parts on their own, and all of
-// them in histories, at every crash point, and with faults planted.
+// The change-freeze coordinator: the tables of docs/design/freeze.md row by row, its parts on their own, and
+// all of them in histories, at every crash point, and with faults planted.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -18,7 +18,8 @@
 
 TimePoint At(int ms) { return TimePoint(Duration(ms)); }
 
-// Every row of the table is played, and everything that can be played has its row. `keys`: the columns that name a row.
+// Every row of the table is played, and everything that can be played has its row. `keys`: the columns that
+// name a row.
 class Conformance {
  public:
   Conformance(const std::string& heading, std::vector<std::string> keys) : keys_(std::move(keys)) {
@@ -60,8 +61,9 @@
     for (int where = 0; where < 4; ++where) {
       Row row{{"change", kChangeKinds[change]}, {"where", kRelations[where]}};
       for (int incident = 0; incident < 4; ++incident) {
-        row[kIncidentKinds[incident]] = kEffects[static_cast<int>(EffectOf(
-            static_cast<ChangeKind>(change), static_cast<Relation>(where), static_cast<IncidentKind>(incident)))];
+        row[kIncidentKinds[incident]] =
+            kEffects[static_cast<int>(EffectOf(static_cast<ChangeKind>(change), static_cast<Relation>(where),
+                                               static_cast<IncidentKind>(incident)))];
       }
       table.Play(row);
     }
@@ -101,7 +103,9 @@
                                                       : Kind::kHeld,
                           asked.term);
     m.granted = true;
-    m.stamp = asked.kind == Kind::kPre ? Stamp{asked.term, 0} : asked.kind == Kind::kAsk ? Stamp{4, 2} : asked.stamp;
+    m.stamp = asked.kind == Kind::kPre   ? Stamp{asked.term, 0}
+              : asked.kind == Kind::kAsk ? Stamp{4, 2}
+                                         : asked.stamp;
     m.value = "of b";
     m.wanted = asked.wanted;
     out.clear();
@@ -119,7 +123,8 @@
   record.voted = "c";
   record.stamp = {4, 1};
   record.value = "of a";
-  Bench bench{Voter(settings, record, role == Role::kLost ? Voter::Trust::kOld : Voter::Trust::kSound, At(0))};
+  Bench bench{
+      Voter(settings, record, role == Role::kLost ? Voter::Trust::kOld : Voter::Trust::kSound, At(0))};
   if (role != Role::kFollower) bench.Turn();
   for (int step = 3; role >= Role::kCandidate && step <= static_cast<int>(role); ++step) bench.Grant("b");
   EXPECT_EQ(kRoles[static_cast<int>(bench.voter.role())], std::string(kRoles[static_cast<int>(role)]));
@@ -254,13 +259,20 @@
 // ---- Permits ----
 
 Word WordOf(Term term, std::uint64_t version, Word::State state) {
-  return {term, version, "c1", ChangeKind::kRestart, state, 2, state == Word::State::kRunning ? "" : "incident 1"};
+  return {term,
+          version,
+          "c1",
+          ChangeKind::kRestart,
+          state,
+          2,
+          state == Word::State::kRunning ? "" : "incident 1"};
 }
 
 TEST(FreezeTables, RulesOfPermits) {
   using State = Word::State;
   Conformance table("Rules of permits", {"heard", "wanted"});
-  constexpr const char* kVerdicts[] = {"allowed", "by break-glass", "no permit", "paused", "blocked", "lapsed"};
+  constexpr const char* kVerdicts[] = {"allowed", "by break-glass", "no permit",
+                                       "paused",  "blocked",        "lapsed"};
   const std::vector<std::pair<std::string, std::function<void(PermitBook&)>>> heard = {
       {"nothing", [](PermitBook&) {}},
       {"no permit", [](PermitBook& b) { b.Heard(WordOf(5, 1, State::kNone), At(9000)); }},
@@ -312,16 +324,18 @@
          EXPECT_NE(b.BreakGlass("c1", "ann", true, "it burns", At(9000)), "");
        }},
   };
-  const std::vector<std::tuple<std::string, ChangeKind, int>> wanted = {{"the lease", ChangeKind::kRestart, 0},
-                                                                        {"a step of batch 2", ChangeKind::kRestart, 2},
-                                                                        {"a step of batch 3", ChangeKind::kRestart, 3},
-                                                                        {"its undo", ChangeKind::kUndo, 0}};
+  const std::vector<std::tuple<std::string, ChangeKind, int>> wanted = {
+      {"the lease", ChangeKind::kRestart, 0},
+      {"a step of batch 2", ChangeKind::kRestart, 2},
+      {"a step of batch 3", ChangeKind::kRestart, 3},
+      {"its undo", ChangeKind::kUndo, 0}};
   for (const auto& [name, hear] : heard) {
     PermitBook book("a", {});
     hear(book);
     for (const auto& [want, kind, batch] : wanted) {
       const auto answer = book.May("c1", kind, static_cast<std::uint32_t>(batch), At(10'000));
-      table.Play({{"heard", name}, {"wanted", want}, {"answer", kVerdicts[static_cast<int>(answer.verdict)]}});
+      table.Play(
+          {{"heard", name}, {"wanted", want}, {"answer", kVerdicts[static_cast<int>(answer.verdict)]}});
       EXPECT_EQ(answer.allowed(), answer.why.empty());
     }
   }
@@ -345,18 +359,23 @@
 TEST(FreezeTables, RulesOfIncidents) {
   Conformance table("Rules of incidents", {"state", "event"});
   const Scope hall{Scope::Kind::kHall, {"bole"}};
-  const auto share = [&](double level) { return Evidence{IncidentKind::kRefusals, hall, level, kRefusalsFor}; };
-  using Events = std::vector<std::pair<std::string, std::function<void(Incidents&, std::uint64_t, TimePoint)>>>;
+  const auto share = [&](double level) {
+    return Evidence{IncidentKind::kRefusals, hall, level, kRefusalsFor};
+  };
+  using Events =
+      std::vector<std::pair<std::string, std::function<void(Incidents&, std::uint64_t, TimePoint)>>>;
   std::string why;
   const Events events = {
-      {"its evidence is bad", [&](Incidents& i, std::uint64_t, TimePoint now) { i.Hear(share(0.3), now, why); }},
+      {"its evidence is bad",
+       [&](Incidents& i, std::uint64_t, TimePoint now) { i.Hear(share(0.3), now, why); }},
       {"between", [&](Incidents& i, std::uint64_t, TimePoint now) { i.Hear(share(0.1), now, why); }},
       {"calm", [&](Incidents& i, std::uint64_t, TimePoint now) { i.Hear(share(0.01), now, why); }},
       {"calm for 30 s",
        [&](Incidents& i, std::uint64_t, TimePoint now) {
          for (int s = 0; s <= 30; ++s) i.Hear(share(0.01), now + Duration(s * 1000), why);
        }},
-      {"nobody speaks of it", [](Incidents& i, std::uint64_t, TimePoint now) { i.Turn(now + Duration(31'000)); }},
+      {"nobody speaks of it",
+       [](Incidents& i, std::uint64_t, TimePoint now) { i.Turn(now + Duration(31'000)); }},
       {"renewed by hand", [](Incidents& i, std::uint64_t id, TimePoint now) { i.Renew(id, "bob", now); }},
       {"closed by hand", [](Incidents& i, std::uint64_t id, TimePoint now) { i.Close(id, now); }},
       {"another coordinator",
@@ -397,7 +416,9 @@
 }
 
 TEST(FreezeIncidents, SignsOfEvidence) {
-  const auto sign = [](IncidentKind kind, double level, int ms) { return SignOf({kind, {}, level, Duration(ms)}); };
+  const auto sign = [](IncidentKind kind, double level, int ms) {
+    return SignOf({kind, {}, level, Duration(ms)});
+  };
   EXPECT_EQ(sign(IncidentKind::kRefusals, 0.20, 2999), Sign::kBetween);
   EXPECT_EQ(sign(IncidentKind::kRefusals, 0.20, 3000), Sign::kBad);
   EXPECT_EQ(sign(IncidentKind::kRefusals, 0.05, 0), Sign::kCalm);
@@ -412,11 +433,13 @@
   Incidents incidents;
   std::string why;
   for (std::size_t i = 0; i < kMostIncidents; ++i) {
-    EXPECT_GT(incidents.Open({Scope::Kind::kHall, {std::to_string(i)}}, "x", "ann", Duration(1), At(0), why), 0u);
+    EXPECT_GT(incidents.Open({Scope::Kind::kHall, {std::to_string(i)}}, "x", "ann", Duration(1), At(0), why),
+              0u);
   }
   EXPECT_EQ(incidents.Open({}, "x", "ann", Duration(1), At(0), why), 0u);
   EXPECT_EQ(why.substr(0, 32), "there are 32 incidents already; ");
-  EXPECT_EQ(incidents.Open({Scope::Kind::kHall, {"3"}}, "x", "bob", Duration(1), At(0), why), 4u) << "renewed";
+  EXPECT_EQ(incidents.Open({Scope::Kind::kHall, {"3"}}, "x", "bob", Duration(1), At(0), why), 4u)
+      << "renewed";
 }
 
 // ---- The ledger ----
@@ -463,12 +486,15 @@
   EXPECT_EQ(judge(ChangeKind::kUndo, "bole", {bole}), Effect::kAllowed);
   EXPECT_EQ(judge(ChangeKind::kNewGeneration, "bole", {bole}), Effect::kBlocked);
   EXPECT_EQ(judge(ChangeKind::kNewGeneration, "kality", {}), Effect::kAllowed);
-  EXPECT_EQ(judge(ChangeKind::kNewGeneration, "kality", {bole}), Effect::kBlocked) << "no remedy, and says it is one";
+  EXPECT_EQ(judge(ChangeKind::kNewGeneration, "kality", {bole}), Effect::kBlocked)
+      << "no remedy, and says it is one";
   // Another incident, whose scope crosses the first one's: both have their say.
-  const auto g2 =
-      ledger.incidents.Open({Scope::Kind::kGeneration, {"g2"}}, "it loops", "ann", Duration(60'000), At(0), why);
-  EXPECT_EQ(judge(ChangeKind::kRestart, "bole", {bole}), Effect::kPaused) << "of which generation, nobody knows";
-  EXPECT_EQ(ledger.Judge(ChangeKind::kRestart, {{"bole"}, {}, {"g2"}, {}}, {bole, g2}).effect, Effect::kAllowed);
+  const auto g2 = ledger.incidents.Open({Scope::Kind::kGeneration, {"g2"}}, "it loops", "ann",
+                                        Duration(60'000), At(0), why);
+  EXPECT_EQ(judge(ChangeKind::kRestart, "bole", {bole}), Effect::kPaused)
+      << "of which generation, nobody knows";
+  EXPECT_EQ(ledger.Judge(ChangeKind::kRestart, {{"bole"}, {}, {"g2"}, {}}, {bole, g2}).effect,
+            Effect::kAllowed);
   EXPECT_EQ(ledger.Judge(ChangeKind::kRestart, {{"bole"}, {}, {"g1"}, {}}, {bole}).effect, Effect::kAllowed);
 }
 
@@ -496,7 +522,8 @@
   ASSERT_TRUE(read);
   EXPECT_TRUE(read->Alike(ledger));
   EXPECT_EQ(read->Pack(At(99'000)), bytes);
-  for (std::size_t size = 1; size < bytes.size(); ++size) EXPECT_FALSE(Ledger::Unpack(bytes.substr(0, size), At(0)));
+  for (std::size_t size = 1; size < bytes.size(); ++size)
+    EXPECT_FALSE(Ledger::Unpack(bytes.substr(0, size), At(0)));
   EXPECT_FALSE(Ledger::Unpack(bytes + '0', At(0)));
 }
 
@@ -517,8 +544,8 @@
   return set == nullptr ? otherwise : std::strtoull(set, nullptr, 10);
 }
 
-// Under the sanitizers fewer, to stay within a minute beside the other tests; HISTORIES=1000 and CRASH_STRIDE=1 there
-// play them all.
+// Under the sanitizers fewer, to stay within a minute beside the other tests; HISTORIES=1000 and
+// CRASH_STRIDE=1 there play them all.
 #ifdef __SANITIZE_ADDRESS__
 constexpr std::uint64_t kHistories = 100;
 constexpr std::uint64_t kCrashStride = 10;
@@ -561,9 +588,9 @@
   std::cout << count << " histories" << std::endl;
 }
 
-// Every place of a calm run where a machine may die: before a write, in the middle of it, between it and its seal,
-// before it is told; and around each write of an agent's. It comes back as it was, or with the copy of two writes
-// before.
+// Every place of a calm run where a machine may die: before a write, in the middle of it, between it and its
+// seal, before it is told; and around each write of an agent's. It comes back as it was, or with the copy of
+// two writes before.
 TEST(FreezeCrashPoints, NoneBreaksARule) {
   const int stride = static_cast<int>(std::max<std::uint64_t>(1, FromEnv("CRASH_STRIDE", kCrashStride)));
   for (const int voters : {3, 5}) {
@@ -605,7 +632,8 @@
   std::cout << "seed " << seed << ": " << found.substr(0, 70) << std::endl;
 }
 
-INSTANTIATE_TEST_SUITE_P(Faults, FreezePlanted, ::testing::Range(1, static_cast<int>(testing::Planted::kLast)));
+INSTANTIATE_TEST_SUITE_P(Faults, FreezePlanted,
+                         ::testing::Range(1, static_cast<int>(testing::Planted::kLast)));
 
 }  // namespace
 }  // namespace mothrack::freeze
--- a/tests/hall_test.cpp
+++ b/tests/hall_test.cpp
@@ -1,5 +1,5 @@
-// The hall itself: what it starts runs, and what it judges by finds what is planted. Without peers, so that this stands
-// for a fleet that has none as well.
+// The hall itself: what it starts runs, and what it judges by finds what is planted. Without peers, so that
+// this stands for a fleet that has none as well.
 #include "standins/hall.h"
 
 #include <signal.h>
@@ -74,13 +74,15 @@
   Hall hall(Alone());
   hall.BeginTraffic();
   std::this_thread::sleep_for(milliseconds(500));
-  // Discovery is not heard any more: what it says of an upstream reaches nobody, who therefore sends on there.
+  // Discovery is not heard any more: what it says of an upstream reaches nobody, who therefore sends on
+  // there.
   hall.box().Cut("discovery", "sidecars");
   hall.TellState("adama-hall-u0", "leaving");
   // Cold, by an upstream that can do next to nothing.
   hall.Boot("kality-hall-u0", 0.01);
   std::this_thread::sleep_for(milliseconds(2000));
-  // Killed behind the hall's back: what was under way there is lost. Its client sends again once its stop is over.
+  // Killed behind the hall's back: what was under way there is lost. Its client sends again once its stop is
+  // over.
   hall.Signal("s1", SIGSTOP);
   std::this_thread::sleep_for(milliseconds(200));
   hall.Signal("s1", SIGKILL);
--- a/tests/link_box_test.cpp
+++ b/tests/link_box_test.cpp
@@ -1,4 +1,5 @@
-// Each fault of the link box, by plain sockets: what a test over real processes concludes from it rests on these.
+// Each fault of the link box, by plain sockets: what a test over real processes concludes from it rests on
+// these.
 #include "standins/link_box.h"
 
 #include <netinet/in.h>
@@ -70,8 +71,9 @@
   }
   void Send(std::uint16_t port, const std::string& bytes) const {
     const sockaddr_in to = Loopback(port);
-    EXPECT_EQ(::sendto(fd(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to),
-              static_cast<ssize_t>(bytes.size()));
+    EXPECT_EQ(
+        ::sendto(fd(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to),
+        static_cast<ssize_t>(bytes.size()));
   }
   std::optional<std::string> Receive(milliseconds patience = kPatience) {
     if (!Ready(patience)) return std::nullopt;
@@ -110,7 +112,8 @@
 }
 
 void Write(const Socket& socket, const std::string& bytes) {
-  EXPECT_EQ(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL), static_cast<ssize_t>(bytes.size()));
+  EXPECT_EQ(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
+            static_cast<ssize_t>(bytes.size()));
 }
 
 enum class Heard { kBytes, kSilence, kEnd, kReset };
@@ -143,7 +146,8 @@
     t.a.Send(t.at("b"), std::to_string(i));
     if (i % 50 == 49) std::this_thread::sleep_for(milliseconds(1));
   }
-  while (t.box.counts("a", "b").came < static_cast<std::uint64_t>(count)) std::this_thread::sleep_for(milliseconds(1));
+  while (t.box.counts("a", "b").came < static_cast<std::uint64_t>(count))
+    std::this_thread::sleep_for(milliseconds(1));
   while (const auto got = t.b.Receive(kSilence)) come.push_back(std::stoi(*got));
   return come;
 }
@@ -202,7 +206,8 @@
   t.box.Change("a", "*", [](auto& faults) { faults.loss = 0.5; });
   std::string to_b;
   std::string to_c;
-  for (int i = 0; i < 100; ++i) t.a.Send(t.at("b"), std::to_string(i)), t.a.Send(t.at("c"), std::to_string(i));
+  for (int i = 0; i < 100; ++i)
+    t.a.Send(t.at("b"), std::to_string(i)), t.a.Send(t.at("c"), std::to_string(i));
   while (const auto got = t.b.Receive(kSilence)) to_b += *got + ' ';
   while (const auto got = t.c.Receive(kSilence)) to_c += *got + ' ';
   EXPECT_FALSE(to_b.empty());
@@ -211,7 +216,8 @@
 
 TEST(LinkBoxUdp, DelaysByAtLeastSoMuchAndJitterKeepsTheOrder) {
   Three t;
-  t.box.Change("a", "b", [](auto& faults) { faults.delay = milliseconds(100), faults.jitter = milliseconds(60); });
+  t.box.Change("a", "b",
+               [](auto& faults) { faults.delay = milliseconds(100), faults.jitter = milliseconds(60); });
   const auto sent = Clock::now();
   for (int i = 0; i < 50; ++i) t.a.Send(t.at("b"), std::to_string(i));
   for (int i = 0; i < 50; ++i) {
@@ -248,7 +254,8 @@
   EXPECT_EQ(come.size(), 1000 + t.box.counts("a", "b").repeated);
   EXPECT_TRUE(std::ranges::is_sorted(come));
 
-  t.box.Change("a", "b", [](auto& faults) { faults = {}, faults.reorder = 0.1, faults.held_back = milliseconds(30); });
+  t.box.Change("a", "b",
+               [](auto& faults) { faults = {}, faults.reorder = 0.1, faults.held_back = milliseconds(30); });
   come = WhatComes(t, 1000);
   ASSERT_EQ(come.size(), 1000U) << "reordering loses nothing";
   EXPECT_NEAR(static_cast<double>(t.box.counts("a", "b").reordered), 100, 48);
--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -1,6 +1,8 @@
-// The listener alone on a loopback socket, between scripted clients and a scripted answerer. Time stands still
-// unless a test moves it on, and the system's calls on the listener's sockets are the test's own and pass on to
-// the real ones: a client can act between any two of them.
+// The listener alone on a loopback socket, between scripted clients and a scripted answerer. Time stands
+// still unless a test moves it on, and the system's calls on the listener's sockets are the test's own and
+// pass on to the real ones: a client can act between any two of them.
+#include "http/listener.h"
+
 #include <dlfcn.h>
 #include <poll.h>
 #include <sys/epoll.h>
@@ -22,7 +24,6 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "http/listener.h"
 
 namespace {
 
@@ -167,7 +168,8 @@
       coming.stream->on_bytes = take;
     }
     if (answers && !coming) Answer(taken);
-    return {[&taken] { taken.gone = true; }, [this, &taken] {
+    return {[&taken] { taken.gone = true; },
+            [this, &taken] {
               taken.whole = true;
               if (answers) Answer(taken);
             }};
@@ -293,7 +295,8 @@
   }
   // Nothing more comes, by a clean end: not by a reset, which could take an answer's last bytes along.
   bool Ends(Client& client) {
-    return Until([&] { return Receive(client), client.end.failed(); }) && client.end == boost::asio::error::eof;
+    return Until([&] { return Receive(client), client.end.failed(); }) &&
+           client.end == boost::asio::error::eof;
   }
   bool AllClosed() {
     return Until([&] { return descriptors->used() == 0; });
@@ -318,8 +321,8 @@
 struct Kind {
   const char* name;
   std::string bytes;
-  std::string body;   // as it is to be handed on
-  std::size_t step;   // from one cut to the next, behind the head's first 200 bytes
+  std::string body;  // as it is to be handed on
+  std::size_t step;  // from one cut to the next, behind the head's first 200 bytes
 };
 
 std::vector<Kind> Kinds() {
@@ -421,7 +424,7 @@
 }
 
 TEST_P(Ending, WhatCrossesTheEndIsNotReadAndMeetsNoReset) {
-  for (Hook System::* const moment : {&System::before_end, &System::after_end}) {
+  for (Hook System::*const moment : {&System::before_end, &System::after_end}) {
     SCOPED_TRACE(moment == &System::before_end ? "before the end" : "after it");
     Client& client = Served();
     bool crossed = false;
--- a/tests/module_test.cpp
+++ b/tests/module_test.cpp
@@ -215,8 +215,8 @@
   EXPECT_TRUE(w.Logged("returned a after its ejection"));
 }
 
-// Told the same, all refused clients would come back together. The operators' site allows 2 s, a deployment of ours
-// 200 ms.
+// Told the same, all refused clients would come back together. The operators' site allows 2 s, a deployment
+// of ours 200 ms.
 TEST(AllEjected, SpreadsWhenClientsComeBackWithinWhatTheSettingsAllow) {
   for (const auto longest : {20ms, 200ms, 1500ms, 2000ms, 20000ms}) {
     Settings settings = DefaultSettings();
@@ -418,8 +418,9 @@
 // Unsafe calls, one each `gap`, whose attempts end `time` after they were sent, as `outcome` says.
 struct Load {
   // How many of them were taken.
-  std::size_t Run(int calls, Duration gap, Duration time,
-                  const std::function<Outcome(const Sent&)>& outcome = [](const Sent&) { return Outcome::kServed; }) {
+  std::size_t Run(
+      int calls, Duration gap, Duration time,
+      const std::function<Outcome(const Sent&)>& outcome = [](const Sent&) { return Outcome::kServed; }) {
     std::size_t taken = 0;
     for (int i = 0; i < calls; ++i) {
       const std::size_t before = w.sent.size();
@@ -454,8 +455,8 @@
   EXPECT_TRUE(w.Logged("taking calls again"));
 }
 
-// After a jam the warm upstreams are trusted with next to nothing, so the few calls that are let in go to cold ones, of
-// which lateness would not count: their being in time has to.
+// After a jam the warm upstreams are trusted with next to nothing, so the few calls that are let in go to
+// cold ones, of which lateness would not count: their being in time has to.
 TEST(Overload, EndsWhereWhatIsLetInGoesToColdUpstreams) {
   Settings s = DefaultSettings();
   s.rules = {.cold_from = 0.5, .cold_time = 1000s, .fall_multiple = 30};
@@ -490,7 +491,8 @@
   ASSERT_LT(run(100), 50u) << "most are refused";
   const auto cold = std::count_if(w.sent.begin() + static_cast<std::ptrdiff_t>(first), w.sent.end(),
                                   [](const Sent& sent) { return sent.upstream >= "x"; });
-  EXPECT_GT(2 * cold, static_cast<std::ptrdiff_t>(w.sent.size() - first)) << "the warm ones are still avoided";
+  EXPECT_GT(2 * cold, static_cast<std::ptrdiff_t>(w.sent.size() - first))
+      << "the warm ones are still avoided";
   run(40);
   EXPECT_EQ(run(40), 40u) << "7 s after the jam";
 }
@@ -515,7 +517,8 @@
   };
   EXPECT_EQ(timeout(std::nullopt), std::pair(Duration(400ms), false));
   EXPECT_EQ(timeout(100ms), std::pair(Duration(600ms), true));
-  EXPECT_EQ(timeout(10s), std::pair(Duration(2s), true)) << "no call is worth waiting for beyond its deadline";
+  EXPECT_EQ(timeout(10s), std::pair(Duration(2s), true))
+      << "no call is worth waiting for beyond its deadline";
 }
 
 TEST(Discovery, ASubscriptionIsAskedForAndAskedAgainAfterAFailure) {
--- a/tests/news_process_test.cpp
+++ b/tests/news_process_test.cpp
@@ -1,5 +1,5 @@
-// The real program where discovery is away, slow or changed: it starts, takes a new configuration and finds discovery
-// again whatever its clients hold.
+// The real program where discovery is away, slow or changed: it starts, takes a new configuration and finds
+// discovery again whatever its clients hold.
 #include <sys/resource.h>
 #include <unistd.h>
 
@@ -72,8 +72,8 @@
 
 // ---- Descriptors ----
 
-// Clients that send nothing more, and upstreams that never answer, hold all that they may while discovery is down. The
-// system itself gives the program no more than the deployment says.
+// Clients that send nothing more, and upstreams that never answer, hold all that they may while discovery is
+// down. The system itself gives the program no more than the deployment says.
 TEST(Descriptors, DiscoveryIsFoundAgainWhileClientsHoldAllOfThem) {
   constexpr int kLimit = 64;
   Upstream hanging([](Wire& wire, const Request&, int) { wire.ReadsEnd(); });
@@ -152,7 +152,8 @@
   EXPECT_EQ(first.calls() + second.calls(), calls) << "one address is followed";
 }
 
-// A request is under way, so the program stays: neither a good file nor a broken one ends it early or loses the answer.
+// A request is under way, so the program stays: neither a good file nor a broken one ends it early or loses
+// the answer.
 TEST(Reload, AfterThePlannedStopBeganLosesNothing) {
   std::promise<void> asked;
   std::promise<void> go;
@@ -194,7 +195,8 @@
   const std::size_t lines = Count(node.log(), "\n");
   node.Reload(config.dump());
   ASSERT_TRUE(Eventually([&] { return Count(node.log(), "\n") > lines; }));
-  EXPECT_NE(node.log().find("configuration not taken: LB_CONFIG: limits.sockets"), std::string::npos) << node.log();
+  EXPECT_NE(node.log().find("configuration not taken: LB_CONFIG: limits.sockets"), std::string::npos)
+      << node.log();
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
   discovery.Tell(List({Target("u2", b.address())}));
   discovery.Set(Discovery::Mood::kAnswers);
@@ -204,8 +206,8 @@
 
 // ---- Told to end while it starts ----
 
-// It listens, and stops at the line that says so, since nobody reads its log; there a client connects, and the signal
-// comes. What the system has accepted is served all the same, and the planned stop follows.
+// It listens, and stops at the line that says so, since nobody reads its log; there a client connects, and
+// the signal comes. What the system has accepted is served all the same, and the planned stop follows.
 TEST(Start, ThatASignalCrossesServesThoseWhoWaitAndThenEnds) {
   Upstream a(Upstream::Echo("a"));
   for (const int signal : {SIGTERM, SIGINT}) {
@@ -247,9 +249,11 @@
     wire.ReadsEnd();
   });
   Upstream turning([](Wire& wire, const Request&, int) { wire.Answer(503, "overbooked"); });
-  const auto directory = std::filesystem::temp_directory_path() / ("mothrack-ready-" + std::to_string(::getpid()));
+  const auto directory =
+      std::filesystem::temp_directory_path() / ("mothrack-ready-" + std::to_string(::getpid()));
   std::filesystem::create_directory(directory);
-  for (const std::string& discovery : {hole.address(), refusing.address(), dripping.address(), turning.address()}) {
+  for (const std::string& discovery :
+       {hole.address(), refusing.address(), dripping.address(), turning.address()}) {
     for (const bool on_request : {false, true}) {
       for (const json& known : {json(nullptr), List({Target("u1", hole.address())})}) {
         Node::Options options = With(discovery, known, on_request);
@@ -263,7 +267,8 @@
           const auto response = client.Read();
           ASSERT_TRUE(response);
           EXPECT_EQ(response->result_int(), 200U) << discovery;
-          EXPECT_LE(steady_clock::now() - begun, seconds(5)) << discovery;  // of the 10 s that a start may take
+          EXPECT_LE(steady_clock::now() - begun, seconds(5))
+              << discovery;                                             // of the 10 s that a start may take
           options.listen = "127.0.0.1:" + std::to_string(node.port());  // the same again, killed meanwhile
         }
       }
--- a/tests/node_test.cpp
+++ b/tests/node_test.cpp
@@ -192,7 +192,7 @@
 }
 
 TEST(Outcome, AnswerBeyondTheBoundIsNoAnswer) {
-  Upstream upstream([](Wire& wire, const Request&, int) { 
+  Upstream upstream([](Wire& wire, const Request&, int) {
     wire.Write("HTTP/1.1 200 OK\r\nContent-Length: 70000000\r\n\r\nhalf");
   });
   EXPECT_EQ(UnsafeStatus(upstream.address(), 5000), 502U);
@@ -782,16 +782,20 @@
   EXPECT_EQ(agent.requests().front().target(), "/discovery/hosts");
 }
 
-// A service that all sidecars ask: one that has started anew holds a list, and a call that failed leaves it standing.
+// A service that all sidecars ask: one that has started anew holds a list, and a call that failed leaves it
+// standing.
 TEST(Membership, OneServiceForAllIsAskedForWhatChangedAlsoAfterAFailure) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   const std::string changes =
-      json{{"rev", 5}, {"all", false}, {"targets", List({Target("u1", a.address(), "left"), Target("u2", b.address())})}}
+      json{{"rev", 5},
+           {"all", false},
+           {"targets", List({Target("u1", a.address(), "left"), Target("u2", b.address())})}}
           .dump();
   Upstream service([&](Wire& wire, const Request&, int number) {
     if (number == 0) return static_cast<void>(wire.Answer(503, "overbooked"));
-    if (number == 1) return static_cast<void>(wire.Answer(200, R"({"rev":9,"all":true,"targets":[{"uid":7}]})"));
+    if (number == 1)
+      return static_cast<void>(wire.Answer(200, R"({"rev":9,"all":true,"targets":[{"uid":7}]})"));
     if (number == 2) return static_cast<void>(wire.Answer(200, changes));
     wire.Answer(200, R"({"rev":5,"all":false,"targets":[]})");
   });
@@ -805,7 +809,8 @@
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   ASSERT_TRUE(Eventually([&] { return service.requests().size() >= 4; }));
   const auto asked = service.requests();
-  for (int i = 0; i < 3; ++i) EXPECT_NE(std::string(asked[i].target()).find("?index=0&"), std::string::npos) << i;
+  for (int i = 0; i < 3; ++i)
+    EXPECT_NE(std::string(asked[i].target()).find("?index=0&"), std::string::npos) << i;
   EXPECT_NE(std::string(asked[3].target()).find("?index=5&"), std::string::npos);
 }
 
--- a/tests/peers_core_test.cpp
+++ b/tests/peers_core_test.cpp
@@ -1,6 +1,5 @@
-// The peers' core: its rules row by row from the design page, directed nights, and histories drawn from seeds.
-#include "peers/core.h"
-
+// The peers' core: its rules row by row from the design page, directed nights, and histories drawn from
+// seeds.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -9,6 +8,7 @@
 #include <set>
 #include <sstream>
 
+#include "peers/core.h"
 #include "tests/peers_net.h"
 #include "tests/tables.h"
 
@@ -77,7 +77,8 @@
     bool told = false;
     for (const Datagram& sent : Run(300)) {
       for (const auto& news : sent.message.news) told = told || (key.empty() && news.life.name == name);
-      for (const auto& value : sent.message.values) told = told || (value.owner.name == name && value.key == key);
+      for (const auto& value : sent.message.values)
+        told = told || (value.owner.name == name && value.key == key);
     }
     return told;
   }
@@ -93,10 +94,11 @@
   return terms;
 }
 
-// Every combination of `columns`' words must have exactly one row. A cell names words by commas, "any", or "-" where
-// the column does not matter; `play` gets the combination and its row.
+// Every combination of `columns`' words must have exactly one row. A cell names words by commas, "any", or
+// "-" where the column does not matter; `play` gets the combination and its row.
 void PlayAll(const std::string& heading, const std::vector<std::pair<std::string, Texts>>& columns,
-             const std::function<bool(const Row&)>& there, const std::function<void(const Row&, const Row&)>& play) {
+             const std::function<bool(const Row&)>& there,
+             const std::function<void(const Row&, const Row&)>& play) {
   const auto rows = testing::TableOf(MOTHRACK_PEERS_PAGE, heading);
   std::set<const Row*> used;
   std::size_t combinations = 1;
@@ -117,7 +119,8 @@
         const std::string& cell = row.at(column);
         std::istringstream list(cell);
         bool named = cell == "any" || cell == "-";
-        for (std::string word; std::getline(list >> std::ws, word, ',');) named = named || word == one[column];
+        for (std::string word; std::getline(list >> std::ws, word, ',');)
+          named = named || word == one[column];
         fits = fits && named;
       }
       if (fits) fitting.push_back(&row);
@@ -145,8 +148,7 @@
            {"incarnation", {"lower", "same", "higher"}},
            {"news", kStates},
            {"by", {"gossip", "records"}}},
-          SameOfNothing,
-          [](const Row& one, const Row& row) {
+          SameOfNothing, [](const Row& one, const Row& row) {
             One node(NoProbes());
             const bool self = one.at("held") == "self", nothing = one.at("held") == "nothing";
             const MemberNews held = News(self ? "self" : "m", 50, 5, StateOf(one.at("held")));
@@ -155,16 +157,17 @@
             const auto number = [](const std::string& word, std::uint64_t of) {
               return word == "former" || word == "lower" ? of - 1 : word == "same" ? of : of + 1;
             };
-            const MemberNews news = News(held.life.name, number(one.at("life"), 50), number(one.at("incarnation"), 5),
-                                         StateOf(one.at("news")));
+            const MemberNews news = News(held.life.name, number(one.at("life"), 50),
+                                         number(one.at("incarnation"), 5), StateOf(one.at("news")));
             node.News_(news, one.at("by") == "gossip" ? Kind::kGossip : Kind::kRecords);
             const MemberNews after = self ? node.core.self() : node.core.Find("m")->news;
-            EXPECT_EQ(after.state, row.at("held then") == "as before" ? held.state : StateOf(row.at("held then")));
+            EXPECT_EQ(after.state,
+                      row.at("held then") == "as before" ? held.state : StateOf(row.at("held then")));
             if (self) {
-              const std::string did = after.life.born > 50 ? "born again"
-                                      : after.incarnation == 5              ? "nothing"
-                                      : node.core.counts().refuted > 0      ? "refutes"
-                                                                            : "outdoes";
+              const std::string did = after.life.born > 50             ? "born again"
+                                      : after.incarnation == 5         ? "nothing"
+                                      : node.core.counts().refuted > 0 ? "refutes"
+                                                                       : "outdoes";
               EXPECT_EQ(did, row.at("oneself"));
               EXPECT_TRUE(did == "nothing" || Supersedes(after, news));
             } else if (row.at("told on") == "yes") {
@@ -181,8 +184,7 @@
            {"life", {"former", "same", "later"}},
            {"version", {"lower", "same", "higher"}},
            {"age", {"younger", "older", "over"}}},
-          SameOfNothing,
-          [](const Row& one, const Row& row) {
+          SameOfNothing, [](const Row& one, const Row& row) {
             One node(NoProbes());
             node.News_(News("m"));
             const Value held = Said(50, 5, 500, one.at("held") == "lapsed" ? 800 : 5000, "held");
@@ -193,7 +195,10 @@
             };
             const std::string& age = one.at("age");
             const Value value = Said(number(one.at("life"), 50), number(one.at("version"), 5),
-                                     age == "younger" ? 100 : age == "older" ? 1200 : 5000, 5000, "new");
+                                     age == "younger" ? 100
+                                     : age == "older" ? 1200
+                                                      : 5000,
+                                     5000, "new");
             node.Say(value);
             const bool told = node.TellsOf("m", "k");
             if (one.at("life") == "later") node.News_(News("m", 51));
@@ -219,57 +224,61 @@
 }
 
 TEST(Tables, Probes) {
-  PlayAll("Rules of probes",
-          {{"what happened",
-            {"acked", "acked by another", "no ack but all nacks", "no ack and a nack missing", "no ack and nobody to ask",
-             "had to refute", "was stopped"}}},
-          [](const Row&) { return true; },
-          [](const Row& one, const Row& row) {
-            const std::string& what = one.at("what happened");
-            One node;
-            if (what != "no ack and nobody to ask") {
-              for (const char* name : {"a", "b", "c", "d"}) node.News_(News(name));
-            }
-            // Some health to lose: twice it had to refute.
-            for (std::uint64_t i = 0; i < 2; ++i) node.News_(News("self", 50, 5 + i, State::kSuspect));
-            std::string asked;
-            std::uint64_t sequence = 0;
-            Texts others;
-            const auto run = [&] {
-              for (const Datagram& sent : node.Run(50)) {
-                if (sent.message.kind == Kind::kPing && asked.empty()) {
-                  asked = sent.address.substr(0, sent.address.find(':'));
-                  sequence = sent.message.sequence;
-                }
-                if (sent.message.kind == Kind::kPingFor) others.push_back(sent.address.substr(0, sent.address.find(':')));
-              }
-            };
-            while (asked.empty()) run();
-            const auto answer = [&](const std::string& by, Kind kind) {
-              Message message = From(by, kind);
-              message.sequence = sequence;
-              node.Hear(message);
-            };
-            if (what == "acked") answer(asked, Kind::kAck);
-            if (what == "had to refute") node.News_(News("self", 50, 7, State::kDead));
-            if (what == "was stopped") {
-              node.now += 60'000;
-              node.core.Tick(At(node.now), node.out);
-            }
-            if (what.find("by another") != std::string::npos || what.starts_with("no ack")) {
-              for (int i = 0; i < 13; ++i) run();
-              ASSERT_EQ(others.size(), what == "no ack and nobody to ask" ? 0u : 3u);
-              if (what == "acked by another") answer(others[0], Kind::kAck);
-              const std::size_t nacks = what == "no ack but all nacks" ? 3 : what == "no ack and a nack missing" ? 2 : 0;
-              for (std::size_t i = 0; i < nacks; ++i) answer(others[i], Kind::kNack);
-              if (what.starts_with("no ack")) {
-                while (node.core.counts().probes_failed == 0) run();
-              }
+  PlayAll(
+      "Rules of probes",
+      {{"what happened",
+        {"acked", "acked by another", "no ack but all nacks", "no ack and a nack missing",
+         "no ack and nobody to ask", "had to refute", "was stopped"}}},
+      [](const Row&) { return true; },
+      [](const Row& one, const Row& row) {
+        const std::string& what = one.at("what happened");
+        One node;
+        if (what != "no ack and nobody to ask") {
+          for (const char* name : {"a", "b", "c", "d"}) node.News_(News(name));
+        }
+        // Some health to lose: twice it had to refute.
+        for (std::uint64_t i = 0; i < 2; ++i) node.News_(News("self", 50, 5 + i, State::kSuspect));
+        std::string asked;
+        std::uint64_t sequence = 0;
+        Texts others;
+        const auto run = [&] {
+          for (const Datagram& sent : node.Run(50)) {
+            if (sent.message.kind == Kind::kPing && asked.empty()) {
+              asked = sent.address.substr(0, sent.address.find(':'));
+              sequence = sent.message.sequence;
             }
-            EXPECT_EQ(node.core.health() - 2, std::stoi(row.at("health")));
-            EXPECT_EQ(node.core.Find(asked)->news.state,
-                      row.at("the one asked") == "suspect" ? State::kSuspect : State::kAlive);
-          });
+            if (sent.message.kind == Kind::kPingFor)
+              others.push_back(sent.address.substr(0, sent.address.find(':')));
+          }
+        };
+        while (asked.empty()) run();
+        const auto answer = [&](const std::string& by, Kind kind) {
+          Message message = From(by, kind);
+          message.sequence = sequence;
+          node.Hear(message);
+        };
+        if (what == "acked") answer(asked, Kind::kAck);
+        if (what == "had to refute") node.News_(News("self", 50, 7, State::kDead));
+        if (what == "was stopped") {
+          node.now += 60'000;
+          node.core.Tick(At(node.now), node.out);
+        }
+        if (what.find("by another") != std::string::npos || what.starts_with("no ack")) {
+          for (int i = 0; i < 13; ++i) run();
+          ASSERT_EQ(others.size(), what == "no ack and nobody to ask" ? 0u : 3u);
+          if (what == "acked by another") answer(others[0], Kind::kAck);
+          const std::size_t nacks = what == "no ack but all nacks"        ? 3
+                                    : what == "no ack and a nack missing" ? 2
+                                                                          : 0;
+          for (std::size_t i = 0; i < nacks; ++i) answer(others[i], Kind::kNack);
+          if (what.starts_with("no ack")) {
+            while (node.core.counts().probes_failed == 0) run();
+          }
+        }
+        EXPECT_EQ(node.core.health() - 2, std::stoi(row.at("health")));
+        EXPECT_EQ(node.core.Find(asked)->news.state,
+                  row.at("the one asked") == "suspect" ? State::kSuspect : State::kAlive);
+      });
 }
 
 TEST(Tables, Times) {
@@ -362,9 +371,12 @@
     std::vector<Message> all;
     for (int i = 0; i < 12; ++i) {
       Message message = From("helper");
-      message.news = {News("m", 50 + random.Below(2), random.Below(3), static_cast<State>(1 + random.Below(4)))};
-      const auto version = 1 + random.Below(4);  // what it holds is its owner's: the same wherever it is heard
-      message.values.push_back(Said(50 + random.Below(2), version, version == 3 ? 9000 : 0, 9000, Numbered("v", version)));
+      message.news = {
+          News("m", 50 + random.Below(2), random.Below(3), static_cast<State>(1 + random.Below(4)))};
+      const auto version =
+          1 + random.Below(4);  // what it holds is its owner's: the same wherever it is heard
+      message.values.push_back(
+          Said(50 + random.Below(2), version, version == 3 ? 9000 : 0, 9000, Numbered("v", version)));
       all.push_back(message);
     }
     // A value alone would tell of its life, but not of its member.
@@ -392,7 +404,8 @@
   explicit Night(std::size_t count, std::uint64_t seed = 1, Terms terms = {}) : Net(seed, terms) {
     Add(count);
     on_change = [this](std::size_t, const Change& change) {
-      if (change.what == Change::What::kMember && change.member.state == State::kDead) ++deaths[change.member.life.name];
+      if (change.what == Change::What::kMember && change.member.state == State::kDead)
+        ++deaths[change.member.life.name];
     };
     StartAll();
   }
@@ -408,11 +421,15 @@
       for (const auto& view : nodes[i].core->members()) {
         if (view.news.state <= State::kSuspect) live.insert(view.news.life.name);
       }
-      if (live != up) return nodes[i].name + " believes in " + std::to_string(live.size()) + " of " + std::to_string(up.size());
+      if (live != up)
+        return nodes[i].name + " believes in " + std::to_string(live.size()) + " of " +
+               std::to_string(up.size());
       std::map<std::string, std::string> said;
-      for (const auto& view : nodes[i].core->Values("k", LocalNow(i))) said[view.value->owner.name] = view.value->bytes;
+      for (const auto& view : nodes[i].core->Values("k", LocalNow(i)))
+        said[view.value->owner.name] = view.value->bytes;
       for (const auto& [name, word] : words) {
-        if (said[name] != word) return nodes[i].name + " holds of " + name + " '" + said[name] + "', not " + word;
+        if (said[name] != word)
+          return nodes[i].name + " holds of " + name + " '" + said[name] + "', not " + word;
       }
       if (said.size() != words.size()) return nodes[i].name + " holds values that nobody put";
     }
@@ -524,7 +541,16 @@
 
 // ---- Histories ----
 
-enum Plant { kNone, kVersionsReversed, kAgesForgotten, kNoRefuting, kNeverDead, kLivesAlike, kAcksEaten, kPlants };
+enum Plant {
+  kNone,
+  kVersionsReversed,
+  kAgesForgotten,
+  kNoRefuting,
+  kNeverDead,
+  kLivesAlike,
+  kAcksEaten,
+  kPlants
+};
 
 struct History {
   std::string violation;
@@ -552,7 +578,8 @@
     if (change.what == Change::What::kMember) {
       MemberNews& before = seen[{i, change.member.life.name}];
       if (change.member.life.born < before.life.born) violated("a former life came back");
-      if (change.member.life == before.life && before.state == State::kLeft) violated("one that left came back");
+      if (change.member.life == before.life && before.state == State::kLeft)
+        violated("one that left came back");
       before = change.member;
       if (calm && change.member.state == State::kDead) violated(change.member.life.name + " died of nothing");
     } else if (change.what == Change::What::kValue && put.contains(value.bytes)) {
@@ -608,17 +635,23 @@
         if (night.nodes[i].core) ++history.kills;
         night.Kill(i);
         break;
-      case 1: start(i); break;
+      case 1:
+        start(i);
+        break;
       case 2:
         if (night.Up(i)) ++history.stops;
         night.Stop(i);
         break;
-      case 3: night.Continue(i); break;
+      case 3:
+        night.Continue(i);
+        break;
       case 4:
         ++history.cuts;
         night.nodes[i].group = 1;
         break;
-      case 5: night.nodes[i].group = 0; break;
+      case 5:
+        night.nodes[i].group = 0;
+        break;
       case 6:
         if (random.Below(3) != 0 || !night.Up(i)) break;
         ++history.leaves;
@@ -666,9 +699,10 @@
     sums.calm += history.calm;
   }
   std::cout << "killed " << sums.kills << ", started " << sums.starts << " (clock back " << sums.clocks_back
-            << "), stopped " << sums.stops << ", cut " << sums.cuts << ", left " << sums.leaves << ", calm nights "
-            << sums.calm << std::endl;
-  for (const int reached : {sums.kills, sums.starts, sums.stops, sums.cuts, sums.leaves, sums.clocks_back, sums.calm}) {
+            << "), stopped " << sums.stops << ", cut " << sums.cuts << ", left " << sums.leaves
+            << ", calm nights " << sums.calm << std::endl;
+  for (const int reached :
+       {sums.kills, sums.starts, sums.stops, sums.cuts, sums.leaves, sums.clocks_back, sums.calm}) {
     EXPECT_GT(reached, 0);
   }
 }
--- a/tests/peers_fleet_test.cpp
+++ b/tests/peers_fleet_test.cpp
@@ -1,6 +1,6 @@
-// Six real sidecars and three agents in three places that are peers, with traffic through all of them, while machines
-// drop, links break and keys change. FLEET_RUNS sets how many runs of each, FLEET_SEED the first seed of the links'
-// chances, FLEET_PROBE_MS the round that all other terms are scaled by.
+// Six real sidecars and three agents in three places that are peers, with traffic through all of them, while
+// machines drop, links break and keys change. FLEET_RUNS sets how many runs of each, FLEET_SEED the first
+// seed of the links' chances, FLEET_PROBE_MS the round that all other terms are scaled by.
 #include <signal.h>
 
 #include <algorithm>
@@ -27,9 +27,9 @@
 const milliseconds kProbe(Set("FLEET_PROBE_MS", 200));
 constexpr int kMembers = 9;
 
-// From a death to everybody's knowing of it, by the core's terms: the first to probe it does so within two rounds over
-// all members; its round ends; a suspicion that nobody confirms lasts `longest_suspicion` times `suspicion` rounds; the
-// news go round. And a second for a machine that has other things to do.
+// From a death to everybody's knowing of it, by the core's terms: the first to probe it does so within two
+// rounds over all members; its round ends; a suspicion that nobody confirms lasts `longest_suspicion` times
+// `suspicion` rounds; the news go round. And a second for a machine that has other things to do.
 const milliseconds kDead = (2 * (kMembers - 1) + 1 + 4 * 6 + 5) * kProbe + milliseconds(1000);
 // A live one is known again with the next news that reach anybody, or when the lost are asked.
 const milliseconds kBack = milliseconds(20'000);
@@ -65,7 +65,8 @@
     std::cout << "traffic: served " << hall_.count(Traffic::End::kServed) << ", refused "
               << hall_.count(Traffic::End::kRefused) << ", failed " << hall_.count(Traffic::End::kFailed)
               << ", not taken " << hall_.count(Traffic::End::kNotTaken) << ", crossed "
-              << hall_.count(Traffic::End::kCrossed) << ", lost " << hall_.count(Traffic::End::kLost) << std::endl;
+              << hall_.count(Traffic::End::kCrossed) << ", lost " << hall_.count(Traffic::End::kLost)
+              << std::endl;
     if (!HasFailure()) return;
     for (const std::string& name : hall_.Names()) {
       std::cout << name << ": " << hall_.Peers(name).dump() << '\n' << hall_.Log(name);
--- a/tests/peers_net.h
+++ b/tests/peers_net.h
@@ -1,5 +1,5 @@
-// A network of cores in made-up time: links that lose, delay, repeat, reorder and are cut; processes that stop, die and
-// start again; clocks that differ. What holds at every moment is checked as it runs.
+// A network of cores in made-up time: links that lose, delay, repeat, reorder and are cut; processes that
+// stop, die and start again; clocks that differ. What holds at every moment is checked as it runs.
 #pragma once
 
 #include <algorithm>
@@ -30,7 +30,7 @@
 }
 
 struct Links {
-  int loss = 0, repeat = 0;  // percent
+  int loss = 0, repeat = 0;   // percent
   int delay = 1, spread = 0;  // ms: delay to delay + spread, so that they overtake each other
 };
 
@@ -38,11 +38,11 @@
  public:
   struct Node {
     std::string name, address;
-    std::unique_ptr<Core> core;  // none: the process is not there
-    bool stopped = false;        // its process does not run; the socket holds what comes
-    int group = 0;               // members of different groups do not hear each other
-    double rate = 1;             // of its clock
-    std::int64_t tick = 0;       // when it is called next
+    std::unique_ptr<Core> core;     // none: the process is not there
+    bool stopped = false;           // its process does not run; the socket holds what comes
+    int group = 0;                  // members of different groups do not hear each other
+    double rate = 1;                // of its clock
+    std::int64_t tick = 0;          // when it is called next
     std::deque<std::int64_t> sent;  // within the last second
     std::deque<std::pair<std::shared_ptr<Message>, std::string>> waiting;
     std::uint64_t datagrams = 0, bytes = 0;
@@ -56,7 +56,8 @@
     for (; count > 0; --count) {
       Node node;
       node.name = "m" + std::to_string(1000 + nodes.size());
-      node.address = "10.0." + std::to_string(nodes.size() / 250) + "." + std::to_string(nodes.size() % 250) + ":7";
+      node.address =
+          "10.0." + std::to_string(nodes.size() / 250) + "." + std::to_string(nodes.size() % 250) + ":7";
       by_address_[node.address] = nodes.size();
       nodes.push_back(std::move(node));
     }
@@ -65,8 +66,9 @@
   // A process of it starts, `born` by its clock's word.
   void Start(std::size_t i, std::uint64_t born) {
     Node& node = nodes[i];
-    peers::MemberNews self{{node.name, born}, 0, peers::State::kAlive, peers::Role::kSidecar, node.address,
-                           i % 2 == 0 ? "north" : "south"};
+    peers::MemberNews self{{node.name, born},    0,
+                           peers::State::kAlive, peers::Role::kSidecar,
+                           node.address,         i % 2 == 0 ? "north" : "south"};
     node.core = std::make_unique<Core>(self, terms_, random.Next(), LocalNow(i));
     node.core->Seeds({nodes[0].address, nodes[nodes.size() / 2].address});
     node.stopped = false;
@@ -143,7 +145,7 @@
   std::uint64_t ticks = 0;
   OnChange on_change;
   std::function<bool(Message&, std::size_t to)> tamper;  // a planted fault; false: it is lost
-  std::string violation;  // the first
+  std::string violation;                                 // the first
 
  private:
   static constexpr std::int64_t kNever = std::int64_t{1} << 60;
@@ -171,9 +173,10 @@
   void Schedule(std::size_t i) {
     Node& node = nodes[i];
     if (!node.core || node.stopped || node.core->next() == TimePoint::max()) return;
-    const auto local = node.core->next().time_since_epoch().count() - static_cast<std::int64_t>(i) * 1'000'000;
-    const auto at = std::max(now, node.rate == 1 ? local
-                                                 : static_cast<std::int64_t>(static_cast<double>(local) / node.rate) + 1);
+    const auto local =
+        node.core->next().time_since_epoch().count() - static_cast<std::int64_t>(i) * 1'000'000;
+    const auto at = std::max(
+        now, node.rate == 1 ? local : static_cast<std::int64_t>(static_cast<double>(local) / node.rate) + 1);
     if (at >= node.tick) return;
     node.tick = at;
     events_.push({at, ++order_, i, i, nullptr});
@@ -200,7 +203,8 @@
       const int times = Chance(links.repeat) ? 2 : 1;
       for (int t = 0; t < times; ++t) {
         if (Chance(links.loss)) continue;
-        const auto delay = links.delay + static_cast<int>(random.Below(static_cast<std::size_t>(links.spread) + 1));
+        const auto delay =
+            links.delay + static_cast<int>(random.Below(static_cast<std::size_t>(links.spread) + 1));
         events_.push({now + delay, ++order_, to->second, i, message});
       }
     }
--- a/tests/peers_task_test.cpp
+++ b/tests/peers_task_test.cpp
@@ -1,7 +1,5 @@
-// The peers' task between threads and between processes: nothing is lost at its boxes that still counts, and whatever
-// becomes of it the loop goes on.
-#include "peers/task.h"
-
+// The peers' task between threads and between processes: nothing is lost at its boxes that still counts, and
+// whatever becomes of it the loop goes on.
 #include <poll.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -22,6 +20,7 @@
 #include "gtest/gtest.h"
 #include "operator_file.h"
 #include "peers/link.h"
+#include "peers/task.h"
 #include "standins/admin_client.h"
 #include "standins/peers.h"
 
@@ -38,7 +37,8 @@
  public:
   Place() {
     static std::atomic<int> count{0};
-    path_ = fs::temp_directory_path() / ("peers-task-" + std::to_string(::getpid()) + '-' + std::to_string(count++));
+    path_ = fs::temp_directory_path() /
+            ("peers-task-" + std::to_string(::getpid()) + '-' + std::to_string(count++));
     fs::create_directory(path_);
     Keys("keys", {'a'});
   }
@@ -52,7 +52,8 @@
   // A key for each letter: 64 hex digits, not all alike.
   std::string Keys(const std::string& name, const std::vector<char>& letters) const {
     std::string text;
-    for (const char c : letters) text += "0123456789abcdef0123456789abcdef0123456789abcdef" + std::string(16, c) + '\n';
+    for (const char c : letters)
+      text += "0123456789abcdef0123456789abcdef0123456789abcdef" + std::string(16, c) + '\n';
     return Write(name, text);
   }
 
@@ -162,15 +163,18 @@
   const Place place;
   Side a(place, "a");
   Side b(place, "b", {a.task.local()});
-  EXPECT_TRUE(Eventually([&] { return a.Sees("b", peers::State::kAlive) && b.Sees("a", peers::State::kAlive); }));
+  EXPECT_TRUE(
+      Eventually([&] { return a.Sees("b", peers::State::kAlive) && b.Sees("a", peers::State::kAlive); }));
   a.task.Say(PutValue{"load", "7", Duration(60'000)});
   EXPECT_TRUE(Eventually([&] {
     const Picture* picture = b.Latest();
-    return !picture->values.empty() && picture->values[0].owner.name == "a" && picture->values[0].bytes == "7";
+    return !picture->values.empty() && picture->values[0].owner.name == "a" &&
+           picture->values[0].bytes == "7";
   }));
   a.task.Say(LeaveNow{});
   EXPECT_TRUE(a.task.Stop());
-  EXPECT_TRUE(Eventually([&] { return b.Sees("a", peers::State::kLeft); })) << "what was said before the stop is done";
+  EXPECT_TRUE(Eventually([&] { return b.Sees("a", peers::State::kLeft); }))
+      << "what was said before the stop is done";
 }
 
 TEST(Task, OneThatEndsWithoutAWordIsDead) {
@@ -237,7 +241,8 @@
   boost::asio::io_context io;
   boost::asio::ip::udp::socket stranger(io, boost::asio::ip::udp::v4());
   const boost::asio::ip::udp::endpoint to(a.task.local().address(), a.task.local().port());
-  for (const std::size_t size : {0, 1, 40, 1200, 1201, 9000}) stranger.send_to(boost::asio::buffer(std::string(size, 'x')), to);
+  for (const std::size_t size : {0, 1, 40, 1200, 1201, 9000})
+    stranger.send_to(boost::asio::buffer(std::string(size, 'x')), to);
   EXPECT_TRUE(Eventually([&] { return a.Latest() != nullptr && a.Latest()->unheard == 6; }));
 }
 
@@ -275,7 +280,8 @@
       {"listen = \"10.0.0.1:7600\"\n", "2:10: peers.listen: ", "no loopback address"},
       {"listen = \"127.0.0.1:53\"\n", "2:10: peers.listen: ", "port of 1024 or above"},
       {"lissten = \"127.0.0.1:7600\"\n" + zone + keys, "2:1: peers.lissten: ", "did you mean \"listen\"?"},
-      {good + "advertise = \"0.0.0.0:7600\"\n", "5:13: peers.advertise: ", "name the one that the others send to"},
+      {good + "advertise = \"0.0.0.0:7600\"\n",
+       "5:13: peers.advertise: ", "name the one that the others send to"},
       {good + "advertise = \"127.0.0.1:0\"\n", "5:13: peers.advertise: ", "port of 1024 or above"},
       {listen + keys, "1:1: peers.zone: ", "must be the hall"},
       {listen + "zone = \"a hall\"\n" + keys, "3:8: peers.zone: ", "letters, digits"},
@@ -283,7 +289,8 @@
       {listen + zone + "key_file = \"/nowhere\"\n", "4:12: peers.key_file: ", "/nowhere"},
       {good + "seeds = \"127.0.0.1:7601\"\n", "5:9: peers.seeds: ", "put it in [ ]"},
       {good + "seeds = [\"127.0.0.1:7601\", \"x\"]\n", "5:28: peers.seeds[1]: ", "no address and port"},
-      {good + "seeds = [\"127.0.0.1:7601\", \"127.0.0.1:7601\"]\n", "5:28: peers.seeds[1]: ", "take one of them out"},
+      {good + "seeds = [\"127.0.0.1:7601\", \"127.0.0.1:7601\"]\n",
+       "5:28: peers.seeds[1]: ", "take one of them out"},
       {good + "probe_ms = 1\n", "5:12: peers.probe_ms: ", "from 50 to 60000"},
       {good + "probe_patience_ms = 500\n", "5:21: peers.probe_patience_ms: ", "keep it below that"},
       {good + "fanout = 1.5\n", "5:10: peers.fanout: ", "no whole number"},
@@ -301,9 +308,12 @@
       EXPECT_NE(what.find(c.words), std::string::npos) << what << "\n" << c.text;
     }
     // The agent's: its line is another, its hall stands in for the zone.
-    const std::string agent = place.Write("agent.toml", "[agent]\nname = \"n\"\nhall = \"h\"\nlisten = \"unix:/tmp/a\"\n"
-                                          "directory = \"/tmp\"\n[[instance]]\nname = \"i\"\ncommand = [\"/bin/true\"]\n"
-                                          "generation = \"g\"\n[peers]\n" + c.text);
+    const std::string agent =
+        place.Write("agent.toml",
+                    "[agent]\nname = \"n\"\nhall = \"h\"\nlisten = \"unix:/tmp/a\"\n"
+                    "directory = \"/tmp\"\n[[instance]]\nname = \"i\"\ncommand = [\"/bin/true\"]\n"
+                    "generation = \"g\"\n[peers]\n" +
+                        c.text);
     if (c.place.find("zone") != std::string::npos && c.text == listen + keys) {
       EXPECT_EQ(fleet::LoadAgentFile(agent).peers->zone, "h");
     } else {
@@ -315,8 +325,9 @@
 TEST(Settings, EffectiveOnesReadAsTheSame) {
   const Place place;
   const auto file = LoadOperatorFile(place.Write(
-      "file.toml", "[peers]\nlisten = \"127.0.0.1:7600\"\nadvertise = \"127.0.0.1:7700\"\nzone = \"hall\"\nkey_file = \"" +
-                       place.File("keys") + "\"\nseeds = [\"[::1]:7601\"]\nprobe_ms = 300\n"));
+      "file.toml",
+      "[peers]\nlisten = \"127.0.0.1:7600\"\nadvertise = \"127.0.0.1:7700\"\nzone = \"hall\"\nkey_file = \"" +
+          place.File("keys") + "\"\nseeds = [\"[::1]:7601\"]\nprobe_ms = 300\n"));
   const std::string effective = Effective(file);
   const auto again = LoadOperatorFile(place.Write("again.toml", effective));
   EXPECT_EQ(Effective(again), effective);
@@ -352,8 +363,9 @@
     mothrack::testing::Node::Options options;
     options.known = mothrack::testing::List({mothrack::testing::Target("u1", upstream)});
     options.environment = {"LB_NAME=" + name};
-    options.operator_file = "[admin]\nlisten = \"unix:" + place.File(name + ".sock") + "\"\n[peers]\nlisten = \"127.0.0.1:" +
-                            std::to_string(port) + "\"\nzone = \"hall\"\nkey_file = \"" + place.File("keys") +
+    options.operator_file = "[admin]\nlisten = \"unix:" + place.File(name + ".sock") +
+                            "\"\n[peers]\nlisten = \"127.0.0.1:" + std::to_string(port) +
+                            "\"\nzone = \"hall\"\nkey_file = \"" + place.File("keys") +
                             "\"\nseeds = [\"127.0.0.1:" + std::to_string(seed) +
                             "\"]\nprobe_ms = 100\nprobe_patience_ms = 40\ngossip_ms = 20\n";
     return options;
@@ -377,7 +389,8 @@
   Sidecar a(place, "a", upstream.address(), a_port, b_port);
   Sidecar b(place, "b", upstream.address(), b_port, a_port);
   ASSERT_TRUE(a.node().Listening() && b.node().Listening());
-  ASSERT_TRUE(Eventually([&] { return a.StateOf("b") == "alive" && b.StateOf("a") == "alive"; })) << a.node().log();
+  ASSERT_TRUE(Eventually([&] { return a.StateOf("b") == "alive" && b.StateOf("a") == "alive"; }))
+      << a.node().log();
   const json told = a.Peers();
   EXPECT_EQ(told["task"], "runs");
   EXPECT_EQ(told["self"]["name"], "a");
@@ -393,7 +406,8 @@
   EXPECT_TRUE(Eventually([&] { return a.StateOf("b") == "alive"; }));
   // A planned stop is told; the keys are read again by SIGHUP.
   a.node().Signal(SIGHUP);
-  EXPECT_TRUE(Eventually([&] { return a.node().log().find("keys read again") != std::string::npos; })) << a.node().log();
+  EXPECT_TRUE(Eventually([&] { return a.node().log().find("keys read again") != std::string::npos; }))
+      << a.node().log();
   b.node().Signal(SIGTERM);
   EXPECT_EQ(b.node().Wait(), 0);
   EXPECT_TRUE(Eventually([&] { return a.StateOf("b") == "left"; }));
@@ -406,7 +420,8 @@
   mothrack::testing::Node node(options);
   ASSERT_TRUE(node.Listening());
   int threads = 0;
-  for (const auto& entry : fs::directory_iterator("/proc/" + std::to_string(node.pid()) + "/task")) threads += entry.exists();
+  for (const auto& entry : fs::directory_iterator("/proc/" + std::to_string(node.pid()) + "/task"))
+    threads += entry.exists();
   EXPECT_EQ(threads, 1);
 }
 
@@ -415,17 +430,19 @@
   Side a(place, "a");
   Sidecar b(place, "b", "127.0.0.1:9", a.task.local().port(), 7601);
   EXPECT_EQ(b.node().Wait(), 1);
-  EXPECT_NE(b.node().log().find("Address already in use; free the address"), std::string::npos) << b.node().log();
+  EXPECT_NE(b.node().log().find("Address already in use; free the address"), std::string::npos)
+      << b.node().log();
 }
 
 TEST(Programs, AnAgentIsAMemberAsWell) {
   const Place place;
   Side a(place, "a");
   const std::string file = place.Write(
-      "agent.toml", "[agent]\nname = \"agent-1\"\nhall = \"hall\"\nlisten = \"unix:" + place.File("agent.sock") +
-                        "\"\ndirectory = \"" + place.File("state") + "\"\n[[instance]]\nname = \"i\"\n" +
-                        "command = [\"/bin/sleep\", \"0\"]\ngeneration = \"g\"\n[peers]\nlisten = \"127.0.0.1:0\"\n" +
-                        "key_file = \"" + place.File("keys") + "\"\nseeds = [\"" + Text(a.task.local()) + "\"]\n");
+      "agent.toml",
+      "[agent]\nname = \"agent-1\"\nhall = \"hall\"\nlisten = \"unix:" + place.File("agent.sock") +
+          "\"\ndirectory = \"" + place.File("state") + "\"\n[[instance]]\nname = \"i\"\n" +
+          "command = [\"/bin/sleep\", \"0\"]\ngeneration = \"g\"\n[peers]\nlisten = \"127.0.0.1:0\"\n" +
+          "key_file = \"" + place.File("keys") + "\"\nseeds = [\"" + Text(a.task.local()) + "\"]\n");
   const pid_t pid = ::fork();
   if (pid == 0) {
     ::execl(MOTHRACK_AGENT, MOTHRACK_AGENT, file.c_str(), nullptr);
--- a/tests/peers_wire_test.cpp
+++ b/tests/peers_wire_test.cpp
@@ -59,8 +59,8 @@
   one.news = {bare.sender};
   EXPECT_LE(grown(one), MostSize(one.news[0]));
   one = bare;
-  one.values = {
-      {bare.sender.life, std::string(24, 'k'), kMostCount, kLongestLife, kLongestLife, std::string(256, 'v')}};
+  one.values = {{bare.sender.life, std::string(24, 'k'), kMostCount, kLongestLife, kLongestLife,
+                 std::string(256, 'v')}};
   EXPECT_LE(grown(one), MostSize(one.values[0]));
 }
 
@@ -89,7 +89,8 @@
   pb::Datagram whole;
   ASSERT_TRUE(whole.ParseFromString(bytes));
   const std::string part = whole.news(0).SerializeAsString();
-  later = bytes.substr(0, bytes.size() - part.size() - 1) + static_cast<char>(part.size() + 2) + part + "\x78\x01";
+  later = bytes.substr(0, bytes.size() - part.size() - 1) + static_cast<char>(part.size() + 2) + part +
+          "\x78\x01";
   EXPECT_EQ(Read(later), message);
 
   using namespace std::string_literals;
@@ -207,7 +208,8 @@
       }
     }
   }
-  EXPECT_EQ(Seal(steps[3]).Open(*Seal(steps[0]).Close("x")).verdict, Verdict::kUnknownKey) << "a step left out";
+  EXPECT_EQ(Seal(steps[3]).Open(*Seal(steps[0]).Close("x")).verdict, Verdict::kUnknownKey)
+      << "a step left out";
   // The name of a key that is known does not help without the key.
   Seal stranger({KeyOf(3)}), member({old});
   std::string posing = *stranger.Close("x");
@@ -229,7 +231,9 @@
   std::vector<std::string> sent;
   for (int i = 0; i < 100; ++i) sent.push_back(*a.Close("x"));
   for (int i = 99; i >= 0; --i) {  // the wrong way round: 64 are within the window
-    EXPECT_EQ(b.Open(sent[static_cast<std::size_t>(i)]).verdict, i >= 36 ? Verdict::kHeard : Verdict::kRepeated) << i;
+    EXPECT_EQ(b.Open(sent[static_cast<std::size_t>(i)]).verdict,
+              i >= 36 ? Verdict::kHeard : Verdict::kRepeated)
+        << i;
   }
   for (const auto& one : sent) EXPECT_EQ(b.Open(one).verdict, Verdict::kRepeated);
   EXPECT_EQ(b.counts().heard, 64u);
@@ -323,7 +327,8 @@
 TEST_F(PeersKeys, AFileThatOthersMayUseIsRefused) {
   for (const mode_t mode : {0644, 0640, 0604, 0620, 0700}) {
     Put(hex_, mode);
-    EXPECT_EQ(Fault(), path_ + ": others may use it; chmod 0600 it, and change the keys if they were read") << mode;
+    EXPECT_EQ(Fault(), path_ + ": others may use it; chmod 0600 it, and change the keys if they were read")
+        << mode;
   }
   std::filesystem::remove(path_);
   EXPECT_EQ(Fault(), path_ + ": cannot be opened: No such file or directory; make it with mode 0600");
--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -1,5 +1,5 @@
-// Rings that stay put: owners and what moves, generations by the page's rules, load; and generations of several members
-// in histories, with faults planted.
+// Rings that stay put: owners and what moves, generations by the page's rules, load; and generations of
+// several members in histories, with faults planted.
 #include <cmath>
 #include <cstdlib>
 #include <deque>
@@ -29,8 +29,8 @@
   return nodes;
 }
 
-// By node, the part of 2^64 / keys first owners that moved from the one to the other; "stray" ones move between two
-// nodes whose weights are equal in both.
+// By node, the part of 2^64 / keys first owners that moved from the one to the other; "stray" ones move
+// between two nodes whose weights are equal in both.
 struct Moved {
   double share = 0, stray = 0;
 };
@@ -113,7 +113,8 @@
     const Ring joined(2, Nodes(c.nodes + c.changed));
     double ideal = 0;
     for (const Node& node : Nodes(c.changed, c.nodes)) {
-      ideal += static_cast<double>(joined.weight(*joined.Find(node.uid))) / static_cast<double>(joined.total_weight());
+      ideal += static_cast<double>(joined.weight(*joined.Find(node.uid))) /
+               static_cast<double>(joined.total_weight());
     }
     const Moved join = Move(ring, joined, c.keys);
     EXPECT_EQ(join.stray, 0);
@@ -133,7 +134,8 @@
     for (int i = 0; i < half; ++i) nodes[(2 * i + 3) % 100].level -= 8;
     const Ring after(2, nodes);
     double ideal = 0;  // what the lighter ones lose
-    for (std::uint32_t i = 0; i < 100; ++i) ideal += std::max(0.0, Share(ring, i, i + 1) - Share(after, i, i + 1));
+    for (std::uint32_t i = 0; i < 100; ++i)
+      ideal += std::max(0.0, Share(ring, i, i + 1) - Share(after, i, i + 1));
     const Moved moved = Move(ring, after, half == 1 ? 4'000'000 : 400'000);
     EXPECT_NEAR(moved.share / ideal, 1, 0.01);
     EXPECT_EQ(moved.stray, 0);
@@ -147,7 +149,8 @@
 }
 
 // Turns with the same list until `until`, each 100 ms.
-void Turns(Maker& maker, const std::vector<NodeNews>& list, bool cut_off, std::int64_t& now, std::int64_t until) {
+void Turns(Maker& maker, const std::vector<NodeNews>& list, bool cut_off, std::int64_t& now,
+           std::int64_t until) {
   for (; now <= until; now += 100) maker.Turn(list, cut_off, At(now));
 }
 
@@ -210,14 +213,15 @@
 
 TEST(Tables, RulesOfMerging) {
   const Place held{"n", 5, 80, Part::kHalf, false};
-  const std::map<std::string, Place> kHeard = {{"later", {"n", 6, 90, Part::kWhole, false}},
-                                               {"earlier", {"n", 4, 70, Part::kQuarter, false}},
-                                               {"same number, heavier", {"n", 5, 81, Part::kHalf, false}},
-                                               {"same number, lighter", {"n", 5, 90, Part::kQuarter, false}},
-                                               {"same number, given up", {"n", 5, 80, Part::kHalf, true}},
-                                               {"the same", held},
-                                               {"number out of reach", {"n", ~std::uint64_t{0}, 9, Part::kHalf, false}},
-                                               {"no number", {"n", 0, 1, Part::kNone, false}}};
+  const std::map<std::string, Place> kHeard = {
+      {"later", {"n", 6, 90, Part::kWhole, false}},
+      {"earlier", {"n", 4, 70, Part::kQuarter, false}},
+      {"same number, heavier", {"n", 5, 81, Part::kHalf, false}},
+      {"same number, lighter", {"n", 5, 90, Part::kQuarter, false}},
+      {"same number, given up", {"n", 5, 80, Part::kHalf, true}},
+      {"the same", held},
+      {"number out of reach", {"n", ~std::uint64_t{0}, 9, Part::kHalf, false}},
+      {"no number", {"n", 0, 1, Part::kNone, false}}};
   std::set<std::string> played;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of merging")) {
     SCOPED_TRACE(row.at("heard"));
@@ -240,16 +244,18 @@
     EXPECT_EQ(Settle(held, std::stoull(row.at("capacity"))), std::stoi(row.at("level"))) << row.at("case");
     played.insert(row.at("case"));
   }
-  EXPECT_EQ(played, (std::set<std::string>{"first", "nothing", "least", "most", "one unit doubled", "noise up",
-                                           "noise down", "last within, above", "first beyond, above",
-                                           "last within, below", "first beyond, below", "halved"}));
+  EXPECT_EQ(played,
+            (std::set<std::string>{"first", "nothing", "least", "most", "one unit doubled", "noise up",
+                                   "noise down", "last within, above", "first beyond, above",
+                                   "last within, below", "first beyond, below", "halved"}));
 }
 
 TEST(Maker, NoiseMovesNothingAndAllThatIsDueIsOneGeneration) {
   Maker maker({}, At(0));
   std::mt19937 random(3);
   std::vector<NodeNews> list;
-  for (int i = 0; i < 30; ++i) list.push_back(News("n" + std::to_string(i), Duration{100'000}, 1000 + 100 * i));
+  for (int i = 0; i < 30; ++i)
+    list.push_back(News("n" + std::to_string(i), Duration{100'000}, 1000 + 100 * i));
   std::int64_t now = 0;
   Turns(maker, list, false, now, 2000);
   const auto first = maker.ring()->hash();
@@ -472,7 +478,8 @@
   EXPECT_EQ(played.size(), kCases.size());
 }
 
-// Three members, half of all requests for one key, some mixed capacities: told every 250 ms, a request takes 200 ms.
+// Three members, half of all requests for one key, some mixed capacities: told every 250 ms, a request takes
+// 200 ms.
 TEST(Load, NoNodeIsAboveItsBoundAndAHotKeySpreadsAndComesBack) {
   const auto ring = std::make_shared<const Ring>(1, Nodes(20));
   LoadTerms terms;
@@ -485,7 +492,8 @@
   std::deque<std::pair<std::int64_t, std::uint32_t>> out;
   std::set<std::uint32_t> of_hot;
   for (std::int64_t now = 0; now < 20'000; ++now) {
-    for (; !out.empty() && out.front().first <= now; out.pop_front()) load.Ended(ring->nodes()[out.front().second].uid);
+    for (; !out.empty() && out.front().first <= now; out.pop_front())
+      load.Ended(ring->nodes()[out.front().second].uid);
     if (now == 10'000) of_hot.clear();
     for (int i = 0; i < 4; ++i) {
       const bool hot = now < 10'000 && i % 2 == 0;
@@ -531,8 +539,8 @@
 
 // ---- Histories ----
 
-// Members that hear of nodes and of each other's places with delays of up to kSpread; nodes that start anew, vanish,
-// come back, leave and change; members that are cut off. One of them may have a fault.
+// Members that hear of nodes and of each other's places with delays of up to kSpread; nodes that start anew,
+// vanish, come back, leave and change; members that are cut off. One of them may have a fault.
 enum class Fault { kNone, kNoBand, kNoGrace, kHearsNothing, kOwnMeasure, kAgesStand };
 constexpr std::int64_t kSpread = 1000, kTurn = 100, kBusy = 60'000;
 
@@ -596,12 +604,14 @@
       std::vector<NodeNews> list;
       for (int n = 0; n < kNodes && !off; ++n) {
         auto& at = seen[m][n];
-        at = std::max(at, now - static_cast<std::int64_t>(Mix(seed * 4096 + m * 64 + n) % (kSpread / kTurn)) * kTurn);
+        at = std::max(
+            at, now - static_cast<std::int64_t>(Mix(seed * 4096 + m * 64 + n) % (kSpread / kTurn)) * kTurn);
         const Truth& node = past[at / kTurn][n];
         if (!node.there) continue;
         const bool own = m == 0 && fault == Fault::kOwnMeasure;
-        list.push_back(News("n" + std::to_string(n), Duration{now - node.born},
-                            node.capacity * (own ? 1300 : 960 + Mix(seed + n + now / 3000 * 64) % 81) / 1000));
+        list.push_back(
+            News("n" + std::to_string(n), Duration{now - node.born},
+                 node.capacity * (own ? 1300 : 960 + Mix(seed + n + now / 3000 * 64) % 81) / 1000));
         list.back().state = node.state;
         if (m == 0 && fault == Fault::kAgesStand)
           list.back().age = Duration{std::max<std::int64_t>(at - node.born, 0) / 4};
@@ -618,10 +628,12 @@
       if (!off && (sent[m] != makers[m].number() || now - told[m] >= 2000)) {
         sent[m] = makers[m].number();
         told[m] = now;
-        for (int to = 0; to < kMembers; ++to) letters.push_back({now + draw(kSpread), to, makers[m].places()});
+        for (int to = 0; to < kMembers; ++to)
+          letters.push_back({now + draw(kSpread), to, makers[m].places()});
       }
     }
-    std::erase_if(letters, [&](const Letter& letter) { return letter.due < 0 || letter.due + 2 * kSpread < now; });
+    std::erase_if(letters,
+                  [&](const Letter& letter) { return letter.due < 0 || letter.due + 2 * kSpread < now; });
     for (int m = 0; m < kMembers; ++m) {
       if (cut[m] + 4 * kSpread >= now) continue;
       for (int n = 0; n < kNodes; ++n) {
@@ -638,7 +650,8 @@
         }
       }
     }
-    // What is due is made by then, and nothing else comes: all agree, but for 2S + T after the last generation.
+    // What is due is made by then, and nothing else comes: all agree, but for 2S + T after the last
+    // generation.
     std::set<std::uint64_t> hashes;
     std::uint64_t highest = 0;
     for (int m = 0; m < kMembers; ++m) {
@@ -653,7 +666,8 @@
       apart = now;
     if (apart >= 0 && now - apart > 2 * kSpread + kTurn) return "members differ for longer than 2S + T";
   }
-  // A new process makes four at most (down, three steps up), some changes make none, and many are made together.
+  // A new process makes four at most (down, three steps up), some changes make none, and many are made
+  // together.
   if (numbers[0] > changes + 8) return "more generations than changes";
   return "";
 }
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -1,4 +1,5 @@
-// The sidecar in the hands of people: what they call, what it tells, upstreams taken out by hand, emptying it.
+// The sidecar in the hands of people: what they call, what it tells, upstreams taken out by hand, emptying
+// it.
 
 #include <unistd.h>
 
--- a/tests/standins/fleet.cpp
+++ b/tests/standins/fleet.cpp
@@ -3,8 +3,8 @@
 #include <fcntl.h>
 #include <signal.h>
 #include <sys/file.h>
-#include <sys/stat.h>
 #include <sys/resource.h>
+#include <sys/stat.h>
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -33,9 +33,9 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
-// Holds ports for the sidecars and agents of one fleet. Bound and not listening: whoever sets SO_REUSEADDR may listen
-// there all the same, and a connection is refused while nobody does. Another test's fleet finds the port taken, also while
-// its sidecar is down: else clients would meet a stranger there.
+// Holds ports for the sidecars and agents of one fleet. Bound and not listening: whoever sets SO_REUSEADDR
+// may listen there all the same, and a connection is refused while nobody does. Another test's fleet finds
+// the port taken, also while its sidecar is down: else clients would meet a stranger there.
 class Ports {
  public:
   // Each another; below the range that the system gives out by itself, so that no connection has one of them.
@@ -68,7 +68,8 @@
   if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
   directory_ = pattern;
   Generation("g1");
-  const auto sidecars = static_cast<std::size_t>(options_.agents) * static_cast<std::size_t>(options_.instances);
+  const auto sidecars =
+      static_cast<std::size_t>(options_.agents) * static_cast<std::size_t>(options_.instances);
   const auto held = std::make_shared<Ports>();
   held_ports_ = held;
   ports_ = options_.ports ? held->Take(sidecars) : std::vector<std::uint16_t>(sidecars, 0);
@@ -83,14 +84,15 @@
   for (int a = 0; a < options_.agents; ++a) {
     const std::string name = "a" + std::to_string(a);
     const std::string hall = a < (options_.agents + 1) / 2 ? "bole" : "kality";
-    const std::string place =
-        options_.tokens ? "127.0.0.1:" + std::to_string(held->Take(1).front()) : "unix:" + path(name + ".sock");
+    const std::string place = options_.tokens ? "127.0.0.1:" + std::to_string(held->Take(1).front())
+                                              : "unix:" + path(name + ".sock");
     std::ofstream file(path(name + ".toml"));
     file << "[agent]\nname = \"" << name << "\"\nhall = \"" << hall << "\"\nlisten = \"" << place
          << "\"\ndirectory = \"" << path(name) << "\"\nlease_ms = 3000\ncheck = [\"" MOTHRACK_PROGRAM
          << "\", \"check\", \"{generation}/mothrack.toml\"]\n";
     if (options_.tokens) file << "tokens = \"" << path("tokens") << "\"\n";
-    file << "[limits]\nfirst_pause_ms = 100\n" << options_.limits << "[generations]\ng1 = \"" << path("g1") << "\"\n";
+    file << "[limits]\nfirst_pause_ms = 100\n"
+         << options_.limits << "[generations]\ng1 = \"" << path("g1") << "\"\n";
     for (int i = 0; i < options_.instances; ++i) {
       const std::string sidecar = "[\"" MOTHRACK_PROGRAM "\", \"--config\", \"{generation}/mothrack.toml\"]";
       const std::string command = options_.command.empty() ? sidecar : options_.command;
@@ -137,9 +139,10 @@
   std::ofstream(path(remark) + "/mothrack.toml")
       << "name = \"{instance}\"\n# " << remark << "\n[admin]\nlisten = \"unix:{directory}/door\"\n"
       << (fault ? "nonsense = 1\n" : "");
-  json config = {{"name", "n"}, {"seed", "8c1f30d27a5be964"},
-                       {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 128}}},
-                       {"settings", Settings()}};
+  json config = {{"name", "n"},
+                 {"seed", "8c1f30d27a5be964"},
+                 {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 128}}},
+                 {"settings", Settings()}};
   if (!options_.upstreams.is_null()) {
     config["known"] = {{"rev", 0}, {"all", true}, {"targets", options_.upstreams}};
   }
@@ -213,7 +216,10 @@
 json Fleet::Instance(int agent, int instance) const {
   const json status = Status();
   try {
-    return status.at("agents").at("a" + std::to_string(agent)).at("instances").at("n" + std::to_string(instance));
+    return status.at("agents")
+        .at("a" + std::to_string(agent))
+        .at("instances")
+        .at("n" + std::to_string(instance));
   } catch (const json::exception&) {
     return json::object();
   }
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -1,5 +1,5 @@
-// A fleet on this machine as a test runs it: agents over directories of their own, real sidecars under them, and the
-// tool. Every process that was started is ended with its object, by its pid.
+// A fleet on this machine as a test runs it: agents over directories of their own, real sidecars under them,
+// and the tool. Every process that was started is ended with its object, by its pid.
 #pragma once
 
 #include <sys/types.h>
