--- a/tests/standins/hall.cpp
+++ b/tests/standins/hall.cpp
@@ -27,10 +27,11 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr int kTries = 5;                     // at ports, where one was taken meanwhile
-constexpr milliseconds kTimeout{5000};        // of the clients' requests
-constexpr milliseconds kLag{100};             // between a death and what its client sees of it
-constexpr const char* kNobody = "discovery";  // in no zone: whatever is cut off, it stays with those that are not
+constexpr int kTries = 5;               // at ports, where one was taken meanwhile
+constexpr milliseconds kTimeout{5000};  // of the clients' requests
+constexpr milliseconds kLag{100};       // between a death and what its client sees of it
+constexpr const char* kNobody =
+    "discovery";  // in no zone: whatever is cut off, it stays with those that are not
 
 std::string ReadAll(const std::string& path) {
   std::ostringstream text;
@@ -38,8 +39,8 @@
   return text.str();
 }
 
-// Below the range that the system gives out by itself, so that no connection has it while its owner is down; free for
-// both protocols a moment ago.
+// Below the range that the system gives out by itself, so that no connection has it while its owner is down;
+// free for both protocols a moment ago.
 std::uint16_t FreePort() {
   static std::uint16_t next = static_cast<std::uint16_t>(10'000 + ::getpid() % 210 * 100);
   for (;;) {
@@ -69,7 +70,8 @@
 std::optional<std::uint64_t> NumberOf(std::string_view id) {
   const auto dash = id.find('-');
   if (!id.starts_with('s') || dash == std::string_view::npos) return std::nullopt;
-  return std::stoull(std::string(id.substr(1, dash - 1))) << 32 | std::stoull(std::string(id.substr(dash + 1)));
+  return std::stoull(std::string(id.substr(1, dash - 1))) << 32 |
+         std::stoull(std::string(id.substr(dash + 1)));
 }
 
 std::string Loopback(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
@@ -96,8 +98,8 @@
     for (int i = 0; i < options_.upstreams; ++i) {
       const std::string name = zone + "-u" + std::to_string(i);
       box_->Add(name, {zone, "upstreams"});
-      const auto run = [this, server = upstreams_.size(), handler = ran_.Handler()](Wire& wire, const Request& request,
-                                                                                    int number) {
+      const auto run = [this, server = upstreams_.size(), handler = ran_.Handler()](
+                           Wire& wire, const Request& request, int number) {
         Arrived(server, request);
         handler(wire, request, number);
       };
@@ -113,7 +115,8 @@
     process.machine = process.zone + '-' + std::to_string(number / zones);
     process.udp = FreePort();
     process.tcp = FreePort();
-    box_->Add(process.name, {process.zone, process.machine, process.agent ? "agents" : "sidecars"}, process.udp);
+    box_->Add(process.name, {process.zone, process.machine, process.agent ? "agents" : "sidecars"},
+              process.udp);
     processes_[process.name] = std::move(process);
   };
   for (int i = 0; i < options_.sidecars; ++i) add("s", i);
@@ -231,7 +234,8 @@
   }
 }
 
-// A client's word. What was not taken by a sidecar is not among what the rules look at; the account looks at it.
+// A client's word. What was not taken by a sidecar is not among what the rules look at; the account looks at
+// it.
 void Hall::Ended(const Traffic::Ended& ended) {
   using End = Traffic::End;
   if (ended.how == End::kLost || ended.how == End::kCrossed) {
@@ -240,7 +244,8 @@
   }
   if (ended.how == End::kNotTaken || ended.how == End::kCrossed) return;
   auto happening = testing::At(lab::Happening::Kind::kTaken, ended.begin);
-  happening.request = static_cast<std::uint64_t>(ended.number) << 32 | static_cast<std::uint64_t>(ended.index);
+  happening.request =
+      static_cast<std::uint64_t>(ended.number) << 32 | static_cast<std::uint64_t>(ended.index);
   happening.sidecar = ended.number;
   happening.cls = ended.unsafe ? 1 : 0;
   happening.until = happening.at + kTimeout;
@@ -282,15 +287,19 @@
 }
 
 void Hall::WriteFiles(const Process& process) const {
-  const auto scaled = [&](int of_500) { return std::max<std::int64_t>(options_.probe.count() * of_500 / 500, 10); };
+  const auto scaled = [&](int of_500) {
+    return std::max<std::int64_t>(options_.probe.count() * of_500 / 500, 10);
+  };
   std::ostringstream peers;
   peers << "[peers]\nlisten = \"" << Loopback(process.udp) << "\"\nadvertise = \""
         << Loopback(box_->advertised(process.name)) << "\"\nzone = \"" << process.zone << "\"\nkey_file = \""
         << path(process.name + ".keys") << "\"\nprobe_ms = " << options_.probe.count()
-        << "\nprobe_patience_ms = " << scaled(200) << "\ngossip_ms = " << std::max<std::int64_t>(scaled(100), 20)
+        << "\nprobe_patience_ms = " << scaled(200)
+        << "\ngossip_ms = " << std::max<std::int64_t>(scaled(100), 20)
         << "\ndigest_ms = " << std::max<std::int64_t>(scaled(1000), 100) << "\n";
   // The bound on datagrams is by second, and rounds are shorter.
-  peers << "datagrams_per_s = " << std::min<std::int64_t>(40 * 500 / options_.probe.count(), 1000) << "\nseeds = [";
+  peers << "datagrams_per_s = " << std::min<std::int64_t>(40 * 500 / options_.probe.count(), 1000)
+        << "\nseeds = [";
   // One of each zone, so that every part of a fleet that was cut finds back.
   bool first = true;
   for (std::size_t i = 0; i < options_.zones.size(); ++i) {
@@ -304,7 +313,8 @@
   const std::string section = options_.with_peers ? peers.str() : "";
   std::ofstream file(path(process.name + ".toml"));
   if (!process.agent) {
-    file << "name = \"" << process.name << "\"\n[admin]\nlisten = \"unix:" << path(process.name + ".door") << "\"\n"
+    file << "name = \"" << process.name << "\"\n[admin]\nlisten = \"unix:" << path(process.name + ".door")
+         << "\"\n"
          << section << options_.operator_file;
     return;
   }
@@ -363,7 +373,8 @@
   const bool up = Eventually([&] {
     ended = ::waitpid(process.pid, nullptr, WNOHANG) == process.pid;
     const std::string text = Log(process.name).substr(process.log_from);
-    // A sidecar's door is the last that it opens: until then a call there meets what the process before has left.
+    // A sidecar's door is the last that it opens: until then a call there meets what the process before has
+    // left.
     return ended || text.find(process.agent ? "agent on " : "admin on ") != std::string::npos;
   });
   if (ended) process.pid = -1;
@@ -500,8 +511,8 @@
   }
   for (const Traffic::Ended& gone : gone_) {
     const Process& sidecar = At("s" + std::to_string(gone.number));
-    const bool under_way =
-        std::ranges::any_of(sidecar.kills, [&](auto at) { return at >= gone.begin - kLag && at <= gone.end + kLag; });
+    const bool under_way = std::ranges::any_of(
+        sidecar.kills, [&](auto at) { return at >= gone.begin - kLag && at <= gone.end + kLag; });
     if (under_way) killed[gone.id] = true;
     // A connection that was closed as the request came ends at once; one that ends later had taken it.
     const bool taken = gone.how == Traffic::End::kLost || gone.end - gone.begin > kLag;
--- a/tests/standins/hall.h
+++ b/tests/standins/hall.h
@@ -1,7 +1,7 @@
-// A fleet over several places of this machine as a test runs it: real sidecars and agents that are peers, upstreams
-// and discovery by zone, clients with their account, and the link box between all of them. A process is selected by its
-// name, its machine, its zone, its kind ("sidecars", "agents") or "*". Every process that was started is ended with its
-// object, by its pid.
+// A fleet over several places of this machine as a test runs it: real sidecars and agents that are peers,
+// upstreams and discovery by zone, clients with their account, and the link box between all of them. A
+// process is selected by its name, its machine, its zone, its kind ("sidecars", "agents") or "*". Every
+// process that was started is ended with its object, by its pid.
 #pragma once
 
 #include <sys/types.h>
@@ -47,7 +47,8 @@
 
   LinkBox& box() { return *box_; }
   std::vector<std::string> Names(const std::string& selector = "*") const;
-  // The machine of zone "bole-hall" with number 0 is "bole-hall-0": an agent, where there is one, and its sidecars.
+  // The machine of zone "bole-hall" with number 0 is "bole-hall-0": an agent, where there is one, and its
+  // sidecars.
   std::string MachineOf(const std::string& name) const;
 
   void Kill(const std::string& selector);      // SIGKILL
@@ -58,8 +59,8 @@
   pid_t pid(const std::string& name) const;
   bool runs(const std::string& name) const;
 
-  // A key as its file has it, each number another; all begin with that of 0. Each process has a file of its own, so
-  // that they may differ.
+  // A key as its file has it, each number another; all begin with that of 0. Each process has a file of its
+  // own, so that they may differ.
   static std::string Key(int number);
   void SetKeys(const std::string& selector, const std::vector<std::string>& keys);
 
@@ -78,9 +79,9 @@
   std::optional<std::chrono::milliseconds> Await(const std::function<bool()>& condition,
                                                  std::chrono::milliseconds patience) const;
 
-  // Traffic through all sidecars, from now on. Judge() ends it and tells what was broken: by the account (no request
-  // lost, nothing run twice, none that was refused run; only what was under way at a sidecar that was killed may be
-  // lost), and by the emulator's rules (lab/rules.h) over what happened.
+  // Traffic through all sidecars, from now on. Judge() ends it and tells what was broken: by the account (no
+  // request lost, nothing run twice, none that was refused run; only what was under way at a sidecar that was
+  // killed may be lost), and by the emulator's rules (lab/rules.h) over what happened.
   void BeginTraffic();
   std::vector<std::string> Judge(std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
   std::size_t count(Traffic::End end) const { return traffic_ ? traffic_->count(end) : 0; }
--- a/tests/standins/link_box.cpp
+++ b/tests/standins/link_box.cpp
@@ -19,12 +19,12 @@
 using std::chrono::microseconds;
 using std::chrono::milliseconds;
 
-constexpr std::size_t kMostBuffer = 65'536;      // of one read
-constexpr std::size_t kHeaders = 28;             // that a datagram has on the wire: an empty one takes room as well
+constexpr std::size_t kMostBuffer = 65'536;  // of one read
+constexpr std::size_t kHeaders = 28;  // that a datagram has on the wire: an empty one takes room as well
 constexpr std::size_t kMostConnections = 4'096;  // beyond them, new ones are reset
-constexpr std::uint32_t kOff = EPOLLERR;         // in place of events: the system is asked for nothing any more
-constexpr int kMostAtOnce = 256;                 // datagrams of one socket in one turn, so that none starves the rest
-constexpr int kKernelBuffer = 1 << 20;           // what the system may hold while the thread is not scheduled
+constexpr std::uint32_t kOff = EPOLLERR;  // in place of events: the system is asked for nothing any more
+constexpr int kMostAtOnce = 256;        // datagrams of one socket in one turn, so that none starves the rest
+constexpr int kKernelBuffer = 1 << 20;  // what the system may hold while the thread is not scheduled
 
 sockaddr_in Loopback(std::uint16_t port) {
   sockaddr_in address{};
@@ -48,7 +48,8 @@
 
 // Its own for each link, and the same whatever the order in which links first carry something.
 std::mt19937_64 RandomOf(std::uint64_t seed, const std::string& from, const std::string& to) {
-  std::vector<std::uint32_t> words = {static_cast<std::uint32_t>(seed), static_cast<std::uint32_t>(seed >> 32)};
+  std::vector<std::uint32_t> words = {static_cast<std::uint32_t>(seed),
+                                      static_cast<std::uint32_t>(seed >> 32)};
   for (const char c : from + '>' + to) words.push_back(static_cast<unsigned char>(c));
   std::seed_seq sequence(words.begin(), words.end());
   return std::mt19937_64(sequence);
@@ -90,7 +91,8 @@
   ::close(epoll_);
 }
 
-std::uint16_t LinkBox::Add(const std::string& name, const std::vector<std::string>& groups, std::uint16_t udp_port) {
+std::uint16_t LinkBox::Add(const std::string& name, const std::vector<std::string>& groups,
+                           std::uint16_t udp_port) {
   const std::lock_guard lock(mutex_);
   auto& end = ends_[name];
   if (end != nullptr) throw std::logic_error("the link box has two ends " + name);
@@ -131,7 +133,8 @@
 }
 
 bool LinkBox::Selects(const std::string& selector, const End& end) {
-  return selector == "*" || selector == end.name || std::ranges::find(end.groups, selector) != end.groups.end();
+  return selector == "*" || selector == end.name ||
+         std::ranges::find(end.groups, selector) != end.groups.end();
 }
 
 bool LinkBox::IsCut(const Link& link) { return link.faults.cut || link.from->side != link.to->side; }
@@ -153,7 +156,8 @@
   return *link;
 }
 
-void LinkBox::EachLink(const std::string& from, const std::string& to, const std::function<void(Link&)>& call) {
+void LinkBox::EachLink(const std::string& from, const std::string& to,
+                       const std::function<void(Link&)>& call) {
   bool any = false;
   for (const auto& [a, from_end] : ends_) {
     for (const auto& [b, to_end] : ends_) {
@@ -166,7 +170,8 @@
   if (!any) throw std::logic_error("the link box has no link from " + from + " to " + to);
 }
 
-void LinkBox::Change(const std::string& from, const std::string& to, const std::function<void(Faults&)>& change) {
+void LinkBox::Change(const std::string& from, const std::string& to,
+                     const std::function<void(Faults&)>& change) {
   const std::lock_guard lock(mutex_);
   EachLink(from, to, [&](Link& link) { change(link.faults), link.changed = true; });
   PlanAnew();
@@ -241,17 +246,17 @@
   for (const auto& [pair, link] : links_) {
     const Counts& c = link->counts;
     if (c.lost + c.cut + c.over_queue + c.not_sent + c.repeated + c.reordered + c.resets == 0) continue;
-    text << pair.first << " > " << pair.second << ": " << c.came << " came, " << c.delivered << " delivered; dropped "
-         << c.lost << " by chance, " << c.cut << " by a cut, " << c.over_queue << " for room, " << c.not_sent
-         << " by the system; repeated " << c.repeated << ", reordered " << c.reordered << "; TCP " << c.connections
-         << " connections, " << c.resets << " reset\n";
+    text << pair.first << " > " << pair.second << ": " << c.came << " came, " << c.delivered
+         << " delivered; dropped " << c.lost << " by chance, " << c.cut << " by a cut, " << c.over_queue
+         << " for room, " << c.not_sent << " by the system; repeated " << c.repeated << ", reordered "
+         << c.reordered << "; TCP " << c.connections << " connections, " << c.resets << " reset\n";
   }
   if (strangers_ > 0) text << strangers_ << " datagrams of strangers\n";
   return text.str();
 }
 
-LinkBox::Clock::time_point LinkBox::Plan(Link& link, Clock::time_point came, std::size_t size, microseconds extra,
-                                         bool ordered) {
+LinkBox::Clock::time_point LinkBox::Plan(Link& link, Clock::time_point came, std::size_t size,
+                                         microseconds extra, bool ordered) {
   Clock::time_point sent = came;
   if (link.faults.bytes_per_s > 0) {
     const double seconds = static_cast<double>(size) / static_cast<double>(link.faults.bytes_per_s);
@@ -279,8 +284,8 @@
   }
   std::ranges::stable_sort(all, {}, &Datagram::came);
   for (Datagram& datagram : all) {
-    const auto due =
-        Plan(*datagram.link, datagram.came, datagram.bytes.size() + kHeaders, datagram.extra, datagram.ordered);
+    const auto due = Plan(*datagram.link, datagram.came, datagram.bytes.size() + kHeaders, datagram.extra,
+                          datagram.ordered);
     datagrams_.emplace(due, std::move(datagram));
   }
   for (const auto& [fd, connection] : connections_) {
@@ -353,14 +358,16 @@
   for (int i = 0; i < kMostAtOnce; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
-    const ssize_t got = ::recvfrom(to.fd, buffer_.data(), buffer_.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
+    const ssize_t got =
+        ::recvfrom(to.fd, buffer_.data(), buffer_.size(), 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (got < 0) return;
     const auto sender = by_real_.find(ntohs(from.sin_port));
     if (sender == by_real_.end() || sender->second == &to) {
       ++strangers_;
       continue;
     }
-    TakeDatagram(LinkOf(*sender->second, to), std::string(buffer_.data(), static_cast<std::size_t>(got)), Clock::now());
+    TakeDatagram(LinkOf(*sender->second, to), std::string(buffer_.data(), static_cast<std::size_t>(got)),
+                 Clock::now());
   }
 }
 
@@ -379,7 +386,8 @@
     ++link.counts.lost;
     return;
   }
-  microseconds extra(static_cast<std::int64_t>(jitter * static_cast<double>(microseconds(link.faults.jitter).count())));
+  microseconds extra(
+      static_cast<std::int64_t>(jitter * static_cast<double>(microseconds(link.faults.jitter).count())));
   if (reordered) extra += link.faults.held_back;
   link.counts.reordered += reordered ? 1 : 0;
   for (int copy = 0; copy < (repeated ? 2 : 1); ++copy) {
@@ -446,7 +454,8 @@
   const sockaddr_in to = Loopback(connection.real);
   connection.connecting = true;
   if (connection.server < 0 ||
-      (::connect(connection.server, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 && errno != EINPROGRESS)) {
+      (::connect(connection.server, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 &&
+       errno != EINPROGRESS)) {
     Close(connection.client, true);
     return;
   }
@@ -497,7 +506,8 @@
   while (!way.ended && way.held < link.faults.queue) {
     // A slow link passes on small pieces, or its rate would come in leaps.
     const std::size_t rate = link.faults.bytes_per_s;
-    const std::size_t piece = rate == 0 ? buffer_.size() : std::clamp<std::size_t>(rate / 50, 256, buffer_.size());
+    const std::size_t piece =
+        rate == 0 ? buffer_.size() : std::clamp<std::size_t>(rate / 50, 256, buffer_.size());
     const ssize_t got = ::recv(from, buffer_.data(), std::min(piece, link.faults.queue - way.held), 0);
     if (got < 0) {
       if (errno != EAGAIN && errno != EINTR) Close(connection.client, true);
@@ -555,12 +565,14 @@
     // One side is gone by a reset, which a cut has held back.
     if (connection.client_reset && !cut) return Close(connection.client, true);
     if (connection.server_reset && !IsCut(*connection.back.link)) return Close(connection.client, true);
-    if (!cut && !connection.there.done && !Deliver(connection, connection.there, connection.server, now)) return;
+    if (!cut && !connection.there.done && !Deliver(connection, connection.there, connection.server, now))
+      return;
     if (!IsCut(*connection.back.link) && !connection.back.done &&
         !Deliver(connection, connection.back, connection.client, now)) {
       return;
     }
-    if (connection.there.done && connection.back.done && !connection.client_reset && !connection.server_reset) {
+    if (connection.there.done && connection.back.done && !connection.client_reset &&
+        !connection.server_reset) {
       return Close(connection.client, false);
     }
   }
--- a/tests/standins/link_box.h
+++ b/tests/standins/link_box.h
@@ -1,12 +1,13 @@
-// The network between the processes of one machine, as a test wants it: a relay on loopback through which they reach
-// one another, with faults by ordered pair of ends. Every end has names that select it (its own and its groups'), and
-// every fault is set from selector to selector, from that moment on.
+// The network between the processes of one machine, as a test wants it: a relay on loopback through which
+// they reach one another, with faults by ordered pair of ends. Every end has names that select it (its own
+// and its groups'), and every fault is set from selector to selector, from that moment on.
 //
-// UDP: the box has one socket for each end, and the end advertises that socket's address as its own. What comes to the
-// socket of B from A's real address goes on to B's real address *from the socket of A*: so B answers through the box
-// whether it answers to where the datagram came from or to the address that A says is its own.
-// TCP: a port for each ordered pair, relayed to a real address. The handshake is the system's, so a connection through
-// a cut link comes up, and nothing is heard on it; loss, repeats and reordering are not for TCP, which hides them.
+// UDP: the box has one socket for each end, and the end advertises that socket's address as its own. What
+// comes to the socket of B from A's real address goes on to B's real address *from the socket of A*: so B
+// answers through the box whether it answers to where the datagram came from or to the address that A says is
+// its own. TCP: a port for each ordered pair, relayed to a real address. The handshake is the system's, so a
+// connection through a cut link comes up, and nothing is heard on it; loss, repeats and reordering are not
+// for TCP, which hides them.
 #pragma once
 
 #include <atomic>
@@ -37,9 +38,9 @@
     std::chrono::milliseconds delay{0};
     std::chrono::milliseconds jitter{0};  // on top of the delay, evenly from nothing to this
     std::size_t bytes_per_s = 0;          // 0: as fast as it goes
-    std::size_t queue = 256 * 1024;       // bytes on the way: datagrams beyond it are dropped, a TCP sender waits
-    bool cut = false;                     // nothing passes, and nobody is told; TCP's bytes are held until it heals
-    bool refuse = false;                  // TCP: connections are reset, those that come as well
+    std::size_t queue = 256 * 1024;  // bytes on the way: datagrams beyond it are dropped, a TCP sender waits
+    bool cut = false;     // nothing passes, and nobody is told; TCP's bytes are held until it heals
+    bool refuse = false;  // TCP: connections are reset, those that come as well
   };
 
   // Of one ordered pair; datagrams, unless they say otherwise.
@@ -57,9 +58,10 @@
   LinkBox(const LinkBox&) = delete;
   LinkBox& operator=(const LinkBox&) = delete;
 
-  // An end, and the groups that it is in; with `udp_port`, its real one on loopback. Returns the port to advertise, 0
-  // where it has no UDP.
-  std::uint16_t Add(const std::string& name, const std::vector<std::string>& groups, std::uint16_t udp_port = 0);
+  // An end, and the groups that it is in; with `udp_port`, its real one on loopback. Returns the port to
+  // advertise, 0 where it has no UDP.
+  std::uint16_t Add(const std::string& name, const std::vector<std::string>& groups,
+                    std::uint16_t udp_port = 0);
   // The end was started anew on another port; what it advertises stays.
   void Move(const std::string& name, std::uint16_t udp_port);
   std::uint16_t advertised(const std::string& name) const;
@@ -70,8 +72,8 @@
   void Change(const std::string& from, const std::string& to, const std::function<void(Faults&)>& change);
   void Cut(const std::string& from, const std::string& to);  // one way
   void Join(const std::string& from, const std::string& to);
-  // Ends of different sides don't hear one another, whatever else is set; who is in no side is a side of its own with
-  // all others that are in none.
+  // Ends of different sides don't hear one another, whatever else is set; who is in no side is a side of its
+  // own with all others that are in none.
   void Partition(const std::vector<std::vector<std::string>>& sides);
   void Heal();   // the partition; faults of links stay
   void Clear();  // no fault anywhere
@@ -81,7 +83,8 @@
   Counts counts(const std::string& from = "*", const std::string& to = "*") const;
   std::uint64_t strangers() const;  // datagrams from no end's address, which go nowhere
   std::size_t waiting() const;      // bytes on the way now
-  std::string Describe() const;     // the links on which anything was dropped, repeated or reordered, for a test's log
+  std::string Describe()
+      const;  // the links on which anything was dropped, repeated or reordered, for a test's log
 
  private:
   using Clock = std::chrono::steady_clock;
@@ -146,8 +149,8 @@
   End& EndOf(const std::string& name);
   void EachLink(const std::string& from, const std::string& to, const std::function<void(Link&)>& call);
   // When something of this size that came then is due at the far end.
-  Clock::time_point Plan(Link& link, Clock::time_point came, std::size_t size, std::chrono::microseconds extra,
-                         bool ordered);
+  Clock::time_point Plan(Link& link, Clock::time_point came, std::size_t size,
+                         std::chrono::microseconds extra, bool ordered);
   void PlanAnew();
   void Wake();
 
@@ -160,7 +163,8 @@
   void Serve(int fd, std::uint32_t events, Clock::time_point now);
   void Begin(Connection& connection);
   void Read(Connection& connection, Way& way, int from, Clock::time_point now);
-  bool Deliver(Connection& connection, Way& way, int to, Clock::time_point now);  // false: the connection is over
+  bool Deliver(Connection& connection, Way& way, int to,
+               Clock::time_point now);  // false: the connection is over
   void Pump(Connection& connection, Clock::time_point now);
   void Watch(Connection& connection);
   static void Drop(Way& way);
--- a/tests/standins/lost_wakes.cpp
+++ b/tests/standins/lost_wakes.cpp
@@ -1,4 +1,5 @@
-// Loaded into a program by LD_PRELOAD: the system never tells it of a client that waits at a listening socket.
+// Loaded into a program by LD_PRELOAD: the system never tells it of a client that waits at a listening
+// socket.
 #include <dlfcn.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -289,8 +289,8 @@
     environment.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
   }
 
-  // All of it before the fork: other threads of this process may hold the allocator's lock at that moment, and under the
-  // sanitizers a child that allocates then waits for ever.
+  // All of it before the fork: other threads of this process may hold the allocator's lock at that moment,
+  // and under the sanitizers a child that allocates then waits for ever.
   std::map<std::string, std::string> variables;
   for (char** entry = environ; *entry != nullptr; ++entry) {
     const std::string text = *entry;
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -169,11 +169,11 @@
     bool platform = true;                    // the LB_* variables are set
     std::string operator_file;               // its text; empty: none is named
     std::vector<std::string> environment{};  // further NAME=VALUE
-    int full_send = 0;    // of its datagrams, the system takes only every so manieth at the first try
-    int few_sockets = 0;  // the system gives it no socket of this number or more
+    int full_send = 0;            // of its datagrams, the system takes only every so manieth at the first try
+    int few_sockets = 0;          // the system gives it no socket of this number or more
     std::string fault_plan = "";  // the file of a FaultPlan by which its system calls fail; empty: none
-    bool lost_wakes = false;  // the system never tells it of a client that waits
-    bool held_log = false;    // its log takes no byte until ReadLog(): it stops at its first line
+    bool lost_wakes = false;      // the system never tells it of a client that waits
+    bool held_log = false;        // its log takes no byte until ReadLog(): it stops at its first line
   };
   explicit Node(const Options& options);
   ~Node();
@@ -182,9 +182,9 @@
   std::uint16_t port() const { return port_; }
   void Signal(int number);
   void Reload(const std::string& config_text);  // replaces the file and tells it
-  bool OpsListening();  // waits until it is
+  bool OpsListening();                          // waits until it is
   std::string ops() const { return "127.0.0.1:" + std::to_string(ops_port_); }
-  bool DnsListening();                          // waits until it is
+  bool DnsListening();  // waits until it is
   std::uint16_t dns_port() const { return dns_port_; }
   void WriteOperatorFile(const std::string& text);  // replaces it, and tells nobody
   void ReloadOperatorFile(const std::string& text);
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -40,7 +40,8 @@
     kLost,      // taken, as far as a client can tell, and never answered
   };
 
-  // A request that has ended, whichever way: of which sidecar's client, its how manieth, and from when to when.
+  // A request that has ended, whichever way: of which sidecar's client, its how manieth, and from when to
+  // when.
   struct Ended {
     std::size_t number = 0;
     int index = 0;
@@ -50,8 +51,8 @@
     std::chrono::steady_clock::time_point begin, end;
   };
 
-  // Begins at once; each sends so often. `told`: by the clients' threads. With `requests_on_a_connection` a client closes
-  // its connection after so many.
+  // Begins at once; each sends so often. `told`: by the clients' threads. With `requests_on_a_connection` a
+  // client closes its connection after so many.
   Traffic(const std::vector<std::uint16_t>& ports, std::chrono::milliseconds every,
           std::function<void(const Ended&)> told = {}, int requests_on_a_connection = 0);
   ~Traffic();
--- a/tests/start_times_test.cpp
+++ b/tests/start_times_test.cpp
@@ -18,8 +18,9 @@
 using std::chrono::seconds;
 using Kind = MembershipUpdate::Kind;
 
-constexpr Duration kUnixTime = seconds(1'790'000'000);  // of the steady clock's zero, while nothing has stepped
-constexpr TimePoint kStart{seconds(1000)};              // of the program
+constexpr Duration kUnixTime =
+    seconds(1'790'000'000);                 // of the steady clock's zero, while nothing has stepped
+constexpr TimePoint kStart{seconds(1000)};  // of the program
 
 ClockReading At(TimePoint now, Duration step = Duration::zero()) {
   return {now, kUnixTime + now.time_since_epoch() + step};
@@ -51,8 +52,8 @@
   return list.update.upstreams.front().started.value();
 }
 
-// A list is held; then the clock steps; then a process starts and is told 0.2 s later. Whoever stamped it had the
-// stepped clock or the one before.
+// A list is held; then the clock steps; then a process starts and is told 0.2 s later. Whoever stamped it had
+// the stepped clock or the one before.
 struct Step {
   const char* name;
   Duration step;
@@ -70,8 +71,9 @@
   times.Place(first, At(kStart + seconds(1)));
   const TimePoint started = kStart + seconds(2);
   const TimePoint told = started + milliseconds(200);
-  const TimePoint placed = Placed(times, One(Kind::kChanges, "new", BootMs(started, stamped_after ? step : Duration::zero())),
-                                  At(told, step));
+  const TimePoint placed =
+      Placed(times, One(Kind::kChanges, "new", BootMs(started, stamped_after ? step : Duration::zero())),
+             At(told, step));
   EXPECT_GE(placed, started);
   EXPECT_LE(placed, told);
   if (exact) {
@@ -98,8 +100,9 @@
   none.update.kind = Kind::kFull;
   times.Place(none, At(kStart + seconds(1)));
   const TimePoint started = kStart + seconds(2);
-  EXPECT_EQ(Placed(times, One(Kind::kChanges, "new", BootMs(started, -seconds(3600))), At(kStart + seconds(3))),
-            kStart + seconds(1));
+  EXPECT_EQ(
+      Placed(times, One(Kind::kChanges, "new", BootMs(started, -seconds(3600))), At(kStart + seconds(3))),
+      kStart + seconds(1));
 }
 
 TEST(StartTimes, NoProcessStartedAfterTheListThatHasIt) {
@@ -147,7 +150,8 @@
     without.update.kind = by_whole_list ? Kind::kFull : Kind::kChanges;
     if (!by_whole_list) Add(without, "u", boot_ms, UpstreamState::kGone);
     times.Place(without, At(kStart + seconds(1)));
-    EXPECT_EQ(Placed(times, One(Kind::kChanges, "u", boot_ms), At(kStart + seconds(2))), placed) << by_whole_list;
+    EXPECT_EQ(Placed(times, One(Kind::kChanges, "u", boot_ms), At(kStart + seconds(2))), placed)
+        << by_whole_list;
   }
 }
 
@@ -168,7 +172,8 @@
   MembershipList none;
   none.update.kind = Kind::kFull;
   times.Place(none, At(kStart + seconds(1)));
-  // Each was new to a list of kStart. The first one is forgotten, and new once more, to the list of a second later.
+  // Each was new to a list of kStart. The first one is forgotten, and new once more, to the list of a second
+  // later.
   EXPECT_EQ(Placed(times, One(Kind::kChanges, "u0", boot_ms), At(kStart + seconds(2))), kStart + seconds(1));
   EXPECT_EQ(Placed(times, One(Kind::kChanges, "u" + std::to_string(StartTimes::kMostDeparted), boot_ms),
                    At(kStart + seconds(2))),
@@ -182,9 +187,11 @@
   const Duration step = -seconds(3600);
   StartTimes successor(At(kStart + seconds(1), step));
   successor.Import(times.Export(), times.last_list());
-  EXPECT_EQ(Placed(successor, One(Kind::kFull, "u", boot_ms), At(kStart + seconds(2), step)), kStart - seconds(5));
+  EXPECT_EQ(Placed(successor, One(Kind::kFull, "u", boot_ms), At(kStart + seconds(2), step)),
+            kStart - seconds(5));
   // And knows when the list was read that did not have this one.
-  EXPECT_GE(Placed(successor, One(Kind::kChanges, "new", BootMs(kStart - seconds(500))), At(kStart + seconds(3), step)),
+  EXPECT_GE(Placed(successor, One(Kind::kChanges, "new", BootMs(kStart - seconds(500))),
+                   At(kStart + seconds(3), step)),
             kStart);
 }
 
--- a/tests/support/fault_injection.cpp
+++ b/tests/support/fault_injection.cpp
@@ -1,8 +1,7 @@
-// Loaded into a program by LD_PRELOAD: its system calls fail, move fewer bytes than they were given, or tell another wall
-// clock, as the mapped plan says (fault_plan.h). A hit with an error does nothing but fail: no bytes move, no connection
-// is taken. The calls go straight to the kernel, so that no other library's idea of them comes in between.
-#include "support/fault_plan.h"
-
+// Loaded into a program by LD_PRELOAD: its system calls fail, move fewer bytes than they were given, or tell
+// another wall clock, as the mapped plan says (fault_plan.h). A hit with an error does nothing but fail: no
+// bytes move, no connection is taken. The calls go straight to the kernel, so that no other library's idea of
+// them comes in between.
 #include <poll.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -15,6 +14,8 @@
 #include <algorithm>
 #include <cerrno>
 
+#include "support/fault_plan.h"
+
 namespace {
 
 using mothrack::testing::CallFaults;
@@ -155,7 +156,8 @@
 int poll(pollfd* descriptors, nfds_t count, int timeout) {
   if (Fails(SystemCall::kPoll)) return -1;
   timespec wait{timeout / 1000, timeout % 1000 * 1'000'000L};
-  return static_cast<int>(::syscall(SYS_ppoll, descriptors, count, timeout < 0 ? nullptr : &wait, nullptr, 0));
+  return static_cast<int>(
+      ::syscall(SYS_ppoll, descriptors, count, timeout < 0 ? nullptr : &wait, nullptr, 0));
 }
 
 int epoll_pwait(int epoll, epoll_event* events, int most, int timeout, const sigset_t* mask) {
@@ -167,7 +169,8 @@
   return epoll_pwait(epoll, events, most, timeout, nullptr);
 }
 
-ssize_t sendto(int descriptor, const void* bytes, std::size_t size, int flags, const sockaddr* to, socklen_t to_size) {
+ssize_t sendto(int descriptor, const void* bytes, std::size_t size, int flags, const sockaddr* to,
+               socklen_t to_size) {
   std::size_t most = size;
   if (FailsOrShortens(SystemCall::kSend, descriptor, most)) return -1;
   if (most < size && !IsStream(descriptor)) most = size;
@@ -187,7 +190,8 @@
   return ::syscall(SYS_sendmsg, descriptor, &part.message, flags);
 }
 
-ssize_t recvfrom(int descriptor, void* bytes, std::size_t size, int flags, sockaddr* from, socklen_t* from_size) {
+ssize_t recvfrom(int descriptor, void* bytes, std::size_t size, int flags, sockaddr* from,
+                 socklen_t* from_size) {
   std::size_t most = size;
   if (FailsOrShortens(SystemCall::kReceive, descriptor, most)) return -1;
   if (most < size && !IsStream(descriptor)) most = size;
--- a/tests/support/fault_plan.h
+++ b/tests/support/fault_plan.h
@@ -1,5 +1,5 @@
-// Which system calls of a running process fail, and how: written by a test, read by fault_injection.cpp, which is loaded
-// into the process by LD_PRELOAD. Both map one small file, named by the variable FAULT_PLAN.
+// Which system calls of a running process fail, and how: written by a test, read by fault_injection.cpp,
+// which is loaded into the process by LD_PRELOAD. Both map one small file, named by the variable FAULT_PLAN.
 #pragma once
 
 #include <fcntl.h>
@@ -32,22 +32,22 @@
 };
 constexpr std::size_t kSystemCalls = static_cast<std::size_t>(SystemCall::kCount);
 
-// Of one call. A use is hit if it comes after the first `skip` ones, and is an `every`-th one from there on. The others
-// pass. All numbers may be changed while the process runs; `remaining` last.
+// Of one call. A use is hit if it comes after the first `skip` ones, and is an `every`-th one from there on.
+// The others pass. All numbers may be changed while the process runs; `remaining` last.
 struct CallFaults {
-  std::atomic<int> error{0};                   // errno of a hit; 0: it moves at most `short_to` bytes
+  std::atomic<int> error{0};  // errno of a hit; 0: it moves at most `short_to` bytes
   std::atomic<std::uint64_t> short_to{1};
   std::atomic<std::uint64_t> skip{0};
   std::atomic<std::uint64_t> every{1};
-  std::atomic<bool> outgoing_only{false};      // only sockets on which this process called connect()
-  std::atomic<std::int64_t> remaining{0};      // hits still to come; negative: without an end
-  std::atomic<std::uint64_t> uses{0};          // counted by the process
-  std::atomic<std::uint64_t> hits{0};          // likewise
+  std::atomic<bool> outgoing_only{false};  // only sockets on which this process called connect()
+  std::atomic<std::int64_t> remaining{0};  // hits still to come; negative: without an end
+  std::atomic<std::uint64_t> uses{0};      // counted by the process
+  std::atomic<std::uint64_t> hits{0};      // likewise
 };
 
 struct FaultPlan {
   std::array<CallFaults, kSystemCalls> calls;
-  std::atomic<std::int64_t> wall_step_us{0};   // added to the wall clock; the monotonic one runs on
+  std::atomic<std::int64_t> wall_step_us{0};  // added to the wall clock; the monotonic one runs on
 
   CallFaults& Of(SystemCall call) { return calls[static_cast<std::size_t>(call)]; }
 };
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -1,5 +1,6 @@
-// The real program while its system calls fail, move less than they were given, or tell a wall clock that steps. What is
-// held to: no request is lost or runs twice, and it serves again as soon as the trouble is over.
+// The real program while its system calls fail, move less than they were given, or tell a wall clock that
+// steps. What is held to: no request is lost or runs twice, and it serves again as soon as the trouble is
+// over.
 #include <algorithm>
 #include <cerrno>
 #include <chrono>
@@ -64,8 +65,9 @@
 
   bool Start() {
     if (!node.Listening()) return false;
-    traffic_ = std::make_unique<Traffic>(std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
-                                         std::function<void(const Traffic::Ended&)>(), kRequestsOnAConnection);
+    traffic_ =
+        std::make_unique<Traffic>(std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
+                                  std::function<void(const Traffic::Ended&)>(), kRequestsOnAConnection);
     return Serves(50);
   }
 
@@ -87,8 +89,8 @@
 
   std::size_t served() const { return traffic_->count(Traffic::End::kServed); }
 
-  // Ends the traffic, and compares what clients were told with what ran. `stopped`: the sidecar has ended as planned, and
-  // requests may have crossed its close.
+  // Ends the traffic, and compares what clients were told with what ran. `stopped`: the sidecar has ended as
+  // planned, and requests may have crossed its close.
   void ExpectNothingLostOrTwice(bool stopped = false) {
     const auto ends = traffic_->Stop();
     EXPECT_EQ(traffic_->count(Traffic::End::kLost), 0U) << "requests without an answer\n" << node.log();
@@ -109,7 +111,8 @@
   }
 
   json Targets(std::int64_t boot_ms = 1) const {
-    return List({Target("u1", first_.address(), "active", boot_ms), Target("u2", second_.address(), "active", boot_ms)});
+    return List({Target("u1", first_.address(), "active", boot_ms),
+                 Target("u2", second_.address(), "active", boot_ms)});
   }
 
  private:
@@ -119,9 +122,10 @@
     options.operator_file = "[admin]\nlisten = \"" + admin() + "\"\n";
     options.fault_plan = faults.path();
     options.environment = environment;
-    options.settings["Rules"] = {{"GraceToAnswer", 20'000}, {"MustAskIn", 10'000'000}, {"StopSendingWithin", 500'000},
-                                 {"ColdFrom", 0.1},         {"Cold", 60'000'000},      {"FallMultiple", 2.0},
-                                 {"Fall", 1'000'000}};
+    options.settings["Rules"] = {
+        {"GraceToAnswer", 20'000}, {"MustAskIn", 10'000'000}, {"StopSendingWithin", 500'000},
+        {"ColdFrom", 0.1},         {"Cold", 60'000'000},      {"FallMultiple", 2.0},
+        {"Fall", 1'000'000}};
     return options;
   }
 
@@ -148,8 +152,8 @@
 };
 std::ostream& operator<<(std::ostream& out, const Trouble& trouble) { return out << trouble.name; }
 
-// What happens to a client's own connection ends it, and with it what is owed there: the errors of broken connections
-// are played at the side of upstreams and discovery.
+// What happens to a client's own connection ends it, and with it what is owed there: the errors of broken
+// connections are played at the side of upstreams and discovery.
 const Trouble kTroubles[] = {
     {"AcceptInterrupted", SystemCall::kAccept, EINTR},
     {"AcceptAborted", SystemCall::kAccept, ECONNABORTED},
@@ -187,7 +191,8 @@
 
 class SystemFaults : public ::testing::TestWithParam<Trouble> {};
 
-// Once at single uses of the call (each of its first 200 where SYSTEM_FAULTS=whole), then at one in three for a while.
+// Once at single uses of the call (each of its first 200 where SYSTEM_FAULTS=whole), then at one in three for
+// a while.
 TEST_P(SystemFaults, LoseNothingAndItServesAgain) {
   const Trouble& trouble = GetParam();
   Service service;
@@ -287,7 +292,8 @@
     plan.every = 2;
     plan.remaining = -1;
     Client client(node.port());
-    const auto response = client.Post("/submit/k", "long" + std::to_string(static_cast<int>(call)), body, 20000);
+    const auto response =
+        client.Post("/submit/k", "long" + std::to_string(static_cast<int>(call)), body, 20000);
     ASSERT_TRUE(response) << node.log();
     EXPECT_EQ(response->result_int(), 200U);
     EXPECT_TRUE(response->body() == body) << response->body().size();
@@ -297,12 +303,14 @@
 
 // ---- A disk that fails for a while ----
 
-// An operator was told that an upstream is out: that holds for the next process too, though the disk failed just then.
+// An operator was told that an upstream is out: that holds for the next process too, though the disk failed
+// just then.
 TEST(Bans, OutliveADiskThatFailsForAWhile) {
   const struct {
     SystemCall call;
     int error;
-  } faults_of_disks[] = {{SystemCall::kWrite, ENOSPC}, {SystemCall::kSync, EIO}, {SystemCall::kRename, ENOSPC}};
+  } faults_of_disks[] = {
+      {SystemCall::kWrite, ENOSPC}, {SystemCall::kSync, EIO}, {SystemCall::kRename, ENOSPC}};
   for (const auto& fault : faults_of_disks) {
     const ScratchDirectory directory;
     FaultPlanFile plan;
@@ -326,11 +334,13 @@
         const auto answer = ops.Put("/ops/upstreams/down", R"({"name": "u1"})");
         return answer && answer->status == 200;
       }));
-      EXPECT_TRUE(Eventually([&] { return node.log().find("bans are not kept") != std::string::npos; })) << node.log();
+      EXPECT_TRUE(Eventually([&] { return node.log().find("bans are not kept") != std::string::npos; }))
+          << node.log();
       EXPECT_TRUE(AdminClient(door).Get("/v1/status")->body.contains("bans_not_kept"));
       faults.remaining = 0;
-      EXPECT_TRUE(Eventually([&] { return node.log().find("kept for a next process again") != std::string::npos; }))
-          << node.log();
+      EXPECT_TRUE(Eventually([&] {
+        return node.log().find("kept for a next process again") != std::string::npos;
+      })) << node.log();
       EXPECT_FALSE(AdminClient(door).Get("/v1/status")->body.contains("bans_not_kept"));
       node.Signal(SIGKILL);
       node.Wait();
@@ -348,7 +358,8 @@
 
 // ---- A planned stop ahead of the SIGKILL that follows ----
 
-// With short deadlines SIGKILL may come 0.8 s after SIGTERM; idle clients and such that connect on keep it no longer.
+// With short deadlines SIGKILL may come 0.8 s after SIGTERM; idle clients and such that connect on keep it no
+// longer.
 TEST(PlannedStop, IsOverBeforeTheEarliestSigkill) {
   constexpr auto kDeadline = milliseconds(100);
   constexpr auto kEarliestKill = kDeadline + milliseconds(700);
@@ -395,8 +406,8 @@
 
 class WallClock : public ::testing::TestWithParam<int> {};
 
-// The sidecar's machine steps its wall clock while it serves; a process that starts then on the same machine, or on one
-// whose clock did not step, is cold; and whatever else goes by time goes on.
+// The sidecar's machine steps its wall clock while it serves; a process that starts then on the same machine,
+// or on one whose clock did not step, is cold; and whatever else goes by time goes on.
 TEST_P(WallClock, StepsAndTheSidecarServesAndANewUpstreamIsCold) {
   const auto step = std::chrono::microseconds(std::chrono::seconds(GetParam()));
   Service service;
@@ -416,7 +427,8 @@
                                         std::chrono::duration_cast<milliseconds>(unix_time).count())}),
                            false);
     double warmth = -1;
-    ASSERT_TRUE(Eventually([&] { return (warmth = WarmthOf(operator_client, uid)) >= 0; })) << service.node.log();
+    ASSERT_TRUE(Eventually([&] { return (warmth = WarmthOf(operator_client, uid)) >= 0; }))
+        << service.node.log();
     EXPECT_LT(warmth, 0.5) << uid;
   }
   service.faults.plan().wall_step_us = 0;
@@ -442,10 +454,9 @@
   service.ExpectNothingLostOrTwice(true);
 }
 
-INSTANTIATE_TEST_SUITE_P(Steps, WallClock, ::testing::Values(-3600, -5, 5, 3600),
-                         [](const auto& row) {
-                           return std::string(row.param < 0 ? "Back" : "On") + std::to_string(std::abs(row.param)) + "s";
-                         });
+INSTANTIATE_TEST_SUITE_P(Steps, WallClock, ::testing::Values(-3600, -5, 5, 3600), [](const auto& row) {
+  return std::string(row.param < 0 ? "Back" : "On") + std::to_string(std::abs(row.param)) + "s";
+});
 
 }  // namespace
 }  // namespace mothrack::testing
--- a/tests/tables.h
+++ b/tests/tables.h
@@ -1,5 +1,5 @@
-// Conformance tables: the first table under a heading of a design page, as rows of cells by column. Tests play them row
-// by row, so that page and code say the same.
+// Conformance tables: the first table under a heading of a design page, as rows of cells by column. Tests
+// play them row by row, so that page and code say the same.
 #pragma once
 
 #include <fstream>
@@ -19,7 +19,8 @@
     if (end == std::string::npos) break;
     std::string cell = line.substr(at + 1, end - at - 1);
     const auto first = cell.find_first_not_of(" `");
-    cells.push_back(first == std::string::npos ? "" : cell.substr(first, cell.find_last_not_of(" `") - first + 1));
+    cells.push_back(first == std::string::npos ? ""
+                                               : cell.substr(first, cell.find_last_not_of(" `") - first + 1));
     at = end;
   }
   return cells;
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -1,5 +1,7 @@
-// The transport alone between a dispatcher that is a script and upstreams that are: what it writes, and what it tells
-// of an exchange, where two events cross.
+// The transport alone between a dispatcher that is a script and upstreams that are: what it writes, and what
+// it tells of an exchange, where two events cross.
+#include "http/transport.h"
+
 #include <gtest/gtest.h>
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
@@ -22,7 +24,6 @@
 
 #include "core/address.h"
 #include "core/descriptors.h"
-#include "http/transport.h"
 
 namespace mothrack {
 namespace {
@@ -60,10 +61,11 @@
 
  private:
   void Read() {
-    socket_->async_read_some(boost::asio::buffer(bytes_), [this](boost::system::error_code error, std::size_t size) {
-      heard_.append(bytes_.data(), size);
-      if (!error) Read();
-    });
+    socket_->async_read_some(boost::asio::buffer(bytes_),
+                             [this](boost::system::error_code error, std::size_t size) {
+                               heard_.append(bytes_.data(), size);
+                               if (!error) Read();
+                             });
   }
 
   boost::asio::io_context& io_;
@@ -216,7 +218,8 @@
   EXPECT_TRUE(error);
 }
 
-// The system took all of it, and its upstream's has room for some only: reading on later must not find the rest.
+// The system took all of it, and its upstream's has room for some only: reading on later must not find the
+// rest.
 TEST_F(TransportTest, WhatIsGivenUpBeforeItIsDeliveredNeverArrivesWhole) {
   tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
@@ -280,8 +283,8 @@
       const std::string last = chunked ? "0\r\n\r\n" : "";
       const auto end = [&] { chunked ? upstream.close() : upstream.shutdown(tcp::socket::shutdown_send); };
       write(row.first,
-            std::string("HTTP/1.1 200 OK\r\n") + (chunked ? "Transfer-Encoding: chunked" : "Connection: close") +
-                "\r\n\r\n",
+            std::string("HTTP/1.1 200 OK\r\n") +
+                (chunked ? "Transfer-Encoding: chunked" : "Connection: close") + "\r\n\r\n",
             row.then == Then::kEnds ? last : "");
       if (row.then == Then::kEnds && !chunked) end();
       if (row.then == Then::kBreaks) {
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -66,8 +66,8 @@
   return answer ? answer->status : 0;
 }
 
-// A client as the platform's: it keeps its connection, and where one is closed before any of an answer came, it
-// sends the request once more, under its id, on another.
+// A client as the platform's: it keeps its connection, and where one is closed before any of an answer came,
+// it sends the request once more, under its id, on another.
 class LoadingClient {
  public:
   LoadingClient(std::uint16_t port, std::string name)
@@ -276,7 +276,8 @@
     Node next(options);
     ASSERT_TRUE(Ready(next));
     Client client(next.port());
-    for (int i = 0; i < 4; ++i) EXPECT_EQ(client.Get("/page/x", "i" + std::to_string(i))->body(), "b /page/x");
+    for (int i = 0; i < 4; ++i)
+      EXPECT_EQ(client.Get("/page/x", "i" + std::to_string(i))->body(), "b /page/x");
   }
   // Cut short, or of a later version: told, and ignored whole.
   const std::string file = shared.Bans();
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -1,5 +1,5 @@
-// The tables of docs/design/zones.md row by row, and histories of evidence drawn from seeds against rules that must
-// hold whatever is told. HISTORIES sets how many, HISTORIES_FROM the first seed (1).
+// The tables of docs/design/zones.md row by row, and histories of evidence drawn from seeds against rules
+// that must hold whatever is told. HISTORIES sets how many, HISTORIES_FROM the first seed (1).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -34,7 +34,8 @@
 }
 
 // What a member says of each zone: w(ell), s(ilent), l(ate), or nothing.
-Heard Says(const Peer& owner, const std::string& says, std::uint16_t sent = 10, const std::vector<Told>& told = {}) {
+Heard Says(const Peer& owner, const std::string& says, std::uint16_t sent = 10,
+           const std::vector<Told>& told = {}) {
   auto evidence = std::make_shared<Evidence>();
   evidence->own = IdOf(owner.zone);
   for (std::size_t i = 0; i < kNames.size(); ++i) {
@@ -70,10 +71,12 @@
 TEST(ZoneTables, EveryStateAndConditionIsOnceInThePageAndAsInTheCode) {
   std::set<std::pair<std::string, std::string>> seen;
   for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Rules of a zone")) {
-    EXPECT_TRUE(seen.emplace(row.at("state"), row.at("condition")).second) << row.at("state") << row.at("condition");
+    EXPECT_TRUE(seen.emplace(row.at("state"), row.at("condition")).second)
+        << row.at("state") << row.at("condition");
     const Move move =
         RuleOf(Named<Phase>(kPhases, row.at("state")), Named<Condition>(kConditions, row.at("condition")));
-    EXPECT_EQ(move.to, Named<Phase>(kPhases, row.at("becomes"))) << row.at("state") << ' ' << row.at("condition");
+    EXPECT_EQ(move.to, Named<Phase>(kPhases, row.at("becomes")))
+        << row.at("state") << ' ' << row.at("condition");
     EXPECT_EQ(move.act, Named<Act>(kActs, row.at("action"))) << row.at("state") << ' ' << row.at("condition");
   }
   EXPECT_EQ(seen.size(), kPhases.size() * kConditions.size());
@@ -85,7 +88,8 @@
     const std::string condition = row.at("condition");
     Fleet fleet;
     State before;
-    for (const std::string& name : kNames) before[name].ramped = At(-60'000), before[name].since = At(-60'000);
+    for (const std::string& name : kNames)
+      before[name].ramped = At(-60'000), before[name].since = At(-60'000);
     ZoneState& a = before["a"];
     a.phase = Named<Phase>(kPhases, row.at("state"));
     a.step = a.phase == Phase::kReturning ? 2 : a.phase == Phase::kLeaving ? 1 : 0;
@@ -110,7 +114,8 @@
     if (condition == "well") fleet.Say("lww", 0, "lww"), a.since = At(-1000), a.left_at = At(-1000);
     const State after = Decide(before, kNames, fleet.heard, words, fleet.roster, {}, At(0));
     const ZoneState& z = after.at("a");
-    EXPECT_EQ(kPhases[static_cast<std::size_t>(z.phase)], row.at("becomes")) << row.at("state") << ' ' << condition;
+    EXPECT_EQ(kPhases[static_cast<std::size_t>(z.phase)], row.at("becomes"))
+        << row.at("state") << ' ' << condition;
     const std::string& action = row.at("action");
     if (action == "step on") {
       EXPECT_EQ(z.step, 3);
@@ -162,8 +167,8 @@
         for (int i = 0; i < count; ++i) {
           const bool busy = first && row.at("busy") == say;
           first = false;
-          heard.push_back(
-              Says({zone + say + std::to_string(i), zone}, say == "silent" ? "sww" : "www", busy ? 10'000 : 10));
+          heard.push_back(Says({zone + say + std::to_string(i), zone}, say == "silent" ? "sww" : "www",
+                               busy ? 10'000 : 10));
         }
       }
     }
@@ -181,7 +186,9 @@
       std::string owner, kind, over;
       std::uint64_t number = 0;
       of >> owner >> kind >> number >> over;
-      const WordKind k = kind == "leave" ? WordKind::kLeave : kind == "return" ? WordKind::kReturn : WordKind::kStay;
+      const WordKind k = kind == "leave"    ? WordKind::kLeave
+                         : kind == "return" ? WordKind::kReturn
+                                            : WordKind::kStay;
       words.push_back({"a", k, number, owner, "", At(over.empty() ? 1 : 0)});
     }
     for (int turn = 0; turn < 2; ++turn) {
@@ -263,7 +270,8 @@
       std::string says = "www";
       for (char& c : says) c = "wwsl-"[random() % 5];
       const Told told{static_cast<Phase>(random() % 5), 1, 1, static_cast<std::uint32_t>(random() % 4), 20};
-      fleet.heard.push_back(Says(p, says, static_cast<std::uint16_t>(1 + random() % 1000), {told, told, told}));
+      fleet.heard.push_back(
+          Says(p, says, static_cast<std::uint16_t>(1 + random() % 1000), {told, told, told}));
     }
     std::vector<Word> words{{"a", WordKind::kLeave, 1, "x", "", At(9)},
                             {"a", WordKind::kStay, random() % 3, "y", "", At(9)}};
@@ -364,7 +372,9 @@
     int in_use = 0;
     for (const auto& [name, z] : next) {
       const ZoneState was = state.contains(name) ? state[name] : ZoneState{};
-      const auto out = [](const ZoneState& s) { return s.phase == Phase::kLeaving || s.phase == Phase::kLeft; };
+      const auto out = [](const ZoneState& s) {
+        return s.phase == Phase::kLeaving || s.phase == Phase::kLeft;
+      };
       in_use += z.phase == Phase::kIn || z.phase == Phase::kSuspect ? 1 : 0;
       const auto fault = [&](const std::string& what) {
         sums.violation = what + " (zone " + name + ", " + std::to_string(now) + " ms)";
@@ -375,7 +385,8 @@
         const auto count = [&](const std::string& of, Say what) {
           std::size_t members = 0;
           for (const Heard& h : fleet.heard) {
-            if (h.age >= Duration(3000) || h.owner.zone == of || SayOf(*h.evidence->Of(IdOf(of))) != what) continue;
+            if (h.age >= Duration(3000) || h.owner.zone == of || SayOf(*h.evidence->Of(IdOf(of))) != what)
+              continue;
             ++members;
             if (of == name && what == Say::kSilent) zones.insert(h.owner.zone);
           }
@@ -442,7 +453,8 @@
     }
     return std::string("nothing");
   };
-  EXPECT_EQ(found([](Rules& r) { r.observers = 1, r.observer_zones = 1, r.lost = 200; }), "left without a quorum");
+  EXPECT_EQ(found([](Rules& r) { r.observers = 1, r.observer_zones = 1, r.lost = 200; }),
+            "left without a quorum");
   EXPECT_EQ(found([](Rules& r) { r.observer_zones = 1, r.most_weight = 1; }), "left without a quorum");
   EXPECT_EQ(found([](Rules& r) { r.lost = 100; }), "left against most");
   EXPECT_EQ(found([](Rules& r) { r.stay = Duration(500); }), "came back too soon");
--- a/zones/decision.cpp
+++ b/zones/decision.cpp
@@ -45,8 +45,8 @@
   return std::min(stay, rules.longest_stay);
 }
 
-// Whoever tries a zone that was left: by a hash of its name and the generation, so that it is others the next time, and
-// without asking anybody. Those inside the zone only where there is nobody else.
+// Whoever tries a zone that was left: by a hash of its name and the generation, so that it is others the next
+// time, and without asking anybody. Those inside the zone only where there is nobody else.
 bool Tries(const std::string& zone, std::uint32_t generation, const Roster& roster, const Rules& rules) {
   const auto rank = [&](const Peer& p) {
     return std::tuple(p.zone == zone, Hash(p.name, Hash(zone, Hash(std::to_string(generation)))), p.name);
@@ -103,7 +103,8 @@
 }
 
 void LearnBest(ZoneState& zone, std::uint64_t in_time, std::uint64_t told, TimePoint now) {
-  for (; now - zone.best_at >= std::chrono::seconds(1) && zone.best > 0; zone.best_at += std::chrono::seconds(1))
+  for (; now - zone.best_at >= std::chrono::seconds(1) && zone.best > 0;
+       zone.best_at += std::chrono::seconds(1))
     zone.best -= zone.best / kBestMemory;
   if (zone.best == 0) zone.best_at = now;
   zone.best = std::max(zone.best, in_time * kWindowsPer1000s);
@@ -126,8 +127,8 @@
   for (const Of& t : tellers) {
     told.push_back(t.of->told);
     // Older by the time that it was on its way.
-    told.back().held =
-        static_cast<std::uint16_t>(std::min<std::int64_t>(t.of->told.held + t.from->age / kHeldUnit, kMostCount));
+    told.back().held = static_cast<std::uint16_t>(
+        std::min<std::int64_t>(t.of->told.held + t.from->age / kHeldUnit, kMostCount));
   }
   if (told.size() <= of / 2) return std::nullopt;
   const auto middle = told.begin() + static_cast<std::ptrdiff_t>(of / 2);
@@ -189,13 +190,15 @@
 
 bool Alone(const Roster& roster) { return roster.live.size() * 2 < roster.known; }
 
-Tally Count(const std::string& zone, const std::vector<Heard>& heard, const Roster& roster, const Rules& rules) {
+Tally Count(const std::string& zone, const std::vector<Heard>& heard, const Roster& roster,
+            const Rules& rules) {
   return CountOf(zone, TellersOf(zone, FreshOf(heard, rules)), roster, rules);
 }
 
 namespace {
 
-Tally CountOf(const std::string& zone, const std::vector<Of>& told, const Roster& roster, const Rules& rules) {
+Tally CountOf(const std::string& zone, const std::vector<Of>& told, const Roster& roster,
+              const Rules& rules) {
   const std::size_t outside = roster.zones.size() - roster.zones.count(zone);
   const bool inside_too = outside < rules.observer_zones;
   struct Judge {
@@ -256,15 +259,17 @@
   const Word* best = nullptr;
   for (const Word& w : words) {
     if (w.zone != zone || now >= w.until) continue;
-    if (best == nullptr || std::tuple(w.number, w.kind, best->owner) > std::tuple(best->number, best->kind, w.owner))
+    if (best == nullptr ||
+        std::tuple(w.number, w.kind, best->owner) > std::tuple(best->number, best->kind, w.owner))
       best = &w;
   }
   return best;
 }
 
 Move RuleOf(Phase phase, Condition condition) {
-  constexpr auto keep = Act::kKeep, watch = Act::kWatch, leave = Act::kLeave, shift = Act::kMove, test = Act::kTry,
-                 begin = Act::kReturn, on = Act::kStepOn, back = Act::kStepBack, put = Act::kPutBack;
+  constexpr auto keep = Act::kKeep, watch = Act::kWatch, leave = Act::kLeave, shift = Act::kMove,
+                 test = Act::kTry, begin = Act::kReturn, on = Act::kStepOn, back = Act::kStepBack,
+                 put = Act::kPutBack;
   constexpr auto in = Phase::kIn, sus = Phase::kSuspect, lvg = Phase::kLeaving, out = Phase::kLeft,
                  ret = Phase::kReturning;
   // clang-format off
@@ -300,8 +305,8 @@
     tallies[name] = CountOf(name, told[name], roster, rules);
   }
   const bool alone = Alone(roster);
-  const bool others_tell =
-      std::any_of(tellers.begin(), tellers.end(), [&](const Heard* h) { return h->owner.name != roster.self.name; });
+  const bool others_tell = std::any_of(tellers.begin(), tellers.end(),
+                                       [&](const Heard* h) { return h->owner.name != roster.self.name; });
   const auto stands = [&](const std::string& name) {
     const Tally& t = tallies.at(name);
     return InUse(state.at(name).phase) && t.total > 0 &&
@@ -317,7 +322,8 @@
     const Tally& tally = tallies.at(name);
     const std::vector<Of>& of = told.at(name);
     LearnBest(zone, SumOf(&ZoneEvidence::in_time, of), BestTold(of), now);
-    // Is it there for those inside? One of them with a trickle may not have noticed yet: all of them are asked.
+    // Is it there for those inside? One of them with a trickle may not have noticed yet: all of them are
+    // asked.
     Say own_say = Say::kNothing;
     std::size_t inside = 0, inside_silent = 0;
     for (const Of& t : of) {
@@ -372,14 +378,16 @@
         return Condition::kSaidReturn;
       // Overload looks like silence to those that give up at their aim; a lost zone answers nobody at all.
       const bool everywhere = late && tally.silent < tally.total;
-      if (Quorum(tally, rules)) return !other ? Condition::kLast : everywhere ? Condition::kLostLate : Condition::kLost;
+      if (Quorum(tally, rules))
+        return !other ? Condition::kLast : everywhere ? Condition::kLostLate : Condition::kLost;
       const bool doubt = tally.silent * kAll >= tally.total * static_cast<std::uint64_t>(rules.doubt);
       if (doubt && tally.silent > 0 && !everywhere) return Condition::kDoubt;
       if (tally.total == 0) return Condition::kUnknown;
       const bool trials = Out(zone.phase);
       const bool time = trials ? now - zone.left_at >= StayOf(zone, rules) : held >= rules.step_every;
       const std::uint32_t proof = trials ? rules.trial_proof : rules.step_proof;
-      const std::size_t observers = std::min(rules.proof_observers, std::max<std::size_t>(roster.live.size(), 1));
+      const std::size_t observers =
+          std::min(rules.proof_observers, std::max<std::size_t>(roster.live.size(), 1));
       // One in ten may be chance of a busy zone; of trials none.
       const bool clean = trials ? tally.good == tally.outcomes : tally.good * 10 >= tally.outcomes * 9;
       if (time && clean && tally.good >= proof && tally.good_judges >= observers) return Condition::kProved;
@@ -448,7 +456,8 @@
       if (Out(zone.phase)) target = zone.planned ? kAll - zone.accept : 0;
       if (zone.phase == Phase::kReturning) target = kAll * zone.step / rules.steps;
     }
-    const int most = static_cast<int>(std::min<std::int64_t>((now - zone.ramped).count(), 10'000) * rules.ramp / kAll);
+    const int most =
+        static_cast<int>(std::min<std::int64_t>((now - zone.ramped).count(), 10'000) * rules.ramp / kAll);
     if (most > 0 || target == zone.share) {
       zone.share = std::clamp(target, zone.share - most, zone.share + most);
       zone.ramped = now;
@@ -482,8 +491,8 @@
   view.valid_for = rules.fresh;
   const bool own_there = state.contains(roster.self.zone);
   const bool careful = started && own_there && now - *started < rules.careful;
-  // What a member needs of a zone goes by all that it sends. Of those that live and were not heard, as much as of those
-  // that were, so that nothing is lent of what may be wanted.
+  // What a member needs of a zone goes by all that it sends. Of those that live and were not heard, as much
+  // as of those that were, so that nothing is lent of what may be wanted.
   std::vector<std::uint64_t> needs;
   std::uint64_t all_need = 0, own_need = 0;
   for (const Heard* h : FreshOf(heard, rules)) {
@@ -509,8 +518,8 @@
     if (Out(zone.phase) && !zone.planned && Tries(name, zone.generation, roster, rules))
       share.trials_per_1000s = kTrialsPer1000s;
     const std::uint64_t all = zone.best * static_cast<std::uint64_t>(rules.cold) / kAll;
-    share.cold_per_1000s =
-        static_cast<std::uint32_t>(std::min<std::uint64_t>(std::min(own_need, LevelFor(needs, all)), UINT32_MAX));
+    share.cold_per_1000s = static_cast<std::uint32_t>(
+        std::min<std::uint64_t>(std::min(own_need, LevelFor(needs, all)), UINT32_MAX));
     view.zones.push_back(share);
   }
   if (load > 0) view.refuse = static_cast<int>(homeless * kAll / load);
--- a/zones/evidence.cpp
+++ b/zones/evidence.cpp
@@ -17,10 +17,10 @@
 constexpr std::uint16_t kRunToSay = 2;
 
 // The figures in the order in which they are told.
-constexpr std::array kFigures = {&ZoneEvidence::sent,          &ZoneEvidence::well,    &ZoneEvidence::in_time,
-                                 &ZoneEvidence::full,          &ZoneEvidence::silent,  &ZoneEvidence::run,
-                                 &ZoneEvidence::run_upstreams, &ZoneEvidence::reached, &ZoneEvidence::upstreams,
-                                 &ZoneEvidence::best,          &ZoneEvidence::held};
+constexpr std::array kFigures = {
+    &ZoneEvidence::sent,      &ZoneEvidence::well, &ZoneEvidence::in_time,       &ZoneEvidence::full,
+    &ZoneEvidence::silent,    &ZoneEvidence::run,  &ZoneEvidence::run_upstreams, &ZoneEvidence::reached,
+    &ZoneEvidence::upstreams, &ZoneEvidence::best, &ZoneEvidence::held};
 
 std::uint16_t Clamp(std::uint64_t count) {
   return static_cast<std::uint16_t>(std::min<std::uint64_t>(count, kMostCount));
@@ -79,7 +79,8 @@
 }  // namespace
 
 const ZoneEvidence* Evidence::Of(ZoneId zone) const {
-  const auto it = std::find_if(zones.begin(), zones.end(), [&](const ZoneEvidence& z) { return z.zone == zone; });
+  const auto it =
+      std::find_if(zones.begin(), zones.end(), [&](const ZoneEvidence& z) { return z.zone == zone; });
   return it == zones.end() ? nullptr : &*it;
 }
 
--- a/zones/evidence.h
+++ b/zones/evidence.h
@@ -1,5 +1,6 @@
-// What one member tells of each zone: how its calls there ended within the last two seconds, what it has proof of, what
-// the zone bore at its best, and what the member decided. Small enough for one value of the peers.
+// What one member tells of each zone: how its calls there ended within the last two seconds, what it has
+// proof of, what the zone bore at its best, and what the member decided. Small enough for one value of the
+// peers.
 #pragma once
 
 #include <array>
@@ -17,8 +18,8 @@
 
 namespace mothrack::zones {
 
-// A shorter window is chance for a member with a trickle, a longer one still shows a lost zone's last answers when the
-// others should have left it.
+// A shorter window is chance for a member with a trickle, a longer one still shows a lost zone's last answers
+// when the others should have left it.
 constexpr Duration kBucket{250};
 constexpr std::size_t kBuckets = 8;
 constexpr Duration kWindow = kBucket * kBuckets;
@@ -40,8 +41,8 @@
   std::uint16_t run_upstreams = 0;  // different upstreams that were
   std::uint16_t reached = 0;        // upstreams that said something within the window
   std::uint16_t upstreams = 0;      // that are listed
-  std::uint16_t best = 0;           // answered in time in a second, by all members, at its best, as seen by this one
-  std::uint16_t held = 0;           // calls out
+  std::uint16_t best = 0;  // answered in time in a second, by all members, at its best, as seen by this one
+  std::uint16_t held = 0;  // calls out
   Told told;
   bool operator==(const ZoneEvidence&) const = default;
 };
@@ -53,12 +54,14 @@
   bool operator==(const Evidence&) const = default;
 };
 
-// What a member finds of a zone. Two silent ones in a row of different upstreams: with a third of a zone silent that is
-// one member in nine at a time, far from a quorum, and a member with five calls a second knows within a second.
+// What a member finds of a zone. Two silent ones in a row of different upstreams: with a third of a zone
+// silent that is one member in nine at a time, far from a quorum, and a member with five calls a second knows
+// within a second.
 enum class Say { kNothing, kWell, kSilent };
 Say SayOf(const ZoneEvidence& evidence);
 
-// Bytes of a value; of zones beyond kMostZones nothing is told. Read gives nothing unless it is what Write gives.
+// Bytes of a value; of zones beyond kMostZones nothing is told. Read gives nothing unless it is what Write
+// gives.
 std::string Write(const Evidence& evidence);
 std::optional<Evidence> Read(std::string_view bytes);
 
@@ -93,8 +96,8 @@
   void SetTold(std::string_view zone, const Told& told, std::uint64_t best);
 
   Evidence Look(TimePoint now);
-  // The value, where one is to be put: each second, and at once where what it finds or decided of a zone is another
-  // than was told, at most ten times a second.
+  // The value, where one is to be put: each second, and at once where what it finds or decided of a zone is
+  // another than was told, at most ten times a second.
   std::optional<std::string> Tell(TimePoint now);
   static constexpr Duration kEvery{1000};
   static constexpr Duration kLeast{100};
--- a/zones/types.h
+++ b/zones/types.h
@@ -1,5 +1,5 @@
-// Words that evidence and decision share. Pure: nothing here does I/O or reads a clock. A TimePoint is of one machine's
-// steady clock and is never compared with another machine's.
+// Words that evidence and decision share. Pure: nothing here does I/O or reads a clock. A TimePoint is of one
+// machine's steady clock and is never compared with another machine's.
 #pragma once
 
 #include <chrono>
@@ -11,8 +11,9 @@
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// A zone's name as told: names of up to 64 bytes would not leave room for the figures. Two of a fleet's few zones with
-// one id would be judged as one; NoTwoAlike() in decision.h tells a fleet's names apart before they are used.
+// A zone's name as told: names of up to 64 bytes would not leave room for the figures. Two of a fleet's few
+// zones with one id would be judged as one; NoTwoAlike() in decision.h tells a fleet's names apart before
+// they are used.
 using ZoneId = std::uint32_t;
 
 // FNV-1a: the same on every machine.
