--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -11,8 +11,8 @@
 #include <thread>
 #include <vector>
 
-#include "lab/load.h"
-#include "lab/world.h"
+#include "simulation/load.h"
+#include "simulation/world.h"
 #include "standins/peers.h"
 
 namespace {
--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "tests/peers_net.h"
+#include "peers_net.h"
 
 namespace {
 
--- a/bench/peers_wire.cpp
+++ b/bench/peers_wire.cpp
@@ -6,8 +6,8 @@
 #include <string>
 #include <vector>
 
-#include "peers/seal.h"
-#include "peers/wire.h"
+#include "gossip/seal.h"
+#include "gossip/wire.h"
 
 namespace {
 
--- a/bench/ring_bench.cpp
+++ b/bench/ring_bench.cpp
@@ -10,8 +10,8 @@
 #include <variant>
 #include <vector>
 
-#include "kestrellb/balancer.h"
-#include "ring/ring.h"
+#include "balancer/balancer.h"
+#include "hash_ring/ring.h"
 
 namespace {
 
--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -18,7 +18,7 @@
 #include <utility>
 #include <vector>
 
-#include "zones/decision.h"
+#include "zone_failover/decision.h"
 
 namespace {
 
--- a/fuzz/fleet_wire_fuzz.cpp
+++ b/fuzz/fleet_wire_fuzz.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 #include <stdexcept>
 
-#include "fleet/wire.h"
+#include "rollout/wire.h"
 
 namespace {
 
--- a/fuzz/peers_wire_fuzz.cpp
+++ b/fuzz/peers_wire_fuzz.cpp
@@ -3,7 +3,7 @@
 #include <cstdint>
 #include <cstdlib>
 
-#include "peers/wire.h"
+#include "gossip/wire.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace mothrack::peers;
--- a/admin/door.h
+++ b/src/admin/door.h
@@ -1,4 +1,4 @@
-// The sidecar's own door for operators, on a Unix socket or a loopback address (see admin/server.h).
+// The sidecar's own door for operators, on a Unix socket or a loopback address (see src/admin/server.h).
 //
 //   GET  /v1/status[?after=ID]   what Source::status tells; `after` pages through long lists of upstreams
 //   POST /v1/reload              reads the configuration again: 200, or 409 with the fault, the old one stays
@@ -15,8 +15,8 @@
 
 #include "admin/server.h"
 #include "admin/settings.h"
-#include "core/allowance.h"
-#include "core/log.h"
+#include "runtime/allowance.h"
+#include "runtime/log.h"
 
 namespace mothrack::admin {
 
--- a/admin/report.h
+++ b/src/admin/report.h
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "core/dispatcher.h"
+#include "dispatch/dispatcher.h"
 
 namespace mothrack::admin {
 
--- a/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -14,7 +14,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "core/write_stream.h"
+#include "runtime/write_stream.h"
 
 namespace mothrack::admin {
 namespace {
--- a/admin/server.h
+++ b/src/admin/server.h
@@ -16,9 +16,9 @@
 #include <string>
 #include <vector>
 
-#include "core/address.h"
-#include "core/clock.h"
-#include "core/log.h"
+#include "runtime/address.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
 
 namespace mothrack::admin {
 
--- a/admin/settings.h
+++ b/src/admin/settings.h
@@ -4,7 +4,7 @@
 #include <optional>
 #include <string>
 
-#include "core/address.h"
+#include "runtime/address.h"
 
 namespace mothrack::admin {
 
--- a/fleet/agent.cpp
+++ b/src/agent/agent.cpp
@@ -1,4 +1,4 @@
-#include "fleet/agent.h"
+#include "agent/agent.h"
 
 #include <utility>
 
--- a/fleet/agent.h
+++ b/src/agent/agent.h
@@ -1,6 +1,6 @@
 // An agent's logic: the lease, the instances and their steps of one machine, without sockets, clocks and
-// processes. It answers commands (fleet/agent_api.h carries them over HTTP), looks after its instances, and
-// acts by a Machine. What it says of itself is on disk first; what the disk refuses has not happened.
+// processes. It answers commands (src/agent/agent_api.h carries them over HTTP), looks after its instances,
+// and acts by a Machine. What it says of itself is on disk first; what the disk refuses has not happened.
 //
 // Where the store takes nothing it goes on supervising by what it remembers, and takes no step of any change.
 #pragma once
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "fleet/instance.h"
-#include "fleet/lease.h"
-#include "fleet/store.h"
-#include "fleet/types.h"
+#include "agent/store.h"
+#include "rollout/instance.h"
+#include "rollout/lease.h"
+#include "rollout/types.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -1,10 +1,10 @@
-#include "fleet/agent_api.h"
+#include "agent/agent_api.h"
 
 #include <algorithm>
 #include <functional>
 #include <utility>
 
-#include "fleet/wire.h"
+#include "rollout/wire.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/fleet/agent_api.h
+++ b/src/agent/agent_api.h
@@ -1,4 +1,4 @@
-// What an agent answers, as JSON (admin/server.h carries it):
+// What an agent answers, as JSON (src/admin/server.h carries it):
 //
 //   GET  /v1/agent                 viewer    what it is, its lease, its instances
 //   GET  /v1/history?MOST          viewer    what happened, the latest last
@@ -20,10 +20,10 @@
 #include <vector>
 
 #include "admin/server.h"
-#include "core/allowance.h"
-#include "core/log.h"
-#include "fleet/agent.h"
-#include "fleet/agent_file.h"
+#include "agent/agent.h"
+#include "agent/agent_file.h"
+#include "runtime/allowance.h"
+#include "runtime/log.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -1,4 +1,4 @@
-#include "fleet/agent_file.h"
+#include "agent/agent_file.h"
 
 #include <sys/stat.h>
 #include <toml++/toml.h>
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <utility>
 
-#include "fleet/client.h"
-#include "fleet/wire.h"
+#include "agent/client.h"
+#include "rollout/wire.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/fleet/agent_file.h
+++ b/src/agent/agent_file.h
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "fleet/instance.h"
-#include "fleet/processes.h"
+#include "agent/processes.h"
+#include "rollout/instance.h"
 #ifdef MOTHRACK_WITH_PEERS
-#include "peers/settings.h"
+#include "gossip/settings.h"
 #endif
 
 namespace mothrack::fleet {
--- a/fleet/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -16,11 +16,11 @@
 #include <sstream>
 #include <string>
 
-#include "fleet/agent_api.h"
-#include "fleet/agent_file.h"
-#include "fleet/sqlite_store.h"
+#include "agent/agent_api.h"
+#include "agent/agent_file.h"
+#include "agent/sqlite_store.h"
 #ifdef MOTHRACK_WITH_PEERS
-#include "peers/link.h"
+#include "gossip/link.h"
 #endif
 
 namespace mothrack::fleet {
--- a/fleet/client.cpp
+++ b/src/agent/client.cpp
@@ -1,4 +1,4 @@
-#include "fleet/client.h"
+#include "agent/client.h"
 
 #include <sys/un.h>
 
@@ -10,8 +10,8 @@
 #include <memory>
 #include <utility>
 
-#include "core/address.h"
-#include "core/write_stream.h"
+#include "runtime/address.h"
+#include "runtime/write_stream.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/fleet/client.h
+++ b/src/agent/client.h
@@ -1,4 +1,5 @@
-// Asks an agent or a sidecar's door: one HTTP/1.1 call with JSON a connection, as admin/server.h serves it.
+// Asks an agent or a sidecar's door: one HTTP/1.1 call with JSON a connection, as src/admin/server.h serves
+// it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -7,7 +8,7 @@
 #include <optional>
 #include <string>
 
-#include "fleet/types.h"
+#include "rollout/types.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/processes.cpp
+++ b/src/agent/processes.cpp
@@ -1,4 +1,4 @@
-#include "fleet/processes.h"
+#include "agent/processes.h"
 
 #include <dirent.h>
 #include <fcntl.h>
@@ -22,8 +22,8 @@
 #include <stdexcept>
 #include <utility>
 
-#include "fleet/client.h"
-#include "fleet/wire.h"
+#include "agent/client.h"
+#include "rollout/wire.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/fleet/processes.h
+++ b/src/agent/processes.h
@@ -22,8 +22,8 @@
 #include <string>
 #include <vector>
 
-#include "core/log.h"
-#include "fleet/agent.h"
+#include "agent/agent.h"
+#include "runtime/log.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -1,12 +1,12 @@
-#include "fleet/sqlite_store.h"
+#include "agent/sqlite_store.h"
 
 #include <sys/stat.h>
 
 #include <algorithm>
 #include <stdexcept>
 
-#include "fleet/wire.h"
-#include "sql/sqlite.h"
+#include "rollout/wire.h"
+#include "storage/sqlite.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/fleet/sqlite_store.h
+++ b/src/agent/sqlite_store.h
@@ -7,8 +7,8 @@
 #include <memory>
 #include <string>
 
-#include "fleet/store.h"
-#include "sql/sqlite.h"
+#include "agent/store.h"
+#include "storage/sqlite.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/store.h
+++ b/src/agent/store.h
@@ -1,6 +1,6 @@
 // What an agent must not forget, behind an interface that may fail at each call: the lease, the plans of
-// changes that were opened, how far each instance's step is. fleet/sqlite_store.h keeps it on disk; tests let
-// it fail at will.
+// changes that were opened, how far each instance's step is. src/agent/sqlite_store.h keeps it on disk; tests
+// let it fail at will.
 #pragma once
 
 #include <cstdint>
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/instance.h"
-#include "fleet/lease.h"
-#include "fleet/plan.h"
+#include "rollout/instance.h"
+#include "rollout/lease.h"
+#include "rollout/plan.h"
 
 namespace mothrack::fleet {
 
--- a/src/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,5 +1,5 @@
-// Every decision of kestrellb, and nothing else. The interface is include/kestrellb/balancer.h; what is kept
-// of an upstream and a request is in src/state.h.
+// Every decision of kestrellb, and nothing else. The interface is src/balancer/balancer.h; what is kept
+// of an upstream and a request is in src/balancer/state.h.
 //
 // The mechanism is the consecutive-failures circuit breaker of the Linkerd circuit-breaking RFC, per
 // upstream, with smooth weighted rotation over the upstreams that are not ejected. docs/design.md says what
@@ -11,7 +11,7 @@
 //   attempts     MaySend(): what a class allows; time-outs, trials, retries, second copies
 //   admission    the limit on calls held at once, refusal, and the final answer: Finish()
 //   slow start   the ramp and the budget of a cold upstream
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 #include <algorithm>
 #include <cmath>
@@ -22,7 +22,7 @@
 #include <unordered_map>
 #include <utility>
 
-#include "state.h"
+#include "balancer/state.h"
 
 namespace kestrellb {
 namespace {
--- a/src/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -2,7 +2,7 @@
 #include <stdexcept>
 #include <string>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 namespace kestrellb {
 namespace {
--- a/src/state.h
+++ b/src/balancer/state.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 namespace kestrellb {
 
--- a/freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -1,4 +1,4 @@
-#include "freeze/conflicts.h"
+#include "change_freeze/conflicts.h"
 
 #include <algorithm>
 
--- a/freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -56,8 +56,8 @@
 Effect EffectOf(ChangeKind change, Relation relation, IncidentKind incident);
 
 // Must two changes not run at once? Those that touch instances come one at a time, as the lease has it
-// (fleet/lease.h), and so do those that move zones: each counts on the room that the rest has. Of one of
-// each, those that may meet.
+// (src/rollout/lease.h), and so do those that move zones: each counts on the room that the rest has. Of one
+// of each, those that may meet.
 bool Exclude(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt);
 
 }  // namespace mothrack::freeze
--- a/freeze/desk.cpp
+++ b/src/change_freeze/desk.cpp
@@ -1,4 +1,4 @@
-#include "freeze/desk.h"
+#include "change_freeze/desk.h"
 
 namespace mothrack::freeze {
 
--- a/freeze/desk.h
+++ b/src/change_freeze/desk.h
@@ -2,7 +2,7 @@
 // by writes that count once they are committed, and answers agents and operators from what is committed,
 // while its lease holds.
 //
-// A value, like the voter in it: for Decide (freeze/voter.h).
+// A value, like the voter in it: for Decide (src/change_freeze/voter.h).
 #pragma once
 
 #include <functional>
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "freeze/ledger.h"
-#include "freeze/voter.h"
+#include "change_freeze/ledger.h"
+#include "change_freeze/voter.h"
 
 namespace mothrack::freeze {
 
--- a/freeze/incidents.cpp
+++ b/src/change_freeze/incidents.cpp
@@ -1,4 +1,4 @@
-#include "freeze/incidents.h"
+#include "change_freeze/incidents.h"
 
 #include <algorithm>
 #include <utility>
--- a/freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -1,7 +1,7 @@
 // What is wrong in the fleet, as its operators and its evidence say. Incidents are part of the coordinator's
-// replicated state; while one is open, stale or calming, the table of freeze/conflicts.h holds for its scope.
-// Nothing of it lifts itself because nobody speaks: an incident that nobody renews is stale, is shown as
-// that, and freezes on.
+// replicated state; while one is open, stale or calming, the table of src/change_freeze/conflicts.h holds for
+// its scope. Nothing of it lifts itself because nobody speaks: an incident that nobody renews is stale, is
+// shown as that, and freezes on.
 //
 // Times are of the coordinator's steady clock; what is replicated is ages (Pack). Another coordinator counts
 // on from the age that it reads, so that what is to lapse lapses late, never early.
@@ -13,9 +13,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/types.h"
-#include "freeze/conflicts.h"
-#include "freeze/pack.h"
+#include "change_freeze/conflicts.h"
+#include "change_freeze/pack.h"
+#include "rollout/types.h"
 
 namespace mothrack::freeze {
 
--- a/freeze/ledger.cpp
+++ b/src/change_freeze/ledger.cpp
@@ -1,4 +1,4 @@
-#include "freeze/ledger.h"
+#include "change_freeze/ledger.h"
 
 #include <algorithm>
 
--- a/freeze/ledger.h
+++ b/src/change_freeze/ledger.h
@@ -1,6 +1,6 @@
 // The coordinator's state, which survives any minority of the voters: incidents, permits, and the glass that
-// was broken. Its rules for permits are here; it is replicated as bytes (freeze/voter.h), and what is not
-// committed does not count.
+// was broken. Its rules for permits are here; it is replicated as bytes (src/change_freeze/voter.h), and what
+// is not committed does not count.
 #pragma once
 
 #include <map>
@@ -8,10 +8,10 @@
 #include <string>
 #include <vector>
 
-#include "freeze/conflicts.h"
-#include "freeze/incidents.h"
-#include "freeze/permits.h"
-#include "freeze/voter.h"
+#include "change_freeze/conflicts.h"
+#include "change_freeze/incidents.h"
+#include "change_freeze/permits.h"
+#include "change_freeze/voter.h"
 
 namespace mothrack::freeze {
 
@@ -20,7 +20,7 @@
 // A footprint that names more instances tells its halls only.
 inline constexpr std::size_t kMostInstances = 256;
 // Nobody asked about it for so long: its change is forgotten here; the fleet's lease keeps it open
-// (fleet/lease.h).
+// (src/rollout/lease.h).
 inline constexpr Duration kPermitIdle{60'000};
 
 struct Permit {
--- a/freeze/permits.cpp
+++ b/src/change_freeze/permits.cpp
@@ -1,4 +1,4 @@
-#include "freeze/permits.h"
+#include "change_freeze/permits.h"
 
 namespace mothrack::freeze {
 
--- a/freeze/permits.h
+++ b/src/change_freeze/permits.h
@@ -7,7 +7,7 @@
 // With no coordinator nothing new begins and what runs holds. Break-glass is the operator's way past that, at
 // this agent, for a while; it is written down first and told to the coordinator once there is one.
 //
-// A value, like fleet/lease.h: let a copy decide, make its record durable, keep the copy.
+// A value, like src/rollout/lease.h: let a copy decide, make its record durable, keep the copy.
 #pragma once
 
 #include <cstdint>
@@ -16,9 +16,9 @@
 #include <string>
 #include <vector>
 
-#include "fleet/types.h"
-#include "freeze/conflicts.h"
-#include "freeze/voter.h"
+#include "change_freeze/conflicts.h"
+#include "change_freeze/voter.h"
+#include "rollout/types.h"
 
 namespace mothrack::freeze {
 
--- a/freeze/voter.cpp
+++ b/src/change_freeze/voter.cpp
@@ -1,4 +1,4 @@
-#include "freeze/voter.h"
+#include "change_freeze/voter.h"
 
 #include <algorithm>
 #include <utility>
--- a/freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -25,7 +25,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/types.h"
+#include "rollout/types.h"
 
 namespace mothrack::freeze {
 
--- a/fleet/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -19,11 +19,11 @@
 #include <thread>
 #include <vector>
 
-#include "fleet/agent_api.h"
-#include "fleet/agent_file.h"
-#include "fleet/driver.h"
-#include "fleet/show.h"
-#include "fleet/wire.h"
+#include "agent/agent_api.h"
+#include "agent/agent_file.h"
+#include "ctl/driver.h"
+#include "ctl/show.h"
+#include "rollout/wire.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/fleet/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -1,4 +1,4 @@
-#include "fleet/driver.h"
+#include "ctl/driver.h"
 
 #include <unistd.h>
 
@@ -6,8 +6,8 @@
 #include <random>
 #include <utility>
 
-#include "fleet/agent_api.h"
-#include "fleet/wire.h"
+#include "agent/agent_api.h"
+#include "rollout/wire.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/fleet/driver.h
+++ b/src/ctl/driver.h
@@ -1,5 +1,5 @@
 // A tool's side of a change over the network: drives Claim and Change (which decide) by asking the agents. It
-// may die at any time; see fleet/change.h for what that leaves.
+// may die at any time; see src/rollout/change.h for what that leaves.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,11 +10,11 @@
 #include <string>
 #include <vector>
 
-#include "fleet/agent_file.h"
-#include "fleet/change.h"
-#include "fleet/claim.h"
-#include "fleet/client.h"
-#include "fleet/plan.h"
+#include "agent/agent_file.h"
+#include "agent/client.h"
+#include "rollout/change.h"
+#include "rollout/claim.h"
+#include "rollout/plan.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/show.cpp
+++ b/src/ctl/show.cpp
@@ -1,4 +1,4 @@
-#include "fleet/show.h"
+#include "ctl/show.h"
 
 #include <algorithm>
 #include <sstream>
--- a/http/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -1,4 +1,4 @@
-#include "http/discovery.h"
+#include "discovery/discovery.h"
 
 #include <algorithm>
 #include <boost/beast/core/error.hpp>
@@ -13,8 +13,8 @@
 #include <stdexcept>
 #include <utility>
 
-#include "core/write_stream.h"
 #include "http/messages.h"
+#include "runtime/write_stream.h"
 
 namespace mothrack {
 namespace {
--- a/http/discovery.h
+++ b/src/discovery/discovery.h
@@ -10,14 +10,14 @@
 #include <random>
 #include <string>
 
-#include "core/address.h"
-#include "core/clock.h"
-#include "core/log.h"
-#include "core/membership.h"
-#include "core/start_times.h"
-#include "http/news.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "discovery/news.h"
+#include "dispatch/membership.h"
+#include "dispatch/start_times.h"
 #include "nlohmann/json.hpp"
+#include "runtime/address.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
 
 namespace mothrack {
 
--- a/http/news.cpp
+++ b/src/discovery/news.cpp
@@ -1,4 +1,4 @@
-#include "http/news.h"
+#include "discovery/news.h"
 
 #include <algorithm>
 
--- a/http/news.h
+++ b/src/discovery/news.h
@@ -2,7 +2,7 @@
 // clock.
 #pragma once
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 namespace mothrack {
 
--- a/core/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -1,4 +1,4 @@
-#include "core/dispatcher.h"
+#include "dispatch/dispatcher.h"
 
 #include <algorithm>
 #include <utility>
--- a/core/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,6 +1,6 @@
 // Drives one Balancer for one pool of upstreams: its clock, timers and table of requests; turns what happens
-// into events and carries out the actions, in their order. Knows no protocol: see core/exchange.h. Nobody
-// else calls the module, sends an attempt or ends a request.
+// into events and carries out the actions, in their order. Knows no protocol: see src/dispatch/exchange.h.
+// Nobody else calls the module, sends an attempt or ends a request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,15 +14,15 @@
 #include <utility>
 #include <vector>
 
-#include "core/clock.h"
-#include "core/exchange.h"
-#include "core/id_memory.h"
-#include "core/log.h"
-#include "core/membership.h"
-#include "core/roster.h"
-#include "core/tally.h"
-#include "core/timers.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "dispatch/exchange.h"
+#include "dispatch/id_memory.h"
+#include "dispatch/membership.h"
+#include "dispatch/roster.h"
+#include "dispatch/tally.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
+#include "runtime/timers.h"
 
 namespace mothrack {
 
--- a/core/exchange.h
+++ b/src/dispatch/exchange.h
@@ -11,9 +11,9 @@
 #include <optional>
 #include <string>
 
-#include "core/clock.h"
-#include "core/membership.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "dispatch/membership.h"
+#include "runtime/clock.h"
 
 namespace mothrack {
 
--- a/core/id_memory.cpp
+++ b/src/dispatch/id_memory.cpp
@@ -1,4 +1,4 @@
-#include "core/id_memory.h"
+#include "dispatch/id_memory.h"
 
 namespace mothrack {
 
--- a/core/id_memory.h
+++ b/src/dispatch/id_memory.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/clock.h"
+#include "runtime/clock.h"
 
 namespace mothrack {
 
--- a/core/membership.h
+++ b/src/dispatch/membership.h
@@ -5,8 +5,8 @@
 #include <map>
 #include <string>
 
-#include "core/address.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "runtime/address.h"
 
 namespace mothrack {
 
--- a/core/roster.cpp
+++ b/src/dispatch/roster.cpp
@@ -1,4 +1,4 @@
-#include "core/roster.h"
+#include "dispatch/roster.h"
 
 #include <utility>
 
--- a/core/roster.h
+++ b/src/dispatch/roster.h
@@ -10,7 +10,7 @@
 #include <set>
 #include <string>
 
-#include "core/membership.h"
+#include "dispatch/membership.h"
 
 namespace mothrack {
 
--- a/core/start_times.cpp
+++ b/src/dispatch/start_times.cpp
@@ -1,4 +1,4 @@
-#include "core/start_times.h"
+#include "dispatch/start_times.h"
 
 #include <algorithm>
 #include <chrono>
--- a/core/start_times.h
+++ b/src/dispatch/start_times.h
@@ -22,8 +22,8 @@
 #include <string>
 #include <vector>
 
-#include "core/clock.h"
-#include "core/membership.h"
+#include "dispatch/membership.h"
+#include "runtime/clock.h"
 
 namespace mothrack {
 
--- a/core/tally.h
+++ b/src/dispatch/tally.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 namespace mothrack {
 
--- a/dns/attempt.h
+++ b/src/dns/attempt.h
@@ -5,10 +5,10 @@
 #include <memory>
 #include <unordered_map>
 
-#include "core/clock.h"
-#include "core/exchange.h"
-#include "core/random.h"
+#include "dispatch/exchange.h"
 #include "dns/query.h"
+#include "runtime/clock.h"
+#include "runtime/random.h"
 
 namespace mothrack::dns {
 
--- a/dns/front.h
+++ b/src/dns/front.h
@@ -12,12 +12,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/descriptors.h"
-#include "core/dispatcher.h"
-#include "core/log.h"
+#include "dispatch/dispatcher.h"
 #include "dns/message.h"
 #include "dns/query.h"
 #include "dns/settings.h"
+#include "runtime/descriptors.h"
+#include "runtime/log.h"
 
 namespace mothrack::dns {
 
--- a/dns/query.h
+++ b/src/dns/query.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "core/exchange.h"
+#include "dispatch/exchange.h"
 #include "dns/message.h"
 
 namespace mothrack::dns {
--- a/dns/service.h
+++ b/src/dns/service.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "core/descriptors.h"
-#include "core/dispatcher.h"
-#include "core/log.h"
+#include "dispatch/dispatcher.h"
 #include "dns/front.h"
 #include "dns/query.h"
 #include "dns/settings.h"
 #include "dns/transport.h"
+#include "runtime/descriptors.h"
+#include "runtime/log.h"
 
 namespace mothrack::dns {
 
--- a/dns/settings.h
+++ b/src/dns/settings.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
-#include "core/address.h"
-#include "core/clock.h"
-#include "core/membership.h"
+#include "balancer/balancer.h"
+#include "dispatch/membership.h"
 #include "dns/message.h"
-#include "kestrellb/balancer.h"
+#include "runtime/address.h"
+#include "runtime/clock.h"
 
 namespace mothrack::dns {
 
--- a/dns/tcp_link.cpp
+++ b/src/dns/tcp_link.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <boost/asio/post.hpp>
 
-#include "core/system_calls.h"
+#include "runtime/system_calls.h"
 
 namespace mothrack::dns {
 namespace {
--- a/dns/tcp_link.h
+++ b/src/dns/tcp_link.h
@@ -11,10 +11,10 @@
 #include <set>
 #include <vector>
 
-#include "core/address.h"
-#include "core/descriptors.h"
 #include "dns/attempt.h"
 #include "dns/frames.h"
+#include "runtime/address.h"
+#include "runtime/descriptors.h"
 
 namespace mothrack::dns {
 
--- a/dns/tcp_server.cpp
+++ b/src/dns/tcp_server.cpp
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "core/system_calls.h"
 #include "dns/frames.h"
+#include "runtime/system_calls.h"
 
 namespace mothrack::dns {
 namespace {
--- a/dns/tcp_server.h
+++ b/src/dns/tcp_server.h
@@ -8,11 +8,11 @@
 #include <memory>
 #include <set>
 
-#include "core/acceptor.h"
-#include "core/address.h"
-#include "core/descriptors.h"
-#include "core/log.h"
 #include "dns/front.h"
+#include "runtime/acceptor.h"
+#include "runtime/address.h"
+#include "runtime/descriptors.h"
+#include "runtime/log.h"
 
 namespace mothrack::dns {
 
--- a/dns/transport.h
+++ b/src/dns/transport.h
@@ -11,12 +11,12 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/deadlines.h"
-#include "core/descriptors.h"
-#include "core/exchange.h"
+#include "dispatch/exchange.h"
 #include "dns/attempt.h"
 #include "dns/settings.h"
 #include "dns/udp_poll.h"
+#include "runtime/deadlines.h"
+#include "runtime/descriptors.h"
 
 namespace mothrack::dns {
 
--- a/dns/udp_port.h
+++ b/src/dns/udp_port.h
@@ -7,10 +7,10 @@
 #include <memory>
 #include <optional>
 
-#include "core/address.h"
-#include "core/descriptors.h"
 #include "dns/attempt.h"
 #include "dns/udp_poll.h"
+#include "runtime/address.h"
+#include "runtime/descriptors.h"
 
 namespace mothrack::dns {
 
--- a/dns/udp_server.h
+++ b/src/dns/udp_server.h
@@ -6,9 +6,9 @@
 #include <deque>
 #include <utility>
 
-#include "core/address.h"
-#include "core/log.h"
 #include "dns/front.h"
+#include "runtime/address.h"
+#include "runtime/log.h"
 
 namespace mothrack::dns {
 
--- a/peers/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -1,4 +1,4 @@
-#include "peers/anti_entropy.h"
+#include "gossip/anti_entropy.h"
 
 #include <algorithm>
 #include <iterator>
--- a/peers/anti_entropy.h
+++ b/src/gossip/anti_entropy.h
@@ -5,8 +5,8 @@
 
 #include <string>
 
-#include "peers/membership.h"
-#include "peers/values.h"
+#include "gossip/membership.h"
+#include "gossip/values.h"
 
 namespace mothrack::peers {
 
--- a/peers/core.cpp
+++ b/src/gossip/core.cpp
@@ -1,14 +1,14 @@
-#include "peers/core.h"
+#include "gossip/core.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "peers/anti_entropy.h"
-#include "peers/membership.h"
-#include "peers/probes.h"
-#include "peers/rate.h"
-#include "peers/spread.h"
-#include "peers/values.h"
+#include "gossip/anti_entropy.h"
+#include "gossip/membership.h"
+#include "gossip/probes.h"
+#include "gossip/rate.h"
+#include "gossip/spread.h"
+#include "gossip/values.h"
 
 namespace mothrack::peers {
 namespace {
--- a/peers/core.h
+++ b/src/gossip/core.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "peers/message.h"
-#include "peers/types.h"
+#include "gossip/message.h"
+#include "gossip/types.h"
 
 namespace mothrack::peers {
 
--- a/peers/keys.cpp
+++ b/src/gossip/keys.cpp
@@ -1,4 +1,4 @@
-#include "peers/keys.h"
+#include "gossip/keys.h"
 
 #include <fcntl.h>
 #include <sodium.h>
--- a/peers/link.cpp
+++ b/src/gossip/link.cpp
@@ -1,4 +1,4 @@
-#include "peers/link.h"
+#include "gossip/link.h"
 
 #include <unistd.h>
 
--- a/peers/link.h
+++ b/src/gossip/link.h
@@ -9,9 +9,9 @@
 #include <optional>
 #include <string>
 
-#include "core/log.h"
-#include "peers/settings.h"
-#include "peers/task.h"
+#include "gossip/settings.h"
+#include "gossip/task.h"
+#include "runtime/log.h"
 
 namespace mothrack::peers {
 
--- a/peers/mailbox.h
+++ b/src/gossip/mailbox.h
@@ -19,7 +19,7 @@
 #include <variant>
 #include <vector>
 
-#include "peers/core.h"
+#include "gossip/core.h"
 
 namespace mothrack::peers {
 
--- a/peers/membership.cpp
+++ b/src/gossip/membership.cpp
@@ -1,4 +1,4 @@
-#include "peers/membership.h"
+#include "gossip/membership.h"
 
 #include <algorithm>
 #include <cmath>
--- a/peers/membership.h
+++ b/src/gossip/membership.h
@@ -8,8 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "peers/core.h"
-#include "peers/random.h"
+#include "gossip/core.h"
+#include "gossip/random.h"
 
 namespace mothrack::peers {
 
--- a/peers/message.cpp
+++ b/src/gossip/message.cpp
@@ -1,4 +1,4 @@
-#include "peers/message.h"
+#include "gossip/message.h"
 
 #include <tuple>
 
--- a/peers/message.h
+++ b/src/gossip/message.h
@@ -1,11 +1,11 @@
-// What one datagram says, before it is written (peers/wire.h) and sealed (peers/seal.h). Pure.
+// What one datagram says, before it is written (src/gossip/wire.h) and sealed (src/gossip/seal.h). Pure.
 #pragma once
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "peers/types.h"
+#include "gossip/types.h"
 
 namespace mothrack::peers {
 
--- a/peers/probes.cpp
+++ b/src/gossip/probes.cpp
@@ -1,4 +1,4 @@
-#include "peers/probes.h"
+#include "gossip/probes.h"
 
 #include <algorithm>
 
--- a/peers/probes.h
+++ b/src/gossip/probes.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "peers/membership.h"
+#include "gossip/membership.h"
 
 namespace mothrack::peers {
 
--- a/peers/rate.h
+++ b/src/gossip/rate.h
@@ -6,7 +6,7 @@
 #include <cstddef>
 #include <cstdint>
 
-#include "peers/types.h"
+#include "gossip/types.h"
 
 namespace mothrack::peers {
 
--- a/peers/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -1,4 +1,4 @@
-#include "peers/seal.h"
+#include "gossip/seal.h"
 
 #include <sodium.h>
 
--- a/peers/seal.h
+++ b/src/gossip/seal.h
@@ -15,8 +15,8 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "peers/keys.h"
-#include "peers/message.h"
+#include "gossip/keys.h"
+#include "gossip/message.h"
 
 namespace mothrack::peers {
 
--- a/peers/settings.cpp
+++ b/src/gossip/settings.cpp
@@ -1,11 +1,11 @@
-#include "peers/settings.h"
+#include "gossip/settings.h"
 
 #include <exception>
 #include <set>
 #include <sstream>
 
-#include "peers/keys.h"
-#include "peers/wire.h"
+#include "gossip/keys.h"
+#include "gossip/wire.h"
 
 namespace mothrack::peers {
 namespace {
--- a/peers/settings.h
+++ b/src/gossip/settings.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "core/address.h"
-#include "peers/core.h"
-#include "peers/types.h"
+#include "gossip/core.h"
+#include "gossip/types.h"
+#include "runtime/address.h"
 
 namespace mothrack::peers {
 
--- a/peers/spread.cpp
+++ b/src/gossip/spread.cpp
@@ -1,4 +1,4 @@
-#include "peers/spread.h"
+#include "gossip/spread.h"
 
 #include <vector>
 
--- a/peers/spread.h
+++ b/src/gossip/spread.h
@@ -8,8 +8,8 @@
 #include <tuple>
 #include <utility>
 
-#include "peers/membership.h"
-#include "peers/values.h"
+#include "gossip/membership.h"
+#include "gossip/values.h"
 
 namespace mothrack::peers {
 
--- a/peers/task.cpp
+++ b/src/gossip/task.cpp
@@ -1,4 +1,4 @@
-#include "peers/task.h"
+#include "gossip/task.h"
 
 #include <poll.h>
 #include <pthread.h>
@@ -17,10 +17,10 @@
 #include <set>
 #include <utility>
 
-#include "core/allowance.h"
-#include "peers/keys.h"
-#include "peers/seal.h"
-#include "peers/wire.h"
+#include "gossip/keys.h"
+#include "gossip/seal.h"
+#include "gossip/wire.h"
+#include "runtime/allowance.h"
 
 namespace mothrack::peers {
 namespace {
--- a/peers/task.h
+++ b/src/gossip/task.h
@@ -11,8 +11,8 @@
 #include <string>
 #include <thread>
 
-#include "peers/mailbox.h"
-#include "peers/settings.h"
+#include "gossip/mailbox.h"
+#include "gossip/settings.h"
 
 namespace mothrack::peers {
 
--- a/peers/values.cpp
+++ b/src/gossip/values.cpp
@@ -1,11 +1,11 @@
-#include "peers/values.h"
+#include "gossip/values.h"
 
 #include <algorithm>
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#include "peers/membership.h"
+#include "gossip/membership.h"
 
 namespace mothrack::peers {
 namespace {
--- a/peers/values.h
+++ b/src/gossip/values.h
@@ -7,11 +7,11 @@
 #include <tuple>
 #include <vector>
 
-#include "peers/core.h"
+#include "gossip/core.h"
 
 namespace mothrack::peers {
 
-// Within the bounds of peers/types.h.
+// Within the bounds of src/gossip/types.h.
 bool Fine(const Value& value);
 
 class Values {
--- a/peers/wire.cpp
+++ b/src/gossip/wire.cpp
@@ -1,9 +1,9 @@
-#include "peers/wire.h"
+#include "gossip/wire.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "peers/peers.pb.h"
+#include "gossip/peers.pb.h"
 
 namespace mothrack::peers {
 namespace {
--- a/peers/wire.h
+++ b/src/gossip/wire.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <string_view>
 
-#include "peers/message.h"
+#include "gossip/message.h"
 
 namespace mothrack::peers {
 
--- a/ring/load.cpp
+++ b/src/hash_ring/load.cpp
@@ -1,4 +1,4 @@
-#include "ring/load.h"
+#include "hash_ring/load.h"
 
 #include <algorithm>
 #include <utility>
--- a/ring/load.h
+++ b/src/hash_ring/load.h
@@ -19,8 +19,8 @@
 #include <string_view>
 #include <vector>
 
-#include "ring/maker.h"
-#include "ring/ring.h"
+#include "hash_ring/maker.h"
+#include "hash_ring/ring.h"
 
 namespace mothrack::ring {
 
--- a/ring/maker.cpp
+++ b/src/hash_ring/maker.cpp
@@ -1,4 +1,4 @@
-#include "ring/maker.h"
+#include "hash_ring/maker.h"
 
 #include <algorithm>
 #include <tuple>
--- a/ring/maker.h
+++ b/src/hash_ring/maker.h
@@ -26,7 +26,7 @@
 #include <string>
 #include <vector>
 
-#include "ring/ring.h"
+#include "hash_ring/ring.h"
 
 namespace mothrack::ring {
 
--- a/ring/ring.cpp
+++ b/src/hash_ring/ring.cpp
@@ -1,4 +1,4 @@
-#include "ring/ring.h"
+#include "hash_ring/ring.h"
 
 #include <algorithm>
 #include <array>
--- a/handover/handover.cpp
+++ b/src/hot_restart/handover.cpp
@@ -1,4 +1,4 @@
-#include "handover/handover.h"
+#include "hot_restart/handover.h"
 
 #include <fcntl.h>
 #include <poll.h>
--- a/handover/handover.h
+++ b/src/hot_restart/handover.h
@@ -17,10 +17,10 @@
 #include <optional>
 #include <string>
 
-#include "core/clock.h"
-#include "core/log.h"
-#include "handover/link.h"
-#include "handover/state.h"
+#include "hot_restart/link.h"
+#include "hot_restart/state.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
 
 namespace mothrack::handover {
 
--- a/handover/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -1,4 +1,4 @@
-#include "handover/link.h"
+#include "hot_restart/link.h"
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/write.hpp>
--- a/handover/link.h
+++ b/src/hot_restart/link.h
@@ -8,7 +8,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "core/write_stream.h"
+#include "runtime/write_stream.h"
 
 namespace mothrack::handover {
 
--- a/handover/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -1,4 +1,4 @@
-#include "handover/state.h"
+#include "hot_restart/state.h"
 
 #include <fcntl.h>
 #include <sys/stat.h>
--- a/handover/state.h
+++ b/src/hot_restart/state.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "core/log.h"
-#include "core/start_times.h"
+#include "dispatch/start_times.h"
+#include "runtime/log.h"
 
 namespace mothrack::handover {
 
--- a/http/body_writer.cpp
+++ b/src/http/body_writer.cpp
@@ -6,7 +6,7 @@
 #include <cstdio>
 #include <string_view>
 
-#include "core/system_calls.h"
+#include "runtime/system_calls.h"
 
 namespace mothrack {
 namespace {
--- a/http/body_writer.h
+++ b/src/http/body_writer.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <utility>
 
-#include "core/stream.h"
+#include "runtime/stream.h"
 
 namespace mothrack {
 
--- a/http/front.h
+++ b/src/http/front.h
@@ -6,7 +6,7 @@
 #include <map>
 #include <string>
 
-#include "core/dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "http/listener.h"
 
 namespace mothrack {
--- a/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -15,9 +15,9 @@
 #include <utility>
 #include <vector>
 
-#include "core/system_calls.h"
-#include "core/write_stream.h"
 #include "http/body_writer.h"
+#include "runtime/system_calls.h"
+#include "runtime/write_stream.h"
 
 namespace mothrack {
 namespace {
--- a/http/listener.h
+++ b/src/http/listener.h
@@ -8,12 +8,12 @@
 #include <memory>
 #include <set>
 
-#include "core/acceptor.h"
-#include "core/address.h"
-#include "core/clock.h"
-#include "core/descriptors.h"
-#include "core/log.h"
 #include "http/messages.h"
+#include "runtime/acceptor.h"
+#include "runtime/address.h"
+#include "runtime/clock.h"
+#include "runtime/descriptors.h"
+#include "runtime/log.h"
 
 namespace mothrack {
 
--- a/http/messages.h
+++ b/src/http/messages.h
@@ -18,8 +18,8 @@
 #include <string>
 #include <utility>
 
-#include "core/exchange.h"
-#include "core/stream.h"
+#include "dispatch/exchange.h"
+#include "runtime/stream.h"
 
 namespace mothrack {
 
--- a/http/transport.cpp
+++ b/src/http/transport.cpp
@@ -18,9 +18,9 @@
 #include <chrono>
 #include <utility>
 
-#include "core/system_calls.h"
-#include "core/write_stream.h"
 #include "http/body_writer.h"
+#include "runtime/system_calls.h"
+#include "runtime/write_stream.h"
 
 namespace mothrack {
 namespace {
--- a/http/transport.h
+++ b/src/http/transport.h
@@ -11,11 +11,11 @@
 #include <string>
 #include <vector>
 
-#include "core/clock.h"
-#include "core/descriptors.h"
-#include "core/exchange.h"
+#include "balancer/balancer.h"
+#include "dispatch/exchange.h"
 #include "http/messages.h"
-#include "kestrellb/balancer.h"
+#include "runtime/clock.h"
+#include "runtime/descriptors.h"
 
 namespace mothrack {
 
--- a/fleet/change.cpp
+++ b/src/rollout/change.cpp
@@ -1,4 +1,4 @@
-#include "fleet/change.h"
+#include "rollout/change.h"
 
 #include <algorithm>
 #include <utility>
@@ -84,7 +84,7 @@
 }
 
 std::string Change::Silent(TimePoint now) const {
-  // Half the time that the agents count: see fleet/lease.h.
+  // Half the time that the agents count: see src/rollout/lease.h.
   for (const auto& [agent, confirmed] : leased_) {
     if (now - confirmed >= lease_time_ / 2) return agent;
   }
--- a/fleet/change.h
+++ b/src/rollout/change.h
@@ -4,8 +4,8 @@
 // undoes.
 //
 // Driven by what is heard from the agents and by the time; every command may be lost, repeated or late:
-// agents take each step once (fleet/instance.h), and none from a holder that was followed by another
-// (fleet/lease.h). All times are of the tool's own steady clock.
+// agents take each step once (src/rollout/instance.h), and none from a holder that was followed by another
+// (src/rollout/lease.h). All times are of the tool's own steady clock.
 //
 // The rules that it keeps:
 //   * before a batch begins, every target outside it is available, but for those that the change has stopped
@@ -21,8 +21,8 @@
 #include <string>
 #include <vector>
 
-#include "fleet/plan.h"
-#include "fleet/types.h"
+#include "rollout/plan.h"
+#include "rollout/types.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/claim.cpp
+++ b/src/rollout/claim.cpp
@@ -1,4 +1,4 @@
-#include "fleet/claim.h"
+#include "rollout/claim.h"
 
 #include <algorithm>
 
--- a/fleet/claim.h
+++ b/src/rollout/claim.h
@@ -1,7 +1,7 @@
-// A tool's way to the lease (fleet/lease.h): it asks every agent for the highest epoch, takes the next one,
-// and then claims the agents one after the other in the order of their names. Two tools that begin at the
-// same instant thus meet at the first agent, and one of them stops there with nothing to give back.
-// With all of them it opens its change there.
+// A tool's way to the lease (src/rollout/lease.h): it asks every agent for the highest epoch, takes the next
+// one, and then claims the agents one after the other in the order of their names. Two tools that begin at
+// the same instant thus meet at the first agent, and one of them stops there with nothing to give back. With
+// all of them it opens its change there.
 #pragma once
 
 #include <map>
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "fleet/lease.h"
-#include "fleet/types.h"
+#include "rollout/lease.h"
+#include "rollout/types.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -1,4 +1,4 @@
-#include "fleet/instance.h"
+#include "rollout/instance.h"
 
 #include <algorithm>
 
--- a/fleet/instance.h
+++ b/src/rollout/instance.h
@@ -17,7 +17,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/types.h"
+#include "rollout/types.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/lease.cpp
+++ b/src/rollout/lease.cpp
@@ -1,4 +1,4 @@
-#include "fleet/lease.h"
+#include "rollout/lease.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/lease.h
+++ b/src/rollout/lease.h
@@ -1,9 +1,9 @@
 // An agent's part in who may change the fleet. A holder needs the lease of every agent that its change
 // touches, and of a majority of all agents: so there is one holder at a time, and no agent that it commands
 // has granted an older one. Each agent counts the lease's time by its own steady clock, from when it granted
-// or renewed it; the holder counts from when it asked, and stops at half the time (fleet/change.h). A holder
-// that went silent thus knows that it has lost the lease before any agent gives it to another, by any clocks
-// that run at about the same rate, wherever they stand.
+// or renewed it; the holder counts from when it asked, and stops at half the time (src/rollout/change.h). A
+// holder that went silent thus knows that it has lost the lease before any agent gives it to another, by any
+// clocks that run at about the same rate, wherever they stand.
 //
 // Before its first step a change is opened at every agent whose lease it has, and closed only once it has
 // come to an end that leaves nothing to do. While one is open an agent grants the lease to it alone: its
@@ -15,7 +15,7 @@
 #include <optional>
 #include <string>
 
-#include "fleet/types.h"
+#include "rollout/types.h"
 
 namespace mothrack::fleet {
 
--- a/fleet/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -1,4 +1,4 @@
-#include "fleet/plan.h"
+#include "rollout/plan.h"
 
 #include <algorithm>
 #include <set>
--- a/fleet/types.h
+++ b/src/rollout/types.h
@@ -20,8 +20,8 @@
   std::string who;
   std::string why;
   std::int64_t since_unix_ms = 0;
-  // Differs for each claim (fleet/claim.h), also of one tool for one change: two that chose the same epoch
-  // are told apart by it, and so is a claim from what is still on its way of one before it.
+  // Differs for each claim (src/rollout/claim.h), also of one tool for one change: two that chose the same
+  // epoch are told apart by it, and so is a claim from what is still on its way of one before it.
   std::string tool;
   bool operator==(const Holder&) const = default;
 };
--- a/fleet/wire.cpp
+++ b/src/rollout/wire.cpp
@@ -1,4 +1,4 @@
-#include "fleet/wire.h"
+#include "rollout/wire.h"
 
 #include <algorithm>
 #include <array>
--- a/fleet/wire.h
+++ b/src/rollout/wire.h
@@ -6,10 +6,10 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "fleet/instance.h"
-#include "fleet/lease.h"
-#include "fleet/plan.h"
-#include "fleet/types.h"
+#include "rollout/instance.h"
+#include "rollout/lease.h"
+#include "rollout/plan.h"
+#include "rollout/types.h"
 
 namespace mothrack::fleet {
 
--- a/core/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -1,4 +1,4 @@
-#include "core/acceptor.h"
+#include "runtime/acceptor.h"
 
 #include <sys/socket.h>
 #include <unistd.h>
@@ -10,7 +10,7 @@
 #include <cerrno>
 #include <utility>
 
-#include "core/system_calls.h"
+#include "runtime/system_calls.h"
 
 namespace mothrack {
 namespace {
--- a/core/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -12,9 +12,9 @@
 #include <memory>
 #include <string>
 
-#include "core/address.h"
-#include "core/clock.h"
-#include "core/log.h"
+#include "runtime/address.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
 
 namespace mothrack {
 
--- a/core/address.cpp
+++ b/src/runtime/address.cpp
@@ -1,4 +1,4 @@
-#include "core/address.h"
+#include "runtime/address.h"
 
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
--- a/core/allowance.h
+++ b/src/runtime/allowance.h
@@ -5,7 +5,7 @@
 #include <algorithm>
 #include <chrono>
 
-#include "core/clock.h"
+#include "runtime/clock.h"
 
 namespace mothrack {
 
--- a/core/clock.h
+++ b/src/runtime/clock.h
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <cstdint>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 namespace mothrack {
 
--- a/core/deadlines.h
+++ b/src/runtime/deadlines.h
@@ -9,7 +9,7 @@
 #include <set>
 #include <utility>
 
-#include "core/clock.h"
+#include "runtime/clock.h"
 
 namespace mothrack {
 
--- a/core/log.h
+++ b/src/runtime/log.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "core/allowance.h"
+#include "runtime/allowance.h"
 
 namespace mothrack {
 
--- a/core/stream.cpp
+++ b/src/runtime/stream.cpp
@@ -1,4 +1,4 @@
-#include "core/stream.h"
+#include "runtime/stream.h"
 
 #include <algorithm>
 
--- a/core/timers.cpp
+++ b/src/runtime/timers.cpp
@@ -1,4 +1,4 @@
-#include "core/timers.h"
+#include "runtime/timers.h"
 
 namespace mothrack {
 
--- a/node/config.cpp
+++ b/src/sidecar/config.cpp
@@ -1,4 +1,4 @@
-#include "config.h"
+#include "sidecar/config.h"
 
 #include <sys/resource.h>
 
@@ -12,7 +12,7 @@
 #include <string_view>
 #include <utility>
 
-#include "wire.h"
+#include "simulator_adapter/wire.h"
 
 namespace mothrack {
 namespace {
--- a/node/config.h
+++ b/src/sidecar/config.h
@@ -8,9 +8,9 @@
 #include <stdexcept>
 #include <string>
 
-#include "core/address.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 #include "nlohmann/json.hpp"
+#include "runtime/address.h"
 
 namespace mothrack {
 
--- a/node/count_lines.cpp
+++ b/src/sidecar/count_lines.cpp
@@ -1,4 +1,4 @@
-#include "count_lines.h"
+#include "sidecar/count_lines.h"
 
 #include <array>
 #include <cmath>
--- a/node/count_lines.h
+++ b/src/sidecar/count_lines.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <utility>
 
-#include "core/clock.h"
-#include "core/log.h"
-#include "sidecar.h"
+#include "runtime/clock.h"
+#include "runtime/log.h"
+#include "sidecar/sidecar.h"
 
 namespace mothrack {
 
--- a/node/main.cpp
+++ b/src/sidecar/main.cpp
@@ -5,8 +5,8 @@
 #include <optional>
 #include <string>
 
-#include "operator_file.h"
-#include "program.h"
+#include "sidecar/operator_file.h"
+#include "sidecar/program.h"
 
 namespace {
 
--- a/node/operator_file.cpp
+++ b/src/sidecar/operator_file.cpp
@@ -1,4 +1,4 @@
-#include "operator_file.h"
+#include "sidecar/operator_file.h"
 
 #include <sys/stat.h>
 #include <sys/un.h>
--- a/node/operator_file.h
+++ b/src/sidecar/operator_file.h
@@ -7,10 +7,10 @@
 #include <string>
 
 #include "admin/settings.h"
-#include "config.h"
 #include "dns/settings.h"
+#include "sidecar/config.h"
 #ifdef MOTHRACK_WITH_PEERS
-#include "peers/settings.h"
+#include "gossip/settings.h"
 #endif
 
 namespace mothrack {
--- a/node/peers_link.cpp
+++ b/src/sidecar/peers_link.cpp
@@ -1,4 +1,4 @@
-#include "peers_link.h"
+#include "sidecar/peers_link.h"
 
 #include <iostream>
 
--- a/node/peers_link.h
+++ b/src/sidecar/peers_link.h
@@ -1,5 +1,5 @@
-// The sidecar's tie to its peers (peers/link.h), if the operator's file asks and the program was built with
-// it; else nothing of it is linked, and no thread, no socket and no byte is spent.
+// The sidecar's tie to its peers (src/gossip/link.h), if the operator's file asks and the program was built
+// with it; else nothing of it is linked, and no thread, no socket and no byte is spent.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -8,10 +8,10 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "core/log.h"
-#include "operator_file.h"
+#include "runtime/log.h"
+#include "sidecar/operator_file.h"
 #ifdef MOTHRACK_WITH_PEERS
-#include "peers/link.h"
+#include "gossip/link.h"
 #endif
 
 namespace mothrack {
--- a/node/program.cpp
+++ b/src/sidecar/program.cpp
@@ -1,4 +1,4 @@
-#include "program.h"
+#include "sidecar/program.h"
 
 #include <sys/resource.h>
 
@@ -16,16 +16,16 @@
 #include "admin/door.h"
 #include "admin/ops.h"
 #include "admin/report.h"
-#include "config.h"
-#include "core/descriptors.h"
-#include "core/log.h"
-#include "count_lines.h"
 #include "dns/service.h"
-#include "handover/handover.h"
-#include "operator_file.h"
-#include "peers_link.h"
-#include "sidecar.h"
-#include "succession.h"
+#include "hot_restart/handover.h"
+#include "runtime/descriptors.h"
+#include "runtime/log.h"
+#include "sidecar/config.h"
+#include "sidecar/count_lines.h"
+#include "sidecar/operator_file.h"
+#include "sidecar/peers_link.h"
+#include "sidecar/sidecar.h"
+#include "sidecar/succession.h"
 
 namespace mothrack {
 namespace {
--- a/node/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -1,4 +1,4 @@
-#include "sidecar.h"
+#include "sidecar/sidecar.h"
 
 #include <exception>
 #include <string>
--- a/node/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -11,15 +11,15 @@
 #include <utility>
 #include <vector>
 
-#include "config.h"
-#include "core/clock.h"
-#include "core/descriptors.h"
-#include "core/dispatcher.h"
-#include "core/log.h"
-#include "core/start_times.h"
-#include "http/discovery.h"
+#include "discovery/discovery.h"
+#include "dispatch/dispatcher.h"
+#include "dispatch/start_times.h"
 #include "http/front.h"
 #include "http/transport.h"
+#include "runtime/clock.h"
+#include "runtime/descriptors.h"
+#include "runtime/log.h"
+#include "sidecar/config.h"
 
 namespace mothrack {
 
--- a/node/succession.cpp
+++ b/src/sidecar/succession.cpp
@@ -1,4 +1,4 @@
-#include "succession.h"
+#include "sidecar/succession.h"
 
 #include <fcntl.h>
 #include <sys/un.h>
--- a/node/succession.h
+++ b/src/sidecar/succession.h
@@ -10,10 +10,10 @@
 #include <set>
 #include <string>
 
-#include "core/descriptors.h"
-#include "core/log.h"
-#include "handover/handover.h"
-#include "sidecar.h"
+#include "hot_restart/handover.h"
+#include "runtime/descriptors.h"
+#include "runtime/log.h"
+#include "sidecar/sidecar.h"
 
 namespace mothrack {
 
--- a/lab/carrier.cpp
+++ b/src/simulation/carrier.cpp
@@ -1,4 +1,4 @@
-#include "lab/carrier.h"
+#include "simulation/carrier.h"
 
 #include <algorithm>
 
--- a/lab/carrier.h
+++ b/src/simulation/carrier.h
@@ -1,4 +1,4 @@
-// The transport of a made-up sidecar: what http/transport.h does on sockets, in made-up time over made-up
+// The transport of a made-up sidecar: what src/http/transport.h does on sockets, in made-up time over made-up
 // links. It keeps connections, opens new ones, and proves of each attempt no more than a socket would.
 #pragma once
 
@@ -8,10 +8,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "core/exchange.h"
-#include "lab/happening.h"
-#include "lab/server.h"
-#include "lab/sim.h"
+#include "dispatch/exchange.h"
+#include "simulation/happening.h"
+#include "simulation/server.h"
+#include "simulation/sim.h"
 
 namespace mothrack::lab {
 
--- a/lab/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -1,9 +1,9 @@
-#include "lab/figures.h"
+#include "simulation/figures.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "lab/sim.h"
+#include "simulation/sim.h"
 
 namespace mothrack::lab {
 namespace {
--- a/lab/figures.h
+++ b/src/simulation/figures.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/happening.h"
-#include "lab/scenario.h"
+#include "simulation/happening.h"
+#include "simulation/scenario.h"
 
 namespace mothrack::lab {
 
--- a/lab/happening.h
+++ b/src/simulation/happening.h
@@ -1,12 +1,12 @@
-// What is told of a world as it happens, made-up or real: the rules (lab/rules.h) and the figures
-// (lab/figures.h) are written over these alone.
+// What is told of a world as it happens, made-up or real: the rules (src/simulation/rules.h) and the figures
+// (src/simulation/figures.h) are written over these alone.
 #pragma once
 
 #include <cstdint>
 #include <string>
 
-#include "core/clock.h"
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
+#include "runtime/clock.h"
 
 namespace mothrack::lab {
 
--- a/lab/load.cpp
+++ b/src/simulation/load.cpp
@@ -1,4 +1,4 @@
-#include "lab/load.h"
+#include "simulation/load.h"
 
 #include <boost/asio/connect.hpp>
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "lab/sim.h"
+#include "simulation/sim.h"
 
 namespace mothrack::lab {
 namespace {
--- a/lab/load.h
+++ b/src/simulation/load.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-#include "lab/figures.h"
+#include "simulation/figures.h"
 
 namespace mothrack::lab {
 
--- a/lab/main.cpp
+++ b/src/simulation/main.cpp
@@ -9,13 +9,13 @@
 #include <iostream>
 #include <thread>
 
-#include "lab/load.h"
-#include "lab/report.h"
-#include "lab/results.h"
-#include "lab/search.h"
-#include "lab/statistics.h"
-#include "lab/sweep.h"
-#include "lab/world.h"
+#include "simulation/load.h"
+#include "simulation/report.h"
+#include "simulation/results.h"
+#include "simulation/search.h"
+#include "simulation/statistics.h"
+#include "simulation/sweep.h"
+#include "simulation/world.h"
 
 namespace mothrack::lab {
 namespace {
--- a/lab/report.cpp
+++ b/src/simulation/report.cpp
@@ -1,4 +1,4 @@
-#include "lab/report.h"
+#include "simulation/report.h"
 
 #include <algorithm>
 #include <array>
@@ -193,7 +193,7 @@
          body + "</body></html>\n";
 }
 
-// What a run's page shows, by the members of a second (lab/results.cpp).
+// What a run's page shows, by the members of a second (src/simulation/results.cpp).
 struct Picture {
   struct Part {
     const char* name = nullptr;
--- a/lab/report.h
+++ b/src/simulation/report.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/statistics.h"
+#include "simulation/statistics.h"
 
 namespace mothrack::lab {
 
--- a/lab/results.cpp
+++ b/src/simulation/results.cpp
@@ -1,4 +1,4 @@
-#include "lab/results.h"
+#include "simulation/results.h"
 
 #include <xxhash.h>
 
--- a/lab/results.h
+++ b/src/simulation/results.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/world.h"
-#include "sql/sqlite.h"
+#include "simulation/world.h"
+#include "storage/sqlite.h"
 
 namespace mothrack::lab {
 
--- a/lab/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -1,9 +1,9 @@
-#include "lab/rules.h"
+#include "simulation/rules.h"
 
 #include <algorithm>
 #include <numeric>
 
-#include "lab/sim.h"
+#include "simulation/sim.h"
 
 namespace mothrack::lab {
 namespace {
--- a/lab/rules.h
+++ b/src/simulation/rules.h
@@ -10,7 +10,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "lab/happening.h"
+#include "simulation/happening.h"
 
 namespace mothrack::lab {
 
--- a/lab/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -1,4 +1,4 @@
-#include "lab/scenario.h"
+#include "simulation/scenario.h"
 
 #include <toml++/toml.h>
 
@@ -9,7 +9,7 @@
 #include <set>
 #include <sstream>
 
-#include "lab/sim.h"
+#include "simulation/sim.h"
 
 namespace mothrack::lab {
 namespace {
--- a/lab/scenario.h
+++ b/src/simulation/scenario.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 namespace mothrack::lab {
 
--- a/lab/search.cpp
+++ b/src/simulation/search.cpp
@@ -1,4 +1,4 @@
-#include "lab/search.h"
+#include "simulation/search.h"
 
 #include <algorithm>
 #include <cmath>
--- a/lab/search.h
+++ b/src/simulation/search.h
@@ -6,9 +6,9 @@
 #include <functional>
 #include <string>
 
-#include "lab/scenario.h"
-#include "lab/sim.h"
-#include "lab/world.h"
+#include "simulation/scenario.h"
+#include "simulation/sim.h"
+#include "simulation/world.h"
 
 namespace mothrack::lab {
 
--- a/lab/server.cpp
+++ b/src/simulation/server.cpp
@@ -1,4 +1,4 @@
-#include "lab/server.h"
+#include "simulation/server.h"
 
 #include <algorithm>
 
--- a/lab/server.h
+++ b/src/simulation/server.h
@@ -7,8 +7,8 @@
 #include <functional>
 #include <unordered_map>
 
-#include "lab/scenario.h"
-#include "lab/sim.h"
+#include "simulation/scenario.h"
+#include "simulation/sim.h"
 
 namespace mothrack::lab {
 
--- a/lab/sim.h
+++ b/src/simulation/sim.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "core/timers.h"
+#include "runtime/timers.h"
 
 namespace mothrack::lab {
 
--- a/lab/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -1,4 +1,4 @@
-#include "lab/sweep.h"
+#include "simulation/sweep.h"
 
 #include <poll.h>
 #include <sys/wait.h>
@@ -8,8 +8,8 @@
 #include <map>
 #include <stdexcept>
 
-#include "lab/results.h"
-#include "lab/world.h"
+#include "simulation/results.h"
+#include "simulation/world.h"
 
 namespace mothrack::lab {
 namespace {
--- a/lab/sweep.h
+++ b/src/simulation/sweep.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "lab/scenario.h"
+#include "simulation/scenario.h"
 
 namespace mothrack::lab {
 
--- a/lab/world.cpp
+++ b/src/simulation/world.cpp
@@ -1,4 +1,4 @@
-#include "lab/world.h"
+#include "simulation/world.h"
 
 #include <xxhash.h>
 
--- a/lab/world.h
+++ b/src/simulation/world.h
@@ -8,13 +8,13 @@
 #include <string>
 #include <vector>
 
-#include "core/dispatcher.h"
-#include "lab/carrier.h"
-#include "lab/figures.h"
-#include "lab/rules.h"
-#include "lab/scenario.h"
-#include "lab/server.h"
-#include "lab/sim.h"
+#include "dispatch/dispatcher.h"
+#include "simulation/carrier.h"
+#include "simulation/figures.h"
+#include "simulation/rules.h"
+#include "simulation/scenario.h"
+#include "simulation/server.h"
+#include "simulation/sim.h"
 
 namespace mothrack::lab {
 
--- a/sim/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,8 +1,8 @@
-// kestrellb_simhost: plays the simulator's wire on standard input and output, one reply a line.
+// simulator_adapter: plays the simulator's wire on standard input and output, one reply a line.
 #include <iostream>
 #include <string>
 
-#include "wire.h"
+#include "simulator_adapter/wire.h"
 
 int main() {
   std::ios::sync_with_stdio(false);
@@ -12,7 +12,7 @@
     try {
       std::cout << host.Reply(line) << '\n' << std::flush;
     } catch (const kestrellb::wire::Error& e) {
-      std::cerr << "kestrellb_simhost: " << e.what() << std::endl;
+      std::cerr << "simulator_adapter: " << e.what() << std::endl;
       return 1;
     }
   }
--- a/sim/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "simulator_adapter/wire.h"
 
 #include <algorithm>
 #include <optional>
--- a/sim/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 #include "nlohmann/json.hpp"
 
 namespace kestrellb::wire {
--- a/zones/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -1,4 +1,4 @@
-#include "zones/decision.h"
+#include "zone_failover/decision.h"
 
 #include <algorithm>
 #include <array>
--- a/zones/decision.h
+++ b/src/zone_failover/decision.h
@@ -11,8 +11,8 @@
 #include <string_view>
 #include <vector>
 
-#include "zones/evidence.h"
-#include "zones/types.h"
+#include "zone_failover/evidence.h"
+#include "zone_failover/types.h"
 
 namespace mothrack::zones {
 
--- a/zones/evidence.cpp
+++ b/src/zone_failover/evidence.cpp
@@ -1,4 +1,4 @@
-#include "zones/evidence.h"
+#include "zone_failover/evidence.h"
 
 #include <algorithm>
 
--- a/zones/evidence.h
+++ b/src/zone_failover/evidence.h
@@ -14,7 +14,7 @@
 #include <string_view>
 #include <vector>
 
-#include "zones/types.h"
+#include "zone_failover/types.h"
 
 namespace mothrack::zones {
 
@@ -24,7 +24,7 @@
 constexpr std::size_t kBuckets = 8;
 constexpr Duration kWindow = kBucket * kBuckets;
 
-constexpr std::size_t kMostBytes = 256;      // of a value (peers/types.h)
+constexpr std::size_t kMostBytes = 256;      // of a value (src/gossip/types.h)
 constexpr std::size_t kMostZones = 7;        // that fit with every figure at its most
 constexpr std::uint16_t kMostCount = 16383;  // two bytes; more is told as that, and weights are capped anyway
 
--- a/tests/acceptor_test.cpp
+++ b/tests/acceptor_test.cpp
@@ -1,7 +1,7 @@
 // The acceptor on a loopback socket of its own, with a system that errs on demand: wake-ups that get lost,
 // clients that left ahead of their turn, no descriptor left. The system's calls are the test's own here, and
 // pass on to the real ones.
-#include "core/acceptor.h"
+#include "runtime/acceptor.h"
 
 #include <dlfcn.h>
 #include <poll.h>
--- a/tests/changes_model.cpp
+++ b/tests/changes_model.cpp
@@ -10,13 +10,13 @@
 #include <utility>
 #include <vector>
 
-#include "fleet/agent.h"
-#include "fleet/change.h"
-#include "fleet/claim.h"
-#include "fleet/instance.h"
-#include "fleet/lease.h"
-#include "fleet/plan.h"
-#include "fleet/store.h"
+#include "agent/agent.h"
+#include "agent/store.h"
+#include "rollout/change.h"
+#include "rollout/claim.h"
+#include "rollout/instance.h"
+#include "rollout/lease.h"
+#include "rollout/plan.h"
 
 namespace mothrack::fleet::testing {
 namespace {
--- a/tests/changes_model.h
+++ b/tests/changes_model.h
@@ -1,13 +1,13 @@
-// A fleet in one thread and in made-up time: the program's own agents (fleet/agent.h) over made-up disks and
-// processes, its own claims and changes in made-up tools, and the messages between them. All of these fail,
-// at moments drawn from one seed or at one that a script names.
+// A fleet in one thread and in made-up time: the program's own agents (src/agent/agent.h) over made-up disks
+// and processes, its own claims and changes in made-up tools, and the messages between them. All of these
+// fail, at moments drawn from one seed or at one that a script names.
 #pragma once
 
 #include <cstdint>
 #include <string>
 #include <vector>
 
-#include "fleet/change.h"
+#include "rollout/change.h"
 
 namespace mothrack::fleet::testing {
 
--- a/tests/changes_test.cpp
+++ b/tests/changes_test.cpp
@@ -7,12 +7,12 @@
 #include <string>
 
 #include "changes_model.h"
-#include "fleet/change.h"
-#include "fleet/claim.h"
-#include "fleet/instance.h"
-#include "fleet/lease.h"
-#include "fleet/plan.h"
 #include "gtest/gtest.h"
+#include "rollout/change.h"
+#include "rollout/claim.h"
+#include "rollout/instance.h"
+#include "rollout/lease.h"
+#include "rollout/plan.h"
 
 namespace mothrack::fleet {
 namespace {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -8,16 +8,16 @@
 #include <string>
 #include <vector>
 
-#include "core/address.h"
-#include "core/deadlines.h"
-#include "core/descriptors.h"
-#include "core/dispatcher.h"
-#include "core/id_memory.h"
-#include "core/random.h"
-#include "core/roster.h"
-#include "core/stream.h"
-#include "core/timers.h"
+#include "dispatch/dispatcher.h"
+#include "dispatch/id_memory.h"
+#include "dispatch/roster.h"
 #include "gtest/gtest.h"
+#include "runtime/address.h"
+#include "runtime/deadlines.h"
+#include "runtime/descriptors.h"
+#include "runtime/random.h"
+#include "runtime/stream.h"
+#include "runtime/timers.h"
 
 namespace mothrack {
 namespace {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -1,6 +1,6 @@
 // Until when news may be missing: the statement as a table, and the real loop against sources that fall
 // silent.
-#include "http/discovery.h"
+#include "discovery/discovery.h"
 
 #include <gtest/gtest.h>
 
@@ -16,10 +16,10 @@
 #include <thread>
 #include <vector>
 
+#include "discovery/news.h"
 #include "helpers.h"
-#include "http/news.h"
+#include "simulator_adapter/wire.h"
 #include "standins/peers.h"
-#include "wire.h"
 
 namespace mothrack {
 namespace {
--- a/tests/dispatcher_histories_test.cpp
+++ b/tests/dispatcher_histories_test.cpp
@@ -1,7 +1,7 @@
 // The dispatcher in histories drawn from seeds, in made-up time: clients, upstreams and the list do at random
-// moments all that they may do, also from within a call, and after each event the rules of core/exchange.h
-// and of include/kestrellb/balancer.h have to hold. What is drawn differs by seed: settings, and how eager
-// the transport is to end attempts at once.
+// moments all that they may do, also from within a call, and after each event the rules of
+// src/dispatch/exchange.h and of src/balancer/balancer.h have to hold. What is drawn differs by seed:
+// settings, and how eager the transport is to end attempts at once.
 #include <algorithm>
 #include <cstdlib>
 #include <deque>
@@ -15,9 +15,9 @@
 #include <string_view>
 #include <vector>
 
-#include "core/dispatcher.h"
+#include "dispatch/dispatcher.h"
 #include "gtest/gtest.h"
-#include "lab/sim.h"
+#include "simulation/sim.h"
 
 namespace mothrack {
 namespace {
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -3,7 +3,7 @@
 #include <variant>
 #include <vector>
 
-#include "kestrellb/balancer.h"
+#include "balancer/balancer.h"
 
 using namespace std::chrono_literals;
 
--- a/tests/freeze_model.cpp
+++ b/tests/freeze_model.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "freeze/desk.h"
+#include "change_freeze/desk.h"
 
 namespace mothrack::freeze::testing {
 namespace {
--- a/tests/freeze_test.cpp
+++ b/tests/freeze_test.cpp
@@ -6,7 +6,7 @@
 #include <iostream>
 #include <set>
 
-#include "freeze/desk.h"
+#include "change_freeze/desk.h"
 #include "freeze_model.h"
 #include "tables.h"
 
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -9,8 +9,8 @@
 #include <variant>
 #include <vector>
 
+#include "balancer/balancer.h"
 #include "gtest/gtest.h"
-#include "kestrellb/balancer.h"
 
 namespace kestrellb::testing {
 
--- a/tests/lab_test.cpp
+++ b/tests/lab_test.cpp
@@ -13,12 +13,12 @@
 #include <thread>
 
 #include "gtest/gtest.h"
-#include "lab/load.h"
-#include "lab/report.h"
-#include "lab/results.h"
-#include "lab/search.h"
-#include "lab/statistics.h"
-#include "lab/world.h"
+#include "simulation/load.h"
+#include "simulation/report.h"
+#include "simulation/results.h"
+#include "simulation/search.h"
+#include "simulation/statistics.h"
+#include "simulation/world.h"
 #include "standins/peers.h"
 
 namespace mothrack::lab {
--- a/tests/link_box.cmake
+++ b/tests/link_box.cmake
@@ -7,7 +7,7 @@
 gtest_discover_tests(hall_test PROPERTIES TIMEOUT 120)
 
 # Real processes that are peers, where this build has them.
-if(TARGET mothrack_peers_io)
+if(TARGET mothrack_gossip_io)
   add_executable(peers_fleet_test peers_fleet_test.cpp)
   target_link_libraries(peers_fleet_test PRIVATE hall GTest::gtest_main)
   gtest_discover_tests(peers_fleet_test PROPERTIES TIMEOUT 300 RUN_SERIAL TRUE)
--- a/tests/module_test.cpp
+++ b/tests/module_test.cpp
@@ -529,7 +529,7 @@
   EXPECT_EQ(w.subscribed, 1);
   w.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
   EXPECT_EQ(w.subscribed, 1) << "not at once";
-  w.Advance(s.rules.ask_within / 5 + 250ms);  // as http/news.cpp counts on
+  w.Advance(s.rules.ask_within / 5 + 250ms);  // as src/discovery/news.cpp counts on
   EXPECT_EQ(w.subscribed, 2);
   EXPECT_GT(w.Spread(10)["a"], 0) << "the old list holds";
 }
--- a/tests/peers_core_test.cpp
+++ b/tests/peers_core_test.cpp
@@ -8,9 +8,9 @@
 #include <set>
 #include <sstream>
 
-#include "peers/core.h"
-#include "tests/peers_net.h"
-#include "tests/tables.h"
+#include "gossip/core.h"
+#include "peers_net.h"
+#include "tables.h"
 
 namespace mothrack::peers {
 namespace {
--- a/tests/peers_messages.h
+++ b/tests/peers_messages.h
@@ -7,7 +7,7 @@
 #include <string_view>
 #include <utility>
 
-#include "peers/wire.h"
+#include "gossip/wire.h"
 
 namespace mothrack::peers {
 
--- a/tests/peers_net.h
+++ b/tests/peers_net.h
@@ -11,8 +11,8 @@
 #include <unordered_map>
 #include <vector>
 
-#include "peers/core.h"
-#include "peers/random.h"
+#include "gossip/core.h"
+#include "gossip/random.h"
 
 namespace mothrack::testing {
 
--- a/tests/peers_task.cmake
+++ b/tests/peers_task.cmake
@@ -1,6 +1,6 @@
 # The peers' task, its boxes and its settings; and real programs with it.
 add_executable(peers_task_test peers_task_test.cpp)
-target_link_libraries(peers_task_test PRIVATE mothrack_node mothrack_fleet_io node_peers mothrack_standins
+target_link_libraries(peers_task_test PRIVATE mothrack_sidecar mothrack_ctl node_peers mothrack_standins
                       GTest::gtest_main)
 target_compile_definitions(peers_task_test PRIVATE MOTHRACK_AGENT="$<TARGET_FILE:mothrack-agent>")
 add_dependencies(peers_task_test mothrack-agent)
--- a/tests/peers_task_test.cpp
+++ b/tests/peers_task_test.cpp
@@ -16,11 +16,11 @@
 #include <string>
 #include <thread>
 
-#include "fleet/agent_file.h"
+#include "agent/agent_file.h"
+#include "gossip/link.h"
+#include "gossip/task.h"
 #include "gtest/gtest.h"
 #include "operator_file.h"
-#include "peers/link.h"
-#include "peers/task.h"
 #include "standins/admin_client.h"
 #include "standins/peers.h"
 
--- a/tests/peers_wire_test.cpp
+++ b/tests/peers_wire_test.cpp
@@ -8,8 +8,8 @@
 #include <fstream>
 #include <functional>
 
-#include "peers/peers.pb.h"
-#include "peers/seal.h"
+#include "gossip/peers.pb.h"
+#include "gossip/seal.h"
 #include "peers_messages.h"
 
 namespace mothrack::peers {
--- a/tests/platform_links.sh
+++ b/tests/platform_links.sh
@@ -7,7 +7,7 @@
 if [ -z "$program" ]; then
   build=$(mktemp -d)
   trap 'rm -rf "$build"' EXIT
-  cmake -S "$source" -B "$build" -DCMAKE_BUILD_TYPE=Release -DKESTRELLB_TESTS=OFF >/dev/null
+  cmake -S "$source" -B "$build" -DCMAKE_BUILD_TYPE=Release -DMOTHRACK_TESTS=OFF >/dev/null
   cmake --build "$build" -j4 --target mothrack >/dev/null
   program=$build/mothrack
 fi
--- a/tests/ring_test.cpp
+++ b/tests/ring_test.cpp
@@ -8,8 +8,8 @@
 #include <set>
 
 #include "gtest/gtest.h"
-#include "ring/load.h"
-#include "ring/maker.h"
+#include "hash_ring/load.h"
+#include "hash_ring/maker.h"
 #include "tables.h"
 
 namespace mothrack::ring {
--- a/tests/run_all.sh
+++ b/tests/run_all.sh
@@ -8,7 +8,7 @@
   bind9-dnsutils dnsperf
 for sanitize in OFF ON; do
   cmake -B build-test/sanitize-$sanitize -DCMAKE_BUILD_TYPE=RelWithDebInfo -DCMAKE_COMPILE_WARNING_AS_ERROR=ON \
-    -DCMAKE_CXX_FLAGS=-Werror -DKESTRELLB_TESTS=ON -DKESTRELLB_SANITIZE=$sanitize
+    -DCMAKE_CXX_FLAGS=-Werror -DMOTHRACK_TESTS=ON -DMOTHRACK_SANITIZE=$sanitize
   cmake --build build-test/sanitize-$sanitize -j"$(nproc)"
   sh tools/known_red.sh KNOWN-RED.txt ctest --test-dir build-test/sanitize-$sanitize --output-on-failure -j4 -LE slow
 done
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -11,9 +11,9 @@
 #include <vector>
 
 #include "config.h"
-#include "core/clock.h"
+#include "discovery/discovery.h"
 #include "gtest/gtest.h"
-#include "http/discovery.h"
+#include "runtime/clock.h"
 
 namespace mothrack {
 namespace {
--- a/tests/sqlite_store_test.cpp
+++ b/tests/sqlite_store_test.cpp
@@ -1,6 +1,6 @@
 // What an agent keeps on disk, and a disk that is full, a file that is cut short, damaged, of another version
 // or held.
-#include "fleet/sqlite_store.h"
+#include "agent/sqlite_store.h"
 
 #include <signal.h>
 #include <sqlite3.h>
--- a/tests/standins/hall.cpp
+++ b/tests/standins/hall.cpp
@@ -17,7 +17,7 @@
 #include <stdexcept>
 #include <thread>
 
-#include "core/clock.h"
+#include "runtime/clock.h"
 #include "standins/admin_client.h"
 
 namespace mothrack::testing {
--- a/tests/standins/hall.h
+++ b/tests/standins/hall.h
@@ -16,8 +16,8 @@
 #include <string>
 #include <vector>
 
-#include "lab/rules.h"
 #include "nlohmann/json.hpp"
+#include "simulation/rules.h"
 #include "standins/link_box.h"
 #include "standins/peers.h"
 #include "standins/traffic.h"
@@ -81,7 +81,7 @@
 
   // Traffic through all sidecars, from now on. Judge() ends it and tells what was broken: by the account (no
   // request lost, nothing run twice, none that was refused run; only what was under way at a sidecar that was
-  // killed may be lost), and by the emulator's rules (lab/rules.h) over what happened.
+  // killed may be lost), and by the emulator's rules (src/simulation/rules.h) over what happened.
   void BeginTraffic();
   std::vector<std::string> Judge(std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
   std::size_t count(Traffic::End end) const { return traffic_ ? traffic_->count(end) : 0; }
--- a/tests/start_times_test.cpp
+++ b/tests/start_times_test.cpp
@@ -1,5 +1,5 @@
 // When upstreams' processes started, by lists of made-up times and wall clocks that step.
-#include "core/start_times.h"
+#include "dispatch/start_times.h"
 
 #include <chrono>
 #include <cstdint>
--- a/tests/transport_test.cpp
+++ b/tests/transport_test.cpp
@@ -22,8 +22,8 @@
 #include <thread>
 #include <vector>
 
-#include "core/address.h"
-#include "core/descriptors.h"
+#include "runtime/address.h"
+#include "runtime/descriptors.h"
 
 namespace mothrack {
 namespace {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -1,5 +1,5 @@
 // The adapter: JSON to events, actions to JSON, and what it says of lines that are no batch.
-#include "wire.h"
+#include "simulator_adapter/wire.h"
 
 #include "gtest/gtest.h"
 
--- a/tests/zones_test.cpp
+++ b/tests/zones_test.cpp
@@ -9,7 +9,7 @@
 #include <sstream>
 
 #include "tables.h"
-#include "zones/decision.h"
+#include "zone_failover/decision.h"
 
 namespace mothrack::zones {
 namespace {
