--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -265,7 +265,8 @@
       if (!u->ejected && !Suspect(*u)) room -= Warmth(*u);
     }
     // Before the rate is known it is the whole list, which must not be remembered as a subset.
-    subset_weight_ = KnowsRate() ? std::max(weight, subset_weight_) : 0;
+    const double listed = ListedWeight();
+    subset_part_ = KnowsRate() && listed > 0 ? std::max(weight / listed, subset_part_) : 0;
   }
 
   void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
@@ -1091,8 +1092,8 @@
   // the subset, and in the mean over the fleet these shares add up to the share by the list.
   double ColdShare(const Upstream& u) const {
     const double of_list = u.info.weight / std::max(usual_weight_, u.info.weight);
-    if (subset_weight_ <= 0) return of_list;
-    const double of_subset = u.in_subset ? u.info.weight / std::max(subset_weight_, u.info.weight) : 0;
+    if (subset_part_ <= 0) return of_list;
+    const double of_subset = u.in_subset ? of_list / subset_part_ : 0;
     return kOutsideSubset * of_list + (1 - kOutsideSubset) * of_subset;
   }
 
@@ -1116,7 +1117,7 @@
     const bool learnt = age >= 2 * Seconds(settings_.rules.fall_window);
     knows_warm_ = knows_warm_ || (learnt && telling_weight_ > 0 && 2 * telling_weight_ >= serving_weight_);
     usual_weight_ = std::max(ListedWeight(), usual_weight_ * fading);
-    subset_weight_ *= fading;
+    subset_part_ *= fading;
     MarkSubset();
   }
 
@@ -1234,8 +1235,8 @@
   std::map<std::string, Zone> zones_;
   std::ptrdiff_t lost_zones_ = 0;
   double retry_budget_ = kRetryBurst;
-  double usual_weight_ = 0;   // the list's weight, slow to fall
-  double subset_weight_ = 0;  // the subset's, likewise; 0 until the rate is known
+  double usual_weight_ = 0;  // the list's weight, slow to fall
+  double subset_part_ = 0;   // of the list's weight, the subset's, slow to fall; 0 until the rate is known
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
