--- a/tests/listener_test.cpp
+++ b/tests/listener_test.cpp
@@ -146,7 +146,8 @@
     descriptors.emplace(sockets);
     budget.emplace(budget_bytes);
     const ListenOn where(Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    listener.emplace(io, where, *descriptors, *budget, log, std::chrono::seconds(5),
+    listener.emplace(io, where, *descriptors, *budget, log,
+                     DeadlineRange{std::chrono::seconds(5), std::chrono::seconds(5)},
                      [this](HttpRequest request, ComingBody coming, Listener::Reply reply) {
                        return Take(std::move(request), std::move(coming), std::move(reply));
                      });
--- a/tests/operator_file_test.cpp
+++ b/tests/operator_file_test.cpp
@@ -1,5 +1,5 @@
 // The operator's file: what it may say, and the one error for what it may not.
-#include "operator_file.h"
+#include "sidecar/operator_file.h"
 
 #include <unistd.h>
 
--- a/tests/peers_task_test.cpp
+++ b/tests/peers_task_test.cpp
@@ -20,7 +20,7 @@
 #include "gossip/link.h"
 #include "gossip/task.h"
 #include "gtest/gtest.h"
-#include "operator_file.h"
+#include "sidecar/operator_file.h"
 #include "standins/admin_client.h"
 #include "standins/peers.h"
 
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -10,10 +10,10 @@
 #include <string_view>
 #include <vector>
 
-#include "config.h"
 #include "discovery/discovery.h"
 #include "gtest/gtest.h"
 #include "runtime/clock.h"
+#include "sidecar/config.h"
 
 namespace mothrack {
 namespace {
