--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -77,7 +77,7 @@
 void Dispatcher::Tell(MembershipList list) {
   {
     const Busy busy(delivering_);
-    events_.push_back(std::move(list.update));
+    events_.emplace_back(std::move(list.update));
     for (const auto& [uid, location] : list.locations) transport_.Apply(uid, location);
   }
   if (!delivering_) Pump();
@@ -170,7 +170,7 @@
   final.attempts = pending.attempts.size();
   {
     const Busy busy(delivering_);
-    events_.push_back(kestrellb::AnswerStarted{id, attempt});
+    events_.emplace_back(kestrellb::AnswerStarted{id, attempt});
     on_final(std::move(final));  // `pending` is not touched any more
   }
   if (!delivering_) Pump();
@@ -192,7 +192,7 @@
   {
     // The module hears of the end ahead of what the front does on it, such as taking the next request in.
     const Busy busy(delivering_);
-    events_.push_back(AttemptEnded{id, attempt, result.outcome, result.elapsed, finished, result.load});
+    events_.emplace_back(AttemptEnded{id, attempt, result.outcome, result.elapsed, finished, result.load});
     if (!served) {
       pending.last_reply = std::move(result.reply);
     } else if (const auto on_final = std::exchange(pending.on_final, nullptr)) {
--- a/src/hash_ring/load.cpp
+++ b/src/hash_ring/load.cpp
@@ -163,7 +163,7 @@
   }
   owners_.clear();
   if (ring_->serving() == 0) return;
-  const std::uint64_t allowance =
+  const auto allowance =
       std::max<std::uint64_t>({all * terms_.hot / 1000 / ring_->serving(), terms_.hot_least, 1});
   const auto needed = [&](std::uint64_t rate, std::uint64_t each) {
     return static_cast<std::uint32_t>(std::clamp<std::uint64_t>((rate + each - 1) / each, 1, terms_.spread));
--- a/src/hash_ring/ring.cpp
+++ b/src/hash_ring/ring.cpp
@@ -101,7 +101,7 @@
   // u is a little below the upper end c of its 256th: u = c (1 - r), with r below 1/128. Next to one c is
   // one, so that the short times, which decide, keep their relative precision.
   const std::uint64_t off = (i == 127 ? 0 : (129 + i) << 56) - u;
-  const std::uint64_t r = static_cast<std::uint64_t>((Wide{off} * kTables.reciprocal[i]) >> 63);
+  const auto r = static_cast<std::uint64_t>((Wide{off} * kTables.reciprocal[i]) >> 63);
   // r + r^2/2 + ... + r^5/5
   std::uint64_t sum = r / 5;
   sum = High(sum + (std::uint64_t{1} << 62), r);  // (1/4 + r/5) r
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/link.h
@@ -13,7 +13,7 @@
 namespace mothrack::handover {
 
 // Longer than a state with all ids that are remembered.
-inline constexpr std::size_t kLongestLine = 4 * 1024 * 1024;
+inline constexpr std::size_t kLongestLine = std::size_t{4} * 1024 * 1024;
 
 class Link : public std::enable_shared_from_this<Link> {
  public:
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -29,8 +29,8 @@
   std::size_t held() const { return held_; }
   std::size_t open() const { return open_; }
 
-  static constexpr std::size_t kLeastWindow = 16 * 1024;
-  static constexpr std::size_t kMostWindow = 256 * 1024;
+  static constexpr std::size_t kLeastWindow = std::size_t{16} * 1024;
+  static constexpr std::size_t kMostWindow = std::size_t{256} * 1024;
 
  private:
   friend class Stream;
