--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -17,7 +17,7 @@
 
 namespace {
 
-using namespace mothrack::lab;
+using namespace mothrack::simulation;
 namespace testing = mothrack::testing;
 
 constexpr int kSidecars = 2;
@@ -75,7 +75,7 @@
   s.retries = 0;
   s.max_attempts = 3;
   s.second_copies = false;
-  s.classes = {{"page", 1, kWorkMs, kCv, 400, 2000, 1, kestrellb::Effect::kSafe}};
+  s.classes = {{"page", 1, kWorkMs, kCv, 400, 2000, 1, mothrack::balancer::Effect::kSafe}};
   return s;
 }
 
--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-using mothrack::peers::Change;
-using mothrack::peers::State;
+using mothrack::gossip::Change;
+using mothrack::gossip::State;
 using mothrack::testing::Net;
 
 double At(std::vector<std::int64_t>& all, double share) {
@@ -34,7 +34,7 @@
   }
 }
 
-void Measure(std::size_t members, const mothrack::peers::Terms& terms, std::size_t put) {
+void Measure(std::size_t members, const mothrack::gossip::Terms& terms, std::size_t put) {
   const bool large = members > 1000;
   Net net(members, terms);
   net.Add(members);
@@ -111,7 +111,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  mothrack::peers::Terms terms;
+  mothrack::gossip::Terms terms;
   std::vector<std::size_t> sizes;
   for (int i = 1; i < argc; ++i) {
     const std::string word = argv[i];
@@ -123,7 +123,7 @@
     const std::string name = word.substr(0, equals);
     const int value = std::atoi(word.c_str() + equals + 1);
     if (name == "fanout") terms.fanout = static_cast<std::size_t>(value);
-    if (name == "gossip") terms.gossip_every = mothrack::peers::Duration(value);
+    if (name == "gossip") terms.gossip_every = mothrack::gossip::Duration(value);
     if (name == "rate") terms.datagrams_per_s = static_cast<std::size_t>(value);
     if (name == "retransmit") terms.retransmit = value;
   }
--- a/bench/peers_wire.cpp
+++ b/bench/peers_wire.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-using namespace mothrack::peers;
+using namespace mothrack::gossip;
 
 MemberNews Member(std::size_t number) {
   return {{"sidecar-" + std::to_string(100 + number), 1'700'000'000'000'000 + number},
--- a/bench/ring_bench.cpp
+++ b/bench/ring_bench.cpp
@@ -15,10 +15,10 @@
 
 namespace {
 
-using mothrack::ring::LevelOf;
-using mothrack::ring::Mix;
-using mothrack::ring::Node;
-using mothrack::ring::NodeHash;
+using mothrack::hash_ring::LevelOf;
+using mothrack::hash_ring::Mix;
+using mothrack::hash_ring::Node;
+using mothrack::hash_ring::NodeHash;
 
 struct Weighted {
   std::string uid;
@@ -32,7 +32,7 @@
     std::vector<Node> all;
     for (const auto& node : nodes)
       all.push_back({node.uid, LevelOf(static_cast<std::uint64_t>(1024 * node.weight))});
-    ring = mothrack::ring::Ring(1, all);
+    ring = mothrack::hash_ring::Ring(1, all);
     for (const auto& node : ring.nodes()) {
       for (std::uint32_t i = 0; i < nodes.size(); ++i) {
         if (nodes[i].uid == node.uid) number.push_back(i);
@@ -45,8 +45,8 @@
     for (const auto& owner : scratch) out.push_back(number[owner.node]);
   }
   std::size_t bytes() const { return ring.bytes(); }
-  mothrack::ring::Ring ring;
-  std::vector<mothrack::ring::Owner> scratch;
+  mothrack::hash_ring::Ring ring;
+  std::vector<mothrack::hash_ring::Owner> scratch;
   std::vector<std::uint32_t> number;
 };
 
@@ -205,7 +205,7 @@
 // A request through the module alone: arrival, its actions, its end.
 double Pick(int count) {
   using namespace std::chrono_literals;
-  namespace kb = kestrellb;
+  namespace kb = mothrack::balancer;
   kb::Settings settings;
   kb::RequestClass plain;
   plain.name = "plain";
--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -22,7 +22,7 @@
 
 namespace {
 
-using namespace mothrack::zones;
+using namespace mothrack::zone_failover;
 using std::chrono::milliseconds;
 
 constexpr int kTick = 10;  // ms
--- a/fuzz/fleet_wire_fuzz.cpp
+++ b/fuzz/fleet_wire_fuzz.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-using namespace mothrack::fleet;
+using namespace mothrack::rollout;
 using nlohmann::json;
 
 template <typename T>
--- a/fuzz/peers_wire_fuzz.cpp
+++ b/fuzz/peers_wire_fuzz.cpp
@@ -6,7 +6,7 @@
 #include "gossip/wire.h"
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  using namespace mothrack::peers;
+  using namespace mothrack::gossip;
   std::string why;
   ReadFault fault = ReadFault::kNone;
   const auto message = Read({reinterpret_cast<const char*>(data), size}, &why, &fault);
--- a/src/admin/door.cpp
+++ b/src/admin/door.cpp
@@ -14,11 +14,11 @@
 
 }  // namespace
 
-Door::Door(boost::asio::io_context& io, const Settings& settings, Source source, Logger& log)
+Door::Door(boost::asio::io_context& io, const Settings& settings, Source source, runtime::Logger& log)
     : settings_(settings),
       source_(std::move(source)),
       log_(log),
-      allowance_(kPerSecond, kPerSecond, Now()),
+      allowance_(kPerSecond, kPerSecond, runtime::Now()),
       server_(
           io, {"admin.listen", settings.unix_path, settings.endpoint}, {kConnections, 0}, "admin: ", Routes(),
           [this](const Call& call) { return Guard(call); }, log) {}
@@ -41,7 +41,7 @@
 }
 
 std::optional<Answer> Door::Guard(const Call& call) {
-  if (!allowance_.Take(Now())) return Fault(429, "too many requests; ask less often");
+  if (!allowance_.Take(runtime::Now())) return Fault(429, "too many requests; ask less often");
   // Without a token the file system has let it in.
   if (settings_.token.empty() || HoldsToken(call, settings_.token)) return std::nullopt;
   return Fault(401, "give the token as Authorization: Bearer TOKEN");
--- a/src/admin/door.h
+++ b/src/admin/door.h
@@ -30,7 +30,7 @@
 class Door {
  public:
   // Listens at once. Throws std::runtime_error, which names the place, where it can't.
-  Door(boost::asio::io_context& io, const Settings& settings, Source source, Logger& log);
+  Door(boost::asio::io_context& io, const Settings& settings, Source source, runtime::Logger& log);
 
   static constexpr std::size_t kConnections = 4;
   // Open all the time: the listening socket and its connections.
@@ -44,8 +44,8 @@
 
   const Settings settings_;
   const Source source_;
-  Logger& log_;
-  Allowance allowance_;
+  runtime::Logger& log_;
+  runtime::Allowance allowance_;
   Server server_;  // last: it calls the rest
 };
 
--- a/src/admin/ops.cpp
+++ b/src/admin/ops.cpp
@@ -12,7 +12,8 @@
 
 }  // namespace
 
-Ops::Ops(boost::asio::io_context& io, const Endpoint& endpoint, OpsSource source, Logger& log)
+Ops::Ops(boost::asio::io_context& io, const runtime::Endpoint& endpoint, OpsSource source,
+         runtime::Logger& log)
     : source_(std::move(source)),
       log_(log),
       server_(io, {"LB_OPS", {}, endpoint}, {kConnections, kMostBody}, "ops: ", Routes(), nullptr, log) {}
--- a/src/admin/ops.h
+++ b/src/admin/ops.h
@@ -29,7 +29,7 @@
 class Ops {
  public:
   // Listens at once. Throws std::runtime_error, which names the place, where it can't.
-  Ops(boost::asio::io_context& io, const Endpoint& endpoint, OpsSource source, Logger& log);
+  Ops(boost::asio::io_context& io, const runtime::Endpoint& endpoint, OpsSource source, runtime::Logger& log);
 
   // Far more than ask at one time, so that those who hold a connection of these don't matter.
   static constexpr std::size_t kConnections = 16;
@@ -42,7 +42,7 @@
   Answer OfUpstream(const Call& call, const std::function<bool(const std::string&)>& act, const char* done);
 
   const OpsSource source_;
-  Logger& log_;
+  runtime::Logger& log_;
   Server server_;  // last: it calls the rest
 };
 
--- a/src/admin/report.cpp
+++ b/src/admin/report.cpp
@@ -15,16 +15,16 @@
 
 using nlohmann::json;
 
-constexpr std::array<const char*, Tally::kOutcomes> kOutcomeNames = {"served", "refused", "failed", "late",
-                                                                     "left"};
+constexpr std::array<const char*, dispatch::Tally::kOutcomes> kOutcomeNames = {"served", "refused", "failed",
+                                                                               "late", "left"};
 
-const char* NameOf(kestrellb::UpstreamState state) {
+const char* NameOf(balancer::UpstreamState state) {
   switch (state) {
-    case kestrellb::UpstreamState::kServing:
+    case balancer::UpstreamState::kServing:
       return "serving";
-    case kestrellb::UpstreamState::kDraining:
+    case balancer::UpstreamState::kDraining:
       return "draining";
-    case kestrellb::UpstreamState::kGone:
+    case balancer::UpstreamState::kGone:
       break;
   }
   return "gone";
@@ -32,7 +32,7 @@
 
 // Member by member, each moved into its place: as a list in braces every pair is an array first, which was
 // most of what an answer cost.
-json ToJson(const kestrellb::UpstreamView& view, TimePoint now, std::int64_t unix_now) {
+json ToJson(const balancer::UpstreamView& view, runtime::TimePoint now, std::int64_t unix_now) {
   json upstream = json::object();
   upstream.emplace("id", view.id.value);
   upstream.emplace("state", NameOf(view.state));
@@ -47,10 +47,10 @@
   return upstream;
 }
 
-json Counters(const Dispatcher& dispatcher) {
-  const kestrellb::Settings& settings = dispatcher.settings();
+json Counters(const dispatch::Dispatcher& dispatcher) {
+  const balancer::Settings& settings = dispatcher.settings();
   json rows = json::array();
-  for (const Tally::Row& row : dispatcher.tally().rows()) {
+  for (const dispatch::Tally::Row& row : dispatcher.tally().rows()) {
     if (row.taken == 0) continue;
     json counted = {
         {"class", settings.classes[static_cast<std::size_t>(row.request_class)].name},
@@ -86,8 +86,8 @@
           {"most_descriptors", most_descriptors}};
 }
 
-json PoolReport(const std::string& name, const Dispatcher& dispatcher, const std::string& after) {
-  const TimePoint now = Now();
+json PoolReport(const std::string& name, const dispatch::Dispatcher& dispatcher, const std::string& after) {
+  const runtime::TimePoint now = runtime::Now();
   const std::int64_t unix_now = UnixMilliseconds();
   const auto views = dispatcher.upstreams();
   json upstreams = json::array();
@@ -102,17 +102,17 @@
           {"more", next != views.end()}};
 }
 
-json Figures(const Dispatcher& dispatcher) {
+json Figures(const dispatch::Dispatcher& dispatcher) {
   struct Sums {
     std::uint64_t answered = 0, deferred = 0, errored = 0, sends = 0;
   };
   const auto& classes = dispatcher.settings().classes;
   std::vector<Sums> sums(classes.size());
-  for (const Tally::Row& row : dispatcher.tally().rows()) {
+  for (const dispatch::Tally::Row& row : dispatcher.tally().rows()) {
     Sums& sum = sums[static_cast<std::size_t>(row.request_class)];
-    sum.answered += row.Of(Tally::Outcome::kServed);
-    sum.deferred += row.Of(Tally::Outcome::kRefused);
-    sum.errored += row.Of(Tally::Outcome::kFailed) + row.Of(Tally::Outcome::kLate);
+    sum.answered += row.Of(dispatch::Tally::Outcome::kServed);
+    sum.deferred += row.Of(dispatch::Tally::Outcome::kRefused);
+    sum.errored += row.Of(dispatch::Tally::Outcome::kFailed) + row.Of(dispatch::Tally::Outcome::kLate);
     sum.sends += row.sent;
   }
   json transactions = json::object();
@@ -123,7 +123,7 @@
                                      {"errored", sum.errored},
                                      {"sends", sum.sends}};
   }
-  const Roster& roster = dispatcher.roster();
+  const dispatch::Roster& roster = dispatcher.roster();
   std::size_t avoided = 0;
   for (const auto& view : dispatcher.upstreams()) {
     avoided += view.ejected_until.has_value() || roster.bans().contains(view.id.value);
--- a/src/admin/report.h
+++ b/src/admin/report.h
@@ -16,11 +16,12 @@
 // those upstreams whose id is greater than `after`, at most kMostUpstreams of them; "more" tells that others
 // follow.
 inline constexpr std::size_t kMostUpstreams = 100;
-nlohmann::json PoolReport(const std::string& name, const Dispatcher& dispatcher, const std::string& after);
+nlohmann::json PoolReport(const std::string& name, const dispatch::Dispatcher& dispatcher,
+                          const std::string& after);
 
 // The platform's figures: by class what became of requests and the attempts written whole, since the process
 // began; what is open now; upstreams in the list, and those of them that are avoided, by hand or by choice.
-nlohmann::json Figures(const Dispatcher& dispatcher);
+nlohmann::json Figures(const dispatch::Dispatcher& dispatcher);
 
 // Now, as the system's clock has it.
 std::int64_t UnixMilliseconds();
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -19,7 +19,7 @@
 namespace mothrack::admin {
 namespace {
 
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using boost::asio::local::stream_protocol;
 using boost::beast::string_view;
 using boost::system::error_code;
@@ -29,7 +29,7 @@
 constexpr auto kPatience = std::chrono::seconds(5);
 // After the answer the caller's close is waited for: a reset could overtake the answer.
 constexpr auto kLinger = std::chrono::milliseconds(500);
-constexpr Duration kPause = std::chrono::milliseconds(50);
+constexpr runtime::Duration kPause = std::chrono::milliseconds(50);
 constexpr std::size_t kMostHeader = 4096;
 constexpr int kBacklog = 64;
 constexpr std::size_t kLongestLogged = 64;
@@ -116,14 +116,15 @@
 
   void Start() {
     EndIn(kPatience);
-    http::async_read(stream_, buffer_, parser_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->owner_ == nullptr) return;
-      if (error == http::error::body_limit || error == http::error::header_limit) {
-        return self->Write(Fault(413, "larger than any command"));
-      }
-      if (error) return self->End();
-      self->Serve();
-    });
+    beast_http::async_read(
+        stream_, buffer_, parser_, [self = shared_from_this()](error_code error, std::size_t) {
+          if (self->owner_ == nullptr) return;
+          if (error == beast_http::error::body_limit || error == beast_http::error::header_limit) {
+            return self->Write(Fault(413, "larger than any command"));
+          }
+          if (error) return self->End();
+          self->Serve();
+        });
   }
 
   // Nothing of it may call its server any more.
@@ -138,7 +139,7 @@
   bool spared() const { return !answering_; }
 
  private:
-  void EndIn(Duration wait) {
+  void EndIn(runtime::Duration wait) {
     timer_.expires_after(wait);
     timer_.async_wait([self = shared_from_this()](error_code error) {
       if (!error) self->End();
@@ -153,7 +154,7 @@
     call.method = std::string(request.method_string());
     call.path = std::string(target.substr(0, question));
     if (question != string_view::npos) call.query = std::string(target.substr(question + 1));
-    call.authorization = std::string(request[http::field::authorization]);
+    call.authorization = std::string(request[beast_http::field::authorization]);
     call.body = request.body();
     Write(owner_->Serve(call));
   }
@@ -161,21 +162,22 @@
   void Write(const Answer& answer) {
     answering_ = true;
     response_.result(answer.status);
-    response_.set(http::field::content_type, "application/json");
-    if (answer.status == 401) response_.set(http::field::www_authenticate, "Bearer");
+    response_.set(beast_http::field::content_type, "application/json");
+    if (answer.status == 401) response_.set(beast_http::field::www_authenticate, "Bearer");
     response_.keep_alive(false);
     // What is no UTF-8 (a name from outside) is replaced, never thrown at.
     response_.body() = answer.body.dump(-1, ' ', false, json::error_handler_t::replace) + '\n';
     response_.prepare_payload();
-    http::async_write(write_stream_, response_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->owner_ == nullptr) return;
-      if (error) return self->End();
-      self->answering_ = false;
-      error_code ignored;
-      self->stream_.shutdown(boost::asio::socket_base::shutdown_send, ignored);
-      self->EndIn(kLinger);
-      self->Linger();
-    });
+    beast_http::async_write(write_stream_, response_,
+                            [self = shared_from_this()](error_code error, std::size_t) {
+                              if (self->owner_ == nullptr) return;
+                              if (error) return self->End();
+                              self->answering_ = false;
+                              error_code ignored;
+                              self->stream_.shutdown(boost::asio::socket_base::shutdown_send, ignored);
+                              self->EndIn(kLinger);
+                              self->Linger();
+                            });
   }
 
   void Linger() {
@@ -197,16 +199,16 @@
 
   Server* owner_;
   Protocol::socket stream_;
-  WriteStream<Protocol::socket> write_stream_;
+  runtime::WriteStream<Protocol::socket> write_stream_;
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_{kMostHeader + 1024};
-  http::request_parser<http::string_body> parser_;
-  http::response<http::string_body> response_;
+  beast_http::request_parser<beast_http::string_body> parser_;
+  beast_http::response<beast_http::string_body> response_;
   bool answering_ = false;
 };
 
 Server::Server(boost::asio::io_context& io, Place place, Bounds bounds, std::string label,
-               std::vector<Route> routes, Guard guard, Logger& log)
+               std::vector<Route> routes, Guard guard, runtime::Logger& log)
     : io_(io),
       place_(std::move(place)),
       bounds_(bounds),
@@ -244,7 +246,7 @@
 
 std::string Server::local() const {
   if (!place_.endpoint) return "unix:" + place_.unix_path;
-  Endpoint bound = *place_.endpoint;
+  runtime::Endpoint bound = *place_.endpoint;
   error_code error;
   const auto place = acceptor_.local_endpoint(error);
   if (!error && place.size() <= bound.capacity()) {
--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -52,9 +52,9 @@
 };
 
 struct Place {
-  std::string setting;               // that names it, for what can't be listened on
-  std::string unix_path;             // empty: there is an address
-  std::optional<Endpoint> endpoint;  // TCP
+  std::string setting;                        // that names it, for what can't be listened on
+  std::string unix_path;                      // empty: there is an address
+  std::optional<runtime::Endpoint> endpoint;  // TCP
 };
 
 class Server {
@@ -70,7 +70,7 @@
   // Listens at once. `label` begins its log lines. Throws std::runtime_error, which names the place, where it
   // can't.
   Server(boost::asio::io_context& io, Place place, Bounds bounds, std::string label,
-         std::vector<Route> routes, Guard guard, Logger& log);
+         std::vector<Route> routes, Guard guard, runtime::Logger& log);
   ~Server();
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
@@ -93,7 +93,7 @@
   const std::string label_;
   const std::vector<Route> routes_;
   const Guard guard_;
-  Logger& log_;
+  runtime::Logger& log_;
   boost::asio::basic_socket_acceptor<Protocol> acceptor_;
   boost::asio::steady_timer pause_;
   std::list<std::shared_ptr<Visit>> visits_;  // the oldest first
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -2,7 +2,7 @@
 
 #include <utility>
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 namespace {
 
 constexpr const char* kNotOnDisk = "its disk takes nothing; mend that first";
@@ -10,15 +10,15 @@
 }  // namespace
 
 Agent::Agent(Store& store, Machine& machine, const Stored& stored,
-             const std::map<std::string, std::string>& instances, const InstanceLimits& limits,
-             Duration lease_time, TimePoint now)
+             const std::map<std::string, std::string>& instances, const rollout::InstanceLimits& limits,
+             rollout::Duration lease_time, rollout::TimePoint now)
     : store_(store), machine_(machine), lease_(stored.lease, lease_time, now), plans_(stored.plans) {
   for (const auto& [name, generation] : instances) {
-    InstanceRecord record;
+    rollout::InstanceRecord record;
     record.generation = generation;
     // What is on record counts: the file names only what an instance begins with.
     if (const auto it = stored.records.find(name); it != stored.records.end()) record = it->second;
-    kept_.emplace(name, Kept{Instance(record, limits), record});
+    kept_.emplace(name, Kept{rollout::Instance(record, limits), record});
   }
 }
 
@@ -28,7 +28,7 @@
   return names;
 }
 
-const Plan* Agent::PlanOf(const std::string& change) const {
+const rollout::Plan* Agent::PlanOf(const std::string& change) const {
   const auto it = plans_.find(change);
   return it == plans_.end() ? nullptr : &it->second;
 }
@@ -40,14 +40,15 @@
   return false;
 }
 
-Agent::Answer Agent::Highest(TimePoint now) const {
+Agent::Answer Agent::Highest(rollout::TimePoint now) const {
   Answer answer;
   answer.highest = lease_.state().highest;
   answer.holder = lease_.holder(now);
   return answer;
 }
 
-bool Agent::SaveLease(const LeaseBook& next, const Plan* opened, const Event& note, Answer& answer) {
+bool Agent::SaveLease(const rollout::LeaseBook& next, const rollout::Plan* opened, const Event& note,
+                      Answer& answer) {
   if (!store_.SaveLease(next.state(), opened, note)) {
     answer.refused = kNotOnDisk;
     return false;
@@ -57,12 +58,13 @@
   return true;
 }
 
-Agent::Answer Agent::Acquire(Epoch epoch, const Holder& holder, TimePoint now, std::int64_t unix_ms) {
-  LeaseBook next = lease_;
+Agent::Answer Agent::Acquire(rollout::Epoch epoch, const rollout::Holder& holder, rollout::TimePoint now,
+                             std::int64_t unix_ms) {
+  rollout::LeaseBook next = lease_;
   Answer answer = Highest(now);
   answer.verdict = next.Acquire(epoch, holder, now);
-  if (answer.verdict == LeaseBook::Verdict::kOpen) answer.holder = next.state().open;
-  if (answer.verdict != LeaseBook::Verdict::kGranted) return answer;
+  if (answer.verdict == rollout::LeaseBook::Verdict::kOpen) answer.holder = next.state().open;
+  if (answer.verdict != rollout::LeaseBook::Verdict::kGranted) return answer;
   answer.open = next.state().open && next.state().open->change == holder.change;
   // Asked again, it is not written again.
   if (next.state() == lease_.state()) return answer;
@@ -70,16 +72,16 @@
   return answer;
 }
 
-Agent::Answer Agent::Open(Epoch epoch, const Holder& holder, const Plan& plan, TimePoint now,
-                          std::int64_t unix_ms) {
+Agent::Answer Agent::Open(rollout::Epoch epoch, const rollout::Holder& holder, const rollout::Plan& plan,
+                          rollout::TimePoint now, std::int64_t unix_ms) {
   Answer answer = Highest(now);
   if (plan.id != holder.change) {
     answer.refused = "the plan is of another change than the lease";
     return answer;
   }
-  LeaseBook next = lease_;
+  rollout::LeaseBook next = lease_;
   answer.verdict = next.Open(epoch, holder, now);
-  if (answer.verdict != LeaseBook::Verdict::kGranted) return answer;
+  if (answer.verdict != rollout::LeaseBook::Verdict::kGranted) return answer;
   answer.open = true;
   if (next.state() == lease_.state() && plans_.contains(plan.id) && plans_.at(plan.id) == plan) {
     lease_ = next;  // its time was renewed
@@ -89,14 +91,15 @@
   return answer;
 }
 
-Agent::Answer Agent::Renew(Epoch epoch, const std::string& tool, TimePoint now) {
+Agent::Answer Agent::Renew(rollout::Epoch epoch, const std::string& tool, rollout::TimePoint now) {
   Answer answer = Highest(now);
   answer.verdict = lease_.Use(epoch, tool, now);
   return answer;
 }
 
-Agent::Answer Agent::Release(Epoch epoch, const std::string& tool, bool close, std::int64_t unix_ms) {
-  LeaseBook next = lease_;
+Agent::Answer Agent::Release(rollout::Epoch epoch, const std::string& tool, bool close,
+                             std::int64_t unix_ms) {
+  rollout::LeaseBook next = lease_;
   Answer answer;
   next.Release(epoch, tool, close);
   if (next.state() == lease_.state()) return answer;
@@ -105,10 +108,10 @@
   return answer;
 }
 
-Agent::Answer Agent::Take(const std::string& instance, const Step& step, Epoch epoch, const std::string& tool,
-                          TimePoint now, std::int64_t unix_ms) {
+Agent::Answer Agent::Take(const std::string& instance, const rollout::Step& step, rollout::Epoch epoch,
+                          const std::string& tool, rollout::TimePoint now, std::int64_t unix_ms) {
   Answer answer = Renew(epoch, tool, now);
-  if (answer.verdict != LeaseBook::Verdict::kGranted) return answer;
+  if (answer.verdict != rollout::LeaseBook::Verdict::kGranted) return answer;
   const auto it = kept_.find(instance);
   if (it == kept_.end()) {
     answer.refused = "there is no such instance";
@@ -119,21 +122,21 @@
     answer.refused = "the step is of a change that is not open here";
     return answer;
   }
-  Instance next = it->second.instance;
+  rollout::Instance next = it->second.instance;
   switch (next.Take(step)) {
-    case Instance::Verdict::kTaken:
+    case rollout::Instance::Verdict::kTaken:
       break;
-    case Instance::Verdict::kBusy:
+    case rollout::Instance::Verdict::kBusy:
       answer.refused = "busy with " + next.record().step.token();
       break;
-    case Instance::Verdict::kMoved:
+    case rollout::Instance::Verdict::kMoved:
       answer.refused = "it has " + next.record().generation + ", not " + step.from;
       break;
-    case Instance::Verdict::kStale:
+    case rollout::Instance::Verdict::kStale:
       break;  // the report tells
   }
   if (answer.refused.empty() && next.record() != it->second.saved &&
-      next.record().phase == Phase::kAccepted && !machine_.HasGeneration(next.record().generation)) {
+      next.record().phase == rollout::Phase::kAccepted && !machine_.HasGeneration(next.record().generation)) {
     answer.refused = "it has no configuration " + next.record().generation;
   }
   if (answer.refused.empty() && next.record() != it->second.saved) {
@@ -148,26 +151,26 @@
   return answer;
 }
 
-void Agent::Live(TimePoint now, std::int64_t unix_ms) {
+void Agent::Live(rollout::TimePoint now, std::int64_t unix_ms) {
   for (auto& [name, kept] : kept_) {
-    std::vector<Action> actions;
+    std::vector<rollout::Action> actions;
     kept.instance.Look(machine_.See(name), now, actions);
-    const InstanceRecord& record = kept.instance.record();
+    const rollout::InstanceRecord& record = kept.instance.record();
     if (record != kept.saved) {
-      const std::string end = record.phase == Phase::kFailed ? " failed: " + record.why : " done";
+      const std::string end = record.phase == rollout::Phase::kFailed ? " failed: " + record.why : " done";
       if (store_.SaveRecord(name, record,
                             {unix_ms, record.step.change, name + ": " + record.step.token() + end})) {
         kept.saved = record;
       }
     }
-    for (const Action& action : actions) machine_.Do(name, action);
+    for (const rollout::Action& action : actions) machine_.Do(name, action);
   }
 }
 
-Report Agent::ReportOf(const std::string& instance) {
+rollout::Report Agent::ReportOf(const std::string& instance) {
   const Kept& kept = kept_.at(instance);
-  const Seen seen = machine_.See(instance);
-  Report report;
+  const rollout::Seen seen = machine_.See(instance);
+  rollout::Report report;
   report.step = kept.saved.step;
   report.phase = kept.saved.phase;
   report.why = kept.saved.why;
@@ -179,4 +182,4 @@
   return report;
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -15,14 +15,14 @@
 #include "rollout/lease.h"
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 
 // The processes of a machine, and what they tell of themselves.
 class Machine {
  public:
   virtual ~Machine() = default;
-  virtual Seen See(const std::string& instance) = 0;
-  virtual void Do(const std::string& instance, const Action& action) = 0;
+  virtual rollout::Seen See(const std::string& instance) = 0;
+  virtual void Do(const std::string& instance, const rollout::Action& action) = 0;
   // Of the process that runs now.
   virtual std::pair<std::uint64_t, std::uint64_t> Requests(const std::string& instance) = 0;  // taken, bad
   // Is there such a configuration for it? A step to another is refused.
@@ -32,58 +32,61 @@
 class Agent {
  public:
   struct Answer {
-    LeaseBook::Verdict verdict = LeaseBook::Verdict::kGranted;
-    std::optional<Holder> holder;  // who is in the way
-    bool open = false;             // the change that was asked for is open here
-    Epoch highest = 0;
+    rollout::LeaseBook::Verdict verdict = rollout::LeaseBook::Verdict::kGranted;
+    std::optional<rollout::Holder> holder;  // who is in the way
+    bool open = false;                      // the change that was asked for is open here
+    rollout::Epoch highest = 0;
     std::string refused;  // a step, or anything that the disk did not take
-    std::optional<Report> report;
+    std::optional<rollout::Report> report;
   };
 
   // `instances`: those that it looks after, each with the generation that it begins with.
   Agent(Store& store, Machine& machine, const Stored& stored,
-        const std::map<std::string, std::string>& instances, const InstanceLimits& limits,
-        Duration lease_time, TimePoint now);
+        const std::map<std::string, std::string>& instances, const rollout::InstanceLimits& limits,
+        rollout::Duration lease_time, rollout::TimePoint now);
 
-  Answer Highest(TimePoint now) const;
-  Answer Acquire(Epoch epoch, const Holder& holder, TimePoint now, std::int64_t unix_ms);
-  Answer Open(Epoch epoch, const Holder& holder, const Plan& plan, TimePoint now, std::int64_t unix_ms);
-  Answer Renew(Epoch epoch, const std::string& tool, TimePoint now);
-  Answer Release(Epoch epoch, const std::string& tool, bool close, std::int64_t unix_ms);
-  Answer Take(const std::string& instance, const Step& step, Epoch epoch, const std::string& tool,
-              TimePoint now, std::int64_t unix_ms);
+  Answer Highest(rollout::TimePoint now) const;
+  Answer Acquire(rollout::Epoch epoch, const rollout::Holder& holder, rollout::TimePoint now,
+                 std::int64_t unix_ms);
+  Answer Open(rollout::Epoch epoch, const rollout::Holder& holder, const rollout::Plan& plan,
+              rollout::TimePoint now, std::int64_t unix_ms);
+  Answer Renew(rollout::Epoch epoch, const std::string& tool, rollout::TimePoint now);
+  Answer Release(rollout::Epoch epoch, const std::string& tool, bool close, std::int64_t unix_ms);
+  Answer Take(const std::string& instance, const rollout::Step& step, rollout::Epoch epoch,
+              const std::string& tool, rollout::TimePoint now, std::int64_t unix_ms);
 
   // Looks after every instance. Call it at least every Tick, and whenever a process changed.
-  static constexpr Duration kTick{100};
-  void Live(TimePoint now, std::int64_t unix_ms);
+  static constexpr rollout::Duration kTick{100};
+  void Live(rollout::TimePoint now, std::int64_t unix_ms);
 
   // What has reached the disk of each step, and its process as it is.
-  Report ReportOf(const std::string& instance);
+  rollout::Report ReportOf(const std::string& instance);
   std::vector<std::string> Names() const;
   // That the instance is to run with, by what is on disk.
   const std::string& GenerationOf(const std::string& instance) const {
     return kept_.at(instance).saved.generation;
   }
   bool WantedOf(const std::string& instance) const { return kept_.at(instance).saved.wanted; }
-  const LeaseState& lease() const { return lease_.state(); }
-  std::optional<Holder> holder(TimePoint now) const { return lease_.holder(now); }
-  const Plan* PlanOf(const std::string& change) const;
+  const rollout::LeaseState& lease() const { return lease_.state(); }
+  std::optional<rollout::Holder> holder(rollout::TimePoint now) const { return lease_.holder(now); }
+  const rollout::Plan* PlanOf(const std::string& change) const;
   // A line of an instance's record that Look() changed and the disk has not taken yet.
   bool behind() const;
 
  private:
   struct Kept {
-    Instance instance;
-    InstanceRecord saved;  // on disk
+    rollout::Instance instance;
+    rollout::InstanceRecord saved;  // on disk
   };
 
-  bool SaveLease(const LeaseBook& next, const Plan* opened, const Event& note, Answer& answer);
+  bool SaveLease(const rollout::LeaseBook& next, const rollout::Plan* opened, const Event& note,
+                 Answer& answer);
 
   Store& store_;
   Machine& machine_;
-  LeaseBook lease_;
+  rollout::LeaseBook lease_;
   std::map<std::string, Kept> kept_;
-  std::map<std::string, Plan> plans_;
+  std::map<std::string, rollout::Plan> plans_;
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -6,7 +6,7 @@
 
 #include "rollout/wire.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 namespace {
 
 using admin::Answer;
@@ -17,12 +17,12 @@
 constexpr std::size_t kLogTail = 16 * 1024;
 
 json ToAnswer(const Agent::Answer& answer) {
-  json told = {{"verdict", Name(answer.verdict)},
+  json told = {{"verdict", rollout::Name(answer.verdict)},
                {"open", answer.open},
                {"highest", answer.highest},
                {"refused", answer.refused}};
-  if (answer.holder) told["holder"] = ToJson(*answer.holder);
-  if (answer.report) told["report"] = ToJson(*answer.report);
+  if (answer.holder) told["holder"] = rollout::ToJson(*answer.holder);
+  if (answer.report) told["report"] = rollout::ToJson(*answer.report);
   return told;
 }
 
@@ -41,29 +41,32 @@
 
 }  // namespace
 
-TimePoint SteadyNow() { return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()); }
+rollout::TimePoint SteadyNow() {
+  return std::chrono::time_point_cast<rollout::Duration>(std::chrono::steady_clock::now());
+}
 
 std::int64_t UnixNow() {
-  return std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch()).count();
+  return std::chrono::duration_cast<rollout::Duration>(std::chrono::system_clock::now().time_since_epoch())
+      .count();
 }
 
 AgentApi::AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, Processes& processes,
-                   Store& store, Logger& log)
+                   Store& store, runtime::Logger& log)
     : file_(file),
       agent_(agent),
       processes_(processes),
       store_(store),
       log_(log),
-      allowance_(kPerSecond, kPerSecond, Now()),
+      allowance_(kPerSecond, kPerSecond, runtime::Now()),
       server_(
           io,
           {"agent.listen", file.listen.rfind("unix:", 0) == 0 ? file.listen.substr(5) : std::string(),
-           ParseEndpoint(file.listen)},
+           runtime::ParseEndpoint(file.listen)},
           {kConnections, kMostBody}, "agent: ", Routes(), [this](const Call& call) { return Guard(call); },
           log) {}
 
 std::optional<Answer> AgentApi::Guard(const Call& call) {
-  if (!allowance_.Take(Now())) return admin::Fault(429, "too many requests; ask less often");
+  if (!allowance_.Take(runtime::Now())) return admin::Fault(429, "too many requests; ask less often");
   if (file_.tokens.empty()) return std::nullopt;
   // All are looked at, so that the time tells nothing of which one it was.
   std::optional<Role> role;
@@ -79,12 +82,12 @@
 json AgentApi::About() const {
   json instances = json::object();
   for (const std::string& name : agent_.Names()) {
-    instances[name] = ToJson(agent_.ReportOf(name));
+    instances[name] = rollout::ToJson(agent_.ReportOf(name));
     instances[name]["pid"] = processes_.pid(name);
     instances[name]["configured"] = agent_.GenerationOf(name);
     instances[name]["wanted"] = agent_.WantedOf(name);
   }
-  const LeaseState& lease = agent_.lease();
+  const rollout::LeaseState& lease = agent_.lease();
   json told = {{"name", file_.name},
                {"hall", file_.hall},
                {"version", MOTHRACK_VERSION},
@@ -94,29 +97,30 @@
                {"generations", processes_.Generations()},
                {"instances", std::move(instances)},
                {"fault", store_.fault()}};
-  if (const auto holder = agent_.holder(SteadyNow())) told["holder"] = ToJson(*holder);
-  if (lease.open) told["open"] = ToJson(*lease.open);
+  if (const auto holder = agent_.holder(SteadyNow())) told["holder"] = rollout::ToJson(*holder);
+  if (lease.open) told["open"] = rollout::ToJson(*lease.open);
   if (peers_) told["peers"] = peers_();
   return told;
 }
 
 Answer AgentApi::Lease(const json& asked) {
-  const auto ask = Member<std::string>(asked, "ask");
-  const auto epoch = Member<std::uint64_t>(asked, "epoch");
+  const auto ask = rollout::Member<std::string>(asked, "ask");
+  const auto epoch = rollout::Member<std::uint64_t>(asked, "epoch");
   if (ask == "acquire") {
-    const Holder holder = HolderFrom(Member<json>(asked, "holder"));
+    const rollout::Holder holder = rollout::HolderFrom(rollout::Member<json>(asked, "holder"));
     return {200, ToAnswer(agent_.Acquire(epoch, holder, SteadyNow(), UnixNow()))};
   }
   if (ask == "open") {
-    const Holder holder = HolderFrom(Member<json>(asked, "holder"));
-    const Plan plan = PlanFrom(Member<json>(asked, "plan"));
-    if (const auto fault = FaultOf(plan)) return admin::Fault(400, *fault);
+    const rollout::Holder holder = rollout::HolderFrom(rollout::Member<json>(asked, "holder"));
+    const rollout::Plan plan = rollout::PlanFrom(rollout::Member<json>(asked, "plan"));
+    if (const auto fault = rollout::FaultOf(plan)) return admin::Fault(400, *fault);
     return {200, ToAnswer(agent_.Open(epoch, holder, plan, SteadyNow(), UnixNow()))};
   }
-  const auto tool = Member<std::string>(asked, "tool");
+  const auto tool = rollout::Member<std::string>(asked, "tool");
   if (ask == "renew") return {200, ToAnswer(agent_.Renew(epoch, tool, SteadyNow()))};
   if (ask == "release") {
-    const Agent::Answer answer = agent_.Release(epoch, tool, Member<bool>(asked, "close"), UnixNow());
+    const Agent::Answer answer =
+        agent_.Release(epoch, tool, rollout::Member<bool>(asked, "close"), UnixNow());
     return answer.refused.empty() ? Answer{200, ToAnswer(answer)} : admin::Fault(507, answer.refused);
   }
   return admin::Fault(400, "ask: '" + ask + "' is none of acquire, open, renew, release");
@@ -140,8 +144,8 @@
            }},
           {"GET", "/v1/plan",
            [this](const Call& call) {
-             const Plan* plan = agent_.PlanOf(admin::Unescaped(call.query));
-             return plan != nullptr ? Answer{200, ToJson(*plan)}
+             const rollout::Plan* plan = agent_.PlanOf(admin::Unescaped(call.query));
+             return plan != nullptr ? Answer{200, rollout::ToJson(*plan)}
                                     : admin::Fault(404, "no such change was opened here");
            }},
           {"GET", "/v1/generation",
@@ -164,12 +168,13 @@
           {"POST", "/v1/report",
            [this](const Call& call) {
              return WithBody(call, [this](const json& asked) {
-               const Agent::Answer answer = agent_.Renew(Member<std::uint64_t>(asked, "epoch"),
-                                                         Member<std::string>(asked, "tool"), SteadyNow());
+               const Agent::Answer answer =
+                   agent_.Renew(rollout::Member<std::uint64_t>(asked, "epoch"),
+                                rollout::Member<std::string>(asked, "tool"), SteadyNow());
                json told = ToAnswer(answer);
-               if (answer.verdict == LeaseBook::Verdict::kGranted) {
+               if (answer.verdict == rollout::LeaseBook::Verdict::kGranted) {
                  for (const std::string& name : agent_.Names())
-                   told["reports"][name] = ToJson(agent_.ReportOf(name));
+                   told["reports"][name] = rollout::ToJson(agent_.ReportOf(name));
                }
                return Answer{200, std::move(told)};
              });
@@ -177,10 +182,11 @@
           {"POST", "/v1/take",
            [this](const Call& call) {
              return WithBody(call, [this](const json& asked) {
-               const auto name = Member<std::string>(asked, "instance");
-               const Agent::Answer answer = agent_.Take(
-                   name, StepFrom(Member<json>(asked, "step")), Member<std::uint64_t>(asked, "epoch"),
-                   Member<std::string>(asked, "tool"), SteadyNow(), UnixNow());
+               const auto name = rollout::Member<std::string>(asked, "instance");
+               const Agent::Answer answer =
+                   agent_.Take(name, rollout::StepFrom(rollout::Member<json>(asked, "step")),
+                               rollout::Member<std::uint64_t>(asked, "epoch"),
+                               rollout::Member<std::string>(asked, "tool"), SteadyNow(), UnixNow());
                if (!answer.refused.empty())
                  log_.Line("agent: refused a step of " + name.substr(0, 64) + ": " + answer.refused);
                if (on_taken_) on_taken_();
@@ -190,13 +196,13 @@
           {"POST", "/v1/generation", [this](const Call& call) {
              return WithBody(call, [this](const json& asked) {
                std::map<std::string, std::string> files;
-               const json given = Member<json>(asked, "files");
+               const json given = rollout::Member<json>(asked, "files");
                if (!given.is_object()) return admin::Fault(400, "files is of the wrong kind");
                for (const auto& [name, text] : given.items()) {
                  if (!text.is_string()) return admin::Fault(400, "files: " + name + " is no text");
                  files[name] = text.get<std::string>();
                }
-               const auto generation = Member<std::string>(asked, "name");
+               const auto generation = rollout::Member<std::string>(asked, "name");
                const std::string fault = processes_.Keep(generation, files);
                if (!fault.empty()) return admin::Fault(409, fault);
                store_.Note({UnixNow(), "", "kept generation " + generation});
@@ -205,4 +211,4 @@
            }}};
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -25,13 +25,13 @@
 #include "runtime/allowance.h"
 #include "runtime/log.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 
 class AgentApi {
  public:
   // Listens at once; throws std::runtime_error where it can't.
   AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, Processes& processes,
-           Store& store, Logger& log);
+           Store& store, runtime::Logger& log);
 
   std::string local() const { return server_.local(); }
   // Told under "peers", where the agent has some.
@@ -53,15 +53,15 @@
   Agent& agent_;
   Processes& processes_;
   Store& store_;
-  Logger& log_;
+  runtime::Logger& log_;
   std::function<void()> on_taken_;
   std::function<nlohmann::json()> peers_;
-  Allowance allowance_;
+  runtime::Allowance allowance_;
   admin::Server server_;  // last: it calls the rest
 };
 
 // Of the steady clock, and of the wall.
-TimePoint SteadyNow();
+rollout::TimePoint SteadyNow();
 std::int64_t UnixNow();
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -12,7 +12,7 @@
 #include "agent/client.h"
 #include "rollout/wire.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 namespace {
 
 constexpr std::size_t kMostInstances = 256;
@@ -42,11 +42,13 @@
   }
   std::string Named(const std::string& key) {
     const std::string name = Text(key);
-    if (!GoodName(name)) Fault(key, "takes letters, digits, '-', '_' and '.', at most 64, no dot first");
+    if (!rollout::GoodName(name))
+      Fault(key, "takes letters, digits, '-', '_' and '.', at most 64, no dot first");
     return name;
   }
-  Duration Milliseconds(const std::string& key, Duration otherwise, Duration least, Duration most) {
-    return Duration(Number(key, otherwise.count(), least.count(), most.count()));
+  rollout::Duration Milliseconds(const std::string& key, rollout::Duration otherwise, rollout::Duration least,
+                                 rollout::Duration most) {
+    return rollout::Duration(Number(key, otherwise.count(), least.count(), most.count()));
   }
   std::int64_t Number(const std::string& key, std::int64_t otherwise, std::int64_t least, std::int64_t most) {
     const toml::node* node = Get(key);
@@ -184,7 +186,7 @@
 }
 
 #ifdef MOTHRACK_WITH_PEERS
-class PeersSection : public peers::Source {
+class PeersSection : public gossip::Source {
  public:
   explicit PeersSection(Section& section) : section_(section) {}
   std::optional<std::string> Text(const char* key) override {
@@ -222,26 +224,28 @@
     agent->Fault("tokens", "is missing; an address needs a file with lines ROLE TOKEN");
   }
   file.check = agent->Texts("check");
-  file.lease_time = agent->Milliseconds("lease_ms", file.lease_time, Duration(1000), Duration(600'000));
+  file.lease_time =
+      agent->Milliseconds("lease_ms", file.lease_time, rollout::Duration(1000), rollout::Duration(600'000));
   agent->End();
   if (auto limits = whole.Table("limits")) {
-    InstanceLimits& l = file.limits;
-    l.stop = limits->Milliseconds("stop_ms", l.stop, Duration(100), Duration(600'000));
-    l.ready = limits->Milliseconds("ready_ms", l.ready, Duration(100), Duration(600'000));
-    l.first_pause = limits->Milliseconds("first_pause_ms", l.first_pause, Duration(100), Duration(60'000));
+    rollout::InstanceLimits& l = file.limits;
+    l.stop = limits->Milliseconds("stop_ms", l.stop, rollout::Duration(100), rollout::Duration(600'000));
+    l.ready = limits->Milliseconds("ready_ms", l.ready, rollout::Duration(100), rollout::Duration(600'000));
+    l.first_pause = limits->Milliseconds("first_pause_ms", l.first_pause, rollout::Duration(100),
+                                         rollout::Duration(60'000));
     l.longest_pause =
-        limits->Milliseconds("longest_pause_ms", l.longest_pause, l.first_pause, Duration(600'000));
+        limits->Milliseconds("longest_pause_ms", l.longest_pause, l.first_pause, rollout::Duration(600'000));
     l.crashes =
         static_cast<std::size_t>(limits->Number("crashes", static_cast<std::int64_t>(l.crashes), 1, 100));
-    l.crash_window =
-        limits->Milliseconds("crash_window_ms", l.crash_window, Duration(1000), Duration(3'600'000));
+    l.crash_window = limits->Milliseconds("crash_window_ms", l.crash_window, rollout::Duration(1000),
+                                          rollout::Duration(3'600'000));
     file.process_limits.log_bytes = static_cast<std::uint64_t>(limits->Number(
         "log_bytes", static_cast<std::int64_t>(file.process_limits.log_bytes), 4096, std::int64_t{1} << 30));
     limits->End();
   }
   if (auto generations = whole.Table("generations")) file.generations = whole.Pairs("generations");
   for (const auto& [name, from] : file.generations) {
-    if (!GoodName(name)) whole.Fault("generations", name + " is no name for a generation");
+    if (!rollout::GoodName(name)) whole.Fault("generations", name + " is no name for a generation");
   }
   std::set<std::string> names;
   for (Section& section : whole.Tables("instance")) {
@@ -255,7 +259,7 @@
 #ifdef MOTHRACK_WITH_PEERS
   if (auto peers = whole.Table("peers")) {
     PeersSection section(*peers);
-    file.peers = peers::ReadSettings(section, peers::Role::kAgent, file.hall);
+    file.peers = gossip::ReadSettings(section, gossip::Role::kAgent, file.hall);
     peers->End();
   }
 #else
@@ -293,4 +297,4 @@
   return agents;
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/agent_file.h
+++ b/src/agent/agent_file.h
@@ -15,7 +15,7 @@
 #include "gossip/settings.h"
 #endif
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 
 class FileError : public std::runtime_error {
  public:
@@ -30,15 +30,15 @@
   std::string listen;                  // "unix:/path" or a loopback address
   std::string directory;               // of its state
   std::map<std::string, Role> tokens;  // of an address; by the token
-  Duration lease_time{10'000};
-  InstanceLimits limits;
+  rollout::Duration lease_time{10'000};
+  rollout::InstanceLimits limits;
   Processes::Limits process_limits;
   std::vector<std::string> check;  // a command that says whether a generation's files are good
   std::map<std::string, std::string>
       generations;  // that it begins with: name, and a directory with the files
   std::vector<InstanceSpec> instances;
 #ifdef MOTHRACK_WITH_PEERS
-  std::optional<peers::Settings> peers;
+  std::optional<gossip::Settings> peers;
 #endif
 };
 
@@ -54,4 +54,4 @@
 
 std::vector<AgentPlace> LoadAgentsFile(const std::string& path);
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -23,7 +23,7 @@
 #include "gossip/link.h"
 #endif
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 namespace {
 
 // Two agents over one directory would each start what the other started.
@@ -57,7 +57,7 @@
 }
 
 // While a door is awaited.
-constexpr Duration kSoon{20};
+constexpr rollout::Duration kSoon{20};
 
 int Run(const std::string& path) {
   std::signal(SIGPIPE, SIG_IGN);
@@ -67,7 +67,7 @@
   const AgentFile file = LoadAgentFile(path);
   const int lock = LockDirectory(file.directory);
   boost::asio::io_context io(1);
-  Logger log(file.name);
+  runtime::Logger log(file.name);
   SqliteStore store(file.directory + "/state.sqlite");
   if (!store.fault().empty()) log.Line(store.fault() + "; no change is taken until then");
   Processes processes(io, file.directory, file.instances, file.check, file.process_limits, log);
@@ -78,7 +78,7 @@
   AgentApi api(io, file, agent, processes, store, log);
   std::cerr << file.name << ": agent on " << api.local() << std::endl;
 #ifdef MOTHRACK_WITH_PEERS
-  std::optional<peers::Link> peers;
+  std::optional<gossip::Link> peers;
   boost::asio::signal_set rekey(io);
   std::function<void()> rekey_on_signal;
   if (file.peers) {
@@ -131,7 +131,7 @@
 }
 
 }  // namespace
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
 
 int main(int argc, char** argv) {
   CLI::App app{
@@ -149,8 +149,8 @@
     return app.exit(e);
   }
   try {
-    if (check) return mothrack::fleet::LoadAgentFile(path), 0;
-    return mothrack::fleet::Run(path);
+    if (check) return mothrack::agent::LoadAgentFile(path), 0;
+    return mothrack::agent::Run(path);
   } catch (const std::exception& e) {
     std::cerr << "mothrack-agent: " << e.what() << std::endl;
     return 1;
--- a/src/agent/client.cpp
+++ b/src/agent/client.cpp
@@ -13,10 +13,10 @@
 #include "runtime/address.h"
 #include "runtime/write_stream.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 namespace {
 
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 using boost::system::error_code;
 using Protocol = boost::asio::generic::stream_protocol;
 
@@ -33,7 +33,7 @@
     parser_.body_limit(kLongestReply);
   }
 
-  void Start(Duration patience) {
+  void Start(rollout::Duration patience) {
     timer_.expires_after(patience);
     timer_.async_wait([self = shared_from_this()](error_code error) {
       if (!error) self->End({"no answer in time", 0, nullptr});
@@ -41,7 +41,7 @@
     Protocol::endpoint to;
     if (question_.place.rfind(kUnix, 0) == 0) {
       to = boost::asio::local::stream_protocol::endpoint(question_.place.substr(kUnix.size()));
-    } else if (const auto endpoint = ParseEndpoint(question_.place)) {
+    } else if (const auto endpoint = runtime::ParseEndpoint(question_.place)) {
       to = *endpoint;
     }
     socket_.async_connect(to, [self = shared_from_this()](error_code error) {
@@ -55,21 +55,24 @@
     request_.version(11);
     request_.method_string(question_.method);
     request_.target(question_.target);
-    request_.set(http::field::host, "agent");
+    request_.set(beast_http::field::host, "agent");
     request_.keep_alive(false);
-    if (!question_.token.empty()) request_.set(http::field::authorization, "Bearer " + question_.token);
+    if (!question_.token.empty()) request_.set(beast_http::field::authorization, "Bearer " + question_.token);
     if (question_.body) request_.body() = question_.body->dump();
     request_.prepare_payload();
-    http::async_write(write_stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (error) return self->End({error.message(), 0, nullptr});
-      http::async_read(self->socket_, self->buffer_, self->parser_, [self](error_code failed, std::size_t) {
-        if (failed) return self->End({failed.message(), 0, nullptr});
-        const auto& response = self->parser_.get();
-        Reply reply{{}, response.result_int(), nlohmann::json::parse(response.body(), nullptr, false)};
-        if (reply.body.is_discarded()) reply.fault = "the answer is no JSON";
-        self->End(std::move(reply));
-      });
-    });
+    beast_http::async_write(
+        write_stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
+          if (error) return self->End({error.message(), 0, nullptr});
+          beast_http::async_read(
+              self->socket_, self->buffer_, self->parser_, [self](error_code failed, std::size_t) {
+                if (failed) return self->End({failed.message(), 0, nullptr});
+                const auto& response = self->parser_.get();
+                Reply reply{
+                    {}, response.result_int(), nlohmann::json::parse(response.body(), nullptr, false)};
+                if (reply.body.is_discarded()) reply.fault = "the answer is no JSON";
+                self->End(std::move(reply));
+              });
+        });
   }
 
   void End(Reply reply) {
@@ -81,12 +84,12 @@
   }
 
   Protocol::socket socket_;
-  WriteStream<Protocol::socket> write_stream_;
+  runtime::WriteStream<Protocol::socket> write_stream_;
   boost::asio::steady_timer timer_;
   const Question question_;
   std::function<void(Reply)> hear_;
-  http::request<http::string_body> request_;
-  http::response_parser<http::string_body> parser_;
+  beast_http::request<beast_http::string_body> request_;
+  beast_http::response_parser<beast_http::string_body> parser_;
   boost::beast::flat_buffer buffer_;
 };
 
@@ -105,15 +108,16 @@
     return length < sizeof(sockaddr_un::sun_path) ? ""
                                                   : "is longer than the system's 107 bytes for a Unix socket";
   }
-  const auto endpoint = ParseEndpoint(place);
+  const auto endpoint = runtime::ParseEndpoint(place);
   if (!endpoint) return "is neither unix:/path nor an address and port";
   return endpoint->address().is_loopback()
              ? ""
              : "is no loopback address; agents are reached on their own machine";
 }
 
-void Ask(boost::asio::io_context& io, Question question, Duration patience, std::function<void(Reply)> hear) {
+void Ask(boost::asio::io_context& io, Question question, rollout::Duration patience,
+         std::function<void(Reply)> hear) {
   std::make_shared<Exchange>(io, std::move(question), std::move(hear))->Start(patience);
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/client.h
+++ b/src/agent/client.h
@@ -10,7 +10,7 @@
 
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 
 struct Reply {
   std::string fault;  // why there is none; empty: there is one
@@ -34,9 +34,10 @@
 constexpr std::size_t kLongestReply = 4 * 1024 * 1024;
 
 // Calls `hear` once, from the event loop, within `patience`.
-void Ask(boost::asio::io_context& io, Question question, Duration patience, std::function<void(Reply)> hear);
+void Ask(boost::asio::io_context& io, Question question, rollout::Duration patience,
+         std::function<void(Reply)> hear);
 
 // What is wrong with a place; empty: nothing.
 std::string FaultOfPlace(const std::string& place);
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -25,7 +25,7 @@
 #include "agent/client.h"
 #include "rollout/wire.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 namespace {
 
 namespace fs = std::filesystem;
@@ -147,8 +147,8 @@
   std::unique_ptr<boost::asio::posix::stream_descriptor> end;  // tells of its end
   bool asking = false;
   bool awaited = true;  // something is: the door is asked more often
-  TimePoint ask_at{};
-  TimePoint log_at{};
+  rollout::TimePoint ask_at{};
+  rollout::TimePoint log_at{};
 
   std::string path(const char* name) const { return directory + '/' + name; }
   std::map<std::string, std::string> words(const std::string& files) const {
@@ -169,7 +169,7 @@
 
 Processes::Processes(boost::asio::io_context& io, std::string directory,
                      const std::vector<InstanceSpec>& specs, std::vector<std::string> check,
-                     const Limits& limits, Logger& log)
+                     const Limits& limits, runtime::Logger& log)
     : io_(io), directory_(std::move(directory)), check_(std::move(check)), limits_(limits), log_(log) {
   std::error_code error;
   fs::create_directories(directory_ + "/generations", error);
@@ -200,14 +200,14 @@
   if (!LockedByAnother(held.path("lock"))) return;
   const json file = json::parse(ReadFile(held.path("process.json")), nullptr, false);
   try {
-    const auto pid = static_cast<pid_t>(Member<std::int64_t>(file, "pid"));
-    const auto started = Member<std::uint64_t>(file, "started");
+    const auto pid = static_cast<pid_t>(rollout::Member<std::int64_t>(file, "pid"));
+    const auto started = rollout::Member<std::uint64_t>(file, "started");
     Fd alive(PidFd(pid));
     if (pid <= 0 || !alive || started == 0 || StartTime(pid) != started) return;
     held.pid = pid;
     held.alive = std::move(alive);
-    held.token = Member<std::string>(file, "token");
-    held.generation = Member<std::string>(file, "generation");
+    held.token = rollout::Member<std::string>(file, "token");
+    held.generation = rollout::Member<std::string>(file, "generation");
   } catch (const std::invalid_argument&) {
     // It has the lock and has not written yet: the next look finds it.
   }
@@ -226,8 +226,8 @@
       });
 }
 
-void Processes::Look(TimePoint now) {
-  constexpr Duration kLogEvery{1000};
+void Processes::Look(rollout::TimePoint now) {
+  constexpr rollout::Duration kLogEvery{1000};
   for (const auto& [name, held] : held_) {
     if (held->pid != 0) {
       pollfd ended{held->alive.get(), POLLIN, 0};
@@ -252,7 +252,7 @@
   }
 }
 
-void Processes::AskDoor(const std::shared_ptr<Held>& held, TimePoint now) {
+void Processes::AskDoor(const std::shared_ptr<Held>& held, rollout::TimePoint now) {
   held->asking = true;
   held->ask_at = now + (held->awaited ? limits_.door_busy : limits_.door_idle);
   const std::string place = Replaced(held->spec.door, held->words(""));
@@ -289,7 +289,7 @@
       });
 }
 
-Seen Processes::See(const std::string& instance) {
+rollout::Seen Processes::See(const std::string& instance) {
   const Held& held = Of(instance);
   // What holds the lock and is not known yet runs all the same: nothing may be started beside it.
   if (held.pid == 0) return {LockedByAnother(held.path("lock")), "", "", false, false};
@@ -301,21 +301,21 @@
   return {held.taken, held.bad};
 }
 
-void Processes::Do(const std::string& instance, const Action& action) {
+void Processes::Do(const std::string& instance, const rollout::Action& action) {
   Held& held = Of(instance);
   const auto signal = [&held](int number) {
     if (held.pid != 0) ::syscall(SYS_pidfd_send_signal, held.alive.get(), number, nullptr, 0);
   };
   switch (action.kind) {
-    case Action::Kind::kStart:
+    case rollout::Action::Kind::kStart:
       return Start(held, action);
-    case Action::Kind::kStop:
+    case rollout::Action::Kind::kStop:
       log_.Line(instance + ": planned stop of pid " + std::to_string(held.pid));
       held.awaited = true;
       return signal(SIGTERM);
-    case Action::Kind::kKill:
+    case rollout::Action::Kind::kKill:
       return signal(SIGKILL);
-    case Action::Kind::kSay:
+    case rollout::Action::Kind::kSay:
       return log_.Line(instance + ": " + action.line);
   }
 }
@@ -364,7 +364,7 @@
   const auto until = std::chrono::steady_clock::now() + limits_.check;
   bool over = false;
   while (true) {
-    const auto left = std::chrono::duration_cast<Duration>(until - std::chrono::steady_clock::now());
+    const auto left = std::chrono::duration_cast<rollout::Duration>(until - std::chrono::steady_clock::now());
     pollfd ready{out.get(), POLLIN, 0};
     over = left.count() <= 0 || ::poll(&ready, 1, static_cast<int>(left.count())) <= 0;
     if (over) break;
@@ -384,7 +384,7 @@
   return "its check says: " + (said.empty() ? "nothing, and failed" : said.substr(0, kMostSaid));
 }
 
-void Processes::Start(Held& held, const Action& action) {
+void Processes::Start(Held& held, const rollout::Action& action) {
   if (held.pid != 0) return;
   const std::string files =
       Prepare(held, action.generation, directory_ + "/generations/" + action.generation);
@@ -457,7 +457,7 @@
 }
 
 bool Processes::HasGeneration(const std::string& generation) const {
-  return GoodName(generation) && fs::is_directory(directory_ + "/generations/" + generation);
+  return rollout::GoodName(generation) && fs::is_directory(directory_ + "/generations/" + generation);
 }
 
 std::vector<std::string> Processes::Generations() const {
@@ -466,7 +466,7 @@
   for (fs::directory_iterator it(directory_ + "/generations", error), end; !error && it != end;
        it.increment(error)) {
     const std::string name = it->path().filename().string();
-    if (GoodName(name)) names.insert(name);
+    if (rollout::GoodName(name)) names.insert(name);
   }
   return {names.begin(), names.end()};
 }
@@ -483,11 +483,12 @@
 }
 
 std::string Processes::Keep(const std::string& generation, const std::map<std::string, std::string>& files) {
-  if (!GoodName(generation)) return "generation: a name has letters, digits, '-', '_' and '.', at most 64";
+  if (!rollout::GoodName(generation))
+    return "generation: a name has letters, digits, '-', '_' and '.', at most 64";
   if (files.empty() || files.size() > kMostFiles) return "files: give 1 to " + std::to_string(kMostFiles);
   const std::string to = directory_ + "/generations/" + generation;
   for (const auto& [name, text] : files) {
-    if (!GoodName(name)) return "files: '" + name + "' is no name for a file of a generation";
+    if (!rollout::GoodName(name)) return "files: '" + name + "' is no name for a file of a generation";
     if (text.size() > kMostFileBytes)
       return name + ": longer than " + std::to_string(kMostFileBytes) + " bytes";
   }
@@ -539,4 +540,4 @@
 
 int Processes::pid(const std::string& instance) const { return held_.at(instance)->pid; }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/processes.h
+++ b/src/agent/processes.h
@@ -25,7 +25,7 @@
 #include "agent/agent.h"
 #include "runtime/log.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 
 struct InstanceSpec {
   std::string name;
@@ -38,19 +38,20 @@
 class Processes : public Machine {
  public:
   struct Limits {
-    Duration check{5000};  // for the command that checks a generation
+    rollout::Duration check{5000};  // for the command that checks a generation
     std::uint64_t log_bytes =
         8 * 1024 * 1024;  // then the log is moved aside, and the one moved before is gone
-    Duration door_patience{1000};
-    Duration door_idle{1000};  // between two questions to a door
-    Duration door_absent{20};  // the same while it is awaited and not there
-    Duration door_busy{60};  // the same while something is awaited of it; the door answers 20 times a second
+    rollout::Duration door_patience{1000};
+    rollout::Duration door_idle{1000};  // between two questions to a door
+    rollout::Duration door_absent{20};  // the same while it is awaited and not there
+    rollout::Duration door_busy{
+        60};  // the same while something is awaited of it; the door answers 20 times a second
   };
 
   // Adopts what runs. Throws std::runtime_error where the directory can't be used.
   // `check`: a command that ends with 0 where a generation's files are good for an instance; empty: any are.
   Processes(boost::asio::io_context& io, std::string directory, const std::vector<InstanceSpec>& specs,
-            std::vector<std::string> check, const Limits& limits, Logger& log);
+            std::vector<std::string> check, const Limits& limits, runtime::Logger& log);
   ~Processes() override;
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
@@ -60,10 +61,10 @@
   void OnNews(std::function<void()> on_news) { on_news_ = std::move(on_news); }
 
   // Looks for what has ended, asks the doors, moves logs aside. Call it before Agent::Live().
-  void Look(TimePoint now);
+  void Look(rollout::TimePoint now);
 
-  Seen See(const std::string& instance) override;
-  void Do(const std::string& instance, const Action& action) override;
+  rollout::Seen See(const std::string& instance) override;
+  void Do(const std::string& instance, const rollout::Action& action) override;
   std::pair<std::uint64_t, std::uint64_t> Requests(const std::string& instance) override;
   bool HasGeneration(const std::string& generation) const override;
 
@@ -92,8 +93,8 @@
   void News() const {
     if (on_news_) on_news_();
   }
-  void Start(Held& held, const Action& action);
-  void AskDoor(const std::shared_ptr<Held>& held, TimePoint now);
+  void Start(Held& held, const rollout::Action& action);
+  void AskDoor(const std::shared_ptr<Held>& held, rollout::TimePoint now);
   void BoundLog(const Held& held) const;
   std::string Prepare(const Held& held, const std::string& generation, const std::string& from) const;
   std::string Checked(const std::string& generation, const std::string& from) const;
@@ -102,9 +103,9 @@
   const std::string directory_;
   const std::vector<std::string> check_;
   const Limits limits_;
-  Logger& log_;
+  runtime::Logger& log_;
   std::map<std::string, std::shared_ptr<Held>> held_;
   std::function<void()> on_news_;
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -8,12 +8,12 @@
 #include "rollout/wire.h"
 #include "storage/sqlite.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 namespace {
 
 using nlohmann::json;
-using sql::Statement;
-using sql::Transaction;
+using storage::Statement;
+using storage::Transaction;
 
 // Another process that looks at the file (a backup, a person) may hold it so long.
 constexpr int kBusyMs = 500;
@@ -41,7 +41,7 @@
 SqliteStore::~SqliteStore() = default;
 
 void SqliteStore::Open(const std::string& path) {
-  db_ = std::make_unique<sql::Database>(path);
+  db_ = std::make_unique<storage::Database>(path);
   ::chmod(path.c_str(), 0600);
   db_->WaitFor(kBusyMs);
   // Written ahead and synced before a commit returns; the rollback journal rather than WAL, as saves are few
@@ -69,14 +69,14 @@
   Stored read;
   Statement lease(*db_, "SELECT highest, holder, open FROM lease");
   if (lease.Step()) {
-    read.lease.highest = static_cast<Epoch>(lease.Number(0));
-    if (!lease.Null(1)) read.lease.holder = HolderFrom(json::parse(lease.Text(1)));
-    if (!lease.Null(2)) read.lease.open = HolderFrom(json::parse(lease.Text(2)));
+    read.lease.highest = static_cast<rollout::Epoch>(lease.Number(0));
+    if (!lease.Null(1)) read.lease.holder = rollout::HolderFrom(json::parse(lease.Text(1)));
+    if (!lease.Null(2)) read.lease.open = rollout::HolderFrom(json::parse(lease.Text(2)));
   }
   Statement records(*db_, "SELECT instance, json FROM record");
-  while (records.Step()) read.records[records.Text(0)] = RecordFrom(json::parse(records.Text(1)));
+  while (records.Step()) read.records[records.Text(0)] = rollout::RecordFrom(json::parse(records.Text(1)));
   Statement plans(*db_, "SELECT id, json FROM plan");
-  while (plans.Step()) read.plans[plans.Text(0)] = PlanFrom(json::parse(plans.Text(1)));
+  while (plans.Step()) read.plans[plans.Text(0)] = rollout::PlanFrom(json::parse(plans.Text(1)));
   if (read.lease.open && !read.plans.contains(read.lease.open->change)) {
     throw std::runtime_error("has no plan of the open change " + read.lease.open->change);
   }
@@ -98,26 +98,28 @@
   }
 }
 
-bool SqliteStore::SaveLease(const LeaseState& state, const Plan* opened, const Event& note) {
+bool SqliteStore::SaveLease(const rollout::LeaseState& state, const rollout::Plan* opened,
+                            const Event& note) {
   return Save(note, [&] {
     Statement lease(*db_, "INSERT OR REPLACE INTO lease VALUES (1, ?, ?, ?)");
     lease.Number(1, static_cast<std::int64_t>(state.highest));
-    if (state.holder) lease.Text(2, ToJson(*state.holder).dump());
-    if (state.open) lease.Text(3, ToJson(*state.open).dump());
+    if (state.holder) lease.Text(2, rollout::ToJson(*state.holder).dump());
+    if (state.open) lease.Text(3, rollout::ToJson(*state.open).dump());
     lease.Step();
     if (opened == nullptr) return;
     Statement plan(
         *db_, "INSERT OR REPLACE INTO plan VALUES (?, (SELECT COALESCE(MAX(number), 0) + 1 FROM plan), ?)");
-    plan.Text(1, opened->id).Text(2, ToJson(*opened).dump()).Step();
+    plan.Text(1, opened->id).Text(2, rollout::ToJson(*opened).dump()).Step();
     Statement old(*db_, "DELETE FROM plan WHERE number <= (SELECT MAX(number) FROM plan) - ?");
     old.Number(1, kMostPlans).Step();
   });
 }
 
-bool SqliteStore::SaveRecord(const std::string& instance, const InstanceRecord& record, const Event& note) {
+bool SqliteStore::SaveRecord(const std::string& instance, const rollout::InstanceRecord& record,
+                             const Event& note) {
   return Save(note, [&] {
     Statement save(*db_, "INSERT OR REPLACE INTO record VALUES (?, ?)");
-    save.Text(1, instance).Text(2, ToJson(record).dump()).Step();
+    save.Text(1, instance).Text(2, rollout::ToJson(record).dump()).Step();
   });
 }
 
@@ -148,4 +150,4 @@
   return events;
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/sqlite_store.h
+++ b/src/agent/sqlite_store.h
@@ -10,7 +10,7 @@
 #include "agent/store.h"
 #include "storage/sqlite.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 
 class SqliteStore : public Store {
  public:
@@ -21,8 +21,9 @@
   // What was kept when it was opened. Of a file that can't be read: nothing, and fault() tells.
   const Stored& stored() const { return stored_; }
 
-  bool SaveLease(const LeaseState& state, const Plan* opened, const Event& note) override;
-  bool SaveRecord(const std::string& instance, const InstanceRecord& record, const Event& note) override;
+  bool SaveLease(const rollout::LeaseState& state, const rollout::Plan* opened, const Event& note) override;
+  bool SaveRecord(const std::string& instance, const rollout::InstanceRecord& record,
+                  const Event& note) override;
   void Note(const Event& event) override;
   std::vector<Event> Events(std::size_t most) const override;
   std::string fault() const override { return fault_.empty() ? refused_ : fault_; }
@@ -39,10 +40,10 @@
   void Keep(const Event& event);
 
   const std::string path_;
-  std::unique_ptr<sql::Database> db_;
+  std::unique_ptr<storage::Database> db_;
   Stored stored_;
   std::string fault_;    // for good, until somebody mends the file
   std::string refused_;  // of the last save; empty once one succeeds
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/agent/store.h
+++ b/src/agent/store.h
@@ -12,12 +12,12 @@
 #include "rollout/lease.h"
 #include "rollout/plan.h"
 
-namespace mothrack::fleet {
+namespace mothrack::agent {
 
 struct Stored {
-  LeaseState lease;
-  std::map<std::string, InstanceRecord> records;
-  std::map<std::string, Plan> plans;  // by their ids; of the open change, and of some before it
+  rollout::LeaseState lease;
+  std::map<std::string, rollout::InstanceRecord> records;
+  std::map<std::string, rollout::Plan> plans;  // by their ids; of the open change, and of some before it
 };
 
 // One line of what happened, for people.
@@ -32,8 +32,10 @@
   virtual ~Store() = default;
   // Each is one whole step: durable when it returns true, nothing changed when it returns false. `note` is
   // kept with it; empty: none.
-  virtual bool SaveLease(const LeaseState& state, const Plan* opened, const Event& note) = 0;
-  virtual bool SaveRecord(const std::string& instance, const InstanceRecord& record, const Event& note) = 0;
+  virtual bool SaveLease(const rollout::LeaseState& state, const rollout::Plan* opened,
+                         const Event& note) = 0;
+  virtual bool SaveRecord(const std::string& instance, const rollout::InstanceRecord& record,
+                          const Event& note) = 0;
   // For people only: may be lost.
   virtual void Note(const Event& event) = 0;
   // The latest, oldest first.
@@ -42,4 +44,4 @@
   virtual std::string fault() const = 0;
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::agent
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -24,7 +24,7 @@
 
 #include "balancer/state.h"
 
-namespace kestrellb {
+namespace mothrack::balancer {
 namespace {
 
 using std::chrono::duration_cast;
@@ -1253,4 +1253,4 @@
 
 std::vector<UpstreamView> Balancer::upstreams(TimePoint now) const { return impl_->Upstreams(now); }
 
-}  // namespace kestrellb
+}  // namespace mothrack::balancer
--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -31,7 +31,7 @@
 #include <variant>
 #include <vector>
 
-namespace kestrellb {
+namespace mothrack::balancer {
 
 using Duration = std::chrono::microseconds;
 
@@ -315,4 +315,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace kestrellb
+}  // namespace mothrack::balancer
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -4,7 +4,7 @@
 
 #include "balancer/balancer.h"
 
-namespace kestrellb {
+namespace mothrack::balancer {
 namespace {
 
 void Require(bool sound, const char* setting) {
@@ -38,4 +38,4 @@
   Require(rules.fall_window > Duration::zero(), "rules.fall_window");
 }
 
-}  // namespace kestrellb
+}  // namespace mothrack::balancer
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -10,7 +10,7 @@
 
 #include "balancer/balancer.h"
 
-namespace kestrellb {
+namespace mothrack::balancer {
 
 inline double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
 inline Duration Scaled(Duration d, double factor) {
@@ -127,4 +127,4 @@
   bool streaming = false;    // its answer has begun: it belongs to the client
 };
 
-}  // namespace kestrellb
+}  // namespace mothrack::balancer
--- a/src/change_freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 namespace {
 
 using Names = std::set<std::string>;
@@ -69,4 +69,4 @@
   return !Apart(at.zones, bt.zones) && !Apart(at.halls, bt.halls) && !Apart(at.instances, bt.instances);
 }
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -6,7 +6,7 @@
 #include <set>
 #include <string>
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 enum class ChangeKind : std::uint8_t {
   kNewGeneration,
@@ -60,4 +60,4 @@
 // of each, those that may meet.
 bool Exclude(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt);
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/desk.cpp
+++ b/src/change_freeze/desk.cpp
@@ -1,6 +1,6 @@
 #include "change_freeze/desk.h"
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 namespace {
 // Ages that are only renewed: a third of what they lapse by, so that a new coordinator finds no fresh one
@@ -107,4 +107,4 @@
   }
 }
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/desk.h
+++ b/src/change_freeze/desk.h
@@ -13,7 +13,7 @@
 #include "change_freeze/ledger.h"
 #include "change_freeze/voter.h"
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 class Desk {
  public:
@@ -63,4 +63,4 @@
   TimePoint written_;
 };
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/incidents.cpp
+++ b/src/change_freeze/incidents.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 using State = Incident::State;
 
@@ -169,4 +169,4 @@
   return unpacker.ok();
 }
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -17,10 +17,10 @@
 #include "change_freeze/pack.h"
 #include "rollout/types.h"
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
-using fleet::Duration;
-using fleet::TimePoint;
+using rollout::Duration;
+using rollout::TimePoint;
 
 // As many can be told apart by people on call; a fleet with more is frozen as one.
 inline constexpr std::size_t kMostIncidents = 32;
@@ -98,4 +98,4 @@
   std::uint64_t last_id_ = 0;
 };
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/ledger.cpp
+++ b/src/change_freeze/ledger.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 Ledger::Judgement Ledger::Judge(ChangeKind kind, const Footprint& footprint,
                                 const std::set<std::uint64_t>& remedies) const {
@@ -220,4 +220,4 @@
   return ledger;
 }
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/ledger.h
+++ b/src/change_freeze/ledger.h
@@ -13,7 +13,7 @@
 #include "change_freeze/permits.h"
 #include "change_freeze/voter.h"
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 inline constexpr std::size_t kMostPermits = 16;
 inline constexpr std::size_t kMostGlassKept = 32;
@@ -87,4 +87,4 @@
   std::map<std::string, std::uint64_t> told_;  // by agent: the highest number of its glass
 };
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/pack.h
+++ b/src/change_freeze/pack.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 class Packer {
  public:
@@ -68,4 +68,4 @@
   bool ok_ = true;
 };
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/permits.cpp
+++ b/src/change_freeze/permits.cpp
@@ -1,6 +1,6 @@
 #include "change_freeze/permits.h"
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 namespace {
 constexpr Duration kForgotten{60'000};  // what has lapsed for so long helps nobody to see why
@@ -65,4 +65,4 @@
   std::erase_if(record_.untold, [&](const Glass& glass) { return glass.number <= number; });
 }
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/permits.h
+++ b/src/change_freeze/permits.h
@@ -20,7 +20,7 @@
 #include "change_freeze/voter.h"
 #include "rollout/types.h"
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 // From a decision until no agent acts against it, by true time (the issue asks for 2 s): an agent's own count
 // is shortened, so that a clock that runs slow stays within it.
@@ -104,4 +104,4 @@
   std::string leaderless_;
 };
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/voter.cpp
+++ b/src/change_freeze/voter.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
 using Kind = VoterMessage::Kind;
 
@@ -390,4 +390,4 @@
   return record_.stamp.version;
 }
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -27,10 +27,10 @@
 
 #include "rollout/types.h"
 
-namespace mothrack::freeze {
+namespace mothrack::change_freeze {
 
-using fleet::Duration;
-using fleet::TimePoint;
+using rollout::Duration;
+using rollout::TimePoint;
 using Term = std::uint64_t;
 
 inline constexpr std::size_t kLargestValue = 64 * 1024;
@@ -212,4 +212,4 @@
   return true;
 }
 
-}  // namespace mothrack::freeze
+}  // namespace mothrack::change_freeze
--- a/src/ctl/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -25,7 +25,7 @@
 #include "ctl/show.h"
 #include "rollout/wire.h"
 
-namespace mothrack::fleet {
+namespace mothrack::ctl {
 namespace {
 
 using nlohmann::json;
@@ -99,7 +99,8 @@
     text << std::ifstream(it->path(), std::ios::binary).rdbuf();
     files[it->path().filename().string()] = text.str();
   }
-  if (error || files.empty()) throw FileError(directory + ": " + (error ? error.message() : "holds no file"));
+  if (error || files.empty())
+    throw agent::FileError(directory + ": " + (error ? error.message() : "holds no file"));
   return files;
 }
 
@@ -107,7 +108,7 @@
  public:
   explicit Ctl(const Asked& asked)
       : asked_(asked),
-        driver_(io_, LoadAgentsFile(asked.agents),
+        driver_(io_, agent::LoadAgentsFile(asked.agents),
                 [](const std::string& line) { std::cout << Plain(line) << std::endl; }),
         signals_(io_, SIGINT, SIGTERM) {
     signals_.async_wait([this](const boost::system::error_code& error, int) {
@@ -130,23 +131,23 @@
   }
 
   // Of what would change; with `carry`, and then changes it.
-  int Change(StepKind kind, bool configures, bool carry) {
+  int Change(rollout::StepKind kind, bool configures, bool carry) {
     LookAround();
     if (!unreached_.empty()) return Refused(kNotReached, "can't be reached: " + Names(unreached_));
     std::map<std::string, std::string> files;
     if (configures && !asked_.directory.empty()) files = FilesIn(asked_.directory);
-    Plan plan;
+    rollout::Plan plan;
     plan.id = NewId();
     plan.who = asked_.who.empty() ? UserName() : asked_.who;
     plan.why = asked_.why;
     plan.kind = kind;
     plan.policy.max_unavailable = asked_.max_unavailable;
     plan.policy.canary = !asked_.no_canary;
-    plan.policy.on_failure = asked_.roll_back ? OnFailure::kRollBack : OnFailure::kHold;
-    plan.policy.watch = Duration(asked_.watch_ms);
-    plan.policy.step_limit = Duration(asked_.step_limit_ms);
+    plan.policy.on_failure = asked_.roll_back ? rollout::OnFailure::kRollBack : rollout::OnFailure::kHold;
+    plan.policy.watch = rollout::Duration(asked_.watch_ms);
+    plan.policy.step_limit = rollout::Duration(asked_.step_limit_ms);
     std::set<std::string> wanted(asked_.only.begin(), asked_.only.end());
-    for (const AgentPlace& agent : driver_.agents()) {
+    for (const agent::AgentPlace& agent : driver_.agents()) {
       for (const auto& [name, instance] : about_.at(agent.name)["instances"].items()) {
         const std::string whole = agent.name + '/' + name;
         if (!asked_.only.empty() && wanted.erase(whole) == 0) continue;
@@ -161,12 +162,12 @@
       std::cout << "nothing to change: every instance has " << asked_.generation << std::endl;
       return kDone;
     }
-    if (const auto fault = FaultOf(plan)) return Refused(kUsage, *fault);
+    if (const auto fault = rollout::FaultOf(plan)) return Refused(kUsage, *fault);
     if (!carry || asked_.dry_run) return Show(plan, files);
     // To all agents before the first step: what one of them refuses changes nothing anywhere.
     if (!files.empty()) {
       std::set<std::string> touched;
-      for (const Target& target : plan.targets) touched.insert(target.name.agent);
+      for (const rollout::Target& target : plan.targets) touched.insert(target.name.agent);
       const json body = {{"name", asked_.generation}, {"files", files}};
       for (const auto& [agent, reply] : driver_.AskAll("POST", "/v1/generation", body, touched)) {
         if (!reply.ok())
@@ -174,9 +175,9 @@
                                        "; nothing has changed");
       }
     }
-    std::cout << plan.id << ": " << plan.targets.size() << " instances in " << Batches(plan).size()
+    std::cout << plan.id << ": " << plan.targets.size() << " instances in " << rollout::Batches(plan).size()
               << " batches" << std::endl;
-    return Told(driver_.Carry(plan, fleet::Change::Aim::kForward, false, plan.who, LeaseTime()));
+    return Told(driver_.Carry(plan, rollout::Change::Aim::kForward, false, plan.who, LeaseTime()));
   }
 
   int Resume(bool undo) {
@@ -184,7 +185,7 @@
     if (!plan) return no_plan_;
     std::cout << plan->id << " by " << Plain(plan->who) << " (" << Plain(plan->why) << ") is "
               << (undo ? "undone" : "carried on") << std::endl;
-    const auto aim = undo ? fleet::Change::Aim::kUndo : fleet::Change::Aim::kForward;
+    const auto aim = undo ? rollout::Change::Aim::kUndo : rollout::Change::Aim::kForward;
     return Told(driver_.Carry(*plan, aim, true, asked_.who.empty() ? UserName() : asked_.who, LeaseTime()));
   }
 
@@ -279,11 +280,11 @@
     }
   }
 
-  Duration LeaseTime() const {
+  rollout::Duration LeaseTime() const {
     std::int64_t shortest = 10'000;
     for (const auto& [agent, about] : about_)
       shortest = std::min(shortest, about.value("lease_ms", shortest));
-    return Duration(shortest);
+    return rollout::Duration(shortest);
   }
 
   static std::string StateOf(const json& i) {
@@ -308,7 +309,7 @@
     std::size_t ready = 0;
     std::size_t all = 0;
     std::set<std::string> told;
-    for (const AgentPlace& agent : driver_.agents()) {
+    for (const agent::AgentPlace& agent : driver_.agents()) {
       if (const auto fault = faults_.find(agent.name); fault != faults_.end()) {
         rows.push_back({agent.hall, agent.name, "", "NOT REACHED: " + fault->second});
         continue;
@@ -342,22 +343,22 @@
     return Table(rows) + plain + std::to_string(ready) + " of " + std::to_string(all) + " ready\n";
   }
 
-  int Show(const Plan& plan, const std::map<std::string, std::string>& files) {
+  int Show(const rollout::Plan& plan, const std::map<std::string, std::string>& files) {
     std::size_t number = 0;
-    for (const auto& batch : Batches(plan)) {
+    for (const auto& batch : rollout::Batches(plan)) {
       ++number;
       std::cout << "batch " << number << (number == 1 && plan.policy.canary ? " (canary)" : "") << '\n';
       for (const std::size_t i : batch) {
-        const Target& t = plan.targets[i];
+        const rollout::Target& t = plan.targets[i];
         std::cout << "  " << t.hall << ' ' << t.name.agent << '/' << t.name.instance << ": "
-                  << (plan.kind == StepKind::kStop ? "stop"
-                      : t.from == t.to             ? "restart with " + t.to
-                                                   : t.from + " -> " + t.to)
+                  << (plan.kind == rollout::StepKind::kStop ? "stop"
+                      : t.from == t.to                      ? "restart with " + t.to
+                                                            : t.from + " -> " + t.to)
                   << '\n';
       }
     }
     if (!files.empty()) {
-      const Target& first = plan.targets.front();
+      const rollout::Target& first = plan.targets.front();
       const auto there = driver_.AskAll("GET", "/v1/generation?" + first.from, {}, {first.name.agent});
       const json& reply = there.at(first.name.agent).body;
       const json before = reply.is_object() ? reply.value("files", json::object()) : json::object();
@@ -380,14 +381,14 @@
     return kDone;
   }
 
-  std::optional<Plan> OpenPlan() {
+  std::optional<rollout::Plan> OpenPlan() {
     LookAround();
     no_plan_ = kRefused;
     for (const auto& [agent, about] : about_) {
       if (!about.contains("open")) continue;
       const std::string change = about["open"].value("change", "");
       const auto plan = driver_.AskAll("GET", "/v1/plan?" + change, {}, {agent});
-      if (plan.at(agent).ok()) return PlanFrom(plan.at(agent).body);
+      if (plan.at(agent).ok()) return rollout::PlanFrom(plan.at(agent).body);
       Refused(kRefused, agent + ": " + plan.at(agent).why());
       return std::nullopt;
     }
@@ -411,14 +412,14 @@
     if (!outcome.refused.empty()) return Refused(kRefused, outcome.refused + "; nothing has changed");
     const bool left = LeftOpen(outcome);
     switch (outcome.end) {
-      case ChangeEnd::kCompleted:
+      case rollout::ChangeEnd::kCompleted:
         return left ? kNotReached : kDone;
-      case ChangeEnd::kHeld:
+      case rollout::ChangeEnd::kHeld:
         std::cout << "it stays open: mothrackctl resume, undo or abort" << std::endl;
         return kHeldThere;
-      case ChangeEnd::kRolledBack:
+      case rollout::ChangeEnd::kRolledBack:
         return kTurnedBack;
-      case ChangeEnd::kAborted:
+      case rollout::ChangeEnd::kAborted:
         break;
     }
     return kStoppedThere;
@@ -450,10 +451,11 @@
 }
 
 }  // namespace
-}  // namespace mothrack::fleet
+}  // namespace mothrack::ctl
 
 int main(int argc, char** argv) {
-  using namespace mothrack::fleet;
+  using namespace mothrack::ctl;
+  namespace rollout = mothrack::rollout;
   std::signal(SIGPIPE, SIG_IGN);
   CLI::App app{
       "mothrackctl: sees, changes and restarts many sidecars together. Nothing is ever asked of a person; "
@@ -496,10 +498,10 @@
   try {
     Ctl ctl(asked);
     if (status->parsed()) return ctl.Status();
-    if (plan->parsed()) return ctl.Change(StepKind::kRestart, true, false);
-    if (apply->parsed()) return ctl.Change(StepKind::kRestart, true, true);
-    if (restart->parsed()) return ctl.Change(StepKind::kRestart, false, true);
-    if (drain->parsed()) return ctl.Change(StepKind::kStop, false, true);
+    if (plan->parsed()) return ctl.Change(rollout::StepKind::kRestart, true, false);
+    if (apply->parsed()) return ctl.Change(rollout::StepKind::kRestart, true, true);
+    if (restart->parsed()) return ctl.Change(rollout::StepKind::kRestart, false, true);
+    if (drain->parsed()) return ctl.Change(rollout::StepKind::kStop, false, true);
     if (resume->parsed()) return ctl.Resume(false);
     if (undo->parsed()) return ctl.Resume(true);
     if (abort->parsed()) return ctl.Abort();
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -9,29 +9,29 @@
 #include "agent/agent_api.h"
 #include "rollout/wire.h"
 
-namespace mothrack::fleet {
+namespace mothrack::ctl {
 namespace {
 
 using nlohmann::json;
 
 // An answer of an agent to a lease's question; nothing where it gave none that can be read.
 struct Read {
-  LeaseBook::Verdict verdict = LeaseBook::Verdict::kFenced;
-  std::optional<Holder> holder;
+  rollout::LeaseBook::Verdict verdict = rollout::LeaseBook::Verdict::kFenced;
+  std::optional<rollout::Holder> holder;
   std::string refused;
   bool open = false;
-  Epoch highest = 0;
+  rollout::Epoch highest = 0;
 };
 
-std::optional<Read> ReadAnswer(const Reply& reply) {
+std::optional<Read> ReadAnswer(const agent::Reply& reply) {
   if (!reply.ok()) return std::nullopt;
   try {
     Read read;
-    read.verdict = VerdictFrom(Member<std::string>(reply.body, "verdict"));
-    read.refused = Member<std::string>(reply.body, "refused");
-    read.open = Member<bool>(reply.body, "open");
-    read.highest = Member<std::uint64_t>(reply.body, "highest");
-    if (reply.body.contains("holder")) read.holder = HolderFrom(reply.body["holder"]);
+    read.verdict = rollout::VerdictFrom(rollout::Member<std::string>(reply.body, "verdict"));
+    read.refused = rollout::Member<std::string>(reply.body, "refused");
+    read.open = rollout::Member<bool>(reply.body, "open");
+    read.highest = rollout::Member<std::uint64_t>(reply.body, "highest");
+    if (reply.body.contains("holder")) read.holder = rollout::HolderFrom(reply.body["holder"]);
     return read;
   } catch (const std::invalid_argument&) {
     return std::nullopt;
@@ -45,87 +45,90 @@
 
 }  // namespace
 
-Driver::Driver(boost::asio::io_context& io, std::vector<AgentPlace> agents,
+Driver::Driver(boost::asio::io_context& io, std::vector<agent::AgentPlace> agents,
                std::function<void(const std::string&)> say)
     : io_(io), agents_(std::move(agents)), say_(std::move(say)) {}
 
-const AgentPlace& Driver::Of(const std::string& agent) const {
-  return *std::find_if(agents_.begin(), agents_.end(), [&](const AgentPlace& a) { return a.name == agent; });
+const agent::AgentPlace& Driver::Of(const std::string& agent) const {
+  return *std::find_if(agents_.begin(), agents_.end(),
+                       [&](const agent::AgentPlace& a) { return a.name == agent; });
 }
 
-void Driver::Pass(Duration time) {
+void Driver::Pass(rollout::Duration time) {
   io_.restart();
   // Whatever came is acted on at once; the time is for when nothing comes.
   if (io_.run_one_for(time) > 0) io_.poll();
 }
 
 void Driver::Send(const std::string& agent, const std::string& target, json body,
-                  std::function<void(const Reply&)> hear) {
-  const AgentPlace& place = Of(agent);
-  Ask(io_, {place.place, place.token, "POST", target, std::move(body)}, kPatience,
-      [this, agent, life = std::weak_ptr(life_), hear = std::move(hear)](const Reply& reply) {
-        if (life.expired()) return;
-        try {
-          hear(reply);
-        } catch (const std::invalid_argument& e) {
-          say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
-        }
-      });
+                  std::function<void(const agent::Reply&)> hear) {
+  const agent::AgentPlace& place = Of(agent);
+  agent::Ask(io_, {place.place, place.token, "POST", target, std::move(body)}, kPatience,
+             [this, agent, life = std::weak_ptr(life_), hear = std::move(hear)](const agent::Reply& reply) {
+               if (life.expired()) return;
+               try {
+                 hear(reply);
+               } catch (const std::invalid_argument& e) {
+                 say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
+               }
+             });
 }
 
-std::map<std::string, Reply> Driver::AskAll(const std::string& method, const std::string& target,
-                                            const std::optional<json>& body,
-                                            const std::set<std::string>& only) {
+std::map<std::string, agent::Reply> Driver::AskAll(const std::string& method, const std::string& target,
+                                                   const std::optional<json>& body,
+                                                   const std::set<std::string>& only) {
   // Filled by answers that come after this has returned, too: it lives as long as they may.
-  const auto replies = std::make_shared<std::map<std::string, Reply>>();
+  const auto replies = std::make_shared<std::map<std::string, agent::Reply>>();
   std::size_t asked = 0;
-  for (const AgentPlace& agent : agents_) {
+  for (const agent::AgentPlace& agent : agents_) {
     if (!only.empty() && !only.contains(agent.name)) continue;
     ++asked;
-    Ask(io_, {agent.place, agent.token, method, target, body}, kPatience,
-        [replies, name = agent.name](Reply reply) { (*replies)[name] = std::move(reply); });
+    agent::Ask(io_, {agent.place, agent.token, method, target, body}, kPatience,
+               [replies, name = agent.name](agent::Reply reply) { (*replies)[name] = std::move(reply); });
   }
-  while (replies->size() < asked) Pass(Duration(20));
+  while (replies->size() < asked) Pass(rollout::Duration(20));
   return *replies;
 }
 
-Holder Driver::HolderOf(const Plan& plan, const std::string& who) {
+rollout::Holder Driver::HolderOf(const rollout::Plan& plan, const std::string& who) {
   char host[64] = "";
   ::gethostname(host, sizeof host - 1);
   const std::string tool = std::string(host) + '.' + std::to_string(::getpid()) + '.' + RandomText() + '.' +
                            std::to_string(++claims_);
-  return {plan.id, who, plan.why, UnixNow(), tool};
+  return {plan.id, who, plan.why, agent::UnixNow(), tool};
 }
 
-Driver::Lease Driver::ClaimAll(const Plan& plan, const Holder& holder, bool resumes) {
+Driver::Lease Driver::ClaimAll(const rollout::Plan& plan, const rollout::Holder& holder, bool resumes) {
   std::set<std::string> names;
-  for (const AgentPlace& agent : agents_) names.insert(agent.name);
+  for (const agent::AgentPlace& agent : agents_) names.insert(agent.name);
   std::set<std::string> needed;
-  for (const Target& target : plan.targets) needed.insert(target.name.agent);
+  for (const rollout::Target& target : plan.targets) needed.insert(target.name.agent);
   life_ = std::make_shared<int>();
-  Claim claim(holder.tool, names, needed, resumes, kPatience, SteadyNow());
+  rollout::Claim claim(holder.tool, names, needed, resumes, kPatience, agent::SteadyNow());
   Lease lease;
   std::string fault;  // of an agent, that is no verdict
   while (!claim.granted() && claim.refused().empty() && !interrupted_ && fault.empty()) {
-    std::vector<ClaimCommand> commands;
-    claim.Turn(SteadyNow(), commands);
-    for (const ClaimCommand& c : commands) {
+    std::vector<rollout::ClaimCommand> commands;
+    claim.Turn(agent::SteadyNow(), commands);
+    for (const rollout::ClaimCommand& c : commands) {
       switch (c.kind) {
-        case ClaimCommand::Kind::kLook:
-          Ask(io_, {Of(c.agent).place, Of(c.agent).token, "GET", "/v1/agent", {}}, kPatience,
-              [&claim, &fault, life = std::weak_ptr(life_), name = c.agent](const Reply& reply) {
+        case rollout::ClaimCommand::Kind::kLook:
+          agent::Ask(
+              io_, {Of(c.agent).place, Of(c.agent).token, "GET", "/v1/agent", {}}, kPatience,
+              [&claim, &fault, life = std::weak_ptr(life_), name = c.agent](const agent::Reply& reply) {
                 if (life.expired()) return;
-                if (reply.ok()) return claim.Looked(name, reply.body.value("highest", Epoch{0}));
+                if (reply.ok()) return claim.Looked(name, reply.body.value("highest", rollout::Epoch{0}));
                 if (reply.fault.empty()) fault = name + ": " + reply.why();
               });
           break;
-        case ClaimCommand::Kind::kAcquire:
-        case ClaimCommand::Kind::kOpen: {
-          const bool opens = c.kind == ClaimCommand::Kind::kOpen;
-          json body = {{"ask", opens ? "open" : "acquire"}, {"epoch", c.epoch}, {"holder", ToJson(holder)}};
-          if (opens) body["plan"] = ToJson(plan);
+        case rollout::ClaimCommand::Kind::kAcquire:
+        case rollout::ClaimCommand::Kind::kOpen: {
+          const bool opens = c.kind == rollout::ClaimCommand::Kind::kOpen;
+          json body = {
+              {"ask", opens ? "open" : "acquire"}, {"epoch", c.epoch}, {"holder", rollout::ToJson(holder)}};
+          if (opens) body["plan"] = rollout::ToJson(plan);
           Send(c.agent, "/v1/lease", std::move(body),
-               [&claim, &fault, c, tool = holder.tool](const Reply& reply) {
+               [&claim, &fault, c, tool = holder.tool](const agent::Reply& reply) {
                  const auto read = ReadAnswer(reply);
                  if (!read && reply.fault.empty()) fault = c.agent + ": " + reply.why();
                  if (!read) return;  // without an answer it is asked again
@@ -135,15 +138,15 @@
                });
           break;
         }
-        case ClaimCommand::Kind::kRelease:
+        case rollout::ClaimCommand::Kind::kRelease:
           Send(c.agent, "/v1/lease",
                {{"ask", "release"}, {"epoch", c.epoch}, {"tool", holder.tool}, {"close", false}},
-               [](const Reply&) {});
+               [](const agent::Reply&) {});
           break;
       }
       lease.epoch = std::max(lease.epoch, c.epoch);
     }
-    Pass(Duration(20));
+    Pass(rollout::Duration(20));
   }
   life_ = std::make_shared<int>();  // `claim` and `fault` go
   if (claim.granted()) return {claim.granted()->epoch, claim.granted()->since, {}};
@@ -153,37 +156,40 @@
   return lease;
 }
 
-void Driver::Run(Change& change, Epoch epoch, const std::string& tool) {
+void Driver::Run(rollout::Change& change, rollout::Epoch epoch, const std::string& tool) {
   while (!change.end() && !interrupted_) {
-    std::vector<ChangeCommand> commands;
-    const TimePoint now = SteadyNow();
+    std::vector<rollout::ChangeCommand> commands;
+    const rollout::TimePoint now = agent::SteadyNow();
     change.Turn(now, commands);
     // One report of an agent answers for all of its instances, and renews its lease.
-    std::map<std::string, std::vector<std::pair<InstanceName, std::uint64_t>>> reports;
-    for (const ChangeCommand& c : commands) {
+    std::map<std::string, std::vector<std::pair<rollout::InstanceName, std::uint64_t>>> reports;
+    for (const rollout::ChangeCommand& c : commands) {
       switch (c.kind) {
-        case ChangeCommand::Kind::kSay:
+        case rollout::ChangeCommand::Kind::kSay:
           say_(c.line);
           break;
-        case ChangeCommand::Kind::kRenew:
+        case rollout::ChangeCommand::Kind::kRenew:
           reports[c.name.agent];
           break;
-        case ChangeCommand::Kind::kReport:
+        case rollout::ChangeCommand::Kind::kReport:
           reports[c.name.agent].emplace_back(c.name, c.number);
           break;
-        case ChangeCommand::Kind::kTake:
+        case rollout::ChangeCommand::Kind::kTake:
           Send(c.name.agent, "/v1/take",
-               {{"epoch", epoch}, {"tool", tool}, {"instance", c.name.instance}, {"step", ToJson(c.step)}},
-               [&change, c, now](const Reply& reply) {
+               {{"epoch", epoch},
+                {"tool", tool},
+                {"instance", c.name.instance},
+                {"step", rollout::ToJson(c.step)}},
+               [&change, c, now](const agent::Reply& reply) {
                  const auto read = ReadAnswer(reply);
                  if (!read) return;
-                 if (read->verdict != LeaseBook::Verdict::kGranted) {
+                 if (read->verdict != rollout::LeaseBook::Verdict::kGranted) {
                    return change.Fenced(c.name.agent, read->holder ? read->holder->who : "");
                  }
                  change.Renewed(c.name.agent, now);
                  if (!read->refused.empty()) return change.Refused(c.name, read->refused);
                  if (reply.body.contains("report")) {
-                   change.Heard(c.name, c.number, ReportFrom(reply.body["report"]), now);
+                   change.Heard(c.name, c.number, rollout::ReportFrom(reply.body["report"]), now);
                  }
                });
           break;
@@ -191,31 +197,31 @@
     }
     for (const auto& [agent, asked] : reports) {
       Send(agent, "/v1/report", {{"epoch", epoch}, {"tool", tool}},
-           [&change, agent = agent, asked = asked, now](const Reply& reply) {
+           [&change, agent = agent, asked = asked, now](const agent::Reply& reply) {
              const auto read = ReadAnswer(reply);
              if (!read) return;
-             if (read->verdict != LeaseBook::Verdict::kGranted) {
+             if (read->verdict != rollout::LeaseBook::Verdict::kGranted) {
                return change.Fenced(agent, read->holder ? read->holder->who : "");
              }
              change.Renewed(agent, now);
              for (const auto& [name, number] : asked) {
                const json& told = reply.body.value("reports", json::object());
                if (told.contains(name.instance))
-                 change.Heard(name, number, ReportFrom(told[name.instance]), now);
+                 change.Heard(name, number, rollout::ReportFrom(told[name.instance]), now);
                else
                  change.Refused(name, "its agent has no such instance");
              }
            });
     }
-    if (!change.end()) Pass(Duration(20));
+    if (!change.end()) Pass(rollout::Duration(20));
   }
   life_ = std::make_shared<int>();
 }
 
-std::set<std::string> Driver::Release(Epoch epoch, const std::string& tool, bool close) {
+std::set<std::string> Driver::Release(rollout::Epoch epoch, const std::string& tool, bool close) {
   constexpr int kTries = 3;
   std::set<std::string> missing;
-  for (const AgentPlace& agent : agents_) missing.insert(agent.name);
+  for (const agent::AgentPlace& agent : agents_) missing.insert(agent.name);
   for (int i = 0; i < kTries && !missing.empty(); ++i) {
     const json body = {{"ask", "release"}, {"epoch", epoch}, {"tool", tool}, {"close", close}};
     for (const auto& [name, reply] : AskAll("POST", "/v1/lease", body, missing)) {
@@ -225,33 +231,33 @@
   return missing;
 }
 
-Driver::Outcome Driver::Carry(const Plan& plan, Change::Aim aim, bool resumes, const std::string& who,
-                              Duration lease_time) {
-  const Holder holder = HolderOf(plan, who);
+Driver::Outcome Driver::Carry(const rollout::Plan& plan, rollout::Change::Aim aim, bool resumes,
+                              const std::string& who, rollout::Duration lease_time) {
+  const rollout::Holder holder = HolderOf(plan, who);
   const Lease lease = ClaimAll(plan, holder, resumes);
   Outcome outcome;
   outcome.refused = lease.refused;
   if (!outcome.refused.empty()) return outcome;
-  Change change(plan, aim, lease.epoch, lease_time, lease.since);
+  rollout::Change change(plan, aim, lease.epoch, lease_time, lease.since);
   Run(change, lease.epoch, holder.tool);
-  outcome.end = change.end().value_or(ChangeEnd::kHeld);
+  outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
   outcome.why = change.end() ? change.why() : "interrupted; what was taken is finished by the agents";
   if (!change.end()) say_(plan.id + " held: " + outcome.why);
-  const bool close = outcome.end != ChangeEnd::kHeld;
+  const bool close = outcome.end != rollout::ChangeEnd::kHeld;
   const auto missing = Release(lease.epoch, holder.tool, close);
   if (close) outcome.left_open = missing;
   return outcome;
 }
 
-Driver::Outcome Driver::Close(const Plan& plan, const std::string& who) {
-  const Holder holder = HolderOf(plan, who);
+Driver::Outcome Driver::Close(const rollout::Plan& plan, const std::string& who) {
+  const rollout::Holder holder = HolderOf(plan, who);
   const Lease lease = ClaimAll(plan, holder, true);
   Outcome outcome;
   outcome.refused = lease.refused;
   if (!outcome.refused.empty()) return outcome;
-  outcome.end = ChangeEnd::kAborted;
+  outcome.end = rollout::ChangeEnd::kAborted;
   outcome.left_open = Release(lease.epoch, holder.tool, true);
   return outcome;
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::ctl
--- a/src/ctl/driver.h
+++ b/src/ctl/driver.h
@@ -16,55 +16,56 @@
 #include "rollout/claim.h"
 #include "rollout/plan.h"
 
-namespace mothrack::fleet {
+namespace mothrack::ctl {
 
 class Driver {
  public:
   // For one question to one agent.
-  static constexpr Duration kPatience{3000};
+  static constexpr rollout::Duration kPatience{3000};
 
   // `say`: a line for the operator.
-  Driver(boost::asio::io_context& io, std::vector<AgentPlace> agents,
+  Driver(boost::asio::io_context& io, std::vector<agent::AgentPlace> agents,
          std::function<void(const std::string&)> say);
 
   struct Outcome {
     std::string refused;  // why it was not begun; empty: it was
-    ChangeEnd end = ChangeEnd::kHeld;
+    rollout::ChangeEnd end = rollout::ChangeEnd::kHeld;
     std::string why;
     std::set<std::string> left_open;  // agents that were not reached for the close
   };
   // `resumes`: it was opened before. `lease_time`: the shortest of the agents'.
-  Outcome Carry(const Plan& plan, Change::Aim aim, bool resumes, const std::string& who, Duration lease_time);
+  Outcome Carry(const rollout::Plan& plan, rollout::Change::Aim aim, bool resumes, const std::string& who,
+                rollout::Duration lease_time);
   // Claims the open change and closes it as it stands.
-  Outcome Close(const Plan& plan, const std::string& who);
+  Outcome Close(const rollout::Plan& plan, const std::string& who);
   // Ends what is under way, held; from a signal handler of the event loop.
   void Interrupt() { interrupted_ = true; }
 
   // Asks all agents, or those named, the same question at once.
-  std::map<std::string, Reply> AskAll(const std::string& method, const std::string& target,
-                                      const std::optional<nlohmann::json>& body,
-                                      const std::set<std::string>& only = {});
+  std::map<std::string, agent::Reply> AskAll(const std::string& method, const std::string& target,
+                                             const std::optional<nlohmann::json>& body,
+                                             const std::set<std::string>& only = {});
 
-  const std::vector<AgentPlace>& agents() const { return agents_; }
+  const std::vector<agent::AgentPlace>& agents() const { return agents_; }
 
  private:
   struct Lease {
-    Epoch epoch = 0;
-    TimePoint since;
+    rollout::Epoch epoch = 0;
+    rollout::TimePoint since;
     std::string refused;
   };
-  Lease ClaimAll(const Plan& plan, const Holder& holder, bool resumes);
-  void Run(Change& change, Epoch epoch, const std::string& tool);
-  std::set<std::string> Release(Epoch epoch, const std::string& tool, bool close);
-  Holder HolderOf(const Plan& plan, const std::string& who);
-  const AgentPlace& Of(const std::string& agent) const;
+  Lease ClaimAll(const rollout::Plan& plan, const rollout::Holder& holder, bool resumes);
+  void Run(rollout::Change& change, rollout::Epoch epoch, const std::string& tool);
+  std::set<std::string> Release(rollout::Epoch epoch, const std::string& tool, bool close);
+  rollout::Holder HolderOf(const rollout::Plan& plan, const std::string& who);
+  const agent::AgentPlace& Of(const std::string& agent) const;
   void Send(const std::string& agent, const std::string& target, nlohmann::json body,
-            std::function<void(const Reply&)> hear);
+            std::function<void(const agent::Reply&)> hear);
   // One turn of the event loop, for so long at most.
-  void Pass(Duration time);
+  void Pass(rollout::Duration time);
 
   boost::asio::io_context& io_;
-  const std::vector<AgentPlace> agents_;
+  const std::vector<agent::AgentPlace> agents_;
   const std::function<void(const std::string&)> say_;
   bool interrupted_ = false;
   int claims_ = 0;
@@ -72,4 +73,4 @@
   std::shared_ptr<int> life_ = std::make_shared<int>();
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::ctl
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <sstream>
 
-namespace mothrack::fleet {
+namespace mothrack::ctl {
 namespace {
 
 std::vector<std::string> Lines(const std::string& text) {
@@ -76,4 +76,4 @@
   return text;
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::ctl
--- a/src/ctl/show.h
+++ b/src/ctl/show.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-namespace mothrack::fleet {
+namespace mothrack::ctl {
 
 // Columns as wide as their widest cell, two spaces between; the first row is the head.
 std::string Table(const std::vector<std::vector<std::string>>& rows);
@@ -17,4 +17,4 @@
 // Control characters of what others sent are shown, not obeyed.
 std::string Plain(const std::string& text);
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::ctl
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -16,13 +16,14 @@
 #include "http/messages.h"
 #include "runtime/write_stream.h"
 
-namespace mothrack {
+namespace mothrack::discovery {
 namespace {
 
+namespace beast_http = boost::beast::http;
+using balancer::MembershipUpdate;
+using balancer::UpstreamInfo;
+using balancer::UpstreamState;
 using boost::system::error_code;
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
 using nlohmann::json;
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
@@ -46,8 +47,8 @@
 
 }  // namespace
 
-MembershipList ParseList(const json& body) {
-  MembershipList list;
+dispatch::MembershipList ParseList(const json& body) {
+  dispatch::MembershipList list;
   list.revision = body.at("rev").get<std::uint64_t>();
   list.update.kind =
       body.at("all").get<bool>() ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kChanges;
@@ -62,13 +63,13 @@
     info.kind = target.value("model", "");
     info.cell = target.value("pod_group", std::int64_t{0});
     info.weight = target.value("capacity_hint", 1.0);
-    Location location;
+    dispatch::Location location;
     location.state = info.state;
     location.boot_ms = target.value("boot_ms", std::int64_t{0});
     if (location.boot_ms < 0 || location.boot_ms > kMostBootMs) throw std::runtime_error("bad boot_ms");
     if (!(info.weight >= 0 && info.weight <= kMostWeight)) throw std::runtime_error("bad capacity_hint");
     const auto text = target.value("endpoint", "");
-    if (const auto endpoint = ParseEndpoint(text)) {
+    if (const auto endpoint = runtime::ParseEndpoint(text)) {
       location.endpoint = *endpoint;
     } else if (info.state != UpstreamState::kGone) {
       throw std::runtime_error("bad endpoint '" + text + "' of " + info.id.value);
@@ -87,9 +88,9 @@
   explicit Call(Discovery& owner) : owner_(&owner), stream_(owner.io_), write_stream_(stream_) {}
 
   // Ends in a failure after `most`; whoever gives it up earlier drops it.
-  void Start(const std::string& target, Duration most) {
-    request_ = {http::verb::get, target, 11};
-    request_.set(http::field::host, "discovery");
+  void Start(const std::string& target, runtime::Duration most) {
+    request_ = {beast_http::verb::get, target, 11};
+    request_.set(beast_http::field::host, "discovery");
     stream_.expires_after(most);
     if (connected_) return Write();
     stream_.async_connect(owner_->endpoint_, [self = shared_from_this()](error_code error) {
@@ -110,50 +111,53 @@
 
  private:
   void Write() {
-    http::async_write(write_stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->owner_ == nullptr) return;
-      if (error) return self->owner_->Failed(*self, error);
-      self->Read();
-    });
+    beast_http::async_write(write_stream_, request_,
+                            [self = shared_from_this()](error_code error, std::size_t) {
+                              if (self->owner_ == nullptr) return;
+                              if (error) return self->owner_->Failed(*self, error);
+                              self->Read();
+                            });
   }
 
   void Read() {
     parser_.emplace();
     parser_->body_limit(kMostList);
     // The header on its own first, or the bound on the body does not hold (see transport.cpp).
-    http::async_read_header(stream_, buffer_, *parser_,
-                            [self = shared_from_this()](error_code error, std::size_t) {
-                              if (self->owner_ == nullptr) return;
-                              if (error) return self->owner_->Failed(*self, error);
-                              self->ReadBody();
-                            });
+    beast_http::async_read_header(stream_, buffer_, *parser_,
+                                  [self = shared_from_this()](error_code error, std::size_t) {
+                                    if (self->owner_ == nullptr) return;
+                                    if (error) return self->owner_->Failed(*self, error);
+                                    self->ReadBody();
+                                  });
   }
 
   void ReadBody() {
-    http::async_read(stream_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->owner_ == nullptr) return;
-      if (error) return self->owner_->Failed(*self, error);
-      const auto response = self->parser_->release();
-      if (!response.keep_alive()) self->connected_ = false;
-      self->stream_.expires_never();
-      if (response.result() != http::status::ok) {
-        return self->owner_->Failed(*self, "status " + std::to_string(response.result_int()));
-      }
-      self->owner_->Answered(*self, response.body());
-    });
+    beast_http::async_read(
+        stream_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
+          if (self->owner_ == nullptr) return;
+          if (error) return self->owner_->Failed(*self, error);
+          const auto response = self->parser_->release();
+          if (!response.keep_alive()) self->connected_ = false;
+          self->stream_.expires_never();
+          if (response.result() != beast_http::status::ok) {
+            return self->owner_->Failed(*self, "status " + std::to_string(response.result_int()));
+          }
+          self->owner_->Answered(*self, response.body());
+        });
   }
 
   Discovery* owner_;
   boost::beast::tcp_stream stream_;
-  WriteStream<boost::beast::tcp_stream> write_stream_;
+  runtime::WriteStream<boost::beast::tcp_stream> write_stream_;
   boost::beast::flat_buffer buffer_;
-  http::request<http::empty_body> request_;
-  std::optional<http::response_parser<http::string_body>> parser_;
+  beast_http::request<beast_http::empty_body> request_;
+  std::optional<beast_http::response_parser<beast_http::string_body>> parser_;
   bool connected_ = false;
 };
 
-Discovery::Discovery(boost::asio::io_context& io, Endpoint endpoint, const NewsTerms& terms,
-                     std::uint64_t seed, StartTimes& start_times, Logger& log, OnList on_list)
+Discovery::Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const NewsTerms& terms,
+                     std::uint64_t seed, dispatch::StartTimes& start_times, runtime::Logger& log,
+                     OnList on_list)
     : io_(io),
       endpoint_(std::move(endpoint)),
       terms_(terms),
@@ -171,7 +175,7 @@
   Start();
 }
 
-void Discovery::MoveTo(Endpoint endpoint) {
+void Discovery::MoveTo(runtime::Endpoint endpoint) {
   DropCalls();
   pause_.cancel();
   endpoint_ = std::move(endpoint);
@@ -182,14 +186,14 @@
   Start();
 }
 
-void Discovery::StartIn(Duration wait) {
+void Discovery::StartIn(runtime::Duration wait) {
   pause_.expires_after(wait);
   pause_.async_wait([this, turn = ++turn_](error_code error) {
     if (!error && turn == turn_) Start();
   });
 }
 
-void Discovery::GiveUpIn(Duration patience) {
+void Discovery::GiveUpIn(runtime::Duration patience) {
   pause_.expires_after(patience);
   pause_.async_wait([this, turn = ++turn_](error_code error) {
     if (error || turn != turn_) return;
@@ -207,26 +211,26 @@
 
 void Discovery::Start() {
   ++turn_;
-  asked_ = Now();
+  asked_ = runtime::Now();
   ++counts_.calls;
   counts_.whole_asked += !revision_;
   if (call_ && !call_->reusable()) std::exchange(call_, nullptr)->Drop();
   if (!call_) call_ = std::make_shared<Call>(*this);
   watch_ = heard_ && revision_;
-  const Duration patience = failures_ > 0 ? terms_.retry_patience : terms_.list_patience;
+  const runtime::Duration patience = failures_ > 0 ? terms_.retry_patience : terms_.list_patience;
   if (!revision_) {
     call_->Start("/discovery/hosts", std::max(patience, terms_.longest_list));
     if (terms_.longest_list > patience) GiveUpIn(patience);
     return;
   }
-  const Duration wait = watch_ ? terms_.WaitAfter(news_, Draw()) : kNoWait;
+  const runtime::Duration wait = watch_ ? terms_.WaitAfter(news_, Draw()) : kNoWait;
   call_->Start("/discovery/hosts?index=" + std::to_string(*revision_) +
                    "&wait=" + std::to_string(duration_cast<milliseconds>(wait).count()),
                wait + (watch_ ? terms_.watch_patience : patience));
 }
 
 void Discovery::Answered(Call& call, const std::string& body) {
-  MembershipList list;
+  dispatch::MembershipList list;
   try {
     list = ParseList(json::parse(body));
   } catch (const std::exception& e) {
@@ -248,8 +252,8 @@
   heard_ = true;
   news_ = !list.update.upstreams.empty();
   revision_ = list.revision;
-  StartIn(std::max(Duration::zero(), Duration(asked_ + kLeastGap - Now())));
-  start_times_.Place(list, ReadClocks());
+  StartIn(std::max(runtime::Duration::zero(), runtime::Duration(asked_ + kLeastGap - runtime::Now())));
+  start_times_.Place(list, runtime::ReadClocks());
   on_list_(std::move(list));
 }
 
@@ -273,9 +277,9 @@
   heard_ = false;
   if (!terms_.on_request) revision_.reset();
   if (failures_++ == 0) log_.Line("discovery: " + why);
-  const FailedCall call{kind, watch_, failures_, Now() - asked_};
-  const Duration pause = terms_.PauseAfter(call, Draw());
-  StartIn(std::max(pause, Duration(asked_ + kLeastGap - Now())));
+  const FailedCall call{kind, watch_, failures_, runtime::Now() - asked_};
+  const runtime::Duration pause = terms_.PauseAfter(call, Draw());
+  StartIn(std::max(pause, runtime::Duration(asked_ + kLeastGap - runtime::Now())));
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::discovery
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -19,21 +19,21 @@
 #include "runtime/clock.h"
 #include "runtime/log.h"
 
-namespace mothrack {
+namespace mothrack::discovery {
 
 // One answer of discovery. Throws std::exception, naming what is wrong with the list. A list is a telling in
 // order: where an id is in it twice, what is said of it last counts, and it is told once. When processes
 // started is left to StartTimes.
-MembershipList ParseList(const nlohmann::json& body);
+dispatch::MembershipList ParseList(const nlohmann::json& body);
 
 class Discovery {
  public:
-  using OnList = std::function<void(MembershipList)>;
+  using OnList = std::function<void(dispatch::MembershipList)>;
 
   // Asks again by itself whatever becomes of a call, as the terms say; `seed` spreads that. `start_times`
   // must outlive it, and places each list before `on_list` gets it.
-  Discovery(boost::asio::io_context& io, Endpoint endpoint, const NewsTerms& terms, std::uint64_t seed,
-            StartTimes& start_times, Logger& log, OnList on_list);
+  Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const NewsTerms& terms,
+            std::uint64_t seed, dispatch::StartTimes& start_times, runtime::Logger& log, OnList on_list);
   ~Discovery();
 
   // The list of this version is held already: what is asked for is what changed since. Before the first
@@ -42,7 +42,7 @@
   // Asks for the list now and watches it from then on. Nothing to do where that is under way.
   void Ask();
   // Changes over to another address at once: asks there for the whole list. The old list stands until then.
-  void MoveTo(Endpoint endpoint);
+  void MoveTo(runtime::Endpoint endpoint);
 
   struct Counts {
     std::uint64_t calls = 0, whole_asked = 0, failed = 0;  // whole_asked: among the calls
@@ -54,9 +54,9 @@
   class Call;
 
   void Start();
-  void StartIn(Duration wait);
+  void StartIn(runtime::Duration wait);
   // What the call that is out has not brought by then is a failure.
-  void GiveUpIn(Duration patience);
+  void GiveUpIn(runtime::Duration patience);
   // Nobody listens to any call any more.
   void DropCalls();
   double Draw() { return std::uniform_real_distribution<>()(random_); }
@@ -66,10 +66,10 @@
   void Failed(const std::string& why, FailedCall::Kind kind);
 
   boost::asio::io_context& io_;
-  Endpoint endpoint_;
+  runtime::Endpoint endpoint_;
   const NewsTerms terms_;
-  StartTimes& start_times_;
-  Logger& log_;
+  dispatch::StartTimes& start_times_;
+  runtime::Logger& log_;
   const OnList on_list_;
   boost::asio::steady_timer pause_;
   std::shared_ptr<Call> call_;
@@ -81,10 +81,10 @@
   bool watch_ = false;      // the call that is out is one
   std::uint64_t turn_ = 0;  // counts the calls, begun or planned: an older plan is void
   std::optional<std::uint64_t> revision_;  // absent: the whole list is needed
-  TimePoint asked_;
+  runtime::TimePoint asked_;
   int failures_ = 0;  // in a row
   std::mt19937_64 random_;
   Counts counts_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::discovery
--- a/src/discovery/news.cpp
+++ b/src/discovery/news.cpp
@@ -2,10 +2,10 @@
 
 #include <algorithm>
 
-namespace mothrack {
+namespace mothrack::discovery {
 namespace {
 
-using kestrellb::Duration;
+using balancer::Duration;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
@@ -70,7 +70,7 @@
 
 }  // namespace
 
-NewsRules NewsRules::Of(const kestrellb::Settings& settings) {
+NewsRules NewsRules::Of(const balancer::Settings& settings) {
   NewsRules rules;
   rules.on_request = settings.membership_on_request;
   rules.drain_within = settings.rules.drain_within;
@@ -143,4 +143,4 @@
 
 Duration MarginOf(const NewsRules& rules) { return DrainOf(rules) * kMargin / kWhole; }
 
-}  // namespace mothrack
+}  // namespace mothrack::discovery
--- a/src/discovery/news.h
+++ b/src/discovery/news.h
@@ -4,16 +4,16 @@
 
 #include "balancer/balancer.h"
 
-namespace mothrack {
+namespace mothrack::discovery {
 
 // What the deployment says that bears on it.
 struct NewsRules {
   bool on_request =
       false;  // one service for all sidecars is asked; else an agent on this machine is pushed to
-  kestrellb::Duration drain_within{};
-  kestrellb::Duration ask_within{};
+  balancer::Duration drain_within{};
+  balancer::Duration ask_within{};
 
-  static NewsRules Of(const kestrellb::Settings& settings);
+  static NewsRules Of(const balancer::Settings& settings);
 };
 
 // Where news can be missed.
@@ -35,42 +35,41 @@
     kOlder,   // changes of a version older than the one held: the whole list is needed
   };
   Kind kind = Kind::kFault;
-  bool watch = false;            // it was to wait for news
-  int in_row = 1;                // failed calls since the last answer, with this one
-  kestrellb::Duration lasted{};  // from its start
+  bool watch = false;           // it was to wait for news
+  int in_row = 1;               // failed calls since the last answer, with this one
+  balancer::Duration lasted{};  // from its start
 };
 
 // How discovery is asked. Only a call that follows an answer is a watch. Until there is one calls do not
 // wait, since only of such a call can be told soon that it is silent.
 struct NewsTerms {
   bool on_request = false;
-  kestrellb::Duration wait{};            // a watch asks to be answered by then
-  kestrellb::Duration watch_patience{};  // and is given up this long after that
-  kestrellb::Duration list_patience{};   // a call that does not wait is given up after this
-  kestrellb::Duration retry_patience{};  // and this from the first failed call on to the next answer
-  kestrellb::Duration longest_list{};    // pushed: a list that was given up is heard up to this all the same
-  kestrellb::Duration
-      fault_pause{};  // the least before the next call, after one refused, broken or malformed
-  kestrellb::Duration
+  balancer::Duration wait{};            // a watch asks to be answered by then
+  balancer::Duration watch_patience{};  // and is given up this long after that
+  balancer::Duration list_patience{};   // a call that does not wait is given up after this
+  balancer::Duration retry_patience{};  // and this from the first failed call on to the next answer
+  balancer::Duration longest_list{};    // pushed: a list that was given up is heard up to this all the same
+  balancer::Duration fault_pause{};  // the least before the next call, after one refused, broken or malformed
+  balancer::Duration
       retry_within{};  // asked: the next call starts at the latest this long after a failed one did
-  kestrellb::Duration
-      turned_away_least{};       // asked: and, where a call was turned away in a row, not sooner than this
-  kestrellb::Duration answer{};  // until what was asked for is acted on: what the answer may take
+  balancer::Duration
+      turned_away_least{};      // asked: and, where a call was turned away in a row, not sooner than this
+  balancer::Duration answer{};  // until what was asked for is acted on: what the answer may take
 
   static NewsTerms For(const NewsRules& rules);
   // What a watch asks to be answered by. One that follows an answer with news was begun by all sidecars
   // together.
-  kestrellb::Duration WaitAfter(bool news, double spread) const;
+  balancer::Duration WaitAfter(bool news, double spread) const;
   // From the failure to the next call; `spread`, drawn anew from 0 up to 1, keeps sidecars out of step, here
   // and above.
-  kestrellb::Duration PauseAfter(const FailedCall& call, double spread) const;
+  balancer::Duration PauseAfter(const FailedCall& call, double spread) const;
 };
 
 // How late news may be acted on, and how late it is at worst, from the moment named at the case.
-kestrellb::Duration AllowedBy(const NewsRules& rules, NewsCase news);
-kestrellb::Duration WorstOf(const NewsTerms& terms, NewsCase news);
+balancer::Duration AllowedBy(const NewsRules& rules, NewsCase news);
+balancer::Duration WorstOf(const NewsTerms& terms, NewsCase news);
 // What the difference of the two must be at least, for what no figure here knows of: a process that waits for
 // its core, a timer that fires late.
-kestrellb::Duration MarginOf(const NewsRules& rules);
+balancer::Duration MarginOf(const NewsRules& rules);
 
-}  // namespace mothrack
+}  // namespace mothrack::discovery
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -4,19 +4,19 @@
 #include <utility>
 #include <variant>
 
-namespace mothrack {
+namespace mothrack::dispatch {
 namespace {
 
-using kestrellb::AttemptEnded;
-using kestrellb::AttemptId;
-using kestrellb::MembershipUpdate;
-using kestrellb::Outcome;
-using kestrellb::RequestId;
+using balancer::AttemptEnded;
+using balancer::AttemptId;
+using balancer::MembershipUpdate;
+using balancer::Outcome;
+using balancer::RequestId;
 
 // Keys are never used again by honest clients, so they need no longer memory than a copy that crosses the
 // answer takes: at least this, and as long as a request may be under way or its repeats are told apart
 // upstream.
-constexpr Duration kLeastKeyMemory = std::chrono::seconds(5);
+constexpr runtime::Duration kLeastKeyMemory = std::chrono::seconds(5);
 constexpr std::size_t kMostEndedKeys = 8192;
 
 // Set for as long as events are only queued. Guards the queue against an exception on the way: a flag that
@@ -35,17 +35,18 @@
 
 }  // namespace
 
-Duration Dispatcher::KeyMemory(const kestrellb::Settings& settings) {
-  Duration longest = kLeastKeyMemory;
+runtime::Duration Dispatcher::KeyMemory(const balancer::Settings& settings) {
+  runtime::Duration longest = kLeastKeyMemory;
   for (const auto& known : settings.classes) {
     longest = std::max(longest, known.deadline);
-    if (known.effect == kestrellb::Effect::kKeyed) longest = std::max(longest, known.key_window);
+    if (known.effect == balancer::Effect::kKeyed) longest = std::max(longest, known.key_window);
   }
   return longest;
 }
 
-Dispatcher::Dispatcher(std::unique_ptr<Alarm> alarm, const kestrellb::Settings& settings, std::uint64_t seed,
-                       Transport& transport, Logger& log, OnSubscribe on_subscribe)
+Dispatcher::Dispatcher(std::unique_ptr<runtime::Alarm> alarm, const balancer::Settings& settings,
+                       std::uint64_t seed, Transport& transport, runtime::Logger& log,
+                       OnSubscribe on_subscribe)
     : settings_(settings),
       balancer_(settings, seed),
       transport_(transport),
@@ -53,13 +54,13 @@
       on_subscribe_(std::move(on_subscribe)),
       tally_(settings.classes.size(), settings.tenants.size()),
       keys_(KeyMemory(settings), kMostEndedKeys),
-      timers_(std::move(alarm), [this](std::uint64_t token) { Deliver(kestrellb::TimerFired{token}); }) {}
+      timers_(std::move(alarm), [this](std::uint64_t token) { Deliver(balancer::TimerFired{token}); }) {}
 
 void Dispatcher::Pump() {
   {
     const Busy busy(delivering_);
     while (!events_.empty()) {
-      const kestrellb::Event next = std::move(events_.front());
+      const balancer::Event next = std::move(events_.front());
       events_.pop_front();
       actions_.clear();
       balancer_.handle(Now(), next, actions_);
@@ -108,8 +109,8 @@
 std::optional<RequestId> Dispatcher::Take(NewRequest request) {
   if (!request.key.empty() && !keys_.Take(request.key, Now())) return std::nullopt;
   const auto effect = settings_.classes[static_cast<std::size_t>(request.request_class)].effect;
-  if (on_key_ && !request.key.empty() && effect != kestrellb::Effect::kSafe) on_key_(request.key);
-  kestrellb::RequestArrived event;
+  if (on_key_ && !request.key.empty() && effect != balancer::Effect::kSafe) on_key_(request.key);
+  balancer::RequestArrived event;
   event.request = RequestId{++last_request_};
   event.request_class = request.request_class;
   event.tenant = request.tenant;
@@ -134,12 +135,12 @@
   return id;
 }
 
-void Dispatcher::Whole(RequestId id, TimePoint deadline) {
+void Dispatcher::Whole(RequestId id, runtime::TimePoint deadline) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !std::exchange(it->second.arriving, false)) return;
   it->second.deadline = deadline;
   if (!it->second.ended) Owe(it->second);
-  Deliver(kestrellb::RequestWhole{id, deadline});
+  Deliver(balancer::RequestWhole{id, deadline});
 }
 
 void Dispatcher::Gone(RequestId id) {
@@ -148,7 +149,7 @@
   it->second.on_final = nullptr;
   it->second.streaming = false;
   Count(it->second, Tally::Outcome::kLeft);
-  Deliver(kestrellb::RequestGone{id});
+  Deliver(balancer::RequestGone{id});
   AbandonUnsent(id);
   ForgetIfDone(id);
 }
@@ -170,7 +171,7 @@
   final.attempts = pending.attempts.size();
   {
     const Busy busy(delivering_);
-    events_.emplace_back(kestrellb::AnswerStarted{id, attempt});
+    events_.emplace_back(balancer::AnswerStarted{id, attempt});
     on_final(std::move(final));  // `pending` is not touched any more
   }
   if (!delivering_) Pump();
@@ -248,7 +249,7 @@
   requests_.erase(it);
 }
 
-void Dispatcher::CarryOut(const kestrellb::SendAttempt& action) {
+void Dispatcher::CarryOut(const balancer::SendAttempt& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
   Pending& pending = it->second;
@@ -267,45 +268,45 @@
     Ended(id, attempt, std::move(result));
   };
   // The client left or has its answer: nothing more is sent for it.
-  if (!pending.on_final) return hooks.on_end({Outcome::kNotSent, Duration::zero(), {}, nullptr});
+  if (!pending.on_final) return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   transport_.Send(exchange, action.upstream.value, pending.message, action.timeout, std::move(hooks));
 }
 
-void Dispatcher::CarryOut(const kestrellb::CancelAttempt& action) {
+void Dispatcher::CarryOut(const balancer::CancelAttempt& action) {
   const auto it = requests_.find(action.request);
   const auto attempt = static_cast<std::size_t>(action.attempt);
   if (it == requests_.end() || attempt >= it->second.attempts.size()) return;
   transport_.Cancel(it->second.attempts[attempt]);
 }
 
-void Dispatcher::CarryOut(const kestrellb::Refuse& action) {
+void Dispatcher::CarryOut(const balancer::Refuse& action) {
   Final final;
   final.kind = Final::Kind::kRefused;
   final.retry_after = action.retry_after;
   End(action.request, std::move(final));
 }
 
-void Dispatcher::CarryOut(const kestrellb::Fail& action) {
+void Dispatcher::CarryOut(const balancer::Fail& action) {
   Final final;
   final.kind = Final::Kind::kFailed;
   End(action.request, std::move(final));
 }
 
-void Dispatcher::CarryOut(const kestrellb::SetTimer& action) { timers_.Set(action.at, action.token); }
+void Dispatcher::CarryOut(const balancer::SetTimer& action) { timers_.Set(action.at, action.token); }
 
-void Dispatcher::CarryOut(const kestrellb::SendProbe& action) {
+void Dispatcher::CarryOut(const balancer::SendProbe& action) {
   transport_.Probe(ExchangeId{++last_exchange_}, action.upstream.value,
                    [this, upstream = action.upstream](ExchangeResult result) {
-                     Deliver(kestrellb::ProbeEnded{upstream, result.outcome, result.elapsed, result.load});
+                     Deliver(balancer::ProbeEnded{upstream, result.outcome, result.elapsed, result.load});
                    });
 }
 
-void Dispatcher::CarryOut(const kestrellb::CloseIdle& action) { transport_.CloseIdle(action.upstream.value); }
+void Dispatcher::CarryOut(const balancer::CloseIdle& action) { transport_.CloseIdle(action.upstream.value); }
 
-void Dispatcher::CarryOut(const kestrellb::Subscribe&) {
+void Dispatcher::CarryOut(const balancer::Subscribe&) {
   if (on_subscribe_) on_subscribe_();
 }
 
-void Dispatcher::CarryOut(const kestrellb::Log& action) { log_.Line(action.text); }
+void Dispatcher::CarryOut(const balancer::Log& action) { log_.Line(action.text); }
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -24,7 +24,7 @@
 #include "runtime/log.h"
 #include "runtime/timers.h"
 
-namespace mothrack {
+namespace mothrack::dispatch {
 
 class Dispatcher {
  public:
@@ -32,21 +32,21 @@
   using OnSubscribe = std::function<void()>;
 
   // `transport` and `log` must outlive it. The membership held comes first, by Apply() with kRestored.
-  Dispatcher(boost::asio::io_context& io, const kestrellb::Settings& settings, std::uint64_t seed,
-             Transport& transport, Logger& log, OnSubscribe on_subscribe = nullptr)
-      : Dispatcher(std::make_unique<LoopAlarm>(io), settings, seed, transport, log, std::move(on_subscribe)) {
-  }
+  Dispatcher(boost::asio::io_context& io, const balancer::Settings& settings, std::uint64_t seed,
+             Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr)
+      : Dispatcher(std::make_unique<runtime::LoopAlarm>(io), settings, seed, transport, log,
+                   std::move(on_subscribe)) {}
   // With a clock of its own, which must not call it once it is destroyed.
-  Dispatcher(std::unique_ptr<Alarm> alarm, const kestrellb::Settings& settings, std::uint64_t seed,
-             Transport& transport, Logger& log, OnSubscribe on_subscribe = nullptr);
+  Dispatcher(std::unique_ptr<runtime::Alarm> alarm, const balancer::Settings& settings, std::uint64_t seed,
+             Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr);
 
   // Takes a request in; nothing, and no Final, where its key is taken.
-  std::optional<kestrellb::RequestId> Take(NewRequest request);
+  std::optional<balancer::RequestId> Take(NewRequest request);
   // The last byte of a request has come that was taken while its body still came: its time counts from now
   // on.
-  void Whole(kestrellb::RequestId id, TimePoint deadline);
+  void Whole(balancer::RequestId id, runtime::TimePoint deadline);
   // The client left: no Final is owed any more.
-  void Gone(kestrellb::RequestId id);
+  void Gone(balancer::RequestId id);
 
   void Apply(MembershipList list);
   void MembershipFailed();
@@ -54,7 +54,7 @@
   bool Ban(const std::string& uid);
   bool Unban(const std::string& uid);
   // How long the key of a request that has ended is known.
-  static Duration KeyMemory(const kestrellb::Settings& settings);
+  static runtime::Duration KeyMemory(const balancer::Settings& settings);
   // Keys of requests that are open or ended a short while ago; and of those that another process of this
   // sidecar took. `on_key` hears of each that is taken and must not be repeated.
   std::vector<std::string> RecentKeys() const { return keys_.All(); }
@@ -63,13 +63,13 @@
   // Bans that a former process held.
   void RestoreBans(const std::set<std::string>& bans);
 
-  const kestrellb::Settings& settings() const { return settings_; }
+  const balancer::Settings& settings() const { return settings_; }
   // Requests that wait for their Final, or have attempts out.
   std::size_t open() const { return requests_.size(); }
 
   // For people who look.
-  std::vector<kestrellb::UpstreamView> upstreams() const { return balancer_.upstreams(Now()); }
-  kestrellb::Counts counts() const { return balancer_.counts(); }
+  std::vector<balancer::UpstreamView> upstreams() const { return balancer_.upstreams(Now()); }
+  balancer::Counts counts() const { return balancer_.counts(); }
   const Tally& tally() const { return tally_; }
   const Roster& roster() const { return roster_; }
   // Requests taken whose Final is still owed.
@@ -78,19 +78,19 @@
  private:
   struct Pending {
     std::string key;
-    kestrellb::ClassId request_class{};
-    std::optional<kestrellb::TenantId> tenant;
+    balancer::ClassId request_class{};
+    std::optional<balancer::TenantId> tenant;
     std::shared_ptr<const Message> message;
-    TimePoint deadline;
+    runtime::TimePoint deadline;
     bool arriving = false;   // its body still comes
     bool counted = false;    // among those that are owed their end
     bool ended = false;      // its outcome is counted
     bool streaming = false;  // its answer has begun, with the attempt `winner`
-    kestrellb::AttemptId winner{};
+    balancer::AttemptId winner{};
     OnFinal on_final;  // empty once the request has its answer or its client is gone
     std::vector<ExchangeId> attempts;
     std::size_t out = 0;  // attempts that have not ended
-    std::optional<kestrellb::Outcome> last;
+    std::optional<balancer::Outcome> last;
     std::unique_ptr<Reply> last_reply;
   };
 
@@ -100,15 +100,15 @@
     events_.emplace_back(std::forward<E>(event));
     if (!delivering_) Pump();
   }
-  TimePoint Now() const { return timers_.Now(); }
+  runtime::TimePoint Now() const { return timers_.Now(); }
   void Pump();
   void Tell(MembershipList list);
-  void Started(kestrellb::RequestId id, kestrellb::AttemptId attempt, std::unique_ptr<Reply> reply);
-  void Ended(kestrellb::RequestId id, kestrellb::AttemptId attempt, ExchangeResult result);
-  void End(kestrellb::RequestId id, Final final);
+  void Started(balancer::RequestId id, balancer::AttemptId attempt, std::unique_ptr<Reply> reply);
+  void Ended(balancer::RequestId id, balancer::AttemptId attempt, ExchangeResult result);
+  void End(balancer::RequestId id, Final final);
   // Nobody waits for its answer any more: what has not begun upstream must not begin.
-  void AbandonUnsent(kestrellb::RequestId id);
-  void ForgetIfDone(kestrellb::RequestId id);
+  void AbandonUnsent(balancer::RequestId id);
+  void ForgetIfDone(balancer::RequestId id);
   void Owe(Pending& pending) {
     pending.counted = true;
     ++owed_;
@@ -119,26 +119,26 @@
     tally_.Ended(pending.request_class, pending.tenant, outcome);
   }
 
-  void CarryOut(const kestrellb::SendAttempt& action);
-  void CarryOut(const kestrellb::CancelAttempt& action);
-  void CarryOut(const kestrellb::Refuse& action);
-  void CarryOut(const kestrellb::Fail& action);
-  void CarryOut(const kestrellb::SetTimer& action);
-  void CarryOut(const kestrellb::SendProbe& action);
-  void CarryOut(const kestrellb::CloseIdle& action);
-  void CarryOut(const kestrellb::Subscribe& action);
-  void CarryOut(const kestrellb::Log& action);
+  void CarryOut(const balancer::SendAttempt& action);
+  void CarryOut(const balancer::CancelAttempt& action);
+  void CarryOut(const balancer::Refuse& action);
+  void CarryOut(const balancer::Fail& action);
+  void CarryOut(const balancer::SetTimer& action);
+  void CarryOut(const balancer::SendProbe& action);
+  void CarryOut(const balancer::CloseIdle& action);
+  void CarryOut(const balancer::Subscribe& action);
+  void CarryOut(const balancer::Log& action);
 
-  const kestrellb::Settings settings_;
-  kestrellb::Balancer balancer_;
+  const balancer::Settings settings_;
+  balancer::Balancer balancer_;
   Transport& transport_;
-  Logger& log_;
+  runtime::Logger& log_;
   const OnSubscribe on_subscribe_;
-  std::deque<kestrellb::Event> events_;
-  std::vector<kestrellb::Action> actions_;
+  std::deque<balancer::Event> events_;
+  std::vector<balancer::Action> actions_;
   bool delivering_ = false;
-  std::vector<kestrellb::RequestId> done_;  // to be forgotten behind this turn
-  std::unordered_map<kestrellb::RequestId, Pending> requests_;
+  std::vector<balancer::RequestId> done_;  // to be forgotten behind this turn
+  std::unordered_map<balancer::RequestId, Pending> requests_;
   Tally tally_;
   std::size_t owed_ = 0;
   Roster roster_;
@@ -146,7 +146,7 @@
   std::function<void(const std::string&)> on_key_;
   std::uint64_t last_request_ = 0;
   std::uint64_t last_exchange_ = 0;
-  Timers timers_;
+  runtime::Timers timers_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/exchange.h
+++ b/src/dispatch/exchange.h
@@ -15,7 +15,7 @@
 #include "dispatch/membership.h"
 #include "runtime/clock.h"
 
-namespace mothrack {
+namespace mothrack::dispatch {
 
 // A request as it is sent to upstreams; shared by its attempts, which read it only.
 class Message {
@@ -40,21 +40,21 @@
   // Of a request that was not served: what the last attempt got, where that is an answer of its own that says
   // more than the front could.
   std::unique_ptr<Reply> reply;
-  bool streaming = false;                  // the body of `reply` still comes; Gone() may be told until it has
-  Duration retry_after{};                  // of a refusal; zero: no advice
-  bool late = false;                       // the request's time is over
-  std::size_t attempts = 0;                // made so far; some may still be out
-  std::optional<kestrellb::Outcome> last;  // of the attempt that ended last; absent where none did
+  bool streaming = false;                 // the body of `reply` still comes; Gone() may be told until it has
+  runtime::Duration retry_after{};        // of a refusal; zero: no advice
+  bool late = false;                      // the request's time is over
+  std::size_t attempts = 0;               // made so far; some may still be out
+  std::optional<balancer::Outcome> last;  // of the attempt that ended last; absent where none did
 };
 using OnFinal = std::function<void(Final)>;
 
 struct NewRequest {
-  kestrellb::ClassId request_class{};
-  std::optional<kestrellb::TenantId> tenant{};
-  TimePoint deadline{};
+  balancer::ClassId request_class{};
+  std::optional<balancer::TenantId> tenant{};
+  runtime::TimePoint deadline{};
   // Its body still comes: its time counts from Dispatcher::Whole() on, and `deadline` says how long it is.
   bool arriving = false;
-  std::optional<Duration> work{};
+  std::optional<runtime::Duration> work{};
   bool client_retry = false;
   // The name under which the request must not come again, open or ended a short while ago; empty: none.
   std::string key{};
@@ -66,9 +66,9 @@
 enum class ExchangeId : std::uint64_t {};
 
 struct ExchangeResult {
-  kestrellb::Outcome outcome = kestrellb::Outcome::kServed;
-  Duration elapsed{};
-  kestrellb::LoadReport load{};
+  balancer::Outcome outcome = balancer::Outcome::kServed;
+  runtime::Duration elapsed{};
+  balancer::LoadReport load{};
   std::unique_ptr<Reply>
       reply;  // of a served one, and of another where the upstream's answer is worth telling
 };
@@ -93,7 +93,7 @@
   // now on, or from when the last byte is written of a message that is still coming, and covers all that the
   // attempt takes until an answer has started. Never sends a message twice by itself.
   virtual void Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message,
-                    Duration timeout, ExchangeHooks hooks) = 0;
+                    runtime::Duration timeout, ExchangeHooks hooks) = 0;
   virtual void Probe(ExchangeId id, const std::string& uid, OnEnd on_end) = 0;
   // Stops waiting; the exchange still ends once. Unknown ids are ignored.
   virtual void Cancel(ExchangeId id) = 0;
@@ -104,4 +104,4 @@
   virtual void CloseIdle(const std::string& uid) = 0;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/id_memory.h
+++ b/src/dispatch/id_memory.h
@@ -12,28 +12,28 @@
 
 #include "runtime/clock.h"
 
-namespace mothrack {
+namespace mothrack::dispatch {
 
 class IdMemory {
  public:
   // Ended names are kept for `memory`, at most `most` of them.
-  IdMemory(Duration memory, std::size_t most) : memory_(memory), most_(most) {}
+  IdMemory(runtime::Duration memory, std::size_t most) : memory_(memory), most_(most) {}
 
   // False where the name is taken.
-  bool Take(const std::string& name, TimePoint now);
+  bool Take(const std::string& name, runtime::TimePoint now);
   // One that another process took: for as long as one that has ended here.
-  void Know(const std::string& name, TimePoint now);
+  void Know(const std::string& name, runtime::TimePoint now);
   std::vector<std::string> All() const { return {taken_.begin(), taken_.end()}; }
   // Its request has ended: the name is forgotten in a while.
-  void Ended(std::string name, TimePoint now);
+  void Ended(std::string name, runtime::TimePoint now);
 
  private:
-  void Forget(TimePoint now);
+  void Forget(runtime::TimePoint now);
 
-  const Duration memory_;
+  const runtime::Duration memory_;
   const std::size_t most_;
   std::set<std::string, std::less<>> taken_;
-  std::deque<std::pair<TimePoint, std::string>> ended_;
+  std::deque<std::pair<runtime::TimePoint, std::string>> ended_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/membership.h
+++ b/src/dispatch/membership.h
@@ -8,20 +8,20 @@
 #include "balancer/balancer.h"
 #include "runtime/address.h"
 
-namespace mothrack {
+namespace mothrack::dispatch {
 
 // Where an upstream listens, and whether it may be sent anything new.
 struct Location {
-  kestrellb::UpstreamState state = kestrellb::UpstreamState::kServing;
-  Endpoint endpoint;
+  balancer::UpstreamState state = balancer::UpstreamState::kServing;
+  runtime::Endpoint endpoint;
   std::int64_t boot_ms = 0;
 };
 
 // What one telling changes: for the module, and for the transport.
 struct MembershipList {
   std::uint64_t revision = 0;
-  kestrellb::MembershipUpdate update;
+  balancer::MembershipUpdate update;
   std::map<std::string, Location> locations;  // by uid, of the same upstreams
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/roster.cpp
+++ b/src/dispatch/roster.cpp
@@ -2,11 +2,11 @@
 
 #include <utility>
 
-namespace mothrack {
+namespace mothrack::dispatch {
 namespace {
 
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamState;
+using balancer::MembershipUpdate;
+using balancer::UpstreamState;
 
 // Ids are ever new where machines are replaced.
 constexpr std::size_t kMostSeen = 16384;
@@ -25,7 +25,7 @@
       it = listed_.erase(it);
     }
   }
-  for (kestrellb::UpstreamInfo& info : list.update.upstreams) {
+  for (balancer::UpstreamInfo& info : list.update.upstreams) {
     const std::string uid = info.id.value;
     Location& location = list.locations[uid];
     Saw(uid);
@@ -98,4 +98,4 @@
   return list;
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/roster.h
+++ b/src/dispatch/roster.h
@@ -12,7 +12,7 @@
 
 #include "dispatch/membership.h"
 
-namespace mothrack {
+namespace mothrack::dispatch {
 
 class Roster {
  public:
@@ -33,7 +33,7 @@
 
  private:
   struct Entry {
-    kestrellb::UpstreamInfo info;
+    balancer::UpstreamInfo info;
     Location location;
   };
 
@@ -48,4 +48,4 @@
   std::deque<std::string> seen_order_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/start_times.cpp
+++ b/src/dispatch/start_times.cpp
@@ -4,13 +4,13 @@
 #include <chrono>
 #include <utility>
 
-namespace mothrack {
+namespace mothrack::dispatch {
 
-using kestrellb::MembershipUpdate;
-using kestrellb::UpstreamInfo;
-using kestrellb::UpstreamState;
+using balancer::MembershipUpdate;
+using balancer::UpstreamInfo;
+using balancer::UpstreamState;
 
-void StartTimes::Place(MembershipList& list, const ClockReading& reading) {
+void StartTimes::Place(MembershipList& list, const runtime::ClockReading& reading) {
   const bool restored = list.update.kind == MembershipUpdate::Kind::kRestored;
   for (UpstreamInfo& info : list.update.upstreams) {
     const std::string& uid = info.id.value;
@@ -49,9 +49,10 @@
   }
 }
 
-TimePoint StartTimes::Estimate(std::int64_t boot_ms, const ClockReading& reading, bool bounded) const {
+runtime::TimePoint StartTimes::Estimate(std::int64_t boot_ms, const runtime::ClockReading& reading,
+                                        bool bounded) const {
   const std::chrono::milliseconds unix_time(boot_ms);
-  const TimePoint later = std::max(last_reading_.At(unix_time), reading.At(unix_time));
+  const runtime::TimePoint later = std::max(last_reading_.At(unix_time), reading.At(unix_time));
   if (!bounded || !last_list_) return std::min(later, reading.now);
   return std::clamp(later, std::min(*last_list_, reading.now), reading.now);
 }
@@ -64,7 +65,8 @@
   return nullptr;
 }
 
-void StartTimes::Import(const std::vector<ProcessStart>& placed, std::optional<TimePoint> last_list) {
+void StartTimes::Import(const std::vector<ProcessStart>& placed,
+                        std::optional<runtime::TimePoint> last_list) {
   for (const ProcessStart& process : placed) listed_[process.uid] = {process.boot_ms, process.started};
   last_list_ = last_list;
 }
@@ -76,4 +78,4 @@
   return placed;
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dispatch/start_times.h
+++ b/src/dispatch/start_times.h
@@ -25,30 +25,30 @@
 #include "dispatch/membership.h"
 #include "runtime/clock.h"
 
-namespace mothrack {
+namespace mothrack::dispatch {
 
 // One process of an upstream, as it has been placed.
 struct ProcessStart {
   std::string uid;
   std::int64_t boot_ms = 0;  // as discovery tells it
-  TimePoint started;
+  runtime::TimePoint started;
 };
 
 class StartTimes {
  public:
   // `at_start`: the clocks when the program started.
-  explicit StartTimes(const ClockReading& at_start) : last_reading_(at_start) {}
+  explicit StartTimes(const runtime::ClockReading& at_start) : last_reading_(at_start) {}
 
   // Sets `started` of each upstream that tells its boot_ms. `reading`: the clocks when the list was read;
   // lists come in the order in which they were read. A restored list may be older than the program, and
   // bounds nothing.
-  void Place(MembershipList& list, const ClockReading& reading);
+  void Place(MembershipList& list, const runtime::ClockReading& reading);
 
   // What another process of this sidecar, on the same machine, has placed, and when its last list was read.
   // Before the first Place().
-  void Import(const std::vector<ProcessStart>& placed, std::optional<TimePoint> last_list);
+  void Import(const std::vector<ProcessStart>& placed, std::optional<runtime::TimePoint> last_list);
   std::vector<ProcessStart> Export() const;  // those that are listed
-  std::optional<TimePoint> last_list() const { return last_list_; }
+  std::optional<runtime::TimePoint> last_list() const { return last_list_; }
 
   // Processes remembered after they left the list, the first ones forgotten first.
   static constexpr std::size_t kMostDeparted = 4096;
@@ -56,10 +56,10 @@
  private:
   struct Placed {
     std::int64_t boot_ms = 0;
-    TimePoint started;
+    runtime::TimePoint started;
   };
 
-  TimePoint Estimate(std::int64_t boot_ms, const ClockReading& reading, bool bounded) const;
+  runtime::TimePoint Estimate(std::int64_t boot_ms, const runtime::ClockReading& reading, bool bounded) const;
   const Placed* Find(const std::string& uid, std::int64_t boot_ms) const;
   void Depart(const std::string& uid);
   void DepartAllBut(const MembershipList& list);
@@ -67,8 +67,9 @@
   std::map<std::string, Placed> listed_;
   std::map<std::string, Placed> departed_;
   std::deque<std::string> departed_order_;
-  ClockReading last_reading_;
-  std::optional<TimePoint> last_list_;  // when the list that is held was read; absent before the first
+  runtime::ClockReading last_reading_;
+  std::optional<runtime::TimePoint>
+      last_list_;  // when the list that is held was read; absent before the first
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::dispatch
--- a/src/dns/attempt.h
+++ b/src/dns/attempt.h
@@ -17,12 +17,12 @@
 class TcpLink;
 
 struct Attempt {
-  ExchangeId id{};
+  dispatch::ExchangeId id{};
   std::shared_ptr<Resolver> resolver;
   std::shared_ptr<const Query> query;
-  ExchangeHooks hooks;
-  TimePoint sent;
-  TimePoint gives_up;
+  dispatch::ExchangeHooks hooks;
+  runtime::TimePoint sent;
+  runtime::TimePoint gives_up;
   std::uint16_t wire_id = 0;
   // One of these, while it is out.
   std::shared_ptr<UdpPort> port;
@@ -51,7 +51,7 @@
 class OpenIds {
  public:
   // Gives it an id of its own that nobody can foresee. There must be fewer than half of all ids open.
-  void Add(Attempt& attempt, Unpredictable& random) {
+  void Add(Attempt& attempt, runtime::Unpredictable& random) {
     do attempt.wire_id = random.Next16();
     while (!open_.try_emplace(attempt.wire_id, &attempt).second);
   }
--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -10,13 +10,13 @@
 namespace mothrack::dns {
 namespace {
 
-using kestrellb::Effect;
-using kestrellb::Outcome;
+using balancer::Effect;
+using balancer::Outcome;
 
 // An UPDATE that can't be remembered is not taken: forgetting one early could make it run twice.
 constexpr std::size_t kMostUpdates = 4096;
 // Clients go on sending for a moment after a planned stop began.
-constexpr Duration kTakeWhileDraining = std::chrono::milliseconds(800);
+constexpr runtime::Duration kTakeWhileDraining = std::chrono::milliseconds(800);
 constexpr int kMostPortTries = 50;
 constexpr auto kDrainCheck = std::chrono::milliseconds(10);
 
@@ -32,8 +32,8 @@
   return name;
 }
 
-Explanation WhyNot(const Final& final, std::uint8_t opcode) {
-  if (final.kind == Final::Kind::kFailed && opcode == kUpdate) {
+Explanation WhyNot(const dispatch::Final& final, std::uint8_t opcode) {
+  if (final.kind == dispatch::Final::Kind::kFailed && opcode == kUpdate) {
     return {kOtherError, "no answer from the resolver: the update may have been made"};
   }
   if (final.last == Outcome::kTimeout || final.late || !final.last) {
@@ -47,19 +47,19 @@
 
 }  // namespace
 
-Front::Front(boost::asio::io_context& io, const Settings& settings, Descriptors& descriptors, Logger& log,
-             Dispatcher& dispatcher, Counters& counters)
+Front::Front(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
+             runtime::Logger& log, dispatch::Dispatcher& dispatcher, Counters& counters)
     : io_(io),
       settings_(settings),
       dispatcher_(dispatcher),
       counters_(counters),
       classifier_(settings.classes),
       drain_check_(io) {
-  for (const Endpoint& endpoint : settings.listen) {
+  for (const runtime::Endpoint& endpoint : settings.listen) {
     for (int tries = endpoint.port() == 0 ? kMostPortTries : 1; tries > 0; --tries) {
       auto udp = std::make_unique<UdpServer>(io, endpoint, *this, counters, log);
       // Port 0 takes a free one, the same for both: what is free for UDP may be taken for TCP.
-      const Endpoint same(endpoint.address(), udp->local().port());
+      const runtime::Endpoint same(endpoint.address(), udp->local().port());
       try {
         tcp_.push_back(std::make_unique<TcpServer>(io, same, settings, descriptors, *this, log));
       } catch (const boost::system::system_error&) {
@@ -74,8 +74,8 @@
 
 Front::~Front() = default;
 
-std::vector<Endpoint> Front::local() const {
-  std::vector<Endpoint> all;
+std::vector<runtime::Endpoint> Front::local() const {
+  std::vector<runtime::Endpoint> all;
   for (const auto& server : udp_) all.push_back(server->local());
   return all;
 }
@@ -114,7 +114,7 @@
   }
   if (layout.edns && layout.edns->version > 0) return answer(kBadVers, {});
   if (transfer) return answer(kRefused, Explanation{kNotSupported, "zone transfers are not passed on"});
-  kestrellb::ClassId class_id{};
+  balancer::ClassId class_id{};
   const ClassSettings* known = classifier_.Find(opcode, layout.qtype, class_id);
   if (known == nullptr) return answer(kNotImp, Explanation{kNotSupported, "no class is set for it"});
 
@@ -148,11 +148,11 @@
   if (!tcp) ++open_of_[client.address];
   if (opcode == kUpdate) ++open_updates_;
 
-  NewRequest taken;
+  dispatch::NewRequest taken;
   taken.request_class = class_id;
-  taken.deadline = Now() + known->deadline;
+  taken.deadline = runtime::Now() + known->deadline;
   taken.message = std::move(query);
-  taken.on_final = [this, handle = &it->first](Final final) { Ended(handle, std::move(final)); };
+  taken.on_final = [this, handle = &it->first](dispatch::Final final) { Ended(handle, std::move(final)); };
   const auto id = dispatcher_.Take(std::move(taken));
   const auto still = open_.find(name);  // it may have ended at once
   if (still == open_.end()) return nullptr;
@@ -180,7 +180,7 @@
 void Front::Gone(Handle handle) {
   const auto it = open_.find(*handle);
   if (it == open_.end()) return;
-  const kestrellb::RequestId id = it->second.id;
+  const balancer::RequestId id = it->second.id;
   Close(handle);
   dispatcher_.Gone(id);
 }
@@ -195,7 +195,7 @@
   open_.erase(it);
 }
 
-void Front::Ended(Handle handle, Final final) {
+void Front::Ended(Handle handle, dispatch::Final final) {
   const auto it = open_.find(*handle);
   const Open& open = it->second;
   Buffer answer = ToAnswer(open, final);
@@ -206,13 +206,13 @@
   respond(std::move(answer));
 }
 
-Buffer Front::ToAnswer(const Open& open, const Final& final) const {
+Buffer Front::ToAnswer(const Open& open, const dispatch::Final& final) const {
   if (const auto* reply = static_cast<const Answer*>(final.reply.get())) {
     return ForClient(reply->wire, reply->layout, open.asked, settings_.edns_size);
   }
   const Bytes question = Bytes(open.query->wire).subspan(kHeaderSize, open.query->question_end - kHeaderSize);
   // No attempt was made: whoever is told REFUSED asks elsewhere, and may well come back here.
-  if (final.kind == Final::Kind::kRefused && final.attempts == 0) {
+  if (final.kind == dispatch::Final::Kind::kRefused && final.attempts == 0) {
     return OwnAnswer(open.asked, question, kRefused, Explanation{kNotReady, "no resolver can take it now"},
                      settings_.edns_size);
   }
@@ -221,11 +221,11 @@
 
 void Front::Remember(const std::string& name, const Buffer& answer) {
   updates_.emplace(name, answer);
-  updates_by_age_.emplace_back(Now(), name);
+  updates_by_age_.emplace_back(runtime::Now(), name);
 }
 
 void Front::ForgetOldUpdates() {
-  const TimePoint now = Now();
+  const runtime::TimePoint now = runtime::Now();
   while (!updates_by_age_.empty() && now - updates_by_age_.front().first > settings_.update_memory) {
     updates_.erase(updates_by_age_.front().second);
     updates_by_age_.pop_front();
@@ -235,13 +235,13 @@
 void Front::Drain(std::function<void()> done) {
   if (drained_) return;
   drained_ = std::move(done);
-  drain_started_ = Now();
+  drain_started_ = runtime::Now();
   for (const auto& server : tcp_) server->Drain();
   CheckDrained();
 }
 
 void Front::CheckDrained() {
-  const bool over = Now() - drain_started_ > kTakeWhileDraining;
+  const bool over = runtime::Now() - drain_started_ > kTakeWhileDraining;
   if (over) {
     for (const auto& server : udp_) server->StopTaking();
     for (const auto& server : tcp_) server->StopAccepting();
--- a/src/dns/front.h
+++ b/src/dns/front.h
@@ -38,8 +38,8 @@
 
   // Binds and takes queries at once; throws boost::system::system_error, after `failed` was set to the
   // address.
-  Front(boost::asio::io_context& io, const Settings& settings, Descriptors& descriptors, Logger& log,
-        Dispatcher& dispatcher, Counters& counters);
+  Front(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
+        runtime::Logger& log, dispatch::Dispatcher& dispatcher, Counters& counters);
   ~Front();
 
   // `respond` may be called before this returns. Null where nothing is open: answered, or left out.
@@ -50,20 +50,20 @@
   // A planned stop: takes what still comes for a while, then answers all it has taken, then calls `done`.
   void Drain(std::function<void()> done);
 
-  std::vector<Endpoint> local() const;
+  std::vector<runtime::Endpoint> local() const;
 
  private:
   struct Open {
-    kestrellb::RequestId id{};
+    balancer::RequestId id{};
     Asked asked;
     std::shared_ptr<const Query> query;
     Respond respond;
     std::string address;
   };
 
-  void Ended(Handle handle, Final final);
+  void Ended(Handle handle, dispatch::Final final);
   void Close(Handle handle);
-  Buffer ToAnswer(const Open& open, const Final& final) const;
+  Buffer ToAnswer(const Open& open, const dispatch::Final& final) const;
   void Remember(const std::string& name, const Buffer& answer);
   void ForgetOldUpdates();
   bool MayOpen(const Client& client, std::uint8_t opcode, std::string_view& why);
@@ -71,7 +71,7 @@
 
   boost::asio::io_context& io_;
   const Settings& settings_;
-  Dispatcher& dispatcher_;
+  dispatch::Dispatcher& dispatcher_;
   Counters& counters_;
   const Classifier classifier_;
   std::unordered_map<std::string, Open> open_;            // by client, id, opcode and question
@@ -79,11 +79,11 @@
   std::size_t open_updates_ = 0;
   // Answers of UPDATEs: whoever sends one again, since the answer was lost, must not make it run again.
   std::unordered_map<std::string, Buffer> updates_;
-  std::deque<std::pair<TimePoint, std::string>> updates_by_age_;
+  std::deque<std::pair<runtime::TimePoint, std::string>> updates_by_age_;
   std::vector<std::unique_ptr<UdpServer>> udp_;
   std::vector<std::unique_ptr<TcpServer>> tcp_;
   std::function<void()> drained_;
-  TimePoint drain_started_;
+  runtime::TimePoint drain_started_;
   boost::asio::steady_timer drain_check_;
 };
 
--- a/src/dns/query.h
+++ b/src/dns/query.h
@@ -11,7 +11,7 @@
 
 namespace mothrack::dns {
 
-struct Query : Message {
+struct Query : dispatch::Message {
   Buffer wire;  // as it goes to a resolver, but for the id
   std::uint16_t question_end = 0;
   std::uint8_t opcode = kQuery;
@@ -19,7 +19,7 @@
   bool over_tcp = false;    // the client's way, kept where a message must not be repeated
 };
 
-struct Answer : Reply {
+struct Answer : dispatch::Reply {
   Buffer wire;  // as the resolver sent it
   Layout layout;
 };
--- a/src/dns/service.cpp
+++ b/src/dns/service.cpp
@@ -3,13 +3,13 @@
 namespace mothrack::dns {
 
 Service::Service(boost::asio::io_context& io, const Settings& settings, std::uint64_t seed,
-                 Descriptors& descriptors, Logger& log)
+                 runtime::Descriptors& descriptors, runtime::Logger& log)
     : settings_(settings),
       transport_(io, settings_, descriptors, counters_),
       dispatcher_(io, ModuleSettings(settings_), seed, transport_, log),
       front_(io, settings_, descriptors, log, dispatcher_, counters_) {
-  MembershipList list = Resolvers(settings_);
-  list.update.kind = kestrellb::MembershipUpdate::Kind::kRestored;
+  dispatch::MembershipList list = Resolvers(settings_);
+  list.update.kind = balancer::MembershipUpdate::Kind::kRestored;
   dispatcher_.Apply(std::move(list));
 }
 
--- a/src/dns/service.h
+++ b/src/dns/service.h
@@ -21,25 +21,25 @@
 class Service {
  public:
   // Takes queries at once. Throws boost::system::system_error where it can't listen.
-  Service(boost::asio::io_context& io, const Settings& settings, std::uint64_t seed, Descriptors& descriptors,
-          Logger& log);
+  Service(boost::asio::io_context& io, const Settings& settings, std::uint64_t seed,
+          runtime::Descriptors& descriptors, runtime::Logger& log);
 
   // Open all the time: the listening sockets, UDP and TCP, and the descriptor that the ports are watched by.
   static std::size_t FixedDescriptors(const Settings& settings) { return 2 * settings.listen.size() + 1; }
 
-  std::vector<Endpoint> local() const { return front_.local(); }
+  std::vector<runtime::Endpoint> local() const { return front_.local(); }
   // Takes over the list of resolvers; nothing else of `settings`.
   void Follow(const Settings& settings);
   // A planned stop; `done` is called when all that was taken is answered.
   void Drain(std::function<void()> done) { front_.Drain(std::move(done)); }
-  const Dispatcher& dispatcher() const { return dispatcher_; }  // for people who look
+  const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }  // for people who look
   std::string Account() const { return counters_.Line(); }
 
  private:
   const Settings settings_;
   Counters counters_;
   Transport transport_;
-  Dispatcher dispatcher_;
+  dispatch::Dispatcher dispatcher_;
   Front front_;  // last: it takes queries from here on, and goes first
 };
 
--- a/src/dns/settings.cpp
+++ b/src/dns/settings.cpp
@@ -10,28 +10,27 @@
   // Stub resolvers give up after 5 s. An answer after its aim is still worth having: attempts are not given
   // up there, a second copy goes elsewhere.
   return {
-      {"query", kQuery, {}, milliseconds(1000), milliseconds(4000), kestrellb::Effect::kSafe, 1, 0.5},
-      {"update", kUpdate, {}, milliseconds(2000), milliseconds(4500), kestrellb::Effect::kUnsafe, 5, 0.5},
-      {"notify", kNotify, {}, milliseconds(2000), milliseconds(4000), kestrellb::Effect::kSafe, 1, 0.5},
+      {"query", kQuery, {}, milliseconds(1000), milliseconds(4000), balancer::Effect::kSafe, 1, 0.5},
+      {"update", kUpdate, {}, milliseconds(2000), milliseconds(4500), balancer::Effect::kUnsafe, 5, 0.5},
+      {"notify", kNotify, {}, milliseconds(2000), milliseconds(4000), balancer::Effect::kSafe, 1, 0.5},
   };
 }
 
-const ClassSettings* Classifier::Find(std::uint8_t opcode, std::uint16_t qtype,
-                                      kestrellb::ClassId& id) const {
+const ClassSettings* Classifier::Find(std::uint8_t opcode, std::uint16_t qtype, balancer::ClassId& id) const {
   for (std::size_t i = 0; i < classes_.size(); ++i) {
     const ClassSettings& c = classes_[i];
     if (c.opcode != opcode) continue;
     if (!c.qtypes.empty() && std::find(c.qtypes.begin(), c.qtypes.end(), qtype) == c.qtypes.end()) continue;
-    id = kestrellb::ClassId{i};
+    id = balancer::ClassId{i};
     return &c;
   }
   return nullptr;
 }
 
-kestrellb::Settings ModuleSettings(const Settings& settings) {
-  kestrellb::Settings out;
+balancer::Settings ModuleSettings(const Settings& settings) {
+  balancer::Settings out;
   for (const ClassSettings& c : settings.classes) {
-    kestrellb::RequestClass known;
+    balancer::RequestClass known;
     known.name = c.name;
     known.aim = c.aim;
     known.deadline = c.deadline;
@@ -51,16 +50,16 @@
   return out;
 }
 
-MembershipList Resolvers(const Settings& settings) {
-  MembershipList list;
-  list.update.kind = kestrellb::MembershipUpdate::Kind::kFull;
+dispatch::MembershipList Resolvers(const Settings& settings) {
+  dispatch::MembershipList list;
+  list.update.kind = balancer::MembershipUpdate::Kind::kFull;
   for (const ResolverSettings& r : settings.resolvers) {
-    kestrellb::UpstreamInfo info;
+    balancer::UpstreamInfo info;
     info.id.value = r.uid;
     info.zone = r.zone;
     info.weight = r.weight;
-    info.state = r.leaving ? kestrellb::UpstreamState::kDraining : kestrellb::UpstreamState::kServing;
-    list.locations[r.uid] = Location{info.state, r.endpoint, 0};
+    info.state = r.leaving ? balancer::UpstreamState::kDraining : balancer::UpstreamState::kServing;
+    list.locations[r.uid] = dispatch::Location{info.state, r.endpoint, 0};
     list.update.upstreams.push_back(std::move(info));
   }
   return list;
--- a/src/dns/settings.h
+++ b/src/dns/settings.h
@@ -16,7 +16,7 @@
 
 struct ResolverSettings {
   std::string uid;
-  Endpoint endpoint;  // over UDP and TCP
+  runtime::Endpoint endpoint;  // over UDP and TCP
   bool leaving = false;
   std::string zone{};
   double weight = 1;
@@ -28,9 +28,9 @@
   std::string name;
   std::uint8_t opcode = kQuery;
   std::vector<std::uint16_t> qtypes{};
-  Duration aim{};
-  Duration deadline{};
-  kestrellb::Effect effect = kestrellb::Effect::kSafe;
+  runtime::Duration aim{};
+  runtime::Duration deadline{};
+  balancer::Effect effect = balancer::Effect::kSafe;
   double worth = 1;
   double late_worth = 0;  // share of the worth that is left for an answer after the aim
 };
@@ -41,7 +41,7 @@
 std::vector<ClassSettings> DefaultClasses();
 
 struct Settings {
-  std::vector<Endpoint> listen;  // UDP and TCP, each
+  std::vector<runtime::Endpoint> listen;  // UDP and TCP, each
   std::vector<ResolverSettings> resolvers;
   std::vector<ClassSettings> classes = DefaultClasses();
 
@@ -52,28 +52,31 @@
   std::size_t max_open_per_client = 10000;    // of one address, over UDP
   std::size_t max_open_per_connection = 128;  // over TCP; more wait unread
   std::size_t max_tcp_clients = 64;
-  Duration tcp_first_byte = std::chrono::milliseconds(2500);  // for a message to come whole, and to be taken
-  Duration tcp_idle = std::chrono::seconds(10);
-  Duration update_memory = std::chrono::seconds(30);  // an answered UPDATE's retransmission gets that answer
+  runtime::Duration tcp_first_byte =
+      std::chrono::milliseconds(2500);  // for a message to come whole, and to be taken
+  runtime::Duration tcp_idle = std::chrono::seconds(10);
+  runtime::Duration update_memory =
+      std::chrono::seconds(30);  // an answered UPDATE's retransmission gets that answer
 
   std::size_t max_attempts = 3;
-  Duration connect_timeout = std::chrono::milliseconds(250);
-  std::size_t udp_ports = 16;                        // sockets to each resolver that attempts are spread over
-  std::size_t tcp_connections = 4;                   // to each resolver
-  Duration resolver_idle = std::chrono::seconds(5);  // an idle connection to a resolver is closed then
+  runtime::Duration connect_timeout = std::chrono::milliseconds(250);
+  std::size_t udp_ports = 16;       // sockets to each resolver that attempts are spread over
+  std::size_t tcp_connections = 4;  // to each resolver
+  runtime::Duration resolver_idle =
+      std::chrono::seconds(5);  // an idle connection to a resolver is closed then
 };
 
 // The class of a message; its index in Settings::classes. Nothing where none fits.
 class Classifier {
  public:
   explicit Classifier(const std::vector<ClassSettings>& classes) : classes_(classes) {}
-  const ClassSettings* Find(std::uint8_t opcode, std::uint16_t qtype, kestrellb::ClassId& id) const;
+  const ClassSettings* Find(std::uint8_t opcode, std::uint16_t qtype, balancer::ClassId& id) const;
 
  private:
   const std::vector<ClassSettings>& classes_;
 };
 
-kestrellb::Settings ModuleSettings(const Settings& settings);
-MembershipList Resolvers(const Settings& settings);
+balancer::Settings ModuleSettings(const Settings& settings);
+dispatch::MembershipList Resolvers(const Settings& settings);
 
 }  // namespace mothrack::dns
--- a/src/dns/tcp_link.cpp
+++ b/src/dns/tcp_link.cpp
@@ -18,16 +18,16 @@
 
 }  // namespace
 
-TcpLink::TcpLink(boost::asio::io_context& io, Descriptors& descriptors, CarrierEvents& events,
+TcpLink::TcpLink(boost::asio::io_context& io, runtime::Descriptors& descriptors, CarrierEvents& events,
                  Counters& counters)
     : socket_(io),
       timer_(io),
-      slot_(std::in_place, descriptors, Descriptors::Side::kUpstream),
+      slot_(std::in_place, descriptors, runtime::Descriptors::Side::kUpstream),
       events_(events),
       counters_(counters),
-      idle_since_(Now()) {}
+      idle_since_(runtime::Now()) {}
 
-bool TcpLink::Open(const Endpoint& resolver, Duration connect_timeout) {
+bool TcpLink::Open(const runtime::Endpoint& resolver, runtime::Duration connect_timeout) {
   error_code error;
   socket_.open(resolver.protocol(), error);
   if (!error) socket_.set_option(tcp::no_delay(true), error);
@@ -60,7 +60,7 @@
   timer_.cancel();
 }
 
-void TcpLink::Send(Attempt& attempt, Unpredictable& random) {
+void TcpLink::Send(Attempt& attempt, runtime::Unpredictable& random) {
   // An id whose answer may still come must not be given to another.
   open_.Add(attempt, random);
   while (abandoned_.contains(attempt.wire_id)) {
@@ -106,7 +106,7 @@
 
 void TcpLink::CloseIfDone() {
   if (open_.size() > 0) return;
-  idle_since_ = Now();
+  idle_since_ = runtime::Now();
   if (retired_) Close();
 }
 
@@ -115,8 +115,8 @@
   if (!connected_ || open_.size() > 0) return true;
   // The event of its close may not have been delivered yet.
   error_code error;
-  PeekByte(socket_, error);
-  if (WouldBlock(error) || (!error && !abandoned_.empty())) return true;
+  runtime::PeekByte(socket_, error);
+  if (runtime::WouldBlock(error) || (!error && !abandoned_.empty())) return true;
   Close();
   return false;
 }
@@ -126,10 +126,10 @@
   while (!frames_.empty()) {
     Frame& frame = frames_.front();
     error_code error;
-    front_written_ += WriteSome(
+    front_written_ += runtime::WriteSome(
         socket_,
         boost::asio::buffer(frame.bytes.data() + front_written_, frame.bytes.size() - front_written_), error);
-    if (WouldBlock(error)) {
+    if (runtime::WouldBlock(error)) {
       flushing_ = true;
       socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
         self->flushing_ = false;
@@ -171,9 +171,9 @@
 void TcpLink::Receive() {
   static thread_local std::array<std::uint8_t, kReadSize> bytes;
   error_code error;
-  const std::size_t size = ReadSome(socket_, boost::asio::buffer(bytes), error);
+  const std::size_t size = runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
   read_.Add(Bytes(bytes).first(size));
-  if (WouldBlock(error)) return Wait();
+  if (runtime::WouldBlock(error)) return Wait();
   if (error || (open_.size() == 0 && abandoned_.empty())) return Break();
   Take();
   if (!closed_) Wait();
--- a/src/dns/tcp_link.h
+++ b/src/dns/tcp_link.h
@@ -20,14 +20,15 @@
 
 class TcpLink : public std::enable_shared_from_this<TcpLink> {
  public:
-  TcpLink(boost::asio::io_context& io, Descriptors& descriptors, CarrierEvents& events, Counters& counters);
+  TcpLink(boost::asio::io_context& io, runtime::Descriptors& descriptors, CarrierEvents& events,
+          Counters& counters);
 
   // False where the system has no room for a socket.
-  bool Open(const Endpoint& resolver, Duration connect_timeout);
+  bool Open(const runtime::Endpoint& resolver, runtime::Duration connect_timeout);
   void Close();
 
   // The attempt is open here until Forget(). It is written once the connection is up.
-  void Send(Attempt& attempt, Unpredictable& random);
+  void Send(Attempt& attempt, runtime::Unpredictable& random);
   // Takes it out of the queue, too, where no byte of it was written.
   void Forget(const Attempt& attempt);
   // Those of which no byte was written.
@@ -39,7 +40,7 @@
   bool Takes();
   std::size_t open() const { return open_.size(); }
   bool closed() const { return closed_; }
-  TimePoint idle_since() const { return idle_since_; }
+  runtime::TimePoint idle_since() const { return idle_since_; }
   std::vector<Attempt*> attempts() const { return open_.All(); }
 
  private:
@@ -57,7 +58,7 @@
 
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
-  std::optional<Descriptors::Slot> slot_;
+  std::optional<runtime::Descriptors::Slot> slot_;
   CarrierEvents& events_;
   Counters& counters_;
   OpenIds open_;
@@ -65,7 +66,7 @@
   std::deque<Frame> frames_;
   std::size_t front_written_ = 0;  // bytes of the first frame
   FrameReader read_;
-  TimePoint idle_since_;
+  runtime::TimePoint idle_since_;
   bool connected_ = false;
   bool flushing_ = false;
   bool retired_ = false;
--- a/src/dns/tcp_server.cpp
+++ b/src/dns/tcp_server.cpp
@@ -21,7 +21,7 @@
 constexpr auto kSweep = milliseconds(250);
 constexpr auto kDrainSweep = milliseconds(10);
 // A connection opened so short a while ago is about to carry a query.
-constexpr Duration kFreshConnection = milliseconds(300);
+constexpr runtime::Duration kFreshConnection = milliseconds(300);
 constexpr std::size_t kReadSize = 16 * 1024;
 // A client that takes no answers is read no further once so much waits for it.
 constexpr std::size_t kMostUnwritten = 256 * 1024;
@@ -32,9 +32,9 @@
  public:
   Connection(TcpServer& owner, tcp::socket socket, std::uint64_t number)
       : owner_(&owner),
-        slot_(std::in_place, owner.descriptors_, Descriptors::Side::kClient),
+        slot_(std::in_place, owner.descriptors_, runtime::Descriptors::Side::kClient),
         socket_(std::move(socket)),
-        since_(Now()) {
+        since_(runtime::Now()) {
     client_.name = "tcp" + std::to_string(number) + ':';
   }
 
@@ -59,17 +59,17 @@
     slot_.reset();
   }
 
-  TimePoint since() const { return since_; }
+  runtime::TimePoint since() const { return since_; }
   // Nothing of a query has come, nothing of an answer is owed.
   bool Idle() const { return open_.empty() && read_.empty() && unwritten_.empty(); }
-  bool Fresh(TimePoint now) const { return unused_ && now - since_ < kFreshConnection; }
+  bool Fresh(runtime::TimePoint now) const { return unused_ && now - since_ < kFreshConnection; }
   // Not even the system holds a byte of a query.
   bool SparesClose() {
     error_code error;
     return Idle() && (socket_.available(error) == 0 || error);
   }
 
-  void CloseIfOverdue(TimePoint now) {
+  void CloseIfOverdue(runtime::TimePoint now) {
     const Settings& settings = owner_->settings_;
     if (!unwritten_.empty() && now - write_began_ > settings.tcp_first_byte) return Close();
     const bool partial = !read_.empty() && !Paused();
@@ -98,8 +98,8 @@
   void Receive() {
     static thread_local std::array<std::uint8_t, kReadSize> bytes;
     error_code error;
-    const std::size_t size = ReadSome(socket_, boost::asio::buffer(bytes), error);
-    if (WouldBlock(error)) return Wait();
+    const std::size_t size = runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
+    if (runtime::WouldBlock(error)) return Wait();
     if (error == boost::asio::error::eof) {
       // It may have closed its sending side only: what it asked is answered first.
       ended_ = true;
@@ -107,7 +107,7 @@
       return;
     }
     if (error) return Close();
-    if (read_.empty()) read_began_ = Now();
+    if (read_.empty()) read_began_ = runtime::Now();
     read_.Add(Bytes(bytes).first(size));
     Take();
     Wait();
@@ -120,7 +120,7 @@
       const auto message = read_.Next();
       if (!message) break;
       unused_ = false;
-      read_began_ = Now();
+      read_began_ = runtime::Now();
       // Whoever frames what is no message can't be followed any further.
       broken_ = message->size() < kHeaderSize;
       const auto slot = std::make_shared<Front::Handle>(nullptr);
@@ -142,18 +142,18 @@
   }
 
   void Answer(const Buffer& answer) {
-    if (unwritten_.empty()) write_began_ = Now();
+    if (unwritten_.empty()) write_began_ = runtime::Now();
     AddFrame(unwritten_, answer);
-    since_ = Now();
+    since_ = runtime::Now();
     Flush();
   }
 
   void Flush() {
     if (flushing_ || closed_) return;
     error_code error;
-    const std::size_t size = WriteSome(socket_, boost::asio::buffer(unwritten_), error);
-    if (error && !WouldBlock(error)) return Close();
-    if (size > 0) write_began_ = Now();
+    const std::size_t size = runtime::WriteSome(socket_, boost::asio::buffer(unwritten_), error);
+    if (error && !runtime::WouldBlock(error)) return Close();
+    if (size > 0) write_began_ = runtime::Now();
     unwritten_.erase(unwritten_.begin(), unwritten_.begin() + static_cast<std::ptrdiff_t>(size));
     if (!unwritten_.empty()) {
       flushing_ = true;
@@ -171,15 +171,15 @@
   }
 
   TcpServer* owner_;
-  std::optional<Descriptors::Slot> slot_;
+  std::optional<runtime::Descriptors::Slot> slot_;
   tcp::socket socket_;
   Front::Client client_;
   std::unordered_set<Front::Handle> open_;
   FrameReader read_;
   Buffer unwritten_;
-  TimePoint since_;  // of the connection, or of its last answer
-  TimePoint read_began_;
-  TimePoint write_began_;  // or went on
+  runtime::TimePoint since_;  // of the connection, or of its last answer
+  runtime::TimePoint read_began_;
+  runtime::TimePoint write_began_;  // or went on
   bool unused_ = true;
   bool waiting_ = false;
   bool flushing_ = false;
@@ -189,8 +189,8 @@
   bool closed_ = false;
 };
 
-TcpServer::TcpServer(boost::asio::io_context& io, const Endpoint& endpoint, const Settings& settings,
-                     Descriptors& descriptors, Front& front, Logger& log)
+TcpServer::TcpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, const Settings& settings,
+                     runtime::Descriptors& descriptors, Front& front, runtime::Logger& log)
     : settings_(settings),
       descriptors_(descriptors),
       front_(front),
@@ -211,7 +211,8 @@
 }
 
 bool TcpServer::Room() const {
-  return connections_.size() < settings_.max_tcp_clients && descriptors_.Room(Descriptors::Side::kClient);
+  return connections_.size() < settings_.max_tcp_clients &&
+         descriptors_.Room(runtime::Descriptors::Side::kClient);
 }
 
 // The connection that has been idle longest goes.
@@ -246,7 +247,7 @@
 
 void TcpServer::Sweep() {
   acceptor_.Look();
-  const TimePoint now = Now();
+  const runtime::TimePoint now = runtime::Now();
   const std::vector<std::shared_ptr<Connection>> all(connections_.begin(), connections_.end());
   for (const auto& connection : all) {
     if (draining_ && !connection->Fresh(now) && connection->SparesClose()) connection->Close();
--- a/src/dns/tcp_server.h
+++ b/src/dns/tcp_server.h
@@ -16,11 +16,11 @@
 
 namespace mothrack::dns {
 
-class TcpServer : private Acceptor::Owner {
+class TcpServer : private runtime::Acceptor::Owner {
  public:
   // Binds and listens; throws boost::system::system_error.
-  TcpServer(boost::asio::io_context& io, const Endpoint& endpoint, const Settings& settings,
-            Descriptors& descriptors, Front& front, Logger& log);
+  TcpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, const Settings& settings,
+            runtime::Descriptors& descriptors, Front& front, runtime::Logger& log);
   ~TcpServer();
 
   // From now on connections are closed as they become idle.
@@ -41,11 +41,11 @@
   void Sweep();
 
   const Settings& settings_;
-  Descriptors& descriptors_;
+  runtime::Descriptors& descriptors_;
   Front& front_;
-  Logger& log_;
+  runtime::Logger& log_;
   std::set<std::shared_ptr<Connection>> connections_;
-  Acceptor acceptor_;
+  runtime::Acceptor acceptor_;
   boost::asio::steady_timer sweep_;
   std::uint64_t last_connection_ = 0;
   bool draining_ = false;
--- a/src/dns/transport.cpp
+++ b/src/dns/transport.cpp
@@ -9,8 +9,8 @@
 namespace mothrack::dns {
 namespace {
 
-using kestrellb::Outcome;
-using kestrellb::UpstreamState;
+using balancer::Outcome;
+using balancer::UpstreamState;
 
 constexpr auto kSweep = std::chrono::milliseconds(250);
 // A port takes so many attempts, so that its number does not stay the same for long, at about a hundredth of
@@ -18,7 +18,7 @@
 constexpr unsigned kMostUses = 64;
 // An attempt whose time ends with its request's is called off by the request's timer just before its own
 // fires: it has timed out all the same, and its resolver must not be spared for that.
-constexpr Duration kTimerSlack = std::chrono::milliseconds(1);
+constexpr runtime::Duration kTimerSlack = std::chrono::milliseconds(1);
 // A connection with so many queries open gets company, as long as there may be more.
 constexpr std::size_t kCrowdedLink = 16;
 
@@ -43,14 +43,14 @@
   return of_name ? Outcome::kServed : Outcome::kError;
 }
 
-Transport::Transport(boost::asio::io_context& io, const Settings& settings, Descriptors& descriptors,
+Transport::Transport(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
                      Counters& counters)
     : io_(io),
       settings_(settings),
       descriptors_(descriptors),
       counters_(counters),
       poll_(io),
-      deadlines_(io, [this](std::uint64_t id) { Expired(ExchangeId{id}); }),
+      deadlines_(io, [this](std::uint64_t id) { Expired(dispatch::ExchangeId{id}); }),
       sweep_(io) {
   ScheduleSweep();
 }
@@ -66,11 +66,11 @@
   }
 }
 
-void Transport::Apply(const std::string& uid, const Location& location) {
+void Transport::Apply(const std::string& uid, const dispatch::Location& location) {
   auto& entry = resolvers_[uid];
   const bool is_new = !entry;
   if (is_new) entry = std::make_shared<Resolver>();
-  const Location before = std::exchange(entry->location, location);
+  const dispatch::Location before = std::exchange(entry->location, location);
   const bool moved = !is_new && before.endpoint != location.endpoint;
   const auto old = entry;
   if (moved) {
@@ -89,18 +89,19 @@
   }
 }
 
-void Transport::Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message,
-                     Duration timeout, ExchangeHooks hooks) {
+void Transport::Send(dispatch::ExchangeId id, const std::string& uid,
+                     std::shared_ptr<const dispatch::Message> message, runtime::Duration timeout,
+                     dispatch::ExchangeHooks hooks) {
   const auto it = resolvers_.find(uid);
   if (it == resolvers_.end() || it->second->location.state != UpstreamState::kServing) {
-    return hooks.on_end({Outcome::kNotSent, Duration::zero(), {}, nullptr});
+    return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   }
   Attempt& attempt = attempts_[id];
   attempt.id = id;
   attempt.resolver = it->second;
   attempt.query = std::static_pointer_cast<const Query>(message);
   attempt.hooks = std::move(hooks);
-  attempt.sent = Now();
+  attempt.sent = runtime::Now();
   attempt.gives_up = attempt.sent + timeout;
   deadlines_.Set(attempt.gives_up, static_cast<std::uint64_t>(id));
   // What must not be repeated can't be followed over TCP once it was truncated: it goes as it came.
@@ -144,7 +145,7 @@
 std::shared_ptr<UdpPort> Transport::PickPort(Resolver& resolver, bool exclusive) {
   const std::size_t place = exclusive ? 0 : random_.Below(settings_.udp_ports);
   if (!exclusive && place < resolver.ports.size()) return resolver.ports[place];
-  if (descriptors_.Room(Descriptors::Side::kUpstream) ||
+  if (descriptors_.Room(runtime::Descriptors::Side::kUpstream) ||
       ((exclusive || resolver.ports.empty()) && MakeRoom())) {
     auto port = std::make_shared<UdpPort>(io_, poll_, descriptors_, events(), counters_, exclusive);
     if (port->Open(resolver.location.endpoint)) {
@@ -165,7 +166,7 @@
   }
   const bool crowded = least && least->open() >= kCrowdedLink;
   if ((!least || (crowded && resolver.links.size() < settings_.tcp_connections)) &&
-      (descriptors_.Room(Descriptors::Side::kUpstream) || (!least && MakeRoom()))) {
+      (descriptors_.Room(runtime::Descriptors::Side::kUpstream) || (!least && MakeRoom()))) {
     auto link = std::make_shared<TcpLink>(io_, descriptors_, events(), counters_);
     if (link->Open(resolver.location.endpoint, settings_.connect_timeout)) {
       resolver.links.push_back(link);
@@ -177,11 +178,11 @@
 
 // Closes what has been idle longest; false where nothing is.
 bool Transport::MakeRoom() {
-  while (!descriptors_.Room(Descriptors::Side::kUpstream)) {
+  while (!descriptors_.Room(runtime::Descriptors::Side::kUpstream)) {
     std::shared_ptr<UdpPort> port;
     std::shared_ptr<TcpLink> link;
     Resolver* owner = nullptr;
-    TimePoint longest = TimePoint::max();
+    runtime::TimePoint longest = runtime::TimePoint::max();
     for (const auto& [uid, resolver] : resolvers_) {
       for (const auto& p : resolver->ports) {
         if (p->open() == 0 && p->idle_since() < longest) {
@@ -220,28 +221,28 @@
 void Transport::OnUnreachable(UdpPort& port) {
   const auto attempts = port.attempts();
   const Outcome outcome = attempts.size() == 1 ? Outcome::kConnectFailed : Outcome::kReset;
-  std::vector<ExchangeId> ids;
+  std::vector<dispatch::ExchangeId> ids;
   for (const Attempt* attempt : attempts) ids.push_back(attempt->id);
-  for (const ExchangeId id : ids) {
+  for (const dispatch::ExchangeId id : ids) {
     const auto it = attempts_.find(id);
     if (it != attempts_.end()) End(it->second, outcome, nullptr);
   }
 }
 
 void Transport::OnBroken(TcpLink& link) {
-  std::vector<ExchangeId> ids;
+  std::vector<dispatch::ExchangeId> ids;
   for (const Attempt* attempt : link.attempts()) ids.push_back(attempt->id);
   if (!ids.empty()) {
     std::erase_if(attempts_.at(ids.front()).resolver->links, [&](const auto& l) { return l.get() == &link; });
   }
-  for (const ExchangeId id : ids) {
+  for (const dispatch::ExchangeId id : ids) {
     const auto it = attempts_.find(id);
     if (it == attempts_.end()) continue;
     EndWithoutAnswer(it->second, it->second.written ? Outcome::kReset : Outcome::kConnectFailed);
   }
 }
 
-void Transport::Expired(ExchangeId id) {
+void Transport::Expired(dispatch::ExchangeId id) {
   const auto it = attempts_.find(id);
   if (it == attempts_.end()) return;
   Attempt& attempt = it->second;
@@ -262,31 +263,31 @@
   if (const auto link = std::exchange(attempt.link, nullptr)) link->Forget(attempt);
 }
 
-void Transport::End(Attempt& attempt, Outcome outcome, std::unique_ptr<Reply> reply) {
+void Transport::End(Attempt& attempt, Outcome outcome, std::unique_ptr<dispatch::Reply> reply) {
   Leave(attempt);
-  const ExchangeId id = attempt.id;
+  const dispatch::ExchangeId id = attempt.id;
   deadlines_.TakeBack(attempt.gives_up, static_cast<std::uint64_t>(id));
   const auto on_end = std::move(attempt.hooks.on_end);
-  const Duration elapsed = Now() - attempt.sent;
+  const runtime::Duration elapsed = runtime::Now() - attempt.sent;
   attempts_.erase(id);
   on_end({outcome, elapsed, {}, std::move(reply)});
 }
 
-void Transport::Probe(ExchangeId, const std::string&, OnEnd on_end) {
+void Transport::Probe(dispatch::ExchangeId, const std::string&, OnEnd on_end) {
   // Not asked for: the settings allow none. Real queries try a resolver out.
-  on_end({Outcome::kNotSent, Duration::zero(), {}, nullptr});
+  on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
 }
 
-void Transport::Cancel(ExchangeId id) {
+void Transport::Cancel(dispatch::ExchangeId id) {
   const auto it = attempts_.find(id);
   if (it == attempts_.end()) return;
-  const bool over = Now() + kTimerSlack >= it->second.gives_up;
+  const bool over = runtime::Now() + kTimerSlack >= it->second.gives_up;
   End(it->second, over ? Outcome::kTimeout : Outcome::kCancelled, nullptr);
 }
 
 // Over UDP a query is written at once. One that waits for its TCP connection has been had by its resolver
 // where that answer was truncated, and ends by what that says.
-void Transport::Abandon(ExchangeId id) {
+void Transport::Abandon(dispatch::ExchangeId id) {
   const auto it = attempts_.find(id);
   if (it == attempts_.end() || !it->second.link || it->second.written) return;
   EndWithoutAnswer(it->second, Outcome::kCancelled);
@@ -312,7 +313,7 @@
 }
 
 void Transport::Sweep() {
-  const TimePoint now = Now();
+  const runtime::TimePoint now = runtime::Now();
   const auto idle = [&](const auto& socket) {
     if (socket->open() > 0 || now - socket->idle_since() < settings_.resolver_idle) return false;
     socket->Close();
