--- a/src/dns/transport.h
+++ b/src/dns/transport.h
@@ -22,30 +22,30 @@
 
 // One resolver at one place: when it moves, a new one takes its uid.
 struct Resolver {
-  Location location;
+  dispatch::Location location;
   std::vector<std::shared_ptr<UdpPort>> ports;  // shared ones that take attempts
   std::vector<std::shared_ptr<TcpLink>> links;
 };
 
 // Whether the resolver's answer ends the matter (kServed), says that it never began (kFull) or that it failed
 // (kError).
-kestrellb::Outcome Judge(Bytes message, const Layout& layout);
+balancer::Outcome Judge(Bytes message, const Layout& layout);
 
-class Transport : public mothrack::Transport, private CarrierEvents {
+class Transport : public dispatch::Transport, private CarrierEvents {
  public:
   // `settings` and `counters` must outlive it.
-  Transport(boost::asio::io_context& io, const Settings& settings, Descriptors& descriptors,
+  Transport(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
             Counters& counters);
   ~Transport() override;
 
-  void Apply(const std::string& uid, const Location& location) override;
+  void Apply(const std::string& uid, const dispatch::Location& location) override;
   // `message` is a Query. Its truncated answer over UDP is followed over TCP within the same attempt, at the
   // same resolver and in what is left of its time, where it may be repeated.
-  void Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message, Duration timeout,
-            ExchangeHooks hooks) override;
-  void Probe(ExchangeId id, const std::string& uid, OnEnd on_end) override;
-  void Cancel(ExchangeId id) override;
-  void Abandon(ExchangeId id) override;
+  void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
+            runtime::Duration timeout, dispatch::ExchangeHooks hooks) override;
+  void Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) override;
+  void Cancel(dispatch::ExchangeId id) override;
+  void Abandon(dispatch::ExchangeId id) override;
   void CloseIdle(const std::string& uid) override;
 
  private:
@@ -59,23 +59,23 @@
   std::shared_ptr<UdpPort> PickPort(Resolver& resolver, bool exclusive);
   std::shared_ptr<TcpLink> PickLink(Resolver& resolver);
   bool MakeRoom();
-  void Expired(ExchangeId id);
-  void End(Attempt& attempt, kestrellb::Outcome outcome, std::unique_ptr<Reply> reply);
+  void Expired(dispatch::ExchangeId id);
+  void End(Attempt& attempt, balancer::Outcome outcome, std::unique_ptr<dispatch::Reply> reply);
   // Its answer over TCP did not come about.
-  void EndWithoutAnswer(Attempt& attempt, kestrellb::Outcome outcome);
+  void EndWithoutAnswer(Attempt& attempt, balancer::Outcome outcome);
   void Leave(Attempt& attempt);
   void ScheduleSweep();
   void Sweep();
 
   boost::asio::io_context& io_;
   const Settings& settings_;
-  Descriptors& descriptors_;
+  runtime::Descriptors& descriptors_;
   Counters& counters_;
-  Unpredictable random_;
+  runtime::Unpredictable random_;
   UdpPoll poll_;
   std::map<std::string, std::shared_ptr<Resolver>> resolvers_;
-  std::unordered_map<ExchangeId, Attempt> attempts_;
-  Deadlines deadlines_;
+  std::unordered_map<dispatch::ExchangeId, Attempt> attempts_;
+  runtime::Deadlines deadlines_;
   boost::asio::steady_timer sweep_;
 };
 
--- a/src/dns/udp_port.cpp
+++ b/src/dns/udp_port.cpp
@@ -15,17 +15,17 @@
 
 }  // namespace
 
-UdpPort::UdpPort(boost::asio::io_context& io, UdpPoll& poll, Descriptors& descriptors, CarrierEvents& events,
-                 Counters& counters, bool exclusive)
+UdpPort::UdpPort(boost::asio::io_context& io, UdpPoll& poll, runtime::Descriptors& descriptors,
+                 CarrierEvents& events, Counters& counters, bool exclusive)
     : socket_(io),
       poll_(poll),
-      slot_(std::in_place, descriptors, Descriptors::Side::kUpstream),
+      slot_(std::in_place, descriptors, runtime::Descriptors::Side::kUpstream),
       events_(events),
       counters_(counters),
       exclusive_(exclusive),
-      idle_since_(Now()) {}
+      idle_since_(runtime::Now()) {}
 
-bool UdpPort::Open(const Endpoint& resolver) {
+bool UdpPort::Open(const runtime::Endpoint& resolver) {
   error_code error;
   const udp::endpoint to(resolver.address(), resolver.port());
   socket_.open(to.protocol(), error);
@@ -48,7 +48,7 @@
   slot_.reset();
 }
 
-UdpPort::Sending UdpPort::Send(Attempt& attempt, Unpredictable& random) {
+UdpPort::Sending UdpPort::Send(Attempt& attempt, runtime::Unpredictable& random) {
   open_.Add(attempt, random);
   // The id goes into a copy: other attempts share the message.
   static thread_local Buffer datagram;
@@ -79,7 +79,7 @@
 void UdpPort::Forget(const Attempt& attempt) {
   open_.Remove(attempt.wire_id);
   if (open_.size() > 0) return;
-  idle_since_ = Now();
+  idle_since_ = runtime::Now();
   if (retired_ || exclusive_) Close();
 }
 
--- a/src/dns/udp_port.h
+++ b/src/dns/udp_port.h
@@ -17,20 +17,20 @@
 class UdpPort : public std::enable_shared_from_this<UdpPort> {
  public:
   // `exclusive`: for one attempt only, so that an ICMP error can speak of no other.
-  UdpPort(boost::asio::io_context& io, UdpPoll& poll, Descriptors& descriptors, CarrierEvents& events,
-          Counters& counters, bool exclusive);
+  UdpPort(boost::asio::io_context& io, UdpPoll& poll, runtime::Descriptors& descriptors,
+          CarrierEvents& events, Counters& counters, bool exclusive);
 
   ~UdpPort() { Close(); }
   UdpPort(const UdpPort&) = delete;
   UdpPort& operator=(const UdpPort&) = delete;
 
   // Binds, connects and listens; false where the system has no room.
-  bool Open(const Endpoint& resolver);
+  bool Open(const runtime::Endpoint& resolver);
   void Close();
 
   enum class Sending { kSent, kNotTaken, kUnreachable };
   // On kSent the attempt is open here until Forget(); else nothing was sent.
-  Sending Send(Attempt& attempt, Unpredictable& random);
+  Sending Send(Attempt& attempt, runtime::Unpredictable& random);
   void Forget(const Attempt& attempt);
 
   // Takes one datagram or error that waits.
@@ -42,19 +42,19 @@
   bool exclusive() const { return exclusive_; }
   std::size_t open() const { return open_.size(); }
   unsigned uses() const { return uses_; }
-  TimePoint idle_since() const { return idle_since_; }
+  runtime::TimePoint idle_since() const { return idle_since_; }
   std::vector<Attempt*> attempts() const { return open_.All(); }
 
  private:
   boost::asio::ip::udp::socket socket_;
   UdpPoll& poll_;
-  std::optional<Descriptors::Slot> slot_;
+  std::optional<runtime::Descriptors::Slot> slot_;
   CarrierEvents& events_;
   Counters& counters_;
   const bool exclusive_;
   OpenIds open_;
   unsigned uses_ = 0;
-  TimePoint idle_since_;
+  runtime::TimePoint idle_since_;
   bool retired_ = false;
   bool closed_ = false;
 };
--- a/src/dns/udp_server.cpp
+++ b/src/dns/udp_server.cpp
@@ -32,8 +32,8 @@
 
 }  // namespace
 
-UdpServer::UdpServer(boost::asio::io_context& io, const Endpoint& endpoint, Front& front, Counters& counters,
-                     Logger& log)
+UdpServer::UdpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, Front& front,
+                     Counters& counters, runtime::Logger& log)
     : socket_(io, udp::endpoint(endpoint.address(), endpoint.port())),
       front_(front),
       counters_(counters),
@@ -44,9 +44,9 @@
   Wait();
 }
 
-Endpoint UdpServer::local() const {
+runtime::Endpoint UdpServer::local() const {
   const auto local = socket_.local_endpoint();
-  return Endpoint(local.address(), local.port());
+  return runtime::Endpoint(local.address(), local.port());
 }
 
 void UdpServer::Wait() {
--- a/src/dns/udp_server.h
+++ b/src/dns/udp_server.h
@@ -15,10 +15,10 @@
 class UdpServer {
  public:
   // Binds; throws boost::system::system_error.
-  UdpServer(boost::asio::io_context& io, const Endpoint& endpoint, Front& front, Counters& counters,
-            Logger& log);
+  UdpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, Front& front, Counters& counters,
+            runtime::Logger& log);
 
-  Endpoint local() const;
+  runtime::Endpoint local() const;
   // Takes what the system holds, and nothing after it.
   void StopTaking();
   // No answer waits to be sent.
@@ -35,7 +35,7 @@
   boost::asio::ip::udp::socket socket_;
   Front& front_;
   Counters& counters_;
-  Logger& log_;
+  runtime::Logger& log_;
   std::deque<std::pair<Peer, Buffer>> waiting_;  // answers that the system has had no room for
   bool taking_ = true;
 };
--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <iterator>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 void AntiEntropy::Ask(Message& digest, std::size_t room, TimePoint now, const Membership& membership,
                       const Values& values) {
@@ -81,4 +81,4 @@
   return true;
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/anti_entropy.h
+++ b/src/gossip/anti_entropy.h
@@ -8,7 +8,7 @@
 #include "gossip/membership.h"
 #include "gossip/values.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 class AntiEntropy {
  public:
@@ -29,4 +29,4 @@
   std::size_t turn_ = 0;  // where a member's values begin that do not fit in all
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/core.cpp
+++ b/src/gossip/core.cpp
@@ -10,7 +10,7 @@
 #include "gossip/spread.h"
 #include "gossip/values.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 // Of the tokens that may be sent at once, so many are the probes' and acks' alone.
@@ -120,7 +120,7 @@
 
   bool Put(const std::string& key, const std::string& bytes, Duration lasts, TimePoint now) {
     const Value value{self_.life, key, 1, Duration(0), lasts, bytes};
-    if (left_ || !peers::Fine(value) || !values_.Put(self_.life, key, bytes, lasts, now)) return false;
+    if (left_ || !gossip::Fine(value) || !values_.Put(self_.life, key, bytes, lasts, now)) return false;
     spread_.Add(self_.life.name, key, now);
     Due(now);
     return true;
@@ -482,7 +482,7 @@
   }
 
   void TakeValue(const Value& value, TimePoint now, Out& out) {
-    if (!peers::Fine(value)) {
+    if (!gossip::Fine(value)) {
       ++counts_.not_taken;
       return;
     }
@@ -614,4 +614,4 @@
 }
 const Counts& Core::counts() const { return impl_->counts(); }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/core.h
+++ b/src/gossip/core.h
@@ -13,7 +13,7 @@
 #include "gossip/message.h"
 #include "gossip/types.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 // Times are of a healthy member; its local health (0 to 8) makes a sick one slower in judging others.
 struct Terms {
@@ -100,4 +100,4 @@
   std::unique_ptr<Impl> impl_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/keys.cpp
+++ b/src/gossip/keys.cpp
@@ -12,7 +12,7 @@
 #include <optional>
 #include <string_view>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 constexpr std::size_t kMostFile = 4096;  // two keys and a page of comments
@@ -149,4 +149,4 @@
   return ring;
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/keys.h
+++ b/src/gossip/keys.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 constexpr std::size_t kKeySize = 32;  // of a key of BLAKE2b
 constexpr std::size_t kMostRingKeys = 2;
@@ -52,4 +52,4 @@
 // nothing.
 KeyRing Load(const std::string& path);
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/link.cpp
+++ b/src/gossip/link.cpp
@@ -7,7 +7,7 @@
 #include <utility>
 #include <vector>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 using nlohmann::json;
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-Link::Link(boost::asio::io_context& io, const Settings& settings, const std::string& name, Logger& log,
-           Task::EachTurn each_turn)
+Link::Link(boost::asio::io_context& io, const Settings& settings, const std::string& name,
+           runtime::Logger& log, Task::EachTurn each_turn)
     : wake_(io) {
   try {
     task_ = std::make_unique<Task>(settings, name, std::move(each_turn));
@@ -139,4 +139,4 @@
   return told;
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/link.h
+++ b/src/gossip/link.h
@@ -13,7 +13,7 @@
 #include "gossip/task.h"
 #include "runtime/log.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 class Link {
  public:
@@ -21,7 +21,7 @@
   static constexpr std::size_t kFixedDescriptors = Task::kFixedDescriptors + 1;
 
   // Starts the task. Throws TaskError; where the system refuses what it needs, says so once and does without.
-  Link(boost::asio::io_context& io, const Settings& settings, const std::string& name, Logger& log,
+  Link(boost::asio::io_context& io, const Settings& settings, const std::string& name, runtime::Logger& log,
        Task::EachTurn each_turn = {});
 
   std::optional<std::string> local() const;  // nothing where it does without
@@ -45,4 +45,4 @@
   boost::asio::posix::stream_descriptor wake_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/mailbox.h
+++ b/src/gossip/mailbox.h
@@ -21,7 +21,7 @@
 
 #include "gossip/core.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 // To the task.
 struct PutValue {
@@ -120,4 +120,4 @@
   const int wake_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/membership.cpp
+++ b/src/gossip/membership.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 bool Live(State state) { return state == State::kAlive || state == State::kSuspect; }
@@ -187,4 +187,4 @@
   return some;
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -11,7 +11,7 @@
 #include "gossip/core.h"
 #include "gossip/random.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 // Lives, incarnations and versions above it are nobody's: nothing could outdo them.
 constexpr std::uint64_t kMostNumber = std::uint64_t{1} << 62;
@@ -99,4 +99,4 @@
   std::vector<std::string> for_room_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -2,7 +2,7 @@
 
 #include <tuple>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 // Of a field of the wire: its tag and length, or its tag and the longest number.
@@ -35,4 +35,4 @@
          message.range_from.size() + kText + message.range_to.size();
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/message.h
+++ b/src/gossip/message.h
@@ -7,7 +7,7 @@
 
 #include "gossip/types.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 // SWIM's messages with Lifeguard's nack; and anti-entropy in ranges of names, so that its cost is bounded.
 enum class Kind : std::uint8_t {
@@ -50,4 +50,4 @@
 std::size_t MostSize(const Value& value);
 constexpr std::size_t kSealSize = 64;  // what the seal takes of kMostDatagram, at most
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/probes.cpp
+++ b/src/gossip/probes.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 Verdict Judge(Outcome outcome) {
   switch (outcome) {
@@ -135,4 +135,4 @@
   return next;
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/probes.h
+++ b/src/gossip/probes.h
@@ -11,7 +11,7 @@
 
 #include "gossip/membership.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 constexpr int kWorstHealth = 8;
 // Pings on others' behalf at once: more is a flood.
@@ -90,4 +90,4 @@
   int health_ = 0;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/random.h
+++ b/src/gossip/random.h
@@ -6,7 +6,7 @@
 #include <utility>
 #include <vector>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 class Random {
  public:
@@ -28,4 +28,4 @@
   std::uint64_t state_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/rate.h
+++ b/src/gossip/rate.h
@@ -8,7 +8,7 @@
 
 #include "gossip/types.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 class Rate {
  public:
@@ -36,4 +36,4 @@
   TimePoint at_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -6,7 +6,7 @@
 #include <stdexcept>
 #include <utility>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 constexpr std::string_view kMagic =
@@ -133,4 +133,4 @@
   return opened;
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -18,7 +18,7 @@
 #include "gossip/keys.h"
 #include "gossip/message.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 constexpr std::size_t kSealHead = 22;
 constexpr std::size_t kSealTag = 16;
@@ -83,4 +83,4 @@
   SealCounts counts_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/settings.cpp
+++ b/src/gossip/settings.cpp
@@ -7,7 +7,7 @@
 #include "gossip/keys.h"
 #include "gossip/wire.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 constexpr std::uint16_t kLeastPort = 1024;  // below, a socket takes a right that a sidecar should not have
@@ -16,9 +16,9 @@
 std::string Quoted(const std::string& text) { return '"' + text + '"'; }
 
 // Of an address that others send to, or that this one listens on.
-Endpoint ReadAddress(Source& source, const std::string& key, std::optional<std::size_t> element,
-                     const std::string& text, bool any_port) {
-  const auto endpoint = ParseEndpoint(text);
+runtime::Endpoint ReadAddress(Source& source, const std::string& key, std::optional<std::size_t> element,
+                              const std::string& text, bool any_port) {
+  const auto endpoint = runtime::ParseEndpoint(text);
   if (!endpoint) {
     source.Fail(key, element, Quoted(text) + " is no address and port; write it as \"127.0.0.1:7600\"");
   }
@@ -80,7 +80,7 @@
     source.Fail("seeds", std::nullopt,
                 "are more than " + std::to_string(kMostSeeds) + "; one that answers is enough");
   }
-  std::set<Endpoint> known;
+  std::set<runtime::Endpoint> known;
   for (std::size_t i = 0; i < seeds.size(); ++i) {
     settings.seeds.push_back(ReadAddress(source, "seeds", i, seeds[i], false));
     if (!known.insert(settings.seeds.back()).second) {
@@ -103,10 +103,10 @@
   return settings;
 }
 
-std::string Text(const Endpoint& endpoint) {
+std::string Text(const runtime::Endpoint& endpoint) {
   std::ostringstream text;
   text << endpoint;
   return text.str();
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -12,15 +12,15 @@
 #include "gossip/types.h"
 #include "runtime/address.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 struct Settings {
-  Endpoint listen;                    // UDP; port 0: the system picks one
-  std::optional<Endpoint> advertise;  // where the others send to; absent: `listen`
-  std::string zone;                   // hall
+  runtime::Endpoint listen;                    // UDP; port 0: the system picks one
+  std::optional<runtime::Endpoint> advertise;  // where the others send to; absent: `listen`
+  std::string zone;                            // hall
   Role role = Role::kSidecar;
   std::string key_file;
-  std::vector<Endpoint> seeds;
+  std::vector<runtime::Endpoint> seeds;
   Terms terms;
 };
 
@@ -53,6 +53,6 @@
 extern const std::vector<CountOf> kCounts;
 
 // "ip:port", as the peers tell it.
-std::string Text(const Endpoint& endpoint);
+std::string Text(const runtime::Endpoint& endpoint);
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/spread.cpp
+++ b/src/gossip/spread.cpp
@@ -2,7 +2,7 @@
 
 #include <vector>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 // Pieces that did not fit, after which no more are tried: a datagram is not worth a walk over all that waits.
@@ -70,4 +70,4 @@
   for (const Id& id : gone) Drop(id.first, id.second);
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/spread.h
+++ b/src/gossip/spread.h
@@ -11,7 +11,7 @@
 #include "gossip/membership.h"
 #include "gossip/values.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 class Spread {
  public:
@@ -41,4 +41,4 @@
   std::set<Order> order_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/task.cpp
+++ b/src/gossip/task.cpp
@@ -22,7 +22,7 @@
 #include "gossip/wire.h"
 #include "runtime/allowance.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 // Read in one turn. With the longest message it takes a healthy machine well under 10 ms, after which the
@@ -63,13 +63,13 @@
  public:
   explicit Talk(const std::string& name)
       : logger_(name, std::make_shared<spdlog::sinks::stderr_sink_mt>()),
-        allowance_(kLinesPerSecond, kLinesBurst, Now()) {
+        allowance_(kLinesPerSecond, kLinesBurst, runtime::Now()) {
     logger_.set_pattern("%n: %v");
     logger_.set_error_handler([](const std::string&) {});  // whatever keeps it from writing, the task goes on
   }
   void Line(const std::string& text) noexcept {
     try {
-      if (!allowance_.Take(Now())) {
+      if (!allowance_.Take(runtime::Now())) {
         ++left_out_;
         return;
       }
@@ -81,13 +81,13 @@
 
  private:
   spdlog::logger logger_;
-  Allowance allowance_;
+  runtime::Allowance allowance_;
   std::uint64_t left_out_ = 0;
 };
 
 class Socket {
  public:
-  explicit Socket(const Endpoint& listen)
+  explicit Socket(const runtime::Endpoint& listen)
       : fd_(::socket(listen.protocol().family(), SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
     if (fd_ < 0) throw Refused("no socket: " + TextOf(errno));
     const Udp::endpoint place(listen.address(), listen.port());
@@ -103,7 +103,7 @@
   Socket& operator=(const Socket&) = delete;
 
   int fd() const { return fd_; }
-  Endpoint local() const {
+  runtime::Endpoint local() const {
     Udp::endpoint place;
     auto size = static_cast<socklen_t>(place.capacity());
     if (::getsockname(fd_, place.data(), &size) == 0) place.resize(size);
@@ -122,7 +122,7 @@
   }
 }
 
-MemberNews SelfOf(const Settings& settings, const std::string& name, const Endpoint& local) {
+MemberNews SelfOf(const Settings& settings, const std::string& name, const runtime::Endpoint& local) {
   if (!GoodName(name)) {
     throw TaskError("peers: " + name.substr(0, kMostName) +
                     " can be no member's name; make it letters, digits, '-', "
@@ -148,7 +148,7 @@
         seal(KeysOf(told.key_file)),
         core(SelfOf(told, name, socket.local()), told.terms, Random(), SteadyNow()) {
     std::vector<std::string> seeds;
-    for (const Endpoint& seed : told.seeds) seeds.push_back(Text(seed));
+    for (const runtime::Endpoint& seed : told.seeds) seeds.push_back(Text(seed));
     core.Seeds(std::move(seeds));
   }
 
@@ -255,7 +255,7 @@
   void Hear(std::string_view datagram, const Udp::endpoint& from, TimePoint now) {
     const Seal::Opened opened = seal.Open(datagram);
     if (opened.verdict != Verdict::kHeard) return;
-    const auto message = peers::Read(opened.payload);
+    const auto message = gossip::Read(opened.payload);
     if (!message) {
       ++unread;
       return;
@@ -272,7 +272,7 @@
   }
 
   void Send(const Datagram& datagram) {
-    const auto to = ParseEndpoint(datagram.address);
+    const auto to = runtime::ParseEndpoint(datagram.address);
     const auto sealed = seal.Close(Write(datagram.message));
     if (!to || !sealed) {  // an address that a member says of itself is looked at here and not before
       ++unsent;
@@ -315,7 +315,7 @@
   }
 
   void Picture(TimePoint now) {
-    auto picture = std::make_shared<peers::Picture>();
+    auto picture = std::make_shared<gossip::Picture>();
     picture->made = now;
     picture->self = core.self();
     picture->health = core.health();
@@ -342,7 +342,7 @@
     changed = false;
   }
 
-  using State_ = peers::State;
+  using State_ = gossip::State;
 
   Seal seal;
   Core core;
@@ -391,8 +391,8 @@
   return ended;
 }
 
-Endpoint Task::local() const { return state_->socket.local(); }
+runtime::Endpoint Task::local() const { return state_->socket.local(); }
 std::uint64_t Task::deaths() const { return state_->deaths; }
 std::uint64_t Task::dropped() const { return state_->to_task.dropped() + state_->pictures.dropped(); }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/task.h
+++ b/src/gossip/task.h
@@ -14,7 +14,7 @@
 #include "gossip/mailbox.h"
 #include "gossip/settings.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 // Something that an operator can mend: an address in use, a key file with a fault. One line.
 class TaskError : public std::runtime_error {
@@ -52,7 +52,7 @@
   // What was said before is done first, unless the thread is stuck. False where it had to be left behind.
   bool Stop();
 
-  Endpoint local() const;
+  runtime::Endpoint local() const;
   std::uint64_t deaths() const;   // 1 once an exception ended the thread
   std::uint64_t dropped() const;  // by both boxes
 
@@ -63,4 +63,4 @@
   std::thread thread_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/types.h
+++ b/src/gossip/types.h
@@ -9,7 +9,7 @@
 #include <cstdint>
 #include <string>
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -69,4 +69,4 @@
   bool operator==(const Value&) const = default;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/values.cpp
+++ b/src/gossip/values.cpp
@@ -7,7 +7,7 @@
 
 #include "gossip/membership.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 std::uint64_t HashOf(const std::string& key, std::uint64_t version) {
@@ -73,7 +73,7 @@
   const auto it = owner->second.keys.find(value.key);
   if (it == owner->second.keys.end() || it->second.value.version >= value.version) return false;
   owner->second.hash +=
-      peers::HashOf(value.key, value.version + 1) - peers::HashOf(value.key, it->second.value.version);
+      gossip::HashOf(value.key, value.version + 1) - gossip::HashOf(value.key, it->second.value.version);
   it->second.value.version = value.version + 1;
   return true;
 }
@@ -125,7 +125,7 @@
 
 void Values::Set(Owner& owner, Held& held, const Value& value, TimePoint now) {
   const bool queued = held.value.version > 0 && !held.lapsed;
-  owner.hash += peers::HashOf(value.key, value.version) - peers::HashOf(value.key, held.value.version);
+  owner.hash += gossip::HashOf(value.key, value.version) - gossip::HashOf(value.key, held.value.version);
   held.value = value;
   held.came = now;
   held.lapsed = false;
@@ -185,4 +185,4 @@
 
 TimePoint Values::next() const { return due_.empty() ? TimePoint::max() : std::get<0>(*due_.begin()); }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/values.h
+++ b/src/gossip/values.h
@@ -9,7 +9,7 @@
 
 #include "gossip/core.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 // Within the bounds of src/gossip/types.h.
 bool Fine(const Value& value);
@@ -71,4 +71,4 @@
   std::set<std::tuple<TimePoint, std::string, std::string>> due_;
 };
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/wire.cpp
+++ b/src/gossip/wire.cpp
@@ -5,7 +5,7 @@
 
 #include "gossip/peers.pb.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 namespace {
 
 constexpr char kVersionTag = 0x08;  // field 1, a varint
@@ -198,4 +198,4 @@
   return message;
 }
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/gossip/wire.h
+++ b/src/gossip/wire.h
@@ -9,7 +9,7 @@
 
 #include "gossip/message.h"
 
-namespace mothrack::peers {
+namespace mothrack::gossip {
 
 // A reader takes its own version alone. Fields that a later build adds within it are skipped.
 constexpr std::uint64_t kVersion = 1;
@@ -39,4 +39,4 @@
 // Nothing where it can't be used; `why`, where it is asked for, then says what stands against it.
 std::optional<Message> Read(std::string_view bytes, std::string* why = nullptr, ReadFault* fault = nullptr);
 
-}  // namespace mothrack::peers
+}  // namespace mothrack::gossip
--- a/src/hash_ring/load.cpp
+++ b/src/hash_ring/load.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace mothrack::ring {
+namespace mothrack::hash_ring {
 
 void Sketch::Add(std::uint64_t key) {
   Entry* least = nullptr;
@@ -190,4 +190,4 @@
   return told;
 }
 
-}  // namespace mothrack::ring
+}  // namespace mothrack::hash_ring
--- a/src/hash_ring/load.h
+++ b/src/hash_ring/load.h
@@ -22,7 +22,7 @@
 #include "hash_ring/maker.h"
 #include "hash_ring/ring.h"
 
-namespace mothrack::ring {
+namespace mothrack::hash_ring {
 
 struct LoadTerms {
   std::uint32_t excess =
@@ -130,4 +130,4 @@
   std::vector<Owner> scratch_;
 };
 
-}  // namespace mothrack::ring
+}  // namespace mothrack::hash_ring
--- a/src/hash_ring/maker.cpp
+++ b/src/hash_ring/maker.cpp
@@ -4,7 +4,7 @@
 #include <tuple>
 #include <utility>
 
-namespace mothrack::ring {
+namespace mothrack::hash_ring {
 namespace {
 
 // A member that makes a generation a second for as long as it lives is below it by far; one that claims more
@@ -176,4 +176,4 @@
 
 Staleness Maker::staleness(TimePoint now) const { return {now - fresh_ > terms_.stale_after, now - fresh_}; }
 
-}  // namespace mothrack::ring
+}  // namespace mothrack::hash_ring
--- a/src/hash_ring/maker.h
+++ b/src/hash_ring/maker.h
@@ -28,7 +28,7 @@
 
 #include "hash_ring/ring.h"
 
-namespace mothrack::ring {
+namespace mothrack::hash_ring {
 
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -117,4 +117,4 @@
   std::shared_ptr<const Ring> ring_ = std::make_shared<const Ring>();
 };
 
-}  // namespace mothrack::ring
+}  // namespace mothrack::hash_ring
--- a/src/hash_ring/ring.cpp
+++ b/src/hash_ring/ring.cpp
@@ -6,7 +6,7 @@
 
 #include "xxhash.h"
 
-namespace mothrack::ring {
+namespace mothrack::hash_ring {
 namespace {
 
 constexpr int kFraction = 58;  // bits behind the point: the longest time, 64 ln 2 = 44.4, still fits 64 bits
@@ -172,4 +172,4 @@
   return all;
 }
 
-}  // namespace mothrack::ring
+}  // namespace mothrack::hash_ring
--- a/src/hash_ring/ring.h
+++ b/src/hash_ring/ring.h
@@ -15,7 +15,7 @@
 #include <string_view>
 #include <vector>
 
-namespace mothrack::ring {
+namespace mothrack::hash_ring {
 
 __extension__ using Wide = unsigned __int128;
 
@@ -110,4 +110,4 @@
 // -ln(1 - v / 2^64) in 2^-58ths; relative error below 2^-36. Only for tests and measurements from outside.
 std::uint64_t Exponential(std::uint64_t v);
 
-}  // namespace mothrack::ring
+}  // namespace mothrack::hash_ring
--- a/src/hot_restart/handover.cpp
+++ b/src/hot_restart/handover.cpp
@@ -15,7 +15,7 @@
 #include <thread>
 #include <utility>
 
-namespace mothrack::handover {
+namespace mothrack::hot_restart {
 namespace {
 
 using boost::system::error_code;
@@ -130,8 +130,8 @@
 
 }  // namespace
 
-std::optional<Taken> TakeOver(boost::asio::io_context& io, const std::string& path, Duration patience,
-                              Logger& log) {
+std::optional<Taken> TakeOver(boost::asio::io_context& io, const std::string& path,
+                              runtime::Duration patience, runtime::Logger& log) {
   const auto until = std::chrono::steady_clock::now() + patience;
   while (true) {
     Protocol::socket socket(io);
@@ -163,7 +163,7 @@
 }
 
 Handover::Handover(boost::asio::io_context& io, std::string path, std::shared_ptr<Link> predecessor,
-                   Owner& owner, Logger& log)
+                   Owner& owner, runtime::Logger& log)
     : io_(io),
       path_(std::move(path)),
       owner_(owner),
@@ -286,4 +286,4 @@
   if (successor_) successor_->Send(line);
 }
 
-}  // namespace mothrack::handover
+}  // namespace mothrack::hot_restart
--- a/src/hot_restart/handover.h
+++ b/src/hot_restart/handover.h
@@ -22,7 +22,7 @@
 #include "runtime/clock.h"
 #include "runtime/log.h"
 
-namespace mothrack::handover {
+namespace mothrack::hot_restart {
 
 // What a successor was handed.
 struct Taken {
@@ -33,8 +33,8 @@
 
 // Asks the process that serves by `path`, for at most `patience`. Nothing where none does, or what it says
 // can't be used, which is logged. Blocks: to be called before anything is served.
-std::optional<Taken> TakeOver(boost::asio::io_context& io, const std::string& path, Duration patience,
-                              Logger& log);
+std::optional<Taken> TakeOver(boost::asio::io_context& io, const std::string& path,
+                              runtime::Duration patience, runtime::Logger& log);
 
 class Handover {
  public:
@@ -57,7 +57,7 @@
 
   // `predecessor`: where this process took over.
   Handover(boost::asio::io_context& io, std::string path, std::shared_ptr<Link> predecessor, Owner& owner,
-           Logger& log);
+           runtime::Logger& log);
   ~Handover();
   Handover(const Handover&) = delete;
   Handover& operator=(const Handover&) = delete;
@@ -84,7 +84,7 @@
   boost::asio::io_context& io_;
   const std::string path_;
   Owner& owner_;
-  Logger& log_;
+  runtime::Logger& log_;
   Protocol::acceptor acceptor_;
   boost::asio::steady_timer pause_;
   std::shared_ptr<Link> predecessor_;
@@ -93,4 +93,4 @@
   bool succeeded_ = false;        // the successor takes clients
 };
 
-}  // namespace mothrack::handover
+}  // namespace mothrack::hot_restart
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -4,7 +4,7 @@
 #include <boost/asio/write.hpp>
 #include <utility>
 
-namespace mothrack::handover {
+namespace mothrack::hot_restart {
 namespace {
 
 using boost::system::error_code;
@@ -86,4 +86,4 @@
   if (on_end) on_end();
 }
 
-}  // namespace mothrack::handover
+}  // namespace mothrack::hot_restart
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/link.h
@@ -10,7 +10,7 @@
 
 #include "runtime/write_stream.h"
 
-namespace mothrack::handover {
+namespace mothrack::hot_restart {
 
 // Longer than a state with all ids that are remembered.
 inline constexpr std::size_t kLongestLine = std::size_t{4} * 1024 * 1024;
@@ -42,7 +42,7 @@
   void End();
 
   Socket socket_;
-  WriteStream<Socket> write_stream_;
+  runtime::WriteStream<Socket> write_stream_;
   OnLine on_line_;
   OnEnd on_end_;
   std::string in_;
@@ -50,4 +50,4 @@
   std::string writing_;
 };
 
-}  // namespace mothrack::handover
+}  // namespace mothrack::hot_restart
--- a/src/hot_restart/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <string_view>
 
-namespace mothrack::handover {
+namespace mothrack::hot_restart {
 namespace {
 
 using nlohmann::json;
@@ -66,7 +66,7 @@
                  {"sockets", state.sockets}};
   if (!state.last_list) return object;
   json& starts = object["starts"] = json::array();
-  for (const ProcessStart& process : state.starts) {
+  for (const dispatch::ProcessStart& process : state.starts) {
     starts.push_back({process.uid, process.boot_ms, process.started.time_since_epoch().count()});
   }
   object["last_list_us"] = state.last_list->time_since_epoch().count();
@@ -82,10 +82,12 @@
     state.resting = object.at("resting").get<bool>();
     state.sockets = object.at("sockets").get<std::size_t>();
     if (!object.contains("last_list_us")) return state;
-    state.last_list = TimePoint(Duration(object.at("last_list_us").get<Duration::rep>()));
+    state.last_list =
+        runtime::TimePoint(runtime::Duration(object.at("last_list_us").get<runtime::Duration::rep>()));
     for (const json& process : object.at("starts")) {
-      state.starts.push_back({process.at(0).get<std::string>(), process.at(1).get<std::int64_t>(),
-                              TimePoint(Duration(process.at(2).get<Duration::rep>()))});
+      state.starts.push_back(
+          {process.at(0).get<std::string>(), process.at(1).get<std::int64_t>(),
+           runtime::TimePoint(runtime::Duration(process.at(2).get<runtime::Duration::rep>()))});
     }
     return state;
   } catch (const json::exception& e) {
@@ -104,7 +106,7 @@
   return fault;
 }
 
-std::set<std::string> ReadBans(const std::string& file, Logger& log) {
+std::set<std::string> ReadBans(const std::string& file, runtime::Logger& log) {
   std::ifstream stream(file);
   if (!stream && errno == ENOENT) return {};
   try {
@@ -118,4 +120,4 @@
   }
 }
 
-}  // namespace mothrack::handover
+}  // namespace mothrack::hot_restart
--- a/src/hot_restart/state.h
+++ b/src/hot_restart/state.h
@@ -12,7 +12,7 @@
 #include "dispatch/start_times.h"
 #include "runtime/log.h"
 
-namespace mothrack::handover {
+namespace mothrack::hot_restart {
 
 // Raised with each change that an earlier program would misread. A state of another version is ignored whole.
 inline constexpr int kVersion = 1;
@@ -24,8 +24,8 @@
   std::size_t sockets = 0;       // that the serving process may hold from now on
   // When upstreams' processes started, on this machine's steady clock, and when the last list was read.
   // Optional: a state without them is an earlier program's.
-  std::vector<ProcessStart> starts;
-  std::optional<TimePoint> last_list;
+  std::vector<dispatch::ProcessStart> starts;
+  std::optional<runtime::TimePoint> last_list;
 };
 
 nlohmann::json ToJson(const State& state);
@@ -37,6 +37,6 @@
 std::optional<std::string> WriteBans(const std::string& file, const std::set<std::string>& bans);
 // None where there is no such file; one that can't be read, is cut short or of another version is logged and
 // ignored whole.
-std::set<std::string> ReadBans(const std::string& file, Logger& log);
+std::set<std::string> ReadBans(const std::string& file, runtime::Logger& log);
 
-}  // namespace mothrack::handover
+}  // namespace mothrack::hot_restart
--- a/src/http/body_writer.cpp
+++ b/src/http/body_writer.cpp
@@ -8,7 +8,7 @@
 
 #include "runtime/system_calls.h"
 
-namespace mothrack {
+namespace mothrack::http {
 namespace {
 
 using boost::system::error_code;
@@ -22,7 +22,7 @@
   for (const std::uint64_t begun = written_; written_ - begun < kMostInOneGo;) {
     if (frame_at_ == frame_.size() && chunk_ == 0) {
       chunk_ = stream_->Ready().size();
-      if (chunk_ == 0 && stream_->state() == Stream::State::kBroken) return Progress::kCut;
+      if (chunk_ == 0 && stream_->state() == runtime::Stream::State::kBroken) return Progress::kCut;
       const bool ends = chunk_ == 0 && stream_->done();
       if (ends && (framing_ != Framing::kChunked || last_)) return Progress::kDone;
       if (chunk_ == 0 && !ends) return Progress::kNoBytes;
@@ -41,8 +41,8 @@
     const std::array<boost::asio::const_buffer, 2> parts = {boost::asio::buffer(frame.data(), frame.size()),
                                                             boost::asio::buffer(bytes.data(), bytes.size())};
     error_code error;
-    std::size_t size = WriteSome(socket, parts, error);
-    if (WouldBlock(error)) return Progress::kSocketFull;
+    std::size_t size = runtime::WriteSome(socket, parts, error);
+    if (runtime::WouldBlock(error)) return Progress::kSocketFull;
     if (error) return Progress::kFailed;
     const std::size_t framed = std::min(size, frame.size());
     frame_at_ += framed;
@@ -55,4 +55,4 @@
   return Progress::kSocketFull;
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/body_writer.h
+++ b/src/http/body_writer.h
@@ -12,13 +12,13 @@
 
 #include "runtime/stream.h"
 
-namespace mothrack {
+namespace mothrack::http {
 
 class BodyWriter {
  public:
   enum class Framing { kLength, kChunked, kConnection };
 
-  BodyWriter(std::string head, std::shared_ptr<Stream> stream, Framing framing)
+  BodyWriter(std::string head, std::shared_ptr<runtime::Stream> stream, Framing framing)
       : frame_(std::move(head)), stream_(std::move(stream)), framing_(framing) {}
 
   enum class Progress {
@@ -30,7 +30,7 @@
   };
   Progress Write(boost::asio::ip::tcp::socket& socket);
 
-  Stream& stream() { return *stream_; }
+  runtime::Stream& stream() { return *stream_; }
   Framing framing() const { return framing_; }
   std::uint64_t written() const { return written_; }
 
@@ -40,8 +40,8 @@
   std::size_t chunk_ = 0;  // left of the chunk that is being written
   bool last_ = false;      // the last chunk's frame is made
   std::uint64_t written_ = 0;
-  std::shared_ptr<Stream> stream_;
+  std::shared_ptr<runtime::Stream> stream_;
   const Framing framing_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -7,28 +7,28 @@
 #include <optional>
 #include <utility>
 
-namespace mothrack {
+namespace mothrack::http {
 namespace {
 
 using boost::beast::string_view;
 using std::chrono::milliseconds;
 
 // The client's clock started when it sent the request: so much earlier, at least, than it was read here.
-constexpr Duration kTrip = milliseconds(2);
+constexpr runtime::Duration kTrip = milliseconds(2);
 constexpr std::size_t kLongestId = 128;
 // A client that says it waits longer than this many of its class's deadlines has no idea what it says.
 constexpr int kMostDeadlines = 2;
 
-HttpResponse Plain(http::status status, const std::string& text) {
+HttpResponse Plain(beast_http::status status, const std::string& text) {
   HttpResponse response(status, 11);
-  response.set(http::field::content_type, "text/plain");
+  response.set(beast_http::field::content_type, "text/plain");
   response.body() = text + "\n";
   return response;
 }
 
 // For what is no request of this protocol: its connection is closed, too.
 HttpResponse Unfit(const std::string& why) {
-  auto response = Plain(http::status::bad_request, why);
+  auto response = Plain(beast_http::status::bad_request, why);
   response.keep_alive(false);
   return response;
 }
@@ -47,14 +47,14 @@
 bool GoodId(string_view id) { return !id.empty() && id.size() <= kLongestId && Visible(id); }
 
 // Does the method tell the same as the class? What contradicts itself could be repeated against its class.
-bool Fits(const HttpRequest& request, bool body, kestrellb::Effect effect) {
-  if (effect == kestrellb::Effect::kSafe) {
-    return request.method() == http::verb::get && !body;
+bool Fits(const HttpRequest& request, bool body, balancer::Effect effect) {
+  if (effect == balancer::Effect::kSafe) {
+    return request.method() == beast_http::verb::get && !body;
   }
   const auto key = Single(request, "Idempotency-Key");
   const bool keyed = key && GoodId(*key);
-  return request.method() == http::verb::post &&
-         (effect == kestrellb::Effect::kKeyed ? keyed : request.count("Idempotency-Key") == 0);
+  return request.method() == beast_http::verb::post &&
+         (effect == balancer::Effect::kKeyed ? keyed : request.count("Idempotency-Key") == 0);
 }
 
 template <typename T>
@@ -71,9 +71,9 @@
   return target.substr(0, target.find_first_of("/?"));
 }
 
-HttpResponse Served(Final& final) {
+HttpResponse Served(dispatch::Final& final) {
   HttpResponse own = std::move(static_cast<HttpReply&>(*final.reply).response);
-  HttpResponse response(http::status::ok, 11);
+  HttpResponse response(beast_http::status::ok, 11);
   response.base() = std::move(own.base());
   response.body() = std::move(own.body());
   response.version(11);
@@ -81,18 +81,18 @@
   return response;
 }
 
-HttpResponse Refused(Duration retry_after) {
-  auto response = Plain(http::status::service_unavailable, "refused: trying again is harmless");
-  if (retry_after > Duration::zero()) {
+HttpResponse Refused(runtime::Duration retry_after) {
+  auto response = Plain(beast_http::status::service_unavailable, "refused: trying again is harmless");
+  if (retry_after > runtime::Duration::zero()) {
     char seconds[32];
     std::snprintf(seconds, sizeof seconds, "%.3f", std::chrono::duration<double>(retry_after).count());
-    response.set(http::field::retry_after, seconds);
+    response.set(beast_http::field::retry_after, seconds);
   }
   return response;
 }
 
-DeadlineRange DeadlinesOf(const kestrellb::Settings& settings) {
-  DeadlineRange range{Duration::max(), Duration::zero()};
+DeadlineRange DeadlinesOf(const balancer::Settings& settings) {
+  DeadlineRange range{runtime::Duration::max(), runtime::Duration::zero()};
   for (const auto& known : settings.classes) {
     range.shortest = std::min(range.shortest, known.deadline);
     range.longest = std::max(range.longest, known.deadline);
@@ -100,43 +100,44 @@
   return range;
 }
 
-ComingBody Coming(Final& final) {
+ComingBody Coming(dispatch::Final& final) {
   return final.streaming ? std::move(static_cast<HttpReply&>(*final.reply).coming) : ComingBody{};
 }
 
-HttpResponse ToResponse(Final& final) {
+HttpResponse ToResponse(dispatch::Final& final) {
   switch (final.kind) {
-    case Final::Kind::kServed:
+    case dispatch::Final::Kind::kServed:
       return Served(final);
-    case Final::Kind::kRefused:
+    case dispatch::Final::Kind::kRefused:
       return Refused(final.retry_after);
-    case Final::Kind::kFailed:
+    case dispatch::Final::Kind::kFailed:
       break;
   }
-  return final.late ? Plain(http::status::gateway_timeout, "no answer in time")
-                    : Plain(http::status::bad_gateway, "upstream failed");
+  return final.late ? Plain(beast_http::status::gateway_timeout, "no answer in time")
+                    : Plain(beast_http::status::bad_gateway, "upstream failed");
 }
 
 }  // namespace
 
-HttpFront::HttpFront(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors,
-                     ByteBudget& budget, Logger& log, Dispatcher& dispatcher)
+HttpFront::HttpFront(boost::asio::io_context& io, const runtime::ListenOn& where,
+                     runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
+                     dispatch::Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
       listener_(io, where, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
                 [this](HttpRequest request, ComingBody coming, Listener::Reply reply) {
                   return Take(std::move(request), std::move(coming), std::move(reply));
                 }) {
-  const kestrellb::Settings& settings = dispatcher.settings();
+  const balancer::Settings& settings = dispatcher.settings();
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
-    classes_.emplace(settings.classes[i].name, kestrellb::ClassId{i});
+    classes_.emplace(settings.classes[i].name, balancer::ClassId{i});
   }
   for (std::size_t i = 0; i < settings.tenants.size(); ++i) {
-    tenants_.emplace(settings.tenants[i].name, kestrellb::TenantId{i});
+    tenants_.emplace(settings.tenants[i].name, balancer::TenantId{i});
   }
 }
 
 Listener::Taken HttpFront::Take(HttpRequest request, ComingBody coming, Listener::Reply reply) {
-  const TimePoint now = Now();
+  const runtime::TimePoint now = runtime::Now();
   const auto bad = [&reply](const std::string& why) {
     reply(Unfit(why), {});
     return Listener::Taken{};
@@ -156,26 +157,27 @@
     return bad("missing or bad X-Timeout-Ms");
   }
 
-  NewRequest taken;
+  dispatch::NewRequest taken;
   taken.request_class = cls->second;
-  const Duration patience = std::max<Duration>(milliseconds(*timeout) - kTrip, milliseconds(1));
+  const runtime::Duration patience =
+      std::max<runtime::Duration>(milliseconds(*timeout) - kTrip, milliseconds(1));
   taken.deadline = now + patience;
   taken.arriving = static_cast<bool>(coming);
   if (const auto tenant = tenants_.find(std::string(request["X-Tenant-Id"])); tenant != tenants_.end()) {
     taken.tenant = tenant->second;
   }
-  if (const auto cost = Whole<std::uint32_t>(request["X-Cost"])) taken.work = Duration(*cost);
+  if (const auto cost = Whole<std::uint32_t>(request["X-Cost"])) taken.work = runtime::Duration(*cost);
   taken.client_retry = request["X-Retried"] == "1";
   taken.key = std::string(*wire_id);  // two requests of one id could not be told apart upstream
   taken.message = std::make_shared<const HttpMessage>(std::move(request), std::move(coming));
-  taken.on_final = [reply](Final final) {
+  taken.on_final = [reply](dispatch::Final final) {
     ComingBody answer = Coming(final);
     reply(ToResponse(final), std::move(answer));
   };
   const auto id = dispatcher_.Take(std::move(taken));
   if (!id) return bad("X-Request-ID is taken");
   return {[this, id = *id] { dispatcher_.Gone(id); },
-          [this, id = *id, patience] { dispatcher_.Whole(id, Now() + patience); }};
+          [this, id = *id, patience] { dispatcher_.Whole(id, runtime::Now() + patience); }};
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -9,15 +9,15 @@
 #include "dispatch/dispatcher.h"
 #include "http/listener.h"
 
-namespace mothrack {
+namespace mothrack::http {
 
 class HttpFront {
  public:
   // Takes requests at once. Throws boost::system::system_error where it can't listen.
-  HttpFront(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors, ByteBudget& budget,
-            Logger& log, Dispatcher& dispatcher);
+  HttpFront(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
+            runtime::ByteBudget& budget, runtime::Logger& log, dispatch::Dispatcher& dispatcher);
 
-  Endpoint local() const { return listener_.local(); }
+  runtime::Endpoint local() const { return listener_.local(); }
   void HandOver() { listener_.HandOver(); }
   void TakeBack() { listener_.TakeBack(); }
   int native_handle() { return listener_.native_handle(); }
@@ -31,10 +31,10 @@
  private:
   Listener::Taken Take(HttpRequest request, ComingBody coming, Listener::Reply reply);
 
-  Dispatcher& dispatcher_;
-  std::map<std::string, kestrellb::ClassId, std::less<>> classes_;
-  std::map<std::string, kestrellb::TenantId, std::less<>> tenants_;
+  dispatch::Dispatcher& dispatcher_;
+  std::map<std::string, balancer::ClassId, std::less<>> classes_;
+  std::map<std::string, balancer::TenantId, std::less<>> tenants_;
   Listener listener_;  // last: it takes requests from here on, and goes first
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -19,7 +19,7 @@
 #include "runtime/system_calls.h"
 #include "runtime/write_stream.h"
 
-namespace mothrack {
+namespace mothrack::http {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -27,27 +27,27 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr Duration kSweep = milliseconds(250);
+constexpr runtime::Duration kSweep = milliseconds(250);
 // With shorter deadlines it sweeps this often within the shortest, for the sake of clients in the system's
 // queue.
 constexpr int kSweepsInDeadline = 3;
 // While requests pass, that queue is looked at this often: a system call in 20 ms is nothing beside them.
-constexpr Duration kLook = milliseconds(20);
+constexpr runtime::Duration kLook = milliseconds(20);
 constexpr auto kDrainSweep = milliseconds(10);
 // A client that has left is found this soon where nothing is read from it: an attempt that begins 0.1 s after
 // it left is one too many.
-constexpr Duration kDisconnectCheck = milliseconds(25);
+constexpr runtime::Duration kDisconnectCheck = milliseconds(25);
 // A connection has so long, from its start, for its first whole request; a later request from its first byte
 // on; an answer to be taken. Not renewed by what trickles: the deployment wants silent and stalled clients
 // gone within 3 s of connecting.
-constexpr Duration kRequestTimeout = milliseconds(2500);
+constexpr runtime::Duration kRequestTimeout = milliseconds(2500);
 // Usual clients connect when they have a request: one that has said nothing by now, or not finished its
 // request by then, goes before those.
-constexpr Duration kSilent = seconds(1);
-constexpr Duration kSlow = seconds(1);
+constexpr runtime::Duration kSilent = seconds(1);
+constexpr runtime::Duration kSlow = seconds(1);
 // After a half-close the client's is waited for: a reset could overtake the answer. Short, as a planned stop
 // waits for it too.
-constexpr Duration kLinger = milliseconds(250);
+constexpr runtime::Duration kLinger = milliseconds(250);
 // Whoever sends on for long after the last answer gets the reset: reading megabytes to the end is no service.
 // Nor is more than this read behind a request that is being served.
 constexpr std::size_t kMostLinger = 256 * 1024;
@@ -56,25 +56,25 @@
 // clients on bad lines. The system may hold much of an answer, which the client takes before any of ours
 // moves on.
 constexpr std::int64_t kLeastRate = 16 * 1024;
-constexpr Duration kWriteIdleTimeout = seconds(30);
+constexpr runtime::Duration kWriteIdleTimeout = seconds(30);
 // Clients go on opening connections for a moment after a planned stop began.
-constexpr Duration kAcceptWhileDraining = milliseconds(800);
+constexpr runtime::Duration kAcceptWhileDraining = milliseconds(800);
 // SIGKILL may follow SIGTERM after the longest deadline, which counts as kMostDeadline at most, and this.
-constexpr Duration kMostDeadline = seconds(3);
-constexpr Duration kKillAfter = milliseconds(700);
+constexpr runtime::Duration kMostDeadline = seconds(3);
+constexpr runtime::Duration kKillAfter = milliseconds(700);
 // By so much earlier all is over.
-constexpr Duration kKillMargin = milliseconds(50);
+constexpr runtime::Duration kKillMargin = milliseconds(50);
 // A connection opened in that time is about to carry a request.
-constexpr Duration kFreshConnection = milliseconds(300);
+constexpr runtime::Duration kFreshConnection = milliseconds(300);
 
 // Until when a planned stop is to be over.
-Duration StopWithin(Duration longest_deadline) {
+runtime::Duration StopWithin(runtime::Duration longest_deadline) {
   return std::min(longest_deadline, kMostDeadline) + kKillAfter - kKillMargin;
 }
 
-HttpResponse Plain(http::status status, const std::string& text) {
+HttpResponse Plain(beast_http::status status, const std::string& text) {
   HttpResponse response(status, 11);
-  response.set(http::field::content_type, "text/plain");
+  response.set(beast_http::field::content_type, "text/plain");
   response.body() = text + "\n";
   return response;
 }
@@ -92,7 +92,7 @@
  public:
   Connection(Listener& owner, tcp::socket socket)
       : owner_(&owner),
-        slot_(std::in_place, owner.descriptors_, Descriptors::Side::kClient),
+        slot_(std::in_place, owner.descriptors_, runtime::Descriptors::Side::kClient),
         socket_(std::move(socket)),
         write_stream_(socket_) {
     buffer_.max_size(kMostRead);
@@ -111,7 +111,7 @@
     if (owner_ != nullptr) owner_->connections_.erase(self);
     // First: what is told then ends the attempts, and nobody waits for the rest of a body any more.
     if (const auto gone = std::exchange(taken_, {}).gone) gone();
-    if (const auto upload = std::exchange(upload_, nullptr)) upload->End(Stream::State::kBroken);
+    if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kBroken);
     if (writer_) writer_->stream().Abandon();
   }
 
@@ -122,7 +122,7 @@
     Close();
   }
 
-  TimePoint since() const { return since_; }
+  runtime::TimePoint since() const { return since_; }
 
   bool Idle() const { return state_ == State::kReading && !started_; }
 
@@ -138,7 +138,7 @@
   // this one.
   void HalfClose() {
     state_ = State::kHalfClosed;
-    since_ = Now();
+    since_ = runtime::Now();
     error_code ignored;
     socket_.shutdown(tcp::socket::shutdown_send, ignored);
   }
@@ -157,7 +157,7 @@
 
   // The client has closed its end, or all of the connection; also where bytes wait ahead of that.
   bool ClientDisconnected() {
-    const auto events = PollNow(socket_.native_handle(), POLLRDHUP);
+    const auto events = runtime::PollNow(socket_.native_handle(), POLLRDHUP);
     return (events.value_or(0) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
   }
 
@@ -166,8 +166,8 @@
 
   // Which goes first when descriptors run out, the lowest number first; nothing where it must stay. Usual
   // clients' connections outlast those of clients that say nothing.
-  std::optional<int> EvictionRank(TimePoint now) const {
-    const Duration age = now - since_;
+  std::optional<int> EvictionRank(runtime::TimePoint now) const {
+    const runtime::Duration age = now - since_;
     if (state_ == State::kLingering || state_ == State::kHalfClosed) return 0;
     if (state_ != State::kReading) return std::nullopt;
     // A kept connection is closed at no cost: its client asks on another. One that has not asked yet is about
@@ -178,29 +178,30 @@
   }
 
   // Ends what has had its time.
-  void CloseIfOverdue(TimePoint now) {
+  void CloseIfOverdue(runtime::TimePoint now) {
     if (closed_ || (state_ == State::kServing && !upload_) || now - since_ <= Patience(now)) return;
     if (state_ != State::kReading) return CloseNow();
     if (!started_ && !unused_) return;
     // It may be the sidecar that had no time: what has come is read first.
     if (HasUnreadBytes() && !std::exchange(excused_, true)) return;
-    if (started_) return Reject(http::status::request_timeout, "request did not come in time");
+    if (started_) return Reject(beast_http::status::request_timeout, "request did not come in time");
     Close();
   }
 
-  bool Fresh(TimePoint now) const { return unused_ && now - since_ < kFreshConnection; }
+  bool Fresh(runtime::TimePoint now) const { return unused_ && now - since_ < kFreshConnection; }
 
  private:
   enum class State { kReading, kServing, kWriting, kLingering, kHalfClosed };
 
   // Counted from since_ on.
-  Duration Patience(TimePoint now) const {
+  runtime::Duration Patience(runtime::TimePoint now) const {
     if (state_ == State::kLingering && cut_upload_) return kRequestTimeout;
     if (state_ == State::kLingering || state_ == State::kHalfClosed) return kLinger;
     if (state_ == State::kWriting) return writer_ ? kWriteIdleTimeout : kRequestTimeout;
-    const Duration blocked = blocked_ + (blocked_since_ ? now - *blocked_since_ : Duration::zero());
+    const runtime::Duration blocked =
+        blocked_ + (blocked_since_ ? now - *blocked_since_ : runtime::Duration::zero());
     const auto came = static_cast<std::int64_t>(came_);
-    return kRequestTimeout + blocked + Duration(came * Duration::period::den / kLeastRate);
+    return kRequestTimeout + blocked + runtime::Duration(came * runtime::Duration::period::den / kLeastRate);
   }
 
   void NewParser() {
@@ -209,13 +210,13 @@
     parser_->header_limit(kMostHeader);
     parser_->get().body().room = kBufferLimit;
     came_ = 0;
-    blocked_ = Duration::zero();
+    blocked_ = runtime::Duration::zero();
     blocked_since_.reset();
     started_ = false;
     head_checked_ = false;
     excused_ = false;
     scanned_ = 0;
-    since_ = Now();
+    since_ = runtime::Now();
     if (owner_ != nullptr) owner_->Heard(since_);
     if (buffer_.size() == 0) buffer_.shrink_to_fit();  // most connections are idle most of the time
   }
@@ -225,12 +226,12 @@
     if (reading_ || closed_) return;
     // Its upstream takes the body more slowly than it comes.
     const bool blocked = upload_ && upload_->Room() == 0;
-    if (blocked && !blocked_since_) blocked_since_ = Now();
+    if (blocked && !blocked_since_) blocked_since_ = runtime::Now();
     if (blocked || buffer_.size() == buffer_.max_size() || (flooded_ && dropped_ > kMostLinger)) {
       if (owner_ != nullptr) owner_->CheckForDisconnects();
       return;
     }
-    if (blocked_since_) blocked_ += Now() - *std::exchange(blocked_since_, std::nullopt);
+    if (blocked_since_) blocked_ += runtime::Now() - *std::exchange(blocked_since_, std::nullopt);
     reading_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
       self->reading_ = false;
@@ -245,8 +246,8 @@
   // for that behind what waits.
   void AwaitClose() {
     error_code error;
-    PeekByte(socket_, error);
-    if (WouldBlock(error)) return Read();
+    runtime::PeekByte(socket_, error);
+    if (runtime::WouldBlock(error)) return Read();
     if (error) Close();
   }
 
@@ -255,15 +256,15 @@
     char bytes[kReadSize];
     error_code error;
     while (!error && dropped_ <= kMostLinger) {
-      dropped_ += ReadSome(socket_, boost::asio::buffer(bytes), error);
+      dropped_ += runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
     }
   }
 
   void Receive() {
     const std::size_t room = std::min(buffer_.max_size() - buffer_.size(), upload_ ? kMostRead : kReadSize);
     error_code error;
-    const std::size_t size = ReadSome(socket_, buffer_.prepare(room), error);
-    if (WouldBlock(error)) return Read();
+    const std::size_t size = runtime::ReadSome(socket_, buffer_.prepare(room), error);
+    if (runtime::WouldBlock(error)) return Read();
     if (error) return Close();
     buffer_.commit(size);
     Progress();
@@ -272,7 +273,7 @@
   void Progress() {
     if (parsing_ || closed_) return;
     if (state_ == State::kLingering || flooded_) {
-      if (cut_upload_ && buffer_.size() > 0) since_ = Now();
+      if (cut_upload_ && buffer_.size() > 0) since_ = runtime::Now();
       Drop(buffer_.size());
       if (state_ == State::kLingering && dropped_ > (cut_upload_ ? kMostBody : kMostLinger)) return Close();
     }
@@ -300,26 +301,28 @@
         if (room == 0) return;
         parser_->get().body().room = room;
       }
-      if (!std::exchange(started_, true) && !std::exchange(unused_, false)) since_ = Now();
+      if (!std::exchange(started_, true) && !std::exchange(unused_, false)) since_ = runtime::Now();
       if (!parser_->is_header_done()) {
         const Head head = LookAtHead(Unparsed(), scanned_);
         if (head == Head::kPartial) return;
-        if (head == Head::kBad) return Reject(http::status::bad_request, "bad request head");
+        if (head == Head::kBad) return Reject(beast_http::status::bad_request, "bad request head");
       }
       // Not in one go with the header: Beast 1.74 then forgets that the body is beyond the bound.
       parser_->eager(parser_->is_header_done());
       error_code error;
       const std::size_t used = parser_->put(buffer_.data(), error);
       buffer_.consume(used);
-      const bool long_body = error == http::error::need_buffer;
-      if (error == http::error::need_more || long_body) error = {};
+      const bool long_body = error == beast_http::error::need_buffer;
+      if (error == beast_http::error::need_more || long_body) error = {};
       came_ += parser_->is_header_done() ? used : 0;
       if (upload_ && error) return Close();
       if (upload_ && !PassOn()) return;
-      if (error == http::error::body_limit) return Reject(http::status::payload_too_large, "body too large");
-      if (error) return Reject(http::status::bad_request, error.message());
+      if (error == beast_http::error::body_limit)
+        return Reject(beast_http::status::payload_too_large, "body too large");
+      if (error) return Reject(beast_http::status::bad_request, error.message());
       if (parser_->is_header_done() && !std::exchange(head_checked_, true)) {
-        if (const char* fault = FramingFault(parser_->get())) return Reject(http::status::bad_request, fault);
+        if (const char* fault = FramingFault(parser_->get()))
+          return Reject(beast_http::status::bad_request, fault);
         Continue();
         if (closed_) return;
       }
@@ -352,7 +355,7 @@
   void Upload() {
     HttpRequest request;
     request.base() = parser_->get().base();
-    upload_ = std::make_shared<Stream>(owner_->budget_, kMostKept);
+    upload_ = std::make_shared<runtime::Stream>(owner_->budget_, kMostKept);
     upload_->on_room = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->Progress();
     };
@@ -377,23 +380,24 @@
     std::size_t scanned = 0;
     if (buffer_.size() > 0 && LookAtHead(Unparsed(), scanned) == Head::kBad) close_after_ = true;
     if (const auto whole = std::exchange(taken_.whole, nullptr)) whole();
-    upload->End(Stream::State::kWhole);
+    upload->End(runtime::Stream::State::kWhole);
   }
 
   // Whoever sent this can't be followed any further: nothing behind it on this connection is read as a
   // request.
-  void Reject(http::status status, const std::string& why) {
+  void Reject(beast_http::status status, const std::string& why) {
     close_after_ = true;
     Answer(Plain(status, why));
   }
 
   // A client that asked whether to go on waits for this before it sends the body.
   void Continue() {
-    if (!boost::beast::iequals(parser_->get()[http::field::expect], "100-continue")) return;
+    if (!boost::beast::iequals(parser_->get()[beast_http::field::expect], "100-continue")) return;
     static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
     std::string_view rest = kContinue;
     error_code error;
-    while (!rest.empty() && !error) rest.remove_prefix(WriteSome(socket_, boost::asio::buffer(rest), error));
+    while (!rest.empty() && !error)
+      rest.remove_prefix(runtime::WriteSome(socket_, boost::asio::buffer(rest), error));
     // None of it is no harm: the client goes on after a pause of its own (RFC 9110 section 10.1.1). A part of
     // it would be taken for the beginning of the answer.
     if (!rest.empty() && rest.size() < kContinue.size()) Close();
@@ -402,20 +406,20 @@
   void Serve(HttpRequest request, ComingBody coming) {
     // Trailers have joined the head. And what follows a body must begin like a request, or its length was
     // wrong.
-    if (const char* fault = FramingFault(request)) return Reject(http::status::bad_request, fault);
+    if (const char* fault = FramingFault(request)) return Reject(beast_http::status::bad_request, fault);
     std::size_t scanned = 0;
     if (!coming && buffer_.size() > 0 && LookAtHead(Unparsed(), scanned) == Head::kBad) {
-      return Reject(http::status::bad_request, "no request behind the body");
+      return Reject(beast_http::status::bad_request, "no request behind the body");
     }
     if (!request.keep_alive()) close_after_ = true;
     version_ = request.version();
     const auto target = request.target();
     state_ = State::kServing;
-    if (target == "/up" && request.method() == http::verb::get) {
+    if (target == "/up" && request.method() == beast_http::verb::get) {
       // Asked is whether the address takes clients.
       const bool draining = owner_->resting() && !owner_->succeeded_;
-      return Answer(draining ? Plain(http::status::service_unavailable, "draining")
-                             : Plain(http::status::ok, "up"));
+      return Answer(draining ? Plain(beast_http::status::service_unavailable, "draining")
+                             : Plain(beast_http::status::ok, "up"));
     }
     // It may have waited here for longer than its client did.
     if (ClientDisconnected()) return Close();
@@ -430,7 +434,7 @@
 
   void Answer(HttpResponse response, ComingBody coming = {}) {
     state_ = State::kWriting;
-    since_ = Now();
+    since_ = runtime::Now();
     // Answered before its body had come: the client may not look before it has sent all of it.
     if (const auto upload = std::exchange(upload_, nullptr)) {
       upload->Abandon();
@@ -443,11 +447,12 @@
     if (coming) return AnswerAsItComes(std::move(coming));
     response_.keep_alive(!close_after_);
     response_.prepare_payload();
-    http::async_write(write_stream_, response_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (self->closed_ || self->owner_ == nullptr) return;
-      if (error) return self->Close();
-      self->Answered();
-    });
+    beast_http::async_write(write_stream_, response_,
+                            [self = shared_from_this()](error_code error, std::size_t) {
+                              if (self->closed_ || self->owner_ == nullptr) return;
+                              if (error) return self->Close();
+                              self->Answered();
+                            });
   }
 
   void AnswerAsItComes(ComingBody coming) {
@@ -478,7 +483,7 @@
     pumping_ = false;
     if (closed_) return;
     // While there is nothing to take the client is not to blame.
-    if (writer_->written() > before || progress == BodyWriter::Progress::kNoBytes) since_ = Now();
+    if (writer_->written() > before || progress == BodyWriter::Progress::kNoBytes) since_ = runtime::Now();
     switch (progress) {
       case BodyWriter::Progress::kNoBytes:
         return;
@@ -512,7 +517,7 @@
     response_ = {};
     if (close_after_) {
       state_ = State::kLingering;
-      since_ = Now();
+      since_ = runtime::Now();
       dropped_ = 0;
       error_code ignored;
       socket_.shutdown(tcp::socket::shutdown_send, ignored);
@@ -524,17 +529,17 @@
   }
 
   Listener* owner_;
-  std::optional<Descriptors::Slot> slot_;
+  std::optional<runtime::Descriptors::Slot> slot_;
   tcp::socket socket_;
-  WriteStream<tcp::socket> write_stream_;
+  runtime::WriteStream<tcp::socket> write_stream_;
   boost::beast::flat_buffer buffer_;
-  std::optional<http::request_parser<PieceBody>> parser_;
+  std::optional<beast_http::request_parser<PieceBody>> parser_;
   HttpResponse response_;
   Taken taken_;
-  std::shared_ptr<Stream> upload_;    // of the request that was handed on while its body still comes
-  std::optional<BodyWriter> writer_;  // of the answer that is passed on while it comes
+  std::shared_ptr<runtime::Stream> upload_;  // of the request that was handed on while its body still comes
+  std::optional<BodyWriter> writer_;         // of the answer that is passed on while it comes
   State state_ = State::kReading;
-  TimePoint since_;  // of the state, or of a request's first byte
+  runtime::TimePoint since_;  // of the state, or of a request's first byte
   unsigned version_ = 11;
   bool started_ = false;  // some of a request has come
   bool unused_ = true;    // nothing has ever come
@@ -543,11 +548,11 @@
   std::size_t scanned_ = 0;  // of a head that is still to come whole
   std::size_t dropped_ = 0;  // bytes read behind a flood's request, or since the last answer
   bool close_after_ = false;
-  bool cut_upload_ = false;  // it was answered before its body had come
-  bool flooded_ = false;     // more came ahead of an answer than is kept: none of it is read as a request
-  std::uint64_t came_ = 0;   // of the body
-  Duration blocked_{};       // the time for which nothing was read since nobody took it
-  std::optional<TimePoint> blocked_since_;
+  bool cut_upload_ = false;      // it was answered before its body had come
+  bool flooded_ = false;         // more came ahead of an answer than is kept: none of it is read as a request
+  std::uint64_t came_ = 0;       // of the body
+  runtime::Duration blocked_{};  // the time for which nothing was read since nobody took it
+  std::optional<runtime::TimePoint> blocked_since_;
   bool parsing_ = false;
   bool pumping_ = false;
   bool waits_to_write_ = false;
@@ -555,8 +560,9 @@
   bool closed_ = false;
 };
 
-Listener::Listener(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors,
-                   ByteBudget& budget, Logger& log, const DeadlineRange& deadlines, OnRequest on_request)
+Listener::Listener(boost::asio::io_context& io, const runtime::ListenOn& where,
+                   runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
+                   const DeadlineRange& deadlines, OnRequest on_request)
     : descriptors_(descriptors),
       budget_(budget),
       log_(log),
@@ -582,14 +588,14 @@
 }
 
 bool Listener::MakeRoom() {
-  const TimePoint now = Now();
+  const runtime::TimePoint now = runtime::Now();
   // Those of which more has come than was read are no candidates; there are few. What still arrives between
   // the look and the close gets a reset, which takes nothing along: whoever sends a request has its last
   // answer whole.
   std::set<Connection*> busy;
   while (true) {
     std::shared_ptr<Connection> best;
-    std::pair<int, TimePoint> lowest;
+    std::pair<int, runtime::TimePoint> lowest;
     for (const auto& connection : connections_) {
       const auto spare = connection->EvictionRank(now);
       if (!spare || busy.contains(connection.get())) continue;
@@ -617,7 +623,7 @@
 void Listener::Drain(std::function<void()> done) {
   if (drained_) return;
   drained_ = std::move(done);
-  drain_started_ = Now();
+  drain_started_ = runtime::Now();
   succeeded_ = acceptor_.paused();
   if (succeeded_) acceptor_.Release();
   sweep_.cancel();
@@ -626,9 +632,9 @@
 }
 
 void Listener::ScheduleSweep() {
-  Duration after = sweep_every_;
+  runtime::Duration after = sweep_every_;
   if (unread_) after = std::min(after, kDisconnectCheck);
-  if (resting()) after = std::min<Duration>(after, kDrainSweep);
+  if (resting()) after = std::min<runtime::Duration>(after, kDrainSweep);
   sweep_.expires_after(after);
   sweep_.async_wait([this](error_code error) {
     if (error || ended_) return;
@@ -645,18 +651,18 @@
   if (!std::exchange(unread_, true)) ScheduleSweep();
 }
 
-void Listener::Heard(TimePoint now) {
+void Listener::Heard(runtime::TimePoint now) {
   if (now - looked_ < kLook) return;
   looked_ = now;
   acceptor_.Look();
 }
 
 void Listener::Sweep() {
-  const TimePoint now = Now();
+  const runtime::TimePoint now = runtime::Now();
   Heard(now);
   const std::vector<std::shared_ptr<Connection>> all(connections_.begin(), connections_.end());
   unread_ = false;
-  const Duration drained = drained_ ? now - drain_started_ : Duration::zero();
+  const runtime::Duration drained = drained_ ? now - drain_started_ : runtime::Duration::zero();
   // From here on there is no time left to wait for what a fresh connection would bring.
   const bool last_call = drained >= stop_within_ - kLinger;
   for (const auto& connection : all) {
@@ -680,4 +686,4 @@
   if (drained > kAcceptWhileDraining + kRequestTimeout) acceptor_.Release();
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -15,15 +15,15 @@
 #include "runtime/descriptors.h"
 #include "runtime/log.h"
 
-namespace mothrack {
+namespace mothrack::http {
 
 // Of the requests that a deployment has, from their last byte on.
 struct DeadlineRange {
-  Duration shortest;
-  Duration longest;
+  runtime::Duration shortest;
+  runtime::Duration longest;
 };
 
-class Listener : private Acceptor::Owner {
+class Listener : private runtime::Acceptor::Owner {
  public:
   // The body of an answer may still be coming.
   using Reply = std::function<void(HttpResponse, ComingBody)>;
@@ -39,11 +39,12 @@
   // Binds and listens; throws boost::system::system_error.
   // A client that the system does not tell of is found well within the shortest deadline of a request. A
   // planned stop ends ahead of the SIGKILL that may follow the longest one.
-  Listener(boost::asio::io_context& io, const ListenOn& where, Descriptors& descriptors, ByteBudget& budget,
-           Logger& log, const DeadlineRange& deadlines, OnRequest on_request);
+  Listener(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
+           runtime::ByteBudget& budget, runtime::Logger& log, const DeadlineRange& deadlines,
+           OnRequest on_request);
   ~Listener();
 
-  Endpoint local() const { return acceptor_.local(); }
+  runtime::Endpoint local() const { return acceptor_.local(); }
 
   // A successor accepts from the same socket: this one leaves new clients to it. Taken back where it is gone.
   void HandOver() { acceptor_.Pause(); }
@@ -62,32 +63,32 @@
  private:
   class Connection;
 
-  bool Room() const override { return descriptors_.Room(Descriptors::Side::kClient); }
+  bool Room() const override { return descriptors_.Room(runtime::Descriptors::Side::kClient); }
   bool MakeRoom() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
   void ScheduleSweep();
   void Sweep();
   // Something came from a client.
-  void Heard(TimePoint now);
+  void Heard(runtime::TimePoint now);
   // A connection is served while nothing is read from it: only a look tells that its client has left.
   void CheckForDisconnects();
 
-  Descriptors& descriptors_;
-  ByteBudget& budget_;
-  Logger& log_;
+  runtime::Descriptors& descriptors_;
+  runtime::ByteBudget& budget_;
+  runtime::Logger& log_;
   const OnRequest on_request_;
   std::set<std::shared_ptr<Connection>> connections_;
-  Acceptor acceptor_;
-  const Duration sweep_every_;
-  const Duration stop_within_;  // of a planned stop, from its start
-  TimePoint looked_;            // for clients that wait
+  runtime::Acceptor acceptor_;
+  const runtime::Duration sweep_every_;
+  const runtime::Duration stop_within_;  // of a planned stop, from its start
+  runtime::TimePoint looked_;            // for clients that wait
   boost::asio::steady_timer sweep_;
   std::function<void()> drained_;  // set while draining
   bool resting_ = false;
   bool unread_ = false;     // a connection is served while nothing is read from it
   bool ended_ = false;      // drained, and told so
   bool succeeded_ = false;  // draining, and a successor takes clients at the same address
-  TimePoint drain_started_;
+  runtime::TimePoint drain_started_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/messages.cpp
+++ b/src/http/messages.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-namespace mothrack {
+namespace mothrack::http {
 
 namespace {
 
@@ -32,17 +32,17 @@
   return bytes.size() < kMostHeader ? Head::kPartial : Head::kBad;
 }
 
-const char* FramingFault(const http::request_header<>& header) {
+const char* FramingFault(const beast_http::request_header<>& header) {
   if (header.version() != 10 && header.version() != 11) return "unknown version";
-  const auto codings = header.count(http::field::transfer_encoding);
-  const auto lengths = header.count(http::field::content_length);
+  const auto codings = header.count(beast_http::field::transfer_encoding);
+  const auto lengths = header.count(beast_http::field::content_length);
   if (codings > 0 && lengths > 0) return "both Content-Length and Transfer-Encoding";
   if (codings > 1 || lengths > 1) return "body framed more than once";
   if (codings > 0 && header.version() == 10) return "Transfer-Encoding in HTTP/1.0";
-  if (codings > 0 && !boost::beast::iequals(header[http::field::transfer_encoding], "chunked")) {
+  if (codings > 0 && !boost::beast::iequals(header[beast_http::field::transfer_encoding], "chunked")) {
     return "unknown Transfer-Encoding";
   }
-  const auto length = header[http::field::content_length];
+  const auto length = header[beast_http::field::content_length];
   const auto digit = [](char c) { return c >= '0' && c <= '9'; };
   if (lengths > 0 && (length.empty() || !std::all_of(length.begin(), length.end(), digit))) {
     return "bad Content-Length";
@@ -50,18 +50,19 @@
   return nullptr;
 }
 
-void RemoveHopByHop(http::fields& fields) {
+void RemoveHopByHop(beast_http::fields& fields) {
   std::vector<std::string> named;
-  const auto range = fields.equal_range(http::field::connection);
+  const auto range = fields.equal_range(beast_http::field::connection);
   for (auto it = range.first; it != range.second; ++it) {
-    for (const auto& token : http::token_list(it->value())) named.emplace_back(token);
+    for (const auto& token : beast_http::token_list(it->value())) named.emplace_back(token);
   }
   for (const auto& name : named) fields.erase(name);
-  for (const auto field : {http::field::connection, http::field::keep_alive, http::field::proxy_connection,
-                           http::field::te, http::field::trailer, http::field::transfer_encoding,
-                           http::field::upgrade, http::field::content_length, http::field::expect}) {
+  for (const auto field :
+       {beast_http::field::connection, beast_http::field::keep_alive, beast_http::field::proxy_connection,
+        beast_http::field::te, beast_http::field::trailer, beast_http::field::transfer_encoding,
+        beast_http::field::upgrade, beast_http::field::content_length, beast_http::field::expect}) {
     fields.erase(field);
   }
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -21,28 +21,28 @@
 #include "dispatch/exchange.h"
 #include "runtime/stream.h"
 
-namespace mothrack {
+namespace mothrack::http {
 
-namespace http = boost::beast::http;
+namespace beast_http = boost::beast::http;
 
-using HttpRequest = http::request<http::string_body>;
-using HttpResponse = http::response<http::string_body>;
+using HttpRequest = beast_http::request<beast_http::string_body>;
+using HttpResponse = beast_http::response<beast_http::string_body>;
 
 // A body that still comes, while its message is on its way already. The message's own body is empty then.
 struct ComingBody {
-  std::shared_ptr<Stream> stream;       // null: the message is whole
-  std::optional<std::uint64_t> length;  // absent: its end will tell
+  std::shared_ptr<runtime::Stream> stream;  // null: the message is whole
+  std::optional<std::uint64_t> length;      // absent: its end will tell
   explicit operator bool() const { return stream != nullptr; }
 };
 
-struct HttpMessage : Message {
+struct HttpMessage : dispatch::Message {
   explicit HttpMessage(HttpRequest request, ComingBody coming = {})
       : request(std::move(request)), coming(std::move(coming)) {}
   HttpRequest request;
   ComingBody coming;
 };
 
-struct HttpReply : Reply {
+struct HttpReply : dispatch::Reply {
   explicit HttpReply(HttpResponse response, ComingBody coming = {})
       : response(std::move(response)), coming(std::move(coming)) {}
   HttpResponse response;
@@ -62,7 +62,7 @@
   class reader {
    public:
     template <bool isRequest, class Fields>
-    reader(http::header<isRequest, Fields>&, value_type& piece) : piece_(piece) {}
+    reader(beast_http::header<isRequest, Fields>&, value_type& piece) : piece_(piece) {}
     void init(const boost::optional<std::uint64_t>&, boost::system::error_code& error) { error = {}; }
     template <class Buffers>
     std::size_t put(const Buffers& buffers, boost::system::error_code& error) {
@@ -74,7 +74,7 @@
         piece_.bytes.append(static_cast<const char*>(part.data()), size);
         used += size;
         if (size < part.size()) {
-          error = http::error::need_buffer;
+          error = beast_http::error::need_buffer;
           break;
         }
       }
@@ -109,17 +109,17 @@
 
 // Where a request's body ends must be beyond doubt: what one reader takes for a body may hold a request for
 // the next. Names what is wrong with it; null where nothing is.
-const char* FramingFault(const http::request_header<>& header);
+const char* FramingFault(const beast_http::request_header<>& header);
 
 // A head as it goes over the wire, with its empty line.
 template <bool isRequest>
-std::string ToText(const http::header<isRequest>& header) {
+std::string ToText(const beast_http::header<isRequest>& header) {
   std::ostringstream text;
   text << header;
   return text.str();
 }
 
 // Takes away what speaks of one connection only and must not be passed on.
-void RemoveHopByHop(http::fields& fields);
+void RemoveHopByHop(beast_http::fields& fields);
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/transport.cpp
+++ b/src/http/transport.cpp
@@ -22,34 +22,34 @@
 #include "runtime/system_calls.h"
 #include "runtime/write_stream.h"
 
-namespace mothrack {
+namespace mothrack::http {
 namespace {
 
+using balancer::LoadReport;
+using balancer::Outcome;
+using balancer::UpstreamState;
 using boost::asio::ip::tcp;
 using boost::system::error_code;
-using kestrellb::LoadReport;
-using kestrellb::Outcome;
-using kestrellb::UpstreamState;
 using std::chrono::milliseconds;
 
 // The upstream counts from when it wrote its answer, we from when we read it, and a request needs time to get
 // there: an idle connection is retired this share of the limit early, at least by so much.
 constexpr int kIdleShare = 10;
-constexpr Duration kIdleMargin = milliseconds(500);
+constexpr runtime::Duration kIdleMargin = milliseconds(500);
 constexpr auto kSweep = milliseconds(250);
 
 // Interim answers ahead of the one answer; more are no honest upstream's.
 constexpr int kMostInterim = 8;
 // A body that its upstream does not take, and an answer that stops, for so long are given up.
-constexpr Duration kWriteIdleTimeout = std::chrono::seconds(5);
-constexpr Duration kAnswerIdleTimeout = std::chrono::seconds(15);
+constexpr runtime::Duration kWriteIdleTimeout = std::chrono::seconds(5);
+constexpr runtime::Duration kAnswerIdleTimeout = std::chrono::seconds(15);
 // An answer that does not tell its length is kept whole like one that does, but no longer than this once it
 // is no small one: what has come of a long answer may not be kept from its client for 2 s.
-constexpr Duration kBufferingTimeout = std::chrono::seconds(1);
+constexpr runtime::Duration kBufferingTimeout = std::chrono::seconds(1);
 // No load is beyond this, whatever its unit.
 constexpr double kMostLoad = 1e6;
 
-Duration TrustedIdle(Duration limit) {
+runtime::Duration TrustedIdle(runtime::Duration limit) {
   return std::max(limit / 2, limit - std::max(limit / kIdleShare, kIdleMargin));
 }
 
@@ -89,11 +89,11 @@
 // Does the head tell where a served answer ends? One that ends with its connection is told by that (RFC 9112
 // section 6.3) where its head says that the connection ends; otherwise it can't be told from one that was
 // cut.
-bool TellsItsEnd(const http::response_parser<PieceBody>& parser) {
+bool TellsItsEnd(const beast_http::response_parser<PieceBody>& parser) {
   const auto& header = parser.get();
-  const auto codings = header.count(http::field::transfer_encoding);
+  const auto codings = header.count(beast_http::field::transfer_encoding);
   if (codings == 0) return parser.content_length().has_value() || !header.keep_alive();
-  return codings == 1 && boost::beast::iequals(header[http::field::transfer_encoding], "chunked");
+  return codings == 1 && boost::beast::iequals(header[beast_http::field::transfer_encoding], "chunked");
 }
 
 // Of a connection that did not come up: this machine lacked something (a port, memory, a route) or was
@@ -118,7 +118,7 @@
   }
 }
 
-Outcome Classify(const http::response_header<>& header) {
+Outcome Classify(const beast_http::response_header<>& header) {
   const unsigned status = header.result_int();
   if (status == 200) return Outcome::kServed;
   // Only this header proves that nothing ran: a bare 503 may come from behind the work.
@@ -136,7 +136,7 @@
   Connection(HttpTransport& owner, const std::shared_ptr<Pool>& pool)
       : owner_(owner),
         pool_(pool),
-        slot_(std::in_place, owner.descriptors_, Descriptors::Side::kUpstream),
+        slot_(std::in_place, owner.descriptors_, runtime::Descriptors::Side::kUpstream),
         socket_(owner.io_),
         write_stream_(socket_),
         timer_(owner.io_) {
@@ -151,18 +151,18 @@
     return error;
   }
 
-  void Start(ExchangeId id, std::shared_ptr<const HttpMessage> message, Duration timeout,
-             ExchangeHooks hooks) {
+  void Start(dispatch::ExchangeId id, std::shared_ptr<const HttpMessage> message, runtime::Duration timeout,
+             dispatch::ExchangeHooks hooks) {
     id_ = id;
     message_ = std::move(message);
     written_ = started_ = abandoned_ = false;
     buffering_until_.reset();
     hooks_ = std::move(hooks);
-    sent_ = Now();
+    sent_ = runtime::Now();
     timeout_ = timeout;
     gives_up_ = sent_ + timeout;
     // Of a message that still comes the time counts from its last byte on.
-    arriving_ = message_->coming && message_->coming.stream->state() == Stream::State::kComing;
+    arriving_ = message_->coming && message_->coming.stream->state() == runtime::Stream::State::kComing;
     phase_ = connected_ ? Phase::kWriting : Phase::kConnecting;
     ++use_;
     interim_ = 0;
@@ -218,14 +218,14 @@
   bool LooksAlive() {
     if (closed_) return false;
     error_code error;
-    PeekByte(socket_, error);
-    return WouldBlock(error);
+    runtime::PeekByte(socket_, error);
+    return runtime::WouldBlock(error);
   }
 
-  ExchangeId id() const { return id_; }
+  dispatch::ExchangeId id() const { return id_; }
   std::shared_ptr<Pool> pool() const { return pool_.lock(); }
   bool unsent() const { return phase_ == Phase::kConnecting; }
-  TimePoint idle_since() const { return idle_since_; }
+  runtime::TimePoint idle_since() const { return idle_since_; }
 
  private:
   enum class Phase { kIdle, kConnecting, kWriting, kWaiting };
@@ -252,13 +252,13 @@
   // Also makes void what has fired and not been handled.
   void DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
 
-  void ArmTimer(TimePoint at) {
-    timer_.expires_at(ToSteady(at));
+  void ArmTimer(runtime::TimePoint at) {
+    timer_.expires_at(runtime::ToSteady(at));
     timer_.async_wait([self = shared_from_this()](error_code error) {
       if (error || self->closed_ || self->phase_ == Phase::kIdle) return;
       // Guards against a timer that fired just before it was set anew.
       if (self->timer_.expiry() > std::chrono::steady_clock::now()) return;
-      if (self->buffering_until_ && Now() < self->gives_up_) return self->BufferedForLong();
+      if (self->buffering_until_ && runtime::Now() < self->gives_up_) return self->BufferedForLong();
       self->End(Cause::kTimeout);
     });
   }
@@ -269,7 +269,7 @@
     sending_->base() = request.base();
     sending_->version(11);
     // The peer learns how long it will be waited for from now on, which is what is left after connecting.
-    const Duration patience = arriving_ ? timeout_ : Duration(gives_up_ - Now());
+    const runtime::Duration patience = arriving_ ? timeout_ : runtime::Duration(gives_up_ - runtime::Now());
     const auto left = std::chrono::duration_cast<milliseconds>(patience).count();
     sending_->set("X-Timeout-Ms", std::to_string(std::max<std::int64_t>(left, 1)));
     if (message_->coming) return WriteAsItComes();
@@ -277,15 +277,15 @@
     sending_->prepare_payload();
     serializer_.emplace(*sending_);
     write_pending_ = true;
-    http::async_write(write_stream_, *serializer_,
-                      [self = shared_from_this()](error_code error, std::size_t) {
-                        self->write_pending_ = false;
-                        if (self->serializer_->is_done()) self->Written();
-                        if (self->ending_) return self->Finish(*self->ending_);
-                        if (self->closed_) return;
-                        if (error) return self->End(Cause::kBroken);
-                        self->phase_ = Phase::kWaiting;
-                      });
+    beast_http::async_write(write_stream_, *serializer_,
+                            [self = shared_from_this()](error_code error, std::size_t) {
+                              self->write_pending_ = false;
+                              if (self->serializer_->is_done()) self->Written();
+                              if (self->ending_) return self->Finish(*self->ending_);
+                              if (self->closed_) return;
+                              if (error) return self->End(Cause::kBroken);
+                              self->phase_ = Phase::kWaiting;
+                            });
   }
 
   void Written() {
@@ -317,7 +317,7 @@
         if (arriving_) DisarmTimer();
         return;
       case BodyWriter::Progress::kSocketFull:
-        if (arriving_) ArmTimer(Now() + kWriteIdleTimeout);
+        if (arriving_) ArmTimer(runtime::Now() + kWriteIdleTimeout);
         waits_to_write_ = true;
         return socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code error) {
           self->waits_to_write_ = false;
@@ -329,7 +329,7 @@
         writer_.reset();
         phase_ = Phase::kWaiting;
         if (std::exchange(arriving_, false)) {
-          sent_ = Now();
+          sent_ = runtime::Now();
           gives_up_ = sent_ + timeout_;
           ArmTimer(gives_up_);
         }
@@ -347,17 +347,17 @@
     parser_->header_limit(kMostHeader);
     // The header on its own first: Beast 1.74 forgets that the body is beyond the bound where the first of
     // the body comes along with the header, and would take all of it.
-    http::async_read_header(socket_, buffer_, *parser_,
-                            [self = shared_from_this()](error_code error, std::size_t) {
-                              if (!self->closed_) self->OnHeader(error);
-                            });
+    beast_http::async_read_header(socket_, buffer_, *parser_,
+                                  [self = shared_from_this()](error_code error, std::size_t) {
+                                    if (!self->closed_) self->OnHeader(error);
+                                  });
   }
 
   void OnHeader(error_code error) {
     if (error) return End(Cause::kBroken);
     const unsigned status = parser_->get().result_int();
     if (status / 100 == 1) {
-      const bool odd = status == static_cast<unsigned>(http::status::switching_protocols);
+      const bool odd = status == static_cast<unsigned>(beast_http::status::switching_protocols);
       if (odd || ++interim_ > kMostInterim) return End(Cause::kBroken);
       return Read();
     }
@@ -366,7 +366,7 @@
     const auto length = parser_->content_length();
     if (status == 200 && length && *length > kBufferLimit) return StartStreaming();
     if (status != 200 || length) return ReadBody();
-    buffering_until_ = Now() + kBufferingTimeout;
+    buffering_until_ = runtime::Now() + kBufferingTimeout;
     ArmTimer(std::min(*buffering_until_, gives_up_));
     ReadMore();
   }
@@ -379,7 +379,8 @@
 
   void Buffered(bool beyond_bound) {
     const std::size_t size = parser_->get().body().bytes.size();
-    if (beyond_bound || (size >= kLeastStreamed && Now() >= *buffering_until_)) return StartStreaming();
+    if (beyond_bound || (size >= kLeastStreamed && runtime::Now() >= *buffering_until_))
+      return StartStreaming();
     ReadMore();
   }
 
@@ -389,7 +390,7 @@
     buffering_until_.reset();
     HttpResponse head;
     head.base() = parser_->get().base();
-    ComingBody coming{std::make_shared<Stream>(owner_.budget_, 0), std::nullopt};
+    ComingBody coming{std::make_shared<runtime::Stream>(owner_.budget_, 0), std::nullopt};
     if (const auto length = parser_->content_length()) coming.length = *length;
     answer_ = coming.stream;
     answer_->Append(parser_->get().body().bytes);
@@ -400,7 +401,7 @@
     DisarmTimer();
     started_ = true;
     hooks_.on_started(std::make_unique<HttpReply>(std::move(head), std::move(coming)));
-    if (reading_more_ && !closed_) return ArmTimer(Now() + kAnswerIdleTimeout);
+    if (reading_more_ && !closed_) return ArmTimer(runtime::Now() + kAnswerIdleTimeout);
     ReadMore();
   }
 
@@ -411,20 +412,20 @@
       // The client takes its time.
       if (room == 0) return DisarmTimer();
       parser_->get().body().room = room;
-      ArmTimer(Now() + kAnswerIdleTimeout);
+      ArmTimer(runtime::Now() + kAnswerIdleTimeout);
     }
     reading_more_ = true;
-    http::async_read_some(socket_, buffer_, *parser_,
-                          [self = shared_from_this()](error_code error, std::size_t) {
-                            if (!self->closed_) self->OnMore(error);
-                          });
+    beast_http::async_read_some(socket_, buffer_, *parser_,
+                                [self = shared_from_this()](error_code error, std::size_t) {
+                                  if (!self->closed_) self->OnMore(error);
+                                });
   }
 
   void OnMore(error_code error) {
-    if (error && error != http::error::need_buffer) return End(Cause::kBroken);
+    if (error && error != beast_http::error::need_buffer) return End(Cause::kBroken);
     if (!answer_) {
       reading_more_ = false;
-      return parser_->is_done() ? Served() : Buffered(error == http::error::need_buffer);
+      return parser_->is_done() ? Served() : Buffered(error == beast_http::error::need_buffer);
     }
     const auto stream = answer_;  // whoever takes may end all of this
     stream->Append(parser_->get().body().bytes);
@@ -436,14 +437,15 @@
   }
 
   void ReadBody() {
-    http::async_read(socket_, buffer_, *parser_, [self = shared_from_this()](error_code error, std::size_t) {
-      if (!self->closed_) self->OnRead(error);
-    });
+    beast_http::async_read(socket_, buffer_, *parser_,
+                           [self = shared_from_this()](error_code error, std::size_t) {
+                             if (!self->closed_) self->OnRead(error);
+                           });
   }
 
   void OnRead(error_code error) {
     // Of an answer that is no service the first of its body does.
-    if (error && error != http::error::need_buffer) return End(Cause::kBroken);
+    if (error && error != beast_http::error::need_buffer) return End(Cause::kBroken);
     Served();
   }
 
@@ -454,7 +456,8 @@
     HttpResponse response;
     response.base() = std::move(answer.base());
     response.body() = std::move(answer.body().bytes);
-    ExchangeResult result{Classify(response), Now() - sent_, ParseLoad(response["X-Server-Load"]), nullptr};
+    dispatch::ExchangeResult result{Classify(response), runtime::Now() - sent_,
+                                    ParseLoad(response["X-Server-Load"]), nullptr};
     // An answer before the request was written out leaves the connection between messages.
     const bool keep = keep_alive && whole && written_ && buffer_.size() == 0;
     if (result.outcome == Outcome::kServed && !started_) {
@@ -468,7 +471,7 @@
     const auto self = shared_from_this();
     owner_.exchanges_.erase(id_);
     if (keep) {
-      idle_since_ = Now();
+      idle_since_ = runtime::Now();
       Clear();
       Watch();
       owner_.Release(self);
@@ -477,7 +480,8 @@
     }
     on_end(std::move(result));
     if (stream)
-      stream->End(Stream::State::kWhole);  // last: whoever ends it is not asked about the request again
+      stream->End(
+          runtime::Stream::State::kWhole);  // last: whoever ends it is not asked about the request again
   }
 
   // It came up for nothing, and waits for the next request.
@@ -488,7 +492,7 @@
     const auto on_end = std::exchange(hooks_.on_end, nullptr);
     const auto self = shared_from_this();
     owner_.exchanges_.erase(id_);
-    idle_since_ = Now();
+    idle_since_ = runtime::Now();
     Clear();
     Watch();
     owner_.Release(self);
@@ -531,20 +535,20 @@
     const auto on_end = std::exchange(hooks_.on_end, nullptr);
     const auto self = shared_from_this();
     owner_.exchanges_.erase(id_);
-    on_end({outcome, Now() - sent_, {}, nullptr});
-    if (stream) stream->End(Stream::State::kBroken);
+    on_end({outcome, runtime::Now() - sent_, {}, nullptr});
+    if (stream) stream->End(runtime::Stream::State::kBroken);
   }
 
   HttpTransport& owner_;
   std::weak_ptr<Pool> pool_;
-  std::optional<Descriptors::Slot> slot_;
+  std::optional<runtime::Descriptors::Slot> slot_;
   tcp::socket socket_;
-  WriteStream<tcp::socket> write_stream_;
+  runtime::WriteStream<tcp::socket> write_stream_;
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_;
-  std::optional<http::response_parser<PieceBody>> parser_;
-  std::optional<http::request<http::span_body<const char>>> sending_;
-  std::optional<http::request_serializer<http::span_body<const char>>> serializer_;
+  std::optional<beast_http::response_parser<PieceBody>> parser_;
+  std::optional<beast_http::request<beast_http::span_body<const char>>> sending_;
+  std::optional<beast_http::request_serializer<beast_http::span_body<const char>>> serializer_;
   Phase phase_ = Phase::kIdle;
   bool connected_ = false;
   bool closed_ = false;
@@ -552,28 +556,28 @@
   std::optional<Cause> ending_;
   std::uint64_t use_ = 0;  // counts the exchanges: a watch that one outran is void
   int interim_ = 0;
-  ExchangeId id_{};
+  dispatch::ExchangeId id_{};
   std::shared_ptr<const HttpMessage> message_;
-  std::optional<BodyWriter> writer_;  // of the message's body, as it comes
-  std::shared_ptr<Stream> answer_;    // that is passed on as it comes
-  bool arriving_ = false;             // the message's body still came when it was begun, and is not written
-  bool written_ = false;              // its last byte
-  bool abandoned_ = false;            // its request is over: it is not written any more
-  bool started_ = false;              // the answer is passed on as it comes
-  std::optional<TimePoint>
+  std::optional<BodyWriter> writer_;         // of the message's body, as it comes
+  std::shared_ptr<runtime::Stream> answer_;  // that is passed on as it comes
+  bool arriving_ = false;   // the message's body still came when it was begun, and is not written
+  bool written_ = false;    // its last byte
+  bool abandoned_ = false;  // its request is over: it is not written any more
+  bool started_ = false;    // the answer is passed on as it comes
+  std::optional<runtime::TimePoint>
       buffering_until_;  // of an answer that does not tell its length and has not started
   bool pumping_ = false;
   bool waits_to_write_ = false;
   bool reading_more_ = false;
-  Duration timeout_{};
-  ExchangeHooks hooks_;
-  TimePoint sent_;
-  TimePoint gives_up_;
-  TimePoint idle_since_;
+  runtime::Duration timeout_{};
+  dispatch::ExchangeHooks hooks_;
+  runtime::TimePoint sent_;
+  runtime::TimePoint gives_up_;
+  runtime::TimePoint idle_since_;
 };
 
-HttpTransport::HttpTransport(boost::asio::io_context& io, const kestrellb::Limits& limits, bool load_by_probe,
-                             Descriptors& descriptors, ByteBudget& budget)
+HttpTransport::HttpTransport(boost::asio::io_context& io, const balancer::Limits& limits, bool load_by_probe,
+                             runtime::Descriptors& descriptors, runtime::ByteBudget& budget)
     : io_(io),
       connect_timeout_(limits.connect_timeout),
       trusted_idle_(TrustedIdle(limits.idle_close)),
@@ -591,10 +595,10 @@
   }
 }
 
-void HttpTransport::Apply(const std::string& uid, const Location& location) {
+void HttpTransport::Apply(const std::string& uid, const dispatch::Location& location) {
   auto& pool = pools_[uid];
   if (!pool) pool = std::make_shared<Pool>();
-  const Location before = std::exchange(pool->location, location);
+  const dispatch::Location before = std::exchange(pool->location, location);
   const bool moved = before.endpoint != location.endpoint || before.boot_ms != location.boot_ms;
   if (location.state == UpstreamState::kServing && !moved) return;
   // Guards a drain against what was asked for before it was told: nothing queued or connecting goes there.
@@ -618,8 +622,9 @@
   for (const auto& connection : unsent) connection->End(Connection::Cause::kNotSent);
 }
 
-void HttpTransport::Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message,
-                         Duration timeout, ExchangeHooks hooks) {
+void HttpTransport::Send(dispatch::ExchangeId id, const std::string& uid,
+                         std::shared_ptr<const dispatch::Message> message, runtime::Duration timeout,
+                         dispatch::ExchangeHooks hooks) {
   const auto it = pools_.find(uid);
   std::shared_ptr<Connection> connection;
   if (it != pools_.end() && it->second->location.state == UpstreamState::kServing) {
@@ -631,18 +636,18 @@
   if (connection && http_message->coming && !http_message->coming.stream->Begin()) {
     Release(std::exchange(connection, nullptr));
   }
-  if (!connection) return hooks.on_end({Outcome::kNotSent, Duration::zero(), {}, nullptr});
+  if (!connection) return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   exchanges_.emplace(id, connection);
   connection->Start(id, http_message, timeout, std::move(hooks));
 }
 
-void HttpTransport::Probe(ExchangeId id, const std::string& uid, OnEnd on_end) {
+void HttpTransport::Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) {
   ++counts_.probes;
-  HttpRequest request(http::verb::get, probe_target_, 11);
-  request.set(http::field::host, uid);
+  HttpRequest request(beast_http::verb::get, probe_target_, 11);
+  request.set(beast_http::field::host, uid);
   Send(id, uid, std::make_shared<HttpMessage>(std::move(request)), connect_timeout_,
        {[] {}, nullptr,
-        [by_body = probe_target_ != "/alive", on_end = std::move(on_end)](ExchangeResult result) {
+        [by_body = probe_target_ != "/alive", on_end = std::move(on_end)](dispatch::ExchangeResult result) {
           if (by_body && result.outcome == Outcome::kServed) {
             result.load = ParseLoad(static_cast<const HttpReply&>(*result.reply).response.body());
           }
@@ -650,14 +655,14 @@
         }});
 }
 
-void HttpTransport::Cancel(ExchangeId id) {
+void HttpTransport::Cancel(dispatch::ExchangeId id) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   const auto connection = it->second;
   connection->End(Connection::Cause::kCancelled);
 }
 
-void HttpTransport::Abandon(ExchangeId id) {
+void HttpTransport::Abandon(dispatch::ExchangeId id) {
   const auto it = exchanges_.find(id);
   if (it == exchanges_.end()) return;
   const auto connection = it->second;
@@ -689,7 +694,8 @@
   while (!pool.idle.empty()) {
     auto connection = std::move(pool.idle.back());
     pool.idle.pop_back();
-    if (connection->LooksAlive() && Now() - connection->idle_since() < trusted_idle_) return connection;
+    if (connection->LooksAlive() && runtime::Now() - connection->idle_since() < trusted_idle_)
+      return connection;
     connection->Close();
   }
   return nullptr;
@@ -698,7 +704,7 @@
 // Idle connections make room; where there is none, the attempt is not sent. That is no failure of the
 // upstream and proves that nothing ran.
 std::shared_ptr<HttpTransport::Connection> HttpTransport::Open(const std::shared_ptr<Pool>& pool) {
-  while (!descriptors_.Room(Descriptors::Side::kUpstream)) {
+  while (!descriptors_.Room(runtime::Descriptors::Side::kUpstream)) {
     if (!EvictIdle()) return nullptr;
   }
   do {
@@ -733,7 +739,7 @@
 // Retires what has been idle nearly as long as the upstream allows: a request written to a connection that is
 // being closed over there ends as a reset, and an unsafe one could not be sent again.
 void HttpTransport::Sweep() {
-  const TimePoint now = Now();
+  const runtime::TimePoint now = runtime::Now();
   for (const auto& [uid, pool] : pools_) {
     std::erase_if(pool->idle, [&](const auto& connection) {
       if (now - connection->idle_since() < trusted_idle_) return false;
@@ -743,4 +749,4 @@
   }
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/http/transport.h
+++ b/src/http/transport.h
@@ -17,24 +17,24 @@
 #include "runtime/clock.h"
 #include "runtime/descriptors.h"
 
-namespace mothrack {
+namespace mothrack::http {
 
-class HttpTransport : public Transport {
+class HttpTransport : public dispatch::Transport {
  public:
-  HttpTransport(boost::asio::io_context& io, const kestrellb::Limits& limits, bool load_by_probe,
-                Descriptors& descriptors, ByteBudget& budget);
+  HttpTransport(boost::asio::io_context& io, const balancer::Limits& limits, bool load_by_probe,
+                runtime::Descriptors& descriptors, runtime::ByteBudget& budget);
   ~HttpTransport() override;
 
   // Also closes the idle connections of an upstream that drains, is gone, moved or started anew.
-  void Apply(const std::string& uid, const Location& location) override;
+  void Apply(const std::string& uid, const dispatch::Location& location) override;
   // `message` is an HttpMessage; it is sent with its X-Timeout-Ms set to what is left of the time-out.
-  void Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message, Duration timeout,
-            ExchangeHooks hooks) override;
-  void Probe(ExchangeId id, const std::string& uid, OnEnd on_end) override;
+  void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
+            runtime::Duration timeout, dispatch::ExchangeHooks hooks) override;
+  void Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) override;
   // The connection is closed.
-  void Cancel(ExchangeId id) override;
+  void Cancel(dispatch::ExchangeId id) override;
   // A connection that is coming up is waited for and pooled.
-  void Abandon(ExchangeId id) override;
+  void Abandon(dispatch::ExchangeId id) override;
   void CloseIdle(const std::string& uid) override;
 
   struct Counts {
@@ -46,7 +46,7 @@
  private:
   class Connection;
   struct Pool {
-    Location location;
+    dispatch::Location location;
     std::vector<std::shared_ptr<Connection>> idle;  // the most recently used one last
   };
 
@@ -61,15 +61,15 @@
   void Sweep();
 
   boost::asio::io_context& io_;
-  const Duration connect_timeout_;
-  const Duration trusted_idle_;
+  const runtime::Duration connect_timeout_;
+  const runtime::Duration trusted_idle_;
   const std::string probe_target_;
   Counts counts_;
-  Descriptors& descriptors_;
-  ByteBudget& budget_;
+  runtime::Descriptors& descriptors_;
+  runtime::ByteBudget& budget_;
   std::map<std::string, std::shared_ptr<Pool>> pools_;
-  std::map<ExchangeId, std::shared_ptr<Connection>> exchanges_;
+  std::map<dispatch::ExchangeId, std::shared_ptr<Connection>> exchanges_;
   boost::asio::steady_timer sweep_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::http
--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 namespace {
 
 // A command without an answer is repeated.
@@ -277,4 +277,4 @@
   Work(now, commands);
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/change.h
+++ b/src/rollout/change.h
@@ -24,7 +24,7 @@
 #include "rollout/plan.h"
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 enum class ChangeEnd {
   kCompleted,
@@ -129,4 +129,4 @@
   std::string trouble_;  // why it turned back
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/claim.cpp
+++ b/src/rollout/claim.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 namespace {
 
 // A question without an answer is put again.
@@ -122,4 +122,4 @@
   commands.push_back({kind, order_[next_], epoch_});
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/claim.h
+++ b/src/rollout/claim.h
@@ -13,7 +13,7 @@
 #include "rollout/lease.h"
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 struct ClaimCommand {
   enum class Kind { kLook, kAcquire, kOpen, kRelease };
@@ -79,4 +79,4 @@
   std::string fault_;  // for the next turn
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 Instance::Verdict Instance::Take(const Step& step) {
   const bool same_change = record_.phase != Phase::kNone && record_.step.change == step.change;
@@ -118,4 +118,4 @@
   actions.push_back({Action::Kind::kStart, record_.generation, record_.token, {}});
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/instance.h
+++ b/src/rollout/instance.h
@@ -19,7 +19,7 @@
 
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 // What survives the agent.
 struct InstanceRecord {
@@ -105,4 +105,4 @@
   bool held_ = false;
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/lease.cpp
+++ b/src/rollout/lease.cpp
@@ -1,6 +1,6 @@
 #include "rollout/lease.h"
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 LeaseBook::Verdict LeaseBook::Acquire(Epoch epoch, const Holder& holder, TimePoint now) {
   // Its answer was lost, or the question came twice.
@@ -39,4 +39,4 @@
   return now < until_ ? state_.holder : std::nullopt;
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/lease.h
+++ b/src/rollout/lease.h
@@ -17,7 +17,7 @@
 
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 // What must be on disk before an answer goes out.
 struct LeaseState {
@@ -62,4 +62,4 @@
   TimePoint until_;
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <set>
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 std::optional<std::string> FaultOf(const Plan& plan) {
   if (plan.id.empty()) return "the change has no id";
@@ -42,4 +42,4 @@
   return batches;
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -7,7 +7,7 @@
 
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 struct Target {
   InstanceName name;
@@ -50,4 +50,4 @@
 // halls are first named, at most `max_unavailable` at once. No batch has targets of two halls.
 std::vector<std::vector<std::size_t>> Batches(const Plan& plan);
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/types.h
+++ b/src/rollout/types.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string>
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
@@ -74,4 +74,4 @@
   bool available() const { return running && ready && phase != Phase::kAccepted; }
 };
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/wire.cpp
+++ b/src/rollout/wire.cpp
@@ -4,7 +4,7 @@
 #include <array>
 #include <stdexcept>
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 namespace {
 
 using nlohmann::json;
@@ -200,4 +200,4 @@
          std::all_of(name.begin(), name.end(), good);
 }
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/rollout/wire.h
+++ b/src/rollout/wire.h
@@ -11,7 +11,7 @@
 #include "rollout/plan.h"
 #include "rollout/types.h"
 
-namespace mothrack::fleet {
+namespace mothrack::rollout {
 
 nlohmann::json ToJson(const Holder& holder);
 nlohmann::json ToJson(const Step& step);
@@ -37,4 +37,4 @@
 // most 64, no dot first.
 bool GoodName(const std::string& name);
 
-}  // namespace mothrack::fleet
+}  // namespace mothrack::rollout
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -12,7 +12,7 @@
 
 #include "runtime/system_calls.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 namespace {
 
 using boost::asio::ip::tcp;
@@ -220,4 +220,4 @@
   return true;
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -16,7 +16,7 @@
 #include "runtime/clock.h"
 #include "runtime/log.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 // Where to listen.
 struct ListenOn {
@@ -89,4 +89,4 @@
       self_;  // goes with this: handlers that are still to come must not touch it
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/address.cpp
+++ b/src/runtime/address.cpp
@@ -3,7 +3,7 @@
 #include <boost/asio/ip/address.hpp>
 #include <charconv>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 std::optional<Endpoint> ParseEndpoint(const std::string& text) {
   const auto colon = text.rfind(':');
@@ -20,4 +20,4 @@
   return Endpoint(address, port);
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/address.h
+++ b/src/runtime/address.h
@@ -5,11 +5,11 @@
 #include <optional>
 #include <string>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
 // `10.0.0.4:9000` or `[::1]:9000`; nothing where the text is no such address.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/allowance.h
+++ b/src/runtime/allowance.h
@@ -7,7 +7,7 @@
 
 #include "runtime/clock.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 class Allowance {
  public:
@@ -31,4 +31,4 @@
   TimePoint refilled_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -7,10 +7,10 @@
 
 #include "balancer/balancer.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 
-using kestrellb::Duration;
-using kestrellb::TimePoint;
+using balancer::Duration;
+using balancer::TimePoint;
 
 inline TimePoint ToTimePoint(std::chrono::steady_clock::time_point t) {
   return TimePoint(std::chrono::duration_cast<Duration>(t.time_since_epoch()));
@@ -37,4 +37,4 @@
   return {Now(), std::chrono::duration_cast<Duration>(std::chrono::system_clock::now().time_since_epoch())};
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/deadlines.h
+++ b/src/runtime/deadlines.h
@@ -11,7 +11,7 @@
 
 #include "runtime/clock.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 class Deadlines {
  public:
@@ -50,4 +50,4 @@
   const OnPassed on_passed_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/descriptors.h
+++ b/src/runtime/descriptors.h
@@ -4,7 +4,7 @@
 #include <algorithm>
 #include <cstddef>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 class Descriptors {
  public:
@@ -55,4 +55,4 @@
   std::size_t upstreams_ = 0;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -8,7 +8,7 @@
 
 #include "runtime/allowance.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 class Logger {
  public:
@@ -38,4 +38,4 @@
   std::uint64_t dropped_ = 0;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/random.h
+++ b/src/runtime/random.h
@@ -9,7 +9,7 @@
 #include <cstring>
 #include <stdexcept>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 class Unpredictable {
  public:
@@ -36,4 +36,4 @@
   std::size_t at_ = 256;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/stream.cpp
+++ b/src/runtime/stream.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 std::size_t ByteBudget::Window() const {
   return std::clamp(bytes_ / std::max<std::size_t>(open_, 1), kLeastWindow, kMostWindow);
@@ -78,4 +78,4 @@
   head_ = 0;
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <string_view>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 // Bytes that all streams of the process may hold together, shared evenly among those that are open.
 class ByteBudget {
@@ -97,4 +97,4 @@
   bool taken_ = false;  // somebody takes
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/system_calls.h
+++ b/src/runtime/system_calls.h
@@ -11,7 +11,7 @@
 #include <cstddef>
 #include <optional>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 // The events among `events` (poll(2)) that hold for the descriptor now, errors and hang-ups included; absent
 // where the system can't tell (ENOMEM).
@@ -59,4 +59,4 @@
   return error == boost::asio::error::would_block || error == boost::asio::error::try_again;
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/timers.cpp
+++ b/src/runtime/timers.cpp
@@ -1,6 +1,6 @@
 #include "runtime/timers.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 void LoopAlarm::Set(TimePoint at, std::function<void()> due) {
   timer_.expires_at(ToSteady(at));
@@ -37,4 +37,4 @@
   }
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/timers.h
+++ b/src/runtime/timers.h
@@ -12,7 +12,7 @@
 
 #include "runtime/clock.h"
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 // Where time comes from. One is set at a time: a later Set() replaces an earlier one.
 class Alarm {
@@ -28,7 +28,7 @@
 class LoopAlarm : public Alarm {
  public:
   explicit LoopAlarm(boost::asio::io_context& io) : timer_(io) {}
-  TimePoint Now() const override { return mothrack::Now(); }
+  TimePoint Now() const override { return runtime::Now(); }
   void Set(TimePoint at, std::function<void()> due) override;
 
  private:
@@ -62,4 +62,4 @@
   const OnDue on_due_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/runtime/write_stream.h
+++ b/src/runtime/write_stream.h
@@ -18,7 +18,7 @@
 #include <cstddef>
 #include <utility>
 
-namespace mothrack {
+namespace mothrack::runtime {
 
 // `Stream` is a socket, or a Beast stream that has one. It is referred to and must outlive all its writes. To
 // be used on the thread of the stream's event loop; one write at a time.
@@ -59,4 +59,4 @@
   Stream& stream_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::runtime
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -14,7 +14,7 @@
 
 #include "simulator_adapter/wire.h"
 
-namespace mothrack {
+namespace mothrack::sidecar {
 namespace {
 
 using nlohmann::json;
@@ -27,13 +27,13 @@
   return value;
 }
 
-Endpoint Address(const std::string& name, const std::string& text) {
-  const auto endpoint = ParseEndpoint(text);
+runtime::Endpoint Address(const std::string& name, const std::string& text) {
+  const auto endpoint = runtime::ParseEndpoint(text);
   if (!endpoint) throw ConfigError(name + " is no address and port: " + text);
   return *endpoint;
 }
 
-Endpoint AddressVariable(const std::function<const char*(const char*)>& variable, const char* name) {
+runtime::Endpoint AddressVariable(const std::function<const char*(const char*)>& variable, const char* name) {
   return Address(name, Variable(variable, name));
 }
 
@@ -261,12 +261,12 @@
   if (!Lacks(settings, "Report")) CheckPart(settings["Report"], kReportShapes, top + ".Report", pass);
 }
 
-kestrellb::Settings ReadSettings(const json& file) {
+balancer::Settings ReadSettings(const json& file) {
   const json& field = Field(file, "", "settings");
   CheckSettings(field, Pass::kForm);
   std::string module_error;  // it goes by the module's own names
   try {
-    auto settings = kestrellb::wire::ParseSettings(field);
+    auto settings = simulator_adapter::ParseSettings(field);
     try {
       settings.Validate();
     } catch (const std::exception& e) {
@@ -314,4 +314,4 @@
   return config;
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/count_lines.cpp
+++ b/src/sidecar/count_lines.cpp
@@ -5,7 +5,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
-namespace mothrack {
+namespace mothrack::sidecar {
 namespace {
 
 using nlohmann::json;
@@ -18,19 +18,19 @@
 // The counts by their names in the line.
 template <typename Counts>
 using Named = std::pair<const char*, std::uint64_t Counts::*>;
-using Decided = kestrellb::Counts;
+using Decided = balancer::Counts;
 constexpr Named<Decided> kDecided[] = {
     {"first", &Decided::first},       {"retries", &Decided::retries},   {"copies", &Decided::copies},
     {"trials", &Decided::trials},     {"connects", &Decided::connects}, {"cold", &Decided::cold},
     {"overload", &Decided::overload}, {"nobody", &Decided::nobody},     {"given_up", &Decided::given_up},
     {"ejected", &Decided::ejected},   {"returned", &Decided::returned}};
-using Connections = HttpTransport::Counts;
+using Connections = http::HttpTransport::Counts;
 constexpr Named<Connections> kConnections[] = {{"opened", &Connections::opened},
                                                {"never_up", &Connections::failed},
                                                {"closed", &Connections::closed},
                                                {"evicted", &Connections::evicted},
                                                {"probes", &Connections::probes}};
-using Asked = Discovery::Counts;
+using Asked = discovery::Discovery::Counts;
 constexpr Named<Asked> kDiscovery[] = {{"calls", &Asked::calls},         {"whole_asked", &Asked::whole_asked},
                                        {"calls_failed", &Asked::failed}, {"lists", &Asked::whole},
                                        {"changes", &Asked::changes},     {"lines", &Asked::lines}};
@@ -51,7 +51,8 @@
 
 }  // namespace
 
-CountLines::CountLines(boost::asio::io_context& io, Duration every, const Sidecar& sidecar, Logger& log)
+CountLines::CountLines(boost::asio::io_context& io, runtime::Duration every, const Sidecar& sidecar,
+                       runtime::Logger& log)
     : every_(every), sidecar_(sidecar), log_(log), timer_(io) {
   Schedule();
 }
@@ -66,7 +67,7 @@
 }
 
 void CountLines::Write() {
-  const kestrellb::Counts decided = sidecar_.dispatcher().counts();
+  const balancer::Counts decided = sidecar_.dispatcher().counts();
   json line;
   Since since_last(line);
   for (const auto& [name, count] : kDecided) since_last.Put(name, decided.*count, decided_.*count);
@@ -79,12 +80,12 @@
   line["subset"] = Rounded(decided.subset);
   decided_ = decided;
 
-  const HttpTransport::Counts connections = sidecar_.transport().counts();
+  const http::HttpTransport::Counts connections = sidecar_.transport().counts();
   for (const auto& [name, count] : kConnections)
     since_last.Put(name, connections.*count, connections_.*count);
   connections_ = connections;
 
-  const Discovery::Counts discovery = sidecar_.discovery().counts();
+  const discovery::Discovery::Counts discovery = sidecar_.discovery().counts();
   for (const auto& [name, count] : kDiscovery) since_last.Put(name, discovery.*count, discovery_.*count);
   discovery_ = discovery;
 
@@ -93,8 +94,8 @@
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> sent;
   json upstreams = json::object();
   int avoided = 0, cold = 0, listed = 0;
-  for (const kestrellb::UpstreamView& view : sidecar_.dispatcher().upstreams()) {
-    listed += view.state == kestrellb::UpstreamState::kServing;
+  for (const balancer::UpstreamView& view : sidecar_.dispatcher().upstreams()) {
+    listed += view.state == balancer::UpstreamState::kServing;
     avoided += view.ejected_until.has_value();
     cold += view.warmth < 1;
     sent[view.id.value] = {view.sent, view.unanswered};
@@ -115,4 +116,4 @@
   log_.Figures("counts " + line.dump());
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/count_lines.h
+++ b/src/sidecar/count_lines.h
@@ -12,25 +12,26 @@
 #include "runtime/log.h"
 #include "sidecar/sidecar.h"
 
-namespace mothrack {
+namespace mothrack::sidecar {
 
 class CountLines {
  public:
   // `sidecar` and `log` must outlive it.
-  CountLines(boost::asio::io_context& io, Duration every, const Sidecar& sidecar, Logger& log);
+  CountLines(boost::asio::io_context& io, runtime::Duration every, const Sidecar& sidecar,
+             runtime::Logger& log);
 
  private:
   void Schedule();
   void Write();
 
-  const Duration every_;
+  const runtime::Duration every_;
   const Sidecar& sidecar_;
-  Logger& log_;
+  runtime::Logger& log_;
   boost::asio::steady_timer timer_;
-  kestrellb::Counts decided_;
-  HttpTransport::Counts connections_;
-  Discovery::Counts discovery_;
+  balancer::Counts decided_;
+  http::HttpTransport::Counts connections_;
+  discovery::Discovery::Counts discovery_;
   std::map<std::string, std::pair<std::uint64_t, std::uint64_t>> sent_;  // by upstream; of these unanswered
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -12,9 +12,9 @@
 
 int Check(const std::string& path) {
   try {
-    std::cout << mothrack::Effective(mothrack::LoadOperatorFile(path));
+    std::cout << mothrack::sidecar::Effective(mothrack::sidecar::LoadOperatorFile(path));
     return 0;
-  } catch (const mothrack::ConfigError& e) {
+  } catch (const mothrack::sidecar::ConfigError& e) {
     std::cerr << e.what() << std::endl;
     return 1;
   }
@@ -28,7 +28,7 @@
       "Without a command it runs in the foreground: what the LB_* variables tell, what the operator's file\n"
       "names, or both. SIGTERM begins a planned stop, SIGHUP reads the configuration again."};
   app.set_version_flag("--version", "mothrack " MOTHRACK_VERSION);
-  mothrack::Options options;
+  mothrack::sidecar::Options options;
   app.add_option("--config", options.path, "the operator's file (TOML), as deploy/mothrack.toml")
       ->type_name("FILE");
   app.add_option("--counts", options.counts_s, "log a line of counts every so many seconds (0.1 to 3600)")
@@ -44,5 +44,5 @@
     return app.exit(e);
   }
   if (check->parsed()) return Check(file);
-  return mothrack::Run(options, [](const char* name) { return std::getenv(name); });
+  return mothrack::sidecar::Run(options, [](const char* name) { return std::getenv(name); });
 }
--- a/src/sidecar/operator_file.cpp
+++ b/src/sidecar/operator_file.cpp
@@ -17,7 +17,7 @@
 #include <utility>
 #include <vector>
 
-namespace mothrack {
+namespace mothrack::sidecar {
 namespace {
 
 using std::chrono::milliseconds;
@@ -113,7 +113,7 @@
     if (value < least || value > most) Fail(key, std::to_string(value) + " is out of range; " + range);
     return value;
   }
-  void Time(const char* key, Duration& target) {
+  void Time(const char* key, runtime::Duration& target) {
     if (const auto value = WholeOf(key, 1, kMostMilliseconds)) target = milliseconds(*value);
   }
   void Number(const char* key, double least, double most, double& target) {
@@ -180,10 +180,11 @@
   std::set<std::string> known_;
 };
 
-Endpoint Address(const Table& table, const toml::node& node, const std::string& key, bool for_listening) {
+runtime::Endpoint Address(const Table& table, const toml::node& node, const std::string& key,
+                          bool for_listening) {
   if (!node.is_string()) table.Fail(node.source(), key, "is no text; write it as \"127.0.0.1:5300\"");
   const std::string text = *node.value<std::string>();
-  const auto endpoint = ParseEndpoint(text);
+  const auto endpoint = runtime::ParseEndpoint(text);
   if (!endpoint) {
     table.Fail(node.source(), key, Quoted(text) + " is no address and port; write it as \"127.0.0.1:5300\"");
   }
@@ -241,8 +242,8 @@
     if (*effect != "safe" && *effect != "unsafe") {
       table.Fail("effect", Quoted(*effect) + R"( is none; give "safe" or "unsafe" (DNS has no keys))");
     }
-    c.effect = *effect == "safe" ? kestrellb::Effect::kSafe : kestrellb::Effect::kUnsafe;
-    if (c.opcode == dns::kUpdate && c.effect == kestrellb::Effect::kSafe) {
+    c.effect = *effect == "safe" ? balancer::Effect::kSafe : balancer::Effect::kUnsafe;
+    if (c.opcode == dns::kUpdate && c.effect == balancer::Effect::kSafe) {
       table.Fail("effect", R"(an UPDATE must not be repeated; give "unsafe" or leave it out)");
     }
   }
@@ -270,9 +271,9 @@
 
 dns::Settings ReadDns(Table& table) {
   dns::Settings dns;
-  std::set<Endpoint> listen;
+  std::set<runtime::Endpoint> listen;
   const bool given = table.Each("listen", [&](const toml::node& node, const std::string& key) {
-    const Endpoint endpoint = Address(table, node, key, true);
+    const runtime::Endpoint endpoint = Address(table, node, key, true);
     if (endpoint.port() != 0 && !listen.insert(endpoint).second) {
       table.Fail(node.source(), key, "the same address is given before; take one of them out");
     }
@@ -312,7 +313,7 @@
   dns.classes = std::move(classes);
 
   std::set<std::string> uids;
-  std::map<Endpoint, std::string> places;
+  std::map<runtime::Endpoint, std::string> places;
   table.EachTable("resolver", [&](Table& inner) {
     dns::ResolverSettings r = ReadResolver(inner);
     if (!uids.insert(r.uid).second) {
@@ -362,7 +363,7 @@
     if (token_file) table.Fail("token_file", "a Unix socket takes none: its mode guards it; take it out");
     return admin;
   }
-  admin.endpoint = ParseEndpoint(listen);
+  admin.endpoint = runtime::ParseEndpoint(listen);
   if (!admin.endpoint || !admin.endpoint->address().is_loopback()) {
     table.Fail("listen", Quoted(listen) +
                              " is neither a Unix socket nor a loopback address; write it as "
@@ -377,7 +378,7 @@
 }
 
 #ifdef MOTHRACK_WITH_PEERS
-class PeersSection : public peers::Source {
+class PeersSection : public gossip::Source {
  public:
   explicit PeersSection(Table& table) : table_(table) {}
   std::optional<std::string> Text(const char* key) override { return table_.Text(key); }
@@ -434,9 +435,11 @@
   return {};
 }
 
-std::int64_t Milliseconds(Duration time) { return std::chrono::duration_cast<milliseconds>(time).count(); }
+std::int64_t Milliseconds(runtime::Duration time) {
+  return std::chrono::duration_cast<milliseconds>(time).count();
+}
 
-std::string ToText(const Endpoint& endpoint) {
+std::string ToText(const runtime::Endpoint& endpoint) {
   std::ostringstream text;
   text << endpoint;
   return text.str();
@@ -444,7 +447,7 @@
 
 toml::table ToToml(const dns::Settings& dns) {
   toml::array listen;
-  for (const Endpoint& endpoint : dns.listen) listen.push_back(ToText(endpoint));
+  for (const runtime::Endpoint& endpoint : dns.listen) listen.push_back(ToText(endpoint));
   toml::array classes;
   for (const dns::ClassSettings& c : dns.classes) {
     toml::array qtypes;
@@ -454,7 +457,7 @@
                                   {"qtypes", qtypes},
                                   {"aim_ms", Milliseconds(c.aim)},
                                   {"deadline_ms", Milliseconds(c.deadline)},
-                                  {"effect", c.effect == kestrellb::Effect::kSafe ? "safe" : "unsafe"},
+                                  {"effect", c.effect == balancer::Effect::kSafe ? "safe" : "unsafe"},
                                   {"worth", c.worth},
                                   {"late_worth", c.late_worth}});
   }
@@ -491,14 +494,14 @@
 }
 
 #ifdef MOTHRACK_WITH_PEERS
-toml::table ToToml(const peers::Settings& peers) {
+toml::table ToToml(const gossip::Settings& peers) {
   toml::table table{{"listen", ToText(peers.listen)}, {"zone", peers.zone}, {"key_file", peers.key_file}};
   if (peers.advertise) table.insert("advertise", ToText(*peers.advertise));
   toml::array seeds;
-  for (const Endpoint& seed : peers.seeds) seeds.push_back(ToText(seed));
+  for (const runtime::Endpoint& seed : peers.seeds) seeds.push_back(ToText(seed));
   table.insert("seeds", seeds);
-  for (const auto& time : peers::kTimes) table.insert(time.key, (peers.terms.*time.at).count());
-  for (const auto& count : peers::kCounts) {
+  for (const auto& time : gossip::kTimes) table.insert(time.key, (peers.terms.*time.at).count());
+  for (const auto& count : gossip::kCounts) {
     table.insert(count.key, static_cast<std::int64_t>(peers.terms.*count.at));
   }
   return table;
@@ -548,7 +551,7 @@
 #ifdef MOTHRACK_WITH_PEERS
   if (auto peers = table.Inner("peers")) {
     PeersSection section(*peers);
-    file.peers = peers::ReadSettings(section, peers::Role::kSidecar, "");
+    file.peers = gossip::ReadSettings(section, gossip::Role::kSidecar, "");
     peers->Finish();
   }
 #else
@@ -573,4 +576,4 @@
   return text.str();
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/operator_file.h
+++ b/src/sidecar/operator_file.h
@@ -13,7 +13,7 @@
 #include "gossip/settings.h"
 #endif
 
-namespace mothrack {
+namespace mothrack::sidecar {
 
 struct OperatorFile {
   std::string path;
@@ -22,7 +22,7 @@
   std::optional<dns::Settings> dns;
   std::optional<admin::Settings> admin;
 #ifdef MOTHRACK_WITH_PEERS
-  std::optional<peers::Settings> peers;
+  std::optional<gossip::Settings> peers;
 #endif
   std::string hash;  // of the file's bytes, as HashOf() gives it
 };
@@ -37,4 +37,4 @@
 // All settings as they count, defaults filled in, in the file's own form.
 std::string Effective(const OperatorFile& file);
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/peers_link.cpp
+++ b/src/sidecar/peers_link.cpp
@@ -2,7 +2,7 @@
 
 #include <iostream>
 
-namespace mothrack {
+namespace mothrack::sidecar {
 namespace {
 
 // The section alone, as text: all that a change of it could be.
@@ -15,24 +15,24 @@
 }  // namespace
 
 std::unique_ptr<PeersLink> PeersLink::Of(boost::asio::io_context& io, const OperatorFile& file,
-                                         const std::string& name, Logger& log) {
+                                         const std::string& name, runtime::Logger& log) {
   if (!file.peers) return nullptr;
   try {
     auto link = std::make_unique<PeersLink>(io, file, name, log);
     if (const auto local = link->link_.local()) std::cerr << name << ": peers on " << *local << std::endl;
     return link;
-  } catch (const peers::TaskError& e) {
+  } catch (const gossip::TaskError& e) {
     throw ConfigError(file.path + ": " + e.what());
   }
 }
 
 PeersLink::PeersLink(boost::asio::io_context& io, const OperatorFile& file, const std::string& name,
-                     Logger& log)
+                     runtime::Logger& log)
     : settings_(SectionOf(file)), link_(io, *file.peers, name, log) {}
 
-void PeersLink::Follow(const OperatorFile& file, Logger& log) {
+void PeersLink::Follow(const OperatorFile& file, runtime::Logger& log) {
   if (SectionOf(file) != settings_) log.Line(file.path + ": changes of [peers] count from the next start on");
   link_.Rekey();
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/peers_link.h
+++ b/src/sidecar/peers_link.h
@@ -14,41 +14,42 @@
 #include "gossip/link.h"
 #endif
 
-namespace mothrack {
+namespace mothrack::sidecar {
 
 #ifdef MOTHRACK_WITH_PEERS
 class PeersLink {
  public:
   static std::size_t FixedDescriptors(const OperatorFile& file) {
-    return file.peers ? peers::Link::kFixedDescriptors : 0;
+    return file.peers ? gossip::Link::kFixedDescriptors : 0;
   }
   // Nothing where the file has no [peers]. Throws ConfigError.
   static std::unique_ptr<PeersLink> Of(boost::asio::io_context& io, const OperatorFile& file,
-                                       const std::string& name, Logger& log);
+                                       const std::string& name, runtime::Logger& log);
 
-  PeersLink(boost::asio::io_context& io, const OperatorFile& file, const std::string& name, Logger& log);
+  PeersLink(boost::asio::io_context& io, const OperatorFile& file, const std::string& name,
+            runtime::Logger& log);
 
   // The file was read again: the keys count at once, the rest from the next start on.
-  void Follow(const OperatorFile& file, Logger& log);
+  void Follow(const OperatorFile& file, runtime::Logger& log);
   void Leave() { link_.Leave(); }
   nlohmann::json Report() const { return link_.Report(); }
 
  private:
   const std::string settings_;  // as at the start
-  peers::Link link_;
+  gossip::Link link_;
 };
 #else
 class PeersLink {
  public:
   static std::size_t FixedDescriptors(const OperatorFile&) { return 0; }
   static std::unique_ptr<PeersLink> Of(boost::asio::io_context&, const OperatorFile&, const std::string&,
-                                       Logger&) {
+                                       runtime::Logger&) {
     return nullptr;
   }
-  void Follow(const OperatorFile&, Logger&) {}
+  void Follow(const OperatorFile&, runtime::Logger&) {}
   void Leave() {}
   nlohmann::json Report() const { return nullptr; }
 };
 #endif
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/program.cpp
+++ b/src/sidecar/program.cpp
@@ -27,7 +27,7 @@
 #include "sidecar/sidecar.h"
 #include "sidecar/succession.h"
 
-namespace mothrack {
+namespace mothrack::sidecar {
 namespace {
 
 // As many descriptors as a process may usually hold, where nobody said.
@@ -102,8 +102,8 @@
       std::cerr << told_.name() << ": listening on " << sidecar_->local() << std::endl;
       if (options.counts_s) {
         const auto every = std::chrono::duration<double>(*options.counts_s);
-        counts_ =
-            std::make_unique<CountLines>(io, std::chrono::duration_cast<Duration>(every), *sidecar_, log_);
+        counts_ = std::make_unique<CountLines>(io, std::chrono::duration_cast<runtime::Duration>(every),
+                                               *sidecar_, log_);
       }
     }
     if (told_.platform && told_.platform->ops) {
@@ -122,11 +122,11 @@
         dns_ = std::make_unique<dns::Service>(io, *told_.file->dns, Seed(), descriptors_, log_);
       } catch (const boost::system::system_error& e) {
         std::string addresses;
-        for (const Endpoint& endpoint : told_.file->dns->listen) addresses += ' ' + Text(endpoint);
+        for (const runtime::Endpoint& endpoint : told_.file->dns->listen) addresses += ' ' + Text(endpoint);
         throw ConfigError(told_.file->path + ": dns.listen:" + addresses + ": " + e.what() +
                           "; free the address, or name another");
       }
-      for (const Endpoint& endpoint : dns_->local()) {
+      for (const runtime::Endpoint& endpoint : dns_->local()) {
         std::cerr << told_.name() << ": dns on " << endpoint << std::endl;
       }
     }
@@ -176,7 +176,7 @@
     if (dns_) dns_->Drain(ended);
   }
 
-  Logger& log() { return log_; }
+  runtime::Logger& log() { return log_; }
 
  private:
   // Takes over what may change while the program runs; the rest counts from the next start on.
@@ -227,7 +227,7 @@
     return told;
   }
 
-  static std::string Text(const Endpoint& endpoint) {
+  static std::string Text(const runtime::Endpoint& endpoint) {
     return endpoint.address().to_string() + ':' + std::to_string(endpoint.port());
   }
   // Sidecars must not act in step.
@@ -239,8 +239,8 @@
   boost::asio::io_context& io_;
   const ReadAgain read_;
   const Told told_;  // as at the start
-  Logger log_;
-  Descriptors descriptors_;
+  runtime::Logger log_;
+  runtime::Descriptors descriptors_;
   Succession succession_;
   std::unique_ptr<Sidecar> sidecar_;
   std::unique_ptr<CountLines> counts_;
@@ -295,4 +295,4 @@
   }
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/program.h
+++ b/src/sidecar/program.h
@@ -5,7 +5,7 @@
 #include <optional>
 #include <string>
 
-namespace mothrack {
+namespace mothrack::sidecar {
 
 struct Options {
   std::optional<std::string> path;  // of the operator's file, where there is one
@@ -16,4 +16,4 @@
 // LB_*. Returns the exit code; what can't start is told in one line on standard error.
 int Run(const Options& options, const std::function<const char*(const char*)>& variable);
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -4,16 +4,16 @@
 #include <string>
 #include <utility>
 
-namespace mothrack {
+namespace mothrack::sidecar {
 namespace {
 
-using kestrellb::MembershipUpdate;
+using balancer::MembershipUpdate;
 
-MembershipList Known(const nlohmann::json& known) {
-  MembershipList list;
+dispatch::MembershipList Known(const nlohmann::json& known) {
+  dispatch::MembershipList list;
   if (!known.is_null()) {
     try {
-      list = ParseList(known);
+      list = discovery::ParseList(known);
     } catch (const std::exception& e) {
       throw ConfigError(std::string("LB_CONFIG: known: ") + e.what());
     }
@@ -23,13 +23,13 @@
 }
 
 // A successor's known list may be as old as its predecessor; the agent of this machine answers at once.
-constexpr Duration kListPatience = std::chrono::milliseconds(500);
+constexpr runtime::Duration kListPatience = std::chrono::milliseconds(500);
 
 // Of the memory, for bodies that pass through. As much again may be held whole, and as much by the system.
 constexpr std::size_t kBodiesShare = 4;
 
-ListenOn Where(const Config& config, const Sidecar::Inheritance& inheritance) {
-  ListenOn where(config.listen);
+runtime::ListenOn Where(const Config& config, const Sidecar::Inheritance& inheritance) {
+  runtime::ListenOn where(config.listen);
   where.taken = inheritance.listening;
   where.share_port = inheritance.share_port;
   where.paused = inheritance.wait_for_list;
@@ -39,15 +39,15 @@
 }  // namespace
 
 Sidecar::Sidecar(boost::asio::io_context& io, const Config& config, const Inheritance& inheritance,
-                 Descriptors& descriptors, Logger& log, std::function<void()> on_ready)
-    : start_times_(ReadClocks()),
+                 runtime::Descriptors& descriptors, runtime::Logger& log, std::function<void()> on_ready)
+    : start_times_(runtime::ReadClocks()),
       log_(log),
       budget_(config.memory / kBodiesShare),
       transport_(io, config.settings.limits, config.settings.load_by_probe, descriptors, budget_),
       dispatcher_(io, config.settings, config.seed, transport_, log, [this] { discovery_.Ask(); }),
-      discovery_(io, config.discovery, NewsTerms::For(NewsRules::Of(config.settings)), config.seed,
-                 start_times_, log,
-                 [this](MembershipList list) {
+      discovery_(io, config.discovery, discovery::NewsTerms::For(discovery::NewsRules::Of(config.settings)),
+                 config.seed, start_times_, log,
+                 [this](dispatch::MembershipList list) {
                    dispatcher_.Apply(std::move(list));
                    if (!ready_) TakeClients();
                  }),
@@ -60,15 +60,15 @@
   front_.Rest(inheritance.resting);
   ShareMemory(inheritance.share_memory);
   start_times_.Import(inheritance.starts, inheritance.last_list);
-  MembershipList known = Known(config.known);
-  start_times_.Place(known, ReadClocks());
+  dispatch::MembershipList known = Known(config.known);
+  start_times_.Place(known, runtime::ReadClocks());
   // A service that all sidecars ask is asked for what changed since then: after a mass restart whole lists
   // for all are the most it could be asked for.
   if (config.settings.membership_on_request && !config.known.is_null()) discovery_.Hold(known.revision);
   dispatcher_.Apply(std::move(known));
   // Where membership is told on request, the module asks.
   if (!config.settings.membership_on_request) discovery_.Ask();
-  list_awaited_.expires_after(inheritance.wait_for_list ? kListPatience : Duration::zero());
+  list_awaited_.expires_after(inheritance.wait_for_list ? kListPatience : runtime::Duration::zero());
   list_awaited_.async_wait([this](const boost::system::error_code& error) {
     if (!error && !ready_) TakeClients();
   });
@@ -86,4 +86,4 @@
   discovery_.MoveTo(config.discovery);
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -21,7 +21,7 @@
 #include "runtime/log.h"
 #include "sidecar/config.h"
 
-namespace mothrack {
+namespace mothrack::sidecar {
 
 class Sidecar {
  public:
@@ -34,14 +34,15 @@
     bool share_memory = false;  // with the one that served before
     std::set<std::string> bans{};
     std::vector<std::string> ids{};
-    std::vector<ProcessStart> starts{};    // of upstreams' processes, as the other process placed them
-    std::optional<TimePoint> last_list{};  // when it read its last list
+    std::vector<dispatch::ProcessStart>
+        starts{};  // of upstreams' processes, as the other process placed them
+    std::optional<runtime::TimePoint> last_list{};  // when it read its last list
   };
 
   // Starts at once: binds, hands the module the known list and asks discovery. Throws where it cannot.
   // `on_ready` is called later, once it takes clients.
   Sidecar(boost::asio::io_context& io, const Config& config, const Inheritance& inheritance,
-          Descriptors& descriptors, Logger& log, std::function<void()> on_ready);
+          runtime::Descriptors& descriptors, runtime::Logger& log, std::function<void()> on_ready);
 
   bool ready() const { return ready_; }  // takes clients, or did
   int listening() { return front_.native_handle(); }
@@ -51,18 +52,18 @@
   // Another process of this sidecar has half of the memory for bodies.
   void ShareMemory(bool on) { on ? budget_.Halve() : budget_.Restore(); }
   std::vector<std::string> RecentIds() const { return dispatcher_.RecentKeys(); }
-  std::vector<ProcessStart> ProcessStarts() const { return start_times_.Export(); }
-  std::optional<TimePoint> LastList() const { return start_times_.last_list(); }
+  std::vector<dispatch::ProcessStart> ProcessStarts() const { return start_times_.Export(); }
+  std::optional<runtime::TimePoint> LastList() const { return start_times_.last_list(); }
   void KnowId(const std::string& id) { dispatcher_.KnowKey(id); }
   void ObserveIds(std::function<void(const std::string&)> on_id) {
     dispatcher_.ObserveKeys(std::move(on_id));
   }
 
-  Endpoint local() const { return front_.local(); }
+  runtime::Endpoint local() const { return front_.local(); }
   // For people who look.
-  const Dispatcher& dispatcher() const { return dispatcher_; }
-  const HttpTransport& transport() const { return transport_; }
-  const Discovery& discovery() const { return discovery_; }
+  const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }
+  const http::HttpTransport& transport() const { return transport_; }
+  const discovery::Discovery& discovery() const { return discovery_; }
   bool Ban(const std::string& uid) { return dispatcher_.Ban(uid); }
   void RestoreBans(const std::set<std::string>& bans) { dispatcher_.RestoreBans(bans); }
   bool Unban(const std::string& uid) { return dispatcher_.Unban(uid); }
@@ -78,18 +79,18 @@
   void Reconfigure(const Config& config);
 
  private:
-  StartTimes start_times_;
-  Logger& log_;
-  ByteBudget budget_;
-  HttpTransport transport_;
-  Dispatcher dispatcher_;
-  Discovery discovery_;
+  dispatch::StartTimes start_times_;
+  runtime::Logger& log_;
+  runtime::ByteBudget budget_;
+  http::HttpTransport transport_;
+  dispatch::Dispatcher dispatcher_;
+  discovery::Discovery discovery_;
   void TakeClients();
 
   const std::function<void()> on_ready_;
   bool ready_ = false;
   boost::asio::steady_timer list_awaited_;
-  HttpFront front_;  // last: it takes requests from here on, and goes first
+  http::HttpFront front_;  // last: it takes requests from here on, and goes first
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/succession.cpp
+++ b/src/sidecar/succession.cpp
@@ -8,11 +8,11 @@
 #include <chrono>
 #include <utility>
 
-namespace mothrack {
+namespace mothrack::sidecar {
 namespace {
 
 // For the serving process to answer, and to wait for another successor of it.
-constexpr Duration kPatience = std::chrono::seconds(3);
+constexpr runtime::Duration kPatience = std::chrono::seconds(3);
 constexpr auto kGiveBack = std::chrono::milliseconds(100);
 // Until bans that could not be written are written again.
 constexpr auto kWriteAgain = std::chrono::seconds(1);
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-Succession::Succession(boost::asio::io_context& io, const std::string& path, Descriptors& descriptors,
-                       Logger& log)
+Succession::Succession(boost::asio::io_context& io, const std::string& path,
+                       runtime::Descriptors& descriptors, runtime::Logger& log)
     : io_(io), path_(path), descriptors_(descriptors), log_(log), give_back_(io), write_again_(io) {
   if (path_.empty()) return;
   if (path_.size() + kLongestSuffix >= sizeof(sockaddr_un::sun_path)) {
@@ -32,13 +32,13 @@
     directory_ = ::open(path_.substr(0, slash).c_str(), O_PATH | O_DIRECTORY | O_CLOEXEC);
     path_ = "/proc/self/fd/" + std::to_string(directory_) + path_.substr(slash);
   }
-  taken_ = handover::TakeOver(io, path_, kPatience, log);
+  taken_ = hot_restart::TakeOver(io, path_, kPatience, log);
   if (taken_) {
     log_.Line("handover: takes over from the process that serves");
     bans_ = taken_->state.bans;
     PredecessorKeeps(taken_->state.sockets);
   } else {
-    bans_ = handover::ReadBans(path_ + ".bans", log);
+    bans_ = hot_restart::ReadBans(path_ + ".bans", log);
   }
 }
 
@@ -64,8 +64,9 @@
 void Succession::Serve(Sidecar& sidecar) {
   sidecar_ = &sidecar;
   if (path_.empty()) return;
-  handover::Handover::Owner& self = *this;
-  handover_ = std::make_unique<handover::Handover>(io_, path_, taken_ ? taken_->link : nullptr, self, log_);
+  hot_restart::Handover::Owner& self = *this;
+  handover_ =
+      std::make_unique<hot_restart::Handover>(io_, path_, taken_ ? taken_->link : nullptr, self, log_);
   taken_.reset();
   sidecar.ObserveIds([this](const std::string& id) { handover_->Tell({{"id", id}}); });
   handover_->Ready();
@@ -91,7 +92,7 @@
 // What people were told holds from now on: it is kept in memory, and written again until it is on disk.
 void Succession::KeepBans() {
   if (path_.empty()) return;
-  const auto fault = handover::WriteBans(path_ + ".bans", bans_);
+  const auto fault = hot_restart::WriteBans(path_ + ".bans", bans_);
   if (fault && !bans_fault_) log_.Line("bans are not kept for a next process yet: " + *fault);
   if (!fault && bans_fault_) log_.Line("bans are kept for a next process again");
   bans_fault_ = fault;
@@ -103,8 +104,8 @@
   });
 }
 
-handover::State Succession::GiveState() {
-  handover::State state;
+hot_restart::State Succession::GiveState() {
+  hot_restart::State state;
   state.bans = bans_;
   state.ids = sidecar_->RecentIds();
   state.resting = sidecar_->resting();
@@ -174,4 +175,4 @@
   }
 }
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/sidecar/succession.h
+++ b/src/sidecar/succession.h
@@ -15,13 +15,14 @@
 #include "runtime/log.h"
 #include "sidecar/sidecar.h"
 
-namespace mothrack {
+namespace mothrack::sidecar {
 
-class Succession : private handover::Handover::Owner {
+class Succession : private hot_restart::Handover::Owner {
  public:
   // `path` begins the names of the files; empty: no process follows another. Asks the one that serves, if
   // any.
-  Succession(boost::asio::io_context& io, const std::string& path, Descriptors& descriptors, Logger& log);
+  Succession(boost::asio::io_context& io, const std::string& path, runtime::Descriptors& descriptors,
+             runtime::Logger& log);
   ~Succession();
 
   // What the sidecar of this process begins with.
@@ -36,7 +37,7 @@
   const std::optional<std::string>& bans_fault() const { return bans_fault_; }
 
  private:
-  handover::State GiveState() override;
+  hot_restart::State GiveState() override;
   int Listening() override { return sidecar_->listening(); }
   void Succeeded() override;
   void SuccessorGone() override;
@@ -51,16 +52,16 @@
   boost::asio::io_context& io_;
   std::string path_;
   int directory_ = -1;  // open where the path is too long for a socket's name
-  Descriptors& descriptors_;
-  Logger& log_;
-  std::optional<handover::Taken> taken_;
+  runtime::Descriptors& descriptors_;
+  runtime::Logger& log_;
+  std::optional<hot_restart::Taken> taken_;
   std::set<std::string> bans_;  // held by this process
   Sidecar* sidecar_ = nullptr;  // once it takes clients
   boost::asio::steady_timer give_back_;
   boost::asio::steady_timer write_again_;
   std::optional<std::string> bans_fault_;
   std::size_t kept_ = 0;  // descriptors, while a successor may use the rest
-  std::unique_ptr<handover::Handover> handover_;
+  std::unique_ptr<hot_restart::Handover> handover_;
 };
 
-}  // namespace mothrack
+}  // namespace mothrack::sidecar
--- a/src/simulation/carrier.cpp
+++ b/src/simulation/carrier.cpp
@@ -2,14 +2,14 @@
 
 #include <algorithm>
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
-using kestrellb::Outcome;
+using balancer::Outcome;
 
-void Carrier::Apply(const std::string& uid, const Location& location) {
+void Carrier::Apply(const std::string& uid, const dispatch::Location& location) {
   Pool& pool = At(uid);
   const bool same =
-      location.state == kestrellb::UpstreamState::kServing && location.boot_ms == pool.location.boot_ms;
+      location.state == balancer::UpstreamState::kServing && location.boot_ms == pool.location.boot_ms;
   pool.location = location;
   if (same) return;
   pool.idle.clear();
@@ -22,8 +22,9 @@
   for (const CallPtr& call : unsent) End(call, Outcome::kNotSent, false);
 }
 
-void Carrier::Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message,
-                   Duration timeout, ExchangeHooks hooks) {
+void Carrier::Send(dispatch::ExchangeId id, const std::string& uid,
+                   std::shared_ptr<const dispatch::Message> message, runtime::Duration timeout,
+                   dispatch::ExchangeHooks hooks) {
   auto call = std::make_shared<Call>();
   call->id = id;
   call->server = NumberOf(uid);
@@ -38,7 +39,7 @@
   });
   Pool& pool = At(uid);
   std::erase_if(pool.idle,
-                [this](TimePoint since) { return sim_.now() - since >= std::chrono::seconds(15); });
+                [this](runtime::TimePoint since) { return sim_.now() - since >= std::chrono::seconds(15); });
   if (pool.idle.empty()) return Connect(call);
   pool.idle.pop_back();
   Write(call);
@@ -46,9 +47,9 @@
 
 void Carrier::Connect(const CallPtr& call) {
   ++connects_;
-  const Duration there = links_.Delay(zone_, call->server);
-  const Duration hand = Milliseconds(scenario_.handshake_ms) + 2 * there;
-  const auto later = [this, call, life = std::weak_ptr(life_)](Duration wait, auto act) {
+  const runtime::Duration there = links_.Delay(zone_, call->server);
+  const runtime::Duration hand = Milliseconds(scenario_.handshake_ms) + 2 * there;
+  const auto later = [this, call, life = std::weak_ptr(life_)](runtime::Duration wait, auto act) {
     sim_.After(wait, [call, life, act] {
       if (!life.expired() && !call->ended) act();
     });
@@ -142,22 +143,22 @@
     h.outcome = proven;
     links_.Tell(h);
   }
-  ExchangeResult result;
+  dispatch::ExchangeResult result;
   result.outcome = proven;
   result.elapsed = sim_.now() - call->began;
-  if (proven == Outcome::kServed) result.reply = std::make_unique<Reply>();
+  if (proven == Outcome::kServed) result.reply = std::make_unique<dispatch::Reply>();
   const auto on_end = std::move(call->hooks.on_end);
   if (on_end) on_end(std::move(result));
 }
 
-void Carrier::Probe(ExchangeId, const std::string& uid, OnEnd on_end) {
+void Carrier::Probe(dispatch::ExchangeId, const std::string& uid, OnEnd on_end) {
   const std::size_t server = NumberOf(uid);
-  const Duration there = links_.Delay(zone_, server);
+  const runtime::Duration there = links_.Delay(zone_, server);
   const bool well = links_.Passes(zone_, server) && links_.At(server).up();
-  sim_.After(well ? 2 * there : Duration(std::chrono::milliseconds(200)),
+  sim_.After(well ? 2 * there : runtime::Duration(std::chrono::milliseconds(200)),
              [on_end = std::move(on_end), well, there, life = std::weak_ptr(life_)] {
                if (life.expired()) return;
-               ExchangeResult result;
+               dispatch::ExchangeResult result;
                result.outcome = well ? Outcome::kServed : Outcome::kTimeout;
                result.elapsed = 2 * there;
                on_end(std::move(result));
@@ -166,18 +167,18 @@
 
 void Carrier::Broke(std::size_t server) { At(NameOf(server)).idle.clear(); }
 
-void Carrier::Cancel(ExchangeId id) {
+void Carrier::Cancel(dispatch::ExchangeId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   // The end is told from the loop, as sockets do.
-  sim_.After(Duration(0), [this, call = it->second, life = std::weak_ptr(life_)] {
+  sim_.After(runtime::Duration(0), [this, call = it->second, life = std::weak_ptr(life_)] {
     if (!life.expired()) End(call, Outcome::kCancelled, false);
   });
 }
 
-void Carrier::Abandon(ExchangeId id) {
+void Carrier::Abandon(dispatch::ExchangeId id) {
   const auto it = calls_.find(id);
   if (it != calls_.end()) it->second->abandoned = true;
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/carrier.h
+++ b/src/simulation/carrier.h
@@ -13,10 +13,10 @@
 #include "simulation/server.h"
 #include "simulation/sim.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 // A request as the lab's clients make it.
-struct Wish : Message {
+struct Wish : dispatch::Message {
   std::uint64_t request = 0;
   std::size_t cls = 0;
   double work = 0;
@@ -27,7 +27,7 @@
  public:
   virtual ~Links() = default;
   // Of a sidecar in this zone to a server, or back.
-  virtual Duration Delay(std::size_t zone, std::size_t server) = 0;
+  virtual runtime::Duration Delay(std::size_t zone, std::size_t server) = 0;
   // Does anything pass at all? Else there is silence.
   virtual bool Passes(std::size_t zone, std::size_t server) const = 0;
   virtual Server& At(std::size_t server) = 0;
@@ -35,18 +35,18 @@
   virtual std::uint64_t NextJob() = 0;
 };
 
-class Carrier : public Transport {
+class Carrier : public dispatch::Transport {
  public:
   Carrier(Simulator& sim, Links& links, const Scenario& scenario, std::uint64_t sidecar, std::size_t zone,
           Random random)
       : sim_(sim), links_(links), scenario_(scenario), sidecar_(sidecar), zone_(zone), random_(random) {}
 
-  void Apply(const std::string& uid, const Location& location) override;
-  void Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message, Duration timeout,
-            ExchangeHooks hooks) override;
-  void Probe(ExchangeId id, const std::string& uid, OnEnd on_end) override;
-  void Cancel(ExchangeId id) override;
-  void Abandon(ExchangeId id) override;
+  void Apply(const std::string& uid, const dispatch::Location& location) override;
+  void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
+            runtime::Duration timeout, dispatch::ExchangeHooks hooks) override;
+  void Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) override;
+  void Cancel(dispatch::ExchangeId id) override;
+  void Abandon(dispatch::ExchangeId id) override;
   void CloseIdle(const std::string& uid) override { At(uid).idle.clear(); }
 
   // The server's process has ended, and its sockets said so.
@@ -59,11 +59,11 @@
 
  private:
   struct Call {
-    ExchangeId id{};
+    dispatch::ExchangeId id{};
     std::size_t server = 0;
     std::shared_ptr<const Wish> wish;
-    ExchangeHooks hooks;
-    TimePoint began;
+    dispatch::ExchangeHooks hooks;
+    runtime::TimePoint began;
     std::uint64_t job = 0;
     bool connected = false;  // its request is being written, or was
     bool abandoned = false;
@@ -71,16 +71,16 @@
   };
   using CallPtr = std::shared_ptr<Call>;
   struct Pool {
-    Location location;
-    std::vector<TimePoint> idle;  // since when
+    dispatch::Location location;
+    std::vector<runtime::TimePoint> idle;  // since when
   };
 
   Pool& At(const std::string& uid) { return pools_[uid]; }
   void Connect(const CallPtr& call);
   void Write(const CallPtr& call);
   void Arrive(const CallPtr& call);
-  void Answer(const CallPtr& call, kestrellb::Outcome outcome);
-  void End(const CallPtr& call, kestrellb::Outcome outcome, bool keeps);
+  void Answer(const CallPtr& call, balancer::Outcome outcome);
+  void End(const CallPtr& call, balancer::Outcome outcome, bool keeps);
 
   Simulator& sim_;
   Links& links_;
@@ -89,10 +89,10 @@
   const std::size_t zone_;
   Random random_;
   std::unordered_map<std::string, Pool> pools_;
-  std::unordered_map<ExchangeId, CallPtr> calls_;
+  std::unordered_map<dispatch::ExchangeId, CallPtr> calls_;
   std::uint64_t connects_ = 0;
   // What is on its way must not reach one that is gone.
   std::shared_ptr<int> life_ = std::make_shared<int>(0);
 };
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -5,7 +5,7 @@
 
 #include "simulation/sim.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 constexpr double kLeastMs = 0.1;
@@ -173,4 +173,4 @@
   return recovery;
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -10,7 +10,7 @@
 #include "simulation/happening.h"
 #include "simulation/scenario.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 // Milliseconds, each bin 5% wide from 0.1 ms to 100 s: a quantile is off by half of that at most.
 using Times = boost::histogram::histogram<
@@ -76,7 +76,7 @@
 
  private:
   struct Wanted {
-    TimePoint at;
+    runtime::TimePoint at;
     std::size_t cls;
   };
   const Scenario& scenario_;
@@ -86,4 +86,4 @@
   std::unordered_map<std::uint64_t, Wanted> wanted_;
 };
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/happening.h
+++ b/src/simulation/happening.h
@@ -8,7 +8,7 @@
 #include "balancer/balancer.h"
 #include "runtime/clock.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 enum class Ending { kServed, kRefused, kFailed };
 
@@ -28,17 +28,17 @@
     kGotten,   // the wish came to an end: `ending`, `late`
   };
   Kind kind{};
-  TimePoint at{};
+  runtime::TimePoint at{};
   std::uint64_t sidecar = 0;  // number, and how often it was started, above 32 bits
   std::uint64_t request = 0;
   std::size_t cls = 0;
   std::size_t server = 0;
-  TimePoint until{};
+  runtime::TimePoint until{};
   Ending ending{};
-  kestrellb::Outcome outcome{};
+  balancer::Outcome outcome{};
   bool leaving = false;
   bool late = false;
   double work = 0;
 };
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/load.cpp
+++ b/src/simulation/load.cpp
@@ -14,11 +14,11 @@
 
 #include "simulation/sim.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 namespace beast = boost::beast;
-namespace http = beast::http;
+namespace beast_http = boost::beast::http;
 using tcp = boost::asio::ip::tcp;
 using Clock = std::chrono::steady_clock;
 using boost::system::error_code;
@@ -41,8 +41,8 @@
   Loader& owner_;
   beast::tcp_stream stream_;
   beast::flat_buffer buffer_;
-  http::request<http::empty_body> request_;
-  http::response<http::string_body> response_;
+  beast_http::request<beast_http::empty_body> request_;
+  beast_http::response<beast_http::string_body> response_;
   Clock::time_point due_;
   Clock::time_point sent_;
   bool connected_ = false;
@@ -133,9 +133,9 @@
   due_ = due;
   sent_ = Clock::now();
   request_ = {};
-  request_.method(http::verb::get);
+  request_.method(beast_http::verb::get);
   request_.target(owner_.order().target);
-  request_.set(http::field::host, "lab");
+  request_.set(beast_http::field::host, "lab");
   request_.set("X-Request-ID",
                "lab-" + std::to_string(sent_.time_since_epoch().count()) + '-' + std::to_string(number));
   request_.set("X-Timeout-Ms", std::to_string(owner_.order().timeout_ms));
@@ -149,11 +149,11 @@
 }
 
 void Line::Write() {
-  http::async_write(stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
+  beast_http::async_write(stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
     if (error) return self->Done(error);
     self->response_ = {};
-    http::async_read(self->stream_, self->buffer_, self->response_,
-                     [self](error_code read, std::size_t) { self->Done(read); });
+    beast_http::async_read(self->stream_, self->buffer_, self->response_,
+                           [self](error_code read, std::size_t) { self->Done(read); });
   });
 }
 
@@ -170,4 +170,4 @@
 
 LoadResult Load(const LoadOrder& order) { return Loader(order).Run(); }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/load.h
+++ b/src/simulation/load.h
@@ -8,7 +8,7 @@
 
 #include "simulation/figures.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 struct LoadOrder {
   std::string host = "127.0.0.1";
@@ -34,4 +34,4 @@
 // Loopback only: throws std::invalid_argument for another host.
 LoadResult Load(const LoadOrder& order);
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -17,7 +17,7 @@
 #include "simulation/sweep.h"
 #include "simulation/world.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 using nlohmann::json;
@@ -396,10 +396,10 @@
 }
 
 }  // namespace
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
 
 int main(int argc, char** argv) {
-  using namespace mothrack::lab;
+  using namespace mothrack::simulation;
   CLI::App app{"Plays fleets in made-up time around the sidecar's own decisions, and loads real ones."};
   app.set_version_flag("--version", MOTHRACK_VERSION);
   app.require_subcommand(1);
--- a/src/simulation/report.cpp
+++ b/src/simulation/report.cpp
@@ -7,7 +7,7 @@
 #include <map>
 #include <sstream>
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 using nlohmann::json;
@@ -317,4 +317,4 @@
   return Page(a + " and " + b, body.str());
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/report.h
+++ b/src/simulation/report.h
@@ -8,7 +8,7 @@
 
 #include "simulation/statistics.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 // Of one run, as results.h keeps it with its seconds. `faults`: as text, for the bands and the list.
 struct Band {
@@ -30,4 +30,4 @@
 };
 std::string ComparisonPage(const std::string& a, const std::string& b, const std::vector<Row>& rows);
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -6,12 +6,12 @@
 #include <memory>
 #include <stdexcept>
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 using nlohmann::json;
 
-sql::Statement& Bind(sql::Statement& statement, const RunKey& key) {
+storage::Statement& Bind(storage::Statement& statement, const RunKey& key) {
   return statement.Text(1, key.label)
       .Text(2, key.scenario)
       .Text(3, key.settings)
@@ -98,19 +98,19 @@
 }
 
 bool Results::Has(const RunKey& key) const {
-  sql::Statement find(db_,
-                      "SELECT 1 FROM run WHERE label = ? AND scenario = ? AND settings = ? AND seed = ?");
+  storage::Statement find(db_,
+                          "SELECT 1 FROM run WHERE label = ? AND scenario = ? AND settings = ? AND seed = ?");
   return Bind(find, key).Step();
 }
 
 void Results::Keep(const RunKey& key, const std::string& build, const std::string& machine, const json& run) {
-  sql::Statement keep(db_, "INSERT OR REPLACE INTO run VALUES (?, ?, ?, ?, ?, ?, ?)");
+  storage::Statement keep(db_, "INSERT OR REPLACE INTO run VALUES (?, ?, ?, ?, ?, ?, ?)");
   Bind(keep, key).Text(5, build).Text(6, machine).Text(7, run.dump()).Step();
 }
 
 std::map<RunKey, json> Results::Of(const std::string& label) const {
   std::map<RunKey, json> runs;
-  sql::Statement find(db_, "SELECT scenario, settings, seed, json FROM run WHERE label = ?");
+  storage::Statement find(db_, "SELECT scenario, settings, seed, json FROM run WHERE label = ?");
   find.Text(1, label);
   while (find.Step()) {
     runs[{label, find.Text(0), find.Text(1), static_cast<std::uint64_t>(find.Number(2))}] =
@@ -121,9 +121,9 @@
 
 std::vector<std::string> Results::Labels() const {
   std::vector<std::string> labels;
-  sql::Statement find(db_, "SELECT DISTINCT label FROM run ORDER BY label");
+  storage::Statement find(db_, "SELECT DISTINCT label FROM run ORDER BY label");
   while (find.Step()) labels.push_back(find.Text(0));
   return labels;
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/results.h
+++ b/src/simulation/results.h
@@ -13,7 +13,7 @@
 #include "simulation/world.h"
 #include "storage/sqlite.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 struct RunKey {
   std::string label;
@@ -47,7 +47,7 @@
   std::vector<std::string> Labels() const;
 
  private:
-  sql::Database db_;
+  storage::Database db_;
 };
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -5,15 +5,15 @@
 
 #include "simulation/sim.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 // A call that was given up may still run so long after its request's end: servers drop what has expired.
-constexpr Duration kMemory = std::chrono::seconds(20);
+constexpr runtime::Duration kMemory = std::chrono::seconds(20);
 
-bool NeverRan(kestrellb::Outcome outcome) {
-  return outcome == kestrellb::Outcome::kFull || outcome == kestrellb::Outcome::kConnectFailed ||
-         outcome == kestrellb::Outcome::kNotSent;
+bool NeverRan(balancer::Outcome outcome) {
+  return outcome == balancer::Outcome::kFull || outcome == balancer::Outcome::kConnectFailed ||
+         outcome == balancer::Outcome::kNotSent;
 }
 
 }  // namespace
@@ -27,12 +27,12 @@
 
 std::size_t Rules::total() const { return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0}); }
 
-void Rules::Broken(Rule rule, TimePoint at, std::string what) {
+void Rules::Broken(Rule rule, runtime::TimePoint at, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ == 0)
     first_.push_back({rule, InSeconds(at), std::move(what)});
 }
 
-void Rules::Forget(TimePoint now) {
+void Rules::Forget(runtime::TimePoint now) {
   while (!ended_.empty() && now - ended_.front().first > kMemory) {
     open_.erase(ended_.front().second);
     ended_.pop_front();
@@ -132,7 +132,7 @@
 void Rules::Arrived(const Happening& h) {
   if (h.server >= servers_.size()) return;
   Server& server = servers_[h.server];
-  if (server.booted == TimePoint::min() || h.at - server.booted >= limits_.cold_time) return;
+  if (server.booted == runtime::TimePoint::min() || h.at - server.booted >= limits_.cold_time) return;
   server.work.emplace_back(h.at, h.work);
   server.sum += h.work;
   while (h.at - server.work.front().first > limits_.fall_window) {
@@ -151,11 +151,11 @@
   }
 }
 
-void Rules::End(TimePoint at) {
+void Rules::End(runtime::TimePoint at) {
   for (const auto& [id, open] : open_) {
     if (open.answered || at <= open.until + limits_.grace) continue;
     Broken(Rule::kLost, at, "request " + std::to_string(id) + " was never answered");
   }
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/rules.h
+++ b/src/simulation/rules.h
@@ -12,7 +12,7 @@
 
 #include "simulation/happening.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 enum class Rule { kLost, kTwice, kDrain, kCold };
 const char* NameOf(Rule rule);
@@ -26,19 +26,19 @@
 class Rules {
  public:
   struct Limits {
-    std::vector<bool> unsafe;  // by class
-    Duration grace{50'000};    // beyond a request's time
-    Duration drain{550'000};   // after a leaving was told, with the grace of sockets
-    double fall_multiple = 4;  // of what a cold server can do
-    Duration fall_window{1'000'000};
+    std::vector<bool> unsafe;          // by class
+    runtime::Duration grace{50'000};   // beyond a request's time
+    runtime::Duration drain{550'000};  // after a leaving was told, with the grace of sockets
+    double fall_multiple = 4;          // of what a cold server can do
+    runtime::Duration fall_window{1'000'000};
     double cold_from = 0.2;
-    Duration cold_time{15'000'000};
+    runtime::Duration cold_time{15'000'000};
   };
   explicit Rules(Limits limits);
 
   void Tell(const Happening& h);
   // The end of the world: what is still owed by then and late is lost.
-  void End(TimePoint at);
+  void End(runtime::TimePoint at);
 
   // The first of each rule, and how many there were.
   const std::vector<Break>& breaks() const { return first_; }
@@ -50,33 +50,34 @@
   struct Open {
     std::uint64_t sidecar = 0;
     std::size_t cls = 0;
-    TimePoint until;
+    runtime::TimePoint until;
     int unproven = 0;  // attempts that may have run, or may yet
     int runs = 0;
     bool answered = false;
     bool refused = false;
     bool left = false;
-    TimePoint told;  // its end
+    runtime::TimePoint told;  // its end
   };
   struct Server {
-    TimePoint booted = TimePoint::min();
-    double capacity = 0;                            // warm, milliseconds of work a millisecond
-    std::deque<std::pair<TimePoint, double>> work;  // taken in within the window
+    runtime::TimePoint booted = runtime::TimePoint::min();
+    double capacity = 0;                                     // warm, milliseconds of work a millisecond
+    std::deque<std::pair<runtime::TimePoint, double>> work;  // taken in within the window
     double sum = 0;
   };
 
-  void Broken(Rule rule, TimePoint at, std::string what);
-  void Forget(TimePoint now);
+  void Broken(Rule rule, runtime::TimePoint at, std::string what);
+  void Forget(runtime::TimePoint now);
   void Arrived(const Happening& h);
 
   const Limits limits_;
   std::unordered_map<std::uint64_t, Open> open_;
-  std::deque<std::pair<TimePoint, std::uint64_t>> ended_;  // kept for a while: their copies may still run
-  std::unordered_map<std::uint64_t, std::unordered_map<std::size_t, TimePoint>>
+  std::deque<std::pair<runtime::TimePoint, std::uint64_t>>
+      ended_;  // kept for a while: their copies may still run
+  std::unordered_map<std::uint64_t, std::unordered_map<std::size_t, runtime::TimePoint>>
       leaving_;  // by sidecar and server
   std::vector<Server> servers_;
   std::vector<Break> first_;
   std::array<std::size_t, 4> counts_{};
 };
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -11,7 +11,7 @@
 
 #include "simulation/sim.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 constexpr std::array<const char*, 13> kKinds = {"cut-zone", "lose-zone", "silent",   "slow",    "errors",
@@ -119,7 +119,7 @@
   t.Number("aim_ms", c.aim_ms, 1, 1e6);
   t.Number("deadline_ms", c.deadline_ms, 1, 1e6);
   t.Number("worth", c.worth, 0, 1e6);
-  c.effect = static_cast<kestrellb::Effect>(t.OneOf("effect", kEffects));
+  c.effect = static_cast<balancer::Effect>(t.OneOf("effect", kEffects));
   if (c.deadline_ms < c.aim_ms) t.Fail("deadline_ms", "give no less than aim_ms");
   t.Done();
   return c;
@@ -329,10 +329,10 @@
   return end;
 }
 
-kestrellb::Settings Scenario::SettingsOf(std::size_t self) const {
-  kestrellb::Settings settings;
+balancer::Settings Scenario::SettingsOf(std::size_t self) const {
+  balancer::Settings settings;
   for (const ClassLoad& c : classes) {
-    kestrellb::RequestClass cls;
+    balancer::RequestClass cls;
     cls.name = c.name;
     cls.aim = Milliseconds(c.aim_ms);
     cls.deadline = Milliseconds(c.deadline_ms);
@@ -354,4 +354,4 @@
   return settings;
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -11,7 +11,7 @@
 
 #include "balancer/balancer.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 class ScenarioError : public std::runtime_error {
  public:
@@ -52,7 +52,7 @@
   double aim_ms = 400;
   double deadline_ms = 1000;
   double worth = 1;
-  kestrellb::Effect effect = kestrellb::Effect::kSafe;
+  balancer::Effect effect = balancer::Effect::kSafe;
 };
 
 struct Scenario {
@@ -102,7 +102,7 @@
   std::optional<double> recovers_within_s;
 
   // What the sidecars are told of it.
-  kestrellb::Settings SettingsOf(std::size_t self) const;
+  balancer::Settings SettingsOf(std::size_t self) const;
   // When the last fault is over, seconds.
   double FaultsEnd() const;
 };
@@ -115,4 +115,4 @@
 std::string ToToml(const Scenario& scenario);
 const char* NameOf(FaultKind kind);
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <vector>
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 // Trouble that goes on so long behind its cause, with room enough, outlives it.
@@ -111,4 +111,4 @@
   return scenario;
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/search.h
+++ b/src/simulation/search.h
@@ -10,7 +10,7 @@
 #include "simulation/sim.h"
 #include "simulation/world.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 // What is wrong with a run; empty: nothing. A broken rule, or trouble that outlives its cause.
 std::string TroubleIn(const Scenario& scenario, const Outcome& outcome, const Figures& figures);
@@ -23,4 +23,4 @@
 // Tries at most `budget` runs.
 Scenario Shrunk(Scenario scenario, const std::function<bool(const Scenario&)>& shows, int budget);
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/server.cpp
+++ b/src/simulation/server.cpp
@@ -2,7 +2,7 @@
 
 #include <algorithm>
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 Server::Server(Simulator& sim, const Scenario& scenario, Random random, double speed)
     : sim_(sim), scenario_(scenario), random_(random), speed_(speed) {
@@ -76,4 +76,4 @@
   booted_ = sim_.now();
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/server.h
+++ b/src/simulation/server.h
@@ -10,7 +10,7 @@
 #include "simulation/scenario.h"
 #include "simulation/sim.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 class Server {
  public:
@@ -55,13 +55,13 @@
   bool up_ = true;
   bool draining_ = false;
   bool ever_booted_ = false;
-  TimePoint booted_{};
+  runtime::TimePoint booted_{};
   double slowed_ = 1;
   double failing_ = 0;
-  TimePoint pause_at_{};
+  runtime::TimePoint pause_at_{};
   std::uint64_t life_ = 0;
   std::deque<Job> queue_;
   std::unordered_map<std::uint64_t, Job> running_;
 };
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/sim.h
+++ b/src/simulation/sim.h
@@ -12,15 +12,15 @@
 
 #include "runtime/timers.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
-inline Duration Milliseconds(double ms) {
-  return Duration(static_cast<Duration::rep>(std::llround(ms * 1000)));
+inline runtime::Duration Milliseconds(double ms) {
+  return runtime::Duration(static_cast<runtime::Duration::rep>(std::llround(ms * 1000)));
 }
-inline Duration SecondsOf(double s) { return Milliseconds(s * 1000); }
-inline double InSeconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
-inline double InSeconds(TimePoint t) { return InSeconds(t.time_since_epoch()); }
-inline double InMilliseconds(Duration d) { return static_cast<double>(d.count()) / 1e3; }
+inline runtime::Duration SecondsOf(double s) { return Milliseconds(s * 1000); }
+inline double InSeconds(runtime::Duration d) { return static_cast<double>(d.count()) / 1e6; }
+inline double InSeconds(runtime::TimePoint t) { return InSeconds(t.time_since_epoch()); }
+inline double InMilliseconds(runtime::Duration d) { return static_cast<double>(d.count()) / 1e3; }
 
 // Numbers drawn from a seed, the same with every standard library: its distributions are not.
 class Random {
@@ -55,17 +55,17 @@
  public:
   using Act = std::function<void()>;
 
-  TimePoint now() const { return now_; }
+  runtime::TimePoint now() const { return now_; }
   std::uint64_t events() const { return events_; }
 
-  void At(TimePoint at, Act act) {
+  void At(runtime::TimePoint at, Act act) {
     heap_.push_back({std::max(at, now_), ++last_, std::move(act)});
     std::push_heap(heap_.begin(), heap_.end(), Later);
   }
-  void After(Duration wait, Act act) { At(now_ + wait, std::move(act)); }
+  void After(runtime::Duration wait, Act act) { At(now_ + wait, std::move(act)); }
 
   // Plays all that is due until then, and what follows from it.
-  void RunUntil(TimePoint end) {
+  void RunUntil(runtime::TimePoint end) {
     while (!heap_.empty() && heap_.front().at <= end) {
       std::pop_heap(heap_.begin(), heap_.end(), Later);
       Event next = std::move(heap_.back());
@@ -79,7 +79,7 @@
 
  private:
   struct Event {
-    TimePoint at;
+    runtime::TimePoint at;
     std::uint64_t number;
     Act act;
   };
@@ -88,17 +88,17 @@
   }
 
   std::vector<Event> heap_;
-  TimePoint now_{};
+  runtime::TimePoint now_{};
   std::uint64_t last_ = 0;
   std::uint64_t events_ = 0;
 };
 
 // For a dispatcher in made-up time.
-class SimAlarm : public Alarm {
+class SimAlarm : public runtime::Alarm {
  public:
   explicit SimAlarm(Simulator& sim) : sim_(sim) {}
-  TimePoint Now() const override { return sim_.now(); }
-  void Set(TimePoint at, std::function<void()> due) override {
+  runtime::TimePoint Now() const override { return sim_.now(); }
+  void Set(runtime::TimePoint at, std::function<void()> due) override {
     *latest_ += 1;
     sim_.At(at, [due = std::move(due), number = *latest_, latest = std::weak_ptr<std::uint64_t>(latest_)] {
       const auto still = latest.lock();
@@ -112,4 +112,4 @@
   std::shared_ptr<std::uint64_t> latest_ = std::make_shared<std::uint64_t>(0);
 };
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/statistics.h
+++ b/src/simulation/statistics.h
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <vector>
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 struct Difference {
   std::size_t pairs = 0;
@@ -32,4 +32,4 @@
   return d;
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -11,7 +11,7 @@
 #include "simulation/results.h"
 #include "simulation/world.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 namespace {
 
 struct Worker {
@@ -81,4 +81,4 @@
   }
 }
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
--- a/src/simulation/sweep.h
+++ b/src/simulation/sweep.h
@@ -9,7 +9,7 @@
 
 #include "simulation/scenario.h"
 
-namespace mothrack::lab {
+namespace mothrack::simulation {
 
 struct Job {
   Scenario scenario;
@@ -21,4 +21,4 @@
 void PlayAll(const std::vector<Job>& jobs, std::size_t at_once,
              const std::function<bool(std::size_t job, const nlohmann::json& run)>& done);
 
-}  // namespace mothrack::lab
+}  // namespace mothrack::simulation
