--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -74,7 +74,7 @@
   s.use = use;
   s.retries = 0;
   s.max_attempts = 3;
-  s.second_copies = false;
+  s.hedging = false;
   s.classes = {{"page", 1, kWorkMs, kCv, 400, 2000, 1, mothrack::balancer::Effect::kSafe}};
   return s;
 }
--- a/bench/ring_bench.cpp
+++ b/bench/ring_bench.cpp
@@ -209,7 +209,7 @@
   kb::Settings settings;
   kb::RequestClass plain;
   plain.name = "plain";
-  plain.aim = 400ms;
+  plain.latency_objective = 400ms;
   plain.deadline = 2s;
   settings.classes = {plain};
   kb::Balancer balancer(settings, 1);
--- a/demo/demo.cpp
+++ b/demo/demo.cpp
@@ -47,7 +47,7 @@
   Upstream upstream_;
 };
 
-struct Tally {
+struct RequestCounters {
   int asked = 0;
   int served = 0;
   int refused = 0;
@@ -61,15 +61,15 @@
   }
 };
 
-void Print(const std::string& name, const Tally& t) {
+void Print(const std::string& name, const RequestCounters& t) {
   std::cout << "  " << std::left << std::setw(26) << name << std::right << std::setw(6) << t.asked << " asked"
             << std::setw(7) << t.served << " served" << std::setw(5) << t.refused << " refused"
             << std::setw(5) << t.failed << " failed" << std::setw(5) << t.unanswered
             << " unanswered   slowest " << std::fixed << std::setprecision(0) << t.slowest_ms << " ms\n";
 }
 
-Tally AskHttp(std::uint16_t port, const std::atomic<bool>& stop, bool submit) {
-  Tally tally;
+RequestCounters AskHttp(std::uint16_t port, const std::atomic<bool>& stop, bool submit) {
+  RequestCounters tally;
   auto client = std::make_unique<Client>(port);
   for (int i = 0; !stop; ++i) {
     const std::string id = (submit ? "s" : "p") + std::to_string(i);
@@ -92,8 +92,8 @@
   return tally;
 }
 
-Tally AskDns(std::uint16_t port, const std::atomic<bool>& stop, bool tcp) {
-  Tally tally;
+RequestCounters AskDns(std::uint16_t port, const std::atomic<bool>& stop, bool tcp) {
+  RequestCounters tally;
   DnsUdpClient udp(port);
   auto stream = std::make_unique<DnsTcpClient>(port);
   for (std::uint16_t i = 0; !stop; ++i) {
@@ -151,7 +151,7 @@
             << " s all is well; then page-3 and resolver-3 go silent; then they are back.\n\n";
 
   std::atomic<bool> stop{false};
-  Tally get, post, udp, tcp;
+  RequestCounters get, post, udp, tcp;
   std::vector<std::thread> clients;
   clients.emplace_back([&] { get = AskHttp(node.port(), stop, false); });
   clients.emplace_back([&] { post = AskHttp(node.port(), stop, true); });
--- a/src/admin/door.cpp
+++ b/src/admin/admin_api.cpp
@@ -1,4 +1,4 @@
-#include "admin/door.h"
+#include "admin/admin_api.h"
 
 #include <utility>
 
@@ -14,16 +14,16 @@
 
 }  // namespace
 
-Door::Door(boost::asio::io_context& io, const Settings& settings, Source source, runtime::Logger& log)
+AdminApi::AdminApi(boost::asio::io_context& io, const Settings& settings, Source source, runtime::Logger& log)
     : settings_(settings),
       source_(std::move(source)),
       log_(log),
-      allowance_(kPerSecond, kPerSecond, runtime::Now()),
+      rate_limiter_(kPerSecond, kPerSecond, runtime::Now()),
       server_(
           io, {"admin.listen", settings.unix_path, settings.endpoint}, {kConnections, 0}, "admin: ", Routes(),
           [this](const Call& call) { return Guard(call); }, log) {}
 
-std::vector<Route> Door::Routes() {
+std::vector<Route> AdminApi::Routes() {
   return {{"GET", "/v1/status",
            [this](const Call& call) {
              return Answer{200, source_.status(After(call))};
@@ -40,8 +40,8 @@
            }}};
 }
 
-std::optional<Answer> Door::Guard(const Call& call) {
-  if (!allowance_.Take(runtime::Now())) return Fault(429, "too many requests; ask less often");
+std::optional<Answer> AdminApi::Guard(const Call& call) {
+  if (!rate_limiter_.Take(runtime::Now())) return Fault(429, "too many requests; ask less often");
   // Without a token the file system has let it in.
   if (settings_.token.empty() || HoldsToken(call, settings_.token)) return std::nullopt;
   return Fault(401, "give the token as Authorization: Bearer TOKEN");
--- a/src/admin/door.h
+++ b/src/admin/admin_api.h
@@ -15,8 +15,8 @@
 
 #include "admin/server.h"
 #include "admin/settings.h"
-#include "runtime/allowance.h"
 #include "runtime/log.h"
+#include "runtime/rate_limiter.h"
 
 namespace mothrack::admin {
 
@@ -27,10 +27,10 @@
   std::function<void()> drain;
 };
 
-class Door {
+class AdminApi {
  public:
   // Listens at once. Throws std::runtime_error, which names the place, where it can't.
-  Door(boost::asio::io_context& io, const Settings& settings, Source source, runtime::Logger& log);
+  AdminApi(boost::asio::io_context& io, const Settings& settings, Source source, runtime::Logger& log);
 
   static constexpr std::size_t kConnections = 4;
   // Open all the time: the listening socket and its connections.
@@ -45,7 +45,7 @@
   const Settings settings_;
   const Source source_;
   runtime::Logger& log_;
-  runtime::Allowance allowance_;
+  runtime::RateLimiter rate_limiter_;
   Server server_;  // last: it calls the rest
 };
 
--- a/src/admin/ops.cpp
+++ b/src/admin/operator_api.cpp
@@ -1,4 +1,4 @@
-#include "admin/ops.h"
+#include "admin/operator_api.h"
 
 #include <utility>
 
@@ -12,13 +12,13 @@
 
 }  // namespace
 
-Ops::Ops(boost::asio::io_context& io, const runtime::Endpoint& endpoint, OpsSource source,
-         runtime::Logger& log)
+OperatorApi::OperatorApi(boost::asio::io_context& io, const runtime::Endpoint& endpoint,
+                         OperatorApiSource source, runtime::Logger& log)
     : source_(std::move(source)),
       log_(log),
       server_(io, {"LB_OPS", {}, endpoint}, {kConnections, kMostBody}, "ops: ", Routes(), nullptr, log) {}
 
-std::vector<Route> Ops::Routes() {
+std::vector<Route> OperatorApi::Routes() {
   const auto drain = [this](bool on) {
     if (!source_.drain(on)) return Fault(409, "a planned stop is under way and can't be taken back");
     log_.Line(on ? "ops: drain" : "ops: drain ended, takes clients again");
@@ -41,8 +41,8 @@
           {"PUT", "/ops/drain/stop", [drain](const Call&) { return drain(false); }}};
 }
 
-Answer Ops::OfUpstream(const Call& call, const std::function<bool(const std::string&)>& act,
-                       const char* done) {
+Answer OperatorApi::OfUpstream(const Call& call, const std::function<bool(const std::string&)>& act,
+                               const char* done) {
   const json body = json::parse(call.body, nullptr, false);
   const auto name = body.is_object() ? body.find("name") : body.end();
   if (name == body.end() || !name->is_string()) return Fault(400, R"(give the upstream as {"name":"ID"})");
--- a/src/admin/ops.h
+++ b/src/admin/operator_api.h
@@ -16,7 +16,7 @@
 
 namespace mothrack::admin {
 
-struct OpsSource {
+struct OperatorApiSource {
   std::function<bool()> ready;
   std::function<nlohmann::json()> stats;
   // False where the upstream was never listed.
@@ -26,10 +26,11 @@
   std::function<bool(bool on)> drain;
 };
 
-class Ops {
+class OperatorApi {
  public:
   // Listens at once. Throws std::runtime_error, which names the place, where it can't.
-  Ops(boost::asio::io_context& io, const runtime::Endpoint& endpoint, OpsSource source, runtime::Logger& log);
+  OperatorApi(boost::asio::io_context& io, const runtime::Endpoint& endpoint, OperatorApiSource source,
+              runtime::Logger& log);
 
   // Far more than ask at one time, so that those who hold a connection of these don't matter.
   static constexpr std::size_t kConnections = 16;
@@ -41,7 +42,7 @@
   std::vector<Route> Routes();
   Answer OfUpstream(const Call& call, const std::function<bool(const std::string&)>& act, const char* done);
 
-  const OpsSource source_;
+  const OperatorApiSource source_;
   runtime::Logger& log_;
   Server server_;  // last: it calls the rest
 };
--- a/src/admin/report.cpp
+++ b/src/admin/report.cpp
@@ -15,8 +15,8 @@
 
 using nlohmann::json;
 
-constexpr std::array<const char*, dispatch::Tally::kOutcomes> kOutcomeNames = {"served", "refused", "failed",
-                                                                               "late", "left"};
+constexpr std::array<const char*, dispatch::RequestCounters::kOutcomes> kOutcomeNames = {
+    "served", "refused", "failed", "late", "left"};
 
 const char* NameOf(balancer::UpstreamState state) {
   switch (state) {
@@ -37,8 +37,8 @@
   upstream.emplace("id", view.id.value);
   upstream.emplace("state", NameOf(view.state));
   upstream.emplace("in_flight", view.in_flight);
-  upstream.emplace("cold", view.warmth < 1);
-  upstream.emplace("warmth", view.warmth);
+  upstream.emplace("cold", view.slow_start_factor < 1);
+  upstream.emplace("warmth", view.slow_start_factor);
   if (view.ejected_until) {
     const auto left = std::chrono::duration_cast<std::chrono::milliseconds>(*view.ejected_until - now);
     upstream["ejected"] = {{"until_ms", unix_now + left.count()},
@@ -50,7 +50,7 @@
 json Counters(const dispatch::Dispatcher& dispatcher) {
   const balancer::Settings& settings = dispatcher.settings();
   json rows = json::array();
-  for (const dispatch::Tally::Row& row : dispatcher.tally().rows()) {
+  for (const dispatch::RequestCounters::Row& row : dispatcher.request_counters().rows()) {
     if (row.taken == 0) continue;
     json counted = {
         {"class", settings.classes[static_cast<std::size_t>(row.request_class)].name},
@@ -108,11 +108,12 @@
   };
   const auto& classes = dispatcher.settings().classes;
   std::vector<Sums> sums(classes.size());
-  for (const dispatch::Tally::Row& row : dispatcher.tally().rows()) {
+  for (const dispatch::RequestCounters::Row& row : dispatcher.request_counters().rows()) {
     Sums& sum = sums[static_cast<std::size_t>(row.request_class)];
-    sum.answered += row.Of(dispatch::Tally::Outcome::kServed);
-    sum.deferred += row.Of(dispatch::Tally::Outcome::kRefused);
-    sum.errored += row.Of(dispatch::Tally::Outcome::kFailed) + row.Of(dispatch::Tally::Outcome::kLate);
+    sum.answered += row.Of(dispatch::RequestCounters::Outcome::kServed);
+    sum.deferred += row.Of(dispatch::RequestCounters::Outcome::kRejected);
+    sum.errored += row.Of(dispatch::RequestCounters::Outcome::kFailed) +
+                   row.Of(dispatch::RequestCounters::Outcome::kLate);
     sum.sends += row.sent;
   }
   json transactions = json::object();
@@ -123,13 +124,13 @@
                                      {"errored", sum.errored},
                                      {"sends", sum.sends}};
   }
-  const dispatch::Roster& roster = dispatcher.roster();
+  const dispatch::UpstreamOverrides& roster = dispatcher.upstream_overrides();
   std::size_t avoided = 0;
   for (const auto& view : dispatcher.upstreams()) {
     avoided += view.ejected_until.has_value() || roster.bans().contains(view.id.value);
   }
   return {{"transactions", std::move(transactions)},
-          {"current", dispatcher.owed()},
+          {"current", dispatcher.in_flight()},
           {"cluster_size", roster.listed()},
           {"cluster_unhealthy", avoided}};
 }
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -57,7 +57,7 @@
       processes_(processes),
       store_(store),
       log_(log),
-      allowance_(kPerSecond, kPerSecond, runtime::Now()),
+      rate_limiter_(kPerSecond, kPerSecond, runtime::Now()),
       server_(
           io,
           {"agent.listen", file.listen.rfind("unix:", 0) == 0 ? file.listen.substr(5) : std::string(),
@@ -66,7 +66,7 @@
           log) {}
 
 std::optional<Answer> AgentApi::Guard(const Call& call) {
-  if (!allowance_.Take(runtime::Now())) return admin::Fault(429, "too many requests; ask less often");
+  if (!rate_limiter_.Take(runtime::Now())) return admin::Fault(429, "too many requests; ask less often");
   if (file_.tokens.empty()) return std::nullopt;
   // All are looked at, so that the time tells nothing of which one it was.
   std::optional<Role> role;
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -22,8 +22,8 @@
 #include "admin/server.h"
 #include "agent/agent.h"
 #include "agent/agent_file.h"
-#include "runtime/allowance.h"
 #include "runtime/log.h"
+#include "runtime/rate_limiter.h"
 
 namespace mothrack::agent {
 
@@ -56,7 +56,7 @@
   runtime::Logger& log_;
   std::function<void()> on_taken_;
   std::function<nlohmann::json()> peers_;
-  runtime::Allowance allowance_;
+  runtime::RateLimiter rate_limiter_;
   admin::Server server_;  // last: it calls the rest
 };
 
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -138,7 +138,7 @@
 constexpr Duration kSpell = seconds(2);
 // Clients that are told to come back do so spread over one to two times this, or the settings' longest wait.
 constexpr Duration kRetryAfter = milliseconds(1500);
-// After a failed call for membership the next one follows in up to a fifth of `ask_within`, or of this: a
+// After a failed call for membership the next one follows in up to a fifth of `poll_within`, or of this: a
 // change counts as told 6 s after it could be asked for, and the failed call and the next take 2 s each. The
 // look takes the rest.
 constexpr Duration kMostAskWithin = milliseconds(8750);
@@ -208,7 +208,7 @@
       // Asking again at once would add to what made it fail.
       if (settings_.membership_on_request)
         ask_again_at_ =
-            now_ + Scaled(std::min(settings_.rules.ask_within, kMostAskWithin), 0.1 + 0.1 * Uniform());
+            now_ + Scaled(std::min(settings_.rules.poll_within, kMostAskWithin), 0.1 + 0.1 * Uniform());
       return;
     }
     // What a whole list leaves out is gone.
@@ -277,7 +277,7 @@
     if (new_process) {
       if (u) u->info.state = UpstreamState::kGone;
       u = std::make_shared<Upstream>();
-      u->rank = Hash(info.id.value, settings_.self);
+      u->rank = Hash(info.id.value, settings_.sidecar_index);
       u->cold_refilled = now_;
     }
     // That it left may be told without its place, which decides who knows the keys of its calls.
@@ -415,9 +415,9 @@
 
   // The usual time of an answer: of a class, and over all.
   Duration UsualTime(std::size_t cls) const {
-    return TimeOr(usual_time_[cls], settings_.classes[cls].aim / 4);
+    return TimeOr(usual_time_[cls], settings_.classes[cls].latency_objective / 4);
   }
-  Duration UsualTime() const { return TimeOr(usual_any_, settings_.classes[0].aim / 4); }
+  Duration UsualTime() const { return TimeOr(usual_any_, settings_.classes[0].latency_objective / 4); }
 
   // How long an upstream's answers take against what is usual. A trickle meets one upstream too seldom to
   // know: until it has answered often, it is taken for what its kind of machine is like.
@@ -444,7 +444,7 @@
     u.slowness.Add(ratio, kSlownessMemory);
     kind_slowness_[u.info.kind].Add(ratio, kUsualMemory);
     if (outcome != Outcome::kServed) return;
-    u.aim_share.Add(time / static_cast<double>(r.aim.count()), kSlownessMemory);
+    u.aim_share.Add(time / static_cast<double>(r.latency_objective.count()), kSlownessMemory);
     usual_time_[r.cls_index].Add(time, kUsualMemory);
     usual_any_.Add(time, kUsualMemory);
   }
@@ -599,7 +599,7 @@
     if (r.attempts.size() >= settings_.limits.max_attempts) return false;
     for (const Attempt& a : r.attempts) {
       if (a.outcome && ProvesNotRun(*a.outcome)) continue;
-      if (!a.outcome && !settings_.limits.second_copies) return false;
+      if (!a.outcome && !settings_.limits.hedging) return false;
       if (r.cls->effect == Effect::kUnsafe) return false;
       if (r.cls->effect != Effect::kKeyed) continue;
       // Repeats are dropped only among the upstreams that know the key, and only while they remember it. Half
@@ -629,12 +629,13 @@
     const Duration left = r.deadline - now_;
     // What may be repeated is given up at its aim: another upstream may have time for it, or it is worth
     // nothing. Where late answers have a worth, a second copy does that without losing the first.
-    if (r.cls->late_worth > 0 && settings_.limits.second_copies) return left;
-    const TimePoint aim = r.arrived + r.aim;
+    if (r.cls->late_priority_weight > 0 && settings_.limits.hedging) return left;
+    const TimePoint latency_objective = r.arrived + r.latency_objective;
     // Under overload also what may not be repeated: kept past its aim it is worth nothing and holds up the
     // rest.
-    const bool give_up = r.cls->effect != Effect::kUnsafe || (r.cls->late_worth <= 0 && shed_ > kShedding);
-    if (give_up && now_ < aim) return std::min(left, Duration(aim - now_));
+    const bool give_up =
+        r.cls->effect != Effect::kUnsafe || (r.cls->late_priority_weight <= 0 && shed_ > kShedding);
+    if (give_up && now_ < latency_objective) return std::min(left, Duration(latency_objective - now_));
     return left;
   }
 
@@ -671,7 +672,7 @@
       Upstream& u = *a.upstream;
       if (!a.held || !MayTake(u) || !MaySend(r, u)) continue;
       // Holds more than it serves within the aim: a call would be late and keep it jammed.
-      if (a.served > 0 && *a.held > a.served * kHoldFor * Seconds(r.aim)) {
+      if (a.served > 0 && *a.held > a.served * kHoldFor * Seconds(r.latency_objective)) {
         jammed = true;
         continue;
       }
@@ -709,8 +710,8 @@
   void SendTo(Request& r, const UpstreamPtr& upstream, Reason reason) {
     Upstream& u = *upstream;
     const bool trial = reason == Reason::kTrial;
-    ++(trial                     ? counts_.trials
-       : reason == Reason::kCopy ? counts_.copies
+    ++(trial                     ? counts_.half_open_probes
+       : reason == Reason::kCopy ? counts_.hedges
        : r.attempts.empty()      ? counts_.first
                                  : counts_.retries);
     ++u.sent;
@@ -748,7 +749,7 @@
   // depend on it, so a relapsing upstream costs no request. Where nothing else stands, the call itself is the
   // trial: refusing all while some could serve is the worst outcome.
   bool Try(Request& r) {
-    if (!settings_.limits.second_copies && !r.attempts.empty()) return false;
+    if (!settings_.limits.hedging && !r.attempts.empty()) return false;
     if (r.cls->effect == Effect::kUnsafe) return false;
     for (const UpstreamPtr& u : order_) {
       if (Tried(r, *u)) continue;
@@ -768,8 +769,9 @@
     r.id = e.request;
     r.cls = &settings_.classes[cls];
     r.cls_index = cls;
-    const Duration stretch = Scaled(e.work.value_or(Duration::zero()), r.cls->aim_stretch);
-    r.aim = std::min(r.cls->aim + stretch, std::max(r.cls->aim, r.cls->deadline));
+    const Duration stretch = Scaled(e.work.value_or(Duration::zero()), r.cls->latency_objective_stretch);
+    r.latency_objective =
+        std::min(r.cls->latency_objective + stretch, std::max(r.cls->latency_objective, r.cls->deadline));
     r.arrived = now_;
     r.deadline = e.arriving ? TimePoint::max() : e.deadline;
     r.arriving = e.arriving;
@@ -782,7 +784,7 @@
   }
 
   // It may be sent on while it comes, but nobody can be late with it before it is whole.
-  void On(const RequestWhole& e) {
+  void On(const RequestComplete& e) {
     Request* r = Find(e.request);
     if (r == nullptr || !std::exchange(r->arriving, false)) return;
     r->arrived = now_;
@@ -799,8 +801,7 @@
 
   void ExpectBy(Request& r) {
     r.late_at = r.arriving ? TimePoint::max() : now_ + Scaled(UsualTime(r.cls_index), kLate);
-    if (!r.ended && r.cls->effect != Effect::kUnsafe && settings_.limits.second_copies &&
-        r.late_at < r.deadline)
+    if (!r.ended && r.cls->effect != Effect::kUnsafe && settings_.limits.hedging && r.late_at < r.deadline)
       Wake(r, r.late_at);
   }
 
@@ -814,7 +815,8 @@
   // after a proof that nothing ran. What can no longer be in time for any worth is not tried again either.
   bool WorthAnother(const Request& r) {
     if (r.attempts.empty()) return true;
-    if (r.cls->late_worth <= 0 && !r.arriving && now_ >= r.arrived + r.aim) return false;
+    if (r.cls->late_priority_weight <= 0 && !r.arriving && now_ >= r.arrived + r.latency_objective)
+      return false;
     const auto& last = r.attempts.back().outcome;
     if (last && ProvesNotRun(*last) && r.attempts.size() <= kFreeRepeats) return true;
     if (retry_budget_ < 1) return false;
@@ -925,7 +927,7 @@
     Forget(e.request);
   }
 
-  void On(const RequestGone& e) {
+  void On(const ClientDisconnected& e) {
     Request* r = Find(e.request);
     if (r == nullptr) return;
     End(*r);
@@ -961,7 +963,7 @@
   }
 
   double WorthForTime(std::size_t cls) const {
-    return settings_.classes[cls].worth / static_cast<double>(UsualTime(cls).count());
+    return settings_.classes[cls].priority_weight / static_cast<double>(UsualTime(cls).count());
   }
 
   // Lateness of a cold, suspect or ejected upstream is its own trouble, unless such ones are the most.
@@ -970,7 +972,7 @@
   void CountLate(const Request& r, const Upstream& u, Outcome outcome, Duration elapsed) {
     if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
     if (outcome == Outcome::kTimeout && !Loaded(u)) return;
-    const bool late = outcome != Outcome::kServed || elapsed > Scaled(r.aim, kLateFrom);
+    const bool late = outcome != Outcome::kServed || elapsed > Scaled(r.latency_objective, kLateFrom);
     // Its being in time counts all the same: where the few that are let in all go to cold ones, nothing else
     // tells that the overload is over.
     if (late && !Telling(u) && 4 * telling_weight_ > serving_weight_) return;
@@ -1026,7 +1028,7 @@
       const Duration most = settings_.limits.max_retry_after;
       // Clients must not come back in step, however short the longest advice is.
       const Duration wait = std::min(Scaled(std::min(kRetryAfter, most * 3 / 4), 1 + Uniform()), most);
-      Emit(Refuse{r.id, settings_.limits.retry_after ? wait : Duration::zero()});
+      Emit(Reject{r.id, settings_.limits.retry_after ? wait : Duration::zero()});
     } else {
       Emit(Fail{r.id});
     }
@@ -1053,8 +1055,8 @@
   double Warmth(const Upstream& u) const { return Warmth(u, now_); }
   double Warmth(const Upstream& u, TimePoint now) const {
     if (!u.info.started) return 1;
-    const double age = Seconds(now - *u.info.started) / Seconds(settings_.rules.cold_time);
-    const double from = settings_.rules.cold_from;
+    const double age = Seconds(now - *u.info.started) / Seconds(settings_.rules.slow_start_duration);
+    const double from = settings_.rules.slow_start_initial_share;
     return std::clamp(from + (1 - from) * age, from, 1.0);
   }
 
@@ -1062,16 +1064,16 @@
   // rotation already gives it less; the budget holds when others fail and push their calls onto it.
   // What it is likely to have: as much more than the least as the cold ones answer faster than by that.
   double LikelyWarmth(const Upstream& u) const {
-    const double warmth = Warmth(u);
-    if (warmth >= 1 || cold_times_.samples < kKindPrior) return warmth;
-    return std::clamp(warmth / cold_times_.value, warmth, 1.0);
+    const double slow_start_factor = Warmth(u);
+    if (slow_start_factor >= 1 || cold_times_.samples < kKindPrior) return slow_start_factor;
+    return std::clamp(slow_start_factor / cold_times_.value, slow_start_factor, 1.0);
   }
 
   bool HasColdBudget(Upstream& u) {
-    const double warmth = Warmth(u);
-    if (warmth >= 1) return true;
+    const double slow_start_factor = Warmth(u);
+    if (slow_start_factor >= 1) return true;
     const double rate = ColdRate(u);
-    const double most = std::max(1.0, rate * Seconds(settings_.rules.fall_window) / 2);
+    const double most = std::max(1.0, rate * Seconds(settings_.rules.overload_window) / 2);
     u.cold_budget = std::min(most, u.cold_budget + rate * Seconds(now_ - u.cold_refilled));
     u.cold_refilled = now_;
     return u.cold_budget >= 1;
@@ -1083,7 +1085,7 @@
     // were such.
     const double asked = knows_warm_ ? std::min(cold_asked_ / 2, cold_most_) : cold_asked_ / 2;
     const double usual = std::max(cold_served_, asked) * ColdShare(u);
-    return settings_.rules.fall_multiple * kColdSafety * Warmth(u) * usual;
+    return settings_.rules.overload_multiple * kColdSafety * Warmth(u) * usual;
   }
 
   // Of what this sidecar sends, what a warm upstream of this weight would usually get from it. A big fleet's
@@ -1100,7 +1102,7 @@
   // The usual rate and weight change slowly: a burst or the loss of half the list must not raise the budgets.
   void UpdateUsual() {
     const double dt = Seconds(kHousekeeping);
-    const double most = Seconds(settings_.rules.cold_time) / 2;
+    const double most = Seconds(settings_.rules.slow_start_duration) / 2;
     const double age = Seconds(now_ - started_);
     const double memory = std::min(age, most);
     usual_rate_ += (static_cast<double>(arrivals_) / dt - usual_rate_) * std::min(1.0, dt / memory);
@@ -1108,13 +1110,13 @@
     // each sidecar took its first quarter of a second for its usual rate, the budgets of all would add up to
     // more than a cold upstream can do. So they go by what is learnt from nothing, over two windows at least.
     const double cautious =
-        std::min(1.0, dt / std::min(std::max(age, 2 * Seconds(settings_.rules.fall_window)), most));
+        std::min(1.0, dt / std::min(std::max(age, 2 * Seconds(settings_.rules.overload_window)), most));
     cold_asked_ += (static_cast<double>(arrivals_) / dt - cold_asked_) * cautious;
     cold_served_ += (static_cast<double>(served_) / dt - cold_served_) * cautious;
     arrivals_ = served_ = 0;
-    const double fading = 1 - dt / (2 * Seconds(settings_.rules.cold_time));
+    const double fading = 1 - dt / (2 * Seconds(settings_.rules.slow_start_duration));
     cold_most_ = std::max(cold_served_, cold_most_ * fading);
-    const bool learnt = age >= 2 * Seconds(settings_.rules.fall_window);
+    const bool learnt = age >= 2 * Seconds(settings_.rules.overload_window);
     knows_warm_ = knows_warm_ || (learnt && telling_weight_ > 0 && 2 * telling_weight_ >= serving_weight_);
     usual_weight_ = std::max(ListedWeight(), usual_weight_ * fading);
     subset_part_ *= fading;
--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -67,15 +67,15 @@
 
 struct RequestClass {
   std::string name{};
-  Duration aim{};          // an answer within this time has its full worth
-  double aim_stretch = 0;  // the aim grows by this many times the request's expected work
-  Duration deadline{};     // a client waits this long in all, over all of its tries
+  Duration latency_objective{};          // an answer within this time has its full worth
+  double latency_objective_stretch = 0;  // the aim grows by this many times the request's expected work
+  Duration deadline{};                   // a client waits this long in all, over all of its tries
   Effect effect = Effect::kUnsafe;
   KeyScope key_scope = KeyScope::kAll;
   Duration key_window{};  // repeats are dropped for this long after the first attempt was sent
-  double worth = 1;
-  double late_worth = 0;  // share of the worth left for an answer after the aim
-  bool stream = false;    // answers are streamed: AnswerStarted comes before AttemptEnded
+  double priority_weight = 1;
+  double late_priority_weight = 0;  // share of the worth left for an answer after the aim
+  bool stream = false;              // answers are streamed: AnswerStarted comes before AttemptEnded
 };
 
 struct Tenant {
@@ -86,7 +86,7 @@
 
 struct Limits {
   std::size_t max_attempts = 3;  // for one request, the first one included
-  bool second_copies = false;    // two attempts of one request may be out at once
+  bool hedging = false;          // two attempts of one request may be out at once
   bool cancel = true;            // CancelAttempt may be used
   bool probes = false;           // SendProbe may be used
   bool retry_after = true;       // clients are handed Refuse::retry_after
@@ -98,17 +98,18 @@
 
 struct Rules {
   Duration answer_grace =
-      std::chrono::milliseconds(20);               // a final answer this long after the deadline counts
-  Duration ask_within = std::chrono::seconds(10);  // membership on request: ask at least this often
+      std::chrono::milliseconds(20);                // a final answer this long after the deadline counts
+  Duration poll_within = std::chrono::seconds(10);  // membership on request: ask at least this often
   // A draining upstream gets nothing new from then on, counted from the telling. The module stops at once;
   // what brings it the lists has this long for that.
   Duration drain_within = std::chrono::milliseconds(500);
-  // A fresh upstream starts at `cold_from` of its capacity and is warm after `cold_time`. All sidecars
-  // together must not send it more than `fall_multiple` times its present capacity within any `fall_window`.
-  double cold_from = 0.1;
-  Duration cold_time = std::chrono::seconds(20);
-  double fall_multiple = 2;
-  Duration fall_window = std::chrono::seconds(1);
+  // A fresh upstream starts at `slow_start_initial_share` of its capacity and is warm after
+  // `slow_start_duration`. All sidecars together must not send it more than `overload_multiple` times its
+  // present capacity within any `overload_window`.
+  double slow_start_initial_share = 0.1;
+  Duration slow_start_duration = std::chrono::seconds(20);
+  double overload_multiple = 2;
+  Duration overload_window = std::chrono::seconds(1);
 };
 
 // Costs of a decision, as a fraction of the whole service.
@@ -122,14 +123,14 @@
 
 struct Settings {
   std::vector<RequestClass> classes;
-  std::vector<Tenant> tenants;         // empty where the deployment has none
-  double over_share_worth = 1;         // worth of a request beyond its tenant's share
-  std::string zone{};                  // where this sidecar is
-  std::size_t balancers = 1;           // how many sidecars there are; they share nothing
-  std::size_t self = 0;                // this sidecar's number among them, from 0
-  bool membership_on_request = false;  // membership comes only after a Subscribe
-  bool live_weights = false;           // listed weights follow the load and change from list to list
-  bool load_by_probe = false;          // a probe's answer carries a LoadReport
+  std::vector<Tenant> tenants;            // empty where the deployment has none
+  double over_share_priority_weight = 1;  // worth of a request beyond its tenant's share
+  std::string zone{};                     // where this sidecar is
+  std::size_t sidecar_count = 1;          // how many sidecars there are; they share nothing
+  std::size_t sidecar_index = 0;          // this sidecar's number among them, from 0
+  bool membership_on_request = false;     // membership comes only after a Subscribe
+  bool live_weights = false;              // listed weights follow the load and change from list to list
+  bool load_by_probe = false;             // a probe's answer carries a LoadReport
   Limits limits;
   Rules rules;
   Prices prices;
@@ -169,12 +170,12 @@
   TimePoint deadline{};            // when the client gives up on this try
   std::optional<Duration> work{};  // expected work, where it is known
   bool client_retry = false;       // a client's own repeat, where clients say so
-  // Its body is still coming: its time, which is as long as `deadline` is off now, counts from RequestWhole
-  // on. Its attempts may begin before.
+  // Its body is still coming: its time, which is as long as `deadline` is off now, counts from
+  // RequestComplete on. Its attempts may begin before.
   bool arriving = false;
 };
 
-struct RequestWhole {  // the last byte of a request that was arriving has come
+struct RequestComplete {  // the last byte of a request that was arriving has come
   RequestId request{};
   TimePoint deadline{};
 };
@@ -214,7 +215,7 @@
   LoadReport load;
 };
 
-struct RequestGone {  // the client left: no answer is owed
+struct ClientDisconnected {  // the client left: no answer is owed
   RequestId request{};
 };
 
@@ -229,8 +230,8 @@
   LoadReport load;
 };
 
-using Event = std::variant<MembershipUpdate, RequestArrived, RequestWhole, AnswerStarted, AttemptEnded,
-                           RequestGone, TimerFired, ProbeEnded>;
+using Event = std::variant<MembershipUpdate, RequestArrived, RequestComplete, AnswerStarted, AttemptEnded,
+                           ClientDisconnected, TimerFired, ProbeEnded>;
 
 // ---- Actions ----
 
@@ -243,7 +244,7 @@
   RequestId request{};
   AttemptId attempt{};
 };
-struct Refuse {  // final: nothing was done, trying again is harmless
+struct Reject {  // final: nothing was done, trying again is harmless
   RequestId request{};
   Duration retry_after{};  // zero: no advice
 };
@@ -266,14 +267,15 @@
 };
 
 using Action =
-    std::variant<SendAttempt, CancelAttempt, Refuse, Fail, SetTimer, SendProbe, CloseIdle, Subscribe, Log>;
+    std::variant<SendAttempt, CancelAttempt, Reject, Fail, SetTimer, SendProbe, CloseIdle, Subscribe, Log>;
 
 // What is held of one upstream. For people who look: no decision rests on it.
 struct UpstreamView {
   UpstreamId id;
   UpstreamState state = UpstreamState::kServing;
   int in_flight = 0;  // attempts out
-  double warmth = 1;  // the share of its capacity that it is taken to have by now; below 1 it is cold
+  double slow_start_factor =
+      1;  // the share of its capacity that it is taken to have by now; below 1 it is cold
   std::optional<TimePoint> ejected_until{};  // absent where it is not ejected
   int ejected_after = 0;                     // failures in a row, of the last ejection
   std::uint64_t sent = 0;                    // attempts, since this process of it was first heard of
@@ -284,7 +286,7 @@
 // What was done so far, and why; and what the balancer goes by now. For people who look, likewise.
 struct Counts {
   // Attempts by their reason, and their ends by Outcome.
-  std::uint64_t first = 0, retries = 0, copies = 0, trials = 0;
+  std::uint64_t first = 0, retries = 0, hedges = 0, half_open_probes = 0;
   std::array<std::uint64_t, 8> ended{};
   std::uint64_t connects = 0;  // attempts that found no connection to use
   std::uint64_t cold = 0;      // attempts sent to cold upstreams
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -16,26 +16,26 @@
 void Settings::Validate() const {
   Require(!classes.empty(), "classes");
   for (const RequestClass& c : classes) {
-    Require(c.aim > Duration::zero(), "classes.aim");
+    Require(c.latency_objective > Duration::zero(), "classes.aim");
     Require(c.deadline > Duration::zero(), "classes.deadline");
     Require(c.effect != Effect::kKeyed || c.key_window > Duration::zero(), "classes.key_window");
-    Require(c.worth >= 0, "classes.worth");
-    Require(c.late_worth >= 0 && c.late_worth <= 1, "classes.late_worth");
-    Require(c.aim_stretch >= 0, "classes.aim_stretch");
+    Require(c.priority_weight >= 0, "classes.worth");
+    Require(c.late_priority_weight >= 0 && c.late_priority_weight <= 1, "classes.late_worth");
+    Require(c.latency_objective_stretch >= 0, "classes.aim_stretch");
   }
   for (const Tenant& t : tenants) Require(t.share >= 0 && t.quota_per_s >= 0, "tenants");
-  Require(balancers > 0, "balancers");
+  Require(sidecar_count > 0, "balancers");
   Require(limits.max_attempts > 0, "limits.max_attempts");
   Require(limits.connect_timeout > Duration::zero(), "limits.connect_timeout");
   Require(limits.idle_close > Duration::zero(), "limits.idle_close");
   Require(limits.max_retry_after >= Duration::zero(), "limits.max_retry_after");
   Require(rules.answer_grace >= Duration::zero(), "rules.answer_grace");
-  Require(rules.ask_within > Duration::zero(), "rules.ask_within");
+  Require(rules.poll_within > Duration::zero(), "rules.ask_within");
   Require(rules.drain_within >= Duration::zero(), "rules.drain_within");
-  Require(rules.cold_from > 0 && rules.cold_from <= 1, "rules.cold_from");
-  Require(rules.cold_time > Duration::zero(), "rules.cold_time");
-  Require(rules.fall_multiple > 0, "rules.fall_multiple");
-  Require(rules.fall_window > Duration::zero(), "rules.fall_window");
+  Require(rules.slow_start_initial_share > 0 && rules.slow_start_initial_share <= 1, "rules.cold_from");
+  Require(rules.slow_start_duration > Duration::zero(), "rules.cold_time");
+  Require(rules.overload_multiple > 0, "rules.fall_multiple");
+  Require(rules.overload_window > Duration::zero(), "rules.fall_window");
 }
 
 }  // namespace mothrack::balancer
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -115,7 +115,7 @@
   RequestId id{};
   const RequestClass* cls = nullptr;
   std::size_t cls_index = 0;
-  Duration aim{};  // an answer within it has its full worth
+  Duration latency_objective{};  // an answer within it has its full worth
   TimePoint arrived;
   TimePoint deadline;
   TimePoint late_at;  // unanswered then, it is late against what is usual
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -155,7 +155,7 @@
   bool connected_ = false;
 };
 
-Discovery::Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const NewsTerms& terms,
+Discovery::Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const PollPolicy& terms,
                      std::uint64_t seed, dispatch::StartTimes& start_times, runtime::Logger& log,
                      OnList on_list)
     : io_(io),
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -11,7 +11,7 @@
 #include <string>
 
 #include "balancer/balancer.h"
-#include "discovery/news.h"
+#include "discovery/endpoint_staleness.h"
 #include "dispatch/membership.h"
 #include "dispatch/start_times.h"
 #include "nlohmann/json.hpp"
@@ -32,7 +32,7 @@
 
   // Asks again by itself whatever becomes of a call, as the terms say; `seed` spreads that. `start_times`
   // must outlive it, and places each list before `on_list` gets it.
-  Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const NewsTerms& terms,
+  Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const PollPolicy& terms,
             std::uint64_t seed, dispatch::StartTimes& start_times, runtime::Logger& log, OnList on_list);
   ~Discovery();
 
@@ -67,7 +67,7 @@
 
   boost::asio::io_context& io_;
   runtime::Endpoint endpoint_;
-  const NewsTerms terms_;
+  const PollPolicy terms_;
   dispatch::StartTimes& start_times_;
   runtime::Logger& log_;
   const OnList on_list_;
--- a/src/discovery/news.cpp
+++ b/src/discovery/endpoint_staleness.cpp
@@ -1,4 +1,4 @@
-#include "discovery/news.h"
+#include "discovery/endpoint_staleness.h"
 
 #include <algorithm>
 
@@ -58,7 +58,7 @@
 static_assert(2 * kLongestList + kMostDrain * (kWait + kPatience + kPause) / kWhole <= kTold);
 // A service that turned a call away is busy or starts anew: not at once.
 constexpr Duration kServicePause = milliseconds(250);
-// A failed call leaves a sidecar this many times `ask_within` before it counts as told all the same: half of
+// A failed call leaves a sidecar this many times `poll_within` before it counts as told all the same: half of
 // it until the next call, half for that.
 constexpr int kFailedTold = 4;
 
@@ -66,21 +66,23 @@
   return from + Duration(static_cast<Duration::rep>(share * static_cast<double>((until - from).count())));
 }
 
-Duration DrainOf(const NewsRules& rules) { return std::clamp(rules.drain_within, kLeastDrain, kMostDrain); }
+Duration DrainOf(const StalenessRules& rules) {
+  return std::clamp(rules.drain_within, kLeastDrain, kMostDrain);
+}
 
 }  // namespace
 
-NewsRules NewsRules::Of(const balancer::Settings& settings) {
-  NewsRules rules;
+StalenessRules StalenessRules::Of(const balancer::Settings& settings) {
+  StalenessRules rules;
   rules.on_request = settings.membership_on_request;
   rules.drain_within = settings.rules.drain_within;
-  rules.ask_within = settings.rules.ask_within;
+  rules.poll_within = settings.rules.poll_within;
   return rules;
 }
 
-NewsTerms NewsTerms::For(const NewsRules& rules) {
+PollPolicy PollPolicy::For(const StalenessRules& rules) {
   const Duration drain = DrainOf(rules);
-  NewsTerms terms;
+  PollPolicy terms;
   terms.on_request = rules.on_request;
   if (!rules.on_request) {
     terms.wait = drain * kWait / kWhole;
@@ -95,18 +97,18 @@
   terms.watch_patience = drain - MarginOf(rules);
   terms.list_patience = terms.retry_patience = kServicePatience;
   terms.fault_pause = kServicePause;
-  terms.retry_within = std::min(kNextCallWithin, kFailedTold * rules.ask_within / 2);
+  terms.retry_within = std::min(kNextCallWithin, kFailedTold * rules.poll_within / 2);
   terms.turned_away_least = std::min(kTurnedAwayLeast, terms.retry_within);
   terms.answer = kServiceTimeOut;
   return terms;
 }
 
-Duration NewsTerms::WaitAfter(bool news, double spread) const {
+Duration PollPolicy::WaitAfter(bool news, double spread) const {
   if (!on_request || !news) return wait;
   return Between(std::min(wait, list_patience), wait, spread);
 }
 
-Duration NewsTerms::PauseAfter(const FailedCall& call, double spread) const {
+Duration PollPolicy::PauseAfter(const FailedCall& call, double spread) const {
   const bool silent = call.kind == FailedCall::Kind::kSilent;
   // A silent agent has been waited for already: the patience is the pause.
   if (!on_request) return silent ? Duration::zero() : fault_pause;
@@ -123,24 +125,25 @@
   return Between(from, until, spread) - used;
 }
 
-Duration AllowedBy(const NewsRules& rules, NewsCase news) {
+Duration AllowedBy(const StalenessRules& rules, StalenessCase news) {
   const Duration drain = std::min(rules.drain_within, kMostDrain);
-  if (rules.on_request && news == NewsCase::kWatch) return std::max(kTold, kServiceWait + kWatchTold) + drain;
+  if (rules.on_request && news == StalenessCase::kWatch)
+    return std::max(kTold, kServiceWait + kWatchTold) + drain;
   if (rules.on_request) return kTold + drain;
-  return news == NewsCase::kMoved ? kMoveTold + drain : drain;
+  return news == StalenessCase::kMoved ? kMoveTold + drain : drain;
 }
 
 // The call that is out when the news comes is lost, whatever it was; what follows is answered.
-Duration WorstOf(const NewsTerms& terms, NewsCase news) {
-  if (news == NewsCase::kWatch) {
+Duration WorstOf(const PollPolicy& terms, StalenessCase news) {
+  if (news == StalenessCase::kWatch) {
     return terms.wait + terms.watch_patience + (terms.on_request ? Duration::zero() : terms.fault_pause) +
            terms.answer;
   }
-  const Duration patience = news == NewsCase::kAfterOutage ? terms.retry_patience : terms.list_patience;
+  const Duration patience = news == StalenessCase::kAfterOutage ? terms.retry_patience : terms.list_patience;
   return (terms.on_request ? std::max(patience, terms.retry_within) : patience + terms.fault_pause) +
          terms.answer;
 }
 
-Duration MarginOf(const NewsRules& rules) { return DrainOf(rules) * kMargin / kWhole; }
+Duration MarginOf(const StalenessRules& rules) { return DrainOf(rules) * kMargin / kWhole; }
 
 }  // namespace mothrack::discovery
--- a/src/discovery/news.h
+++ b/src/discovery/endpoint_staleness.h
@@ -7,17 +7,17 @@
 namespace mothrack::discovery {
 
 // What the deployment says that bears on it.
-struct NewsRules {
+struct StalenessRules {
   bool on_request =
       false;  // one service for all sidecars is asked; else an agent on this machine is pushed to
   balancer::Duration drain_within{};
-  balancer::Duration ask_within{};
+  balancer::Duration poll_within{};
 
-  static NewsRules Of(const balancer::Settings& settings);
+  static StalenessRules Of(const balancer::Settings& settings);
 };
 
 // Where news can be missed.
-enum class NewsCase {
+enum class StalenessCase {
   kWatch,  // a watch falls silent. Counted: pushed, from when the agent has news; asked, from the watch's
            // start
   kList,   // a call that does not wait falls silent; counted alike
@@ -42,7 +42,7 @@
 
 // How discovery is asked. Only a call that follows an answer is a watch. Until there is one calls do not
 // wait, since only of such a call can be told soon that it is silent.
-struct NewsTerms {
+struct PollPolicy {
   bool on_request = false;
   balancer::Duration wait{};            // a watch asks to be answered by then
   balancer::Duration watch_patience{};  // and is given up this long after that
@@ -56,7 +56,7 @@
       turned_away_least{};      // asked: and, where a call was turned away in a row, not sooner than this
   balancer::Duration answer{};  // until what was asked for is acted on: what the answer may take
 
-  static NewsTerms For(const NewsRules& rules);
+  static PollPolicy For(const StalenessRules& rules);
   // What a watch asks to be answered by. One that follows an answer with news was begun by all sidecars
   // together.
   balancer::Duration WaitAfter(bool news, double spread) const;
@@ -66,10 +66,10 @@
 };
 
 // How late news may be acted on, and how late it is at worst, from the moment named at the case.
-balancer::Duration AllowedBy(const NewsRules& rules, NewsCase news);
-balancer::Duration WorstOf(const NewsTerms& terms, NewsCase news);
+balancer::Duration AllowedBy(const StalenessRules& rules, StalenessCase news);
+balancer::Duration WorstOf(const PollPolicy& terms, StalenessCase news);
 // What the difference of the two must be at least, for what no figure here knows of: a process that waits for
 // its core, a timer that fires late.
-balancer::Duration MarginOf(const NewsRules& rules);
+balancer::Duration MarginOf(const StalenessRules& rules);
 
 }  // namespace mothrack::discovery
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -44,7 +44,7 @@
   return longest;
 }
 
-Dispatcher::Dispatcher(std::unique_ptr<runtime::Alarm> alarm, const balancer::Settings& settings,
+Dispatcher::Dispatcher(std::unique_ptr<runtime::Timer> alarm, const balancer::Settings& settings,
                        std::uint64_t seed, Transport& transport, runtime::Logger& log,
                        OnSubscribe on_subscribe)
     : settings_(settings),
@@ -52,7 +52,7 @@
       transport_(transport),
       log_(log),
       on_subscribe_(std::move(on_subscribe)),
-      tally_(settings.classes.size(), settings.tenants.size()),
+      request_counters_(settings.classes.size(), settings.tenants.size()),
       keys_(KeyMemory(settings), kMostEndedKeys),
       timers_(std::move(alarm), [this](std::uint64_t token) { Deliver(balancer::TimerFired{token}); }) {}
 
@@ -84,29 +84,29 @@
   if (!delivering_) Pump();
 }
 
-void Dispatcher::Apply(MembershipList list) { Tell(roster_.Take(std::move(list))); }
+void Dispatcher::Apply(MembershipList list) { Tell(upstream_overrides_.Take(std::move(list))); }
 
 bool Dispatcher::Ban(const std::string& uid) {
-  auto told = roster_.Ban(uid);
+  auto told = upstream_overrides_.Ban(uid);
   if (told) Tell(std::move(*told));
   return told.has_value();
 }
 
 bool Dispatcher::Unban(const std::string& uid) {
-  auto told = roster_.Unban(uid);
+  auto told = upstream_overrides_.Unban(uid);
   if (told) Tell(std::move(*told));
   return told.has_value();
 }
 
 void Dispatcher::RestoreBans(const std::set<std::string>& bans) {
-  MembershipList told = roster_.Restore(bans);
+  MembershipList told = upstream_overrides_.Restore(bans);
   // The module hears of the membership held first, which may be still to come.
   if (!told.update.upstreams.empty()) Tell(std::move(told));
 }
 
 void Dispatcher::MembershipFailed() { Deliver(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}}); }
 
-std::optional<RequestId> Dispatcher::Take(NewRequest request) {
+std::optional<RequestId> Dispatcher::Submit(NewRequest request) {
   if (!request.key.empty() && !keys_.Take(request.key, Now())) return std::nullopt;
   const auto effect = settings_.classes[static_cast<std::size_t>(request.request_class)].effect;
   if (on_key_ && !request.key.empty() && effect != balancer::Effect::kSafe) on_key_(request.key);
@@ -127,29 +127,29 @@
   pending.message = std::move(request.message);
   pending.deadline = request.deadline;
   pending.on_final = std::move(request.on_final);
-  tally_.Taken(pending.request_class, pending.tenant);
+  request_counters_.Taken(pending.request_class, pending.tenant);
   pending.arriving = request.arriving;
-  if (!pending.arriving) Owe(pending);
+  if (!pending.arriving) CountInFlight(pending);
   requests_.emplace(id, std::move(pending));
   Deliver(event);
   return id;
 }
 
-void Dispatcher::Whole(RequestId id, runtime::TimePoint deadline) {
+void Dispatcher::OnRequestComplete(RequestId id, runtime::TimePoint deadline) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || !std::exchange(it->second.arriving, false)) return;
   it->second.deadline = deadline;
-  if (!it->second.ended) Owe(it->second);
-  Deliver(balancer::RequestWhole{id, deadline});
+  if (!it->second.ended) CountInFlight(it->second);
+  Deliver(balancer::RequestComplete{id, deadline});
 }
 
-void Dispatcher::Gone(RequestId id) {
+void Dispatcher::OnClientDisconnected(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || (!it->second.on_final && !it->second.streaming)) return;
   it->second.on_final = nullptr;
   it->second.streaming = false;
-  Count(it->second, Tally::Outcome::kLeft);
-  Deliver(balancer::RequestGone{id});
+  Count(it->second, RequestCounters::Outcome::kLeft);
+  Deliver(balancer::ClientDisconnected{id});
   AbandonUnsent(id);
   ForgetIfDone(id);
 }
@@ -187,7 +187,7 @@
   const bool served = result.outcome == Outcome::kServed;
   if (pending.streaming && pending.winner == attempt) {
     pending.streaming = false;
-    Count(pending, served ? Tally::Outcome::kServed : Tally::Outcome::kFailed);
+    Count(pending, served ? RequestCounters::Outcome::kServed : RequestCounters::Outcome::kFailed);
   }
   const bool finished = served || !pending.on_final;
   {
@@ -197,7 +197,7 @@
     if (!served) {
       pending.last_reply = std::move(result.reply);
     } else if (const auto on_final = std::exchange(pending.on_final, nullptr)) {
-      Count(pending, Tally::Outcome::kServed);
+      Count(pending, RequestCounters::Outcome::kServed);
       Final final;
       final.kind = Final::Kind::kServed;
       final.reply = std::move(result.reply);
@@ -220,10 +220,10 @@
   final.last = it->second.last;
   final.reply = std::move(it->second.last_reply);
   if (const auto on_final = std::exchange(it->second.on_final, nullptr)) {
-    const bool refused = final.kind == Final::Kind::kRefused;
-    Count(it->second, refused      ? Tally::Outcome::kRefused
-                      : final.late ? Tally::Outcome::kLate
-                                   : Tally::Outcome::kFailed);
+    const bool refused = final.kind == Final::Kind::kRejected;
+    Count(it->second, refused      ? RequestCounters::Outcome::kRejected
+                      : final.late ? RequestCounters::Outcome::kLate
+                                   : RequestCounters::Outcome::kFailed);
     on_final(std::move(final));
   }
   AbandonUnsent(id);
@@ -244,7 +244,7 @@
   if (delivering_) return done_.push_back(id);
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.on_final || it->second.out > 0) return;
-  if (it->second.counted) --owed_;  // refused or failed while it still came
+  if (it->second.counted) --in_flight_;  // refused or failed while it still came
   if (!it->second.key.empty()) keys_.Ended(std::move(it->second.key), Now());
   requests_.erase(it);
 }
@@ -259,7 +259,7 @@
   ++pending.out;
   ExchangeHooks hooks;
   hooks.on_written = [this, cls = pending.request_class, tenant = pending.tenant] {
-    tally_.Sent(cls, tenant);
+    request_counters_.Sent(cls, tenant);
   };
   hooks.on_started = [this, id = action.request, attempt](std::unique_ptr<Reply> reply) {
     Started(id, attempt, std::move(reply));
@@ -279,9 +279,9 @@
   transport_.Cancel(it->second.attempts[attempt]);
 }
 
-void Dispatcher::CarryOut(const balancer::Refuse& action) {
+void Dispatcher::CarryOut(const balancer::Reject& action) {
   Final final;
-  final.kind = Final::Kind::kRefused;
+  final.kind = Final::Kind::kRejected;
   final.retry_after = action.retry_after;
   End(action.request, std::move(final));
 }
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -16,13 +16,13 @@
 
 #include "balancer/balancer.h"
 #include "dispatch/exchange.h"
-#include "dispatch/id_memory.h"
 #include "dispatch/membership.h"
-#include "dispatch/roster.h"
-#include "dispatch/tally.h"
+#include "dispatch/recent_request_ids.h"
+#include "dispatch/request_counters.h"
+#include "dispatch/upstream_overrides.h"
 #include "runtime/clock.h"
 #include "runtime/log.h"
-#include "runtime/timers.h"
+#include "runtime/timer_queue.h"
 
 namespace mothrack::dispatch {
 
@@ -34,19 +34,19 @@
   // `transport` and `log` must outlive it. The membership held comes first, by Apply() with kRestored.
   Dispatcher(boost::asio::io_context& io, const balancer::Settings& settings, std::uint64_t seed,
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr)
-      : Dispatcher(std::make_unique<runtime::LoopAlarm>(io), settings, seed, transport, log,
+      : Dispatcher(std::make_unique<runtime::EventLoopTimer>(io), settings, seed, transport, log,
                    std::move(on_subscribe)) {}
   // With a clock of its own, which must not call it once it is destroyed.
-  Dispatcher(std::unique_ptr<runtime::Alarm> alarm, const balancer::Settings& settings, std::uint64_t seed,
+  Dispatcher(std::unique_ptr<runtime::Timer> alarm, const balancer::Settings& settings, std::uint64_t seed,
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr);
 
   // Takes a request in; nothing, and no Final, where its key is taken.
-  std::optional<balancer::RequestId> Take(NewRequest request);
+  std::optional<balancer::RequestId> Submit(NewRequest request);
   // The last byte of a request has come that was taken while its body still came: its time counts from now
   // on.
-  void Whole(balancer::RequestId id, runtime::TimePoint deadline);
+  void OnRequestComplete(balancer::RequestId id, runtime::TimePoint deadline);
   // The client left: no Final is owed any more.
-  void Gone(balancer::RequestId id);
+  void OnClientDisconnected(balancer::RequestId id);
 
   void Apply(MembershipList list);
   void MembershipFailed();
@@ -70,10 +70,10 @@
   // For people who look.
   std::vector<balancer::UpstreamView> upstreams() const { return balancer_.upstreams(Now()); }
   balancer::Counts counts() const { return balancer_.counts(); }
-  const Tally& tally() const { return tally_; }
-  const Roster& roster() const { return roster_; }
+  const RequestCounters& request_counters() const { return request_counters_; }
+  const UpstreamOverrides& upstream_overrides() const { return upstream_overrides_; }
   // Requests taken whose Final is still owed.
-  std::size_t owed() const { return owed_; }
+  std::size_t in_flight() const { return in_flight_; }
 
  private:
   struct Pending {
@@ -109,19 +109,19 @@
   // Nobody waits for its answer any more: what has not begun upstream must not begin.
   void AbandonUnsent(balancer::RequestId id);
   void ForgetIfDone(balancer::RequestId id);
-  void Owe(Pending& pending) {
+  void CountInFlight(Pending& pending) {
     pending.counted = true;
-    ++owed_;
+    ++in_flight_;
   }
-  void Count(Pending& pending, Tally::Outcome outcome) {
+  void Count(Pending& pending, RequestCounters::Outcome outcome) {
     if (std::exchange(pending.ended, true)) return;
-    if (std::exchange(pending.counted, false)) --owed_;
-    tally_.Ended(pending.request_class, pending.tenant, outcome);
+    if (std::exchange(pending.counted, false)) --in_flight_;
+    request_counters_.Ended(pending.request_class, pending.tenant, outcome);
   }
 
   void CarryOut(const balancer::SendAttempt& action);
   void CarryOut(const balancer::CancelAttempt& action);
-  void CarryOut(const balancer::Refuse& action);
+  void CarryOut(const balancer::Reject& action);
   void CarryOut(const balancer::Fail& action);
   void CarryOut(const balancer::SetTimer& action);
   void CarryOut(const balancer::SendProbe& action);
@@ -139,14 +139,14 @@
   bool delivering_ = false;
   std::vector<balancer::RequestId> done_;  // to be forgotten behind this turn
   std::unordered_map<balancer::RequestId, Pending> requests_;
-  Tally tally_;
-  std::size_t owed_ = 0;
-  Roster roster_;
-  IdMemory keys_;
+  RequestCounters request_counters_;
+  std::size_t in_flight_ = 0;
+  UpstreamOverrides upstream_overrides_;
+  RecentRequestIds keys_;
   std::function<void(const std::string&)> on_key_;
   std::uint64_t last_request_ = 0;
   std::uint64_t last_exchange_ = 0;
-  runtime::Timers timers_;
+  runtime::TimerQueue timers_;
 };
 
 }  // namespace mothrack::dispatch
--- a/src/dispatch/exchange.h
+++ b/src/dispatch/exchange.h
@@ -32,9 +32,9 @@
 // How a request ended, told to its front once.
 struct Final {
   enum class Kind {
-    kServed,   // `reply` is the answer
-    kRefused,  // nothing was done, or doing it again is harmless
-    kFailed,   // no promise whether it took effect
+    kServed,    // `reply` is the answer
+    kRejected,  // nothing was done, or doing it again is harmless
+    kFailed,    // no promise whether it took effect
   };
   Kind kind = Kind::kFailed;
   // Of a request that was not served: what the last attempt got, where that is an answer of its own that says
@@ -52,7 +52,8 @@
   balancer::ClassId request_class{};
   std::optional<balancer::TenantId> tenant{};
   runtime::TimePoint deadline{};
-  // Its body still comes: its time counts from Dispatcher::Whole() on, and `deadline` says how long it is.
+  // Its body still comes: its time counts from Dispatcher::OnRequestComplete() on, and `deadline` says how
+  // long it is.
   bool arriving = false;
   std::optional<runtime::Duration> work{};
   bool client_retry = false;
--- a/src/dispatch/id_memory.h
+++ b/src/dispatch/recent_request_ids.h
@@ -14,10 +14,10 @@
 
 namespace mothrack::dispatch {
 
-class IdMemory {
+class RecentRequestIds {
  public:
   // Ended names are kept for `memory`, at most `most` of them.
-  IdMemory(runtime::Duration memory, std::size_t most) : memory_(memory), most_(most) {}
+  RecentRequestIds(runtime::Duration memory, std::size_t most) : memory_(memory), most_(most) {}
 
   // False where the name is taken.
   bool Take(const std::string& name, runtime::TimePoint now);
--- a/src/dispatch/tally.h
+++ b/src/dispatch/request_counters.h
@@ -11,9 +11,9 @@
 
 namespace mothrack::dispatch {
 
-class Tally {
+class RequestCounters {
  public:
-  enum class Outcome { kServed, kRefused, kFailed, kLate, kLeft };  // kLate: failed as its time was over
+  enum class Outcome { kServed, kRejected, kFailed, kLate, kLeft };  // kLate: failed as its time was over
   static constexpr std::size_t kOutcomes = 5;
 
   struct Row {
@@ -26,7 +26,8 @@
   };
 
   // Bounded by what the settings name; a tenant that they don't name counts as none.
-  Tally(std::size_t classes, std::size_t tenants) : tenants_(tenants), rows_(classes * (tenants + 1)) {
+  RequestCounters(std::size_t classes, std::size_t tenants)
+      : tenants_(tenants), rows_(classes * (tenants + 1)) {
     for (std::size_t i = 0; i < rows_.size(); ++i) {
       rows_[i].request_class = balancer::ClassId{i / (tenants + 1)};
       if (const std::size_t tenant = i % (tenants + 1); tenant > 0) {
--- a/src/dispatch/roster.cpp
+++ b/src/dispatch/upstream_overrides.cpp
@@ -1,4 +1,4 @@
-#include "dispatch/roster.h"
+#include "dispatch/upstream_overrides.h"
 
 #include <utility>
 
@@ -13,7 +13,7 @@
 
 }  // namespace
 
-MembershipList Roster::Take(MembershipList list) {
+MembershipList UpstreamOverrides::Take(MembershipList list) {
   if (list.update.kind == MembershipUpdate::Kind::kFailed) return list;
   if (list.update.kind != MembershipUpdate::Kind::kChanges) {
     for (auto it = listed_.begin(); it != listed_.end();) {
@@ -42,19 +42,19 @@
   return list;
 }
 
-std::optional<MembershipList> Roster::Ban(const std::string& uid) {
+std::optional<MembershipList> UpstreamOverrides::Ban(const std::string& uid) {
   if (!seen_.contains(uid)) return std::nullopt;
   bans_.insert(uid);
   return Telling(uid);
 }
 
-std::optional<MembershipList> Roster::Unban(const std::string& uid) {
+std::optional<MembershipList> UpstreamOverrides::Unban(const std::string& uid) {
   if (!seen_.contains(uid)) return std::nullopt;
   bans_.erase(uid);
   return Telling(uid);
 }
 
-MembershipList Roster::Restore(const std::set<std::string>& bans) {
+MembershipList UpstreamOverrides::Restore(const std::set<std::string>& bans) {
   MembershipList changes;
   changes.update.kind = MembershipUpdate::Kind::kChanges;
   for (const std::string& uid : bans) {
@@ -67,7 +67,7 @@
   return changes;
 }
 
-void Roster::Saw(const std::string& uid) {
+void UpstreamOverrides::Saw(const std::string& uid) {
   if (!seen_.insert(uid).second) return;
   seen_order_.push_back(uid);
   for (std::size_t tries = seen_order_.size(); seen_order_.size() > kMostSeen && tries > 0; --tries) {
@@ -81,12 +81,12 @@
   }
 }
 
-void Roster::AsItCounts(const std::string& uid, Entry& entry) const {
+void UpstreamOverrides::AsItCounts(const std::string& uid, Entry& entry) const {
   if (!bans_.contains(uid) || entry.info.state != UpstreamState::kServing) return;
   entry.info.state = entry.location.state = UpstreamState::kDraining;
 }
 
-MembershipList Roster::Telling(const std::string& uid) const {
+MembershipList UpstreamOverrides::Telling(const std::string& uid) const {
   MembershipList list;
   list.update.kind = MembershipUpdate::Kind::kChanges;
   if (const auto it = listed_.find(uid); it != listed_.end()) {
--- a/src/dispatch/roster.h
+++ b/src/dispatch/upstream_overrides.h
@@ -14,7 +14,7 @@
 
 namespace mothrack::dispatch {
 
-class Roster {
+class UpstreamOverrides {
  public:
   // Takes in what discovery tells; gives what is to be told on, with those that a whole list leaves out as
   // gone.
--- a/src/dns/attempt.h
+++ b/src/dns/attempt.h
@@ -8,7 +8,7 @@
 #include "dispatch/exchange.h"
 #include "dns/query.h"
 #include "runtime/clock.h"
-#include "runtime/random.h"
+#include "runtime/secure_random.h"
 
 namespace mothrack::dns {
 
@@ -51,7 +51,7 @@
 class OpenIds {
  public:
   // Gives it an id of its own that nobody can foresee. There must be fewer than half of all ids open.
-  void Add(Attempt& attempt, runtime::Unpredictable& random) {
+  void Add(Attempt& attempt, runtime::SecureRandom& random) {
     do attempt.wire_id = random.Next16();
     while (!open_.try_emplace(attempt.wire_id, &attempt).second);
   }
--- a/src/dns/front.cpp
+++ b/src/dns/front.cpp
@@ -153,7 +153,7 @@
   taken.deadline = runtime::Now() + known->deadline;
   taken.message = std::move(query);
   taken.on_final = [this, handle = &it->first](dispatch::Final final) { Ended(handle, std::move(final)); };
-  const auto id = dispatcher_.Take(std::move(taken));
+  const auto id = dispatcher_.Submit(std::move(taken));
   const auto still = open_.find(name);  // it may have ended at once
   if (still == open_.end()) return nullptr;
   still->second.id = *id;
@@ -182,7 +182,7 @@
   if (it == open_.end()) return;
   const balancer::RequestId id = it->second.id;
   Close(handle);
-  dispatcher_.Gone(id);
+  dispatcher_.OnClientDisconnected(id);
 }
 
 void Front::Close(Handle handle) {
@@ -212,7 +212,7 @@
   }
   const Bytes question = Bytes(open.query->wire).subspan(kHeaderSize, open.query->question_end - kHeaderSize);
   // No attempt was made: whoever is told REFUSED asks elsewhere, and may well come back here.
-  if (final.kind == dispatch::Final::Kind::kRefused && final.attempts == 0) {
+  if (final.kind == dispatch::Final::Kind::kRejected && final.attempts == 0) {
     return OwnAnswer(open.asked, question, kRefused, Explanation{kNotReady, "no resolver can take it now"},
                      settings_.edns_size);
   }
--- a/src/dns/settings.cpp
+++ b/src/dns/settings.cpp
@@ -32,15 +32,15 @@
   for (const ClassSettings& c : settings.classes) {
     balancer::RequestClass known;
     known.name = c.name;
-    known.aim = c.aim;
+    known.latency_objective = c.latency_objective;
     known.deadline = c.deadline;
     known.effect = c.effect;
-    known.worth = c.worth;
-    known.late_worth = c.late_worth;
+    known.priority_weight = c.priority_weight;
+    known.late_priority_weight = c.late_priority_weight;
     out.classes.push_back(std::move(known));
   }
   out.limits.max_attempts = settings.max_attempts;
-  out.limits.second_copies = true;
+  out.limits.hedging = true;
   out.limits.cancel = true;
   out.limits.probes = false;       // trials of real queries bring a resolver back
   out.limits.retry_after = false;  // DNS has no word for it
--- a/src/dns/settings.h
+++ b/src/dns/settings.h
@@ -28,11 +28,11 @@
   std::string name;
   std::uint8_t opcode = kQuery;
   std::vector<std::uint16_t> qtypes{};
-  runtime::Duration aim{};
+  runtime::Duration latency_objective{};
   runtime::Duration deadline{};
   balancer::Effect effect = balancer::Effect::kSafe;
-  double worth = 1;
-  double late_worth = 0;  // share of the worth that is left for an answer after the aim
+  double priority_weight = 1;
+  double late_priority_weight = 0;  // share of the worth that is left for an answer after the aim
 };
 
 // QUERY may be repeated at will. NOTIFY too: it only hints that a zone may have changed (RFC 1996 section 3),
--- a/src/dns/tcp_link.cpp
+++ b/src/dns/tcp_link.cpp
@@ -60,7 +60,7 @@
   timer_.cancel();
 }
 
-void TcpLink::Send(Attempt& attempt, runtime::Unpredictable& random) {
+void TcpLink::Send(Attempt& attempt, runtime::SecureRandom& random) {
   // An id whose answer may still come must not be given to another.
   open_.Add(attempt, random);
   while (abandoned_.contains(attempt.wire_id)) {
--- a/src/dns/tcp_link.h
+++ b/src/dns/tcp_link.h
@@ -28,7 +28,7 @@
   void Close();
 
   // The attempt is open here until Forget(). It is written once the connection is up.
-  void Send(Attempt& attempt, runtime::Unpredictable& random);
+  void Send(Attempt& attempt, runtime::SecureRandom& random);
   // Takes it out of the queue, too, where no byte of it was written.
   void Forget(const Attempt& attempt);
   // Those of which no byte was written.
--- a/src/dns/transport.h
+++ b/src/dns/transport.h
@@ -71,7 +71,7 @@
   const Settings& settings_;
   runtime::Descriptors& descriptors_;
   Counters& counters_;
-  runtime::Unpredictable random_;
+  runtime::SecureRandom random_;
   UdpPoll poll_;
   std::map<std::string, std::shared_ptr<Resolver>> resolvers_;
   std::unordered_map<dispatch::ExchangeId, Attempt> attempts_;
--- a/src/dns/udp_port.cpp
+++ b/src/dns/udp_port.cpp
@@ -48,7 +48,7 @@
   slot_.reset();
 }
 
-UdpPort::Sending UdpPort::Send(Attempt& attempt, runtime::Unpredictable& random) {
+UdpPort::Sending UdpPort::Send(Attempt& attempt, runtime::SecureRandom& random) {
   open_.Add(attempt, random);
   // The id goes into a copy: other attempts share the message.
   static thread_local Buffer datagram;
--- a/src/dns/udp_port.h
+++ b/src/dns/udp_port.h
@@ -30,7 +30,7 @@
 
   enum class Sending { kSent, kNotTaken, kUnreachable };
   // On kSent the attempt is open here until Forget(); else nothing was sent.
-  Sending Send(Attempt& attempt, runtime::Unpredictable& random);
+  Sending Send(Attempt& attempt, runtime::SecureRandom& random);
   void Forget(const Attempt& attempt);
 
   // Takes one datagram or error that waits.
--- a/src/gossip/task.cpp
+++ b/src/gossip/task.cpp
@@ -20,7 +20,7 @@
 #include "gossip/keys.h"
 #include "gossip/seal.h"
 #include "gossip/wire.h"
-#include "runtime/allowance.h"
+#include "runtime/rate_limiter.h"
 
 namespace mothrack::gossip {
 namespace {
@@ -63,13 +63,13 @@
  public:
   explicit Talk(const std::string& name)
       : logger_(name, std::make_shared<spdlog::sinks::stderr_sink_mt>()),
-        allowance_(kLinesPerSecond, kLinesBurst, runtime::Now()) {
+        rate_limiter_(kLinesPerSecond, kLinesBurst, runtime::Now()) {
     logger_.set_pattern("%n: %v");
     logger_.set_error_handler([](const std::string&) {});  // whatever keeps it from writing, the task goes on
   }
   void Line(const std::string& text) noexcept {
     try {
-      if (!allowance_.Take(runtime::Now())) {
+      if (!rate_limiter_.Take(runtime::Now())) {
         ++left_out_;
         return;
       }
@@ -81,7 +81,7 @@
 
  private:
   spdlog::logger logger_;
-  runtime::Allowance allowance_;
+  runtime::RateLimiter rate_limiter_;
   std::uint64_t left_out_ = 0;
 };
 
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -108,7 +108,7 @@
   switch (final.kind) {
     case dispatch::Final::Kind::kServed:
       return Served(final);
-    case dispatch::Final::Kind::kRefused:
+    case dispatch::Final::Kind::kRejected:
       return Refused(final.retry_after);
     case dispatch::Final::Kind::kFailed:
       break;
@@ -174,10 +174,10 @@
     ComingBody answer = Coming(final);
     reply(ToResponse(final), std::move(answer));
   };
-  const auto id = dispatcher_.Take(std::move(taken));
+  const auto id = dispatcher_.Submit(std::move(taken));
   if (!id) return bad("X-Request-ID is taken");
-  return {[this, id = *id] { dispatcher_.Gone(id); },
-          [this, id = *id, patience] { dispatcher_.Whole(id, runtime::Now() + patience); }};
+  return {[this, id = *id] { dispatcher_.OnClientDisconnected(id); },
+          [this, id = *id, patience] { dispatcher_.OnRequestComplete(id, runtime::Now() + patience); }};
 }
 
 }  // namespace mothrack::http
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <utility>
 
-#include "runtime/allowance.h"
+#include "runtime/rate_limiter.h"
 
 namespace mothrack::runtime {
 
@@ -20,7 +20,7 @@
   // Guards against a trouble that repeats filling the disk: past kBurst lines only kPerSecond go out, and the
   // next one tells how many did not.
   void Line(const std::string& text) {
-    if (!allowance_.Take(Now())) {
+    if (!rate_limiter_.Take(Now())) {
       ++dropped_;
       return;
     }
@@ -34,7 +34,7 @@
   static constexpr std::size_t kLongest = 500;
   std::ostream& out_;
   std::string name_;
-  Allowance allowance_{kPerSecond, kBurst, Now()};
+  RateLimiter rate_limiter_{kPerSecond, kBurst, Now()};
   std::uint64_t dropped_ = 0;
 };
 
--- a/src/runtime/allowance.h
+++ b/src/runtime/rate_limiter.h
@@ -9,9 +9,9 @@
 
 namespace mothrack::runtime {
 
-class Allowance {
+class RateLimiter {
  public:
-  Allowance(double per_second, double burst, TimePoint now)
+  RateLimiter(double per_second, double burst, TimePoint now)
       : per_second_(per_second), burst_(burst), left_(burst), refilled_(now) {}
 
   // Takes one; false where none is left.
--- a/src/runtime/random.h
+++ b/src/runtime/secure_random.h
@@ -11,7 +11,7 @@
 
 namespace mothrack::runtime {
 
-class Unpredictable {
+class SecureRandom {
  public:
   std::uint16_t Next16() {
     if (at_ + 2 > block_.size()) Refill();
--- a/src/runtime/timers.cpp
+++ b/src/runtime/timer_queue.cpp
@@ -1,32 +1,32 @@
-#include "runtime/timers.h"
+#include "runtime/timer_queue.h"
 
 namespace mothrack::runtime {
 
-void LoopAlarm::Set(TimePoint at, std::function<void()> due) {
+void EventLoopTimer::Set(TimePoint at, std::function<void()> due) {
   timer_.expires_at(ToSteady(at));
   timer_.async_wait([due = std::move(due)](boost::system::error_code error) {
     if (!error) due();
   });
 }
 
-void Timers::Arm() {
+void TimerQueue::Arm() {
   if (due_) return;  // Due() arms at its end
   const TimePoint next = queue_.empty() ? TimePoint::max() : queue_.top().first;
   // One that was armed for earlier fires for nothing and arms anew: cheaper than setting it back each time.
   if (next >= armed_for_) return;
   armed_for_ = next;
-  alarm_->Set(next, [this] { Due(); });
+  timer_->Set(next, [this] { Due(); });
 }
 
-void Timers::Due() {
+void TimerQueue::Due() {
   // Arms for what is left also when a handler throws: a timer that is not armed would stop the whole node.
   struct Rearm {
-    explicit Rearm(Timers& timers) : timers(timers) { timers.due_ = true; }
+    explicit Rearm(TimerQueue& timers) : timers(timers) { timers.due_ = true; }
     ~Rearm() {
       timers.due_ = false;
       timers.Arm();
     }
-    Timers& timers;
+    TimerQueue& timers;
   } const rearm(*this);
   armed_for_ = TimePoint::max();
   const TimePoint now = Now();
--- a/src/runtime/timers.h
+++ b/src/runtime/timer_queue.h
@@ -15,9 +15,9 @@
 namespace mothrack::runtime {
 
 // Where time comes from. One is set at a time: a later Set() replaces an earlier one.
-class Alarm {
+class Timer {
  public:
-  virtual ~Alarm() = default;
+  virtual ~Timer() = default;
   virtual TimePoint Now() const = 0;
   // Calls `due` once, at or after `at`, from the loop and never from within Set(); not at all once it is
   // destroyed.
@@ -25,9 +25,9 @@
 };
 
 // The program's clock and its event loop.
-class LoopAlarm : public Alarm {
+class EventLoopTimer : public Timer {
  public:
-  explicit LoopAlarm(boost::asio::io_context& io) : timer_(io) {}
+  explicit EventLoopTimer(boost::asio::io_context& io) : timer_(io) {}
   TimePoint Now() const override { return runtime::Now(); }
   void Set(TimePoint at, std::function<void()> due) override;
 
@@ -37,17 +37,18 @@
 
 // A token set is handed to `on_due` once, at or after its time, in the order of the times. There is no taking
 // back: whoever set a token that no longer matters ignores it.
-class Timers {
+class TimerQueue {
  public:
   using OnDue = std::function<void(std::uint64_t token)>;
-  Timers(std::unique_ptr<Alarm> alarm, OnDue on_due) : alarm_(std::move(alarm)), on_due_(std::move(on_due)) {}
-  Timers(boost::asio::io_context& io, OnDue on_due)
-      : Timers(std::make_unique<LoopAlarm>(io), std::move(on_due)) {}
+  TimerQueue(std::unique_ptr<Timer> alarm, OnDue on_due)
+      : timer_(std::move(alarm)), on_due_(std::move(on_due)) {}
+  TimerQueue(boost::asio::io_context& io, OnDue on_due)
+      : TimerQueue(std::make_unique<EventLoopTimer>(io), std::move(on_due)) {}
 
   // Counts from the next Arm() on: whoever sets several arms once.
   void Set(TimePoint at, std::uint64_t token) { queue_.emplace(at, token); }
   void Arm();
-  TimePoint Now() const { return alarm_->Now(); }
+  TimePoint Now() const { return timer_->Now(); }
   std::size_t size() const { return queue_.size(); }
 
  private:
@@ -56,7 +57,7 @@
   void Due();
 
   std::priority_queue<Entry, std::vector<Entry>, std::greater<>> queue_;
-  const std::unique_ptr<Alarm> alarm_;
+  const std::unique_ptr<Timer> timer_;
   TimePoint armed_for_ = TimePoint::max();
   bool due_ = false;  // handlers are being called
   const OnDue on_due_;
--- a/src/sidecar/count_lines.cpp
+++ b/src/sidecar/counter_logger.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/count_lines.h"
+#include "sidecar/counter_logger.h"
 
 #include <array>
 #include <cmath>
@@ -20,10 +20,12 @@
 using Named = std::pair<const char*, std::uint64_t Counts::*>;
 using Decided = balancer::Counts;
 constexpr Named<Decided> kDecided[] = {
-    {"first", &Decided::first},       {"retries", &Decided::retries},   {"copies", &Decided::copies},
-    {"trials", &Decided::trials},     {"connects", &Decided::connects}, {"cold", &Decided::cold},
-    {"overload", &Decided::overload}, {"nobody", &Decided::nobody},     {"given_up", &Decided::given_up},
-    {"ejected", &Decided::ejected},   {"returned", &Decided::returned}};
+    {"first", &Decided::first},       {"retries", &Decided::retries},
+    {"copies", &Decided::hedges},     {"trials", &Decided::half_open_probes},
+    {"connects", &Decided::connects}, {"cold", &Decided::cold},
+    {"overload", &Decided::overload}, {"nobody", &Decided::nobody},
+    {"given_up", &Decided::given_up}, {"ejected", &Decided::ejected},
+    {"returned", &Decided::returned}};
 using Connections = http::HttpTransport::Counts;
 constexpr Named<Connections> kConnections[] = {{"opened", &Connections::opened},
                                                {"never_up", &Connections::failed},
@@ -51,13 +53,13 @@
 
 }  // namespace
 
-CountLines::CountLines(boost::asio::io_context& io, runtime::Duration every, const Sidecar& sidecar,
-                       runtime::Logger& log)
+CounterLogger::CounterLogger(boost::asio::io_context& io, runtime::Duration every, const Sidecar& sidecar,
+                             runtime::Logger& log)
     : every_(every), sidecar_(sidecar), log_(log), timer_(io) {
   Schedule();
 }
 
-void CountLines::Schedule() {
+void CounterLogger::Schedule() {
   timer_.expires_after(every_);
   timer_.async_wait([this](const boost::system::error_code& error) {
     if (error) return;
@@ -66,7 +68,7 @@
   });
 }
 
-void CountLines::Write() {
+void CounterLogger::Write() {
   const balancer::Counts decided = sidecar_.dispatcher().counts();
   json line;
   Since since_last(line);
@@ -97,7 +99,7 @@
   for (const balancer::UpstreamView& view : sidecar_.dispatcher().upstreams()) {
     listed += view.state == balancer::UpstreamState::kServing;
     avoided += view.ejected_until.has_value();
-    cold += view.warmth < 1;
+    cold += view.slow_start_factor < 1;
     sent[view.id.value] = {view.sent, view.unanswered};
     const auto before = sent_.find(view.id.value);
     // A new process of it counts from nothing.
@@ -106,7 +108,8 @@
     const std::uint64_t unanswered = view.unanswered - (same ? before->second.second : 0);
     if (since == 0 && view.in_flight == 0 && view.idle == 0) continue;
     if (upstreams.size() >= kMostNamed) continue;
-    upstreams[view.id.value] = {since, unanswered, view.in_flight, view.idle, Rounded(view.warmth)};
+    upstreams[view.id.value] = {since, unanswered, view.in_flight, view.idle,
+                                Rounded(view.slow_start_factor)};
   }
   sent_ = std::move(sent);
   line["listed"] = listed;
--- a/src/sidecar/count_lines.h
+++ b/src/sidecar/counter_logger.h
@@ -14,11 +14,11 @@
 
 namespace mothrack::sidecar {
 
-class CountLines {
+class CounterLogger {
  public:
   // `sidecar` and `log` must outlive it.
-  CountLines(boost::asio::io_context& io, runtime::Duration every, const Sidecar& sidecar,
-             runtime::Logger& log);
+  CounterLogger(boost::asio::io_context& io, runtime::Duration every, const Sidecar& sidecar,
+                runtime::Logger& log);
 
  private:
   void Schedule();
--- a/src/sidecar/succession.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -1,4 +1,4 @@
-#include "sidecar/succession.h"
+#include "sidecar/hot_restart_coordinator.h"
 
 #include <fcntl.h>
 #include <sys/un.h>
@@ -23,8 +23,8 @@
 
 }  // namespace
 
-Succession::Succession(boost::asio::io_context& io, const std::string& path,
-                       runtime::Descriptors& descriptors, runtime::Logger& log)
+HotRestartCoordinator::HotRestartCoordinator(boost::asio::io_context& io, const std::string& path,
+                                             runtime::Descriptors& descriptors, runtime::Logger& log)
     : io_(io), path_(path), descriptors_(descriptors), log_(log), give_back_(io), write_again_(io) {
   if (path_.empty()) return;
   if (path_.size() + kLongestSuffix >= sizeof(sockaddr_un::sun_path)) {
@@ -42,12 +42,12 @@
   }
 }
 
-Succession::~Succession() {
+HotRestartCoordinator::~HotRestartCoordinator() {
   handover_.reset();
   if (directory_ >= 0) ::close(directory_);
 }
 
-Sidecar::Inheritance Succession::Inherit() {
+Sidecar::Inheritance HotRestartCoordinator::Inherit() {
   Sidecar::Inheritance inheritance;
   inheritance.share_port = !path_.empty();
   inheritance.bans = bans_;
@@ -61,7 +61,7 @@
   return inheritance;
 }
 
-void Succession::Serve(Sidecar& sidecar) {
+void HotRestartCoordinator::Serve(Sidecar& sidecar) {
   sidecar_ = &sidecar;
   if (path_.empty()) return;
   hot_restart::Handover::Owner& self = *this;
@@ -72,7 +72,7 @@
   handover_->Ready();
 }
 
-bool Succession::Ban(Sidecar& sidecar, const std::string& uid, bool banned) {
+bool HotRestartCoordinator::Ban(Sidecar& sidecar, const std::string& uid, bool banned) {
   if (!(banned ? sidecar.Ban(uid) : sidecar.Unban(uid))) return false;
   if (banned) {
     bans_.insert(uid);
@@ -84,13 +84,13 @@
   return true;
 }
 
-void Succession::Rest(Sidecar& sidecar, bool on) {
+void HotRestartCoordinator::Rest(Sidecar& sidecar, bool on) {
   sidecar.Rest(on);
   if (handover_) handover_->Tell({{"rest", on}});
 }
 
 // What people were told holds from now on: it is kept in memory, and written again until it is on disk.
-void Succession::KeepBans() {
+void HotRestartCoordinator::KeepBans() {
   if (path_.empty()) return;
   const auto fault = hot_restart::WriteBans(path_ + ".bans", bans_);
   if (fault && !bans_fault_) log_.Line("bans are not kept for a next process yet: " + *fault);
@@ -104,7 +104,7 @@
   });
 }
 
-hot_restart::State Succession::GiveState() {
+hot_restart::State HotRestartCoordinator::GiveState() {
   hot_restart::State state;
   state.bans = bans_;
   state.ids = sidecar_->RecentIds();
@@ -118,12 +118,12 @@
   return state;
 }
 
-void Succession::Succeeded() {
+void HotRestartCoordinator::Succeeded() {
   sidecar_->HandOver();
   GiveBack();
 }
 
-void Succession::GiveBack() {
+void HotRestartCoordinator::GiveBack() {
   const std::size_t needed = std::max(descriptors_.used(), kLeastKept);
   if (needed < kept_) {
     kept_ = needed;
@@ -136,25 +136,25 @@
   });
 }
 
-void Succession::SuccessorGone() {
+void HotRestartCoordinator::SuccessorGone() {
   give_back_.cancel();
   descriptors_.Uncap();
   sidecar_->ShareMemory(false);
   sidecar_->TakeBack();
 }
 
-void Succession::PredecessorGone() {
+void HotRestartCoordinator::PredecessorGone() {
   log_.Line("handover: the former process is gone");
   descriptors_.Uncap();
   sidecar_->ShareMemory(false);
 }
 
-void Succession::PredecessorKeeps(std::size_t sockets) {
+void HotRestartCoordinator::PredecessorKeeps(std::size_t sockets) {
   const std::size_t taken = sockets + descriptors_.fixed();
   descriptors_.Cap(descriptors_.full() > taken ? descriptors_.full() - taken : 1);
 }
 
-void Succession::Heard(const nlohmann::json& line) {
+void HotRestartCoordinator::Heard(const nlohmann::json& line) {
   const auto text = [&line](const char* name) {
     const auto it = line.find(name);
     return it != line.end() && it->is_string() ? it->get<std::string>() : std::string();
--- a/src/sidecar/succession.h
+++ b/src/sidecar/hot_restart_coordinator.h
@@ -17,13 +17,13 @@
 
 namespace mothrack::sidecar {
 
-class Succession : private hot_restart::Handover::Owner {
+class HotRestartCoordinator : private hot_restart::Handover::Owner {
  public:
   // `path` begins the names of the files; empty: no process follows another. Asks the one that serves, if
   // any.
-  Succession(boost::asio::io_context& io, const std::string& path, runtime::Descriptors& descriptors,
-             runtime::Logger& log);
-  ~Succession();
+  HotRestartCoordinator(boost::asio::io_context& io, const std::string& path,
+                        runtime::Descriptors& descriptors, runtime::Logger& log);
+  ~HotRestartCoordinator();
 
   // What the sidecar of this process begins with.
   Sidecar::Inheritance Inherit();
--- a/src/sidecar/operator_file.cpp
+++ b/src/sidecar/operator_file.cpp
@@ -229,15 +229,16 @@
   // What is not said is as in the default class of the opcode.
   for (const dns::ClassSettings& usual : dns::DefaultClasses()) {
     if (usual.opcode != c.opcode) continue;
-    c.aim = usual.aim;
+    c.latency_objective = usual.latency_objective;
     c.deadline = usual.deadline;
     c.effect = usual.effect;
-    c.worth = usual.worth;
-    c.late_worth = usual.late_worth;
+    c.priority_weight = usual.priority_weight;
+    c.late_priority_weight = usual.late_priority_weight;
   }
-  table.Time("aim_ms", c.aim);
+  table.Time("aim_ms", c.latency_objective);
   table.Time("deadline_ms", c.deadline);
-  if (c.aim > c.deadline) table.Fail("aim_ms", "is beyond the deadline; lower it, or raise deadline_ms");
+  if (c.latency_objective > c.deadline)
+    table.Fail("aim_ms", "is beyond the deadline; lower it, or raise deadline_ms");
   if (const auto effect = table.Text("effect")) {
     if (*effect != "safe" && *effect != "unsafe") {
       table.Fail("effect", Quoted(*effect) + R"( is none; give "safe" or "unsafe" (DNS has no keys))");
@@ -247,8 +248,8 @@
       table.Fail("effect", R"(an UPDATE must not be repeated; give "unsafe" or leave it out)");
     }
   }
-  table.Number("worth", 0, 1e6, c.worth);
-  table.Number("late_worth", 0, 1, c.late_worth);
+  table.Number("worth", 0, 1e6, c.priority_weight);
+  table.Number("late_worth", 0, 1, c.late_priority_weight);
   return c;
 }
 
@@ -455,11 +456,11 @@
     classes.push_back(toml::table{{"name", c.name},
                                   {"opcode", OpcodeName(c.opcode)},
                                   {"qtypes", qtypes},
-                                  {"aim_ms", Milliseconds(c.aim)},
+                                  {"aim_ms", Milliseconds(c.latency_objective)},
                                   {"deadline_ms", Milliseconds(c.deadline)},
                                   {"effect", c.effect == balancer::Effect::kSafe ? "safe" : "unsafe"},
-                                  {"worth", c.worth},
-                                  {"late_worth", c.late_worth}});
+                                  {"worth", c.priority_weight},
+                                  {"late_worth", c.late_priority_weight}});
   }
   toml::array resolvers;
   for (const dns::ResolverSettings& r : dns.resolvers) {
--- a/src/sidecar/program.cpp
+++ b/src/sidecar/program.cpp
@@ -13,19 +13,19 @@
 #include <random>
 #include <utility>
 
-#include "admin/door.h"
-#include "admin/ops.h"
+#include "admin/admin_api.h"
+#include "admin/operator_api.h"
 #include "admin/report.h"
 #include "dns/service.h"
 #include "hot_restart/handover.h"
 #include "runtime/descriptors.h"
 #include "runtime/log.h"
 #include "sidecar/config.h"
-#include "sidecar/count_lines.h"
+#include "sidecar/counter_logger.h"
+#include "sidecar/hot_restart_coordinator.h"
 #include "sidecar/operator_file.h"
 #include "sidecar/peers_link.h"
 #include "sidecar/sidecar.h"
-#include "sidecar/succession.h"
 
 namespace mothrack::sidecar {
 namespace {
@@ -54,9 +54,9 @@
   std::size_t fixed_descriptors() const {
     std::size_t fixed = 0;
     if (file && file->dns) fixed += dns::Service::FixedDescriptors(*file->dns);
-    if (file && file->admin) fixed += admin::Door::kFixedDescriptors;
+    if (file && file->admin) fixed += admin::AdminApi::kFixedDescriptors;
     if (file) fixed += PeersLink::FixedDescriptors(*file);
-    if (platform && platform->ops) fixed += admin::Ops::kFixedDescriptors;
+    if (platform && platform->ops) fixed += admin::OperatorApi::kFixedDescriptors;
     return fixed;
   }
 };
@@ -102,18 +102,19 @@
       std::cerr << told_.name() << ": listening on " << sidecar_->local() << std::endl;
       if (options.counts_s) {
         const auto every = std::chrono::duration<double>(*options.counts_s);
-        counts_ = std::make_unique<CountLines>(io, std::chrono::duration_cast<runtime::Duration>(every),
-                                               *sidecar_, log_);
+        counts_ = std::make_unique<CounterLogger>(io, std::chrono::duration_cast<runtime::Duration>(every),
+                                                  *sidecar_, log_);
       }
     }
     if (told_.platform && told_.platform->ops) {
-      ops_ = std::make_unique<admin::Ops>(
+      ops_ = std::make_unique<admin::OperatorApi>(
           io, *told_.platform->ops,
-          admin::OpsSource{[this] { return draining_ == 0 && sidecar_->ready() && !sidecar_->resting(); },
-                           [this] { return admin::Figures(sidecar_->dispatcher()); },
-                           [this](const std::string& uid) { return succession_.Ban(*sidecar_, uid, true); },
-                           [this](const std::string& uid) { return succession_.Ban(*sidecar_, uid, false); },
-                           [this](bool on) { return Rest(on); }},
+          admin::OperatorApiSource{
+              [this] { return draining_ == 0 && sidecar_->ready() && !sidecar_->resting(); },
+              [this] { return admin::Figures(sidecar_->dispatcher()); },
+              [this](const std::string& uid) { return succession_.Ban(*sidecar_, uid, true); },
+              [this](const std::string& uid) { return succession_.Ban(*sidecar_, uid, false); },
+              [this](bool on) { return Rest(on); }},
           log_);
       std::cerr << told_.name() << ": ops on " << ops_->local() << std::endl;
     }
@@ -132,7 +133,7 @@
     }
     if (told_.file) peers_ = PeersLink::Of(io, *told_.file, told_.name(), log_);
     if (told_.file && told_.file->admin) {
-      door_ = std::make_unique<admin::Door>(
+      door_ = std::make_unique<admin::AdminApi>(
           io, *told_.file->admin,
           admin::Source{[this](const std::string& after) { return Status(after); },
                         [this] { return Reload(); }, [this] { Drain(); }},
@@ -241,9 +242,9 @@
   const Told told_;  // as at the start
   runtime::Logger log_;
   runtime::Descriptors descriptors_;
-  Succession succession_;
+  HotRestartCoordinator succession_;
   std::unique_ptr<Sidecar> sidecar_;
-  std::unique_ptr<CountLines> counts_;
+  std::unique_ptr<CounterLogger> counts_;
   std::unique_ptr<dns::Service> dns_;
   std::unique_ptr<PeersLink> peers_;  // none where the file has no [peers]
   int draining_ = 0;
@@ -253,8 +254,8 @@
   std::uint64_t generation_ = 0;  // configurations taken: the one at the start, and each that was read again
   nlohmann::json configuration_;
   nlohmann::json refused_;  // the last one that was not taken, until one is
-  std::unique_ptr<admin::Door> door_;
-  std::unique_ptr<admin::Ops> ops_;
+  std::unique_ptr<admin::AdminApi> door_;
+  std::unique_ptr<admin::OperatorApi> ops_;
 };
 
 }  // namespace
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -45,8 +45,9 @@
       budget_(config.memory / kBodiesShare),
       transport_(io, config.settings.limits, config.settings.load_by_probe, descriptors, budget_),
       dispatcher_(io, config.settings, config.seed, transport_, log, [this] { discovery_.Ask(); }),
-      discovery_(io, config.discovery, discovery::NewsTerms::For(discovery::NewsRules::Of(config.settings)),
-                 config.seed, start_times_, log,
+      discovery_(io, config.discovery,
+                 discovery::PollPolicy::For(discovery::StalenessRules::Of(config.settings)), config.seed,
+                 start_times_, log,
                  [this](dispatch::MembershipList list) {
                    dispatcher_.Apply(std::move(list));
                    if (!ready_) TakeClients();
--- a/src/simulation/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -119,8 +119,8 @@
     sum.nobody += s.nobody;
     sum.given_up += s.given_up;
     sum.retries += s.retries;
-    sum.copies += s.copies;
-    sum.trials += s.trials;
+    sum.hedges += s.hedges;
+    sum.half_open_probes += s.half_open_probes;
     sum.ejected += s.ejected;
     sum.returned += s.returned;
   }
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -36,7 +36,7 @@
   // What the modules say: refused as overload, with nobody to send to, given up after attempts; sent again,
   // copies, trials.
   std::uint64_t overload = 0, nobody = 0, given_up = 0;
-  std::uint64_t retries = 0, copies = 0, trials = 0;
+  std::uint64_t retries = 0, hedges = 0, half_open_probes = 0;
   double shed = 0;  // the share of the work that is refused as overload, in the mean over the sidecars
   std::uint64_t ejected = 0;
   std::uint64_t returned = 0;
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -19,12 +19,30 @@
 }
 
 json ToJson(const Second& s) {
-  return {{"asked", s.asked},       {"good", s.good},     {"late", s.late},         {"refused", s.refused},
-          {"failed", s.failed},     {"tries", s.tries},   {"attempts", s.attempts}, {"connects", s.connects},
-          {"overload", s.overload}, {"nobody", s.nobody}, {"given_up", s.given_up}, {"copies", s.copies},
-          {"trials", s.trials},     {"shed", s.shed},     {"ejected", s.ejected},   {"returned", s.returned},
-          {"able", s.able},         {"demand", s.demand}, {"held", s.held},         {"cold", s.cold},
-          {"down", s.down},         {"p50", s.p50},       {"p95", s.p95},           {"p99", s.p99}};
+  return {{"asked", s.asked},
+          {"good", s.good},
+          {"late", s.late},
+          {"refused", s.refused},
+          {"failed", s.failed},
+          {"tries", s.tries},
+          {"attempts", s.attempts},
+          {"connects", s.connects},
+          {"overload", s.overload},
+          {"nobody", s.nobody},
+          {"given_up", s.given_up},
+          {"copies", s.hedges},
+          {"trials", s.half_open_probes},
+          {"shed", s.shed},
+          {"ejected", s.ejected},
+          {"returned", s.returned},
+          {"able", s.able},
+          {"demand", s.demand},
+          {"held", s.held},
+          {"cold", s.cold},
+          {"down", s.down},
+          {"p50", s.p50},
+          {"p95", s.p95},
+          {"p99", s.p99}};
 }
 
 }  // namespace
--- a/src/simulation/rules.cpp
+++ b/src/simulation/rules.cpp
@@ -132,17 +132,19 @@
 void Rules::Arrived(const Happening& h) {
   if (h.server >= servers_.size()) return;
   Server& server = servers_[h.server];
-  if (server.booted == runtime::TimePoint::min() || h.at - server.booted >= limits_.cold_time) return;
+  if (server.booted == runtime::TimePoint::min() || h.at - server.booted >= limits_.slow_start_duration)
+    return;
   server.work.emplace_back(h.at, h.work);
   server.sum += h.work;
-  while (h.at - server.work.front().first > limits_.fall_window) {
+  while (h.at - server.work.front().first > limits_.overload_window) {
     server.sum -= server.work.front().second;
     server.work.pop_front();
   }
-  const double age = InSeconds(h.at - server.booted) / InSeconds(limits_.cold_time);
-  const double warmth = limits_.cold_from + (1 - limits_.cold_from) * age;
-  const double can = warmth * server.capacity * InMilliseconds(limits_.fall_window);
-  if (server.sum > limits_.fall_multiple * can) {
+  const double age = InSeconds(h.at - server.booted) / InSeconds(limits_.slow_start_duration);
+  const double slow_start_factor =
+      limits_.slow_start_initial_share + (1 - limits_.slow_start_initial_share) * age;
+  const double can = slow_start_factor * server.capacity * InMilliseconds(limits_.overload_window);
+  if (server.sum > limits_.overload_multiple * can) {
     Broken(Rule::kCold, h.at,
            "server " + std::to_string(h.server) + ", " + std::to_string(InSeconds(h.at - server.booted)) +
                " s old, was sent " + std::to_string(server.sum / can) + " times what it can do");
--- a/src/simulation/rules.h
+++ b/src/simulation/rules.h
@@ -29,10 +29,10 @@
     std::vector<bool> unsafe;          // by class
     runtime::Duration grace{50'000};   // beyond a request's time
     runtime::Duration drain{550'000};  // after a leaving was told, with the grace of sockets
-    double fall_multiple = 4;          // of what a cold server can do
-    runtime::Duration fall_window{1'000'000};
-    double cold_from = 0.2;
-    runtime::Duration cold_time{15'000'000};
+    double overload_multiple = 4;      // of what a cold server can do
+    runtime::Duration overload_window{1'000'000};
+    double slow_start_initial_share = 0.2;
+    runtime::Duration slow_start_duration{15'000'000};
   };
   explicit Rules(Limits limits);
 
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -192,7 +192,7 @@
     servers.Number("queue_per_core", s.queue_per_core, 0, 1e6);
     servers.Number("thrash", s.thrash, 0, 10);
     servers.Number("thrash_at", s.thrash_at, 0, 1e6);
-    servers.Number("cold_from", s.cold_from, 0.01, 1);
+    servers.Number("cold_from", s.slow_start_initial_share, 0.01, 1);
     servers.Number("cold_s", s.cold_s, 0, 600);
     servers.Number("pause_every_s", s.pause_every_s, 0.1, 1e6);
     servers.Number("pause_ms", s.pause_ms, 0, 60'000);
@@ -217,7 +217,7 @@
     load.Done();
     Table allow = part("allow");
     allow.Count("max_attempts", s.max_attempts, 100);
-    allow.Flag("second_copies", s.second_copies);
+    allow.Flag("second_copies", s.hedging);
     allow.Done();
     Table must = part("must");
     double served = -1;
@@ -275,7 +275,7 @@
                                            {"queue_per_core", s.queue_per_core},
                                            {"thrash", s.thrash},
                                            {"thrash_at", s.thrash_at},
-                                           {"cold_from", s.cold_from},
+                                           {"cold_from", s.slow_start_initial_share},
                                            {"cold_s", s.cold_s},
                                            {"pause_every_s", s.pause_every_s},
                                            {"pause_ms", s.pause_ms},
@@ -293,7 +293,7 @@
                                         {"retries", s.retries},
                                         {"backoff_ms", s.backoff_ms}}},
                    {"allow", toml::table{{"max_attempts", static_cast<std::int64_t>(s.max_attempts)},
-                                         {"second_copies", s.second_copies}}}};
+                                         {"second_copies", s.hedging}}}};
   toml::table must;
   if (s.served_at_least) must.insert("served_at_least", *s.served_at_least);
   if (s.recovers_within_s) must.insert("recovers_within_s", *s.recovers_within_s);
@@ -334,23 +334,23 @@
   for (const ClassLoad& c : classes) {
     balancer::RequestClass cls;
     cls.name = c.name;
-    cls.aim = Milliseconds(c.aim_ms);
+    cls.latency_objective = Milliseconds(c.aim_ms);
     cls.deadline = Milliseconds(c.deadline_ms);
     cls.effect = c.effect;
-    cls.worth = c.worth;
+    cls.priority_weight = c.worth;
     cls.key_window = Milliseconds(2 * c.deadline_ms);
     settings.classes.push_back(cls);
   }
   settings.zone = zones[self % zones.size()];
-  settings.balancers = sidecars;
-  settings.self = self;
+  settings.sidecar_count = sidecars;
+  settings.sidecar_index = self;
   settings.limits.max_attempts = max_attempts;
-  settings.limits.second_copies = second_copies;
+  settings.limits.hedging = hedging;
   settings.limits.connect_timeout = std::chrono::milliseconds(200);
-  settings.rules.cold_from = cold_from;
-  settings.rules.cold_time = SecondsOf(std::max(cold_s, 0.001));
-  settings.rules.fall_multiple = 4;
-  settings.rules.fall_window = std::chrono::seconds(1);
+  settings.rules.slow_start_initial_share = slow_start_initial_share;
+  settings.rules.slow_start_duration = SecondsOf(std::max(cold_s, 0.001));
+  settings.rules.overload_multiple = 4;
+  settings.rules.overload_window = std::chrono::seconds(1);
   return settings;
 }
 
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -72,7 +72,7 @@
   double queue_per_core = 25;
   double thrash = 0.3;  // loss of speed for each call a core beyond thrash_at
   double thrash_at = 6;
-  double cold_from = 0.2;
+  double slow_start_initial_share = 0.2;
   double cold_s = 15;
   double pause_every_s = 8;
   double pause_ms = 40;
@@ -95,7 +95,7 @@
   double retries = 1;
   double backoff_ms = 80;
   std::size_t max_attempts = 4;
-  bool second_copies = true;
+  bool hedging = true;
   std::vector<Fault> faults;
   // What must hold beside the rules.
   std::optional<double> served_at_least;
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -52,7 +52,7 @@
   s.retries = Moved(std::max(s.retries, 0.3), random, 0, 4);
   s.backoff_ms = Moved(s.backoff_ms, random, 10, 500);
   s.cold_s = Moved(s.cold_s, random, 5, 25);
-  s.cold_from = Moved(s.cold_from, random, 0.1, 0.5);
+  s.slow_start_initial_share = Moved(s.slow_start_initial_share, random, 0.1, 0.5);
   s.pause_ms = Moved(std::max(s.pause_ms, 5.0), random, 0, 300);
   s.notice_to_s = std::max(s.notice_from_s, Moved(s.notice_to_s, random, 0.3, 6));
   s.sidecars = static_cast<std::size_t>(Moved(static_cast<double>(s.sidecars), random, 4, 120));
--- a/src/simulation/server.cpp
+++ b/src/simulation/server.cpp
@@ -9,10 +9,10 @@
   pause_at_ = sim_.now() + SecondsOf(random_.Exponential(scenario_.pause_every_s));
 }
 
-double Server::warmth() const {
+double Server::slow_start_factor() const {
   if (!ever_booted_ || scenario_.cold_s <= 0) return 1;
   const double age = InSeconds(sim_.now() - booted_) / scenario_.cold_s;
-  return std::min(1.0, scenario_.cold_from + (1 - scenario_.cold_from) * age);
+  return std::min(1.0, scenario_.slow_start_initial_share + (1 - scenario_.slow_start_initial_share) * age);
 }
 
 bool Server::Take(Job job) {
@@ -30,7 +30,7 @@
     const double crowd = static_cast<double>(held() + 1) / scenario_.cores;
     const double thrash =
         1 + scenario_.thrash * std::max(0.0, crowd / std::max(scenario_.thrash_at, 1e-9) - 1);
-    double ms = job.work / (speed_ * warmth()) * slowed_ * thrash;
+    double ms = job.work / (speed_ * slow_start_factor()) * slowed_ * thrash;
     if (scenario_.pause_ms > 0 && sim_.now() >= pause_at_) {
       ms += scenario_.pause_ms;
       pause_at_ = sim_.now() + SecondsOf(random_.Exponential(scenario_.pause_every_s));
--- a/src/simulation/server.h
+++ b/src/simulation/server.h
@@ -35,10 +35,10 @@
 
   bool up() const { return up_; }
   bool draining() const { return draining_; }
-  double warmth() const;
+  double slow_start_factor() const;
   // Milliseconds of work a millisecond: when warm and left alone, and what it could do now.
   double capacity() const { return scenario_.cores * speed_; }
-  double able() const { return up_ && !draining_ ? capacity() * warmth() / slowed_ : 0; }
+  double able() const { return up_ && !draining_ ? capacity() * slow_start_factor() / slowed_ : 0; }
   std::size_t held() const { return queue_.size() + running_.size(); }
 
   // Trouble.
--- a/src/simulation/sim.h
+++ b/src/simulation/sim.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "runtime/timers.h"
+#include "runtime/timer_queue.h"
 
 namespace mothrack::simulation {
 
@@ -94,9 +94,9 @@
 };
 
 // For a dispatcher in made-up time.
-class SimAlarm : public runtime::Alarm {
+class SimulatedTimer : public runtime::Timer {
  public:
-  explicit SimAlarm(Simulator& sim) : sim_(sim) {}
+  explicit SimulatedTimer(Simulator& sim) : sim_(sim) {}
   runtime::TimePoint Now() const override { return sim_.now(); }
   void Set(runtime::TimePoint at, std::function<void()> due) override {
     *latest_ += 1;
--- a/src/simulation/world.cpp
+++ b/src/simulation/world.cpp
@@ -24,7 +24,7 @@
   switch (final.kind) {
     case dispatch::Final::Kind::kServed:
       return Ending::kServed;
-    case dispatch::Final::Kind::kRefused:
+    case dispatch::Final::Kind::kRejected:
       return Ending::kRefused;
     case dispatch::Final::Kind::kFailed:
       break;
@@ -77,8 +77,8 @@
 Rules::Limits LimitsOf(const Scenario& scenario) {
   Rules::Limits limits;
   for (const ClassLoad& c : scenario.classes) limits.unsafe.push_back(c.effect == balancer::Effect::kUnsafe);
-  limits.cold_from = scenario.cold_from;
-  limits.cold_time = SecondsOf(scenario.cold_s);
+  limits.slow_start_initial_share = scenario.slow_start_initial_share;
+  limits.slow_start_duration = SecondsOf(scenario.cold_s);
   return limits;
 }
 
@@ -202,7 +202,7 @@
   outcome.breaks = rules_.breaks();
   outcome.broken = rules_.total();
   for (const auto& sidecar : sidecars_) {
-    if (sidecar->dispatcher) outcome.still_open += sidecar->dispatcher->owed();
+    if (sidecar->dispatcher) outcome.still_open += sidecar->dispatcher->in_flight();
   }
   return outcome;
 }
@@ -313,22 +313,22 @@
                                               sidecar.zone, sidecar.random.Fork());
   dispatch::Transport* transport = sidecar.carrier.get();
   if (planted_ != Planted::kNone) {
-    sidecar.saboteur =
-        std::make_unique<Saboteur>(*sidecar.carrier, scenario_, planted_, sidecar.random.Fork(),
-                                   [this](bool leaving) -> std::optional<std::size_t> {
-                                     for (std::size_t i = machines_.size(); i-- > 0;) {
-                                       const Machine& m = machines_[i];
-                                       if (leaving ? m.state == UpstreamState::kDraining
-                                                   : m.started && m.server->up() && m.server->warmth() < 1 &&
-                                                         m.state == UpstreamState::kServing) {
-                                         return i;
-                                       }
-                                     }
-                                     return std::nullopt;
-                                   });
+    sidecar.saboteur = std::make_unique<Saboteur>(
+        *sidecar.carrier, scenario_, planted_, sidecar.random.Fork(),
+        [this](bool leaving) -> std::optional<std::size_t> {
+          for (std::size_t i = machines_.size(); i-- > 0;) {
+            const Machine& m = machines_[i];
+            if (leaving ? m.state == UpstreamState::kDraining
+                        : m.started && m.server->up() && m.server->slow_start_factor() < 1 &&
+                              m.state == UpstreamState::kServing) {
+              return i;
+            }
+          }
+          return std::nullopt;
+        });
     transport = sidecar.saboteur.get();
   }
-  sidecar.dispatcher = std::make_unique<dispatch::Dispatcher>(std::make_unique<SimAlarm>(sim_),
+  sidecar.dispatcher = std::make_unique<dispatch::Dispatcher>(std::make_unique<SimulatedTimer>(sim_),
                                                               scenario_.SettingsOf(sidecar.number),
                                                               sidecar.random.Next(), *transport, log_);
   std::vector<std::size_t> all;
@@ -438,7 +438,7 @@
   taken.on_final = [this, &sidecar, want, request](dispatch::Final final) {
     Heard(sidecar, want, request, final);
   };
-  const auto id = sidecar.dispatcher->Take(std::move(taken));
+  const auto id = sidecar.dispatcher->Submit(std::move(taken));
   if (!want->impatient || !id) return;
   // Leaves at a third of its aim, and comes again at once.
   sim_.After(Milliseconds(scenario_.classes[want->cls].aim_ms / 3),
@@ -450,7 +450,7 @@
                left.sidecar = sidecar.id;
                left.request = request;
                Tell(left);
-               sidecar.dispatcher->Gone(*id);
+               sidecar.dispatcher->OnClientDisconnected(*id);
                Ask(sidecar, want);
              });
 }
@@ -630,7 +630,7 @@
     const bool listed = machine.state == UpstreamState::kServing;
     const bool there = machine.server->up() && !machine.silent && !lost_[machine.zone];
     if (listed && there) able += machine.server->able();
-    if (listed && there && machine.server->warmth() < 1) ++second.cold;
+    if (listed && there && machine.server->slow_start_factor() < 1) ++second.cold;
     if (listed && !there) ++second.down;
     second.held += static_cast<double>(machine.server->held());
   }
@@ -642,8 +642,8 @@
     second.nobody += counts.nobody - sidecar->told.nobody;
     second.given_up += counts.given_up - sidecar->told.given_up;
     second.retries += counts.retries - sidecar->told.retries;
-    second.copies += counts.copies - sidecar->told.copies;
-    second.trials += counts.trials - sidecar->told.trials;
+    second.hedges += counts.hedges - sidecar->told.hedges;
+    second.half_open_probes += counts.half_open_probes - sidecar->told.half_open_probes;
     second.shed += counts.shed / static_cast<double>(sidecars_.size());
     second.ejected += counts.ejected - sidecar->told.ejected;
     second.returned += counts.returned - sidecar->told.returned;
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -133,13 +133,13 @@
   balancer::RequestClass c;
   c.name = Get<std::string>(item, "Name");
   c.effect = Word(item, "Effect", effects);
-  c.aim = balancer::Duration(Get<std::int64_t>(item, "Aim"));
+  c.latency_objective = balancer::Duration(Get<std::int64_t>(item, "Aim"));
   c.deadline = balancer::Duration(Get<std::int64_t>(item, "HardLimit"));
   if (Maybe<std::string>(item, "KeyScope")) c.key_scope = Word(item, "KeyScope", scopes);
   Read(item, "Window", c.key_window);
-  Read(item, "AimStretch", c.aim_stretch);
-  Read(item, "Worth", c.worth);
-  Read(item, "LateWorth", c.late_worth);
+  Read(item, "AimStretch", c.latency_objective_stretch);
+  Read(item, "Worth", c.priority_weight);
+  Read(item, "LateWorth", c.late_priority_weight);
   Read(item, "Stream", c.stream);
   return c;
 }
@@ -163,7 +163,7 @@
     out["Attempt"] = static_cast<std::size_t>(a.attempt);
     return out;
   }
-  json operator()(const balancer::Refuse& a) const {
+  json operator()(const balancer::Reject& a) const {
     json out = Make("Deny");
     out["Handle"] = FormatRequestId(a.request);
     out["Pause"] = a.retry_after.count();
@@ -215,17 +215,17 @@
     Read(item, "QuotaPerS", tenant.quota_per_s);
     s.tenants.push_back(std::move(tenant));
   }
-  Read(params, "OverShareWorth", s.over_share_worth);
+  Read(params, "OverShareWorth", s.over_share_priority_weight);
   Read(params, "Zone", s.zone);
-  Read(params, "PeersTotal", s.balancers);
-  Read(params, "Me", s.self);
+  Read(params, "PeersTotal", s.sidecar_count);
+  Read(params, "Me", s.sidecar_index);
   s.membership_on_request = Maybe<std::string>(params, "MembershipMode") == "on_request";
   s.load_by_probe = Maybe<std::string>(Part(params, "Report"), "How") == "probe";
   s.live_weights = Maybe<std::string>(params, "Weights") == "live";
 
   const json& limits = Part(params, "Limits");
   Read(limits, "MaxAttempts", s.limits.max_attempts);
-  Read(limits, "SecondCopies", s.limits.second_copies);
+  Read(limits, "SecondCopies", s.limits.hedging);
   Read(limits, "Cancelling", s.limits.cancel);
   Read(limits, "MayProbe", s.limits.probes);
   Read(limits, "RetryAfter", s.limits.retry_after);
@@ -236,12 +236,12 @@
 
   const json& rules = Part(params, "Rules");
   Read(rules, "GraceToAnswer", s.rules.answer_grace);
-  Read(rules, "MustAskIn", s.rules.ask_within);
+  Read(rules, "MustAskIn", s.rules.poll_within);
   Read(rules, "StopSendingWithin", s.rules.drain_within);
-  Read(rules, "ColdFrom", s.rules.cold_from);
-  Read(rules, "Cold", s.rules.cold_time);
-  Read(rules, "FallMultiple", s.rules.fall_multiple);
-  Read(rules, "Fall", s.rules.fall_window);
+  Read(rules, "ColdFrom", s.rules.slow_start_initial_share);
+  Read(rules, "Cold", s.rules.slow_start_duration);
+  Read(rules, "FallMultiple", s.rules.overload_multiple);
+  Read(rules, "Fall", s.rules.overload_window);
 
   const json& prices = Part(params, "Prices");
   Read(prices, "CrossZone", s.prices.cross_zone);
@@ -312,7 +312,7 @@
 balancer::Event Host::ToEvent(const std::string& type, const json& item, const Instance& instance) const {
   if (type == "Membership") return ToMembership(item);
   if (type == "Ring") return balancer::TimerFired{Get<std::uint64_t>(item, "KeyBack")};
-  if (type == "Dropped") return balancer::RequestGone{ParseRequestId(item)};
+  if (type == "Dropped") return balancer::ClientDisconnected{ParseRequestId(item)};
   if (type == "Streaming")
     return balancer::AnswerStarted{ParseRequestId(item),
                                    balancer::AttemptId{Get<std::size_t>(item, "Attempt")}};
--- a/src/zone_failover/decision.h
+++ b/src/zone_failover/decision.h
@@ -43,7 +43,7 @@
                 step_proof = 20;  // answered well since the step began, 9 in 10 of all outcomes
   std::size_t proof_observers = 2;
   // Of what a zone bore at its best: what all members together may send it a second while it is as cold as
-  // can be (cold_from x fall_multiple x the module's own safety).
+  // can be (slow_start_initial_share x overload_multiple x the module's own safety).
   int cold = 150;
   int ramp = 250;          // a second; only what answers nothing is left at once
   Duration careful{2000};  // without an answer from any peer a new member sends trials only, so long
--- a/tests/action_digest_test.cpp
+++ b/tests/action_digest_test.cpp
@@ -70,13 +70,13 @@
  private:
   static Settings SettingsOf(std::uint64_t number) {
     Settings settings = DefaultSettings();
-    settings.limits.second_copies = number % 2 == 0;
+    settings.limits.hedging = number % 2 == 0;
     settings.limits.cancel = number % 3 != 0;
     settings.limits.probes = settings.load_by_probe = number % 5 == 0;
     settings.membership_on_request = number % 7 == 0;
-    settings.rules.fall_multiple = 4;
-    settings.self = number % 11;
-    settings.balancers = 11;
+    settings.rules.overload_multiple = 4;
+    settings.sidecar_index = number % 11;
+    settings.sidecar_count = 11;
     return settings;
   }
 
--- a/tests/admin_test.cpp
+++ b/tests/admin_test.cpp
@@ -93,7 +93,7 @@
   return Eventually([&] { return node.log().find(text) != std::string::npos; });
 }
 
-TEST(Door, TellsOfTheProcessTheConfigurationAndTheUpstreams) {
+TEST(AdminApi, TellsOfTheProcessTheConfigurationAndTheUpstreams) {
   const Place place;
   Upstream upstream(Upstream::Echo("u"));
   Node node(Http(At(place.door()),
@@ -137,7 +137,7 @@
   EXPECT_FALSE(pool["more"]);
 }
 
-TEST(Door, IsOffUnlessTheFileAsks) {
+TEST(AdminApi, IsOffUnlessTheFileAsks) {
   Node node(Dns(Resolvers(1)));
   ASSERT_TRUE(node.DnsListening());
   const int without = node.descriptors();
@@ -148,7 +148,7 @@
   EXPECT_EQ(node.log().find("admin"), std::string::npos);
 }
 
-TEST(Door, TellsWhatIsInFlightRefusedFailedAndLeft) {
+TEST(AdminApi, TellsWhatIsInFlightRefusedFailedAndLeft) {
   const Place place;
   std::atomic<bool> answers{false};
   Upstream upstream([&](Wire& wire, const Request&, int) {
@@ -185,7 +185,7 @@
   }));
 }
 
-TEST(Door, TellsWhoIsEjectedUntilWhenAndWhy) {
+TEST(AdminApi, TellsWhoIsEjectedUntilWhenAndWhy) {
   const Place place;
   StandinResolver dead([](StandinResolver::Turn& turn) {
     AnswerSpec spec;
@@ -218,7 +218,7 @@
       << ejected;
 }
 
-TEST(Door, PagesThroughManyUpstreams) {
+TEST(AdminApi, PagesThroughManyUpstreams) {
   const Place place;
   Node node(Dns(Resolvers(250) + At(place.door())));
   ASSERT_EQ(DoorOf(node), place.door());
@@ -240,7 +240,7 @@
   EXPECT_EQ(seen.size(), 250U);
 }
 
-TEST(Door, ReloadTakesAGoodFileAndNamesTheFaultOfABadOne) {
+TEST(AdminApi, ReloadTakesAGoodFileAndNamesTheFaultOfABadOne) {
   const Place place;
   const std::string door = At(place.door());
   Node node(Dns(Resolvers(1) + door));
@@ -272,7 +272,7 @@
   EXPECT_EQ(after->body["pools"][0]["upstreams"].size(), 2U);
 }
 
-TEST(Door, DrainIsThePlannedStopAndIsToldMeanwhile) {
+TEST(AdminApi, DrainIsThePlannedStopAndIsToldMeanwhile) {
   const Place place;
   Node node(Dns(Resolvers(1) + At(place.door())));
   ASSERT_TRUE(node.DnsListening());
@@ -288,7 +288,7 @@
   EXPECT_FALSE(fs::exists(place.socket()));
 }
 
-TEST(Door, AddressWantsTheTokenAndNeverTellsIt) {
+TEST(AdminApi, AddressWantsTheTokenAndNeverTellsIt) {
   const Place place;
   const std::string token = "5f1c0a7e9b3d48265f1c0a7e9b3d4826";
   Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + place.Token(token) + "\"\n")));
@@ -311,7 +311,7 @@
   EXPECT_EQ(node.log().find(token), std::string::npos);
 }
 
-TEST(Door, WhatIsNoCommandIsRefusedAndLogged) {
+TEST(AdminApi, WhatIsNoCommandIsRefusedAndLogged) {
   const Place place;
   Node node(Dns(Resolvers(1) + At(place.door())));
   ASSERT_EQ(DoorOf(node), place.door());
@@ -328,7 +328,7 @@
   EXPECT_EQ(status(admin.Get("/v1/status")), 200);
 }
 
-TEST(Door, SilentVisitorsDoNotHoldIt) {
+TEST(AdminApi, SilentVisitorsDoNotHoldIt) {
   const Place place;
   Node node(Dns(Resolvers(1) + At(place.door())));
   ASSERT_EQ(DoorOf(node), place.door());
@@ -344,7 +344,7 @@
   ::close(half);
 }
 
-TEST(Door, WhoPollsTooOftenIsRefusedUnlookedAt) {
+TEST(AdminApi, WhoPollsTooOftenIsRefusedUnlookedAt) {
   const Place place;
   Node node(Dns(Resolvers(1) + At(place.door())));
   ASSERT_EQ(DoorOf(node), place.door());
@@ -363,7 +363,7 @@
   EXPECT_GT(refused, 0);
 }
 
-TEST(Door, TakesOverALeftoverSocketButNothingElse) {
+TEST(AdminApi, TakesOverALeftoverSocketButNothingElse) {
   const Place place;
   const std::string file = Resolvers(1) + At(place.door());
   {
--- a/tests/cold_fleet_test.cpp
+++ b/tests/cold_fleet_test.cpp
@@ -41,8 +41,8 @@
   Duration rest;        // of the play, after that
   double least = 0;     // of their fair part by the list, that the cold ones are to be sent
   double multiple = 4;  // the settings' rules from here on
-  double cold_from = 0.13;
-  Duration cold_time = 24s;
+  double slow_start_initial_share = 0.13;
+  Duration slow_start_duration = 24s;
   Duration window = 1s;
 
   // A big fleet's play takes many seconds: one is enough there.
@@ -57,11 +57,11 @@
 class Fleet {
  public:
   Fleet(const Case& c, std::uint64_t seed) : case_(c), settings_(DefaultSettings()), random_(seed) {
-    settings_.rules.fall_multiple = c.multiple;
-    settings_.rules.cold_from = c.cold_from;
-    settings_.rules.cold_time = c.cold_time;
-    settings_.rules.fall_window = c.window;
-    settings_.balancers = static_cast<std::size_t>(c.sidecars);
+    settings_.rules.overload_multiple = c.multiple;
+    settings_.rules.slow_start_initial_share = c.slow_start_initial_share;
+    settings_.rules.slow_start_duration = c.slow_start_duration;
+    settings_.rules.overload_window = c.window;
+    settings_.sidecar_count = static_cast<std::size_t>(c.sidecars);
     for (int i = 0; i < c.upstreams; ++i) {
       list_.push_back(Up("u" + std::to_string(i)));
       list_.back().started = TimePoint(1s);
@@ -126,7 +126,7 @@
   void Start(std::size_t i) {
     Sidecar& s = sidecars_[i];
     Settings settings = settings_;
-    settings.self = i;
+    settings.sidecar_index = i;
     s = Sidecar{s.rate, std::make_unique<World>(settings, random_()), 0, 0, 0, 0, {}, {}};
     s.world->now = now_;
     s.world->Full(list_);
@@ -201,8 +201,9 @@
   double Share() const { return all_rate_ / case_.upstreams; }
 
   double WarmthAt(TimePoint at) const {
-    const double age = InSeconds(at - started_) / InSeconds(case_.cold_time);
-    return std::clamp(case_.cold_from + (1 - case_.cold_from) * age, case_.cold_from, 1.0);
+    const double age = InSeconds(at - started_) / InSeconds(case_.slow_start_duration);
+    return std::clamp(case_.slow_start_initial_share + (1 - case_.slow_start_initial_share) * age,
+                      case_.slow_start_initial_share, 1.0);
   }
 
   void Count(std::deque<TimePoint>& arrived) {
--- a/tests/core_test.cpp
+++ b/tests/core_test.cpp
@@ -9,15 +9,15 @@
 #include <vector>
 
 #include "dispatch/dispatcher.h"
-#include "dispatch/id_memory.h"
-#include "dispatch/roster.h"
+#include "dispatch/recent_request_ids.h"
+#include "dispatch/upstream_overrides.h"
 #include "gtest/gtest.h"
 #include "runtime/address.h"
 #include "runtime/deadlines.h"
 #include "runtime/descriptors.h"
-#include "runtime/random.h"
+#include "runtime/secure_random.h"
 #include "runtime/stream.h"
-#include "runtime/timers.h"
+#include "runtime/timer_queue.h"
 
 namespace mothrack {
 namespace {
@@ -87,7 +87,7 @@
   balancer::Settings settings;
   balancer::RequestClass safe;
   safe.name = "safe";
-  safe.aim = milliseconds(400);
+  safe.latency_objective = milliseconds(400);
   safe.deadline = std::chrono::seconds(60);
   safe.effect = balancer::Effect::kSafe;
   balancer::RequestClass unsafe = safe;
@@ -126,7 +126,7 @@
     request.key = key;
     request.message = std::make_shared<TextMessage>("m");
     request.on_final = [this](dispatch::Final final) { finals.push_back(std::move(final)); };
-    return dispatcher.Take(std::move(request));
+    return dispatcher.Submit(std::move(request));
   }
   static std::string TextOf(const dispatch::Final& final) {
     return final.reply ? static_cast<const TextReply&>(*final.reply).text : "";
@@ -164,7 +164,7 @@
     request.deadline = runtime::Now() + milliseconds(5);
     request.message = std::make_shared<TextMessage>("m");
     request.on_final = [&](dispatch::Final) { ++told; };
-    const auto id = owner.Take(std::move(request));
+    const auto id = owner.Submit(std::move(request));
     carrier.unsent.insert(carrier.Only());
     end(owner, carrier, *id);
     EXPECT_TRUE(carrier.out.empty());
@@ -172,7 +172,7 @@
     return told;
   };
   EXPECT_EQ(over("its client left", [](dispatch::Dispatcher& owner, ScriptedTransport&,
-                                       balancer::RequestId id) { owner.Gone(id); }),
+                                       balancer::RequestId id) { owner.OnClientDisconnected(id); }),
             0);
   EXPECT_EQ(over("its time is over",
                  [this](dispatch::Dispatcher&, ScriptedTransport& carrier, balancer::RequestId) {
@@ -186,7 +186,7 @@
   transport.at_once = Outcome::kConnectFailed;
   ASSERT_TRUE(Take(1));
   ASSERT_EQ(finals.size(), 1U);
-  EXPECT_EQ(finals[0].kind, dispatch::Final::Kind::kRefused);
+  EXPECT_EQ(finals[0].kind, dispatch::Final::Kind::kRejected);
   EXPECT_EQ(finals[0].last, Outcome::kConnectFailed);
   EXPECT_EQ(finals[0].attempts, static_cast<std::size_t>(transport.sent));
   EXPECT_GT(transport.sent, 1);
@@ -219,11 +219,11 @@
 TEST_F(DispatcherTest, ClientThatLeftGetsNothingAndItsAttemptIsCalledOff) {
   const auto id = Take(0);
   ASSERT_EQ(transport.out.size(), 1U);
-  dispatcher.Gone(*id);
+  dispatcher.OnClientDisconnected(*id);
   EXPECT_TRUE(transport.out.empty());
   EXPECT_TRUE(finals.empty());
   EXPECT_EQ(dispatcher.open(), 0U);
-  dispatcher.Gone(*id);  // no longer known
+  dispatcher.OnClientDisconnected(*id);  // no longer known
 }
 
 TEST_F(DispatcherTest, KeyIsTakenWhileItsRequestIsOpenAndAWhileAfter) {
@@ -287,7 +287,7 @@
       request.deadline = runtime::Now() + std::chrono::seconds(50);
       request.message = std::make_shared<TextMessage>("m");
       request.on_final = [&finals_of, number](dispatch::Final) { ++finals_of[number]; };
-      open.emplace_back(number, *dispatcher.Take(std::move(request)));
+      open.emplace_back(number, *dispatcher.Submit(std::move(request)));
     } else if (dice < 8 && !transport.out.empty()) {
       auto it = transport.out.begin();
       std::advance(it, static_cast<long>(random() % transport.out.size()));
@@ -295,7 +295,7 @@
     } else if (dice == 8 && !open.empty()) {
       const auto& [number, id] = open[random() % open.size()];
       if (!finals_of.contains(number)) gone.insert(number);
-      dispatcher.Gone(id);
+      dispatcher.OnClientDisconnected(id);
     } else if (step % 50 == 0) {
       dispatcher.Apply(step % 100 == 0 ? Members({"u1"}) : Members({"u1", "u2", "u3"}));
     }
@@ -307,8 +307,8 @@
 
 // ---- The smaller parts ----
 
-TEST(IdMemory, ForgetsByAgeAndNumber) {
-  dispatch::IdMemory ids(milliseconds(100), 3);
+TEST(RecentRequestIds, ForgetsByAgeAndNumber) {
+  dispatch::RecentRequestIds ids(milliseconds(100), 3);
   const runtime::TimePoint start{};
   EXPECT_TRUE(ids.Take("a", start));
   EXPECT_FALSE(ids.Take("a", start));
@@ -323,10 +323,10 @@
   EXPECT_FALSE(ids.Take("e", start));
 }
 
-TEST(Timers, FireInOrderAndGoOnAfterAnException) {
+TEST(TimerQueue, FireInOrderAndGoOnAfterAnException) {
   boost::asio::io_context io;
   std::vector<std::uint64_t> fired;
-  runtime::Timers timers(io, [&](std::uint64_t token) {
+  runtime::TimerQueue timers(io, [&](std::uint64_t token) {
     fired.push_back(token);
     if (token == 1) throw std::runtime_error("one");
   });
@@ -354,8 +354,8 @@
   EXPECT_EQ(passed, (std::vector<std::uint64_t>{2, 3}));
 }
 
-TEST(Unpredictable, CoversItsRange) {
-  runtime::Unpredictable random;
+TEST(SecureRandom, CoversItsRange) {
+  runtime::SecureRandom random;
   std::set<std::size_t> seen;
   for (int i = 0; i < 1000; ++i) {
     const auto value = random.Below(7);
@@ -472,9 +472,9 @@
   return list;
 }
 
-TEST(Roster, ABanHoldsOverEveryListAndEndsWithWhatTheListSays) {
+TEST(UpstreamOverrides, ABanHoldsOverEveryListAndEndsWithWhatTheListSays) {
   using balancer::UpstreamState;
-  dispatch::Roster roster;
+  dispatch::UpstreamOverrides roster;
   EXPECT_FALSE(roster.Ban("a"));
   roster.Take(Listed(MembershipUpdate::Kind::kFull, {"a", "b"}));
   auto told = roster.Ban("a");
@@ -495,8 +495,8 @@
   EXPECT_EQ(told->update.upstreams.at(0).state, UpstreamState::kServing);
 }
 
-TEST(Roster, RestoredBansCountForWhatIsHeardOfLater) {
-  dispatch::Roster roster;
+TEST(UpstreamOverrides, RestoredBansCountForWhatIsHeardOfLater) {
+  dispatch::UpstreamOverrides roster;
   EXPECT_TRUE(roster.Restore({"a"}).update.upstreams.empty());
   const auto list = roster.Take(Listed(MembershipUpdate::Kind::kRestored, {"a", "b"}));
   EXPECT_EQ(list.locations.at("a").state, balancer::UpstreamState::kDraining);
--- a/tests/discovery_test.cpp
+++ b/tests/discovery_test.cpp
@@ -16,7 +16,7 @@
 #include <thread>
 #include <vector>
 
-#include "discovery/news.h"
+#include "discovery/endpoint_staleness.h"
 #include "helpers.h"
 #include "simulator_adapter/wire.h"
 #include "standins/peers.h"
@@ -35,41 +35,41 @@
 
 // ---- The statement ----
 
-discovery::NewsRules Rules(bool on_request, runtime::Duration drain,
-                           runtime::Duration ask_within = seconds(10)) {
-  return {on_request, drain, ask_within};
+discovery::StalenessRules Rules(bool on_request, runtime::Duration drain,
+                                runtime::Duration poll_within = seconds(10)) {
+  return {on_request, drain, poll_within};
 }
 
-constexpr discovery::NewsCase kCases[] = {discovery::NewsCase::kWatch, discovery::NewsCase::kList,
-                                          discovery::NewsCase::kAfterOutage, discovery::NewsCase::kMoved,
-                                          discovery::NewsCase::kNewProcess};
+constexpr discovery::StalenessCase kCases[] = {
+    discovery::StalenessCase::kWatch, discovery::StalenessCase::kList, discovery::StalenessCase::kAfterOutage,
+    discovery::StalenessCase::kMoved, discovery::StalenessCase::kNewProcess};
 
-std::vector<discovery::NewsRules> AllRules() {
-  std::vector<discovery::NewsRules> all;
+std::vector<discovery::StalenessRules> AllRules() {
+  std::vector<discovery::StalenessRules> all;
   for (const bool on_request : {false, true}) {
     for (const int drain : {100, 150, 250, 400, 500, 750, 1000, 2000, 60000}) {
-      for (const int ask_within : {1, 2, 5, 10, 30, 600}) {
-        all.push_back(Rules(on_request, milliseconds(drain), seconds(ask_within)));
+      for (const int poll_within : {1, 2, 5, 10, 30, 600}) {
+        all.push_back(Rules(on_request, milliseconds(drain), seconds(poll_within)));
       }
     }
   }
   return all;
 }
 
-std::string Text(const discovery::NewsRules& rules) {
+std::string Text(const discovery::StalenessRules& rules) {
   return (rules.on_request ? "asked, " : "pushed, ") + std::to_string(rules.drain_within / milliseconds(1)) +
-         " ms, MustAskIn " + std::to_string(rules.ask_within / seconds(1)) + " s";
+         " ms, MustAskIn " + std::to_string(rules.poll_within / seconds(1)) + " s";
 }
 
 TEST(NewsStatement, IsKeptWithItsMarginInEachCase) {
-  for (const discovery::NewsRules& rules : AllRules()) {
-    const discovery::NewsTerms terms = discovery::NewsTerms::For(rules);
-    for (const discovery::NewsCase news : kCases) {
+  for (const discovery::StalenessRules& rules : AllRules()) {
+    const discovery::PollPolicy terms = discovery::PollPolicy::For(rules);
+    for (const discovery::StalenessCase news : kCases) {
       EXPECT_LE(discovery::WorstOf(terms, news),
                 discovery::AllowedBy(rules, news) - discovery::MarginOf(rules))
           << Text(rules) << ", case " << static_cast<int>(news);
       // The operators' terms, whatever the settings: 6 s, and for a call that may wait 2 s after that wait.
-      const bool waits = rules.on_request && news == discovery::NewsCase::kWatch;
+      const bool waits = rules.on_request && news == discovery::StalenessCase::kWatch;
       EXPECT_LE(discovery::AllowedBy(rules, news),
                 (waits ? terms.wait + seconds(2) : runtime::Duration(seconds(6))) +
                     std::min<runtime::Duration>(rules.drain_within, seconds(2)));
@@ -88,10 +88,10 @@
 // on.
 TEST(NewsStatement, IsKeptAfterAnyFailedCall) {
   using Kind = discovery::FailedCall::Kind;
-  for (const discovery::NewsRules& rules : AllRules()) {
-    const discovery::NewsTerms terms = discovery::NewsTerms::For(rules);
+  for (const discovery::StalenessRules& rules : AllRules()) {
+    const discovery::PollPolicy terms = discovery::PollPolicy::For(rules);
     const runtime::Duration most =
-        discovery::AllowedBy(rules, discovery::NewsCase::kAfterOutage) - discovery::MarginOf(rules);
+        discovery::AllowedBy(rules, discovery::StalenessCase::kAfterOutage) - discovery::MarginOf(rules);
     for (const bool watch : {false, true}) {
       for (int in_row = 1; in_row <= (watch ? 1 : 4); ++in_row) {
         const runtime::Duration patience = watch        ? terms.wait + terms.watch_patience
@@ -102,8 +102,8 @@
             return terms.PauseAfter({kind, watch, in_row, lasted}, spread);
           };
           const runtime::Duration silent =
-              discovery::AllowedBy(rules,
-                                   watch ? discovery::NewsCase::kWatch : discovery::NewsCase::kAfterOutage) -
+              discovery::AllowedBy(
+                  rules, watch ? discovery::StalenessCase::kWatch : discovery::StalenessCase::kAfterOutage) -
               discovery::MarginOf(rules);
           EXPECT_LE(patience + pause(Kind::kSilent, patience) + terms.answer, silent)
               << Text(rules) << in_row;
@@ -130,63 +130,63 @@
 // The module's own asking, where no loop of ours stands between it and discovery: the failed call and the
 // next take up to the service's 2 s each.
 TEST(NewsStatement, IsKeptByTheModuleAtAnySetting) {
-  for (const int ask_within : {1, 5, 10, 30, 600}) {
+  for (const int poll_within : {1, 5, 10, 30, 600}) {
     for (int seed = 1; seed <= 20; ++seed) {
       balancer::Settings settings = balancer::testing::DefaultSettings();
       settings.membership_on_request = true;
-      settings.rules.ask_within = seconds(ask_within);
+      settings.rules.poll_within = seconds(poll_within);
       balancer::testing::World world(settings, seed);
       world.List(1);
       world.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
       const auto failed = world.now;
       while (world.subscribed == 1 && world.now - failed < seconds(5)) world.Advance(milliseconds(10));
-      EXPECT_LE(world.now - failed, seconds(2)) << ask_within << " s, seed " << seed;
-      EXPECT_GE(world.now - failed, milliseconds(100)) << ask_within << " s, seed " << seed;
+      EXPECT_LE(world.now - failed, seconds(2)) << poll_within << " s, seed " << seed;
+      EXPECT_GE(world.now - failed, milliseconds(100)) << poll_within << " s, seed " << seed;
     }
   }
 }
 
 TEST(NewsStatement, WatchesOfAllThatHeardNewsTogetherAreOverAtDifferentMoments) {
-  const discovery::NewsTerms asked = discovery::NewsTerms::For(Rules(true, milliseconds(500)));
+  const discovery::PollPolicy asked = discovery::PollPolicy::For(Rules(true, milliseconds(500)));
   EXPECT_EQ(asked.WaitAfter(true, 0), milliseconds(2500));
   EXPECT_EQ(asked.WaitAfter(true, 0.5), milliseconds(3750));
   EXPECT_EQ(asked.WaitAfter(false, 0), asked.wait);
-  const discovery::NewsTerms pushed = discovery::NewsTerms::For(Rules(false, milliseconds(500)));
+  const discovery::PollPolicy pushed = discovery::PollPolicy::For(Rules(false, milliseconds(500)));
   EXPECT_EQ(pushed.WaitAfter(true, 0), pushed.wait);
 }
 
 TEST(NewsStatement, FiguresOfTheUsualDrain) {
   struct Row {
     bool on_request;
-    discovery::NewsCase news;
+    discovery::StalenessCase news;
     int allowed_ms, worst_ms;
   };
-  const Row rows[] = {{false, discovery::NewsCase::kWatch, 500, 375},
-                      {false, discovery::NewsCase::kList, 500, 175},
-                      {false, discovery::NewsCase::kAfterOutage, 500, 375},
-                      {false, discovery::NewsCase::kMoved, 4500, 175},
-                      {false, discovery::NewsCase::kNewProcess, 500, 175},
-                      {true, discovery::NewsCase::kWatch, 7500, 7375},
-                      {true, discovery::NewsCase::kList, 6500, 6000},
-                      {true, discovery::NewsCase::kAfterOutage, 6500, 6000},
-                      {true, discovery::NewsCase::kMoved, 6500, 6000},
-                      {true, discovery::NewsCase::kNewProcess, 6500, 6000}};
+  const Row rows[] = {{false, discovery::StalenessCase::kWatch, 500, 375},
+                      {false, discovery::StalenessCase::kList, 500, 175},
+                      {false, discovery::StalenessCase::kAfterOutage, 500, 375},
+                      {false, discovery::StalenessCase::kMoved, 4500, 175},
+                      {false, discovery::StalenessCase::kNewProcess, 500, 175},
+                      {true, discovery::StalenessCase::kWatch, 7500, 7375},
+                      {true, discovery::StalenessCase::kList, 6500, 6000},
+                      {true, discovery::StalenessCase::kAfterOutage, 6500, 6000},
+                      {true, discovery::StalenessCase::kMoved, 6500, 6000},
+                      {true, discovery::StalenessCase::kNewProcess, 6500, 6000}};
   for (const Row& row : rows) {
-    const discovery::NewsRules rules = Rules(row.on_request, milliseconds(500));
+    const discovery::StalenessRules rules = Rules(row.on_request, milliseconds(500));
     const int number = static_cast<int>(row.news);
     EXPECT_EQ(discovery::AllowedBy(rules, row.news), milliseconds(row.allowed_ms))
         << row.on_request << number;
-    EXPECT_EQ(discovery::WorstOf(discovery::NewsTerms::For(rules), row.news), milliseconds(row.worst_ms))
+    EXPECT_EQ(discovery::WorstOf(discovery::PollPolicy::For(rules), row.news), milliseconds(row.worst_ms))
         << row.on_request << number;
   }
 }
 
 TEST(NewsStatement, DrainsBeyondTheUsualAreTakenAsTheNearestOne) {
   for (const int drain : {0, 1, 50, 100}) {
-    EXPECT_EQ(discovery::NewsTerms::For(Rules(false, milliseconds(drain))).wait, milliseconds(40));
+    EXPECT_EQ(discovery::PollPolicy::For(Rules(false, milliseconds(drain))).wait, milliseconds(40));
   }
-  EXPECT_EQ(discovery::NewsTerms::For(Rules(false, milliseconds(150))).wait, milliseconds(60));
-  EXPECT_EQ(discovery::NewsTerms::For(Rules(false, std::chrono::hours(1))).wait, milliseconds(800));
+  EXPECT_EQ(discovery::PollPolicy::For(Rules(false, milliseconds(150))).wait, milliseconds(60));
+  EXPECT_EQ(discovery::PollPolicy::For(Rules(false, std::chrono::hours(1))).wait, milliseconds(800));
 }
 
 TEST(NewsStatement, IsOfTheSettings) {
@@ -195,10 +195,11 @@
   text["Rules"]["StopSendingWithin"] = 800000;
   text["Rules"]["MustAskIn"] = 7000000;
   text["MembershipMode"] = "on_request";
-  const discovery::NewsRules rules = discovery::NewsRules::Of(simulator_adapter::ParseSettings(text));
+  const discovery::StalenessRules rules =
+      discovery::StalenessRules::Of(simulator_adapter::ParseSettings(text));
   EXPECT_TRUE(rules.on_request);
   EXPECT_EQ(rules.drain_within, milliseconds(800));
-  EXPECT_EQ(rules.ask_within, seconds(7));
+  EXPECT_EQ(rules.poll_within, seconds(7));
 }
 
 // ---- A fleet whose service was away ----
@@ -211,7 +212,10 @@
 
   // `each_second`: so many calls it takes when it is back, and turns the others away.
   Fleet(discovery::FailedCall::Kind way, Was was, runtime::Duration away, int each_second = kSidecars * 1000)
-      : terms_(discovery::NewsTerms::For(Rules(true, milliseconds(500)))), way_(way), was_(was), away_(away) {
+      : terms_(discovery::PollPolicy::For(Rules(true, milliseconds(500)))),
+        way_(way),
+        was_(was),
+        away_(away) {
     std::vector<std::pair<runtime::Duration, int>> due;  // next calls, and whose
     for (int i = 0; i < kSidecars; ++i) due.emplace_back(First(i), i);
     failures_.assign(kSidecars, was == Was::kJustStarted ? 0 : 1);
@@ -267,7 +271,7 @@
     return (terms_.wait * (sidecar + 1)) / kSidecars + terms_.watch_patience;
   }
 
-  const discovery::NewsTerms terms_;
+  const discovery::PollPolicy terms_;
   const discovery::FailedCall::Kind way_;
   const Was was_;
   const runtime::Duration away_;
@@ -436,7 +440,7 @@
 // The loop under test, run in this thread.
 class Loop {
  public:
-  Loop(const discovery::NewsTerms& terms, const runtime::Endpoint& endpoint)
+  Loop(const discovery::PollPolicy& terms, const runtime::Endpoint& endpoint)
       : discovery(io, endpoint, terms, 7, start_times_, log_, [this](dispatch::MembershipList list) {
           revision = static_cast<int>(list.revision);
           ++lists;
@@ -476,8 +480,8 @@
 constexpr runtime::Duration kSlack = milliseconds(300);
 constexpr runtime::Duration kDrain = milliseconds(500);
 
-discovery::NewsTerms ShortAsked() {
-  discovery::NewsTerms terms = discovery::NewsTerms::For(Rules(true, kDrain));
+discovery::PollPolicy ShortAsked() {
+  discovery::PollPolicy terms = discovery::PollPolicy::For(Rules(true, kDrain));
   terms.wait = milliseconds(300);
   terms.watch_patience = milliseconds(100);
   terms.list_patience = terms.retry_patience = milliseconds(300);
@@ -490,7 +494,7 @@
 
 // Calls from this one on come in the rhythm of a run of failures: no sooner and no later after one another
 // than the terms say.
-void ExpectRhythm(const discovery::NewsTerms& terms, const std::vector<Source::Seen>& seen,
+void ExpectRhythm(const discovery::PollPolicy& terms, const std::vector<Source::Seen>& seen,
                   std::size_t from) {
   for (std::size_t i = from; i < seen.size(); ++i) {
     const runtime::Duration gap = seen[i].at - seen[i - 1].at;
@@ -504,10 +508,10 @@
 
 // The news comes just after the last call that is silent has begun: nothing is later.
 TEST_P(Silence, OfAnAgentIsOverInTimeForTheNewsAfterIt) {
-  const discovery::NewsRules rules = Rules(false, kDrain);
+  const discovery::StalenessRules rules = Rules(false, kDrain);
   for (const int calls : {1, 2, 3}) {
     Source source;
-    Loop loop(discovery::NewsTerms::For(rules), source.endpoint());
+    Loop loop(discovery::PollPolicy::For(rules), source.endpoint());
     loop.discovery.Ask();
     ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));  // a watch has been over
     source.FallSilent(GetParam(), calls);
@@ -515,20 +519,20 @@
     const runtime::TimePoint told = runtime::Now();
     source.Tell(2);
     ASSERT_TRUE(loop.Until([&] { return loop.revision == 2; }));
-    const discovery::NewsCase news =
-        calls == 1 ? discovery::NewsCase::kWatch : discovery::NewsCase::kAfterOutage;
+    const discovery::StalenessCase news =
+        calls == 1 ? discovery::StalenessCase::kWatch : discovery::StalenessCase::kAfterOutage;
     EXPECT_LE(runtime::Now() - told, discovery::AllowedBy(rules, news) + kSlack) << calls;
     EXPECT_EQ(loop.LogLines(), 2) << calls;  // its beginning and its end
   }
 }
 
 TEST_P(Silence, OfANewAgentOrToANewProcessIsOverInTime) {
-  const discovery::NewsRules rules = Rules(false, kDrain);
+  const discovery::StalenessRules rules = Rules(false, kDrain);
   for (const bool moved : {false, true}) {
     Source first;
     Source source;
     source.FallSilent(GetParam(), 1);
-    Loop loop(discovery::NewsTerms::For(rules), moved ? first.endpoint() : source.endpoint());
+    Loop loop(discovery::PollPolicy::For(rules), moved ? first.endpoint() : source.endpoint());
     loop.discovery.Ask();
     if (moved) {
       ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; }));
@@ -542,7 +546,7 @@
 }
 
 TEST_P(Silence, OfAWatchAtTheServiceIsAskedAfterOnceAtOnce) {
-  const discovery::NewsTerms terms = ShortAsked();
+  const discovery::PollPolicy terms = ShortAsked();
   Source source;
   Loop loop(terms, source.endpoint());
   loop.discovery.Ask();
@@ -552,7 +556,7 @@
   const runtime::TimePoint begun = runtime::Now();
   source.Tell(2);
   ASSERT_TRUE(loop.Until([&] { return loop.revision == 2; }));
-  EXPECT_LE(runtime::Now() - begun, discovery::WorstOf(terms, discovery::NewsCase::kWatch) + kSlack);
+  EXPECT_LE(runtime::Now() - begun, discovery::WorstOf(terms, discovery::StalenessCase::kWatch) + kSlack);
   for (const auto& call : source.seen()) {
     if (call.at > begun) {
       EXPECT_NE(call.target.find("?index=1&wait=1"), std::string::npos) << call.target;  // from what is held
@@ -562,7 +566,7 @@
 }
 
 TEST_P(Silence, OfAWatchAndWhatFollowedItIsAskedAfterInARhythm) {
-  const discovery::NewsTerms terms = ShortAsked();
+  const discovery::PollPolicy terms = ShortAsked();
   Source source;
   Loop loop(terms, source.endpoint());
   loop.discovery.Ask();
@@ -576,19 +580,20 @@
   source.Tell(2);
   const runtime::TimePoint back = runtime::Now();
   ASSERT_TRUE(loop.Until([&] { return loop.revision == 2; }));
-  EXPECT_LE(runtime::Now() - back, discovery::WorstOf(terms, discovery::NewsCase::kAfterOutage) + kSlack);
+  EXPECT_LE(runtime::Now() - back,
+            discovery::WorstOf(terms, discovery::StalenessCase::kAfterOutage) + kSlack);
   EXPECT_EQ(loop.LogLines(), 2);
 }
 
 TEST_P(Silence, OfAWholeListFromTheServiceIsAskedAfterOnce) {
-  const discovery::NewsTerms terms = ShortAsked();
+  const discovery::PollPolicy terms = ShortAsked();
   Source source;
   source.FallSilent(GetParam(), 1);
   Loop loop(terms, source.endpoint());
   loop.discovery.Ask();
   const runtime::TimePoint begun = runtime::Now();
   ASSERT_TRUE(loop.Until([&] { return loop.revision == 1; }));
-  EXPECT_LE(runtime::Now() - begun, discovery::WorstOf(terms, discovery::NewsCase::kList) + kSlack);
+  EXPECT_LE(runtime::Now() - begun, discovery::WorstOf(terms, discovery::StalenessCase::kList) + kSlack);
   EXPECT_EQ(loop.discovery.counts().whole_asked, 2U);
 }
 
@@ -596,7 +601,7 @@
 
 TEST(Loop, ServiceThatTurnsCallsAwayIsAskedInTheSameRhythm) {
   for (const std::string text : {"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n", ""}) {
-    const discovery::NewsTerms terms = ShortAsked();
+    const discovery::PollPolicy terms = ShortAsked();
     Source source;
     Loop loop(terms, source.endpoint());
     loop.discovery.Ask();
@@ -633,7 +638,7 @@
       Source third;
       third.Tell(3);
       if (outage) first.AnswerWith("", 1000);
-      Loop loop(discovery::NewsTerms::For(Rules(on_request, kDrain)), first.endpoint());
+      Loop loop(discovery::PollPolicy::For(Rules(on_request, kDrain)), first.endpoint());
       loop.discovery.Ask();
       ASSERT_TRUE(loop.Until([&] { return outage ? loop.discovery.counts().failed > 0 : loop.lists > 0; }));
       loop.discovery.MoveTo(second.endpoint());
@@ -654,7 +659,7 @@
     for (const int drain_ms : {100, 500}) {
       Source source;
       source.TakeForAList(milliseconds(takes_ms));
-      Loop loop(discovery::NewsTerms::For(Rules(false, milliseconds(drain_ms))), source.endpoint());
+      Loop loop(discovery::PollPolicy::For(Rules(false, milliseconds(drain_ms))), source.endpoint());
       const runtime::TimePoint begun = runtime::Now();
       loop.discovery.Ask();
       ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; })) << takes_ms << ' ' << drain_ms;
@@ -677,7 +682,7 @@
 // Two calls are out: the one that was given up answers first, is listened to from then on, and the other is
 // dropped.
 TEST(Loop, AnsweredByACallThatWasGivenUpGoesOnWithIt) {
-  const discovery::NewsTerms terms = discovery::NewsTerms::For(Rules(false, kDrain));
+  const discovery::PollPolicy terms = discovery::PollPolicy::For(Rules(false, kDrain));
   const runtime::Duration takes = terms.list_patience + terms.retry_patience * 5 / 6;
   Source source;
   source.TakeForAList(takes);
@@ -694,7 +699,7 @@
 }
 
 TEST(Loop, AgentThatIsSilentOrBrokenIsNotAskedInASpin) {
-  const discovery::NewsTerms terms = discovery::NewsTerms::For(Rules(false, kDrain));
+  const discovery::PollPolicy terms = discovery::PollPolicy::For(Rules(false, kDrain));
   const runtime::Duration time = seconds(2);
   testing::BlackHole hole;
   testing::Refusing refusing;
@@ -730,7 +735,7 @@
   };
   Source source;
   source.Tell(5);
-  Loop loop(discovery::NewsTerms::For(Rules(false, kDrain)), source.endpoint());
+  Loop loop(discovery::PollPolicy::For(Rules(false, kDrain)), source.endpoint());
   loop.discovery.Ask();
   ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; }));
   source.AnswerWith(changes(4), 1);
--- a/tests/dispatcher_histories_test.cpp
+++ b/tests/dispatcher_histories_test.cpp
@@ -34,7 +34,7 @@
 constexpr int kUpstreams = 5;
 constexpr int kEvents = 120;  // of one history
 
-class LateAlarm : public runtime::Alarm {
+class LateAlarm : public runtime::Timer {
  public:
   LateAlarm(simulation::Simulator& sim, simulation::Random random)
       : sim_(sim), exact_(sim), random_(random) {}
@@ -47,7 +47,7 @@
 
  private:
   simulation::Simulator& sim_;
-  simulation::SimAlarm exact_;
+  simulation::SimulatedTimer exact_;
   simulation::Random random_;
 };
 
@@ -71,20 +71,20 @@
     cls.name = std::to_string(i);
     cls.effect = i < 1 ? Effect::kSafe : i < 4 ? Effect::kKeyed : Effect::kUnsafe;
     cls.key_scope = i == 2 ? KeyScope::kZone : i == 3 ? KeyScope::kCell : KeyScope::kAll;
-    cls.aim = simulation::Milliseconds(random.Between(50, 500));
+    cls.latency_objective = simulation::Milliseconds(random.Between(50, 500));
     cls.deadline = simulation::Milliseconds(random.Between(200, 4000));
     cls.key_window = simulation::Milliseconds(random.Between(50, 3000));
-    cls.late_worth = random.Chance(0.5) ? 0.5 : 0;
+    cls.late_priority_weight = random.Chance(0.5) ? 0.5 : 0;
     settings.classes.push_back(cls);
   }
   settings.limits.max_attempts = 1 + random.Below(4);
-  settings.limits.second_copies = random.Chance(0.5);
+  settings.limits.hedging = random.Chance(0.5);
   settings.limits.cancel = random.Chance(0.8);
   settings.limits.probes = random.Chance(0.3);
   settings.load_by_probe = settings.limits.probes;
   settings.membership_on_request = random.Chance(0.5);
-  settings.rules.ask_within = simulation::Milliseconds(random.Between(500, 5000));
-  settings.rules.cold_time = simulation::Milliseconds(random.Between(500, 5000));
+  settings.rules.poll_within = simulation::Milliseconds(random.Between(500, 5000));
+  settings.rules.slow_start_duration = simulation::Milliseconds(random.Between(500, 5000));
   return settings;
 }
 
@@ -187,8 +187,8 @@
     }
     Check(dispatcher_.open() == open,
           "open: " + std::to_string(dispatcher_.open()) + " for " + std::to_string(open));
-    Check(dispatcher_.owed() == owed,
-          "owed: " + std::to_string(dispatcher_.owed()) + " for " + std::to_string(owed));
+    Check(dispatcher_.in_flight() == owed,
+          "owed: " + std::to_string(dispatcher_.in_flight()) + " for " + std::to_string(owed));
     // What is out for a request that has ended is called off, but for trials, of which the module tells only
     // how many there were, and which an unsafe request never is.
     for (const dispatch::ExchangeId id : out_) {
@@ -203,10 +203,10 @@
       ++kept;
     }
     const balancer::Counts counts = dispatcher_.counts();
-    Check(kept <= counts.trials, "attempts of ended requests were not called off");
+    Check(kept <= counts.half_open_probes, "attempts of ended requests were not called off");
     // The module decides on no further attempt once it has been told of the end. Where a request ends from
     // within the module's turn, that turn may have one left, which is not carried out.
-    const std::size_t decided = counts.first + counts.retries + counts.copies + counts.trials;
+    const std::size_t decided = counts.first + counts.retries + counts.hedges + counts.half_open_probes;
     Check(decided <= attempts_.size() + ended_within_,
           std::to_string(decided) + " attempts decided, " + std::to_string(attempts_.size()) + " sent",
           Rule::kAttemptEnds);
@@ -228,13 +228,13 @@
     for (const Call& call : calls_) {
       Check(call.finals == 1 || call.left, "no Final of a request of class " + ClassOf(call).name);
     }
-    Check(dispatcher_.open() == 0 && dispatcher_.owed() == 0, "something is left");
+    Check(dispatcher_.open() == 0 && dispatcher_.in_flight() == 0, "something is left");
     const balancer::Counts counts = dispatcher_.counts();
     Check(std::accumulate(counts.ended.begin(), counts.ended.end(), std::uint64_t{0}) ==
-              counts.first + counts.retries + counts.copies + counts.trials,
+              counts.first + counts.retries + counts.hedges + counts.half_open_probes,
           "attempts without an end", Rule::kAttemptEnds);
     std::uint64_t taken = 0, ended = 0, written = 0;
-    for (const dispatch::Tally::Row& row : dispatcher_.tally().rows()) {
+    for (const dispatch::RequestCounters::Row& row : dispatcher_.request_counters().rows()) {
       taken += row.taken;
       written += row.sent;
       ended += std::accumulate(row.ended.begin(), row.ended.end(), std::uint64_t{0});
@@ -262,7 +262,7 @@
     for (const dispatch::ExchangeId before : call.attempts) {
       if (!MayHaveRun(before)) continue;
       const Attempt& earlier = attempts_.at(before);
-      Check(earlier.outcome || settings_.limits.second_copies, "two out at once");
+      Check(earlier.outcome || settings_.limits.hedging, "two out at once");
       Check(cls.effect != Effect::kUnsafe, "an unsafe request that may have run was sent again");
       if (cls.effect != Effect::kKeyed) continue;
       Check(sim_.now() - earlier.sent < cls.key_window, "a keyed request was sent again after its window");
@@ -384,7 +384,7 @@
     request.key = key;
     request.message = std::make_shared<Ask>(number);
     request.on_final = [this, number](dispatch::Final final) { Ended(number, std::move(final)); };
-    call.id = dispatcher_.Take(std::move(request));
+    call.id = dispatcher_.Submit(std::move(request));
     return call.id.has_value();
   }
 
@@ -422,7 +422,7 @@
     ++seen_[call.ended()            ? "body whole after the end"
             : call.attempts.empty() ? "body whole"
                                     : "body whole, sent on"];
-    dispatcher_.Whole(*call.id, call.deadline);
+    dispatcher_.OnRequestComplete(*call.id, call.deadline);
   }
 
   void Leave() {
@@ -439,7 +439,7 @@
       call.streams.reset();
     }
     call.arriving = false;
-    dispatcher_.Gone(*call.id);
+    dispatcher_.OnClientDisconnected(*call.id);
   }
 
   void Ended(std::size_t number, dispatch::Final final) {
@@ -464,7 +464,7 @@
             "the reply of another attempt");
       Check(final.late == (!call.arriving && sim_.now() >= call.deadline), "a Final errs about its time",
             Rule::kTime);
-      ++seen_[final.late ? "late" : final.kind == dispatch::Final::Kind::kRefused ? "refused" : "failed"];
+      ++seen_[final.late ? "late" : final.kind == dispatch::Final::Kind::kRejected ? "refused" : "failed"];
       const balancer::RequestClass& cls = ClassOf(call);
       const bool harmless =
           cls.effect == Effect::kSafe || (cls.effect == Effect::kKeyed && cls.key_scope == KeyScope::kAll);
--- a/tests/embed_example.cpp
+++ b/tests/embed_example.cpp
@@ -12,7 +12,7 @@
   void operator()(const mothrack::balancer::SendAttempt& a) {
     std::printf("send to %s\n", a.upstream.value.c_str());
   }
-  void operator()(const mothrack::balancer::Refuse&) { std::printf("refuse\n"); }
+  void operator()(const mothrack::balancer::Reject&) { std::printf("refuse\n"); }
   void operator()(const mothrack::balancer::Fail&) { std::printf("fail\n"); }
   void operator()(const mothrack::balancer::Log& a) { std::printf("log: %s\n", a.text.c_str()); }
   template <typename Other>
@@ -21,8 +21,10 @@
 
 int main() {
   mothrack::balancer::Settings settings;
-  settings.classes.push_back(
-      {.name = "lookup", .aim = 200ms, .deadline = 1s, .effect = mothrack::balancer::Effect::kSafe});
+  settings.classes.push_back({.name = "lookup",
+                              .latency_objective = 200ms,
+                              .deadline = 1s,
+                              .effect = mothrack::balancer::Effect::kSafe});
   mothrack::balancer::Balancer balancer(settings, /*seed=*/42);
 
   std::vector<mothrack::balancer::Action> actions;
--- a/tests/fleet_test.cpp
+++ b/tests/fleet_test.cpp
@@ -40,8 +40,8 @@
   std::map<std::string, int> fleet;
   for (std::size_t self = 0; self < 100; ++self) {
     Settings settings = DefaultSettings();
-    settings.balancers = 100;
-    settings.self = self;
+    settings.sidecar_count = 100;
+    settings.sidecar_index = self;
     World w(settings, 100 + self);
     w.List(20);
     Trickle(w, 4);
@@ -347,7 +347,7 @@
   World w(Reporting());
   w.List(6);
   const RequestId gone = w.Arrive(kUnsafe);
-  w.Do(RequestGone{gone});
+  w.Do(ClientDisconnected{gone});
   for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 1);
   w.Advance(3s);
   EXPECT_TRUE(w.sent.empty());
--- a/tests/helpers.h
+++ b/tests/helpers.h
@@ -19,7 +19,7 @@
 inline RequestClass Class(std::string name, Effect effect) {
   RequestClass c;
   c.name = std::move(name);
-  c.aim = 400ms;
+  c.latency_objective = 400ms;
   c.deadline = 2s;
   c.effect = effect;
   c.key_window = 5s;
@@ -41,7 +41,7 @@
   s.classes[4].key_scope = KeyScope::kCell;
   s.zone = "here";
   s.limits.max_attempts = 4;
-  s.limits.second_copies = true;
+  s.limits.hedging = true;
   return s;
 }
 
@@ -184,7 +184,7 @@
     sent.push_back({a.request, AttemptId{attempts_[a.request]++}, a.upstream.value, a.timeout, now});
   }
   void Record(const CancelAttempt& a) { cancelled.emplace_back(a.request, a.attempt); }
-  void Record(const Refuse& a) {
+  void Record(const Reject& a) {
     refused.push_back(a.request);
     last_retry_after = a.retry_after;
   }
--- a/tests/module_test.cpp
+++ b/tests/module_test.cpp
@@ -275,7 +275,7 @@
   w.Advance(30s);
   EXPECT_GT(w.Spread(60)[call.upstream], 10);
   EXPECT_TRUE(w.failed.empty() && w.refused.empty());
-  w.Do(RequestWhole{e.request, w.now + 2s});
+  w.Do(RequestComplete{e.request, w.now + 2s});
   w.Advance(1900ms);
   EXPECT_TRUE(w.failed.empty());
   w.Advance(200ms);
@@ -320,7 +320,7 @@
 
 TEST(StartedAnswer, OutlivesTheCopiesThatAreCalledOff) {
   Settings settings = DefaultSettings();
-  settings.limits.second_copies = true;
+  settings.limits.hedging = true;
   World w(settings);
   w.List(3);
   w.Spread(60);
@@ -336,7 +336,7 @@
   w.Finish(first, Outcome::kCancelled, true);
   EXPECT_EQ(w.cancelled, called_off);
   // Its client leaves: then nobody wants it.
-  w.Do(RequestGone{id});
+  w.Do(ClientDisconnected{id});
   EXPECT_EQ(w.cancelled.size(), 2U);
 }
 
@@ -459,7 +459,7 @@
 // cold ones, of which lateness would not count: their being in time has to.
 TEST(Overload, EndsWhereWhatIsLetInGoesToColdUpstreams) {
   Settings s = DefaultSettings();
-  s.rules = {.cold_from = 0.5, .cold_time = 1000s, .fall_multiple = 30};
+  s.rules = {.slow_start_initial_share = 0.5, .slow_start_duration = 1000s, .overload_multiple = 30};
   World w(s);
   std::vector<UpstreamInfo> list;
   for (const char* id : {"a", "b", "c", "d", "e", "f"}) {
@@ -499,8 +499,8 @@
 
 TEST(Aim, GrowsWithTheWorkOfACallAsFarAsItsDeadline) {
   Settings s = DefaultSettings();
-  s.classes[0].aim_stretch = 2;
-  s.limits.second_copies = false;
+  s.classes[0].latency_objective_stretch = 2;
+  s.limits.hedging = false;
   const auto timeout = [&](std::optional<Duration> work) {
     World w(s);
     w.List(4);
@@ -529,7 +529,7 @@
   EXPECT_EQ(w.subscribed, 1);
   w.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
   EXPECT_EQ(w.subscribed, 1) << "not at once";
-  w.Advance(s.rules.ask_within / 5 + 250ms);  // as src/discovery/news.cpp counts on
+  w.Advance(s.rules.poll_within / 5 + 250ms);  // as src/discovery/news.cpp counts on
   EXPECT_EQ(w.subscribed, 2);
   EXPECT_GT(w.Spread(10)["a"], 0) << "the old list holds";
 }
@@ -546,15 +546,15 @@
     return false;
   };
   EXPECT_TRUE(named([](Settings& s) { s.classes.clear(); }, "classes"));
-  EXPECT_TRUE(named([](Settings& s) { s.classes[0].aim = 0ms; }, "aim"));
+  EXPECT_TRUE(named([](Settings& s) { s.classes[0].latency_objective = 0ms; }, "aim"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[0].deadline = -1ms; }, "deadline"));
   EXPECT_TRUE(named([](Settings& s) { s.classes[2].key_window = 0ms; }, "key_window"));
   EXPECT_TRUE(named([](Settings& s) { s.limits.max_attempts = 0; }, "max_attempts"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.cold_from = 0; }, "cold_from"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.cold_from = 1.5; }, "cold_from"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.cold_time = 0ms; }, "cold_time"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.fall_window = 0ms; }, "fall_window"));
-  EXPECT_TRUE(named([](Settings& s) { s.rules.fall_multiple = 0; }, "fall_multiple"));
+  EXPECT_TRUE(named([](Settings& s) { s.rules.slow_start_initial_share = 0; }, "cold_from"));
+  EXPECT_TRUE(named([](Settings& s) { s.rules.slow_start_initial_share = 1.5; }, "cold_from"));
+  EXPECT_TRUE(named([](Settings& s) { s.rules.slow_start_duration = 0ms; }, "cold_time"));
+  EXPECT_TRUE(named([](Settings& s) { s.rules.overload_window = 0ms; }, "fall_window"));
+  EXPECT_TRUE(named([](Settings& s) { s.rules.overload_multiple = 0; }, "fall_multiple"));
 }
 
 TEST(Determinism, SameEventsSameActions) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -45,10 +45,10 @@
   World w;
   w.List(2);
   const RequestId id = w.Arrive(kUnsafe, 500ms);
-  w.Do(RequestGone{id});
+  w.Do(ClientDisconnected{id});
   w.Finish(w.sent[0], Outcome::kError, true);
   w.Finish(w.sent[0], Outcome::kError, true);
-  w.Do(RequestGone{id});
+  w.Do(ClientDisconnected{id});
   w.Do(TimerFired{999999});
   w.Do(AttemptEnded{RequestId{424242}, AttemptId{0}, Outcome::kError, 1ms, false, {}});
   w.Advance(3s);
@@ -148,7 +148,7 @@
 
 TEST(NoEffectTwice, NoSecondCopyWhereTheDeploymentForbidsIt) {
   Settings s = DefaultSettings();
-  s.limits.second_copies = false;
+  s.limits.hedging = false;
   World w(s);
   w.List(4);
   for (int i = 0; i < 50; ++i) w.Serve();
@@ -255,7 +255,7 @@
   std::mt19937_64 random(GetParam());
   const auto below = [&random](std::uint64_t n) { return random() % n; };
   Settings s = DefaultSettings();
-  s.limits.second_copies = below(2) == 0;
+  s.limits.hedging = below(2) == 0;
   s.limits.probes = below(2) == 0;
   s.limits.cancel = below(4) != 0;
   s.limits.max_attempts = 1 + below(5);
@@ -284,7 +284,7 @@
         EXPECT_TRUE(s.limits.cancel);
       }
       const auto* send = std::get_if<SendAttempt>(&action);
-      const auto* refuse = std::get_if<Refuse>(&action);
+      const auto* refuse = std::get_if<Reject>(&action);
       const auto* fail = std::get_if<Fail>(&action);
       if (send == nullptr && refuse == nullptr && fail == nullptr) continue;
       const RequestId id = send != nullptr     ? send->request
@@ -302,7 +302,7 @@
         may_have_run = true;
         if (send == nullptr) continue;
         if (!outcome) {
-          EXPECT_TRUE(s.limits.second_copies);
+          EXPECT_TRUE(s.limits.hedging);
         }
         EXPECT_NE(effect, Effect::kUnsafe);
         if (effect != Effect::kKeyed) continue;
@@ -329,10 +329,11 @@
       EXPECT_EQ(to.state, UpstreamState::kServing);
       r.attempts.emplace_back(
           Sent{id, AttemptId{r.attempts.size()}, send->upstream.value, send->timeout, w.now}, std::nullopt);
-      if (to.started && w.now - *to.started < s.rules.cold_time) {
-        const double age =
-            static_cast<double>((w.now - *to.started) / 1us) / static_cast<double>(s.rules.cold_time / 1us);
-        cold_sends[to.id.value].emplace_back(w.now, s.rules.cold_from + (1 - s.rules.cold_from) * age);
+      if (to.started && w.now - *to.started < s.rules.slow_start_duration) {
+        const double age = static_cast<double>((w.now - *to.started) / 1us) /
+                           static_cast<double>(s.rules.slow_start_duration / 1us);
+        cold_sends[to.id.value].emplace_back(
+            w.now, s.rules.slow_start_initial_share + (1 - s.rules.slow_start_initial_share) * age);
       }
     }
   };
@@ -402,7 +403,7 @@
       auto it = requests.begin();
       std::advance(it, below(requests.size()));
       it->second.ended = true;
-      w.Do(RequestGone{it->first});
+      w.Do(ClientDisconnected{it->first});
       check();
     } else if (roll < 97) {
       change(std::string(1, static_cast<char>('a' + below(6))), below(3) == 0);
@@ -410,13 +411,13 @@
     if (HasFatalFailure()) return;
   }
   // About 45 first tries a second, and seldom fewer than two of the six upstreams listed: one that is fully
-  // warm takes 22 a second at most, a cold one may be sent `fall_multiple` times its warm share of that, and
-  // a call or two for the bunching.
+  // warm takes 22 a second at most, a cold one may be sent `overload_multiple` times its warm share of that,
+  // and a call or two for the bunching.
   for (const auto& [id, sends] : cold_sends) {
     for (std::size_t i = 0; i < sends.size(); ++i) {
       std::size_t k = i;
-      while (k + 1 < sends.size() && sends[k + 1].first - sends[i].first < s.rules.fall_window) ++k;
-      EXPECT_LE(static_cast<double>(k - i + 1), 2 + s.rules.fall_multiple * sends[k].second * 22) << id;
+      while (k + 1 < sends.size() && sends[k + 1].first - sends[i].first < s.rules.overload_window) ++k;
+      EXPECT_LE(static_cast<double>(k - i + 1), 2 + s.rules.overload_multiple * sends[k].second * 22) << id;
     }
   }
   w.Advance(5s);
--- a/tests/service_test.cpp
+++ b/tests/service_test.cpp
@@ -39,7 +39,7 @@
 
 // ---- The calls ----
 
-TEST(Ops, TellsThatItTakesClientsAndWhatItCounts) {
+TEST(OperatorApi, TellsThatItTakesClientsAndWhatItCounts) {
   Upstream upstream(Upstream::Echo("u"));
   Node node(Served(List({Target("u1", upstream.address()), Target("u2", upstream.address(), "leaving")})));
   ASSERT_TRUE(node.OpsListening());
@@ -57,7 +57,7 @@
   EXPECT_EQ(stats["cluster_unhealthy"], 0);
 }
 
-TEST(Ops, CountsWhatWasRefusedFailedAndIsOpen) {
+TEST(OperatorApi, CountsWhatWasRefusedFailedAndIsOpen) {
   std::promise<void> go;
   const auto open = go.get_future().share();
   Upstream upstream([&](Wire& wire, const Request& request, int) {
@@ -90,7 +90,7 @@
   EXPECT_EQ(Stats(ops)["current"], 0);
 }
 
-TEST(Ops, CallersThatHoldTheirConnectionsKeepNobodyWaiting) {
+TEST(OperatorApi, CallersThatHoldTheirConnectionsKeepNobodyWaiting) {
   Node node(Served(List({})));
   ASSERT_TRUE(node.OpsListening());
   const AdminClient ops(node.ops());
@@ -106,7 +106,7 @@
   for (const int fd : held) ::close(fd);
 }
 
-TEST(Ops, WhatIsNoCallGetsANo) {
+TEST(OperatorApi, WhatIsNoCallGetsANo) {
   Node node(Served(List({})));
   ASSERT_TRUE(node.OpsListening());
   const AdminClient ops(node.ops());
--- a/tests/sites_test.cpp
+++ b/tests/sites_test.cpp
@@ -104,7 +104,7 @@
   EXPECT_FALSE(clinic.membership_on_request);
   EXPECT_EQ(parcels.rules.drain_within, milliseconds(2500));
   EXPECT_EQ(clinic.rules.drain_within, milliseconds(100));
-  EXPECT_EQ(parcels.rules.ask_within, seconds(40));
+  EXPECT_EQ(parcels.rules.poll_within, seconds(40));
   EXPECT_EQ(parcels.classes[0].deadline, milliseconds(400));
   EXPECT_EQ(clinic.classes[1].deadline, seconds(12));
   EXPECT_EQ(parcels.classes[1].effect, Effect::kUnsafe);
@@ -117,11 +117,11 @@
   EXPECT_EQ(clinic.limits.max_attempts, 12U);
   EXPECT_TRUE(parcels.limits.cancel);
   EXPECT_FALSE(clinic.limits.cancel);
-  EXPECT_FALSE(parcels.limits.second_copies);
+  EXPECT_FALSE(parcels.limits.hedging);
   EXPECT_EQ(parcels.tenants.size(), 0U);
   EXPECT_EQ(clinic.tenants.size(), 3U);
-  EXPECT_EQ(parcels.balancers, 24U);
-  EXPECT_EQ(parcels.self, 5U);
+  EXPECT_EQ(parcels.sidecar_count, 24U);
+  EXPECT_EQ(parcels.sidecar_index, 5U);
   EXPECT_EQ(Load(ReadJson(PathOf("parcels", "config.json"))).memory, std::size_t{48} << 20);
 }
 
@@ -137,20 +137,20 @@
   for (std::size_t i = 0; i < classes.size(); ++i) {
     const toml::table& cls = *classes[i].as_table();
     EXPECT_EQ(cls["name"].value_or(""), settings.classes[i].name);
-    EXPECT_EQ(time(cls["aim_ms"]), settings.classes[i].aim);
+    EXPECT_EQ(time(cls["aim_ms"]), settings.classes[i].latency_objective);
     EXPECT_EQ(time(cls["deadline_ms"]), settings.classes[i].deadline);
-    EXPECT_EQ(cls["worth"].value_or(-1.0), settings.classes[i].worth);
+    EXPECT_EQ(cls["worth"].value_or(-1.0), settings.classes[i].priority_weight);
     EXPECT_EQ(effects.at(cls["effect"].value_or("")), settings.classes[i].effect);
     const auto window = cls["window_ms"] ? time(cls["window_ms"]) : settings.classes[i].key_window;
     EXPECT_EQ(window, settings.classes[i].key_window);
   }
   EXPECT_EQ(file["discovery"]["mode"].value_or(std::string()) == "ask", settings.membership_on_request);
   EXPECT_EQ(time(file["rules"]["drain_grace_ms"]), settings.rules.drain_within);
-  EXPECT_EQ(time(file["rules"]["fall_ms"]), settings.rules.fall_window);
-  EXPECT_EQ(file["rules"]["fall_multiple"].value_or(-1.0), settings.rules.fall_multiple);
+  EXPECT_EQ(time(file["rules"]["fall_ms"]), settings.rules.overload_window);
+  EXPECT_EQ(file["rules"]["fall_multiple"].value_or(-1.0), settings.rules.overload_multiple);
   EXPECT_EQ(file["allow"]["max_attempts"].value_or(0U), settings.limits.max_attempts);
   EXPECT_EQ(file["allow"]["cancel"].value_or(false), settings.limits.cancel);
-  EXPECT_EQ(file["allow"]["second_copies"].value_or(false), settings.limits.second_copies);
+  EXPECT_EQ(file["allow"]["second_copies"].value_or(false), settings.limits.hedging);
   EXPECT_EQ(time(file["clients"]["max_retry_after_ms"]), settings.limits.max_retry_after);
 }
 
--- a/tests/standins/link_box.cpp
+++ b/tests/standins/link_box.cpp
@@ -425,7 +425,7 @@
 }
 
 void LinkBox::TakeConnections(int listening) {
-  const Door& door = doors_.at(listening);
+  const AdminApi& door = doors_.at(listening);
   for (int fd = 0; (fd = ::accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;) {
     ++door.there->counts.connections;
     if (connections_.size() >= kMostConnections) {
--- a/tests/standins/link_box.h
+++ b/tests/standins/link_box.h
@@ -137,7 +137,7 @@
     std::uint32_t client_events = 0, server_events = 0;  // that the system is asked for
     bool client_reset = false, server_reset = false;     // gone, and a cut keeps it from the other side
   };
-  struct Door {
+  struct AdminApi {
     Link* there = nullptr;
     Link* back = nullptr;
     std::uint16_t real = 0;
@@ -179,7 +179,7 @@
   std::unordered_map<int, End*> by_fd_;
   std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>> links_;
   std::multimap<Clock::time_point, Datagram> datagrams_;
-  std::map<int, Door> doors_;                               // by the listening socket
+  std::map<int, AdminApi> doors_;                           // by the listening socket
   std::map<int, std::unique_ptr<Connection>> connections_;  // by the client's socket
   std::unordered_map<int, Connection*> sockets_;            // either side's
   std::uint64_t strangers_ = 0;
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -433,10 +433,10 @@
     service.discovery.Tell(List({Target(uid, fresh.address(), "active",
                                         std::chrono::duration_cast<milliseconds>(unix_time).count())}),
                            false);
-    double warmth = -1;
-    ASSERT_TRUE(Eventually([&] { return (warmth = WarmthOf(operator_client, uid)) >= 0; }))
+    double slow_start_factor = -1;
+    ASSERT_TRUE(Eventually([&] { return (slow_start_factor = WarmthOf(operator_client, uid)) >= 0; }))
         << service.node.log();
-    EXPECT_LT(warmth, 0.5) << uid;
+    EXPECT_LT(slow_start_factor, 0.5) << uid;
   }
   service.faults.plan().wall_step_us = 0;
   ASSERT_TRUE(service.Serves(100)) << service.node.log();
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -75,19 +75,19 @@
 TEST(Wire, ReadsTheSettings) {
   const balancer::Settings s = ParseSettings(Params());
   ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].aim, balancer::Duration(400000));
+  EXPECT_EQ(s.classes[0].latency_objective, balancer::Duration(400000));
   EXPECT_EQ(s.classes[0].deadline, balancer::Duration(1000000));
   EXPECT_EQ(s.classes[0].effect, balancer::Effect::kSafe);
-  EXPECT_DOUBLE_EQ(s.classes[0].late_worth, 0.25);
+  EXPECT_DOUBLE_EQ(s.classes[0].late_priority_weight, 0.25);
   ASSERT_EQ(s.tenants.size(), 1u);
   EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 12.5);
   EXPECT_EQ(s.limits.max_attempts, 6u);
   EXPECT_FALSE(s.limits.cancel);
-  EXPECT_EQ(s.rules.fall_window, balancer::Duration(1500000));
-  EXPECT_DOUBLE_EQ(s.rules.cold_from, 0.13);
+  EXPECT_EQ(s.rules.overload_window, balancer::Duration(1500000));
+  EXPECT_DOUBLE_EQ(s.rules.slow_start_initial_share, 0.13);
   EXPECT_DOUBLE_EQ(s.prices.cross_zone, 0.03);
   EXPECT_TRUE(s.membership_on_request);
-  EXPECT_EQ(s.balancers, 3u);
+  EXPECT_EQ(s.sidecar_count, 3u);
 }
 
 TEST(Wire, AnEmptyBatchHasAnEmptyReply) {
