--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "peers_net.h"
+#include "gossip/peers_net.h"
 
 namespace {
 
--- a/tests/action_digest_test.cpp
+++ b/tests/balancer/action_digest_test.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "helpers.h"
+#include "balancer/helpers.h"
 
 namespace mothrack::balancer::testing {
 namespace {
--- a/tests/cold_fleet_test.cpp
+++ b/tests/balancer/cold_fleet_test.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <vector>
 
-#include "helpers.h"
+#include "balancer/helpers.h"
 
 namespace mothrack::balancer::testing {
 namespace {
--- a/tests/fleet_test.cpp
+++ b/tests/balancer/fleet_test.cpp
@@ -3,7 +3,7 @@
 #include <memory>
 #include <set>
 
-#include "helpers.h"
+#include "balancer/helpers.h"
 
 namespace mothrack::balancer::testing {
 namespace {
--- a/tests/module_test.cpp
+++ b/tests/balancer/module_test.cpp
@@ -6,7 +6,7 @@
 #include <set>
 #include <stdexcept>
 
-#include "helpers.h"
+#include "balancer/helpers.h"
 
 namespace mothrack::balancer::testing {
 namespace {
--- a/tests/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -4,7 +4,7 @@
 #include <random>
 #include <set>
 
-#include "helpers.h"
+#include "balancer/helpers.h"
 
 namespace mothrack::balancer::testing {
 namespace {
--- a/tests/freeze_model.cpp
+++ b/tests/change_freeze/freeze_model.cpp
@@ -1,4 +1,4 @@
-#include "freeze_model.h"
+#include "change_freeze/freeze_model.h"
 
 #include <algorithm>
 #include <functional>
--- a/tests/freeze_test.cpp
+++ b/tests/change_freeze/freeze_test.cpp
@@ -7,8 +7,8 @@
 #include <set>
 
 #include "change_freeze/desk.h"
-#include "freeze_model.h"
-#include "tables.h"
+#include "change_freeze/freeze_model.h"
+#include "support/tables.h"
 
 namespace mothrack::change_freeze {
 namespace {
--- a/tests/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -16,8 +16,8 @@
 #include <thread>
 #include <vector>
 
+#include "balancer/helpers.h"
 #include "discovery/endpoint_staleness.h"
-#include "helpers.h"
 #include "simulator_adapter/wire.h"
 #include "standins/peers.h"
 
--- a/tests/peers_core_test.cpp
+++ b/tests/gossip/peers_core_test.cpp
@@ -9,8 +9,8 @@
 #include <sstream>
 
 #include "gossip/core.h"
-#include "peers_net.h"
-#include "tables.h"
+#include "gossip/peers_net.h"
+#include "support/tables.h"
 
 namespace mothrack::gossip {
 namespace {
--- a/tests/peers_wire_test.cpp
+++ b/tests/gossip/peers_wire_test.cpp
@@ -9,8 +9,8 @@
 #include <functional>
 
 #include "gossip/peers.pb.h"
+#include "gossip/peers_messages.h"
 #include "gossip/seal.h"
-#include "peers_messages.h"
 
 namespace mothrack::gossip {
 namespace {
--- a/tests/ring_test.cpp
+++ b/tests/hash_ring/ring_test.cpp
@@ -10,7 +10,7 @@
 #include "gtest/gtest.h"
 #include "hash_ring/load.h"
 #include "hash_ring/maker.h"
-#include "tables.h"
+#include "support/tables.h"
 
 namespace mothrack::hash_ring {
 namespace {
--- a/tests/changes_model.cpp
+++ b/tests/rollout/changes_model.cpp
@@ -1,4 +1,4 @@
-#include "changes_model.h"
+#include "rollout/changes_model.h"
 
 #include <algorithm>
 #include <functional>
--- a/tests/changes_test.cpp
+++ b/tests/rollout/changes_test.cpp
@@ -6,9 +6,9 @@
 #include <set>
 #include <string>
 
-#include "changes_model.h"
 #include "gtest/gtest.h"
 #include "rollout/change.h"
+#include "rollout/changes_model.h"
 #include "rollout/claim.h"
 #include "rollout/instance.h"
 #include "rollout/lease.h"
--- a/tests/zones_test.cpp
+++ b/tests/zone_failover/zones_test.cpp
@@ -8,7 +8,7 @@
 #include <random>
 #include <sstream>
 
-#include "tables.h"
+#include "support/tables.h"
 #include "zone_failover/decision.h"
 
 namespace mothrack::zone_failover {
