--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -11,8 +11,8 @@
 #include <thread>
 #include <vector>
 
-#include "simulation/load.h"
-#include "simulation/world.h"
+#include "simulation/load_generator.h"
+#include "simulation/simulation_run.h"
 #include "standins/peers.h"
 
 namespace {
@@ -81,7 +81,7 @@
 
 Told Emulated(double use) {
   const Scenario s = Night(use);
-  World world(s, 11);
+  SimulationRun world(s, 11);
   world.Run();
   const Second sum = world.figures().Sum();
   return {world.figures().served_share(), static_cast<double>(sum.attempts) / static_cast<double>(sum.tries),
@@ -118,7 +118,7 @@
   std::vector<std::thread> threads;
   for (int i = 0; i < kSidecars; ++i) {
     threads.emplace_back([&, i] {
-      LoadOrder order;
+      LoadConfig order;
       order.port = nodes[static_cast<std::size_t>(i)]->port();
       order.rate = use * can / kSidecars;
       order.length_s = kSeconds;
--- a/src/simulation/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <cmath>
 
-#include "simulation/sim.h"
+#include "simulation/simulator.h"
 
 namespace mothrack::simulation {
 namespace {
@@ -16,7 +16,7 @@
 constexpr double kMostLate = 0.05;
 constexpr std::size_t kWellSeconds = 3;
 // Room: what is able exceeds the demand by this.
-constexpr double kRoom = 1.1;
+constexpr double kCapacityMargin = 1.1;
 
 }  // namespace
 
@@ -54,38 +54,38 @@
   return seconds_[std::min(i, seconds_.size() - 1)];
 }
 
-void Figures::Tell(const Happening& h) {
+void Figures::Record(const SimulationEvent& h) {
   const double s = InSeconds(h.at);
   switch (h.kind) {
-    case Happening::Kind::kAsked:
-      ++At(s).asked;
-      At(s).worth += scenario_.classes[h.cls].worth;
-      wanted_[h.request] = {h.at, h.cls};
+    case SimulationEvent::Kind::kRequested:
+      ++At(s).requested;
+      At(s).priority_weight += scenario_.classes[h.cls].priority_weight;
+      requested_[h.request] = {h.at, h.cls};
       break;
-    case Happening::Kind::kGotten: {
-      const auto it = wanted_.find(h.request);
-      if (it == wanted_.end()) break;
+    case SimulationEvent::Kind::kResolved: {
+      const auto it = requested_.find(h.request);
+      if (it == requested_.end()) break;
       const double began = InSeconds(it->second.at);
       Second& second = At(began);
-      if (h.ending == Ending::kServed) {
+      if (h.request_outcome == RequestOutcome::kServed) {
         const double ms = InMilliseconds(h.at - it->second.at);
         ++(h.late ? second.late : second.good);
-        if (!h.late) second.gained += scenario_.classes[it->second.cls].worth;
+        if (!h.late) second.gained += scenario_.classes[it->second.cls].priority_weight;
         times_[std::min(static_cast<std::size_t>(began), times_.size() - 1)](ms);
         all_(ms);
       } else {
-        ++(h.ending == Ending::kRefused ? second.refused : second.failed);
+        ++(h.request_outcome == RequestOutcome::kRefused ? second.refused : second.failed);
       }
-      wanted_.erase(it);
+      requested_.erase(it);
       break;
     }
-    case Happening::Kind::kTaken:
-      ++At(s).tries;
+    case SimulationEvent::Kind::kAccepted:
+      ++At(s).client_attempts;
       break;
-    case Happening::Kind::kFinal:
-      if (h.ending == Ending::kRefused) ++At(s).refused_tries;
+    case SimulationEvent::Kind::kAnswered:
+      if (h.request_outcome == RequestOutcome::kRefused) ++At(s).rejected_client_attempts;
       break;
-    case Happening::Kind::kSent:
+    case SimulationEvent::Kind::kAttemptSent:
       ++At(s).attempts;
       break;
     default:
@@ -104,15 +104,15 @@
 Second Figures::Sum() const {
   Second sum;
   for (const Second& s : seconds_) {
-    sum.asked += s.asked;
+    sum.requested += s.requested;
     sum.good += s.good;
     sum.late += s.late;
     sum.refused += s.refused;
     sum.failed += s.failed;
-    sum.worth += s.worth;
+    sum.priority_weight += s.priority_weight;
     sum.gained += s.gained;
-    sum.tries += s.tries;
-    sum.refused_tries += s.refused_tries;
+    sum.client_attempts += s.client_attempts;
+    sum.rejected_client_attempts += s.rejected_client_attempts;
     sum.attempts += s.attempts;
     sum.connects += s.connects;
     sum.overload += s.overload;
@@ -129,12 +129,13 @@
 
 double Figures::served_share() const {
   const Second sum = Sum();
-  return sum.asked == 0 ? 1 : static_cast<double>(sum.good + sum.late) / static_cast<double>(sum.asked);
+  return sum.requested == 0 ? 1
+                            : static_cast<double>(sum.good + sum.late) / static_cast<double>(sum.requested);
 }
 
 double Figures::gained_share() const {
   const Second sum = Sum();
-  return sum.worth <= 0 ? 1 : sum.gained / sum.worth;
+  return sum.priority_weight <= 0 ? 1 : sum.gained / sum.priority_weight;
 }
 
 std::optional<Recovery> Figures::recovery() const {
@@ -149,18 +150,18 @@
   }
   const auto bad = [](const Second& s) { return static_cast<double>(s.refused + s.failed); };
   const auto well = [&](const Second& s) {
-    const auto asked = static_cast<double>(std::max<std::uint64_t>(1, s.asked));
-    return bad(s) < kMostRefused * asked && static_cast<double>(s.late) < kMostLate * asked;
+    const auto requested = static_cast<double>(std::max<std::uint64_t>(1, s.requested));
+    return bad(s) < kMostRefused * requested && static_cast<double>(s.late) < kMostLate * requested;
   };
   Recovery recovery;
   recovery.covered_s = static_cast<double>(covered);
   double lost = 0;
-  double asked = 0;
+  double requested = 0;
   for (const Second& s : seconds_) {
-    asked += static_cast<double>(s.asked);
-    if (s.able >= kRoom * s.demand) lost += bad(s);
+    requested += static_cast<double>(s.requested);
+    if (s.able >= kCapacityMargin * s.demand) lost += bad(s);
   }
-  recovery.needless = asked > 0 ? lost / asked : 0;
+  recovery.needless = requested > 0 ? lost / requested : 0;
   for (std::size_t i = covered; i + kWellSeconds <= seconds_.size(); ++i) {
     const auto begin_at = seconds_.begin() + static_cast<std::ptrdiff_t>(i);
     if (!std::all_of(begin_at, begin_at + static_cast<std::ptrdiff_t>(kWellSeconds), well)) continue;
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -7,8 +7,8 @@
 #include <string>
 #include <vector>
 
-#include "simulation/happening.h"
 #include "simulation/scenario.h"
+#include "simulation/simulation_event.h"
 
 namespace mothrack::simulation {
 
@@ -21,16 +21,16 @@
 
 struct Second {
   // Wishes by the second in which they began.
-  std::uint64_t asked = 0;
+  std::uint64_t requested = 0;
   std::uint64_t good = 0;     // served within their aim
   std::uint64_t late = 0;     // served after it
   std::uint64_t refused = 0;  // came to nothing, the last word being a refusal
   std::uint64_t failed = 0;
-  double worth = 0;  // asked for
+  double priority_weight = 0;  // asked for
   double gained = 0;
   // What was done in it.
-  std::uint64_t tries = 0;  // requests that sidecars took
-  std::uint64_t refused_tries = 0;
+  std::uint64_t client_attempts = 0;  // requests that sidecars took
+  std::uint64_t rejected_client_attempts = 0;
   std::uint64_t attempts = 0;
   std::uint64_t connects = 0;
   // What the modules say: refused as overload, with nobody to send to, given up after attempts; sent again,
@@ -43,8 +43,8 @@
   // Of the whole, when warm and well: what could serve, and what was asked of it for the first time.
   double able = 0;
   double demand = 0;
-  double held = 0;  // calls at servers
-  int cold = 0;     // servers
+  double in_flight = 0;  // calls at servers
+  int warming_up = 0;    // servers
   int down = 0;
   double p50 = 0, p95 = 0, p99 = 0;  // milliseconds, of what was served
 };
@@ -61,7 +61,7 @@
  public:
   Figures(const Scenario& scenario);
 
-  void Tell(const Happening& h);
+  void Record(const SimulationEvent& h);
   // Of the second that is over.
   Second& At(double s);
   void Finish();
@@ -75,7 +75,7 @@
   std::optional<Recovery> recovery() const;
 
  private:
-  struct Wanted {
+  struct Requested {
     runtime::TimePoint at;
     std::size_t cls;
   };
@@ -83,7 +83,7 @@
   std::vector<Second> seconds_;
   std::vector<Times> times_;
   Times all_;
-  std::unordered_map<std::uint64_t, Wanted> wanted_;
+  std::unordered_map<std::uint64_t, Requested> requested_;
 };
 
 }  // namespace mothrack::simulation
--- a/src/simulation/rules.cpp
+++ b/src/simulation/invariants.cpp
@@ -1,9 +1,9 @@
-#include "simulation/rules.h"
+#include "simulation/invariants.h"
 
 #include <algorithm>
 #include <numeric>
 
-#include "simulation/sim.h"
+#include "simulation/simulator.h"
 
 namespace mothrack::simulation {
 namespace {
@@ -27,7 +27,7 @@
 
 std::size_t Rules::total() const { return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0}); }
 
-void Rules::Broken(Rule rule, runtime::TimePoint at, std::string what) {
+void Rules::RecordBreach(Rule rule, runtime::TimePoint at, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ == 0)
     first_.push_back({rule, InSeconds(at), std::move(what)});
 }
@@ -39,42 +39,42 @@
   }
 }
 
-void Rules::Tell(const Happening& h) {
-  using Kind = Happening::Kind;
+void Rules::Record(const SimulationEvent& h) {
+  using Kind = SimulationEvent::Kind;
   Forget(h.at);
   const std::string request = "request " + std::to_string(h.request);
   const auto it = open_.find(h.request);
   Open* open = it == open_.end() ? nullptr : &it->second;
   const bool unsafe = open != nullptr && limits_.unsafe.at(open->cls);
   switch (h.kind) {
-    case Kind::kTaken:
+    case Kind::kAccepted:
       open_[h.request] = {h.sidecar, h.cls, h.until, 0, 0, false, false, false, {}};
       break;
-    case Kind::kFinal:
+    case Kind::kAnswered:
       if (open == nullptr) {
-        Broken(Rule::kLost, h.at, request + " was answered and never taken");
+        RecordBreach(Rule::kLost, h.at, request + " was answered and never taken");
         break;
       }
-      if (open->answered) Broken(Rule::kLost, h.at, request + " was answered twice");
+      if (open->answered) RecordBreach(Rule::kLost, h.at, request + " was answered twice");
       if (!open->left && h.at > open->until + limits_.grace) {
-        Broken(Rule::kLost, h.at,
-               request + " was answered " + std::to_string(InMilliseconds(h.at - open->until)) +
-                   " ms after its time");
+        RecordBreach(Rule::kLost, h.at,
+                     request + " was answered " + std::to_string(InMilliseconds(h.at - open->until)) +
+                         " ms after its time");
       }
-      if (unsafe && h.ending == Ending::kRefused && (open->unproven > 0 || open->runs > 0)) {
-        Broken(Rule::kTwice, h.at, request + ", unsafe, was refused, and may have run");
+      if (unsafe && h.request_outcome == RequestOutcome::kRefused && (open->unproven > 0 || open->runs > 0)) {
+        RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was refused, and may have run");
       }
       open->answered = true;
-      open->refused = h.ending == Ending::kRefused;
+      open->refused = h.request_outcome == RequestOutcome::kRefused;
       ended_.emplace_back(h.at, h.request);
       break;
-    case Kind::kLeft:
+    case Kind::kClientLeft:
       if (open != nullptr && !open->answered) {
         open->answered = open->left = true;
         ended_.emplace_back(h.at, h.request);
       }
       break;
-    case Kind::kKilled:
+    case Kind::kSidecarKilled:
       for (auto& [id, o] : open_) {
         if (o.sidecar != h.sidecar || o.answered) continue;
         o.answered = o.left = true;
@@ -82,54 +82,56 @@
       }
       leaving_.erase(h.sidecar);
       break;
-    case Kind::kSent: {
+    case Kind::kAttemptSent: {
       if (open != nullptr) {
         if (unsafe && open->unproven > 0) {
-          Broken(Rule::kTwice, h.at, request + ", unsafe, was sent again while it may have run");
+          RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was sent again while it may have run");
         }
         ++open->unproven;
       }
       const auto sidecar = leaving_.find(h.sidecar);
       if (sidecar == leaving_.end()) break;
-      const auto told = sidecar->second.find(h.server);
-      if (told != sidecar->second.end() && h.at > told->second + limits_.drain) {
-        Broken(Rule::kDrain, h.at,
-               request + " was sent to server " + std::to_string(h.server) + " " +
-                   std::to_string(InMilliseconds(h.at - told->second)) + " ms after it was told as leaving");
+      const auto notified = sidecar->second.find(h.server);
+      if (notified != sidecar->second.end() && h.at > notified->second + limits_.drain) {
+        RecordBreach(Rule::kDrain, h.at,
+                     request + " was sent to server " + std::to_string(h.server) + " " +
+                         std::to_string(InMilliseconds(h.at - notified->second)) +
+                         " ms after it was told as leaving");
       }
       break;
     }
-    case Kind::kEnded:
+    case Kind::kAttemptEnded:
       if (open != nullptr && NeverRan(h.outcome) && open->unproven > 0) --open->unproven;
       break;
-    case Kind::kArrived:
+    case Kind::kCallArrived:
       Arrived(h);
       break;
-    case Kind::kRan:
+    case Kind::kCallStarted:
       if (open == nullptr) break;
       ++open->runs;
-      if (unsafe && open->runs > 1) Broken(Rule::kTwice, h.at, request + ", unsafe, ran twice");
-      if (unsafe && open->refused) Broken(Rule::kTwice, h.at, request + ", unsafe, ran after it was refused");
+      if (unsafe && open->runs > 1) RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran twice");
+      if (unsafe && open->refused)
+        RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran after it was refused");
       break;
-    case Kind::kTold:
+    case Kind::kSidecarNotified:
       if (h.leaving) {
         leaving_[h.sidecar].try_emplace(h.server, h.at);
       } else if (const auto sidecar = leaving_.find(h.sidecar); sidecar != leaving_.end()) {
         sidecar->second.erase(h.server);
       }
       break;
-    case Kind::kBooted:
+    case Kind::kServerStarted:
       if (servers_.size() <= h.server) servers_.resize(h.server + 1);
       servers_[h.server] = {h.at, h.work, {}, 0};
       break;
-    case Kind::kAsked:
-    case Kind::kGotten:
+    case Kind::kRequested:
+    case Kind::kResolved:
       break;
   }
 }
 
 // What all sidecars together send to a cold server within the window, against what it can do by now.
-void Rules::Arrived(const Happening& h) {
+void Rules::Arrived(const SimulationEvent& h) {
   if (h.server >= servers_.size()) return;
   Server& server = servers_[h.server];
   if (server.booted == runtime::TimePoint::min() || h.at - server.booted >= limits_.slow_start_duration)
@@ -145,9 +147,10 @@
       limits_.slow_start_initial_share + (1 - limits_.slow_start_initial_share) * age;
   const double can = slow_start_factor * server.capacity * InMilliseconds(limits_.overload_window);
   if (server.sum > limits_.overload_multiple * can) {
-    Broken(Rule::kCold, h.at,
-           "server " + std::to_string(h.server) + ", " + std::to_string(InSeconds(h.at - server.booted)) +
-               " s old, was sent " + std::to_string(server.sum / can) + " times what it can do");
+    RecordBreach(Rule::kSlowStart, h.at,
+                 "server " + std::to_string(h.server) + ", " +
+                     std::to_string(InSeconds(h.at - server.booted)) + " s old, was sent " +
+                     std::to_string(server.sum / can) + " times what it can do");
     server.work.clear();
     server.sum = 0;
   }
@@ -156,7 +159,7 @@
 void Rules::End(runtime::TimePoint at) {
   for (const auto& [id, open] : open_) {
     if (open.answered || at <= open.until + limits_.grace) continue;
-    Broken(Rule::kLost, at, "request " + std::to_string(id) + " was never answered");
+    RecordBreach(Rule::kLost, at, "request " + std::to_string(id) + " was never answered");
   }
 }
 
--- a/src/simulation/rules.h
+++ b/src/simulation/invariants.h
@@ -10,14 +10,14 @@
 #include <unordered_map>
 #include <vector>
 
-#include "simulation/happening.h"
+#include "simulation/simulation_event.h"
 
 namespace mothrack::simulation {
 
-enum class Rule { kLost, kTwice, kDrain, kCold };
+enum class Rule { kLost, kTwice, kDrain, kSlowStart };
 const char* NameOf(Rule rule);
 
-struct Break {
+struct Breach {
   Rule rule{};
   double at_s = 0;
   std::string what;
@@ -36,12 +36,12 @@
   };
   explicit Rules(Limits limits);
 
-  void Tell(const Happening& h);
+  void Record(const SimulationEvent& h);
   // The end of the world: what is still owed by then and late is lost.
   void End(runtime::TimePoint at);
 
   // The first of each rule, and how many there were.
-  const std::vector<Break>& breaks() const { return first_; }
+  const std::vector<Breach>& breaches() const { return first_; }
   std::size_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
   std::size_t total() const;
   std::size_t open() const { return open_.size(); }
@@ -56,7 +56,7 @@
     bool answered = false;
     bool refused = false;
     bool left = false;
-    runtime::TimePoint told;  // its end
+    runtime::TimePoint notified;  // its end
   };
   struct Server {
     runtime::TimePoint booted = runtime::TimePoint::min();
@@ -65,9 +65,9 @@
     double sum = 0;
   };
 
-  void Broken(Rule rule, runtime::TimePoint at, std::string what);
+  void RecordBreach(Rule rule, runtime::TimePoint at, std::string what);
   void Forget(runtime::TimePoint now);
-  void Arrived(const Happening& h);
+  void Arrived(const SimulationEvent& h);
 
   const Limits limits_;
   std::unordered_map<std::uint64_t, Open> open_;
@@ -76,7 +76,7 @@
   std::unordered_map<std::uint64_t, std::unordered_map<std::size_t, runtime::TimePoint>>
       leaving_;  // by sidecar and server
   std::vector<Server> servers_;
-  std::vector<Break> first_;
+  std::vector<Breach> first_;
   std::array<std::size_t, 4> counts_{};
 };
 
--- a/src/simulation/load.cpp
+++ b/src/simulation/load_generator.cpp
@@ -1,4 +1,4 @@
-#include "simulation/load.h"
+#include "simulation/load_generator.h"
 
 #include <boost/asio/connect.hpp>
 #include <boost/asio/io_context.hpp>
@@ -12,7 +12,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "simulation/sim.h"
+#include "simulation/simulator.h"
 
 namespace mothrack::simulation {
 namespace {
@@ -50,10 +50,10 @@
 
 class Loader {
  public:
-  explicit Loader(const LoadOrder& order)
-      : order_(order), timer_(io_), to_(boost::asio::ip::make_address(order.host), order.port) {
+  explicit Loader(const LoadConfig& config)
+      : order_(config), timer_(io_), to_(boost::asio::ip::make_address(config.host), config.port) {
     if (!to_.address().is_loopback())
-      throw std::invalid_argument(order.host + ": load goes to loopback addresses only");
+      throw std::invalid_argument(config.host + ": load goes to loopback addresses only");
   }
 
   LoadResult Run() {
@@ -65,7 +65,7 @@
     return std::move(result_);
   }
 
-  const LoadOrder& order() const { return order_; }
+  const LoadConfig& config() const { return order_; }
   const tcp::endpoint& to() const { return to_; }
 
   void Ended(const std::shared_ptr<Line>& line, Clock::time_point due, Clock::time_point sent,
@@ -115,7 +115,7 @@
     }
   }
 
-  const LoadOrder order_;
+  const LoadConfig order_;
   boost::asio::io_context io_;
   boost::asio::steady_timer timer_;
   const tcp::endpoint to_;
@@ -134,12 +134,12 @@
   sent_ = Clock::now();
   request_ = {};
   request_.method(beast_http::verb::get);
-  request_.target(owner_.order().target);
+  request_.target(owner_.config().target);
   request_.set(beast_http::field::host, "lab");
   request_.set("X-Request-ID",
                "lab-" + std::to_string(sent_.time_since_epoch().count()) + '-' + std::to_string(number));
-  request_.set("X-Timeout-Ms", std::to_string(owner_.order().timeout_ms));
-  stream_.expires_after(std::chrono::milliseconds(owner_.order().timeout_ms));
+  request_.set("X-Timeout-Ms", std::to_string(owner_.config().timeout_ms));
+  stream_.expires_after(std::chrono::milliseconds(owner_.config().timeout_ms));
   if (connected_) return Write();
   stream_.async_connect(owner_.to(), [self = shared_from_this()](error_code error) {
     if (error) return self->Done(error);
@@ -168,6 +168,6 @@
 
 }  // namespace
 
-LoadResult Load(const LoadOrder& order) { return Loader(order).Run(); }
+LoadResult Load(const LoadConfig& config) { return Loader(config).Run(); }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/load.h
+++ b/src/simulation/load_generator.h
@@ -10,7 +10,7 @@
 
 namespace mothrack::simulation {
 
-struct LoadOrder {
+struct LoadConfig {
   std::string host = "127.0.0.1";
   std::uint16_t port = 0;
   std::string target = "/page/x";
@@ -32,6 +32,6 @@
 };
 
 // Loopback only: throws std::invalid_argument for another host.
-LoadResult Load(const LoadOrder& order);
+LoadResult Load(const LoadConfig& config);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -9,13 +9,13 @@
 #include <iostream>
 #include <thread>
 
-#include "simulation/load.h"
+#include "simulation/load_generator.h"
 #include "simulation/report.h"
 #include "simulation/results.h"
 #include "simulation/search.h"
+#include "simulation/simulation_run.h"
 #include "simulation/statistics.h"
 #include "simulation/sweep.h"
-#include "simulation/world.h"
 
 namespace mothrack::simulation {
 namespace {
@@ -23,9 +23,9 @@
 using nlohmann::json;
 
 // Exit codes: scripts rest on them.
-constexpr int kHeld = 0;
+constexpr int kExpectationsMet = 0;
 constexpr int kUsage = 1;
-constexpr int kNotHeld = 2;  // a rule is broken, or what must hold did not
+constexpr int kExpectationsMissed = 2;  // a rule is broken, or what must hold did not
 
 std::string MachineName() {
   utsname name{};
@@ -37,8 +37,8 @@
 // "held: ..." or "not held: ..."
 std::vector<std::string> Verdicts(const Scenario& scenario, const json& run) {
   std::vector<std::string> verdicts;
-  const auto say = [&](bool held, const std::string& what) {
-    verdicts.push_back((held ? "held: " : "not held: ") + what);
+  const auto say = [&](bool expectations_met, const std::string& what) {
+    verdicts.push_back((expectations_met ? "held: " : "not held: ") + what);
   };
   say(run.value("broken", 0) == 0, "the four rules");
   for (const json& b : run["breaks"]) {
@@ -60,7 +60,7 @@
   return verdicts;
 }
 
-bool Held(const std::vector<std::string>& verdicts) {
+bool AllHeld(const std::vector<std::string>& verdicts) {
   return std::all_of(verdicts.begin(), verdicts.end(),
                      [](const std::string& v) { return v.starts_with("held"); });
 }
@@ -116,7 +116,7 @@
   if (!file) throw std::runtime_error(path + ": can't be written");
 }
 
-struct Asked {
+struct CommandLine {
   std::vector<std::string> scenarios;
   std::vector<std::string> changes;
   std::uint64_t seed = 1;
@@ -128,39 +128,39 @@
   std::string expect;
 };
 
-Planted PlantedOf(const std::string& name) {
-  const std::map<std::string, Planted> names = {{"none", Planted::kNone},
-                                                {"resend", Planted::kResend},
-                                                {"after-drain", Planted::kAfterDrain},
-                                                {"dropped-answer", Planted::kDroppedAnswer},
-                                                {"cold-flood", Planted::kColdFlood}};
+InjectedFault InjectedFaultOf(const std::string& name) {
+  const std::map<std::string, InjectedFault> names = {{"none", InjectedFault::kNone},
+                                                      {"resend", InjectedFault::kResend},
+                                                      {"after-drain", InjectedFault::kAfterDrain},
+                                                      {"dropped-answer", InjectedFault::kDroppedAnswer},
+                                                      {"cold-flood", InjectedFault::kOverloadWarmingUp}};
   return names.at(name);
 }
 
-int Run(const Asked& asked) {
-  bool held = true;
-  for (const std::string& path : asked.scenarios) {
-    const Scenario scenario = LoadScenario(path, asked.changes);
-    World world(scenario, asked.seed, PlantedOf(asked.plant));
+int Run(const CommandLine& options) {
+  bool expectations_met = true;
+  for (const std::string& path : options.scenarios) {
+    const Scenario scenario = LoadScenario(path, options.changes);
+    SimulationRun world(scenario, options.seed, InjectedFaultOf(options.plant));
     const auto begin = std::chrono::steady_clock::now();
     const Outcome outcome = world.Run();
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-    const json run = ToJson(scenario, asked.seed, outcome, world.figures(), true);
+    const json run = ToJson(scenario, options.seed, outcome, world.figures(), true);
     Print(run);
     std::printf("  %.2f s, %.0f requests a minute\n", took,
                 static_cast<double>(outcome.requests) / took * 60);
     const auto verdicts = Verdicts(scenario, run);
     for (const std::string& verdict : verdicts) std::printf("  %s\n", verdict.c_str());
-    held = Held(verdicts) && held;
-    if (asked.seconds) PrintSeconds(run);
-    if (!asked.report.empty())
-      WriteFile(asked.report, RunPage(run, scenario.about, Bands(scenario), verdicts));
-    if (!asked.expect.empty() && run["digest"] != asked.expect) {
-      std::printf("  another history than %s\n", asked.expect.c_str());
-      held = false;
+    expectations_met = AllHeld(verdicts) && expectations_met;
+    if (options.seconds) PrintSeconds(run);
+    if (!options.report.empty())
+      WriteFile(options.report, RunPage(run, scenario.about, Bands(scenario), verdicts));
+    if (!options.expect.empty() && run["digest"] != options.expect) {
+      std::printf("  another history than %s\n", options.expect.c_str());
+      expectations_met = false;
     }
   }
-  return held ? kHeld : kNotHeld;
+  return expectations_met ? kExpectationsMet : kExpectationsMissed;
 }
 
 // "1..20" or "7".
@@ -188,10 +188,10 @@
   return changes;
 }
 
-int Sweep(const Asked& asked, const std::string& seeds, const std::vector<std::string>& vary,
+int Sweep(const CommandLine& options, const std::string& seeds, const std::vector<std::string>& vary,
           std::size_t at_once) {
   const auto [from, to] = SeedsOf(seeds);
-  std::vector<std::vector<std::string>> settings = {asked.changes};
+  std::vector<std::vector<std::string>> settings = {options.changes};
   for (const std::string& v : vary) {
     std::vector<std::vector<std::string>> more;
     for (const auto& base : settings) {
@@ -202,17 +202,17 @@
     }
     settings = std::move(more);
   }
-  Results results(asked.db);
+  Results results(options.db);
   std::vector<Job> jobs;
   std::vector<RunKey> keys;
   std::size_t there = 0;
-  for (const std::string& path : asked.scenarios) {
+  for (const std::string& path : options.scenarios) {
     for (const auto& changes : settings) {
       Scenario scenario = LoadScenario(path, changes);
-      for (std::size_t i = asked.changes.size(); i < changes.size(); ++i) scenario.name += ' ' + changes[i];
+      for (std::size_t i = options.changes.size(); i < changes.size(); ++i) scenario.name += ' ' + changes[i];
       const std::string hash = HashOf(scenario);
       for (std::uint64_t seed = from; seed <= to; ++seed) {
-        const RunKey key{asked.label, scenario.name, hash, seed};
+        const RunKey key{options.label, scenario.name, hash, seed};
         if (results.Has(key)) {
           ++there;
           continue;
@@ -253,7 +253,7 @@
   if (::isatty(1)) std::printf("\n");
   // A row a scenario.
   std::map<std::string, std::vector<json>> by;
-  for (const auto& [key, run] : results.Of(asked.label)) by[key.scenario].push_back(run);
+  for (const auto& [key, run] : results.Of(options.label)) by[key.scenario].push_back(run);
   std::printf("%-34s %5s %8s %8s %8s %8s %8s %8s\n", "scenario", "runs", "gained", "worst", "took_s", "worst",
               "needless", "p99_ms");
   for (const auto& [name, runs] : by) {
@@ -270,11 +270,11 @@
     std::printf("%-34s %5zu %8.4f %8.4f %8.2f %8.1f %8.4f %8.1f\n", name.c_str(), runs.size(), gained, least,
                 took, longest, needless, p99);
   }
-  return bad == 0 ? kHeld : kNotHeld;
+  return bad == 0 ? kExpectationsMet : kExpectationsMissed;
 }
 
-int CompareLabels(const Asked& asked, const std::string& a, const std::string& b) {
-  const Results results(asked.db);
+int CompareLabels(const CommandLine& options, const std::string& a, const std::string& b) {
+  const Results results(options.db);
   const auto of_a = results.Of(a);
   const auto of_b = results.Of(b);
   std::map<std::string, std::vector<std::pair<json, json>>> pairs;
@@ -312,75 +312,75 @@
     std::printf("%-22s %-15s %5zu %9.4f %9.4f %9.4f  %.4f to %.4f  %s\n", row.scenario.c_str(),
                 row.figure.c_str(), d.pairs, row.a, row.b, d.mean, d.low, d.high, mark);
   }
-  if (!asked.report.empty()) WriteFile(asked.report, ComparisonPage(a, b, rows));
-  return kHeld;
+  if (!options.report.empty()) WriteFile(options.report, ComparisonPage(a, b, rows));
+  return kExpectationsMet;
 }
 
-int Search(const Asked& asked, int budget, std::size_t at_once, const std::string& into) {
+int Search(const CommandLine& options, int budget, std::size_t at_once, const std::string& into) {
   std::vector<Scenario> library;
-  for (const std::string& path : asked.scenarios) library.push_back(LoadScenario(path, asked.changes));
-  Random random(asked.seed);
+  for (const std::string& path : options.scenarios) library.push_back(LoadScenario(path, options.changes));
+  Random random(options.seed);
   std::vector<Job> jobs;
   for (int i = 0; i < budget; ++i) {
     Scenario scenario = Mutated(library[random.Below(library.size())], random);
-    scenario.name = "found-" + std::to_string(asked.seed) + '-' + std::to_string(i);
+    scenario.name = "found-" + std::to_string(options.seed) + '-' + std::to_string(i);
     jobs.push_back({scenario, random.Next() >> 12});
   }
   std::size_t found = 0;
   PlayAll(jobs, at_once, [&](std::size_t job, const json& run) {
     const Scenario& scenario = jobs[job].scenario;
-    std::string trouble = run.is_null() ? "its process died" : "";
-    if (!run.is_null() && run.value("broken", 0) > 0) trouble = "rule " + run["breaks"][0].value("rule", "");
-    if (trouble.empty() && run.contains("took_s")) {
+    std::string fault = run.is_null() ? "its process died" : "";
+    if (!run.is_null() && run.value("broken", 0) > 0) fault = "rule " + run["breaks"][0].value("rule", "");
+    if (fault.empty() && run.contains("took_s")) {
       const double from = std::max(run.value("covered_s", 0.0), scenario.FaultsEnd());
       const double back = run.value("recovered", false)
                               ? run.value("covered_s", 0.0) + run.value("took_s", 0.0)
                               : scenario.length_s;
       if (scenario.length_s - from >= 17 && back - from > 12)
-        trouble = "trouble outlives its cause by " + std::to_string(static_cast<int>(back - from)) + " s";
+        fault = "trouble outlives its cause by " + std::to_string(static_cast<int>(back - from)) + " s";
     }
-    if (trouble.empty()) return true;
+    if (fault.empty()) return true;
     ++found;
     std::printf("%s seed %llu: %s\n", scenario.name.c_str(), static_cast<unsigned long long>(jobs[job].seed),
-                trouble.c_str());
+                fault.c_str());
     if (!into.empty()) {
-      Scenario told = scenario;
-      told.about = trouble + ", seed " + std::to_string(jobs[job].seed);
-      WriteFile(into + '/' + told.name + ".toml", ToToml(told));
+      Scenario found = scenario;
+      found.about = fault + ", seed " + std::to_string(jobs[job].seed);
+      WriteFile(into + '/' + found.name + ".toml", ToToml(found));
     }
     return true;
   });
   std::printf("%zu of %d show trouble\n", found, budget);
-  return found == 0 ? kHeld : kNotHeld;
+  return found == 0 ? kExpectationsMet : kExpectationsMissed;
 }
 
-int Shrink(const Asked& asked, int budget) {
-  const Scenario scenario = LoadScenario(asked.scenarios.at(0), asked.changes);
-  const auto trouble = [&](const Scenario& s) {
-    World world(s, asked.seed, PlantedOf(asked.plant));
+int Shrink(const CommandLine& options, int budget) {
+  const Scenario scenario = LoadScenario(options.scenarios.at(0), options.changes);
+  const auto fault = [&](const Scenario& s) {
+    SimulationRun world(s, options.seed, InjectedFaultOf(options.plant));
     const Outcome outcome = world.Run();
-    return TroubleIn(s, outcome, world.figures());
+    return FindFault(s, outcome, world.figures());
   };
-  const std::string whole = trouble(scenario);
+  const std::string whole = fault(scenario);
   if (whole.empty()) {
-    std::fprintf(stderr, "nothing is wrong with seed %llu\n", static_cast<unsigned long long>(asked.seed));
+    std::fprintf(stderr, "nothing is wrong with seed %llu\n", static_cast<unsigned long long>(options.seed));
     return kUsage;
   }
   // The same kind of trouble: its first words.
   const std::string kind = whole.substr(0, 12);
   const Scenario small = Shrunk(
-      scenario, [&](const Scenario& s) { return trouble(s).starts_with(kind); }, budget);
-  World world(small, asked.seed, PlantedOf(asked.plant));
+      scenario, [&](const Scenario& s) { return fault(s).starts_with(kind); }, budget);
+  SimulationRun world(small, options.seed, InjectedFaultOf(options.plant));
   const Outcome outcome = world.Run();
-  std::printf("# %s; seed %llu\n", TroubleIn(small, outcome, world.figures()).c_str(),
-              static_cast<unsigned long long>(asked.seed));
-  for (const Break& b : outcome.breaks) std::printf("# %.3f s: %s\n", b.at_s, b.what.c_str());
+  std::printf("# %s; seed %llu\n", FindFault(small, outcome, world.figures()).c_str(),
+              static_cast<unsigned long long>(options.seed));
+  for (const Breach& b : outcome.breaches) std::printf("# %.3f s: %s\n", b.at_s, b.what.c_str());
   std::printf("%s", ToToml(small).c_str());
-  return kNotHeld;
+  return kExpectationsMissed;
 }
 
-int PlayLoad(const LoadOrder& order) {
-  const LoadResult result = Load(order);
+int PlayLoad(const LoadConfig& config) {
+  const LoadResult result = Load(config);
   std::printf("%llu due in %.1f s: %llu served, %llu refused, %llu failed\n",
               static_cast<unsigned long long>(result.due), result.seconds,
               static_cast<unsigned long long>(result.served), static_cast<unsigned long long>(result.refused),
@@ -392,7 +392,7 @@
   };
   row("from when it was due", result.from_due);
   row("from when it was sent", result.from_sent);
-  return kHeld;
+  return kExpectationsMet;
 }
 
 }  // namespace
@@ -404,7 +404,7 @@
   app.set_version_flag("--version", MOTHRACK_VERSION);
   app.require_subcommand(1);
   app.footer("Exit codes: 0 all held; 1 usage or a fault in a file; 2 something did not hold.");
-  Asked asked;
+  CommandLine options;
   std::string seeds = "1..8";
   std::vector<std::string> vary;
   std::size_t jobs = std::max(1U, std::thread::hardware_concurrency());
@@ -412,46 +412,46 @@
   std::string b;
   std::string into;
   int budget = 200;
-  LoadOrder load;
+  LoadConfig load;
   const auto common = [&](CLI::App* sub) {
-    sub->add_option("scenario", asked.scenarios, "scenario files (TOML)")
+    sub->add_option("scenario", options.scenarios, "scenario files (TOML)")
         ->required()
         ->check(CLI::ExistingFile);
-    sub->add_option("--set", asked.changes, "table.key=value, laid over the file");
+    sub->add_option("--set", options.changes, "table.key=value, laid over the file");
   };
   auto* run = app.add_subcommand("run", "one run, with its verdicts");
   common(run);
-  run->add_option("--seed", asked.seed, "of everything that is drawn");
-  run->add_flag("--seconds", asked.seconds, "a row a second");
-  run->add_option("--report", asked.report, "an HTML page, written here");
-  run->add_option("--plant", asked.plant, "a fault put in on purpose")
+  run->add_option("--seed", options.seed, "of everything that is drawn");
+  run->add_flag("--seconds", options.seconds, "a row a second");
+  run->add_option("--report", options.report, "an HTML page, written here");
+  run->add_option("--plant", options.plant, "a fault put in on purpose")
       ->check(CLI::IsMember({"none", "resend", "after-drain", "dropped-answer", "cold-flood"}));
-  run->add_option("--expect", asked.expect, "the digest that it must have: a replay");
+  run->add_option("--expect", options.expect, "the digest that it must have: a replay");
   auto* sweep =
       app.add_subcommand("sweep", "many seeds and settings, side by side; goes on where it was cut short");
   common(sweep);
   sweep->add_option("--seeds", seeds, "1..8");
   sweep->add_option("--vary", vary, "table.key=value,value: each of them");
   sweep->add_option("--jobs", jobs, "at once")->check(CLI::Range(1, 1024));
-  sweep->add_option("--db", asked.db, "where results are kept");
-  sweep->add_option("--label", asked.label, "of this build or these settings");
+  sweep->add_option("--db", options.db, "where results are kept");
+  sweep->add_option("--label", options.label, "of this build or these settings");
   auto* compare = app.add_subcommand("compare", "two labels on the same scenarios and seeds");
   compare->add_option("a", a)->required();
   compare->add_option("b", b)->required();
-  compare->add_option("--db", asked.db, "where results are kept")->check(CLI::ExistingFile);
-  compare->add_option("--report", asked.report, "an HTML page, written here");
+  compare->add_option("--db", options.db, "where results are kept")->check(CLI::ExistingFile);
+  compare->add_option("--report", options.report, "an HTML page, written here");
   auto* search = app.add_subcommand(
       "search", "scenarios changed at random, for broken rules and trouble that outlives its cause");
   common(search);
-  search->add_option("--seed", asked.seed, "of the changes");
+  search->add_option("--seed", options.seed, "of the changes");
   search->add_option("--budget", budget, "runs")->check(CLI::Range(1, 1'000'000));
   search->add_option("--jobs", jobs, "at once")->check(CLI::Range(1, 1024));
   search->add_option("--into", into, "a folder for what is found")->check(CLI::ExistingDirectory);
   auto* shrink = app.add_subcommand("shrink", "the smallest scenario that shows the same trouble");
   common(shrink);
-  shrink->add_option("--seed", asked.seed, "that shows it");
+  shrink->add_option("--seed", options.seed, "that shows it");
   shrink->add_option("--budget", budget, "runs")->check(CLI::Range(1, 1'000'000));
-  shrink->add_option("--plant", asked.plant, "a fault put in on purpose")
+  shrink->add_option("--plant", options.plant, "a fault put in on purpose")
       ->check(CLI::IsMember({"none", "resend", "after-drain", "dropped-answer", "cold-flood"}));
   auto* real = app.add_subcommand("load", "open-loop HTTP load on a real sidecar on this machine");
   real->add_option("--port", load.port, "where it listens")->required();
@@ -464,11 +464,11 @@
   real->add_option("--connections", load.connections, "at most")->check(CLI::Range(1, 20'000));
   CLI11_PARSE(app, argc, argv);
   try {
-    if (*run) return Run(asked);
-    if (*sweep) return Sweep(asked, seeds, vary, jobs);
-    if (*compare) return CompareLabels(asked, a, b);
-    if (*search) return Search(asked, budget, jobs, into);
-    if (*shrink) return Shrink(asked, budget);
+    if (*run) return Run(options);
+    if (*sweep) return Sweep(options, seeds, vary, jobs);
+    if (*compare) return CompareLabels(options, a, b);
+    if (*search) return Search(options, budget, jobs, into);
+    if (*shrink) return Shrink(options, budget);
     return PlayLoad(load);
   } catch (const std::exception& e) {
     std::cerr << "mothrack-lab: " << e.what() << '\n';
--- a/src/simulation/report.cpp
+++ b/src/simulation/report.cpp
@@ -300,11 +300,11 @@
   for (const Row& row : rows) {
     const Difference& d = row.difference;
     const bool better = row.up == (d.mean > 0);
-    const char* look = !d.tells() ? "" : better ? "good" : "bad";
+    const char* style = !d.tells() ? "" : better ? "good" : "bad";
     const auto x = [&](double v) { return 100 + 95 * v / most[row.figure]; };
     body << "<tr><td>" << Escaped(row.scenario) << "</td><td>" << Escaped(row.figure) << "</td><td>"
          << d.pairs << "</td><td>" << Short(row.a) << "</td><td>" << Short(row.b) << "</td><td class=\""
-         << look << "\">" << Short(d.mean) << " (" << Short(d.low) << " to " << Short(d.high)
+         << style << "\">" << Short(d.mean) << " (" << Short(d.low) << " to " << Short(d.high)
          << ")</td><td><svg style=\"width:200px\" viewBox=\"0 0 200 16\">"
          << "<line class=grid x1=100 x2=100 y1=0 y2=16 /><line stroke=\""
          << (!d.tells() ? "#888"
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -19,12 +19,12 @@
 }
 
 json ToJson(const Second& s) {
-  return {{"asked", s.asked},
+  return {{"asked", s.requested},
           {"good", s.good},
           {"late", s.late},
           {"refused", s.refused},
           {"failed", s.failed},
-          {"tries", s.tries},
+          {"tries", s.client_attempts},
           {"attempts", s.attempts},
           {"connects", s.connects},
           {"overload", s.overload},
@@ -37,8 +37,8 @@
           {"returned", s.returned},
           {"able", s.able},
           {"demand", s.demand},
-          {"held", s.held},
-          {"cold", s.cold},
+          {"held", s.in_flight},
+          {"cold", s.warming_up},
           {"down", s.down},
           {"p50", s.p50},
           {"p95", s.p95},
@@ -65,7 +65,7 @@
 json ToJson(const Scenario& scenario, std::uint64_t seed, const Outcome& outcome, const Figures& figures,
             bool with_seconds) {
   const Second sum = figures.Sum();
-  const double tries = static_cast<double>(std::max<std::uint64_t>(1, sum.tries));
+  const double client_attempts = static_cast<double>(std::max<std::uint64_t>(1, sum.client_attempts));
   char digest[17];
   std::snprintf(digest, sizeof digest, "%016llx", static_cast<unsigned long long>(outcome.digest));
   json run = {{"scenario", scenario.name},
@@ -74,7 +74,7 @@
               {"events", outcome.events},
               {"requests", outcome.requests},
               {"broken", outcome.broken},
-              {"asked", sum.asked},
+              {"asked", sum.requested},
               {"good", sum.good},
               {"late", sum.late},
               {"refused", sum.refused},
@@ -83,13 +83,13 @@
               {"served", figures.served_share()},
               {"p50_ms", figures.p(0.5)},
               {"p99_ms", figures.p(0.99)},
-              {"attempts_a_try", static_cast<double>(sum.attempts) / tries},
-              {"connects_a_try", static_cast<double>(sum.connects) / tries},
+              {"attempts_a_try", static_cast<double>(sum.attempts) / client_attempts},
+              {"connects_a_try", static_cast<double>(sum.connects) / client_attempts},
               {"ejected", sum.ejected}};
-  json breaks = json::array();
-  for (const Break& b : outcome.breaks)
-    breaks.push_back({{"rule", NameOf(b.rule)}, {"at_s", b.at_s}, {"what", b.what}});
-  run["breaks"] = std::move(breaks);
+  json breaches = json::array();
+  for (const Breach& b : outcome.breaches)
+    breaches.push_back({{"rule", NameOf(b.rule)}, {"at_s", b.at_s}, {"what", b.what}});
+  run["breaks"] = std::move(breaches);
   if (const auto recovery = figures.recovery()) {
     run["covered_s"] = recovery->covered_s;
     run["recovered"] = recovery->recovered;
--- a/src/simulation/results.h
+++ b/src/simulation/results.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "simulation/world.h"
+#include "simulation/simulation_run.h"
 #include "storage/sqlite.h"
 
 namespace mothrack::simulation {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -9,7 +9,7 @@
 #include <set>
 #include <sstream>
 
-#include "simulation/sim.h"
+#include "simulation/simulator.h"
 
 namespace mothrack::simulation {
 namespace {
@@ -116,11 +116,11 @@
   t.Number("share", c.share, 0, 1e6);
   t.Number("work_ms", c.work_ms, 0.01, 1e5);
   t.Number("work_cv", c.work_cv, 0, 10);
-  t.Number("aim_ms", c.aim_ms, 1, 1e6);
+  t.Number("aim_ms", c.latency_objective_ms, 1, 1e6);
   t.Number("deadline_ms", c.deadline_ms, 1, 1e6);
-  t.Number("worth", c.worth, 0, 1e6);
+  t.Number("worth", c.priority_weight, 0, 1e6);
   c.effect = static_cast<balancer::Effect>(t.OneOf("effect", kEffects));
-  if (c.deadline_ms < c.aim_ms) t.Fail("deadline_ms", "give no less than aim_ms");
+  if (c.deadline_ms < c.latency_objective_ms) t.Fail("deadline_ms", "give no less than aim_ms");
   t.Done();
   return c;
 }
@@ -193,7 +193,7 @@
     servers.Number("thrash", s.thrash, 0, 10);
     servers.Number("thrash_at", s.thrash_at, 0, 1e6);
     servers.Number("cold_from", s.slow_start_initial_share, 0.01, 1);
-    servers.Number("cold_s", s.cold_s, 0, 600);
+    servers.Number("cold_s", s.slow_start_s, 0, 600);
     servers.Number("pause_every_s", s.pause_every_s, 0.1, 1e6);
     servers.Number("pause_ms", s.pause_ms, 0, 60'000);
     servers.Number("error_rate", s.error_rate, 0, 1);
@@ -276,7 +276,7 @@
                                            {"thrash", s.thrash},
                                            {"thrash_at", s.thrash_at},
                                            {"cold_from", s.slow_start_initial_share},
-                                           {"cold_s", s.cold_s},
+                                           {"cold_s", s.slow_start_s},
                                            {"pause_every_s", s.pause_every_s},
                                            {"pause_ms", s.pause_ms},
                                            {"error_rate", s.error_rate},
@@ -304,9 +304,9 @@
                                   {"share", c.share},
                                   {"work_ms", c.work_ms},
                                   {"work_cv", c.work_cv},
-                                  {"aim_ms", c.aim_ms},
+                                  {"aim_ms", c.latency_objective_ms},
                                   {"deadline_ms", c.deadline_ms},
-                                  {"worth", c.worth},
+                                  {"worth", c.priority_weight},
                                   {"effect", kEffects.at(static_cast<std::size_t>(c.effect))}});
   }
   root.insert("class", classes);
@@ -334,10 +334,10 @@
   for (const ClassLoad& c : classes) {
     balancer::RequestClass cls;
     cls.name = c.name;
-    cls.latency_objective = Milliseconds(c.aim_ms);
+    cls.latency_objective = Milliseconds(c.latency_objective_ms);
     cls.deadline = Milliseconds(c.deadline_ms);
     cls.effect = c.effect;
-    cls.priority_weight = c.worth;
+    cls.priority_weight = c.priority_weight;
     cls.key_window = Milliseconds(2 * c.deadline_ms);
     settings.classes.push_back(cls);
   }
@@ -348,7 +348,7 @@
   settings.limits.hedging = hedging;
   settings.limits.connect_timeout = std::chrono::milliseconds(200);
   settings.rules.slow_start_initial_share = slow_start_initial_share;
-  settings.rules.slow_start_duration = SecondsOf(std::max(cold_s, 0.001));
+  settings.rules.slow_start_duration = SecondsOf(std::max(slow_start_s, 0.001));
   settings.rules.overload_multiple = 4;
   settings.rules.overload_window = std::chrono::seconds(1);
   return settings;
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -19,20 +19,20 @@
 };
 
 enum class FaultKind {
-  kCutZone,    // a zone is cut off from the others, silently
-  kLoseZone,   // a zone's machines vanish silently, and come back cold
-  kSilent,     // a share of the servers swallows all it is sent
-  kSlow,       // a share of the servers takes `size` times as long
-  kErrors,     // a share of the servers answers `size` of its calls with an error
-  kFlap,       // a share of the servers dies and is back after `size` seconds, again and again
-  kReplace,    // a share of the servers is replaced, one after the other over the time: told as leaving, then
-               // gone
-  kKill,       // a share of the sidecars is killed at once and started anew
-  kRestart,    // all sidecars have a planned restart, one after the other over the time
-  kBurst,      // `size` times the load
-  kCrowd,      // `size` times the load of a share of the sidecars
-  kStale,      // discovery tells nothing
-  kImpatient,  // a share of the clients leaves early and comes again at once
+  kCutZone,       // a zone is cut off from the others, silently
+  kLoseZone,      // a zone's machines vanish silently, and come back cold
+  kUnresponsive,  // a share of the servers swallows all it is sent
+  kSlow,          // a share of the servers takes `size` times as long
+  kErrors,        // a share of the servers answers `size` of its calls with an error
+  kFlap,          // a share of the servers dies and is back after `size` seconds, again and again
+  kReplace,  // a share of the servers is replaced, one after the other over the time: told as leaving, then
+             // gone
+  kKill,     // a share of the sidecars is killed at once and started anew
+  kRestart,  // all sidecars have a planned restart, one after the other over the time
+  kBurst,    // `size` times the load
+  kHotSidecars,  // `size` times the load of a share of the sidecars
+  kStale,        // discovery tells nothing
+  kImpatient,    // a share of the clients leaves early and comes again at once
 };
 
 struct Fault {
@@ -49,9 +49,9 @@
   double share = 1;
   double work_ms = 60;  // of a core of speed 1
   double work_cv = 0.5;
-  double aim_ms = 400;
+  double latency_objective_ms = 400;
   double deadline_ms = 1000;
-  double worth = 1;
+  double priority_weight = 1;
   balancer::Effect effect = balancer::Effect::kSafe;
 };
 
@@ -73,7 +73,7 @@
   double thrash = 0.3;  // loss of speed for each call a core beyond thrash_at
   double thrash_at = 6;
   double slow_start_initial_share = 0.2;
-  double cold_s = 15;
+  double slow_start_s = 15;
   double pause_every_s = 8;
   double pause_ms = 40;
   double error_rate = 0.0005;
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -30,8 +30,8 @@
 
 }  // namespace
 
-std::string TroubleIn(const Scenario& scenario, const Outcome& outcome, const Figures& figures) {
-  if (!outcome.breaks.empty()) return std::string("rule ") + NameOf(outcome.breaks.front().rule);
+std::string FindFault(const Scenario& scenario, const Outcome& outcome, const Figures& figures) {
+  if (!outcome.breaches.empty()) return std::string("rule ") + NameOf(outcome.breaches.front().rule);
   if (outcome.still_open > 0) return "requests without an answer";
   const auto recovery = figures.recovery();
   if (!recovery) return {};
@@ -51,7 +51,7 @@
   s.use = Moved(s.use, random, 0.2, 0.8);
   s.retries = Moved(std::max(s.retries, 0.3), random, 0, 4);
   s.backoff_ms = Moved(s.backoff_ms, random, 10, 500);
-  s.cold_s = Moved(s.cold_s, random, 5, 25);
+  s.slow_start_s = Moved(s.slow_start_s, random, 5, 25);
   s.slow_start_initial_share = Moved(s.slow_start_initial_share, random, 0.1, 0.5);
   s.pause_ms = Moved(std::max(s.pause_ms, 5.0), random, 0, 300);
   s.notice_to_s = std::max(s.notice_from_s, Moved(s.notice_to_s, random, 0.3, 6));
--- a/src/simulation/search.h
+++ b/src/simulation/search.h
@@ -7,13 +7,13 @@
 #include <string>
 
 #include "simulation/scenario.h"
-#include "simulation/sim.h"
-#include "simulation/world.h"
+#include "simulation/simulation_run.h"
+#include "simulation/simulator.h"
 
 namespace mothrack::simulation {
 
 // What is wrong with a run; empty: nothing. A broken rule, or trouble that outlives its cause.
-std::string TroubleIn(const Scenario& scenario, const Outcome& outcome, const Figures& figures);
+std::string FindFault(const Scenario& scenario, const Outcome& outcome, const Figures& figures);
 
 // Another scenario like it: its world, load and faults moved at random, faults added and taken away. Valid
 // whatever is drawn.
--- a/src/simulation/server.cpp
+++ b/src/simulation/server.cpp
@@ -10,14 +10,14 @@
 }
 
 double Server::slow_start_factor() const {
-  if (!ever_booted_ || scenario_.cold_s <= 0) return 1;
-  const double age = InSeconds(sim_.now() - booted_) / scenario_.cold_s;
+  if (!ever_booted_ || scenario_.slow_start_s <= 0) return 1;
+  const double age = InSeconds(sim_.now() - booted_) / scenario_.slow_start_s;
   return std::min(1.0, scenario_.slow_start_initial_share + (1 - scenario_.slow_start_initial_share) * age);
 }
 
 bool Server::Take(Job job) {
   const auto most = static_cast<std::size_t>(scenario_.cores * (1 + scenario_.queue_per_core));
-  if (draining_ || held() >= most) return false;
+  if (draining_ || in_flight() >= most) return false;
   queue_.push_back(std::move(job));
   Begin();
   return true;
@@ -27,9 +27,9 @@
   while (!queue_.empty() && static_cast<double>(running_.size()) < scenario_.cores) {
     Job job = std::move(queue_.front());
     queue_.pop_front();
-    const double crowd = static_cast<double>(held() + 1) / scenario_.cores;
+    const double load = static_cast<double>(in_flight() + 1) / scenario_.cores;
     const double thrash =
-        1 + scenario_.thrash * std::max(0.0, crowd / std::max(scenario_.thrash_at, 1e-9) - 1);
+        1 + scenario_.thrash * std::max(0.0, load / std::max(scenario_.thrash_at, 1e-9) - 1);
     double ms = job.work / (speed_ * slow_start_factor()) * slowed_ * thrash;
     if (scenario_.pause_ms > 0 && sim_.now() >= pause_at_) {
       ms += scenario_.pause_ms;
@@ -39,8 +39,8 @@
     const std::uint64_t id = job.id;
     if (job.begun) job.begun();
     running_.emplace(id, std::move(job));
-    sim_.After(Milliseconds(ms), [this, id, fails, life = life_] {
-      if (life != life_) return;
+    sim_.After(Milliseconds(ms), [this, id, fails, incarnation = incarnation_] {
+      if (incarnation != incarnation_) return;
       const auto it = running_.find(id);
       const Job done = std::move(it->second);
       running_.erase(it);
@@ -57,7 +57,7 @@
 
 void Server::Kill() {
   up_ = draining_ = false;
-  ++life_;
+  ++incarnation_;
   std::vector<Job> all;
   for (auto& job : queue_) all.push_back(std::move(job));
   for (auto& [id, job] : running_) all.push_back(std::move(job));
--- a/src/simulation/server.h
+++ b/src/simulation/server.h
@@ -8,7 +8,7 @@
 #include <unordered_map>
 
 #include "simulation/scenario.h"
-#include "simulation/sim.h"
+#include "simulation/simulator.h"
 
 namespace mothrack::simulation {
 
@@ -39,7 +39,7 @@
   // Milliseconds of work a millisecond: when warm and left alone, and what it could do now.
   double capacity() const { return scenario_.cores * speed_; }
   double able() const { return up_ && !draining_ ? capacity() * slow_start_factor() / slowed_ : 0; }
-  std::size_t held() const { return queue_.size() + running_.size(); }
+  std::size_t in_flight() const { return queue_.size() + running_.size(); }
 
   // Trouble.
   void Slow(double times) { slowed_ = times; }
@@ -59,7 +59,7 @@
   double slowed_ = 1;
   double failing_ = 0;
   runtime::TimePoint pause_at_{};
-  std::uint64_t life_ = 0;
+  std::uint64_t incarnation_ = 0;
   std::deque<Job> queue_;
   std::unordered_map<std::uint64_t, Job> running_;
 };
--- a/src/simulation/carrier.cpp
+++ b/src/simulation/simulated_transport.cpp
@@ -1,4 +1,4 @@
-#include "simulation/carrier.h"
+#include "simulation/simulated_transport.h"
 
 #include <algorithm>
 
@@ -6,7 +6,7 @@
 
 using balancer::Outcome;
 
-void Carrier::Apply(const std::string& uid, const dispatch::Location& location) {
+void SimulatedTransport::Apply(const std::string& uid, const dispatch::Location& location) {
   Pool& pool = At(uid);
   const bool same =
       location.state == balancer::UpstreamState::kServing && location.boot_ms == pool.location.boot_ms;
@@ -22,20 +22,20 @@
   for (const CallPtr& call : unsent) End(call, Outcome::kNotSent, false);
 }
 
-void Carrier::Send(dispatch::ExchangeId id, const std::string& uid,
-                   std::shared_ptr<const dispatch::Message> message, runtime::Duration timeout,
-                   dispatch::ExchangeHooks hooks) {
+void SimulatedTransport::Send(dispatch::ExchangeId id, const std::string& uid,
+                              std::shared_ptr<const dispatch::Message> message, runtime::Duration timeout,
+                              dispatch::ExchangeHooks hooks) {
   auto call = std::make_shared<Call>();
   call->id = id;
   call->server = NumberOf(uid);
-  call->wish = std::static_pointer_cast<const Wish>(message);
+  call->client_request = std::static_pointer_cast<const ClientRequest>(message);
   call->hooks = std::move(hooks);
   call->began = sim_.now();
-  call->job = links_.NextJob();
+  call->job = network_link_.NextJob();
   calls_.emplace(id, call);
-  sim_.After(timeout, [this, weak = std::weak_ptr(call), life = std::weak_ptr(life_)] {
+  sim_.After(timeout, [this, weak = std::weak_ptr(call), incarnation = std::weak_ptr(incarnation_)] {
     const auto call = weak.lock();
-    if (!life.expired() && call) End(call, Outcome::kTimeout, false);
+    if (!incarnation.expired() && call) End(call, Outcome::kTimeout, false);
   });
   Pool& pool = At(uid);
   std::erase_if(pool.idle,
@@ -45,89 +45,94 @@
   Write(call);
 }
 
-void Carrier::Connect(const CallPtr& call) {
+void SimulatedTransport::Connect(const CallPtr& call) {
   ++connects_;
-  const runtime::Duration there = links_.Delay(zone_, call->server);
+  const runtime::Duration there = network_link_.Delay(zone_, call->server);
   const runtime::Duration hand = Milliseconds(scenario_.handshake_ms) + 2 * there;
-  const auto later = [this, call, life = std::weak_ptr(life_)](runtime::Duration wait, auto act) {
-    sim_.After(wait, [call, life, act] {
-      if (!life.expired() && !call->ended) act();
+  const auto later = [this, call, incarnation = std::weak_ptr(incarnation_)](runtime::Duration wait,
+                                                                             auto act) {
+    sim_.After(wait, [call, incarnation, act] {
+      if (!incarnation.expired() && !call->ended) act();
     });
   };
-  if (!links_.Passes(zone_, call->server)) {
+  if (!network_link_.Passes(zone_, call->server)) {
     // Silence; a socket gives up after the time of the settings.
     return later(std::chrono::milliseconds(200), [this, call] { End(call, Outcome::kConnectFailed, false); });
   }
-  if (!links_.At(call->server).up()) {
+  if (!network_link_.At(call->server).up()) {
     return later(2 * there, [this, call] { End(call, Outcome::kConnectFailed, false); });
   }
   later(hand, [this, call] { Write(call); });
 }
 
-void Carrier::Write(const CallPtr& call) {
+void SimulatedTransport::Write(const CallPtr& call) {
   if (call->abandoned) return End(call, Outcome::kNotSent, true);
   call->connected = true;
-  Happening h;
-  h.kind = Happening::Kind::kSent;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kAttemptSent;
   h.sidecar = sidecar_;
-  h.request = call->wish->request;
+  h.request = call->client_request->request;
   h.server = call->server;
-  links_.Tell(h);
+  network_link_.Record(h);
   if (call->hooks.on_written) call->hooks.on_written();
-  if (!links_.Passes(zone_, call->server)) return;  // nothing comes back until its time is over
-  sim_.After(links_.Delay(zone_, call->server), [this, call, life = std::weak_ptr(life_)] {
-    if (!life.expired()) Arrive(call);
-  });
+  if (!network_link_.Passes(zone_, call->server)) return;  // nothing comes back until its time is over
+  sim_.After(network_link_.Delay(zone_, call->server),
+             [this, call, incarnation = std::weak_ptr(incarnation_)] {
+               if (!incarnation.expired()) Arrive(call);
+             });
 }
 
 // At the server, whether or not its sidecar still waits.
-void Carrier::Arrive(const CallPtr& call) {
+void SimulatedTransport::Arrive(const CallPtr& call) {
   if (call->ended) return;  // its connection was closed behind it
-  Server& server = links_.At(call->server);
-  if (!links_.Passes(zone_, call->server)) return;
+  Server& server = network_link_.At(call->server);
+  if (!network_link_.Passes(zone_, call->server)) return;
   if (!server.up()) return Answer(call, Outcome::kReset);
-  Happening h;
+  SimulationEvent h;
   h.sidecar = sidecar_;
-  h.request = call->wish->request;
+  h.request = call->client_request->request;
   h.server = call->server;
-  h.cls = call->wish->cls;
-  h.work = call->wish->work;
+  h.cls = call->client_request->cls;
+  h.work = call->client_request->work;
   Server::Job job;
   job.id = call->job;
-  job.work = call->wish->work;
+  job.work = call->client_request->work;
   // The server may outlive this sidecar.
-  job.begun = [&links = links_, h]() mutable {
-    h.kind = Happening::Kind::kRan;
-    links.Tell(h);
+  job.begun = [&network = network_link_, h]() mutable {
+    h.kind = SimulationEvent::Kind::kCallStarted;
+    network.Record(h);
   };
-  job.ended = [this, call, life = std::weak_ptr(life_)](Server::End end) {
-    if (life.expired()) return;
+  job.ended = [this, call, incarnation = std::weak_ptr(incarnation_)](Server::End end) {
+    if (incarnation.expired()) return;
     Answer(call, end == Server::End::kDone    ? Outcome::kServed
                  : end == Server::End::kError ? Outcome::kError
                                               : Outcome::kReset);
   };
-  h.kind = Happening::Kind::kArrived;
+  h.kind = SimulationEvent::Kind::kCallArrived;
   const bool taken = server.Take(std::move(job));
   if (!taken) return Answer(call, Outcome::kFull);
-  links_.Tell(h);
+  network_link_.Record(h);
 }
 
-void Carrier::Answer(const CallPtr& call, Outcome outcome) {
-  if (!links_.Passes(zone_, call->server)) return;
-  sim_.After(links_.Delay(zone_, call->server), [this, call, outcome, life = std::weak_ptr(life_)] {
-    if (!life.expired()) End(call, outcome, outcome != Outcome::kReset);
-  });
+void SimulatedTransport::Answer(const CallPtr& call, Outcome outcome) {
+  if (!network_link_.Passes(zone_, call->server)) return;
+  sim_.After(network_link_.Delay(zone_, call->server),
+             [this, call, outcome, incarnation = std::weak_ptr(incarnation_)] {
+               if (!incarnation.expired()) End(call, outcome, outcome != Outcome::kReset);
+             });
 }
 
-void Carrier::End(const CallPtr& call, Outcome outcome, bool keeps) {
+void SimulatedTransport::End(const CallPtr& call, Outcome outcome, bool keeps) {
   if (call->ended) return;
   call->ended = true;
   calls_.erase(call->id);
   if (keeps) At(NameOf(call->server)).idle.push_back(sim_.now());
   const bool given_up = outcome == Outcome::kTimeout || outcome == Outcome::kCancelled;
-  if (given_up && call->connected && links_.Passes(zone_, call->server)) {
-    sim_.After(links_.Delay(zone_, call->server),
-               [&links = links_, server = call->server, job = call->job] { links.At(server).Cancel(job); });
+  if (given_up && call->connected && network_link_.Passes(zone_, call->server)) {
+    sim_.After(network_link_.Delay(zone_, call->server),
+               [&network = network_link_, server = call->server, job = call->job] {
+                 network.At(server).Cancel(job);
+               });
   }
   // Before its request's first byte was written nothing can have run, whatever ended it.
   const bool unsent = !call->connected && (outcome == Outcome::kTimeout || outcome == Outcome::kCancelled);
@@ -135,13 +140,13 @@
                          : outcome == Outcome::kTimeout ? Outcome::kConnectFailed
                                                         : Outcome::kNotSent;
   if (call->connected) {
-    Happening h;
-    h.kind = Happening::Kind::kEnded;
+    SimulationEvent h;
+    h.kind = SimulationEvent::Kind::kAttemptEnded;
     h.sidecar = sidecar_;
-    h.request = call->wish->request;
+    h.request = call->client_request->request;
     h.server = call->server;
     h.outcome = proven;
-    links_.Tell(h);
+    network_link_.Record(h);
   }
   dispatch::ExchangeResult result;
   result.outcome = proven;
@@ -151,13 +156,13 @@
   if (on_end) on_end(std::move(result));
 }
 
-void Carrier::Probe(dispatch::ExchangeId, const std::string& uid, OnEnd on_end) {
+void SimulatedTransport::Probe(dispatch::ExchangeId, const std::string& uid, OnEnd on_end) {
   const std::size_t server = NumberOf(uid);
-  const runtime::Duration there = links_.Delay(zone_, server);
-  const bool well = links_.Passes(zone_, server) && links_.At(server).up();
+  const runtime::Duration there = network_link_.Delay(zone_, server);
+  const bool well = network_link_.Passes(zone_, server) && network_link_.At(server).up();
   sim_.After(well ? 2 * there : runtime::Duration(std::chrono::milliseconds(200)),
-             [on_end = std::move(on_end), well, there, life = std::weak_ptr(life_)] {
-               if (life.expired()) return;
+             [on_end = std::move(on_end), well, there, incarnation = std::weak_ptr(incarnation_)] {
+               if (incarnation.expired()) return;
                dispatch::ExchangeResult result;
                result.outcome = well ? Outcome::kServed : Outcome::kTimeout;
                result.elapsed = 2 * there;
@@ -165,18 +170,18 @@
              });
 }
 
-void Carrier::Broke(std::size_t server) { At(NameOf(server)).idle.clear(); }
+void SimulatedTransport::Broke(std::size_t server) { At(NameOf(server)).idle.clear(); }
 
-void Carrier::Cancel(dispatch::ExchangeId id) {
+void SimulatedTransport::Cancel(dispatch::ExchangeId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
   // The end is told from the loop, as sockets do.
-  sim_.After(runtime::Duration(0), [this, call = it->second, life = std::weak_ptr(life_)] {
-    if (!life.expired()) End(call, Outcome::kCancelled, false);
+  sim_.After(runtime::Duration(0), [this, call = it->second, incarnation = std::weak_ptr(incarnation_)] {
+    if (!incarnation.expired()) End(call, Outcome::kCancelled, false);
   });
 }
 
-void Carrier::Abandon(dispatch::ExchangeId id) {
+void SimulatedTransport::Abandon(dispatch::ExchangeId id) {
   const auto it = calls_.find(id);
   if (it != calls_.end()) it->second->abandoned = true;
 }
--- a/src/simulation/carrier.h
+++ b/src/simulation/simulated_transport.h
@@ -9,37 +9,42 @@
 #include <vector>
 
 #include "dispatch/exchange.h"
-#include "simulation/happening.h"
 #include "simulation/server.h"
-#include "simulation/sim.h"
+#include "simulation/simulation_event.h"
+#include "simulation/simulator.h"
 
 namespace mothrack::simulation {
 
 // A request as the lab's clients make it.
-struct Wish : dispatch::Message {
+struct ClientRequest : dispatch::Message {
   std::uint64_t request = 0;
   std::size_t cls = 0;
   double work = 0;
 };
 
 // What lies between sidecars and servers.
-class Links {
+class SimulatedNetwork {
  public:
-  virtual ~Links() = default;
+  virtual ~SimulatedNetwork() = default;
   // Of a sidecar in this zone to a server, or back.
   virtual runtime::Duration Delay(std::size_t zone, std::size_t server) = 0;
   // Does anything pass at all? Else there is silence.
   virtual bool Passes(std::size_t zone, std::size_t server) const = 0;
   virtual Server& At(std::size_t server) = 0;
-  virtual void Tell(Happening h) = 0;
+  virtual void Record(SimulationEvent h) = 0;
   virtual std::uint64_t NextJob() = 0;
 };
 
-class Carrier : public dispatch::Transport {
+class SimulatedTransport : public dispatch::Transport {
  public:
-  Carrier(Simulator& sim, Links& links, const Scenario& scenario, std::uint64_t sidecar, std::size_t zone,
-          Random random)
-      : sim_(sim), links_(links), scenario_(scenario), sidecar_(sidecar), zone_(zone), random_(random) {}
+  SimulatedTransport(Simulator& sim, SimulatedNetwork& network, const Scenario& scenario,
+                     std::uint64_t sidecar, std::size_t zone, Random random)
+      : sim_(sim),
+        network_link_(network),
+        scenario_(scenario),
+        sidecar_(sidecar),
+        zone_(zone),
+        random_(random) {}
 
   void Apply(const std::string& uid, const dispatch::Location& location) override;
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
@@ -61,7 +66,7 @@
   struct Call {
     dispatch::ExchangeId id{};
     std::size_t server = 0;
-    std::shared_ptr<const Wish> wish;
+    std::shared_ptr<const ClientRequest> client_request;
     dispatch::ExchangeHooks hooks;
     runtime::TimePoint began;
     std::uint64_t job = 0;
@@ -83,7 +88,7 @@
   void End(const CallPtr& call, balancer::Outcome outcome, bool keeps);
 
   Simulator& sim_;
-  Links& links_;
+  SimulatedNetwork& network_link_;
   const Scenario& scenario_;
   const std::uint64_t sidecar_;
   const std::size_t zone_;
@@ -92,7 +97,7 @@
   std::unordered_map<dispatch::ExchangeId, CallPtr> calls_;
   std::uint64_t connects_ = 0;
   // What is on its way must not reach one that is gone.
-  std::shared_ptr<int> life_ = std::make_shared<int>(0);
+  std::shared_ptr<int> incarnation_ = std::make_shared<int>(0);
 };
 
 }  // namespace mothrack::simulation
--- a/src/simulation/world.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -1,4 +1,4 @@
-#include "simulation/world.h"
+#include "simulation/simulation_run.h"
 
 #include <xxhash.h>
 
@@ -13,49 +13,53 @@
 // Moments of this world count from here: a time of zero means nothing to the program either.
 constexpr runtime::Duration kEpoch = std::chrono::seconds(1000);
 // Of what vanishes silently discovery hears after this long.
-constexpr runtime::Duration kSilentNotice = std::chrono::seconds(5);
+constexpr runtime::Duration kUnresponsiveNotice = std::chrono::seconds(5);
 // A new server is there so long after the one that it replaces was told as leaving.
 constexpr runtime::Duration kReplacement = std::chrono::seconds(1);
 // A planned stop waits for what is open, but no longer than the longest deadline here and some.
-constexpr runtime::Duration kStopPatience = std::chrono::seconds(5);
+constexpr runtime::Duration kStopTimeout = std::chrono::seconds(5);
 constexpr double kMeanRateFloor = 0.02;  // of the mean: nobody sends nothing
 
-Ending EndingOf(const dispatch::Final& final) {
+RequestOutcome RequestOutcomeOf(const dispatch::Final& final) {
   switch (final.kind) {
     case dispatch::Final::Kind::kServed:
-      return Ending::kServed;
+      return RequestOutcome::kServed;
     case dispatch::Final::Kind::kRejected:
-      return Ending::kRefused;
+      return RequestOutcome::kRefused;
     case dispatch::Final::Kind::kFailed:
       break;
   }
-  return Ending::kFailed;
+  return RequestOutcome::kFailed;
 }
 
 // Does now and then what a rule forbids.
 class Saboteur : public dispatch::Transport {
  public:
-  Saboteur(Carrier& inner, const Scenario& scenario, Planted planted, Random random,
+  Saboteur(SimulatedTransport& inner, const Scenario& scenario, InjectedFault injected_fault, Random random,
            std::function<std::optional<std::size_t>(bool leaving)> find)
-      : inner_(inner), scenario_(scenario), planted_(planted), random_(random), find_(std::move(find)) {}
+      : inner_(inner),
+        scenario_(scenario),
+        injected_fault_(injected_fault),
+        random_(random),
+        find_(std::move(find)) {}
 
   void Apply(const std::string& uid, const dispatch::Location& location) override {
     inner_.Apply(uid, location);
   }
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
             runtime::Duration timeout, dispatch::ExchangeHooks hooks) override {
-    const auto& wish = static_cast<const Wish&>(*message);
-    const bool unsafe = scenario_.classes[wish.cls].effect == balancer::Effect::kUnsafe;
+    const auto& client_request = static_cast<const ClientRequest&>(*message);
+    const bool unsafe = scenario_.classes[client_request.cls].effect == balancer::Effect::kUnsafe;
     std::string to = uid;
-    if (planted_ == Planted::kResend && unsafe && random_.Chance(0.02)) {
+    if (injected_fault_ == InjectedFault::kResend && unsafe && random_.Chance(0.02)) {
       inner_.Send(dispatch::ExchangeId{static_cast<std::uint64_t>(id) | 1ULL << 62}, uid, message, timeout,
                   {});
     }
-    if (planted_ == Planted::kAfterDrain && random_.Chance(0.02)) {
-      if (const auto leaving = find_(true)) to = Carrier::NameOf(*leaving);
+    if (injected_fault_ == InjectedFault::kAfterDrain && random_.Chance(0.02)) {
+      if (const auto leaving = find_(true)) to = SimulatedTransport::NameOf(*leaving);
     }
-    if (planted_ == Planted::kColdFlood) {
-      if (const auto cold = find_(false)) to = Carrier::NameOf(*cold);
+    if (injected_fault_ == InjectedFault::kOverloadWarmingUp) {
+      if (const auto warming_up = find_(false)) to = SimulatedTransport::NameOf(*warming_up);
     }
     inner_.Send(id, to, std::move(message), timeout, std::move(hooks));
   }
@@ -67,9 +71,9 @@
   void CloseIdle(const std::string& uid) override { inner_.CloseIdle(uid); }
 
  private:
-  Carrier& inner_;
+  SimulatedTransport& inner_;
   const Scenario& scenario_;
-  const Planted planted_;
+  const InjectedFault injected_fault_;
   Random random_;
   const std::function<std::optional<std::size_t>(bool)> find_;
 };
@@ -78,22 +82,22 @@
   Rules::Limits limits;
   for (const ClassLoad& c : scenario.classes) limits.unsafe.push_back(c.effect == balancer::Effect::kUnsafe);
   limits.slow_start_initial_share = scenario.slow_start_initial_share;
-  limits.slow_start_duration = SecondsOf(scenario.cold_s);
+  limits.slow_start_duration = SecondsOf(scenario.slow_start_s);
   return limits;
 }
 
 }  // namespace
 
-struct World::Hash {
+struct SimulationRun::Hash {
   Hash() { XXH64_reset(state.get(), 0); }
-  void Add(const Happening& h) {
+  void Add(const SimulationEvent& h) {
     const std::uint64_t words[] = {
         static_cast<std::uint64_t>(h.kind),
         static_cast<std::uint64_t>(h.at.time_since_epoch().count()),
         h.sidecar,
         h.request,
         h.server,
-        static_cast<std::uint64_t>(h.ending) << 8 | static_cast<std::uint64_t>(h.outcome)};
+        static_cast<std::uint64_t>(h.request_outcome) << 8 | static_cast<std::uint64_t>(h.outcome)};
     XXH64_update(state.get(), words, sizeof words);
   }
   struct Free {
@@ -103,18 +107,18 @@
 };
 
 // What a client wants, over all of its tries.
-struct World::Want {
-  std::uint64_t wish = 0;
+struct SimulationRun::PendingClientRequest {
+  std::uint64_t client_request = 0;
   std::size_t cls = 0;
-  runtime::TimePoint asked;
+  runtime::TimePoint options;
   runtime::TimePoint until;
   double work = 0;
-  int tries = 0;
+  int client_attempts = 0;
   int most_tries = 1;
   bool impatient = false;
 };
 
-struct World::Sidecar {
+struct SimulationRun::Sidecar {
   std::size_t number = 0;
   std::uint64_t id = 0;  // of this life
   std::uint32_t lives = 0;
@@ -124,18 +128,18 @@
   runtime::Duration notice{};
   Random random{0};
   bool open = false;  // its application sends
-  std::unique_ptr<Carrier> carrier;
+  std::unique_ptr<SimulatedTransport> transport;
   std::unique_ptr<Saboteur> saboteur;
   std::unique_ptr<dispatch::Dispatcher> dispatcher;
-  std::shared_ptr<int> life;
-  std::map<std::uint64_t, std::shared_ptr<Want>> wants;  // by wish
-  balancer::Counts told;                                 // at the last second
+  std::shared_ptr<int> incarnation;
+  std::map<std::uint64_t, std::shared_ptr<PendingClientRequest>> wants;  // by wish
+  balancer::Counts last_counts;                                          // at the last second
   std::uint64_t connects = 0;
 };
 
-World::World(const Scenario& scenario, std::uint64_t seed, Planted planted)
+SimulationRun::SimulationRun(const Scenario& scenario, std::uint64_t seed, InjectedFault injected_fault)
     : scenario_(scenario),
-      planted_(planted),
+      injected_fault_(injected_fault),
       random_(seed),
       arrivals_(random_.Fork()),
       network_(random_.Fork()),
@@ -180,11 +184,11 @@
   EachSecond();
 }
 
-World::~World() {
+SimulationRun::~SimulationRun() {
   for (const auto& sidecar : sidecars_) sidecar->dispatcher.reset();
 }
 
-Outcome World::Run() {
+Outcome SimulationRun::Run() {
   const runtime::TimePoint end = runtime::TimePoint(kEpoch) + SecondsOf(scenario_.length_s);
   sim_.RunUntil(end);
   // Nobody asks any more, and what was asked comes to its end.
@@ -196,10 +200,10 @@
   figures_.Finish();
   Outcome outcome;
   outcome.digest = XXH64_digest(hash_->state.get());
-  outcome.happenings = happenings_;
+  outcome.recorded_events = recorded_events_;
   outcome.events = sim_.events();
-  outcome.requests = taken_;
-  outcome.breaks = rules_.breaks();
+  outcome.requests = accepted_;
+  outcome.breaches = rules_.breaches();
   outcome.broken = rules_.total();
   for (const auto& sidecar : sidecars_) {
     if (sidecar->dispatcher) outcome.still_open += sidecar->dispatcher->in_flight();
@@ -209,29 +213,29 @@
 
 // ---- Links ----
 
-runtime::Duration World::Delay(std::size_t zone, std::size_t server) {
+runtime::Duration SimulationRun::Delay(std::size_t zone, std::size_t server) {
   const double mean = zone == machines_[server].zone ? scenario_.same_ms : scenario_.cross_ms;
   return Milliseconds(mean * network_.LogNormal(scenario_.jitter));
 }
 
-bool World::Passes(std::size_t zone, std::size_t server) const {
+bool SimulationRun::Passes(std::size_t zone, std::size_t server) const {
   const Machine& machine = machines_[server];
-  if (machine.silent || lost_[machine.zone]) return false;
+  if (machine.unresponsive || lost_[machine.zone]) return false;
   return zone == machine.zone || (!cut_[zone] && !cut_[machine.zone]);
 }
 
-void World::Tell(Happening h) {
+void SimulationRun::Record(SimulationEvent h) {
   h.at = runtime::TimePoint(sim_.now() - kEpoch);
   if (h.until != runtime::TimePoint{}) h.until = runtime::TimePoint(h.until - kEpoch);
-  ++happenings_;
+  ++recorded_events_;
   hash_->Add(h);
-  rules_.Tell(h);
-  figures_.Tell(h);
+  rules_.Record(h);
+  figures_.Record(h);
 }
 
 // ---- Servers and lists ----
 
-std::size_t World::AddServer(std::size_t zone, double speed) {
+std::size_t SimulationRun::AddServer(std::size_t zone, double speed) {
   Machine machine;
   machine.zone = zone;
   machine.speed = speed;
@@ -240,42 +244,42 @@
   return machines_.size() - 1;
 }
 
-void World::KillServer(std::size_t server) {
+void SimulationRun::KillServer(std::size_t server) {
   machines_[server].server->Kill();
   for (const auto& sidecar : sidecars_) {
-    if (sidecar->carrier && Passes(sidecar->zone, server)) sidecar->carrier->Broke(server);
+    if (sidecar->transport && Passes(sidecar->zone, server)) sidecar->transport->Broke(server);
   }
 }
 
-void World::BootServer(std::size_t server) {
+void SimulationRun::BootServer(std::size_t server) {
   Machine& machine = machines_[server];
   machine.server->Boot();
   machine.started = sim_.now();
   machine.boot_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(sim_.now().time_since_epoch()).count();
   machine.state = UpstreamState::kServing;
-  Happening h;
-  h.kind = Happening::Kind::kBooted;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kServerStarted;
   h.server = server;
   h.work = machine.server->capacity();
-  Tell(h);
+  Record(h);
   Changed(server);
 }
 
-void World::Changed(std::size_t server) {
+void SimulationRun::Changed(std::size_t server) {
   for (const auto& sidecar : sidecars_) {
     sim_.After(sidecar->notice, [this, &sidecar = *sidecar, server] { Deliver(sidecar, server); });
   }
 }
 
-dispatch::MembershipList World::ListOf(const std::vector<std::size_t>& servers,
-                                       balancer::MembershipUpdate::Kind kind) const {
+dispatch::MembershipList SimulationRun::ListOf(const std::vector<std::size_t>& servers,
+                                               balancer::MembershipUpdate::Kind kind) const {
   dispatch::MembershipList list;
   list.update.kind = kind;
   for (const std::size_t server : servers) {
     const Machine& machine = machines_[server];
     balancer::UpstreamInfo info;
-    info.id.value = Carrier::NameOf(server);
+    info.id.value = SimulatedTransport::NameOf(server);
     info.zone = scenario_.zones[machine.zone];
     info.kind = machine.speed > (scenario_.slowest + scenario_.fastest) / 2 ? "fast" : "slow";
     info.state = machine.state;
@@ -286,35 +290,36 @@
   return list;
 }
 
-void World::Deliver(Sidecar& sidecar, std::size_t server) {
+void SimulationRun::Deliver(Sidecar& sidecar, std::size_t server) {
   if (stale_) {
     sim_.After(std::chrono::milliseconds(500), [this, &sidecar, server] { Deliver(sidecar, server); });
     return;
   }
   if (!sidecar.dispatcher) return;  // it hears of all when it starts
-  Happening h;
-  h.kind = Happening::Kind::kTold;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kSidecarNotified;
   h.sidecar = sidecar.id;
   h.server = server;
   h.leaving = machines_[server].state != UpstreamState::kServing;
-  Tell(h);
+  Record(h);
   sidecar.dispatcher->Apply(ListOf({server}, balancer::MembershipUpdate::Kind::kChanges));
 }
 
 // ---- Sidecars and clients ----
 
-void World::Start(Sidecar& sidecar) {
+void SimulationRun::Start(Sidecar& sidecar) {
   ++sidecar.lives;
   sidecar.id = static_cast<std::uint64_t>(sidecar.lives) << 32 | sidecar.number;
-  sidecar.life = std::make_shared<int>(0);
-  sidecar.told = {};
+  sidecar.incarnation = std::make_shared<int>(0);
+  sidecar.last_counts = {};
   sidecar.connects = 0;
-  sidecar.carrier = std::make_unique<Carrier>(sim_, static_cast<Links&>(*this), scenario_, sidecar.id,
-                                              sidecar.zone, sidecar.random.Fork());
-  dispatch::Transport* transport = sidecar.carrier.get();
-  if (planted_ != Planted::kNone) {
+  sidecar.transport =
+      std::make_unique<SimulatedTransport>(sim_, static_cast<SimulatedNetwork&>(*this), scenario_, sidecar.id,
+                                           sidecar.zone, sidecar.random.Fork());
+  dispatch::Transport* transport = sidecar.transport.get();
+  if (injected_fault_ != InjectedFault::kNone) {
     sidecar.saboteur = std::make_unique<Saboteur>(
-        *sidecar.carrier, scenario_, planted_, sidecar.random.Fork(),
+        *sidecar.transport, scenario_, injected_fault_, sidecar.random.Fork(),
         [this](bool leaving) -> std::optional<std::size_t> {
           for (std::size_t i = machines_.size(); i-- > 0;) {
             const Machine& m = machines_[i];
@@ -340,160 +345,164 @@
   NextArrival(sidecar);
 }
 
-void World::Stop(Sidecar& sidecar) {
+void SimulationRun::Stop(Sidecar& sidecar) {
   if (!sidecar.dispatcher) return;
-  Happening h;
-  h.kind = Happening::Kind::kKilled;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kSidecarKilled;
   h.sidecar = sidecar.id;
-  Tell(h);
+  Record(h);
   sidecar.open = false;
   sidecar.dispatcher.reset();
   sidecar.saboteur.reset();
-  sidecar.carrier.reset();
-  sidecar.life.reset();
+  sidecar.transport.reset();
+  sidecar.incarnation.reset();
   const auto wants = std::exchange(sidecar.wants, {});
-  for (const auto& [wish, want] : wants) Close(*want, Ending::kFailed);
+  for (const auto& [client_request, pending] : wants) Close(*pending, RequestOutcome::kFailed);
   sim_.After(Milliseconds(scenario_.start_ms), [this, &sidecar] {
     if (!sidecar.dispatcher) Start(sidecar);
   });
 }
 
-void World::PlannedStop(Sidecar& sidecar) {
+void SimulationRun::PlannedStop(Sidecar& sidecar) {
   if (!sidecar.dispatcher || !sidecar.open) return;
   sidecar.open = false;
-  AwaitEmpty(sidecar, sidecar.life, sim_.now() + kStopPatience);
+  AwaitEmpty(sidecar, sidecar.incarnation, sim_.now() + kStopTimeout);
 }
 
-void World::AwaitEmpty(Sidecar& sidecar, std::weak_ptr<int> life, runtime::TimePoint most) {
-  if (life.expired()) return;
+void SimulationRun::AwaitEmpty(Sidecar& sidecar, std::weak_ptr<int> incarnation, runtime::TimePoint most) {
+  if (incarnation.expired()) return;
   if (sidecar.dispatcher->open() == 0 || sim_.now() >= most) return Stop(sidecar);
   sim_.After(std::chrono::milliseconds(100),
-             [this, &sidecar, life, most] { AwaitEmpty(sidecar, life, most); });
+             [this, &sidecar, incarnation, most] { AwaitEmpty(sidecar, incarnation, most); });
 }
 
-double World::Load() const {
+double SimulationRun::Load() const {
   const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
   return burst_ * (1 + scenario_.wave * std::sin(6.283185307179586 * s / scenario_.wave_s));
 }
 
-void World::NextArrival(Sidecar& sidecar) {
+void SimulationRun::NextArrival(Sidecar& sidecar) {
   const double rate = sidecar.rate * sidecar.times * Load();
   // Looked at again where the rate may have risen meanwhile.
   const double wait = sidecar.random.Exponential(1 / std::max(rate, 1e-9));
   constexpr double kMostWait = 0.25;
-  sim_.After(
-      SecondsOf(std::min(wait, kMostWait)), [this, &sidecar, wait, life = std::weak_ptr(sidecar.life)] {
-        if (life.expired() || !sidecar.open) return;
-        if (wait <= kMostWait) {
-          double draw = 0;
-          for (const ClassLoad& c : scenario_.classes) draw += c.share;
-          draw *= arrivals_.Uniform();
-          std::size_t cls = 0;
-          while (cls + 1 < scenario_.classes.size() && draw >= scenario_.classes[cls].share) {
-            draw -= scenario_.classes[cls++].share;
-          }
-          const ClassLoad& c = scenario_.classes[cls];
-          auto want = std::make_shared<Want>();
-          want->wish = ++last_wish_;
-          want->cls = cls;
-          want->asked = sim_.now();
-          want->until = sim_.now() + Milliseconds(c.deadline_ms);
-          want->work = c.work_ms * arrivals_.LogNormal(c.work_cv);
-          want->impatient = impatient_ > 0 && arrivals_.Chance(impatient_);
-          const double retries = scenario_.retries;
-          want->most_tries =
-              1 + static_cast<int>(retries) + (arrivals_.Chance(retries - std::floor(retries)) ? 1 : 0);
-          if (want->impatient) want->most_tries += 2;
-          sidecar.wants[want->wish] = want;
-          Happening h;
-          h.kind = Happening::Kind::kAsked;
-          h.request = want->wish;
-          h.cls = cls;
-          Tell(h);
-          Ask(sidecar, want);
-        }
-        NextArrival(sidecar);
-      });
+  sim_.After(SecondsOf(std::min(wait, kMostWait)),
+             [this, &sidecar, wait, incarnation = std::weak_ptr(sidecar.incarnation)] {
+               if (incarnation.expired() || !sidecar.open) return;
+               if (wait <= kMostWait) {
+                 double draw = 0;
+                 for (const ClassLoad& c : scenario_.classes) draw += c.share;
+                 draw *= arrivals_.Uniform();
+                 std::size_t cls = 0;
+                 while (cls + 1 < scenario_.classes.size() && draw >= scenario_.classes[cls].share) {
+                   draw -= scenario_.classes[cls++].share;
+                 }
+                 const ClassLoad& c = scenario_.classes[cls];
+                 auto pending = std::make_shared<PendingClientRequest>();
+                 pending->client_request = ++last_client_request_;
+                 pending->cls = cls;
+                 pending->options = sim_.now();
+                 pending->until = sim_.now() + Milliseconds(c.deadline_ms);
+                 pending->work = c.work_ms * arrivals_.LogNormal(c.work_cv);
+                 pending->impatient = impatient_ > 0 && arrivals_.Chance(impatient_);
+                 const double retries = scenario_.retries;
+                 pending->most_tries = 1 + static_cast<int>(retries) +
+                                       (arrivals_.Chance(retries - std::floor(retries)) ? 1 : 0);
+                 if (pending->impatient) pending->most_tries += 2;
+                 sidecar.wants[pending->client_request] = pending;
+                 SimulationEvent h;
+                 h.kind = SimulationEvent::Kind::kRequested;
+                 h.request = pending->client_request;
+                 h.cls = cls;
+                 Record(h);
+                 SendRequest(sidecar, pending);
+               }
+               NextArrival(sidecar);
+             });
 }
 
-void World::Ask(Sidecar& sidecar, std::shared_ptr<Want> want) {
-  ++want->tries;
+void SimulationRun::SendRequest(Sidecar& sidecar, std::shared_ptr<PendingClientRequest> pending) {
+  ++pending->client_attempts;
   const std::uint64_t request = ++last_request_;
-  ++taken_;
-  auto wish = std::make_shared<Wish>();
-  wish->request = request;
-  wish->cls = want->cls;
-  wish->work = want->work;
-  Happening h;
-  h.kind = Happening::Kind::kTaken;
+  ++accepted_;
+  auto client_request = std::make_shared<ClientRequest>();
+  client_request->request = request;
+  client_request->cls = pending->cls;
+  client_request->work = pending->work;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kAccepted;
   h.sidecar = sidecar.id;
   h.request = request;
-  h.cls = want->cls;
-  h.until = want->until;
-  Tell(h);
+  h.cls = pending->cls;
+  h.until = pending->until;
+  Record(h);
   dispatch::NewRequest taken;
-  taken.request_class = balancer::ClassId{want->cls};
-  taken.deadline = want->until;
-  taken.message = wish;
-  taken.on_final = [this, &sidecar, want, request](dispatch::Final final) {
-    Heard(sidecar, want, request, final);
+  taken.request_class = balancer::ClassId{pending->cls};
+  taken.deadline = pending->until;
+  taken.message = client_request;
+  taken.on_final = [this, &sidecar, pending, request](dispatch::Final final) {
+    OnFinalAnswer(sidecar, pending, request, final);
   };
   const auto id = sidecar.dispatcher->Submit(std::move(taken));
-  if (!want->impatient || !id) return;
+  if (!pending->impatient || !id) return;
   // Leaves at a third of its aim, and comes again at once.
-  sim_.After(Milliseconds(scenario_.classes[want->cls].aim_ms / 3),
-             [this, &sidecar, want, request, id, tries = want->tries, life = std::weak_ptr(sidecar.life)] {
-               if (life.expired() || !sidecar.wants.contains(want->wish) || want->tries != tries) return;
-               if (want->tries >= want->most_tries) return;
-               Happening left;
-               left.kind = Happening::Kind::kLeft;
+  sim_.After(Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3),
+             [this, &sidecar, pending, request, id, client_attempts = pending->client_attempts,
+              incarnation = std::weak_ptr(sidecar.incarnation)] {
+               if (incarnation.expired() || !sidecar.wants.contains(pending->client_request) ||
+                   pending->client_attempts != client_attempts)
+                 return;
+               if (pending->client_attempts >= pending->most_tries) return;
+               SimulationEvent left;
+               left.kind = SimulationEvent::Kind::kClientLeft;
                left.sidecar = sidecar.id;
                left.request = request;
-               Tell(left);
+               Record(left);
                sidecar.dispatcher->OnClientDisconnected(*id);
-               Ask(sidecar, want);
+               SendRequest(sidecar, pending);
              });
 }
 
-void World::Heard(Sidecar& sidecar, const std::shared_ptr<Want>& want, std::uint64_t request,
-                  const dispatch::Final& final) {
-  if (planted_ == Planted::kDroppedAnswer && request % 997 == 0) return;
-  Happening h;
-  h.kind = Happening::Kind::kFinal;
+void SimulationRun::OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
+                                  std::uint64_t request, const dispatch::Final& final) {
+  if (injected_fault_ == InjectedFault::kDroppedAnswer && request % 997 == 0) return;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kAnswered;
   h.sidecar = sidecar.id;
   h.request = request;
-  h.cls = want->cls;
-  h.ending = EndingOf(final);
-  Tell(h);
-  const bool again =
-      h.ending != Ending::kServed && want->tries < want->most_tries &&
-      (h.ending == Ending::kRefused || scenario_.classes[want->cls].effect == balancer::Effect::kSafe);
+  h.cls = pending->cls;
+  h.request_outcome = RequestOutcomeOf(final);
+  Record(h);
+  const bool again = h.request_outcome != RequestOutcome::kServed &&
+                     pending->client_attempts < pending->most_tries &&
+                     (h.request_outcome == RequestOutcome::kRefused ||
+                      scenario_.classes[pending->cls].effect == balancer::Effect::kSafe);
   runtime::Duration wait =
-      Milliseconds(scenario_.backoff_ms * (0.5 + sidecar.random.Uniform()) * want->tries);
+      Milliseconds(scenario_.backoff_ms * (0.5 + sidecar.random.Uniform()) * pending->client_attempts);
   wait = std::max(wait, final.retry_after);
-  if (!again || sim_.now() + wait >= want->until) {
-    Close(*want, h.ending);
-    sidecar.wants.erase(want->wish);
+  if (!again || sim_.now() + wait >= pending->until) {
+    Close(*pending, h.request_outcome);
+    sidecar.wants.erase(pending->client_request);
     return;
   }
-  sim_.After(wait, [this, &sidecar, want, life = std::weak_ptr(sidecar.life)] {
-    if (!life.expired()) Ask(sidecar, want);
+  sim_.After(wait, [this, &sidecar, pending, incarnation = std::weak_ptr(sidecar.incarnation)] {
+    if (!incarnation.expired()) SendRequest(sidecar, pending);
   });
 }
 
-void World::Close(const Want& want, Ending ending) {
-  Happening h;
-  h.kind = Happening::Kind::kGotten;
-  h.request = want.wish;
-  h.cls = want.cls;
-  h.ending = ending;
-  h.late = sim_.now() > want.asked + Milliseconds(scenario_.classes[want.cls].aim_ms);
-  Tell(h);
+void SimulationRun::Close(const PendingClientRequest& pending, RequestOutcome request_outcome) {
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kResolved;
+  h.request = pending.client_request;
+  h.cls = pending.cls;
+  h.request_outcome = request_outcome;
+  h.late = sim_.now() > pending.options + Milliseconds(scenario_.classes[pending.cls].latency_objective_ms);
+  Record(h);
 }
 
 // ---- Trouble ----
 
-std::vector<std::size_t> World::Share(std::size_t of, double part) {
+std::vector<std::size_t> SimulationRun::Share(std::size_t of, double part) {
   std::vector<std::size_t> all(of);
   std::iota(all.begin(), all.end(), std::size_t{0});
   for (std::size_t i = of; i > 1; --i) std::swap(all[i - 1], all[random_.Below(i)]);
@@ -501,12 +510,12 @@
   return all;
 }
 
-void World::Plan(const Fault& fault) {
+void SimulationRun::Plan(const Fault& fault) {
   const auto at = runtime::TimePoint(kEpoch) + SecondsOf(fault.at_s);
-  sim_.At(at, [this, &fault] { Begin(fault); });
+  sim_.At(at, [this, &fault] { BeginFault(fault); });
 }
 
-void World::Begin(const Fault& fault) {
+void SimulationRun::BeginFault(const Fault& fault) {
   const runtime::Duration length = SecondsOf(fault.len_s);
   const auto zone = static_cast<std::size_t>(
       std::find(scenario_.zones.begin(), scenario_.zones.end(), fault.zone) - scenario_.zones.begin());
@@ -531,7 +540,7 @@
       for (const std::size_t i : serving) {
         if (machines_[i].zone == zone) gone.push_back(i);
       }
-      sim_.After(kSilentNotice, [this, zone, gone] {
+      sim_.After(kUnresponsiveNotice, [this, zone, gone] {
         if (!lost_[zone]) return;
         for (const std::size_t i : gone) machines_[i].state = UpstreamState::kGone, Changed(i);
       });
@@ -541,10 +550,10 @@
       });
       break;
     }
-    case FaultKind::kSilent:
+    case FaultKind::kUnresponsive:
       for (const std::size_t i : some()) {
-        machines_[i].silent = true;
-        later([this, i] { machines_[i].silent = false; });
+        machines_[i].unresponsive = true;
+        later([this, i] { machines_[i].unresponsive = false; });
       }
       break;
     case FaultKind::kSlow:
@@ -595,7 +604,7 @@
       burst_ *= fault.size;
       later([this, &fault] { burst_ /= fault.size; });
       break;
-    case FaultKind::kCrowd:
+    case FaultKind::kHotSidecars:
       for (const std::size_t i : Share(sidecars_.size(), fault.part)) {
         sidecars_[i]->times *= fault.size;
         later([this, i, &fault] { sidecars_[i]->times /= fault.size; });
@@ -612,7 +621,7 @@
   }
 }
 
-void World::Flap(std::size_t server, double away_s, runtime::TimePoint end) {
+void SimulationRun::Flap(std::size_t server, double away_s, runtime::TimePoint end) {
   if (sim_.now() >= end) return;
   KillServer(server);
   sim_.After(SecondsOf(away_s), [this, server] { BootServer(server); });
@@ -620,7 +629,7 @@
 }
 
 // Looks at the world as it is, as people would.
-void World::EachSecond() {
+void SimulationRun::EachSecond() {
   const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
   if (s >= scenario_.length_s) return;
   Second& second = figures_.At(s);
@@ -628,28 +637,28 @@
   double demand = 0;
   for (const Machine& machine : machines_) {
     const bool listed = machine.state == UpstreamState::kServing;
-    const bool there = machine.server->up() && !machine.silent && !lost_[machine.zone];
+    const bool there = machine.server->up() && !machine.unresponsive && !lost_[machine.zone];
     if (listed && there) able += machine.server->able();
-    if (listed && there && machine.server->slow_start_factor() < 1) ++second.cold;
+    if (listed && there && machine.server->slow_start_factor() < 1) ++second.warming_up;
     if (listed && !there) ++second.down;
-    second.held += static_cast<double>(machine.server->held());
+    second.in_flight += static_cast<double>(machine.server->in_flight());
   }
   for (const auto& sidecar : sidecars_) {
     if (!sidecar->dispatcher) continue;
     if (sidecar->open) demand += sidecar->rate * sidecar->times;
     const balancer::Counts counts = sidecar->dispatcher->counts();
-    second.overload += counts.overload - sidecar->told.overload;
-    second.nobody += counts.nobody - sidecar->told.nobody;
-    second.given_up += counts.given_up - sidecar->told.given_up;
-    second.retries += counts.retries - sidecar->told.retries;
-    second.hedges += counts.hedges - sidecar->told.hedges;
-    second.half_open_probes += counts.half_open_probes - sidecar->told.half_open_probes;
+    second.overload += counts.overload - sidecar->last_counts.overload;
+    second.nobody += counts.nobody - sidecar->last_counts.nobody;
+    second.given_up += counts.given_up - sidecar->last_counts.given_up;
+    second.retries += counts.retries - sidecar->last_counts.retries;
+    second.hedges += counts.hedges - sidecar->last_counts.hedges;
+    second.half_open_probes += counts.half_open_probes - sidecar->last_counts.half_open_probes;
     second.shed += counts.shed / static_cast<double>(sidecars_.size());
-    second.ejected += counts.ejected - sidecar->told.ejected;
-    second.returned += counts.returned - sidecar->told.returned;
-    second.connects += sidecar->carrier->connects() - sidecar->connects;
-    sidecar->told = counts;
-    sidecar->connects = sidecar->carrier->connects();
+    second.ejected += counts.ejected - sidecar->last_counts.ejected;
+    second.returned += counts.returned - sidecar->last_counts.returned;
+    second.connects += sidecar->transport->connects() - sidecar->connects;
+    sidecar->last_counts = counts;
+    sidecar->connects = sidecar->transport->connects();
   }
   second.able = able / warm_;
   second.demand = demand * Load() * work_ / 1000 / warm_;
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -9,7 +9,7 @@
 #include <stdexcept>
 
 #include "simulation/results.h"
-#include "simulation/world.h"
+#include "simulation/simulation_run.h"
 
 namespace mothrack::simulation {
 namespace {
@@ -17,13 +17,13 @@
 struct Worker {
   std::size_t job = 0;
   pid_t pid = 0;
-  std::string told;
+  std::string output;
 };
 
 [[noreturn]] void Work(const Job& job, int to) {
   int code = 1;
   try {
-    World world(job.scenario, job.seed);
+    SimulationRun world(job.scenario, job.seed);
     const Outcome outcome = world.Run();
     const std::string text = ToJson(job.scenario, job.seed, outcome, world.figures(), false).dump();
     std::size_t at = 0;
@@ -68,13 +68,13 @@
       char buffer[4096];
       const ssize_t got = ::read(wait.fd, buffer, sizeof buffer);
       if (got > 0) {
-        worker.told.append(buffer, static_cast<std::size_t>(got));
+        worker.output.append(buffer, static_cast<std::size_t>(got));
         continue;
       }
       int status = 0;
       ::waitpid(worker.pid, &status, 0);
       ::close(wait.fd);
-      const auto run = status == 0 ? nlohmann::json::parse(worker.told, nullptr, false) : nlohmann::json();
+      const auto run = status == 0 ? nlohmann::json::parse(worker.output, nullptr, false) : nlohmann::json();
       going = done(worker.job, run.is_discarded() ? nlohmann::json() : run) && going;
       workers.erase(wait.fd);
     }
--- a/tests/dispatch/dispatcher_histories_test.cpp
+++ b/tests/dispatch/dispatcher_histories_test.cpp
@@ -17,7 +17,7 @@
 
 #include "dispatch/dispatcher.h"
 #include "gtest/gtest.h"
-#include "simulation/sim.h"
+#include "simulation/simulator.h"
 
 namespace mothrack {
 namespace {
--- a/tests/simulation/lab_test.cpp
+++ b/tests/simulation/lab_test.cpp
@@ -13,12 +13,12 @@
 #include <thread>
 
 #include "gtest/gtest.h"
-#include "simulation/load.h"
+#include "simulation/load_generator.h"
 #include "simulation/report.h"
 #include "simulation/results.h"
 #include "simulation/search.h"
+#include "simulation/simulation_run.h"
 #include "simulation/statistics.h"
-#include "simulation/world.h"
 #include "standins/peers.h"
 
 namespace mothrack::simulation {
@@ -39,8 +39,9 @@
   Outcome outcome;
   nlohmann::json run;
 };
-Night Play(const Scenario& scenario, std::uint64_t seed, Planted planted = Planted::kNone) {
-  World world(scenario, seed, planted);
+Night Play(const Scenario& scenario, std::uint64_t seed,
+           InjectedFault injected_fault = InjectedFault::kNone) {
+  SimulationRun world(scenario, seed, injected_fault);
   const Outcome outcome = world.Run();
   return {outcome, ToJson(scenario, seed, outcome, world.figures(), true)};
 }
@@ -75,18 +76,18 @@
 }
 
 TEST(Lab, EachRulesCheckerFindsWhatIsPlanted) {
-  const std::map<Planted, std::string> plants = {{Planted::kResend, "twice"},
-                                                 {Planted::kAfterDrain, "drain"},
-                                                 {Planted::kDroppedAnswer, "lost"},
-                                                 {Planted::kColdFlood, "cold"}};
+  const std::map<InjectedFault, std::string> plants = {{InjectedFault::kResend, "twice"},
+                                                       {InjectedFault::kAfterDrain, "drain"},
+                                                       {InjectedFault::kDroppedAnswer, "lost"},
+                                                       {InjectedFault::kOverloadWarmingUp, "cold"}};
   Scenario scenario = Small("rolling_deploy");
   // A crowd that a cold server can be flooded by.
   scenario.sidecars = 30;
   scenario.servers = 14;
-  for (const auto& [planted, rule] : plants) {
-    const Night night = Play(scenario, 2, planted);
-    ASSERT_FALSE(night.outcome.breaks.empty()) << rule;
-    for (const Break& b : night.outcome.breaks) EXPECT_EQ(NameOf(b.rule), rule) << b.what;
+  for (const auto& [injected_fault, rule] : plants) {
+    const Night night = Play(scenario, 2, injected_fault);
+    ASSERT_FALSE(night.outcome.breaches.empty()) << rule;
+    for (const Breach& b : night.outcome.breaches) EXPECT_EQ(NameOf(b.rule), rule) << b.what;
   }
 }
 
@@ -108,7 +109,7 @@
           limits.unsafe = {false, true};
           return limits;
         }()) {}
-  Happening& Say(Happening::Kind kind, double ms) {
+  SimulationEvent& Say(SimulationEvent::Kind kind, double ms) {
     Flush();
     next.emplace();
     next->kind = kind;
@@ -128,10 +129,10 @@
     next.reset();
   }
   Rules rules;
-  std::optional<Happening> next;
+  std::optional<SimulationEvent> next;
 };
 
-using Kind = Happening::Kind;
+using Kind = SimulationEvent::Kind;
 
 TEST(Rules, AnUnsafeRequestGoesAgainOnlyWhenItIsKnownNotToHaveRun) {
   for (const auto& [outcome, broken] :
@@ -140,40 +141,40 @@
                                                 {balancer::Outcome::kTimeout, 1},
                                                 {balancer::Outcome::kReset, 1}}) {
     Checked c;
-    c.Say(Kind::kTaken, 0);
-    c.Say(Kind::kSent, 1);
-    c.Say(Kind::kEnded, 2).outcome = outcome;
-    c.Say(Kind::kSent, 3);
+    c.Say(Kind::kAccepted, 0);
+    c.Say(Kind::kAttemptSent, 1);
+    c.Say(Kind::kAttemptEnded, 2).outcome = outcome;
+    c.Say(Kind::kAttemptSent, 3);
     EXPECT_EQ(c.Count(Rule::kTwice), broken) << static_cast<int>(outcome);
   }
 }
 
 TEST(Rules, ARefusalPromisesThatNothingRan) {
   Checked c;
-  c.Say(Kind::kTaken, 0);
-  c.Say(Kind::kSent, 1);
-  c.Say(Kind::kEnded, 2).outcome = balancer::Outcome::kFull;
-  c.Say(Kind::kFinal, 3).ending = Ending::kRefused;
+  c.Say(Kind::kAccepted, 0);
+  c.Say(Kind::kAttemptSent, 1);
+  c.Say(Kind::kAttemptEnded, 2).outcome = balancer::Outcome::kFull;
+  c.Say(Kind::kAnswered, 3).request_outcome = RequestOutcome::kRefused;
   EXPECT_EQ(c.Count(Rule::kTwice), 0U);
-  c.Say(Kind::kRan, 4);
+  c.Say(Kind::kCallStarted, 4);
   EXPECT_EQ(c.Count(Rule::kTwice), 1U);
 }
 
 TEST(Rules, OneAnswerInTimeAndNoneForWhoLeft) {
   Checked late;
-  late.Say(Kind::kTaken, 0);
-  late.Say(Kind::kFinal, 1050).ending = Ending::kFailed;
+  late.Say(Kind::kAccepted, 0);
+  late.Say(Kind::kAnswered, 1050).request_outcome = RequestOutcome::kFailed;
   EXPECT_EQ(late.Count(Rule::kLost), 0U);
-  late.Say(Kind::kFinal, 1051).ending = Ending::kFailed;
+  late.Say(Kind::kAnswered, 1051).request_outcome = RequestOutcome::kFailed;
   EXPECT_EQ(late.Count(Rule::kLost), 2U) << "a second one, and late";
   Checked left;
-  left.Say(Kind::kTaken, 0);
-  left.Say(Kind::kLeft, 10);
+  left.Say(Kind::kAccepted, 0);
+  left.Say(Kind::kClientLeft, 10);
   left.Flush();
   left.rules.End(runtime::TimePoint(Milliseconds(5000)));
   EXPECT_EQ(left.Count(Rule::kLost), 0U);
   Checked none;
-  none.Say(Kind::kTaken, 0);
+  none.Say(Kind::kAccepted, 0);
   none.Flush();
   none.rules.End(runtime::TimePoint(Milliseconds(1051)));
   EXPECT_EQ(none.Count(Rule::kLost), 1U);
@@ -181,27 +182,27 @@
 
 TEST(Rules, NothingBeginsAtALeavingServerAfterItsGrace) {
   Checked c;
-  c.Say(Kind::kTaken, 0);
-  c.Say(Kind::kTold, 0).leaving = true;
-  c.Say(Kind::kSent, 550);
+  c.Say(Kind::kAccepted, 0);
+  c.Say(Kind::kSidecarNotified, 0).leaving = true;
+  c.Say(Kind::kAttemptSent, 550);
   EXPECT_EQ(c.Count(Rule::kDrain), 0U);
-  c.Say(Kind::kTold, 551).leaving = true;  // told again: the first telling counts
-  c.Say(Kind::kSent, 552);
+  c.Say(Kind::kSidecarNotified, 551).leaving = true;  // told again: the first telling counts
+  c.Say(Kind::kAttemptSent, 552);
   EXPECT_EQ(c.Count(Rule::kDrain), 1U);
 }
 
 TEST(Rules, AColdServerBearsWhatAllSendWithinTheWindow) {
   // Of 3 ms a millisecond, a fifth at first: 2,400 ms of work in a second are four times what it can.
   Checked c;
-  c.Say(Kind::kBooted, 0).work = 3;
-  for (int i = 0; i < 24; ++i) c.Say(Kind::kArrived, i).work = 100;
-  EXPECT_EQ(c.Count(Rule::kCold), 0U);
-  c.Say(Kind::kArrived, 25).work = 150;
-  EXPECT_EQ(c.Count(Rule::kCold), 1U);
+  c.Say(Kind::kServerStarted, 0).work = 3;
+  for (int i = 0; i < 24; ++i) c.Say(Kind::kCallArrived, i).work = 100;
+  EXPECT_EQ(c.Count(Rule::kSlowStart), 0U);
+  c.Say(Kind::kCallArrived, 25).work = 150;
+  EXPECT_EQ(c.Count(Rule::kSlowStart), 1U);
   Checked spread;
-  spread.Say(Kind::kBooted, 0).work = 3;
-  for (int i = 0; i < 50; ++i) spread.Say(Kind::kArrived, 100 * i).work = 150;
-  EXPECT_EQ(spread.Count(Rule::kCold), 0U);
+  spread.Say(Kind::kServerStarted, 0).work = 3;
+  for (int i = 0; i < 50; ++i) spread.Say(Kind::kCallArrived, 100 * i).work = 150;
+  EXPECT_EQ(spread.Count(Rule::kSlowStart), 0U);
 }
 
 // ---- Figures ----
@@ -219,18 +220,18 @@
   Scenario scenario = Small("mass_restart", 20);
   scenario.faults = {{FaultKind::kSlow, 3, 3, 0.5, 4, ""}};
   Figures figures(scenario);
-  std::uint64_t wish = 0;
+  std::uint64_t client_request = 0;
   for (int s = 0; s < 20; ++s) {
     figures.At(s).able = s >= 3 && s < 6 ? 0.3 : 1;
     figures.At(s).demand = 0.6;
     for (int i = 0; i < 100; ++i) {
-      Happening h;
-      h.kind = Kind::kAsked;
-      h.request = ++wish;
+      SimulationEvent h;
+      h.kind = Kind::kRequested;
+      h.request = ++client_request;
       h.at = runtime::TimePoint(SecondsOf(s + 0.001 * i));
       figures.Tell(h);
-      h.kind = Kind::kGotten;
-      h.ending = s >= 3 && s < 9 && i < 10 ? Ending::kRefused : Ending::kServed;
+      h.kind = Kind::kResolved;
+      h.request_outcome = s >= 3 && s < 9 && i < 10 ? RequestOutcome::kRefused : RequestOutcome::kServed;
       figures.Tell(h);
     }
   }
@@ -308,8 +309,8 @@
   scenario.faults.push_back({FaultKind::kBurst, 3, 4, 0, 1.5, ""});
   scenario.faults.push_back({FaultKind::kStale, 3, 4, 0, 1, ""});
   const auto shows = [](const Scenario& s) {
-    World world(s, 2, Planted::kAfterDrain);
-    return TroubleIn(s, world.Run(), world.figures()) == "rule drain";
+    SimulationRun world(s, 2, InjectedFault::kAfterDrain);
+    return FindFault(s, world.Run(), world.figures()) == "rule drain";
   };
   ASSERT_TRUE(shows(scenario));
   const Scenario small = Shrunk(scenario, shows, 60);
@@ -402,7 +403,7 @@
     Results results(db);
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       Scenario played = LoadScenario(PathOf("calm"), {"length_s=6", "fleet.sidecars=8", copies});
-      World world(played, seed);
+      SimulationRun world(played, seed);
       const Outcome outcome = world.Run();
       RunKey of_seed = key;
       of_seed.seed = seed;
@@ -455,7 +456,7 @@
     }
     wire.Answer(200, "fine");
   });
-  LoadOrder order;
+  LoadConfig order;
   order.port = static_cast<std::uint16_t>(std::stoi(server.address().substr(server.address().find(':') + 1)));
   order.rate = 200;
   order.length_s = 1.5;
@@ -469,7 +470,7 @@
 }
 
 TEST(Load, GoesToLoopbackOnlyAndCountsWhatNobodyAnswers) {
-  LoadOrder order;
+  LoadConfig order;
   order.host = "192.0.2.1";
   EXPECT_THROW(Load(order), std::invalid_argument);
   const testing::Refusing nobody;
--- a/tests/standins/hall.cpp
+++ b/tests/standins/hall.cpp
@@ -59,8 +59,8 @@
   }
 }
 
-simulation::Happening At(simulation::Happening::Kind kind, Clock::time_point at) {
-  simulation::Happening happening;
+simulation::SimulationEvent At(simulation::SimulationEvent::Kind kind, Clock::time_point at) {
+  simulation::SimulationEvent happening;
   happening.kind = kind;
   happening.at = runtime::ToTimePoint(at);
   return happening;
@@ -205,14 +205,14 @@
   if (it == upstreams_.end()) throw std::logic_error("the hall has no upstream " + upstream);
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   it->boot_ms = std::chrono::duration_cast<milliseconds>(now).count();
-  auto booted = testing::At(simulation::Happening::Kind::kBooted, Clock::now());
+  auto booted = testing::At(simulation::SimulationEvent::Kind::kServerStarted, Clock::now());
   booted.server = static_cast<std::size_t>(it - upstreams_.begin());
   booted.work = per_s / 1000;
   Happened(booted);
   TellState(upstream, "active");
 }
 
-void Hall::Happened(const simulation::Happening& happening) {
+void Hall::Happened(const simulation::SimulationEvent& happening) {
   const std::lock_guard lock(mutex_);
   happened_.push_back(happening);
 }
@@ -222,13 +222,13 @@
   const std::string target(request.target());
   const auto number = NumberOf(std::string_view(target).substr(target.rfind('/') + 1));
   if (!number) return;
-  auto happening = testing::At(simulation::Happening::Kind::kSent, Clock::now());
+  auto happening = testing::At(simulation::SimulationEvent::Kind::kAttemptSent, Clock::now());
   happening.request = *number;
   happening.sidecar = *number >> 32;
   happening.server = server;
   happening.work = 1;
-  using Kind = simulation::Happening::Kind;
-  for (const Kind kind : {Kind::kSent, Kind::kArrived, Kind::kRan}) {
+  using Kind = simulation::SimulationEvent::Kind;
+  for (const Kind kind : {Kind::kAttemptSent, Kind::kCallArrived, Kind::kCallStarted}) {
     happening.kind = kind;
     Happened(happening);
   }
@@ -243,7 +243,7 @@
     gone_.push_back(ended);
   }
   if (ended.how == End::kNotTaken || ended.how == End::kCrossed) return;
-  auto happening = testing::At(simulation::Happening::Kind::kTaken, ended.begin);
+  auto happening = testing::At(simulation::SimulationEvent::Kind::kAccepted, ended.begin);
   happening.request =
       static_cast<std::uint64_t>(ended.number) << 32 | static_cast<std::uint64_t>(ended.index);
   happening.sidecar = ended.number;
@@ -251,16 +251,16 @@
   happening.until = happening.at + kTimeout;
   Happened(happening);
   if (ended.how == End::kLost) return;
-  happening.kind = simulation::Happening::Kind::kFinal;
+  happening.kind = simulation::SimulationEvent::Kind::kAnswered;
   happening.at = testing::At(happening.kind, ended.end).at;
-  happening.ending = ended.how == End::kServed    ? simulation::Ending::kServed
-                     : ended.how == End::kRefused ? simulation::Ending::kRefused
-                                                  : simulation::Ending::kFailed;
+  happening.request_outcome = ended.how == End::kServed    ? simulation::RequestOutcome::kServed
+                              : ended.how == End::kRefused ? simulation::RequestOutcome::kRefused
+                                                           : simulation::RequestOutcome::kFailed;
   Happened(happening);
 }
 
 void Hall::Tell(const Process& sidecar) {
-  auto told = testing::At(simulation::Happening::Kind::kTold, Clock::now());
+  auto told = testing::At(simulation::SimulationEvent::Kind::kSidecarNotified, Clock::now());
   told.sidecar = std::stoull(sidecar.name.substr(1));
   for (told.server = 0; told.server < upstreams_.size(); ++told.server) {
     told.leaving = upstreams_[told.server].state != "active";
@@ -423,7 +423,7 @@
     process->pid = -1;
     process->kills.push_back(Clock::now());
     if (process->agent) continue;
-    auto killed = testing::At(simulation::Happening::Kind::kKilled, process->kills.back());
+    auto killed = testing::At(simulation::SimulationEvent::Kind::kSidecarKilled, process->kills.back());
     killed.sidecar = std::stoull(process->name.substr(1));
     Happened(killed);
   }
@@ -504,7 +504,7 @@
   std::vector<std::string> broken;
   std::map<std::string, bool> killed;
   // The clients have ended; upstreams may be at the last that was given up.
-  std::vector<simulation::Happening> happened;
+  std::vector<simulation::SimulationEvent> happened;
   {
     const std::lock_guard lock(mutex_);
     happened = happened_;
@@ -535,10 +535,10 @@
   limits.grace = milliseconds(1000);  // one machine for all of them, clients included
   limits.drain = drain;
   simulation::Rules rules(limits);
-  std::ranges::stable_sort(happened, {}, &simulation::Happening::at);
-  for (const simulation::Happening& happening : happened) rules.Tell(happening);
+  std::ranges::stable_sort(happened, {}, &simulation::SimulationEvent::at);
+  for (const simulation::SimulationEvent& happening : happened) rules.Tell(happening);
   rules.End(testing::At({}, Clock::now() + kTimeout + limits.grace).at);
-  for (const simulation::Break& broke : rules.breaks()) {
+  for (const simulation::Breach& broke : rules.breaches()) {
     broken.push_back("rule " + std::string(NameOf(broke.rule)) + ": " + broke.what + " (" +
                      std::to_string(rules.count(broke.rule)) + " times)");
   }
--- a/tests/standins/hall.h
+++ b/tests/standins/hall.h
@@ -17,7 +17,7 @@
 #include <vector>
 
 #include "nlohmann/json.hpp"
-#include "simulation/rules.h"
+#include "simulation/invariants.h"
 #include "standins/link_box.h"
 #include "standins/peers.h"
 #include "standins/traffic.h"
@@ -81,7 +81,7 @@
 
   // Traffic through all sidecars, from now on. Judge() ends it and tells what was broken: by the account (no
   // request lost, nothing run twice, none that was refused run; only what was under way at a sidecar that was
-  // killed may be lost), and by the emulator's rules (src/simulation/rules.h) over what happened.
+  // killed may be lost), and by the emulator's rules (src/simulation/invariants.h) over what happened.
   void BeginTraffic();
   std::vector<std::string> Judge(std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
   std::size_t count(Traffic::End end) const { return traffic_ ? traffic_->count(end) : 0; }
@@ -122,7 +122,7 @@
   bool Up(Process& process);  // waits until it listens; false where it has ended
   void StartAll(const std::vector<Process*>& processes);
   void EndInstance(const Process& agent) const;
-  void Happened(const simulation::Happening& happening);
+  void Happened(const simulation::SimulationEvent& happening);
   void Arrived(std::size_t server, const Request& request);
   void Ended(const Traffic::Ended& ended);
   void Tell(const Process& sidecar);  // that it is told of the upstreams now
@@ -132,7 +132,7 @@
   std::unique_ptr<LinkBox> box_;
   Runs ran_;
   std::mutex mutex_;
-  std::vector<simulation::Happening> happened_;
+  std::vector<simulation::SimulationEvent> happened_;
   std::vector<Traffic::Ended> gone_;  // without an answer
   std::vector<Served> upstreams_;
   std::map<std::string, Process> processes_;
