--- /dev/null
+++ b/src/simulation/fault_injector.cpp
@@ -0,0 +1,29 @@
+#include "simulation/fault_injector.h"
+
+namespace mothrack::simulation {
+namespace {
+
+constexpr double kChance = 0.02;                  // of each attempt
+constexpr std::uint64_t kResentBit = 1ULL << 62;  // ids of the dispatcher never get there
+
+}  // namespace
+
+void FaultInjector::Send(dispatch::ExchangeId id, const std::string& uid,
+                         std::shared_ptr<const dispatch::Message> message, runtime::Duration timeout,
+                         dispatch::ExchangeHooks hooks) {
+  const auto& client_request = static_cast<const ClientRequest&>(*message);
+  const bool unsafe = scenario_.classes[client_request.cls].effect == balancer::Effect::kUnsafe;
+  std::string to = uid;
+  if (injected_fault_ == InjectedFault::kResend && unsafe && random_.Chance(kChance)) {
+    inner_.Send(dispatch::ExchangeId{static_cast<std::uint64_t>(id) | kResentBit}, uid, message, timeout, {});
+  }
+  if (injected_fault_ == InjectedFault::kAfterDrain && random_.Chance(kChance)) {
+    if (const auto leaving = find_(true)) to = SimulatedTransport::NameOf(*leaving);
+  }
+  if (injected_fault_ == InjectedFault::kOverloadWarmingUp) {
+    if (const auto warming_up = find_(false)) to = SimulatedTransport::NameOf(*warming_up);
+  }
+  inner_.Send(id, to, std::move(message), timeout, std::move(hooks));
+}
+
+}  // namespace mothrack::simulation
--- /dev/null
+++ b/src/simulation/simulation_clients.cpp
@@ -0,0 +1,162 @@
+// SimulationRun's clients: when requests come, what is asked of which sidecar, and what becomes of it.
+#include <algorithm>
+#include <cmath>
+#include <utility>
+
+#include "simulation/simulation_run_state.h"
+
+namespace mothrack::simulation {
+namespace {
+
+// Seconds until an arrival is drawn anew, since the rate may have risen meanwhile.
+constexpr double kMaxArrivalWait = 0.25;
+// Attempts more of a client that leaves early and comes again at once.
+constexpr int kImpatientRetries = 2;
+// Of the answers, one in so many is dropped where that fault is injected.
+constexpr std::uint64_t kDroppedAnswerEvery = 997;
+
+RequestOutcome RequestOutcomeOf(const dispatch::Final& final) {
+  switch (final.kind) {
+    case dispatch::Final::Kind::kServed:
+      return RequestOutcome::kServed;
+    case dispatch::Final::Kind::kRejected:
+      return RequestOutcome::kRefused;
+    case dispatch::Final::Kind::kFailed:
+      break;
+  }
+  return RequestOutcome::kFailed;
+}
+
+}  // namespace
+
+double SimulationRun::Load() const {
+  const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
+  return burst_ * (1 + scenario_.wave * std::sin(6.283185307179586 * s / scenario_.wave_s));
+}
+
+void SimulationRun::NextArrival(Sidecar& sidecar) {
+  const double rate = sidecar.rate * sidecar.times * Load();
+  const double wait = sidecar.random.Exponential(1 / std::max(rate, 1e-9));
+  sim_.After(SecondsOf(std::min(wait, kMaxArrivalWait)),
+             [this, &sidecar, wait, incarnation = std::weak_ptr(sidecar.incarnation)] {
+               if (incarnation.expired() || !sidecar.open) return;
+               if (wait <= kMaxArrivalWait) BeginClientRequest(sidecar);
+               NextArrival(sidecar);
+             });
+}
+
+std::size_t SimulationRun::DrawClass() {
+  double draw = 0;
+  for (const ClassLoad& c : scenario_.classes) draw += c.share;
+  draw *= arrivals_.Uniform();
+  std::size_t cls = 0;
+  while (cls + 1 < scenario_.classes.size() && draw >= scenario_.classes[cls].share) {
+    draw -= scenario_.classes[cls++].share;
+  }
+  return cls;
+}
+
+void SimulationRun::BeginClientRequest(Sidecar& sidecar) {
+  const std::size_t cls = DrawClass();
+  const ClassLoad& c = scenario_.classes[cls];
+  auto pending = std::make_shared<PendingClientRequest>();
+  pending->client_request = ++last_client_request_;
+  pending->cls = cls;
+  pending->requested_at = sim_.now();
+  pending->until = sim_.now() + Milliseconds(c.deadline_ms);
+  pending->work = c.work_ms * arrivals_.LogNormal(c.work_cv);
+  pending->impatient = impatient_ > 0 && arrivals_.Chance(impatient_);
+  const double retries = scenario_.retries;
+  pending->max_client_attempts =
+      1 + static_cast<int>(retries) + (arrivals_.Chance(retries - std::floor(retries)) ? 1 : 0);
+  if (pending->impatient) pending->max_client_attempts += kImpatientRetries;
+  sidecar.pending_requests[pending->client_request] = pending;
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kRequested;
+  event.request = pending->client_request;
+  event.cls = cls;
+  Record(event);
+  SendRequest(sidecar, pending);
+}
+
+void SimulationRun::SendRequest(Sidecar& sidecar, std::shared_ptr<PendingClientRequest> pending) {
+  ++pending->client_attempts;
+  const std::uint64_t request = ++last_request_;
+  ++accepted_;
+  auto client_request = std::make_shared<ClientRequest>();
+  client_request->request = request;
+  client_request->cls = pending->cls;
+  client_request->work = pending->work;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kAccepted;
+  h.sidecar = sidecar.id;
+  h.request = request;
+  h.cls = pending->cls;
+  h.until = pending->until;
+  Record(h);
+  dispatch::NewRequest taken;
+  taken.request_class = balancer::ClassId{pending->cls};
+  taken.deadline = pending->until;
+  taken.message = client_request;
+  taken.on_final = [this, &sidecar, pending, request](dispatch::Final final) {
+    OnFinalAnswer(sidecar, pending, request, final);
+  };
+  const auto id = sidecar.dispatcher->Submit(std::move(taken));
+  if (!pending->impatient || !id) return;
+  // Leaves at a third of its aim, and comes again at once.
+  sim_.After(Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3),
+             [this, &sidecar, pending, request, id, client_attempts = pending->client_attempts,
+              incarnation = std::weak_ptr(sidecar.incarnation)] {
+               if (incarnation.expired() || !sidecar.pending_requests.contains(pending->client_request) ||
+                   pending->client_attempts != client_attempts)
+                 return;
+               if (pending->client_attempts >= pending->max_client_attempts) return;
+               SimulationEvent left;
+               left.kind = SimulationEvent::Kind::kClientLeft;
+               left.sidecar = sidecar.id;
+               left.request = request;
+               Record(left);
+               sidecar.dispatcher->OnClientDisconnected(*id);
+               SendRequest(sidecar, pending);
+             });
+}
+
+void SimulationRun::OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
+                                  std::uint64_t request, const dispatch::Final& final) {
+  if (injected_fault_ == InjectedFault::kDroppedAnswer && request % kDroppedAnswerEvery == 0) return;
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kAnswered;
+  h.sidecar = sidecar.id;
+  h.request = request;
+  h.cls = pending->cls;
+  h.request_outcome = RequestOutcomeOf(final);
+  Record(h);
+  const bool again = h.request_outcome != RequestOutcome::kServed &&
+                     pending->client_attempts < pending->max_client_attempts &&
+                     (h.request_outcome == RequestOutcome::kRefused ||
+                      scenario_.classes[pending->cls].effect == balancer::Effect::kSafe);
+  runtime::Duration wait =
+      Milliseconds(scenario_.backoff_ms * (0.5 + sidecar.random.Uniform()) * pending->client_attempts);
+  wait = std::max(wait, final.retry_after);
+  if (!again || sim_.now() + wait >= pending->until) {
+    Close(*pending, h.request_outcome);
+    sidecar.pending_requests.erase(pending->client_request);
+    return;
+  }
+  sim_.After(wait, [this, &sidecar, pending, incarnation = std::weak_ptr(sidecar.incarnation)] {
+    if (!incarnation.expired()) SendRequest(sidecar, pending);
+  });
+}
+
+void SimulationRun::Close(const PendingClientRequest& pending, RequestOutcome request_outcome) {
+  SimulationEvent h;
+  h.kind = SimulationEvent::Kind::kResolved;
+  h.request = pending.client_request;
+  h.cls = pending.cls;
+  h.request_outcome = request_outcome;
+  h.late =
+      sim_.now() > pending.requested_at + Milliseconds(scenario_.classes[pending.cls].latency_objective_ms);
+  Record(h);
+}
+
+}  // namespace mothrack::simulation
--- /dev/null
+++ b/src/simulation/simulation_faults.cpp
@@ -0,0 +1,170 @@
+// SimulationRun's faults: what each kind of the scenario does, and how it ends.
+#include <algorithm>
+#include <cmath>
+#include <numeric>
+
+#include "simulation/simulation_run_state.h"
+
+namespace mothrack::simulation {
+namespace {
+
+using balancer::UpstreamState;
+
+// Of what vanishes silently discovery hears after this long.
+constexpr runtime::Duration kUnresponsiveNotice = std::chrono::seconds(5);
+// A new server is there so long after the one that it replaces was told as leaving.
+constexpr runtime::Duration kReplacement = std::chrono::seconds(1);
+
+}  // namespace
+
+std::vector<std::size_t> SimulationRun::Share(std::size_t of, double part) {
+  std::vector<std::size_t> all(of);
+  std::iota(all.begin(), all.end(), std::size_t{0});
+  for (std::size_t i = of; i > 1; --i) std::swap(all[i - 1], all[random_.Below(i)]);
+  all.resize(static_cast<std::size_t>(std::llround(part * static_cast<double>(of))));
+  return all;
+}
+
+void SimulationRun::Plan(const Fault& fault) {
+  const auto at = runtime::TimePoint(kEpoch) + SecondsOf(fault.at_s);
+  sim_.At(at, [this, &fault] { BeginFault(fault); });
+}
+
+std::vector<std::size_t> SimulationRun::ServingServers() const {
+  std::vector<std::size_t> serving;
+  for (std::size_t i = 0; i < machines_.size(); ++i) {
+    if (machines_[i].state == UpstreamState::kServing) serving.push_back(i);
+  }
+  return serving;
+}
+
+std::vector<std::size_t> SimulationRun::ChooseServers(double part) {
+  const std::vector<std::size_t> serving = ServingServers();
+  std::vector<std::size_t> chosen;
+  for (const std::size_t i : Share(serving.size(), part)) chosen.push_back(serving[i]);
+  return chosen;
+}
+
+void SimulationRun::BeginFault(const Fault& fault) {
+  const runtime::Duration length = SecondsOf(fault.len_s);
+  const auto later = [this, length](auto act) { sim_.After(length, act); };
+  switch (fault.kind) {
+    case FaultKind::kCutZone: {
+      const std::size_t zone = ZoneOf(fault);
+      cut_[zone] = true;
+      return later([this, zone] { cut_[zone] = false; });
+    }
+    case FaultKind::kLoseZone:
+      return LoseZone(ZoneOf(fault), length);
+    case FaultKind::kUnresponsive:
+    case FaultKind::kSlow:
+    case FaultKind::kErrors:
+      return ImpairServers(fault);
+    case FaultKind::kFlap:
+      for (const std::size_t i : ChooseServers(fault.part)) Flap(i, fault.size, sim_.now() + length);
+      return;
+    case FaultKind::kReplace:
+      return ReplaceServers(fault);
+    case FaultKind::kKill:
+      for (const std::size_t i : Share(sidecars_.size(), fault.part)) Stop(*sidecars_[i]);
+      return;
+    case FaultKind::kRestart:
+      return RestartSidecars(fault);
+    case FaultKind::kBurst:
+      burst_ *= fault.size;
+      return later([this, &fault] { burst_ /= fault.size; });
+    case FaultKind::kHotSidecars:
+      return RaiseRates(fault);
+    case FaultKind::kStale:
+      stale_ = true;
+      return later([this] { stale_ = false; });
+    case FaultKind::kImpatient:
+      impatient_ = fault.part;
+      return later([this] { impatient_ = 0; });
+  }
+}
+
+std::size_t SimulationRun::ZoneOf(const Fault& fault) const {
+  return static_cast<std::size_t>(std::find(scenario_.zones.begin(), scenario_.zones.end(), fault.zone) -
+                                  scenario_.zones.begin());
+}
+
+void SimulationRun::LoseZone(std::size_t zone, runtime::Duration length) {
+  lost_[zone] = true;
+  std::vector<std::size_t> removed;
+  for (const std::size_t i : ServingServers()) {
+    if (machines_[i].zone == zone) removed.push_back(i);
+  }
+  sim_.After(kUnresponsiveNotice, [this, zone, removed] {
+    if (!lost_[zone]) return;
+    for (const std::size_t i : removed) {
+      machines_[i].state = UpstreamState::kGone;
+      Changed(i);
+    }
+  });
+  sim_.After(length, [this, zone, removed] {
+    lost_[zone] = false;
+    for (const std::size_t i : removed) {
+      KillServer(i);
+      BootServer(i);
+    }
+  });
+}
+
+void SimulationRun::ImpairServers(const Fault& fault) {
+  for (const std::size_t i : ChooseServers(fault.part)) {
+    SetImpaired(i, fault, true);
+    sim_.After(SecondsOf(fault.len_s), [this, i, &fault] { SetImpaired(i, fault, false); });
+  }
+}
+
+void SimulationRun::SetImpaired(std::size_t server, const Fault& fault, bool impaired) {
+  Machine& machine = machines_[server];
+  if (fault.kind == FaultKind::kUnresponsive) machine.unresponsive = impaired;
+  if (fault.kind == FaultKind::kSlow) machine.server->Slow(impaired ? std::max(1.0, fault.size) : 1);
+  if (fault.kind == FaultKind::kErrors) machine.server->Fail(impaired ? std::min(1.0, fault.size) : 0);
+}
+
+void SimulationRun::ReplaceServers(const Fault& fault) {
+  const std::vector<std::size_t> chosen = ChooseServers(fault.part);
+  for (std::size_t n = 0; n < chosen.size(); ++n) {
+    const double along =
+        static_cast<double>(n) / static_cast<double>(std::max<std::size_t>(1, chosen.size()));
+    sim_.After(SecondsOf(fault.len_s * along), [this, server = chosen[n]] { ReplaceServer(server); });
+  }
+}
+
+void SimulationRun::ReplaceServer(std::size_t server) {
+  machines_[server].state = UpstreamState::kDraining;
+  Changed(server);
+  sim_.After(kReplacement,
+             [this, server] { BootServer(AddServer(machines_[server].zone, machines_[server].speed)); });
+  sim_.After(SecondsOf(scenario_.drain_s), [this, server] {
+    machines_[server].state = UpstreamState::kGone;
+    KillServer(server);
+    Changed(server);
+  });
+}
+
+void SimulationRun::RestartSidecars(const Fault& fault) {
+  for (const auto& sidecar : sidecars_) {
+    const double along = static_cast<double>(sidecar->number) / static_cast<double>(sidecars_.size());
+    sim_.After(SecondsOf(fault.len_s * along), [this, &sidecar = *sidecar] { PlannedStop(sidecar); });
+  }
+}
+
+void SimulationRun::RaiseRates(const Fault& fault) {
+  for (const std::size_t i : Share(sidecars_.size(), fault.part)) {
+    sidecars_[i]->times *= fault.size;
+    sim_.After(SecondsOf(fault.len_s), [this, i, &fault] { sidecars_[i]->times /= fault.size; });
+  }
+}
+
+void SimulationRun::Flap(std::size_t server, double away_s, runtime::TimePoint end) {
+  if (sim_.now() >= end) return;
+  KillServer(server);
+  sim_.After(SecondsOf(away_s), [this, server] { BootServer(server); });
+  sim_.After(SecondsOf(2 * away_s), [this, server, away_s, end] { Flap(server, away_s, end); });
+}
+
+}  // namespace mothrack::simulation
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -5,79 +5,17 @@
 #include <algorithm>
 #include <numeric>
 
+#include "simulation/simulation_run_state.h"
+
 namespace mothrack::simulation {
 namespace {
 
 using balancer::UpstreamState;
 
-// Moments of this world count from here: a time of zero means nothing to the program either.
-constexpr runtime::Duration kEpoch = std::chrono::seconds(1000);
-// Of what vanishes silently discovery hears after this long.
-constexpr runtime::Duration kUnresponsiveNotice = std::chrono::seconds(5);
-// A new server is there so long after the one that it replaces was told as leaving.
-constexpr runtime::Duration kReplacement = std::chrono::seconds(1);
 // A planned stop waits for what is open, but no longer than the longest deadline here and some.
 constexpr runtime::Duration kStopTimeout = std::chrono::seconds(5);
 constexpr double kMeanRateFloor = 0.02;  // of the mean: nobody sends nothing
 
-RequestOutcome RequestOutcomeOf(const dispatch::Final& final) {
-  switch (final.kind) {
-    case dispatch::Final::Kind::kServed:
-      return RequestOutcome::kServed;
-    case dispatch::Final::Kind::kRejected:
-      return RequestOutcome::kRefused;
-    case dispatch::Final::Kind::kFailed:
-      break;
-  }
-  return RequestOutcome::kFailed;
-}
-
-// Does now and then what a rule forbids.
-class Saboteur : public dispatch::Transport {
- public:
-  Saboteur(SimulatedTransport& inner, const Scenario& scenario, InjectedFault injected_fault, Random random,
-           std::function<std::optional<std::size_t>(bool leaving)> find)
-      : inner_(inner),
-        scenario_(scenario),
-        injected_fault_(injected_fault),
-        random_(random),
-        find_(std::move(find)) {}
-
-  void Apply(const std::string& uid, const dispatch::Location& location) override {
-    inner_.Apply(uid, location);
-  }
-  void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
-            runtime::Duration timeout, dispatch::ExchangeHooks hooks) override {
-    const auto& client_request = static_cast<const ClientRequest&>(*message);
-    const bool unsafe = scenario_.classes[client_request.cls].effect == balancer::Effect::kUnsafe;
-    std::string to = uid;
-    if (injected_fault_ == InjectedFault::kResend && unsafe && random_.Chance(0.02)) {
-      inner_.Send(dispatch::ExchangeId{static_cast<std::uint64_t>(id) | 1ULL << 62}, uid, message, timeout,
-                  {});
-    }
-    if (injected_fault_ == InjectedFault::kAfterDrain && random_.Chance(0.02)) {
-      if (const auto leaving = find_(true)) to = SimulatedTransport::NameOf(*leaving);
-    }
-    if (injected_fault_ == InjectedFault::kOverloadWarmingUp) {
-      if (const auto warming_up = find_(false)) to = SimulatedTransport::NameOf(*warming_up);
-    }
-    inner_.Send(id, to, std::move(message), timeout, std::move(hooks));
-  }
-  void Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) override {
-    inner_.Probe(id, uid, std::move(on_end));
-  }
-  void Cancel(dispatch::ExchangeId id) override { inner_.Cancel(id); }
-  void Abandon(dispatch::ExchangeId id) override { inner_.Abandon(id); }
-  void CloseIdle(const std::string& uid) override { inner_.CloseIdle(uid); }
-
- private:
-  SimulatedTransport& inner_;
-  const Scenario& scenario_;
-  const InjectedFault injected_fault_;
-  Random random_;
-  const std::function<std::optional<std::size_t>(bool)> find_;
-};
-
 Rules::Limits LimitsOf(const Scenario& scenario) {
   Rules::Limits limits;
   for (const ClassLoad& c : scenario.classes) limits.unsafe.push_back(c.effect == balancer::Effect::kUnsafe);
@@ -106,37 +44,6 @@
   std::unique_ptr<XXH64_state_t, Free> state{XXH64_createState()};
 };
 
-// What a client wants, over all of its tries.
-struct SimulationRun::PendingClientRequest {
-  std::uint64_t client_request = 0;
-  std::size_t cls = 0;
-  runtime::TimePoint options;
-  runtime::TimePoint until;
-  double work = 0;
-  int client_attempts = 0;
-  int most_tries = 1;
-  bool impatient = false;
-};
-
-struct SimulationRun::Sidecar {
-  std::size_t number = 0;
-  std::uint64_t id = 0;  // of this life
-  std::uint32_t lives = 0;
-  std::size_t zone = 0;
-  double rate = 0;   // wishes a second
-  double times = 1;  // in a crowd
-  runtime::Duration notice{};
-  Random random{0};
-  bool open = false;  // its application sends
-  std::unique_ptr<SimulatedTransport> transport;
-  std::unique_ptr<Saboteur> saboteur;
-  std::unique_ptr<dispatch::Dispatcher> dispatcher;
-  std::shared_ptr<int> incarnation;
-  std::map<std::uint64_t, std::shared_ptr<PendingClientRequest>> wants;  // by wish
-  balancer::Counts last_counts;                                          // at the last second
-  std::uint64_t connects = 0;
-};
-
 SimulationRun::SimulationRun(const Scenario& scenario, std::uint64_t seed, InjectedFault injected_fault)
     : scenario_(scenario),
       injected_fault_(injected_fault),
@@ -308,8 +215,8 @@
 // ---- Sidecars and clients ----
 
 void SimulationRun::Start(Sidecar& sidecar) {
-  ++sidecar.lives;
-  sidecar.id = static_cast<std::uint64_t>(sidecar.lives) << 32 | sidecar.number;
+  ++sidecar.starts;
+  sidecar.id = static_cast<std::uint64_t>(sidecar.starts) << 32 | sidecar.number;
   sidecar.incarnation = std::make_shared<int>(0);
   sidecar.last_counts = {};
   sidecar.connects = 0;
@@ -318,7 +225,7 @@
                                            sidecar.zone, sidecar.random.Fork());
   dispatch::Transport* transport = sidecar.transport.get();
   if (injected_fault_ != InjectedFault::kNone) {
-    sidecar.saboteur = std::make_unique<Saboteur>(
+    sidecar.fault_injector = std::make_unique<FaultInjector>(
         *sidecar.transport, scenario_, injected_fault_, sidecar.random.Fork(),
         [this](bool leaving) -> std::optional<std::size_t> {
           for (std::size_t i = machines_.size(); i-- > 0;) {
@@ -331,7 +238,7 @@
           }
           return std::nullopt;
         });
-    transport = sidecar.saboteur.get();
+    transport = sidecar.fault_injector.get();
   }
   sidecar.dispatcher = std::make_unique<dispatch::Dispatcher>(std::make_unique<SimulatedTimer>(sim_),
                                                               scenario_.SettingsOf(sidecar.number),
@@ -353,11 +260,11 @@
   Record(h);
   sidecar.open = false;
   sidecar.dispatcher.reset();
-  sidecar.saboteur.reset();
+  sidecar.fault_injector.reset();
   sidecar.transport.reset();
   sidecar.incarnation.reset();
-  const auto wants = std::exchange(sidecar.wants, {});
-  for (const auto& [client_request, pending] : wants) Close(*pending, RequestOutcome::kFailed);
+  const auto pending_requests = std::exchange(sidecar.pending_requests, {});
+  for (const auto& [client_request, pending] : pending_requests) Close(*pending, RequestOutcome::kFailed);
   sim_.After(Milliseconds(scenario_.start_ms), [this, &sidecar] {
     if (!sidecar.dispatcher) Start(sidecar);
   });
@@ -366,266 +273,15 @@
 void SimulationRun::PlannedStop(Sidecar& sidecar) {
   if (!sidecar.dispatcher || !sidecar.open) return;
   sidecar.open = false;
-  AwaitEmpty(sidecar, sidecar.incarnation, sim_.now() + kStopTimeout);
+  AwaitQuiescence(sidecar, sidecar.incarnation, sim_.now() + kStopTimeout);
 }
 
-void SimulationRun::AwaitEmpty(Sidecar& sidecar, std::weak_ptr<int> incarnation, runtime::TimePoint most) {
+void SimulationRun::AwaitQuiescence(Sidecar& sidecar, std::weak_ptr<int> incarnation,
+                                    runtime::TimePoint most) {
   if (incarnation.expired()) return;
   if (sidecar.dispatcher->open() == 0 || sim_.now() >= most) return Stop(sidecar);
   sim_.After(std::chrono::milliseconds(100),
-             [this, &sidecar, incarnation, most] { AwaitEmpty(sidecar, incarnation, most); });
-}
-
-double SimulationRun::Load() const {
-  const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
-  return burst_ * (1 + scenario_.wave * std::sin(6.283185307179586 * s / scenario_.wave_s));
-}
-
-void SimulationRun::NextArrival(Sidecar& sidecar) {
-  const double rate = sidecar.rate * sidecar.times * Load();
-  // Looked at again where the rate may have risen meanwhile.
-  const double wait = sidecar.random.Exponential(1 / std::max(rate, 1e-9));
-  constexpr double kMostWait = 0.25;
-  sim_.After(SecondsOf(std::min(wait, kMostWait)),
-             [this, &sidecar, wait, incarnation = std::weak_ptr(sidecar.incarnation)] {
-               if (incarnation.expired() || !sidecar.open) return;
-               if (wait <= kMostWait) {
-                 double draw = 0;
-                 for (const ClassLoad& c : scenario_.classes) draw += c.share;
-                 draw *= arrivals_.Uniform();
-                 std::size_t cls = 0;
-                 while (cls + 1 < scenario_.classes.size() && draw >= scenario_.classes[cls].share) {
-                   draw -= scenario_.classes[cls++].share;
-                 }
-                 const ClassLoad& c = scenario_.classes[cls];
-                 auto pending = std::make_shared<PendingClientRequest>();
-                 pending->client_request = ++last_client_request_;
-                 pending->cls = cls;
-                 pending->options = sim_.now();
-                 pending->until = sim_.now() + Milliseconds(c.deadline_ms);
-                 pending->work = c.work_ms * arrivals_.LogNormal(c.work_cv);
-                 pending->impatient = impatient_ > 0 && arrivals_.Chance(impatient_);
-                 const double retries = scenario_.retries;
-                 pending->most_tries = 1 + static_cast<int>(retries) +
-                                       (arrivals_.Chance(retries - std::floor(retries)) ? 1 : 0);
-                 if (pending->impatient) pending->most_tries += 2;
-                 sidecar.wants[pending->client_request] = pending;
-                 SimulationEvent h;
-                 h.kind = SimulationEvent::Kind::kRequested;
-                 h.request = pending->client_request;
-                 h.cls = cls;
-                 Record(h);
-                 SendRequest(sidecar, pending);
-               }
-               NextArrival(sidecar);
-             });
-}
-
-void SimulationRun::SendRequest(Sidecar& sidecar, std::shared_ptr<PendingClientRequest> pending) {
-  ++pending->client_attempts;
-  const std::uint64_t request = ++last_request_;
-  ++accepted_;
-  auto client_request = std::make_shared<ClientRequest>();
-  client_request->request = request;
-  client_request->cls = pending->cls;
-  client_request->work = pending->work;
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kAccepted;
-  h.sidecar = sidecar.id;
-  h.request = request;
-  h.cls = pending->cls;
-  h.until = pending->until;
-  Record(h);
-  dispatch::NewRequest taken;
-  taken.request_class = balancer::ClassId{pending->cls};
-  taken.deadline = pending->until;
-  taken.message = client_request;
-  taken.on_final = [this, &sidecar, pending, request](dispatch::Final final) {
-    OnFinalAnswer(sidecar, pending, request, final);
-  };
-  const auto id = sidecar.dispatcher->Submit(std::move(taken));
-  if (!pending->impatient || !id) return;
-  // Leaves at a third of its aim, and comes again at once.
-  sim_.After(Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3),
-             [this, &sidecar, pending, request, id, client_attempts = pending->client_attempts,
-              incarnation = std::weak_ptr(sidecar.incarnation)] {
-               if (incarnation.expired() || !sidecar.wants.contains(pending->client_request) ||
-                   pending->client_attempts != client_attempts)
-                 return;
-               if (pending->client_attempts >= pending->most_tries) return;
-               SimulationEvent left;
-               left.kind = SimulationEvent::Kind::kClientLeft;
-               left.sidecar = sidecar.id;
-               left.request = request;
-               Record(left);
-               sidecar.dispatcher->OnClientDisconnected(*id);
-               SendRequest(sidecar, pending);
-             });
-}
-
-void SimulationRun::OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
-                                  std::uint64_t request, const dispatch::Final& final) {
-  if (injected_fault_ == InjectedFault::kDroppedAnswer && request % 997 == 0) return;
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kAnswered;
-  h.sidecar = sidecar.id;
-  h.request = request;
-  h.cls = pending->cls;
-  h.request_outcome = RequestOutcomeOf(final);
-  Record(h);
-  const bool again = h.request_outcome != RequestOutcome::kServed &&
-                     pending->client_attempts < pending->most_tries &&
-                     (h.request_outcome == RequestOutcome::kRefused ||
-                      scenario_.classes[pending->cls].effect == balancer::Effect::kSafe);
-  runtime::Duration wait =
-      Milliseconds(scenario_.backoff_ms * (0.5 + sidecar.random.Uniform()) * pending->client_attempts);
-  wait = std::max(wait, final.retry_after);
-  if (!again || sim_.now() + wait >= pending->until) {
-    Close(*pending, h.request_outcome);
-    sidecar.wants.erase(pending->client_request);
-    return;
-  }
-  sim_.After(wait, [this, &sidecar, pending, incarnation = std::weak_ptr(sidecar.incarnation)] {
-    if (!incarnation.expired()) SendRequest(sidecar, pending);
-  });
-}
-
-void SimulationRun::Close(const PendingClientRequest& pending, RequestOutcome request_outcome) {
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kResolved;
-  h.request = pending.client_request;
-  h.cls = pending.cls;
-  h.request_outcome = request_outcome;
-  h.late = sim_.now() > pending.options + Milliseconds(scenario_.classes[pending.cls].latency_objective_ms);
-  Record(h);
-}
-
-// ---- Trouble ----
-
-std::vector<std::size_t> SimulationRun::Share(std::size_t of, double part) {
-  std::vector<std::size_t> all(of);
-  std::iota(all.begin(), all.end(), std::size_t{0});
-  for (std::size_t i = of; i > 1; --i) std::swap(all[i - 1], all[random_.Below(i)]);
-  all.resize(static_cast<std::size_t>(std::llround(part * static_cast<double>(of))));
-  return all;
-}
-
-void SimulationRun::Plan(const Fault& fault) {
-  const auto at = runtime::TimePoint(kEpoch) + SecondsOf(fault.at_s);
-  sim_.At(at, [this, &fault] { BeginFault(fault); });
-}
-
-void SimulationRun::BeginFault(const Fault& fault) {
-  const runtime::Duration length = SecondsOf(fault.len_s);
-  const auto zone = static_cast<std::size_t>(
-      std::find(scenario_.zones.begin(), scenario_.zones.end(), fault.zone) - scenario_.zones.begin());
-  const auto later = [this, length](auto act) { sim_.After(length, act); };
-  std::vector<std::size_t> serving;
-  for (std::size_t i = 0; i < machines_.size(); ++i) {
-    if (machines_[i].state == UpstreamState::kServing) serving.push_back(i);
-  }
-  const auto some = [&] {
-    std::vector<std::size_t> chosen;
-    for (const std::size_t i : Share(serving.size(), fault.part)) chosen.push_back(serving[i]);
-    return chosen;
-  };
-  switch (fault.kind) {
-    case FaultKind::kCutZone:
-      cut_[zone] = true;
-      later([this, zone] { cut_[zone] = false; });
-      break;
-    case FaultKind::kLoseZone: {
-      lost_[zone] = true;
-      std::vector<std::size_t> gone;
-      for (const std::size_t i : serving) {
-        if (machines_[i].zone == zone) gone.push_back(i);
-      }
-      sim_.After(kUnresponsiveNotice, [this, zone, gone] {
-        if (!lost_[zone]) return;
-        for (const std::size_t i : gone) machines_[i].state = UpstreamState::kGone, Changed(i);
-      });
-      later([this, zone, gone] {
-        lost_[zone] = false;
-        for (const std::size_t i : gone) KillServer(i), BootServer(i);
-      });
-      break;
-    }
-    case FaultKind::kUnresponsive:
-      for (const std::size_t i : some()) {
-        machines_[i].unresponsive = true;
-        later([this, i] { machines_[i].unresponsive = false; });
-      }
-      break;
-    case FaultKind::kSlow:
-      for (const std::size_t i : some()) {
-        machines_[i].server->Slow(std::max(1.0, fault.size));
-        later([this, i] { machines_[i].server->Slow(1); });
-      }
-      break;
-    case FaultKind::kErrors:
-      for (const std::size_t i : some()) {
-        machines_[i].server->Fail(std::min(1.0, fault.size));
-        later([this, i] { machines_[i].server->Fail(0); });
-      }
-      break;
-    case FaultKind::kFlap:
-      for (const std::size_t i : some()) Flap(i, fault.size, sim_.now() + length);
-      break;
-    case FaultKind::kReplace: {
-      const auto chosen = some();
-      for (std::size_t n = 0; n < chosen.size(); ++n) {
-        const std::size_t i = chosen[n];
-        const double along =
-            static_cast<double>(n) / static_cast<double>(std::max<std::size_t>(1, chosen.size()));
-        sim_.After(SecondsOf(fault.len_s * along), [this, i] {
-          machines_[i].state = UpstreamState::kDraining;
-          Changed(i);
-          sim_.After(kReplacement,
-                     [this, i] { BootServer(AddServer(machines_[i].zone, machines_[i].speed)); });
-          sim_.After(SecondsOf(scenario_.drain_s), [this, i] {
-            machines_[i].state = UpstreamState::kGone;
-            KillServer(i);
-            Changed(i);
-          });
-        });
-      }
-      break;
-    }
-    case FaultKind::kKill:
-      for (const std::size_t i : Share(sidecars_.size(), fault.part)) Stop(*sidecars_[i]);
-      break;
-    case FaultKind::kRestart:
-      for (const auto& sidecar : sidecars_) {
-        const double along = static_cast<double>(sidecar->number) / static_cast<double>(sidecars_.size());
-        sim_.After(SecondsOf(fault.len_s * along), [this, &sidecar = *sidecar] { PlannedStop(sidecar); });
-      }
-      break;
-    case FaultKind::kBurst:
-      burst_ *= fault.size;
-      later([this, &fault] { burst_ /= fault.size; });
-      break;
-    case FaultKind::kHotSidecars:
-      for (const std::size_t i : Share(sidecars_.size(), fault.part)) {
-        sidecars_[i]->times *= fault.size;
-        later([this, i, &fault] { sidecars_[i]->times /= fault.size; });
-      }
-      break;
-    case FaultKind::kStale:
-      stale_ = true;
-      later([this] { stale_ = false; });
-      break;
-    case FaultKind::kImpatient:
-      impatient_ = fault.part;
-      later([this] { impatient_ = 0; });
-      break;
-  }
-}
-
-void SimulationRun::Flap(std::size_t server, double away_s, runtime::TimePoint end) {
-  if (sim_.now() >= end) return;
-  KillServer(server);
-  sim_.After(SecondsOf(away_s), [this, server] { BootServer(server); });
-  sim_.After(SecondsOf(2 * away_s), [this, server, away_s, end] { Flap(server, away_s, end); });
+             [this, &sidecar, incarnation, most] { AwaitQuiescence(sidecar, incarnation, most); });
 }
 
 // Looks at the world as it is, as people would.
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -1,5 +1,6 @@
-// A whole night in made-up time: sidecars with the program's own dispatcher and decision module in them,
-// servers, zones, discovery, clients, and trouble. One seed, one history.
+// One run in simulated time: sidecars with the program's own dispatcher and decision module in them, servers,
+// zones, discovery, clients, and faults. One seed gives one history; one thread. Its methods stand in
+// simulation_run.cpp (servers, lists, sidecars), simulation_clients.cpp and simulation_faults.cpp.
 #pragma once
 
 #include <iostream>
@@ -9,6 +10,7 @@
 #include <vector>
 
 #include "dispatch/dispatcher.h"
+#include "simulation/fault_injector.h"
 #include "simulation/figures.h"
 #include "simulation/invariants.h"
 #include "simulation/scenario.h"
@@ -18,9 +20,6 @@
 
 namespace mothrack::simulation {
 
-// Faults put in on purpose, to see that the rules' checkers find them.
-enum class InjectedFault { kNone, kResend, kAfterDrain, kDroppedAnswer, kOverloadWarmingUp };
-
 struct Outcome {
   std::uint64_t digest = 0;  // of everything that happened, in its order
   std::uint64_t recorded_events = 0;
@@ -73,17 +72,30 @@
   void Start(Sidecar& sidecar);
   void Stop(Sidecar& sidecar);
   void PlannedStop(Sidecar& sidecar);
-  void AwaitEmpty(Sidecar& sidecar, std::weak_ptr<int> incarnation, runtime::TimePoint most);
+  void AwaitQuiescence(Sidecar& sidecar, std::weak_ptr<int> incarnation, runtime::TimePoint most);
   void NextArrival(Sidecar& sidecar);
+  std::size_t DrawClass();
+  void BeginClientRequest(Sidecar& sidecar);
   void SendRequest(Sidecar& sidecar, std::shared_ptr<PendingClientRequest> pending);
   void OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
                      std::uint64_t request, const dispatch::Final& final);
   void Close(const PendingClientRequest& pending, RequestOutcome request_outcome);
   double Load() const;
 
-  // Trouble.
+  // Faults.
   void Plan(const Fault& fault);
   void BeginFault(const Fault& fault);
+  std::size_t ZoneOf(const Fault& fault) const;
+  std::vector<std::size_t> ServingServers() const;
+  // A part of those that serve, drawn at random.
+  std::vector<std::size_t> ChooseServers(double part);
+  void LoseZone(std::size_t zone, runtime::Duration length);
+  void ImpairServers(const Fault& fault);
+  void SetImpaired(std::size_t server, const Fault& fault, bool impaired);
+  void ReplaceServers(const Fault& fault);
+  void ReplaceServer(std::size_t server);
+  void RestartSidecars(const Fault& fault);
+  void RaiseRates(const Fault& fault);
   void Flap(std::size_t server, double away_s, runtime::TimePoint end);
   std::vector<std::size_t> Share(std::size_t of, double part);
   void EachSecond();
