--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -42,76 +42,36 @@
 void Rules::Record(const SimulationEvent& h) {
   using Kind = SimulationEvent::Kind;
   Forget(h.at);
-  const std::string request = "request " + std::to_string(h.request);
-  const auto it = open_.find(h.request);
-  Open* open = it == open_.end() ? nullptr : &it->second;
-  const bool unsafe = open != nullptr && limits_.unsafe.at(open->cls);
   switch (h.kind) {
     case Kind::kAccepted:
       open_[h.request] = {h.sidecar, h.cls, h.until, 0, 0, false, false, false, {}};
       break;
     case Kind::kAnswered:
-      if (open == nullptr) {
-        RecordBreach(Rule::kLost, h.at, request + " was answered and never taken");
-        break;
-      }
-      if (open->answered) RecordBreach(Rule::kLost, h.at, request + " was answered twice");
-      if (!open->left && h.at > open->until + limits_.grace) {
-        RecordBreach(Rule::kLost, h.at,
-                     request + " was answered " + std::to_string(InMilliseconds(h.at - open->until)) +
-                         " ms after its time");
-      }
-      if (unsafe && h.request_outcome == RequestOutcome::kRefused && (open->unproven > 0 || open->runs > 0)) {
-        RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was refused, and may have run");
-      }
-      open->answered = true;
-      open->refused = h.request_outcome == RequestOutcome::kRefused;
-      ended_.emplace_back(h.at, h.request);
+      RecordAnswer(h);
       break;
     case Kind::kClientLeft:
-      if (open != nullptr && !open->answered) {
-        open->answered = open->left = true;
-        ended_.emplace_back(h.at, h.request);
-      }
+      if (Open* open = Find(h.request); open != nullptr && !open->answered)
+        RecordLeft(h.at, h.request, *open);
       break;
     case Kind::kSidecarKilled:
-      for (auto& [id, o] : open_) {
-        if (o.sidecar != h.sidecar || o.answered) continue;
-        o.answered = o.left = true;
-        ended_.emplace_back(h.at, id);
+      for (auto& [id, open] : open_) {
+        if (open.sidecar == h.sidecar && !open.answered) RecordLeft(h.at, id, open);
       }
       leaving_.erase(h.sidecar);
       break;
-    case Kind::kAttemptSent: {
-      if (open != nullptr) {
-        if (unsafe && open->unproven > 0) {
-          RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was sent again while it may have run");
-        }
-        ++open->unproven;
-      }
-      const auto sidecar = leaving_.find(h.sidecar);
-      if (sidecar == leaving_.end()) break;
-      const auto notified = sidecar->second.find(h.server);
-      if (notified != sidecar->second.end() && h.at > notified->second + limits_.drain) {
-        RecordBreach(Rule::kDrain, h.at,
-                     request + " was sent to server " + std::to_string(h.server) + " " +
-                         std::to_string(InMilliseconds(h.at - notified->second)) +
-                         " ms after it was told as leaving");
-      }
+    case Kind::kAttemptSent:
+      RecordAttempt(h);
       break;
-    }
     case Kind::kAttemptEnded:
-      if (open != nullptr && NeverRan(h.outcome) && open->unproven > 0) --open->unproven;
+      if (Open* open = Find(h.request); open != nullptr && NeverRan(h.outcome) && open->unproven > 0) {
+        --open->unproven;
+      }
       break;
     case Kind::kCallArrived:
       Arrived(h);
       break;
     case Kind::kCallStarted:
-      if (open == nullptr) break;
-      ++open->runs;
-      if (unsafe && open->runs > 1) RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran twice");
-      if (unsafe && open->refused)
-        RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran after it was refused");
+      RecordRun(h);
       break;
     case Kind::kSidecarNotified:
       if (h.leaving) {
@@ -130,6 +90,66 @@
   }
 }
 
+Rules::Open* Rules::Find(std::uint64_t request) {
+  const auto it = open_.find(request);
+  return it == open_.end() ? nullptr : &it->second;
+}
+
+void Rules::RecordLeft(runtime::TimePoint at, std::uint64_t request, Open& open) {
+  open.answered = open.left = true;
+  ended_.emplace_back(at, request);
+}
+
+void Rules::RecordAnswer(const SimulationEvent& h) {
+  const std::string request = "request " + std::to_string(h.request);
+  Open* open = Find(h.request);
+  if (open == nullptr) {
+    RecordBreach(Rule::kLost, h.at, request + " was answered and never taken");
+    return;
+  }
+  if (open->answered) RecordBreach(Rule::kLost, h.at, request + " was answered twice");
+  if (!open->left && h.at > open->until + limits_.grace) {
+    RecordBreach(Rule::kLost, h.at,
+                 request + " was answered " + std::to_string(InMilliseconds(h.at - open->until)) +
+                     " ms after its time");
+  }
+  const bool refused = h.request_outcome == RequestOutcome::kRefused;
+  if (limits_.unsafe.at(open->cls) && refused && (open->unproven > 0 || open->runs > 0)) {
+    RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was refused, and may have run");
+  }
+  open->answered = true;
+  open->refused = refused;
+  ended_.emplace_back(h.at, h.request);
+}
+
+void Rules::RecordAttempt(const SimulationEvent& h) {
+  const std::string request = "request " + std::to_string(h.request);
+  if (Open* open = Find(h.request); open != nullptr) {
+    if (limits_.unsafe.at(open->cls) && open->unproven > 0) {
+      RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was sent again while it may have run");
+    }
+    ++open->unproven;
+  }
+  const auto sidecar = leaving_.find(h.sidecar);
+  if (sidecar == leaving_.end()) return;
+  const auto notified = sidecar->second.find(h.server);
+  if (notified == sidecar->second.end() || h.at <= notified->second + limits_.drain) return;
+  RecordBreach(Rule::kDrain, h.at,
+               request + " was sent to server " + std::to_string(h.server) + " " +
+                   std::to_string(InMilliseconds(h.at - notified->second)) +
+                   " ms after it was told as leaving");
+}
+
+void Rules::RecordRun(const SimulationEvent& h) {
+  Open* open = Find(h.request);
+  if (open == nullptr) return;
+  ++open->runs;
+  if (!limits_.unsafe.at(open->cls)) return;
+  const std::string request = "request " + std::to_string(h.request);
+  if (open->runs > 1) RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran twice");
+  if (open->refused) RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran after it was refused");
+}
+
 // What all sidecars together send to a cold server within the window, against what it can do by now.
 void Rules::Arrived(const SimulationEvent& h) {
   if (h.server >= servers_.size()) return;
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -66,7 +66,12 @@
   };
 
   void RecordBreach(Rule rule, runtime::TimePoint at, std::string what);
+  Open* Find(std::uint64_t request);
   void Forget(runtime::TimePoint now);
+  void RecordAnswer(const SimulationEvent& h);
+  void RecordLeft(runtime::TimePoint at, std::uint64_t request, Open& open);
+  void RecordAttempt(const SimulationEvent& h);
+  void RecordRun(const SimulationEvent& h);
   void Arrived(const SimulationEvent& h);
 
   const Limits limits_;
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -182,7 +182,7 @@
       if (!zones->is_array()) servers.Fail("zones", "give a list of names");
       for (const toml::node& zone : *zones->as_array()) {
         if (!zone.is_string()) servers.Fail("zones", "give a list of names");
-        s.zones.push_back(zone.value_or(""));
+        s.zones.emplace_back(zone.value_or(""));
       }
       if (s.zones.empty()) servers.Fail("zones", "give at least one");
     }
