--- /dev/null
+++ b/src/balancer/arithmetic.h
@@ -0,0 +1,59 @@
+// Arithmetic that the rooms of the decision module share. No state, no decisions.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <string>
+
+#include "balancer/balancer.h"
+
+namespace mothrack::balancer {
+
+inline double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+// Rounded towards zero to whole microseconds.
+inline Duration Scaled(Duration d, double factor) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(d.count()) * factor));
+}
+
+// Spreads ids evenly, differently for each `seed`; the same on every platform (FNV-1a with splitmix64's
+// finalizer).
+inline std::uint64_t Hash(const std::string& id, std::uint64_t seed) {
+  std::uint64_t hash = 0xcbf29ce484222325 ^ (seed * 0x9e3779b97f4a7c15);
+  for (const char c : id) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3;
+  hash = (hash ^ (hash >> 30)) * 0xbf58476d1ce4e5b9;
+  hash = (hash ^ (hash >> 27)) * 0x94d049bb133111eb;
+  return hash ^ (hash >> 31);
+}
+
+// A mean that forgets: over all samples while they are few, over about the latest `memory` later on.
+struct Mean {
+  double value = 0;
+  double samples = 0;
+  void Add(double sample, double memory) {
+    samples = std::min(samples + 1, memory);
+    value += (sample - value) / samples;
+  }
+};
+
+// A mean of microseconds as a duration; `unknown` where the mean has not reached one microsecond.
+inline Duration TimeOr(const Mean& mean, Duration unknown) {
+  return mean.value >= 1 ? Duration(static_cast<Duration::rep>(mean.value)) : unknown;
+}
+
+// Proves by the interface's promise that the upstream ran nothing.
+inline bool ProvesNotRun(Outcome outcome) {
+  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
+}
+
+// Counts as a failure of the upstream.
+inline bool IsFailure(Outcome outcome) {
+  return outcome == Outcome::kError || outcome == Outcome::kTimeout || outcome == Outcome::kConnectFailed ||
+         outcome == Outcome::kReset;
+}
+
+// Something answered, whatever it said.
+inline bool IsAnswer(Outcome outcome) {
+  return outcome == Outcome::kServed || outcome == Outcome::kError || outcome == Outcome::kFull;
+}
+
+}  // namespace mothrack::balancer
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -16,13 +16,14 @@
 #include <algorithm>
 #include <cmath>
 #include <map>
-#include <random>
 #include <set>
 #include <tuple>
 #include <unordered_map>
 #include <utility>
 
+#include "balancer/random.h"
 #include "balancer/state.h"
+#include "balancer/tick.h"
 
 namespace mothrack::balancer {
 namespace {
@@ -38,8 +39,6 @@
 constexpr Duration kBaseEjection = seconds(60);
 constexpr int kEjectionMultiplier = 2;
 constexpr Duration kMaxEjection = seconds(120);
-// Housekeeping (returns, budgets, asking for membership) is not urgent: decisions look at the clock.
-constexpr Duration kHousekeeping = milliseconds(250);
 constexpr std::uint64_t kHousekeepingToken = 0;
 // A cold upstream gets at most this share of what would topple it, going by the load that its peers bear:
 // they may bear 1.3 times what they can. Chance bunches calls, but what is gone by is the least it can do.
@@ -200,15 +199,15 @@
     running_ = true;
     started_ = now_;
     if (settings_.membership_on_request) Emit(Subscribe{});
-    Emit(SetTimer{now_ + kHousekeeping, kHousekeepingToken});
+    Emit(SetTimer{now_ + kTickInterval, kHousekeepingToken});
   }
 
   void On(const MembershipUpdate& update) {
     if (update.kind == MembershipUpdate::Kind::kFailed) {
       // Asking again at once would add to what made it fail.
       if (settings_.membership_on_request)
-        ask_again_at_ =
-            now_ + Scaled(std::min(settings_.rules.poll_within, kMostAskWithin), 0.1 + 0.1 * Uniform());
+        ask_again_at_ = now_ + Scaled(std::min(settings_.rules.poll_within, kMostAskWithin),
+                                      0.1 + 0.1 * random_.Uniform());
       return;
     }
     // What a whole list leaves out is gone.
@@ -292,7 +291,7 @@
     // Sidecars that hear of it together must not all call it at once; but where each may send it a fraction
     // of a call a second, together they are owed a flow from the first second on.
     if (new_process && info.started) zones_[info.zone].silent.clear(), CountLostZones();
-    if (new_process) u->cold_budget = Uniform() - std::min(1.0, ColdRate(*u));
+    if (new_process) u->cold_budget = random_.Uniform() - std::min(1.0, ColdRate(*u));
     if (new_process || !was_serving) entering.push_back(u);
   }
 
@@ -308,7 +307,7 @@
       u.waiting_since = now_;
     }
     // Said to be full: it needs about the time of an answer to have room again.
-    if (outcome == Outcome::kFull) u.full_until = now_ + Scaled(UsualTime(), 0.5 + Uniform());
+    if (outcome == Outcome::kFull) u.full_until = now_ + Scaled(UsualTime(), 0.5 + random_.Uniform());
     if (!served && !IsFailure(outcome)) return;
     u.calls += 1 - u.calls / kOutcomeMemory;
     u.failures += (served ? 0 : 1) - u.failures / kOutcomeMemory;
@@ -390,7 +389,7 @@
 
   // An upstream that enters or returns starts somewhere in its turn: no hoard of credit, and sidecars that
   // hear of it together do not all pick it next.
-  void Enter(Upstream& u) { u.credit = (Uniform() - 0.5) * ListedWeight(); }
+  void Enter(Upstream& u) { u.credit = (random_.Uniform() - 0.5) * ListedWeight(); }
 
   double ListedWeight() const {
     double sum = 0;
@@ -718,7 +717,7 @@
     if (Warmth(u) < 1) u.cold_budget -= 1, ++counts_.cold;
     if (!r.arriving) Hold(u);
     if (trial) u.on_trial = true;
-    if (trial) zones_[u.info.zone].next_trial = now_ + Scaled(kFirstTrial, 0.5 + Uniform());
+    if (trial) zones_[u.info.zone].next_trial = now_ + Scaled(kFirstTrial, 0.5 + random_.Uniform());
     const Duration idle_for = now_ - u.idle_since;
     if (u.idle > 0 && idle_for > trusted_idle_) {
       Emit(CloseIdle{u.info.id});
@@ -959,7 +958,7 @@
     } else {
       share = 1 - std::clamp((cut - kept_before) / own, 0.0, 1 - kClassFloor);
     }
-    return Uniform() < share;
+    return random_.Uniform() < share;
   }
 
   double WorthForTime(std::size_t cls) const {
@@ -998,20 +997,20 @@
       if (!u->ejected && !Suspect(*u)) able_weight_ += u->info.weight * LikelyWarmth(*u);
     }
     // Failures to connect to machines that are gone say nothing of the next ones: it is found out anew.
-    connecting_.value *= 1 - Seconds(kHousekeeping) / Seconds(kConnectingMemory);
+    connecting_.value *= 1 - Seconds(kTickInterval) / Seconds(kConnectingMemory);
     // What is lost at once is known before the answers of the rest come late: by then their queues are full.
-    able_before_ = std::max(able_weight_, able_before_ * (1 - Seconds(kHousekeeping) / Seconds(kLossMemory)));
+    able_before_ = std::max(able_weight_, able_before_ * (1 - Seconds(kTickInterval) / Seconds(kLossMemory)));
     const double lost = able_before_ - able_weight_;
     if (lost > able_before_ * kGreatLoss && lost * serving >= kLeastLost * serving_weight_) {
       shed_ = std::max(shed_, std::min(kMostShed, 1 - kHeadroom * able_weight_ / able_before_));
       able_before_ = able_weight_;
     }
-    mean_held_ += (held_ - mean_held_) * Seconds(kHousekeeping) / Seconds(kShedTime);
+    mean_held_ += (held_ - mean_held_) * Seconds(kTickInterval) / Seconds(kShedTime);
     const bool in_time = shed_ <= 0 && lately_late_ <= kTooManyLate / 2;
     if (in_time && able_weight_ > 0) usual_held_ += (held_ / able_weight_ - usual_held_) / kUsualMemory;
     // Where next to nothing is sent any more, little is heard of how that fares.
-    shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kHousekeeping) / kShedSample);
-    for (double& work : asked_for_) work *= 1 - Seconds(kHousekeeping) / Seconds(kBaseEjection);
+    shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kTickInterval) / kShedSample);
+    for (double& work : asked_for_) work *= 1 - Seconds(kTickInterval) / Seconds(kBaseEjection);
   }
 
   void SayRefusing(const std::string& why) {
@@ -1027,7 +1026,8 @@
     if (MayRefuse(r)) {
       const Duration most = settings_.limits.max_retry_after;
       // Clients must not come back in step, however short the longest advice is.
-      const Duration wait = std::min(Scaled(std::min(kRetryAfter, most * 3 / 4), 1 + Uniform()), most);
+      const Duration wait =
+          std::min(Scaled(std::min(kRetryAfter, most * 3 / 4), 1 + random_.Uniform()), most);
       Emit(Reject{r.id, settings_.limits.retry_after ? wait : Duration::zero()});
     } else {
       Emit(Fail{r.id});
@@ -1101,7 +1101,7 @@
 
   // The usual rate and weight change slowly: a burst or the loss of half the list must not raise the budgets.
   void UpdateUsual() {
-    const double dt = Seconds(kHousekeeping);
+    const double dt = Seconds(kTickInterval);
     const double most = Seconds(settings_.rules.slow_start_duration) / 2;
     const double age = Seconds(now_ - started_);
     const double memory = std::min(age, most);
@@ -1139,7 +1139,7 @@
   }
 
   void Housekeeping() {
-    Emit(SetTimer{now_ + kHousekeeping, kHousekeepingToken});
+    Emit(SetTimer{now_ + kTickInterval, kHousekeepingToken});
     UpdateUsual();
     UpdateLoad();
     trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustGrowth), settings_.limits.idle_close);
@@ -1169,9 +1169,6 @@
     if (r != nullptr && r->ended && !AnyOut(*r)) requests_.erase(id);
   }
 
-  // Raw engine output: the standard's distributions differ between libraries.
-  double Uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
-
   template <typename T>
   void Emit(T action) {
     out_->emplace_back(std::move(action));
@@ -1180,7 +1177,7 @@
 
   Counts counts_;
   const Settings settings_;
-  std::mt19937_64 random_;
+  Random random_;
   TimePoint now_;
   std::vector<Action>* out_ = nullptr;
   bool running_ = false;
--- /dev/null
+++ b/src/balancer/random.h
@@ -0,0 +1,21 @@
+// The module's one source of chance. The order of draws is part of what the module does: the same settings,
+// seed and events give the same actions.
+#pragma once
+
+#include <cstdint>
+#include <random>
+
+namespace mothrack::balancer {
+
+class Random {
+ public:
+  explicit Random(std::uint64_t seed) : engine_(seed) {}
+
+  // From [0, 1). Raw engine output: the standard's distributions differ between libraries.
+  double Uniform() { return static_cast<double>(engine_() >> 11) * 0x1p-53; }
+
+ private:
+  std::mt19937_64 engine_;
+};
+
+}  // namespace mothrack::balancer
--- /dev/null
+++ b/src/balancer/zone_health.cpp
@@ -0,0 +1,40 @@
+#include "balancer/zone_health.h"
+
+#include <algorithm>
+
+namespace mothrack::balancer {
+
+void ZoneHealth::RecordAnswer(const std::string& zone_name, TimePoint now) {
+  Zone& zone = zones_[zone_name];
+  if (zone.IsUnavailable()) --unavailable_zones_;
+  zone.silent.clear();
+  zone.answered = now;
+}
+
+void ZoneHealth::RecordSilence(const std::string& zone_name, const UpstreamId& upstream, TimePoint sent) {
+  Zone& zone = zones_[zone_name];
+  if (sent < zone.answered || zone.IsUnavailable()) return;
+  zone.silent.insert(upstream.value);
+  if (zone.IsUnavailable()) ++unavailable_zones_;
+}
+
+void ZoneHealth::RecordProbe(const std::string& zone, TimePoint next_probe) {
+  zones_[zone].next_probe = next_probe;
+}
+
+void ZoneHealth::RecordNewProcess(const std::string& zone) {
+  zones_[zone].silent.clear();
+  CountUnavailable();
+}
+
+void ZoneHealth::KeepOnly(const std::set<std::string>& listed_zones) {
+  std::erase_if(zones_, [&](const auto& zone) { return !listed_zones.contains(zone.first); });
+  CountUnavailable();
+}
+
+void ZoneHealth::CountUnavailable() {
+  unavailable_zones_ = std::count_if(zones_.begin(), zones_.end(),
+                                     [](const auto& zone) { return zone.second.IsUnavailable(); });
+}
+
+}  // namespace mothrack::balancer
