--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -24,6 +24,7 @@
 #include "balancer/random.h"
 #include "balancer/state.h"
 #include "balancer/tick.h"
+#include "balancer/zone_health.h"
 
 namespace mothrack::balancer {
 namespace {
@@ -85,9 +86,6 @@
 // So many failures in a row make a suspect, that is passed over while others stand: a sidecar of many meets
 // one upstream every few seconds, and a second failure there would cost as much as the trial that tells.
 constexpr int kFailuresToSuspect = 2;
-// A zone of which so many upstreams said nothing, and none anything since, is taken to be lost: a sidecar of
-// many would meet each of them once to know it of each. One trial at a time tells when it is back.
-constexpr std::size_t kSilentToLoseZone = 3;
 // A call that takes this many usual times of its class gets a second copy, where it may have one.
 constexpr double kLate = 3;
 // Further attempts after a failure and second copies are at most this share of first tries, saved up to a
@@ -232,11 +230,9 @@
     });
     order_.clear();
     for (const auto& [id, u] : index_) order_.push_back(u);
-    std::erase_if(zones_, [this](const auto& zone) {
-      return std::none_of(order_.begin(), order_.end(),
-                          [&](const auto& u) { return u->info.zone == zone.first; });
-    });
-    CountLostZones();
+    std::set<std::string> zones;
+    for (const UpstreamPtr& u : order_) zones.insert(u->info.zone);
+    zone_health_.KeepOnly(zones);
     sized_ = std::any_of(order_.begin(), order_.end(), [](const auto& u) { return u->info.weight != 1; });
     std::sort(order_.begin(), order_.end(), [](const UpstreamPtr& a, const UpstreamPtr& b) {
       return std::tie(a->rank, a->info.id) < std::tie(b->rank, b->info.id);
@@ -290,7 +286,7 @@
     if (!(u->info.weight > 0)) u->info.weight = 1;
     // Sidecars that hear of it together must not all call it at once; but where each may send it a fraction
     // of a call a second, together they are owed a flow from the first second on.
-    if (new_process && info.started) zones_[info.zone].silent.clear(), CountLostZones();
+    if (new_process && info.started) zone_health_.RecordNewProcess(info.zone);
     if (new_process) u->cold_budget = random_.Uniform() - std::min(1.0, ColdRate(*u));
     if (new_process || !was_serving) entering.push_back(u);
   }
@@ -453,40 +449,22 @@
   bool Suspect(const Upstream& u) const {
     // No run is shorter than that: most are spared the rest.
     const bool run = u.failure_run >= kFailuresToSuspect && u.failure_run >= LongRun(u, kFailuresToSuspect);
-    if (run || Lost(u.info.zone)) return true;
+    if (run || zone_health_.IsUnavailable(u.info.zone)) return true;
     return u.outstanding > 0 &&
            now_ - u.waiting_since > Scaled(UsualTime(), kSilence * Slowness(u) / Warmth(u));
   }
 
-  // Asked of every upstream for every call, and nearly always no.
-  bool Lost(const std::string& zone) const {
-    if (lost_zones_ == 0) return false;
-    const auto it = zones_.find(zone);
-    return it != zones_.end() && it->second.silent.size() >= kSilentToLoseZone;
-  }
-  void CountLostZones() {
-    lost_zones_ = std::count_if(zones_.begin(), zones_.end(), [](const auto& zone) {
-      return zone.second.silent.size() >= kSilentToLoseZone;
-    });
-  }
-
   // An answer says that its zone is there; none to a call sent after the last one may say that it is not.
   void JudgeZone(const Attempt& a, Outcome outcome) {
-    Zone& zone = zones_[a.upstream->info.zone];
-    if (outcome == Outcome::kServed || outcome == Outcome::kError || outcome == Outcome::kFull) {
-      if (zone.silent.size() >= kSilentToLoseZone) --lost_zones_;
-      zone.silent.clear();
-      zone.answered = now_;
+    if (IsAnswer(outcome)) {
+      zone_health_.RecordAnswer(a.upstream->info.zone, now_);
     } else if (outcome == Outcome::kTimeout || outcome == Outcome::kConnectFailed) {
       FoundSilent(a);
     }
   }
 
   void FoundSilent(const Attempt& a) {
-    Zone& zone = zones_[a.upstream->info.zone];
-    if (a.sent < zone.answered || zone.silent.size() >= kSilentToLoseZone) return;
-    zone.silent.insert(a.upstream->info.id.value);
-    if (zone.silent.size() >= kSilentToLoseZone) ++lost_zones_;
+    zone_health_.RecordSilence(a.upstream->info.zone, a.upstream->info.id, a.sent);
   }
 
   bool HasConnection(const Upstream& u) const {
@@ -517,7 +495,7 @@
     if (u.info.state != UpstreamState::kServing) return false;
     ReturnIfServed(u);
     if (!trial) return !u.ejected;
-    if (Lost(u.info.zone) && now_ < zones_[u.info.zone].next_trial) return false;
+    if (!zone_health_.MayProbe(u.info.zone, now_)) return false;
     return !u.on_trial && now_ >= u.next_trial && (u.ejected || Suspect(u));
   }
 
@@ -717,7 +695,7 @@
     if (Warmth(u) < 1) u.cold_budget -= 1, ++counts_.cold;
     if (!r.arriving) Hold(u);
     if (trial) u.on_trial = true;
-    if (trial) zones_[u.info.zone].next_trial = now_ + Scaled(kFirstTrial, 0.5 + random_.Uniform());
+    if (trial) zone_health_.RecordProbe(u.info.zone, now_ + Scaled(kFirstTrial, 0.5 + random_.Uniform()));
     const Duration idle_for = now_ - u.idle_since;
     if (u.idle > 0 && idle_for > trusted_idle_) {
       Emit(CloseIdle{u.info.id});
@@ -1225,14 +1203,7 @@
   Duration trusted_idle_;  // connections idle for longer are closed before a call
   std::map<std::string, Mean> kind_slowness_;
   Mean cold_times_;  // of cold upstreams' answers, against what their least warmth would make of a warm one's
-  struct Zone {
-    std::set<std::string>
-        silent;  // upstreams that did not answer a call sent since the last answer from here
-    TimePoint answered;
-    TimePoint next_trial;
-  };
-  std::map<std::string, Zone> zones_;
-  std::ptrdiff_t lost_zones_ = 0;
+  ZoneHealth zone_health_;
   double retry_budget_ = kRetryBurst;
   double usual_weight_ = 0;  // the list's weight, slow to fall
   double subset_part_ = 0;   // of the list's weight, the subset's, slow to fall; 0 until the rate is known
