--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -21,6 +21,7 @@
 #include <unordered_map>
 #include <utility>
 
+#include "balancer/connection_model.h"
 #include "balancer/random.h"
 #include "balancer/state.h"
 #include "balancer/tick.h"
@@ -63,13 +64,6 @@
 constexpr double kVisit = 0.25;
 constexpr double kLeastSubset = 3;
 constexpr Duration kRateKnown = seconds(2);
-// How long an idle connection is trusted: half the age at which one was found dropped, at least kLeastTrust,
-// growing by this factor each housekeeping (twice in some ten seconds).
-constexpr Duration kLeastTrust = milliseconds(100);
-constexpr double kTrustGrowth = 1.02;
-// From here on connecting is hard: in sum half of the calls that connect take twice their time or fail.
-constexpr double kHardToConnect = 0.5;
-constexpr Duration kConnectingMemory = seconds(2);
 // An upstream that holds more unanswered calls than its share and this many is passed over while others
 // stand.
 constexpr double kCrowdSlack = 0.5;
@@ -144,9 +138,9 @@
 
 class Balancer::Impl {
  public:
-  Impl(Settings settings, std::uint64_t seed) : settings_(std::move(settings)), random_(seed) {
+  Impl(Settings settings, std::uint64_t seed)
+      : settings_(std::move(settings)), random_(seed), connections_(settings_.limits) {
     settings_.Validate();
-    trusted_idle_ = settings_.limits.idle_close;
     if (settings_.load_by_probe && settings_.limits.probes)
       asks_ = static_cast<std::size_t>(
           std::clamp(kAskSpend / std::max(settings_.prices.probe, 1e-9), 1.0, kMostAsked));
@@ -174,7 +168,7 @@
                        u->ejected_after,
                        u->sent,
                        u->unanswered,
-                       u->idle});
+                       u->connection.idle});
       if (u->ejected) views.back().ejected_until = u->ejected_until;
     }
     std::sort(views.begin(), views.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
@@ -467,26 +461,6 @@
     zone_health_.RecordSilence(a.upstream->info.zone, a.upstream->info.id, a.sent);
   }
 
-  bool HasConnection(const Upstream& u) const {
-    if (settings_.limits.streams > 1 && u.outstanding > 0) return true;
-    return u.idle > 0 && now_ - u.idle_since < settings_.limits.idle_close;
-  }
-
-  // How calls fare that open a connection: 1 where none comes about or it takes as long as an answer.
-  void LearnConnecting(Upstream& u, const Attempt& a, std::size_t cls, Outcome outcome, Duration elapsed) {
-    const bool kept = outcome == Outcome::kServed || outcome == Outcome::kError || outcome == Outcome::kFull;
-    if (kept) ++u.idle, u.idle_since = now_;
-    if (outcome == Outcome::kConnectFailed || outcome == Outcome::kReset) u.idle = 0;
-    // Reset at once on a connection that had been idle: it had been dropped unseen. Guards calls that may not
-    // be repeated: idle ones are closed before that age, and trusted longer again with time.
-    const bool at_once = elapsed < Scaled(settings_.limits.connect_timeout, kAskPatience);
-    if (outcome == Outcome::kReset && !a.connects && at_once)
-      trusted_idle_ = std::max(kLeastTrust, std::min(trusted_idle_, a.idle_for / 2));
-    if (!a.connects || (outcome != Outcome::kServed && outcome != Outcome::kConnectFailed)) return;
-    const double over = Seconds(elapsed) / Seconds(UsualTime(cls)) - 1;
-    connecting_.Add(outcome == Outcome::kServed ? std::clamp(over, 0.0, 1.0) : 1, kOutcomeMemory);
-  }
-
   // May this upstream take a call? The one gate to every upstream. An ejected one takes trials only.
   bool MayTake(Upstream& u, bool trial = false) { return InTurn(u, trial) && HasColdBudget(u); }
 
@@ -531,7 +505,8 @@
       // Where connecting takes long or fails, one without a connection is no better than a crowded one; but
       // one that has just started has its table of connections empty.
       const bool crowded = u.outstanding + 1 > kCrowdSlack + 0.5 + outstanding * taker.weight / weight ||
-                           (Warmth(u) >= 1 && connecting_.value > kHardToConnect && !HasConnection(u));
+                           (Warmth(u) >= 1 && connections_.IsConnectingHard() &&
+                            !connections_.HasConnection(u.connection, u.outstanding, now_));
       const bool suspect = taker.standing % 3 == 2;
       const int standing = taker.standing + (!suspect && crowded ? 1 : 0);
       if (standing < best_standing) best_.clear();
@@ -696,15 +671,10 @@
     if (!r.arriving) Hold(u);
     if (trial) u.on_trial = true;
     if (trial) zone_health_.RecordProbe(u.info.zone, now_ + Scaled(kFirstTrial, 0.5 + random_.Uniform()));
-    const Duration idle_for = now_ - u.idle_since;
-    if (u.idle > 0 && idle_for > trusted_idle_) {
-      Emit(CloseIdle{u.info.id});
-      u.idle = 0;
-    }
-    const bool connects = !HasConnection(u);
-    counts_.connects += connects;
-    if (u.idle > 0) --u.idle;
-    r.attempts.push_back({upstream, now_, trial, connects, idle_for});
+    if (connections_.DropStale(u.connection, now_)) Emit(CloseIdle{u.info.id});
+    const ConnectionUse use = connections_.Use(u.connection, u.outstanding, now_);
+    counts_.connects += use.connects;
+    r.attempts.push_back({upstream, now_, trial, use});
     r.attempts.back().held = !r.arriving;
     Emit(SendAttempt{r.id, u.info.id, Timeout(r)});
   }
@@ -886,7 +856,8 @@
     Upstream& u = *attempt->upstream;
     Release(*attempt);
     if (!attempt->started) CountLate(*r, u, e.outcome, e.elapsed);
-    LearnConnecting(u, *attempt, r->cls_index, e.outcome, e.elapsed);
+    connections_.RecordOutcome(u.connection, attempt->connection, e.outcome, e.elapsed,
+                               UsualTime(r->cls_index), now_);
     if (!attempt->started) LearnTime(u, *r, e.outcome, e.elapsed);
     JudgeZone(*attempt, e.outcome);
     Judge(u, *attempt, e.outcome);
@@ -974,8 +945,6 @@
       if (Telling(*u)) telling_weight_ += u->info.weight;
       if (!u->ejected && !Suspect(*u)) able_weight_ += u->info.weight * LikelyWarmth(*u);
     }
-    // Failures to connect to machines that are gone say nothing of the next ones: it is found out anew.
-    connecting_.value *= 1 - Seconds(kTickInterval) / Seconds(kConnectingMemory);
     // What is lost at once is known before the answers of the rest come late: by then their queues are full.
     able_before_ = std::max(able_weight_, able_before_ * (1 - Seconds(kTickInterval) / Seconds(kLossMemory)));
     const double lost = able_before_ - able_weight_;
@@ -1120,7 +1089,7 @@
     Emit(SetTimer{now_ + kTickInterval, kHousekeepingToken});
     UpdateUsual();
     UpdateLoad();
-    trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustGrowth), settings_.limits.idle_close);
+    connections_.RecordTick();
     if (refusing_ && now_ - refused_at_ > kSpell) {
       refusing_ = false;
       Say("taking calls again");
@@ -1199,11 +1168,10 @@
   bool knows_warm_ = false;       // it served for long enough while half of the upstreams were warm
   std::vector<Mean> usual_time_;  // microseconds, by class
   Mean usual_any_;
-  Mean connecting_;        // how hard it is, 0 to 1
-  Duration trusted_idle_;  // connections idle for longer are closed before a call
   std::map<std::string, Mean> kind_slowness_;
   Mean cold_times_;  // of cold upstreams' answers, against what their least warmth would make of a warm one's
   ZoneHealth zone_health_;
+  ConnectionModel connections_;
   double retry_budget_ = kRetryBurst;
   double usual_weight_ = 0;  // the list's weight, slow to fall
   double subset_part_ = 0;   // of the list's weight, the subset's, slow to fall; 0 until the rate is known
--- /dev/null
+++ b/src/balancer/latency_model.cpp
@@ -0,0 +1,28 @@
+#include "balancer/latency_model.h"
+
+#include <algorithm>
+
+namespace mothrack::balancer {
+
+void LatencyModel::RecordAnswer(LatencyRecord& record, const std::string& kind, const TimedAnswer& answer) {
+  const Outcome outcome = answer.outcome;
+  if (ProvesNotRun(outcome) || outcome == Outcome::kError || outcome == Outcome::kReset) return;
+  const auto time = static_cast<double>(answer.elapsed.count());
+  // What slow start explains is no slowness of its own: it passes.
+  const double warm = time * answer.slow_start_factor;
+  const double usual = static_cast<double>(UsualTime(answer.class_index).count());
+  const double ratio = std::min(warm / usual, 2 * kMaxSlowness);
+  const double slowness = Slowness(record, kind);
+  // Unanswered so far says that it takes at least as long, but where others are answered fast.
+  if (outcome != Outcome::kServed && (ratio < slowness || !IsLoaded(record))) return;
+  if (answer.slow_start_factor < 1)
+    slow_start_times_.Add(std::max(ratio / slowness, 1 / kMaxSlowness), kSlowStartTimesMemory);
+  record.slowness.Add(ratio, kSlownessMemory);
+  kind_slowness_[kind].Add(ratio, kUsualTimeMemory);
+  if (outcome != Outcome::kServed) return;
+  record.objective_share.Add(time / static_cast<double>(answer.latency_objective.count()), kSlownessMemory);
+  usual_time_[answer.class_index].Add(time, kUsualTimeMemory);
+  usual_time_of_all_.Add(time, kUsualTimeMemory);
+}
+
+}  // namespace mothrack::balancer
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -10,6 +10,7 @@
 
 #include "balancer/arithmetic.h"
 #include "balancer/balancer.h"
+#include "balancer/connection_model.h"
 
 namespace mothrack::balancer {
 
@@ -40,9 +41,7 @@
   double calls = 0;
   double failures = 0;
   double timeouts = 0;  // of these
-  // Connections of this sidecar that wait for a call, and since when the last one does.
-  int idle = 0;
-  TimePoint idle_since;
+  ConnectionRecord connection;
   // Rotation.
   double credit = 0;
   int outstanding = 0;
@@ -59,8 +58,7 @@
   UpstreamPtr upstream;
   TimePoint sent;
   bool trial = false;
-  bool connects = false;             // it found no connection to use
-  Duration idle_for{};               // how long the one it found had been idle
+  ConnectionUse connection{};
   bool held = false;                 // its upstream holds it: it has all of it, and has not begun to answer
   bool started = false;              // its answer has begun
   std::optional<Outcome> outcome{};  // absent while it is out
