--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -15,13 +15,13 @@
 
 #include <algorithm>
 #include <cmath>
-#include <map>
 #include <set>
 #include <tuple>
 #include <unordered_map>
 #include <utility>
 
 #include "balancer/connection_model.h"
+#include "balancer/latency_model.h"
 #include "balancer/random.h"
 #include "balancer/state.h"
 #include "balancer/tick.h"
@@ -67,13 +67,9 @@
 // An upstream that holds more unanswered calls than its share and this many is passed over while others
 // stand.
 constexpr double kCrowdSlack = 0.5;
-// Speeds are learnt from answers: those of a class or a kind of machine over about kUsualMemory of them, an
-// upstream's over kSlownessMemory; until it has given kKindPrior answers its kind weighs more than its own.
-// One upstream is never taken for more than kMaxSlowness off the others.
-constexpr double kUsualMemory = 50;
-constexpr double kSlownessMemory = 10;
-constexpr double kKindPrior = 5;
-constexpr double kMaxSlowness = 3;
+// So many answers make a usual load, and so many outcomes a share of late ones.
+constexpr double kUsualLoadMemory = 50;
+constexpr double kLateShareMemory = 10;
 // Silent: it holds calls and has answered nothing for this many usual times. Works are about exponential, so
 // a healthy upstream with one call is that slow once in twenty.
 constexpr double kSilence = 3;
@@ -118,10 +114,6 @@
 constexpr double kMostShed = 0.9;  // the rest shows when it is over
 // Shedding from here on, further attempts and copies are left out too.
 constexpr double kShedding = 0.1;
-// An upstream under load answers the rest slowly too: a time-out tells of load only where its answers take
-// this share of their aims in the mean. Guards against refusing for one that swallows some calls and has
-// room.
-constexpr double kLoadedShare = 0.35;
 // The classes with the least worth for their time are refused first, but each class keeps at least
 // kClassFloor of its calls while others have more than that.
 constexpr double kClassFloor = 0.2;
@@ -139,12 +131,11 @@
 class Balancer::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed)
-      : settings_(std::move(settings)), random_(seed), connections_(settings_.limits) {
+      : settings_(std::move(settings)), random_(seed), connections_(settings_.limits), latency_(settings_) {
     settings_.Validate();
     if (settings_.load_by_probe && settings_.limits.probes)
       asks_ = static_cast<std::size_t>(
           std::clamp(kAskSpend / std::max(settings_.prices.probe, 1e-9), 1.0, kMostAsked));
-    usual_time_.resize(settings_.classes.size());
     asked_for_.resize(settings_.classes.size());
   }
 
@@ -297,7 +288,8 @@
       u.waiting_since = now_;
     }
     // Said to be full: it needs about the time of an answer to have room again.
-    if (outcome == Outcome::kFull) u.full_until = now_ + Scaled(UsualTime(), 0.5 + random_.Uniform());
+    if (outcome == Outcome::kFull)
+      u.full_until = now_ + Scaled(latency_.UsualTime(), 0.5 + random_.Uniform());
     if (!served && !IsFailure(outcome)) return;
     u.calls += 1 - u.calls / kOutcomeMemory;
     u.failures += (served ? 0 : 1) - u.failures / kOutcomeMemory;
@@ -393,49 +385,19 @@
   double Weight(const Upstream& u) const {
     const double calls = std::max(u.calls, static_cast<double>(kFailuresToEject));
     // Time-outs beside fast answers attract no calls: the rest of what it takes it serves.
-    const double swallowed = Loaded(u) ? 0 : u.timeouts / calls;
+    const double swallowed = LatencyModel::IsLoaded(u.latency) ? 0 : u.timeouts / calls;
     const double failing = FailureShare(u) - swallowed;
     const double good = failing == 0 ? 1 : std::pow(1 - failing, kSuccessPower);
-    return u.info.weight * LikelyWarmth(u) / (sized_ ? Slowness(u) / KindSlowness(u) : Slowness(u)) *
+    return u.info.weight * LikelyWarmth(u) /
+           (sized_ ? Slowness(u) / latency_.KindSlowness(u.info.kind) : Slowness(u)) *
            std::max(0.02, good * (1 - swallowed));
   }
 
-  static bool Loaded(const Upstream& u) { return u.aim_share.value >= kLoadedShare; }
+  double Slowness(const Upstream& u) const { return latency_.Slowness(u.latency, u.info.kind); }
 
-  // The usual time of an answer: of a class, and over all.
-  Duration UsualTime(std::size_t cls) const {
-    return TimeOr(usual_time_[cls], settings_.classes[cls].latency_objective / 4);
-  }
-  Duration UsualTime() const { return TimeOr(usual_any_, settings_.classes[0].latency_objective / 4); }
-
-  // How long an upstream's answers take against what is usual. A trickle meets one upstream too seldom to
-  // know: until it has answered often, it is taken for what its kind of machine is like.
-  double KindSlowness(const Upstream& u) const {
-    const auto kind = kind_slowness_.find(u.info.kind);
-    const bool known = kind != kind_slowness_.end() && kind->second.samples > 0;
-    return known ? std::clamp(kind->second.value, 1 / kMaxSlowness, kMaxSlowness) : 1;
-  }
-  double Slowness(const Upstream& u) const {
-    const double known = kKindPrior * KindSlowness(u) + u.slowness.samples * u.slowness.value;
-    return std::clamp(known / (kKindPrior + u.slowness.samples), 1 / kMaxSlowness, kMaxSlowness);
-  }
-
-  void LearnTime(Upstream& u, const Request& r, Outcome outcome, Duration elapsed) {
-    const auto time = static_cast<double>(elapsed.count());
-    if (ProvesNotRun(outcome) || outcome == Outcome::kError || outcome == Outcome::kReset) return;
-    // What coldness explains is no slowness of its own: it passes.
-    const double warm = time * Warmth(u);
-    const double usual = static_cast<double>(UsualTime(r.cls_index).count());
-    const double ratio = std::min(warm / usual, 2 * kMaxSlowness);
-    // Unanswered so far says that it takes at least as long, but where others are answered fast.
-    if (outcome != Outcome::kServed && (ratio < Slowness(u) || !Loaded(u))) return;
-    if (Warmth(u) < 1) cold_times_.Add(std::max(ratio / Slowness(u), 1 / kMaxSlowness), kOutcomeMemory);
-    u.slowness.Add(ratio, kSlownessMemory);
-    kind_slowness_[u.info.kind].Add(ratio, kUsualMemory);
-    if (outcome != Outcome::kServed) return;
-    u.aim_share.Add(time / static_cast<double>(r.latency_objective.count()), kSlownessMemory);
-    usual_time_[r.cls_index].Add(time, kUsualMemory);
-    usual_any_.Add(time, kUsualMemory);
+  void RecordTime(Upstream& u, const Request& r, Outcome outcome, Duration elapsed) {
+    latency_.RecordAnswer(u.latency, u.info.kind,
+                          {r.cls_index, r.latency_objective, Warmth(u), outcome, elapsed});
   }
 
   // Guards against hangs, silent machines and cut links, which show by nothing but time: passed over before
@@ -445,7 +407,7 @@
     const bool run = u.failure_run >= kFailuresToSuspect && u.failure_run >= LongRun(u, kFailuresToSuspect);
     if (run || zone_health_.IsUnavailable(u.info.zone)) return true;
     return u.outstanding > 0 &&
-           now_ - u.waiting_since > Scaled(UsualTime(), kSilence * Slowness(u) / Warmth(u));
+           now_ - u.waiting_since > Scaled(latency_.UsualTime(), kSilence * Slowness(u) / Warmth(u));
   }
 
   // An answer says that its zone is there; none to a call sent after the last one may say that it is not.
@@ -747,7 +709,7 @@
   }
 
   void ExpectBy(Request& r) {
-    r.late_at = r.arriving ? TimePoint::max() : now_ + Scaled(UsualTime(r.cls_index), kLate);
+    r.late_at = r.arriving ? TimePoint::max() : now_ + Scaled(latency_.UsualTime(r.cls_index), kLate);
     if (!r.ended && r.cls->effect != Effect::kUnsafe && settings_.limits.hedging && r.late_at < r.deadline)
       Wake(r, r.late_at);
   }
@@ -841,7 +803,7 @@
     Release(*attempt);
     u.waiting_since = now_;
     CountLate(*r, u, Outcome::kServed, now_ - attempt->sent);
-    LearnTime(u, *r, Outcome::kServed, now_ - attempt->sent);
+    RecordTime(u, *r, Outcome::kServed, now_ - attempt->sent);
     for (std::size_t i = 0; i < r->attempts.size(); ++i) {
       if (i != static_cast<std::size_t>(e.attempt)) Cancel(*r, i);
     }
@@ -857,8 +819,8 @@
     Release(*attempt);
     if (!attempt->started) CountLate(*r, u, e.outcome, e.elapsed);
     connections_.RecordOutcome(u.connection, attempt->connection, e.outcome, e.elapsed,
-                               UsualTime(r->cls_index), now_);
-    if (!attempt->started) LearnTime(u, *r, e.outcome, e.elapsed);
+                               latency_.UsualTime(r->cls_index), now_);
+    if (!attempt->started) RecordTime(u, *r, e.outcome, e.elapsed);
     JudgeZone(*attempt, e.outcome);
     Judge(u, *attempt, e.outcome);
     if (e.outcome == Outcome::kServed) ++served_;
@@ -888,7 +850,7 @@
   // harmless and cheap, so that the rest is in time. What is refused is a share of the work that is asked
   // for, taken first from the classes with the least worth for their time.
   bool Admit(const Request& r) {
-    asked_for_[r.cls_index] += static_cast<double>(UsualTime(r.cls_index).count());
+    asked_for_[r.cls_index] += static_cast<double>(latency_.UsualTime(r.cls_index).count());
     if (shed_ <= 0) return true;
     double all = 0, before = 0, kept_before = 0, kept = 0;
     const double mine = WorthForTime(r.cls_index);
@@ -911,7 +873,7 @@
   }
 
   double WorthForTime(std::size_t cls) const {
-    return settings_.classes[cls].priority_weight / static_cast<double>(UsualTime(cls).count());
+    return settings_.classes[cls].priority_weight / static_cast<double>(latency_.UsualTime(cls).count());
   }
 
   // Lateness of a cold, suspect or ejected upstream is its own trouble, unless such ones are the most.
@@ -919,7 +881,7 @@
 
   void CountLate(const Request& r, const Upstream& u, Outcome outcome, Duration elapsed) {
     if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
-    if (outcome == Outcome::kTimeout && !Loaded(u)) return;
+    if (outcome == Outcome::kTimeout && !LatencyModel::IsLoaded(u.latency)) return;
     const bool late = outcome != Outcome::kServed || elapsed > Scaled(r.latency_objective, kLateFrom);
     // Its being in time counts all the same: where the few that are let in all go to cold ones, nothing else
     // tells that the overload is over.
@@ -928,7 +890,7 @@
     // Holding no more than usual is not what makes them late: refusing more would be for nothing, as when the
     // whole fleet is slow.
     if (late && mean_held_ < usual_held_ * able_weight_) return;
-    lately_late_ += ((late ? 1 : 0) - lately_late_) / kSlownessMemory;
+    lately_late_ += ((late ? 1 : 0) - lately_late_) / kLateShareMemory;
     // It goes faster than it came once hardly any are late.
     const double ease = 1 + kShedEase * std::max(0.0, 1 - lately_late_ / kTooManyLate);
     shed_ += late ? step : -step * ease * kTooManyLate / (1 - kTooManyLate);
@@ -954,7 +916,7 @@
     }
     mean_held_ += (held_ - mean_held_) * Seconds(kTickInterval) / Seconds(kShedTime);
     const bool in_time = shed_ <= 0 && lately_late_ <= kTooManyLate / 2;
-    if (in_time && able_weight_ > 0) usual_held_ += (held_ / able_weight_ - usual_held_) / kUsualMemory;
+    if (in_time && able_weight_ > 0) usual_held_ += (held_ / able_weight_ - usual_held_) / kUsualLoadMemory;
     // Where next to nothing is sent any more, little is heard of how that fares.
     shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kTickInterval) / kShedSample);
     for (double& work : asked_for_) work *= 1 - Seconds(kTickInterval) / Seconds(kBaseEjection);
@@ -1010,11 +972,7 @@
   // A cold upstream's calls are counted against what this sidecar usually sends a warm one of its weight. The
   // rotation already gives it less; the budget holds when others fail and push their calls onto it.
   // What it is likely to have: as much more than the least as the cold ones answer faster than by that.
-  double LikelyWarmth(const Upstream& u) const {
-    const double slow_start_factor = Warmth(u);
-    if (slow_start_factor >= 1 || cold_times_.samples < kKindPrior) return slow_start_factor;
-    return std::clamp(slow_start_factor / cold_times_.value, slow_start_factor, 1.0);
-  }
+  double LikelyWarmth(const Upstream& u) const { return latency_.LikelyFactor(Warmth(u)); }
 
   bool HasColdBudget(Upstream& u) {
     const double slow_start_factor = Warmth(u);
@@ -1161,17 +1119,14 @@
   std::vector<RequestId> asking_;  // requests that wait for reports
   std::uint64_t arrivals_ = 0;     // since the last housekeeping
   std::uint64_t served_ = 0;       // likewise
-  double usual_rate_ = 0;         // requests taken a second, slowly changing; clients' repeats are among them
-  double cold_asked_ = 0;         // the same as the budgets of cold upstreams go by it, learnt from nothing
-  double cold_served_ = 0;        // answers served a second, likewise
-  double cold_most_ = 0;          // the most of these, slow to fall
-  bool knows_warm_ = false;       // it served for long enough while half of the upstreams were warm
-  std::vector<Mean> usual_time_;  // microseconds, by class
-  Mean usual_any_;
-  std::map<std::string, Mean> kind_slowness_;
-  Mean cold_times_;  // of cold upstreams' answers, against what their least warmth would make of a warm one's
+  double usual_rate_ = 0;    // requests taken a second, slowly changing; clients' repeats are among them
+  double cold_asked_ = 0;    // the same as the budgets of cold upstreams go by it, learnt from nothing
+  double cold_served_ = 0;   // answers served a second, likewise
+  double cold_most_ = 0;     // the most of these, slow to fall
+  bool knows_warm_ = false;  // it served for long enough while half of the upstreams were warm
   ZoneHealth zone_health_;
   ConnectionModel connections_;
+  LatencyModel latency_;
   double retry_budget_ = kRetryBurst;
   double usual_weight_ = 0;  // the list's weight, slow to fall
   double subset_part_ = 0;   // of the list's weight, the subset's, slow to fall; 0 until the rate is known
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -11,6 +11,7 @@
 #include "balancer/arithmetic.h"
 #include "balancer/balancer.h"
 #include "balancer/connection_model.h"
+#include "balancer/latency_model.h"
 
 namespace mothrack::balancer {
 
@@ -35,8 +36,7 @@
   TimePoint waiting_since;  // while it holds calls: since when it has answered none
   TimePoint overtaken_at;   // the last time that a copy was served before a call it held
   TimePoint full_until;
-  Mean slowness;   // its answers' time against the usual of their class
-  Mean aim_share;  // its answers' time against their aim
+  LatencyRecord latency;
   // Its own recent calls, old ones fading.
   double calls = 0;
   double failures = 0;
