--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -21,6 +21,7 @@
 #include <utility>
 
 #include "balancer/connection_model.h"
+#include "balancer/half_open_probes.h"
 #include "balancer/latency_model.h"
 #include "balancer/random.h"
 #include "balancer/state.h"
@@ -50,12 +51,6 @@
 constexpr double kOrdinaryFailureShare = 0.1;
 // An upstream's share of failures follows about this many of its latest calls.
 constexpr double kOutcomeMemory = 20;
-// An ejected upstream is tried ahead of its time with copies of calls that may be repeated: troubles end long
-// before a minute. The first trial after this, the next ones at twice the time after each that fails, up to
-// the most; it is back after so many served in a row (one may be luck where it fails only some).
-constexpr Duration kFirstTrial = milliseconds(1000);
-constexpr Duration kMaxTrial = milliseconds(8000);
-constexpr int kTrialsToReturn = 2;
 // Of a cold upstream's budget, what a sidecar may spend that does not call it as a rule: calls that others of
 // its subset fail are pushed on to it. The rest is for those that have it in their subset.
 constexpr double kOutsideSubset = 0.25;
@@ -282,7 +277,8 @@
     if (IsFailure(outcome) && outcome != Outcome::kError) ++u.unanswered;
     if (u.info.state == UpstreamState::kGone) return;  // nothing more is decided about it
     const bool served = outcome == Outcome::kServed;
-    if (attempt.trial) JudgeTrial(u, outcome);
+    if (attempt.trial && HalfOpenProbes::RecordOutcome(u.half_open, u.ejected, outcome, now_))
+      Return(u, "after it served on trial");
     if (outcome != Outcome::kConnectFailed && outcome != Outcome::kTimeout &&
         outcome != Outcome::kCancelled) {
       u.waiting_since = now_;
@@ -322,20 +318,6 @@
     return static_cast<int>(std::ceil(run * std::log(kOrdinaryFailureShare) / std::log(share)));
   }
 
-  void JudgeTrial(Upstream& u, Outcome outcome) {
-    u.on_trial = false;
-    u.next_trial = now_;
-    if (outcome == Outcome::kServed) {
-      if (u.ejected && ++u.trials_served >= kTrialsToReturn) Return(u, "after it served on trial");
-    } else if (IsFailure(outcome)) {
-      u.trials_served = 0;
-      u.trial_gap = u.ejected ? std::min(u.trial_gap * 2, kMaxTrial) : kFirstTrial;
-      u.next_trial = now_ + u.trial_gap;
-    } else {
-      u.next_trial = now_ + kFirstTrial;
-    }
-  }
-
   void Eject(Upstream& u) {
     const int run = u.failure_run;
     const bool relapse = u.ejected_at && now_ - u.ejected_until < kBaseEjection;
@@ -346,9 +328,7 @@
     ++counts_.ejected;
     u.ejected_until = now_ + u.ejection_time;
     u.failure_run = 0;
-    u.trial_gap = kFirstTrial;
-    u.next_trial = now_ + u.trial_gap;
-    u.trials_served = 0;
+    HalfOpenProbes::RecordEjection(u.half_open, now_);
     Say("ejected " + u.info.id.value + " for " +
         std::to_string(duration_cast<milliseconds>(u.ejection_time).count()) + " ms after " +
         std::to_string(run) + " failures in a row");
@@ -432,7 +412,7 @@
     ReturnIfServed(u);
     if (!trial) return !u.ejected;
     if (!zone_health_.MayProbe(u.info.zone, now_)) return false;
-    return !u.on_trial && now_ >= u.next_trial && (u.ejected || Suspect(u));
+    return HalfOpenProbes::MayProbe(u.half_open, now_) && (u.ejected || Suspect(u));
   }
 
   // The next upstream for this request by smooth weighted rotation over the subset: one not yet tried while
@@ -631,8 +611,9 @@
     ++u.sent;
     if (Warmth(u) < 1) u.cold_budget -= 1, ++counts_.cold;
     if (!r.arriving) Hold(u);
-    if (trial) u.on_trial = true;
-    if (trial) zone_health_.RecordProbe(u.info.zone, now_ + Scaled(kFirstTrial, 0.5 + random_.Uniform()));
+    if (trial) HalfOpenProbes::RecordSent(u.half_open);
+    if (trial)
+      zone_health_.RecordProbe(u.info.zone, now_ + Scaled(kFirstProbeDelay, 0.5 + random_.Uniform()));
     if (connections_.DropStale(u.connection, now_)) Emit(CloseIdle{u.info.id});
     const ConnectionUse use = connections_.Use(u.connection, u.outstanding, now_);
     counts_.connects += use.connects;
--- /dev/null
+++ b/src/balancer/outlier_detection.cpp
@@ -0,0 +1,65 @@
+#include "balancer/outlier_detection.h"
+
+#include <algorithm>
+#include <cmath>
+
+namespace mothrack::balancer {
+
+double OutlierDetector::SuccessFactor(const OutlierRecord& record, bool loaded) {
+  const double calls = std::max(record.calls, static_cast<double>(kFailuresToEject));
+  const double swallowed = loaded ? 0 : record.timeouts / calls;
+  const double failing = record.failures / calls - swallowed;
+  const double good = failing == 0 ? 1 : std::pow(1 - failing, kSuccessPower);
+  return std::max(kMinSuccessFactor, good * (1 - swallowed));
+}
+
+std::optional<Ejection> OutlierDetector::RecordOutcome(OutlierRecord& record, Outcome outcome,
+                                                       TimePoint now) {
+  const bool served = outcome == Outcome::kServed;
+  record.calls += 1 - record.calls / kOutcomeMemory;
+  record.failures += (served ? 0 : 1) - record.failures / kOutcomeMemory;
+  record.timeouts += (outcome == Outcome::kTimeout ? 1 : 0) - record.timeouts / kOutcomeMemory;
+  record.failure_run = served ? 0 : record.failure_run + 1;
+  return EjectAfterLongRun(record, now);
+}
+
+std::optional<Ejection> OutlierDetector::RecordOvertaken(OutlierRecord& record, TimePoint now) {
+  record.overtaken_at = now;
+  ++record.failure_run;
+  return EjectAfterLongRun(record, now);
+}
+
+void OutlierDetector::RecordReturn(OutlierRecord& record, TimePoint now) {
+  record.ejected = false;
+  record.ejected_until = now;
+}
+
+double OutlierDetector::PeersFailureShare(const OutlierRecord& record) const {
+  const double calls = all_calls_ - (record.ejected ? 0 : record.calls);
+  const double failures = all_failures_ - (record.ejected ? 0 : record.failures);
+  return calls < 1 ? 0 : std::clamp(failures / calls, 0.0, kMaxFailureShare);
+}
+
+// A run as rare as `run` in a row where attempts fail as seldom as is ordinary: longer where the other
+// upstreams fail too.
+int OutlierDetector::RunAsRareAs(int run, const OutlierRecord& record) const {
+  const double share = PeersFailureShare(record);
+  if (share <= kOrdinaryFailureShare) return run;
+  return static_cast<int>(std::ceil(run * std::log(kOrdinaryFailureShare) / std::log(share)));
+}
+
+std::optional<Ejection> OutlierDetector::EjectAfterLongRun(OutlierRecord& record, TimePoint now) const {
+  const int run = record.failure_run;
+  if (record.ejected || run < RunAsRareAs(kFailuresToEject, record)) return std::nullopt;
+  const bool relapse = record.ejected_at && now - record.ejected_until < kBaseEjection;
+  record.ejection_time =
+      relapse ? std::min(record.ejection_time * kEjectionMultiplier, kMaxEjection) : kBaseEjection;
+  record.ejected = true;
+  record.ejected_at = now;
+  record.ejected_after = run;
+  record.ejected_until = now + record.ejection_time;
+  record.failure_run = 0;
+  return Ejection{record.ejection_time, run};
+}
+
+}  // namespace mothrack::balancer
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -11,6 +11,7 @@
 #include "balancer/arithmetic.h"
 #include "balancer/balancer.h"
 #include "balancer/connection_model.h"
+#include "balancer/half_open_probes.h"
 #include "balancer/latency_model.h"
 
 namespace mothrack::balancer {
@@ -29,10 +30,7 @@
   Duration ejection_time{};             // of the last ejection
   std::optional<TimePoint> ejected_at;  // the last ejection
   int ejected_after = 0;                // failures in a row, then
-  TimePoint next_trial;
-  Duration trial_gap{};
-  int trials_served = 0;
-  bool on_trial = false;    // one trial at a time
+  HalfOpenRecord half_open;
   TimePoint waiting_since;  // while it holds calls: since when it has answered none
   TimePoint overtaken_at;   // the last time that a copy was served before a call it held
   TimePoint full_until;
