--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -23,6 +23,7 @@
 #include "balancer/connection_model.h"
 #include "balancer/half_open_probes.h"
 #include "balancer/latency_model.h"
+#include "balancer/outlier_detection.h"
 #include "balancer/random.h"
 #include "balancer/state.h"
 #include "balancer/tick.h"
@@ -37,20 +38,10 @@
 
 // ---- Constants ----
 
-// The design page's own figures.
-constexpr int kFailuresToEject = 5;
-constexpr Duration kBaseEjection = seconds(60);
-constexpr int kEjectionMultiplier = 2;
-constexpr Duration kMaxEjection = seconds(120);
 constexpr std::uint64_t kHousekeepingToken = 0;
 // A cold upstream gets at most this share of what would topple it, going by the load that its peers bear:
 // they may bear 1.3 times what they can. Chance bunches calls, but what is gone by is the least it can do.
 constexpr double kColdSafety = 0.75;
-// Load is not sickness: five in a row are rare where one call in ten fails. Where more of the calls to the
-// other upstreams fail, the run must be long enough to be as rare as that.
-constexpr double kOrdinaryFailureShare = 0.1;
-// An upstream's share of failures follows about this many of its latest calls.
-constexpr double kOutcomeMemory = 20;
 // Of a cold upstream's budget, what a sidecar may spend that does not call it as a rule: calls that others of
 // its subset fail are pushed on to it. The rest is for those that have it in their subset.
 constexpr double kOutsideSubset = 0.25;
@@ -68,9 +59,6 @@
 // Silent: it holds calls and has answered nothing for this many usual times. Works are about exponential, so
 // a healthy upstream with one call is that slow once in twenty.
 constexpr double kSilence = 3;
-// So many failures in a row make a suspect, that is passed over while others stand: a sidecar of many meets
-// one upstream every few seconds, and a second failure there would cost as much as the trial that tells.
-constexpr int kFailuresToSuspect = 2;
 // A call that takes this many usual times of its class gets a second copy, where it may have one.
 constexpr double kLate = 3;
 // Further attempts after a failure and second copies are at most this share of first tries, saved up to a
@@ -86,9 +74,6 @@
 constexpr double kAskPatience = 0.1;
 // One that holds more than it serves in this share of the call's aim is jammed: times vary about twofold.
 constexpr double kHoldFor = 0.5;
-// How strongly an upstream's share of failures takes from its weight: errors come fast and would attract
-// calls.
-constexpr int kSuccessPower = 3;
 // Overload shows as answers after their aim, time-outs and refusals as full from upstreams in good standing.
 // A share of the calls is refused that rises with each late one and falls with each in time, so that it
 // stands where kTooManyLate of them are late. It goes over its whole range in about kShedTime, or in
@@ -151,11 +136,11 @@
                        u->outstanding,
                        Warmth(*u, now),
                        {},
-                       u->ejected_after,
+                       u->outlier.ejected_after,
                        u->sent,
                        u->unanswered,
                        u->connection.idle});
-      if (u->ejected) views.back().ejected_until = u->ejected_until;
+      if (u->outlier.ejected) views.back().ejected_until = u->outlier.ejected_until;
     }
     std::sort(views.begin(), views.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
     return views;
@@ -237,7 +222,7 @@
       u->in_subset = room > 0;
       if (!u->in_subset || u->info.state != UpstreamState::kServing) continue;
       weight += u->info.weight;
-      if (!u->ejected && !Suspect(*u)) room -= Warmth(*u);
+      if (!u->outlier.ejected && !Suspect(*u)) room -= Warmth(*u);
     }
     // Before the rate is known it is the whole list, which must not be remembered as a subset.
     const double listed = ListedWeight();
@@ -277,7 +262,7 @@
     if (IsFailure(outcome) && outcome != Outcome::kError) ++u.unanswered;
     if (u.info.state == UpstreamState::kGone) return;  // nothing more is decided about it
     const bool served = outcome == Outcome::kServed;
-    if (attempt.trial && HalfOpenProbes::RecordOutcome(u.half_open, u.ejected, outcome, now_))
+    if (attempt.trial && HalfOpenProbes::RecordOutcome(u.half_open, u.outlier.ejected, outcome, now_))
       Return(u, "after it served on trial");
     if (outcome != Outcome::kConnectFailed && outcome != Outcome::kTimeout &&
         outcome != Outcome::kCancelled) {
@@ -287,61 +272,27 @@
     if (outcome == Outcome::kFull)
       u.full_until = now_ + Scaled(latency_.UsualTime(), 0.5 + random_.Uniform());
     if (!served && !IsFailure(outcome)) return;
-    u.calls += 1 - u.calls / kOutcomeMemory;
-    u.failures += (served ? 0 : 1) - u.failures / kOutcomeMemory;
-    u.timeouts += (outcome == Outcome::kTimeout ? 1 : 0) - u.timeouts / kOutcomeMemory;
-    u.failure_run = served ? 0 : u.failure_run + 1;
-    if (!u.ejected && u.failure_run >= LongRun(u, kFailuresToEject)) Eject(u);
-    all_calls_ = all_failures_ = 0;
+    if (const auto ejection = outliers_.RecordOutcome(u.outlier, outcome, now_)) RecordEjection(u, *ejection);
+    outliers_.ClearSums();
     for (const UpstreamPtr& other : order_) {
-      if (other->ejected || other->info.state != UpstreamState::kServing) continue;
-      all_calls_ += other->calls;
-      all_failures_ += other->failures;
+      if (other->info.state == UpstreamState::kServing) outliers_.AddToSums(other->outlier);
     }
   }
 
-  double PeersFailureShare(const Upstream& u) const {
-    const double calls = all_calls_ - (u.ejected ? 0 : u.calls);
-    const double failures = all_failures_ - (u.ejected ? 0 : u.failures);
-    return calls < 1 ? 0 : std::clamp(failures / calls, 0.0, 0.95);
-  }
-
-  double FailureShare(const Upstream& u) const {
-    return u.failures / std::max(u.calls, static_cast<double>(kFailuresToEject));
-  }
-
-  // A run as rare as `run` in a row: longer where the other upstreams fail too. Guards against an overload or
-  // a slowdown of the whole fleet, whose time-outs string up on healthy upstreams until all are out.
-  int LongRun(const Upstream& u, int run) const {
-    const double share = PeersFailureShare(u);
-    if (share <= kOrdinaryFailureShare) return run;
-    return static_cast<int>(std::ceil(run * std::log(kOrdinaryFailureShare) / std::log(share)));
-  }
-
-  void Eject(Upstream& u) {
-    const int run = u.failure_run;
-    const bool relapse = u.ejected_at && now_ - u.ejected_until < kBaseEjection;
-    u.ejection_time = relapse ? std::min(u.ejection_time * kEjectionMultiplier, kMaxEjection) : kBaseEjection;
-    u.ejected = true;
-    u.ejected_at = now_;
-    u.ejected_after = run;
-    ++counts_.ejected;
-    u.ejected_until = now_ + u.ejection_time;
-    u.failure_run = 0;
+  void RecordEjection(Upstream& u, const Ejection& ejection) {
     HalfOpenProbes::RecordEjection(u.half_open, now_);
+    ++counts_.ejected;
     Say("ejected " + u.info.id.value + " for " +
-        std::to_string(duration_cast<milliseconds>(u.ejection_time).count()) + " ms after " +
-        std::to_string(run) + " failures in a row");
+        std::to_string(duration_cast<milliseconds>(ejection.duration).count()) + " ms after " +
+        std::to_string(ejection.failures_in_a_row) + " failures in a row");
   }
 
   void ReturnIfServed(Upstream& u) {
-    if (!u.ejected || now_ < u.ejected_until) return;
-    Return(u, "after its ejection");
+    if (OutlierDetector::IsOver(u.outlier, now_)) Return(u, "after its ejection");
   }
 
   void Return(Upstream& u, const char* why) {
-    u.ejected = false;
-    u.ejected_until = now_;
+    OutlierDetector::RecordReturn(u.outlier, now_);
     ++counts_.returned;
     Enter(u);
     Say("returned " + u.info.id.value + " " + why);
@@ -363,14 +314,9 @@
 
   // The registered weight, less when cold, by what was observed; squared: a slow one is late far more often.
   double Weight(const Upstream& u) const {
-    const double calls = std::max(u.calls, static_cast<double>(kFailuresToEject));
-    // Time-outs beside fast answers attract no calls: the rest of what it takes it serves.
-    const double swallowed = LatencyModel::IsLoaded(u.latency) ? 0 : u.timeouts / calls;
-    const double failing = FailureShare(u) - swallowed;
-    const double good = failing == 0 ? 1 : std::pow(1 - failing, kSuccessPower);
     return u.info.weight * LikelyWarmth(u) /
            (sized_ ? Slowness(u) / latency_.KindSlowness(u.info.kind) : Slowness(u)) *
-           std::max(0.02, good * (1 - swallowed));
+           OutlierDetector::SuccessFactor(u.outlier, LatencyModel::IsLoaded(u.latency));
   }
 
   double Slowness(const Upstream& u) const { return latency_.Slowness(u.latency, u.info.kind); }
@@ -383,9 +329,7 @@
   // Guards against hangs, silent machines and cut links, which show by nothing but time: passed over before
   // five in a row, while others stand. One answer clears it.
   bool Suspect(const Upstream& u) const {
-    // No run is shorter than that: most are spared the rest.
-    const bool run = u.failure_run >= kFailuresToSuspect && u.failure_run >= LongRun(u, kFailuresToSuspect);
-    if (run || zone_health_.IsUnavailable(u.info.zone)) return true;
+    if (outliers_.IsSuspect(u.outlier) || zone_health_.IsUnavailable(u.info.zone)) return true;
     return u.outstanding > 0 &&
            now_ - u.waiting_since > Scaled(latency_.UsualTime(), kSilence * Slowness(u) / Warmth(u));
   }
@@ -410,9 +354,9 @@
   bool InTurn(Upstream& u, bool trial) {
     if (u.info.state != UpstreamState::kServing) return false;
     ReturnIfServed(u);
-    if (!trial) return !u.ejected;
+    if (!trial) return !u.outlier.ejected;
     if (!zone_health_.MayProbe(u.info.zone, now_)) return false;
-    return HalfOpenProbes::MayProbe(u.half_open, now_) && (u.ejected || Suspect(u));
+    return HalfOpenProbes::MayProbe(u.half_open, now_) && (u.outlier.ejected || Suspect(u));
   }
 
   // The next upstream for this request by smooth weighted rotation over the subset: one not yet tried while
@@ -583,7 +527,8 @@
     const auto it = index_.find(e.upstream.value);
     if (it == index_.end()) return;
     // No answer to as little as this is a failure like another.
-    if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout) ++it->second->failure_run;
+    if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout)
+      OutlierDetector::RecordUnansweredProbe(it->second->outlier);
     const std::vector<RequestId> asking = asking_;
     for (const RequestId id : asking) {
       Request* r = Find(id);
@@ -767,11 +712,9 @@
   void JudgeOvertaken(const Request& r, const Attempt& winner) {
     for (const Attempt& a : r.attempts) {
       Upstream& u = *a.upstream;
-      if (!Silent(a) || a.trial || a.sent >= winner.sent || a.sent < u.overtaken_at) continue;
+      if (!Silent(a) || a.trial || a.sent >= winner.sent || a.sent < u.outlier.overtaken_at) continue;
       if (u.info.state != UpstreamState::kServing) continue;
-      u.overtaken_at = now_;
-      ++u.failure_run;
-      if (!u.ejected && u.failure_run >= LongRun(u, kFailuresToEject)) Eject(u);
+      if (const auto ejection = outliers_.RecordOvertaken(u.outlier, now_)) RecordEjection(u, *ejection);
     }
   }
 
@@ -858,7 +801,7 @@
   }
 
   // Lateness of a cold, suspect or ejected upstream is its own trouble, unless such ones are the most.
-  bool Telling(const Upstream& u) const { return !u.ejected && Warmth(u) >= 1 && !Suspect(u); }
+  bool Telling(const Upstream& u) const { return !u.outlier.ejected && Warmth(u) >= 1 && !Suspect(u); }
 
   void CountLate(const Request& r, const Upstream& u, Outcome outcome, Duration elapsed) {
     if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
@@ -886,7 +829,7 @@
       serving_weight_ += u->info.weight;
       ++serving;
       if (Telling(*u)) telling_weight_ += u->info.weight;
-      if (!u->ejected && !Suspect(*u)) able_weight_ += u->info.weight * LikelyWarmth(*u);
+      if (!u->outlier.ejected && !Suspect(*u)) able_weight_ += u->info.weight * LikelyWarmth(*u);
     }
     // What is lost at once is known before the answers of the rest come late: by then their queues are full.
     able_before_ = std::max(able_weight_, able_before_ * (1 - Seconds(kTickInterval) / Seconds(kLossMemory)));
@@ -1094,8 +1037,6 @@
   double serving_weight_ = 0;      // of all that serve by the list
   double able_weight_ = 0;         // of those that can take calls
   double telling_weight_ = 0;      // of those whose lateness tells of load
-  double all_calls_ = 0;           // sums over the upstreams in service
-  double all_failures_ = 0;
   std::size_t asks_ = 1;           // upstreams asked for their load before a call; 1: none
   std::vector<RequestId> asking_;  // requests that wait for reports
   std::uint64_t arrivals_ = 0;     // since the last housekeeping
@@ -1106,6 +1047,7 @@
   double cold_most_ = 0;     // the most of these, slow to fall
   bool knows_warm_ = false;  // it served for long enough while half of the upstreams were warm
   ZoneHealth zone_health_;
+  OutlierDetector outliers_;
   ConnectionModel connections_;
   LatencyModel latency_;
   double retry_budget_ = kRetryBurst;
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -13,6 +13,7 @@
 #include "balancer/connection_model.h"
 #include "balancer/half_open_probes.h"
 #include "balancer/latency_model.h"
+#include "balancer/outlier_detection.h"
 
 namespace mothrack::balancer {
 
@@ -23,22 +24,11 @@
   std::uint64_t rank = 0;  // its place in this sidecar's order
   bool listed = true;      // in the list that is being taken in
   bool in_subset = false;  // calls reach it while nothing is tried twice
-  // Ejection.
-  int failure_run = 0;
-  bool ejected = false;
-  TimePoint ejected_until;
-  Duration ejection_time{};             // of the last ejection
-  std::optional<TimePoint> ejected_at;  // the last ejection
-  int ejected_after = 0;                // failures in a row, then
+  OutlierRecord outlier;
   HalfOpenRecord half_open;
   TimePoint waiting_since;  // while it holds calls: since when it has answered none
-  TimePoint overtaken_at;   // the last time that a copy was served before a call it held
   TimePoint full_until;
   LatencyRecord latency;
-  // Its own recent calls, old ones fading.
-  double calls = 0;
-  double failures = 0;
-  double timeouts = 0;  // of these
   ConnectionRecord connection;
   // Rotation.
   double credit = 0;
