--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -56,9 +56,6 @@
 // So many answers make a usual load, and so many outcomes a share of late ones.
 constexpr double kUsualLoadMemory = 50;
 constexpr double kLateShareMemory = 10;
-// Silent: it holds calls and has answered nothing for this many usual times. Works are about exponential, so
-// a healthy upstream with one call is that slow once in twenty.
-constexpr double kSilence = 3;
 // A call that takes this many usual times of its class gets a second copy, where it may have one.
 constexpr double kLate = 3;
 // Further attempts after a failure and second copies are at most this share of first tries, saved up to a
@@ -133,12 +130,12 @@
     for (const UpstreamPtr& u : order_) {
       views.push_back({u->info.id,
                        u->info.state,
-                       u->outstanding,
+                       u->in_flight.attempts,
                        Warmth(*u, now),
                        {},
                        u->outlier.ejected_after,
-                       u->sent,
-                       u->unanswered,
+                       u->in_flight.sent,
+                       u->in_flight.unanswered,
                        u->connection.idle});
       if (u->outlier.ejected) views.back().ejected_until = u->outlier.ejected_until;
     }
@@ -259,18 +256,18 @@
   // ---- Ejection ----
 
   void Judge(Upstream& u, const Attempt& attempt, Outcome outcome) {
-    if (IsFailure(outcome) && outcome != Outcome::kError) ++u.unanswered;
+    if (IsFailure(outcome) && outcome != Outcome::kError) ++u.in_flight.unanswered;
     if (u.info.state == UpstreamState::kGone) return;  // nothing more is decided about it
     const bool served = outcome == Outcome::kServed;
     if (attempt.trial && HalfOpenProbes::RecordOutcome(u.half_open, u.outlier.ejected, outcome, now_))
       Return(u, "after it served on trial");
     if (outcome != Outcome::kConnectFailed && outcome != Outcome::kTimeout &&
         outcome != Outcome::kCancelled) {
-      u.waiting_since = now_;
+      u.in_flight.waiting_since = now_;
     }
     // Said to be full: it needs about the time of an answer to have room again.
     if (outcome == Outcome::kFull)
-      u.full_until = now_ + Scaled(latency_.UsualTime(), 0.5 + random_.Uniform());
+      u.in_flight.full_until = now_ + Scaled(latency_.UsualTime(), 0.5 + random_.Uniform());
     if (!served && !IsFailure(outcome)) return;
     if (const auto ejection = outliers_.RecordOutcome(u.outlier, outcome, now_)) RecordEjection(u, *ejection);
     outliers_.ClearSums();
@@ -330,8 +327,7 @@
   // five in a row, while others stand. One answer clears it.
   bool Suspect(const Upstream& u) const {
     if (outliers_.IsSuspect(u.outlier) || zone_health_.IsUnavailable(u.info.zone)) return true;
-    return u.outstanding > 0 &&
-           now_ - u.waiting_since > Scaled(latency_.UsualTime(), kSilence * Slowness(u) / Warmth(u));
+    return u.in_flight.IsUnresponsive(now_, latency_.UsualTime(), Slowness(u), Warmth(u));
   }
 
   // An answer says that its zone is there; none to a call sent after the last one may say that it is not.
@@ -371,7 +367,7 @@
     for (const UpstreamPtr& taker : order_) {
       Upstream& u = *taker;
       if (room <= 0) break;
-      if (!InTurn(u, false) || now_ < u.full_until || !MaySend(r, u)) continue;
+      if (!InTurn(u, false) || now_ < u.in_flight.full_until || !MaySend(r, u)) continue;
       const bool suspect = Suspect(u);
       if (!HasColdBudget(u)) {
         if (!suspect) waiting_.push_back({&taker, Weight(u), 0});
@@ -382,7 +378,7 @@
       if (suspect) continue;
       if (!tried) room -= Warmth(u);  // the cold ones are no help yet
       weight += takers_.back().weight;
-      outstanding += u.outstanding;
+      outstanding += u.in_flight.attempts;
     }
     best_.clear();
     int best_standing = only_good ? 1 : 6;
@@ -390,9 +386,10 @@
       const Upstream& u = **taker.upstream;
       // Where connecting takes long or fails, one without a connection is no better than a crowded one; but
       // one that has just started has its table of connections empty.
-      const bool crowded = u.outstanding + 1 > kCrowdSlack + 0.5 + outstanding * taker.weight / weight ||
-                           (Warmth(u) >= 1 && connections_.IsConnectingHard() &&
-                            !connections_.HasConnection(u.connection, u.outstanding, now_));
+      const bool crowded =
+          u.in_flight.attempts + 1 > kCrowdSlack + 0.5 + outstanding * taker.weight / weight ||
+          (Warmth(u) >= 1 && connections_.IsConnectingHard() &&
+           !connections_.HasConnection(u.connection, u.in_flight.attempts, now_));
       const bool suspect = taker.standing % 3 == 2;
       const int standing = taker.standing + (!suspect && crowded ? 1 : 0);
       if (standing < best_standing) best_.clear();
@@ -553,14 +550,14 @@
        : reason == Reason::kCopy ? counts_.hedges
        : r.attempts.empty()      ? counts_.first
                                  : counts_.retries);
-    ++u.sent;
+    ++u.in_flight.sent;
     if (Warmth(u) < 1) u.cold_budget -= 1, ++counts_.cold;
     if (!r.arriving) Hold(u);
     if (trial) HalfOpenProbes::RecordSent(u.half_open);
     if (trial)
       zone_health_.RecordProbe(u.info.zone, now_ + Scaled(kFirstProbeDelay, 0.5 + random_.Uniform()));
     if (connections_.DropStale(u.connection, now_)) Emit(CloseIdle{u.info.id});
-    const ConnectionUse use = connections_.Use(u.connection, u.outstanding, now_);
+    const ConnectionUse use = connections_.Use(u.connection, u.in_flight.attempts, now_);
     counts_.connects += use.connects;
     r.attempts.push_back({upstream, now_, trial, use});
     r.attempts.back().held = !r.arriving;
@@ -570,13 +567,13 @@
   // What its upstream holds is what it can be late with: not a body that still comes, nor an answer that has
   // begun.
   void Hold(Upstream& u) {
-    if (u.outstanding++ == 0) u.waiting_since = now_;
+    u.in_flight.Begin(now_);
     ++held_;
   }
 
   void Release(Attempt& a) {
     if (!std::exchange(a.held, false)) return;
-    --a.upstream->outstanding;
+    a.upstream->in_flight.End();
     --held_;
   }
 
@@ -699,7 +696,7 @@
   }
 
   // Has its upstream answered nothing at all since it was sent?
-  static bool Silent(const Attempt& a) { return !a.outcome && a.upstream->waiting_since <= a.sent; }
+  static bool Silent(const Attempt& a) { return !a.outcome && a.upstream->in_flight.waiting_since <= a.sent; }
 
   static bool AllSilent(const Request& r) {
     return std::all_of(r.attempts.begin(), r.attempts.end(),
@@ -725,7 +722,7 @@
     r->streaming = attempt->started = true;
     Upstream& u = *attempt->upstream;
     Release(*attempt);
-    u.waiting_since = now_;
+    u.in_flight.waiting_since = now_;
     CountLate(*r, u, Outcome::kServed, now_ - attempt->sent);
     RecordTime(u, *r, Outcome::kServed, now_ - attempt->sent);
     for (std::size_t i = 0; i < r->attempts.size(); ++i) {
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -12,6 +12,7 @@
 #include "balancer/balancer.h"
 #include "balancer/connection_model.h"
 #include "balancer/half_open_probes.h"
+#include "balancer/in_flight.h"
 #include "balancer/latency_model.h"
 #include "balancer/outlier_detection.h"
 
@@ -26,15 +27,11 @@
   bool in_subset = false;  // calls reach it while nothing is tried twice
   OutlierRecord outlier;
   HalfOpenRecord half_open;
-  TimePoint waiting_since;  // while it holds calls: since when it has answered none
-  TimePoint full_until;
+  InFlightRecord in_flight;
   LatencyRecord latency;
   ConnectionRecord connection;
   // Rotation.
   double credit = 0;
-  int outstanding = 0;
-  std::uint64_t sent = 0;  // for people who look, like the next
-  std::uint64_t unanswered = 0;
   // Slow start: calls it may still be sent, refilled over time.
   double cold_budget = 0;
   TimePoint cold_refilled;
