--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -25,6 +25,7 @@
 #include "balancer/latency_model.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/random.h"
+#include "balancer/request_rate.h"
 #include "balancer/state.h"
 #include "balancer/tick.h"
 #include "balancer/zone_health.h"
@@ -46,10 +47,9 @@
 // its subset fail are pushed on to it. The rest is for those that have it in their subset.
 constexpr double kOutsideSubset = 0.25;
 // Subsetting: over as many upstreams as it calls about once in this share of the time after which an idle
-// connection is closed, over kLeastSubset at least, and over all until its rate has been seen for kRateKnown.
+// connection is closed, over kLeastSubset at least, and over all until its rate is known.
 constexpr double kVisit = 0.25;
 constexpr double kLeastSubset = 3;
-constexpr Duration kRateKnown = seconds(2);
 // An upstream that holds more unanswered calls than its share and this many is passed over while others
 // stand.
 constexpr double kCrowdSlack = 0.5;
@@ -147,7 +147,7 @@
     Counts counts = counts_;
     counts.held = held_;
     counts.shed = shed_;
-    counts.rate = usual_rate_;
+    counts.rate = request_rate_.usual();
     counts.subset = std::min(SubsetSize(), static_cast<double>(order_.size()));
     return counts;
   }
@@ -157,7 +157,7 @@
 
   void Start() {
     running_ = true;
-    started_ = now_;
+    request_rate_.Start(now_);
     if (settings_.membership_on_request) Emit(Subscribe{});
     Emit(SetTimer{now_ + kTickInterval, kHousekeepingToken});
   }
@@ -205,12 +205,10 @@
   // connection, fill the upstreams' tables, and tell nothing of the next. Where calls are many it is the
   // list.
   double SubsetSize() const {
-    if (!KnowsRate()) return static_cast<double>(order_.size());
-    return std::max(kLeastSubset, usual_rate_ * kVisit * Seconds(settings_.limits.idle_close));
+    if (!request_rate_.IsKnown(now_)) return static_cast<double>(order_.size());
+    return std::max(kLeastSubset, request_rate_.usual() * kVisit * Seconds(settings_.limits.idle_close));
   }
 
-  bool KnowsRate() const { return now_ - started_ >= kRateKnown && usual_rate_ > 0; }
-
   // Which upstreams a call reaches while none of them is tried, full or waiting for its budget: as in Pick().
   void MarkSubset() {
     double room = SubsetSize();
@@ -223,7 +221,7 @@
     }
     // Before the rate is known it is the whole list, which must not be remembered as a subset.
     const double listed = ListedWeight();
-    subset_part_ = KnowsRate() && listed > 0 ? std::max(weight / listed, subset_part_) : 0;
+    subset_part_ = request_rate_.IsKnown(now_) && listed > 0 ? std::max(weight / listed, subset_part_) : 0;
   }
 
   void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
@@ -608,7 +606,7 @@
     r.deadline = e.arriving ? TimePoint::max() : e.deadline;
     r.arriving = e.arriving;
     r.patience = std::max(e.deadline - now_, Duration(1));
-    ++arrivals_;
+    request_rate_.RecordArrival();
     retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryBudget);
     if (!e.arriving) Wake(r, r.deadline);
     Advance(r);
@@ -744,7 +742,7 @@
     if (!attempt->started) RecordTime(u, *r, e.outcome, e.elapsed);
     JudgeZone(*attempt, e.outcome);
     Judge(u, *attempt, e.outcome);
-    if (e.outcome == Outcome::kServed) ++served_;
+    if (e.outcome == Outcome::kServed) request_rate_.RecordServed();
     if (r->streaming && !attempt->started) {
       // One of those that were called off: the answer that has begun goes on.
     } else if (e.finished) {
@@ -807,7 +805,7 @@
     // Its being in time counts all the same: where the few that are let in all go to cold ones, nothing else
     // tells that the overload is over.
     if (late && !Telling(u) && 4 * telling_weight_ > serving_weight_) return;
-    const double step = 1 / std::max(kShedSample, usual_rate_ * Seconds(kShedTime));
+    const double step = 1 / std::max(kShedSample, request_rate_.usual() * Seconds(kShedTime));
     // Holding no more than usual is not what makes them late: refusing more would be for nothing, as when the
     // whole fleet is slow.
     if (late && mean_held_ < usual_held_ * able_weight_) return;
@@ -929,17 +927,15 @@
   void UpdateUsual() {
     const double dt = Seconds(kTickInterval);
     const double most = Seconds(settings_.rules.slow_start_duration) / 2;
-    const double age = Seconds(now_ - started_);
-    const double memory = std::min(age, most);
-    usual_rate_ += (static_cast<double>(arrivals_) / dt - usual_rate_) * std::min(1.0, dt / memory);
+    const double age = Seconds(request_rate_.Age(now_));
     // Nor must a start: a fleet that restarts is met at once by all the calls that waited for it, and where
     // each sidecar took its first quarter of a second for its usual rate, the budgets of all would add up to
     // more than a cold upstream can do. So they go by what is learnt from nothing, over two windows at least.
     const double cautious =
         std::min(1.0, dt / std::min(std::max(age, 2 * Seconds(settings_.rules.overload_window)), most));
-    cold_asked_ += (static_cast<double>(arrivals_) / dt - cold_asked_) * cautious;
-    cold_served_ += (static_cast<double>(served_) / dt - cold_served_) * cautious;
-    arrivals_ = served_ = 0;
+    cold_asked_ += (static_cast<double>(request_rate_.arrivals()) / dt - cold_asked_) * cautious;
+    cold_served_ += (static_cast<double>(request_rate_.served()) / dt - cold_served_) * cautious;
+    request_rate_.RecordTick(now_, settings_.rules.slow_start_duration / 2);
     const double fading = 1 - dt / (2 * Seconds(settings_.rules.slow_start_duration));
     cold_most_ = std::max(cold_served_, cold_most_ * fading);
     const bool learnt = age >= 2 * Seconds(settings_.rules.overload_window);
@@ -1007,7 +1003,6 @@
   TimePoint now_;
   std::vector<Action>* out_ = nullptr;
   bool running_ = false;
-  TimePoint started_;
   std::unordered_map<std::string, UpstreamPtr> index_;   // those that are not gone; walked only to sort them
   std::vector<UpstreamPtr> order_;                       // the same, by rank
   std::unordered_map<RequestId, Request> requests_;      // looked up, never walked
@@ -1036,9 +1031,7 @@
   double telling_weight_ = 0;      // of those whose lateness tells of load
   std::size_t asks_ = 1;           // upstreams asked for their load before a call; 1: none
   std::vector<RequestId> asking_;  // requests that wait for reports
-  std::uint64_t arrivals_ = 0;     // since the last housekeeping
-  std::uint64_t served_ = 0;       // likewise
-  double usual_rate_ = 0;    // requests taken a second, slowly changing; clients' repeats are among them
+  RequestRate request_rate_;
   double cold_asked_ = 0;    // the same as the budgets of cold upstreams go by it, learnt from nothing
   double cold_served_ = 0;   // answers served a second, likewise
   double cold_most_ = 0;     // the most of these, slow to fall
