--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -26,6 +26,7 @@
 #include "balancer/outlier_detection.h"
 #include "balancer/random.h"
 #include "balancer/request_rate.h"
+#include "balancer/slow_start.h"
 #include "balancer/state.h"
 #include "balancer/tick.h"
 #include "balancer/zone_health.h"
@@ -40,12 +41,6 @@
 // ---- Constants ----
 
 constexpr std::uint64_t kHousekeepingToken = 0;
-// A cold upstream gets at most this share of what would topple it, going by the load that its peers bear:
-// they may bear 1.3 times what they can. Chance bunches calls, but what is gone by is the least it can do.
-constexpr double kColdSafety = 0.75;
-// Of a cold upstream's budget, what a sidecar may spend that does not call it as a rule: calls that others of
-// its subset fail are pushed on to it. The rest is for those that have it in their subset.
-constexpr double kOutsideSubset = 0.25;
 // Subsetting: over as many upstreams as it calls about once in this share of the time after which an idle
 // connection is closed, over kLeastSubset at least, and over all until its rate is known.
 constexpr double kVisit = 0.25;
@@ -108,7 +103,11 @@
 class Balancer::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed)
-      : settings_(std::move(settings)), random_(seed), connections_(settings_.limits), latency_(settings_) {
+      : settings_(std::move(settings)),
+        random_(seed),
+        connections_(settings_.limits),
+        latency_(settings_),
+        slow_start_(settings_.rules) {
     settings_.Validate();
     if (settings_.load_by_probe && settings_.limits.probes)
       asks_ = static_cast<std::size_t>(
@@ -131,7 +130,7 @@
       views.push_back({u->info.id,
                        u->info.state,
                        u->in_flight.attempts,
-                       Warmth(*u, now),
+                       slow_start_.Factor(u->info.started, now),
                        {},
                        u->outlier.ejected_after,
                        u->in_flight.sent,
@@ -233,7 +232,6 @@
       if (u) u->info.state = UpstreamState::kGone;
       u = std::make_shared<Upstream>();
       u->rank = Hash(info.id.value, settings_.sidecar_index);
-      u->cold_refilled = now_;
     }
     // That it left may be told without its place, which decides who knows the keys of its calls.
     const UpstreamInfo place = u->info;
@@ -244,10 +242,9 @@
     }
     u->listed = true;
     if (!(u->info.weight > 0)) u->info.weight = 1;
-    // Sidecars that hear of it together must not all call it at once; but where each may send it a fraction
-    // of a call a second, together they are owed a flow from the first second on.
     if (new_process && info.started) zone_health_.RecordNewProcess(info.zone);
-    if (new_process) u->cold_budget = random_.Uniform() - std::min(1.0, ColdRate(*u));
+    if (new_process)
+      slow_start_.RecordEntry(u->slow_start, SlowStartOf(*u, Warmth(*u)), random_.Uniform(), now_);
     if (new_process || !was_serving) entering.push_back(u);
   }
 
@@ -549,7 +546,7 @@
        : r.attempts.empty()      ? counts_.first
                                  : counts_.retries);
     ++u.in_flight.sent;
-    if (Warmth(u) < 1) u.cold_budget -= 1, ++counts_.cold;
+    if (Warmth(u) < 1) SlowStart::Spend(u.slow_start), ++counts_.cold;
     if (!r.arriving) Hold(u);
     if (trial) HalfOpenProbes::RecordSent(u.half_open);
     if (trial)
@@ -878,70 +875,23 @@
 
   // ---- Slow start ----
 
-  // The least share of its capacity that an upstream has by now: an even rise from the cold share to the
-  // full.
-  double Warmth(const Upstream& u) const { return Warmth(u, now_); }
-  double Warmth(const Upstream& u, TimePoint now) const {
-    if (!u.info.started) return 1;
-    const double age = Seconds(now - *u.info.started) / Seconds(settings_.rules.slow_start_duration);
-    const double from = settings_.rules.slow_start_initial_share;
-    return std::clamp(from + (1 - from) * age, from, 1.0);
-  }
+  double Warmth(const Upstream& u) const { return slow_start_.Factor(u.info.started, now_); }
 
-  // A cold upstream's calls are counted against what this sidecar usually sends a warm one of its weight. The
-  // rotation already gives it less; the budget holds when others fail and push their calls onto it.
-  // What it is likely to have: as much more than the least as the cold ones answer faster than by that.
   double LikelyWarmth(const Upstream& u) const { return latency_.LikelyFactor(Warmth(u)); }
 
+  SlowStartUpstream SlowStartOf(const Upstream& u, double factor) const {
+    return {factor, u.info.weight, u.in_subset, subset_part_};
+  }
+
   bool HasColdBudget(Upstream& u) {
-    const double slow_start_factor = Warmth(u);
-    if (slow_start_factor >= 1) return true;
-    const double rate = ColdRate(u);
-    const double most = std::max(1.0, rate * Seconds(settings_.rules.overload_window) / 2);
-    u.cold_budget = std::min(most, u.cold_budget + rate * Seconds(now_ - u.cold_refilled));
-    u.cold_refilled = now_;
-    return u.cold_budget >= 1;
-  }
-
-  // Calls a second that this sidecar may send it.
-  double ColdRate(const Upstream& u) const {
-    // Calls that nobody serves are no load that warm ones bear, beyond the most that was served while there
-    // were such.
-    const double asked = knows_warm_ ? std::min(cold_asked_ / 2, cold_most_) : cold_asked_ / 2;
-    const double usual = std::max(cold_served_, asked) * ColdShare(u);
-    return settings_.rules.overload_multiple * kColdSafety * Warmth(u) * usual;
-  }
-
-  // Of what this sidecar sends, what a warm upstream of this weight would usually get from it. A big fleet's
-  // sidecars each call a few upstreams of a long list: those that call this one have to make up its part for
-  // all the others, who never spend what they are owed. Whoever has it in its subset sends it its share of
-  // the subset, and in the mean over the fleet these shares add up to the share by the list.
-  double ColdShare(const Upstream& u) const {
-    const double of_list = u.info.weight / std::max(usual_weight_, u.info.weight);
-    if (subset_part_ <= 0) return of_list;
-    const double of_subset = u.in_subset ? of_list / subset_part_ : 0;
-    return kOutsideSubset * of_list + (1 - kOutsideSubset) * of_subset;
-  }
-
-  // The usual rate and weight change slowly: a burst or the loss of half the list must not raise the budgets.
+    return slow_start_.HasBudget(u.slow_start, SlowStartOf(u, Warmth(u)), now_);
+  }
+
   void UpdateUsual() {
-    const double dt = Seconds(kTickInterval);
-    const double most = Seconds(settings_.rules.slow_start_duration) / 2;
-    const double age = Seconds(request_rate_.Age(now_));
-    // Nor must a start: a fleet that restarts is met at once by all the calls that waited for it, and where
-    // each sidecar took its first quarter of a second for its usual rate, the budgets of all would add up to
-    // more than a cold upstream can do. So they go by what is learnt from nothing, over two windows at least.
-    const double cautious =
-        std::min(1.0, dt / std::min(std::max(age, 2 * Seconds(settings_.rules.overload_window)), most));
-    cold_asked_ += (static_cast<double>(request_rate_.arrivals()) / dt - cold_asked_) * cautious;
-    cold_served_ += (static_cast<double>(request_rate_.served()) / dt - cold_served_) * cautious;
-    request_rate_.RecordTick(now_, settings_.rules.slow_start_duration / 2);
-    const double fading = 1 - dt / (2 * Seconds(settings_.rules.slow_start_duration));
-    cold_most_ = std::max(cold_served_, cold_most_ * fading);
-    const bool learnt = age >= 2 * Seconds(settings_.rules.overload_window);
-    knows_warm_ = knows_warm_ || (learnt && telling_weight_ > 0 && 2 * telling_weight_ >= serving_weight_);
-    usual_weight_ = std::max(ListedWeight(), usual_weight_ * fading);
-    subset_part_ *= fading;
+    slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(now_),
+                            telling_weight_, serving_weight_, ListedWeight()});
+    request_rate_.RecordTick(now_, slow_start_.RateMemory());
+    subset_part_ *= slow_start_.FadingPerTick();
     MarkSubset();
   }
 
@@ -1032,17 +982,13 @@
   std::size_t asks_ = 1;           // upstreams asked for their load before a call; 1: none
   std::vector<RequestId> asking_;  // requests that wait for reports
   RequestRate request_rate_;
-  double cold_asked_ = 0;    // the same as the budgets of cold upstreams go by it, learnt from nothing
-  double cold_served_ = 0;   // answers served a second, likewise
-  double cold_most_ = 0;     // the most of these, slow to fall
-  bool knows_warm_ = false;  // it served for long enough while half of the upstreams were warm
   ZoneHealth zone_health_;
   OutlierDetector outliers_;
   ConnectionModel connections_;
   LatencyModel latency_;
+  SlowStart slow_start_;
   double retry_budget_ = kRetryBurst;
-  double usual_weight_ = 0;  // the list's weight, slow to fall
-  double subset_part_ = 0;   // of the list's weight, the subset's, slow to fall; 0 until the rate is known
+  double subset_part_ = 0;  // of the list's weight, the subset's, slow to fall; 0 until the rate is known
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -15,6 +15,7 @@
 #include "balancer/in_flight.h"
 #include "balancer/latency_model.h"
 #include "balancer/outlier_detection.h"
+#include "balancer/slow_start.h"
 
 namespace mothrack::balancer {
 
@@ -32,9 +33,7 @@
   ConnectionRecord connection;
   // Rotation.
   double credit = 0;
-  // Slow start: calls it may still be sent, refilled over time.
-  double cold_budget = 0;
-  TimePoint cold_refilled;
+  SlowStartRecord slow_start;
 };
 
 using UpstreamPtr = std::shared_ptr<Upstream>;  // those that are gone live on while calls refer to them
