--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -28,6 +28,7 @@
 #include "balancer/request_rate.h"
 #include "balancer/slow_start.h"
 #include "balancer/state.h"
+#include "balancer/subset.h"
 #include "balancer/tick.h"
 #include "balancer/zone_health.h"
 
@@ -41,10 +42,6 @@
 // ---- Constants ----
 
 constexpr std::uint64_t kHousekeepingToken = 0;
-// Subsetting: over as many upstreams as it calls about once in this share of the time after which an idle
-// connection is closed, over kLeastSubset at least, and over all until its rate is known.
-constexpr double kVisit = 0.25;
-constexpr double kLeastSubset = 3;
 // An upstream that holds more unanswered calls than its share and this many is passed over while others
 // stand.
 constexpr double kCrowdSlack = 0.5;
@@ -107,7 +104,8 @@
         random_(seed),
         connections_(settings_.limits),
         latency_(settings_),
-        slow_start_(settings_.rules) {
+        slow_start_(settings_.rules),
+        subset_(settings_.limits) {
     settings_.Validate();
     if (settings_.load_by_probe && settings_.limits.probes)
       asks_ = static_cast<std::size_t>(
@@ -200,27 +198,19 @@
     });
   }
 
-  // Guards against a trickle spread so thin that no upstream is met twice: every call would need a new
-  // connection, fill the upstreams' tables, and tell nothing of the next. Where calls are many it is the
-  // list.
   double SubsetSize() const {
-    if (!request_rate_.IsKnown(now_)) return static_cast<double>(order_.size());
-    return std::max(kLeastSubset, request_rate_.usual() * kVisit * Seconds(settings_.limits.idle_close));
+    return subset_.Size(request_rate_.usual(), request_rate_.IsKnown(now_), order_.size());
   }
 
-  // Which upstreams a call reaches while none of them is tried, full or waiting for its budget: as in Pick().
   void MarkSubset() {
-    double room = SubsetSize();
-    double weight = 0;
+    std::vector<SubsetMember> members;
+    members.reserve(order_.size());
     for (const UpstreamPtr& u : order_) {
-      u->in_subset = room > 0;
-      if (!u->in_subset || u->info.state != UpstreamState::kServing) continue;
-      weight += u->info.weight;
-      if (!u->outlier.ejected && !Suspect(*u)) room -= Warmth(*u);
+      const bool serving = u->info.state == UpstreamState::kServing;
+      const bool takes_room = serving && !u->outlier.ejected && !Suspect(*u);
+      members.push_back({&u->subset, serving ? u->info.weight : 0, takes_room ? Warmth(*u) : 0});
     }
-    // Before the rate is known it is the whole list, which must not be remembered as a subset.
-    const double listed = ListedWeight();
-    subset_part_ = request_rate_.IsKnown(now_) && listed > 0 ? std::max(weight / listed, subset_part_) : 0;
+    subset_.Mark(members, SubsetSize(), request_rate_.IsKnown(now_), ListedWeight());
   }
 
   void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
@@ -880,7 +870,7 @@
   double LikelyWarmth(const Upstream& u) const { return latency_.LikelyFactor(Warmth(u)); }
 
   SlowStartUpstream SlowStartOf(const Upstream& u, double factor) const {
-    return {factor, u.info.weight, u.in_subset, subset_part_};
+    return {factor, u.info.weight, u.subset.in_subset, subset_.share()};
   }
 
   bool HasColdBudget(Upstream& u) {
@@ -891,7 +881,7 @@
     slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(now_),
                             telling_weight_, serving_weight_, ListedWeight()});
     request_rate_.RecordTick(now_, slow_start_.RateMemory());
-    subset_part_ *= slow_start_.FadingPerTick();
+    subset_.RecordTick(slow_start_.FadingPerTick());
     MarkSubset();
   }
 
@@ -987,8 +977,8 @@
   ConnectionModel connections_;
   LatencyModel latency_;
   SlowStart slow_start_;
+  Subset subset_;
   double retry_budget_ = kRetryBurst;
-  double subset_part_ = 0;  // of the list's weight, the subset's, slow to fall; 0 until the rate is known
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/balancer/state.h
+++ b/src/balancer/state.h
@@ -16,6 +16,7 @@
 #include "balancer/latency_model.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/slow_start.h"
+#include "balancer/subset.h"
 
 namespace mothrack::balancer {
 
@@ -25,7 +26,7 @@
   UpstreamInfo info;
   std::uint64_t rank = 0;  // its place in this sidecar's order
   bool listed = true;      // in the list that is being taken in
-  bool in_subset = false;  // calls reach it while nothing is tried twice
+  SubsetRecord subset;
   OutlierRecord outlier;
   HalfOpenRecord half_open;
   InFlightRecord in_flight;
