--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -880,7 +880,7 @@
   void UpdateUsual() {
     slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(now_),
                             telling_weight_, serving_weight_, ListedWeight()});
-    request_rate_.RecordTick(now_, slow_start_.RateMemory());
+    request_rate_.RecordTick(now_, slow_start_.RateMemorySeconds());
     subset_.RecordTick(slow_start_.FadingPerTick());
     MarkSubset();
   }
--- a/src/balancer/request_rate.cpp
+++ b/src/balancer/request_rate.cpp
@@ -7,9 +7,9 @@
 
 namespace mothrack::balancer {
 
-void RequestRate::RecordTick(TimePoint now, Duration memory) {
+void RequestRate::RecordTick(TimePoint now, double memory_s) {
   const double interval = Seconds(kTickInterval);
-  const double remembered = std::min(Seconds(Age(now)), Seconds(memory));
+  const double remembered = std::min(Seconds(Age(now)), memory_s);
   usual_ += (static_cast<double>(arrivals_) / interval - usual_) * std::min(1.0, interval / remembered);
   arrivals_ = served_ = 0;
 }
--- a/src/balancer/request_rate.h
+++ b/src/balancer/request_rate.h
@@ -17,8 +17,8 @@
   void Start(TimePoint now) { started_ = now; }
   void RecordArrival() { ++arrivals_; }
   void RecordServed() { ++served_; }
-  // The rate goes over to what came since the last tick, within `memory` at most.
-  void RecordTick(TimePoint now, Duration memory);
+  // The rate goes over to what came since the last tick, within `memory_s` seconds at most.
+  void RecordTick(TimePoint now, double memory_s);
 
   double usual() const { return usual_; }  // requests a second
   bool IsKnown(TimePoint now) const { return Age(now) >= kRateKnownAfter && usual_ > 0; }
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -21,7 +21,7 @@
 // least.
 void SlowStart::RecordTick(const SlowStartTick& tick) {
   const double interval = Seconds(kTickInterval);
-  const double most = Seconds(rules_.slow_start_duration) / 2;
+  const double most = RateMemorySeconds();
   const double age = Seconds(tick.age);
   const double two_windows = 2 * Seconds(rules_.overload_window);
   const double cautious = std::min(1.0, interval / std::min(std::max(age, two_windows), most));
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -71,8 +71,8 @@
 
   // What is left after a tick of what is slow to fall: it halves in about the slow start's duration.
   double FadingPerTick() const;
-  // How long the usual rate is remembered.
-  Duration RateMemory() const { return rules_.slow_start_duration / 2; }
+  // How long the usual rate is remembered, in seconds.
+  double RateMemorySeconds() const { return Seconds(rules_.slow_start_duration) / 2; }
 
  private:
   double Refill(SlowStartRecord& record, const SlowStartUpstream& upstream, TimePoint now) const;
