--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -15,8 +15,6 @@
 
 #include <algorithm>
 #include <cmath>
-#include <set>
-#include <tuple>
 #include <unordered_map>
 #include <utility>
 
@@ -26,10 +24,12 @@
 #include "balancer/outlier_detection.h"
 #include "balancer/random.h"
 #include "balancer/request_rate.h"
+#include "balancer/request_table.h"
 #include "balancer/slow_start.h"
-#include "balancer/state.h"
 #include "balancer/subset.h"
 #include "balancer/tick.h"
+#include "balancer/upstream.h"
+#include "balancer/upstream_set.h"
 #include "balancer/zone_health.h"
 
 namespace mothrack::balancer {
@@ -102,6 +102,7 @@
   Impl(Settings settings, std::uint64_t seed)
       : settings_(std::move(settings)),
         random_(seed),
+        upstreams_(settings_.sidecar_index),
         connections_(settings_.limits),
         latency_(settings_),
         slow_start_(settings_.rules),
@@ -123,8 +124,8 @@
 
   std::vector<UpstreamView> Upstreams(TimePoint now) const {
     std::vector<UpstreamView> views;
-    views.reserve(order_.size());
-    for (const UpstreamPtr& u : order_) {
+    views.reserve(upstreams_.ranked().size());
+    for (const UpstreamPtr& u : upstreams_.ranked()) {
       views.push_back({u->info.id,
                        u->info.state,
                        u->in_flight.attempts,
@@ -145,7 +146,7 @@
     counts.held = held_;
     counts.shed = shed_;
     counts.rate = request_rate_.usual();
-    counts.subset = std::min(SubsetSize(), static_cast<double>(order_.size()));
+    counts.subset = std::min(SubsetSize(), static_cast<double>(upstreams_.ranked().size()));
     return counts;
   }
 
@@ -167,75 +168,38 @@
                                       0.1 + 0.1 * random_.Uniform());
       return;
     }
-    // What a whole list leaves out is gone.
-    for (const UpstreamPtr& u : order_) u->listed = update.kind == MembershipUpdate::Kind::kChanges;
+    upstreams_.BeginUpdate(update.kind != MembershipUpdate::Kind::kChanges);
     std::vector<UpstreamPtr> entering;
     for (const UpstreamInfo& info : update.upstreams) Adopt(info, entering);
-    Order();
+    upstreams_.FinishUpdate();
+    zone_health_.KeepOnly(upstreams_.Zones());
     MarkSubset();
     // With the whole list known: a turn drawn from the sum so far would put the first ones of the list first
     // at every sidecar, and a fleet of them would send their first calls to the same few.
     for (const UpstreamPtr& u : entering) Enter(*u);
   }
 
-  // The order in which this sidecar takes upstreams into its subset: rendezvous hashing of its number and the
-  // upstream's id, so that the sidecars' subsets spread evenly over the list, cells and zones, and a change
-  // of the list changes nobody else's place. Those that are gone are dropped: ids are ever new.
-  void Order() {
-    std::erase_if(index_, [](const auto& entry) {
-      UpstreamState& state = entry.second->info.state;
-      if (!entry.second->listed) state = UpstreamState::kGone;
-      return state == UpstreamState::kGone;
-    });
-    order_.clear();
-    for (const auto& [id, u] : index_) order_.push_back(u);
-    std::set<std::string> zones;
-    for (const UpstreamPtr& u : order_) zones.insert(u->info.zone);
-    zone_health_.KeepOnly(zones);
-    sized_ = std::any_of(order_.begin(), order_.end(), [](const auto& u) { return u->info.weight != 1; });
-    std::sort(order_.begin(), order_.end(), [](const UpstreamPtr& a, const UpstreamPtr& b) {
-      return std::tie(a->rank, a->info.id) < std::tie(b->rank, b->info.id);
-    });
-  }
-
   double SubsetSize() const {
-    return subset_.Size(request_rate_.usual(), request_rate_.IsKnown(now_), order_.size());
+    return subset_.Size(request_rate_.usual(), request_rate_.IsKnown(now_), upstreams_.ranked().size());
   }
 
   void MarkSubset() {
     std::vector<SubsetMember> members;
-    members.reserve(order_.size());
-    for (const UpstreamPtr& u : order_) {
+    members.reserve(upstreams_.ranked().size());
+    for (const UpstreamPtr& u : upstreams_.ranked()) {
       const bool serving = u->info.state == UpstreamState::kServing;
       const bool takes_room = serving && !u->outlier.ejected && !Suspect(*u);
       members.push_back({&u->subset, serving ? u->info.weight : 0, takes_room ? Warmth(*u) : 0});
     }
-    subset_.Mark(members, SubsetSize(), request_rate_.IsKnown(now_), ListedWeight());
+    subset_.Mark(members, SubsetSize(), request_rate_.IsKnown(now_), upstreams_.ServingWeight());
   }
 
   void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
-    UpstreamPtr& u = index_[info.id.value];
-    const bool was_serving = u && u->info.state == UpstreamState::kServing;
-    // A new start time is a new process: the failures and the ejection belong to the one that died.
-    const bool new_process = !u || (info.started && info.started != u->info.started);
-    if (new_process) {
-      if (u) u->info.state = UpstreamState::kGone;
-      u = std::make_shared<Upstream>();
-      u->rank = Hash(info.id.value, settings_.sidecar_index);
-    }
-    // That it left may be told without its place, which decides who knows the keys of its calls.
-    const UpstreamInfo place = u->info;
-    u->info = info;
-    if (!new_process && info.state == UpstreamState::kGone) {
-      u->info.zone = place.zone;
-      u->info.cell = place.cell;
-    }
-    u->listed = true;
-    if (!(u->info.weight > 0)) u->info.weight = 1;
+    const auto [u, new_process, enters] = upstreams_.Update(info);
     if (new_process && info.started) zone_health_.RecordNewProcess(info.zone);
     if (new_process)
       slow_start_.RecordEntry(u->slow_start, SlowStartOf(*u, Warmth(*u)), random_.Uniform(), now_);
-    if (new_process || !was_serving) entering.push_back(u);
+    if (enters) entering.push_back(u);
   }
 
   // ---- Ejection ----
@@ -256,7 +220,7 @@
     if (!served && !IsFailure(outcome)) return;
     if (const auto ejection = outliers_.RecordOutcome(u.outlier, outcome, now_)) RecordEjection(u, *ejection);
     outliers_.ClearSums();
-    for (const UpstreamPtr& other : order_) {
+    for (const UpstreamPtr& other : upstreams_.ranked()) {
       if (other->info.state == UpstreamState::kServing) outliers_.AddToSums(other->outlier);
     }
   }
@@ -284,20 +248,12 @@
 
   // An upstream that enters or returns starts somewhere in its turn: no hoard of credit, and sidecars that
   // hear of it together do not all pick it next.
-  void Enter(Upstream& u) { u.credit = (random_.Uniform() - 0.5) * ListedWeight(); }
-
-  double ListedWeight() const {
-    double sum = 0;
-    for (const UpstreamPtr& u : order_) {
-      if (u->info.state == UpstreamState::kServing) sum += u->info.weight;
-    }
-    return sum;
-  }
+  void Enter(Upstream& u) { u.credit = (random_.Uniform() - 0.5) * upstreams_.ServingWeight(); }
 
   // The registered weight, less when cold, by what was observed; squared: a slow one is late far more often.
   double Weight(const Upstream& u) const {
     return u.info.weight * LikelyWarmth(u) /
-           (sized_ ? Slowness(u) / latency_.KindSlowness(u.info.kind) : Slowness(u)) *
+           (upstreams_.has_sizes() ? Slowness(u) / latency_.KindSlowness(u.info.kind) : Slowness(u)) *
            OutlierDetector::SuccessFactor(u.outlier, LatencyModel::IsLoaded(u.latency));
   }
 
@@ -349,7 +305,7 @@
     takers_.clear();
     waiting_.clear();  // for their budget: their turn comes nearer meanwhile
     double room = SubsetSize();
-    for (const UpstreamPtr& taker : order_) {
+    for (const UpstreamPtr& taker : upstreams_.ranked()) {
       Upstream& u = *taker;
       if (room <= 0) break;
       if (!InTurn(u, false) || now_ < u.in_flight.full_until || !MaySend(r, u)) continue;
@@ -506,17 +462,17 @@
   }
 
   void On(const ProbeEnded& e) {
-    const auto it = index_.find(e.upstream.value);
-    if (it == index_.end()) return;
+    const UpstreamPtr upstream = upstreams_.Find(e.upstream);
+    if (!upstream) return;
     // No answer to as little as this is a failure like another.
     if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout)
-      OutlierDetector::RecordUnansweredProbe(it->second->outlier);
+      OutlierDetector::RecordUnansweredProbe(upstream->outlier);
     const std::vector<RequestId> asking = asking_;
     for (const RequestId id : asking) {
       Request* r = Find(id);
       if (r == nullptr) continue;
       for (Asked& a : r->asked) {
-        if (a.upstream != it->second) continue;
+        if (a.upstream != upstream) continue;
         a.answered = true;
         a.held = e.load.in_flight;
         a.served = e.load.rate.value_or(0);
@@ -568,7 +524,7 @@
   bool Try(Request& r) {
     if (!settings_.limits.hedging && !r.attempts.empty()) return false;
     if (r.cls->effect == Effect::kUnsafe) return false;
-    for (const UpstreamPtr& u : order_) {
+    for (const UpstreamPtr& u : upstreams_.ranked()) {
       if (Tried(r, *u)) continue;
       if (!MayTake(*u, true) || !MaySend(r, *u)) continue;
       SendTo(r, u, Reason::kTrial);
@@ -806,7 +762,7 @@
   void UpdateLoad() {
     telling_weight_ = serving_weight_ = able_weight_ = 0;
     int serving = 0;
-    for (const UpstreamPtr& u : order_) {
+    for (const UpstreamPtr& u : upstreams_.ranked()) {
       if (u->info.state != UpstreamState::kServing) continue;
       serving_weight_ += u->info.weight;
       ++serving;
@@ -879,7 +835,7 @@
 
   void UpdateUsual() {
     slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(now_),
-                            telling_weight_, serving_weight_, ListedWeight()});
+                            telling_weight_, serving_weight_, upstreams_.ServingWeight()});
     request_rate_.RecordTick(now_, slow_start_.RateMemorySeconds());
     subset_.RecordTick(slow_start_.FadingPerTick());
     MarkSubset();
@@ -909,7 +865,7 @@
       refusing_ = false;
       Say("taking calls again");
     }
-    for (const UpstreamPtr& u : order_) ReturnIfServed(*u);
+    for (const UpstreamPtr& u : upstreams_.ranked()) ReturnIfServed(*u);
     if (ask_again_at_ && now_ >= *ask_again_at_) {
       ask_again_at_.reset();
       Emit(Subscribe{});
@@ -943,13 +899,10 @@
   TimePoint now_;
   std::vector<Action>* out_ = nullptr;
   bool running_ = false;
-  std::unordered_map<std::string, UpstreamPtr> index_;   // those that are not gone; walked only to sort them
-  std::vector<UpstreamPtr> order_;                       // the same, by rank
   std::unordered_map<RequestId, Request> requests_;      // looked up, never walked
   std::unordered_map<std::uint64_t, RequestId> timers_;  // looked up, never walked
   std::uint64_t last_token_ = kHousekeepingToken;
   std::optional<TimePoint> ask_again_at_;
-  bool sized_ = false;  // the list tells sizes: what a kind can do is in them, and not to be counted twice
   // Of one Pick(), kept for their memory.
   struct Taker {
     const UpstreamPtr* upstream;
@@ -971,6 +924,7 @@
   double telling_weight_ = 0;      // of those whose lateness tells of load
   std::size_t asks_ = 1;           // upstreams asked for their load before a call; 1: none
   std::vector<RequestId> asking_;  // requests that wait for reports
+  UpstreamSet upstreams_;
   RequestRate request_rate_;
   ZoneHealth zone_health_;
   OutlierDetector outliers_;
--- /dev/null
+++ b/src/balancer/upstream_set.cpp
@@ -0,0 +1,71 @@
+#include "balancer/upstream_set.h"
+
+#include <algorithm>
+#include <memory>
+#include <tuple>
+
+#include "balancer/arithmetic.h"
+
+namespace mothrack::balancer {
+
+void UpstreamSet::BeginUpdate(bool whole_list) {
+  for (const UpstreamPtr& u : ranked_) u->listed = !whole_list;
+}
+
+UpstreamSet::Change UpstreamSet::Update(const UpstreamInfo& info) {
+  UpstreamPtr& u = by_id_[info.id.value];
+  const bool was_serving = u && u->info.state == UpstreamState::kServing;
+  // A new start time is a new process: the failures and the ejection belong to the one that died.
+  const bool new_process = !u || (info.started && info.started != u->info.started);
+  if (new_process) {
+    if (u) u->info.state = UpstreamState::kGone;
+    u = std::make_shared<Upstream>();
+    u->rank = Hash(info.id.value, seed_);
+  }
+  // That it left may be told without its place, which decides who knows the keys of its requests.
+  const UpstreamInfo place = u->info;
+  u->info = info;
+  if (!new_process && info.state == UpstreamState::kGone) {
+    u->info.zone = place.zone;
+    u->info.cell = place.cell;
+  }
+  u->listed = true;
+  if (!(u->info.weight > 0)) u->info.weight = 1;
+  return {u, new_process, new_process || !was_serving};
+}
+
+// Those that are gone are dropped: ids are ever new.
+void UpstreamSet::FinishUpdate() {
+  std::erase_if(by_id_, [](const auto& entry) {
+    UpstreamState& state = entry.second->info.state;
+    if (!entry.second->listed) state = UpstreamState::kGone;
+    return state == UpstreamState::kGone;
+  });
+  ranked_.clear();
+  for (const auto& [id, u] : by_id_) ranked_.push_back(u);
+  has_sizes_ = std::any_of(ranked_.begin(), ranked_.end(), [](const auto& u) { return u->info.weight != 1; });
+  std::sort(ranked_.begin(), ranked_.end(), [](const UpstreamPtr& a, const UpstreamPtr& b) {
+    return std::tie(a->rank, a->info.id) < std::tie(b->rank, b->info.id);
+  });
+}
+
+UpstreamPtr UpstreamSet::Find(const UpstreamId& id) const {
+  const auto found = by_id_.find(id.value);
+  return found == by_id_.end() ? nullptr : found->second;
+}
+
+std::set<std::string> UpstreamSet::Zones() const {
+  std::set<std::string> zones;
+  for (const UpstreamPtr& u : ranked_) zones.insert(u->info.zone);
+  return zones;
+}
+
+double UpstreamSet::ServingWeight() const {
+  double sum = 0;
+  for (const UpstreamPtr& u : ranked_) {
+    if (u->info.state == UpstreamState::kServing) sum += u->info.weight;
+  }
+  return sum;
+}
+
+}  // namespace mothrack::balancer
