--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -25,6 +25,7 @@
 #include "balancer/random.h"
 #include "balancer/request_rate.h"
 #include "balancer/request_table.h"
+#include "balancer/round_robin.h"
 #include "balancer/slow_start.h"
 #include "balancer/subset.h"
 #include "balancer/tick.h"
@@ -42,9 +43,6 @@
 // ---- Constants ----
 
 constexpr std::uint64_t kHousekeepingToken = 0;
-// An upstream that holds more unanswered calls than its share and this many is passed over while others
-// stand.
-constexpr double kCrowdSlack = 0.5;
 // So many answers make a usual load, and so many outcomes a share of late ones.
 constexpr double kUsualLoadMemory = 50;
 constexpr double kLateShareMemory = 10;
@@ -246,9 +244,9 @@
 
   // ---- Rotation ----
 
-  // An upstream that enters or returns starts somewhere in its turn: no hoard of credit, and sidecars that
-  // hear of it together do not all pick it next.
-  void Enter(Upstream& u) { u.credit = (random_.Uniform() - 0.5) * upstreams_.ServingWeight(); }
+  void Enter(Upstream& u) {
+    SmoothWeightedRoundRobin::Enter(u.rotation, random_.Uniform(), upstreams_.ServingWeight());
+  }
 
   // The registered weight, less when cold, by what was observed; squared: a slow one is late far more often.
   double Weight(const Upstream& u) const {
@@ -300,64 +298,30 @@
   // any such stands, and of those one in good standing; then the crowded ones, then the suspects. None that
   // just said it is full. Members that are out, suspect or tried are made up for by the next ones in order.
   UpstreamPtr Pick(const Request& r, bool only_good = false) {
-    double weight = 0;
-    int outstanding = 1;
-    takers_.clear();
-    waiting_.clear();  // for their budget: their turn comes nearer meanwhile
+    round_robin_.Clear();
     double room = SubsetSize();
-    for (const UpstreamPtr& taker : upstreams_.ranked()) {
-      Upstream& u = *taker;
-      if (room <= 0) break;
+    const std::vector<UpstreamPtr>& ranked = upstreams_.ranked();
+    for (std::size_t i = 0; i < ranked.size() && room > 0; ++i) {
+      Upstream& u = *ranked[i];
       if (!InTurn(u, false) || now_ < u.in_flight.full_until || !MaySend(r, u)) continue;
       const bool suspect = Suspect(u);
       if (!HasColdBudget(u)) {
-        if (!suspect) waiting_.push_back({&taker, Weight(u), 0});
+        if (!suspect) round_robin_.AddWaiting(u.rotation, Weight(u));
         continue;
       }
       const bool tried = Tried(r, u);
-      takers_.push_back({&taker, Weight(u), (tried ? 3 : 0) + (suspect ? 2 : 0)});
-      if (suspect) continue;
-      if (!tried) room -= Warmth(u);  // the cold ones are no help yet
-      weight += takers_.back().weight;
-      outstanding += u.in_flight.attempts;
-    }
-    best_.clear();
-    int best_standing = only_good ? 1 : 6;
-    for (const Taker& taker : takers_) {
-      const Upstream& u = **taker.upstream;
-      // Where connecting takes long or fails, one without a connection is no better than a crowded one; but
-      // one that has just started has its table of connections empty.
-      const bool crowded =
-          u.in_flight.attempts + 1 > kCrowdSlack + 0.5 + outstanding * taker.weight / weight ||
-          (Warmth(u) >= 1 && connections_.IsConnectingHard() &&
-           !connections_.HasConnection(u.connection, u.in_flight.attempts, now_));
-      const bool suspect = taker.standing % 3 == 2;
-      const int standing = taker.standing + (!suspect && crowded ? 1 : 0);
-      if (standing < best_standing) best_.clear();
-      if (standing > best_standing) continue;
-      best_standing = standing;
-      best_.push_back(taker);
-    }
-    return best_.empty() ? nullptr : Rotate();
-  }
-
-  // Over best_; those of waiting_ come nearer to their turn.
-  UpstreamPtr Rotate() {
-    double sum = 0;
-    for (const Taker& t : best_) sum += t.weight;
-    // One that was not among the candidates for long comes from a turn of another length.
-    const auto gain = [sum](const Taker& t) {
-      Upstream& u = **t.upstream;
-      u.credit = std::clamp(u.credit, -sum, sum) + t.weight;
-    };
-    const UpstreamPtr* best = best_.front().upstream;
-    for (const Taker& t : best_) {
-      gain(t);
-      if ((*t.upstream)->credit > (*best)->credit) best = t.upstream;
+      round_robin_.Add({&u.rotation, i, Weight(u), u.in_flight.attempts, tried, suspect, MustConnect(u)});
+      if (!suspect && !tried) room -= Warmth(u);  // those in slow start are no help yet
     }
-    (*best)->credit -= sum;
-    for (const Taker& t : waiting_) gain(t);
-    return *best;
+    const auto chosen = round_robin_.Choose(only_good);
+    return chosen ? ranked[*chosen] : nullptr;
+  }
+
+  // Whether it has no connection while connecting is hard. One that has just started has its table of
+  // connections empty.
+  bool MustConnect(const Upstream& u) const {
+    return connections_.IsConnectingHard() && Warmth(u) >= 1 &&
+           !connections_.HasConnection(u.connection, u.in_flight.attempts, now_);
   }
 
   // Sent to for this request, or asked for its load.
@@ -903,13 +867,7 @@
   std::unordered_map<std::uint64_t, RequestId> timers_;  // looked up, never walked
   std::uint64_t last_token_ = kHousekeepingToken;
   std::optional<TimePoint> ask_again_at_;
-  // Of one Pick(), kept for their memory.
-  struct Taker {
-    const UpstreamPtr* upstream;
-    double weight;
-    int standing;  // 2 of a suspect, 3 more of one that was tried
-  };
-  std::vector<Taker> takers_, waiting_, best_;
+  SmoothWeightedRoundRobin round_robin_;
   bool refusing_ = false;
   TimePoint refused_at_;
   double shed_ = 0;                // share of the work asked for that is refused
--- a/src/balancer/upstream.h
+++ b/src/balancer/upstream.h
@@ -10,6 +10,7 @@
 #include "balancer/in_flight.h"
 #include "balancer/latency_model.h"
 #include "balancer/outlier_detection.h"
+#include "balancer/round_robin.h"
 #include "balancer/slow_start.h"
 #include "balancer/subset.h"
 
@@ -27,8 +28,7 @@
   InFlightRecord in_flight;
   LatencyRecord latency;
   ConnectionRecord connection;
-  // Rotation.
-  double credit = 0;
+  RotationRecord rotation;
   SlowStartRecord slow_start;
 };
 
