--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -21,6 +21,7 @@
 #include "balancer/connection_model.h"
 #include "balancer/half_open_probes.h"
 #include "balancer/latency_model.h"
+#include "balancer/load_shedder.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/random.h"
 #include "balancer/request_rate.h"
@@ -43,9 +44,6 @@
 // ---- Constants ----
 
 constexpr std::uint64_t kHousekeepingToken = 0;
-// So many answers make a usual load, and so many outcomes a share of late ones.
-constexpr double kUsualLoadMemory = 50;
-constexpr double kLateShareMemory = 10;
 // A call that takes this many usual times of its class gets a second copy, where it may have one.
 constexpr double kLate = 3;
 // Further attempts after a failure and second copies are at most this share of first tries, saved up to a
@@ -61,31 +59,6 @@
 constexpr double kAskPatience = 0.1;
 // One that holds more than it serves in this share of the call's aim is jammed: times vary about twofold.
 constexpr double kHoldFor = 0.5;
-// Overload shows as answers after their aim, time-outs and refusals as full from upstreams in good standing.
-// A share of the calls is refused that rises with each late one and falls with each in time, so that it
-// stands where kTooManyLate of them are late. It goes over its whole range in about kShedTime, or in
-// kShedSample outcomes where these take longer. By shares, not by calls held: a sidecar with a trickle holds
-// three by chance, and a hundred of them would refuse what the fleet has room for. Late is what took this
-// share of its aim: a jam must be met before it costs its worth.
-constexpr double kLateFrom = 0.8;
-constexpr double kTooManyLate = 0.2;
-constexpr Duration kShedTime = milliseconds(1000);
-constexpr double kShedSample = 40;
-constexpr double kShedEase = 5;
-// Where this share of what can serve goes within some seconds, the rest is taken to bear this many times what
-// it bore; the share refused starts from there, and the answers tell whether that is too much.
-constexpr double kGreatLoss = 0.3;
-constexpr double kLeastLost = 4;  // upstreams; the one of three that fails is no sign of overload
-constexpr double kHeadroom = 1.1;
-constexpr Duration kLossMemory = seconds(20);
-constexpr double kMostShed = 0.9;  // the rest shows when it is over
-// Shedding from here on, further attempts and copies are left out too.
-constexpr double kShedding = 0.1;
-// The classes with the least worth for their time are refused first, but each class keeps at least
-// kClassFloor of its calls while others have more than that.
-constexpr double kClassFloor = 0.2;
-// A spell of refusing is over when none was refused for this long.
-constexpr Duration kSpell = seconds(2);
 // Clients that are told to come back do so spread over one to two times this, or the settings' longest wait.
 constexpr Duration kRetryAfter = milliseconds(1500);
 // After a failed call for membership the next one follows in up to a fifth of `poll_within`, or of this: a
@@ -104,12 +77,12 @@
         connections_(settings_.limits),
         latency_(settings_),
         slow_start_(settings_.rules),
-        subset_(settings_.limits) {
+        subset_(settings_.limits),
+        shedder_(settings_.classes) {
     settings_.Validate();
     if (settings_.load_by_probe && settings_.limits.probes)
       asks_ = static_cast<std::size_t>(
           std::clamp(kAskSpend / std::max(settings_.prices.probe, 1e-9), 1.0, kMostAsked));
-    asked_for_.resize(settings_.classes.size());
   }
 
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
@@ -141,8 +114,8 @@
 
   Counts Counted() const {
     Counts counts = counts_;
-    counts.held = held_;
-    counts.shed = shed_;
+    counts.held = shedder_.in_flight();
+    counts.shed = shedder_.shed();
     counts.rate = request_rate_.usual();
     counts.subset = std::min(SubsetSize(), static_cast<double>(upstreams_.ranked().size()));
     return counts;
@@ -374,7 +347,7 @@
     // Under overload also what may not be repeated: kept past its aim it is worth nothing and holds up the
     // rest.
     const bool give_up =
-        r.cls->effect != Effect::kUnsafe || (r.cls->late_priority_weight <= 0 && shed_ > kShedding);
+        r.cls->effect != Effect::kUnsafe || (r.cls->late_priority_weight <= 0 && shedder_.IsShedding());
     if (give_up && now_ < latency_objective) return std::min(left, Duration(latency_objective - now_));
     return left;
   }
@@ -473,13 +446,13 @@
   // begun.
   void Hold(Upstream& u) {
     u.in_flight.Begin(now_);
-    ++held_;
+    shedder_.RecordSent();
   }
 
   void Release(Attempt& a) {
     if (!std::exchange(a.held, false)) return;
     a.upstream->in_flight.End();
-    --held_;
+    shedder_.RecordReleased();
   }
 
   // A copy of a call that may be repeated tries out an ejected or suspect upstream; the client does not
@@ -588,7 +561,7 @@
     for (const Attempt& a : r.attempts) {
       if (Silent(a)) FoundSilent(a);
     }
-    const bool crowded = shed_ > kShedding;
+    const bool crowded = shedder_.IsShedding();
     const UpstreamPtr pick = crowded || retry_budget_ < 1 ? nullptr : Pick(r, true);
     if (!pick) {
       // Nobody who holds it says a word: later, when it has waited as long again.
@@ -672,86 +645,35 @@
 
   // ---- Admission and the final answer ----
 
-  // Guards against an overload, whatever its cause: what cannot be answered in time is refused while that is
-  // harmless and cheap, so that the rest is in time. What is refused is a share of the work that is asked
-  // for, taken first from the classes with the least worth for their time.
   bool Admit(const Request& r) {
-    asked_for_[r.cls_index] += static_cast<double>(latency_.UsualTime(r.cls_index).count());
-    if (shed_ <= 0) return true;
-    double all = 0, before = 0, kept_before = 0, kept = 0;
-    const double mine = WorthForTime(r.cls_index);
-    for (std::size_t c = 0; c < settings_.classes.size(); ++c) {
-      all += asked_for_[c];
-      kept += asked_for_[c] * kClassFloor;
-      if (c == r.cls_index || WorthForTime(c) > mine) continue;
-      before += asked_for_[c];
-    }
-    kept_before = before * (1 - kClassFloor);
-    const double own = asked_for_[r.cls_index];
-    const double cut = shed_ * all;
-    double share = 1;
-    if (cut > all - kept) {
-      share = kClassFloor * (all - cut) / kept;  // each is at its floor: all alike from here on
-    } else {
-      share = 1 - std::clamp((cut - kept_before) / own, 0.0, 1 - kClassFloor);
-    }
-    return random_.Uniform() < share;
-  }
-
-  double WorthForTime(std::size_t cls) const {
-    return settings_.classes[cls].priority_weight / static_cast<double>(latency_.UsualTime(cls).count());
+    shedder_.RecordDemand(r.cls_index, latency_.UsualTime(r.cls_index));
+    return !shedder_.RefusesAny() ||
+           random_.Uniform() < shedder_.AdmittedShare(r.cls_index, latency_.UsualTimes());
   }
 
-  // Lateness of a cold, suspect or ejected upstream is its own trouble, unless such ones are the most.
+  // Lateness of one in slow start, suspect or ejected is its own trouble.
   bool Telling(const Upstream& u) const { return !u.outlier.ejected && Warmth(u) >= 1 && !Suspect(u); }
 
   void CountLate(const Request& r, const Upstream& u, Outcome outcome, Duration elapsed) {
-    if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
-    if (outcome == Outcome::kTimeout && !LatencyModel::IsLoaded(u.latency)) return;
-    const bool late = outcome != Outcome::kServed || elapsed > Scaled(r.latency_objective, kLateFrom);
-    // Its being in time counts all the same: where the few that are let in all go to cold ones, nothing else
-    // tells that the overload is over.
-    if (late && !Telling(u) && 4 * telling_weight_ > serving_weight_) return;
-    const double step = 1 / std::max(kShedSample, request_rate_.usual() * Seconds(kShedTime));
-    // Holding no more than usual is not what makes them late: refusing more would be for nothing, as when the
-    // whole fleet is slow.
-    if (late && mean_held_ < usual_held_ * able_weight_) return;
-    lately_late_ += ((late ? 1 : 0) - lately_late_) / kLateShareMemory;
-    // It goes faster than it came once hardly any are late.
-    const double ease = 1 + kShedEase * std::max(0.0, 1 - lately_late_ / kTooManyLate);
-    shed_ += late ? step : -step * ease * kTooManyLate / (1 - kTooManyLate);
-    shed_ = std::clamp(shed_, 0.0, kMostShed);
-  }
-
-  void UpdateLoad() {
-    telling_weight_ = serving_weight_ = able_weight_ = 0;
-    int serving = 0;
+    shedder_.RecordOutcome(
+        {outcome, elapsed, r.latency_objective, LatencyModel::IsLoaded(u.latency), Telling(u)},
+        request_rate_.usual());
+  }
+
+  FleetWeights Weights() const {
+    FleetWeights weights;
     for (const UpstreamPtr& u : upstreams_.ranked()) {
       if (u->info.state != UpstreamState::kServing) continue;
-      serving_weight_ += u->info.weight;
-      ++serving;
-      if (Telling(*u)) telling_weight_ += u->info.weight;
-      if (!u->outlier.ejected && !Suspect(*u)) able_weight_ += u->info.weight * LikelyWarmth(*u);
+      weights.serving += u->info.weight;
+      ++weights.upstreams;
+      if (Telling(*u)) weights.telling += u->info.weight;
+      if (!u->outlier.ejected && !Suspect(*u)) weights.able += u->info.weight * LikelyWarmth(*u);
     }
-    // What is lost at once is known before the answers of the rest come late: by then their queues are full.
-    able_before_ = std::max(able_weight_, able_before_ * (1 - Seconds(kTickInterval) / Seconds(kLossMemory)));
-    const double lost = able_before_ - able_weight_;
-    if (lost > able_before_ * kGreatLoss && lost * serving >= kLeastLost * serving_weight_) {
-      shed_ = std::max(shed_, std::min(kMostShed, 1 - kHeadroom * able_weight_ / able_before_));
-      able_before_ = able_weight_;
-    }
-    mean_held_ += (held_ - mean_held_) * Seconds(kTickInterval) / Seconds(kShedTime);
-    const bool in_time = shed_ <= 0 && lately_late_ <= kTooManyLate / 2;
-    if (in_time && able_weight_ > 0) usual_held_ += (held_ / able_weight_ - usual_held_) / kUsualLoadMemory;
-    // Where next to nothing is sent any more, little is heard of how that fares.
-    shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kTickInterval) / kShedSample);
-    for (double& work : asked_for_) work *= 1 - Seconds(kTickInterval) / Seconds(kBaseEjection);
+    return weights;
   }
 
   void SayRefusing(const std::string& why) {
-    if (!refusing_) Say("refusing: " + why);
-    refusing_ = true;
-    refused_at_ = now_;
+    if (shedder_.RecordRefusal(now_)) Say("refusing: " + why);
   }
 
   // Give the final answer: a refusal where it is true that nothing was done or that repeating is harmless,
@@ -799,7 +721,8 @@
 
   void UpdateUsual() {
     slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(now_),
-                            telling_weight_, serving_weight_, upstreams_.ServingWeight()});
+                            shedder_.weights().telling, shedder_.weights().serving,
+                            upstreams_.ServingWeight()});
     request_rate_.RecordTick(now_, slow_start_.RateMemorySeconds());
     subset_.RecordTick(slow_start_.FadingPerTick());
     MarkSubset();
@@ -823,12 +746,9 @@
   void Housekeeping() {
     Emit(SetTimer{now_ + kTickInterval, kHousekeepingToken});
     UpdateUsual();
-    UpdateLoad();
+    shedder_.RecordTick(Weights());
     connections_.RecordTick();
-    if (refusing_ && now_ - refused_at_ > kSpell) {
-      refusing_ = false;
-      Say("taking calls again");
-    }
+    if (shedder_.RefusingEnded(now_)) Say("taking calls again");
     for (const UpstreamPtr& u : upstreams_.ranked()) ReturnIfServed(*u);
     if (ask_again_at_ && now_ >= *ask_again_at_) {
       ask_again_at_.reset();
@@ -868,18 +788,6 @@
   std::uint64_t last_token_ = kHousekeepingToken;
   std::optional<TimePoint> ask_again_at_;
   SmoothWeightedRoundRobin round_robin_;
-  bool refusing_ = false;
-  TimePoint refused_at_;
-  double shed_ = 0;                // share of the work asked for that is refused
-  double able_before_ = 0;         // the most that could take calls, slow to fall
-  double lately_late_ = 0;         // of the latest outcomes
-  std::vector<double> asked_for_;  // each class's, in microseconds of its usual time, slowly fading
-  double held_ = 0;                // attempts out
-  double mean_held_ = 0;           // over about kShedTime
-  double usual_held_ = 0;          // calls for each unit of weight, while answers are in time
-  double serving_weight_ = 0;      // of all that serve by the list
-  double able_weight_ = 0;         // of those that can take calls
-  double telling_weight_ = 0;      // of those whose lateness tells of load
   std::size_t asks_ = 1;           // upstreams asked for their load before a call; 1: none
   std::vector<RequestId> asking_;  // requests that wait for reports
   UpstreamSet upstreams_;
@@ -890,6 +798,7 @@
   LatencyModel latency_;
   SlowStart slow_start_;
   Subset subset_;
+  LoadShedder shedder_;
   double retry_budget_ = kRetryBurst;
 };
 
--- a/src/balancer/latency_model.cpp
+++ b/src/balancer/latency_model.cpp
@@ -4,6 +4,13 @@
 
 namespace mothrack::balancer {
 
+std::vector<Duration> LatencyModel::UsualTimes() const {
+  std::vector<Duration> times;
+  times.reserve(usual_time_.size());
+  for (std::size_t c = 0; c < usual_time_.size(); ++c) times.push_back(UsualTime(c));
+  return times;
+}
+
 void LatencyModel::RecordAnswer(LatencyRecord& record, const std::string& kind, const TimedAnswer& answer) {
   const Outcome outcome = answer.outcome;
   if (ProvesNotRun(outcome) || outcome == Outcome::kError || outcome == Outcome::kReset) return;
--- a/src/balancer/latency_model.h
+++ b/src/balancer/latency_model.h
@@ -60,6 +60,9 @@
     return TimeOr(usual_time_of_all_, settings_.classes[0].latency_objective / kObjectiveToUsualTime);
   }
 
+  // Of each class, by its index.
+  std::vector<Duration> UsualTimes() const;
+
   // How many times as long as usual the answers take of a kind of machine, and of an upstream of that kind.
   double KindSlowness(const std::string& kind) const {
     const auto known = kind_slowness_.find(kind);
