--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -24,8 +24,9 @@
 #include "balancer/load_shedder.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/random.h"
+#include "balancer/request.h"
 #include "balancer/request_rate.h"
-#include "balancer/request_table.h"
+#include "balancer/retry_policy.h"
 #include "balancer/round_robin.h"
 #include "balancer/slow_start.h"
 #include "balancer/subset.h"
@@ -44,14 +45,6 @@
 // ---- Constants ----
 
 constexpr std::uint64_t kHousekeepingToken = 0;
-// A call that takes this many usual times of its class gets a second copy, where it may have one.
-constexpr double kLate = 3;
-// Further attempts after a failure and second copies are at most this share of first tries, saved up to a
-// burst.
-constexpr double kRetryBudget = 0.3;
-constexpr double kRetryBurst = 3;
-// So many attempts after a proof that nothing ran are free of it: each may be a connection for a full fleet.
-constexpr std::size_t kFreeRepeats = 2;
 // Where upstreams tell their load when probed, the next ones in turn are asked before a call, as many as this
 // share of the service pays for and at most kMostAsked; the call waits for this share of a connect time-out.
 constexpr double kAskSpend = 0.01;
@@ -59,8 +52,6 @@
 constexpr double kAskPatience = 0.1;
 // One that holds more than it serves in this share of the call's aim is jammed: times vary about twofold.
 constexpr double kHoldFor = 0.5;
-// Clients that are told to come back do so spread over one to two times this, or the settings' longest wait.
-constexpr Duration kRetryAfter = milliseconds(1500);
 // After a failed call for membership the next one follows in up to a fifth of `poll_within`, or of this: a
 // change counts as told 6 s after it could be asked for, and the failed call and the next take 2 s each. The
 // look takes the rest.
@@ -78,7 +69,8 @@
         latency_(settings_),
         slow_start_(settings_.rules),
         subset_(settings_.limits),
-        shedder_(settings_.classes) {
+        shedder_(settings_.classes),
+        retries_(settings_.limits) {
     settings_.Validate();
     if (settings_.load_by_probe && settings_.limits.probes)
       asks_ = static_cast<std::size_t>(
@@ -276,13 +268,13 @@
     const std::vector<UpstreamPtr>& ranked = upstreams_.ranked();
     for (std::size_t i = 0; i < ranked.size() && room > 0; ++i) {
       Upstream& u = *ranked[i];
-      if (!InTurn(u, false) || now_ < u.in_flight.full_until || !MaySend(r, u)) continue;
+      if (!InTurn(u, false) || now_ < u.in_flight.full_until || !retries_.MaySend(r, u.info, now_)) continue;
       const bool suspect = Suspect(u);
       if (!HasColdBudget(u)) {
         if (!suspect) round_robin_.AddWaiting(u.rotation, Weight(u));
         continue;
       }
-      const bool tried = Tried(r, u);
+      const bool tried = r.HasTried(u);
       round_robin_.Add({&u.rotation, i, Weight(u), u.in_flight.attempts, tried, suspect, MustConnect(u)});
       if (!suspect && !tried) room -= Warmth(u);  // those in slow start are no help yet
     }
@@ -297,68 +289,15 @@
            !connections_.HasConnection(u.connection, u.in_flight.attempts, now_);
   }
 
-  // Sent to for this request, or asked for its load.
-  static bool Tried(const Request& r, const Upstream& u) {
-    const auto same = [&u](const auto& a) { return a.upstream.get() == &u; };
-    return std::any_of(r.attempts.begin(), r.attempts.end(), same) ||
-           std::any_of(r.asked.begin(), r.asked.end(), same);
-  }
-
   // ---- Attempts ----
 
-  // May this be sent again (or for the first time), to this upstream? The one gate to every attempt.
-  bool MaySend(const Request& r, const Upstream& upstream) const {
-    if (r.ended || r.streaming || now_ >= r.deadline) return false;
-    if (r.attempts.size() >= settings_.limits.max_attempts) return false;
-    for (const Attempt& a : r.attempts) {
-      if (a.outcome && ProvesNotRun(*a.outcome)) continue;
-      if (!a.outcome && !settings_.limits.hedging) return false;
-      if (r.cls->effect == Effect::kUnsafe) return false;
-      if (r.cls->effect != Effect::kKeyed) continue;
-      // Repeats are dropped only among the upstreams that know the key, and only while they remember it. Half
-      // the window is left for the way there.
-      if (now_ - a.sent >= r.cls->key_window / 2) return false;
-      const UpstreamInfo& first = a.upstream->info;
-      const UpstreamInfo& next = upstream.info;
-      if (r.cls->key_scope == KeyScope::kZone && first.zone != next.zone) return false;
-      if (r.cls->key_scope == KeyScope::kCell && first.cell != next.cell) return false;
-    }
-    return true;
-  }
-
-  bool MayRefuse(const Request& r) const {
-    if (r.cls->effect == Effect::kSafe) return true;
-    if (r.cls->effect == Effect::kKeyed && r.cls->key_scope == KeyScope::kAll) return true;
-    return std::all_of(r.attempts.begin(), r.attempts.end(),
-                       [](const Attempt& a) { return a.outcome && ProvesNotRun(*a.outcome); });
-  }
-
-  bool AnyOut(const Request& r) const {
-    return std::any_of(r.attempts.begin(), r.attempts.end(), [](const Attempt& a) { return !a.outcome; });
-  }
-
-  Duration Timeout(const Request& r) const {
-    if (r.arriving) return r.patience;
-    const Duration left = r.deadline - now_;
-    // What may be repeated is given up at its aim: another upstream may have time for it, or it is worth
-    // nothing. Where late answers have a worth, a second copy does that without losing the first.
-    if (r.cls->late_priority_weight > 0 && settings_.limits.hedging) return left;
-    const TimePoint latency_objective = r.arrived + r.latency_objective;
-    // Under overload also what may not be repeated: kept past its aim it is worth nothing and holds up the
-    // rest.
-    const bool give_up =
-        r.cls->effect != Effect::kUnsafe || (r.cls->late_priority_weight <= 0 && shedder_.IsShedding());
-    if (give_up && now_ < latency_objective) return std::min(left, Duration(latency_objective - now_));
-    return left;
-  }
-
   bool Send(Request& r) {
     const UpstreamPtr pick = Pick(r);
     if (!pick) return false;
     r.asked = {{pick}};
     while (r.asked.size() < asks_) {
       const UpstreamPtr next = Pick(r);
-      if (!next || Tried(r, *next)) break;  // there is no other
+      if (!next || r.HasTried(*next)) break;  // there is no other
       r.asked.push_back({next});
     }
     if (r.asked.size() == 1) {
@@ -383,7 +322,7 @@
     bool jammed = false;
     for (const Asked& a : asked) {
       Upstream& u = *a.upstream;
-      if (!a.held || !MayTake(u) || !MaySend(r, u)) continue;
+      if (!a.held || !MayTake(u) || !retries_.MaySend(r, u.info, now_)) continue;
       // Holds more than it serves within the aim: a call would be late and keep it jammed.
       if (a.served > 0 && *a.held > a.served * kHoldFor * Seconds(r.latency_objective)) {
         jammed = true;
@@ -395,7 +334,7 @@
     if (jammed && !best) SayRefusing("overload, upstreams hold more than they can serve in time");
     if (!jammed && !best) best = Pick(r);
     if (best) return SendTo(r, best, Reason::kCall);
-    if (!AnyOut(r)) Finish(r);
+    if (!r.AnyOut()) Finish(r);
   }
 
   void On(const ProbeEnded& e) {
@@ -439,7 +378,7 @@
     counts_.connects += use.connects;
     r.attempts.push_back({upstream, now_, trial, use});
     r.attempts.back().held = !r.arriving;
-    Emit(SendAttempt{r.id, u.info.id, Timeout(r)});
+    Emit(SendAttempt{r.id, u.info.id, retries_.Timeout(r, shedder_.IsShedding(), now_)});
   }
 
   // What its upstream holds is what it can be late with: not a body that still comes, nor an answer that has
@@ -459,11 +398,10 @@
   // depend on it, so a relapsing upstream costs no request. Where nothing else stands, the call itself is the
   // trial: refusing all while some could serve is the worst outcome.
   bool Try(Request& r) {
-    if (!settings_.limits.hedging && !r.attempts.empty()) return false;
-    if (r.cls->effect == Effect::kUnsafe) return false;
+    if (!retries_.MayProbe(r)) return false;
     for (const UpstreamPtr& u : upstreams_.ranked()) {
-      if (Tried(r, *u)) continue;
-      if (!MayTake(*u, true) || !MaySend(r, *u)) continue;
+      if (r.HasTried(*u)) continue;
+      if (!MayTake(*u, true) || !retries_.MaySend(r, u->info, now_)) continue;
       SendTo(r, u, Reason::kTrial);
       return true;
     }
@@ -487,7 +425,7 @@
     r.arriving = e.arriving;
     r.patience = std::max(e.deadline - now_, Duration(1));
     request_rate_.RecordArrival();
-    retry_budget_ = std::min(kRetryBurst, retry_budget_ + kRetryBudget);
+    retries_.budget().RecordRequest();
     if (!e.arriving) Wake(r, r.deadline);
     Advance(r);
     ExpectBy(r);
@@ -510,9 +448,8 @@
   }
 
   void ExpectBy(Request& r) {
-    r.late_at = r.arriving ? TimePoint::max() : now_ + Scaled(latency_.UsualTime(r.cls_index), kLate);
-    if (!r.ended && r.cls->effect != Effect::kUnsafe && settings_.limits.hedging && r.late_at < r.deadline)
-      Wake(r, r.late_at);
+    r.late_at = RetryPolicy::LateAt(r, latency_.UsualTime(r.cls_index), now_);
+    if (!r.ended && retries_.MayHedge(r) && r.late_at < r.deadline) Wake(r, r.late_at);
   }
 
   void Wake(const Request& r, TimePoint at) {
@@ -521,29 +458,16 @@
     Emit(SetTimer{at, token});
   }
 
-  // Further attempts are paid from the retry budget, so that they never feed an overload, but the first ones
-  // after a proof that nothing ran. What can no longer be in time for any worth is not tried again either.
-  bool WorthAnother(const Request& r) {
-    if (r.attempts.empty()) return true;
-    if (r.cls->late_priority_weight <= 0 && !r.arriving && now_ >= r.arrived + r.latency_objective)
-      return false;
-    const auto& last = r.attempts.back().outcome;
-    if (last && ProvesNotRun(*last) && r.attempts.size() <= kFreeRepeats) return true;
-    if (retry_budget_ < 1) return false;
-    retry_budget_ -= 1;
-    return true;
-  }
-
   // Another attempt where one helps and is allowed, else the final answer. Nothing to do while one is out.
   void Advance(Request& r) {
-    if (r.ended || r.streaming || AnyOut(r) || !r.asked.empty()) return;
+    if (r.ended || r.streaming || r.AnyOut() || !r.asked.empty()) return;
     const bool first = r.attempts.empty();
     if (first && !Admit(r)) {
       SayRefusing("overload, answers come late");
       ++counts_.overload;
       return Finish(r);
     }
-    if (WorthAnother(r) && Send(r)) {
+    if (retries_.TakeRetry(r, now_) && Send(r)) {
       if (first) Try(r);
       return;
     }
@@ -556,20 +480,20 @@
   // A second copy of a call that is late against what is usual: guards against hangs and pauses. Never onto
   // an upstream that is no better.
   void SecondCopy(Request& r) {
-    if (r.ended || r.streaming || !AnyOut(r)) return;
+    if (r.ended || r.streaming || !r.AnyOut()) return;
     if (now_ < r.late_at) return;
     for (const Attempt& a : r.attempts) {
       if (Silent(a)) FoundSilent(a);
     }
     const bool crowded = shedder_.IsShedding();
-    const UpstreamPtr pick = crowded || retry_budget_ < 1 ? nullptr : Pick(r, true);
+    const UpstreamPtr pick = crowded || !retries_.budget().Allows() ? nullptr : Pick(r, true);
     if (!pick) {
       // Nobody who holds it says a word: later, when it has waited as long again.
       r.late_at = now_ + (now_ - r.arrived);
       if (AllSilent(r) && r.late_at < r.deadline) Wake(r, r.late_at);
       return;
     }
-    retry_budget_ -= 1;
+    retries_.budget().Spend();
     SendTo(r, pick, Reason::kCopy);
   }
 
@@ -680,12 +604,8 @@
   // else a failure. The one way out but for a served answer.
   void Finish(Request& r) {
     if (r.ended) return;
-    if (MayRefuse(r)) {
-      const Duration most = settings_.limits.max_retry_after;
-      // Clients must not come back in step, however short the longest advice is.
-      const Duration wait =
-          std::min(Scaled(std::min(kRetryAfter, most * 3 / 4), 1 + random_.Uniform()), most);
-      Emit(Reject{r.id, settings_.limits.retry_after ? wait : Duration::zero()});
+    if (RetryPolicy::MayReject(r)) {
+      Emit(Reject{r.id, retries_.RetryAfter(random_.Uniform())});
     } else {
       Emit(Fail{r.id});
     }
@@ -768,7 +688,7 @@
 
   void Forget(RequestId id) {
     const Request* r = Find(id);
-    if (r != nullptr && r->ended && !AnyOut(*r)) requests_.erase(id);
+    if (r != nullptr && r->ended && !r->AnyOut()) requests_.erase(id);
   }
 
   template <typename T>
@@ -799,7 +719,7 @@
   SlowStart slow_start_;
   Subset subset_;
   LoadShedder shedder_;
-  double retry_budget_ = kRetryBurst;
+  RetryPolicy retries_;
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/balancer/request_table.h
+++ b/src/balancer/request.h
@@ -1,6 +1,7 @@
 // What the balancer keeps of a request, its attempts and the load probes that it waits for.
 #pragma once
 
+#include <algorithm>
 #include <cstddef>
 #include <optional>
 #include <vector>
@@ -43,6 +44,16 @@
   bool arriving = false;     // its body still comes
   Duration patience{};       // its time, then
   bool streaming = false;    // its answer has begun: it belongs to the client
+
+  bool AnyOut() const {
+    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return !a.outcome; });
+  }
+  // It was sent to this upstream, or has asked it for its load.
+  bool HasTried(const Upstream& u) const {
+    const auto same = [&u](const auto& a) { return a.upstream.get() == &u; };
+    return std::any_of(attempts.begin(), attempts.end(), same) ||
+           std::any_of(asked.begin(), asked.end(), same);
+  }
 };
 
 }  // namespace mothrack::balancer
