--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -21,6 +21,7 @@
 #include "balancer/connection_model.h"
 #include "balancer/half_open_probes.h"
 #include "balancer/latency_model.h"
+#include "balancer/load_probes.h"
 #include "balancer/load_shedder.h"
 #include "balancer/outlier_detection.h"
 #include "balancer/random.h"
@@ -45,13 +46,6 @@
 // ---- Constants ----
 
 constexpr std::uint64_t kHousekeepingToken = 0;
-// Where upstreams tell their load when probed, the next ones in turn are asked before a call, as many as this
-// share of the service pays for and at most kMostAsked; the call waits for this share of a connect time-out.
-constexpr double kAskSpend = 0.01;
-constexpr double kMostAsked = 3;
-constexpr double kAskPatience = 0.1;
-// One that holds more than it serves in this share of the call's aim is jammed: times vary about twofold.
-constexpr double kHoldFor = 0.5;
 // After a failed call for membership the next one follows in up to a fifth of `poll_within`, or of this: a
 // change counts as told 6 s after it could be asked for, and the failed call and the next take 2 s each. The
 // look takes the rest.
@@ -64,6 +58,7 @@
   Impl(Settings settings, std::uint64_t seed)
       : settings_(std::move(settings)),
         random_(seed),
+        probes_(settings_),
         upstreams_(settings_.sidecar_index),
         connections_(settings_.limits),
         latency_(settings_),
@@ -72,9 +67,6 @@
         shedder_(settings_.classes),
         retries_(settings_.limits) {
     settings_.Validate();
-    if (settings_.load_by_probe && settings_.limits.probes)
-      asks_ = static_cast<std::size_t>(
-          std::clamp(kAskSpend / std::max(settings_.prices.probe, 1e-9), 1.0, kMostAsked));
   }
 
   void Handle(TimePoint now, const Event& event, std::vector<Action>& actions) {
@@ -295,7 +287,7 @@
     const UpstreamPtr pick = Pick(r);
     if (!pick) return false;
     r.asked = {{pick}};
-    while (r.asked.size() < asks_) {
+    while (r.asked.size() < probes_.upstreams_per_request()) {
       const UpstreamPtr next = Pick(r);
       if (!next || r.HasTried(*next)) break;  // there is no other
       r.asked.push_back({next});
@@ -306,8 +298,8 @@
       return true;
     }
     for (const Asked& a : r.asked) Emit(SendProbe{a.upstream->info.id});
-    asking_.push_back(r.id);
-    Wake(r, now_ + Scaled(settings_.limits.connect_timeout, kAskPatience));
+    probes_.RecordSent(r.id);
+    Wake(r, now_ + probes_.Wait());
     return true;
   }
 
@@ -315,22 +307,18 @@
   // sidecar with a trickle does not see: they are other sidecars' calls.
   void Decide(Request& r) {
     const std::vector<Asked> asked = std::exchange(r.asked, {});
-    std::erase(asking_, r.id);
+    probes_.RecordDone(r.id);
     if (r.ended || r.streaming) return;
-    UpstreamPtr best;
-    double least = 0;
-    bool jammed = false;
-    for (const Asked& a : asked) {
+    LeastLoaded least_loaded(r.latency_objective);
+    for (std::size_t i = 0; i < asked.size(); ++i) {
+      const Asked& a = asked[i];
       Upstream& u = *a.upstream;
       if (!a.held || !MayTake(u) || !retries_.MaySend(r, u.info, now_)) continue;
-      // Holds more than it serves within the aim: a call would be late and keep it jammed.
-      if (a.served > 0 && *a.held > a.served * kHoldFor * Seconds(r.latency_objective)) {
-        jammed = true;
-        continue;
-      }
-      const double load = (*a.held + 1) * Slowness(u) / (u.info.weight * Warmth(u));
-      if (!best || load < least) best = a.upstream, least = load;
+      least_loaded.Consider(i, {*a.held, a.served, Slowness(u), u.info.weight * Warmth(u)});
     }
+    const auto least = least_loaded.best();
+    UpstreamPtr best = least ? asked[*least].upstream : nullptr;
+    const bool jammed = least_loaded.any_jammed();
     if (jammed && !best) SayRefusing("overload, upstreams hold more than they can serve in time");
     if (!jammed && !best) best = Pick(r);
     if (best) return SendTo(r, best, Reason::kCall);
@@ -343,7 +331,7 @@
     // No answer to as little as this is a failure like another.
     if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout)
       OutlierDetector::RecordUnansweredProbe(upstream->outlier);
-    const std::vector<RequestId> asking = asking_;
+    const std::vector<RequestId> asking = probes_.waiting();
     for (const RequestId id : asking) {
       Request* r = Find(id);
       if (r == nullptr) continue;
@@ -615,7 +603,7 @@
   // Nothing more is sent for it from here on; what is still out is called off.
   void End(Request& r) {
     r.ended = true;
-    std::erase(asking_, r.id);
+    probes_.RecordDone(r.id);
     for (std::size_t i = 0; i < r.attempts.size(); ++i) Cancel(r, i);
   }
 
@@ -708,8 +696,7 @@
   std::uint64_t last_token_ = kHousekeepingToken;
   std::optional<TimePoint> ask_again_at_;
   SmoothWeightedRoundRobin round_robin_;
-  std::size_t asks_ = 1;           // upstreams asked for their load before a call; 1: none
-  std::vector<RequestId> asking_;  // requests that wait for reports
+  LoadProbes probes_;
   UpstreamSet upstreams_;
   RequestRate request_rate_;
   ZoneHealth zone_health_;
