--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -15,7 +15,6 @@
 
 #include <algorithm>
 #include <cmath>
-#include <unordered_map>
 #include <utility>
 
 #include "balancer/connection_model.h"
@@ -27,6 +26,7 @@
 #include "balancer/random.h"
 #include "balancer/request.h"
 #include "balancer/request_rate.h"
+#include "balancer/request_table.h"
 #include "balancer/retry_policy.h"
 #include "balancer/round_robin.h"
 #include "balancer/slow_start.h"
@@ -45,7 +45,6 @@
 
 // ---- Constants ----
 
-constexpr std::uint64_t kHousekeepingToken = 0;
 // After a failed call for membership the next one follows in up to a fifth of `poll_within`, or of this: a
 // change counts as told 6 s after it could be asked for, and the failed call and the next take 2 s each. The
 // look takes the rest.
@@ -112,7 +111,7 @@
     running_ = true;
     request_rate_.Start(now_);
     if (settings_.membership_on_request) Emit(Subscribe{});
-    Emit(SetTimer{now_ + kTickInterval, kHousekeepingToken});
+    Emit(SetTimer{now_ + kTickInterval, kTickToken});
   }
 
   void On(const MembershipUpdate& update) {
@@ -333,7 +332,7 @@
       OutlierDetector::RecordUnansweredProbe(upstream->outlier);
     const std::vector<RequestId> asking = probes_.waiting();
     for (const RequestId id : asking) {
-      Request* r = Find(id);
+      Request* r = requests_.Find(id);
       if (r == nullptr) continue;
       for (Asked& a : r->asked) {
         if (a.upstream != upstream) continue;
@@ -399,10 +398,9 @@
   void On(const RequestArrived& e) {
     const auto cls = static_cast<std::size_t>(e.request_class);
     if (cls >= settings_.classes.size()) return;
-    const auto [it, is_new] = requests_.try_emplace(e.request);
-    if (!is_new) return;
-    Request& r = it->second;
-    r.id = e.request;
+    Request* added = requests_.Add(e.request);
+    if (added == nullptr) return;
+    Request& r = *added;
     r.cls = &settings_.classes[cls];
     r.cls_index = cls;
     const Duration stretch = Scaled(e.work.value_or(Duration::zero()), r.cls->latency_objective_stretch);
@@ -421,7 +419,7 @@
 
   // It may be sent on while it comes, but nobody can be late with it before it is whole.
   void On(const RequestComplete& e) {
-    Request* r = Find(e.request);
+    Request* r = requests_.Find(e.request);
     if (r == nullptr || !std::exchange(r->arriving, false)) return;
     r->arrived = now_;
     r->deadline = e.deadline;
@@ -440,11 +438,7 @@
     if (!r.ended && retries_.MayHedge(r) && r.late_at < r.deadline) Wake(r, r.late_at);
   }
 
-  void Wake(const Request& r, TimePoint at) {
-    const std::uint64_t token = ++last_token_;
-    timers_.emplace(token, r.id);
-    Emit(SetTimer{at, token});
-  }
+  void Wake(const Request& r, TimePoint at) { Emit(SetTimer{at, requests_.AddTimer(r.id)}); }
 
   // Another attempt where one helps and is allowed, else the final answer. Nothing to do while one is out.
   void Advance(Request& r) {
@@ -506,7 +500,7 @@
   }
 
   void On(const AnswerStarted& e) {
-    Request* r = Find(e.request);
+    Request* r = requests_.Find(e.request);
     Attempt* attempt = r == nullptr || r->ended ? nullptr : AttemptOf(*r, e.attempt);
     if (attempt == nullptr || attempt->outcome || r->streaming) return;
     r->streaming = attempt->started = true;
@@ -521,7 +515,7 @@
   }
 
   void On(const AttemptEnded& e) {
-    Request* r = Find(e.request);
+    Request* r = requests_.Find(e.request);
     Attempt* attempt = r == nullptr ? nullptr : AttemptOf(*r, e.attempt);
     if (attempt == nullptr || attempt->outcome) return;
     attempt->outcome = e.outcome;
@@ -545,14 +539,14 @@
     } else {
       Advance(*r);
     }
-    Forget(e.request);
+    requests_.ForgetIfDone(e.request);
   }
 
   void On(const ClientDisconnected& e) {
-    Request* r = Find(e.request);
+    Request* r = requests_.Find(e.request);
     if (r == nullptr) return;
     End(*r);
-    Forget(e.request);
+    requests_.ForgetIfDone(e.request);
   }
 
   // ---- Admission and the final answer ----
@@ -639,20 +633,17 @@
   // ---- Timers and small helpers ----
 
   void On(const TimerFired& e) {
-    if (e.token == kHousekeepingToken) return Housekeeping();
-    const auto timer = timers_.find(e.token);
-    if (timer == timers_.end()) return;
-    const RequestId id = timer->second;
-    Request* r = Find(id);
-    timers_.erase(timer);
+    if (e.token == kTickToken) return Housekeeping();
+    const std::optional<RequestId> id = requests_.TakeTimer(e.token);
+    Request* r = id ? requests_.Find(*id) : nullptr;
     if (r == nullptr) return;
     if (now_ < r->deadline) return r->asked.empty() ? SecondCopy(*r) : Decide(*r);
     if (!r->streaming) Finish(*r);
-    Forget(id);
+    requests_.ForgetIfDone(*id);
   }
 
   void Housekeeping() {
-    Emit(SetTimer{now_ + kTickInterval, kHousekeepingToken});
+    Emit(SetTimer{now_ + kTickInterval, kTickToken});
     UpdateUsual();
     shedder_.RecordTick(Weights());
     connections_.RecordTick();
@@ -664,21 +655,11 @@
     }
   }
 
-  Request* Find(RequestId id) {
-    const auto it = requests_.find(id);
-    return it == requests_.end() ? nullptr : &it->second;
-  }
-
   static Attempt* AttemptOf(Request& r, AttemptId id) {
     const auto i = static_cast<std::size_t>(id);
     return i < r.attempts.size() ? &r.attempts[i] : nullptr;
   }
 
-  void Forget(RequestId id) {
-    const Request* r = Find(id);
-    if (r != nullptr && r->ended && !r->AnyOut()) requests_.erase(id);
-  }
-
   template <typename T>
   void Emit(T action) {
     out_->emplace_back(std::move(action));
@@ -691,9 +672,7 @@
   TimePoint now_;
   std::vector<Action>* out_ = nullptr;
   bool running_ = false;
-  std::unordered_map<RequestId, Request> requests_;      // looked up, never walked
-  std::unordered_map<std::uint64_t, RequestId> timers_;  // looked up, never walked
-  std::uint64_t last_token_ = kHousekeepingToken;
+  RequestTable requests_;
   std::optional<TimePoint> ask_again_at_;
   SmoothWeightedRoundRobin round_robin_;
   LoadProbes probes_;
