--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -95,7 +95,7 @@
     return views;
   }
 
-  Counts Counted() const {
+  Counts CountsNow() const {
     Counts counts = counts_;
     counts.held = shedder_.in_flight();
     counts.shed = shedder_.shed();
@@ -124,13 +124,13 @@
     }
     upstreams_.BeginUpdate(update.kind != MembershipUpdate::Kind::kChanges);
     std::vector<UpstreamPtr> entering;
-    for (const UpstreamInfo& info : update.upstreams) Adopt(info, entering);
+    for (const UpstreamInfo& info : update.upstreams) UpdateUpstream(info, entering);
     upstreams_.FinishUpdate();
     zone_health_.KeepOnly(upstreams_.Zones());
     MarkSubset();
     // With the whole list known: a turn drawn from the sum so far would put the first ones of the list first
     // at every sidecar, and a fleet of them would send their first calls to the same few.
-    for (const UpstreamPtr& u : entering) Enter(*u);
+    for (const UpstreamPtr& u : entering) EnterRotation(*u);
   }
 
   double SubsetSize() const {
@@ -142,27 +142,28 @@
     members.reserve(upstreams_.ranked().size());
     for (const UpstreamPtr& u : upstreams_.ranked()) {
       const bool serving = u->info.state == UpstreamState::kServing;
-      const bool takes_room = serving && !u->outlier.ejected && !Suspect(*u);
-      members.push_back({&u->subset, serving ? u->info.weight : 0, takes_room ? Warmth(*u) : 0});
+      const bool takes_room = serving && !u->outlier.ejected && !IsSuspect(*u);
+      members.push_back({&u->subset, serving ? u->info.weight : 0, takes_room ? SlowStartFactor(*u) : 0});
     }
     subset_.Mark(members, SubsetSize(), request_rate_.IsKnown(now_), upstreams_.ServingWeight());
   }
 
-  void Adopt(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
+  void UpdateUpstream(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
     const auto [u, new_process, enters] = upstreams_.Update(info);
     if (new_process && info.started) zone_health_.RecordNewProcess(info.zone);
     if (new_process)
-      slow_start_.RecordEntry(u->slow_start, SlowStartOf(*u, Warmth(*u)), random_.Uniform(), now_);
+      slow_start_.RecordEntry(u->slow_start, BudgetBasis(*u, SlowStartFactor(*u)), random_.Uniform(), now_);
     if (enters) entering.push_back(u);
   }
 
   // ---- Ejection ----
 
-  void Judge(Upstream& u, const Attempt& attempt, Outcome outcome) {
+  void RecordOutcome(Upstream& u, const Attempt& attempt, Outcome outcome) {
     if (IsFailure(outcome) && outcome != Outcome::kError) ++u.in_flight.unanswered;
     if (u.info.state == UpstreamState::kGone) return;  // nothing more is decided about it
     const bool served = outcome == Outcome::kServed;
-    if (attempt.trial && HalfOpenProbes::RecordOutcome(u.half_open, u.outlier.ejected, outcome, now_))
+    if (attempt.half_open_probe &&
+        HalfOpenProbes::RecordOutcome(u.half_open, u.outlier.ejected, outcome, now_))
       Return(u, "after it served on trial");
     if (outcome != Outcome::kConnectFailed && outcome != Outcome::kTimeout &&
         outcome != Outcome::kCancelled) {
@@ -187,87 +188,91 @@
         std::to_string(ejection.failures_in_a_row) + " failures in a row");
   }
 
-  void ReturnIfServed(Upstream& u) {
+  void ReturnIfEjectionOver(Upstream& u) {
     if (OutlierDetector::IsOver(u.outlier, now_)) Return(u, "after its ejection");
   }
 
   void Return(Upstream& u, const char* why) {
     OutlierDetector::RecordReturn(u.outlier, now_);
     ++counts_.returned;
-    Enter(u);
+    EnterRotation(u);
     Say("returned " + u.info.id.value + " " + why);
   }
 
   // ---- Rotation ----
 
-  void Enter(Upstream& u) {
+  void EnterRotation(Upstream& u) {
     SmoothWeightedRoundRobin::Enter(u.rotation, random_.Uniform(), upstreams_.ServingWeight());
   }
 
   // The registered weight, less when cold, by what was observed; squared: a slow one is late far more often.
-  double Weight(const Upstream& u) const {
-    return u.info.weight * LikelyWarmth(u) /
+  double RotationWeight(const Upstream& u) const {
+    return u.info.weight * LikelyFactor(u) /
            (upstreams_.has_sizes() ? Slowness(u) / latency_.KindSlowness(u.info.kind) : Slowness(u)) *
            OutlierDetector::SuccessFactor(u.outlier, LatencyModel::IsLoaded(u.latency));
   }
 
   double Slowness(const Upstream& u) const { return latency_.Slowness(u.latency, u.info.kind); }
 
-  void RecordTime(Upstream& u, const Request& r, Outcome outcome, Duration elapsed) {
+  void RecordAnswerTime(Upstream& u, const Request& r, Outcome outcome, Duration elapsed) {
     latency_.RecordAnswer(u.latency, u.info.kind,
-                          {r.cls_index, r.latency_objective, Warmth(u), outcome, elapsed});
+                          {r.class_index, r.latency_objective, SlowStartFactor(u), outcome, elapsed});
   }
 
   // Guards against hangs, silent machines and cut links, which show by nothing but time: passed over before
   // five in a row, while others stand. One answer clears it.
-  bool Suspect(const Upstream& u) const {
+  bool IsSuspect(const Upstream& u) const {
     if (outliers_.IsSuspect(u.outlier) || zone_health_.IsUnavailable(u.info.zone)) return true;
-    return u.in_flight.IsUnresponsive(now_, latency_.UsualTime(), Slowness(u), Warmth(u));
+    return u.in_flight.IsUnresponsive(now_, latency_.UsualTime(), Slowness(u), SlowStartFactor(u));
   }
 
   // An answer says that its zone is there; none to a call sent after the last one may say that it is not.
-  void JudgeZone(const Attempt& a, Outcome outcome) {
+  void RecordZoneOutcome(const Attempt& a, Outcome outcome) {
     if (IsAnswer(outcome)) {
       zone_health_.RecordAnswer(a.upstream->info.zone, now_);
     } else if (outcome == Outcome::kTimeout || outcome == Outcome::kConnectFailed) {
-      FoundSilent(a);
+      RecordSilence(a);
     }
   }
 
-  void FoundSilent(const Attempt& a) {
+  void RecordSilence(const Attempt& a) {
     zone_health_.RecordSilence(a.upstream->info.zone, a.upstream->info.id, a.sent);
   }
 
   // May this upstream take a call? The one gate to every upstream. An ejected one takes trials only.
-  bool MayTake(Upstream& u, bool trial = false) { return InTurn(u, trial) && HasColdBudget(u); }
+  bool MayTake(Upstream& u, bool half_open_probe = false) {
+    return IsAvailable(u, half_open_probe) && HasSlowStartBudget(u);
+  }
 
   // The same but for the budget of a cold one.
-  bool InTurn(Upstream& u, bool trial) {
+  bool IsAvailable(Upstream& u, bool half_open_probe) {
     if (u.info.state != UpstreamState::kServing) return false;
-    ReturnIfServed(u);
-    if (!trial) return !u.outlier.ejected;
+    ReturnIfEjectionOver(u);
+    if (!half_open_probe) return !u.outlier.ejected;
     if (!zone_health_.MayProbe(u.info.zone, now_)) return false;
-    return HalfOpenProbes::MayProbe(u.half_open, now_) && (u.outlier.ejected || Suspect(u));
+    return HalfOpenProbes::MayProbe(u.half_open, now_) && (u.outlier.ejected || IsSuspect(u));
   }
 
   // The next upstream for this request by smooth weighted rotation over the subset: one not yet tried while
   // any such stands, and of those one in good standing; then the crowded ones, then the suspects. None that
   // just said it is full. Members that are out, suspect or tried are made up for by the next ones in order.
-  UpstreamPtr Pick(const Request& r, bool only_good = false) {
+  UpstreamPtr Choose(const Request& r, bool only_good = false) {
     round_robin_.Clear();
     double room = SubsetSize();
     const std::vector<UpstreamPtr>& ranked = upstreams_.ranked();
     for (std::size_t i = 0; i < ranked.size() && room > 0; ++i) {
       Upstream& u = *ranked[i];
-      if (!InTurn(u, false) || now_ < u.in_flight.full_until || !retries_.MaySend(r, u.info, now_)) continue;
-      const bool suspect = Suspect(u);
-      if (!HasColdBudget(u)) {
-        if (!suspect) round_robin_.AddWaiting(u.rotation, Weight(u));
+      if (!IsAvailable(u, false) || now_ < u.in_flight.full_until || !retries_.MaySend(r, u.info, now_))
+        continue;
+      const bool suspect = IsSuspect(u);
+      if (!HasSlowStartBudget(u)) {
+        if (!suspect) round_robin_.AddWaiting(u.rotation, RotationWeight(u));
         continue;
       }
       const bool tried = r.HasTried(u);
-      round_robin_.Add({&u.rotation, i, Weight(u), u.in_flight.attempts, tried, suspect, MustConnect(u)});
-      if (!suspect && !tried) room -= Warmth(u);  // those in slow start are no help yet
+      round_robin_.Add(
+          {&u.rotation, i, RotationWeight(u), u.in_flight.attempts, tried, suspect, MustConnect(u)});
+      if (!suspect && !tried) room -= SlowStartFactor(u);  // those in slow start are no help yet
     }
     const auto chosen = round_robin_.Choose(only_good);
     return chosen ? ranked[*chosen] : nullptr;
@@ -276,51 +281,52 @@
   // Whether it has no connection while connecting is hard. One that has just started has its table of
   // connections empty.
   bool MustConnect(const Upstream& u) const {
-    return connections_.IsConnectingHard() && Warmth(u) >= 1 &&
+    return connections_.IsConnectingHard() && SlowStartFactor(u) >= 1 &&
            !connections_.HasConnection(u.connection, u.in_flight.attempts, now_);
   }
 
   // ---- Attempts ----
 
-  bool Send(Request& r) {
-    const UpstreamPtr pick = Pick(r);
+  bool SendOrProbe(Request& r) {
+    const UpstreamPtr pick = Choose(r);
     if (!pick) return false;
-    r.asked = {{pick}};
-    while (r.asked.size() < probes_.upstreams_per_request()) {
-      const UpstreamPtr next = Pick(r);
+    r.probed = {{pick}};
+    while (r.probed.size() < probes_.upstreams_per_request()) {
+      const UpstreamPtr next = Choose(r);
       if (!next || r.HasTried(*next)) break;  // there is no other
-      r.asked.push_back({next});
+      r.probed.push_back({next});
     }
-    if (r.asked.size() == 1) {
-      r.asked.clear();
-      SendTo(r, pick, Reason::kCall);
+    if (r.probed.size() == 1) {
+      r.probed.clear();
+      SendTo(r, pick, Reason::kRequest);
       return true;
     }
-    for (const Asked& a : r.asked) Emit(SendProbe{a.upstream->info.id});
+    for (const ProbedUpstream& a : r.probed) Emit(SendProbe{a.upstream->info.id});
     probes_.RecordSent(r.id);
-    Wake(r, now_ + probes_.Wait());
+    SetRequestTimer(r, now_ + probes_.Wait());
     return true;
   }
 
   // Of the upstreams asked, the one that holds the least for what it can do. Guards against queues that a
   // sidecar with a trickle does not see: they are other sidecars' calls.
-  void Decide(Request& r) {
-    const std::vector<Asked> asked = std::exchange(r.asked, {});
+  void ChooseByLoad(Request& r) {
+    const std::vector<ProbedUpstream> probed = std::exchange(r.probed, {});
     probes_.RecordDone(r.id);
     if (r.ended || r.streaming) return;
     LeastLoaded least_loaded(r.latency_objective);
-    for (std::size_t i = 0; i < asked.size(); ++i) {
-      const Asked& a = asked[i];
+    for (std::size_t i = 0; i < probed.size(); ++i) {
+      const ProbedUpstream& a = probed[i];
       Upstream& u = *a.upstream;
-      if (!a.held || !MayTake(u) || !retries_.MaySend(r, u.info, now_)) continue;
-      least_loaded.Consider(i, {*a.held, a.served, Slowness(u), u.info.weight * Warmth(u)});
+      if (!a.in_flight || !MayTake(u) || !retries_.MaySend(r, u.info, now_)) continue;
+      least_loaded.Consider(i,
+                            {*a.in_flight, a.served_per_s, Slowness(u), u.info.weight * SlowStartFactor(u)});
     }
     const auto least = least_loaded.best();
-    UpstreamPtr best = least ? asked[*least].upstream : nullptr;
+    UpstreamPtr best = least ? probed[*least].upstream : nullptr;
     const bool jammed = least_loaded.any_jammed();
-    if (jammed && !best) SayRefusing("overload, upstreams hold more than they can serve in time");
-    if (!jammed && !best) best = Pick(r);
-    if (best) return SendTo(r, best, Reason::kCall);
+    if (jammed && !best) RecordRefusal("overload, upstreams hold more than they can serve in time");
+    if (!jammed && !best) best = Choose(r);
+    if (best) return SendTo(r, best, Reason::kRequest);
     if (!r.AnyOut()) Finish(r);
   }
 
@@ -334,49 +340,49 @@
     for (const RequestId id : asking) {
       Request* r = requests_.Find(id);
       if (r == nullptr) continue;
-      for (Asked& a : r->asked) {
+      for (ProbedUpstream& a : r->probed) {
         if (a.upstream != upstream) continue;
         a.answered = true;
-        a.held = e.load.in_flight;
-        a.served = e.load.rate.value_or(0);
+        a.in_flight = e.load.in_flight;
+        a.served_per_s = e.load.rate.value_or(0);
       }
-      if (std::all_of(r->asked.begin(), r->asked.end(), [](const Asked& a) { return a.answered; }))
-        Decide(*r);
+      if (std::all_of(r->probed.begin(), r->probed.end(), [](const ProbedUpstream& a) { return a.answered; }))
+        ChooseByLoad(*r);
     }
   }
 
-  enum class Reason { kCall, kCopy, kTrial };
+  enum class Reason { kRequest, kHedge, kHalfOpenProbe };
 
   void SendTo(Request& r, const UpstreamPtr& upstream, Reason reason) {
     Upstream& u = *upstream;
-    const bool trial = reason == Reason::kTrial;
-    ++(trial                     ? counts_.half_open_probes
-       : reason == Reason::kCopy ? counts_.hedges
-       : r.attempts.empty()      ? counts_.first
-                                 : counts_.retries);
+    const bool half_open_probe = reason == Reason::kHalfOpenProbe;
+    ++(half_open_probe            ? counts_.half_open_probes
+       : reason == Reason::kHedge ? counts_.hedges
+       : r.attempts.empty()       ? counts_.first
+                                  : counts_.retries);
     ++u.in_flight.sent;
-    if (Warmth(u) < 1) SlowStart::Spend(u.slow_start), ++counts_.cold;
-    if (!r.arriving) Hold(u);
-    if (trial) HalfOpenProbes::RecordSent(u.half_open);
-    if (trial)
+    if (SlowStartFactor(u) < 1) SlowStart::Spend(u.slow_start), ++counts_.cold;
+    if (!r.arriving) RecordHeld(u);
+    if (half_open_probe) HalfOpenProbes::RecordSent(u.half_open);
+    if (half_open_probe)
       zone_health_.RecordProbe(u.info.zone, now_ + Scaled(kFirstProbeDelay, 0.5 + random_.Uniform()));
     if (connections_.DropStale(u.connection, now_)) Emit(CloseIdle{u.info.id});
     const ConnectionUse use = connections_.Use(u.connection, u.in_flight.attempts, now_);
     counts_.connects += use.connects;
-    r.attempts.push_back({upstream, now_, trial, use});
-    r.attempts.back().held = !r.arriving;
+    r.attempts.push_back({upstream, now_, half_open_probe, use});
+    r.attempts.back().in_flight = !r.arriving;
     Emit(SendAttempt{r.id, u.info.id, retries_.Timeout(r, shedder_.IsShedding(), now_)});
   }
 
   // What its upstream holds is what it can be late with: not a body that still comes, nor an answer that has
   // begun.
-  void Hold(Upstream& u) {
+  void RecordHeld(Upstream& u) {
     u.in_flight.Begin(now_);
     shedder_.RecordSent();
   }
 
-  void Release(Attempt& a) {
-    if (!std::exchange(a.held, false)) return;
+  void RecordReleased(Attempt& a) {
+    if (!std::exchange(a.in_flight, false)) return;
     a.upstream->in_flight.End();
     shedder_.RecordReleased();
   }
@@ -384,37 +390,38 @@
   // A copy of a call that may be repeated tries out an ejected or suspect upstream; the client does not
   // depend on it, so a relapsing upstream costs no request. Where nothing else stands, the call itself is the
   // trial: refusing all while some could serve is the worst outcome.
-  bool Try(Request& r) {
+  bool SendHalfOpenProbe(Request& r) {
     if (!retries_.MayProbe(r)) return false;
     for (const UpstreamPtr& u : upstreams_.ranked()) {
       if (r.HasTried(*u)) continue;
       if (!MayTake(*u, true) || !retries_.MaySend(r, u->info, now_)) continue;
-      SendTo(r, u, Reason::kTrial);
+      SendTo(r, u, Reason::kHalfOpenProbe);
       return true;
     }
     return false;
   }
 
   void On(const RequestArrived& e) {
-    const auto cls = static_cast<std::size_t>(e.request_class);
-    if (cls >= settings_.classes.size()) return;
+    const auto request_class = static_cast<std::size_t>(e.request_class);
+    if (request_class >= settings_.classes.size()) return;
     Request* added = requests_.Add(e.request);
     if (added == nullptr) return;
     Request& r = *added;
-    r.cls = &settings_.classes[cls];
-    r.cls_index = cls;
-    const Duration stretch = Scaled(e.work.value_or(Duration::zero()), r.cls->latency_objective_stretch);
-    r.latency_objective =
-        std::min(r.cls->latency_objective + stretch, std::max(r.cls->latency_objective, r.cls->deadline));
+    r.request_class = &settings_.classes[request_class];
+    r.class_index = request_class;
+    const Duration stretch =
+        Scaled(e.work.value_or(Duration::zero()), r.request_class->latency_objective_stretch);
+    r.latency_objective = std::min(r.request_class->latency_objective + stretch,
+                                   std::max(r.request_class->latency_objective, r.request_class->deadline));
     r.arrived = now_;
     r.deadline = e.arriving ? TimePoint::max() : e.deadline;
     r.arriving = e.arriving;
-    r.patience = std::max(e.deadline - now_, Duration(1));
+    r.time_allowed = std::max(e.deadline - now_, Duration(1));
     request_rate_.RecordArrival();
     retries_.budget().RecordRequest();
-    if (!e.arriving) Wake(r, r.deadline);
+    if (!e.arriving) SetRequestTimer(r, r.deadline);
     Advance(r);
-    ExpectBy(r);
+    ScheduleHedge(r);
   }
 
   // It may be sent on while it comes, but nobody can be late with it before it is whole.
@@ -423,77 +430,80 @@
     if (r == nullptr || !std::exchange(r->arriving, false)) return;
     r->arrived = now_;
     r->deadline = e.deadline;
-    Wake(*r, r->deadline);
+    SetRequestTimer(*r, r->deadline);
     for (Attempt& a : r->attempts) {
       if (a.outcome || a.started) continue;
       a.sent = now_;
-      a.held = true;
-      Hold(*a.upstream);
+      a.in_flight = true;
+      RecordHeld(*a.upstream);
     }
-    ExpectBy(*r);
+    ScheduleHedge(*r);
   }
 
-  void ExpectBy(Request& r) {
-    r.late_at = RetryPolicy::LateAt(r, latency_.UsualTime(r.cls_index), now_);
-    if (!r.ended && retries_.MayHedge(r) && r.late_at < r.deadline) Wake(r, r.late_at);
+  void ScheduleHedge(Request& r) {
+    r.late_at = RetryPolicy::LateAt(r, latency_.UsualTime(r.class_index), now_);
+    if (!r.ended && retries_.MayHedge(r) && r.late_at < r.deadline) SetRequestTimer(r, r.late_at);
   }
 
-  void Wake(const Request& r, TimePoint at) { Emit(SetTimer{at, requests_.AddTimer(r.id)}); }
+  void SetRequestTimer(const Request& r, TimePoint at) { Emit(SetTimer{at, requests_.AddTimer(r.id)}); }
 
   // Another attempt where one helps and is allowed, else the final answer. Nothing to do while one is out.
   void Advance(Request& r) {
-    if (r.ended || r.streaming || r.AnyOut() || !r.asked.empty()) return;
+    if (r.ended || r.streaming || r.AnyOut() || !r.probed.empty()) return;
     const bool first = r.attempts.empty();
-    if (first && !Admit(r)) {
-      SayRefusing("overload, answers come late");
+    if (first && !IsAdmitted(r)) {
+      RecordRefusal("overload, answers come late");
       ++counts_.overload;
       return Finish(r);
     }
-    if (retries_.TakeRetry(r, now_) && Send(r)) {
-      if (first) Try(r);
+    if (retries_.TakeRetry(r, now_) && SendOrProbe(r)) {
+      if (first) SendHalfOpenProbe(r);
       return;
     }
-    if (first && Try(r)) return;
-    if (first) SayRefusing("no upstream can take a call");
+    if (first && SendHalfOpenProbe(r)) return;
+    if (first) RecordRefusal("no upstream can take a call");
     ++(first ? counts_.nobody : counts_.given_up);
     Finish(r);
   }
 
   // A second copy of a call that is late against what is usual: guards against hangs and pauses. Never onto
   // an upstream that is no better.
-  void SecondCopy(Request& r) {
+  void Hedge(Request& r) {
     if (r.ended || r.streaming || !r.AnyOut()) return;
     if (now_ < r.late_at) return;
     for (const Attempt& a : r.attempts) {
-      if (Silent(a)) FoundSilent(a);
+      if (IsUnanswered(a)) RecordSilence(a);
     }
     const bool crowded = shedder_.IsShedding();
-    const UpstreamPtr pick = crowded || !retries_.budget().Allows() ? nullptr : Pick(r, true);
+    const UpstreamPtr pick = crowded || !retries_.budget().Allows() ? nullptr : Choose(r, true);
     if (!pick) {
       // Nobody who holds it says a word: later, when it has waited as long again.
       r.late_at = now_ + (now_ - r.arrived);
-      if (AllSilent(r) && r.late_at < r.deadline) Wake(r, r.late_at);
+      if (AllUnanswered(r) && r.late_at < r.deadline) SetRequestTimer(r, r.late_at);
       return;
     }
     retries_.budget().Spend();
-    SendTo(r, pick, Reason::kCopy);
+    SendTo(r, pick, Reason::kHedge);
   }
 
   // Has its upstream answered nothing at all since it was sent?
-  static bool Silent(const Attempt& a) { return !a.outcome && a.upstream->in_flight.waiting_since <= a.sent; }
+  static bool IsUnanswered(const Attempt& a) {
+    return !a.outcome && a.upstream->in_flight.waiting_since <= a.sent;
+  }
 
-  static bool AllSilent(const Request& r) {
+  static bool AllUnanswered(const Request& r) {
     return std::all_of(r.attempts.begin(), r.attempts.end(),
-                       [](const Attempt& a) { return a.outcome || Silent(a); });
+                       [](const Attempt& a) { return a.outcome || IsUnanswered(a); });
   }
 
   // Its copy, sent when it was late, has been served before it, and its upstream says nothing: a time-out
   // that was not waited for. Guards against upstreams that swallow calls, which copies hide from the failure
   // run. Calls that were out together tell of one silence, not of several.
-  void JudgeOvertaken(const Request& r, const Attempt& winner) {
+  void RecordOvertaken(const Request& r, const Attempt& winner) {
     for (const Attempt& a : r.attempts) {
       Upstream& u = *a.upstream;
-      if (!Silent(a) || a.trial || a.sent >= winner.sent || a.sent < u.outlier.overtaken_at) continue;
+      if (!IsUnanswered(a) || a.half_open_probe || a.sent >= winner.sent || a.sent < u.outlier.overtaken_at)
+        continue;
       if (u.info.state != UpstreamState::kServing) continue;
       if (const auto ejection = outliers_.RecordOvertaken(u.outlier, now_)) RecordEjection(u, *ejection);
     }
@@ -505,10 +515,10 @@
     if (attempt == nullptr || attempt->outcome || r->streaming) return;
     r->streaming = attempt->started = true;
     Upstream& u = *attempt->upstream;
-    Release(*attempt);
+    RecordReleased(*attempt);
     u.in_flight.waiting_since = now_;
-    CountLate(*r, u, Outcome::kServed, now_ - attempt->sent);
-    RecordTime(u, *r, Outcome::kServed, now_ - attempt->sent);
+    RecordLateness(*r, u, Outcome::kServed, now_ - attempt->sent);
+    RecordAnswerTime(u, *r, Outcome::kServed, now_ - attempt->sent);
     for (std::size_t i = 0; i < r->attempts.size(); ++i) {
       if (i != static_cast<std::size_t>(e.attempt)) Cancel(*r, i);
     }
@@ -521,18 +531,18 @@
     attempt->outcome = e.outcome;
     ++counts_.ended[static_cast<std::size_t>(e.outcome)];
     Upstream& u = *attempt->upstream;
-    Release(*attempt);
-    if (!attempt->started) CountLate(*r, u, e.outcome, e.elapsed);
+    RecordReleased(*attempt);
+    if (!attempt->started) RecordLateness(*r, u, e.outcome, e.elapsed);
     connections_.RecordOutcome(u.connection, attempt->connection, e.outcome, e.elapsed,
-                               latency_.UsualTime(r->cls_index), now_);
-    if (!attempt->started) RecordTime(u, *r, e.outcome, e.elapsed);
-    JudgeZone(*attempt, e.outcome);
-    Judge(u, *attempt, e.outcome);
+                               latency_.UsualTime(r->class_index), now_);
+    if (!attempt->started) RecordAnswerTime(u, *r, e.outcome, e.elapsed);
+    RecordZoneOutcome(*attempt, e.outcome);
+    RecordOutcome(u, *attempt, e.outcome);
     if (e.outcome == Outcome::kServed) request_rate_.RecordServed();
     if (r->streaming && !attempt->started) {
       // One of those that were called off: the answer that has begun goes on.
     } else if (e.finished) {
-      if (e.outcome == Outcome::kServed) JudgeOvertaken(*r, *attempt);
+      if (e.outcome == Outcome::kServed) RecordOvertaken(*r, *attempt);
       End(*r);
     } else if (r->streaming) {
       Finish(*r);  // a broken stream that the sidecar still wants an answer for
@@ -551,34 +561,36 @@
 
   // ---- Admission and the final answer ----
 
-  bool Admit(const Request& r) {
-    shedder_.RecordDemand(r.cls_index, latency_.UsualTime(r.cls_index));
+  bool IsAdmitted(const Request& r) {
+    shedder_.RecordDemand(r.class_index, latency_.UsualTime(r.class_index));
     return !shedder_.RefusesAny() ||
-           random_.Uniform() < shedder_.AdmittedShare(r.cls_index, latency_.UsualTimes());
+           random_.Uniform() < shedder_.AdmittedShare(r.class_index, latency_.UsualTimes());
   }
 
   // Lateness of one in slow start, suspect or ejected is its own trouble.
-  bool Telling(const Upstream& u) const { return !u.outlier.ejected && Warmth(u) >= 1 && !Suspect(u); }
+  bool IsTelling(const Upstream& u) const {
+    return !u.outlier.ejected && SlowStartFactor(u) >= 1 && !IsSuspect(u);
+  }
 
-  void CountLate(const Request& r, const Upstream& u, Outcome outcome, Duration elapsed) {
+  void RecordLateness(const Request& r, const Upstream& u, Outcome outcome, Duration elapsed) {
     shedder_.RecordOutcome(
-        {outcome, elapsed, r.latency_objective, LatencyModel::IsLoaded(u.latency), Telling(u)},
+        {outcome, elapsed, r.latency_objective, LatencyModel::IsLoaded(u.latency), IsTelling(u)},
         request_rate_.usual());
   }
 
-  FleetWeights Weights() const {
+  FleetWeights SumWeights() const {
     FleetWeights weights;
     for (const UpstreamPtr& u : upstreams_.ranked()) {
       if (u->info.state != UpstreamState::kServing) continue;
       weights.serving += u->info.weight;
       ++weights.upstreams;
-      if (Telling(*u)) weights.telling += u->info.weight;
-      if (!u->outlier.ejected && !Suspect(*u)) weights.able += u->info.weight * LikelyWarmth(*u);
+      if (IsTelling(*u)) weights.telling += u->info.weight;
+      if (!u->outlier.ejected && !IsSuspect(*u)) weights.able += u->info.weight * LikelyFactor(*u);
     }
     return weights;
   }
 
-  void SayRefusing(const std::string& why) {
+  void RecordRefusal(const std::string& why) {
     if (shedder_.RecordRefusal(now_)) Say("refusing: " + why);
   }
 
@@ -603,25 +615,25 @@
 
   void Cancel(const Request& r, std::size_t attempt) {
     if (r.attempts[attempt].outcome || !settings_.limits.cancel) return;
-    if (r.attempts[attempt].trial) return;  // its outcome is what it was sent for
+    if (r.attempts[attempt].half_open_probe) return;  // its outcome is what it was sent for
     Emit(CancelAttempt{r.id, AttemptId{attempt}});
   }
 
   // ---- Slow start ----
 
-  double Warmth(const Upstream& u) const { return slow_start_.Factor(u.info.started, now_); }
+  double SlowStartFactor(const Upstream& u) const { return slow_start_.Factor(u.info.started, now_); }
 
-  double LikelyWarmth(const Upstream& u) const { return latency_.LikelyFactor(Warmth(u)); }
+  double LikelyFactor(const Upstream& u) const { return latency_.LikelyFactor(SlowStartFactor(u)); }
 
-  SlowStartUpstream SlowStartOf(const Upstream& u, double factor) const {
+  SlowStartUpstream BudgetBasis(const Upstream& u, double factor) const {
     return {factor, u.info.weight, u.subset.in_subset, subset_.share()};
   }
 
-  bool HasColdBudget(Upstream& u) {
-    return slow_start_.HasBudget(u.slow_start, SlowStartOf(u, Warmth(u)), now_);
+  bool HasSlowStartBudget(Upstream& u) {
+    return slow_start_.HasBudget(u.slow_start, BudgetBasis(u, SlowStartFactor(u)), now_);
   }
 
-  void UpdateUsual() {
+  void RecordTick() {
     slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(now_),
                             shedder_.weights().telling, shedder_.weights().serving,
                             upstreams_.ServingWeight()});
@@ -633,22 +645,22 @@
   // ---- Timers and small helpers ----
 
   void On(const TimerFired& e) {
-    if (e.token == kTickToken) return Housekeeping();
+    if (e.token == kTickToken) return Tick();
     const std::optional<RequestId> id = requests_.TakeTimer(e.token);
     Request* r = id ? requests_.Find(*id) : nullptr;
     if (r == nullptr) return;
-    if (now_ < r->deadline) return r->asked.empty() ? SecondCopy(*r) : Decide(*r);
+    if (now_ < r->deadline) return r->probed.empty() ? Hedge(*r) : ChooseByLoad(*r);
     if (!r->streaming) Finish(*r);
     requests_.ForgetIfDone(*id);
   }
 
-  void Housekeeping() {
+  void Tick() {
     Emit(SetTimer{now_ + kTickInterval, kTickToken});
-    UpdateUsual();
-    shedder_.RecordTick(Weights());
+    RecordTick();
+    shedder_.RecordTick(SumWeights());
     connections_.RecordTick();
     if (shedder_.RefusingEnded(now_)) Say("taking calls again");
-    for (const UpstreamPtr& u : upstreams_.ranked()) ReturnIfServed(*u);
+    for (const UpstreamPtr& u : upstreams_.ranked()) ReturnIfEjectionOver(*u);
     if (ask_again_at_ && now_ >= *ask_again_at_) {
       ask_again_at_.reset();
       Emit(Subscribe{});
@@ -698,7 +710,7 @@
   impl_->Handle(now, event, actions);
 }
 
-Counts Balancer::counts() const { return impl_->Counted(); }
+Counts Balancer::counts() const { return impl_->CountsNow(); }
 
 std::vector<UpstreamView> Balancer::upstreams(TimePoint now) const { return impl_->Upstreams(now); }
 
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -15,35 +15,35 @@
 struct Attempt {
   UpstreamPtr upstream;
   TimePoint sent;
-  bool trial = false;
+  bool half_open_probe = false;
   ConnectionUse connection{};
-  bool held = false;                 // its upstream holds it: it has all of it, and has not begun to answer
+  bool in_flight = false;            // its upstream holds it: it has all of it, and has not begun to answer
   bool started = false;              // its answer has begun
   std::optional<Outcome> outcome{};  // absent while it is out
 };
 
 // An upstream that was asked for its load before a call.
-struct Asked {
+struct ProbedUpstream {
   UpstreamPtr upstream;
   bool answered = false;
-  std::optional<double> held{};  // calls, as it says
-  double served = 0;             // calls a second, as it says; 0 where it does not
+  std::optional<double> in_flight{};  // calls, as it says
+  double served_per_s = 0;            // calls a second, as it says; 0 where it does not
 };
 
 struct Request {
   RequestId id{};
-  const RequestClass* cls = nullptr;
-  std::size_t cls_index = 0;
+  const RequestClass* request_class = nullptr;
+  std::size_t class_index = 0;
   Duration latency_objective{};  // an answer within it has its full worth
   TimePoint arrived;
   TimePoint deadline;
   TimePoint late_at;  // unanswered then, it is late against what is usual
   std::vector<Attempt> attempts;
-  std::vector<Asked> asked;  // while it waits for their reports
-  bool ended = false;        // it has its final answer: nothing more is sent for it
-  bool arriving = false;     // its body still comes
-  Duration patience{};       // its time, then
-  bool streaming = false;    // its answer has begun: it belongs to the client
+  std::vector<ProbedUpstream> probed;  // while it waits for their reports
+  bool ended = false;                  // it has its final answer: nothing more is sent for it
+  bool arriving = false;               // its body still comes
+  Duration time_allowed{};             // its time, then
+  bool streaming = false;              // its answer has begun: it belongs to the client
 
   bool AnyOut() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return !a.outcome; });
@@ -52,7 +52,7 @@
   bool HasTried(const Upstream& u) const {
     const auto same = [&u](const auto& a) { return a.upstream.get() == &u; };
     return std::any_of(attempts.begin(), attempts.end(), same) ||
-           std::any_of(asked.begin(), asked.end(), same);
+           std::any_of(probed.begin(), probed.end(), same);
   }
 };
 
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -8,35 +8,36 @@
   for (const Attempt& a : r.attempts) {
     if (a.outcome && ProvesNotRun(*a.outcome)) continue;
     if (!a.outcome && !limits_.hedging) return false;
-    if (r.cls->effect == Effect::kUnsafe) return false;
-    if (r.cls->effect != Effect::kKeyed) continue;
+    if (r.request_class->effect == Effect::kUnsafe) return false;
+    if (r.request_class->effect != Effect::kKeyed) continue;
     // Repeats are dropped only among the upstreams that know the key, and only while they remember it. Half
     // the window is left for the way there.
-    if (now - a.sent >= r.cls->key_window / 2) return false;
+    if (now - a.sent >= r.request_class->key_window / 2) return false;
     const UpstreamInfo& first = a.upstream->info;
-    if (r.cls->key_scope == KeyScope::kZone && first.zone != upstream.zone) return false;
-    if (r.cls->key_scope == KeyScope::kCell && first.cell != upstream.cell) return false;
+    if (r.request_class->key_scope == KeyScope::kZone && first.zone != upstream.zone) return false;
+    if (r.request_class->key_scope == KeyScope::kCell && first.cell != upstream.cell) return false;
   }
   return true;
 }
 
 bool RetryPolicy::MayReject(const Request& r) {
-  if (r.cls->effect == Effect::kSafe) return true;
-  if (r.cls->effect == Effect::kKeyed && r.cls->key_scope == KeyScope::kAll) return true;
+  if (r.request_class->effect == Effect::kSafe) return true;
+  if (r.request_class->effect == Effect::kKeyed && r.request_class->key_scope == KeyScope::kAll) return true;
   return std::all_of(r.attempts.begin(), r.attempts.end(),
                      [](const Attempt& a) { return a.outcome && ProvesNotRun(*a.outcome); });
 }
 
 Duration RetryPolicy::Timeout(const Request& r, bool shedding, TimePoint now) const {
-  if (r.arriving) return r.patience;
+  if (r.arriving) return r.time_allowed;
   const Duration left = r.deadline - now;
   // What may be repeated is given up at its latency objective: another upstream may have time for it, or it
   // is worth nothing. Where late answers have a worth, a hedge does that without losing the first attempt.
-  if (r.cls->late_priority_weight > 0 && limits_.hedging) return left;
+  if (r.request_class->late_priority_weight > 0 && limits_.hedging) return left;
   const TimePoint latency_objective = r.arrived + r.latency_objective;
   // Under overload also what may not be repeated: kept past its objective it is worth nothing and holds up
   // the rest.
-  const bool give_up = r.cls->effect != Effect::kUnsafe || (r.cls->late_priority_weight <= 0 && shedding);
+  const bool give_up =
+      r.request_class->effect != Effect::kUnsafe || (r.request_class->late_priority_weight <= 0 && shedding);
   if (give_up && now < latency_objective) return std::min(left, Duration(latency_objective - now));
   return left;
 }
@@ -48,7 +49,8 @@
 bool RetryPolicy::TakeRetry(const Request& r, TimePoint now) {
   if (r.attempts.empty()) return true;
   // What can no longer be in time for any worth is not tried again.
-  if (r.cls->late_priority_weight <= 0 && !r.arriving && now >= r.arrived + r.latency_objective) return false;
+  if (r.request_class->late_priority_weight <= 0 && !r.arriving && now >= r.arrived + r.latency_objective)
+    return false;
   const auto& last = r.attempts.back().outcome;
   if (last && ProvesNotRun(*last) && r.attempts.size() <= kFreeRetries) return true;
   if (!budget_.Allows()) return false;
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -49,10 +49,12 @@
   }
 
   // Whether a second attempt may be out beside the first, by the request's class.
-  bool MayHedge(const Request& r) const { return limits_.hedging && r.cls->effect != Effect::kUnsafe; }
+  bool MayHedge(const Request& r) const {
+    return limits_.hedging && r.request_class->effect != Effect::kUnsafe;
+  }
   // Whether a copy of it, or the request itself, may be a half-open probe.
   bool MayProbe(const Request& r) const {
-    return (limits_.hedging || r.attempts.empty()) && r.cls->effect != Effect::kUnsafe;
+    return (limits_.hedging || r.attempts.empty()) && r.request_class->effect != Effect::kUnsafe;
   }
 
   // Whether Reject is a true answer: nothing was done, or repeating is harmless.
