--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -20,6 +20,9 @@
   bool in_flight = false;            // its upstream holds it: it has all of it, and has not begun to answer
   bool started = false;              // its answer has begun
   std::optional<Outcome> outcome{};  // absent while it is out
+
+  // It is out, and its upstream has answered nothing at all since it was sent.
+  bool IsUnanswered() const { return !outcome && upstream->in_flight.waiting_since <= sent; }
 };
 
 // An upstream that was asked for its load before a call.
@@ -48,6 +51,28 @@
   bool AnyOut() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return !a.outcome; });
   }
+  // Nobody who holds an attempt of it says a word.
+  bool IsUnanswered() const {
+    return std::all_of(attempts.begin(), attempts.end(),
+                       [](const Attempt& a) { return a.outcome || a.IsUnanswered(); });
+  }
+  // Null where there is no such attempt.
+  Attempt* FindAttempt(AttemptId id) {
+    const auto i = static_cast<std::size_t>(id);
+    return i < attempts.size() ? &attempts[i] : nullptr;
+  }
+  // An upstream that may be among those asked says its load, or ended without.
+  void RecordLoad(const Upstream& u, const LoadReport& load) {
+    for (ProbedUpstream& p : probed) {
+      if (p.upstream.get() != &u) continue;
+      p.answered = true;
+      p.in_flight = load.in_flight;
+      p.served_per_s = load.rate.value_or(0);
+    }
+  }
+  bool HasAllLoads() const {
+    return std::all_of(probed.begin(), probed.end(), [](const ProbedUpstream& p) { return p.answered; });
+  }
   // It was sent to this upstream, or has asked it for its load.
   bool HasTried(const Upstream& u) const {
     const auto same = [&u](const auto& a) { return a.upstream.get() == &u; };
