--- /dev/null
+++ b/src/balancer/types.h
@@ -0,0 +1,36 @@
+// Time and ids, as the sidecar and the decision module both have them.
+#pragma once
+
+#include <chrono>
+#include <compare>
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+namespace mothrack::balancer {
+
+using Duration = std::chrono::microseconds;
+
+// The sidecar's clock. It has no now(): the only time a balancer knows is the one handed to handle().
+struct Clock {
+  using duration = Duration;
+  using rep = duration::rep;
+  using period = duration::period;
+  using time_point = std::chrono::time_point<Clock>;
+  static constexpr bool is_steady =
+      true;  // NOLINT(readability-identifier-naming): the name is the standard's
+};
+using TimePoint = Clock::time_point;
+
+// Ids are opaque. A request id is never used twice; an upstream keeps its id when its process restarts.
+enum class RequestId : std::uint64_t {};
+enum class ClassId : std::size_t {};    // index into Settings::classes
+enum class TenantId : std::size_t {};   // index into Settings::tenants
+enum class AttemptId : std::size_t {};  // a request's attempts count from 0 in the order of their SendAttempt
+struct UpstreamId {
+  std::string value;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the linter finds the comparison's own literal 0
+  auto operator<=>(const UpstreamId&) const = default;
+};
+
+}  // namespace mothrack::balancer
