--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/dispatcher.cpp
@@ -149,7 +149,8 @@
 bool Dispatcher::IsAdmitted(const Request& r) {
   shedder_.RecordDemand(r.class_index, fleet_.latency().UsualTime(r.class_index));
   if (!shedder_.RefusesAny()) return true;
-  return context_.random.Uniform() < shedder_.AdmittedShare(r.class_index, fleet_.latency().UsualTimes());
+  fleet_.latency().GetUsualTimes(usual_times_);
+  return context_.random.Uniform() < shedder_.AdmittedShare(r.class_index, usual_times_);
 }
 
 // To the upstream in turn; or asks the next ones in turn for their load first. False where there is none.
--- a/src/balancer/dispatcher.h
+++ b/src/balancer/dispatcher.h
@@ -63,6 +63,7 @@
   RetryPolicy retries_;
   LoadProbes probes_;
   LoadShedder shedder_;
+  std::vector<Duration> usual_times_;  // of one question, kept for its memory
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -36,7 +36,7 @@
   std::vector<UpstreamPtr> entering;
   for (const UpstreamInfo& info : update.upstreams) UpdateUpstream(info, entering);
   upstreams_.FinishUpdate();
-  zone_health_.KeepOnly(upstreams_.Zones());
+  zone_health_.KeepOnly([this](const std::string& zone) { return upstreams_.HasZone(zone); });
   MarkSubset();
   // With the whole list known: a turn drawn from the sum so far would put the first ones of the list first at
   // every sidecar, and a fleet of them would send their first requests to the same few.
@@ -52,14 +52,15 @@
 }
 
 void Fleet::MarkSubset() {
-  std::vector<SubsetMember> members;
-  members.reserve(upstreams_.ranked().size());
+  subset_members_.clear();
   for (const UpstreamPtr& u : upstreams_.ranked()) {
     const bool serving = u->info.state == UpstreamState::kServing;
     const bool takes_place = serving && !u->outlier.ejected && !IsSuspect(*u);
-    members.push_back({&u->subset, serving ? u->info.weight : 0, takes_place ? SlowStartFactor(*u) : 0});
+    subset_members_.push_back(
+        {&u->subset, serving ? u->info.weight : 0, takes_place ? SlowStartFactor(*u) : 0});
   }
-  subset_.Mark(members, SubsetSize(), request_rate_.IsKnown(context_.now), upstreams_.ServingWeight());
+  subset_.Mark(subset_members_, SubsetSize(), request_rate_.IsKnown(context_.now),
+               upstreams_.ServingWeight());
 }
 
 void Fleet::EnterRotation(Upstream& u) {
@@ -223,8 +224,9 @@
 
 // The listed weight, less in slow start, by what was observed.
 double Fleet::RotationWeight(const Upstream& u) const {
-  const double slowness =
-      upstreams_.has_sizes() ? Slowness(u) / latency_.KindSlowness(u.info.kind) : Slowness(u);
+  const double of_kind = latency_.KindSlowness(u.info.kind);
+  const double own = LatencyModel::Slowness(u.latency, of_kind);
+  const double slowness = upstreams_.has_sizes() ? own / of_kind : own;
   return u.info.weight * LikelyFactor(u) / slowness *
          OutlierDetector::SuccessFactor(u.outlier, LatencyModel::IsLoaded(u.latency));
 }
@@ -261,7 +263,8 @@
 TimelyOutcome Fleet::LatenessOf(const Request& r, const Attempt& attempt, Outcome outcome,
                                 Duration elapsed) const {
   const Upstream& u = *attempt.upstream;
-  return {outcome, elapsed, r.latency_objective, LatencyModel::IsLoaded(u.latency), IsTelling(u)};
+  const bool late = LoadShedder::IsLate(outcome, elapsed, r.latency_objective);
+  return {outcome, elapsed, r.latency_objective, LatencyModel::IsLoaded(u.latency), late && IsTelling(u)};
 }
 
 FleetWeights Fleet::SumWeights() const {
--- a/src/balancer/fleet.h
+++ b/src/balancer/fleet.h
@@ -128,6 +128,7 @@
   ConnectionModel connections_;
   SlowStart slow_start_;
   SmoothWeightedRoundRobin round_robin_;
+  std::vector<SubsetMember> subset_members_;  // of one marking, kept for their memory
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/latency_model.cpp
+++ b/src/balancer/latency_model.cpp
@@ -4,11 +4,9 @@
 
 namespace mothrack::balancer {
 
-std::vector<Duration> LatencyModel::UsualTimes() const {
-  std::vector<Duration> times;
-  times.reserve(usual_time_.size());
+void LatencyModel::GetUsualTimes(std::vector<Duration>& times) const {
+  times.clear();
   for (std::size_t c = 0; c < usual_time_.size(); ++c) times.push_back(UsualTime(c));
-  return times;
 }
 
 void LatencyModel::RecordAnswer(LatencyRecord& record, const std::string& kind, const TimedAnswer& answer) {
--- a/src/balancer/latency_model.h
+++ b/src/balancer/latency_model.h
@@ -60,8 +60,8 @@
     return TimeOr(usual_time_of_all_, settings_.classes[0].latency_objective / kObjectiveToUsualTime);
   }
 
-  // Of each class, by its index.
-  std::vector<Duration> UsualTimes() const;
+  // Of each class, by its index, into a vector that is kept for its memory.
+  void GetUsualTimes(std::vector<Duration>& times) const;
 
   // How many times as long as usual the answers take of a kind of machine, and of an upstream of that kind.
   double KindSlowness(const std::string& kind) const {
@@ -70,7 +70,10 @@
     return std::clamp(known->second.value, 1 / kMaxSlowness, kMaxSlowness);
   }
   double Slowness(const LatencyRecord& record, const std::string& kind) const {
-    const double known = kKindPrior * KindSlowness(kind) + record.slowness.samples * record.slowness.value;
+    return Slowness(record, KindSlowness(kind));
+  }
+  static double Slowness(const LatencyRecord& record, double kind_slowness) {
+    const double known = kKindPrior * kind_slowness + record.slowness.samples * record.slowness.value;
     return std::clamp(known / (kKindPrior + record.slowness.samples), 1 / kMaxSlowness, kMaxSlowness);
   }
 
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -32,7 +32,7 @@
   const Outcome outcome = end.outcome;
   if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
   if (outcome == Outcome::kTimeout && !end.loaded) return;
-  const bool late = outcome != Outcome::kServed || end.elapsed > Scaled(end.latency_objective, kLateFrom);
+  const bool late = IsLate(outcome, end.elapsed, end.latency_objective);
   // Lateness of an upstream in slow start, suspect or ejected is its own fault, unless such ones are the
   // most. Its being in time counts all the same: where the few that are let in all go to those in slow start,
   // nothing else tells that the overload is over.
--- a/src/balancer/load_shedder.h
+++ b/src/balancer/load_shedder.h
@@ -65,7 +65,7 @@
   Duration elapsed{};
   Duration latency_objective{};
   bool loaded = false;   // its upstream answers slowly
-  bool telling = false;  // its upstream is in good standing and past slow start
+  bool telling = false;  // of a late one: its upstream is in good standing and past slow start
 };
 
 class LoadShedder {
@@ -85,6 +85,9 @@
   double in_flight() const { return in_flight_; }  // attempts
   const FleetWeights& weights() const { return weights_; }
 
+  static bool IsLate(Outcome outcome, Duration elapsed, Duration latency_objective) {
+    return outcome != Outcome::kServed || elapsed > Scaled(latency_objective, kLateFrom);
+  }
   void RecordSent() { ++in_flight_; }
   void RecordReleased() { --in_flight_; }
   // `usual_rate`: requests a second.
--- a/src/balancer/round_robin.cpp
+++ b/src/balancer/round_robin.cpp
@@ -36,11 +36,11 @@
   KeepBest(only_good);
   if (best_.empty()) return std::nullopt;
   double sum = 0;
-  for (const Candidate& candidate : best_) sum += candidate.weight;
-  const Candidate* chosen = &best_.front();
-  for (const Candidate& candidate : best_) {
-    Gain(*candidate.record, candidate.weight, sum);
-    if (candidate.record->credit > chosen->record->credit) chosen = &candidate;
+  for (const Candidate* candidate : best_) sum += candidate->weight;
+  const Candidate* chosen = best_.front();
+  for (const Candidate* candidate : best_) {
+    Gain(*candidate->record, candidate->weight, sum);
+    if (candidate->record->credit > chosen->record->credit) chosen = candidate;
   }
   chosen->record->credit -= sum;
   for (const Waiting& waiting : waiting_) Gain(*waiting.record, waiting.weight, sum);
@@ -66,7 +66,7 @@
     if (standing > best_standing) continue;
     if (standing < best_standing) best_.clear();
     best_standing = standing;
-    best_.push_back(candidate);
+    best_.push_back(&candidate);
   }
 }
 
--- a/src/balancer/round_robin.h
+++ b/src/balancer/round_robin.h
@@ -56,7 +56,8 @@
   void KeepBest(bool only_good);
 
   // Of one choice, kept for their memory.
-  std::vector<Candidate> candidates_, best_;
+  std::vector<Candidate> candidates_;
+  std::vector<const Candidate*> best_;  // of candidates_
   std::vector<Waiting> waiting_;
   double weight_ = 0;  // of the candidates that are not suspect
   int in_flight_ = 0;  // attempts that these hold, and the one to be sent
--- a/src/balancer/upstream_set.cpp
+++ b/src/balancer/upstream_set.cpp
@@ -54,10 +54,8 @@
   return found == by_id_.end() ? nullptr : found->second;
 }
 
-std::set<std::string> UpstreamSet::Zones() const {
-  std::set<std::string> zones;
-  for (const UpstreamPtr& u : ranked_) zones.insert(u->info.zone);
-  return zones;
+bool UpstreamSet::HasZone(const std::string& zone) const {
+  return std::any_of(ranked_.begin(), ranked_.end(), [&](const auto& u) { return u->info.zone == zone; });
 }
 
 double UpstreamSet::ServingWeight() const {
--- a/src/balancer/upstream_set.h
+++ b/src/balancer/upstream_set.h
@@ -6,7 +6,6 @@
 #pragma once
 
 #include <cstdint>
-#include <set>
 #include <string>
 #include <unordered_map>
 #include <vector>
@@ -37,7 +36,7 @@
   const std::vector<UpstreamPtr>& ranked() const { return ranked_; }
   // Null where there is none of this id.
   UpstreamPtr Find(const UpstreamId& id) const;
-  std::set<std::string> Zones() const;
+  bool HasZone(const std::string& zone) const;
   double ServingWeight() const;
   // The list tells sizes: what a kind of machine can do is in them, and not to be counted twice.
   bool has_sizes() const { return has_sizes_; }
--- a/src/balancer/zone_health.cpp
+++ b/src/balancer/zone_health.cpp
@@ -27,11 +27,6 @@
   CountUnavailable();
 }
 
-void ZoneHealth::KeepOnly(const std::set<std::string>& listed_zones) {
-  std::erase_if(zones_, [&](const auto& zone) { return !listed_zones.contains(zone.first); });
-  CountUnavailable();
-}
-
 void ZoneHealth::CountUnavailable() {
   unavailable_zones_ = std::count_if(zones_.begin(), zones_.end(),
                                      [](const auto& zone) { return zone.second.IsUnavailable(); });
--- a/src/balancer/zone_health.h
+++ b/src/balancer/zone_health.h
@@ -40,7 +40,11 @@
   // A process that has just started says nothing of what the zone's silent ones did.
   void RecordNewProcess(const std::string& zone);
   // Forgets the zones that no listed upstream is in.
-  void KeepOnly(const std::set<std::string>& listed_zones);
+  template <typename IsListed>  // bool(const std::string& zone)
+  void KeepOnly(const IsListed& is_listed) {
+    std::erase_if(zones_, [&](const auto& zone) { return !is_listed(zone.first); });
+    CountUnavailable();
+  }
 
  private:
   struct Zone {
