--- /dev/null
+++ b/tests/balancer/connection_model_test.cpp
@@ -0,0 +1,51 @@
+// When an idle connection is used, trusted and closed.
+#include "balancer/connection_model.h"
+
+#include "gtest/gtest.h"
+
+namespace mothrack::balancer {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+TEST(ConnectionModel, AnIdleConnectionIsFoundUntilTheSidecarClosesIt) {
+  Limits limits;
+  const ConnectionModel model(limits);
+  struct Case {
+    int idle;
+    Duration age;
+    bool found;
+  };
+  for (const Case& c : {Case{0, seconds(0), false}, Case{1, seconds(0), true}, Case{1, seconds(14), true},
+                        Case{1, limits.idle_close, false}}) {
+    const ConnectionRecord record{c.idle, TimePoint{}};
+    EXPECT_EQ(model.HasConnection(record, 0, TimePoint{} + c.age), c.found) << c.idle << ' ' << c.age.count();
+  }
+}
+
+TEST(ConnectionModel, AConnectionFoundDroppedHalvesTheTrustInIdleOnes) {
+  const Limits limits;
+  ConnectionModel model(limits);
+  ConnectionRecord record;
+  const TimePoint now{seconds(100)};
+  model.RecordOutcome(record, {false, seconds(8)}, Outcome::kReset, milliseconds(1), milliseconds(50), now);
+  record = {1, now};
+  EXPECT_FALSE(model.DropStale(record, now + seconds(4)));
+  EXPECT_TRUE(model.DropStale(record, now + seconds(4) + Duration(1)));
+  EXPECT_EQ(record.idle, 0);
+}
+
+TEST(ConnectionModel, ConnectingIsHardOnceHalfOfItFails) {
+  const Limits limits;
+  ConnectionModel model(limits);
+  ConnectionRecord record;
+  EXPECT_FALSE(model.IsConnectingHard());
+  model.RecordOutcome(record, {true, {}}, Outcome::kConnectFailed, seconds(1), seconds(1), TimePoint{});
+  EXPECT_TRUE(model.IsConnectingHard());
+  for (int i = 0; i < 8; ++i) model.RecordTick();
+  EXPECT_FALSE(model.IsConnectingHard());
+}
+
+}  // namespace
+}  // namespace mothrack::balancer
--- /dev/null
+++ b/tests/balancer/load_probes_test.cpp
@@ -0,0 +1,37 @@
+// How many upstreams are asked for their load, and which answer is best.
+#include "balancer/load_probes.h"
+
+#include "gtest/gtest.h"
+
+namespace mothrack::balancer {
+namespace {
+
+TEST(LoadProbes, AsManyAreAskedAsThePriceAllows) {
+  struct Case {
+    bool by_probe, may_probe;
+    double price;
+    std::size_t asked;
+  };
+  for (const Case& c : {Case{true, true, 0, 3}, Case{true, true, 0.005, 2}, Case{true, true, 0.1, 1},
+                        Case{false, true, 0, 1}, Case{true, false, 0, 1}}) {
+    Settings settings;
+    settings.load_by_probe = c.by_probe;
+    settings.limits.probes = c.may_probe;
+    settings.prices.probe = c.price;
+    EXPECT_EQ(LoadProbes(settings).upstreams_per_request(), c.asked) << c.price;
+  }
+}
+
+TEST(LeastLoaded, TheOneWithTheLeastForWhatItCanDoIsBestAndNoneThatIsJammed) {
+  LeastLoaded least(std::chrono::milliseconds(400));
+  least.Consider(0, {10, 20, 1, 1});  // serves 4 within half of the objective
+  EXPECT_TRUE(least.any_jammed());
+  EXPECT_FALSE(least.best());
+  least.Consider(1, {3, 0, 1, 1});
+  least.Consider(2, {5, 0, 1, 2});
+  least.Consider(3, {3, 0, 2, 1});
+  EXPECT_EQ(least.best(), 2);
+}
+
+}  // namespace
+}  // namespace mothrack::balancer
--- /dev/null
+++ b/tests/balancer/load_shedder_test.cpp
@@ -0,0 +1,62 @@
+// When and what the load shedder refuses.
+#include "balancer/load_shedder.h"
+
+#include "gtest/gtest.h"
+
+namespace mothrack::balancer {
+namespace {
+
+using std::chrono::milliseconds;
+
+constexpr FleetWeights kFleet{10, 10, 10, 10};
+
+TEST(LoadShedder, OnlyLateOutcomesOfTellingUpstreamsRaiseTheShareRefused) {
+  struct Case {
+    Outcome outcome;
+    int elapsed_ms;
+    bool loaded, telling, raises;
+  };
+  for (const Case& c :
+       {Case{Outcome::kServed, 100, false, true, false}, Case{Outcome::kServed, 350, false, true, true},
+        Case{Outcome::kServed, 350, false, false, false}, Case{Outcome::kFull, 1, false, true, true},
+        Case{Outcome::kTimeout, 400, false, true, false}, Case{Outcome::kTimeout, 400, true, true, true},
+        Case{Outcome::kError, 400, true, true, false}}) {
+    const std::vector<RequestClass> classes(1);
+    LoadShedder shedder(classes);
+    shedder.RecordTick(kFleet);
+    shedder.RecordOutcome({c.outcome, milliseconds(c.elapsed_ms), milliseconds(400), c.loaded, c.telling}, 1);
+    EXPECT_EQ(shedder.shed() > 0, c.raises) << static_cast<int>(c.outcome) << ' ' << c.elapsed_ms;
+  }
+}
+
+TEST(LoadShedder, TheLossOfHalfTheFleetIsMetAtOnce) {
+  const std::vector<RequestClass> classes(1);
+  LoadShedder shedder(classes);
+  shedder.RecordTick(kFleet);
+  shedder.RecordTick({10, 5, 5, 10});
+  EXPECT_NEAR(shedder.shed(), 0.45, 0.01);
+}
+
+TEST(LoadShedder, TheClassWithTheLeastPriorityIsRefusedFirstDownToItsFloor) {
+  std::vector<RequestClass> classes(2);
+  classes[1].priority_weight = 0.1;
+  LoadShedder shedder(classes);
+  const std::vector<Duration> usual_times(2, milliseconds(100));
+  for (std::size_t c = 0; c < 2; ++c) shedder.RecordDemand(c, usual_times[c]);
+  shedder.RecordTick(kFleet);
+  shedder.RecordTick({10, 5, 5, 10});
+  EXPECT_DOUBLE_EQ(shedder.AdmittedShare(1, usual_times), kClassFloor);
+  EXPECT_GT(shedder.AdmittedShare(0, usual_times), 0.8);
+}
+
+TEST(LoadShedder, RefusingBeginsOnceAndEndsAfterItsInterval) {
+  const std::vector<RequestClass> classes(1);
+  LoadShedder shedder(classes);
+  EXPECT_TRUE(shedder.RecordRefusal(TimePoint{}));
+  EXPECT_FALSE(shedder.RecordRefusal(TimePoint{}));
+  EXPECT_FALSE(shedder.RefusingEnded(TimePoint{} + kRefusalInterval));
+  EXPECT_TRUE(shedder.RefusingEnded(TimePoint{} + kRefusalInterval + Duration(1)));
+}
+
+}  // namespace
+}  // namespace mothrack::balancer
--- /dev/null
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -0,0 +1,59 @@
+// Who is ejected, and for how long.
+#include "balancer/outlier_detection.h"
+
+#include "gtest/gtest.h"
+
+namespace mothrack::balancer {
+namespace {
+
+using std::chrono::seconds;
+
+// Fails until it is ejected, beside another upstream; tells after how many failures.
+int FailUntilEjected(OutlierRecord& record, const OutlierRecord& other, TimePoint now) {
+  OutlierDetector detector;
+  for (int failures = 1; failures < 100; ++failures) {
+    detector.ClearSums();
+    detector.AddToSums(other);
+    detector.AddToSums(record);
+    if (detector.RecordOutcome(record, Outcome::kError, now)) return failures;
+  }
+  return 0;
+}
+
+TEST(OutlierDetector, TheRunThatEjectsIsAsRareAsFiveWhereATenthFails) {
+  struct Case {
+    double calls, failures;  // of the other upstream
+    int run;
+  };
+  for (const Case& c : {Case{0, 0, 5}, Case{100, 5, 5}, Case{100, 50, 17}}) {
+    OutlierRecord record, other;
+    other.calls = c.calls;
+    other.failures = c.failures;
+    EXPECT_EQ(FailUntilEjected(record, other, TimePoint{}), c.run) << c.failures;
+  }
+}
+
+TEST(OutlierDetector, ARelapseDoublesTheEjectionUpToTheMost) {
+  OutlierRecord record;
+  TimePoint now{seconds(1000)};
+  for (const int ejection_s : {60, 120, 120}) {
+    EXPECT_EQ(FailUntilEjected(record, {}, now), kFailuresToEject);
+    EXPECT_EQ(record.ejection_time, seconds(ejection_s));
+    EXPECT_FALSE(OutlierDetector::IsOver(record, now));
+    now = record.ejected_until;
+    EXPECT_TRUE(OutlierDetector::IsOver(record, now));
+    OutlierDetector::RecordReturn(record, now);
+  }
+}
+
+TEST(OutlierDetector, FailuresTakeFromTheWeightButTimeOutsOfAFastOneLess) {
+  OutlierRecord record;
+  EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, false), 1);
+  record.calls = 10;
+  record.failures = record.timeouts = 5;
+  EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, false), 0.5);
+  EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, true), 0.125);
+}
+
+}  // namespace
+}  // namespace mothrack::balancer
--- /dev/null
+++ b/tests/balancer/request_table_test.cpp
@@ -0,0 +1,31 @@
+// Requests and timers by their numbers.
+#include "balancer/request_table.h"
+
+#include "gtest/gtest.h"
+
+namespace mothrack::balancer {
+namespace {
+
+TEST(RequestTable, ARequestIsKnownUntilItHasEndedAndNothingOfItIsOut) {
+  RequestTable table;
+  Request* const request = table.Add(RequestId{7});
+  EXPECT_EQ(table.Add(RequestId{7}), nullptr);
+  request->ended = true;
+  request->attempts.resize(1);
+  table.ForgetIfDone(RequestId{7});
+  EXPECT_EQ(table.Find(RequestId{7}), request);
+  request->attempts[0].outcome = Outcome::kServed;
+  table.ForgetIfDone(RequestId{7});
+  EXPECT_EQ(table.Find(RequestId{7}), nullptr);
+}
+
+TEST(RequestTable, ATimerIsTakenOnce) {
+  RequestTable table;
+  const std::uint64_t token = table.AddTimer(RequestId{7});
+  EXPECT_NE(token, kTickToken);
+  EXPECT_EQ(table.TakeTimer(token), RequestId{7});
+  EXPECT_EQ(table.TakeTimer(token), std::nullopt);
+}
+
+}  // namespace
+}  // namespace mothrack::balancer
--- /dev/null
+++ b/tests/balancer/slow_start_test.cpp
@@ -0,0 +1,42 @@
+// The ramp and the budget of a fresh upstream.
+#include "balancer/slow_start.h"
+
+#include "gtest/gtest.h"
+
+namespace mothrack::balancer {
+namespace {
+
+using std::chrono::seconds;
+
+TEST(SlowStart, TheFactorRisesEvenlyFromTheInitialShare) {
+  const Rules rules;  // a tenth, 20 s
+  const SlowStart slow_start(rules);
+  struct Case {
+    int age_s;
+    double factor;
+  };
+  for (const Case& c : {Case{-1, 0.1}, Case{0, 0.1}, Case{10, 0.55}, Case{20, 1}, Case{99, 1}}) {
+    const TimePoint started{seconds(100)};
+    EXPECT_DOUBLE_EQ(slow_start.Factor(started, started + seconds(c.age_s)), c.factor) << c.age_s;
+  }
+  EXPECT_EQ(slow_start.Factor(std::nullopt, TimePoint{}), 1);
+}
+
+TEST(SlowStart, TheBudgetIsRefilledWithWhatAWarmOneIsSentAndSpent) {
+  const Rules rules;
+  SlowStart slow_start(rules);
+  SlowStartTick tick{25, 25, seconds(10), 2, 2, 2};  // 100 requests a second
+  for (int i = 0; i < 400; ++i) slow_start.RecordTick(tick);
+  const SlowStartUpstream upstream{0.1, 1, false, 0};  // of two alike, 50 a second when warm
+  SlowStartRecord record;
+  const TimePoint now{seconds(100)};
+  slow_start.RecordEntry(record, upstream, 0.5, now);
+  EXPECT_FALSE(slow_start.HasBudget(record, upstream, now));
+  EXPECT_TRUE(slow_start.HasBudget(record, upstream, now + seconds(1)));
+  EXPECT_NEAR(record.budget, 2 * kSlowStartSafety * 0.1 * 50 / 2, 0.01);
+  SlowStart::Spend(record);
+  EXPECT_NEAR(record.budget, 2.75, 0.01);
+}
+
+}  // namespace
+}  // namespace mothrack::balancer
--- /dev/null
+++ b/tests/balancer/zone_health_test.cpp
@@ -0,0 +1,50 @@
+// When a zone is unavailable, and probed.
+#include "balancer/zone_health.h"
+
+#include "gtest/gtest.h"
+
+namespace mothrack::balancer {
+namespace {
+
+using std::chrono::seconds;
+
+constexpr TimePoint kSent{seconds(10)};
+
+ZoneHealth Lost() {
+  ZoneHealth health;
+  for (const char* id : {"a", "b", "c"}) health.RecordSilence("z", UpstreamId{id}, kSent);
+  return health;
+}
+
+TEST(ZoneHealth, UnavailableOnceSeveralUpstreamsWereSilentSinceItsLastAnswer) {
+  ZoneHealth health;
+  health.RecordAnswer("z", kSent + seconds(1));
+  for (const char* id : {"a", "b", "c"}) health.RecordSilence("z", UpstreamId{id}, kSent);
+  EXPECT_FALSE(health.IsUnavailable("z"));  // all sent before the answer
+  for (const char* id : {"a", "a", "b"}) health.RecordSilence("z", UpstreamId{id}, kSent + seconds(2));
+  EXPECT_FALSE(health.IsUnavailable("z"));
+  health.RecordSilence("z", UpstreamId{"c"}, kSent + seconds(2));
+  EXPECT_TRUE(health.IsUnavailable("z"));
+  EXPECT_FALSE(health.IsUnavailable("y"));
+}
+
+TEST(ZoneHealth, AnAnswerANewProcessOrLeavingTheListEndsIt) {
+  ZoneHealth answered = Lost(), restarted = Lost(), unlisted = Lost();
+  answered.RecordAnswer("z", kSent);
+  EXPECT_FALSE(answered.IsUnavailable("z"));
+  restarted.RecordNewProcess("z");
+  EXPECT_FALSE(restarted.IsUnavailable("z"));
+  unlisted.KeepOnly([](const std::string&) { return false; });
+  EXPECT_FALSE(unlisted.IsUnavailable("z"));
+}
+
+TEST(ZoneHealth, AnUnavailableZoneIsProbedOneAtATime) {
+  ZoneHealth health = Lost();
+  EXPECT_TRUE(health.MayProbe("z", kSent));
+  health.RecordProbe("z", kSent + seconds(1));
+  EXPECT_FALSE(health.MayProbe("z", kSent));
+  EXPECT_TRUE(health.MayProbe("z", kSent + seconds(1)));
+}
+
+}  // namespace
+}  // namespace mothrack::balancer
