--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,7 +1,7 @@
 // Routes every event to those that it concerns, in the order in which they are asked.
 //
 // The interface is src/balancer/balancer.h; docs/ARCHITECTURE.md has the rooms. Fleet holds what is known of
-// the upstreams and chooses among them; Dispatcher decides what is done with each request; each of their
+// the upstreams and chooses among them; RequestHandler decides what is done with each request; each of their
 // rooms answers one kind of question and knows no other room.
 #include "balancer/balancer.h"
 
@@ -11,8 +11,8 @@
 
 #include "balancer/arithmetic.h"
 #include "balancer/context.h"
-#include "balancer/dispatcher.h"
 #include "balancer/fleet.h"
+#include "balancer/request_handler.h"
 #include "balancer/request_table.h"
 #include "balancer/tick.h"
 
@@ -31,7 +31,7 @@
 class Balancer::Impl {
  public:
   Impl(Settings settings, std::uint64_t seed)
-      : context_(std::move(settings), seed), fleet_(context_), dispatcher_(context_, fleet_) {
+      : context_(std::move(settings), seed), fleet_(context_), request_handler_(context_, fleet_) {
     context_.settings.Validate();
   }
 
@@ -46,8 +46,8 @@
 
   Counts CountsNow() const {
     Counts counts = context_.counts;
-    counts.held = dispatcher_.shedder().in_flight();
-    counts.shed = dispatcher_.shedder().shed();
+    counts.held = request_handler_.shedder().in_flight();
+    counts.shed = request_handler_.shedder().shed();
     counts.rate = fleet_.usual_rate();
     counts.subset = std::min(fleet_.SubsetSize(), static_cast<double>(fleet_.ranked().size()));
     return counts;
@@ -70,11 +70,11 @@
   }
 
   void Route(const TimerFired& event) {
-    if (event.token != kTickToken) return dispatcher_.HandleTimer(event.token);
+    if (event.token != kTickToken) return request_handler_.HandleTimer(event.token);
     SetTickTimer();
-    fleet_.RecordTick(dispatcher_.shedder().weights());
-    dispatcher_.RecordTick();
-    dispatcher_.EndRefusing();
+    fleet_.RecordTick(request_handler_.shedder().weights());
+    request_handler_.RecordTick();
+    request_handler_.EndRefusing();
     fleet_.ReturnThoseDue();
     if (subscribe_at_ && context_.now >= *subscribe_at_) {
       subscribe_at_.reset();
@@ -85,14 +85,14 @@
   // The events of requests and load probes.
   template <typename RequestEvent>
   void Route(const RequestEvent& event) {
-    dispatcher_.Handle(event);
+    request_handler_.Handle(event);
   }
 
   void SetTickTimer() { context_.Emit(SetTimer{context_.now + kTickInterval, kTickToken}); }
 
   Context context_;
   Fleet fleet_;
-  Dispatcher dispatcher_;
+  RequestHandler request_handler_;
   bool running_ = false;
   std::optional<TimePoint> subscribe_at_;  // after a failed call for membership
 };
--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -1,14 +1,14 @@
-// kestrellb: the decisions of a sidecar balancer for service-to-service calls.
+// The decisions of a sidecar balancer for service-to-service calls.
 //
 // A sidecar owns the sockets, the clock and the timers. It tells a `Balancer` what happened, one `Event` at a
 // time, and carries out the `Action`s that come back, in their order. The balancer does no I/O, reads no
 // clock, starts no thread and keeps no global state: the same settings, seed and events give the same
 // actions.
 //
-//   kestrellb::Balancer balancer(settings, seed);
-//   std::vector<kestrellb::Action> actions;
-//   balancer.handle(now, kestrellb::MembershipUpdate{...}, actions);
-//   balancer.handle(now, kestrellb::RequestArrived{...}, actions);
+//   mothrack::balancer::Balancer balancer(settings, seed);
+//   std::vector<mothrack::balancer::Action> actions;
+//   balancer.handle(now, mothrack::balancer::MembershipUpdate{...}, actions);
+//   balancer.handle(now, mothrack::balancer::RequestArrived{...}, actions);
 //   for (const auto& action : actions) std::visit(CarryOut{}, action);
 //
 // What the sidecar owes the balancer:
@@ -17,7 +17,7 @@
 //   * every `SendAttempt` is followed by exactly one `AttemptEnded`;
 //   * every `SetTimer` is followed by one `TimerFired` at or after its time.
 // What it gets: exactly one final answer for each request, by the request's deadline: the answer of an
-// attempt (an `AttemptEnded` with `finished`), a `Refuse` or a `Fail`. An instance serves one thread at a
+// attempt (an `AttemptEnded` with `finished`), a `Reject` or a `Fail`. An instance serves one thread at a
 // time.
 #pragma once
 
--- a/src/balancer/dispatcher.cpp
+++ b/src/balancer/request_handler.cpp
@@ -1,4 +1,4 @@
-#include "balancer/dispatcher.h"
+#include "balancer/request_handler.h"
 
 #include <algorithm>
 #include <optional>
@@ -8,7 +8,7 @@
 
 namespace mothrack::balancer {
 
-Dispatcher::Dispatcher(Context& context, Fleet& fleet)
+RequestHandler::RequestHandler(Context& context, Fleet& fleet)
     : context_(context),
       fleet_(fleet),
       retries_(context.settings.limits),
@@ -17,7 +17,7 @@
 
 // ---- Events ----
 
-void Dispatcher::Handle(const RequestArrived& e) {
+void RequestHandler::Handle(const RequestArrived& e) {
   const auto class_index = static_cast<std::size_t>(e.request_class);
   if (class_index >= context_.settings.classes.size()) return;
   Request* const added = requests_.Add(e.request);
@@ -41,7 +41,7 @@
 }
 
 // It may be sent on while it comes, but nobody can be late with it before it is whole.
-void Dispatcher::Handle(const RequestComplete& e) {
+void RequestHandler::Handle(const RequestComplete& e) {
   Request* const r = requests_.Find(e.request);
   if (r == nullptr || !std::exchange(r->arriving, false)) return;
   r->arrived = context_.now;
@@ -55,7 +55,7 @@
   ScheduleHedge(*r);
 }
 
-void Dispatcher::Handle(const AnswerStarted& e) {
+void RequestHandler::Handle(const AnswerStarted& e) {
   Request* const r = requests_.Find(e.request);
   Attempt* const attempt = r == nullptr || r->ended ? nullptr : r->FindAttempt(e.attempt);
   if (attempt == nullptr || attempt->outcome || r->streaming) return;
@@ -70,7 +70,7 @@
   }
 }
 
-void Dispatcher::Handle(const AttemptEnded& e) {
+void RequestHandler::Handle(const AttemptEnded& e) {
   Request* const r = requests_.Find(e.request);
   Attempt* const attempt = r == nullptr ? nullptr : r->FindAttempt(e.attempt);
   if (attempt == nullptr || attempt->outcome) return;
@@ -92,14 +92,14 @@
   requests_.ForgetIfDone(e.request);
 }
 
-void Dispatcher::Handle(const ClientDisconnected& e) {
+void RequestHandler::Handle(const ClientDisconnected& e) {
   Request* const r = requests_.Find(e.request);
   if (r == nullptr) return;
   End(*r);
   requests_.ForgetIfDone(e.request);
 }
 
-void Dispatcher::Handle(const ProbeEnded& e) {
+void RequestHandler::Handle(const ProbeEnded& e) {
   const UpstreamPtr upstream = fleet_.Find(e.upstream);
   if (!upstream) return;
   if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout)
@@ -113,7 +113,7 @@
   }
 }
 
-void Dispatcher::HandleTimer(std::uint64_t token) {
+void RequestHandler::HandleTimer(std::uint64_t token) {
   const std::optional<RequestId> id = requests_.TakeTimer(token);
   Request* const r = id ? requests_.Find(*id) : nullptr;
   if (r == nullptr) return;
@@ -128,7 +128,7 @@
 // ---- Attempts ----
 
 // Another attempt where one helps and is allowed, else the final answer. Nothing to do while one is out.
-void Dispatcher::Advance(Request& r) {
+void RequestHandler::Advance(Request& r) {
   if (r.ended || r.streaming || r.AnyOut() || !r.probed.empty()) return;
   const bool first = r.attempts.empty();
   if (first && !IsAdmitted(r)) {
@@ -146,7 +146,7 @@
   Finish(r);
 }
 
-bool Dispatcher::IsAdmitted(const Request& r) {
+bool RequestHandler::IsAdmitted(const Request& r) {
   shedder_.RecordDemand(r.class_index, fleet_.latency().UsualTime(r.class_index));
   if (!shedder_.RefusesAny()) return true;
   fleet_.latency().GetUsualTimes(usual_times_);
@@ -154,7 +154,7 @@
 }
 
 // To the upstream in turn; or asks the next ones in turn for their load first. False where there is none.
-bool Dispatcher::SendOrProbe(Request& r) {
+bool RequestHandler::SendOrProbe(Request& r) {
   const UpstreamPtr first = fleet_.Choose(r, retries_);
   if (!first) return false;
   r.probed = {{first}};
@@ -175,7 +175,7 @@
 }
 
 // Of the upstreams asked, the one that holds the least for what it can do.
-void Dispatcher::ChooseByLoad(Request& r) {
+void RequestHandler::ChooseByLoad(Request& r) {
   const std::vector<ProbedUpstream> probed = std::exchange(r.probed, {});
   probes_.RecordDone(r.id);
   if (r.ended || r.streaming) return;
@@ -197,7 +197,7 @@
   if (!r.AnyOut()) Finish(r);
 }
 
-void Dispatcher::SendTo(Request& r, const UpstreamPtr& upstream, Reason reason) {
+void RequestHandler::SendTo(Request& r, const UpstreamPtr& upstream, Reason reason) {
   const bool half_open_probe = reason == Reason::kHalfOpenProbe;
   ++(half_open_probe            ? context_.counts.half_open_probes
      : reason == Reason::kHedge ? context_.counts.hedges
@@ -214,7 +214,7 @@
 // A copy of a request that may be repeated tries out an ejected or suspect upstream; the client does not
 // depend on it, so a relapsing upstream costs no request. Where nothing else stands, the request itself is
 // the probe: refusing all while some could serve is the worst outcome.
-bool Dispatcher::SendHalfOpenProbe(Request& r) {
+bool RequestHandler::SendHalfOpenProbe(Request& r) {
   if (!retries_.MayProbe(r)) return false;
   for (const UpstreamPtr& u : fleet_.ranked()) {
     if (r.HasTried(*u)) continue;
@@ -227,7 +227,7 @@
 
 // A second attempt of a request that is late against what is usual: guards against hangs and pauses. Never
 // onto an upstream that is no better.
-void Dispatcher::Hedge(Request& r) {
+void RequestHandler::Hedge(Request& r) {
   if (r.ended || r.streaming || !r.AnyOut()) return;
   if (context_.now < r.late_at) return;
   fleet_.RecordSilence(r);
@@ -243,44 +243,45 @@
   SendTo(r, chosen, Reason::kHedge);
 }
 
-void Dispatcher::ScheduleHedge(Request& r) {
+void RequestHandler::ScheduleHedge(Request& r) {
   r.late_at = RetryPolicy::LateAt(r, fleet_.latency().UsualTime(r.class_index), context_.now);
   if (!r.ended && retries_.MayHedge(r) && r.late_at < r.deadline) SetRequestTimer(r, r.late_at);
 }
 
-void Dispatcher::SetRequestTimer(const Request& r, TimePoint at) {
+void RequestHandler::SetRequestTimer(const Request& r, TimePoint at) {
   context_.Emit(SetTimer{at, requests_.AddTimer(r.id)});
 }
 
-void Dispatcher::RecordHeld(Attempt& a) {
+void RequestHandler::RecordHeld(Attempt& a) {
   a.in_flight = true;
   fleet_.RecordHeld(*a.upstream);
   shedder_.RecordSent();
 }
 
-void Dispatcher::RecordReleased(Attempt& a) {
+void RequestHandler::RecordReleased(Attempt& a) {
   if (!std::exchange(a.in_flight, false)) return;
   fleet_.RecordReleased(*a.upstream);
   shedder_.RecordReleased();
 }
 
-void Dispatcher::RecordLateness(const Request& r, const Attempt& attempt, Outcome outcome, Duration elapsed) {
+void RequestHandler::RecordLateness(const Request& r, const Attempt& attempt, Outcome outcome,
+                                    Duration elapsed) {
   shedder_.RecordOutcome(fleet_.LatenessOf(r, attempt, outcome, elapsed), fleet_.usual_rate());
 }
 
 // ---- Refusal and the final answer ----
 
-void Dispatcher::RecordRefusal(const std::string& why) {
+void RequestHandler::RecordRefusal(const std::string& why) {
   if (shedder_.RecordRefusal(context_.now)) context_.EmitLog("refusing: " + why);
 }
 
-void Dispatcher::EndRefusing() {
+void RequestHandler::EndRefusing() {
   if (shedder_.RefusingEnded(context_.now)) context_.EmitLog("taking calls again");
 }
 
 // Gives the final answer: a refusal where it is true that nothing was done or that repeating is harmless,
 // else a failure. The one way out but for an answer served.
-void Dispatcher::Finish(Request& r) {
+void RequestHandler::Finish(Request& r) {
   if (r.ended) return;
   if (RetryPolicy::MayReject(r)) {
     context_.Emit(Reject{r.id, retries_.RetryAfter(context_.random.Uniform())});
@@ -291,13 +292,13 @@
 }
 
 // Nothing more is sent for it from here on; what is still out is called off.
-void Dispatcher::End(Request& r) {
+void RequestHandler::End(Request& r) {
   r.ended = true;
   probes_.RecordDone(r.id);
   for (std::size_t i = 0; i < r.attempts.size(); ++i) Cancel(r, i);
 }
 
-void Dispatcher::Cancel(const Request& r, std::size_t attempt) {
+void RequestHandler::Cancel(const Request& r, std::size_t attempt) {
   if (r.attempts[attempt].outcome || !context_.settings.limits.cancel) return;
   if (r.attempts[attempt].half_open_probe) return;  // its outcome is what it was sent for
   context_.Emit(CancelAttempt{r.id, AttemptId{attempt}});
--- a/src/balancer/dispatcher.h
+++ b/src/balancer/request_handler.h
@@ -1,4 +1,4 @@
-// The dispatcher: what is done with one request, from its arrival to its final answer.
+// The request handler: what is done with one request, from its arrival to its final answer.
 //
 // Each request is admitted or refused, sent, sent again or hedged where that helps and is allowed, and gets
 // exactly one final answer: an attempt's, a Reject or a Fail.
@@ -19,9 +19,9 @@
 
 namespace mothrack::balancer {
 
-class Dispatcher {
+class RequestHandler {
  public:
-  Dispatcher(Context& context, Fleet& fleet);
+  RequestHandler(Context& context, Fleet& fleet);
 
   // The events of a request, as balancer.h has them.
   void Handle(const RequestArrived& event);
