--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -84,7 +84,7 @@
     SlowStart::Spend(u.slow_start);
     ++context_.counts.cold;
   }
-  if (in_flight) RecordHeld(u);
+  if (in_flight) RecordInFlight(u);
   if (half_open_probe) {
     HalfOpenProbes::RecordSent(u.half_open);
     const double delays = kMinZoneProbeDelays + context_.random.Uniform();
@@ -235,9 +235,9 @@
 // chosen that just said it is full.
 UpstreamPtr Fleet::Choose(const Request& r, const RetryPolicy& retries, bool only_good) {
   round_robin_.Clear();
-  double room = SubsetSize();
+  double places_left = SubsetSize();
   const std::vector<UpstreamPtr>& ranked = upstreams_.ranked();
-  for (std::size_t i = 0; i < ranked.size() && room > 0; ++i) {
+  for (std::size_t i = 0; i < ranked.size() && places_left > 0; ++i) {
     Upstream& u = *ranked[i];
     if (!IsAvailable(u, false) || context_.now < u.in_flight.full_until) continue;
     if (!retries.MaySend(r, u.info, context_.now)) continue;
@@ -249,7 +249,7 @@
     const bool tried = r.HasTried(u);
     round_robin_.Add(
         {&u.rotation, i, RotationWeight(u), u.in_flight.attempts, tried, suspect, MustConnect(u)});
-    if (!suspect && !tried) room -= SlowStartFactor(u);  // those in slow start are no help yet
+    if (!suspect && !tried) places_left -= SlowStartFactor(u);  // those in slow start are no help yet
   }
   const auto chosen = round_robin_.Choose(only_good);
   return chosen ? ranked[*chosen] : nullptr;
--- a/src/balancer/fleet.h
+++ b/src/balancer/fleet.h
@@ -43,7 +43,7 @@
   ConnectionUse RecordSent(Upstream& upstream, bool half_open_probe, bool in_flight);
   // What its upstream holds is what it can be late with: not a body that still comes, nor an answer that has
   // begun.
-  void RecordHeld(Upstream& upstream) const { upstream.in_flight.Begin(context_.now); }
+  void RecordInFlight(Upstream& upstream) const { upstream.in_flight.Begin(context_.now); }
   void RecordReleased(Upstream& upstream) const { upstream.in_flight.End(); }
   // A streamed answer has begun: the upstream is not silent. Its time is recorded apart.
   void RecordAnswerStarted(const Attempt& attempt) const {
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -8,20 +8,20 @@
 namespace mothrack::balancer {
 
 double LoadShedder::AdmittedShare(std::size_t class_index, const std::vector<Duration>& usual_times) const {
-  double all = 0, before = 0, kept = 0;
+  double all = 0, before = 0, floor = 0;
   const double mine = PriorityForTime(class_index, usual_times);
   for (std::size_t c = 0; c < classes_.size(); ++c) {
     all += demand_[c];
-    kept += demand_[c] * kClassFloor;
+    floor += demand_[c] * kClassFloor;
     if (c == class_index || PriorityForTime(c, usual_times) > mine) continue;
     before += demand_[c];
   }
-  const double kept_before = before * (1 - kClassFloor);
+  const double cut_before = before * (1 - kClassFloor);
   const double own = demand_[class_index];
   const double cut = shed_ * all;
   // Where each is at its floor, all are cut alike from there on.
-  if (cut > all - kept) return kClassFloor * (all - cut) / kept;
-  return 1 - std::clamp((cut - kept_before) / own, 0.0, 1 - kClassFloor);
+  if (cut > all - floor) return kClassFloor * (all - cut) / floor;
+  return 1 - std::clamp((cut - cut_before) / own, 0.0, 1 - kClassFloor);
 }
 
 double LoadShedder::PriorityForTime(std::size_t class_index, const std::vector<Duration>& usual_times) const {
--- a/src/balancer/request_handler.cpp
+++ b/src/balancer/request_handler.cpp
@@ -50,7 +50,7 @@
   for (Attempt& a : r->attempts) {
     if (a.outcome || a.started) continue;
     a.sent = context_.now;
-    RecordHeld(a);
+    RecordInFlight(a);
   }
   ScheduleHedge(*r);
 }
@@ -252,9 +252,9 @@
   context_.Emit(SetTimer{at, requests_.AddTimer(r.id)});
 }
 
-void RequestHandler::RecordHeld(Attempt& a) {
+void RequestHandler::RecordInFlight(Attempt& a) {
   a.in_flight = true;
-  fleet_.RecordHeld(*a.upstream);
+  fleet_.RecordInFlight(*a.upstream);
   shedder_.RecordSent();
 }
 
--- a/src/balancer/request_handler.h
+++ b/src/balancer/request_handler.h
@@ -50,7 +50,7 @@
   void Hedge(Request& request);
   void ScheduleHedge(Request& request);
   void SetRequestTimer(const Request& request, TimePoint at);
-  void RecordHeld(Attempt& attempt);
+  void RecordInFlight(Attempt& attempt);
   void RecordReleased(Attempt& attempt);
   void RecordLateness(const Request& request, const Attempt& attempt, Outcome outcome, Duration elapsed);
   void Finish(Request& request);
--- a/src/balancer/round_robin.cpp
+++ b/src/balancer/round_robin.cpp
@@ -50,7 +50,7 @@
 // Where connecting takes long or fails, one without a connection is no better than a crowded one.
 bool SmoothWeightedRoundRobin::IsCrowded(const Candidate& candidate) const {
   const double share = in_flight_ * candidate.weight / weight_;
-  return candidate.in_flight + 1 > kCrowdSlack + 0.5 + share || candidate.must_connect;
+  return candidate.in_flight + 1 > kCrowdedSlack + 0.5 + share || candidate.must_connect;
 }
 
 void SmoothWeightedRoundRobin::KeepBest(bool only_good) {
--- a/src/balancer/round_robin.h
+++ b/src/balancer/round_robin.h
@@ -12,7 +12,7 @@
 namespace mothrack::balancer {
 
 // An upstream that holds more unanswered attempts than its share and this many is crowded.
-inline constexpr double kCrowdSlack = 0.5;
+inline constexpr double kCrowdedSlack = 0.5;
 
 struct RotationRecord {
   double credit = 0;  // in units of weight
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -25,9 +25,9 @@
   const double age = Seconds(tick.age);
   const double two_windows = 2 * Seconds(rules_.overload_window);
   const double cautious = std::min(1.0, interval / std::min(std::max(age, two_windows), most));
-  asked_ += (static_cast<double>(tick.arrivals) / interval - asked_) * cautious;
-  served_ += (static_cast<double>(tick.served) / interval - served_) * cautious;
-  most_served_ = std::max(served_, most_served_ * FadingPerTick());
+  requests_per_s_ += (static_cast<double>(tick.arrivals) / interval - requests_per_s_) * cautious;
+  served_per_s_ += (static_cast<double>(tick.served) / interval - served_per_s_) * cautious;
+  most_served_per_s_ = std::max(served_per_s_, most_served_per_s_ * FadingPerTick());
   const bool learnt = age >= two_windows;
   served_by_warm_ =
       served_by_warm_ || (learnt && tick.warm_weight > 0 && 2 * tick.warm_weight >= tick.serving_weight);
@@ -47,8 +47,9 @@
 double SlowStart::Rate(const SlowStartUpstream& upstream) const {
   // Requests that nobody serves are no load that warm ones bear, beyond the most that was served while there
   // were such.
-  const double asked = served_by_warm_ ? std::min(asked_ / 2, most_served_) : asked_ / 2;
-  const double usual = std::max(served_, asked) * ShareOfRequests(upstream);
+  const double countable_per_s =
+      served_by_warm_ ? std::min(requests_per_s_ / 2, most_served_per_s_) : requests_per_s_ / 2;
+  const double usual = std::max(served_per_s_, countable_per_s) * ShareOfRequests(upstream);
   return rules_.overload_multiple * kSlowStartSafety * upstream.factor * usual;
 }
 
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -80,11 +80,11 @@
   double ShareOfRequests(const SlowStartUpstream& upstream) const;
 
   const Rules& rules_;
-  double asked_ = 0;             // requests a second, learnt from nothing
-  double served_ = 0;            // answers served a second, likewise
-  double most_served_ = 0;       // slow to fall
-  double usual_weight_ = 0;      // the list's weight, slow to fall
-  bool served_by_warm_ = false;  // it served for long enough while half of the upstreams were warm
+  double requests_per_s_ = 0;     // requests a second, learnt from nothing
+  double served_per_s_ = 0;       // answers served a second, likewise
+  double most_served_per_s_ = 0;  // slow to fall
+  double usual_weight_ = 0;       // the list's weight, slow to fall
+  bool served_by_warm_ = false;   // it served for long enough while half of the upstreams were warm
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/subset.cpp
+++ b/src/balancer/subset.cpp
@@ -2,11 +2,11 @@
 
 namespace mothrack::balancer {
 
-void Subset::Mark(const std::vector<SubsetMember>& in_order, double size, bool rate_known,
+void Subset::Mark(const std::vector<SubsetMember>& ranked, double size, bool rate_known,
                   double listed_weight) {
   double left = size;
   double weight = 0;
-  for (const SubsetMember& member : in_order) {
+  for (const SubsetMember& member : ranked) {
     member.record->in_subset = left > 0;
     if (!member.record->in_subset) continue;
     weight += member.weight;
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -16,7 +16,7 @@
 
 // The subset has as many upstreams as the sidecar calls about once in this share of the time after which an
 // idle connection is closed, ...
-inline constexpr double kVisitShareOfIdleClose = 0.25;
+inline constexpr double kRequestIntervalShare = 0.25;
 // ... and this many at least.
 inline constexpr double kMinSubset = 3;
 
@@ -38,7 +38,7 @@
   // Upstreams that requests are spread over; the length of the list while the rate is not known.
   double Size(double requests_per_s, bool rate_known, std::size_t listed) const {
     if (!rate_known) return static_cast<double>(listed);
-    return std::max(kMinSubset, requests_per_s * kVisitShareOfIdleClose * Seconds(limits_.idle_close));
+    return std::max(kMinSubset, requests_per_s * kRequestIntervalShare * Seconds(limits_.idle_close));
   }
 
   // Of the listed weight, the subset's, slow to fall; 0 until the rate is known: before that it is the whole
@@ -46,7 +46,7 @@
   double share() const { return share_; }
 
   // Marks which upstreams a request reaches while none of them is tried, full or waiting for its budget.
-  void Mark(const std::vector<SubsetMember>& in_order, double size, bool rate_known, double listed_weight);
+  void Mark(const std::vector<SubsetMember>& ranked, double size, bool rate_known, double listed_weight);
   // `fading`: what is left of the share after a tick.
   void RecordTick(double fading) { share_ *= fading; }
 
--- a/src/balancer/zone_health.cpp
+++ b/src/balancer/zone_health.cpp
@@ -7,14 +7,14 @@
 void ZoneHealth::RecordAnswer(const std::string& zone_name, TimePoint now) {
   Zone& zone = zones_[zone_name];
   if (zone.IsUnavailable()) --unavailable_zones_;
-  zone.silent.clear();
+  zone.unresponsive.clear();
   zone.answered = now;
 }
 
 void ZoneHealth::RecordSilence(const std::string& zone_name, const UpstreamId& upstream, TimePoint sent) {
   Zone& zone = zones_[zone_name];
   if (sent < zone.answered || zone.IsUnavailable()) return;
-  zone.silent.insert(upstream.value);
+  zone.unresponsive.insert(upstream.value);
   if (zone.IsUnavailable()) ++unavailable_zones_;
 }
 
@@ -23,7 +23,7 @@
 }
 
 void ZoneHealth::RecordNewProcess(const std::string& zone) {
-  zones_[zone].silent.clear();
+  zones_[zone].unresponsive.clear();
   CountUnavailable();
 }
 
--- a/src/balancer/zone_health.h
+++ b/src/balancer/zone_health.h
@@ -15,7 +15,7 @@
 namespace mothrack::balancer {
 
 // Upstreams that were silent, with no answer from their zone since, to take the zone for unavailable.
-inline constexpr std::size_t kSilentUpstreamsToLoseZone = 3;
+inline constexpr std::size_t kUnresponsiveToLoseZone = 3;
 
 class ZoneHealth {
  public:
@@ -48,10 +48,11 @@
 
  private:
   struct Zone {
-    bool IsUnavailable() const { return silent.size() >= kSilentUpstreamsToLoseZone; }
+    bool IsUnavailable() const { return unresponsive.size() >= kUnresponsiveToLoseZone; }
 
-    std::set<std::string> silent;  // ids of upstreams that did not answer an attempt sent since `answered`
-    TimePoint answered;            // the last answer from the zone
+    std::set<std::string>
+        unresponsive;    // ids of upstreams that did not answer an attempt sent since `answered`
+    TimePoint answered;  // the last answer from the zone
     TimePoint next_probe;
   };
 
