--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -75,7 +75,7 @@
 }
 
 template <typename T>
-T Word(const json& object, const char* name, const std::map<std::string, T>& words) {
+T ParseEnum(const json& object, const char* name, const std::map<std::string, T>& words) {
   const auto it = words.find(Get<std::string>(object, name));
   if (it == words.end()) throw Error(std::string("unknown value in field ") + name);
   return it->second;
@@ -112,7 +112,7 @@
       {"off", balancer::UpstreamState::kGone}};
   balancer::UpstreamInfo info;
   info.id.value = Get<std::string>(item, "Upstream");
-  info.state = Word(item, "Status", states);
+  info.state = ParseEnum(item, "Status", states);
   Read(item, "FailureDomain", info.zone);
   Read(item, "Kind", info.kind);
   Read(item, "Block", info.cell);
@@ -132,10 +132,10 @@
                                                                    {"cell", balancer::KeyScope::kCell}};
   balancer::RequestClass c;
   c.name = Get<std::string>(item, "Name");
-  c.effect = Word(item, "Effect", effects);
+  c.effect = ParseEnum(item, "Effect", effects);
   c.latency_objective = balancer::Duration(Get<std::int64_t>(item, "Aim"));
   c.deadline = balancer::Duration(Get<std::int64_t>(item, "HardLimit"));
-  if (Maybe<std::string>(item, "KeyScope")) c.key_scope = Word(item, "KeyScope", scopes);
+  if (Maybe<std::string>(item, "KeyScope")) c.key_scope = ParseEnum(item, "KeyScope", scopes);
   Read(item, "Window", c.key_window);
   Read(item, "AimStretch", c.latency_objective_stretch);
   Read(item, "Worth", c.priority_weight);
@@ -256,10 +256,10 @@
   const json batch = json::parse(line, nullptr, false);
   if (!batch.is_object()) throw Error("not a batch: the line is no JSON object");
   const balancer::TimePoint now = Time(Get<std::int64_t>(batch, "Clock"));
-  const json& news = Field(batch, "news");
-  if (!news.is_array()) throw Error("bad value in field news");
+  const json& events = Field(batch, "news");
+  if (!events.is_array()) throw Error("bad value in field news");
   json cmds = json::array();
-  for (const json& item : news) HandleEvent(item, now, cmds);
+  for (const json& item : events) HandleEvent(item, now, cmds);
   return json{{"cmds", std::move(cmds)}}.dump();
 }
 
@@ -267,9 +267,9 @@
   const auto type = Get<std::string>(item, "event_type");
   try {
     if (type == "Census") {
-      std::vector<balancer::UpstreamInfo>& roster = rosters_[Get<std::int64_t>(item, "RosterId")];
-      roster.clear();
-      for (const json& entry : Field(item, "Items")) roster.push_back(ParseUpstream(entry));
+      std::vector<balancer::UpstreamInfo>& list = upstream_lists_[Get<std::int64_t>(item, "RosterId")];
+      list.clear();
+      for (const json& entry : Field(item, "Items")) list.push_back(ParseUpstream(entry));
       return;
     }
     static const std::vector<std::string> known = {"Launch",   "Halt",    "Membership", "Order",  "Streaming",
@@ -281,18 +281,7 @@
     actions_.clear();
     try {
       if (type == "Halt" || type == "Launch") instances_.erase(number);
-      if (type == "Launch") {
-        balancer::Settings settings = ParseSettings(Field(item, "Params"));
-        balancer::Balancer balancer(settings, Get<std::uint64_t>(item, "Seed"));
-        Instance instance{std::move(settings), std::move(balancer), {}, {}};
-        for (std::size_t i = 0; i < instance.settings.classes.size(); ++i) {
-          instance.classes[instance.settings.classes[i].name] = i;
-        }
-        for (std::size_t i = 0; i < instance.settings.tenants.size(); ++i) {
-          instance.tenants[instance.settings.tenants[i].name] = i;
-        }
-        instances_.emplace(number, std::move(instance));
-      }
+      if (type == "Launch") Launch(number, item);
       if (type == "Halt" || type == "Launch") return;
       const auto it = instances_.find(number);
       if (it == instances_.end()) return;  // it was halted
@@ -309,6 +298,19 @@
   }
 }
 
+void Host::Launch(std::int64_t number, const json& item) {
+  balancer::Settings settings = ParseSettings(Field(item, "Params"));
+  balancer::Balancer balancer(settings, Get<std::uint64_t>(item, "Seed"));
+  Instance instance{std::move(settings), std::move(balancer), {}, {}};
+  for (std::size_t i = 0; i < instance.settings.classes.size(); ++i) {
+    instance.classes[instance.settings.classes[i].name] = i;
+  }
+  for (std::size_t i = 0; i < instance.settings.tenants.size(); ++i) {
+    instance.tenants[instance.settings.tenants[i].name] = i;
+  }
+  instances_.emplace(number, std::move(instance));
+}
+
 balancer::Event Host::ToEvent(const std::string& type, const json& item, const Instance& instance) const {
   if (type == "Membership") return ToMembership(item);
   if (type == "Ring") return balancer::TimerFired{Get<std::uint64_t>(item, "KeyBack")};
@@ -318,21 +320,23 @@
                                    balancer::AttemptId{Get<std::size_t>(item, "Attempt")}};
   if (type == "Checked") {
     return balancer::ProbeEnded{balancer::UpstreamId{Get<std::string>(item, "Upstream")},
-                                Word(item, "Code", Outcomes()),
+                                ParseEnum(item, "Code", Outcomes()),
                                 balancer::Duration(Get<std::int64_t>(item, "Rtt")), ParseLoad(item)};
   }
   if (type == "Finished") {
-    return balancer::AttemptEnded{
-        ParseRequestId(item),           balancer::AttemptId{Get<std::size_t>(item, "Attempt")},
-        Word(item, "Code", Outcomes()), balancer::Duration(Get<std::int64_t>(item, "Rtt")),
-        Get<bool>(item, "Finished"),    ParseLoad(item)};
+    return balancer::AttemptEnded{ParseRequestId(item),
+                                  balancer::AttemptId{Get<std::size_t>(item, "Attempt")},
+                                  ParseEnum(item, "Code", Outcomes()),
+                                  balancer::Duration(Get<std::int64_t>(item, "Rtt")),
+                                  Get<bool>(item, "Finished"),
+                                  ParseLoad(item)};
   }
   balancer::RequestArrived e;
   e.request = ParseRequestId(item);
-  e.request_class = balancer::ClassId{Word(item, "Category", instance.classes)};
+  e.request_class = balancer::ClassId{ParseEnum(item, "Category", instance.classes)};
   const auto tenant = item.find("Billing");
   if (tenant != item.end() && tenant->is_string())
-    e.tenant = balancer::TenantId{Word(item, "Billing", instance.tenants)};
+    e.tenant = balancer::TenantId{ParseEnum(item, "Billing", instance.tenants)};
   e.deadline = Time(Get<std::int64_t>(item, "ClientDeadline"));
   if (const auto work = Maybe<std::int64_t>(item, "Work")) e.work = balancer::Duration(*work);
   Read(item, "IsRetry", e.client_retry);
@@ -346,11 +350,11 @@
       {"disk", balancer::MembershipUpdate::Kind::kRestored},
       {"error", balancer::MembershipUpdate::Kind::kFailed}};
   balancer::MembershipUpdate update;
-  update.kind = Word(item, "How", kinds);
+  update.kind = ParseEnum(item, "How", kinds);
   if (update.kind == balancer::MembershipUpdate::Kind::kFailed) return update;
-  const auto roster = rosters_.find(Get<std::int64_t>(item, "RosterId"));
-  if (roster == rosters_.end()) throw Error("unknown value in field RosterId");
-  update.upstreams = roster->second;
+  const auto list = upstream_lists_.find(Get<std::int64_t>(item, "RosterId"));
+  if (list == upstream_lists_.end()) throw Error("unknown value in field RosterId");
+  update.upstreams = list->second;
   return update;
 }
 
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -36,12 +36,14 @@
   };
 
   void HandleEvent(const nlohmann::json& item, balancer::TimePoint now, nlohmann::json& cmds);
+  // `item`: a Launch event of this instance.
+  void Launch(std::int64_t number, const nlohmann::json& item);
   balancer::Event ToEvent(const std::string& type, const nlohmann::json& item,
                           const Instance& instance) const;
   balancer::MembershipUpdate ToMembership(const nlohmann::json& item) const;
 
   std::map<std::int64_t, Instance> instances_;
-  std::map<std::int64_t, std::vector<balancer::UpstreamInfo>> rosters_;
+  std::map<std::int64_t, std::vector<balancer::UpstreamInfo>> upstream_lists_;
   std::vector<balancer::Action> actions_;
 };
 
