--- a/src/change_freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -5,9 +5,9 @@
 namespace mothrack::change_freeze {
 namespace {
 
-using Names = std::set<std::string>;
+using NameSet = std::set<std::string>;
 
-Relation Compare(const Names& touched, const Names& scope) {
+Relation Compare(const NameSet& touched, const NameSet& scope) {
   if (touched.empty()) return Relation::kOverlapping;
   const auto in =
       std::count_if(touched.begin(), touched.end(), [&](const auto& name) { return scope.contains(name); });
@@ -15,7 +15,7 @@
   return in == static_cast<std::ptrdiff_t>(touched.size()) ? Relation::kInside : Relation::kOverlapping;
 }
 
-bool Apart(const Names& a, const Names& b) {
+bool KnownDisjoint(const NameSet& a, const NameSet& b) {
   return !a.empty() && !b.empty() && Compare(a, b) == Relation::kOutside;
 }
 
@@ -39,8 +39,8 @@
   switch (scope.kind) {
     case Scope::Kind::kFleet:
       return Relation::kFleet;
-    case Scope::Kind::kHall:
-      return Compare(footprint.halls, scope.names);
+    case Scope::Kind::kSite:
+      return Compare(footprint.sites, scope.names);
     case Scope::Kind::kZone:
       return Compare(footprint.zones, scope.names);
     case Scope::Kind::kInstances:
@@ -63,10 +63,11 @@
   return Effect::kBlocked;
 }
 
-bool Exclude(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt) {
+bool MutuallyExclusive(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt) {
   if (a == ChangeKind::kBreakGlass || b == ChangeKind::kBreakGlass) return false;
   if (MovesZone(a) == MovesZone(b)) return true;
-  return !Apart(at.zones, bt.zones) && !Apart(at.halls, bt.halls) && !Apart(at.instances, bt.instances);
+  return !KnownDisjoint(at.zones, bt.zones) && !KnownDisjoint(at.sites, bt.sites) &&
+         !KnownDisjoint(at.instances, bt.instances);
 }
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -21,7 +21,7 @@
 inline constexpr const char* kChangeKinds[] = {"new generation", "restart",    "stop",        "undo",
                                                "reload",         "zone leave", "zone return", "break-glass"};
 
-enum class IncidentKind : std::uint8_t { kZoneLeft, kCrashLoop, kRefusals, kOperator };
+enum class IncidentKind : std::uint8_t { kZoneLeft, kCrashLoop, kRejections, kOperator };
 inline constexpr const char* kIncidentKinds[] = {"zone left", "crash loop", "refusals", "operator"};
 
 // Of a change to an incident's scope. What is not known of a change counts as overlapping.
@@ -37,7 +37,7 @@
 inline constexpr const char* kEffects[] = {"blocked", "paused", "allowed", "remedy"};
 
 struct Scope {
-  enum class Kind : std::uint8_t { kFleet, kHall, kZone, kInstances, kGeneration };
+  enum class Kind : std::uint8_t { kFleet, kSite, kZone, kInstances, kGeneration };
   Kind kind = Kind::kFleet;
   std::set<std::string> names{};  // of kFleet: none
   bool operator==(const Scope&) const = default;
@@ -45,7 +45,7 @@
 
 // What a change touches, each set whole or empty: empty is unknown.
 struct Footprint {
-  std::set<std::string> halls{};
+  std::set<std::string> sites{};
   std::set<std::string> zones{};
   std::set<std::string> generations{};
   std::set<std::string> instances{};  // agent/instance
@@ -58,6 +58,6 @@
 // Must two changes not run at once? Those that touch instances come one at a time, as the lease has it
 // (src/rollout/lease.h), and so do those that move zones: each counts on the room that the rest has. Of one
 // of each, those that may meet.
-bool Exclude(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt);
+bool MutuallyExclusive(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt);
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/desk.cpp
+++ b/src/change_freeze/desk.cpp
@@ -5,105 +5,109 @@
 namespace {
 // Ages that are only renewed: a third of what they lapse by, so that a new coordinator finds no fresh one
 // stale.
-constexpr Duration kRewrite = kEvidenceLasts / 3;
+constexpr Duration kRenewalInterval = kEvidenceTimeout / 3;
 }  // namespace
 
 // What the voter has come to.
-void Desk::Follow(TimePoint now) {
-  if (voter_.role() != Voter::Role::kCoordinator) {
+void PermitService::SyncWithVoter(TimePoint now) {
+  if (voter_.role() != Voter::Role::kLeader) {
     state_.reset();
-    next_.reset();
+    proposed_.reset();
     return;
   }
-  if (!state_ || term_ != voter_.term()) {
-    term_ = voter_.term();
-    state_ = Ledger::Unpack(voter_.record().value, now);
-    decided_ = 1;
-    next_.reset();
-    written_ = now;
+  if (!state_ || state_term_ != voter_.term()) {
+    state_term_ = voter_.term();
+    state_ = FreezeState::Decode(voter_.record().value, now);
+    committed_version_ = 1;
+    proposed_.reset();
+    last_proposal_ = now;
   }
-  if (next_ && voter_.committed() >= next_version_) {
-    next_->Committed(*state_, now);
-    state_ = std::move(next_);
-    next_.reset();
-    decided_ = next_version_;
+  if (proposed_ && voter_.committed() >= proposed_version_) {
+    proposed_->OnCommitted(*state_, now);
+    state_ = std::move(proposed_);
+    proposed_.reset();
+    committed_version_ = proposed_version_;
   }
 }
 
-void Desk::Heard(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out) {
-  voter_.Heard(message, now, out);
-  Follow(now);
+void PermitService::Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out) {
+  voter_.Receive(message, now, out);
+  SyncWithVoter(now);
 }
 
-void Desk::Turn(TimePoint now, std::vector<VoterMessage>& out) {
-  voter_.Turn(now, out);
-  Follow(now);
-  if (!Leads(now) || next_) return;
-  Ledger settled = *state_;
-  settled.Settle(now);
-  if (!settled.Alike(*state_) || now - written_ >= kRewrite)
+void PermitService::Tick(TimePoint now, std::vector<VoterMessage>& out) {
+  voter_.Tick(now, out);
+  SyncWithVoter(now);
+  if (!HoldsLease(now) || proposed_) return;
+  FreezeState reevaluated = *state_;
+  reevaluated.Reevaluate(now);
+  if (!reevaluated.EqualIgnoringTimes(*state_) || now - last_proposal_ >= kRenewalInterval)
     Change(
-        now, [](Ledger&) { return std::string(); }, out);
+        now, [](FreezeState&) { return std::string(); }, out);
 }
 
-void Desk::DiskRefused(TimePoint now) {
-  voter_.DiskRefused(now);
-  Follow(now);
+void PermitService::OnWriteFailed(TimePoint now) {
+  voter_.OnWriteFailed(now);
+  SyncWithVoter(now);
 }
 
-std::string Desk::Leaderless(TimePoint now) const {
-  if (Leads(now)) return {};
-  const std::string leader = voter_.CoordinatorOf(now);
+std::string PermitService::LeaderlessReason(TimePoint now) const {
+  if (HoldsLease(now)) return {};
+  const std::string leader = voter_.LeaderAt(now);
   if (!leader.empty() && voter_.role() == Voter::Role::kFollower) return "ask " + leader;
   std::string missing;
-  for (const std::string& name : voter_.Missing(now)) missing += (missing.empty() ? "" : ", ") + name;
+  for (const std::string& name : voter_.UnreachableVoters(now))
+    missing += (missing.empty() ? "" : ", ") + name;
   return "nobody coordinates changes; not heard of: " +
          (missing.empty() ? "none, wait for the election" : missing);
 }
 
-Desk::Receipt Desk::Change(TimePoint now, const Edit& edit, std::vector<VoterMessage>& out) {
-  if (!Leads(now)) return {0, 0, Leaderless(now)};
-  if (next_) return {0, 0, "another decision is on its way; ask again"};
-  Ledger next = *state_;
-  const std::string why = edit(next);
-  next.Settle(now);
+PermitService::Receipt PermitService::Change(TimePoint now, const Edit& edit,
+                                             std::vector<VoterMessage>& out) {
+  if (!HoldsLease(now)) return {0, 0, LeaderlessReason(now)};
+  if (proposed_) return {0, 0, "another decision is on its way; ask again"};
+  FreezeState next = *state_;
+  const std::string reason = edit(next);
+  next.Reevaluate(now);
   // What is refused may have begun something: a permit that has to end before the next.
-  if (next.Alike(*state_) && now - written_ < kRewrite) {
-    if (!why.empty()) return {0, 0, why};
+  if (next.EqualIgnoringTimes(*state_) && now - last_proposal_ < kRenewalInterval) {
+    if (!reason.empty()) return {0, 0, reason};
     state_ = std::move(next);
-    return {term_, decided_, {}};
+    return {state_term_, committed_version_, {}};
   }
-  const std::string bytes = next.Pack(now);
-  if (bytes.size() > kLargestValue)
+  const std::string bytes = next.Encode(now);
+  if (bytes.size() > kMaxValueBytes)
     return {0, 0, "the state would exceed 64 KiB; close incidents or wait for permits to end"};
-  const std::uint64_t version = voter_.Write(bytes, now, out);
-  if (version == 0) return {0, 0, Leaderless(now)};
-  next_ = std::move(next);
-  next_version_ = version;
-  written_ = now;
-  Follow(now);
-  return {term_, why.empty() ? version : 0, why};
+  const std::uint64_t version = voter_.Propose(bytes, now, out);
+  if (version == 0) return {0, 0, LeaderlessReason(now)};
+  proposed_ = std::move(next);
+  proposed_version_ = version;
+  last_proposal_ = now;
+  SyncWithVoter(now);
+  return {state_term_, reason.empty() ? version : 0, reason};
 }
 
-std::optional<Word> Desk::Confirm(const std::string& change, TimePoint now) {
-  if (!Leads(now)) return std::nullopt;
-  Word word = state_->Confirm(change, now);
-  if (next_) next_->Confirm(change, now);
-  word.term = term_;
-  word.version = decided_;
-  return word;
+std::optional<PermitConfirmation> PermitService::ConfirmPermit(const std::string& change, TimePoint now) {
+  if (!HoldsLease(now)) return std::nullopt;
+  PermitConfirmation confirmation = state_->ConfirmPermit(change, now);
+  if (proposed_) proposed_->ConfirmPermit(change, now);
+  confirmation.term = state_term_;
+  confirmation.version = committed_version_;
+  return confirmation;
 }
 
-void Desk::Hear(const Evidence& evidence, TimePoint now, std::vector<VoterMessage>& out) {
-  if (!Leads(now) || next_) return;
-  Ledger next = *state_;
-  std::string why;
-  next.incidents.Hear(evidence, now, why);
-  if (next.Alike(*state_)) {
+void PermitService::OnEvidence(const Evidence& evidence, TimePoint now, std::vector<VoterMessage>& out) {
+  if (!HoldsLease(now) || proposed_) return;
+  FreezeState next = *state_;
+  std::string reason;
+  next.incidents.OnEvidence(evidence, now, reason);
+  if (next.EqualIgnoringTimes(*state_)) {
     state_ = std::move(next);
   } else {
     Change(
-        now, [&](Ledger& ledger) { return ledger.incidents.Hear(evidence, now, why), std::string(); }, out);
+        now,
+        [&](FreezeState& state) { return state.incidents.OnEvidence(evidence, now, reason), std::string(); },
+        out);
   }
 }
 
--- a/src/change_freeze/desk.h
+++ b/src/change_freeze/desk.h
@@ -15,52 +15,53 @@
 
 namespace mothrack::change_freeze {
 
-class Desk {
+class PermitService {
  public:
-  Desk(Voter voter) : voter_(std::move(voter)) {}
+  PermitService(Voter voter) : voter_(std::move(voter)) {}
 
-  void Heard(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out);
+  void Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out);
   // Call it at least every Voter::kTurn.
-  void Turn(TimePoint now, std::vector<VoterMessage>& out);
-  void DiskRefused(TimePoint now);
+  void Tick(TimePoint now, std::vector<VoterMessage>& out);
+  void OnWriteFailed(TimePoint now);
   const VoterRecord& record() const { return voter_.record(); }
   const Voter& voter() const { return voter_; }
 
-  bool Leads(TimePoint now) const { return voter_.Leads(now) && state_.has_value(); }
+  bool HoldsLease(TimePoint now) const { return voter_.HoldsLease(now) && state_.has_value(); }
   // Why it does not, for people: who leads, or who is missing.
-  std::string Leaderless(TimePoint now) const;
+  std::string LeaderlessReason(TimePoint now) const;
 
   // A change of the state is decided once it is committed; until then Decided() says no, and after another
   // coordinator won nobody knows: ask again, everything here can be repeated.
   struct Receipt {
     Term term = 0;
     std::uint64_t version = 0;  // 0: nothing was begun, and why
-    std::string why{};
+    std::string reason{};
   };
-  using Edit = std::function<std::string(Ledger&)>;  // empty: go on; else why not
+  using Edit = std::function<std::string(FreezeState&)>;  // empty: go on; else why not
   Receipt Change(TimePoint now, const Edit& edit, std::vector<VoterMessage>& out);
-  bool Decided(const Receipt& receipt) const {
-    return receipt.version > 0 && receipt.term == voter_.term() && state_ && decided_ >= receipt.version;
+  bool IsCommitted(const Receipt& receipt) const {
+    return receipt.version > 0 && receipt.term == voter_.term() && state_ &&
+           committed_version_ >= receipt.version;
   }
 
   // For an agent's question. Nothing: it does not lead.
-  std::optional<Word> Confirm(const std::string& change, TimePoint now);
+  std::optional<PermitConfirmation> ConfirmPermit(const std::string& change, TimePoint now);
   // Evidence is heard often and seldom changes anything: what only renews is kept here, and written now and
   // then.
-  void Hear(const Evidence& evidence, TimePoint now, std::vector<VoterMessage>& out);
+  void OnEvidence(const Evidence& evidence, TimePoint now, std::vector<VoterMessage>& out);
   // Committed.
-  const Ledger* state() const { return state_ ? &*state_ : nullptr; }
+  const FreezeState* state() const { return state_ ? &*state_ : nullptr; }
 
  private:
-  void Follow(TimePoint now);
+  void SyncWithVoter(TimePoint now);
 
   Voter voter_;
-  Term term_ = 0;                // of `state_`
-  std::optional<Ledger> state_;  // committed
-  std::uint64_t decided_ = 0;
-  std::optional<Ledger> next_;  // written, not committed
-  std::uint64_t next_version_ = 0;
-  TimePoint written_;
+  Term state_term_ = 0;               // of `state_`
+  std::optional<FreezeState> state_;  // committed
+  std::uint64_t committed_version_ = 0;
+  std::optional<FreezeState> proposed_;  // written, not committed
+  std::uint64_t proposed_version_ = 0;
+  TimePoint last_proposal_;
 };
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -23,31 +23,31 @@
 using rollout::TimePoint;
 
 // As many can be told apart by people on call; a fleet with more is frozen as one.
-inline constexpr std::size_t kMostIncidents = 32;
+inline constexpr std::size_t kMaxIncidents = 32;
 // Of a cause, an owner or a reason, so that all of them together stay far below the register's 64 KiB.
-inline constexpr std::size_t kLongestText = 200;
-inline constexpr std::size_t kMostNames = 16;  // in an incident's scope
+inline constexpr std::size_t kMaxTextBytes = 200;
+inline constexpr std::size_t kMaxScopeNames = 16;  // in an incident's scope
 // Without evidence, or past an operator's own end: stale.
-inline constexpr Duration kEvidenceLasts{30'000};
+inline constexpr Duration kEvidenceTimeout{30'000};
 // Hysteresis of refusals, as a share of all requests: calm is a quarter of what opens one, and lasts ten
 // times as long.
-inline constexpr double kRefusalsOpen = 0.20;
-inline constexpr double kRefusalsCalm = 0.05;
-inline constexpr Duration kRefusalsFor{3'000};
-inline constexpr Duration kCalmFor{30'000};
+inline constexpr double kRejectionsOpenRatio = 0.20;
+inline constexpr double kRejectionsCalmRatio = 0.05;
+inline constexpr Duration kRejectionsOpenAfter{3'000};
+inline constexpr Duration kCalmDuration{30'000};
 // Instances held for their crashes, in as many halls: a machine's own trouble stays in one.
-inline constexpr int kHallsOfCrashLoop = 2;
+inline constexpr int kCrashLoopMinSites = 2;
 
 struct Evidence {
-  IncidentKind kind = IncidentKind::kRefusals;
+  IncidentKind kind = IncidentKind::kRejections;
   Scope scope{};
   double level =
       0;  // share refused; halls with an instance held; of a zone: 1 left, between while it returns, 0 in
-  Duration lasted{0};  // at or above that level
+  Duration sustained{0};  // at or above that level
 };
 
-enum class Sign : std::uint8_t { kBad, kBetween, kCalm };
-Sign SignOf(const Evidence& evidence);
+enum class Severity : std::uint8_t { kFiring, kIndeterminate, kClear };
+Severity SeverityOf(const Evidence& evidence);
 
 struct Incident {
   enum class State : std::uint8_t {
@@ -64,36 +64,36 @@
   State state = State::kOpen;
   TimePoint opened{};
   TimePoint renewed{};
-  Duration lasts{0};  // from there until it is stale
+  Duration stale_after{0};  // from there until it is stale
   TimePoint calm_since{};
 
-  bool Freezes() const { return state != State::kMuted; }
+  bool IsInForce() const { return state != State::kMuted; }
 };
 inline constexpr const char* kIncidentStates[] = {"open", "calming", "stale", "muted"};
 
 class Incidents {
  public:
   // The operator's: the id; an incident of the same scope is renewed. 0: refused, and why.
-  std::uint64_t Open(const Scope& scope, const std::string& cause, const std::string& owner, Duration lasts,
-                     TimePoint now, std::string& why);
+  std::uint64_t Open(const Scope& scope, const std::string& cause, const std::string& owner,
+                     Duration stale_after, TimePoint now, std::string& reason);
   bool Renew(std::uint64_t id, const std::string& owner, TimePoint now);
   bool Close(std::uint64_t id, TimePoint now);
   // The id of the incident it belongs to; 0: none, or there is no room (then `why` tells).
-  std::uint64_t Hear(const Evidence& evidence, TimePoint now, std::string& why);
-  void Turn(TimePoint now);
+  std::uint64_t OnEvidence(const Evidence& evidence, TimePoint now, std::string& reason);
+  void ExpireStale(TimePoint now);
 
   const std::vector<Incident>& all() const { return all_; }
   const Incident* Find(std::uint64_t id) const;
   // Differs from another's by more than ages?
-  bool Alike(const Incidents& other) const;
+  bool EqualIgnoringTimes(const Incidents& other) const;
 
-  void Pack(Packer& packer, TimePoint now) const;
-  bool Unpack(Unpacker& unpacker, TimePoint now);
+  void Encode(Encoder& encoder, TimePoint now) const;
+  bool Decode(Decoder& decoder, TimePoint now);
 
  private:
-  Incident* Of(IncidentKind kind, const Scope& scope);
+  Incident* FindByScope(IncidentKind kind, const Scope& scope);
   std::uint64_t Add(IncidentKind kind, const Scope& scope, const std::string& cause, const std::string& owner,
-                    Duration lasts, TimePoint now, std::string& why);
+                    Duration stale_after, TimePoint now, std::string& reason);
   std::vector<Incident> all_;
   std::uint64_t last_id_ = 0;
 };
--- a/src/change_freeze/pack.h
+++ b/src/change_freeze/pack.h
@@ -10,7 +10,7 @@
 
 namespace mothrack::change_freeze {
 
-class Packer {
+class Encoder {
  public:
   void Number(std::uint64_t number) { bytes_ += std::to_string(number) + ':'; }
   void Text(const std::string& text) {
@@ -28,43 +28,43 @@
 };
 
 // After a fault everything reads as empty, and ok() is false.
-class Unpacker {
+class Decoder {
  public:
-  explicit Unpacker(std::string_view bytes) : rest_(bytes) {}
+  explicit Decoder(std::string_view bytes) : remaining_(bytes) {}
   std::uint64_t Number() {
     std::uint64_t number = 0;
-    const char* end = rest_.data() + rest_.size();
-    const auto read = std::from_chars(rest_.data(), end, number);
+    const char* end = remaining_.data() + remaining_.size();
+    const auto read = std::from_chars(remaining_.data(), end, number);
     if (!ok_ || read.ec != std::errc() || read.ptr == end || *read.ptr != ':') return Fail();
-    rest_.remove_prefix(read.ptr + 1 - rest_.data());
+    remaining_.remove_prefix(read.ptr + 1 - remaining_.data());
     return number;
   }
   // Of an enumeration, or of how many follow: at most `most`.
-  std::uint64_t Number(std::uint64_t most) {
+  std::uint64_t Number(std::uint64_t maximum) {
     const std::uint64_t number = Number();
-    return number > most ? Fail() : number;
+    return number > maximum ? Fail() : number;
   }
   std::string Text() {
-    const std::uint64_t size = Number(rest_.size());
-    if (!ok_ || size > rest_.size()) return Fail(), std::string();
-    std::string text(rest_.substr(0, size));
-    rest_.remove_prefix(size);
+    const std::uint64_t size = Number(remaining_.size());
+    if (!ok_ || size > remaining_.size()) return Fail(), std::string();
+    std::string text(remaining_.substr(0, size));
+    remaining_.remove_prefix(size);
     return text;
   }
   std::set<std::string> Names() {
     std::set<std::string> names;
-    for (std::uint64_t left = Number(rest_.size()); left > 0 && ok_; --left) names.insert(Text());
+    for (std::uint64_t left = Number(remaining_.size()); left > 0 && ok_; --left) names.insert(Text());
     return names;
   }
   bool ok() const { return ok_; }
-  bool done() const { return ok_ && rest_.empty(); }
+  bool done() const { return ok_ && remaining_.empty(); }
 
  private:
   std::uint64_t Fail() {
     ok_ = false;
     return 0;
   }
-  std::string_view rest_;
+  std::string_view remaining_;
   bool ok_ = true;
 };
 
--- a/tests/change_freeze/freeze_model.cpp
+++ b/tests/change_freeze/freeze_model.cpp
@@ -14,13 +14,13 @@
 namespace mothrack::change_freeze::testing {
 namespace {
 
-constexpr int kTrouble = 30'000;    // true ms for which faults come
-constexpr int kScripted = 10'000;   // the same of a script
-constexpr int kRecovery = 100'000;  // and by then all must work again
+constexpr int kFaultPeriod = 30'000;     // true ms for which faults come
+constexpr int kScriptedPeriod = 10'000;  // the same of a script
+constexpr int kRecovery = 100'000;       // and by then all must work again
 constexpr int kPermitBound = 2000;
 
 // Thrown through the program's own code: the machine's process dies there.
-struct Died {};
+struct Crashed {};
 
 struct Machine {
   std::string name;
@@ -28,22 +28,22 @@
   double rate = 1;
   double offset = 0;
   bool up = true;
-  int life = 0;  // of the process
+  int process = 0;  // counts its starts
   int back_at = 0;
-  int stopped_until = 0;
+  int paused_until = 0;
   bool disk_full = false;
   int group = 0;  // of a partition
   std::optional<VoterRecord> file;
-  std::optional<Seal> seal;
+  std::optional<RecordPosition> position;
   std::vector<VoterRecord> copies;
   PermitRecord permits;
-  std::unique_ptr<Desk> desk;
-  std::unique_ptr<PermitBook> book;
+  std::unique_ptr<PermitService> service;
+  std::unique_ptr<AgentPermits> permits_held;
   Voter::Role role = Voter::Role::kFollower;
-  int next_ask = 0;
+  int next_poll = 0;
   // What the book may know, told apart from it: words of this process's life, and the highest term of any.
-  std::vector<std::pair<Word, TimePoint>> words;
-  Term highest = 0;
+  std::vector<std::pair<PermitConfirmation, TimePoint>> confirmations;
+  Term highest_term = 0;
 };
 
 struct Change {
@@ -54,90 +54,90 @@
   std::uint32_t batch = 0;
   bool done = false;
   Machine* at = nullptr;  // where its question is
-  int life = 0;
-  Desk::Receipt receipt;
+  int process = 0;
+  PermitService::Receipt receipt;
 };
 
 struct Freeze {
   std::uint64_t id = 0;
   Scope scope;
   Machine* at = nullptr;
-  int life = 0;
-  Desk::Receipt receipt;
-  int acked = -1;  // true time
+  int process = 0;
+  PermitService::Receipt receipt;
+  int acked_at = -1;  // true time
   bool closing = false;
   std::map<std::pair<std::string, ChangeKind>, std::int64_t> limit;  // the last batch that could begin
 };
 
-class World : public VoterStore {
+class SimulatedCluster : public RecordStore {
  public:
-  World(std::uint64_t seed, int voters, Planted planted, const Script* script)
-      : random_(seed), planted_(planted), script_(script) {
+  SimulatedCluster(std::uint64_t seed, int voters, InjectedFault injected, const Script* script)
+      : random_(seed), injected_fault_(injected), script_(script) {
     for (int i = 0; i < voters; ++i) names_.insert("a" + std::to_string(i));
-    constexpr double kTroubles[] = {0.3, 1, 2, 4};
-    trouble_ = script_ != nullptr ? 0 : kTroubles[Upto(3)];
+    constexpr double kFaultRates[] = {0.3, 1, 2, 4};
+    fault_rate_ = script_ != nullptr ? 0 : kFaultRates[UniformUpTo(3)];
     for (const std::string& name : names_) {
       auto& m = *machines_.emplace_back(std::make_unique<Machine>());
       m.name = name;
       m.hall = machines_.size() % 2 == 1 ? "bole" : "kality";
-      m.rate = Chance(0.3) ? 1.05 : Chance(0.3) ? 0.92 : 0.99 + 0.02 * Upto(100) / 100;
-      if (planted_ == Planted::kFastClocks) m.rate = machines_.size() % 2 == 1 ? 2 : 1;
+      m.rate = Chance(0.3) ? 1.05 : Chance(0.3) ? 0.92 : 0.99 + 0.02 * UniformUpTo(100) / 100;
+      if (injected_fault_ == InjectedFault::kFastClocks) m.rate = machines_.size() % 2 == 1 ? 2 : 1;
       m.file.emplace();
-      m.seal.emplace();
+      m.position.emplace();
     }
-    for (auto& m : machines_) Boot(*m);
+    for (auto& m : machines_) Start(*m);
     for (int i = 0; i < 4; ++i) {
       Change change;
       change.name = "c" + std::to_string(i);
-      change.kinds = {static_cast<ChangeKind>(i == 0 ? 0 : Upto(6))};
-      if (Chance(0.7)) change.footprint.halls = {Chance(0.5) ? "bole" : "kality"};
+      change.kinds = {static_cast<ChangeKind>(i == 0 ? 0 : UniformUpTo(6))};
+      if (Chance(0.7)) change.footprint.sites = {Chance(0.5) ? "bole" : "kality"};
       if (Chance(0.5)) change.footprint.zones = {Chance(0.5) ? "z1" : "z2"};
       changes_.push_back(change);
     }
   }
 
   History Run() {
-    while (history_.violation.empty() && now_ < kRecovery && !through_) {
-      now_ += 20 + Upto(50);
-      if (now_ >= (script_ != nullptr ? kScripted : kTrouble) && !calm_) Calm();
-      if (!calm_ && script_ == nullptr) Fail();
+    while (history_.violation.empty() && now_ < kRecovery && !finished_) {
+      now_ += 20 + UniformUpTo(50);
+      if (now_ >= (script_ != nullptr ? kScriptedPeriod : kFaultPeriod) && !faults_stopped_) StopFaults();
+      if (!faults_stopped_ && script_ == nullptr) InjectFaults();
       Deliver();
-      for (auto& m : machines_) Live(*m);
-      if (!calm_) {
-        Operate();
-        Tools();
+      for (auto& m : machines_) RunMachine(*m);
+      if (!faults_stopped_) {
+        RunOperators();
+        RunTools();
       }
-      if (calm_) Finish();
+      if (faults_stopped_) CheckRecovery();
       Check();
     }
-    if (history_.violation.empty() && !through_)
-      Violation("no end, stage " + std::to_string(stage_) + ": " + why_ + Told());
+    if (history_.violation.empty() && !finished_)
+      Violation("no end, stage " + std::to_string(stage_) + ": " + last_reason_ + DescribeMachines());
     return history_;
   }
 
   bool Save(const VoterRecord& record) override {
     Machine& m = *saving_;
-    Point();
+    CrashPoint();
     if (m.disk_full) {
       ++history_.saves_failed;
       if (Chance(0.3)) m.file = record;  // it is there, and its seal is not
       return false;
     }
-    if (OthersSound(m) && Dies()) {
-      ++history_.torn;
+    if (OthersCurrent(m) && CrashesHere()) {
+      ++history_.torn_writes;
       m.file.reset();
-      throw Died();
+      throw Crashed();
     }
     if (m.file) m.copies.push_back(*m.file);
     m.file = record;
-    Point();
-    m.seal = SealOf(record);
-    Point();
+    CrashPoint();
+    m.position = PositionOf(record);
+    CrashPoint();
     return true;
   }
 
  private:
-  int Upto(int most) { return static_cast<int>(random_() % static_cast<unsigned>(most + 1)); }
+  int UniformUpTo(int most) { return static_cast<int>(random_() % static_cast<unsigned>(most + 1)); }
   bool Chance(double p) { return static_cast<double>(random_() >> 11) * 0x1p-53 < p; }
   TimePoint Clock(const Machine& m) const {
     return TimePoint(Duration(static_cast<std::int64_t>(m.offset + m.rate * now_)));
@@ -146,50 +146,49 @@
     if (history_.violation.empty()) history_.violation = what + " at " + std::to_string(now_) + " ms";
   }
 
-  std::string Told() const {
+  std::string DescribeMachines() const {
     std::string text;
     for (const auto& m : machines_) {
       text += "; " + m->name + (m->up ? " role " + std::to_string(static_cast<int>(m->role)) : " down") +
               " term " + std::to_string(m->file ? m->file->term : 0);
       if (m->file)
-        text += " file " + std::to_string(m->file->life) + '.' + std::to_string(m->file->serial) +
-                (m->file->old ? " old" : "");
-      text += " seal " + std::to_string(m->seal->life) + '.' + std::to_string(m->seal->serial);
+        text += " file " + std::to_string(m->file->incarnation) + '.' + std::to_string(m->file->serial) +
+                (m->file->stale ? " old" : "");
+      text += " seal " + std::to_string(m->position->incarnation) + '.' + std::to_string(m->position->serial);
     }
     return text;
   }
 
   // ---- Faults ----
 
-  bool Dies() {
-    if (script_ == nullptr) return !calm_ && Chance(0.004 * trouble_);
-    const int point = history_.points++;
-    return point == script_->dies_at || point == script_->then_at;
+  bool CrashesHere() {
+    if (script_ == nullptr) return !faults_stopped_ && Chance(0.004 * fault_rate_);
+    const int point = history_.crash_points++;
+    return point == script_->crash_at || point == script_->then_crash_at;
   }
-  void Point() {
-    if (Dies()) throw Died();
+  void CrashPoint() {
+    if (CrashesHere()) throw Crashed();
   }
 
-  void Fail() {
+  void InjectFaults() {
     for (auto& m : machines_) {
-      if (m->up && Chance(0.0004 * trouble_)) Kill(*m);
-      if (m->up && now_ >= m->stopped_until && Chance(0.0004 * trouble_)) Stop(*m);
+      if (m->up && Chance(0.0004 * fault_rate_)) Crash(*m);
+      if (m->up && now_ >= m->paused_until && Chance(0.0004 * fault_rate_)) Pause(*m);
       // The one that leads, for longer than its lease.
-      if (m->up && now_ >= m->stopped_until && m->role == Voter::Role::kCoordinator &&
-          Chance(0.002 * trouble_))
-        Stop(*m);
-      if (Chance(m->disk_full ? 0.01 : 0.0005 * trouble_)) m->disk_full = !m->disk_full;
+      if (m->up && now_ >= m->paused_until && m->role == Voter::Role::kLeader && Chance(0.002 * fault_rate_))
+        Pause(*m);
+      if (Chance(m->disk_full ? 0.01 : 0.0005 * fault_rate_)) m->disk_full = !m->disk_full;
     }
-    if (Chance(0.0015 * trouble_)) Trap();
-    while (!later_.empty() && later_.begin()->first <= now_) {
-      later_.begin()->second();
-      later_.erase(later_.begin());
+    if (Chance(0.0015 * fault_rate_)) InjectCombinedFault();
+    while (!scheduled_faults_.empty() && scheduled_faults_.begin()->first <= now_) {
+      scheduled_faults_.begin()->second();
+      scheduled_faults_.erase(scheduled_faults_.begin());
     }
-    if (Chance(0.0003 * trouble_)) {
+    if (Chance(0.0003 * fault_rate_)) {
       for (auto& m : machines_) m->disk_full = m->disk_full || Chance(0.6);
     }
-    if (Chance(0.002 * trouble_)) {
-      for (auto& m : machines_) m->group = Chance(0.6) ? 0 : Upto(2);
+    if (Chance(0.002 * fault_rate_)) {
+      for (auto& m : machines_) m->group = Chance(0.6) ? 0 : UniformUpTo(2);
     } else if (Chance(0.01)) {
       for (auto& m : machines_) m->group = 0;
     }
@@ -198,7 +197,7 @@
   // What harms only together. Half of the rest hears nothing while the coordinator and the others go on;
   // those come back with what they had before, as the coordinator falls silent. Or: it is cut off, and all
   // others start anew at once.
-  void Trap() {
+  void InjectCombinedFault() {
     Machine* leader = Leader();
     if (leader == nullptr) return;
     std::vector<Machine*> rest;
@@ -207,87 +206,90 @@
     }
     if (rest.size() + 1 < machines_.size()) return;
     std::shuffle(rest.begin(), rest.end(), random_);
-    const auto anew = [this](Machine& m, bool old) {
+    const auto restart = [this](Machine& m, bool stale) {
       if (!m.up) return;
-      Kill(m, old);
+      Crash(m, stale);
       m.back_at = now_ + 50;
     };
     if (Chance(0.5)) {
       leader->group = 1;
-      for (Machine* m : rest) anew(*m, false);
+      for (Machine* m : rest) restart(*m, false);
       return;
     }
-    const std::vector<Machine*> deaf(rest.begin(),
-                                     rest.begin() + static_cast<std::ptrdiff_t>(rest.size() / 2));
-    rest.erase(rest.begin(), rest.begin() + static_cast<std::ptrdiff_t>(deaf.size()));
-    for (Machine* m : deaf) m->group = 1;
-    later_.emplace(now_ + 600 + Upto(1500), [this, leader, deaf, rest, anew] {
-      const bool sound = OthersSound(*rest.front());
-      for (Machine* m : rest) anew(*m, sound);
-      for (Machine* m : deaf) m->group = 0;
-      if (leader->up) Stop(*leader);
+    const std::vector<Machine*> unreachable(rest.begin(),
+                                            rest.begin() + static_cast<std::ptrdiff_t>(rest.size() / 2));
+    rest.erase(rest.begin(), rest.begin() + static_cast<std::ptrdiff_t>(unreachable.size()));
+    for (Machine* m : unreachable) m->group = 1;
+    scheduled_faults_.emplace(now_ + 600 + UniformUpTo(1500), [this, leader, unreachable, rest, restart] {
+      const bool sound = OthersCurrent(*rest.front());
+      for (Machine* m : rest) restart(*m, sound);
+      for (Machine* m : unreachable) m->group = 0;
+      if (leader->up) Pause(*leader);
     });
   }
 
-  void Stop(Machine& m) {
-    ++history_.stops;
-    if (m.role == Voter::Role::kCoordinator) ++history_.coordinators_stopped;
-    m.stopped_until = now_ + 500 + Upto(8000);
+  void Pause(Machine& m) {
+    ++history_.pauses;
+    if (m.role == Voter::Role::kLeader) ++history_.leaders_paused;
+    m.paused_until = now_ + 500 + UniformUpTo(8000);
   }
 
-  bool OthersSound(const Machine& m) const {
+  bool OthersCurrent(const Machine& m) const {
     return std::all_of(machines_.begin(), machines_.end(), [&](const auto& o) {
       if (o.get() == &m) return true;
-      if (!o->file || o->file->old || SealOf(*o->file) < *o->seal || (o->up && o->role == Voter::Role::kLost))
+      if (!o->file || o->file->stale || PositionOf(*o->file) < *o->position ||
+          (o->up && o->role == Voter::Role::kRejoining))
         return false;
       // One that asked to join, and whose present file was put back then, has yet to learn that it must.
       return std::all_of(machines_.begin(), machines_.end(), [&](const auto& p) {
-        return !p->file || !p->file->lives.contains(o->name) || p->file->lives.at(o->name) <= o->file->life;
+        return !p->file || !p->file->incarnations.contains(o->name) ||
+               p->file->incarnations.at(o->name) <= o->file->incarnation;
       });
     });
   }
 
-  void Kill(Machine& m, bool old_copy = false) {
-    ++history_.deaths;
+  void Crash(Machine& m, bool stale_copy = false) {
+    ++history_.crashes;
     m.up = false;
-    m.desk.reset();
-    m.book.reset();
-    m.back_at = now_ + (script_ != nullptr ? 1000 : Upto(6000));
+    m.service.reset();
+    m.permits_held.reset();
+    m.back_at = now_ + (script_ != nullptr ? 1000 : UniformUpTo(6000));
     // With nothing amiss with the others' files: of three, two that are lost wait for an operator
     // (docs/design/freeze.md).
-    const bool others = OthersSound(m);
-    const bool old = script_ != nullptr ? script_->old_copy : Chance(0.3);
-    if (!(old && others) && !old_copy) return;
+    const bool others_current = OthersCurrent(m);
+    const bool stale = script_ != nullptr ? script_->stale_copy : Chance(0.3);
+    if (!(stale && others_current) && !stale_copy) return;
     if (m.copies.size() < 2) return;
-    ++history_.old_copies;
+    ++history_.stale_copies;
     m.file = m.copies[m.copies.size() - 2 -
-                      (script_ != nullptr ? 0 : Upto(static_cast<int>(m.copies.size()) - 2))];
+                      (script_ != nullptr ? 0 : UniformUpTo(static_cast<int>(m.copies.size()) - 2))];
   }
 
-  void Boot(Machine& m) {
+  void Start(Machine& m) {
     m.up = true;
-    ++m.life;
-    m.offset = Upto(100'000);  // a steady clock of a machine that was started anew is another one
+    ++m.process;
+    m.offset = UniformUpTo(100'000);  // a steady clock of a machine that was started anew is another one
     VoterSettings settings;
-    settings.self = m.name;
+    settings.local_voter = m.name;
     settings.voters = names_;
-    auto trust = Voter::TrustOf(m.file, m.seal, false);
-    if (planted_ == Planted::kOldCopyTrusted) trust = Voter::Trust::kSound;
-    const Duration before = planted_ == Planted::kNoQuietStart ? settings.lease * 2 : Duration(0);
-    m.desk =
-        std::make_unique<Desk>(Voter(settings, m.file.value_or(VoterRecord()), trust, Clock(m) - before));
-    m.book = std::make_unique<PermitBook>(m.name, m.permits);
-    m.words.clear();
-    m.role = m.desk->voter().role();
-  }
-
-  void Calm() {
-    calm_ = true;
+    auto condition = Voter::AssessRecord(m.file, m.position, false);
+    if (injected_fault_ == InjectedFault::kStaleRecordTrusted) condition = Voter::RecordCondition::kCurrent;
+    const Duration before =
+        injected_fault_ == InjectedFault::kNoLeasePromiseAtStart ? settings.lease * 2 : Duration(0);
+    m.service = std::make_unique<PermitService>(
+        Voter(settings, m.file.value_or(VoterRecord()), condition, Clock(m) - before));
+    m.permits_held = std::make_unique<AgentPermits>(m.name, m.permits);
+    m.confirmations.clear();
+    m.role = m.service->voter().role();
+  }
+
+  void StopFaults() {
+    faults_stopped_ = true;
     since_ = now_;
     for (auto& m : machines_) {
       m->disk_full = false;
       m->group = 0;
-      m->stopped_until = std::min(m->stopped_until, now_);
+      m->paused_until = std::min(m->paused_until, now_);
       if (!m->up) m->back_at = now_;
     }
   }
@@ -296,10 +298,10 @@
 
   void Send(const Machine& from, const Machine& to, std::function<void()> arrive) {
     if (from.group != to.group) return;
-    if (!calm_ && Chance(0.05 * trouble_)) return;
-    for (int copies = !calm_ && Chance(0.04 * trouble_) ? 2 : 1; copies > 0; --copies) {
-      int delay = 1 + Upto(120);
-      if (!calm_ && Chance(0.04 * trouble_)) delay = Upto(12'000);  // from long ago
+    if (!faults_stopped_ && Chance(0.05 * fault_rate_)) return;
+    for (int copies = !faults_stopped_ && Chance(0.04 * fault_rate_) ? 2 : 1; copies > 0; --copies) {
+      int delay = 1 + UniformUpTo(120);
+      if (!faults_stopped_ && Chance(0.04 * fault_rate_)) delay = UniformUpTo(12'000);  // from long ago
       messages_.emplace(now_ + delay, std::pair(const_cast<Machine*>(&to), arrive));
     }
   }
@@ -309,15 +311,15 @@
       auto [to, arrive] = std::move(messages_.begin()->second);
       messages_.erase(messages_.begin());
       if (!to->up) continue;
-      if (now_ < to->stopped_until) {
-        messages_.emplace(to->stopped_until, std::pair(to, arrive));
+      if (now_ < to->paused_until) {
+        messages_.emplace(to->paused_until, std::pair(to, arrive));
       } else {
         arrive();
       }
     }
   }
 
-  void Act(Machine& m, const std::function<void(Desk&, std::vector<VoterMessage>&)>& act) {
+  void Decide(Machine& m, const std::function<void(PermitService&, std::vector<VoterMessage>&)>& act) {
     if (!m.up) return;
     std::vector<VoterMessage> out;
     saving_ = &m;
@@ -325,144 +327,156 @@
       for (VoterMessage& message : messages) {
         Machine& to = *machines_[static_cast<std::size_t>(message.to[1] - '0')];
         Send(m, to, [this, &to, message] {
-          Act(to, [&](Desk& desk, auto& more) { desk.Heard(message, Clock(to), more); });
+          Decide(to, [&](PermitService& service, auto& more) { service.Receive(message, Clock(to), more); });
         });
       }
     };
     try {
-      if (planted_ == Planted::kToldBeforeDurable || planted_ == Planted::kRefusalIgnored) {
-        Desk copy = *m.desk;
+      if (injected_fault_ == InjectedFault::kSentBeforeDurable ||
+          injected_fault_ == InjectedFault::kWriteFailureIgnored) {
+        PermitService copy = *m.service;
         std::vector<VoterMessage> early;
         act(copy, early);
-        if (planted_ == Planted::kToldBeforeDurable) send(early);
-        const bool saved = copy.record() == m.desk->record() || Save(copy.record());
-        if (saved || planted_ == Planted::kRefusalIgnored) *m.desk = copy;
-        if (planted_ == Planted::kRefusalIgnored) send(early);
+        if (injected_fault_ == InjectedFault::kSentBeforeDurable) send(early);
+        const bool saved = copy.record() == m.service->record() || Save(copy.record());
+        if (saved || injected_fault_ == InjectedFault::kWriteFailureIgnored) *m.service = copy;
+        if (injected_fault_ == InjectedFault::kWriteFailureIgnored) send(early);
       } else {
-        Decide(*m.desk, *this, Clock(m), act, out);
+        ApplyDurably(*m.service, *this, Clock(m), act, out);
         send(out);
       }
-    } catch (const Died&) {
-      return Kill(m);
+    } catch (const Crashed&) {
+      return Crash(m);
     }
-    const Voter& voter = m.desk->voter();
-    if (m.role == Voter::Role::kLost && voter.role() == Voter::Role::kFollower) ++history_.joined;
-    if (voter.role() != m.role && voter.role() == Voter::Role::kTaking) {
+    const Voter& voter = m.service->voter();
+    if (m.role == Voter::Role::kRejoining && voter.role() == Voter::Role::kFollower) ++history_.rejoins;
+    if (voter.role() != m.role && voter.role() == Voter::Role::kEstablishing) {
       if (!winners_.emplace(voter.term(), m.name).second)
         Violation("two won term " + std::to_string(voter.term()));
     }
-    if (voter.role() != m.role && voter.role() == Voter::Role::kCoordinator) Won(m);
+    if (voter.role() != m.role && voter.role() == Voter::Role::kLeader) CheckWinner(m);
     m.role = voter.role();
-    Committed(m);
+    CheckCommitted(m);
   }
 
   // ---- The register ----
 
   // Whoever wins has read what was committed, or what was written after it.
-  void Won(const Machine& m) {
+  void CheckWinner(const Machine& m) {
     ++history_.elections;
-    const auto at = written_.find(m.desk->record().value);
-    if ((at == written_.end() ? Stamp() : at->second) < committed_) {
-      Violation(m.name + " won term " + std::to_string(m.desk->voter().term()) +
+    const auto at = written_.find(m.service->record().value);
+    if ((at == written_.end() ? ValueVersion() : at->second) < committed_) {
+      Violation(m.name + " won term " + std::to_string(m.service->voter().term()) +
                 " without what was committed");
     }
   }
 
-  void Committed(const Machine& m) {
-    const Voter& voter = m.desk->voter();
-    if (voter.role() != Voter::Role::kTaking && voter.role() != Voter::Role::kCoordinator) return;
-    Stamp& at = written_[m.desk->record().value];
-    at = std::max(at, m.desk->record().stamp);
+  void CheckCommitted(const Machine& m) {
+    const Voter& voter = m.service->voter();
+    if (voter.role() != Voter::Role::kEstablishing && voter.role() != Voter::Role::kLeader) return;
+    ValueVersion& at = written_[m.service->record().value];
+    at = std::max(at, m.service->record().value_version);
     if (voter.committed() > 0) committed_ = std::max(committed_, {voter.term(), voter.committed()});
   }
 
   // ---- A machine ----
 
-  bool Leads(const Machine& m) const {
+  bool HoldsLease(const Machine& m) const {
     if (!m.up) return false;
-    if (planted_ == Planted::kLeaseIgnored)
-      return m.role == Voter::Role::kCoordinator && m.desk->state() != nullptr;
-    return m.desk->Leads(Clock(m));
+    if (injected_fault_ == InjectedFault::kLeaseIgnored)
+      return m.role == Voter::Role::kLeader && m.service->state() != nullptr;
+    return m.service->HoldsLease(Clock(m));
   }
 
-  void Live(Machine& m) {
-    if (!m.up && now_ >= m.back_at) Boot(m);
-    if (!m.up || now_ < m.stopped_until) return;
-    Act(m, [&](Desk& desk, auto& out) { desk.Turn(Clock(m), out); });
-    if (!m.up || now_ < m.next_ask) return;
-    m.next_ask = now_ + 400;
+  void RunMachine(Machine& m) {
+    if (!m.up && now_ >= m.back_at) Start(m);
+    if (!m.up || now_ < m.paused_until) return;
+    Decide(m, [&](PermitService& service, auto& out) { service.Tick(Clock(m), out); });
+    if (!m.up || now_ < m.next_poll) return;
+    m.next_poll = now_ + 400;
     for (const Change& change : changes_) {
-      for (auto& other : machines_) Question(m, *other, change.name);
+      for (auto& other : machines_) PollPermit(m, *other, change.name);
     }
-    if (!m.permits.untold.empty()) Tell(m);
+    if (!m.permits.unreported.empty()) ReportBreakGlass(m);
   }
 
-  void Question(Machine& m, Machine& other, const std::string& change) {
-    const auto asked = Clock(m);
-    Send(m, other, [this, &m, &other, change, asked, life = m.life] {
-      std::optional<Word> word = other.desk->Confirm(change, Clock(other));
-      if (!word && planted_ == Planted::kLeaseIgnored && Leads(other)) {
-        Ledger ledger = *other.desk->state();
-        word = ledger.Confirm(change, Clock(other));
-        word->term = other.desk->voter().term();
-        word->version = other.desk->voter().committed();
+  void PollPermit(Machine& m, Machine& other, const std::string& change) {
+    const auto request_sent = Clock(m);
+    Send(m, other, [this, &m, &other, change, request_sent, process = m.process] {
+      std::optional<PermitConfirmation> confirmation = other.service->ConfirmPermit(change, Clock(other));
+      if (!confirmation && injected_fault_ == InjectedFault::kLeaseIgnored && HoldsLease(other)) {
+        FreezeState working_copy = *other.service->state();
+        confirmation = working_copy.ConfirmPermit(change, Clock(other));
+        confirmation->term = other.service->voter().term();
+        confirmation->version = other.service->voter().committed();
       }
-      Send(other, m, [this, &m, word, asked, life, why = other.desk->Leaderless(Clock(other))] {
-        if (m.life != life) return;
-        word ? Hear(m, *word, planted_ == Planted::kCountedFromHearing ? Clock(m) : asked)
-             : m.book->Leaderless(why);
-      });
+      Send(other, m,
+           [this, &m, confirmation, request_sent, process,
+            why = other.service->LeaderlessReason(Clock(other))] {
+             if (m.process != process) return;
+             confirmation
+                 ? OnConfirmation(
+                       m, *confirmation,
+                       injected_fault_ == InjectedFault::kValidityFromAnswer ? Clock(m) : request_sent)
+                 : m.permits_held->OnLeaderless(why);
+           });
     });
   }
 
-  bool SavePermits(Machine& m, const PermitBook& book) {
+  bool SavePermits(Machine& m, const AgentPermits& permits_held) {
     try {
-      Point();
+      CrashPoint();
       if (m.disk_full) return ++history_.saves_failed, false;
-      m.permits = book.record();
-      Point();
-    } catch (const Died&) {
-      Kill(m);
+      m.permits = permits_held.record();
+      CrashPoint();
+    } catch (const Crashed&) {
+      Crash(m);
       return false;
     }
-    *m.book = book;
+    *m.permits_held = permits_held;
     return true;
   }
 
-  void Hear(Machine& m, const Word& word, TimePoint asked) {
-    PermitBook copy = *m.book;
-    if (!copy.Heard(word, asked)) {
-      ++history_.late_words;
-      if (planted_ == Planted::kOldWordTaken) *m.book = PermitBook(m.name, {}), m.book->Heard(word, asked);
+  void OnConfirmation(Machine& m, const PermitConfirmation& confirmation, TimePoint request_sent) {
+    AgentPermits copy = *m.permits_held;
+    if (!copy.OnConfirmation(confirmation, request_sent)) {
+      ++history_.late_confirmations;
+      if (injected_fault_ == InjectedFault::kStaleConfirmationAccepted)
+        *m.permits_held = AgentPermits(m.name, {}),
+        m.permits_held->OnConfirmation(confirmation, request_sent);
       return;
     }
-    if (copy.record() == m.book->record()) {
-      *m.book = copy;
+    if (copy.record() == m.permits_held->record()) {
+      *m.permits_held = copy;
     } else if (!SavePermits(m, copy)) {
       return;
     }
-    m.highest = std::max(m.highest, word.term);
-    m.words.emplace_back(word, asked);
-    if (m.words.size() > 60) m.words.erase(m.words.begin());
+    m.highest_term = std::max(m.highest_term, confirmation.term);
+    m.confirmations.emplace_back(confirmation, request_sent);
+    if (m.confirmations.size() > 60) m.confirmations.erase(m.confirmations.begin());
   }
 
-  void Tell(Machine& m) {
+  void ReportBreakGlass(Machine& m) {
     for (auto& other : machines_) {
-      Send(m, *other, [this, &m, &other = *other, glass = m.permits.untold, life = m.life] {
-        if (!Leads(other)) return;
-        const std::uint64_t told = other.desk->state()->GlassOf(m.name);
-        if (told < glass.back().number) {
-          Act(other, [&](Desk& desk, auto& out) {
-            desk.Change(
-                Clock(other), [&](Ledger& ledger) { return ledger.Broken(glass), std::string(); }, out);
+      Send(m, *other, [this, &m, &other = *other, break_glass = m.permits.unreported, process = m.process] {
+        if (!HoldsLease(other)) return;
+        const std::uint64_t reported = other.service->state()->LastBreakGlassOf(m.name);
+        if (reported < break_glass.back().number) {
+          Decide(other, [&](PermitService& service, auto& out) {
+            service.Change(
+                Clock(other),
+                [&](FreezeState& working_copy) {
+                  return working_copy.RecordBreakGlass(break_glass), std::string();
+                },
+                out);
           });
         }
-        if (told == 0) return;
-        Send(other, m, [this, &m, told, life] {
-          if (m.life != life) return;
-          PermitBook copy = *m.book;
-          copy.Told(told);
-          if (!(copy.record() == m.book->record())) SavePermits(m, copy);
+        if (reported == 0) return;
+        Send(other, m, [this, &m, reported, process] {
+          if (m.process != process) return;
+          AgentPermits copy = *m.permits_held;
+          copy.OnBreakGlassReported(reported);
+          if (!(copy.record() == m.permits_held->record())) SavePermits(m, copy);
         });
       });
     }
@@ -472,93 +486,96 @@
 
   Machine* Leader() {
     for (auto& m : machines_) {
-      if (now_ >= m->stopped_until && Leads(*m)) return m.get();
+      if (now_ >= m->paused_until && HoldsLease(*m)) return m.get();
     }
     return nullptr;
   }
 
-  void Operate() {
+  void RunOperators() {
     Machine* leader = Leader();
     if (leader != nullptr && freezes_.size() < 12 && Chance(script_ != nullptr ? 0.01 : 0.015)) Open(*leader);
-    for (Freeze& freeze : freezes_) Look(freeze);
+    for (Freeze& freeze : freezes_) PollFreeze(freeze);
     if (leader != nullptr && !freezes_.empty() && Chance(0.01)) {
-      Freeze& freeze = freezes_[static_cast<std::size_t>(Upto(static_cast<int>(freezes_.size()) - 1))];
-      if (freeze.acked >= 0) Close(*leader, freeze);
+      Freeze& freeze = freezes_[static_cast<std::size_t>(UniformUpTo(static_cast<int>(freezes_.size()) - 1))];
+      if (freeze.acked_at >= 0) Close(*leader, freeze);
     }
     if (leader != nullptr && Chance(0.02)) {
-      const Evidence evidence{IncidentKind::kRefusals,
-                              {Scope::Kind::kHall, {Chance(0.5) ? "bole" : "kality"}},
-                              Upto(100) / 200.0,
-                              kRefusalsFor};
-      Act(*leader, [&](Desk& desk, auto& out) { desk.Hear(evidence, Clock(*leader), out); });
-    }
-    Machine& m = *machines_[static_cast<std::size_t>(Upto(static_cast<int>(machines_.size()) - 1))];
-    if (m.up && now_ >= m.stopped_until && Chance(0.001)) {
-      PermitBook copy = *m.book;
+      const Evidence evidence{IncidentKind::kRejections,
+                              {Scope::Kind::kSite, {Chance(0.5) ? "bole" : "kality"}},
+                              UniformUpTo(100) / 200.0,
+                              kRejectionsOpenAfter};
+      Decide(*leader,
+             [&](PermitService& service, auto& out) { service.OnEvidence(evidence, Clock(*leader), out); });
+    }
+    Machine& m = *machines_[static_cast<std::size_t>(UniformUpTo(static_cast<int>(machines_.size()) - 1))];
+    if (m.up && now_ >= m.paused_until && Chance(0.001)) {
+      AgentPermits copy = *m.permits_held;
       if (copy.BreakGlass("c9", "ann", false, "a test", Clock(m)).empty() && SavePermits(m, copy))
-        ++history_.broken_glass;
+        ++history_.break_glass;
     }
   }
 
   void Open(Machine& leader) {
     Freeze freeze;
-    if (Chance(0.7)) freeze.scope = {Scope::Kind::kHall, {Chance(0.5) ? "bole" : "kality"}};
+    if (Chance(0.7)) freeze.scope = {Scope::Kind::kSite, {Chance(0.5) ? "bole" : "kality"}};
     freeze.at = &leader;
-    freeze.life = leader.life;
-    Act(leader, [&](Desk& desk, auto& out) {
-      freeze.receipt = desk.Change(
+    freeze.process = leader.process;
+    Decide(leader, [&](PermitService& service, auto& out) {
+      freeze.receipt = service.Change(
           Clock(leader),
-          [&](Ledger& ledger) {
+          [&](FreezeState& working_copy) {
             std::string why;
-            freeze.id =
-                ledger.incidents.Open(freeze.scope, "a test", "ann", Duration(20'000), Clock(leader), why);
+            freeze.id = working_copy.incidents.Open(freeze.scope, "a test", "ann", Duration(20'000),
+                                                    Clock(leader), why);
             return why;
           },
           out);
     });
-    if (leader.life == freeze.life && freeze.receipt.version > 0) freezes_.push_back(freeze);
+    if (leader.process == freeze.process && freeze.receipt.version > 0) freezes_.push_back(freeze);
   }
 
   // Has it been decided? Then it counts from now on.
-  void Look(Freeze& freeze) {
+  void PollFreeze(Freeze& freeze) {
     Machine& m = *freeze.at;
-    if (freeze.acked >= 0 || !m.up || m.life != freeze.life || now_ < m.stopped_until) return;
-    if (!m.desk->Decided(freeze.receipt)) return;
+    if (freeze.acked_at >= 0 || !m.up || m.process != freeze.process || now_ < m.paused_until) return;
+    if (!m.service->IsCommitted(freeze.receipt)) return;
     ++history_.freezes;
-    freeze.acked = now_;
-    for (const Permit& permit : m.desk->state()->permits()) {
+    freeze.acked_at = now_;
+    for (const Permit& permit : m.service->state()->permits()) {
       freeze.limit[{permit.change, permit.kind}] = permit.batch;
-      if (permit.state == Word::State::kPaused) ++history_.paused;
-      if (permit.state == Word::State::kBlocked) ++history_.blocked;
+      if (permit.state == PermitConfirmation::State::kPaused) ++history_.paused;
+      if (permit.state == PermitConfirmation::State::kBlocked) ++history_.blocked;
     }
   }
 
   void Close(Machine& leader, Freeze& freeze) {
     for (Freeze& other : freezes_) other.closing = other.closing || other.id == freeze.id;
-    Act(leader, [&](Desk& desk, auto& out) {
-      desk.Change(
+    Decide(leader, [&](PermitService& service, auto& out) {
+      service.Change(
           Clock(leader),
-          [&](Ledger& ledger) { return ledger.incidents.Close(freeze.id, Clock(leader)), std::string(); },
+          [&](FreezeState& working_copy) {
+            return working_copy.incidents.Close(freeze.id, Clock(leader)), std::string();
+          },
           out);
     });
   }
 
   // ---- Tools ----
 
-  void Tools() {
+  void RunTools() {
     Machine* leader = Leader();
     for (Change& change : changes_) {
       if (leader == nullptr || change.done || !Chance(0.05)) continue;
-      if (change.at != nullptr && change.at->up && change.at->life == change.life &&
-          change.at->desk->Decided(change.receipt)) {
+      if (change.at != nullptr && change.at->up && change.at->process == change.process &&
+          change.at->service->IsCommitted(change.receipt)) {
         change.at = nullptr;
         ++change.batch;
       }
       if (Chance(0.02)) {
-        Act(*leader, [&](Desk& desk, auto& out) {
-          desk.Change(
-              Clock(*leader), [&](Ledger& l) { return l.Done(change.name, Clock(*leader)), std::string(); },
-              out);
+        Decide(*leader, [&](PermitService& service, auto& out) {
+          service.Change(
+              Clock(*leader),
+              [&](FreezeState& l) { return l.EndPermit(change.name, Clock(*leader)), std::string(); }, out);
         });
         continue;
       }
@@ -567,36 +584,36 @@
         change.batch = 0;
         for (const Freeze& freeze : freezes_) change.remedies.insert(freeze.id);
       }
-      Ask(*leader, change);
+      RequestPermit(*leader, change);
     }
   }
 
-  void Ask(Machine& leader, Change& change) {
+  void RequestPermit(Machine& leader, Change& change) {
     change.at = &leader;
-    change.life = leader.life;
-    Act(leader, [&](Desk& desk, auto& out) {
-      change.receipt = desk.Change(
+    change.process = leader.process;
+    Decide(leader, [&](PermitService& service, auto& out) {
+      change.receipt = service.Change(
           Clock(leader),
-          [&](Ledger& ledger) {
-            return ledger.Ask(
+          [&](FreezeState& working_copy) {
+            return working_copy.RequestPermit(
                 {change.name, change.kinds.back(), change.footprint, "bob", change.remedies, change.batch},
                 Clock(leader));
           },
           out);
-      if (!change.receipt.why.empty()) why_ = change.receipt.why;
+      if (!change.receipt.reason.empty()) last_reason_ = change.receipt.reason;
     });
   }
 
   // ---- The end ----
 
   // With no further fault: an incident and a change come through, and nobody acts against the last freeze.
-  void Finish() {
+  void CheckRecovery() {
     Machine* leader = Leader();
     if (leader == nullptr) {
-      why_ = "nobody leads";
+      last_reason_ = "nobody leads";
       return;
     }
-    const Ledger& state = *leader->desk->state();
+    const FreezeState& state = *leader->service->state();
     Change& last = changes_.back();
     if (stage_ == 0) {
       for (Freeze& freeze : freezes_) freeze.closing = true;
@@ -608,21 +625,21 @@
         last = {};
         last.name = "last";
         last.kinds = {ChangeKind::kRestart};
-        last.footprint.halls = {"bole"};
+        last.footprint.sites = {"bole"};
       } else {
-        Act(*leader, [&](Desk& desk, auto& out) {
-          desk.Change(
+        Decide(*leader, [&](PermitService& service, auto& out) {
+          service.Change(
               Clock(*leader),
-              [&](Ledger& ledger) {
+              [&](FreezeState& working_copy) {
                 for (const Incident& i : std::vector<Incident>(state.incidents.all())) {
-                  if (i.state != Incident::State::kMuted) ledger.incidents.Close(i.id, Clock(*leader));
+                  if (i.state != Incident::State::kMuted) working_copy.incidents.Close(i.id, Clock(*leader));
                 }
-                for (const Change& change : changes_) ledger.Done(change.name, Clock(*leader));
+                for (const Change& change : changes_) working_copy.EndPermit(change.name, Clock(*leader));
                 return std::string();
               },
               out);
         });
-        why_ = "what is left does not go";
+        last_reason_ = "what is left does not go";
       }
     } else if (stage_ == 1) {
       const auto& permits = state.permits();
@@ -631,12 +648,12 @@
         since_ = now_;
         return;
       }
-      Ask(*leader, last);
+      RequestPermit(*leader, last);
       const bool all = std::all_of(machines_.begin(), machines_.end(), [&](const auto& m) {
         return m->up &&
-               m->book->May("last", ChangeKind::kRestart, 0, Clock(*m)).verdict ==
-                   PermitBook::Verdict::kAllowed &&
-               m->permits.untold.empty() && m->role != Voter::Role::kLost;
+               m->permits_held->Check("last", ChangeKind::kRestart, 0, Clock(*m)).verdict ==
+                   AgentPermits::Verdict::kAllowed &&
+               m->permits.unreported.empty() && m->role != Voter::Role::kRejoining;
       });
       if (all) stage_ = 2;
     } else {
@@ -645,30 +662,31 @@
         since_ = now_;
       }
       if (freezes_.empty()) return;
-      Look(freezes_.back());
+      PollFreeze(freezes_.back());
       stage_ = 3;
-      if (freezes_.back().closing || (freezes_.back().acked < 0 && now_ > since_ + 2000)) stage_ = 2;
-      through_ = freezes_.back().acked >= 0 && !freezes_.back().closing &&
-                 now_ > freezes_.back().acked + kPermitBound + 200;
+      if (freezes_.back().closing || (freezes_.back().acked_at < 0 && now_ > since_ + 2000)) stage_ = 2;
+      finished_ = freezes_.back().acked_at >= 0 && !freezes_.back().closing &&
+                  now_ > freezes_.back().acked_at + kPermitBound + 200;
     }
   }
 
   // ---- Rules ----
 
   bool InForce(const Machine& m, const Change& change, ChangeKind kind, std::uint32_t batch) const {
-    return m.up && m.book->May(change.name, kind, batch, Clock(m)).verdict == PermitBook::Verdict::kAllowed;
+    return m.up && m.permits_held->Check(change.name, kind, batch, Clock(m)).verdict ==
+                       AgentPermits::Verdict::kAllowed;
   }
 
   void Check() {
     const Machine* leader = nullptr;
     for (const auto& m : machines_) {
-      if (!Leads(*m)) continue;
+      if (!HoldsLease(*m)) continue;
       if (leader != nullptr) Violation(leader->name + " and " + m->name + " both lead");
       leader = m.get();
       for (const Freeze& freeze : freezes_) {
-        if (freeze.acked < 0 || freeze.closing) continue;
-        const Incident* incident = m->desk->state()->incidents.Find(freeze.id);
-        if (incident == nullptr || !incident->Freezes())
+        if (freeze.acked_at < 0 || freeze.closing) continue;
+        const Incident* incident = m->service->state()->incidents.Find(freeze.id);
+        if (incident == nullptr || !incident->IsInForce())
           Violation("incident " + std::to_string(freeze.id) + " is lost");
       }
     }
@@ -678,7 +696,7 @@
         for (const ChangeKind kind : change.kinds) {
           if (!InForce(*m, change, kind, 0)) continue;
           force.emplace_back(&change, kind);
-          CheckWord(*m, change, kind);
+          CheckConfirmation(*m, change, kind);
           for (const Freeze& freeze : freezes_) CheckFreeze(*m, change, kind, freeze);
         }
       }
@@ -686,18 +704,19 @@
     for (const auto& [a, ak] : force) {
       for (const auto& [b, bk] : force) {
         if (a == b && ak == bk) continue;
-        if (a == b || Exclude(ak, a->footprint, bk, b->footprint))
+        if (a == b || MutuallyExclusive(ak, a->footprint, bk, b->footprint))
           Violation(a->name + " and " + b->name + " are both in force");
       }
     }
   }
 
   // There is a word of the highest term that this agent ever heard, and its question is not too old.
-  void CheckWord(const Machine& m, const Change& change, ChangeKind kind) {
-    for (const auto& [word, asked] : m.words) {
-      if (word.term == m.highest && word.change == change.name && word.kind == kind &&
-          word.state != Word::State::kNone && word.state != Word::State::kBlocked &&
-          Clock(m) < asked + Shortened(kPermitTime)) {
+  void CheckConfirmation(const Machine& m, const Change& change, ChangeKind kind) {
+    for (const auto& [confirmation, request_sent] : m.confirmations) {
+      if (confirmation.term == m.highest_term && confirmation.change == change.name &&
+          confirmation.kind == kind && confirmation.state != PermitConfirmation::State::kNone &&
+          confirmation.state != PermitConfirmation::State::kBlocked &&
+          Clock(m) < request_sent + Shortened(kPermitValidity)) {
         return;
       }
     }
@@ -705,7 +724,7 @@
   }
 
   void CheckFreeze(const Machine& m, const Change& change, ChangeKind kind, const Freeze& freeze) {
-    if (freeze.acked < 0 || freeze.closing) return;
+    if (freeze.acked_at < 0 || freeze.closing) return;
     const Effect effect = EffectOf(kind, RelationOf(change.footprint, freeze.scope), IncidentKind::kOperator);
     if (effect == Effect::kAllowed || (effect == Effect::kRemedy && change.remedies.contains(freeze.id)))
       return;
@@ -715,41 +734,41 @@
       Violation(change.name + " begins batch " + std::to_string(last + 1) + " at " + m.name +
                 " in incident " + std::to_string(freeze.id));
     }
-    if (effect == Effect::kBlocked && now_ > freeze.acked + kPermitBound) {
+    if (effect == Effect::kBlocked && now_ > freeze.acked_at + kPermitBound) {
       Violation(change.name + " goes on at " + m.name + " in incident " + std::to_string(freeze.id));
     }
   }
 
   std::mt19937_64 random_;
-  const Planted planted_;
+  const InjectedFault injected_fault_;
   const Script* script_;
-  double trouble_ = 1;
+  double fault_rate_ = 1;
   int now_ = 0;
-  bool calm_ = false;
-  bool through_ = false;
+  bool faults_stopped_ = false;
+  bool finished_ = false;
   int stage_ = 0;
-  std::string why_;
+  std::string last_reason_;
   std::set<std::string> names_;
   std::vector<std::unique_ptr<Machine>> machines_;
   Machine* saving_ = nullptr;
   std::multimap<int, std::pair<Machine*, std::function<void()>>> messages_;
-  std::multimap<int, std::function<void()>> later_;
+  std::multimap<int, std::function<void()>> scheduled_faults_;
   std::vector<Change> changes_;
   std::vector<Freeze> freezes_;
   int since_ = 0;  // of what Finish() waits for
   std::map<Term, std::string> winners_;
-  std::map<std::string, Stamp> written_;
-  Stamp committed_;
+  std::map<std::string, ValueVersion> written_;
+  ValueVersion committed_;
   History history_;
 };
 
 }  // namespace
 
-History Play(std::uint64_t seed, int voters, Planted planted) {
-  return World(seed, voters, planted, nullptr).Run();
+History RunHistory(std::uint64_t seed, int voters, InjectedFault injected) {
+  return SimulatedCluster(seed, voters, injected, nullptr).Run();
 }
-History Play(std::uint64_t seed, int voters, const Script& script) {
-  return World(seed, voters, Planted::kNothing, &script).Run();
+History RunHistory(std::uint64_t seed, int voters, const Script& script) {
+  return SimulatedCluster(seed, voters, InjectedFault::kNothing, &script).Run();
 }
 
 }  // namespace mothrack::change_freeze::testing
