--- a/src/change_freeze/permits.cpp
+++ b/src/change_freeze/agent_permits.cpp
@@ -1,4 +1,4 @@
-#include "change_freeze/permits.h"
+#include "change_freeze/agent_permits.h"
 
 namespace mothrack::change_freeze {
 
--- a/src/change_freeze/ledger.cpp
+++ b/src/change_freeze/freeze_state.cpp
@@ -1,4 +1,4 @@
-#include "change_freeze/ledger.h"
+#include "change_freeze/freeze_state.h"
 
 #include <algorithm>
 
--- a/src/change_freeze/ledger.h
+++ b/src/change_freeze/freeze_state.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
+#include "change_freeze/agent_permits.h"
 #include "change_freeze/conflicts.h"
 #include "change_freeze/incidents.h"
-#include "change_freeze/permits.h"
 #include "change_freeze/voter.h"
 
 namespace mothrack::change_freeze {
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "change_freeze/conflicts.h"
-#include "change_freeze/pack.h"
+#include "change_freeze/encoding.h"
 #include "rollout/types.h"
 
 namespace mothrack::change_freeze {
--- a/src/change_freeze/desk.cpp
+++ b/src/change_freeze/permit_service.cpp
@@ -1,4 +1,4 @@
-#include "change_freeze/desk.h"
+#include "change_freeze/permit_service.h"
 
 namespace mothrack::change_freeze {
 
--- a/src/change_freeze/desk.h
+++ b/src/change_freeze/permit_service.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <vector>
 
-#include "change_freeze/ledger.h"
+#include "change_freeze/freeze_state.h"
 #include "change_freeze/voter.h"
 
 namespace mothrack::change_freeze {
--- a/tests/change_freeze/freeze_model.cpp
+++ b/tests/change_freeze/freeze_model.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "change_freeze/desk.h"
+#include "change_freeze/permit_service.h"
 
 namespace mothrack::change_freeze::testing {
 namespace {
--- a/tests/change_freeze/freeze_test.cpp
+++ b/tests/change_freeze/freeze_test.cpp
@@ -6,8 +6,8 @@
 #include <iostream>
 #include <set>
 
-#include "change_freeze/desk.h"
 #include "change_freeze/freeze_model.h"
+#include "change_freeze/permit_service.h"
 #include "support/tables.h"
 
 namespace mothrack::change_freeze {
