--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -1,216 +1,160 @@
-// One voter of the election of the coordinator, and of the register that keeps its state: a value of at most
-// 64 KiB, replaced as a whole. docs/design/freeze.md says why it is no log.
+// One voter of the leader election, and of the replicated register that keeps the leader's state: one value
+// of at most kMaxValueBytes, replaced as a whole. The register is single-decree Paxos under a lease;
+// docs/design/freeze.md says why it is no log.
 //
-//   * A term has one coordinator: each voter votes once a term, on disk before it is told.
-//   * What a majority holds on disk is committed. Votes bring what the voter holds, so whoever wins has read
-//   the latest from a majority; it writes that anew under its own term, and acts only once a majority holds
-//   it.
-//   * The coordinator's lease counts from when it *asked* a majority, shortened; a voter that heard lets
-//   nobody else win for as long, lengthened. With every steady clock within kClockRate of true time the lease
-//   has ended at its holder before another can win. A voter that starts lets nobody win for the whole of that
-//   time: it may have promised.
-//   * A voter whose file is older than what it has told takes no part. It joins as another life, once as many
-//   others as are a majority of all have that life on disk and told what they hold; what it told in a former
-//   life counts no more. Whose file is old is told by the seal, the number of the last write, kept in another
-//   place; and by any peer that has heard of a later write.
+//   * Election. A term has one leader: each voter votes once a term, and has its vote on disk before it is
+//   sent. A
+//     pre-vote first asks whether the candidate would win, so that a voter that was alone ends nobody's
+//     lease.
+//   * Commit. What a majority holds on disk is committed. Votes carry what the voter holds, so whoever wins
+//   has read
+//     the latest from a majority; it writes that again under its own term, and acts only once that is
+//     committed.
+//   * Lease. The leader acts while its lease holds (LeaderLease); a voter that received a message of the
+//   leader lets
+//     nobody else win for the lease, lengthened. A voter that starts lets nobody win for that time either: it
+//     may have promised it before.
+//   * Rejoining. A voter whose file is older than what it has sent takes no part. It rejoins as a later
+//   incarnation,
+//     once as many others as are a majority of all have that incarnation on disk and have sent what they
+//     hold. What it sent in an earlier incarnation counts no more.
 //
-// A value: let a copy decide, make its record durable, keep the copy, and only then send (Decide).
+// The parts: voter_role.h (the state machine), leader_lease.h, replica_tracker.h, incarnation_table.h,
+// voter_record.h (what is on disk), voter_message.h. voter.cpp has what is common; voter_election.cpp,
+// voter_replication.cpp and voter_rejoin.cpp have one concern each.
+//
+// A value without clock, disk or socket; one thread at a time. Every call that may change it goes through
+// ApplyDurably (apply_durably.h).
 #pragma once
 
-#include <compare>
 #include <cstdint>
 #include <map>
-#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
-#include "rollout/types.h"
+#include "change_freeze/apply_durably.h"
+#include "change_freeze/clock_tolerance.h"
+#include "change_freeze/incarnation_table.h"
+#include "change_freeze/leader_lease.h"
+#include "change_freeze/replica_tracker.h"
+#include "change_freeze/voter_message.h"
+#include "change_freeze/voter_record.h"
+#include "change_freeze/voter_role.h"
 
 namespace mothrack::change_freeze {
 
-using rollout::Duration;
-using rollout::TimePoint;
-using Term = std::uint64_t;
-
-inline constexpr std::size_t kMaxValueBytes = 64 * 1024;
-// In percent. Crystals are within 0.01; a virtual machine that is slewed after a move, within 1.
-inline constexpr int kMaxClockErrorPercent = 10;
-constexpr Duration Shortened(Duration time) { return time * (100 - kMaxClockErrorPercent) / 100; }
-constexpr Duration Lengthened(Duration time) { return time * (100 + kMaxClockErrorPercent) / 100; }
-
-struct ValueVersion {
-  Term term = 0;
-  std::uint64_t version = 0;
-  auto operator<=>(const ValueVersion&) const = default;
-};
-
-// What must be on disk before anything that follows from it is told.
-struct VoterRecord {
-  std::uint64_t serial = 0;       // of this write
-  std::uint64_t incarnation = 0;  // rises when its file was found to be old
-  Term term = 0;                  // the highest known
-  std::string voted_for;          // for whom in `term`
-  ValueVersion value_version;
-  std::string value;
-  bool stale = false;                                 // found to be behind what was told: it takes no part
-  std::map<std::string, std::uint64_t> incarnations;  // of the others, as they joined anew
-  bool operator==(const VoterRecord&) const = default;
-};
-
-// Of the last record that may have been told, kept in another place than the record itself.
-struct RecordPosition {
-  std::uint64_t incarnation = 0;
-  std::uint64_t serial = 0;
-  auto operator<=>(const RecordPosition&) const = default;
-};
-inline RecordPosition PositionOf(const VoterRecord& record) { return {record.incarnation, record.serial}; }
-
-struct VoterMessage {
-  enum class Kind : std::uint8_t {
-    kPreVoteRequest,     // would you vote for me in `term`?
-    kPreVoteResponse,    // `granted`
-    kVoteRequest,        // vote for me in `term`
-    kVoteResponse,       // `granted`, with what the voter holds
-    kReplicate,          // hold `value`; a beat as well
-    kHeartbeat,          // the coordinator of `term` lives
-    kReplicateResponse,  // of both: `granted`, and the stamp that is held
-    kRejoinRequest,      // my file was old: I want to come back as `life`
-    kRejoinResponse,     // `granted`: that life is on disk here; with what is held
-  };
-  Kind kind = Kind::kHeartbeat;
-  std::string from{};
-  std::string to{};
-  Term term = 0;
-  bool granted = false;
-  ValueVersion value_version{};
-  std::string value{};
-  std::int64_t request_sent = 0;           // of the asker's clock; comes back with the answer
-  std::uint64_t wanted_incarnation = 0;    // of kJoin and kJoined: the life
-  std::uint64_t incarnation = 0;           // the sender's
-  std::uint64_t serial = 0;                // likewise
-  std::uint64_t receiver_incarnation = 0;  // the receiver's, as the sender last heard of it
-  std::uint64_t receiver_serial = 0;
-  std::map<std::string, std::uint64_t> incarnations{};  // that the sender has on disk
-};
-
+// The same at all voters of a fleet, but for `local_voter`.
 struct VoterSettings {
   std::string local_voter;
-  std::set<std::string> voters;  // all of them, an odd number
-  Duration lease{3000};
+  std::set<std::string> voters;  // all of them, this one included; an odd number
+  Duration lease{3000};  // a leader that falls silent is followed by another after a little more than that
   Duration heartbeat_interval{500};  // six chances a lease
-  Duration request_timeout{800};     // of a question to all: a round trip at 200 ms with one loss
+  Duration request_timeout{800};     // of a request to all voters: a round trip at 200 ms with one loss
 };
 
 class Voter {
  public:
-  enum class Role : std::uint8_t {
-    kRejoining,  // its file is old
-    kFollower,
-    kPreCandidate,  // whether it would win
-    kCandidate,
-    kEstablishing,  // it won; the latest is not yet held under its term
-    kLeader,
-  };
-  enum class RecordCondition : std::uint8_t { kCurrent, kStale };
+  using Role = VoterRole;
 
-  // `seal`: nothing where it is missing. A fleet is founded once, by an operator, with `founding`.
-  static RecordCondition AssessRecord(const std::optional<VoterRecord>& record,
-                                      const std::optional<RecordPosition>& position, bool founding);
+  // How often Tick() must be called at least, whatever else happens.
+  static constexpr Duration kTickInterval{100};
 
+  // `record`: what was on disk, or a new one; `condition` as AssessRecord judged it.
   Voter(VoterSettings settings, VoterRecord record, RecordCondition condition, TimePoint now);
 
+  // A message of another voter; one that is not for this voter, or not of one, is ignored. Messages to send
+  // are added to `out`, here and below.
   void Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out);
-  // Call it at least every kTurn.
-  static constexpr Duration kTickInterval{100};
   void Tick(TimePoint now, std::vector<VoterMessage>& out);
-  // Only of a coordinator whose lease holds: the version that is committed once committed() has come to it;
-  // 0: no.
+  // Replaces the register's value. Returns its version, which is committed once committed() has reached it;
+  // 0: this voter does not hold the lease, or the value exceeds kMaxValueBytes.
   std::uint64_t Propose(const std::string& value, TimePoint now, std::vector<VoterMessage>& out);
-  // The disk did not take what a copy decided. Whoever leads steps down: what it could not write may be on
-  // its disk.
+  // The disk refused what a copy of this voter decided. A leader steps down: what it could not write may be
+  // on its disk all the same, and its version must not come to name another value.
   void OnWriteFailed(TimePoint now);
 
   const VoterRecord& record() const { return record_; }
   Role role() const { return role_; }
   Term term() const { return record_.term; }
-  // May it act as coordinator at this instant?
+  // May this voter act as the leader at this instant?
   bool HoldsLease(TimePoint now) const { return role_ == Role::kLeader && now < LeaseEnd(); }
-  std::uint64_t committed() const { return committed_; }
-  // Who was coordinator a short while ago; empty: nobody.
+  // The highest committed version of the term that this voter leads, or led last.
+  std::uint64_t committed() const { return replicas_.committed(); }
+  // The leader whose promise is in force; empty: nobody is known to lead.
   std::string LeaderAt(TimePoint now) const;
-  // Other voters that have not been heard for a lease.
+  // The other voters of which nothing was received for a lease.
   std::set<std::string> UnreachableVoters(TimePoint now) const;
 
  private:
-  struct ReplicaProgress {
-    std::uint64_t version = 0;
-    std::uint64_t incarnation = 0;
+  struct VersionedValue {
+    ValueVersion version;
+    std::string value;
   };
+
+  // Common: voter.cpp.
   std::size_t Majority() const { return settings_.voters.size() / 2 + 1; }
-  TimePoint LeaseEnd() const;
-  Duration ElectionDelay();
-  void PromiseLease(TimePoint now);
+  TimePoint LeaseEnd() const { return lease_.End(Majority()); }
   void BecomeFollower(TimePoint now);
-  void BeginRejoin(TimePoint now);
-  VoterMessage MakeMessage(const std::string& name, VoterMessage::Kind kind) const;
-  void Broadcast(VoterMessage::Kind kind, Term term, TimePoint now, std::vector<VoterMessage>& out) const;
-  std::size_t CountCurrent(const std::map<std::string, std::uint64_t>& incarnations) const;
+  void ClearRoleState(TimePoint now);
+  void PromiseLease(TimePoint now);
+  void ObservePeer(const VoterMessage& message, TimePoint now);
+  bool IsBehind(const VoterMessage& message) const;
+  void HandleRequest(const VoterMessage& request, TimePoint now, std::vector<VoterMessage>& out);
+  void HandleResponse(const VoterMessage& response, TimePoint now);
+  void OnActionDue(TimePoint now, std::vector<VoterMessage>& out);
   void AdvanceRole(TimePoint now, std::vector<VoterMessage>& out);
-  void SendHeartbeats(TimePoint now, std::vector<VoterMessage>& out);
-  void UpdateCommitted();
+  VoterMessage MakeMessage(const std::string& receiver, VoterMessage::Kind kind) const;
+  VoterMessage Respond(const VoterMessage& request, VoterMessage::Kind kind, bool granted) const;
+  void Broadcast(VoterMessage::Kind kind, Term term, TimePoint now, std::vector<VoterMessage>& out) const;
   void AssignSerial(const VoterRecord& before, std::size_t first, std::vector<VoterMessage>& out);
-  void HandleRequest(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out);
-  void HandleResponse(const VoterMessage& message, TimePoint now);
-  void OnLeaderMessage(const VoterMessage& message, TimePoint now, VoterMessage& answer);
-  void OnRejoinResponse(const VoterMessage& message, TimePoint now);
+  void KeepLatest(const VoterMessage& response);
+
+  // Election: voter_election.cpp.
+  Duration ElectionDelay();
+  Term NextCampaignTerm() const;
+  bool HasMajorityOfGrants() const;
+  void StartPreVote(TimePoint now, std::vector<VoterMessage>& out);
+  void StartElection(TimePoint now, std::vector<VoterMessage>& out);
+  bool OnPreVoteRequest(const VoterMessage& request, TimePoint now) const;
+  bool OnVoteRequest(const VoterMessage& request, TimePoint now);
+  void OnPreVoteResponse(const VoterMessage& response);
+  void OnVoteResponse(const VoterMessage& response);
+
+  // Replication and the lease: voter_replication.cpp.
+  bool LeadsTerm() const { return role_ == Role::kEstablishing || role_ == Role::kLeader; }
+  void StartLeadership(TimePoint now, std::vector<VoterMessage>& out);
+  void SendHeartbeats(TimePoint now, std::vector<VoterMessage>& out);
+  void UpdateCommitted(TimePoint now);
+  bool OnLeaderMessage(const VoterMessage& message, TimePoint now);
+  void OnReplicateResponse(const VoterMessage& response);
+
+  // Rejoining: voter_rejoin.cpp.
+  void BeginRejoin(TimePoint now);
+  void FinishRejoin(TimePoint now);
+  bool OnRejoinRequest(const VoterMessage& request);
+  void OnRejoinResponse(const VoterMessage& response, TimePoint now);
 
   VoterSettings settings_;
   VoterRecord record_;
-  // Of this process's life only.
+  // All below is of this process only; none of it is on disk.
   Role role_ = Role::kFollower;
-  TimePoint promised_until_;  // nobody else may win before
-  TimePoint next_action_;     // to campaign, to give up, to beat or to ask again: by the role
-  std::uint64_t campaigns_ = 0;
-  Term highest_seen_term_ = 0;  // in answers; the next campaign goes above it
+  TimePoint promised_until_;     // this voter lets nobody else win before
+  TimePoint next_action_;        // to campaign, to give up, to send heartbeats or to ask again: by the role
+  std::uint64_t campaigns_ = 0;  // varies ElectionDelay
+  Term highest_seen_term_ = 0;   // in responses; the next campaign goes above it
   std::string leader_;
   std::map<std::string, TimePoint> last_contact_;
-  std::map<std::string, RecordPosition> peer_positions_;      // by the others, of themselves
-  std::map<std::string, std::uint64_t> latest_incarnations_;  // lives, from whoever told
-  std::map<std::string, std::uint64_t> granted_by_;  // who granted what is asked now, and in which life
-  ValueVersion latest_version_;                      // among the votes, or those who let it join
-  std::string latest_value_;
-  Term rejoin_term_ = 0;
-  std::uint64_t wanted_incarnation_ = 0;
-  std::map<std::string, ReplicaProgress> replicas_;  // of this term
-  std::map<std::string, TimePoint> acked_requests_;  // by who answered: when that question left
-  TimePoint last_heartbeat_;                         // the last one
-  TimePoint establish_deadline_;                     // of kTaking
-  std::uint64_t committed_ = 0;
+  std::map<std::string, RecordPosition> peer_positions_;  // as the other voters sent them
+  IncarnationTable incarnations_;
+  std::map<std::string, Incarnation>
+      granted_by_;                      // who granted the present request, and in which incarnation
+  VersionedValue latest_;               // the latest among the votes, or among the rejoin responses
+  Term rejoin_term_ = 0;                // the highest among the rejoin responses
+  Incarnation wanted_incarnation_ = 0;  // while it rejoins
+  LeaderLease lease_;
+  ReplicaTracker replicas_;
+  TimePoint establish_deadline_;  // kEstablishing gives up then
 };
 
-// Where a voter's record is kept. True: the record, and then its seal in another place, are durable; false:
-// nothing may be told, though the record may be there.
-class RecordStore {
- public:
-  virtual ~RecordStore() = default;
-  virtual bool Save(const VoterRecord& record) = 0;
-};
-
-// `Deciding`: Voter, or what holds one. What is in `out` afterwards may be sent.
-template <typename Decider, typename Act>
-bool ApplyDurably(Decider& decider, RecordStore& store, TimePoint now, Act act,
-                  std::vector<VoterMessage>& out) {
-  Decider copy = decider;
-  std::vector<VoterMessage> messages;
-  act(copy, messages);
-  if (copy.record().serial != decider.record().serial && !store.Save(copy.record())) {
-    decider.OnWriteFailed(now);
-    return false;
-  }
-  decider = std::move(copy);
-  out.insert(out.end(), messages.begin(), messages.end());
-  return true;
-}
-
 }  // namespace mothrack::change_freeze
--- a/tests/change_freeze/freeze_model.cpp
+++ b/tests/change_freeze/freeze_model.cpp
@@ -272,8 +272,8 @@
     VoterSettings settings;
     settings.local_voter = m.name;
     settings.voters = names_;
-    auto condition = Voter::AssessRecord(m.file, m.position, false);
-    if (injected_fault_ == InjectedFault::kStaleRecordTrusted) condition = Voter::RecordCondition::kCurrent;
+    auto condition = AssessRecord(m.file, m.position, false);
+    if (injected_fault_ == InjectedFault::kStaleRecordTrusted) condition = RecordCondition::kCurrent;
     const Duration before =
         injected_fault_ == InjectedFault::kNoLeasePromiseAtStart ? settings.lease * 2 : Duration(0);
     m.service = std::make_unique<PermitService>(
--- a/tests/change_freeze/freeze_test.cpp
+++ b/tests/change_freeze/freeze_test.cpp
@@ -123,9 +123,9 @@
   record.voted_for = "c";
   record.value_version = {4, 1};
   record.value = "of a";
-  VoterFixture fixture{Voter(
-      settings, record,
-      role == Role::kRejoining ? Voter::RecordCondition::kStale : Voter::RecordCondition::kCurrent, At(0))};
+  VoterFixture fixture{Voter(settings, record,
+                             role == Role::kRejoining ? RecordCondition::kStale : RecordCondition::kCurrent,
+                             At(0))};
   if (role != Role::kFollower) fixture.Tick();
   for (int step = 3; role >= Role::kCandidate && step <= static_cast<int>(role); ++step)
     fixture.GrantLastRequest("b");
@@ -227,16 +227,15 @@
 TEST(FreezeVoter, OldFilesAreTold) {
   VoterRecord record;
   record.serial = 4;
-  EXPECT_EQ(Voter::AssessRecord(record, RecordPosition{0, 4}, false), Voter::RecordCondition::kCurrent);
-  EXPECT_EQ(Voter::AssessRecord(record, RecordPosition{0, 3}, false), Voter::RecordCondition::kCurrent)
+  EXPECT_EQ(AssessRecord(record, RecordPosition{0, 4}, false), RecordCondition::kCurrent);
+  EXPECT_EQ(AssessRecord(record, RecordPosition{0, 3}, false), RecordCondition::kCurrent)
       << "written, and not told";
-  EXPECT_EQ(Voter::AssessRecord(record, RecordPosition{0, 5}, false), Voter::RecordCondition::kStale);
-  EXPECT_EQ(Voter::AssessRecord(record, RecordPosition{1, 1}, false), Voter::RecordCondition::kStale)
-      << "of a former life";
-  EXPECT_EQ(Voter::AssessRecord(record, std::nullopt, true), Voter::RecordCondition::kStale);
-  EXPECT_EQ(Voter::AssessRecord(std::nullopt, RecordPosition{}, true), Voter::RecordCondition::kStale);
-  EXPECT_EQ(Voter::AssessRecord(std::nullopt, std::nullopt, false), Voter::RecordCondition::kStale);
-  EXPECT_EQ(Voter::AssessRecord(std::nullopt, std::nullopt, true), Voter::RecordCondition::kCurrent);
+  EXPECT_EQ(AssessRecord(record, RecordPosition{0, 5}, false), RecordCondition::kStale);
+  EXPECT_EQ(AssessRecord(record, RecordPosition{1, 1}, false), RecordCondition::kStale) << "of a former life";
+  EXPECT_EQ(AssessRecord(record, std::nullopt, true), RecordCondition::kStale);
+  EXPECT_EQ(AssessRecord(std::nullopt, RecordPosition{}, true), RecordCondition::kStale);
+  EXPECT_EQ(AssessRecord(std::nullopt, std::nullopt, false), RecordCondition::kStale);
+  EXPECT_EQ(AssessRecord(std::nullopt, std::nullopt, true), RecordCondition::kCurrent);
 }
 
 // What a voter told in a former life counts no more, once anybody who answered its new one is heard.
@@ -244,7 +243,7 @@
   VoterSettings settings;
   settings.local_voter = "a";
   settings.voters = {"a", "b", "c", "d", "e"};
-  VoterFixture fixture{Voter(settings, VoterRecord(), Voter::RecordCondition::kCurrent, At(0))};
+  VoterFixture fixture{Voter(settings, VoterRecord(), RecordCondition::kCurrent, At(0))};
   fixture.Tick();
   const VoterMessage request = fixture.out.back();
   for (const char* name : {"b", "c"}) {
