--- a/src/change_freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -19,17 +19,25 @@
   return !a.empty() && !b.empty() && Compare(a, b) == Relation::kOutside;
 }
 
-// By change kind and relation, a letter for each incident kind: Blocked, Paused, Allowed, Remedy.
-constexpr const char* kTable[8][4] = {
-    {"BBBB", "PBPP", "PPAA", "BBBB"},  // new generation
-    {"RRRR", "PPPP", "PAAA", "PRPB"},  // restart
-    {"RRBB", "PPBP", "BAPA", "BBBB"},  // stop
-    {"RRRR", "RRRR", "AAAA", "RRRR"},  // undo
-    {"PBBB", "PBPP", "AAAA", "BBBB"},  // reload
-    {"RRRR", "PPPP", "BABA", "BBBB"},  // zone leave
-    {"RBPB", "PPPP", "AAAA", "PPPB"},  // zone return
-    {"AAAA", "AAAA", "AAAA", "AAAA"},  // break-glass
+constexpr Effect kB = Effect::kBlocked;
+constexpr Effect kP = Effect::kPaused;
+constexpr Effect kA = Effect::kAllowed;
+constexpr Effect kR = Effect::kRemedy;
+
+// By change kind, relation (inside, overlapping, outside, fleet) and incident kind (zone left, crash loop,
+// refusals, operator).
+// clang-format off
+constexpr Effect kEffectTable[8][4][4] = {
+    {{kB, kB, kB, kB}, {kP, kB, kP, kP}, {kP, kP, kA, kA}, {kB, kB, kB, kB}},  // new generation
+    {{kR, kR, kR, kR}, {kP, kP, kP, kP}, {kP, kA, kA, kA}, {kP, kR, kP, kB}},  // restart
+    {{kR, kR, kB, kB}, {kP, kP, kB, kP}, {kB, kA, kP, kA}, {kB, kB, kB, kB}},  // stop
+    {{kR, kR, kR, kR}, {kR, kR, kR, kR}, {kA, kA, kA, kA}, {kR, kR, kR, kR}},  // undo
+    {{kP, kB, kB, kB}, {kP, kB, kP, kP}, {kA, kA, kA, kA}, {kB, kB, kB, kB}},  // reload
+    {{kR, kR, kR, kR}, {kP, kP, kP, kP}, {kB, kA, kB, kA}, {kB, kB, kB, kB}},  // zone leave
+    {{kR, kB, kP, kB}, {kP, kP, kP, kP}, {kA, kA, kA, kA}, {kP, kP, kP, kB}},  // zone return
+    {{kA, kA, kA, kA}, {kA, kA, kA, kA}, {kA, kA, kA, kA}, {kA, kA, kA, kA}},  // break-glass
 };
+// clang-format on
 
 bool MovesZone(ChangeKind kind) { return kind == ChangeKind::kZoneLeave || kind == ChangeKind::kZoneReturn; }
 
@@ -52,22 +60,16 @@
 }
 
 Effect EffectOf(ChangeKind change, Relation relation, IncidentKind incident) {
-  switch (kTable[static_cast<int>(change)][static_cast<int>(relation)][static_cast<int>(incident)]) {
-    case 'P':
-      return Effect::kPaused;
-    case 'A':
-      return Effect::kAllowed;
-    case 'R':
-      return Effect::kRemedy;
-  }
-  return Effect::kBlocked;
+  return kEffectTable[static_cast<int>(change)][static_cast<int>(relation)][static_cast<int>(incident)];
 }
 
-bool MutuallyExclusive(ChangeKind a, const Footprint& at, ChangeKind b, const Footprint& bt) {
-  if (a == ChangeKind::kBreakGlass || b == ChangeKind::kBreakGlass) return false;
-  if (MovesZone(a) == MovesZone(b)) return true;
-  return !KnownDisjoint(at.zones, bt.zones) && !KnownDisjoint(at.sites, bt.sites) &&
-         !KnownDisjoint(at.instances, bt.instances);
+bool MutuallyExclusive(ChangeKind first, const Footprint& first_footprint, ChangeKind second,
+                       const Footprint& second_footprint) {
+  if (first == ChangeKind::kBreakGlass || second == ChangeKind::kBreakGlass) return false;
+  if (MovesZone(first) == MovesZone(second)) return true;
+  return !KnownDisjoint(first_footprint.zones, second_footprint.zones) &&
+         !KnownDisjoint(first_footprint.sites, second_footprint.sites) &&
+         !KnownDisjoint(first_footprint.instances, second_footprint.instances);
 }
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/encoding.h
+++ b/src/change_freeze/encoding.h
@@ -1,5 +1,8 @@
-// The replicated state as bytes: numbers and strings, each ended by a colon or led by its length, so that a
-// reader that is handed anything else says so.
+// The replicated state as bytes: numbers in decimal, each ended by a colon, and texts led by their length in
+// bytes. A reader that is handed anything else notices.
+//
+// Values; not thread-safe. The bytes are on the voters' disks and between agents of two releases: they don't
+// change without a new kEncodingVersion (freeze_state_encoding.cpp).
 #pragma once
 
 #include <charconv>
@@ -10,6 +13,7 @@
 
 namespace mothrack::change_freeze {
 
+// Appends; can't fail.
 class Encoder {
  public:
   void Number(std::uint64_t number) { bytes_ += std::to_string(number) + ':'; }
@@ -21,13 +25,18 @@
     Number(names.size());
     for (const std::string& name : names) Text(name);
   }
+  template <typename Enumeration>
+  void Enum(Enumeration value) {
+    Number(static_cast<std::uint64_t>(value));
+  }
   const std::string& bytes() const { return bytes_; }
 
  private:
   std::string bytes_;
 };
 
-// After a fault everything reads as empty, and ok() is false.
+// Reads what an Encoder wrote. After the first fault ok() stays false and everything reads as empty. The
+// bytes must outlive it.
 class Decoder {
  public:
   explicit Decoder(std::string_view bytes) : remaining_(bytes) {}
@@ -44,6 +53,11 @@
     const std::uint64_t number = Number();
     return number > maximum ? Fail() : number;
   }
+  // An enumeration whose last value is `last`.
+  template <typename Enumeration>
+  Enumeration Enum(Enumeration last) {
+    return static_cast<Enumeration>(Number(static_cast<std::uint64_t>(last)));
+  }
   std::string Text() {
     const std::uint64_t size = Number(remaining_.size());
     if (!ok_ || size > remaining_.size()) return Fail(), std::string();
@@ -57,6 +71,7 @@
     return names;
   }
   bool ok() const { return ok_; }
+  // All bytes were read, without a fault.
   bool done() const { return ok_ && remaining_.empty(); }
 
  private:
--- a/src/change_freeze/incidents.cpp
+++ b/src/change_freeze/incidents.cpp
@@ -5,126 +5,179 @@
 
 namespace mothrack::change_freeze {
 
-using State = Incident::State;
+using State = IncidentState;
 
-Severity SeverityOf(const Evidence& e) {
-  switch (e.kind) {
+namespace {
+
+// The owner of an incident that evidence opened.
+constexpr const char* kEvidenceOwner = "evidence";
+
+// The largest age or time-out that is read, in ms (35 years): no sum of it and a time point overflows.
+constexpr std::uint64_t kMaxEncodedDuration = std::uint64_t{1} << 40;
+
+EvidenceSeverity SeverityOfLevel(double level, double firing_from) {
+  if (level >= firing_from) return EvidenceSeverity::kFiring;
+  return level > 0 ? EvidenceSeverity::kIndeterminate : EvidenceSeverity::kClear;
+}
+
+Status CheckTexts(const Scope& scope, const std::string& cause, const std::string& owner) {
+  const auto too_long = [](const std::string& text) { return text.size() > kMaxTextBytes; };
+  if (too_long(cause) || too_long(owner) || scope.names.size() > kMaxScopeNames ||
+      std::any_of(scope.names.begin(), scope.names.end(), too_long)) {
+    return {StatusCode::kInvalidRequest,
+            "a cause, owner or name is longer than " + std::to_string(kMaxTextBytes) +
+                " bytes, or the scope has more than " + std::to_string(kMaxScopeNames) +
+                " names; shorten it, or take a wider scope"};
+  }
+  if (scope.names.empty() != (scope.kind == Scope::Kind::kFleet)) {
+    return {StatusCode::kInvalidRequest, "a scope has names, unless it is the fleet"};
+  }
+  return {};
+}
+
+std::uint64_t EncodedAge(TimePoint since, TimePoint now) {
+  return static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - since).count()));
+}
+
+}  // namespace
+
+EvidenceSeverity SeverityOf(const Evidence& evidence) {
+  switch (evidence.kind) {
     case IncidentKind::kZoneLeft:
-      return e.level >= 1 ? Severity::kFiring : e.level > 0 ? Severity::kIndeterminate : Severity::kClear;
+      return SeverityOfLevel(evidence.level, 1);
     case IncidentKind::kCrashLoop:
-      return e.level >= kCrashLoopMinSites ? Severity::kFiring
-             : e.level > 0                 ? Severity::kIndeterminate
-                                           : Severity::kClear;
+      return SeverityOfLevel(evidence.level, kCrashLoopMinSites);
     case IncidentKind::kRejections:
-      if (e.level >= kRejectionsOpenRatio && e.sustained >= kRejectionsOpenAfter) return Severity::kFiring;
-      return e.level > kRejectionsCalmRatio ? Severity::kIndeterminate : Severity::kClear;
+      if (evidence.level >= kRejectionsOpenRatio && evidence.sustained >= kRejectionsOpenAfter)
+        return EvidenceSeverity::kFiring;
+      return evidence.level > kRejectionsCalmRatio ? EvidenceSeverity::kIndeterminate
+                                                   : EvidenceSeverity::kClear;
     case IncidentKind::kOperator:
       break;
   }
-  return Severity::kIndeterminate;
+  return EvidenceSeverity::kIndeterminate;
 }
 
-Incident* Incidents::FindByScope(IncidentKind kind, const Scope& scope) {
-  const auto it = std::find_if(all_.begin(), all_.end(),
-                               [&](const Incident& i) { return i.kind == kind && i.scope == scope; });
-  return it == all_.end() ? nullptr : &*it;
+std::optional<State> NextIncidentState(State state, IncidentKind kind, IncidentEvent event) {
+  const bool muted = state == State::kMuted;
+  switch (event) {
+    case IncidentEvent::kEvidenceNotClear:
+      return muted ? State::kMuted : State::kOpen;
+    case IncidentEvent::kEvidenceClear:
+      return muted ? State::kMuted : State::kCalming;
+    case IncidentEvent::kEvidenceStayedClear:
+      return std::nullopt;
+    case IncidentEvent::kTimedOut:
+      // One that was closed by an operator and of which nobody speaks any more is not in force: that may go.
+      if (muted) return std::nullopt;
+      return State::kStale;
+    case IncidentEvent::kRenewed:
+      return State::kOpen;
+    case IncidentEvent::kClosed:
+      if (kind == IncidentKind::kOperator || state == State::kCalming) return std::nullopt;
+      // Its evidence would open the next one at once; it has to be clear once.
+      return State::kMuted;
+  }
+  return state;
 }
 
-const Incident* Incidents::Find(std::uint64_t id) const {
-  const auto it = std::find_if(all_.begin(), all_.end(), [&](const Incident& i) { return i.id == id; });
-  return it == all_.end() ? nullptr : &*it;
-}
-
-std::uint64_t Incidents::Add(IncidentKind kind, const Scope& scope, const std::string& cause,
-                             const std::string& owner, Duration stale_after, TimePoint now,
-                             std::string& reason) {
-  if (cause.size() > kMaxTextBytes || owner.size() > kMaxTextBytes || scope.names.size() > kMaxScopeNames ||
-      std::any_of(scope.names.begin(), scope.names.end(),
-                  [](const auto& n) { return n.size() > kMaxTextBytes; })) {
-    reason = "a cause, owner or name is longer than " + std::to_string(kMaxTextBytes) +
-             " bytes, or the scope has more than " + std::to_string(kMaxScopeNames) +
-             " names; shorten it, or take a wider scope";
-    return 0;
-  }
-  if (scope.names.empty() != (scope.kind == Scope::Kind::kFleet)) {
-    reason = "a scope has names, unless it is the fleet";
-    return 0;
-  }
-  if (all_.size() >= kMaxIncidents) {
-    reason = "there are " + std::to_string(kMaxIncidents) +
-             " incidents already; close one, or open one for the fleet instead of some";
-    return 0;
+IncidentResult Incidents::Open(const Scope& scope, const std::string& cause, const std::string& owner,
+                               Duration stale_after, TimePoint now) {
+  if (cause.empty() || owner.empty())
+    return {0, {StatusCode::kInvalidRequest, "an incident needs a cause and an owner"}};
+  if (const Incident* same = FindByScope(IncidentKind::kOperator, scope)) {
+    const std::uint64_t id = same->id;
+    Renew(id, owner, now);
+    return {id, {}};
   }
-  all_.push_back({++last_id_, kind, scope, cause, owner, State::kOpen, now, now, stale_after, {}});
-  return last_id_;
+  return Add(IncidentKind::kOperator, scope, cause, owner, stale_after, now);
 }
 
-std::uint64_t Incidents::Open(const Scope& scope, const std::string& cause, const std::string& owner,
-                              Duration stale_after, TimePoint now, std::string& reason) {
-  if (cause.empty() || owner.empty()) return reason = "an incident needs a cause and an owner", 0;
-  if (Incident* same = FindByScope(IncidentKind::kOperator, scope)) {
-    Renew(same->id, owner, now);
-    return same->id;
+IncidentResult Incidents::Add(IncidentKind kind, const Scope& scope, const std::string& cause,
+                              const std::string& owner, Duration stale_after, TimePoint now) {
+  if (Status status = CheckTexts(scope, cause, owner); !status.ok()) return {0, std::move(status)};
+  if (all_.size() >= kMaxIncidents) {
+    return {0,
+            {StatusCode::kLimitReached,
+             "there are " + std::to_string(kMaxIncidents) +
+                 " incidents already; close one, or open one for the fleet instead of some"}};
   }
-  return Add(IncidentKind::kOperator, scope, cause, owner, stale_after, now, reason);
+  all_.push_back({++last_id_, kind, scope, cause, owner, State::kOpen, now, now, stale_after, {}});
+  return {last_id_, {}};
 }
 
 bool Incidents::Renew(std::uint64_t id, const std::string& owner, TimePoint now) {
-  Incident* incident = const_cast<Incident*>(Find(id));
+  Incident* incident = FindMutable(id);
   if (incident == nullptr || owner.empty() || owner.size() > kMaxTextBytes) return false;
-  incident->state = State::kOpen;
+  incident->state = *NextIncidentState(incident->state, incident->kind, IncidentEvent::kRenewed);
   incident->owner = owner;
   incident->renewed = now;
   return true;
 }
 
 bool Incidents::Close(std::uint64_t id, TimePoint now) {
-  Incident* incident = const_cast<Incident*>(Find(id));
+  Incident* incident = FindMutable(id);
   if (incident == nullptr) return false;
-  if (incident->kind == IncidentKind::kOperator || incident->state == State::kCalming) {
-    std::erase_if(all_, [&](const Incident& i) { return i.id == id; });
-  } else if (incident->state != State::kMuted) {
-    // Its evidence would open the next one at once; it has to be calm once.
-    incident->state = State::kMuted;
-    incident->renewed = incident->calm_since = now;
+  const auto next = NextIncidentState(incident->state, incident->kind, IncidentEvent::kClosed);
+  if (!next) {
+    Remove(id);
+  } else if (incident->state != *next) {
+    incident->state = *next;
+    incident->renewed = now;
+    incident->clear_since = now;
   }
   return true;
 }
 
-std::uint64_t Incidents::OnEvidence(const Evidence& evidence, TimePoint now, std::string& reason) {
-  if (evidence.kind == IncidentKind::kOperator) return 0;
-  const Severity severity = SeverityOf(evidence);
+IncidentResult Incidents::OnEvidence(const Evidence& evidence, TimePoint now) {
+  if (evidence.kind == IncidentKind::kOperator) return {};
+  const EvidenceSeverity severity = SeverityOf(evidence);
   Incident* incident = FindByScope(evidence.kind, evidence.scope);
   if (incident == nullptr) {
-    if (severity != Severity::kFiring) return 0;
-    return Add(evidence.kind, evidence.scope, kIncidentKinds[static_cast<int>(evidence.kind)], "evidence",
-               kEvidenceTimeout, now, reason);
+    if (severity != EvidenceSeverity::kFiring) return {};
+    return Add(evidence.kind, evidence.scope, kIncidentKinds[static_cast<int>(evidence.kind)], kEvidenceOwner,
+               kEvidenceTimeout, now);
   }
+  const bool clear = severity == EvidenceSeverity::kClear;
+  const bool counting = incident->state == State::kMuted || incident->state == State::kCalming;
+  if (!clear || !counting) incident->clear_since = now;
   incident->renewed = now;
-  if (incident->state == State::kMuted) {
-    if (severity != Severity::kClear) incident->calm_since = now;
-  } else if (severity != Severity::kClear) {
-    incident->state = State::kOpen;
-  } else if (incident->state != State::kCalming) {
-    incident->state = State::kCalming;
-    incident->calm_since = now;
-  }
+  const auto event = clear ? IncidentEvent::kEvidenceClear : IncidentEvent::kEvidenceNotClear;
+  incident->state = *NextIncidentState(incident->state, incident->kind, event);
   const std::uint64_t id = incident->id;
-  const bool calm = severity == Severity::kClear && now - incident->calm_since >= kCalmDuration;
-  if (calm) std::erase_if(all_, [&](const Incident& i) { return i.id == id; });
-  return id;
+  if (clear && now - incident->clear_since >= kCalmDuration) Remove(id);
+  return {id, {}};
 }
 
 void Incidents::ExpireStale(TimePoint now) {
   std::erase_if(all_, [&](Incident& incident) {
     if (now - incident.renewed < incident.stale_after) return false;
-    // One that was closed by hand and of which nobody speaks any more freezes nothing: that may go.
-    if (incident.state == State::kMuted) return true;
-    incident.state = State::kStale;
-    return false;
+    const auto next = NextIncidentState(incident.state, incident.kind, IncidentEvent::kTimedOut);
+    if (next) incident.state = *next;
+    return !next.has_value();
   });
 }
 
+const Incident* Incidents::Find(std::uint64_t id) const {
+  const auto found = std::find_if(all_.begin(), all_.end(), [&](const Incident& i) { return i.id == id; });
+  return found == all_.end() ? nullptr : &*found;
+}
+
+Incident* Incidents::FindMutable(std::uint64_t id) {
+  const auto found = std::find_if(all_.begin(), all_.end(), [&](const Incident& i) { return i.id == id; });
+  return found == all_.end() ? nullptr : &*found;
+}
+
+Incident* Incidents::FindByScope(IncidentKind kind, const Scope& scope) {
+  const auto found = std::find_if(all_.begin(), all_.end(),
+                                  [&](const Incident& i) { return i.kind == kind && i.scope == scope; });
+  return found == all_.end() ? nullptr : &*found;
+}
+
+void Incidents::Remove(std::uint64_t id) {
+  std::erase_if(all_, [&](const Incident& incident) { return incident.id == id; });
+}
+
 bool Incidents::EqualIgnoringTimes(const Incidents& other) const {
   const auto equal = [](const Incident& a, const Incident& b) {
     return a.id == b.id && a.state == b.state && a.owner == b.owner;
@@ -136,38 +189,38 @@
 void Incidents::Encode(Encoder& encoder, TimePoint now) const {
   encoder.Number(last_id_);
   encoder.Number(all_.size());
-  for (const Incident& i : all_) {
-    encoder.Number(i.id);
-    encoder.Number(static_cast<std::uint64_t>(i.kind));
-    encoder.Number(static_cast<std::uint64_t>(i.scope.kind));
-    encoder.Names(i.scope.names);
-    encoder.Text(i.cause);
-    encoder.Text(i.owner);
-    encoder.Number(static_cast<std::uint64_t>(i.state));
-    encoder.Number(static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - i.opened).count())));
-    encoder.Number(static_cast<std::uint64_t>(std::max<std::int64_t>(0, (now - i.renewed).count())));
-    encoder.Number(static_cast<std::uint64_t>(i.stale_after.count()));
+  for (const Incident& incident : all_) {
+    encoder.Number(incident.id);
+    encoder.Enum(incident.kind);
+    encoder.Enum(incident.scope.kind);
+    encoder.Names(incident.scope.names);
+    encoder.Text(incident.cause);
+    encoder.Text(incident.owner);
+    encoder.Enum(incident.state);
+    encoder.Number(EncodedAge(incident.opened, now));
+    encoder.Number(EncodedAge(incident.renewed, now));
+    encoder.Number(static_cast<std::uint64_t>(incident.stale_after.count()));
   }
 }
 
 bool Incidents::Decode(Decoder& decoder, TimePoint now) {
-  const auto ago = [&] { return now - Duration(decoder.Number(std::uint64_t{1} << 40)); };
+  const auto duration = [&] { return Duration(decoder.Number(kMaxEncodedDuration)); };
   last_id_ = decoder.Number();
   all_.clear();
   for (auto left = decoder.Number(kMaxIncidents); left > 0 && decoder.ok(); --left) {
-    Incident i;
-    i.id = decoder.Number();
-    i.kind = static_cast<IncidentKind>(decoder.Number(3));
-    i.scope.kind = static_cast<Scope::Kind>(decoder.Number(4));
-    i.scope.names = decoder.Names();
-    i.cause = decoder.Text();
-    i.owner = decoder.Text();
-    i.state = static_cast<State>(decoder.Number(3));
-    i.opened = ago();
-    i.renewed = ago();
-    i.stale_after = Duration(decoder.Number(std::uint64_t{1} << 40));
-    i.calm_since = now;  // the calm is counted by one coordinator
-    all_.push_back(i);
+    Incident incident;
+    incident.id = decoder.Number();
+    incident.kind = decoder.Enum(IncidentKind::kOperator);
+    incident.scope.kind = decoder.Enum(Scope::Kind::kGeneration);
+    incident.scope.names = decoder.Names();
+    incident.cause = decoder.Text();
+    incident.owner = decoder.Text();
+    incident.state = decoder.Enum(State::kMuted);
+    incident.opened = now - duration();
+    incident.renewed = now - duration();
+    incident.stale_after = duration();
+    incident.clear_since = now;
+    all_.push_back(std::move(incident));
   }
   return decoder.ok();
 }
--- a/src/change_freeze/permit_service.cpp
+++ b/src/change_freeze/permit_service.cpp
@@ -3,12 +3,39 @@
 namespace mothrack::change_freeze {
 
 namespace {
-// Ages that are only renewed: a third of what they lapse by, so that a new coordinator finds no fresh one
-// stale.
+
+// Ages that are only renewed are written every third of the time by which they lapse, so that a new leader
+// finds no incident stale that was renewed in time.
 constexpr Duration kRenewalInterval = kEvidenceTimeout / 3;
+
+// Voter::StartLeadership writes what the winner has read as the first version of its term.
+constexpr std::uint64_t kFirstVersion = 1;
+
+Status KeepAsItIs(FreezeState& /*state*/) { return {}; }
+
 }  // namespace
 
-// What the voter has come to.
+void PermitService::Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out) {
+  voter_.Receive(message, now, out);
+  SyncWithVoter(now);
+}
+
+void PermitService::Tick(TimePoint now, std::vector<VoterMessage>& out) {
+  voter_.Tick(now, out);
+  SyncWithVoter(now);
+  if (!HoldsLease(now) || proposed_) return;
+  FreezeState reevaluated = *state_;
+  reevaluated.Reevaluate(now);
+  if (!reevaluated.EqualIgnoringTimes(*state_) || RenewalIsDue(now)) Change(now, KeepAsItIs, out);
+}
+
+void PermitService::OnWriteFailed(TimePoint now) {
+  voter_.OnWriteFailed(now);
+  SyncWithVoter(now);
+}
+
+// Reads the state when the voter has come to lead, takes over what has been committed, and drops all when it
+// steps down.
 void PermitService::SyncWithVoter(TimePoint now) {
   if (voter_.role() != Voter::Role::kLeader) {
     state_.reset();
@@ -18,7 +45,7 @@
   if (!state_ || state_term_ != voter_.term()) {
     state_term_ = voter_.term();
     state_ = FreezeState::Decode(voter_.record().value, now);
-    committed_version_ = 1;
+    committed_version_ = kFirstVersion;
     proposed_.reset();
     last_proposal_ = now;
   }
@@ -30,66 +57,58 @@
   }
 }
 
-void PermitService::Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out) {
-  voter_.Receive(message, now, out);
-  SyncWithVoter(now);
-}
-
-void PermitService::Tick(TimePoint now, std::vector<VoterMessage>& out) {
-  voter_.Tick(now, out);
-  SyncWithVoter(now);
-  if (!HoldsLease(now) || proposed_) return;
-  FreezeState reevaluated = *state_;
-  reevaluated.Reevaluate(now);
-  if (!reevaluated.EqualIgnoringTimes(*state_) || now - last_proposal_ >= kRenewalInterval)
-    Change(
-        now, [](FreezeState&) { return std::string(); }, out);
-}
-
-void PermitService::OnWriteFailed(TimePoint now) {
-  voter_.OnWriteFailed(now);
-  SyncWithVoter(now);
-}
+bool PermitService::RenewalIsDue(TimePoint now) const { return now - last_proposal_ >= kRenewalInterval; }
 
 std::string PermitService::LeaderlessReason(TimePoint now) const {
   if (HoldsLease(now)) return {};
   const std::string leader = voter_.LeaderAt(now);
   if (!leader.empty() && voter_.role() == Voter::Role::kFollower) return "ask " + leader;
-  std::string missing;
+  std::string unreachable;
   for (const std::string& name : voter_.UnreachableVoters(now))
-    missing += (missing.empty() ? "" : ", ") + name;
+    unreachable += (unreachable.empty() ? "" : ", ") + name;
   return "nobody coordinates changes; not heard of: " +
-         (missing.empty() ? "none, wait for the election" : missing);
+         (unreachable.empty() ? "none, wait for the election" : unreachable);
 }
 
 PermitService::Receipt PermitService::Change(TimePoint now, const Edit& edit,
                                              std::vector<VoterMessage>& out) {
-  if (!HoldsLease(now)) return {0, 0, LeaderlessReason(now)};
-  if (proposed_) return {0, 0, "another decision is on its way; ask again"};
+  const auto refused = [](StatusCode code, std::string message) {
+    return Receipt{0, 0, {code, std::move(message)}};
+  };
+  if (!HoldsLease(now)) return refused(StatusCode::kNotLeader, LeaderlessReason(now));
+  if (proposed_) return refused(StatusCode::kChangePending, "another decision is on its way; ask again");
   FreezeState next = *state_;
-  const std::string reason = edit(next);
+  const Status status = edit(next);
   next.Reevaluate(now);
   // What is refused may have begun something: a permit that has to end before the next.
-  if (next.EqualIgnoringTimes(*state_) && now - last_proposal_ < kRenewalInterval) {
-    if (!reason.empty()) return {0, 0, reason};
+  if (next.EqualIgnoringTimes(*state_) && !RenewalIsDue(now)) {
+    if (!status.ok()) return {0, 0, status};
     state_ = std::move(next);
     return {state_term_, committed_version_, {}};
   }
   const std::string bytes = next.Encode(now);
-  if (bytes.size() > kMaxValueBytes)
-    return {0, 0, "the state would exceed 64 KiB; close incidents or wait for permits to end"};
+  if (bytes.size() > kMaxValueBytes) {
+    return refused(StatusCode::kStateTooLarge,
+                   "the state would exceed 64 KiB; close incidents or wait for permits to end");
+  }
   const std::uint64_t version = voter_.Propose(bytes, now, out);
-  if (version == 0) return {0, 0, LeaderlessReason(now)};
+  if (version == 0) return refused(StatusCode::kNotLeader, LeaderlessReason(now));
   proposed_ = std::move(next);
   proposed_version_ = version;
   last_proposal_ = now;
   SyncWithVoter(now);
-  return {state_term_, reason.empty() ? version : 0, reason};
+  return {state_term_, status.ok() ? version : 0, status};
+}
+
+bool PermitService::IsCommitted(const Receipt& receipt) const {
+  return receipt.version > 0 && receipt.term == voter_.term() && state_ &&
+         committed_version_ >= receipt.version;
 }
 
 std::optional<PermitConfirmation> PermitService::ConfirmPermit(const std::string& change, TimePoint now) {
   if (!HoldsLease(now)) return std::nullopt;
   PermitConfirmation confirmation = state_->ConfirmPermit(change, now);
+  // The poll counts for the proposed state too: its permit must not idle out for want of polls.
   if (proposed_) proposed_->ConfirmPermit(change, now);
   confirmation.term = state_term_;
   confirmation.version = committed_version_;
@@ -99,16 +118,16 @@
 void PermitService::OnEvidence(const Evidence& evidence, TimePoint now, std::vector<VoterMessage>& out) {
   if (!HoldsLease(now) || proposed_) return;
   FreezeState next = *state_;
-  std::string reason;
-  next.incidents.OnEvidence(evidence, now, reason);
+  next.incidents.OnEvidence(evidence, now);
   if (next.EqualIgnoringTimes(*state_)) {
     state_ = std::move(next);
-  } else {
-    Change(
-        now,
-        [&](FreezeState& state) { return state.incidents.OnEvidence(evidence, now, reason), std::string(); },
-        out);
+    return;
   }
+  const auto apply = [&](FreezeState& state) {
+    state.incidents.OnEvidence(evidence, now);
+    return Status{};
+  };
+  Change(now, apply, out);
 }
 
 }  // namespace mothrack::change_freeze
--- a/tests/change_freeze/freeze_model.cpp
+++ b/tests/change_freeze/freeze_model.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "change_freeze/permit_service.h"
+#include "change_freeze/change_freeze.h"
 
 namespace mothrack::change_freeze::testing {
 namespace {
@@ -36,9 +36,9 @@
   std::optional<VoterRecord> file;
   std::optional<RecordPosition> position;
   std::vector<VoterRecord> copies;
-  PermitRecord permits;
+  PermitRecord permit_record;
   std::unique_ptr<PermitService> service;
-  std::unique_ptr<AgentPermits> permits_held;
+  std::unique_ptr<AgentPermits> agent_permits;
   Voter::Role role = Voter::Role::kFollower;
   int next_poll = 0;
   // What the book may know, told apart from it: words of this process's life, and the highest term of any.
@@ -252,7 +252,7 @@
     ++history_.crashes;
     m.up = false;
     m.service.reset();
-    m.permits_held.reset();
+    m.agent_permits.reset();
     m.back_at = now_ + (script_ != nullptr ? 1000 : UniformUpTo(6000));
     // With nothing amiss with the others' files: of three, two that are lost wait for an operator
     // (docs/design/freeze.md).
@@ -278,7 +278,7 @@
         injected_fault_ == InjectedFault::kNoLeasePromiseAtStart ? settings.lease * 2 : Duration(0);
     m.service = std::make_unique<PermitService>(
         Voter(settings, m.file.value_or(VoterRecord()), condition, Clock(m) - before));
-    m.permits_held = std::make_unique<AgentPermits>(m.name, m.permits);
+    m.agent_permits = std::make_unique<AgentPermits>(m.name, m.permit_record);
     m.confirmations.clear();
     m.role = m.service->voter().role();
   }
@@ -397,7 +397,7 @@
     for (const Change& change : changes_) {
       for (auto& other : machines_) PollPermit(m, *other, change.name);
     }
-    if (!m.permits.unreported.empty()) ReportBreakGlass(m);
+    if (!m.permit_record.unreported.empty()) ReportBreakGlass(m);
   }
 
   void PollPermit(Machine& m, Machine& other, const std::string& change) {
@@ -412,42 +412,42 @@
       }
       Send(other, m,
            [this, &m, confirmation, request_sent, process,
-            why = other.service->LeaderlessReason(Clock(other))] {
+            reason = other.service->LeaderlessReason(Clock(other))] {
              if (m.process != process) return;
              confirmation
                  ? OnConfirmation(
                        m, *confirmation,
                        injected_fault_ == InjectedFault::kValidityFromAnswer ? Clock(m) : request_sent)
-                 : m.permits_held->OnLeaderless(why);
+                 : m.agent_permits->OnLeaderless(reason);
            });
     });
   }
 
-  bool SavePermits(Machine& m, const AgentPermits& permits_held) {
+  bool SavePermits(Machine& m, const AgentPermits& agent_permits) {
     try {
       CrashPoint();
       if (m.disk_full) return ++history_.saves_failed, false;
-      m.permits = permits_held.record();
+      m.permit_record = agent_permits.record();
       CrashPoint();
     } catch (const Crashed&) {
       Crash(m);
       return false;
     }
-    *m.permits_held = permits_held;
+    *m.agent_permits = agent_permits;
     return true;
   }
 
   void OnConfirmation(Machine& m, const PermitConfirmation& confirmation, TimePoint request_sent) {
-    AgentPermits copy = *m.permits_held;
+    AgentPermits copy = *m.agent_permits;
     if (!copy.OnConfirmation(confirmation, request_sent)) {
       ++history_.late_confirmations;
       if (injected_fault_ == InjectedFault::kStaleConfirmationAccepted)
-        *m.permits_held = AgentPermits(m.name, {}),
-        m.permits_held->OnConfirmation(confirmation, request_sent);
+        *m.agent_permits = AgentPermits(m.name, {}),
+        m.agent_permits->OnConfirmation(confirmation, request_sent);
       return;
     }
-    if (copy.record() == m.permits_held->record()) {
-      *m.permits_held = copy;
+    if (copy.record() == m.agent_permits->record()) {
+      *m.agent_permits = copy;
     } else if (!SavePermits(m, copy)) {
       return;
     }
@@ -458,27 +458,28 @@
 
   void ReportBreakGlass(Machine& m) {
     for (auto& other : machines_) {
-      Send(m, *other, [this, &m, &other = *other, break_glass = m.permits.unreported, process = m.process] {
-        if (!HoldsLease(other)) return;
-        const std::uint64_t reported = other.service->state()->LastBreakGlassOf(m.name);
-        if (reported < break_glass.back().number) {
-          Decide(other, [&](PermitService& service, auto& out) {
-            service.Change(
-                Clock(other),
-                [&](FreezeState& working_copy) {
-                  return working_copy.RecordBreakGlass(break_glass), std::string();
-                },
-                out);
-          });
-        }
-        if (reported == 0) return;
-        Send(other, m, [this, &m, reported, process] {
-          if (m.process != process) return;
-          AgentPermits copy = *m.permits_held;
-          copy.OnBreakGlassReported(reported);
-          if (!(copy.record() == m.permits_held->record())) SavePermits(m, copy);
-        });
-      });
+      Send(m, *other,
+           [this, &m, &other = *other, break_glass = m.permit_record.unreported, process = m.process] {
+             if (!HoldsLease(other)) return;
+             const std::uint64_t reported = other.service->state()->LastBreakGlassOf(m.name);
+             if (reported < break_glass.back().number) {
+               Decide(other, [&](PermitService& service, auto& out) {
+                 service.Change(
+                     Clock(other),
+                     [&](FreezeState& working_copy) {
+                       return working_copy.RecordBreakGlass(break_glass), Status();
+                     },
+                     out);
+               });
+             }
+             if (reported == 0) return;
+             Send(other, m, [this, &m, reported, process] {
+               if (m.process != process) return;
+               AgentPermits copy = *m.agent_permits;
+               copy.OnBreakGlassReported(reported);
+               if (!(copy.record() == m.agent_permits->record())) SavePermits(m, copy);
+             });
+           });
     }
   }
 
@@ -509,8 +510,9 @@
     }
     Machine& m = *machines_[static_cast<std::size_t>(UniformUpTo(static_cast<int>(machines_.size()) - 1))];
     if (m.up && now_ >= m.paused_until && Chance(0.001)) {
-      AgentPermits copy = *m.permits_held;
-      if (copy.BreakGlass("c9", "ann", false, "a test", Clock(m)).empty() && SavePermits(m, copy))
+      AgentPermits copy = *m.agent_permits;
+      if (copy.BreakGlass({"c9", "ann", OperatorRole::kOperator, "a test"}, Clock(m)).ok() &&
+          SavePermits(m, copy))
         ++history_.break_glass;
     }
   }
@@ -524,10 +526,10 @@
       freeze.receipt = service.Change(
           Clock(leader),
           [&](FreezeState& working_copy) {
-            std::string why;
-            freeze.id = working_copy.incidents.Open(freeze.scope, "a test", "ann", Duration(20'000),
-                                                    Clock(leader), why);
-            return why;
+            const IncidentResult opened =
+                working_copy.incidents.Open(freeze.scope, "a test", "ann", Duration(20'000), Clock(leader));
+            freeze.id = opened.id;
+            return opened.status;
           },
           out);
     });
@@ -543,8 +545,8 @@
     freeze.acked_at = now_;
     for (const Permit& permit : m.service->state()->permits()) {
       freeze.limit[{permit.change, permit.kind}] = permit.batch;
-      if (permit.state == PermitConfirmation::State::kPaused) ++history_.paused;
-      if (permit.state == PermitConfirmation::State::kBlocked) ++history_.blocked;
+      if (permit.state == PermitState::kPaused) ++history_.paused;
+      if (permit.state == PermitState::kBlocked) ++history_.blocked;
     }
   }
 
@@ -554,7 +556,7 @@
       service.Change(
           Clock(leader),
           [&](FreezeState& working_copy) {
-            return working_copy.incidents.Close(freeze.id, Clock(leader)), std::string();
+            return working_copy.incidents.Close(freeze.id, Clock(leader)), Status();
           },
           out);
     });
@@ -575,7 +577,7 @@
         Decide(*leader, [&](PermitService& service, auto& out) {
           service.Change(
               Clock(*leader),
-              [&](FreezeState& l) { return l.EndPermit(change.name, Clock(*leader)), std::string(); }, out);
+              [&](FreezeState& l) { return l.EndPermit(change.name, Clock(*leader)), Status(); }, out);
         });
         continue;
       }
@@ -600,7 +602,7 @@
                 Clock(leader));
           },
           out);
-      if (!change.receipt.reason.empty()) last_reason_ = change.receipt.reason;
+      if (!change.receipt.status.ok()) last_reason_ = change.receipt.status.message;
     });
   }
 
@@ -632,10 +634,10 @@
               Clock(*leader),
               [&](FreezeState& working_copy) {
                 for (const Incident& i : std::vector<Incident>(state.incidents.all())) {
-                  if (i.state != Incident::State::kMuted) working_copy.incidents.Close(i.id, Clock(*leader));
+                  if (i.state != IncidentState::kMuted) working_copy.incidents.Close(i.id, Clock(*leader));
                 }
                 for (const Change& change : changes_) working_copy.EndPermit(change.name, Clock(*leader));
-                return std::string();
+                return Status();
               },
               out);
         });
@@ -651,9 +653,9 @@
       RequestPermit(*leader, last);
       const bool all = std::all_of(machines_.begin(), machines_.end(), [&](const auto& m) {
         return m->up &&
-               m->permits_held->Check("last", ChangeKind::kRestart, 0, Clock(*m)).verdict ==
+               m->agent_permits->Check("last", ChangeKind::kRestart, 0, Clock(*m)).verdict ==
                    AgentPermits::Verdict::kAllowed &&
-               m->permits.unreported.empty() && m->role != Voter::Role::kRejoining;
+               m->permit_record.unreported.empty() && m->role != Voter::Role::kRejoining;
       });
       if (all) stage_ = 2;
     } else {
@@ -673,7 +675,7 @@
   // ---- Rules ----
 
   bool InForce(const Machine& m, const Change& change, ChangeKind kind, std::uint32_t batch) const {
-    return m.up && m.permits_held->Check(change.name, kind, batch, Clock(m)).verdict ==
+    return m.up && m.agent_permits->Check(change.name, kind, batch, Clock(m)).verdict ==
                        AgentPermits::Verdict::kAllowed;
   }
 
@@ -714,8 +716,8 @@
   void CheckConfirmation(const Machine& m, const Change& change, ChangeKind kind) {
     for (const auto& [confirmation, request_sent] : m.confirmations) {
       if (confirmation.term == m.highest_term && confirmation.change == change.name &&
-          confirmation.kind == kind && confirmation.state != PermitConfirmation::State::kNone &&
-          confirmation.state != PermitConfirmation::State::kBlocked &&
+          confirmation.kind == kind && confirmation.state != PermitState::kNone &&
+          confirmation.state != PermitState::kBlocked &&
           Clock(m) < request_sent + Shortened(kPermitValidity)) {
         return;
       }
--- a/tests/change_freeze/freeze_test.cpp
+++ b/tests/change_freeze/freeze_test.cpp
@@ -6,8 +6,8 @@
 #include <iostream>
 #include <set>
 
+#include "change_freeze/change_freeze.h"
 #include "change_freeze/freeze_model.h"
-#include "change_freeze/permit_service.h"
 #include "support/tables.h"
 
 namespace mothrack::change_freeze {
@@ -265,18 +265,20 @@
 
 // ---- Permits ----
 
-PermitConfirmation ConfirmationOf(Term term, std::uint64_t version, PermitConfirmation::State state) {
+BreakGlassRequest BreakGlassBy(OperatorRole role) { return {"c1", "ann", role, "it burns"}; }
+
+PermitConfirmation ConfirmationOf(Term term, std::uint64_t version, PermitState state) {
   return {term,
           version,
           "c1",
           ChangeKind::kRestart,
           state,
           2,
-          state == PermitConfirmation::State::kRunning ? "" : "incident 1"};
+          state == PermitState::kRunning ? "" : "incident 1"};
 }
 
 TEST(FreezeTables, RulesOfPermits) {
-  using State = PermitConfirmation::State;
+  using State = PermitState;
   ConformanceTable table("Rules of permits", {"heard", "wanted"});
   constexpr const char* kVerdicts[] = {"allowed", "by break-glass", "no permit",
                                        "paused",  "blocked",        "lapsed"};
@@ -321,17 +323,18 @@
       {"blocked, glass broken",
        [](AgentPermits& b) {
          b.OnConfirmation(ConfirmationOf(5, 1, State::kBlocked), At(9000));
-         EXPECT_EQ(b.BreakGlass("c1", "ann", false, "it burns", At(9000)), "");
+         EXPECT_TRUE(b.BreakGlass(BreakGlassBy(OperatorRole::kOperator), At(9000)).ok());
        }},
       {"blocked, glass broken 600 s ago",
        [](AgentPermits& b) {
-         EXPECT_EQ(b.BreakGlass("c1", "ann", false, "it burns", At(10'000 - 600'000)), "");
+         EXPECT_TRUE(b.BreakGlass(BreakGlassBy(OperatorRole::kOperator), At(10'000 - 600'000)).ok());
          b.OnConfirmation(ConfirmationOf(5, 1, State::kBlocked), At(9000));
        }},
       {"blocked, glass broken by a viewer",
        [](AgentPermits& b) {
          b.OnConfirmation(ConfirmationOf(5, 1, State::kBlocked), At(9000));
-         EXPECT_NE(b.BreakGlass("c1", "ann", true, "it burns", At(9000)), "");
+         EXPECT_EQ(b.BreakGlass(BreakGlassBy(OperatorRole::kViewer), At(9000)).code,
+                   StatusCode::kNotAuthorized);
        }},
   };
   const std::vector<std::tuple<std::string, ChangeKind, int>> requested = {
@@ -353,8 +356,9 @@
 
 TEST(FreezePermits, BrokenGlassIsWrittenDownUntilItIsTold) {
   AgentPermits book("a", {});
-  EXPECT_NE(book.BreakGlass("c1", "ann", false, "", At(0)), "");
-  ASSERT_EQ(book.BreakGlass("c1", "ann", false, "it burns", At(0)), "");
+  EXPECT_EQ(book.BreakGlass({"c1", "ann", OperatorRole::kOperator, ""}, At(0)).code,
+            StatusCode::kInvalidRequest);
+  ASSERT_TRUE(book.BreakGlass(BreakGlassBy(OperatorRole::kOperator), At(0)).ok());
   ASSERT_EQ(book.record().unreported.size(), 1u);
   FreezeState state;
   state.RecordBreakGlass(book.record().unreported);
@@ -374,15 +378,14 @@
   };
   using Events =
       std::vector<std::pair<std::string, std::function<void(Incidents&, std::uint64_t, TimePoint)>>>;
-  std::string why;
   const Events events = {
       {"its evidence is bad",
-       [&](Incidents& i, std::uint64_t, TimePoint now) { i.OnEvidence(share(0.3), now, why); }},
-      {"between", [&](Incidents& i, std::uint64_t, TimePoint now) { i.OnEvidence(share(0.1), now, why); }},
-      {"calm", [&](Incidents& i, std::uint64_t, TimePoint now) { i.OnEvidence(share(0.01), now, why); }},
+       [&](Incidents& i, std::uint64_t, TimePoint now) { i.OnEvidence(share(0.3), now); }},
+      {"between", [&](Incidents& i, std::uint64_t, TimePoint now) { i.OnEvidence(share(0.1), now); }},
+      {"calm", [&](Incidents& i, std::uint64_t, TimePoint now) { i.OnEvidence(share(0.01), now); }},
       {"calm for 30 s",
        [&](Incidents& i, std::uint64_t, TimePoint now) {
-         for (int s = 0; s <= 30; ++s) i.OnEvidence(share(0.01), now + Duration(s * 1000), why);
+         for (int s = 0; s <= 30; ++s) i.OnEvidence(share(0.01), now + Duration(s * 1000));
        }},
       {"nobody speaks of it",
        [](Incidents& i, std::uint64_t, TimePoint now) { i.ExpireStale(now + Duration(31'000)); }},
@@ -403,8 +406,8 @@
     for (const auto& [name, event] : events) {
       Row row{{"state", begin}, {"event", name}};
       Incidents by_evidence;
-      std::uint64_t id = begin == "none" ? 0 : by_evidence.OnEvidence(share(0.3), At(0), why);
-      if (begin == "calming") by_evidence.OnEvidence(share(0.01), At(0), why);
+      std::uint64_t id = begin == "none" ? 0 : by_evidence.OnEvidence(share(0.3), At(0)).id;
+      if (begin == "calming") by_evidence.OnEvidence(share(0.01), At(0));
       if (begin == "stale") by_evidence.ExpireStale(At(30'000));
       if (begin == "muted") by_evidence.Close(id, At(0));
       ASSERT_EQ(state(by_evidence), begin);
@@ -413,7 +416,7 @@
       row["by an operator"] = "-";
       if (begin == "open" || begin == "stale") {
         Incidents by_hand;
-        id = by_hand.Open(site, "a fire", "ann", Duration(30'000), At(0), why);
+        id = by_hand.Open(site, "a fire", "ann", Duration(30'000), At(0)).id;
         if (begin == "stale") by_hand.ExpireStale(At(30'000));
         event(by_hand, id, At(begin == "stale" ? 30'000 : 100));
         // Evidence may open one of its own beside it.
@@ -429,27 +432,27 @@
   const auto severity = [](IncidentKind kind, double level, int ms) {
     return SeverityOf({kind, {}, level, Duration(ms)});
   };
-  EXPECT_EQ(severity(IncidentKind::kRejections, 0.20, 2999), Severity::kIndeterminate);
-  EXPECT_EQ(severity(IncidentKind::kRejections, 0.20, 3000), Severity::kFiring);
-  EXPECT_EQ(severity(IncidentKind::kRejections, 0.05, 0), Severity::kClear);
-  EXPECT_EQ(severity(IncidentKind::kCrashLoop, 1, 0), Severity::kIndeterminate);
-  EXPECT_EQ(severity(IncidentKind::kCrashLoop, 2, 0), Severity::kFiring);
-  EXPECT_EQ(severity(IncidentKind::kZoneLeft, 0.5, 0), Severity::kIndeterminate);
-  EXPECT_EQ(severity(IncidentKind::kZoneLeft, 1, 0), Severity::kFiring);
-  EXPECT_EQ(severity(IncidentKind::kZoneLeft, 0, 0), Severity::kClear);
+  EXPECT_EQ(severity(IncidentKind::kRejections, 0.20, 2999), EvidenceSeverity::kIndeterminate);
+  EXPECT_EQ(severity(IncidentKind::kRejections, 0.20, 3000), EvidenceSeverity::kFiring);
+  EXPECT_EQ(severity(IncidentKind::kRejections, 0.05, 0), EvidenceSeverity::kClear);
+  EXPECT_EQ(severity(IncidentKind::kCrashLoop, 1, 0), EvidenceSeverity::kIndeterminate);
+  EXPECT_EQ(severity(IncidentKind::kCrashLoop, 2, 0), EvidenceSeverity::kFiring);
+  EXPECT_EQ(severity(IncidentKind::kZoneLeft, 0.5, 0), EvidenceSeverity::kIndeterminate);
+  EXPECT_EQ(severity(IncidentKind::kZoneLeft, 1, 0), EvidenceSeverity::kFiring);
+  EXPECT_EQ(severity(IncidentKind::kZoneLeft, 0, 0), EvidenceSeverity::kClear);
 }
 
 TEST(FreezeIncidents, AreBoundedAndSaySo) {
   Incidents incidents;
-  std::string why;
   for (std::size_t i = 0; i < kMaxIncidents; ++i) {
-    EXPECT_GT(incidents.Open({Scope::Kind::kSite, {std::to_string(i)}}, "x", "ann", Duration(1), At(0), why),
+    EXPECT_GT(incidents.Open({Scope::Kind::kSite, {std::to_string(i)}}, "x", "ann", Duration(1), At(0)).id,
               0u);
   }
-  EXPECT_EQ(incidents.Open({}, "x", "ann", Duration(1), At(0), why), 0u);
-  EXPECT_EQ(why.substr(0, 32), "there are 32 incidents already; ");
-  EXPECT_EQ(incidents.Open({Scope::Kind::kSite, {"3"}}, "x", "bob", Duration(1), At(0), why), 4u)
-      << "renewed";
+  const IncidentResult refused = incidents.Open({}, "x", "ann", Duration(1), At(0));
+  EXPECT_EQ(refused.id, 0u);
+  EXPECT_EQ(refused.status.code, StatusCode::kLimitReached);
+  EXPECT_EQ(refused.status.message.substr(0, 32), "there are 32 incidents already; ");
+  EXPECT_EQ(incidents.Open({Scope::Kind::kSite, {"3"}}, "x", "bob", Duration(1), At(0)).id, 4u) << "renewed";
 }
 
 // ---- The ledger ----
@@ -461,33 +464,32 @@
 
 TEST(FreezeLedger, AFreezeInTheMiddleEndsAtTheBatchAndCanBeUndoneOrResumed) {
   FreezeState state;
-  std::string why;
   Footprint both{{"bole", "kality"}, {}, {}, {}};
   const PermitRequest forward{"c1", ChangeKind::kNewGeneration, both, "bob", {}, 3};
-  ASSERT_EQ(state.RequestPermit(forward, At(0)), "");
+  ASSERT_TRUE(state.RequestPermit(forward, At(0)).ok());
   const auto id =
-      state.incidents.Open({Scope::Kind::kSite, {"bole"}}, "a fire", "ann", Duration(60'000), At(100), why);
+      state.incidents.Open({Scope::Kind::kSite, {"bole"}}, "a fire", "ann", Duration(60'000), At(100)).id;
   state.Reevaluate(At(100));
-  EXPECT_EQ(state.ConfirmPermit("c1", At(100)).state, PermitConfirmation::State::kPaused);
+  EXPECT_EQ(state.ConfirmPermit("c1", At(100)).state, PermitState::kPaused);
   EXPECT_EQ(state.ConfirmPermit("c1", At(100)).batch, 3u);
   PermitRequest next = forward;
   next.batch = 4;
-  EXPECT_NE(state.RequestPermit(next, At(200)).find("a fire"), std::string::npos);
+  EXPECT_NE(state.RequestPermit(next, At(200)).message.find("a fire"), std::string::npos);
   FreezeState undone = state;
   PermitRequest undo{"c1", ChangeKind::kUndo, both, "bob", {id}, 0};
-  EXPECT_NE(undone.RequestPermit(undo, At(300)), "") << "the forward permit is still on its way";
-  EXPECT_NE(undone.RequestPermit(undo, At(2499)), "");
-  EXPECT_EQ(undone.RequestPermit(undo, At(2500)), "");
+  EXPECT_EQ(undone.RequestPermit(undo, At(300)).code, StatusCode::kPermitEnding)
+      << "the forward permit is still on its way";
+  EXPECT_EQ(undone.RequestPermit(undo, At(2499)).code, StatusCode::kPermitEnding);
+  EXPECT_TRUE(undone.RequestPermit(undo, At(2500)).ok());
   state.incidents.Close(id, At(400));
-  EXPECT_EQ(state.RequestPermit(next, At(500)), "");
+  EXPECT_TRUE(state.RequestPermit(next, At(500)).ok());
   EXPECT_EQ(state.ConfirmPermit("c1", At(500)).batch, 4u);
 }
 
 TEST(FreezeLedger, RemediesNameTheirIncidentAndAreChecked) {
   FreezeState state;
-  std::string why;
   const auto bole =
-      state.incidents.Open({Scope::Kind::kSite, {"bole"}}, "a fire", "ann", Duration(60'000), At(0), why);
+      state.incidents.Open({Scope::Kind::kSite, {"bole"}}, "a fire", "ann", Duration(60'000), At(0)).id;
   const auto judge = [&](ChangeKind kind, const std::string& site, std::set<std::uint64_t> remedies) {
     return state.Evaluate(kind, {{site}, {}, {}, {}}, remedies).effect;
   };
@@ -499,8 +501,8 @@
   EXPECT_EQ(judge(ChangeKind::kNewGeneration, "kality", {bole}), Effect::kBlocked)
       << "no remedy, and says it is one";
   // Another incident, whose scope crosses the first one's: both have their say.
-  const auto g2 = state.incidents.Open({Scope::Kind::kGeneration, {"g2"}}, "it loops", "ann",
-                                       Duration(60'000), At(0), why);
+  const auto g2 =
+      state.incidents.Open({Scope::Kind::kGeneration, {"g2"}}, "it loops", "ann", Duration(60'000), At(0)).id;
   EXPECT_EQ(judge(ChangeKind::kRestart, "bole", {bole}), Effect::kPaused)
       << "of which generation, nobody knows";
   EXPECT_EQ(state.Evaluate(ChangeKind::kRestart, {{"bole"}, {}, {"g2"}, {}}, {bole, g2}).effect,
@@ -511,7 +513,7 @@
 
 TEST(FreezeLedger, WhatEndedCountsFromWhenThatWasCommitted) {
   FreezeState before;
-  ASSERT_EQ(before.RequestPermit(RequestOf(ChangeKind::kRestart, "bole"), At(0)), "");
+  ASSERT_TRUE(before.RequestPermit(RequestOf(ChangeKind::kRestart, "bole"), At(0)).ok());
   FreezeState next = before;
   next.EndPermit("c1", At(100));
   next.OnCommitted(before, At(3000));
@@ -523,8 +525,7 @@
 
 TEST(FreezeLedger, BytesCutAnywhereAreNoLedger) {
   FreezeState state;
-  std::string why;
-  state.incidents.Open({}, "a fire", "ann", Duration(60'000), At(0), why);
+  state.incidents.Open({}, "a fire", "ann", Duration(60'000), At(0));
   state.RequestPermit({"c2", ChangeKind::kUndo, {{"bole"}, {"z1"}, {"g1"}, {"a/i"}}, "bob", {1}, 4}, At(0));
   state.RecordBreakGlass({{3, "a", "c9", "ann", "it burns"}});
   ASSERT_EQ(state.permits().size(), 1u);
@@ -542,9 +543,9 @@
   PermitService service(InRole(Role::kFollower).voter);
   std::vector<VoterMessage> out;
   const auto receipt = service.Change(
-      At(20'000), [](FreezeState&) { return std::string(); }, out);
+      At(20'000), [](FreezeState&) { return Status(); }, out);
   EXPECT_EQ(receipt.version, 0u);
-  EXPECT_EQ(receipt.reason, "nobody coordinates changes; not heard of: b, c");
+  EXPECT_EQ(receipt.status.message, "nobody coordinates changes; not heard of: b, c");
   EXPECT_FALSE(service.ConfirmPermit("c1", At(20'000)));
 }
 
