--- /dev/null
+++ b/tests/change_freeze/voter_role_test.cpp
@@ -0,0 +1,36 @@
+// The roles of a voter: the table of voter_role.h.
+#include "change_freeze/voter_role.h"
+
+#include <gtest/gtest.h>
+
+#include <map>
+#include <utility>
+
+namespace mothrack::change_freeze {
+namespace {
+
+TEST(FreezeVoterRole, ChangesByItsTableOnly) {
+  using Role = VoterRole;
+  using Event = RoleEvent;
+  const std::map<std::pair<Role, Event>, Role> table = {
+      {{Role::kFollower, Event::kElectionTimeout}, Role::kPreCandidate},
+      {{Role::kPreCandidate, Event::kPreVoteWon}, Role::kCandidate},
+      {{Role::kCandidate, Event::kElectionWon}, Role::kEstablishing},
+      {{Role::kEstablishing, Event::kValueCommitted}, Role::kLeader},
+      {{Role::kRejoining, Event::kRejoinGranted}, Role::kFollower},
+  };
+  for (int r = 0; r <= static_cast<int>(Role::kLeader); ++r) {
+    for (int e = 0; e <= static_cast<int>(Event::kRejoinGranted); ++e) {
+      const auto role = static_cast<Role>(r);
+      const auto event = static_cast<Event>(e);
+      Role expected = role;
+      if (const auto row = table.find({role, event}); row != table.end()) expected = row->second;
+      if (event == Event::kRecordStale) expected = Role::kRejoining;
+      if (event == Event::kSteppedDown && role != Role::kRejoining) expected = Role::kFollower;
+      EXPECT_EQ(NextRole(role, event), expected) << "role " << r << ", event " << e;
+    }
+  }
+}
+
+}  // namespace
+}  // namespace mothrack::change_freeze
