--- a/src/change_freeze/agent_permits.h
+++ b/src/change_freeze/agent_permits.h
@@ -31,8 +31,8 @@
 struct PermitRecord {
   Term term = 0;                        // the highest known
   std::uint64_t break_glass_count = 0;  // of all times
-  std::vector<BreakGlassRecord>
-      unreported{};  // not yet committed by a leader; at most kMaxUnreportedBreakGlass
+  // Not yet committed by a leader; at most kMaxUnreportedBreakGlass.
+  std::vector<BreakGlassRecord> unreported{};
   bool operator==(const PermitRecord&) const = default;
 };
 
--- a/src/change_freeze/bounds.h
+++ b/src/change_freeze/bounds.h
@@ -6,7 +6,8 @@
 
 namespace mothrack::change_freeze {
 
-// Bytes of a cause, an owner, a reason or a name: two lines on a screen.
+// Bytes of a cause, an owner, a reason or a name: small, so that kMaxIncidents of them stay far below
+// kMaxValueBytes.
 inline constexpr std::size_t kMaxTextBytes = 200;
 // As many incidents can be told apart by people on call; a fleet with more is frozen as one.
 inline constexpr std::size_t kMaxIncidents = 32;
--- a/src/change_freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -26,7 +26,8 @@
 inline constexpr const char* kChangeKinds[] = {"new generation", "restart",    "stop",        "undo",
                                                "reload",         "zone leave", "zone return", "break-glass"};
 
-// What an incident was opened for: evidence of one of three kinds, or an operator's word.
+// What an incident was opened for: evidence of one of three kinds, or an operator's decision. People read
+// kRejections as "refusals", in texts and on the page.
 enum class IncidentKind : std::uint8_t { kZoneLeft, kCrashLoop, kRejections, kOperator };
 inline constexpr const char* kIncidentKinds[] = {"zone left", "crash loop", "refusals", "operator"};
 
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -24,7 +24,7 @@
 
 namespace mothrack::change_freeze {
 
-// Without further evidence for so long, an incident by evidence is stale. Evidence comes each few seconds.
+// Without further evidence for so long, an incident by evidence is stale.
 inline constexpr Duration kEvidenceTimeout{30'000};
 // Hysteresis of rejected requests, as a share of all requests: what is clear is a quarter of what opens an
 // incident, and has to last ten times as long.
--- a/src/change_freeze/permit.h
+++ b/src/change_freeze/permit.h
@@ -1,5 +1,5 @@
-// A permit is the leader's leave for one change to run: its kind, what it touches, and up to which batch.
-// Agents act by confirmations of it that they have asked for a short while ago (AgentPermits).
+// A permit is the leader's permission for one change to run: its kind, what it touches, and up to which
+// batch. Agents act by confirmations of it, and only for a short while after they asked (AgentPermits).
 //
 // Plain values; any thread.
 #pragma once
@@ -18,7 +18,7 @@
 // force at every agent after that. An agent counts it shortened by the clock tolerance, the leader
 // lengthened.
 inline constexpr Duration kPermitValidity{2000};
-// How often an agent asks about a permit that is in use: three chances before it lapses.
+// How often the carrier is to poll for a permit that is in use: three chances before it lapses.
 inline constexpr Duration kPermitPollInterval{500};
 // Nobody asked about a permit for so long: it ends here; the fleet's lease (rollout/lease.h) keeps its change
 // open.
@@ -31,6 +31,7 @@
   kBlocked,  // no further step
 };
 
+// A tool's request, repeated for each batch.
 struct PermitRequest {
   std::string change{};  // its name, the same for each batch
   ChangeKind kind = ChangeKind::kRestart;
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -2,22 +2,23 @@
 // of at most kMaxValueBytes, replaced as a whole. The register is single-decree Paxos under a lease;
 // docs/design/freeze.md says why it is no log.
 //
-//   * Election. A term has one leader: each voter votes once a term, and has its vote on disk before it is
-//   sent. A
-//     pre-vote first asks whether the candidate would win, so that a voter that was alone ends nobody's
-//     lease.
-//   * Commit. What a majority holds on disk is committed. Votes carry what the voter holds, so whoever wins
-//   has read
-//     the latest from a majority; it writes that again under its own term, and acts only once that is
-//     committed.
-//   * Lease. The leader acts while its lease holds (LeaderLease); a voter that received a message of the
-//   leader lets
-//     nobody else win for the lease, lengthened. A voter that starts lets nobody win for that time either: it
-//     may have promised it before.
-//   * Rejoining. A voter whose file is older than what it has sent takes no part. It rejoins as a later
-//   incarnation,
-//     once as many others as are a majority of all have that incarnation on disk and have sent what they
-//     hold. What it sent in an earlier incarnation counts no more.
+// Election. A term has one leader: each voter votes once a term, and has its vote on disk before it is sent.
+// A pre-vote first asks whether the candidate would win, so that a voter that was cut off ends nobody's
+// lease.
+//
+// Commit. What a majority holds on disk is committed. Votes carry what the voter holds, so whoever wins has
+// read the latest from a majority; it writes that again under its own term, and acts only once that is
+// committed.
+//
+// Lease. The leader acts while its lease holds (LeaderLease). A voter that received a message of the leader
+// promises to let nobody else win for the lease, lengthened by the clock tolerance. A voter that starts does
+// so too: it may have promised before.
+//
+// Rejoining. A voter whose file is older than what it has sent takes no part. It rejoins as a later
+// incarnation, once as many others as are a majority of all have that incarnation on disk and have sent what
+// they hold. What it sent in an earlier incarnation counts no more.
+//
+// "Raft" and a number is a section of D. Ongaro, "Consensus: Bridging Theory and Practice", 2014.
 //
 // The parts: voter_role.h (the state machine), leader_lease.h, replica_tracker.h, incarnation_table.h,
 // voter_record.h (what is on disk), voter_message.h. voter.cpp has what is common; voter_election.cpp,
@@ -48,7 +49,8 @@
 struct VoterSettings {
   std::string local_voter;
   std::set<std::string> voters;  // all of them, this one included; an odd number
-  Duration lease{3000};  // a leader that falls silent is followed by another after a little more than that
+  // A leader that falls silent is followed by another after that and the clock tolerance.
+  Duration lease{3000};
   Duration heartbeat_interval{500};  // six chances a lease
   Duration request_timeout{800};     // of a request to all voters: a round trip at 200 ms with one loss
 };
@@ -81,7 +83,7 @@
   bool HoldsLease(TimePoint now) const { return role_ == Role::kLeader && now < LeaseEnd(); }
   // The highest committed version of the term that this voter leads, or led last.
   std::uint64_t committed() const { return replicas_.committed(); }
-  // The leader whose promise is in force; empty: nobody is known to lead.
+  // The leader to which this voter's promise is in force; empty: nobody is known to lead.
   std::string LeaderAt(TimePoint now) const;
   // The other voters of which nothing was received for a lease.
   std::set<std::string> UnreachableVoters(TimePoint now) const;
@@ -92,7 +94,7 @@
     std::string value;
   };
 
-  // Common: voter.cpp.
+  // Common: voter.cpp. A change of the record in any of these is durable before `out` leaves (ApplyDurably).
   std::size_t Majority() const { return settings_.voters.size() / 2 + 1; }
   TimePoint LeaseEnd() const { return lease_.End(Majority()); }
   void BecomeFollower(TimePoint now);
@@ -147,8 +149,8 @@
   std::map<std::string, TimePoint> last_contact_;
   std::map<std::string, RecordPosition> peer_positions_;  // as the other voters sent them
   IncarnationTable incarnations_;
-  std::map<std::string, Incarnation>
-      granted_by_;                      // who granted the present request, and in which incarnation
+  // Who granted what is asked for now (pre-votes, votes or the rejoining), and in which incarnation.
+  std::map<std::string, Incarnation> granted_by_;
   VersionedValue latest_;               // the latest among the votes, or among the rejoin responses
   Term rejoin_term_ = 0;                // the highest among the rejoin responses
   Incarnation wanted_incarnation_ = 0;  // while it rejoins
--- a/src/change_freeze/voter_election.cpp
+++ b/src/change_freeze/voter_election.cpp
@@ -1,4 +1,4 @@
-// Voter: pre-votes, votes and campaigns (Raft, 5.2 and 9.6).
+// Voter: pre-votes, votes and campaigns (Raft, 3.4 and 9.6).
 #include <algorithm>
 
 #include "change_freeze/voter.h"
@@ -9,7 +9,8 @@
 
 namespace {
 
-// FNV-1a, 64 bit (RFC draft-eastlake-fnv): any hash would do that is the same on every machine.
+// The hash of FNV-1a, 64 bit, from an offset of its own (the published one has a digit more). Any hash would
+// do that is the same on every machine; another one would change the moments of campaigns.
 constexpr std::uint64_t kFnvOffset = 1469598103934665603U;
 constexpr std::uint64_t kFnvPrime = 1099511628211U;
 // Delays differ by sixteenths of a request's timeout: more voters than that are not in use.
--- a/src/change_freeze/voter_message.h
+++ b/src/change_freeze/voter_message.h
@@ -14,7 +14,7 @@
 
 struct VoterMessage {
   enum class Kind : std::uint8_t {
-    kPreVoteRequest,     // would the receiver vote for the sender in `term`? Changes nothing (Raft, 9.6)
+    kPreVoteRequest,     // would the receiver vote for the sender in `term`? Changes nothing
     kPreVoteResponse,    // `granted`; `value_version.term` repeats the term of the request
     kVoteRequest,        // vote for the sender in `term`
     kVoteResponse,       // `granted`; then `value_version` and `value` are what the responder holds
--- a/src/change_freeze/voter_role.h
+++ b/src/change_freeze/voter_role.h
@@ -1,7 +1,7 @@
 // The roles of a voter and the only way from one to another.
 //
-// Raft's roles with the pre-vote of its section 9.6, and two more: a leader is established once its first
-// value is committed, and a voter whose file is stale takes no part until it has rejoined.
+// Raft's roles with its pre-vote (section 9.6, see voter.h), and two more: a leader is established once its
+// first value is committed, and a voter whose file is stale takes no part until it has rejoined.
 //
 //   event            from           to             when
 //   ElectionTimeout  Follower       PreCandidate   no promise is in force, and this voter's delay is over
--- a/tests/change_freeze/cluster_faults.cpp
+++ b/tests/change_freeze/cluster_faults.cpp
@@ -19,7 +19,7 @@
   for (auto& m : machines_) {
     if (m->up && Chance(0.0004 * fault_rate_)) Crash(*m);
     if (m->up && now_ >= m->paused_until && Chance(0.0004 * fault_rate_)) Pause(*m);
-    // The one that leads, for longer than its lease.
+    // The leader, for longer than its lease.
     if (m->up && now_ >= m->paused_until && m->role == Voter::Role::kLeader && Chance(0.002 * fault_rate_))
       Pause(*m);
     if (Chance(m->disk_full ? 0.01 : 0.0005 * fault_rate_)) m->disk_full = !m->disk_full;
@@ -82,7 +82,7 @@
     if (!o->file || o->file->stale || PositionOf(*o->file) < *o->position ||
         (o->up && o->role == Voter::Role::kRejoining))
       return false;
-    // One that asked to join, and whose present file was put back then, has yet to learn that it must.
+    // One that asked to rejoin, and whose present file was put back then, has yet to learn that it must.
     return std::all_of(machines_.begin(), machines_.end(), [&](const auto& p) {
       return !p->file || !p->file->incarnations.contains(o->name) ||
              p->file->incarnations.at(o->name) <= o->file->incarnation;
@@ -96,7 +96,7 @@
   m.service.reset();
   m.agent_permits.reset();
   m.back_at = now_ + (script_ != nullptr ? 1000 : UniformUpTo(6000));
-  // With nothing amiss with the others' files: of three, two that are lost wait for an operator
+  // Only while the others' files are current: of three, two that rejoin at once wait for an operator
   // (docs/design/freeze.md).
   const bool others_current = OthersCurrent(m);
   const bool stale = script_ != nullptr ? script_->stale_copy : Chance(0.3);
@@ -110,7 +110,7 @@
 void SimulatedCluster::Start(Machine& m) {
   m.up = true;
   ++m.process;
-  m.offset = UniformUpTo(100'000);  // a steady clock of a machine that was started anew is another one
+  m.offset = UniformUpTo(100'000);  // the steady clock starts anew with its machine
   VoterSettings settings;
   settings.local_voter = m.name;
   settings.voters = names_;
--- a/tests/change_freeze/simulated_cluster.cpp
+++ b/tests/change_freeze/simulated_cluster.cpp
@@ -56,7 +56,7 @@
   CrashPoint();
   if (m.disk_full) {
     ++history_.saves_failed;
-    if (Chance(0.3)) m.file = record;  // it is there, and its seal is not
+    if (Chance(0.3)) m.file = record;  // the record is there, and its position is not
     return false;
   }
   if (OthersCurrent(m) && CrashesHere()) {
@@ -104,7 +104,8 @@
   if (!faults_stopped_ && Chance(0.05 * fault_rate_)) return;
   for (int copies = !faults_stopped_ && Chance(0.04 * fault_rate_) ? 2 : 1; copies > 0; --copies) {
     int delay = 1 + UniformUpTo(120);
-    if (!faults_stopped_ && Chance(0.04 * fault_rate_)) delay = UniformUpTo(12'000);  // from long ago
+    if (!faults_stopped_ && Chance(0.04 * fault_rate_))
+      delay = UniformUpTo(12'000);  // a message from long ago
     messages_.emplace(now_ + delay, std::pair(const_cast<Machine*>(&to), arrive));
   }
 }
--- a/tests/change_freeze/simulated_cluster.h
+++ b/tests/change_freeze/simulated_cluster.h
@@ -125,8 +125,8 @@
   void Deliver();
   void Decide(Machine& m, const std::function<void(PermitService&, std::vector<VoterMessage>&)>& act);
 
-  // The register: also a rule, checked as machines change their roles.
-  // Whoever wins has read what was committed, or what was written after it.
+  // The register: also a rule, checked as machines change their roles. Whoever wins has read what was
+  // committed, or what was written after it.
   void CheckWinner(const Machine& m);
   void CheckCommitted(const Machine& m);
 
@@ -150,8 +150,8 @@
   void RunTools();
   void RequestPermit(Machine& leader, Change& change);
 
-  // Recovery.
-  // With no further fault: an incident and a change come through, and nobody acts against the last freeze.
+  // Recovery. With no further fault: an incident and a change come through, and nobody acts against the last
+  // freeze.
   void CheckRecovery();
   void AwaitDrained(Machine& leader);
   void AwaitPermit(Machine& leader);
