--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -41,13 +41,13 @@
   int length = 60'000;
   int lost_at = -1, back_at = -1;  // of zone 0
   int lost_again = -1, back_again = -1;
-  int second_at = -1;  // zone 1 goes as well
-  double part = 1;     // of the zone's upstreams that go
-  bool hall = false;   // its members as well
-  bool cut = false;    // they and their zone live, and hear nobody outside
-  int liars = 0;       // say that zone 2 is silent
-  double busy = 1;     // the first liar's rate
-  bool shared = true;  // else each alone
+  int second_at = -1;     // zone 1 goes as well
+  double lost_share = 1;  // of the zone's upstreams that go
+  bool hall = false;      // its members as well
+  bool cut = false;       // they and their zone live, and hear nobody outside
+  int liars = 0;          // say that zone 2 is silent
+  double busy = 1;        // the first liar's rate
+  bool shared = true;     // else each alone
   bool again_cold = true;
 };
 
@@ -61,25 +61,25 @@
   double full_at = -1;  // ms from the return to all members using all of it
   int false_leaves = 0, leaves = 0;
   bool returned_all = true;
-  long told = 0, bytes = 0;
+  long reported = 0, bytes = 0;
 };
 
 struct Member {
-  Peer peer;
+  MemberId id;
   int zone = 0;
   double rate = 0;
   std::unique_ptr<Observer> observer;
   State state;
-  View view;
-  std::vector<Heard> heard;
+  TrafficPlan plan;
+  std::vector<EvidenceReport> reports;
   std::vector<int> made;  // when what is in `heard` was told
-  std::vector<std::uint64_t> heard_of;
+  std::vector<std::uint64_t> latest_sequence;
   double bucket[kZones] = {};
-  double trial[kZones] = {};
-  int silent_run[kZones] = {};
+  double probe_budget[kZones] = {};
+  int unanswered_run[kZones] = {};
   double shed = 0;     // of the calls, refused by its own lateness
   int last_sent = -1;  // to zone 0 while it was lost
-  std::uint64_t number = 0;
+  std::uint64_t sequence = 0;
 };
 
 struct Ending {
@@ -89,7 +89,7 @@
 };
 struct Letter {
   int to, from, made;
-  std::uint64_t number;
+  std::uint64_t sequence;
   std::shared_ptr<const Evidence> evidence;
 };
 
@@ -102,16 +102,16 @@
     for (int i = 0; i < n_.members; ++i) {
       Member& m = members_[i];
       m.zone = i % kZones;
-      m.peer = {"s" + std::to_string(i), names_[m.zone]};
+      m.id = {"s" + std::to_string(i), names_[m.zone]};
       m.rate = std::exp(std::normal_distribution(0.0, 0.6)(random_));
       sum += m.rate;
     }
     for (Member& m : members_) {
       m.rate *= kRate * n_.members / sum;
-      m.observer = std::make_unique<Observer>(m.peer.zone);
-      m.heard.resize(n_.members);
+      m.observer = std::make_unique<Observer>(m.id.zone);
+      m.reports.resize(n_.members);
       m.made.assign(n_.members, 0);
-      m.heard_of.assign(n_.members, 0);
+      m.latest_sequence.assign(n_.members, 0);
       for (int z = 0; z < kZones; ++z) {
         m.observer->SetUpstreams(names_[z], kUpstreams, At(0));
         m.bucket[z] = Uniform() - 1;
@@ -158,7 +158,7 @@
 
   void Turn() {
     for (int z = 0; z < kZones; ++z) {
-      queue_[z] = LostNow(z) && n_.part >= 1 && !n_.cut
+      queue_[z] = LostNow(z) && n_.lost_share >= 1 && !n_.cut
                       ? 0
                       : std::max(0.0, queue_[z] - capacity_ * Warmth(z) * kTick / 1000);
     }
@@ -171,11 +171,11 @@
       // to be lost it learns nothing.
       const bool late = e.outcome != Outcome::kAnswered || !e.in_time;
       const double step = 1 / std::max(12.0, m.rate * 2);
-      if (m.silent_run[e.zone] < 3) m.shed = std::clamp(m.shed + (late ? step : -step / 9), 0.0, 0.9);
-      if (e.outcome == Outcome::kSilent)
-        ++m.silent_run[e.zone];
+      if (m.unanswered_run[e.zone] < 3) m.shed = std::clamp(m.shed + (late ? step : -step / 9), 0.0, 0.9);
+      if (e.outcome == Outcome::kNoResponse)
+        ++m.unanswered_run[e.zone];
       else
-        m.silent_run[e.zone] = 0;
+        m.unanswered_run[e.zone] = 0;
       if (e.outcome == Outcome::kAnswered)
         ++r_.answered;
       else
@@ -183,29 +183,30 @@
     }
     for (Letter& l : std::exchange(letters_[now_ / kTick % 1024], {})) {
       Member& to = members_[l.to];
-      if (Dead(to) || Apart(to.zone, members_[l.from].zone) || to.heard_of[l.from] >= l.number) continue;
-      to.heard_of[l.from] = l.number;
+      if (Dead(to) || Apart(to.zone, members_[l.from].zone) || to.latest_sequence[l.from] >= l.sequence)
+        continue;
+      to.latest_sequence[l.from] = l.sequence;
       to.made[l.from] = l.made;
-      to.heard[l.from] = {members_[l.from].peer, Duration(0), std::move(l.evidence)};
+      to.reports[l.from] = {members_[l.from].id, Duration(0), std::move(l.evidence)};
     }
     for (int i = 0; i < n_.members; ++i) {
       Member& m = members_[i];
       if (Dead(m)) continue;
-      if ((now_ / kTick + i) % (kTurn.count() / kTick) == 0) DecideAt(i);
+      if ((now_ / kTick + i) % (kDecisionInterval.count() / kTick) == 0) DecideAt(i);
       for (double t = m.rate * kTick / 1000; t > 0; t -= 1) {
         if (Uniform() < t) Call(i);
       }
       for (int z = 0; z < kZones; ++z) {
         m.bucket[z] = std::min(m.bucket[z] + Allowed(m, z) * kTick / 1000, std::max(1.0, Allowed(m, z) / 2));
-        m.trial[z] = std::min(1.0, m.trial[z] + Trials(m, z) * kTick / 1000);
+        m.probe_budget[z] = std::min(1.0, m.probe_budget[z] + ProbeRate(m, z) * kTick / 1000);
       }
     }
-    if (now_ % 100 == 0) Look();
+    if (now_ % 100 == 0) Observe();
     if (std::getenv("TRACE") != nullptr && now_ % 500 == 0) Trace();
   }
 
   const ZoneShare* ShareOf(const Member& m, int zone) const {
-    for (const ZoneShare& s : m.view.zones) {
+    for (const ZoneShare& s : m.plan.zones) {
       if (s.zone == names_[zone]) return &s;
     }
     return nullptr;
@@ -215,26 +216,26 @@
     const double w = Warmth(z) / kColdFrom;
     const ZoneShare* s = ShareOf(m, z);
     if (!n_.shared || s == nullptr) return kFall * 0.75 * Warmth(z) * m.rate / kZones;
-    return s->cold_per_1000s / 1000.0 * w;
+    return s->slow_start_per_1000s / 1000.0 * w;
   }
-  double Trials(const Member& m, int z) const {
+  double ProbeRate(const Member& m, int z) const {
     const ZoneShare* s = ShareOf(m, z);
-    if (!n_.shared) return m.silent_run[z] >= 3 ? 1 : 0;
-    return s == nullptr ? 0 : s->trials_per_1000s / 1000.0;
+    if (!n_.shared) return m.unanswered_run[z] >= 3 ? 1 : 0;
+    return s == nullptr ? 0 : s->probes_per_1000s / 1000.0;
   }
 
   void Call(int i) {
     Member& m = members_[i];
     ++r_.calls;
     // What the fleet says is refused in any case; the module's own share is no less.
-    if (Uniform() < std::max(m.shed, n_.shared ? m.view.refuse / 1000.0 : 0)) {
+    if (Uniform() < std::max(m.shed, n_.shared ? m.plan.shed / 1000.0 : 0)) {
       ++r_.refused;
       return;
     }
     // A trial goes first: the module sends a copy.
     for (int z = 0; z < kZones; ++z) {
-      if (m.trial[z] >= 1) {
-        m.trial[z] -= 1;
+      if (m.probe_budget[z] >= 1) {
+        m.probe_budget[z] -= 1;
         Send(i, z);
       }
     }
@@ -242,7 +243,7 @@
     for (int z = 0; z < kZones; ++z) {
       const ZoneShare* s = ShareOf(m, z);
       weight[z] = n_.shared && s != nullptr ? s->share / 1000.0 : 1;
-      if (m.silent_run[z] >= 3) weight[z] = 0;
+      if (m.unanswered_run[z] >= 3) weight[z] = 0;
       if (Warmth(z) < 1 && m.bucket[z] < 1) weight[z] = 0;
       sum += weight[z];
     }
@@ -254,7 +255,7 @@
     int zone = 0;
     while (zone < kZones - 1 && at >= weight[zone]) at -= weight[zone++];
     if (Warmth(zone) < 1) m.bucket[zone] -= 1;
-    if (zone == 0 && LostNow(0) && n_.part >= 1 && !Apart(m.zone, 1) &&
+    if (zone == 0 && LostNow(0) && n_.lost_share >= 1 && !Apart(m.zone, 1) &&
         (n_.lost_again < 0 || now_ < n_.back_at))
       m.last_sent = now_;
     Send(i, zone);
@@ -265,21 +266,21 @@
     m.observer->OnSent(names_[zone], At(now_));
     Ending e{i, zone, static_cast<int>(Uniform() * kUpstreams), now_, Outcome::kAnswered, true};
     int after = kWork / 2 + static_cast<int>(-std::log(1 - Uniform()) * kWork / 2);
-    const bool gone = LostNow(zone) && e.upstream < n_.part * kUpstreams;
+    const bool gone = LostNow(zone) && e.upstream < n_.lost_share * kUpstreams;
     if (n_.cut ? Apart(m.zone, zone) : gone) {
-      if (zone == 0 && n_.part >= 1) ++r_.into_lost;
-      e.outcome = Outcome::kSilent;
+      if (zone == 0 && n_.lost_share >= 1) ++r_.into_lost;
+      e.outcome = Outcome::kNoResponse;
       after = Uniform() < 0.3 ? kConnect : kAim;
     } else {
       if (zone == 0 && Warmth(0) < 1) ++cold_sent_;
       const double wait = queue_[zone] / (capacity_ * Warmth(zone)) * 1000;
       if (wait > kAim * (1 + Uniform())) {
-        e.outcome = Outcome::kFull;
+        e.outcome = Outcome::kRejected;
         after = 2;
       } else {
         queue_[zone] += 1;
         after += static_cast<int>(wait * (0.5 + Uniform()));  // servers of a zone hold more or less
-        if (after > kAim) e.outcome = Outcome::kSilent, after = kAim;
+        if (after > kAim) e.outcome = Outcome::kNoResponse, after = kAim;
       }
     }
     endings_[(now_ + std::min(after, 10'000) + kTick) / kTick % 1024].push_back(e);
@@ -288,54 +289,55 @@
   void DecideAt(int i) {
     Member& m = members_[i];
     const TimePoint now = At(now_);
-    if (auto value = m.observer->Tell(now)) {
-      ++r_.told;
+    if (auto value = m.observer->NextReport(now)) {
+      ++r_.reported;
       r_.bytes += static_cast<long>(value->size());
-      auto evidence = std::make_shared<Evidence>(*Read(*value));
+      auto evidence = std::make_shared<Evidence>(*Decode(*value));
       if (i < n_.liars) {
         for (ZoneEvidence& z : evidence->zones) {
           if (z.zone == IdOf(names_[2]))
-            z.run = 50, z.run_upstreams = 16, z.well = z.in_time = z.full = 0, z.silent = z.sent;
+            z.unanswered_run = 50, z.run_upstreams = 16, z.answered = z.in_time = z.rejected = 0,
+            z.unanswered = z.sent;
         }
       }
-      ++m.number;
+      ++m.sequence;
       for (int to = 0; to < n_.members; ++to) {
         const int delay = to == i ? 0 : 200 + static_cast<int>(Uniform() * 1300);
-        letters_[(now_ + delay + kTick) / kTick % 1024].push_back({to, i, now_, m.number, evidence});
+        letters_[(now_ + delay + kTick) / kTick % 1024].push_back({to, i, now_, m.sequence, evidence});
       }
     }
-    for (int from = 0; from < n_.members; ++from) m.heard[from].age = Duration(now_ - m.made[from]);
-    std::vector<Heard> heard;
-    for (const Heard& h : m.heard) {
-      if (h.evidence) heard.push_back(h);
+    for (int from = 0; from < n_.members; ++from) m.reports[from].age = Duration(now_ - m.made[from]);
+    std::vector<EvidenceReport> reports;
+    for (const EvidenceReport& h : m.reports) {
+      if (h.evidence) reports.push_back(h);
     }
-    const Roster& roster = RosterOf(m);
-    m.state = Decide(m.state, names_, heard, {}, roster, rules_, now);
-    const View before = std::exchange(m.view, ViewOf(m.state, heard, roster, rules_, now));
+    const MemberList& members = MemberListOf(m);
+    m.state = Decide(m.state, names_, reports, {}, members, config_, now);
+    const TrafficPlan before = std::exchange(m.plan, TrafficPlanFor(m.state, reports, members, config_, now));
     // What it found silent itself is no news any more once the fleet returns there.
     for (std::size_t z = 0; z < before.zones.size(); ++z) {
-      if (n_.shared && before.zones[z].share == 0 && m.view.zones[z].share > 0) m.silent_run[z] = 0;
+      if (n_.shared && before.zones[z].share == 0 && m.plan.zones[z].share > 0) m.unanswered_run[z] = 0;
     }
     for (int z = 0; z < kZones; ++z) {
       const ZoneState& zone = m.state.at(names_[z]);
-      m.observer->SetTold(names_[z], TellOf(zone, now), zone.best / 1000);
+      m.observer->SetReportedState(names_[z], ReportedStateOf(zone, now), zone.peak_rate / 1000);
     }
   }
 
-  const Roster& RosterOf(const Member& self) {
+  const MemberList& MemberListOf(const Member& member) {
     // Silent members are found dead after some four seconds.
     const bool found = LostNow(0) && now_ >= n_.lost_at + 4000;
-    const bool inside = self.zone == 0;
-    Roster& roster = rosters_[found ? 1 + inside : 0];
-    roster.self = self.peer;
-    if (!roster.live.empty()) return roster;
-    roster.zones = {names_.begin(), names_.end()};
-    roster.known = members_.size();
+    const bool inside = member.zone == 0;
+    MemberList& members = member_lists_[found ? 1 + inside : 0];
+    members.local = member.id;
+    if (!members.live.empty()) return members;
+    members.zones = {names_.begin(), names_.end()};
+    members.known_members = members_.size();
     for (const Member& m : members_) {
       if (found && ((n_.hall && m.zone == 0) || (n_.cut && (m.zone == 0) != inside))) continue;
-      roster.live.push_back(m.peer);
+      members.live.push_back(m.id);
     }
-    return roster;
+    return members;
   }
 
   void Trace() const {
@@ -356,7 +358,7 @@
     std::printf(" queue %.0f %.0f %.0f\n", queue_[0], queue_[1], queue_[2]);
   }
 
-  void Look() {
+  void Observe() {
     std::vector<int> out(kZones);
     bool agree = true, all_full = true;
     const Member* first = nullptr;
@@ -364,9 +366,9 @@
       if (Dead(m) || m.state.empty() || (n_.cut && m.zone == 0 && LostNow(0))) continue;
       for (int z = 0; z < kZones; ++z) {
         const ZoneState& s = m.state.at(names_[z]);
-        if (s.phase == Phase::kLeaving || s.phase == Phase::kLeft) ++out[z];
+        if (s.phase == Phase::kDraining || s.phase == Phase::kDrained) ++out[z];
         const auto place = [](const ZoneState& of) {
-          return std::pair(of.phase == Phase::kSuspect ? Phase::kIn : of.phase, of.step);
+          return std::pair(of.phase == Phase::kSuspect ? Phase::kActive : of.phase, of.step);
         };
         if (first != nullptr && place(s) != place(first->state.at(names_[z]))) agree = false;
       }
@@ -375,8 +377,8 @@
     }
     if (!agree) r_.disagreed += 100;
     for (int z = 0; z < kZones; ++z) {
-      const bool should = LostNow(z) && n_.part >= 1;
-      const bool lately = z == 0 && n_.lost_at >= 0 && n_.part >= 1 && now_ >= n_.lost_at;
+      const bool should = LostNow(z) && n_.lost_share >= 1;
+      const bool lately = z == 0 && n_.lost_at >= 0 && n_.lost_share >= 1 && now_ >= n_.lost_at;
       if (out[z] > 0 && !was_out_[z]) {
         ++r_.leaves;
         if (!should && !lately) ++r_.false_leaves;
@@ -401,7 +403,7 @@
   }
 
   const Night n_;
-  const Rules rules_{};
+  const FailoverConfig config_{};
   std::mt19937_64 random_;
   std::vector<std::string> names_;
   std::vector<Member> members_;
@@ -409,7 +411,7 @@
   double queue_[kZones] = {};
   std::vector<std::vector<Ending>> endings_;
   std::vector<std::vector<Letter>> letters_;
-  Roster rosters_[3];
+  MemberList member_lists_[3];
   std::deque<long> window_;
   long cold_sent_ = 0;
   bool was_out_[kZones] = {};
@@ -481,7 +483,7 @@
     Night two = lost;
     two.name = "two in turn", two.second_at = 25'000, two.back_at = -1;
     Night third = lost;
-    third.name = "a third lost", third.part = 0.34;
+    third.name = "a third lost", third.lost_share = 0.34;
     Night busy{"busy liar", members};
     busy.liars = 1, busy.busy = 20;
     for (const Night& night : {lost, hall, tight, again, cut, two, third, busy}) {
--- a/src/zone_failover/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -9,107 +9,111 @@
 
 constexpr int kAll = 1000;
 // One member by itself is no fleet: it decides as each alone.
-constexpr std::size_t kLeastJudges = 2;
-constexpr Duration kHeldUnit{250};  // of Told::held
+constexpr std::size_t kMinJudges = 2;
+constexpr Duration kReportedAgeUnit{250};  // of Told::held
 // A trial a second each: three members are heard of a zone soon, and what topples nothing.
-constexpr std::uint32_t kTrialsPer1000s = 1000;
+constexpr std::uint32_t kProbesPer1000s = 1000;
 // The best of a zone is forgotten to the half in ten minutes: by then its machines may be others.
-constexpr std::uint64_t kBestMemory = 866;
+constexpr std::uint64_t kPeakDecayDivisor = 866;
 constexpr std::uint64_t kWindowsPer1000s = 1'000'000 / kWindow.count();
 
-bool InUse(Phase phase) { return phase == Phase::kIn || phase == Phase::kSuspect; }
-bool Out(Phase phase) { return phase == Phase::kLeaving || phase == Phase::kLeft; }
+bool InUse(Phase phase) { return phase == Phase::kActive || phase == Phase::kSuspect; }
+bool Out(Phase phase) { return phase == Phase::kDraining || phase == Phase::kDrained; }
 
 // What speaks against a zone comes first where two states have the same generation.
-int Gravity(Phase phase, int step) {
+int Severity(Phase phase, int step) {
   switch (phase) {
-    case Phase::kLeft:
+    case Phase::kDrained:
       return 300;
-    case Phase::kLeaving:
+    case Phase::kDraining:
       return 200 + step;
-    case Phase::kReturning:
+    case Phase::kRecovering:
       return 100 - step;
     default:
       return 0;
   }
 }
-using Place = std::tuple<std::uint32_t, int, int>;  // generation, gravity, phase: for comparing
-Place PlaceOf(Phase phase, int step, std::uint32_t generation) {
+using Rank = std::tuple<std::uint32_t, int, int>;  // generation, gravity, phase: for comparing
+Rank RankOf(Phase phase, int step, std::uint32_t generation) {
   const bool in = InUse(phase);
-  return {generation, Gravity(phase, step), in ? 0 : static_cast<int>(phase)};
+  return {generation, Severity(phase, step), in ? 0 : static_cast<int>(phase)};
 }
 
-Duration StayOf(const ZoneState& zone, const Rules& rules) {
-  Duration stay = rules.stay;
-  for (int i = 2; i < zone.losses && stay < rules.longest_stay; ++i) stay *= 2;
-  return std::min(stay, rules.longest_stay);
+Duration DrainTimeOf(const ZoneState& zone, const FailoverConfig& config) {
+  Duration min_drain_time = config.min_drain_time;
+  for (int i = 2; i < zone.losses && min_drain_time < config.max_drain_time; ++i) min_drain_time *= 2;
+  return std::min(min_drain_time, config.max_drain_time);
 }
 
 // Whoever tries a zone that was left: by a hash of its name and the generation, so that it is others the next
 // time, and without asking anybody. Those inside the zone only where there is nobody else.
-bool Tries(const std::string& zone, std::uint32_t generation, const Roster& roster, const Rules& rules) {
-  const auto rank = [&](const Peer& p) {
+bool IsProbing(const std::string& zone, std::uint32_t generation, const MemberList& members,
+               const FailoverConfig& config) {
+  const auto rank = [&](const MemberId& p) {
     return std::tuple(p.zone == zone, Hash(p.name, Hash(zone, Hash(std::to_string(generation)))), p.name);
   };
-  const auto mine = rank(roster.self);
-  const auto before =
-      std::count_if(roster.live.begin(), roster.live.end(), [&](const Peer& p) { return rank(p) < mine; });
-  return static_cast<std::size_t>(before) < rules.trialists;
+  const auto mine = rank(members.local);
+  const auto before = std::count_if(members.live.begin(), members.live.end(),
+                                    [&](const MemberId& p) { return rank(p) < mine; });
+  return static_cast<std::size_t>(before) < config.probing_members;
 }
 
 // What those tell of one zone whose evidence is fresh; looked up once, as all else goes over it many times.
-struct Of {
-  const Heard* from;
+struct Observation {
+  const EvidenceReport* from;
   const ZoneEvidence* of;
-  Say say;
+  Verdict say;
 };
-std::vector<Of> TellersOf(const std::string& zone, const std::vector<const Heard*>& fresh) {
+std::vector<Observation> ObservationsOf(const std::string& zone,
+                                        const std::vector<const EvidenceReport*>& max_evidence_age) {
   const ZoneId id = IdOf(zone);
-  std::vector<Of> told;
-  told.reserve(fresh.size());
-  for (const Heard* h : fresh) {
-    if (const ZoneEvidence* e = h->evidence->Of(id)) told.push_back({h, e, SayOf(*e)});
+  std::vector<Observation> reported;
+  reported.reserve(max_evidence_age.size());
+  for (const EvidenceReport* h : max_evidence_age) {
+    if (const ZoneEvidence* e = h->evidence->Find(id)) reported.push_back({h, e, VerdictOf(*e)});
   }
-  return told;
+  return reported;
 }
 
-std::vector<const Heard*> FreshOf(const std::vector<Heard>& heard, const Rules& rules) {
-  std::vector<const Heard*> fresh;
-  fresh.reserve(heard.size());
-  for (const Heard& h : heard) {
-    if (h.evidence && h.age < rules.fresh) fresh.push_back(&h);
+std::vector<const EvidenceReport*> RecentReports(const std::vector<EvidenceReport>& reports,
+                                                 const FailoverConfig& config) {
+  std::vector<const EvidenceReport*> max_evidence_age;
+  max_evidence_age.reserve(reports.size());
+  for (const EvidenceReport& h : reports) {
+    if (h.evidence && h.age < config.max_evidence_age) max_evidence_age.push_back(&h);
   }
-  return fresh;
+  return max_evidence_age;
 }
 
-std::uint64_t SumOf(std::uint16_t ZoneEvidence::*figure, const std::vector<Of>& told) {
+std::uint64_t SumOf(std::uint16_t ZoneEvidence::*figure, const std::vector<Observation>& reported) {
   std::uint64_t sum = 0;
-  for (const Of& t : told) sum += t.of->*figure;
+  for (const Observation& t : reported) sum += t.of->*figure;
   return sum;
 }
 
-Tally CountOf(const std::string& zone, const std::vector<Of>& told, const Roster& roster, const Rules& rules);
+VoteCounts CountVotesIn(const std::string& zone, const std::vector<Observation>& reported,
+                        const MemberList& members, const FailoverConfig& config);
 
 // The middle one of what they saw of a zone at its best: one that lies or is new changes nothing.
-std::uint64_t BestTold(const std::vector<Of>& tellers) {
-  std::vector<std::uint64_t> told;
-  for (const Of& t : tellers) {
-    if (t.of->best > 0) told.push_back(t.of->best);
+std::uint64_t MedianPeak(const std::vector<Observation>& recent) {
+  std::vector<std::uint64_t> reported;
+  for (const Observation& t : recent) {
+    if (t.of->peak_rate > 0) reported.push_back(t.of->peak_rate);
   }
-  if (told.empty()) return 0;
-  const auto middle = told.begin() + static_cast<std::ptrdiff_t>(told.size() / 2);
-  std::nth_element(told.begin(), middle, told.end());
+  if (reported.empty()) return 0;
+  const auto middle = reported.begin() + static_cast<std::ptrdiff_t>(reported.size() / 2);
+  std::nth_element(reported.begin(), middle, reported.end());
   return *middle * kAll;
 }
 
-void LearnBest(ZoneState& zone, std::uint64_t in_time, std::uint64_t told, TimePoint now) {
-  for (; now - zone.best_at >= std::chrono::seconds(1) && zone.best > 0;
-       zone.best_at += std::chrono::seconds(1))
-    zone.best -= zone.best / kBestMemory;
-  if (zone.best == 0) zone.best_at = now;
-  zone.best = std::max(zone.best, in_time * kWindowsPer1000s);
+void UpdatePeak(ZoneState& zone, std::uint64_t in_time, std::uint64_t reported, TimePoint now) {
+  for (; now - zone.peak_updated >= std::chrono::seconds(1) && zone.peak_rate > 0;
+       zone.peak_updated += std::chrono::seconds(1))
+    zone.peak_rate -= zone.peak_rate / kPeakDecayDivisor;
+  if (zone.peak_rate == 0) zone.peak_updated = now;
+  zone.peak_rate = std::max(zone.peak_rate, in_time * kWindowsPer1000s);
   // Of a new member: what the others saw. Not of another, or all would keep each other from forgetting.
-  if (zone.best < told * 3 / 4) zone.best = told;
+  if (zone.peak_rate < reported * 3 / 4) zone.peak_rate = reported;
 }
 
 void Enter(ZoneState& zone, Phase phase, int step, TimePoint now) {
@@ -121,36 +125,37 @@
 }
 
 // What more than half of so many members tell at least, or nothing: few that lie move nobody.
-std::optional<Told> Common(const std::vector<Of>& tellers, std::size_t of) {
-  std::vector<Told> told;
-  told.reserve(tellers.size());
-  for (const Of& t : tellers) {
-    told.push_back(t.of->told);
+std::optional<ReportedState> MajorityState(const std::vector<Observation>& recent, std::size_t of) {
+  std::vector<ReportedState> reported;
+  reported.reserve(recent.size());
+  for (const Observation& t : recent) {
+    reported.push_back(t.of->reported);
     // Older by the time that it was on its way.
-    told.back().held = static_cast<std::uint16_t>(
-        std::min<std::int64_t>(t.of->told.held + t.from->age / kHeldUnit, kMostCount));
+    reported.back().age_quarters = static_cast<std::uint16_t>(
+        std::min<std::int64_t>(t.of->reported.age_quarters + t.from->age / kReportedAgeUnit, kMaxCount));
   }
-  if (told.size() <= of / 2) return std::nullopt;
-  const auto middle = told.begin() + static_cast<std::ptrdiff_t>(of / 2);
-  std::nth_element(told.begin(), middle, told.end(), [](const Told& a, const Told& b) {
-    return std::tuple(PlaceOf(a.phase, a.step, a.generation), a.losses, a.held) >
-           std::tuple(PlaceOf(b.phase, b.step, b.generation), b.losses, b.held);
-  });
+  if (reported.size() <= of / 2) return std::nullopt;
+  const auto middle = reported.begin() + static_cast<std::ptrdiff_t>(of / 2);
+  std::nth_element(reported.begin(), middle, reported.end(),
+                   [](const ReportedState& a, const ReportedState& b) {
+                     return std::tuple(RankOf(a.phase, a.step, a.generation), a.losses, a.age_quarters) >
+                            std::tuple(RankOf(b.phase, b.step, b.generation), b.losses, b.age_quarters);
+                   });
   return *middle;
 }
 
-void Adopt(ZoneState& zone, const Told& told, TimePoint now) {
-  zone.phase = told.phase == Phase::kSuspect ? Phase::kIn : told.phase;
-  zone.step = told.step;
-  zone.generation = told.generation;
-  zone.losses = told.losses;
-  zone.since = now - told.held * kHeldUnit;
-  zone.left_at = zone.since;
+void Adopt(ZoneState& zone, const ReportedState& reported, TimePoint now) {
+  zone.phase = reported.phase == Phase::kSuspect ? Phase::kActive : reported.phase;
+  zone.step = reported.step;
+  zone.generation = reported.generation;
+  zone.losses = reported.losses;
+  zone.since = now - reported.age_quarters * kReportedAgeUnit;
+  zone.drain_started = zone.since;
 }
 
 }  // namespace
 
-std::uint64_t CapFor(const std::vector<std::uint64_t>& weights, std::uint64_t parts) {
+std::uint64_t WeightCap(const std::vector<std::uint64_t>& weights, std::uint64_t parts) {
   const auto holds = [&](std::uint64_t c) {
     std::uint64_t sum = 0;
     for (const std::uint64_t w : weights) sum += std::min(w, c);
@@ -168,7 +173,7 @@
   return low;
 }
 
-std::uint64_t LevelFor(const std::vector<std::uint64_t>& needs, std::uint64_t all) {
+std::uint64_t FairShareLevel(const std::vector<std::uint64_t>& needs, std::uint64_t all) {
   std::uint64_t low = 0, high = needs.empty() ? 0 : *std::max_element(needs.begin(), needs.end());
   while (low < high) {
     const std::uint64_t middle = low + (high - low + 1) / 2;
@@ -182,98 +187,103 @@
   return low;
 }
 
-bool NoTwoAlike(const std::vector<std::string>& zones) {
+bool HaveDistinctIds(const std::vector<std::string>& zones) {
   std::map<ZoneId, std::string> names;
   return std::all_of(zones.begin(), zones.end(),
                      [&](const std::string& z) { return names.emplace(IdOf(z), z).first->second == z; });
 }
 
-bool Alone(const Roster& roster) { return roster.live.size() * 2 < roster.known; }
+bool IsIsolated(const MemberList& members) { return members.live.size() * 2 < members.known_members; }
 
-Tally Count(const std::string& zone, const std::vector<Heard>& heard, const Roster& roster,
-            const Rules& rules) {
-  return CountOf(zone, TellersOf(zone, FreshOf(heard, rules)), roster, rules);
+VoteCounts CountVotes(const std::string& zone, const std::vector<EvidenceReport>& reports,
+                      const MemberList& members, const FailoverConfig& config) {
+  return CountVotesIn(zone, ObservationsOf(zone, RecentReports(reports, config)), members, config);
 }
 
 namespace {
 
-Tally CountOf(const std::string& zone, const std::vector<Of>& told, const Roster& roster,
-              const Rules& rules) {
-  const std::size_t outside = roster.zones.size() - roster.zones.count(zone);
-  const bool inside_too = outside < rules.observer_zones;
+VoteCounts CountVotesIn(const std::string& zone, const std::vector<Observation>& reported,
+                        const MemberList& members, const FailoverConfig& config) {
+  const std::size_t outside = members.zones.size() - members.zones.count(zone);
+  const bool inside_too = outside < config.min_judge_zones;
   struct Judge {
-    bool silent;
+    bool unanswered;
     std::uint64_t weight;
   };
   std::vector<Judge> judges;
-  judges.reserve(told.size());
-  std::vector<std::string_view> silent_zones, judge_zones;
+  judges.reserve(reported.size());
+  std::vector<std::string_view> unresponsive_zones, judge_zones;
   const auto add = [](std::vector<std::string_view>& to, std::string_view name) {
     if (std::find(to.begin(), to.end(), name) == to.end()) to.push_back(name);
   };
-  Tally tally;
-  for (const Of& t : told) {
-    const bool silent = t.say == Say::kSilent;
-    if (t.say == Say::kNothing || (!inside_too && t.from->owner.zone == zone)) continue;
-    ++tally.all;
-    tally.all_silent += silent ? 1 : 0;
+  VoteCounts votes;
+  for (const Observation& t : reported) {
+    const bool unanswered = t.say == Verdict::kUnresponsive;
+    if (t.say == Verdict::kNone || (!inside_too && t.from->owner.zone == zone)) continue;
+    ++votes.witnesses;
+    votes.unresponsive_witnesses += unanswered ? 1 : 0;
     // Whoever gets a word of no zone is cut off itself, or has trouble that is no zone's.
     const auto& all = t.from->evidence->zones;
-    const bool contrast = !silent || std::any_of(all.begin(), all.end(), [&](const ZoneEvidence& z) {
-      return z.zone != t.of->zone && SayOf(z) == Say::kWell;
+    const bool contrast = !unanswered || std::any_of(all.begin(), all.end(), [&](const ZoneEvidence& z) {
+      return z.zone != t.of->zone && VerdictOf(z) == Verdict::kResponsive;
     });
     if (!contrast) continue;
-    judges.push_back({silent, std::max<std::uint64_t>(t.of->sent, 1)});
+    judges.push_back({unanswered, std::max<std::uint64_t>(t.of->sent, 1)});
     add(judge_zones, t.from->owner.zone);
-    if (silent) ++tally.silent_judges, add(silent_zones, t.from->owner.zone);
-    tally.good += t.of->well;
-    tally.outcomes += t.of->well + t.of->full + t.of->silent;
-    tally.good_judges += t.of->well > 0 ? 1 : 0;
+    if (unanswered) ++votes.unresponsive_judges, add(unresponsive_zones, t.from->owner.zone);
+    votes.answered += t.of->answered;
+    votes.outcomes += t.of->answered + t.of->rejected + t.of->unanswered;
+    votes.answered_judges += t.of->answered > 0 ? 1 : 0;
   }
   std::vector<std::uint64_t> weights;
   for (const Judge& j : judges) weights.push_back(j.weight);
-  const std::uint64_t cap = std::max<std::uint64_t>(CapFor(weights, rules.most_weight), 1);
+  const std::uint64_t cap = std::max<std::uint64_t>(WeightCap(weights, config.judge_weight_divisor), 1);
   for (const Judge& j : judges) {
-    tally.total += std::min(j.weight, cap);
-    if (j.silent) tally.silent += std::min(j.weight, cap);
+    votes.total_weight += std::min(j.weight, cap);
+    if (j.unanswered) votes.unresponsive_weight += std::min(j.weight, cap);
   }
-  tally.judges = judges.size();
+  votes.judges = judges.size();
   // As many as there are to be had: by who lives, not by who happens to say something.
-  const auto there = static_cast<std::size_t>(std::count_if(
-      roster.live.begin(), roster.live.end(), [&](const Peer& p) { return inside_too || p.zone != zone; }));
+  const auto there = static_cast<std::size_t>(
+      std::count_if(members.live.begin(), members.live.end(),
+                    [&](const MemberId& p) { return inside_too || p.zone != zone; }));
   // Judges of one zone alone decide where no other can: with more than half of all that are known.
-  const bool one_may =
-      outside < rules.observer_zones && judge_zones.size() == 1 && roster.live.size() * 2 > roster.known;
-  tally.enough = tally.silent_judges >= std::min(rules.observers, std::max(there, kLeastJudges)) &&
-                 (silent_zones.size() >= rules.observer_zones || one_may);
-  return tally;
+  const bool one_may = outside < config.min_judge_zones && judge_zones.size() == 1 &&
+                       members.live.size() * 2 > members.known_members;
+  votes.enough_judges =
+      votes.unresponsive_judges >= std::min(config.min_judges, std::max(there, kMinJudges)) &&
+      (unresponsive_zones.size() >= config.min_judge_zones || one_may);
+  return votes;
 }
 
 }  // namespace
 
-bool Quorum(const Tally& t, const Rules& rules) {
-  return t.enough && t.silent > 0 && t.silent * kAll >= t.total * static_cast<std::uint64_t>(rules.lost);
+bool HasQuorum(const VoteCounts& t, const FailoverConfig& config) {
+  return t.enough_judges && t.unresponsive_weight > 0 &&
+         t.unresponsive_weight * kAll >=
+             t.total_weight * static_cast<std::uint64_t>(config.unavailable_threshold);
 }
 
-const Word* WordOn(const std::string& zone, const std::vector<Word>& words, TimePoint now) {
-  const Word* best = nullptr;
-  for (const Word& w : words) {
+const OperatorOverride* EffectiveOverride(const std::string& zone,
+                                          const std::vector<OperatorOverride>& overrides, TimePoint now) {
+  const OperatorOverride* peak_rate = nullptr;
+  for (const OperatorOverride& w : overrides) {
     if (w.zone != zone || now >= w.until) continue;
-    if (best == nullptr ||
-        std::tuple(w.number, w.kind, best->owner) > std::tuple(best->number, best->kind, w.owner))
-      best = &w;
+    if (peak_rate == nullptr || std::tuple(w.number, w.kind, peak_rate->owner) >
+                                    std::tuple(peak_rate->number, peak_rate->kind, w.owner))
+      peak_rate = &w;
   }
-  return best;
+  return peak_rate;
 }
 
-Move RuleOf(Phase phase, Condition condition) {
-  constexpr auto keep = Act::kKeep, watch = Act::kWatch, leave = Act::kLeave, shift = Act::kMove,
-                 test = Act::kTry, begin = Act::kReturn, on = Act::kStepOn, back = Act::kStepBack,
-                 put = Act::kPutBack;
-  constexpr auto in = Phase::kIn, sus = Phase::kSuspect, lvg = Phase::kLeaving, out = Phase::kLeft,
-                 ret = Phase::kReturning;
+Transition TransitionFor(Phase phase, Condition condition) {
+  constexpr auto keep = Action::kKeep, watch = Action::kWatch, leave = Action::kStartDrain,
+                 shift = Action::kShiftMore, test = Action::kProbe, begin = Action::kStartRecovery,
+                 on = Action::kStepUp, back = Action::kStepDown, put = Action::kAbortRecovery;
+  constexpr auto in = Phase::kActive, sus = Phase::kSuspect, lvg = Phase::kDraining, out = Phase::kDrained,
+                 ret = Phase::kRecovering;
   // clang-format off
-  static constexpr std::array<std::array<Move, 11>, 5> kRules = {{
+  static constexpr std::array<std::array<Transition, 11>, 5> kRules = {{
       // alone, leave, stay, return, last, late; lost, doubt, unknown, proved, well
       {{{in, keep}, {lvg, leave}, {in, keep}, {in, keep}, {sus, watch}, {sus, watch},
         {sus, watch}, {sus, watch}, {in, keep}, {in, keep}, {in, keep}}},
@@ -290,250 +300,272 @@
   return kRules.at(static_cast<std::size_t>(phase)).at(static_cast<std::size_t>(condition));
 }
 
-State Decide(const State& previous, const std::vector<std::string>& names, const std::vector<Heard>& heard,
-             const std::vector<Word>& words, const Roster& roster, const Rules& rules, TimePoint now) {
+State Decide(const State& previous, const std::vector<std::string>& names,
+             const std::vector<EvidenceReport>& reports, const std::vector<OperatorOverride>& overrides,
+             const MemberList& members, const FailoverConfig& config, TimePoint now) {
   State state;
-  std::map<std::string, Tally> tallies;
-  std::map<std::string, std::vector<Of>> told;
-  const std::vector<const Heard*> tellers = FreshOf(heard, rules);
+  std::map<std::string, VoteCounts> votes_by_zone;
+  std::map<std::string, std::vector<Observation>> reported;
+  const std::vector<const EvidenceReport*> recent = RecentReports(reports, config);
   const std::set<std::string> zones(names.begin(), names.end());  // one order at every member
   for (const std::string& name : zones) {
     const auto before = previous.find(name);
     state[name] = before == previous.end() ? ZoneState{} : before->second;
-    if (before == previous.end()) state[name].since = state[name].ramped = now;
-    told[name] = TellersOf(name, tellers);
-    tallies[name] = CountOf(name, told[name], roster, rules);
+    if (before == previous.end()) state[name].since = state[name].share_updated = now;
+    reported[name] = ObservationsOf(name, recent);
+    votes_by_zone[name] = CountVotesIn(name, reported[name], members, config);
   }
-  const bool alone = Alone(roster);
-  const bool others_tell = std::any_of(tellers.begin(), tellers.end(),
-                                       [&](const Heard* h) { return h->owner.name != roster.self.name; });
-  const auto stands = [&](const std::string& name) {
-    const Tally& t = tallies.at(name);
-    return InUse(state.at(name).phase) && t.total > 0 &&
-           t.silent * kAll <= t.total * static_cast<std::uint64_t>(rules.stands) &&
-           t.all_silent * kAll <= t.all * static_cast<std::size_t>(rules.stands);
+  const bool alone = IsIsolated(members);
+  const bool others_tell = std::any_of(recent.begin(), recent.end(), [&](const EvidenceReport* h) {
+    return h->owner.name != members.local.name;
+  });
+  const auto alternative_threshold = [&](const std::string& name) {
+    const VoteCounts& t = votes_by_zone.at(name);
+    return InUse(state.at(name).phase) && t.total_weight > 0 &&
+           t.unresponsive_weight * kAll <=
+               t.total_weight * static_cast<std::uint64_t>(config.alternative_threshold) &&
+           t.unresponsive_witnesses * kAll <=
+               t.witnesses * static_cast<std::size_t>(config.alternative_threshold);
   };
   const auto other_stands = [&](const std::string& zone) {
-    return std::any_of(zones.begin(), zones.end(), [&](const auto& z) { return z != zone && stands(z); });
+    return std::any_of(zones.begin(), zones.end(),
+                       [&](const auto& z) { return z != zone && alternative_threshold(z); });
   };
 
   for (const std::string& name : zones) {
     ZoneState& zone = state.at(name);
-    const Tally& tally = tallies.at(name);
-    const std::vector<Of>& of = told.at(name);
-    LearnBest(zone, SumOf(&ZoneEvidence::in_time, of), BestTold(of), now);
+    const VoteCounts& votes = votes_by_zone.at(name);
+    const std::vector<Observation>& of = reported.at(name);
+    UpdatePeak(zone, SumOf(&ZoneEvidence::in_time, of), MedianPeak(of), now);
     // Is it there for those inside? One of them with a trickle may not have noticed yet: all of them are
     // asked.
-    Say own_say = Say::kNothing;
+    Verdict own_say = Verdict::kNone;
     std::size_t inside = 0, inside_silent = 0;
-    for (const Of& t : of) {
-      if (t.from->owner.name == roster.self.name) own_say = t.say;
-      if (t.from->owner.zone != name || t.say == Say::kNothing) continue;
+    for (const Observation& t : of) {
+      if (t.from->owner.name == members.local.name) own_say = t.say;
+      if (t.from->owner.zone != name || t.say == Verdict::kNone) continue;
       ++inside;
-      inside_silent += t.say == Say::kSilent ? 1 : 0;
+      inside_silent += t.say == Verdict::kUnresponsive ? 1 : 0;
     }
-    const bool there = name == roster.self.zone && own_say == Say::kWell && inside_silent * 3 < inside;
+    const bool there =
+        name == members.local.zone && own_say == Verdict::kResponsive && inside_silent * 3 < inside;
 
     // One that was away takes over what most of all live members tell.
     if (!alone) {
-      const auto common = Common(of, roster.live.size());
-      const bool later = common && PlaceOf(common->phase, common->step, common->generation) >
-                                       PlaceOf(zone.phase, zone.step, zone.generation);
+      const auto common = MajorityState(of, members.live.size());
+      const bool later = common && RankOf(common->phase, common->step, common->generation) >
+                                       RankOf(zone.phase, zone.step, zone.generation);
       if (later && (!Out(common->phase) || other_stands(name))) {
-        if (!Out(zone.phase) && Out(common->phase)) zone.spared = there;
+        if (!Out(zone.phase) && Out(common->phase)) zone.retained = there;
         Adopt(zone, *common, now);
-        if (zone.phase == Phase::kLeft) zone.accept = kAll;
-        if (Out(zone.phase) && !zone.planned) zone.share = 0;
+        if (zone.phase == Phase::kDrained) zone.shifted = kAll;
+        if (Out(zone.phase) && !zone.by_operator) zone.share = 0;
       }
     }
     if (InUse(zone.phase)) {
-      if (now - zone.left_at >= rules.remember) zone.losses = 0;
-      if (tally.silent_judges == 0 && !alone)
-        zone.load = static_cast<std::uint32_t>(SumOf(&ZoneEvidence::sent, of) * 1000 / kWindow.count());
+      if (now - zone.drain_started >= config.loss_memory) zone.losses = 0;
+      if (votes.unresponsive_judges == 0 && !alone)
+        zone.baseline_load =
+            static_cast<std::uint32_t>(SumOf(&ZoneEvidence::sent, of) * 1000 / kWindow.count());
     }
 
     // The others: what they were seen to bear beyond what they have now, and whether that is late already.
-    std::uint64_t room = 0, good = 0, outcomes = 0, in_time = 0;
+    std::uint64_t room = 0, answered = 0, outcomes = 0, in_time = 0;
     for (const std::string& other : zones) {
       if (other == name || !InUse(state.at(other).phase)) continue;
-      const std::uint64_t best = state.at(other).best / kAll;
-      const std::uint64_t now_has = SumOf(&ZoneEvidence::sent, told.at(other)) * 1000 / kWindow.count();
-      room += best > now_has ? best - now_has : 0;
-      good += SumOf(&ZoneEvidence::well, told.at(other));
-      in_time += SumOf(&ZoneEvidence::in_time, told.at(other));
-      outcomes += SumOf(&ZoneEvidence::full, told.at(other));
+      const std::uint64_t peak_rate = state.at(other).peak_rate / kAll;
+      const std::uint64_t now_has = SumOf(&ZoneEvidence::sent, reported.at(other)) * 1000 / kWindow.count();
+      room += peak_rate > now_has ? peak_rate - now_has : 0;
+      answered += SumOf(&ZoneEvidence::answered, reported.at(other));
+      in_time += SumOf(&ZoneEvidence::in_time, reported.at(other));
+      outcomes += SumOf(&ZoneEvidence::rejected, reported.at(other));
     }
-    outcomes += good;
-    const bool late = (outcomes - in_time) * kAll > outcomes * static_cast<std::uint64_t>(rules.late);
+    outcomes += answered;
+    const bool late_threshold =
+        (outcomes - in_time) * kAll > outcomes * static_cast<std::uint64_t>(config.late_threshold);
 
-    const Word* word = WordOn(name, words, now);
+    const OperatorOverride* operator_override = EffectiveOverride(name, overrides, now);
     const Duration held = now - zone.since;
     const auto condition = [&] {
-      if (alone) return Condition::kAlone;
+      if (alone) return Condition::kIsolated;
       const bool other = other_stands(name);
-      if (word != nullptr && word->kind == WordKind::kLeave)
-        return other || Out(zone.phase) ? Condition::kSaidLeave : Condition::kLast;
-      if (word != nullptr && word->kind == WordKind::kStay) return Condition::kSaidStay;
-      if (word != nullptr && word->kind == WordKind::kReturn && word->number > zone.obeyed)
-        return Condition::kSaidReturn;
+      if (operator_override != nullptr && operator_override->kind == OverrideKind::kDrain)
+        return other || Out(zone.phase) ? Condition::kOverrideDrain : Condition::kNoAlternative;
+      if (operator_override != nullptr && operator_override->kind == OverrideKind::kHold)
+        return Condition::kOverrideHold;
+      if (operator_override != nullptr && operator_override->kind == OverrideKind::kRecover &&
+          operator_override->number > zone.applied_override)
+        return Condition::kOverrideRecover;
       // Overload looks like silence to those that give up at their aim; a lost zone answers nobody at all.
-      const bool everywhere = late && tally.silent < tally.total;
-      if (Quorum(tally, rules))
-        return !other ? Condition::kLast : everywhere ? Condition::kLostLate : Condition::kLost;
-      const bool doubt = tally.silent * kAll >= tally.total * static_cast<std::uint64_t>(rules.doubt);
-      if (doubt && tally.silent > 0 && !everywhere) return Condition::kDoubt;
-      if (tally.total == 0) return Condition::kUnknown;
+      const bool everywhere = late_threshold && votes.unresponsive_weight < votes.total_weight;
+      if (HasQuorum(votes, config))
+        return !other       ? Condition::kNoAlternative
+               : everywhere ? Condition::kOverload
+                            : Condition::kUnavailable;
+      const bool doubt_threshold = votes.unresponsive_weight * kAll >=
+                                   votes.total_weight * static_cast<std::uint64_t>(config.doubt_threshold);
+      if (doubt_threshold && votes.unresponsive_weight > 0 && !everywhere) return Condition::kDoubtful;
+      if (votes.total_weight == 0) return Condition::kNoEvidence;
       const bool trials = Out(zone.phase);
-      const bool time = trials ? now - zone.left_at >= StayOf(zone, rules) : held >= rules.step_every;
-      const std::uint32_t proof = trials ? rules.trial_proof : rules.step_proof;
-      const std::size_t observers =
-          std::min(rules.proof_observers, std::max<std::size_t>(roster.live.size(), 1));
+      const bool time = trials ? now - zone.drain_started >= DrainTimeOf(zone, config)
+                               : held >= config.recovery_step_interval;
+      const std::uint32_t proof = trials ? config.probe_successes : config.step_successes;
+      const std::size_t min_judges =
+          std::min(config.min_success_judges, std::max<std::size_t>(members.live.size(), 1));
       // One in ten may be chance of a busy zone; of trials none.
-      const bool clean = trials ? tally.good == tally.outcomes : tally.good * 10 >= tally.outcomes * 9;
-      if (time && clean && tally.good >= proof && tally.good_judges >= observers) return Condition::kProved;
-      return Condition::kWell;
+      const bool clean =
+          trials ? votes.answered == votes.outcomes : votes.answered * 10 >= votes.outcomes * 9;
+      if (time && clean && votes.answered >= proof && votes.answered_judges >= min_judges)
+        return Condition::kRecoveryProven;
+      return Condition::kHealthy;
     }();
 
-    const Move move = RuleOf(zone.phase, condition);
-    switch (move.act) {
-      case Act::kKeep:
-      case Act::kWatch:
+    const Transition move = TransitionFor(zone.phase, condition);
+    switch (move.action) {
+      case Action::kKeep:
+      case Action::kWatch:
         if (move.to != zone.phase) Enter(zone, move.to, 0, now);
         break;
-      case Act::kLeave: {
-        zone.planned = condition == Condition::kSaidLeave;
-        zone.spared = !zone.planned && there;
+      case Action::kStartDrain: {
+        zone.by_operator = condition == Condition::kOverrideDrain;
+        zone.retained = !zone.by_operator && there;
         // As much at once as the others are known to bear.
-        const std::uint64_t load = std::max<std::uint64_t>(zone.load, 1);
-        zone.accept = static_cast<int>(std::clamp<std::uint64_t>(room * kAll / load, rules.least_move, kAll));
-        if (!zone.planned) ++zone.losses, zone.share = 0;
-        zone.left_at = now;
-        Enter(zone, zone.accept >= kAll ? Phase::kLeft : Phase::kLeaving, 1, now);
-        if (zone.phase == Phase::kLeft) zone.step = 0;
+        const std::uint64_t baseline_load = std::max<std::uint64_t>(zone.baseline_load, 1);
+        zone.shifted = static_cast<int>(
+            std::clamp<std::uint64_t>(room * kAll / baseline_load, config.initial_shift, kAll));
+        if (!zone.by_operator) ++zone.losses, zone.share = 0;
+        zone.drain_started = now;
+        Enter(zone, zone.shifted >= kAll ? Phase::kDrained : Phase::kDraining, 1, now);
+        if (zone.phase == Phase::kDrained) zone.step = 0;
         break;
       }
-      case Act::kMove:
-        if (held < rules.move_every || late) break;
-        zone.accept = std::min(kAll, zone.accept + rules.move_step);
-        Enter(zone, zone.accept >= kAll ? Phase::kLeft : Phase::kLeaving, zone.step + 1, now);
-        if (zone.phase == Phase::kLeft) zone.step = 0;
+      case Action::kShiftMore:
+        if (held < config.shift_interval || late_threshold) break;
+        zone.shifted = std::min(kAll, zone.shifted + config.shift_step);
+        Enter(zone, zone.shifted >= kAll ? Phase::kDrained : Phase::kDraining, zone.step + 1, now);
+        if (zone.phase == Phase::kDrained) zone.step = 0;
         break;
-      case Act::kTry:
+      case Action::kProbe:
         break;
-      case Act::kReturn:
-        if (condition == Condition::kSaidReturn) zone.obeyed = word->number;
-        zone.planned = false;
-        Enter(zone, Phase::kReturning, 1, now);
+      case Action::kStartRecovery:
+        if (condition == Condition::kOverrideRecover) zone.applied_override = operator_override->number;
+        zone.by_operator = false;
+        Enter(zone, Phase::kRecovering, 1, now);
         break;
-      case Act::kStepOn:
-        if (zone.step >= rules.steps) {
-          Enter(zone, Phase::kIn, 0, now);
+      case Action::kStepUp:
+        if (zone.step >= config.recovery_steps) {
+          Enter(zone, Phase::kActive, 0, now);
         } else {
-          Enter(zone, Phase::kReturning, zone.step + 1, now);
+          Enter(zone, Phase::kRecovering, zone.step + 1, now);
         }
         break;
-      case Act::kStepBack:
-        if (zone.step > 1 && held < rules.back_every) break;
+      case Action::kStepDown:
+        if (zone.step > 1 && held < config.step_down_interval) break;
         if (zone.step > 1) {
-          Enter(zone, Phase::kReturning, zone.step - 1, now);
+          Enter(zone, Phase::kRecovering, zone.step - 1, now);
           break;
         }
         [[fallthrough]];
-      case Act::kPutBack:
+      case Action::kAbortRecovery:
         ++zone.losses;
-        zone.left_at = now;
+        zone.drain_started = now;
         zone.share = 0;
-        zone.accept = kAll;  // the others have borne it until now
-        Enter(zone, Phase::kLeft, 0, now);
+        zone.shifted = kAll;  // the others have borne it until now
+        Enter(zone, Phase::kDrained, 0, now);
         break;
     }
-    if (InUse(zone.phase)) zone.spared = false, zone.accept = 0;
-    if (!there && zone.spared) zone.spared = false, zone.share = 0;
+    if (InUse(zone.phase)) zone.retained = false, zone.shifted = 0;
+    if (!there && zone.retained) zone.retained = false, zone.share = 0;
 
     // The share goes towards what the state allows; with nobody to go by, towards the member's own view.
     int target = kAll;
-    if (!alone && others_tell && !zone.spared) {
-      if (Out(zone.phase)) target = zone.planned ? kAll - zone.accept : 0;
-      if (zone.phase == Phase::kReturning) target = kAll * zone.step / rules.steps;
+    if (!alone && others_tell && !zone.retained) {
+      if (Out(zone.phase)) target = zone.by_operator ? kAll - zone.shifted : 0;
+      if (zone.phase == Phase::kRecovering) target = kAll * zone.step / config.recovery_steps;
     }
-    const int most =
-        static_cast<int>(std::min<std::int64_t>((now - zone.ramped).count(), 10'000) * rules.ramp / kAll);
+    const int most = static_cast<int>(std::min<std::int64_t>((now - zone.share_updated).count(), 10'000) *
+                                      config.share_ramp / kAll);
     if (most > 0 || target == zone.share) {
       zone.share = std::clamp(target, zone.share - most, zone.share + most);
-      zone.ramped = now;
+      zone.share_updated = now;
     }
   }
   return state;
 }
 
-State StartFrom(const std::vector<std::string>& zones, const std::vector<Heard>& heard, TimePoint now) {
-  Rules any_age;
-  any_age.fresh = Duration::max();
-  const std::vector<const Heard*> tellers = FreshOf(heard, any_age);
+State InitialState(const std::vector<std::string>& zones, const std::vector<EvidenceReport>& reports,
+                   TimePoint now) {
+  FailoverConfig any_age;
+  any_age.max_evidence_age = Duration::max();
+  const std::vector<const EvidenceReport*> recent = RecentReports(reports, any_age);
   State state;
   for (const std::string& name : zones) {
     ZoneState& zone = state[name];
-    zone.since = zone.ramped = now;
-    zone.left_at = now;
-    const std::vector<Of> told = TellersOf(name, tellers);
-    const auto common = Common(told, told.size());
+    zone.since = zone.share_updated = now;
+    zone.drain_started = now;
+    const std::vector<Observation> reported = ObservationsOf(name, recent);
+    const auto common = MajorityState(reported, reported.size());
     if (!common) continue;
     Adopt(zone, *common, now);
-    if (Out(zone.phase)) zone.share = 0, zone.accept = kAll;
-    if (zone.phase == Phase::kReturning) zone.share = 0;  // and up by the ramp
+    if (Out(zone.phase)) zone.share = 0, zone.shifted = kAll;
+    if (zone.phase == Phase::kRecovering) zone.share = 0;  // and up by the ramp
   }
   return state;
 }
 
-View ViewOf(const State& state, const std::vector<Heard>& heard, const Roster& roster, const Rules& rules,
-            TimePoint now, std::optional<TimePoint> started) {
-  View view;
-  view.valid_for = rules.fresh;
-  const bool own_there = state.contains(roster.self.zone);
-  const bool careful = started && own_there && now - *started < rules.careful;
+TrafficPlan TrafficPlanFor(const State& state, const std::vector<EvidenceReport>& reports,
+                           const MemberList& members, const FailoverConfig& config, TimePoint now,
+                           std::optional<TimePoint> started) {
+  TrafficPlan view;
+  view.valid_for = config.max_evidence_age;
+  const bool own_there = state.contains(members.local.zone);
+  const bool cautious_start = started && own_there && now - *started < config.cautious_start;
   // What a member needs of a zone goes by all that it sends. Of those that live and were not heard, as much
   // as of those that were, so that nothing is lent of what may be wanted.
   std::vector<std::uint64_t> needs;
   std::uint64_t all_need = 0, own_need = 0;
-  for (const Heard* h : FreshOf(heard, rules)) {
+  for (const EvidenceReport* h : RecentReports(reports, config)) {
     std::uint64_t need = 0;
     for (const ZoneEvidence& e : h->evidence->zones) need += e.sent;
     needs.push_back(need * kWindowsPer1000s);
     all_need += needs.back();
-    if (h->owner.name == roster.self.name) own_need = needs.back();
+    if (h->owner.name == members.local.name) own_need = needs.back();
   }
-  const std::size_t heard_of = needs.size();
-  for (std::size_t i = heard_of; i < roster.live.size() && heard_of > 0; ++i) {
-    needs.push_back(all_need / heard_of);
+  const std::size_t report_count = needs.size();
+  for (std::size_t i = report_count; i < members.live.size() && report_count > 0; ++i) {
+    needs.push_back(all_need / report_count);
   }
-  std::uint64_t load = 0, homeless = 0;
+  std::uint64_t baseline_load = 0, homeless = 0;
   for (const auto& [name, zone] : state) {
-    load += zone.load;
-    if (!zone.planned && (Out(zone.phase) || zone.phase == Phase::kReturning))
-      homeless += static_cast<std::uint64_t>(zone.load) * std::max(0, kAll - zone.accept - zone.share) / kAll;
+    baseline_load += zone.baseline_load;
+    if (!zone.by_operator && (Out(zone.phase) || zone.phase == Phase::kRecovering))
+      homeless += static_cast<std::uint64_t>(zone.baseline_load) *
+                  std::max(0, kAll - zone.shifted - zone.share) / kAll;
   }
   for (const auto& [name, zone] : state) {
     ZoneShare share{name, zone.share, 0, 0, zone.generation};
-    if (careful && name != roster.self.zone) share.share = 0, share.trials_per_1000s = kTrialsPer1000s;
-    if (Out(zone.phase) && !zone.planned && Tries(name, zone.generation, roster, rules))
-      share.trials_per_1000s = kTrialsPer1000s;
-    const std::uint64_t all = zone.best * static_cast<std::uint64_t>(rules.cold) / kAll;
-    share.cold_per_1000s = static_cast<std::uint32_t>(
-        std::min<std::uint64_t>(std::min(own_need, LevelFor(needs, all)), UINT32_MAX));
+    if (cautious_start && name != members.local.zone)
+      share.share = 0, share.probes_per_1000s = kProbesPer1000s;
+    if (Out(zone.phase) && !zone.by_operator && IsProbing(name, zone.generation, members, config))
+      share.probes_per_1000s = kProbesPer1000s;
+    const std::uint64_t all = zone.peak_rate * static_cast<std::uint64_t>(config.slow_start_share) / kAll;
+    share.slow_start_per_1000s = static_cast<std::uint32_t>(
+        std::min<std::uint64_t>(std::min(own_need, FairShareLevel(needs, all)), UINT32_MAX));
     view.zones.push_back(share);
   }
-  if (load > 0) view.refuse = static_cast<int>(homeless * kAll / load);
+  if (baseline_load > 0) view.shed = static_cast<int>(homeless * kAll / baseline_load);
   return view;
 }
 
-Told TellOf(const ZoneState& zone, TimePoint now) {
-  Told told;
-  told.phase = zone.phase;
-  told.step = static_cast<std::uint8_t>(zone.step);
-  told.losses = static_cast<std::uint8_t>(std::min(zone.losses, 255));
-  told.generation = zone.generation;
-  told.held = static_cast<std::uint16_t>(std::min<std::int64_t>((now - zone.since) / kHeldUnit, kMostCount));
-  return told;
+ReportedState ReportedStateOf(const ZoneState& zone, TimePoint now) {
+  ReportedState reported;
+  reported.phase = zone.phase;
+  reported.step = static_cast<std::uint8_t>(zone.step);
+  reported.losses = static_cast<std::uint8_t>(std::min(zone.losses, 255));
+  reported.generation = zone.generation;
+  reported.age_quarters =
+      static_cast<std::uint16_t>(std::min<std::int64_t>((now - zone.since) / kReportedAgeUnit, kMaxCount));
+  return reported;
 }
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/types.h
+++ b/src/zone_failover/types.h
@@ -12,8 +12,8 @@
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 // A zone's name as told: names of up to 64 bytes would not leave room for the figures. Two of a fleet's few
-// zones with one id would be judged as one; NoTwoAlike() in decision.h tells a fleet's names apart before
-// they are used.
+// zones with one id would be judged as one; HaveDistinctIds() in decision.h tells a fleet's names apart
+// before they are used.
 using ZoneId = std::uint32_t;
 
 // FNV-1a: the same on every machine.
@@ -27,21 +27,21 @@
 }
 
 enum class Phase : std::uint8_t {
-  kIn,         // as the module likes
-  kSuspect,    // the same, and watched
-  kLeaving,    // step by step the others take its load
-  kLeft,       // trials only
-  kReturning,  // step k of n
+  kActive,      // as the module likes
+  kSuspect,     // the same, and watched
+  kDraining,    // step by step the others take its load
+  kDrained,     // trials only
+  kRecovering,  // step k of n
 };
 
 // What a member tells of its own decision on a zone, for those that start anew or were cut off.
-struct Told {
-  Phase phase = Phase::kIn;
-  std::uint8_t step = 0;         // of kLeaving and kReturning
-  std::uint8_t losses = 0;       // lately: how long it stays left goes by it
-  std::uint32_t generation = 0;  // rises with each change of phase or step
-  std::uint16_t held = 0;        // quarters of a second since then, at most kMostCount
-  bool operator==(const Told&) const = default;
+struct ReportedState {
+  Phase phase = Phase::kActive;
+  std::uint8_t step = 0;           // of kDraining and kRecovering
+  std::uint8_t losses = 0;         // lately: how long it stays left goes by it
+  std::uint32_t generation = 0;    // rises with each change of phase or step
+  std::uint16_t age_quarters = 0;  // quarters of a second since then, at most kMaxCount
+  bool operator==(const ReportedState&) const = default;
 };
 
 }  // namespace mothrack::zone_failover
