--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -19,6 +19,9 @@
 #include <vector>
 
 #include "zone_failover/decision.h"
+#include "zone_failover/evidence_codec.h"
+#include "zone_failover/observer.h"
+#include "zone_failover/traffic_plan.h"
 
 namespace {
 
@@ -69,7 +72,7 @@
   int zone = 0;
   double rate = 0;
   std::unique_ptr<Observer> observer;
-  State state;
+  ZoneStates state;
   TrafficPlan plan;
   std::vector<EvidenceReport> reports;
   std::vector<int> made;  // when what is in `heard` was told
@@ -320,7 +323,7 @@
     }
     for (int z = 0; z < kZones; ++z) {
       const ZoneState& zone = m.state.at(names_[z]);
-      m.observer->SetReportedState(names_[z], ReportedStateOf(zone, now), zone.peak_rate / 1000);
+      m.observer->SetReportedState(names_[z], ReportedStateOf(zone, now), zone.peak_per_1000s / 1000);
     }
   }
 
--- /dev/null
+++ b/src/zone_failover/conditions.h
@@ -0,0 +1,29 @@
+// Which condition holds of a zone: the rules, each a function, judged in a fixed order. Pure; any thread.
+#pragma once
+
+#include <cstddef>
+
+#include "zone_failover/config.h"
+#include "zone_failover/operator_override.h"
+#include "zone_failover/state_machine.h"
+#include "zone_failover/votes.h"
+#include "zone_failover/zone_state.h"
+
+namespace mothrack::zone_failover {
+
+struct ConditionInput {
+  const ZoneState& zone;
+  const VoteCounts& votes;
+  const OperatorOverride* effective_override = nullptr;  // null: none
+  bool isolated = false;
+  bool has_alternative = false;  // another zone in use can take the load
+  bool others_late = false;      // the other zones answer late
+  std::size_t live_members = 0;
+  TimePoint now;
+};
+
+// The first condition that holds, in the order of the page: isolation, overrides, quorum, doubt, no evidence,
+// proof of recovery; else kHealthy.
+Condition ConditionOf(const ConditionInput& input, const FailoverConfig& config);
+
+}  // namespace mothrack::zone_failover
--- a/src/zone_failover/evidence.h
+++ b/src/zone_failover/evidence.h
@@ -1,133 +1,98 @@
-// What one member tells of each zone: how its calls there ended within the last two seconds, what it has
-// proof of, what the zone bore at its best, and what the member decided. Small enough for one value of the
-// peers.
+// Evidence: what one member saw of each zone within the last two seconds, what the zone bore at its best, and
+// what the member decided on it. Values without behaviour; observer.h fills them, evidence_codec.h sends
+// them.
 #pragma once
 
-#include <array>
 #include <cstddef>
 #include <cstdint>
-#include <deque>
-#include <map>
-#include <optional>
-#include <set>
-#include <string>
-#include <string_view>
+#include <memory>
 #include <vector>
 
 #include "zone_failover/types.h"
 
 namespace mothrack::zone_failover {
 
-// A shorter window is chance for a member with a trickle, a longer one still shows a lost zone's last answers
-// when the others should have left it.
+// The window in which attempts are counted. A shorter one is chance for a member with little traffic, a
+// longer one still shows an unavailable zone's last answers when the others should have left it.
 constexpr Duration kBucket{250};
 constexpr std::size_t kBuckets = 8;
 constexpr Duration kWindow = kBucket * kBuckets;
 
-constexpr std::size_t kMaxEvidenceBytes = 256;  // of a value (src/gossip/types.h)
-constexpr std::size_t kMaxZones = 7;            // that fit with every figure at its most
-constexpr std::uint16_t kMaxCount = 16383;  // two bytes; more is told as that, and weights are capped anyway
+// The highest count that is sent: two bytes. Higher ones are sent as that; weights are capped anyway.
+constexpr std::uint16_t kMaxCount = 16383;
+
+// A member's own decision on a zone, for members that start or were cut off.
+struct ReportedState {
+  Phase phase = Phase::kActive;
+  std::uint8_t step = 0;           // of kDraining and kRecovering
+  std::uint8_t losses = 0;         // recent ones: the drain time depends on them
+  std::uint32_t generation = 0;    // rises with each change of phase or step
+  std::uint16_t age_quarters = 0;  // since that change, in quarters of a second, at most kMaxCount
+  bool operator==(const ReportedState&) const = default;
+};
+
+// Unit of ReportedState::age_quarters.
+constexpr Duration kReportedAgeUnit{250};
 
+// Counts are at most kMaxCount each.
 struct ZoneEvidence {
   ZoneId zone = 0;
-  // Ended within the window, but for `sent`. An attempt counts once, when its outcome is final.
+  // Attempts that were started (`sent`) or ended within the window. An attempt counts once, when its outcome
+  // is final.
   std::uint16_t sent = 0;
-  std::uint16_t answered = 0;    // answered, in time or late
-  std::uint16_t in_time = 0;     // of these, within the aim
-  std::uint16_t rejected = 0;    // turned away: a word as well
+  std::uint16_t answered = 0;    // in time or late
+  std::uint16_t in_time = 0;     // of these, within the latency objective
+  std::uint16_t rejected = 0;    // refused by the upstream: a response as well
   std::uint16_t unanswered = 0;  // timed out, not connected, broken
-  // Since the zone's last word, of calls sent after it.
-  std::uint16_t unanswered_run = 0;        // silent ones
-  std::uint16_t run_upstreams = 0;         // different upstreams that were
-  std::uint16_t responsive_upstreams = 0;  // upstreams that said something within the window
-  std::uint16_t upstreams = 0;             // that are listed
+  // Of attempts that were sent after the zone's last response.
+  std::uint16_t unanswered_run = 0;
+  std::uint16_t run_upstreams = 0;  // different upstreams in that run
+  // Upstreams that responded within the window, and all that are listed.
+  std::uint16_t responsive_upstreams = 0;
+  std::uint16_t upstreams = 0;
   std::uint16_t peak_rate =
-      0;  // answered in time in a second, by all members, at its best, as seen by this one
-  std::uint16_t in_flight = 0;  // calls out
+      0;  // answers in time a second by all members, at the zone's best, as this member saw it
+  std::uint16_t in_flight = 0;
   ReportedState reported;
   bool operator==(const ZoneEvidence&) const = default;
 };
 
 struct Evidence {
-  ZoneId own_zone = 0;              // zone of the member
+  ZoneId own_zone = 0;              // of the member
   std::vector<ZoneEvidence> zones;  // by id
+  // Null where the member has no evidence on the zone. Valid as long as `zones` is.
   const ZoneEvidence* Find(ZoneId zone) const;
   bool operator==(const Evidence&) const = default;
 };
 
-// What a member finds of a zone. Two silent ones in a row of different upstreams: with a third of a zone
-// silent that is one member in nine at a time, far from a quorum, and a member with five calls a second knows
-// within a second.
+// What a member's evidence says of a zone.
 enum class Verdict { kNone, kResponsive, kUnresponsive };
-Verdict VerdictOf(const ZoneEvidence& evidence);
 
-// Bytes of a value; of zones beyond kMaxZones nothing is told. Read gives nothing unless it is what Write
-// gives.
-std::string Encode(const Evidence& evidence);
-std::optional<Evidence> Decode(std::string_view bytes);
+// Unresponsive: two unanswered attempts in a row to different upstreams, or four of five within the window.
+// With a third of a zone's upstreams down one member in nine finds that at a time, far from a quorum; a
+// member with five calls a second finds an unavailable zone within a second.
+Verdict VerdictOf(const ZoneEvidence& evidence);
 
-enum class Outcome {
-  kAnswered,  // whatever the answer was
-  kRejected,
-  kNoResponse,  // timed out, not connected, reset
-  kCancelled,   // says nothing of anybody
+// The latest evidence of one member, this one's own included.
+struct EvidenceReport {
+  MemberId owner;
+  Duration age{0};  // since the owner sent it, as far as is known
+  std::shared_ptr<const Evidence> evidence;
 };
 
-struct AttemptEnd {
-  std::string_view zone;
-  std::string_view upstream;
-  std::uint64_t attempt = 0;  // names it among the member's
-  Outcome outcome = Outcome::kAnswered;
-  Duration elapsed{0};
-  bool in_time = false;
-  bool unsafe = false;
-  // An unsafe call that was given up may still be answered: what counts is its last outcome, once.
-  bool final = true;
+// One member's recent evidence on one zone, looked up once. Points into the reports that it was made from.
+struct Observation {
+  const EvidenceReport* report;
+  const ZoneEvidence* evidence;
+  Verdict verdict;
 };
 
-// Fed by the carrier's hooks. Bounded whatever is told to it.
-class Observer {
- public:
-  explicit Observer(std::string_view own_zone) : own_(IdOf(own_zone)) {}
-
-  void SetUpstreams(std::string_view zone, std::size_t count, TimePoint now);
-  void OnSent(std::string_view zone, TimePoint now);
-  void OnAttemptEnd(const AttemptEnd& end, TimePoint now);
-  // What this member decided (decision.h), and the best that it saw.
-  void SetReportedState(std::string_view zone, const ReportedState& reported, std::uint64_t peak_rate);
-
-  Evidence Snapshot(TimePoint now);
-  // The value, where one is to be put: each second, and at once where what it finds or decided of a zone is
-  // another than was told, at most ten times a second.
-  std::optional<std::string> NextReport(TimePoint now);
-  static constexpr Duration kReportInterval{1000};
-  static constexpr Duration kMinReportInterval{100};
-
- private:
-  struct Bucket {
-    std::uint32_t sent = 0, answered = 0, in_time = 0, rejected = 0, unanswered = 0;
-  };
-  struct Zone {
-    std::array<Bucket, kBuckets> buckets{};
-    std::int64_t newest = 0;  // number of the newest bucket
-    std::set<std::uint64_t> run_upstreams;
-    std::uint32_t unanswered_run = 0;
-    std::optional<TimePoint> last_response;                   // the last
-    std::map<std::uint64_t, TimePoint> responsive_upstreams;  // by upstream
-    std::size_t upstreams = 0;
-    std::uint64_t peak_rate = 0;
-    std::uint64_t in_flight = 0;
-    ReportedState reported;
-  };
-  Zone* Find(std::string_view zone, TimePoint now);
-  static void AdvanceBuckets(Zone& zone, TimePoint now);
-  Bucket& Now(Zone& zone) { return zone.buckets[static_cast<std::size_t>(zone.newest) % kBuckets]; }
-
-  const ZoneId own_;
-  std::map<ZoneId, Zone> zones_;
-  std::deque<std::uint64_t> finished_unsafe_;  // unsafe attempts of which the final outcome came
-  std::optional<TimePoint> last_report_at_;
-  Evidence last_report_;
-};
+// Those of the reports that have evidence younger than `max_age`.
+std::vector<const EvidenceReport*> RecentReports(const std::vector<EvidenceReport>& reports,
+                                                 Duration max_age);
+// What they observed of one zone; a member that has nothing on it is left out.
+std::vector<Observation> ObservationsOf(ZoneId zone, const std::vector<const EvidenceReport*>& recent);
+// Sum of one count over the observations.
+std::uint64_t SumOf(std::uint16_t ZoneEvidence::*count, const std::vector<Observation>& observations);
 
 }  // namespace mothrack::zone_failover
--- /dev/null
+++ b/src/zone_failover/recovery.h
@@ -0,0 +1,28 @@
+// The recovery ramp: when a drained zone may return, what proves a step, and how fast a zone's share changes.
+// Pure; any thread.
+#pragma once
+
+#include <cstddef>
+
+#include "zone_failover/config.h"
+#include "zone_failover/votes.h"
+#include "zone_failover/zone_state.h"
+
+namespace mothrack::zone_failover {
+
+// How long a zone stays drained at least: longer with each loss after the second.
+Duration DrainTimeOf(const ZoneState& zone, const FailoverConfig& config);
+
+// The time of the drain or the step is over, and enough calls were answered, to enough members.
+bool IsRecoveryProven(const ZoneState& zone, const VoteCounts& votes, std::size_t live_members,
+                      const FailoverConfig& config, TimePoint now);
+
+// The share that the zone's phase allows. `own_view`: this member has nobody to go by, or retains the zone;
+// it goes towards the whole share, and the balancer by its own attempts.
+int TargetShare(const ZoneState& zone, bool own_view, const FailoverConfig& config);
+
+// Moves the zone's share towards the target, by no more than FailoverConfig::share_ramp allows since the last
+// change.
+void RampShare(ZoneState& zone, int target, const FailoverConfig& config, TimePoint now);
+
+}  // namespace mothrack::zone_failover
--- /dev/null
+++ b/src/zone_failover/traffic_plan.cpp
@@ -0,0 +1,115 @@
+#include "zone_failover/traffic_plan.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <tuple>
+
+#include "zone_failover/fair_share.h"
+
+namespace mothrack::zone_failover {
+namespace {
+
+// One probe a second: three members learn soon enough of a zone, and no upstream falls over.
+constexpr std::uint32_t kProbesPer1000s = 1000;
+constexpr std::uint64_t kWindowsPer1000s = 1'000'000 / kWindow.count();
+
+// Which of two members probes a zone rather than the other: those outside the zone first, then by a hash of
+// name and generation, so that it is others the next time and nobody has to be asked.
+struct ProbeRank {
+  bool inside;
+  std::uint64_t hash;
+  std::string name;
+  bool operator<(const ProbeRank& other) const {
+    return std::tie(inside, hash, name) < std::tie(other.inside, other.hash, other.name);
+  }
+};
+
+bool IsProbing(const std::string& zone, std::uint32_t generation, const MemberList& members,
+               const FailoverConfig& config) {
+  const std::uint64_t seed = Hash(zone, Hash(std::to_string(generation)));
+  const auto rank = [&](const MemberId& member) {
+    return ProbeRank{member.zone == zone, Hash(member.name, seed), member.name};
+  };
+  const ProbeRank own = rank(members.local);
+  const auto before = std::count_if(members.live.begin(), members.live.end(),
+                                    [&](const MemberId& member) { return rank(member) < own; });
+  return static_cast<std::size_t>(before) < config.probing_members;
+}
+
+// Calls that each member makes to all zones, in a thousand seconds.
+struct Needs {
+  std::vector<std::uint64_t> of_members;
+  std::uint64_t own = 0;
+};
+
+// A member's need of a zone goes by all that it sends. Live members that were not heard count as the mean of
+// the others, so that nothing is lent that may be wanted.
+Needs NeedsOf(const std::vector<EvidenceReport>& reports, const MemberList& members,
+              const FailoverConfig& config) {
+  Needs needs;
+  std::uint64_t total = 0;
+  for (const EvidenceReport* report : RecentReports(reports, config.max_evidence_age)) {
+    std::uint64_t sent = 0;
+    for (const ZoneEvidence& zone : report->evidence->zones) sent += zone.sent;
+    const std::uint64_t need = sent * kWindowsPer1000s;
+    needs.of_members.push_back(need);
+    total += need;
+    if (report->owner.name == members.local.name) needs.own = need;
+  }
+  const std::size_t heard = needs.of_members.size();
+  if (heard > 0 && heard < members.live.size()) needs.of_members.resize(members.live.size(), total / heard);
+  return needs;
+}
+
+// This member's part of what all together may send to the zone's cold upstreams.
+std::uint32_t SlowStartAllowance(const ZoneState& zone, const Needs& needs, const FailoverConfig& config) {
+  const std::uint64_t of_all =
+      zone.peak_per_1000s * static_cast<std::uint64_t>(config.slow_start_share) / kWholeShare;
+  const std::uint64_t own = std::min(needs.own, FairShareLevel(needs.of_members, of_all));
+  return static_cast<std::uint32_t>(std::min<std::uint64_t>(own, UINT32_MAX));
+}
+
+// Share of the fleet's load that no zone takes, thousandths. A zone that was drained by an operator takes
+// what the others don't.
+int ShareToShed(const ZoneStates& states) {
+  std::uint64_t load = 0;
+  std::uint64_t untaken = 0;
+  for (const auto& [name, zone] : states) {
+    load += zone.baseline_load;
+    if (zone.by_operator || IsInUse(zone.phase)) continue;
+    const int untaken_share = std::max(0, kWholeShare - zone.shifted - zone.share);
+    untaken += static_cast<std::uint64_t>(zone.baseline_load) * static_cast<std::uint64_t>(untaken_share) /
+               kWholeShare;
+  }
+  return load == 0 ? 0 : static_cast<int>(untaken * kWholeShare / load);
+}
+
+}  // namespace
+
+TrafficPlan TrafficPlanFor(const ZoneStates& states, const std::vector<EvidenceReport>& reports,
+                           const MemberList& members, const FailoverConfig& config, TimePoint now,
+                           std::optional<TimePoint> started) {
+  TrafficPlan plan;
+  plan.valid_for = config.max_evidence_age;
+  plan.shed = ShareToShed(states);
+  // Only where its own zone has upstreams: else it would send nothing at all.
+  const bool cautious =
+      started && states.contains(members.local.zone) && now - *started < config.cautious_start;
+  const Needs needs = NeedsOf(reports, members, config);
+  for (const auto& [name, zone] : states) {
+    ZoneShare share;
+    share.zone = name;
+    share.share = zone.share;
+    share.generation = zone.generation;
+    share.slow_start_per_1000s = SlowStartAllowance(zone, needs, config);
+    const bool cautious_here = cautious && name != members.local.zone;
+    if (cautious_here) share.share = 0;
+    const bool probe_drained =
+        IsOut(zone.phase) && !zone.by_operator && IsProbing(name, zone.generation, members, config);
+    if (cautious_here || probe_drained) share.probes_per_1000s = kProbesPer1000s;
+    plan.zones.push_back(share);
+  }
+  return plan;
+}
+
+}  // namespace mothrack::zone_failover
--- a/tests/zone_failover/zones_test.cpp
+++ b/tests/zone_failover/zones_test.cpp
@@ -10,6 +10,12 @@
 
 #include "support/tables.h"
 #include "zone_failover/decision.h"
+#include "zone_failover/evidence_codec.h"
+#include "zone_failover/fair_share.h"
+#include "zone_failover/observer.h"
+#include "zone_failover/state_machine.h"
+#include "zone_failover/traffic_plan.h"
+#include "zone_failover/votes.h"
 
 namespace mothrack::zone_failover {
 namespace {
@@ -90,7 +96,7 @@
   for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Rules of a zone")) {
     const std::string condition = row.at("condition");
     Fleet fleet;
-    State before;
+    ZoneStates before;
     for (const std::string& name : kNames)
       before[name].share_updated = At(-60'000), before[name].since = At(-60'000);
     ZoneState& a = before["a"];
@@ -115,7 +121,7 @@
     if (condition == "doubt") fleet.Report("sww", 4, "www");
     if (condition == "unknown") fleet.Report("-ww", 8, "-ww");
     if (condition == "well") fleet.Report("lww", 0, "lww"), a.since = At(-1000), a.drain_started = At(-1000);
-    const State after = Decide(before, kNames, fleet.reports, overrides, fleet.members, {}, At(0));
+    const ZoneStates after = Decide(before, kNames, fleet.reports, overrides, fleet.members, {}, At(0));
     const ZoneState& z = after.at("a");
     EXPECT_EQ(kPhases[static_cast<std::size_t>(z.phase)], row.at("becomes"))
         << row.at("state") << ' ' << condition;
@@ -284,7 +290,7 @@
                                             {"a", OverrideKind::kHold, random() % 3, "y", "", At(9)}};
     std::optional<std::vector<ReportedState>> first;
     for (int turn = 0; turn < 5; ++turn) {
-      const State s = Decide({}, kNames, fleet.reports, overrides, fleet.members, {}, At(0));
+      const ZoneStates s = Decide({}, kNames, fleet.reports, overrides, fleet.members, {}, At(0));
       std::vector<ReportedState> reported;
       for (const auto& [name, zone] : s) reported.push_back(ReportedStateOf(zone, At(0)));
       if (!first) first = reported;
@@ -305,11 +311,11 @@
 
 TEST(ZoneDecision, NewMemberStartsFromItsPeersOrCarefully) {
   const ReportedState left{Phase::kDrained, 0, 1, 5, 8};
-  const State reported = InitialState(kNames, {ReportOf({"c1", "c"}, "-ww", 10, {left})}, At(0));
+  const ZoneStates reported = InitialState(kNames, {ReportOf({"c1", "c"}, "-ww", 10, {left})}, At(0));
   EXPECT_EQ(reported.at("a").phase, Phase::kDrained);
   EXPECT_EQ(reported.at("a").share, 0);
   EXPECT_EQ(reported.at("a").since, At(-2000));
-  const State none = InitialState(kNames, {}, At(0));
+  const ZoneStates none = InitialState(kNames, {}, At(0));
   const TrafficPlan cautious = TrafficPlanFor(none, {}, Fleet().members, {}, At(100), At(0));
   EXPECT_EQ(cautious.zones.at(0).share, 0);
   EXPECT_GT(cautious.zones.at(0).probes_per_1000s, 0U);
@@ -320,8 +326,8 @@
 TEST(ZoneDecision, ColdAllowanceIsSharedAndWhatOneDoesNotNeedIsLent) {
   Fleet fleet;
   std::uint64_t sum = 0;
-  State state;
-  for (const std::string& name : kNames) state[name].peak_rate = 400 * 1000;
+  ZoneStates state;
+  for (const std::string& name : kNames) state[name].peak_per_1000s = 400 * 1000;
   for (const MemberId& p : fleet.members.live)
     fleet.reports.push_back(ReportOf(p, "www", p.name == "a0" ? 1 : 100));
   for (const MemberId& p : fleet.members.live) {
@@ -346,7 +352,7 @@
   std::mt19937_64 random(seed);
   Fleet fleet;
   Sums sums;
-  State state;
+  ZoneStates state;
   std::string truth = "www";
   const bool liars = random() % 2 == 0;
   std::map<std::string, TimePoint> last_left;
@@ -377,7 +383,7 @@
       h.age = Duration(random() % 3500);
       if (random() % 5 != 0) fleet.reports.push_back(h);
     }
-    const State next = Decide(state, kNames, fleet.reports, {}, fleet.members, config, At(now));
+    const ZoneStates next = Decide(state, kNames, fleet.reports, {}, fleet.members, config, At(now));
     const bool alone = fleet.members.live.size() * 2 < fleet.members.known_members;
     sums.alone += alone ? 1 : 0;
     int in_use = 0;
