--- a/src/hash_ring/load.h
+++ b/src/hash_ring/bounded_load.h
@@ -19,36 +19,37 @@
 #include <string_view>
 #include <vector>
 
-#include "hash_ring/maker.h"
 #include "hash_ring/ring.h"
+#include "hash_ring/ring_builder.h"
 
 namespace mothrack::hash_ring {
 
-struct LoadTerms {
+struct LoadBoundConfig {
   std::uint32_t excess =
       250;  // e, in thousandths: at 0.25 few requests leave their first owner, and none is overloaded
-  std::uint32_t least =
+  std::uint32_t min_limit =
       4;  // in flight at a node that never count as too many: else light traffic would leave its owner
-  std::uint32_t hot = 500;  // a node's allowance for one key, in thousandths of what a mean node is asked for
-  std::uint32_t hot_least =
+  std::uint32_t hot_share =
+      500;  // a node's allowance for one key, in thousandths of what a mean node is asked for
+  std::uint32_t min_hot_rate =
       50;  // that allowance is never below as many in a period: a quiet fleet has no hot key
-  std::uint32_t cool =
+  std::uint32_t cool_share =
       750;  // fewer owners once they would have less than this of the allowance, in thousandths
-  std::uint32_t spread = 16;  // owners of one key at most
-  Duration life{2'000};       // of what another member told
-  Duration period{1'000};     // rates are taken over one, and smoothed by a half
+  std::uint32_t max_owners = 16;  // owners of one key at most
+  Duration report_ttl{2'000};     // of what another member told
+  Duration period{1'000};         // rates are taken over one, and smoothed by a half
 };
 
-// The keys asked for most, in bounded memory (space saving): a key with more than 1 / kSize of all requests
-// is among them, its count too high by at most what `extra` says. 64 x 24 bytes; one pass over them a
-// request.
-class Sketch {
+// The keys asked for most, in bounded memory (space saving): a key with more than 1 / kCapacity of all
+// requests is among them, its count too high by at most what `extra` says. 64 x 24 bytes; one pass over them
+// a request.
+class HeavyHitterSketch {
  public:
-  static constexpr std::size_t kSize = 64;
+  static constexpr std::size_t kCapacity = 64;
   struct Entry {
     std::uint64_t key = 0;
     std::uint32_t count = 0;
-    std::uint32_t extra = 0;
+    std::uint32_t overcount = 0;
   };
   void Add(std::uint64_t key);
   void Clear() { used_ = 0; }
@@ -56,45 +57,46 @@
   const Entry* end() const { return entries_.data() + used_; }
 
  private:
-  std::array<Entry, kSize> entries_{};
+  std::array<Entry, kCapacity> entries_{};
   std::size_t used_ = 0;
 };
 
 // What a member tells: what it has in flight, and its heaviest keys.
-struct Told {
-  static constexpr std::size_t kMostHeavy = 16;
-  struct Heavy {
+struct LoadReport {
+  static constexpr std::size_t kMaxHeavyKeys = 16;
+  struct HeavyKey {
     std::uint64_t key = 0;
     std::uint32_t rate = 0;    // in a period
     std::uint32_t owners = 1;  // that the member goes by
-    bool operator==(const Heavy&) const = default;
+    bool operator==(const HeavyKey&) const = default;
   };
-  std::map<std::string, std::uint32_t, std::less<>> in_flight;  // by uid; kMostNodes at most
+  std::map<std::string, std::uint32_t, std::less<>> in_flight;  // by uid; kMaxNodes at most
   std::uint32_t rate = 0;                                       // of all keyed requests, in a period
-  std::vector<Heavy> heavy;                                     // the heaviest first
+  std::vector<HeavyKey> heavy_keys;                             // the heaviest first
 };
 
-class Load {
+class BoundedLoad {
  public:
-  static constexpr std::size_t kMostMembers = 4096;  // as the peers
+  static constexpr std::size_t kMaxMembers = 4096;  // as the peers
 
-  explicit Load(const LoadTerms& terms, TimePoint now) : terms_(terms), rolled_(now) {}
+  explicit BoundedLoad(const LoadBoundConfig& config, TimePoint now)
+      : config_(config), period_started_(now) {}
 
   // The ring changed: counts stay with their nodes.
-  void Use(std::shared_ptr<const Ring> ring);
+  void SetRing(std::shared_ptr<const Ring> ring);
   // Another member told that, `age` ago as far as is known.
-  void Hear(const std::string& member, Told told, Duration age, TimePoint now);
+  void OnReport(const std::string& member, LoadReport report, Duration age, TimePoint now);
   // What this one tells.
-  Told Tell() const;
+  LoadReport Report() const;
   // Rates are taken and lapsed counts leave. Call it four times a period, or more often.
-  void Turn(TimePoint now);
+  void Update(TimePoint now);
 
   // Nodes for a request in the order in which to try them, by index in ring()->nodes(); at most `most`.
   // `request` is any number that differs from request to request. Empty only where no node serves.
   void Pick(std::uint64_t key, std::uint64_t request, std::size_t most, std::vector<std::uint32_t>& nodes);
   // An attempt went to a node, or ended there.
-  void Began(std::string_view uid);
-  void Ended(std::string_view uid);
+  void OnAttemptStarted(std::string_view uid);
+  void OnAttemptEnded(std::string_view uid);
 
   const Ring& ring() const { return *ring_; }
   std::uint64_t in_flight(std::uint32_t node) const { return in_flight_[node]; }
@@ -102,27 +104,27 @@
   // (1 + e) of the node's share of all in flight, a further one included; rounded up, and `least` at least.
   std::uint64_t Limit(std::uint32_t node) const;
   std::uint32_t owners_of(std::uint64_t key) const;
-  std::size_t members_heard() const { return told_.size(); }
+  std::size_t members_reporting() const { return reports_.size(); }
   std::uint64_t over_limit() const { return over_limit_; }  // requests that passed over their first owner
 
  private:
-  struct From {
-    Told told;
+  struct ReceivedReport {
+    LoadReport report;
     TimePoint at;  // when it was true
   };
   // Of all that is known, what a node has; after the ring or what others told changed.
-  void Sum();
-  void Roll();
+  void RecountInFlight();
+  void ClosePeriod();
 
-  LoadTerms terms_;
+  LoadBoundConfig config_;
   std::shared_ptr<const Ring> ring_ = std::make_shared<const Ring>();
-  std::map<std::string, std::uint32_t, std::less<>> own_;  // in flight, by uid
-  std::map<std::string, From> told_;
+  std::map<std::string, std::uint32_t, std::less<>> own_in_flight_;  // in flight, by uid
+  std::map<std::string, ReceivedReport> reports_;
   std::vector<std::uint64_t> in_flight_;  // by node: own and told
   std::uint64_t total_ = 0;
-  Sketch sketch_;  // of this period
-  std::uint32_t asked_ = 0;
-  TimePoint rolled_;
+  HeavyHitterSketch sketch_;  // of this period
+  std::uint32_t requests_ = 0;
+  TimePoint period_started_;
   std::uint32_t rate_ = 0;
   std::map<std::uint64_t, std::uint32_t> own_rates_;  // of heavy keys, smoothed
   std::map<std::uint64_t, std::uint32_t> owners_;     // of keys that have more than one
--- a/src/hash_ring/ring.cpp
+++ b/src/hash_ring/ring.cpp
@@ -27,10 +27,10 @@
 // -ln(j / 256) in 2^-58ths, by 2 atanh((256 - j) / (256 + j)): the series ends where its terms do.
 constexpr std::uint64_t MinusLog(std::uint64_t j) {
   constexpr int kBits = 62;
-  const Wide z = (Wide{256 - j} << kBits) / (256 + j);
-  const Wide square = (z * z) >> kBits;
-  Wide sum = 0;
-  Wide power = z;
+  const Uint128 z = (Uint128{256 - j} << kBits) / (256 + j);
+  const Uint128 square = (z * z) >> kBits;
+  Uint128 sum = 0;
+  Uint128 power = z;
   for (unsigned odd = 1; power != 0; odd += 2) {
     sum += power / odd;
     power = (power * square) >> kBits;
@@ -45,18 +45,22 @@
   constexpr Tables() {
     for (std::uint64_t i = 0; i < 128; ++i) {
       log[i] = MinusLog(129 + i);
-      reciprocal[i] = static_cast<std::uint64_t>((Wide{1} << 71) / (129 + i));
+      reciprocal[i] = static_cast<std::uint64_t>((Uint128{1} << 71) / (129 + i));
     }
   }
 };
 constexpr Tables kTables;
 
 std::uint64_t High(std::uint64_t a, std::uint64_t b) {
-  return static_cast<std::uint64_t>((Wide{a} * b) >> 64);
+  return static_cast<std::uint64_t>((Uint128{a} * b) >> 64);
 }
 
 // In whole octaves down, as the levels are eighths.
-int DownBy(Part part) { return part == Part::kWhole ? 0 : part == Part::kHalf ? kStepsPerOctave : kDeepest; }
+int DownBy(WeightShare weight_share) {
+  return weight_share == WeightShare::kFull   ? 0
+         : weight_share == WeightShare::kHalf ? kStepsPerOctave
+                                              : kDeepest;
+}
 
 // 16 log2(capacity), rounded down.
 int HalfSteps(std::uint64_t capacity) {
@@ -84,12 +88,12 @@
   return static_cast<Level>(std::min<int>((HalfSteps(capacity) + 1) / 2, kTopLevel));
 }
 
-Level Settle(std::optional<Level> held, std::uint64_t capacity, int band) {
-  if (!held) return LevelOf(capacity);
+Level LevelWithHysteresis(std::optional<Level> current, std::uint64_t capacity, int hysteresis) {
+  if (!current) return LevelOf(capacity);
   // Half steps are rounded down: capacity is less than `band` off while lowest <= it < highest.
   const int at = HalfSteps(capacity);
-  const bool stays = at >= 2 * *held - band && at < 2 * *held + band;
-  return stays ? *held : LevelOf(capacity);
+  const bool stays = at >= 2 * *current - hysteresis && at < 2 * *current + hysteresis;
+  return stays ? *current : LevelOf(capacity);
 }
 
 std::uint64_t Exponential(std::uint64_t v) {
@@ -101,7 +105,7 @@
   // u is a little below the upper end c of its 256th: u = c (1 - r), with r below 1/128. Next to one c is
   // one, so that the short times, which decide, keep their relative precision.
   const std::uint64_t off = (i == 127 ? 0 : (129 + i) << 56) - u;
-  const auto r = static_cast<std::uint64_t>((Wide{off} * kTables.reciprocal[i]) >> 63);
+  const auto r = static_cast<std::uint64_t>((Uint128{off} * kTables.reciprocal[i]) >> 63);
   // r + r^2/2 + ... + r^5/5
   std::uint64_t sum = r / 5;
   sum = High(sum + (std::uint64_t{1} << 62), r);  // (1/4 + r/5) r
@@ -117,16 +121,16 @@
   nodes_.erase(
       std::unique(nodes_.begin(), nodes_.end(), [](const Node& a, const Node& b) { return a.uid == b.uid; }),
       nodes_.end());
-  if (nodes_.size() > kMostNodes) nodes_.resize(kMostNodes);
+  if (nodes_.size() > kMaxNodes) nodes_.resize(kMaxNodes);
   std::string content;
   weights_.resize(nodes_.size());
   for (std::uint32_t i = 0; i < nodes_.size(); ++i) {
     const Node& node = nodes_[i];
-    content.append(
-        {static_cast<char>(node.uid.size()), static_cast<char>(node.level), static_cast<char>(node.part)});
+    content.append({static_cast<char>(node.uid.size()), static_cast<char>(node.level),
+                    static_cast<char>(node.weight_share)});
     content.append(node.uid);
-    if (node.passed || node.part == Part::kNone) continue;
-    const unsigned step = node.level + kDeepest - DownBy(node.part);
+    if (node.bypassed || node.weight_share == WeightShare::kNone) continue;
+    const unsigned step = node.level + kDeepest - DownBy(node.weight_share);
     weights_[i] = kWeight[step % 8] << (step / 8);
     total_weight_ += weights_[i];
     slots_.push_back({NodeHash(node.uid), kInverse[step % 8] >> (step / 8), i});
@@ -144,7 +148,7 @@
   for (const Slot& slot : slots_) {
     const std::uint64_t v = Mix(key ^ slot.hash);
     if (High(v >> (64 - kFraction), slot.inverse) > latest) continue;
-    const Owner owner{Wide{Exponential(v)} * slot.inverse, slot.node};
+    const Owner owner{Uint128{Exponential(v)} * slot.inverse, slot.node};
     if (owners.size() == most) {
       if (!(owner < owners.front())) continue;
       std::pop_heap(owners.begin(), owners.end());
--- a/src/hash_ring/ring.h
+++ b/src/hash_ring/ring.h
@@ -17,15 +17,15 @@
 
 namespace mothrack::hash_ring {
 
-__extension__ using Wide = unsigned __int128;
+__extension__ using Uint128 = unsigned __int128;
 
 // Seeds of xxHash64, fixed for good: with another one every key would move. Keys and nodes have each their
 // own, so that a key spelled as a node's uid is not special.
 constexpr std::uint64_t kKeySeed = 0x6b65792d72696e67;   // "key-ring"
 constexpr std::uint64_t kNodeSeed = 0x6e6f64652d726e67;  // "node-rng"
 
-constexpr std::size_t kMostNodes = 4096;  // as many as the peers know
-constexpr std::size_t kMostUid = 64;      // bytes, as a member's name
+constexpr std::size_t kMaxNodes = 4096;   // as many as the peers know
+constexpr std::size_t kMaxUidBytes = 64;  // bytes, as a member's name
 
 std::uint64_t KeyHash(std::string_view key);
 std::uint64_t NodeHash(std::string_view uid);
@@ -45,25 +45,25 @@
 // With the three that a maker uses: whoever sees noise of less than one step (9.05% up, 8.3% down) around the
 // capacity at which the level was taken never leaves it, as that capacity was at most half a step off the
 // centre.
-constexpr int kBand = 3;
-Level Settle(std::optional<Level> held, std::uint64_t capacity, int band = kBand);
+constexpr int kHysteresis = 3;
+Level LevelWithHysteresis(std::optional<Level> current, std::uint64_t capacity, int hysteresis = kHysteresis);
 
 // The share of its weight that a node has by now.
-enum class Part : std::uint8_t { kNone = 0, kQuarter = 1, kHalf = 2, kWhole = 3 };
+enum class WeightShare : std::uint8_t { kNone = 0, kQuarter = 1, kHalf = 2, kFull = 3 };
 
 // ---- The ring ----
 
 struct Node {
   std::string uid;
   Level level = 0;
-  Part part = Part::kWhole;
-  bool passed = false;  // keeps its place, but the next owners serve
+  WeightShare weight_share = WeightShare::kFull;
+  bool bypassed = false;  // keeps its place, but the next owners serve
   bool operator==(const Node&) const = default;
 };
 
 // The earliest owner first. `cost` is the time drawn, in units of no meaning but their order.
 struct Owner {
-  Wide cost = 0;
+  Uint128 cost = 0;
   std::uint32_t node = 0;  // index into Ring::nodes()
   bool operator<(const Owner& other) const {
     return cost != other.cost ? cost < other.cost : node < other.node;
@@ -74,7 +74,7 @@
 class Ring {
  public:
   Ring() : Ring(0, {}) {}
-  // In any order; of two with one uid the first counts, and what is beyond kMostNodes by uid is not in it.
+  // In any order; of two with one uid the first counts, and what is beyond kMaxNodes by uid is not in it.
   Ring(std::uint64_t generation, std::vector<Node> nodes);
 
   // The first `most` owners, in order; fewer where there are not as many that serve. `owners` is overwritten:
--- /dev/null
+++ b/src/hash_ring/ring_builder.cpp
@@ -0,0 +1,193 @@
+#include "hash_ring/ring_builder.h"
+
+#include <algorithm>
+#include <tuple>
+#include <utility>
+
+namespace mothrack::hash_ring {
+namespace {
+
+// A member that makes a generation a second for as long as it lives is below it by far; one that claims more
+// would leave no numbers for the others.
+constexpr std::uint64_t kMaxGeneration = std::uint64_t{1} << 48;
+
+// Heavier is greater. Gone is the lightest.
+auto WeightRank(const NodeRecord& record) {
+  return std::tuple(!record.removed, record.weight_share, record.level);
+}
+
+bool SameContent(const NodeRecord& a, const NodeRecord& b) { return WeightRank(a) == WeightRank(b); }
+
+bool IsValid(const NodeRecord& record) {
+  return !record.uid.empty() && record.uid.size() <= kMaxUidBytes && record.generation > 0 &&
+         record.generation <= kMaxGeneration && record.weight_share <= WeightShare::kFull;
+}
+
+}  // namespace
+
+// The lighter, as that one does no harm: a node that was overrated falls over, one that was underrated has
+// room.
+bool Supersedes(const NodeRecord& record, const NodeRecord& current) {
+  if (record.generation != current.generation) return record.generation > current.generation;
+  return WeightRank(record) < WeightRank(current);
+}
+
+WeightShare RingBuilder::WeightShareAt(Duration age) const {
+  if (age >= config_.slow_start_time) return WeightShare::kFull;
+  const std::int64_t slow_start_share =
+      config_.slow_start_initial_share + (1000 - config_.slow_start_initial_share) *
+                                             std::max<std::int64_t>(age.count(), 0) /
+                                             config_.slow_start_time.count();
+  return slow_start_share >= 500   ? WeightShare::kHalf
+         : slow_start_share >= 250 ? WeightShare::kQuarter
+                                   : WeightShare::kNone;
+}
+
+std::optional<NodeRecord> RingBuilder::DesiredRecord(const Entry& entry, const NodeUpdate* update,
+                                                     TimePoint now) const {
+  const bool has = entry.record && !entry.record->removed;
+  if (update && update->state == NodeUpdate::State::kActive) {
+    NodeRecord desired;
+    desired.uid = update->uid;
+    desired.weight_share = WeightShareAt(update->age);
+    if (has) {
+      // A measurement that lapsed is no reason to go back to the hint.
+      desired.level =
+          update->measured_capacity
+              ? LevelWithHysteresis(entry.record->level, *update->measured_capacity, config_.hysteresis)
+              : entry.record->level;
+      if (SameContent(desired, *entry.record)) return std::nullopt;
+    } else {
+      if (desired.weight_share == WeightShare::kNone) return std::nullopt;
+      desired.level = LevelOf(update->measured_capacity.value_or(update->registered_capacity));
+    }
+    return desired;
+  }
+  if (!has || (!update && now - *entry.missing_since < config_.missing_grace)) return std::nullopt;
+  NodeRecord desired = *entry.record;
+  desired.removed = true;
+  return desired;
+}
+
+// Noise around a change of one direction does not begin its time anew, a change of direction does.
+void RingBuilder::SetPending(Entry& entry, std::optional<NodeRecord> desired, TimePoint now) {
+  const auto direction = [&](const NodeRecord& pending) {
+    return entry.record ? WeightRank(pending) < WeightRank(*entry.record) : false;
+  };
+  if (desired && (!entry.pending || direction(*desired) != direction(*entry.pending)))
+    entry.pending_since = now;
+  entry.pending = std::move(desired);
+}
+
+bool RingBuilder::ApplyDueChanges(TimePoint now) {
+  bool all_settled = true;
+  bool any_settled = false;
+  Duration oldest{0};
+  for (const auto& [uid, entry] : entries_) {
+    if (!entry.pending) continue;
+    const Duration age = now - entry.pending_since;
+    oldest = std::max(oldest, age);
+    (age >= config_.settle_time ? any_settled : all_settled) = age >= config_.settle_time;
+  }
+  if (!any_settled || (!all_settled && oldest < config_.batch_window)) return false;
+  ++generation_;
+  for (auto& [uid, entry] : entries_) {
+    if (!entry.pending || now - entry.pending_since < config_.settle_time) continue;
+    entry.record = std::exchange(entry.pending, std::nullopt);
+    entry.record->generation = generation_;
+    entry.changed_at = now;
+  }
+  return true;
+}
+
+bool RingBuilder::Update(const std::vector<NodeUpdate>& nodes, bool cut_off, TimePoint now) {
+  // What waited is begun anew once it hears again: a node that was missing before may have been back in
+  // between.
+  if (cut_off) {
+    for (auto& [uid, entry] : entries_) {
+      entry.pending.reset();
+      entry.missing_since.reset();
+    }
+    return false;
+  }
+  last_update_ = now;
+  std::map<std::string_view, const NodeUpdate*> by_uid;
+  for (const NodeUpdate& update : nodes) {
+    if (update.uid.empty() || update.uid.size() > kMaxUidBytes) {
+      ++rejected_;
+      continue;
+    }
+    if (!by_uid.emplace(update.uid, &update).second) continue;
+    if (entries_.size() < kMaxNodes) entries_.try_emplace(update.uid);
+  }
+  bool changed = false;
+  for (auto at = entries_.begin(); at != entries_.end();) {
+    Entry& entry = at->second;
+    const auto found = by_uid.find(at->first);
+    const NodeUpdate* update = found == by_uid.end() ? nullptr : found->second;
+    if (update) {
+      entry.missing_since.reset();
+    } else if (!entry.missing_since) {
+      entry.missing_since = now;
+    }
+    const bool bypassed = !update || update->state != NodeUpdate::State::kActive ||
+                          WeightShareAt(update->age) == WeightShare::kNone;
+    changed |= std::exchange(entry.bypassed, bypassed) != bypassed && entry.record && !entry.record->removed;
+    SetPending(entry, DesiredRecord(entry, update, now), now);
+    // Nothing is left to be known of it.
+    const bool forget =
+        !update &&
+        (!entry.record || (entry.record->removed && now - entry.changed_at >= config_.removal_memory));
+    at = forget ? entries_.erase(at) : std::next(at);
+  }
+  changed |= ApplyDueChanges(now);
+  if (changed) Rebuild();
+  return changed;
+}
+
+bool RingBuilder::Merge(const std::vector<NodeRecord>& records, TimePoint now) {
+  bool changed = false;
+  for (const NodeRecord& record : records) {
+    const auto at = entries_.find(record.uid);
+    if (!IsValid(record) || (at == entries_.end() && entries_.size() >= kMaxNodes)) {
+      ++rejected_;
+      continue;
+    }
+    Entry& entry = at != entries_.end() ? at->second : entries_[record.uid];
+    if (entry.record && !Supersedes(record, *entry.record)) continue;
+    generation_ = std::max(generation_, record.generation);
+    // A node of which only its place is known is passed over until the list has it.
+    if (at == entries_.end()) entry.bypassed = true;
+    entry.record = record;
+    entry.changed_at = now;
+    // It may be what was due, or make something else due: the next turn says so, and its time begins anew, as
+    // whoever changed it may know more.
+    entry.pending.reset();
+    changed = true;
+  }
+  if (changed) Rebuild();
+  return changed;
+}
+
+void RingBuilder::Rebuild() {
+  std::vector<Node> nodes;
+  for (const auto& [uid, entry] : entries_) {
+    if (entry.record && !entry.record->removed)
+      nodes.push_back({uid, entry.record->level, entry.record->weight_share, entry.bypassed});
+  }
+  ring_ = std::make_shared<const Ring>(generation_, std::move(nodes));
+}
+
+std::vector<NodeRecord> RingBuilder::records() const {
+  std::vector<NodeRecord> records;
+  for (const auto& [uid, entry] : entries_) {
+    if (entry.record) records.push_back(*entry.record);
+  }
+  return records;
+}
+
+Staleness RingBuilder::staleness(TimePoint now) const {
+  return {now - last_update_ > config_.stale_after, now - last_update_};
+}
+
+}  // namespace mothrack::hash_ring
--- a/tests/hash_ring/ring_test.cpp
+++ b/tests/hash_ring/ring_test.cpp
@@ -8,15 +8,15 @@
 #include <set>
 
 #include "gtest/gtest.h"
-#include "hash_ring/load.h"
-#include "hash_ring/maker.h"
+#include "hash_ring/bounded_load.h"
+#include "hash_ring/ring_builder.h"
 #include "support/tables.h"
 
 namespace mothrack::hash_ring {
 namespace {
 
 using std::chrono::milliseconds;
-using State = NodeNews::State;
+using State = NodeUpdate::State;
 
 TimePoint At(std::int64_t ms) { return TimePoint(milliseconds(ms)); }
 
@@ -122,7 +122,7 @@
     EXPECT_EQ(Move(joined, ring, 50'000).stray, 0) << "and back";
     // Passed over is as good as gone.
     auto passing = Nodes(c.nodes + c.changed);
-    for (int i = c.nodes; i < c.nodes + c.changed; ++i) passing[i].passed = true;
+    for (int i = c.nodes; i < c.nodes + c.changed; ++i) passing[i].bypassed = true;
     EXPECT_EQ(Move(ring, Ring(3, passing), 10'000).share, 0);
   }
 }
@@ -144,44 +144,45 @@
 
 // ---- Generations ----
 
-NodeNews News(const std::string& uid, Duration age = Duration{100'000}, std::uint64_t measured = 1000) {
-  return {uid, State::kActive, 1000, measured, age};
+NodeUpdate UpdateOf(const std::string& uid, Duration age = Duration{100'000},
+                    std::uint64_t measured_capacity = 1000) {
+  return {uid, State::kActive, 1000, measured_capacity, age};
 }
 
 // Turns with the same list until `until`, each 100 ms.
-void Turns(Maker& maker, const std::vector<NodeNews>& list, bool cut_off, std::int64_t& now,
+void Turns(RingBuilder& builder, const std::vector<NodeUpdate>& nodes, bool cut_off, std::int64_t& now,
            std::int64_t until) {
-  for (; now <= until; now += 100) maker.Turn(list, cut_off, At(now));
+  for (; now <= until; now += 100) builder.Update(nodes, cut_off, At(now));
 }
 
-std::string StateOf(const Maker& maker) {
-  const auto places = maker.places();
-  if (places.empty()) return "none";
-  if (places[0].gone) return "gone";
-  if (places[0].part == Part::kNone) return "cold";
-  if (maker.ring()->serving() == 0) return "missing";
-  return places[0].part == Part::kWhole ? "whole" : "part";
+std::string StateOf(const RingBuilder& builder) {
+  const auto records = builder.records();
+  if (records.empty()) return "none";
+  if (records[0].removed) return "gone";
+  if (records[0].weight_share == WeightShare::kNone) return "cold";
+  if (builder.ring()->serving() == 0) return "missing";
+  return records[0].weight_share == WeightShare::kFull ? "whole" : "part";
 }
 
 TEST(Tables, RulesOfAGeneration) {
-  const std::map<std::string, Part> kParts = {{"cold", Part::kNone},
-                                              {"part", Part::kQuarter},
-                                              {"whole", Part::kWhole},
-                                              {"missing", Part::kWhole},
-                                              {"gone", Part::kWhole}};
+  const std::map<std::string, WeightShare> kShares = {{"cold", WeightShare::kNone},
+                                                      {"part", WeightShare::kQuarter},
+                                                      {"whole", WeightShare::kFull},
+                                                      {"missing", WeightShare::kFull},
+                                                      {"gone", WeightShare::kFull}};
   const std::map<std::string, Duration> kAges = {
       {"cold", Duration{0}}, {"part", Duration{5000}}, {"whole", Duration{30'000}}};
   struct Event {
-    std::vector<NodeNews> list;
+    std::vector<NodeUpdate> nodes;
     std::int64_t after = 0;
     bool cut_off = false;
   };
-  NodeNews leaving = News("n"), left = News("n");
-  leaving.state = State::kLeaving;
-  left.state = State::kLeft;
-  const std::map<std::string, Event> kEvents = {{"listed, cold", {{News("n", Duration{0})}}},
-                                                {"listed, half warm", {{News("n", Duration{5000})}}},
-                                                {"listed, warm", {{News("n")}}},
+  NodeUpdate leaving = UpdateOf("n"), left = UpdateOf("n");
+  leaving.state = State::kDraining;
+  left.state = State::kRemoved;
+  const std::map<std::string, Event> kEvents = {{"listed, cold", {{UpdateOf("n", Duration{0})}}},
+                                                {"listed, half warm", {{UpdateOf("n", Duration{5000})}}},
+                                                {"listed, warm", {{UpdateOf("n")}}},
                                                 {"leaving", {{leaving}}},
                                                 {"left", {{left}}},
                                                 {"missing", {{}}},
@@ -190,58 +191,59 @@
   std::set<std::string> played;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of a generation")) {
     SCOPED_TRACE(row.at("place") + ", " + row.at("event"));
-    Maker maker({}, At(0));
-    if (kParts.contains(row.at("place"))) {
-      maker.Merge({{"n", 1, LevelOf(1000), kParts.at(row.at("place")), row.at("place") == "gone"}}, At(0));
+    RingBuilder builder({}, At(0));
+    if (kShares.contains(row.at("place"))) {
+      builder.Merge({{"n", 1, LevelOf(1000), kShares.at(row.at("place")), row.at("place") == "gone"}}, At(0));
     }
-    std::vector<NodeNews> list;
-    if (kAges.contains(row.at("place"))) list = {News("n", kAges.at(row.at("place")))};
-    maker.Turn(list, false, At(0));
-    ASSERT_EQ(StateOf(maker), row.at("place"));
+    std::vector<NodeUpdate> nodes;
+    if (kAges.contains(row.at("place"))) nodes = {UpdateOf("n", kAges.at(row.at("place")))};
+    builder.Update(nodes, false, At(0));
+    ASSERT_EQ(StateOf(builder), row.at("place"));
     const Event& event = kEvents.at(row.at("event"));
-    const auto number = maker.number();
+    const auto generation = builder.generation();
     std::int64_t now = 100;
-    Turns(maker, event.list, event.cut_off, now, 100);
-    EXPECT_EQ(maker.ring()->serving() == 1 ? "yes" : "no", row.at("serves at once"));
-    Turns(maker, event.list, event.cut_off, now, event.after + 2000);
-    EXPECT_EQ(StateOf(maker), row.at("next"));
-    EXPECT_EQ(maker.number() > number ? "yes" : "no", row.at("generation"));
+    Turns(builder, event.nodes, event.cut_off, now, 100);
+    EXPECT_EQ(builder.ring()->serving() == 1 ? "yes" : "no", row.at("serves at once"));
+    Turns(builder, event.nodes, event.cut_off, now, event.after + 2000);
+    EXPECT_EQ(StateOf(builder), row.at("next"));
+    EXPECT_EQ(builder.generation() > generation ? "yes" : "no", row.at("generation"));
     played.insert(row.at("place") + row.at("event"));
   }
   EXPECT_EQ(played.size(), 6 * kEvents.size());
 }
 
 TEST(Tables, RulesOfMerging) {
-  const Place held{"n", 5, 80, Part::kHalf, false};
-  const std::map<std::string, Place> kHeard = {
-      {"later", {"n", 6, 90, Part::kWhole, false}},
-      {"earlier", {"n", 4, 70, Part::kQuarter, false}},
-      {"same number, heavier", {"n", 5, 81, Part::kHalf, false}},
-      {"same number, lighter", {"n", 5, 90, Part::kQuarter, false}},
-      {"same number, given up", {"n", 5, 80, Part::kHalf, true}},
-      {"the same", held},
-      {"number out of reach", {"n", ~std::uint64_t{0}, 9, Part::kHalf, false}},
-      {"no number", {"n", 0, 1, Part::kNone, false}}};
+  const NodeRecord current{"n", 5, 80, WeightShare::kHalf, false};
+  const std::map<std::string, NodeRecord> kReceived = {
+      {"later", {"n", 6, 90, WeightShare::kFull, false}},
+      {"earlier", {"n", 4, 70, WeightShare::kQuarter, false}},
+      {"same number, heavier", {"n", 5, 81, WeightShare::kHalf, false}},
+      {"same number, lighter", {"n", 5, 90, WeightShare::kQuarter, false}},
+      {"same number, given up", {"n", 5, 80, WeightShare::kHalf, true}},
+      {"the same", current},
+      {"number out of reach", {"n", ~std::uint64_t{0}, 9, WeightShare::kHalf, false}},
+      {"no number", {"n", 0, 1, WeightShare::kNone, false}}};
   std::set<std::string> played;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of merging")) {
     SCOPED_TRACE(row.at("heard"));
-    Maker maker({}, At(0));
-    maker.Merge({held}, At(0));
-    const bool taken = maker.Merge({kHeard.at(row.at("heard"))}, At(0));
-    EXPECT_EQ(taken ? "taken" : maker.not_taken() ? "refused" : "kept", row.at("then"));
-    EXPECT_EQ(maker.number(), maker.places()[0].number);
-    EXPECT_EQ(maker.places()[0], taken ? kHeard.at(row.at("heard")) : held);
+    RingBuilder builder({}, At(0));
+    builder.Merge({current}, At(0));
+    const bool taken = builder.Merge({kReceived.at(row.at("heard"))}, At(0));
+    EXPECT_EQ(taken ? "taken" : builder.rejected() ? "refused" : "kept", row.at("then"));
+    EXPECT_EQ(builder.generation(), builder.records()[0].generation);
+    EXPECT_EQ(builder.records()[0], taken ? kReceived.at(row.at("heard")) : current);
     played.insert(row.at("heard"));
   }
-  EXPECT_EQ(played.size(), kHeard.size());
+  EXPECT_EQ(played.size(), kReceived.size());
 }
 
 TEST(Tables, RulesOfQuantising) {
   std::set<std::string> played;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of quantising")) {
-    std::optional<Level> held;
-    if (row.at("held") != "-") held = static_cast<Level>(std::stoi(row.at("held")));
-    EXPECT_EQ(Settle(held, std::stoull(row.at("capacity"))), std::stoi(row.at("level"))) << row.at("case");
+    std::optional<Level> current;
+    if (row.at("held") != "-") current = static_cast<Level>(std::stoi(row.at("held")));
+    EXPECT_EQ(LevelWithHysteresis(current, std::stoull(row.at("capacity"))), std::stoi(row.at("level")))
+        << row.at("case");
     played.insert(row.at("case"));
   }
   EXPECT_EQ(played,
@@ -250,88 +252,89 @@
                                    "last within, below", "first beyond, below", "halved"}));
 }
 
-TEST(Maker, NoiseMovesNothingAndAllThatIsDueIsOneGeneration) {
-  Maker maker({}, At(0));
+TEST(RingBuilder, NoiseMovesNothingAndAllThatIsDueIsOneGeneration) {
+  RingBuilder builder({}, At(0));
   std::mt19937 random(3);
-  std::vector<NodeNews> list;
+  std::vector<NodeUpdate> nodes;
   for (int i = 0; i < 30; ++i)
-    list.push_back(News("n" + std::to_string(i), Duration{100'000}, 1000 + 100 * i));
+    nodes.push_back(UpdateOf("n" + std::to_string(i), Duration{100'000}, 1000 + 100 * i));
   std::int64_t now = 0;
-  Turns(maker, list, false, now, 2000);
-  const auto first = maker.ring()->hash();
-  EXPECT_EQ(maker.number(), 1u) << "all joins at once";
+  Turns(builder, nodes, false, now, 2000);
+  const auto first = builder.ring()->hash();
+  EXPECT_EQ(builder.generation(), 1u) << "all joins at once";
   for (int turn = 0; turn < 2000; ++turn, now += 100) {
-    auto noisy = list;
+    auto noisy = nodes;
     // One step is 2^(1/8): 9.05% up, 8.3% down; anything less, however biased.
-    for (auto& news : noisy) *news.measured = *news.measured * (918 + random() % 172) / 1000;
-    if (turn % 100 > 50) noisy[turn / 100].measured.reset();  // lapsed
-    maker.Turn(noisy, false, At(now));
+    for (auto& update : noisy)
+      *update.measured_capacity = *update.measured_capacity * (918 + random() % 172) / 1000;
+    if (turn % 100 > 50) noisy[turn / 100].measured_capacity.reset();  // lapsed
+    builder.Update(noisy, false, At(now));
   }
-  EXPECT_EQ(maker.number(), 1u);
+  EXPECT_EQ(builder.generation(), 1u);
   // Half of the capacities at once, some leave, some come.
-  for (int i = 0; i < 15; ++i) *list[i].measured /= 2;
-  list[20].state = State::kLeaving;
-  list.push_back(News("new"));
-  Turns(maker, list, false, now, now + 5000);
-  EXPECT_EQ(maker.number(), 2u);
-  EXPECT_NE(maker.ring()->hash(), first);
+  for (int i = 0; i < 15; ++i) *nodes[i].measured_capacity /= 2;
+  nodes[20].state = State::kDraining;
+  nodes.push_back(UpdateOf("new"));
+  Turns(builder, nodes, false, now, now + 5000);
+  EXPECT_EQ(builder.generation(), 2u);
+  EXPECT_NE(builder.ring()->hash(), first);
 }
 
 // It hears of the place before it hears of its reason.
-TEST(Maker, AMemberThatDoesNotKnowWhyWaitsBeforeItWouldChangeBack) {
-  Maker maker({}, At(0));
+TEST(RingBuilder, AMemberThatDoesNotKnowWhyWaitsBeforeItWouldChangeBack) {
+  RingBuilder builder({}, At(0));
   std::int64_t now = 0;
-  Turns(maker, {News("n")}, false, now, 2000);
-  Turns(maker, {News("n", Duration{100'000}, 3000)}, false, now, 3000);
-  maker.Merge({{"n", 2, 100, Part::kWhole, false}}, At(now));
-  Turns(maker, {News("n", Duration{100'000}, 3000)}, false, now, now + 1400);
-  EXPECT_EQ(maker.number(), 2u);
-  EXPECT_EQ(maker.places()[0].level, 100);
+  Turns(builder, {UpdateOf("n")}, false, now, 2000);
+  Turns(builder, {UpdateOf("n", Duration{100'000}, 3000)}, false, now, 3000);
+  builder.Merge({{"n", 2, 100, WeightShare::kFull, false}}, At(now));
+  Turns(builder, {UpdateOf("n", Duration{100'000}, 3000)}, false, now, now + 1400);
+  EXPECT_EQ(builder.generation(), 2u);
+  EXPECT_EQ(builder.records()[0].level, 100);
 }
 
-TEST(Maker, ColdNodesComeInStepsAndOneThatIsBackKeepsItsPlace) {
-  Maker maker({}, At(0));
-  std::vector<Part> parts;
+TEST(RingBuilder, ColdNodesComeInStepsAndOneThatIsBackKeepsItsPlace) {
+  RingBuilder builder({}, At(0));
+  std::vector<WeightShare> parts;
   for (std::int64_t now = 0; now <= 60'000; now += 100) {
-    maker.Turn({News("old"), News("new", Duration{now})}, false, At(now));
-    const auto node = maker.ring()->Find("new");
-    if (node && (parts.empty() || parts.back() != maker.ring()->nodes()[*node].part)) {
-      parts.push_back(maker.ring()->nodes()[*node].part);
+    builder.Update({UpdateOf("old"), UpdateOf("new", Duration{now})}, false, At(now));
+    const auto node = builder.ring()->Find("new");
+    if (node && (parts.empty() || parts.back() != builder.ring()->nodes()[*node].weight_share)) {
+      parts.push_back(builder.ring()->nodes()[*node].weight_share);
       // Never above what the node has by then.
-      const double share = static_cast<double>(maker.ring()->weight(*node)) / maker.ring()->weight(1);
+      const double share = static_cast<double>(builder.ring()->weight(*node)) / builder.ring()->weight(1);
       EXPECT_LE(share, 0.1 + 0.9 * static_cast<double>(now) / 20'000);
     }
   }
-  EXPECT_EQ(parts, (std::vector{Part::kQuarter, Part::kHalf, Part::kWhole}));
-  const auto hash = maker.ring()->hash();
-  const auto number = maker.number();
+  EXPECT_EQ(parts, (std::vector{WeightShare::kQuarter, WeightShare::kHalf, WeightShare::kFull}));
+  const auto hash = builder.ring()->hash();
+  const auto generation = builder.generation();
   std::int64_t now = 60'100;
-  Turns(maker, {News("old")}, false, now, 119'000);
-  EXPECT_EQ(maker.ring()->serving(), 1u);
-  Turns(maker, {News("old"), News("new")}, false, now, 119'200);
-  EXPECT_EQ(maker.ring()->serving(), 2u);
-  EXPECT_EQ(maker.ring()->hash(), hash);
-  EXPECT_EQ(maker.number(), number);
-  EXPECT_FALSE(maker.staleness(At(now)).stale);
-  Turns(maker, {}, true, now, 200'000);
-  EXPECT_EQ(maker.ring()->hash(), hash) << "cut off, it serves on";
-  EXPECT_TRUE(maker.staleness(At(now)).stale);
+  Turns(builder, {UpdateOf("old")}, false, now, 119'000);
+  EXPECT_EQ(builder.ring()->serving(), 1u);
+  Turns(builder, {UpdateOf("old"), UpdateOf("new")}, false, now, 119'200);
+  EXPECT_EQ(builder.ring()->serving(), 2u);
+  EXPECT_EQ(builder.ring()->hash(), hash);
+  EXPECT_EQ(builder.generation(), generation);
+  EXPECT_FALSE(builder.staleness(At(now)).stale);
+  Turns(builder, {}, true, now, 200'000);
+  EXPECT_EQ(builder.ring()->hash(), hash) << "cut off, it serves on";
+  EXPECT_TRUE(builder.staleness(At(now)).stale);
 }
 
 // ---- Load ----
 
 struct Fleet {
   std::shared_ptr<const Ring> ring;
-  LoadTerms terms;
-  std::unique_ptr<Load> load;
+  LoadBoundConfig config;
+  std::unique_ptr<BoundedLoad> load;
   std::vector<std::uint32_t> order;  // of kKey's owners
   static constexpr std::uint64_t kKey = 42;
-  explicit Fleet(int nodes, const LoadTerms& with = {}) : terms(with) {
+  explicit Fleet(int nodes, const LoadBoundConfig& with = {}) : config(with) {
     std::vector<Node> all;
     for (int i = 0; i < nodes; ++i) all.push_back({"n" + std::to_string(100 + i), 80});
     ring = std::make_shared<const Ring>(1, all);
-    load = std::make_unique<Load>(terms, At(0));
-    load->Use(ring);
+    load = std::make_unique<BoundedLoad>(config, At(0));
+    load->SetRing(ring);
     std::vector<Owner> owners;
     ring->Owners(kKey, nodes, owners);
     for (const Owner& owner : owners) order.push_back(owner.node);
@@ -345,20 +348,20 @@
   }
   void Fill(std::size_t first, std::size_t end, std::uint32_t count) {
     for (std::size_t i = first; i < end; ++i) {
-      for (std::uint32_t k = 0; k < count; ++k) load->Began(ring->nodes()[order[i]].uid);
+      for (std::uint32_t k = 0; k < count; ++k) load->OnAttemptStarted(ring->nodes()[order[i]].uid);
     }
   }
   // Another member tells of the key and of 10,000 requests in all; at 10 nodes the allowance is 500.
   std::string Owners(std::uint32_t rate, std::int64_t at, std::uint32_t owners = 1) {
-    load->Hear("other", {{}, 10'000, {{kKey, rate, owners}}}, Duration{0}, At(at));
-    load->Turn(At(at));
+    load->OnReport("other", {{}, 10'000, {{kKey, rate, owners}}}, Duration{0}, At(at));
+    load->Update(At(at));
     return std::to_string(load->owners_of(kKey));
   }
 };
 
 TEST(Tables, RulesOfLoad) {
   const auto told = [](Fleet& fleet, std::uint32_t count, Duration age) {
-    fleet.load->Hear("other", {{{fleet.ring->nodes()[fleet.order[0]].uid, count}}, 0, {}}, age, At(0));
+    fleet.load->OnReport("other", {{{fleet.ring->nodes()[fleet.order[0]].uid, count}}, 0, {}}, age, At(0));
   };
   const std::map<std::string, std::function<std::string()>> kCases = {
       {"room everywhere",
@@ -409,7 +412,7 @@
        [&] {
          Fleet f(10);
          told(f, 50, Duration{0});
-         f.load->Turn(At(2000));
+         f.load->Update(At(2000));
          return f.First();
        }},
       {"told anew",
@@ -480,20 +483,20 @@
 
 // Three members, half of all requests for one key, some mixed capacities: told every 250 ms, a request takes
 // 200 ms.
-TEST(Load, NoNodeIsAboveItsBoundAndAHotKeySpreadsAndComesBack) {
+TEST(BoundedLoad, NoNodeIsAboveItsBoundAndAHotKeySpreadsAndComesBack) {
   const auto ring = std::make_shared<const Ring>(1, Nodes(20));
-  LoadTerms terms;
-  Load load(terms, At(0));
-  load.Use(ring);
-  Load twin(terms, At(0));  // asks nothing: goes by what the first tells
-  twin.Use(ring);
+  LoadBoundConfig config;
+  BoundedLoad load(config, At(0));
+  load.SetRing(ring);
+  BoundedLoad twin(config, At(0));  // asks nothing: goes by what the first tells
+  twin.SetRing(ring);
   std::mt19937_64 random(11);
   std::vector<std::uint32_t> nodes;
   std::deque<std::pair<std::int64_t, std::uint32_t>> out;
   std::set<std::uint32_t> of_hot;
   for (std::int64_t now = 0; now < 20'000; ++now) {
     for (; !out.empty() && out.front().first <= now; out.pop_front())
-      load.Ended(ring->nodes()[out.front().second].uid);
+      load.OnAttemptEnded(ring->nodes()[out.front().second].uid);
     if (now == 10'000) of_hot.clear();
     for (int i = 0; i < 4; ++i) {
       const bool hot = now < 10'000 && i % 2 == 0;
@@ -502,13 +505,13 @@
       ASSERT_FALSE(nodes.empty());
       if (key == 7 && now > 5000) of_hot.insert(nodes[0]);
       const auto limit = load.Limit(nodes[0]);
-      load.Began(ring->nodes()[nodes[0]].uid);
+      load.OnAttemptStarted(ring->nodes()[nodes[0]].uid);
       ASSERT_LE(load.in_flight(nodes[0]), limit);
       out.emplace_back(now + 200, nodes[0]);
     }
-    if (now % 250 == 0) twin.Hear("first", load.Tell(), Duration{0}, At(now));
-    load.Turn(At(now));
-    twin.Turn(At(now));
+    if (now % 250 == 0) twin.OnReport("first", load.Report(), Duration{0}, At(now));
+    load.Update(At(now));
+    twin.Update(At(now));
     if (now == 9'999) {
       EXPECT_GE(load.owners_of(7), 12u);
       EXPECT_GE(of_hot.size(), 12u);
@@ -519,8 +522,8 @@
   EXPECT_EQ(of_hot.size(), 1u) << "it is back at its first owner";
 }
 
-TEST(Load, TheSketchHasEveryKeyAboveItsShareAndNeverGuessesTooLow) {
-  Sketch sketch;
+TEST(BoundedLoad, TheSketchHasEveryKeyAboveItsShareAndNeverGuessesTooLow) {
+  HeavyHitterSketch sketch;
   std::mt19937_64 random(5);
   std::map<std::uint64_t, std::uint32_t> exact;
   for (int i = 0; i < 20'000; ++i) {
@@ -532,7 +535,7 @@
   for (const auto& entry : sketch) {
     there.insert(entry.key);
     EXPECT_GE(entry.count, exact[entry.key]);
-    EXPECT_LE(entry.count - entry.extra, exact[entry.key]);
+    EXPECT_LE(entry.count - entry.overcount, exact[entry.key]);
   }
   EXPECT_TRUE(there.contains(1) && there.contains(2));
 }
@@ -553,25 +556,25 @@
     std::int64_t born = -100'000, since = -100'000;  // missing or there and active since
     std::uint64_t capacity = 0;
     State state = State::kActive;
-    bool kept = false;  // missing, and its place was surely whole by then
+    bool retained = false;  // missing, and its place was surely whole by then
   };
   std::vector<std::vector<Truth>> past;  // by turn
   std::vector<Truth> truth(kNodes);
   for (auto& node : truth) node.capacity = 1000u << draw(4);
-  Terms terms;
-  terms.grace = Duration{15'000};
-  terms.cold_time = Duration{8'000};
-  std::vector<Maker> makers;
+  RingConfig config;
+  config.missing_grace = Duration{15'000};
+  config.slow_start_time = Duration{8'000};
+  std::vector<RingBuilder> builders;
   for (int m = 0; m < kMembers; ++m) {
-    Terms own = terms;
-    if (m == 0 && fault == Fault::kNoBand) own.band = 0;
-    if (m == 0 && fault == Fault::kNoGrace) own.grace = Duration{0};
-    makers.emplace_back(own, At(0));
+    RingConfig own = config;
+    if (m == 0 && fault == Fault::kNoBand) own.hysteresis = 0;
+    if (m == 0 && fault == Fault::kNoGrace) own.missing_grace = Duration{0};
+    builders.emplace_back(own, At(0));
   }
   struct Letter {
     std::int64_t due;
     int to;
-    std::vector<Place> places;
+    std::vector<NodeRecord> records;
   };
   std::vector<Letter> letters;
   std::vector<std::vector<std::int64_t>> seen(kMembers, std::vector<std::int64_t>(kNodes, 0));
@@ -593,7 +596,7 @@
       } else if (what == 4) {
         node.capacity = 1000u << draw(4);
       } else if (node.there) {
-        node.state = State::kLeaving;
+        node.state = State::kDraining;
       }
       if (what == 2) node.born = now;
     }
@@ -601,7 +604,7 @@
     for (int m = 0; m < kMembers; ++m) {
       if (now > 5000 && now < kBusy - 10'000 && cut[m] < now && draw(1500) == 0) cut[m] = now + draw(25'000);
       const bool off = cut[m] >= now;
-      std::vector<NodeNews> list;
+      std::vector<NodeUpdate> nodes;
       for (int n = 0; n < kNodes && !off; ++n) {
         auto& at = seen[m][n];
         at = std::max(
@@ -609,27 +612,27 @@
         const Truth& node = past[at / kTurn][n];
         if (!node.there) continue;
         const bool own = m == 0 && fault == Fault::kOwnMeasure;
-        list.push_back(
-            News("n" + std::to_string(n), Duration{now - node.born},
-                 node.capacity * (own ? 1300 : 960 + Mix(seed + n + now / 3000 * 64) % 81) / 1000));
-        list.back().state = node.state;
+        nodes.push_back(
+            UpdateOf("n" + std::to_string(n), Duration{now - node.born},
+                     node.capacity * (own ? 1300 : 960 + Mix(seed + n + now / 3000 * 64) % 81) / 1000));
+        nodes.back().state = node.state;
         if (m == 0 && fault == Fault::kAgesStand)
-          list.back().age = Duration{std::max<std::int64_t>(at - node.born, 0) / 4};
+          nodes.back().age = Duration{std::max<std::int64_t>(at - node.born, 0) / 4};
       }
       for (auto& letter : letters) {
         if (letter.to != m || letter.due > now || off) continue;
-        makers[m].Merge(letter.places, At(now));
+        builders[m].Merge(letter.records, At(now));
         letter.due = -1;
       }
-      makers[m].Turn(list, off && !(m == 0 && fault == Fault::kHearsNothing), At(now));
-      if (makers[m].number() < numbers[m]) return "a number fell";
-      numbers[m] = makers[m].number();
+      builders[m].Update(nodes, off && !(m == 0 && fault == Fault::kHearsNothing), At(now));
+      if (builders[m].generation() < numbers[m]) return "a number fell";
+      numbers[m] = builders[m].generation();
       // Whole places now and then, as they do that compare what they hold; at once when something changed.
-      if (!off && (sent[m] != makers[m].number() || now - told[m] >= 2000)) {
-        sent[m] = makers[m].number();
+      if (!off && (sent[m] != builders[m].generation() || now - told[m] >= 2000)) {
+        sent[m] = builders[m].generation();
         told[m] = now;
         for (int to = 0; to < kMembers; ++to)
-          letters.push_back({now + draw(kSpread), to, makers[m].places()});
+          letters.push_back({now + draw(kSpread), to, builders[m].records()});
       }
     }
     std::erase_if(letters,
@@ -637,15 +640,15 @@
     for (int m = 0; m < kMembers; ++m) {
       if (cut[m] + 4 * kSpread >= now) continue;
       for (int n = 0; n < kNodes; ++n) {
-        const auto node = makers[m].ring()->Find("n" + std::to_string(n));
-        const bool serves = node && makers[m].ring()->weight(*node) > 0;
+        const auto node = builders[m].ring()->Find("n" + std::to_string(n));
+        const bool serves = node && builders[m].ring()->weight(*node) > 0;
         const Truth& is = truth[n];
         if (!node && is.there && is.state == State::kActive && now - is.since > 15'000 && now > 15'000) {
           return "a node has no place";
         }
         if (serves && !is.there && now - is.since > kSpread + kTurn) return "a missing node serves";
         // Members that were cut off count a node's absence from when they hear again.
-        if (!node && !is.there && is.kept && now - is.since < 13'000) {
+        if (!node && !is.there && is.retained && now - is.since < 13'000) {
           return "a place was given up within its grace";
         }
       }
@@ -656,7 +659,7 @@
     std::uint64_t highest = 0;
     for (int m = 0; m < kMembers; ++m) {
       highest = std::max(highest, numbers[m]);
-      if (cut[m] + 4 * kSpread < now) hashes.insert(makers[m].ring()->hash());
+      if (cut[m] + 4 * kSpread < now) hashes.insert(builders[m].ring()->hash());
     }
     if (now <= kBusy + 30'000) quiet = highest;
     if (highest > quiet) return "a generation without a reason";
