--- a/src/hash_ring/ring.cpp
+++ b/src/hash_ring/ring.cpp
@@ -21,8 +21,8 @@
     0x100000000, 0x10b5586d0, 0x1172b83c8, 0x12387a6e8, 0x1306fe0a4, 0x13dea64c2, 0x14bfdad54, 0x15ab07dd5,
     0x16a09e668, 0x17a11473f, 0x18ace5423, 0x19c49182b, 0x1ae89f996, 0x1c199bdd9, 0x1d5818dd0, 0x1ea4afa2b};
 
-// Room for a quarter of the lowest level.
-constexpr int kDeepest = 2 * kStepsPerOctave;
+// Steps below the lowest level that a quarter of it needs.
+constexpr int kMaxStepsBelow = 2 * kStepsPerOctave;
 
 // -ln(j / 256) in 2^-58ths, by 2 atanh((256 - j) / (256 + j)): the series ends where its terms do.
 constexpr std::uint64_t MinusLog(std::uint64_t j) {
@@ -56,10 +56,17 @@
 }
 
 // In whole octaves down, as the levels are eighths.
-int DownBy(WeightShare weight_share) {
-  return weight_share == WeightShare::kFull   ? 0
-         : weight_share == WeightShare::kHalf ? kStepsPerOctave
-                                              : kDeepest;
+int StepsBelowFull(WeightShare weight_share) {
+  switch (weight_share) {
+    case WeightShare::kFull:
+      return 0;
+    case WeightShare::kHalf:
+      return kStepsPerOctave;
+    case WeightShare::kQuarter:
+    case WeightShare::kNone:
+      return kMaxStepsBelow;
+  }
+  return kMaxStepsBelow;
 }
 
 // 16 log2(capacity), rounded down.
@@ -130,7 +137,7 @@
                     static_cast<char>(node.weight_share)});
     content.append(node.uid);
     if (node.bypassed || node.weight_share == WeightShare::kNone) continue;
-    const unsigned step = node.level + kDeepest - DownBy(node.weight_share);
+    const unsigned step = node.level + kMaxStepsBelow - StepsBelowFull(node.weight_share);
     weights_[i] = kWeight[step % 8] << (step / 8);
     total_weight_ += weights_[i];
     slots_.push_back({NodeHash(node.uid), kInverse[step % 8] >> (step / 8), i});
@@ -138,10 +145,10 @@
   hash_ = XXH64(content.data(), content.size(), kNodeSeed);
 }
 
-void Ring::Owners(std::uint64_t key, std::size_t most, std::vector<Owner>& owners) const {
+void Ring::Owners(std::uint64_t key, std::size_t max, std::vector<Owner>& owners) const {
   owners.clear();
-  most = std::min(most, slots_.size());
-  if (most == 0) return;
+  max = std::min(max, slots_.size());
+  if (max == 0) return;
   // A heap with the latest on top. A time is never shorter than what it is drawn from, -ln(1 - v) >= v: most
   // nodes are ruled out by that alone.
   std::uint64_t latest = ~std::uint64_t{0};
@@ -149,7 +156,7 @@
     const std::uint64_t v = Mix(key ^ slot.hash);
     if (High(v >> (64 - kFraction), slot.inverse) > latest) continue;
     const Owner owner{Uint128{Exponential(v)} * slot.inverse, slot.node};
-    if (owners.size() == most) {
+    if (owners.size() == max) {
       if (!(owner < owners.front())) continue;
       std::pop_heap(owners.begin(), owners.end());
       owners.back() = owner;
@@ -157,7 +164,7 @@
       owners.push_back(owner);
     }
     std::push_heap(owners.begin(), owners.end());
-    if (owners.size() == most) latest = static_cast<std::uint64_t>(owners.front().cost >> 64);
+    if (owners.size() == max) latest = static_cast<std::uint64_t>(owners.front().cost >> 64);
   }
   std::sort_heap(owners.begin(), owners.end());
 }
--- a/src/hash_ring/ring_builder.cpp
+++ b/src/hash_ring/ring_builder.cpp
@@ -11,7 +11,7 @@
 // would leave no numbers for the others.
 constexpr std::uint64_t kMaxGeneration = std::uint64_t{1} << 48;
 
-// Heavier is greater. Gone is the lightest.
+// Heavier is greater; removed is the lightest.
 auto WeightRank(const NodeRecord& record) {
   return std::tuple(!record.removed, record.weight_share, record.level);
 }
@@ -34,13 +34,12 @@
 
 WeightShare RingBuilder::WeightShareAt(Duration age) const {
   if (age >= config_.slow_start_time) return WeightShare::kFull;
-  const std::int64_t slow_start_share =
-      config_.slow_start_initial_share + (1000 - config_.slow_start_initial_share) *
-                                             std::max<std::int64_t>(age.count(), 0) /
-                                             config_.slow_start_time.count();
-  return slow_start_share >= 500   ? WeightShare::kHalf
-         : slow_start_share >= 250 ? WeightShare::kQuarter
-                                   : WeightShare::kNone;
+  constexpr int kWhole = 1000, kHalf = 500, kQuarter = 250;  // thousandths
+  const std::int64_t initial = config_.slow_start_initial_share;
+  const std::int64_t elapsed = std::max<std::int64_t>(age.count(), 0);
+  const std::int64_t share = initial + (kWhole - initial) * elapsed / config_.slow_start_time.count();
+  if (share >= kHalf) return WeightShare::kHalf;
+  return share >= kQuarter ? WeightShare::kQuarter : WeightShare::kNone;
 }
 
 std::optional<NodeRecord> RingBuilder::DesiredRecord(const Entry& entry, const NodeUpdate* update,
@@ -156,12 +155,12 @@
     Entry& entry = at != entries_.end() ? at->second : entries_[record.uid];
     if (entry.record && !Supersedes(record, *entry.record)) continue;
     generation_ = std::max(generation_, record.generation);
-    // A node of which only its place is known is passed over until the list has it.
+    // A node of which only its record is known is bypassed until the list has it.
     if (at == entries_.end()) entry.bypassed = true;
     entry.record = record;
     entry.changed_at = now;
-    // It may be what was due, or make something else due: the next turn says so, and its time begins anew, as
-    // whoever changed it may know more.
+    // It may be what was due, or make something else due: the next Update() finds out, and its time begins
+    // anew, as whoever changed it may know more.
     entry.pending.reset();
     changed = true;
   }
--- a/src/hash_ring/ring_builder.h
+++ b/src/hash_ring/ring_builder.h
@@ -1,21 +1,20 @@
-// Makes the generations of the ring, by the same rules at every member: what the list of nodes says, and what
-// other members made, go in; rings come out. Nobody is asked and nobody leads: a change that every member
-// comes to by itself is the same change, and two that differ are merged to one at all.
+// Builds the generations of the ring, by the same rules at every member: updates of nodes and the records of
+// other members go in, rings come out. No member leads or is asked: a change that every member comes to by
+// itself is the same change, and two that differ are merged to one at all.
 //
-// What is held of a node is its place: level, part of its weight, and the number of the generation in which
-// it last changed. Of two places the later counts, of two of one generation the lighter (Supersedes): so
-// places merge in any order, however often, and members that know the same places serve by the same ring. The
-// number of a generation is the highest in its places; its content has a hash.
+// A record of a node has its level, its weight share and the generation in which it last changed. Of two
+// records the later counts, of two of one generation the lighter (Supersedes): so records merge in any order,
+// however often, and members that know the same records serve by the same ring. A ring's generation is the
+// highest of its records; its content has a hash.
 //
-// How long two members may disagree, where news of nodes and places reach every member within S, and all turn
-// every T:
-//   * that a node is gone, leaving or cold is followed at once, without a generation: S + T;
-//   * a change of places: 2S + T from when the first member makes it (S for its places to arrive; once more
-//   where another
-//     member, not having heard of them, made its own of the same number);
-//   * a change that news makes due is made within `window` + T of the first member's hearing of it.
-// That wants `settle` >= S + T: a member that has not heard yet why a place changed waits that long before it
-// would change it back, and hears in the meantime. docs/design/ring.md has the rules as tables.
+// How long two members may disagree, where updates and records reach every member within S, and all call
+// Update() every T:
+//   * that a node is gone, draining or cold is followed at once, without a generation: S + T;
+//   * a change of records: 2S + T from when the first member makes it (S for its records to arrive; once more
+//     where another member, not having received them, made its own of the same generation);
+//   * a change that an update makes due is made within `batch_window` + T of the first member's learning it.
+// That wants `settle_time` >= S + T: a member that does not know yet why a record changed waits that long
+// before it would change it back, and learns it in the meantime. Rules as tables: docs/design/ring.md.
 #pragma once
 
 #include <chrono>
@@ -33,77 +32,88 @@
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
+// The same at all members. Reasons: docs/design/ring.md.
 struct RingConfig {
-  Duration settle_time{1'500};   // a change has to be due for as long; no less than S + T
-  Duration batch_window{5'000};  // what is due waits for what still settles, at most as long: one generation
-  Duration missing_grace{60'000};  // a node that is missing keeps its place
-  Duration removal_memory{
-      600'000};  // places that are given up: longer than any member is cut off without starting anew
-  Duration stale_after{5'000};  // without fresh news a member says so
+  // A change has to be due for so long before it is made; no less than S + T.
+  Duration settle_time{1'500};
+  // What is due waits for changes that still settle, at most for so long: together they are one generation.
+  Duration batch_window{5'000};
+  // A node that is missing in the list keeps its record for so long: it may be back.
+  Duration missing_grace{60'000};
+  // Records of removed nodes are remembered for so long: more than any member is cut off without a restart.
+  Duration removal_memory{600'000};
+  // Without an update for longer a member says that it is stale.
+  Duration stale_after{5'000};
+  // Half steps: see kHysteresis.
   int hysteresis = kHysteresis;
-  // What the module takes of fresh upstreams (kestrellb::Rules): thousandths of the capacity at the start,
-  // and when it is whole. A node's part of its weight is never above that.
+  // What the balancer sends to upstreams in slow start: thousandths of the capacity at the start, and the
+  // time until it is whole. A node's share of its weight is never above that.
   std::uint32_t slow_start_initial_share = 100;
   Duration slow_start_time{20'000};
 };
 
-// What the merged list says of a node. One that is missing in the list is not known to be left: it may be
-// back.
+// What the merged endpoint list says of a node. One that is missing in the list is not known to be removed.
 struct NodeUpdate {
   enum class State : std::uint8_t { kActive, kDraining, kRemoved };
   std::string uid;
   State state = State::kActive;
-  std::uint64_t registered_capacity = 1'000;  // registered capacity, in thousandths of a unit
-  std::optional<std::uint64_t>
-      measured_capacity{};  // by the fleet, as merged; absent: none that has not lapsed
-  Duration age{0};          // of its process, now
+  std::uint64_t registered_capacity = 1'000;  // in thousandths of a unit
+  // By the fleet, as merged, in thousandths of a unit; absent where no measurement is valid any more.
+  std::optional<std::uint64_t> measured_capacity{};
+  Duration age{0};  // of its process, now
 };
 
+// What members exchange of a node, and merge.
 struct NodeRecord {
   std::string uid;
-  std::uint64_t generation = 0;  // of the generation that changed it last
+  std::uint64_t generation = 0;  // that changed it last
   Level level = 0;
-  WeightShare weight_share = WeightShare::kNone;  // kNone: it is kept, but the node is too cold to serve
-  bool removed = false;  // given up: remembered so that an older place does not come back
+  WeightShare weight_share =
+      WeightShare::kNone;  // kNone: the record is kept, but the node is too cold to serve
+  bool removed = false;    // a tombstone: so that an older record does not come back
   bool operator==(const NodeRecord&) const = default;
 };
 
+// Whether `record` replaces `current`: it is of a later generation, or of the same and lighter.
 bool Supersedes(const NodeRecord& record, const NodeRecord& current);
 
-// What members that were cut off, or hear nothing fresh, say with what they serve.
+// What a member that is cut off, or gets no updates, says with what it serves.
 struct Staleness {
   bool stale = false;
   Duration since_update{0};
 };
 
+// Not thread-safe: one thread feeds it; the rings that it gives out may be read from any. Memory is bounded:
+// kMaxNodes records. Time must not go back.
 class RingBuilder {
  public:
   explicit RingBuilder(const RingConfig& config, TimePoint now) : config_(config), last_update_(now) {}
 
-  // Places that another member holds, in any order, all or some. True where ring() is another now. What no
-  // member of ours could have sent is not taken, and counted.
+  // Records of another member, in any order, all or some. True where ring() is another now. A record that no
+  // member of this version could have sent, or that is one too many, is rejected and counted.
   bool Merge(const std::vector<NodeRecord>& records, TimePoint now);
-  // The list as it is now. A member that is `cut_off` (hears fewer than half of those it knew) learns nothing
-  // from it: it serves by what it has. Call it every T, and when the list changes. True where ring() is
-  // another now.
+  // The endpoint list as it is now. A member that is `cut_off` (hears fewer than half of those it knew)
+  // learns nothing from it and serves by what it has. Call it every T, and when the list changes. True where
+  // ring() is another now.
   bool Update(const std::vector<NodeUpdate>& nodes, bool cut_off, TimePoint now);
 
   std::shared_ptr<const Ring> ring() const { return ring_; }
-  std::vector<NodeRecord> records() const;  // those that are given up included; by uid
+  std::vector<NodeRecord> records() const;  // those of removed nodes included; by uid
   std::uint64_t generation() const { return generation_; }
   Staleness staleness(TimePoint now) const;
-  std::uint64_t rejected() const { return rejected_; }
+  std::uint64_t rejected() const { return rejected_; }  // records and updates
 
  private:
   struct Entry {
     std::optional<NodeRecord> record;
     bool bypassed = false;
-    std::optional<TimePoint> missing_since;  // since when
-    std::optional<NodeRecord> pending;       // what the place should be
-    TimePoint pending_since;                 // in this direction
-    TimePoint changed_at;                    // the place, here
+    std::optional<TimePoint> missing_since;  // in the list
+    std::optional<NodeRecord> pending;       // what the record should become
+    TimePoint pending_since;                 // heavier, or lighter
+    TimePoint changed_at;                    // the record, here
   };
-  // What the place of a node should be by what is said of it; as it is: nothing to do.
+  // What the record of a node should become by its update (null: missing in the list); nothing where it may
+  // stay as it is.
   std::optional<NodeRecord> DesiredRecord(const Entry& entry, const NodeUpdate* update, TimePoint now) const;
   WeightShare WeightShareAt(Duration age) const;
   void SetPending(Entry& entry, std::optional<NodeRecord> desired, TimePoint now);
