--- /dev/null
+++ b/tests/hash_ring/heavy_hitter_sketch_test.cpp
@@ -0,0 +1,32 @@
+// The sketch has every heavy key, and its counts are never too low.
+#include "hash_ring/heavy_hitter_sketch.h"
+
+#include <gtest/gtest.h>
+
+#include <map>
+#include <random>
+#include <set>
+
+namespace mothrack::hash_ring {
+namespace {
+
+TEST(BoundedLoad, TheSketchHasEveryKeyAboveItsShareAndNeverGuessesTooLow) {
+  HeavyHitterSketch sketch;
+  std::mt19937_64 random(5);
+  std::map<std::uint64_t, std::uint32_t> exact;
+  for (int i = 0; i < 20'000; ++i) {
+    const std::uint64_t key = i % 50 == 0 ? 1 : i % 40 == 0 ? 2 : 100 + random() % 5000;
+    sketch.Add(key);
+    ++exact[key];
+  }
+  std::set<std::uint64_t> there;
+  for (const auto& entry : sketch) {
+    there.insert(entry.key);
+    EXPECT_GE(entry.count, exact[entry.key]);
+    EXPECT_LE(entry.count - entry.overcount, exact[entry.key]);
+  }
+  EXPECT_TRUE(there.contains(1) && there.contains(2));
+}
+
+}  // namespace
+}  // namespace mothrack::hash_ring
--- /dev/null
+++ b/tests/zone_failover/votes_test.cpp
@@ -0,0 +1,66 @@
+// The table "Quorum" of docs/design/zones.md row by row; caps of the judges' weights.
+#include "zone_failover/votes.h"
+
+#include <gtest/gtest.h>
+
+#include <map>
+#include <set>
+#include <sstream>
+#include <string>
+#include <vector>
+
+#include "support/tables.h"
+#include "zone_failover/fair_share.h"
+#include "zone_failover/zone_fixtures.h"
+
+namespace mothrack::zone_failover {
+namespace {
+
+using testing::Row;
+using testing::TableOf;
+
+std::map<std::string, int> ByZone(const std::string& cell) {
+  std::map<std::string, int> members;
+  std::istringstream in(cell);
+  for (std::string word; in >> word;) members[word.substr(0, 1)] = std::stoi(word.substr(1));
+  return members;
+}
+
+TEST(ZoneTables, Quorum) {
+  for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Quorum")) {
+    MemberList members;
+    members.known_members = std::stoul(row.at("known"));
+    for (const auto& [zone, count] : ByZone(row.at("live"))) {
+      for (int i = 0; i < count; ++i) members.live.push_back({zone + std::to_string(i), zone});
+    }
+    members.local = members.live.front();
+    const bool two = members.known_members == 40 || members.known_members == 30;
+    members.zones = members.known_members == 1 ? std::set<std::string>{"a"}
+                    : two                      ? std::set<std::string>{"a", "b"}
+                                               : std::set<std::string>{"a", "b", "c"};
+    std::vector<EvidenceReport> reports;
+    for (const std::string say : {"silent", "well"}) {
+      bool first = true;
+      for (const auto& [zone, count] : ByZone(row.at(say))) {
+        for (int i = 0; i < count; ++i) {
+          const bool busy = first && row.at("busy") == say;
+          first = false;
+          reports.push_back(ReportOf({zone + say + std::to_string(i), zone}, say == "silent" ? "sww" : "www",
+                                     busy ? 10'000 : 10));
+        }
+      }
+    }
+    EXPECT_EQ(HasQuorum(CountVotes("a", reports, members, {}), {}) ? "lost" : "no", row.at("verdict"))
+        << row.at("live") << " | " << row.at("silent") << " | " << row.at("well");
+  }
+}
+
+TEST(ZoneDecision, CapsAndLevelsAreExact) {
+  EXPECT_EQ(WeightCap({10, 10, 10, 10, 1000}, 5), 10U);
+  EXPECT_EQ(WeightCap({1, 1, 1}, 5), 0U);
+  EXPECT_EQ(FairShareLevel({1, 2, 100, 100}, 43), 20U);
+  EXPECT_EQ(FairShareLevel({1, 2}, 43), 2U);
+}
+
+}  // namespace
+}  // namespace mothrack::zone_failover
