--- a/bench/ring_bench.cpp
+++ b/bench/ring_bench.cpp
@@ -1,7 +1,7 @@
-// ring_bench: weighted rendezvous (ring/) beside a continuum of virtual nodes, multi-probe hashing and a
-// filled table, at 10, 100 and 1,000 nodes of mixed capacities. Spread (the most loaded node's share over its
-// weight's), movement at a join, a leave and a halved capacity over the least that must move, time of a
-// lookup, memory. The module's pick last.
+// ring_bench: weighted rendezvous (src/hash_ring) beside a continuum of virtual nodes, multi-probe hashing
+// and a filled table, at 10, 100 and 1,000 nodes of mixed capacities. Spread (the most loaded node's share
+// over its weight's), movement at a join, a leave and a halved capacity over the least that must move, time
+// of a lookup, memory. The pick of the balancer last.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -202,7 +202,7 @@
               kind.bytes() / 1024.0);
 }
 
-// A request through the module alone: arrival, its actions, its end.
+// A request through the balancer alone: arrival, its actions, its end.
 double Pick(int count) {
   using namespace std::chrono_literals;
   namespace kb = mothrack::balancer;
--- a/tests/hash_ring/bounded_load_test.cpp
+++ b/tests/hash_ring/bounded_load_test.cpp
@@ -57,7 +57,7 @@
 };
 
 TEST(Tables, RulesOfLoad) {
-  const auto told = [](Fleet& fleet, std::uint32_t count, Duration age) {
+  const auto report = [](Fleet& fleet, std::uint32_t count, Duration age) {
     fleet.load->OnReport("other", {{{fleet.ring->nodes()[fleet.order[0]].uid, count}}, 0, {}}, age, At(0));
   };
   const std::map<std::string, std::function<std::string()>> kCases = {
@@ -96,34 +96,34 @@
       {"full by what another told",
        [&] {
          Fleet f(10);
-         told(f, 50, Duration{0});
+         report(f, 50, Duration{0});
          return f.First();
        }},
       {"told too long ago",
        [&] {
          Fleet f(10);
-         told(f, 50, Duration{2000});
+         report(f, 50, Duration{2000});
          return f.First();
        }},
       {"lapsed since",
        [&] {
          Fleet f(10);
-         told(f, 50, Duration{0});
+         report(f, 50, Duration{0});
          f.load->Update(At(2000));
          return f.First();
        }},
       {"told anew",
        [&] {
          Fleet f(10);
-         told(f, 50, Duration{100});
-         told(f, 0, Duration{0});
+         report(f, 50, Duration{100});
+         report(f, 0, Duration{0});
          return f.First();
        }},
       {"overtaken on its way",
        [&] {
          Fleet f(10);
-         told(f, 50, Duration{0});
-         told(f, 0, Duration{100});
+         report(f, 50, Duration{0});
+         report(f, 0, Duration{100});
          return f.First();
        }},
       {"no node serves",
@@ -189,34 +189,35 @@
   twin.SetRing(ring);
   std::mt19937_64 random(11);
   std::vector<std::uint32_t> nodes;
-  std::deque<std::pair<std::int64_t, std::uint32_t>> out;
-  std::set<std::uint32_t> of_hot;
+  std::deque<std::pair<std::int64_t, std::uint32_t>> in_flight_requests;
+  std::set<std::uint32_t> nodes_of_hot_key;
   for (std::int64_t now = 0; now < 20'000; ++now) {
-    for (; !out.empty() && out.front().first <= now; out.pop_front())
-      load.OnAttemptEnded(ring->nodes()[out.front().second].uid);
-    if (now == 10'000) of_hot.clear();
+    for (; !in_flight_requests.empty() && in_flight_requests.front().first <= now;
+         in_flight_requests.pop_front())
+      load.OnAttemptEnded(ring->nodes()[in_flight_requests.front().second].uid);
+    if (now == 10'000) nodes_of_hot_key.clear();
     for (int i = 0; i < 4; ++i) {
       const bool hot = now < 10'000 && i % 2 == 0;
       const std::uint64_t key = hot || (now > 15'000 && now % 20 == 0 && i == 0) ? 7 : Mix(random());
       load.Pick(key, random(), 3, nodes);
       ASSERT_FALSE(nodes.empty());
-      if (key == 7 && now > 5000) of_hot.insert(nodes[0]);
+      if (key == 7 && now > 5000) nodes_of_hot_key.insert(nodes[0]);
       const auto limit = load.Limit(nodes[0]);
       load.OnAttemptStarted(ring->nodes()[nodes[0]].uid);
       ASSERT_LE(load.in_flight(nodes[0]), limit);
-      out.emplace_back(now + 200, nodes[0]);
+      in_flight_requests.emplace_back(now + 200, nodes[0]);
     }
     if (now % 250 == 0) twin.OnReport("first", load.Report(), Duration{0}, At(now));
     load.Update(At(now));
     twin.Update(At(now));
     if (now == 9'999) {
       EXPECT_GE(load.owners_of(7), 12u);
-      EXPECT_GE(of_hot.size(), 12u);
+      EXPECT_GE(nodes_of_hot_key.size(), 12u);
       EXPECT_EQ(load.owners_of(7), twin.owners_of(7));
     }
   }
   EXPECT_EQ(load.owners_of(7), 1u);
-  EXPECT_EQ(of_hot.size(), 1u) << "it is back at its first owner";
+  EXPECT_EQ(nodes_of_hot_key.size(), 1u) << "it is back at its first owner";
 }
 
 }  // namespace
--- a/tests/hash_ring/histories_test.cpp
+++ b/tests/hash_ring/histories_test.cpp
@@ -16,10 +16,10 @@
 namespace mothrack::hash_ring {
 namespace {
 
-// Members that hear of nodes and of each other's places with delays of up to kSpread; nodes that start anew,
-// vanish, come back, leave and change; members that are cut off. One of them may have a fault.
-enum class Fault { kNone, kNoBand, kNoGrace, kHearsNothing, kOwnMeasure, kAgesStand };
-constexpr std::int64_t kSpread = 1000, kTurn = 100, kBusy = 60'000;
+// Members that hear of nodes and of each other's places with delays of up to kMaxDelayMs; nodes that start
+// anew, vanish, come back, leave and change; members that are cut off. One of them may have a fault.
+enum class Fault { kNone, kNoHysteresis, kNoGrace, kIgnoresCutOff, kOwnMeasure, kAgesStandStill };
+constexpr std::int64_t kMaxDelayMs = 1000, kTickMs = 100, kChangesEndMs = 60'000;
 
 std::string Play(std::uint64_t seed, Fault fault) {
   std::mt19937_64 random(seed);
@@ -41,23 +41,23 @@
   std::vector<RingBuilder> builders;
   for (int m = 0; m < kMembers; ++m) {
     RingConfig own = config;
-    if (m == 0 && fault == Fault::kNoBand) own.hysteresis = 0;
+    if (m == 0 && fault == Fault::kNoHysteresis) own.hysteresis = 0;
     if (m == 0 && fault == Fault::kNoGrace) own.missing_grace = Duration{0};
     builders.emplace_back(own, At(0));
   }
-  struct Letter {
+  struct Message {
     std::int64_t due;
     int to;
     std::vector<NodeRecord> records;
   };
-  std::vector<Letter> letters;
+  std::vector<Message> messages;
   std::vector<std::vector<std::int64_t>> seen(kMembers, std::vector<std::int64_t>(kNodes, 0));
   std::vector<std::uint64_t> sent(kMembers, 0), numbers(kMembers, 0);
-  std::vector<std::int64_t> cut(kMembers, -1), told(kMembers, 0);
+  std::vector<std::int64_t> cut(kMembers, -1), last_sent_at(kMembers, 0);
   std::uint64_t changes = 1, quiet = 0;
   std::int64_t apart = -1;  // since when members that hear each other differ, with nothing new under way
-  for (std::int64_t now = 0; now <= kBusy + 45'000; now += kTurn) {
-    if (now > 5000 && now < kBusy && draw(15) == 0) {
+  for (std::int64_t now = 0; now <= kChangesEndMs + 45'000; now += kTickMs) {
+    if (now > 5000 && now < kChangesEndMs && draw(15) == 0) {
       Truth& node = truth[draw(kNodes)];
       const auto what = draw(6);
       ++changes;
@@ -76,43 +76,46 @@
     }
     past.push_back(truth);
     for (int m = 0; m < kMembers; ++m) {
-      if (now > 5000 && now < kBusy - 10'000 && cut[m] < now && draw(1500) == 0) cut[m] = now + draw(25'000);
+      if (now > 5000 && now < kChangesEndMs - 10'000 && cut[m] < now && draw(1500) == 0)
+        cut[m] = now + draw(25'000);
       const bool off = cut[m] >= now;
       std::vector<NodeUpdate> nodes;
       for (int n = 0; n < kNodes && !off; ++n) {
         auto& at = seen[m][n];
         at = std::max(
-            at, now - static_cast<std::int64_t>(Mix(seed * 4096 + m * 64 + n) % (kSpread / kTurn)) * kTurn);
-        const Truth& node = past[at / kTurn][n];
+            at, now - static_cast<std::int64_t>(Mix(seed * 4096 + m * 64 + n) % (kMaxDelayMs / kTickMs)) *
+                          kTickMs);
+        const Truth& node = past[at / kTickMs][n];
         if (!node.there) continue;
         const bool own = m == 0 && fault == Fault::kOwnMeasure;
         nodes.push_back(
             UpdateOf("n" + std::to_string(n), Duration{now - node.born},
                      node.capacity * (own ? 1300 : 960 + Mix(seed + n + now / 3000 * 64) % 81) / 1000));
         nodes.back().state = node.state;
-        if (m == 0 && fault == Fault::kAgesStand)
+        if (m == 0 && fault == Fault::kAgesStandStill)
           nodes.back().age = Duration{std::max<std::int64_t>(at - node.born, 0) / 4};
       }
-      for (auto& letter : letters) {
-        if (letter.to != m || letter.due > now || off) continue;
-        builders[m].Merge(letter.records, At(now));
-        letter.due = -1;
+      for (auto& message : messages) {
+        if (message.to != m || message.due > now || off) continue;
+        builders[m].Merge(message.records, At(now));
+        message.due = -1;
       }
-      builders[m].Update(nodes, off && !(m == 0 && fault == Fault::kHearsNothing), At(now));
+      builders[m].Update(nodes, off && !(m == 0 && fault == Fault::kIgnoresCutOff), At(now));
       if (builders[m].generation() < numbers[m]) return "a number fell";
       numbers[m] = builders[m].generation();
       // Whole places now and then, as they do that compare what they hold; at once when something changed.
-      if (!off && (sent[m] != builders[m].generation() || now - told[m] >= 2000)) {
+      if (!off && (sent[m] != builders[m].generation() || now - last_sent_at[m] >= 2000)) {
         sent[m] = builders[m].generation();
-        told[m] = now;
+        last_sent_at[m] = now;
         for (int to = 0; to < kMembers; ++to)
-          letters.push_back({now + draw(kSpread), to, builders[m].records()});
+          messages.push_back({now + draw(kMaxDelayMs), to, builders[m].records()});
       }
     }
-    std::erase_if(letters,
-                  [&](const Letter& letter) { return letter.due < 0 || letter.due + 2 * kSpread < now; });
+    std::erase_if(messages, [&](const Message& message) {
+      return message.due < 0 || message.due + 2 * kMaxDelayMs < now;
+    });
     for (int m = 0; m < kMembers; ++m) {
-      if (cut[m] + 4 * kSpread >= now) continue;
+      if (cut[m] + 4 * kMaxDelayMs >= now) continue;
       for (int n = 0; n < kNodes; ++n) {
         const auto node = builders[m].ring()->Find("n" + std::to_string(n));
         const bool serves = node && builders[m].ring()->weight(*node) > 0;
@@ -120,7 +123,7 @@
         if (!node && is.there && is.state == State::kActive && now - is.since > 15'000 && now > 15'000) {
           return "a node has no place";
         }
-        if (serves && !is.there && now - is.since > kSpread + kTurn) return "a missing node serves";
+        if (serves && !is.there && now - is.since > kMaxDelayMs + kTickMs) return "a missing node serves";
         // Members that were cut off count a node's absence from when they hear again.
         if (!node && !is.there && is.retained && now - is.since < 13'000) {
           return "a place was given up within its grace";
@@ -133,15 +136,15 @@
     std::uint64_t highest = 0;
     for (int m = 0; m < kMembers; ++m) {
       highest = std::max(highest, numbers[m]);
-      if (cut[m] + 4 * kSpread < now) hashes.insert(builders[m].ring()->hash());
+      if (cut[m] + 4 * kMaxDelayMs < now) hashes.insert(builders[m].ring()->hash());
     }
-    if (now <= kBusy + 30'000) quiet = highest;
+    if (now <= kChangesEndMs + 30'000) quiet = highest;
     if (highest > quiet) return "a generation without a reason";
-    if (hashes.size() <= 1 || now < kBusy + 5000)
+    if (hashes.size() <= 1 || now < kChangesEndMs + 5000)
       apart = -1;
     else if (apart < 0)
       apart = now;
-    if (apart >= 0 && now - apart > 2 * kSpread + kTurn) return "members differ for longer than 2S + T";
+    if (apart >= 0 && now - apart > 2 * kMaxDelayMs + kTickMs) return "members differ for longer than 2S + T";
   }
   // A new process makes four at most (down, three steps up), some changes make none, and many are made
   // together.
@@ -159,8 +162,8 @@
 }
 
 TEST(Histories, FindPlantedFaults) {
-  for (const Fault fault :
-       {Fault::kNoBand, Fault::kNoGrace, Fault::kHearsNothing, Fault::kOwnMeasure, Fault::kAgesStand}) {
+  for (const Fault fault : {Fault::kNoHysteresis, Fault::kNoGrace, Fault::kIgnoresCutOff, Fault::kOwnMeasure,
+                            Fault::kAgesStandStill}) {
     std::map<std::string, int> found;
     for (int seed = 0; seed < 20; ++seed) ++found[Play(seed, fault)];
     EXPECT_LT(found[""], 20) << static_cast<int>(fault);
--- a/tests/hash_ring/ring_builder_test.cpp
+++ b/tests/hash_ring/ring_builder_test.cpp
@@ -17,9 +17,9 @@
 namespace mothrack::hash_ring {
 namespace {
 
-// Turns with the same list until `until`, each 100 ms.
-void Turns(RingBuilder& builder, const std::vector<NodeUpdate>& nodes, bool cut_off, std::int64_t& now,
-           std::int64_t until) {
+// Updates with the same list each 100 ms until `until`.
+void UpdateUntil(RingBuilder& builder, const std::vector<NodeUpdate>& nodes, bool cut_off, std::int64_t& now,
+                 std::int64_t until) {
   for (; now <= until; now += 100) builder.Update(nodes, cut_off, At(now));
 }
 
@@ -70,9 +70,9 @@
     const Event& event = kEvents.at(row.at("event"));
     const auto generation = builder.generation();
     std::int64_t now = 100;
-    Turns(builder, event.nodes, event.cut_off, now, 100);
+    UpdateUntil(builder, event.nodes, event.cut_off, now, 100);
     EXPECT_EQ(builder.ring()->serving() == 1 ? "yes" : "no", row.at("serves at once"));
-    Turns(builder, event.nodes, event.cut_off, now, event.after + 2000);
+    UpdateUntil(builder, event.nodes, event.cut_off, now, event.after + 2000);
     EXPECT_EQ(StateOf(builder), row.at("next"));
     EXPECT_EQ(builder.generation() > generation ? "yes" : "no", row.at("generation"));
     played.insert(row.at("place") + row.at("event"));
@@ -96,10 +96,10 @@
     SCOPED_TRACE(row.at("heard"));
     RingBuilder builder({}, At(0));
     builder.Merge({current}, At(0));
-    const bool taken = builder.Merge({kReceived.at(row.at("heard"))}, At(0));
-    EXPECT_EQ(taken ? "taken" : builder.rejected() ? "refused" : "kept", row.at("then"));
+    const bool accepted = builder.Merge({kReceived.at(row.at("heard"))}, At(0));
+    EXPECT_EQ(accepted ? "taken" : builder.rejected() ? "refused" : "kept", row.at("then"));
     EXPECT_EQ(builder.generation(), builder.records()[0].generation);
-    EXPECT_EQ(builder.records()[0], taken ? kReceived.at(row.at("heard")) : current);
+    EXPECT_EQ(builder.records()[0], accepted ? kReceived.at(row.at("heard")) : current);
     played.insert(row.at("heard"));
   }
   EXPECT_EQ(played.size(), kReceived.size());
@@ -127,7 +127,7 @@
   for (int i = 0; i < 30; ++i)
     nodes.push_back(UpdateOf("n" + std::to_string(i), Duration{100'000}, 1000 + 100 * i));
   std::int64_t now = 0;
-  Turns(builder, nodes, false, now, 2000);
+  UpdateUntil(builder, nodes, false, now, 2000);
   const auto first = builder.ring()->hash();
   EXPECT_EQ(builder.generation(), 1u) << "all joins at once";
   for (int turn = 0; turn < 2000; ++turn, now += 100) {
@@ -143,7 +143,7 @@
   for (int i = 0; i < 15; ++i) *nodes[i].measured_capacity /= 2;
   nodes[20].state = State::kDraining;
   nodes.push_back(UpdateOf("new"));
-  Turns(builder, nodes, false, now, now + 5000);
+  UpdateUntil(builder, nodes, false, now, now + 5000);
   EXPECT_EQ(builder.generation(), 2u);
   EXPECT_NE(builder.ring()->hash(), first);
 }
@@ -152,15 +152,15 @@
 TEST(RingBuilder, AMemberThatDoesNotKnowWhyWaitsBeforeItWouldChangeBack) {
   RingBuilder builder({}, At(0));
   std::int64_t now = 0;
-  Turns(builder, {UpdateOf("n")}, false, now, 2000);
-  Turns(builder, {UpdateOf("n", Duration{100'000}, 3000)}, false, now, 3000);
+  UpdateUntil(builder, {UpdateOf("n")}, false, now, 2000);
+  UpdateUntil(builder, {UpdateOf("n", Duration{100'000}, 3000)}, false, now, 3000);
   builder.Merge({{"n", 2, 100, WeightShare::kFull, false}}, At(now));
-  Turns(builder, {UpdateOf("n", Duration{100'000}, 3000)}, false, now, now + 1400);
+  UpdateUntil(builder, {UpdateOf("n", Duration{100'000}, 3000)}, false, now, now + 1400);
   EXPECT_EQ(builder.generation(), 2u);
   EXPECT_EQ(builder.records()[0].level, 100);
 }
 
-TEST(RingBuilder, ColdNodesComeInStepsAndOneThatIsBackKeepsItsPlace) {
+TEST(RingBuilder, NodesInSlowStartJoinInStepsAndOneThatIsBackKeepsItsRecord) {
   RingBuilder builder({}, At(0));
   std::vector<WeightShare> parts;
   for (std::int64_t now = 0; now <= 60'000; now += 100) {
@@ -177,14 +177,14 @@
   const auto hash = builder.ring()->hash();
   const auto generation = builder.generation();
   std::int64_t now = 60'100;
-  Turns(builder, {UpdateOf("old")}, false, now, 119'000);
+  UpdateUntil(builder, {UpdateOf("old")}, false, now, 119'000);
   EXPECT_EQ(builder.ring()->serving(), 1u);
-  Turns(builder, {UpdateOf("old"), UpdateOf("new")}, false, now, 119'200);
+  UpdateUntil(builder, {UpdateOf("old"), UpdateOf("new")}, false, now, 119'200);
   EXPECT_EQ(builder.ring()->serving(), 2u);
   EXPECT_EQ(builder.ring()->hash(), hash);
   EXPECT_EQ(builder.generation(), generation);
   EXPECT_FALSE(builder.staleness(At(now)).stale);
-  Turns(builder, {}, true, now, 200'000);
+  UpdateUntil(builder, {}, true, now, 200'000);
   EXPECT_EQ(builder.ring()->hash(), hash) << "cut off, it serves on";
   EXPECT_TRUE(builder.staleness(At(now)).stale);
 }
--- a/tests/hash_ring/ring_test.cpp
+++ b/tests/hash_ring/ring_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_EQ(ring.hash(), 13094407375005131512u);
 }
 
-TEST(Ring, AnOrderOfNodesMakesNoDifferenceAndOwnersComeInOrder) {
+TEST(Ring, OwnersDoNotDependOnTheOrderOfNodesAndAreSorted) {
   auto nodes = Nodes(50);
   const Ring ring(1, nodes);
   std::shuffle(nodes.begin(), nodes.end(), std::mt19937(7));
--- a/tests/zone_failover/decision_test.cpp
+++ b/tests/zone_failover/decision_test.cpp
@@ -16,7 +16,7 @@
 namespace mothrack::zone_failover {
 namespace {
 
-TEST(ZoneDecision, DoesNotGoByTheOrder) {
+TEST(ZoneDecision, DoesNotDependOnTheOrderOfItsInput) {
   std::mt19937_64 random(7);
   for (int i = 0; i < 300; ++i) {
     Fleet fleet;
@@ -58,7 +58,7 @@
   EXPECT_EQ(TrafficPlanFor(none, {}, Fleet().members, {}, At(2000), At(0)).zones.at(0).share, 1000);
 }
 
-TEST(ZoneDecision, ColdAllowanceIsSharedAndWhatOneDoesNotNeedIsLent) {
+TEST(ZoneDecision, SlowStartAllowanceIsSharedAndWhatOneDoesNotNeedIsLent) {
   Fleet fleet;
   std::uint64_t sum = 0;
   ZoneStates state;
--- a/tests/zone_failover/evidence_test.cpp
+++ b/tests/zone_failover/evidence_test.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(ZoneEvidence, ObserverCountsUnsafeOnceAndTellsWhatChanged) {
+TEST(ZoneEvidence, ObserverCountsUnsafeOnceAndReportsWhatChanged) {
   Observer observer("b");
   observer.SetUpstreams("a", 4, At(0));
   EXPECT_TRUE(observer.NextReport(At(0)));
--- a/tests/zone_failover/histories_test.cpp
+++ b/tests/zone_failover/histories_test.cpp
@@ -19,107 +19,110 @@
 namespace mothrack::zone_failover {
 namespace {
 
-struct Sums {
+struct HistoryResult {
   std::string violation;
-  int left = 0, returned = 0, alone = 0;
+  int drains = 0, recoveries = 0, isolated = 0;
 };
 
-// One member among twelve; the world turns at random and tells at random, with up to three that lie as one.
-Sums Play(std::uint64_t seed, const FailoverConfig& config) {
+// One member among twelve; zones fail and evidence arrives at random, with up to three members that report
+// the same falsehood.
+HistoryResult Play(std::uint64_t seed, const FailoverConfig& config) {
   std::mt19937_64 random(seed);
   Fleet fleet;
-  Sums sums;
+  HistoryResult result;
   ZoneStates state;
-  std::string truth = "www";
-  const bool liars = random() % 2 == 0;
-  std::map<std::string, TimePoint> last_left;
+  std::string actual = "www";
+  const bool has_false_reporters = random() % 2 == 0;
+  std::map<std::string, TimePoint> last_drain;
   std::map<std::string, int> losses;
-  const auto everybody = fleet.members.live;
+  const auto all_members = fleet.members.live;
   for (int now = 0; now < 90'000; now += 100) {
-    if (random() % 60 == 0) truth[random() % 3] = "wwwssl"[random() % 6];
+    if (random() % 60 == 0) actual[random() % 3] = "wwwssl"[random() % 6];
     if (random() % 100 == 0) {
-      fleet.members.live = everybody;
+      fleet.members.live = all_members;
       if (random() % 3 == 0)
-        std::erase_if(fleet.members.live, [&](const MemberId& p) { return p.zone != "b" && random() % 4; });
+        std::erase_if(fleet.members.live,
+                      [&](const MemberId& member) { return member.zone != "b" && random() % 4; });
     }
     fleet.reports.clear();
-    for (const MemberId& p : fleet.members.live) {
-      std::string verdicts = truth;
+    for (const MemberId& member : fleet.members.live) {
+      std::string verdicts = actual;
       if (random() % 12 == 0) verdicts[random() % 3] = "ws-"[random() % 3];
       // Those of one zone, and a busy one.
-      const bool lies = liars && p.zone == "c" && p.name != "c3";
-      if (lies) verdicts = "sww";
-      const std::uint16_t sent = lies ? 5000 : 20;
-      const ReportedState mad{Phase::kDrained, 0, 9, 1'000'000, 1};
+      const bool reports_falsely = has_false_reporters && member.zone == "c" && member.name != "c3";
+      if (reports_falsely) verdicts = "sww";
+      const std::uint16_t sent = reports_falsely ? 5000 : 20;
+      const ReportedState false_state{Phase::kDrained, 0, 9, 1'000'000, 1};
       std::vector<ReportedState> reported;
       for (const std::string& z : kNames)
-        reported.push_back(lies                ? mad
+        reported.push_back(reports_falsely     ? false_state
                            : state.contains(z) ? ReportedStateOf(state[z], At(now))
                                                : ReportedState{});
-      EvidenceReport h = ReportOf(p, verdicts, sent, reported);
-      h.age = Duration(random() % 3500);
-      if (random() % 5 != 0) fleet.reports.push_back(h);
+      EvidenceReport report = ReportOf(member, verdicts, sent, reported);
+      report.age = Duration(random() % 3500);
+      if (random() % 5 != 0) fleet.reports.push_back(report);
     }
     const ZoneStates next = Decide(state, kNames, fleet.reports, {}, fleet.members, config, At(now));
-    const bool alone = fleet.members.live.size() * 2 < fleet.members.known_members;
-    sums.alone += alone ? 1 : 0;
+    const bool isolated = fleet.members.live.size() * 2 < fleet.members.known_members;
+    result.isolated += isolated ? 1 : 0;
     int in_use = 0;
     for (const auto& [name, z] : next) {
-      const ZoneState was = state.contains(name) ? state[name] : ZoneState{};
-      const auto out = [](const ZoneState& s) {
+      const ZoneState before = state.contains(name) ? state[name] : ZoneState{};
+      const auto is_out = [](const ZoneState& s) {
         return s.phase == Phase::kDraining || s.phase == Phase::kDrained;
       };
       in_use += z.phase == Phase::kActive || z.phase == Phase::kSuspect ? 1 : 0;
-      const auto fault = [&](const std::string& what) {
-        sums.violation = what + " (zone " + name + ", " + std::to_string(now) + " ms)";
+      const auto violate = [&](const std::string& what) {
+        result.violation = what + " (zone " + name + ", " + std::to_string(now) + " ms)";
       };
-      if (out(z) && !out(was)) {
+      if (is_out(z) && !is_out(before)) {
         // Counted anew, and not by the code that decided it.
         std::set<std::string> zones;
         const auto count = [&](const std::string& of, Verdict what) {
           std::size_t members = 0;
-          for (const EvidenceReport& h : fleet.reports) {
-            if (h.age >= Duration(3000) || h.owner.zone == of ||
-                VerdictOf(*h.evidence->Find(IdOf(of))) != what)
+          for (const EvidenceReport& report : fleet.reports) {
+            if (report.age >= Duration(3000) || report.owner.zone == of ||
+                VerdictOf(*report.evidence->Find(IdOf(of))) != what)
               continue;
             ++members;
-            if (of == name && what == Verdict::kUnresponsive) zones.insert(h.owner.zone);
+            if (of == name && what == Verdict::kUnresponsive) zones.insert(report.owner.zone);
           }
           return members;
         };
         const std::size_t unresponsive = count(name, Verdict::kUnresponsive),
                           responsive = count(name, Verdict::kResponsive);
-        const bool refuge = std::any_of(next.begin(), next.end(), [&](const auto& o) {
+        const bool has_alternative = std::any_of(next.begin(), next.end(), [&](const auto& o) {
           return o.first != name && (o.second.phase == Phase::kActive || o.second.phase == Phase::kSuspect) &&
                  count(o.first, Verdict::kResponsive) > count(o.first, Verdict::kUnresponsive);
         });
-        const bool back = was.phase == Phase::kRecovering;
-        if (!back && !refuge) fault("left for nowhere");
+        const bool back = before.phase == Phase::kRecovering;
+        if (!back && !has_alternative) violate("left for nowhere");
         // With weights cut to a fifth the three that lie have less than what the others have together.
-        if (!back && unresponsive < responsive) fault("left against most");
-        const std::size_t there = std::count_if(fleet.members.live.begin(), fleet.members.live.end(),
-                                                [&](const MemberId& p) { return p.zone != name; });
-        if (!back && (unresponsive < std::clamp<std::size_t>(there, 2, 3) || zones.size() < 2))
-          fault("left without a quorum");
+        if (!back && unresponsive < responsive) violate("left against most");
+        const std::size_t outside =
+            std::count_if(fleet.members.live.begin(), fleet.members.live.end(),
+                          [&](const MemberId& member) { return member.zone != name; });
+        if (!back && (unresponsive < std::clamp<std::size_t>(outside, 2, 3) || zones.size() < 2))
+          violate("left without a quorum");
         const int times = ++losses[name];
-        if (times > 1 && At(now) - last_left[name] < Duration(5000)) fault("flaps");
-        last_left[name] = At(now);
-        ++sums.left;
+        if (times > 1 && At(now) - last_drain[name] < Duration(5000)) violate("flaps");
+        last_drain[name] = At(now);
+        ++result.drains;
       }
-      if (was.phase == Phase::kDrained && z.phase == Phase::kRecovering) {
-        ++sums.returned;
-        if (At(now) - last_left[name] < Duration(5000)) fault("came back too soon");
+      if (before.phase == Phase::kDrained && z.phase == Phase::kRecovering) {
+        ++result.recoveries;
+        if (At(now) - last_drain[name] < Duration(5000)) violate("came back too soon");
       }
-      if (alone && z.generation != was.generation) fault("decided alone");
-      if (z.generation < was.generation) fault("generation fell");
-      const int moved = z.share - was.share;
-      if (moved > 26 || (moved < -26 && !(out(z) && z.generation != was.generation))) fault("jumped");
+      if (isolated && z.generation != before.generation) violate("decided alone");
+      if (z.generation < before.generation) violate("generation fell");
+      const int moved = z.share - before.share;
+      if (moved > 26 || (moved < -26 && !(is_out(z) && z.generation != before.generation))) violate("jumped");
     }
-    if (in_use == 0) sums.violation = "all zones left at " + std::to_string(now);
-    if (!sums.violation.empty()) return sums;
+    if (in_use == 0) result.violation = "all zones left at " + std::to_string(now);
+    if (!result.violation.empty()) return result;
     state = next;
   }
-  return sums;
+  return result;
 }
 
 TEST(ZoneHistories, KeepTheRules) {
@@ -127,16 +130,16 @@
   const std::uint64_t count = set == nullptr ? 1000 : std::strtoull(set, nullptr, 10);
   const char* from = std::getenv("HISTORIES_FROM");
   const std::uint64_t begin = from == nullptr ? 1 : std::strtoull(from, nullptr, 10);
-  Sums all;
+  HistoryResult all;
   for (std::uint64_t seed = begin; seed < begin + count; ++seed) {
-    const Sums sums = Play(seed, {});
-    ASSERT_EQ(sums.violation, "") << "seed " << seed;
-    all.left += sums.left, all.returned += sums.returned, all.alone += sums.alone;
+    const HistoryResult result = Play(seed, {});
+    ASSERT_EQ(result.violation, "") << "seed " << seed;
+    all.drains += result.drains, all.recoveries += result.recoveries, all.isolated += result.isolated;
   }
-  std::printf("%d leaves, %d returns, %d turns alone\n", all.left, all.returned, all.alone);
-  EXPECT_GT(all.left, 0);
-  EXPECT_GT(all.returned, 0);
-  EXPECT_GT(all.alone, 0);
+  std::printf("%d leaves, %d returns, %d turns alone\n", all.drains, all.recoveries, all.isolated);
+  EXPECT_GT(all.drains, 0);
+  EXPECT_GT(all.recoveries, 0);
+  EXPECT_GT(all.isolated, 0);
 }
 
 TEST(ZoneHistories, FindEachPlantedFault) {
@@ -144,8 +147,8 @@
     FailoverConfig config;
     plant(config);
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-      const Sums sums = Play(seed, config);
-      if (!sums.violation.empty()) return sums.violation.substr(0, sums.violation.find(" ("));
+      const HistoryResult result = Play(seed, config);
+      if (!result.violation.empty()) return result.violation.substr(0, result.violation.find(" ("));
     }
     return std::string("nothing");
   };
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -17,7 +17,7 @@
 using testing::Row;
 using testing::TableOf;
 
-TEST(ZoneTables, WordsOfOperators) {
+TEST(ZoneTables, OperatorOverrides) {
   for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Words of operators")) {
     std::vector<OperatorOverride> overrides;
     std::istringstream in(row.at("words"));
