--- a/tests/dispatch/core_test.cpp
+++ b/tests/dispatch/core_test.cpp
@@ -13,11 +13,6 @@
 #include "dispatch/upstream_overrides.h"
 #include "gtest/gtest.h"
 #include "runtime/address.h"
-#include "runtime/deadlines.h"
-#include "runtime/descriptors.h"
-#include "runtime/secure_random.h"
-#include "runtime/stream.h"
-#include "runtime/timer_queue.h"
 
 namespace mothrack {
 namespace {
@@ -323,141 +318,6 @@
   EXPECT_FALSE(ids.Take("e", start));
 }
 
-TEST(TimerQueue, FireInOrderAndGoOnAfterAnException) {
-  boost::asio::io_context io;
-  std::vector<std::uint64_t> fired;
-  runtime::TimerQueue timers(io, [&](std::uint64_t token) {
-    fired.push_back(token);
-    if (token == 1) throw std::runtime_error("one");
-  });
-  const runtime::TimePoint now = runtime::Now();
-  timers.Set(now + milliseconds(5), 2);
-  timers.Set(now, 1);
-  timers.Set(now + milliseconds(1), 3);
-  timers.Arm();
-  EXPECT_THROW(io.run(), std::runtime_error);
-  io.restart();
-  io.run();
-  EXPECT_EQ(fired, (std::vector<std::uint64_t>{1, 3, 2}));
-}
-
-TEST(Deadlines, TakenBackOnesDoNotPass) {
-  boost::asio::io_context io;
-  std::vector<std::uint64_t> passed;
-  runtime::Deadlines deadlines(io, [&](std::uint64_t token) { passed.push_back(token); });
-  const runtime::TimePoint now = runtime::Now();
-  deadlines.Set(now + milliseconds(1), 1);
-  deadlines.Set(now + milliseconds(2), 2);
-  deadlines.Set(now + milliseconds(3), 3);
-  deadlines.TakeBack(now + milliseconds(1), 1);
-  io.run();
-  EXPECT_EQ(passed, (std::vector<std::uint64_t>{2, 3}));
-}
-
-TEST(SecureRandom, CoversItsRange) {
-  runtime::SecureRandom random;
-  std::set<std::size_t> seen;
-  for (int i = 0; i < 1000; ++i) {
-    const auto value = random.Below(7);
-    ASSERT_LT(value, 7U);
-    seen.insert(value);
-  }
-  EXPECT_EQ(seen.size(), 7U);
-}
-
-TEST(Descriptors, EachSideHasItsHalfOfWhatIsNotFixed) {
-  runtime::Descriptors descriptors(64, 4);
-  std::vector<std::unique_ptr<runtime::Descriptors::Slot>> slots;
-  while (descriptors.Room(runtime::Descriptors::Side::kClient)) {
-    slots.push_back(
-        std::make_unique<runtime::Descriptors::Slot>(descriptors, runtime::Descriptors::Side::kClient));
-  }
-  EXPECT_EQ(slots.size(), (64U - runtime::Descriptors::kFixed - 4) / 2);
-  EXPECT_TRUE(descriptors.Room(runtime::Descriptors::Side::kUpstream));
-  slots.pop_back();
-  EXPECT_TRUE(descriptors.Room(runtime::Descriptors::Side::kClient));
-}
-
-TEST(Descriptors, AreSharedWithAnotherProcessUntilItIsGone) {
-  runtime::Descriptors descriptors(100, 4);
-  const std::size_t full = descriptors.full();
-  descriptors.Cap(20);
-  std::vector<std::unique_ptr<runtime::Descriptors::Slot>> slots;
-  while (descriptors.Room(runtime::Descriptors::Side::kClient)) {
-    slots.push_back(
-        std::make_unique<runtime::Descriptors::Slot>(descriptors, runtime::Descriptors::Side::kClient));
-  }
-  EXPECT_EQ(slots.size(), 10U);
-  descriptors.Uncap();
-  EXPECT_TRUE(descriptors.Room(runtime::Descriptors::Side::kClient));
-  descriptors.Cap(full * 2);
-  EXPECT_EQ(descriptors.used(), 10U);
-}
-
-// ---- One body on its way ----
-
-TEST(Stream, HoldsNoMoreThanItsWindowAndTellsBothSides) {
-  runtime::ByteBudget budget(64 * 1024);
-  runtime::Stream stream(budget, 0);
-  int room = 0;
-  int bytes = 0;
-  stream.on_room = [&] { ++room; };
-  stream.on_bytes = [&] { ++bytes; };
-  ASSERT_TRUE(stream.Begin());
-  EXPECT_EQ(stream.Room(), 64U * 1024);
-  stream.Append(std::string(64 * 1024, 'a'));
-  EXPECT_EQ(stream.Room(), 0U);
-  EXPECT_EQ(bytes, 1);
-  stream.Take(40 * 1024);
-  EXPECT_EQ(room, 1);
-  EXPECT_EQ(stream.Room(), 40U * 1024);
-  EXPECT_EQ(budget.held(), 24U * 1024);
-  {
-    // Shared evenly among those that are open, and never less than the least.
-    std::vector<std::unique_ptr<runtime::Stream>> others;
-    for (int i = 0; i < 9; ++i) others.push_back(std::make_unique<runtime::Stream>(budget, 0));
-    EXPECT_EQ(others[0]->Room(), runtime::ByteBudget::kLeastWindow);
-  }
-  stream.Append("end");
-  stream.End(runtime::Stream::State::kWhole);
-  EXPECT_FALSE(stream.done());
-  stream.Take(24 * 1024);
-  EXPECT_EQ(stream.Ready(), "end");
-  stream.Take(3);
-  EXPECT_TRUE(stream.done());
-  EXPECT_EQ(budget.held(), 0U);
-}
-
-TEST(Stream, BeginsAgainOnlyWhileAllIsHeld) {
-  runtime::ByteBudget budget(1024 * 1024);
-  runtime::Stream stream(budget, 100);
-  ASSERT_TRUE(stream.Begin());
-  stream.Append(std::string(60, 'a'));
-  stream.Take(60);
-  EXPECT_FALSE(stream.Begin());  // somebody takes
-  stream.Leave();
-  ASSERT_TRUE(stream.Begin());
-  EXPECT_EQ(stream.Ready(), std::string(60, 'a'));
-  stream.Take(60);
-  stream.Append(std::string(60, 'b'));
-  EXPECT_EQ(stream.Ready(), std::string(60, 'b'));
-  stream.Leave();
-  EXPECT_FALSE(stream.Begin());
-}
-
-TEST(Stream, WhatNobodyWantsIsDroppedAsItComes) {
-  runtime::ByteBudget budget(1024 * 1024);
-  runtime::Stream stream(budget, 1000);
-  ASSERT_TRUE(stream.Begin());
-  stream.Append("some");
-  stream.Abandon();
-  for (int i = 0; i < 100; ++i) {
-    ASSERT_GT(stream.Room(), 0U);
-    stream.Append(std::string(10000, 'x'));
-  }
-  EXPECT_EQ(budget.held(), 0U);
-}
-
 // ---- What people say over what discovery says ----
 
 dispatch::MembershipList Listed(MembershipUpdate::Kind kind, const std::vector<std::string>& uids) {
@@ -504,14 +364,5 @@
   EXPECT_TRUE(roster.Unban("a"));
 }
 
-TEST(Address, IsParsedOrNot) {
-  EXPECT_TRUE(runtime::ParseEndpoint("127.0.0.1:53"));
-  EXPECT_EQ(runtime::ParseEndpoint("[::1]:53")->port(), 53);
-  for (const char* bad :
-       {"", ":", "127.0.0.1", "127.0.0.1:", "127.0.0.1:x", "127.0.0.1:65536", "host:53", "[::1:53"}) {
-    EXPECT_FALSE(runtime::ParseEndpoint(bad)) << bad;
-  }
-}
-
 }  // namespace
 }  // namespace mothrack
--- /dev/null
+++ b/tests/runtime/deadlines_test.cpp
@@ -0,0 +1,31 @@
+// Points in time that can be cancelled.
+#include "runtime/deadlines.h"
+
+#include <boost/asio/io_context.hpp>
+#include <chrono>
+#include <cstdint>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "runtime/clock.h"
+
+namespace mothrack {
+namespace {
+
+using std::chrono::milliseconds;
+
+TEST(Deadlines, TakenBackOnesDoNotPass) {
+  boost::asio::io_context io;
+  std::vector<std::uint64_t> passed;
+  runtime::Deadlines deadlines(io, [&](std::uint64_t token) { passed.push_back(token); });
+  const runtime::TimePoint now = runtime::Now();
+  deadlines.Set(now + milliseconds(1), 1);
+  deadlines.Set(now + milliseconds(2), 2);
+  deadlines.Set(now + milliseconds(3), 3);
+  deadlines.TakeBack(now + milliseconds(1), 1);
+  io.run();
+  EXPECT_EQ(passed, (std::vector<std::uint64_t>{2, 3}));
+}
+
+}  // namespace
+}  // namespace mothrack
