--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -10,10 +10,10 @@
 #include <boost/beast/http/write.hpp>
 #include <chrono>
 #include <optional>
+#include <set>
 #include <string>
 #include <string_view>
 #include <utility>
-#include <vector>
 
 #include "http/body_writer.h"
 #include "runtime/system_calls.h"
@@ -108,7 +108,7 @@
     socket_.close(ignored);
     slot_.reset();
     const auto self = shared_from_this();
-    if (owner_ != nullptr) owner_->connections_.erase(self);
+    if (owner_ != nullptr) owner_->connections_.Remove(self);
     // First: what is told then ends the attempts, and nobody waits for the rest of a body any more.
     if (const auto gone = std::exchange(taken_, {}).gone) gone();
     if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kBroken);
@@ -570,20 +570,19 @@
       acceptor_(io, where, "", *this, log),
       sweep_every_(std::clamp(deadlines.shortest / kSweepsInDeadline, kLook, kSweep)),
       stop_within_(StopWithin(deadlines.longest)),
-      sweep_(io) {
-  ScheduleSweep();
+      sweep_timer_(
+          io, [this] { return SweepInterval(); }, [this] { return OnSweep(); }) {
+  sweep_timer_.Restart();
 }
 
 Listener::~Listener() {
-  for (const auto& connection : std::exchange(connections_, {})) connection->Orphan();
+  for (const auto& connection : connections_.TakeAll()) connection->Orphan();
 }
 
 void Listener::Admit(tcp::socket socket) {
-  error_code ignored;
-  socket.set_option(tcp::no_delay(true), ignored);
-  socket.non_blocking(true, ignored);
+  runtime::ConfigureAccepted(socket);
   const auto connection = std::make_shared<Connection>(*this, std::move(socket));
-  connections_.insert(connection);
+  connections_.Add(connection);
   connection->Start();
 }
 
@@ -594,14 +593,12 @@
   // answer whole.
   std::set<Connection*> busy;
   while (true) {
-    std::shared_ptr<Connection> best;
-    std::pair<int, runtime::TimePoint> lowest;
-    for (const auto& connection : connections_) {
-      const auto spare = connection->EvictionRank(now);
-      if (!spare || busy.contains(connection.get())) continue;
-      const std::pair rank(*spare, connection->since());
-      if (!best || rank < lowest) best = connection, lowest = rank;
-    }
+    using Rank = std::pair<int, runtime::TimePoint>;
+    const auto best = connections_.Lowest([&](Connection& connection) -> std::optional<Rank> {
+      const auto rank = connection.EvictionRank(now);
+      if (!rank || busy.contains(&connection)) return std::nullopt;
+      return Rank(*rank, connection.since());
+    });
     if (!best) return false;
     if (best->HasUnreadBytes()) {
       busy.insert(best.get());
@@ -615,9 +612,9 @@
 void Listener::Rest(bool on) {
   if (on == resting_) return;
   resting_ = on;
-  sweep_.cancel();
+  sweep_timer_.Cancel();
   Sweep();
-  ScheduleSweep();
+  sweep_timer_.Restart();
 }
 
 void Listener::Drain(std::function<void()> done) {
@@ -626,29 +623,29 @@
   drain_started_ = runtime::Now();
   succeeded_ = acceptor_.paused();
   if (succeeded_) acceptor_.Release();
-  sweep_.cancel();
+  sweep_timer_.Cancel();
   Sweep();
-  ScheduleSweep();
+  sweep_timer_.Restart();
 }
 
-void Listener::ScheduleSweep() {
-  runtime::Duration after = sweep_every_;
-  if (unread_) after = std::min(after, kDisconnectCheck);
-  if (resting()) after = std::min<runtime::Duration>(after, kDrainSweep);
-  sweep_.expires_after(after);
-  sweep_.async_wait([this](error_code error) {
-    if (error || ended_) return;
-    Sweep();
-    if (drained_ && !acceptor_.is_open() && connections_.empty()) {
-      ended_ = true;  // a sweep that was due when another was asked for comes, too
-      return drained_();
-    }
-    ScheduleSweep();
-  });
+runtime::Duration Listener::SweepInterval() const {
+  runtime::Duration interval = sweep_every_;
+  if (unread_) interval = std::min(interval, kDisconnectCheck);
+  if (resting()) interval = std::min<runtime::Duration>(interval, kDrainSweep);
+  return interval;
+}
+
+bool Listener::OnSweep() {
+  if (ended_) return false;
+  Sweep();
+  if (!drained_ || acceptor_.is_open() || !connections_.empty()) return true;
+  ended_ = true;  // a sweep that was due when another was asked for comes, too
+  drained_();
+  return false;
 }
 
 void Listener::CheckForDisconnects() {
-  if (!std::exchange(unread_, true)) ScheduleSweep();
+  if (!std::exchange(unread_, true)) sweep_timer_.Restart();
 }
 
 void Listener::Heard(runtime::TimePoint now) {
@@ -660,7 +657,7 @@
 void Listener::Sweep() {
   const runtime::TimePoint now = runtime::Now();
   Heard(now);
-  const std::vector<std::shared_ptr<Connection>> all(connections_.begin(), connections_.end());
+  const auto all = connections_.Snapshot();
   unread_ = false;
   const runtime::Duration drained = drained_ ? now - drain_started_ : runtime::Duration::zero();
   // From here on there is no time left to wait for what a fresh connection would bring.
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -3,17 +3,17 @@
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/steady_timer.hpp>
 #include <functional>
 #include <memory>
-#include <set>
 
 #include "http/messages.h"
 #include "runtime/acceptor.h"
 #include "runtime/address.h"
 #include "runtime/clock.h"
+#include "runtime/connection_set.h"
 #include "runtime/descriptors.h"
 #include "runtime/log.h"
+#include "runtime/sweep_timer.h"
 
 namespace mothrack::http {
 
@@ -66,7 +66,9 @@
   bool Room() const override { return descriptors_.Room(runtime::Descriptors::Side::kClient); }
   bool MakeRoom() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
-  void ScheduleSweep();
+  runtime::Duration SweepInterval() const;
+  // Of the timer; false once all is over.
+  bool OnSweep();
   void Sweep();
   // Something came from a client.
   void Heard(runtime::TimePoint now);
@@ -77,12 +79,12 @@
   runtime::ByteBudget& budget_;
   runtime::Logger& log_;
   const OnRequest on_request_;
-  std::set<std::shared_ptr<Connection>> connections_;
+  runtime::ConnectionSet<Connection> connections_;
   runtime::Acceptor acceptor_;
   const runtime::Duration sweep_every_;
   const runtime::Duration stop_within_;  // of a planned stop, from its start
   runtime::TimePoint looked_;            // for clients that wait
-  boost::asio::steady_timer sweep_;
+  runtime::SweepTimer sweep_timer_;
   std::function<void()> drained_;  // set while draining
   bool resting_ = false;
   bool unread_ = false;     // a connection is served while nothing is read from it
--- a/src/runtime/system_calls.h
+++ b/src/runtime/system_calls.h
@@ -6,6 +6,7 @@
 
 #include <boost/asio/buffer.hpp>
 #include <boost/asio/error.hpp>
+#include <boost/asio/ip/tcp.hpp>
 #include <boost/system/error_code.hpp>
 #include <cerrno>
 #include <cstddef>
@@ -55,6 +56,15 @@
   } while (error == boost::asio::error::interrupted);
 }
 
+// How a connection that was accepted is used here: small messages leave at once (TCP_NODELAY), and no call on
+// it blocks. A socket that refuses either is broken, which its first read or write tells.
+template <typename Socket>
+void ConfigureAccepted(Socket& socket) {
+  boost::system::error_code ignored;
+  socket.set_option(boost::asio::ip::tcp::no_delay(true), ignored);
+  socket.non_blocking(true, ignored);
+}
+
 inline bool WouldBlock(const boost::system::error_code& error) {
   return error == boost::asio::error::would_block || error == boost::asio::error::try_again;
 }
