--- a/src/http/body_writer.cpp
+++ b/src/http/body_writer.cpp
@@ -14,12 +14,12 @@
 using boost::system::error_code;
 
 // Written in one call, so that one fast reader does not keep the others waiting.
-constexpr std::uint64_t kMostInOneGo = 256 * 1024;
+constexpr std::uint64_t kMaxBytesPerCall = 256 * 1024;
 
 }  // namespace
 
 BodyWriter::Progress BodyWriter::Write(boost::asio::ip::tcp::socket& socket) {
-  for (const std::uint64_t begun = written_; written_ - begun < kMostInOneGo;) {
+  for (const std::uint64_t begun = written_; written_ - begun < kMaxBytesPerCall;) {
     if (frame_at_ == frame_.size() && chunk_ == 0) {
       chunk_ = stream_->Ready().size();
       if (chunk_ == 0 && stream_->state() == runtime::Stream::State::kBroken) return Progress::kCut;
@@ -50,7 +50,7 @@
     if (size == 0) continue;
     chunk_ -= size;
     written_ += size;
-    stream_->Take(size);
+    stream_->Consume(size);
   }
   return Progress::kSocketFull;
 }
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -95,7 +95,7 @@
         slot_(std::in_place, owner.descriptors_, runtime::Descriptors::Side::kClient),
         socket_(std::move(socket)),
         write_stream_(socket_) {
-    buffer_.max_size(kMostRead);
+    buffer_.max_size(kMaxReadAhead);
     NewParser();
   }
 
@@ -206,9 +206,9 @@
 
   void NewParser() {
     parser_.emplace();
-    parser_->body_limit(kMostBody);
-    parser_->header_limit(kMostHeader);
-    parser_->get().body().room = kBufferLimit;
+    parser_->body_limit(kMaxBodySize);
+    parser_->header_limit(kMaxHeaderSize);
+    parser_->get().body().capacity = kBufferLimit;
     came_ = 0;
     blocked_ = runtime::Duration::zero();
     blocked_since_.reset();
@@ -225,7 +225,7 @@
   void Read() {
     if (reading_ || closed_) return;
     // Its upstream takes the body more slowly than it comes.
-    const bool blocked = upload_ && upload_->Room() == 0;
+    const bool blocked = upload_ && upload_->Capacity() == 0;
     if (blocked && !blocked_since_) blocked_since_ = runtime::Now();
     if (blocked || buffer_.size() == buffer_.max_size() || (flooded_ && dropped_ > kMostLinger)) {
       if (owner_ != nullptr) owner_->CheckForDisconnects();
@@ -261,9 +261,10 @@
   }
 
   void Receive() {
-    const std::size_t room = std::min(buffer_.max_size() - buffer_.size(), upload_ ? kMostRead : kReadSize);
+    const std::size_t capacity =
+        std::min(buffer_.max_size() - buffer_.size(), upload_ ? kMaxReadAhead : kReadSize);
     error_code error;
-    const std::size_t size = runtime::ReadSome(socket_, buffer_.prepare(room), error);
+    const std::size_t size = runtime::ReadSome(socket_, buffer_.prepare(capacity), error);
     if (runtime::WouldBlock(error)) return Read();
     if (error) return Close();
     buffer_.commit(size);
@@ -275,13 +276,14 @@
     if (state_ == State::kLingering || flooded_) {
       if (cut_upload_ && buffer_.size() > 0) since_ = runtime::Now();
       Drop(buffer_.size());
-      if (state_ == State::kLingering && dropped_ > (cut_upload_ ? kMostBody : kMostLinger)) return Close();
+      if (state_ == State::kLingering && dropped_ > (cut_upload_ ? kMaxBodySize : kMostLinger))
+        return Close();
     }
     parsing_ = true;
     Parse();
     parsing_ = false;
     // Nobody sends so much ahead who waits for answers. Reading on tells whether it has left already.
-    if (state_ != State::kReading && !upload_ && buffer_.size() == kMostRead) {
+    if (state_ != State::kReading && !upload_ && buffer_.size() == kMaxReadAhead) {
       flooded_ = close_after_ = true;
       Drop(buffer_.size());
     }
@@ -297,15 +299,15 @@
   void Parse() {
     while ((state_ == State::kReading || upload_) && buffer_.size() > 0 && !closed_) {
       if (upload_) {
-        const std::size_t room = upload_->Room();
-        if (room == 0) return;
-        parser_->get().body().room = room;
+        const std::size_t capacity = upload_->Capacity();
+        if (capacity == 0) return;
+        parser_->get().body().capacity = capacity;
       }
       if (!std::exchange(started_, true) && !std::exchange(unused_, false)) since_ = runtime::Now();
       if (!parser_->is_header_done()) {
-        const Head head = LookAtHead(Unparsed(), scanned_);
-        if (head == Head::kPartial) return;
-        if (head == Head::kBad) return Reject(beast_http::status::bad_request, "bad request head");
+        const HeadStatus head = InspectHead(Unparsed(), scanned_);
+        if (head == HeadStatus::kPartial) return;
+        if (head == HeadStatus::kInvalid) return Reject(beast_http::status::bad_request, "bad request head");
       }
       // Not in one go with the header: Beast 1.74 then forgets that the body is beyond the bound.
       parser_->eager(parser_->is_header_done());
@@ -321,7 +323,7 @@
         return Reject(beast_http::status::payload_too_large, "body too large");
       if (error) return Reject(beast_http::status::bad_request, error.message());
       if (parser_->is_header_done() && !std::exchange(head_checked_, true)) {
-        if (const char* fault = FramingFault(parser_->get()))
+        if (const char* fault = FindFramingError(parser_->get()))
           return Reject(beast_http::status::bad_request, fault);
         Continue();
         if (closed_) return;
@@ -355,8 +357,8 @@
   void Upload() {
     HttpRequest request;
     request.base() = parser_->get().base();
-    upload_ = std::make_shared<runtime::Stream>(owner_->budget_, kMostKept);
-    upload_->on_room = [weak = weak_from_this()] {
+    upload_ = std::make_shared<runtime::Stream>(owner_->budget_, kMaxReplaySize);
+    upload_->on_capacity = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->Progress();
     };
     ComingBody coming{upload_, std::nullopt};
@@ -378,7 +380,7 @@
   void Uploaded() {
     const auto upload = std::exchange(upload_, nullptr);
     std::size_t scanned = 0;
-    if (buffer_.size() > 0 && LookAtHead(Unparsed(), scanned) == Head::kBad) close_after_ = true;
+    if (buffer_.size() > 0 && InspectHead(Unparsed(), scanned) == HeadStatus::kInvalid) close_after_ = true;
     if (const auto whole = std::exchange(taken_.whole, nullptr)) whole();
     upload->End(runtime::Stream::State::kWhole);
   }
@@ -406,9 +408,9 @@
   void Serve(HttpRequest request, ComingBody coming) {
     // Trailers have joined the head. And what follows a body must begin like a request, or its length was
     // wrong.
-    if (const char* fault = FramingFault(request)) return Reject(beast_http::status::bad_request, fault);
+    if (const char* fault = FindFramingError(request)) return Reject(beast_http::status::bad_request, fault);
     std::size_t scanned = 0;
-    if (!coming && buffer_.size() > 0 && LookAtHead(Unparsed(), scanned) == Head::kBad) {
+    if (!coming && buffer_.size() > 0 && InspectHead(Unparsed(), scanned) == HeadStatus::kInvalid) {
       return Reject(beast_http::status::bad_request, "no request behind the body");
     }
     if (!request.keep_alive()) close_after_ = true;
@@ -533,7 +535,7 @@
   tcp::socket socket_;
   runtime::WriteStream<tcp::socket> write_stream_;
   boost::beast::flat_buffer buffer_;
-  std::optional<beast_http::request_parser<PieceBody>> parser_;
+  std::optional<beast_http::request_parser<IncrementalBody>> parser_;
   HttpResponse response_;
   Taken taken_;
   std::shared_ptr<runtime::Stream> upload_;  // of the request that was handed on while its body still comes
--- a/src/http/messages.cpp
+++ b/src/http/messages.cpp
@@ -16,23 +16,23 @@
 
 }  // namespace
 
-Head LookAtHead(boost::beast::string_view bytes, std::size_t& scanned) {
-  if (!MayBegin(bytes, "GET ") && !MayBegin(bytes, "POST ")) return Head::kBad;
+HeadStatus InspectHead(boost::beast::string_view bytes, std::size_t& scanned) {
+  if (!MayBegin(bytes, "GET ") && !MayBegin(bytes, "POST ")) return HeadStatus::kInvalid;
   // Each line end is judged with the byte behind it, so the last byte waits for the next look.
   for (; scanned + 1 < bytes.size(); ++scanned) {
     const char c = bytes[scanned];
     const char next = bytes[scanned + 1];
-    if (c == '\0' || (c == '\r') != (next == '\n')) return Head::kBad;
+    if (c == '\0' || (c == '\r') != (next == '\n')) return HeadStatus::kInvalid;
     if (c != '\n') continue;
-    if (next == ' ' || next == '\t') return Head::kBad;  // a folded header
+    if (next == ' ' || next == '\t') return HeadStatus::kInvalid;  // a folded header
     if (next == '\r' && scanned + 2 < bytes.size())
-      return bytes[scanned + 2] == '\n' ? Head::kWhole : Head::kBad;
-    if (next == '\r') return Head::kPartial;
+      return bytes[scanned + 2] == '\n' ? HeadStatus::kWhole : HeadStatus::kInvalid;
+    if (next == '\r') return HeadStatus::kPartial;
   }
-  return bytes.size() < kMostHeader ? Head::kPartial : Head::kBad;
+  return bytes.size() < kMaxHeaderSize ? HeadStatus::kPartial : HeadStatus::kInvalid;
 }
 
-const char* FramingFault(const beast_http::request_header<>& header) {
+const char* FindFramingError(const beast_http::request_header<>& header) {
   if (header.version() != 10 && header.version() != 11) return "unknown version";
   const auto codings = header.count(beast_http::field::transfer_encoding);
   const auto lengths = header.count(beast_http::field::content_length);
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -51,27 +51,28 @@
 
 // What a parser has read of a body and nobody has taken yet; it stops with http::error::need_buffer at
 // `room`.
-struct Piece {
+struct BodyChunk {
   std::string bytes;
-  std::size_t room = 0;
+  std::size_t capacity = 0;
 };
 
 // A Beast Body of which a parser holds one piece at a time.
-struct PieceBody {
-  using value_type = Piece;
+struct IncrementalBody {
+  using value_type = BodyChunk;
   class reader {
    public:
     template <bool isRequest, class Fields>
-    reader(beast_http::header<isRequest, Fields>&, value_type& piece) : piece_(piece) {}
+    reader(beast_http::header<isRequest, Fields>&, value_type& chunk) : chunk_(chunk) {}
     void init(const boost::optional<std::uint64_t>&, boost::system::error_code& error) { error = {}; }
     template <class Buffers>
     std::size_t put(const Buffers& buffers, boost::system::error_code& error) {
       error = {};
       std::size_t used = 0;
       for (const boost::asio::const_buffer part : boost::beast::buffers_range_ref(buffers)) {
-        const std::size_t room = piece_.room > piece_.bytes.size() ? piece_.room - piece_.bytes.size() : 0;
-        const std::size_t size = std::min(room, part.size());
-        piece_.bytes.append(static_cast<const char*>(part.data()), size);
+        const std::size_t capacity =
+            chunk_.capacity > chunk_.bytes.size() ? chunk_.capacity - chunk_.bytes.size() : 0;
+        const std::size_t size = std::min(capacity, part.size());
+        chunk_.bytes.append(static_cast<const char*>(part.data()), size);
         used += size;
         if (size < part.size()) {
           error = beast_http::error::need_buffer;
@@ -83,7 +84,7 @@
     void finish(boost::system::error_code& error) { error = {}; }
 
    private:
-    value_type& piece_;
+    value_type& chunk_;
   };
 };
 
@@ -91,25 +92,25 @@
 // is never begun. Longer ones pass through in pieces.
 constexpr std::size_t kBufferLimit = 64 * 1024;
 // An answer that does not tell its length may begin its way from this on: it may take long to grow further.
-constexpr std::size_t kLeastStreamed = 16 * 1024;
+constexpr std::size_t kMinStreamedSize = 16 * 1024;
 // No longer body is passed on at all.
-constexpr std::uint64_t kMostBody = 64 * 1024 * 1024;
+constexpr std::uint64_t kMaxBodySize = 64 * 1024 * 1024;
 // A request's body that was passed on is kept until it is longer than this, to be sent again where nothing
 // ran.
-constexpr std::size_t kMostKept = 512 * 1024;
-constexpr std::uint32_t kMostHeader = 16 * 1024;
+constexpr std::size_t kMaxReplaySize = 512 * 1024;
+constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
 // What a connection reads ahead of its parser.
-constexpr std::size_t kMostRead = 32 * 1024;
+constexpr std::size_t kMaxReadAhead = 32 * 1024;
 
 // What has come of a request's head. `scanned` is where the last look at the same bytes ended.
-enum class Head { kPartial, kWhole, kBad };
+enum class HeadStatus { kPartial, kWhole, kInvalid };
 // Bad is what other readers may take for something else than the parser does: lines that end or go on oddly,
 // and all that begins with no method that is served here.
-Head LookAtHead(boost::beast::string_view bytes, std::size_t& scanned);
+HeadStatus InspectHead(boost::beast::string_view bytes, std::size_t& scanned);
 
 // Where a request's body ends must be beyond doubt: what one reader takes for a body may hold a request for
 // the next. Names what is wrong with it; null where nothing is.
-const char* FramingFault(const beast_http::request_header<>& header);
+const char* FindFramingError(const beast_http::request_header<>& header);
 
 // A head as it goes over the wire, with its empty line.
 template <bool isRequest>
--- a/src/http/transport.cpp
+++ b/src/http/transport.cpp
@@ -89,7 +89,7 @@
 // Does the head tell where a served answer ends? One that ends with its connection is told by that (RFC 9112
 // section 6.3) where its head says that the connection ends; otherwise it can't be told from one that was
 // cut.
-bool TellsItsEnd(const beast_http::response_parser<PieceBody>& parser) {
+bool TellsItsEnd(const beast_http::response_parser<IncrementalBody>& parser) {
   const auto& header = parser.get();
   const auto codings = header.count(beast_http::field::transfer_encoding);
   if (codings == 0) return parser.content_length().has_value() || !header.keep_alive();
@@ -140,7 +140,7 @@
         socket_(owner.io_),
         write_stream_(socket_),
         timer_(owner.io_) {
-    buffer_.max_size(kMostRead);
+    buffer_.max_size(kMaxReadAhead);
   }
 
   error_code OpenSocket() {
@@ -342,9 +342,9 @@
 
   void Read() {
     parser_.emplace();
-    parser_->body_limit(kMostBody);
-    parser_->get().body().room = kBufferLimit;
-    parser_->header_limit(kMostHeader);
+    parser_->body_limit(kMaxBodySize);
+    parser_->get().body().capacity = kBufferLimit;
+    parser_->header_limit(kMaxHeaderSize);
     // The header on its own first: Beast 1.74 forgets that the body is beyond the bound where the first of
     // the body comes along with the header, and would take all of it.
     beast_http::async_read_header(socket_, buffer_, *parser_,
@@ -373,13 +373,13 @@
 
   // It is long by now, or may still end in its time, whole or as one that is tried again.
   void BufferedForLong() {
-    if (parser_->get().body().bytes.size() >= kLeastStreamed) return StartStreaming();
+    if (parser_->get().body().bytes.size() >= kMinStreamedSize) return StartStreaming();
     ArmTimer(gives_up_);
   }
 
   void Buffered(bool beyond_bound) {
     const std::size_t size = parser_->get().body().bytes.size();
-    if (beyond_bound || (size >= kLeastStreamed && runtime::Now() >= *buffering_until_))
+    if (beyond_bound || (size >= kMinStreamedSize && runtime::Now() >= *buffering_until_))
       return StartStreaming();
     ReadMore();
   }
@@ -395,7 +395,7 @@
     answer_ = coming.stream;
     answer_->Append(parser_->get().body().bytes);
     parser_->get().body().bytes.clear();
-    answer_->on_room = [weak = weak_from_this()] {
+    answer_->on_capacity = [weak = weak_from_this()] {
       if (const auto self = weak.lock()) self->ReadMore();
     };
     DisarmTimer();
@@ -408,10 +408,10 @@
   void ReadMore() {
     if (closed_ || reading_more_ || (!answer_ && !buffering_until_)) return;
     if (answer_) {
-      const std::size_t room = answer_->Room();
+      const std::size_t capacity = answer_->Capacity();
       // The client takes its time.
-      if (room == 0) return DisarmTimer();
-      parser_->get().body().room = room;
+      if (capacity == 0) return DisarmTimer();
+      parser_->get().body().capacity = capacity;
       ArmTimer(runtime::Now() + kAnswerIdleTimeout);
     }
     reading_more_ = true;
@@ -502,7 +502,7 @@
   // Another attempt may take the request's body from here on.
   void LeaveBody() {
     if (!pumping_) writer_.reset();  // else it is what called, and this connection is closed
-    if (message_ && message_->coming) message_->coming.stream->Leave();
+    if (message_ && message_->coming) message_->coming.stream->StopConsuming();
   }
 
   // An idle connection keeps nothing of its last exchange.
@@ -546,7 +546,7 @@
   runtime::WriteStream<tcp::socket> write_stream_;
   boost::asio::steady_timer timer_;
   boost::beast::flat_buffer buffer_;
-  std::optional<beast_http::response_parser<PieceBody>> parser_;
+  std::optional<beast_http::response_parser<IncrementalBody>> parser_;
   std::optional<beast_http::request<beast_http::span_body<const char>>> sending_;
   std::optional<beast_http::request_serializer<beast_http::span_body<const char>>> serializer_;
   Phase phase_ = Phase::kIdle;
@@ -633,7 +633,7 @@
   }
   const auto http_message = std::static_pointer_cast<const HttpMessage>(message);
   // Of a body that is not held from its first byte on any more nothing can be sent again.
-  if (connection && http_message->coming && !http_message->coming.stream->Begin()) {
+  if (connection && http_message->coming && !http_message->coming.stream->BeginConsuming()) {
     Release(std::exchange(connection, nullptr));
   }
   if (!connection) return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -21,13 +21,13 @@
 // After accept() failed: a lack of descriptors or memory for a moment costs little, one that lasts no spin.
 // Doubled from the least to the most while nothing is accepted. Where it is the owner that has no room, the
 // most.
-constexpr Duration kLeastPause = std::chrono::milliseconds(1);
-constexpr Duration kMostPause = std::chrono::milliseconds(20);
+constexpr Duration kMinRetryPause = std::chrono::milliseconds(1);
+constexpr Duration kMaxRetryPause = std::chrono::milliseconds(20);
 // A handler that is put off runs behind a look of the event loop at the system, but ahead of what that found;
 // put off twice it runs behind both.
-constexpr int kRounds = 2;
+constexpr int kRoundsBeforeMissed = 2;
 // Clients that left ahead of their turn, one behind the other, before others get theirs.
-constexpr int kMostGone = 64;
+constexpr int kMaxAbortedInARow = 64;
 
 bool IsExhausted(const error_code& error) {
   return error == boost::asio::error::no_descriptors || error == boost::asio::error::no_memory ||
@@ -38,7 +38,7 @@
 // Of the connection at the head of the queue, which is gone, or of this one call; nothing is wrong with the
 // listening socket. accept(2): what the network did to a connection in the queue is passed on as an error of
 // accept, and is to be taken like EAGAIN by calling again; EPERM is a firewall's word on one client.
-bool IsOfOneClient(const error_code& error) {
+bool IsOfOneConnection(const error_code& error) {
   if (error.category() != boost::system::system_category()) return false;
   switch (error.value()) {
     case EINTR:
@@ -73,7 +73,7 @@
       log_(log),
       socket_(io),
       pause_(io),
-      retry_pause_(kLeastPause),
+      retry_pause_(kMinRetryPause),
       paused_(where.paused),
       self_(std::make_shared<Acceptor*>(this)) {
   const auto protocol = where.endpoint.protocol();
@@ -93,11 +93,11 @@
   // Else asio takes a client that left ahead of its turn for a reason to block until the next one comes, and
   // with it everything that this event loop serves.
   socket_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
-  Wait();
+  WaitForClient();
 }
 
 // Waits for a client before making room for it, and without a descriptor of its own.
-void Acceptor::Wait() {
+void Acceptor::WaitForClient() {
   if (paused_ || waiting_) return;
   waiting_ = true;
   socket_.async_wait(tcp::acceptor::wait_read, [weak = std::weak_ptr(self_)](error_code error) {
@@ -105,23 +105,23 @@
     if (!self) return;
     Acceptor& acceptor = **self;
     acceptor.waiting_ = false;
-    ++acceptor.woken_;
+    ++acceptor.wakeups_;
     if (acceptor.paused_ || !acceptor.socket_.is_open()) return;
     if (!error) return acceptor.Accept();
     // Paused, and resumed since.
-    if (error == boost::asio::error::operation_aborted) return acceptor.Wait();
+    if (error == boost::asio::error::operation_aborted) return acceptor.WaitForClient();
     // Nobody foresaw it, and it must not end the listening.
     acceptor.log_.Line(acceptor.label_ + "waiting for clients: " + error.message());
-    acceptor.WaitLater(kMostPause);
+    acceptor.RetryAfter(kMaxRetryPause);
   });
 }
 
-void Acceptor::WaitLater(Duration pause) {
+void Acceptor::RetryAfter(Duration pause) {
   pause_.expires_after(pause);
   pause_.async_wait([this](error_code error) {
     if (error || !socket_.is_open() || paused_) return;
     // A wait that missed a client does not hear of it after the pause either.
-    waiting_ ? Accept() : Wait();
+    waiting_ ? Accept() : WaitForClient();
   });
 }
 
@@ -132,21 +132,21 @@
 
 void Acceptor::Look() {
   // Without a wait there is a pause, which ends by a timer.
-  if (!waiting_ || paused_ || looking_ || !socket_.is_open() || !ClientWaits()) return;
-  looking_ = true;
-  LookAgain(kRounds);
+  if (!waiting_ || paused_ || confirming_ || !socket_.is_open() || !ClientWaits()) return;
+  confirming_ = true;
+  ConfirmMissedWakeup(kRoundsBeforeMissed);
 }
 
 // It may just have come: the event loop gets its chance to tell first.
-void Acceptor::LookAgain(int rounds) {
-  boost::asio::post(io_, [weak = std::weak_ptr(self_), rounds, woken = woken_] {
+void Acceptor::ConfirmMissedWakeup(int rounds) {
+  boost::asio::post(io_, [weak = std::weak_ptr(self_), rounds, woken = wakeups_] {
     const auto self = weak.lock();
     if (!self) return;
     Acceptor& acceptor = **self;
-    const bool told = acceptor.woken_ != woken || !acceptor.waiting_;
-    if (!told && rounds > 1) return acceptor.LookAgain(rounds - 1);
-    acceptor.looking_ = false;
-    if (told || acceptor.paused_ || !acceptor.socket_.is_open() || !acceptor.ClientWaits()) return;
+    const bool notified = acceptor.wakeups_ != woken || !acceptor.waiting_;
+    if (!notified && rounds > 1) return acceptor.ConfirmMissedWakeup(rounds - 1);
+    acceptor.confirming_ = false;
+    if (notified || acceptor.paused_ || !acceptor.socket_.is_open() || !acceptor.ClientWaits()) return;
     if (acceptor.missed_++ == 0) {
       acceptor.log_.Line(acceptor.label_ +
                          "a client waited and the system did not tell; further ones are only counted");
@@ -156,35 +156,35 @@
 }
 
 void Acceptor::Accept() {
-  int gone = 0;
+  int aborted = 0;
   while (true) {
     while (!owner_.Room()) {
-      if (!owner_.MakeRoom()) return WaitLater(kMostPause);
+      if (!owner_.MakeRoom()) return RetryAfter(kMaxRetryPause);
     }
     tcp::socket socket(io_);
     error_code error;
     socket_.accept(socket, error);
     if (!error) {
-      retry_pause_ = kLeastPause;
+      retry_pause_ = kMinRetryPause;
       owner_.Admit(std::move(socket));
       // Room for the next is made only once it is there: it would be this one's that had said nothing yet.
       if (!owner_.Room()) break;
       continue;
     }
     if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) break;
-    if (IsOfOneClient(error)) {
-      if (++gone < kMostGone) continue;
-      return WaitLater(NextRetryPause());
+    if (IsOfOneConnection(error)) {
+      if (++aborted < kMaxAbortedInARow) continue;
+      return RetryAfter(NextRetryPause());
     }
     log_.Line(label_ + "accept: " + error.message());
     if (error == boost::asio::error::bad_descriptor) return;
     // Guards against a spin where descriptors or memory ran out: the client stays in the backlog. Other
     // connections make room only for a lack that outlasts a pause.
-    const bool lasting = retry_pause_ > kLeastPause;
+    const bool lasting = retry_pause_ > kMinRetryPause;
     if (IsExhausted(error) && lasting) owner_.MakeRoom();
-    return WaitLater(NextRetryPause());
+    return RetryAfter(NextRetryPause());
   }
-  Wait();
+  WaitForClient();
 }
 
 void Acceptor::Pause() {
@@ -195,7 +195,7 @@
 
 void Acceptor::Resume() {
   if (!std::exchange(paused_, false) || !socket_.is_open()) return;
-  Wait();
+  WaitForClient();
 }
 
 // Closing alone would leave it in this process's epoll set, since the other process keeps it open.
@@ -207,7 +207,7 @@
 }
 
 Duration Acceptor::NextRetryPause() {
-  return std::exchange(retry_pause_, std::min(retry_pause_ * 2, kMostPause));
+  return std::exchange(retry_pause_, std::min(retry_pause_ * 2, kMaxRetryPause));
 }
 
 // Closing over clients that wait resets them. An error alone says nothing of whether somebody waits: it may
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -66,12 +66,12 @@
   std::uint64_t missed() const { return missed_; }
 
  private:
-  void Wait();
-  void WaitLater(Duration pause);
+  void WaitForClient();
+  void RetryAfter(Duration pause);
   Duration NextRetryPause();
   void Accept();
   bool ClientWaits();
-  void LookAgain(int rounds);
+  void ConfirmMissedWakeup(int rounds);
 
   boost::asio::io_context& io_;
   const std::string label_;
@@ -81,9 +81,9 @@
   boost::asio::steady_timer pause_;
   Duration retry_pause_;  // the next one after a failure of accept()
   bool paused_ = false;
-  bool waiting_ = false;  // the event loop is to tell of the next client
-  bool looking_ = false;  // a look found one that the event loop may still tell of
-  std::uint64_t woken_ = 0;
+  bool waiting_ = false;     // the event loop is to tell of the next client
+  bool confirming_ = false;  // a look found one that the event loop may still tell of
+  std::uint64_t wakeups_ = 0;
   std::uint64_t missed_ = 0;
   const std::shared_ptr<Acceptor*>
       self_;  // goes with this: handlers that are still to come must not touch it
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -25,13 +25,13 @@
       return;
     }
     if (dropped_ > 0) out_ << name_ << ": " << std::exchange(dropped_, 0) << " lines left out\n";
-    out_ << name_ << ": " << text.substr(0, kLongest) << std::endl;
+    out_ << name_ << ": " << text.substr(0, kMaxLineLength) << std::endl;
   }
 
  private:
   static constexpr double kBurst = 100;
   static constexpr double kPerSecond = 5;
-  static constexpr std::size_t kLongest = 500;
+  static constexpr std::size_t kMaxLineLength = 500;
   std::ostream& out_;
   std::string name_;
   RateLimiter rate_limiter_{kPerSecond, kBurst, Now()};
--- a/src/runtime/stream.cpp
+++ b/src/runtime/stream.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::runtime {
 
 std::size_t ByteBudget::Window() const {
-  return std::clamp(bytes_ / std::max<std::size_t>(open_, 1), kLeastWindow, kMostWindow);
+  return std::clamp(bytes_ / std::max<std::size_t>(open_, 1), kMinWindow, kMaxWindow);
 }
 
 Stream::Stream(ByteBudget& budget, std::size_t keep) : budget_(budget), keep_(keep) { ++budget_.open_; }
@@ -15,8 +15,8 @@
   budget_.held_ -= bytes_.size() - head_;
 }
 
-std::size_t Stream::Room() const {
-  if (abandoned_) return ByteBudget::kLeastWindow;
+std::size_t Stream::Capacity() const {
+  if (abandoned_) return ByteBudget::kMinWindow;
   // What is only kept does not count: it is bounded by `keep`.
   const auto waiting = static_cast<std::size_t>(size() - next_);
   const std::size_t window = budget_.Window();
@@ -27,32 +27,32 @@
   if (abandoned_ || state_ != State::kComing || bytes.empty()) return;
   bytes_.append(bytes);
   budget_.held_ += bytes.size();
-  DropWhatWasTaken();
-  if (const auto tell = on_bytes) tell();
+  DropConsumed();
+  if (const auto notify = on_bytes) notify();
 }
 
 void Stream::End(State state) {
   if (state_ != State::kComing) return;
   state_ = state;
-  if (const auto tell = on_bytes) tell();
+  if (const auto notify = on_bytes) notify();
 }
 
-bool Stream::Begin() {
-  if (base_ != 0 || abandoned_ || taken_) return false;
-  taken_ = true;
+bool Stream::BeginConsuming() {
+  if (base_ != 0 || abandoned_ || has_consumer_) return false;
+  has_consumer_ = true;
   next_ = 0;
   return true;
 }
 
-void Stream::Leave() {
-  taken_ = false;
+void Stream::StopConsuming() {
+  has_consumer_ = false;
   on_bytes = nullptr;
 }
 
-void Stream::Take(std::size_t size) {
+void Stream::Consume(std::size_t size) {
   next_ += size;
-  DropWhatWasTaken();
-  if (const auto tell = on_room) tell();
+  DropConsumed();
+  if (const auto notify = on_capacity) notify();
 }
 
 void Stream::Abandon() {
@@ -60,10 +60,10 @@
   on_bytes = nullptr;
   next_ = size();
   Drop(bytes_.size() - head_);
-  if (const auto tell = on_room) tell();
+  if (const auto notify = on_capacity) notify();
 }
 
-void Stream::DropWhatWasTaken() {
+void Stream::DropConsumed() {
   const bool keeps = size() <= keep_ && budget_.held_ <= budget_.bytes_ / 2;
   if (!keeps && next_ > base_) Drop(static_cast<std::size_t>(next_ - base_));
 }
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -19,7 +19,7 @@
   explicit ByteBudget(std::size_t bytes) : bytes_(bytes), full_(bytes) {}
 
   // What each open stream may hold: enough to keep both sides busy, never so little that it stands still. The
-  // sum may pass the budget by kLeastWindow for each stream beyond what it allows: streams are as many as
+  // sum may pass the budget by kMinWindow for each stream beyond what it allows: streams are as many as
   // descriptors.
   std::size_t Window() const;
   // Another process of this sidecar has the other half.
@@ -29,8 +29,8 @@
   std::size_t held() const { return held_; }
   std::size_t open() const { return open_; }
 
-  static constexpr std::size_t kLeastWindow = std::size_t{16} * 1024;
-  static constexpr std::size_t kMostWindow = std::size_t{256} * 1024;
+  static constexpr std::size_t kMinWindow = std::size_t{16} * 1024;
+  static constexpr std::size_t kMaxWindow = std::size_t{256} * 1024;
 
  private:
   friend class Stream;
@@ -53,24 +53,23 @@
   // ---- The side that appends ----
 
   // Bytes that may be appended now.
-  std::size_t Room() const;
-  // Takes what `bytes` holds; more than Room() is taken, too, and leaves none.
+  std::size_t Capacity() const;
+  // Takes what `bytes` holds; more than Capacity() is taken, too, and leaves none.
   void Append(std::string_view bytes);
   void End(State state);
   // There is room again, or nobody wants the rest. Called from within the other side's calls.
-  std::function<void()> on_room;
+  std::function<void()> on_capacity;
 
   // ---- The side that takes; one at a time ----
 
   // Begins at the first byte; false where that is held no more. What another one took so far counts as not
   // taken.
-  bool Begin();
+  bool BeginConsuming();
   // Whoever began takes no more: another may begin.
-  void Leave();
-  bool held_whole() const { return base_ == 0; }
+  void StopConsuming();
   // What can be taken now; valid until the next call of either side.
   std::string_view Ready() const { return std::string_view(bytes_).substr(head_ + (next_ - base_)); }
-  void Take(std::size_t size);
+  void Consume(std::size_t size);
   State state() const { return state_; }
   // All has come, and all is taken.
   bool done() const { return state_ == State::kWhole && next_ == size(); }
@@ -83,7 +82,7 @@
   std::uint64_t size() const { return base_ + bytes_.size() - head_; }  // all that came
 
  private:
-  void DropWhatWasTaken();
+  void DropConsumed();
   void Drop(std::size_t size);
 
   ByteBudget& budget_;
@@ -94,7 +93,7 @@
   std::uint64_t next_ = 0;  // the next one to be taken
   State state_ = State::kComing;
   bool abandoned_ = false;
-  bool taken_ = false;  // somebody takes
+  bool has_consumer_ = false;  // somebody takes
 };
 
 }  // namespace mothrack::runtime
--- a/tests/http/listener_test.cpp
+++ b/tests/http/listener_test.cpp
@@ -163,10 +163,10 @@
     taken.coming = coming;
     taken.reply = std::move(reply);
     if (coming && takes) {
-      coming.stream->Begin();
+      coming.stream->BeginConsuming();
       const auto take = [&taken, stream = coming.stream.get()] {
         taken.body += stream->Ready();
-        stream->Take(stream->Ready().size());
+        stream->Consume(stream->Ready().size());
       };
       coming.stream->on_bytes = take;
     }
@@ -707,7 +707,7 @@
   for (const Departure& departure : Departures()) {
     for (const Way way : {Way::kClose, Way::kReset}) {
       SCOPED_TRACE(departure.name + std::string(way == Way::kReset ? ", reset" : ", closed"));
-      Listen(kRoomy, runtime::ByteBudget::kLeastWindow);
+      Listen(kRoomy, runtime::ByteBudget::kMinWindow);
       Client& client = Connect();
       ASSERT_EQ(SendAll(client, departure.sent), departure.sent.size());
       Settle();
@@ -811,7 +811,7 @@
   const std::string sent = PostOfLength(8 << 20, 8 << 20);
   EXPECT_LT(SendAll(client, sent), sent.size());
   Settle();
-  EXPECT_LE(budget->held(), http::kBufferLimit + runtime::ByteBudget::kMostWindow);
+  EXPECT_LE(budget->held(), http::kBufferLimit + runtime::ByteBudget::kMaxWindow);
   const auto waits = system_.waits;
   Settle();
   EXPECT_LE(system_.waits - waits, 2U);
--- a/tests/runtime/stream_test.cpp
+++ b/tests/runtime/stream_test.cpp
@@ -13,31 +13,31 @@
 TEST(Stream, HoldsNoMoreThanItsWindowAndTellsBothSides) {
   runtime::ByteBudget budget(64 * 1024);
   runtime::Stream stream(budget, 0);
-  int room = 0;
+  int capacity_events = 0;
   int bytes = 0;
-  stream.on_room = [&] { ++room; };
+  stream.on_capacity = [&] { ++capacity_events; };
   stream.on_bytes = [&] { ++bytes; };
-  ASSERT_TRUE(stream.Begin());
-  EXPECT_EQ(stream.Room(), 64U * 1024);
+  ASSERT_TRUE(stream.BeginConsuming());
+  EXPECT_EQ(stream.Capacity(), 64U * 1024);
   stream.Append(std::string(64 * 1024, 'a'));
-  EXPECT_EQ(stream.Room(), 0U);
+  EXPECT_EQ(stream.Capacity(), 0U);
   EXPECT_EQ(bytes, 1);
-  stream.Take(40 * 1024);
-  EXPECT_EQ(room, 1);
-  EXPECT_EQ(stream.Room(), 40U * 1024);
+  stream.Consume(40 * 1024);
+  EXPECT_EQ(capacity_events, 1);
+  EXPECT_EQ(stream.Capacity(), 40U * 1024);
   EXPECT_EQ(budget.held(), 24U * 1024);
   {
     // Shared evenly among those that are open, and never less than the least.
     std::vector<std::unique_ptr<runtime::Stream>> others;
     for (int i = 0; i < 9; ++i) others.push_back(std::make_unique<runtime::Stream>(budget, 0));
-    EXPECT_EQ(others[0]->Room(), runtime::ByteBudget::kLeastWindow);
+    EXPECT_EQ(others[0]->Capacity(), runtime::ByteBudget::kMinWindow);
   }
   stream.Append("end");
   stream.End(runtime::Stream::State::kWhole);
   EXPECT_FALSE(stream.done());
-  stream.Take(24 * 1024);
+  stream.Consume(24 * 1024);
   EXPECT_EQ(stream.Ready(), "end");
-  stream.Take(3);
+  stream.Consume(3);
   EXPECT_TRUE(stream.done());
   EXPECT_EQ(budget.held(), 0U);
 }
@@ -45,28 +45,28 @@
 TEST(Stream, BeginsAgainOnlyWhileAllIsHeld) {
   runtime::ByteBudget budget(1024 * 1024);
   runtime::Stream stream(budget, 100);
-  ASSERT_TRUE(stream.Begin());
+  ASSERT_TRUE(stream.BeginConsuming());
   stream.Append(std::string(60, 'a'));
-  stream.Take(60);
-  EXPECT_FALSE(stream.Begin());  // somebody takes
-  stream.Leave();
-  ASSERT_TRUE(stream.Begin());
+  stream.Consume(60);
+  EXPECT_FALSE(stream.BeginConsuming());  // somebody takes
+  stream.StopConsuming();
+  ASSERT_TRUE(stream.BeginConsuming());
   EXPECT_EQ(stream.Ready(), std::string(60, 'a'));
-  stream.Take(60);
+  stream.Consume(60);
   stream.Append(std::string(60, 'b'));
   EXPECT_EQ(stream.Ready(), std::string(60, 'b'));
-  stream.Leave();
-  EXPECT_FALSE(stream.Begin());
+  stream.StopConsuming();
+  EXPECT_FALSE(stream.BeginConsuming());
 }
 
 TEST(Stream, WhatNobodyWantsIsDroppedAsItComes) {
   runtime::ByteBudget budget(1024 * 1024);
   runtime::Stream stream(budget, 1000);
-  ASSERT_TRUE(stream.Begin());
+  ASSERT_TRUE(stream.BeginConsuming());
   stream.Append("some");
   stream.Abandon();
   for (int i = 0; i < 100; ++i) {
-    ASSERT_GT(stream.Room(), 0U);
+    ASSERT_GT(stream.Capacity(), 0U);
     stream.Append(std::string(10000, 'x'));
   }
   EXPECT_EQ(budget.held(), 0U);
