--- /dev/null
+++ b/src/http/client_connection.cpp
@@ -0,0 +1,368 @@
+#include "http/client_connection.h"
+
+#include <poll.h>
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstdint>
+#include <string_view>
+#include <utility>
+
+#include "http/plain_response.h"
+#include "runtime/system_calls.h"
+
+namespace mothrack::http {
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::system::error_code;
+
+constexpr std::size_t kReadSize = 8192;
+// A body may come as slowly as this, bytes a second, and an answer be taken with pauses as long: usual
+// clients on bad lines. The system may hold much of an answer, which the client takes before any of ours
+// moves on.
+constexpr std::int64_t kMinBodyRate = 16 * 1024;
+constexpr runtime::Duration kWriteIdleTimeout = std::chrono::seconds(30);
+// A connection opened in that time is about to carry a request.
+constexpr runtime::Duration kNewConnectionAge = std::chrono::milliseconds(300);
+
+}  // namespace
+
+ClientConnection::ClientConnection(Owner& owner, runtime::Descriptors& descriptors,
+                                   runtime::ByteBudget& budget, tcp::socket socket)
+    : owner_(&owner),
+      budget_(budget),
+      slot_(std::in_place, descriptors, runtime::Descriptors::Side::kClient),
+      socket_(std::move(socket)),
+      writer_(socket_, *this),
+      linger_(socket_) {
+  AwaitRequest();
+}
+
+// ---- Its end ----
+
+void ClientConnection::Close() {
+  if (closed_) return;
+  closed_ = true;
+  error_code ignored;
+  socket_.close(ignored);
+  slot_.reset();
+  const auto self = shared_from_this();
+  if (owner_ != nullptr) owner_->Remove(self);
+  // First: what is told then ends the attempts, and nobody waits for the rest of a body any more.
+  if (const auto on_disconnect = std::exchange(observer_, {}).on_disconnect) on_disconnect();
+  if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kBroken);
+  writer_.AbandonBody();
+}
+
+void ClientConnection::Orphan() {
+  owner_ = nullptr;
+  observer_ = {};
+  Close();
+}
+
+void ClientConnection::HalfClose() {
+  phase_ = Phase::kHalfClosed;
+  since_ = runtime::Now();
+  linger_.ShutdownSend();
+}
+
+void ClientConnection::CloseNow() {
+  if (phase_ == Phase::kLingering) linger_.DropUnread();
+  Close();
+}
+
+void ClientConnection::CloseIfOverdue(runtime::TimePoint now) {
+  if (closed_ || (phase_ == Phase::kServing && !upload_) || now - since_ <= Timeout(now)) return;
+  if (phase_ != Phase::kReading) return CloseNow();
+  if (!reader_.started() && !unused_) return;
+  // It may be the sidecar that had no time: what has come is read first.
+  if (HasUnreadBytes() && !std::exchange(excused_, true)) return;
+  if (reader_.started()) {
+    return Reject(beast_http::status::request_timeout, "request did not come in time");
+  }
+  Close();
+}
+
+runtime::Duration ClientConnection::Timeout(runtime::TimePoint now) const {
+  if (phase_ == Phase::kLingering && upload_was_cut_) return kRequestTimeout;
+  if (AwaitsClose()) return kLingerTimeout;
+  if (phase_ == Phase::kWriting) return writer_.streaming() ? kWriteIdleTimeout : kRequestTimeout;
+  const auto body_bytes = static_cast<std::int64_t>(reader_.body_bytes());
+  return kRequestTimeout + upload_stall_.Total(now) +
+         runtime::Duration(body_bytes * runtime::Duration::period::den / kMinBodyRate);
+}
+
+// ---- What the owner asks ----
+
+bool ClientConnection::IsNew(runtime::TimePoint now) const {
+  return unused_ && now - since_ < kNewConnectionAge;
+}
+
+bool ClientConnection::ReadsNothing() const {
+  if (closed_ || phase_ == Phase::kReading) return false;
+  return phase_ == Phase::kHalfClosed || !reading_;
+}
+
+bool ClientConnection::HasUnreadBytes() {
+  if (phase_ != Phase::kReading) return false;
+  error_code error;
+  return socket_.available(error) > 0 && !error;
+}
+
+bool ClientConnection::ClientDisconnected() {
+  const auto events = runtime::PollNow(socket_.native_handle(), POLLRDHUP);
+  return (events.value_or(0) & (POLLRDHUP | POLLHUP | POLLERR)) != 0;
+}
+
+ConnectionActivity ClientConnection::Activity(runtime::TimePoint now) const {
+  auto phase = ConnectionActivity::Phase::kResponding;
+  if (phase_ == Phase::kReading) phase = ConnectionActivity::Phase::kReading;
+  if (AwaitsClose()) phase = ConnectionActivity::Phase::kAwaitingClose;
+  return {phase, reader_.started(), unused_, now - since_};
+}
+
+// ---- Reading ----
+
+void ClientConnection::AwaitRequest() {
+  reader_.BeginNextRequest();
+  upload_stall_.Reset();
+  excused_ = false;
+  since_ = runtime::Now();
+  owner_->OnAwaitingRequest(since_);
+}
+
+// Waits without a buffer: hundreds of connections may be idle.
+void ClientConnection::Read() {
+  if (reading_ || closed_) return;
+  // Its upstream takes the body more slowly than it comes.
+  const bool stalled = upload_ && upload_->Capacity() == 0;
+  if (stalled && !upload_stall_.stalled()) upload_stall_.Stall(runtime::Now());
+  const bool buffer_full = reader_.buffer().size() == reader_.buffer().max_size();
+  if (stalled || buffer_full || (flooded_ && linger_.dropped_bytes() > kMaxLingerBytes)) {
+    owner_->CheckForDisconnects();
+    return;
+  }
+  if (upload_stall_.stalled()) upload_stall_.Resume(runtime::Now());
+  reading_ = true;
+  socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
+    self->reading_ = false;
+    if (self->closed_) return;
+    if (error) return self->Close();
+    if (self->phase_ == Phase::kHalfClosed) return self->AwaitClose();
+    self->Receive();
+  });
+}
+
+// Of a half-closed connection something is to be read. If it is the end, all is done; else the sweep looks
+// for that behind what waits.
+void ClientConnection::AwaitClose() {
+  error_code error;
+  runtime::PeekByte(socket_, error);
+  if (runtime::WouldBlock(error)) return Read();
+  if (error) Close();
+}
+
+void ClientConnection::Receive() {
+  auto& buffer = reader_.buffer();
+  const std::size_t size = std::min(buffer.max_size() - buffer.size(), upload_ ? kMaxReadAhead : kReadSize);
+  error_code error;
+  const std::size_t received = runtime::ReadSome(socket_, buffer.prepare(size), error);
+  if (runtime::WouldBlock(error)) return Read();
+  if (error) return Close();
+  buffer.commit(received);
+  Progress();
+}
+
+void ClientConnection::Progress() {
+  if (parsing_ || closed_) return;
+  if (phase_ == Phase::kLingering || flooded_) {
+    if (upload_was_cut_ && reader_.buffer().size() > 0) since_ = runtime::Now();
+    DropBuffered();
+    const std::size_t limit = upload_was_cut_ ? kMaxBodySize : kMaxLingerBytes;
+    if (phase_ == Phase::kLingering && linger_.dropped_bytes() > limit) return Close();
+  }
+  parsing_ = true;
+  Parse();
+  parsing_ = false;
+  // Nobody sends so much ahead who waits for answers. Reading on tells whether it has left already.
+  if (phase_ != Phase::kReading && !upload_ && reader_.buffer().size() == kMaxReadAhead) {
+    flooded_ = close_after_ = true;
+    DropBuffered();
+  }
+  Read();
+}
+
+// Nothing of these bytes is read as a request.
+void ClientConnection::DropBuffered() {
+  auto& buffer = reader_.buffer();
+  linger_.CountDropped(buffer.size());
+  buffer.consume(buffer.size());
+}
+
+void ClientConnection::Parse() {
+  while ((phase_ == Phase::kReading || upload_) && reader_.buffer().size() > 0 && !closed_) {
+    if (!ParseStep()) return;
+  }
+}
+
+// False where nothing more can be parsed for now.
+bool ClientConnection::ParseStep() {
+  if (upload_) {
+    const std::size_t capacity = upload_->Capacity();
+    if (capacity == 0) return false;
+    reader_.set_chunk_capacity(capacity);
+  }
+  if (!reader_.started()) {
+    reader_.set_started();
+    // The first request's time counts from the connection's start.
+    if (!std::exchange(unused_, false)) since_ = runtime::Now();
+  }
+  const RequestReader::Step step = reader_.Advance();
+  if (upload_) return ContinueUpload(step);
+  if (step.result == RequestReader::Step::Result::kInvalid) {
+    Reject(step.status, step.reason);
+    return false;
+  }
+  if (reader_.TakeHeadCompleted() && !AcceptHead()) return false;
+  if (reader_.complete()) {
+    Serve(reader_.Release(), {});
+    return false;
+  }
+  if (step.result == RequestReader::Step::Result::kBodyBlocked) {
+    BeginUpload();
+    return true;
+  }
+  return step.consumed > 0;
+}
+
+// False where the request ends with its head.
+bool ClientConnection::AcceptHead() {
+  if (const char* error = FindFramingError(reader_.head())) {
+    Reject(beast_http::status::bad_request, error);
+    return false;
+  }
+  SendContinue();
+  return !closed_;
+}
+
+// A client that asked whether to go on waits for this before it sends the body.
+void ClientConnection::SendContinue() {
+  if (!boost::beast::iequals(reader_.head()[beast_http::field::expect], "100-continue")) return;
+  static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
+  std::string_view unsent = kContinue;
+  error_code error;
+  while (!unsent.empty() && !error) {
+    unsent.remove_prefix(runtime::WriteSome(socket_, boost::asio::buffer(unsent), error));
+  }
+  // None of it is no harm: the client goes on after a pause of its own (RFC 9110 section 10.1.1). A part of
+  // it would be taken for the beginning of the answer.
+  if (!unsent.empty() && unsent.size() < kContinue.size()) Close();
+}
+
+// ---- Serving ----
+
+void ClientConnection::Serve(HttpRequest request, ComingBody coming) {
+  // Trailers have joined the head. And what follows a body must begin like a request, or its length was
+  // wrong.
+  if (const char* error = FindFramingError(request)) return Reject(beast_http::status::bad_request, error);
+  if (!coming && reader_.NextRequestIsInvalid()) {
+    return Reject(beast_http::status::bad_request, "no request behind the body");
+  }
+  if (!request.keep_alive()) close_after_ = true;
+  http_version_ = request.version();
+  phase_ = Phase::kServing;
+  if (request.target() == "/up" && request.method() == beast_http::verb::get) {
+    return Respond(owner_->ReportsDraining()
+                       ? PlainResponse(beast_http::status::service_unavailable, "draining")
+                       : PlainResponse(beast_http::status::ok, "up"));
+  }
+  // It may have waited here for longer than its client did.
+  if (ClientDisconnected()) return Close();
+  auto reply = [self = shared_from_this()](HttpResponse response, ComingBody answer) {
+    if (!answer) self->observer_ = {};
+    if (!self->closed_) return self->Respond(std::move(response), std::move(answer));
+    if (answer) answer.stream->Abandon();
+  };
+  auto observer = owner_->HandleRequest(std::move(request), std::move(coming), std::move(reply));
+  if (phase_ == Phase::kServing) observer_ = std::move(observer);
+}
+
+// A body longer than is kept whole: the request goes its way, and the body follows as it comes.
+void ClientConnection::BeginUpload() {
+  HttpRequest request;
+  request.base() = reader_.head();
+  upload_ = std::make_shared<runtime::Stream>(budget_, kMaxReplaySize);
+  upload_->on_capacity = [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) self->Progress();
+  };
+  const auto keep_alive = upload_;
+  Serve(std::move(request), ComingBody{keep_alive, reader_.content_length()});
+  if (upload_) PassOnChunk();
+}
+
+// False where nothing more can be parsed for now.
+bool ClientConnection::ContinueUpload(const RequestReader::Step& step) {
+  if (step.result == RequestReader::Step::Result::kInvalid) {
+    Close();
+    return false;
+  }
+  if (!PassOnChunk()) return false;
+  if (reader_.complete()) {
+    FinishUpload();
+    return true;
+  }
+  return step.consumed > 0;
+}
+
+// What has been read of the body goes on; false where that ended the upload.
+bool ClientConnection::PassOnChunk() {
+  const auto upload = upload_;
+  upload->Append(reader_.chunk());
+  reader_.chunk().clear();
+  return upload_ == upload;
+}
+
+void ClientConnection::FinishUpload() {
+  const auto upload = std::exchange(upload_, nullptr);
+  if (reader_.NextRequestIsInvalid()) close_after_ = true;
+  if (const auto on_complete = std::exchange(observer_.on_complete, nullptr)) on_complete();
+  upload->End(runtime::Stream::State::kWhole);
+}
+
+// Whoever sent this can't be followed any further: nothing behind it on this connection is read as a
+// request.
+void ClientConnection::Reject(beast_http::status status, const std::string& reason) {
+  close_after_ = true;
+  Respond(PlainResponse(status, reason));
+}
+
+void ClientConnection::Respond(HttpResponse response, ComingBody coming) {
+  phase_ = Phase::kWriting;
+  since_ = runtime::Now();
+  // Answered before its body had come: the client may not look before it has sent all of it.
+  if (const auto upload = std::exchange(upload_, nullptr)) {
+    upload->Abandon();
+    upload_was_cut_ = close_after_ = true;
+  }
+  // The one who finds a request unfit asks for the close by the answer.
+  if (!response.keep_alive() || owner_->ClosesAfterResponse()) close_after_ = true;
+  if (ResponseWriter::EndsWithConnection(coming, http_version_)) close_after_ = true;
+  writer_.Start(std::move(response), std::move(coming), http_version_, !close_after_);
+}
+
+void ClientConnection::OnResponseWritten() {
+  observer_ = {};
+  if (close_after_) {
+    phase_ = Phase::kLingering;
+    since_ = runtime::Now();
+    linger_.Begin();
+  } else {
+    phase_ = Phase::kReading;
+    AwaitRequest();
+  }
+  Progress();
+}
+
+}  // namespace mothrack::http
--- /dev/null
+++ b/src/http/eviction_policy.cpp
@@ -0,0 +1,31 @@
+#include "http/eviction_policy.h"
+
+#include <chrono>
+
+namespace mothrack::http {
+namespace {
+
+// Usual clients connect when they have a request: one that has sent nothing by now, or not finished its
+// request by then, goes before those.
+constexpr runtime::Duration kSilentAfter = std::chrono::seconds(1);
+constexpr runtime::Duration kSlowAfter = std::chrono::seconds(1);
+
+}  // namespace
+
+std::optional<EvictionRank> RankForEviction(const ConnectionActivity& activity) {
+  switch (activity.phase) {
+    case ConnectionActivity::Phase::kAwaitingClose:
+      return EvictionRank::kAwaitingClose;
+    case ConnectionActivity::Phase::kResponding:
+      return std::nullopt;
+    case ConnectionActivity::Phase::kReading:
+      break;
+  }
+  if (activity.request_started) {
+    return activity.age > kSlowAfter ? EvictionRank::kSlowRequest : EvictionRank::kRequestArriving;
+  }
+  if (activity.unused) return activity.age > kSilentAfter ? EvictionRank::kSilent : EvictionRank::kNew;
+  return EvictionRank::kKeptAlive;
+}
+
+}  // namespace mothrack::http
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -7,6 +7,8 @@
 #include <optional>
 #include <utility>
 
+#include "http/plain_response.h"
+
 namespace mothrack::http {
 namespace {
 
@@ -19,16 +21,9 @@
 // A client that says it waits longer than this many of its class's deadlines has no idea what it says.
 constexpr int kMostDeadlines = 2;
 
-HttpResponse Plain(beast_http::status status, const std::string& text) {
-  HttpResponse response(status, 11);
-  response.set(beast_http::field::content_type, "text/plain");
-  response.body() = text + "\n";
-  return response;
-}
-
 // For what is no request of this protocol: its connection is closed, too.
 HttpResponse Unfit(const std::string& why) {
-  auto response = Plain(beast_http::status::bad_request, why);
+  auto response = PlainResponse(beast_http::status::bad_request, why);
   response.keep_alive(false);
   return response;
 }
@@ -82,7 +77,7 @@
 }
 
 HttpResponse Refused(runtime::Duration retry_after) {
-  auto response = Plain(beast_http::status::service_unavailable, "refused: trying again is harmless");
+  auto response = PlainResponse(beast_http::status::service_unavailable, "refused: trying again is harmless");
   if (retry_after > runtime::Duration::zero()) {
     char seconds[32];
     std::snprintf(seconds, sizeof seconds, "%.3f", std::chrono::duration<double>(retry_after).count());
@@ -113,8 +108,8 @@
     case dispatch::Final::Kind::kFailed:
       break;
   }
-  return final.late ? Plain(beast_http::status::gateway_timeout, "no answer in time")
-                    : Plain(beast_http::status::bad_gateway, "upstream failed");
+  return final.late ? PlainResponse(beast_http::status::gateway_timeout, "no answer in time")
+                    : PlainResponse(beast_http::status::bad_gateway, "upstream failed");
 }
 
 }  // namespace
@@ -124,7 +119,7 @@
                      dispatch::Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
       listener_(io, where, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
-                [this](HttpRequest request, ComingBody coming, Listener::Reply reply) {
+                [this](HttpRequest request, ComingBody coming, ReplyCallback reply) {
                   return Take(std::move(request), std::move(coming), std::move(reply));
                 }) {
   const balancer::Settings& settings = dispatcher.settings();
@@ -136,11 +131,11 @@
   }
 }
 
-Listener::Taken HttpFront::Take(HttpRequest request, ComingBody coming, Listener::Reply reply) {
+RequestObserver HttpFront::Take(HttpRequest request, ComingBody coming, ReplyCallback reply) {
   const runtime::TimePoint now = runtime::Now();
   const auto bad = [&reply](const std::string& why) {
     reply(Unfit(why), {});
-    return Listener::Taken{};
+    return RequestObserver{};
   };
   RemoveHopByHop(request);  // first: `Connection` may name what is checked below
   if (!Visible(request.target())) return bad("bad target");
--- a/src/http/front.h
+++ b/src/http/front.h
@@ -29,7 +29,7 @@
   void Drain(std::function<void()> done) { listener_.Drain(std::move(done)); }
 
  private:
-  Listener::Taken Take(HttpRequest request, ComingBody coming, Listener::Reply reply);
+  RequestObserver Take(HttpRequest request, ComingBody coming, ReplyCallback reply);
 
   dispatch::Dispatcher& dispatcher_;
   std::map<std::string, balancer::ClassId, std::less<>> classes_;
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,12 +1,20 @@
-// The application's side: takes its connections, parses requests, passes answers, notices when it leaves.
+// The address at which the application's clients connect: accepts connections, sweeps those that are overdue,
+// gives one up when descriptors run out, and empties itself on a planned stop.
+//
+// Owned by HttpFront, on the thread of its event loop. Holds as many connections as Descriptors allows its
+// side; what a connection may hold is bounded there. Errors of single connections close these; the
+// constructor throws boost::system::system_error where it can't listen.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <cstdint>
 #include <functional>
 #include <memory>
 
+#include "http/client_connection.h"
 #include "http/messages.h"
+#include "http/request_handler.h"
 #include "runtime/acceptor.h"
 #include "runtime/address.h"
 #include "runtime/clock.h"
@@ -23,27 +31,19 @@
   runtime::Duration longest;
 };
 
-class Listener : private runtime::Acceptor::Owner {
+class Listener : private runtime::Acceptor::Owner, private ClientConnection::Owner {
  public:
-  // The body of an answer may still be coming.
-  using Reply = std::function<void(HttpResponse, ComingBody)>;
-  // What is to be done when the client leaves before its answer is whole; when the last byte has come of a
-  // request that was handed on before.
-  struct Taken {
-    std::function<void()> gone;
-    std::function<void()> whole;
-  };
-  // Takes one request, whose body may still be coming, and calls `reply` once, perhaps at once.
-  using OnRequest = std::function<Taken(HttpRequest request, ComingBody coming, Reply reply)>;
-
-  // Binds and listens; throws boost::system::system_error.
+  // Binds and listens; throws boost::system::system_error. `handler` gets each request.
   // A client that the system does not tell of is found well within the shortest deadline of a request. A
   // planned stop ends ahead of the SIGKILL that may follow the longest one.
   Listener(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
            runtime::ByteBudget& budget, runtime::Logger& log, const DeadlineRange& deadlines,
-           OnRequest on_request);
+           RequestHandler handler);
   ~Listener();
+  Listener(const Listener&) = delete;
+  Listener& operator=(const Listener&) = delete;
 
+  // The address that it listens at, with the port that the system chose where none was given.
   runtime::Endpoint local() const { return acceptor_.local(); }
 
   // A successor accepts from the same socket: this one leaves new clients to it. Taken back where it is gone.
@@ -54,42 +54,54 @@
   // answer. It listens on, so that `/up` can be asked; what still comes is served.
   void Rest(bool on);
   bool resting() const { return resting_ || drained_; }
-  // Clients that waited in the system's queue and of which it did not tell.
+  // Times that clients waited in the system's queue and the event loop was not told.
   std::uint64_t missed() const { return acceptor_.missed(); }
   // A planned stop: serves what still comes for a while, unless a successor does, tells each client to close,
-  // then calls `done`.
+  // then calls `done`, once. Calls after the first have no effect.
   void Drain(std::function<void()> done);
 
  private:
-  class Connection;
-
+  // Of the acceptor
   bool Room() const override { return descriptors_.Room(runtime::Descriptors::Side::kClient); }
   bool MakeRoom() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
+
+  // Of the connections
+  void Remove(const std::shared_ptr<ClientConnection>& connection) override {
+    connections_.Remove(connection);
+  }
+  void OnAwaitingRequest(runtime::TimePoint now) override { PollAcceptor(now); }
+  void CheckForDisconnects() override;
+  bool ClosesAfterResponse() const override { return resting(); }
+  // Asked is whether the address takes clients: with a successor it does.
+  bool ReportsDraining() const override { return resting() && !has_successor_; }
+  RequestObserver HandleRequest(HttpRequest request, ComingBody coming, ReplyCallback reply) override;
+
   runtime::Duration SweepInterval() const;
   // Of the timer; false once all is over.
   bool OnSweep();
   void Sweep();
-  // Something came from a client.
-  void Heard(runtime::TimePoint now);
-  // A connection is served while nothing is read from it: only a look tells that its client has left.
-  void CheckForDisconnects();
+  void SweepConnection(ClientConnection& connection, runtime::TimePoint now, runtime::Duration draining_for);
+  // Ends the accepting of a planned stop when its time has come.
+  void StopAccepting(runtime::Duration draining_for);
+  // Finds clients that wait and of which the event loop was not told; not more often than every
+  // kPollInterval.
+  void PollAcceptor(runtime::TimePoint now);
 
   runtime::Descriptors& descriptors_;
   runtime::ByteBudget& budget_;
-  runtime::Logger& log_;
-  const OnRequest on_request_;
-  runtime::ConnectionSet<Connection> connections_;
+  const RequestHandler handler_;
+  runtime::ConnectionSet<ClientConnection> connections_;
   runtime::Acceptor acceptor_;
   const runtime::Duration sweep_every_;
   const runtime::Duration stop_within_;  // of a planned stop, from its start
-  runtime::TimePoint looked_;            // for clients that wait
+  runtime::TimePoint last_poll_;         // of the acceptor
   runtime::SweepTimer sweep_timer_;
   std::function<void()> drained_;  // set while draining
   bool resting_ = false;
-  bool unread_ = false;     // a connection is served while nothing is read from it
-  bool ended_ = false;      // drained, and told so
-  bool succeeded_ = false;  // draining, and a successor takes clients at the same address
+  bool has_unread_connections_ = false;  // a connection is served while nothing is read from it
+  bool ended_ = false;                   // drained, and the owner was told
+  bool has_successor_ = false;           // draining, and a successor takes clients at the same address
   runtime::TimePoint drain_started_;
 };
 
--- /dev/null
+++ b/src/http/plain_response.h
@@ -0,0 +1,18 @@
+// A response that says one line to a person, as the sidecar's own answers do.
+#pragma once
+
+#include <string>
+
+#include "http/messages.h"
+
+namespace mothrack::http {
+
+// HTTP/1.1, text/plain; `text` is one line without its end.
+inline HttpResponse PlainResponse(beast_http::status status, const std::string& text) {
+  HttpResponse response(status, 11);
+  response.set(beast_http::field::content_type, "text/plain");
+  response.body() = text + "\n";
+  return response;
+}
+
+}  // namespace mothrack::http
--- /dev/null
+++ b/src/http/request_reader.cpp
@@ -0,0 +1,84 @@
+#include "http/request_reader.h"
+
+#include <boost/beast/http/error.hpp>
+#include <boost/system/error_code.hpp>
+#include <utility>
+
+namespace mothrack::http {
+namespace {
+
+using boost::system::error_code;
+
+RequestReader::Step Invalid(beast_http::status status, std::string reason) {
+  return {RequestReader::Step::Result::kInvalid, 0, status, std::move(reason)};
+}
+
+}  // namespace
+
+RequestReader::RequestReader() { buffer_.max_size(kMaxReadAhead); }
+
+void RequestReader::BeginNextRequest() {
+  parser_.emplace();
+  parser_->body_limit(kMaxBodySize);
+  parser_->header_limit(kMaxHeaderSize);
+  set_chunk_capacity(kBufferLimit);
+  body_bytes_ = 0;
+  started_ = false;
+  head_reported_ = false;
+  head_scanned_ = 0;
+  if (buffer_.size() == 0) buffer_.shrink_to_fit();  // most connections are idle most of the time
+}
+
+RequestReader::Step RequestReader::Advance() {
+  if (!parser_->is_header_done()) {
+    const HeadStatus head = InspectHead(Unparsed(), head_scanned_);
+    if (head == HeadStatus::kPartial) return {};
+    if (head == HeadStatus::kInvalid) return Invalid(beast_http::status::bad_request, "bad request head");
+  }
+  return Parse();
+}
+
+RequestReader::Step RequestReader::Parse() {
+  // Not in one go with the header: Beast 1.74 then forgets that the body is beyond the bound.
+  parser_->eager(parser_->is_header_done());
+  error_code error;
+  const std::size_t used = parser_->put(buffer_.data(), error);
+  buffer_.consume(used);
+  if (parser_->is_header_done()) body_bytes_ += used;
+  if (error == beast_http::error::need_buffer) return {Step::Result::kBodyBlocked, used, {}, {}};
+  if (error == beast_http::error::body_limit) {
+    return Invalid(beast_http::status::payload_too_large, "body too large");
+  }
+  if (error && error != beast_http::error::need_more) {
+    return Invalid(beast_http::status::bad_request, error.message());
+  }
+  return {Step::Result::kParsed, used, {}, {}};
+}
+
+bool RequestReader::TakeHeadCompleted() {
+  return parser_->is_header_done() && !std::exchange(head_reported_, true);
+}
+
+std::optional<std::uint64_t> RequestReader::content_length() const {
+  if (const auto length = parser_->content_length()) return *length;
+  return std::nullopt;
+}
+
+HttpRequest RequestReader::Release() {
+  auto message = parser_->release();
+  HttpRequest request;
+  request.base() = std::move(message.base());
+  request.body() = std::move(message.body().bytes);
+  return request;
+}
+
+bool RequestReader::NextRequestIsInvalid() const {
+  std::size_t scanned = 0;
+  return buffer_.size() > 0 && InspectHead(Unparsed(), scanned) == HeadStatus::kInvalid;
+}
+
+boost::beast::string_view RequestReader::Unparsed() const {
+  return {static_cast<const char*>(buffer_.data().data()), buffer_.data().size()};
+}
+
+}  // namespace mothrack::http
--- /dev/null
+++ b/src/http/response_writer.cpp
@@ -0,0 +1,104 @@
+#include "http/response_writer.h"
+
+#include <boost/asio/socket_base.hpp>
+#include <boost/beast/http/write.hpp>
+#include <boost/system/error_code.hpp>
+#include <utility>
+
+namespace mothrack::http {
+namespace {
+
+using boost::asio::ip::tcp;
+using boost::system::error_code;
+
+BodyWriter::Framing FramingOf(const ComingBody& body, unsigned http_version) {
+  if (body.length) return BodyWriter::Framing::kLength;
+  return http_version == 11 ? BodyWriter::Framing::kChunked : BodyWriter::Framing::kConnection;
+}
+
+}  // namespace
+
+bool ResponseWriter::EndsWithConnection(const ComingBody& body, unsigned http_version) {
+  return body && FramingOf(body, http_version) == BodyWriter::Framing::kConnection;
+}
+
+void ResponseWriter::Start(HttpResponse response, ComingBody coming, unsigned http_version, bool keep_alive) {
+  response_ = std::move(response);
+  response_.version(http_version);
+  if (coming) {
+    const auto framing = FramingOf(coming, http_version);
+    return StartStreaming(std::move(coming), framing, keep_alive);
+  }
+  response_.keep_alive(keep_alive);
+  response_.prepare_payload();
+  beast_http::async_write(write_stream_, response_,
+                          [self = owner_.shared_writer()](error_code error, std::size_t) {
+                            if (!self->socket_.is_open()) return;
+                            if (error) return self->owner_.OnWriteFailed();
+                            self->Finish();
+                          });
+}
+
+void ResponseWriter::StartStreaming(ComingBody coming, BodyWriter::Framing framing, bool keep_alive) {
+  if (framing == BodyWriter::Framing::kLength) response_.content_length(*coming.length);
+  if (framing == BodyWriter::Framing::kChunked) response_.chunked(true);
+  response_.keep_alive(keep_alive);
+  coming.stream->on_bytes = [weak = std::weak_ptr(owner_.shared_writer())] {
+    if (const auto self = weak.lock()) self->Pump();
+  };
+  body_writer_.emplace(ToText(response_.base()), std::move(coming.stream), framing);
+  Pump();
+}
+
+void ResponseWriter::Pump() {
+  if (!socket_.is_open() || !body_writer_ || pumping_ || waiting_until_writable_) return;
+  const auto before = body_writer_->written();
+  pumping_ = true;
+  const auto progress = body_writer_->Write(socket_);
+  pumping_ = false;
+  if (!socket_.is_open()) return;
+  if (body_writer_->written() > before || progress == BodyWriter::Progress::kNoBytes) {
+    owner_.OnWriteProgress();
+  }
+  switch (progress) {
+    case BodyWriter::Progress::kNoBytes:
+      return;
+    case BodyWriter::Progress::kSocketFull:
+      return WaitUntilWritable();
+    case BodyWriter::Progress::kDone:
+      body_writer_.reset();
+      return Finish();
+    case BodyWriter::Progress::kCut:
+      if (body_writer_->framing() == BodyWriter::Framing::kConnection) ResetOnClose();
+      [[fallthrough]];
+    case BodyWriter::Progress::kFailed:
+      return owner_.OnWriteFailed();
+  }
+}
+
+void ResponseWriter::WaitUntilWritable() {
+  waiting_until_writable_ = true;
+  socket_.async_wait(tcp::socket::wait_write, [self = owner_.shared_writer()](error_code error) {
+    self->waiting_until_writable_ = false;
+    if (!self->socket_.is_open()) return;
+    if (error) return self->owner_.OnWriteFailed();
+    self->Pump();
+  });
+}
+
+void ResponseWriter::Finish() {
+  response_ = {};
+  owner_.OnResponseWritten();
+}
+
+void ResponseWriter::AbandonBody() {
+  if (body_writer_) body_writer_->stream().Abandon();
+}
+
+// Only this tells a client that an answer which ends with its connection is not whole.
+void ResponseWriter::ResetOnClose() {
+  error_code ignored;
+  socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
+}
+
+}  // namespace mothrack::http
--- a/tests/http/listener_test.cpp
+++ b/tests/http/listener_test.cpp
@@ -128,7 +128,7 @@
   struct Handed {
     std::string target;
     std::string body;
-    http::Listener::Reply reply;
+    http::ReplyCallback reply;
     http::ComingBody coming;
     bool gone = false;
     bool whole = false;
@@ -149,14 +149,13 @@
     const runtime::ListenOn where(runtime::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
     listener.emplace(io, where, *descriptors, *budget, log,
                      http::DeadlineRange{std::chrono::seconds(5), std::chrono::seconds(5)},
-                     [this](http::HttpRequest request, http::ComingBody coming, http::Listener::Reply reply) {
+                     [this](http::HttpRequest request, http::ComingBody coming, http::ReplyCallback reply) {
                        return Take(std::move(request), std::move(coming), std::move(reply));
                      });
     system_.listening = listener->native_handle();
   }
 
-  http::Listener::Taken Take(http::HttpRequest request, http::ComingBody coming,
-                             http::Listener::Reply reply) {
+  http::RequestObserver Take(http::HttpRequest request, http::ComingBody coming, http::ReplyCallback reply) {
     Handed& taken = handed.emplace_back();
     taken.target = std::string(request.target());
     taken.body = request.body();
