--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -9,6 +9,7 @@
 #include <string_view>
 #include <utility>
 
+#include "http/framing.h"
 #include "http/plain_response.h"
 #include "runtime/system_calls.h"
 
@@ -22,7 +23,7 @@
 // A body may come as slowly as this, bytes a second, and an answer be taken with pauses as long: usual
 // clients on bad lines. The system may hold much of an answer, which the client takes before any of ours
 // moves on.
-constexpr std::int64_t kMinBodyRate = 16 * 1024;
+constexpr std::int64_t kMinBodyRate = std::int64_t{16} * 1024;
 constexpr runtime::Duration kWriteIdleTimeout = std::chrono::seconds(30);
 // A connection opened in that time is about to carry a request.
 constexpr runtime::Duration kNewConnectionAge = std::chrono::milliseconds(300);
--- /dev/null
+++ b/src/http/connection_pools.cpp
@@ -0,0 +1,139 @@
+#include "http/connection_pools.h"
+
+#include <algorithm>
+#include <chrono>
+#include <utility>
+#include <vector>
+
+namespace mothrack::http {
+namespace {
+
+using balancer::UpstreamState;
+using std::chrono::milliseconds;
+
+// The upstream counts from when it wrote its answer, we from when we read it, and a request needs time to get
+// there: an idle connection is retired this share of the limit early, at least by so much.
+constexpr int kIdleShare = 10;
+constexpr runtime::Duration kIdleMargin = milliseconds(500);
+constexpr runtime::Duration kSweepInterval = milliseconds(250);
+
+runtime::Duration TrustedIdle(runtime::Duration limit) {
+  return std::max(limit / 2, limit - std::max(limit / kIdleShare, kIdleMargin));
+}
+
+}  // namespace
+
+ConnectionPools::ConnectionPools(boost::asio::io_context& io, runtime::Duration upstream_idle_limit,
+                                 runtime::Descriptors& descriptors, TransportCounters& counters)
+    : io_(io),
+      descriptors_(descriptors),
+      counters_(counters),
+      trusted_idle_(TrustedIdle(upstream_idle_limit)),
+      sweep_timer_(
+          io, [] { return kSweepInterval; },
+          [this] {
+            CloseAged();
+            return true;
+          }) {
+  sweep_timer_.Restart();
+}
+
+ConnectionPools::~ConnectionPools() {
+  for (const auto& [uid, pool] : pools_) {
+    for (const auto& connection : pool->idle) connection->Close();
+  }
+}
+
+std::shared_ptr<UpstreamPool> ConnectionPools::Apply(const std::string& uid,
+                                                     const dispatch::Location& location) {
+  auto& pool = pools_[uid];
+  if (!pool) pool = std::make_shared<UpstreamPool>();
+  const dispatch::Location before = std::exchange(pool->location, location);
+  const bool moved = before.endpoint != location.endpoint || before.boot_ms != location.boot_ms;
+  if (location.state == UpstreamState::kServing && !moved) return nullptr;
+  const auto old = pool;
+  if (moved) {
+    // What is still out there belongs to the former process or place and is not pooled again.
+    pool = std::make_shared<UpstreamPool>();
+    pool->location = location;
+    old->location.state = UpstreamState::kGone;
+  }
+  if (location.state == UpstreamState::kGone) pools_.erase(uid);
+  for (const auto& connection : std::exchange(old->idle, {})) connection->Close();
+  return old;
+}
+
+std::shared_ptr<UpstreamConnection> ConnectionPools::Acquire(const std::string& uid) {
+  const auto it = pools_.find(uid);
+  if (it == pools_.end() || it->second->location.state != UpstreamState::kServing) return nullptr;
+  if (auto connection = TakeIdle(*it->second)) return connection;
+  return Open(it->second);
+}
+
+std::shared_ptr<UpstreamConnection> ConnectionPools::TakeIdle(UpstreamPool& pool) {
+  while (!pool.idle.empty()) {
+    auto connection = std::move(pool.idle.back());
+    pool.idle.pop_back();
+    if (connection->LooksAlive() && runtime::Now() - connection->idle_since() < trusted_idle_) {
+      return connection;
+    }
+    connection->Close();
+  }
+  return nullptr;
+}
+
+// Idle connections make room; where there is none, the attempt is not sent. That is no failure of the
+// upstream and proves that nothing ran.
+std::shared_ptr<UpstreamConnection> ConnectionPools::Open(const std::shared_ptr<UpstreamPool>& pool) {
+  while (!descriptors_.Room(runtime::Descriptors::Side::kUpstream)) {
+    if (!EvictIdle()) return nullptr;
+  }
+  do {
+    auto connection = std::make_shared<UpstreamConnection>(io_, descriptors_, counters_, pool);
+    if (!connection->OpenSocket()) return connection;
+    connection->Close();
+  } while (EvictIdle());
+  return nullptr;
+}
+
+void ConnectionPools::Release(const std::shared_ptr<UpstreamConnection>& connection) {
+  const auto pool = connection->pool();
+  if (!pool || pool->location.state != UpstreamState::kServing) return connection->Close();
+  pool->idle.push_back(connection);
+}
+
+void ConnectionPools::CloseIdle(const std::string& uid) {
+  const auto it = pools_.find(uid);
+  if (it == pools_.end()) return;
+  for (const auto& connection : std::exchange(it->second->idle, {})) connection->Close();
+}
+
+bool ConnectionPools::EvictIdle() {
+  UpstreamPool* longest = nullptr;
+  for (const auto& [uid, pool] : pools_) {
+    if (pool->idle.empty()) continue;
+    if (longest == nullptr || pool->idle.front()->idle_since() < longest->idle.front()->idle_since()) {
+      longest = pool.get();
+    }
+  }
+  if (longest == nullptr) return false;
+  ++counters_.evicted;
+  longest->idle.front()->Close();
+  longest->idle.erase(longest->idle.begin());
+  return true;
+}
+
+// Retires what has been idle nearly as long as the upstream allows: a request written to a connection that is
+// being closed over there ends as a reset, and an unsafe one could not be sent again.
+void ConnectionPools::CloseAged() {
+  const runtime::TimePoint now = runtime::Now();
+  for (const auto& [uid, pool] : pools_) {
+    std::erase_if(pool->idle, [&](const auto& connection) {
+      if (now - connection->idle_since() < trusted_idle_) return false;
+      connection->Close();
+      return true;
+    });
+  }
+}
+
+}  // namespace mothrack::http
--- a/src/http/messages.cpp
+++ b/src/http/framing.cpp
@@ -1,4 +1,4 @@
-#include "http/messages.h"
+#include "http/framing.h"
 
 #include <algorithm>
 #include <boost/beast/http/rfc7230.hpp>
--- a/src/http/front.cpp
+++ b/src/http/front.cpp
@@ -7,6 +7,7 @@
 #include <optional>
 #include <utility>
 
+#include "http/framing.h"
 #include "http/plain_response.h"
 
 namespace mothrack::http {
--- /dev/null
+++ b/src/http/incremental_body.h
@@ -0,0 +1,60 @@
+// A body that its parser hands out in chunks: a Beast Body type of which a parser holds one bounded chunk at
+// a time.
+//
+// Used by whoever owns the parser: takes `bytes` out of the parser's message, clears it, and goes on.
+#pragma once
+
+#include <algorithm>
+#include <boost/asio/buffer.hpp>
+#include <boost/beast/core/buffers_range.hpp>
+#include <boost/beast/http/error.hpp>
+#include <boost/beast/http/message.hpp>
+#include <boost/optional/optional.hpp>
+#include <boost/system/error_code.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <string>
+
+#include "http/messages.h"
+
+namespace mothrack::http {
+
+// What a parser has read of a body and nobody has taken yet.
+struct BodyChunk {
+  std::string bytes;
+  std::size_t capacity = 0;  // bytes at which the parser stops with http::error::need_buffer
+};
+
+// To be the Body of a beast_http::request_parser or response_parser.
+struct IncrementalBody {
+  using value_type = BodyChunk;
+  class reader {  // NOLINT(readability-identifier-naming): the name that Beast asks for
+   public:
+    template <bool isRequest, class Fields>
+    reader(beast_http::header<isRequest, Fields>&, value_type& chunk) : chunk_(chunk) {}
+    void init(const boost::optional<std::uint64_t>&, boost::system::error_code& error) { error = {}; }
+    template <class Buffers>
+    std::size_t put(const Buffers& buffers, boost::system::error_code& error) {
+      error = {};
+      std::size_t used = 0;
+      for (const boost::asio::const_buffer part : boost::beast::buffers_range_ref(buffers)) {
+        const std::size_t capacity =
+            chunk_.capacity > chunk_.bytes.size() ? chunk_.capacity - chunk_.bytes.size() : 0;
+        const std::size_t size = std::min(capacity, part.size());
+        chunk_.bytes.append(static_cast<const char*>(part.data()), size);
+        used += size;
+        if (size < part.size()) {
+          error = beast_http::error::need_buffer;
+          break;
+        }
+      }
+      return used;
+    }
+    void finish(boost::system::error_code& error) { error = {}; }
+
+   private:
+    value_type& chunk_;
+  };
+};
+
+}  // namespace mothrack::http
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -1,13 +1,9 @@
-// The HTTP messages that front and transport hand each other through the dispatcher, and the bounds on them.
+// The HTTP messages that front and transport hand each other through the dispatcher, and the bounds on them,
+// in bytes. Values without a thread of their own.
 #pragma once
 
-#include <algorithm>
-#include <boost/asio/buffer.hpp>
-#include <boost/beast/core/buffers_range.hpp>
-#include <boost/beast/http/error.hpp>
 #include <boost/beast/http/fields.hpp>
 #include <boost/beast/http/message.hpp>
-#include <boost/beast/http/span_body.hpp>
 #include <boost/beast/http/string_body.hpp>
 #include <boost/beast/http/write.hpp>
 #include <cstddef>
@@ -35,6 +31,7 @@
   explicit operator bool() const { return stream != nullptr; }
 };
 
+// A request, as attempts send it.
 struct HttpMessage : dispatch::Message {
   explicit HttpMessage(HttpRequest request, ComingBody coming = {})
       : request(std::move(request)), coming(std::move(coming)) {}
@@ -42,6 +39,7 @@
   ComingBody coming;
 };
 
+// What an upstream answered.
 struct HttpReply : dispatch::Reply {
   explicit HttpReply(HttpResponse response, ComingBody coming = {})
       : response(std::move(response)), coming(std::move(coming)) {}
@@ -49,68 +47,20 @@
   ComingBody coming;
 };
 
-// What a parser has read of a body and nobody has taken yet; it stops with http::error::need_buffer at
-// `room`.
-struct BodyChunk {
-  std::string bytes;
-  std::size_t capacity = 0;
-};
-
-// A Beast Body of which a parser holds one piece at a time.
-struct IncrementalBody {
-  using value_type = BodyChunk;
-  class reader {
-   public:
-    template <bool isRequest, class Fields>
-    reader(beast_http::header<isRequest, Fields>&, value_type& chunk) : chunk_(chunk) {}
-    void init(const boost::optional<std::uint64_t>&, boost::system::error_code& error) { error = {}; }
-    template <class Buffers>
-    std::size_t put(const Buffers& buffers, boost::system::error_code& error) {
-      error = {};
-      std::size_t used = 0;
-      for (const boost::asio::const_buffer part : boost::beast::buffers_range_ref(buffers)) {
-        const std::size_t capacity =
-            chunk_.capacity > chunk_.bytes.size() ? chunk_.capacity - chunk_.bytes.size() : 0;
-        const std::size_t size = std::min(capacity, part.size());
-        chunk_.bytes.append(static_cast<const char*>(part.data()), size);
-        used += size;
-        if (size < part.size()) {
-          error = beast_http::error::need_buffer;
-          break;
-        }
-      }
-      return used;
-    }
-    void finish(boost::system::error_code& error) { error = {}; }
-
-   private:
-    value_type& chunk_;
-  };
-};
-
 // Bodies up to this are kept whole on their way: what is sent again is all there, and an answer that breaks
 // is never begun. Longer ones pass through in pieces.
-constexpr std::size_t kBufferLimit = 64 * 1024;
+inline constexpr std::size_t kBufferLimit = std::size_t{64} * 1024;
 // An answer that does not tell its length may begin its way from this on: it may take long to grow further.
-constexpr std::size_t kMinStreamedSize = 16 * 1024;
+inline constexpr std::size_t kMinStreamedSize = std::size_t{16} * 1024;
 // No longer body is passed on at all.
-constexpr std::uint64_t kMaxBodySize = 64 * 1024 * 1024;
+inline constexpr std::uint64_t kMaxBodySize = std::uint64_t{64} * 1024 * 1024;
 // A request's body that was passed on is kept until it is longer than this, to be sent again where nothing
 // ran.
-constexpr std::size_t kMaxReplaySize = 512 * 1024;
-constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
+inline constexpr std::size_t kMaxReplaySize = std::size_t{512} * 1024;
+// Of a message's head, its empty line included.
+inline constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
 // What a connection reads ahead of its parser.
-constexpr std::size_t kMaxReadAhead = 32 * 1024;
-
-// What has come of a request's head. `scanned` is where the last look at the same bytes ended.
-enum class HeadStatus { kPartial, kWhole, kInvalid };
-// Bad is what other readers may take for something else than the parser does: lines that end or go on oddly,
-// and all that begins with no method that is served here.
-HeadStatus InspectHead(boost::beast::string_view bytes, std::size_t& scanned);
-
-// Where a request's body ends must be beyond doubt: what one reader takes for a body may hold a request for
-// the next. Names what is wrong with it; null where nothing is.
-const char* FindFramingError(const beast_http::request_header<>& header);
+inline constexpr std::size_t kMaxReadAhead = std::size_t{32} * 1024;
 
 // A head as it goes over the wire, with its empty line.
 template <bool isRequest>
@@ -120,7 +70,4 @@
   return text.str();
 }
 
-// Takes away what speaks of one connection only and must not be passed on.
-void RemoveHopByHop(beast_http::fields& fields);
-
 }  // namespace mothrack::http
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -4,6 +4,8 @@
 #include <boost/system/error_code.hpp>
 #include <utility>
 
+#include "http/framing.h"
+
 namespace mothrack::http {
 namespace {
 
--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -13,6 +13,7 @@
 #include <optional>
 #include <string>
 
+#include "http/incremental_body.h"
 #include "http/messages.h"
 
 namespace mothrack::http {
--- a/src/http/transport.h
+++ b/src/http/transport.h
@@ -1,29 +1,34 @@
-// Connections to upstreams: pools, attempts and probes, and what became of each.
+// The upstream side of HTTP/1.1: carries the dispatcher's attempts and probes, and tells what became of each.
+//
+// Owned by the sidecar, on the thread of its event loop. Holds as many connections as Descriptors allows its
+// side. Errors of connections become the Outcome of their exchange (UpstreamExchange); nothing throws.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
-#include <boost/asio/steady_timer.hpp>
-#include <cstdint>
-#include <functional>
 #include <map>
 #include <memory>
-#include <optional>
 #include <string>
-#include <vector>
 
 #include "balancer/balancer.h"
 #include "dispatch/exchange.h"
-#include "http/messages.h"
+#include "http/connection_pools.h"
+#include "http/upstream_connection.h"
+#include "http/upstream_exchange.h"
 #include "runtime/clock.h"
 #include "runtime/descriptors.h"
+#include "runtime/stream.h"
 
 namespace mothrack::http {
 
-class HttpTransport : public dispatch::Transport {
+class HttpTransport : public dispatch::Transport, private UpstreamExchange::Owner {
  public:
+  // `load_by_probe`: a probe asks for the upstream's load, not only whether it lives.
   HttpTransport(boost::asio::io_context& io, const balancer::Limits& limits, bool load_by_probe,
                 runtime::Descriptors& descriptors, runtime::ByteBudget& budget);
+  // Closes all connections; exchanges that are open are not told.
   ~HttpTransport() override;
+  HttpTransport(const HttpTransport&) = delete;
+  HttpTransport& operator=(const HttpTransport&) = delete;
 
   // Also closes the idle connections of an upstream that drains, is gone, moved or started anew.
   void Apply(const std::string& uid, const dispatch::Location& location) override;
@@ -35,41 +40,26 @@
   void Cancel(dispatch::ExchangeId id) override;
   // A connection that is coming up is waited for and pooled.
   void Abandon(dispatch::ExchangeId id) override;
-  void CloseIdle(const std::string& uid) override;
+  void CloseIdle(const std::string& uid) override { pools_.CloseIdle(uid); }
 
-  struct Counts {
-    std::uint64_t opened = 0, failed = 0, closed = 0, evicted = 0;  // connections; failed: never came up
-    std::uint64_t probes = 0;
-  };
-  const Counts& counts() const { return counts_; }
+  using Counts = TransportCounters;
+  const Counts& counts() const { return counters_; }
 
  private:
-  class Connection;
-  struct Pool {
-    dispatch::Location location;
-    std::vector<std::shared_ptr<Connection>> idle;  // the most recently used one last
-  };
+  // Of the exchanges
+  void Remove(dispatch::ExchangeId id) override { exchanges_.erase(id); }
+  void Release(const std::shared_ptr<UpstreamConnection>& connection) override { pools_.Release(connection); }
 
-  std::shared_ptr<Connection> TakeIdle(Pool& pool);
-  std::shared_ptr<Connection> Open(const std::shared_ptr<Pool>& pool);
-  // Closes the connection that has been idle longest; false where there is none.
-  bool EvictIdle();
-  void AbortUnsent(const std::shared_ptr<Pool>& pool);
-  void Release(const std::shared_ptr<Connection>& connection);
-  void Forget(const Connection& connection);
-  void ScheduleSweep();
-  void Sweep();
+  // Nothing that has not begun to be written goes to this pool's upstream any more.
+  void EndUnsent(const std::shared_ptr<UpstreamPool>& pool);
 
   boost::asio::io_context& io_;
   const runtime::Duration connect_timeout_;
-  const runtime::Duration trusted_idle_;
   const std::string probe_target_;
-  Counts counts_;
-  runtime::Descriptors& descriptors_;
   runtime::ByteBudget& budget_;
-  std::map<std::string, std::shared_ptr<Pool>> pools_;
-  std::map<dispatch::ExchangeId, std::shared_ptr<Connection>> exchanges_;
-  boost::asio::steady_timer sweep_;
+  TransportCounters counters_;
+  ConnectionPools pools_;
+  std::map<dispatch::ExchangeId, std::shared_ptr<UpstreamExchange>> exchanges_;  // that are open
 };
 
 }  // namespace mothrack::http
--- /dev/null
+++ b/src/http/upstream_exchange.cpp
@@ -0,0 +1,390 @@
+#include "http/upstream_exchange.h"
+
+#include <algorithm>
+#include <boost/beast/http/error.hpp>
+#include <boost/beast/http/read.hpp>
+#include <cerrno>
+#include <chrono>
+#include <cstdint>
+#include <utility>
+
+#include "http/load_report.h"
+
+namespace mothrack::http {
+namespace {
+
+using balancer::Outcome;
+using boost::system::error_code;
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+
+// Interim answers ahead of the one answer; more are no honest upstream's.
+constexpr int kMaxInterimResponses = 8;
+// A body that its upstream does not take, and an answer that stops, for so long are given up.
+constexpr runtime::Duration kWriteIdleTimeout = seconds(5);
+constexpr runtime::Duration kAnswerIdleTimeout = seconds(15);
+// An answer that does not tell its length is kept whole like one that does, but no longer than this once it
+// is no small one: what has come of a long answer may not be kept from its client for 2 s.
+constexpr runtime::Duration kBufferingTimeout = seconds(1);
+
+// Does the head tell where a served answer ends? One that ends with its connection is told by that (RFC 9112
+// section 6.3) where its head says that the connection ends; otherwise it can't be told from one that was
+// cut.
+bool TellsItsEnd(const beast_http::response_parser<IncrementalBody>& parser) {
+  const auto& header = parser.get();
+  const auto codings = header.count(beast_http::field::transfer_encoding);
+  if (codings == 0) return parser.content_length().has_value() || !header.keep_alive();
+  return codings == 1 && boost::beast::iequals(header[beast_http::field::transfer_encoding], "chunked");
+}
+
+// Of a connection that did not come up: this machine lacked something (a port, memory, a route) or was
+// interrupted. It says nothing of the upstream, and nothing was sent. connect(2), ip(7).
+bool IsLocalFailure(const error_code& error) {
+  if (error.category() != boost::system::system_category()) return false;
+  switch (error.value()) {
+    case EADDRNOTAVAIL:
+    case EADDRINUSE:
+    case EAGAIN:
+    case EINTR:
+    case EMFILE:
+    case ENETDOWN:
+    case ENETUNREACH:
+    case ENFILE:
+    case ENOBUFS:
+    case ENOMEM:
+    case EPERM:
+      return true;
+    default:
+      return false;
+  }
+}
+
+Outcome OutcomeOf(const beast_http::response_header<>& header) {
+  const unsigned status = header.result_int();
+  if (status == 200) return Outcome::kServed;
+  // Only this header proves that nothing ran: a bare 503 may come from behind the work.
+  if ((status == 503 || status == 504) && header["X-Not-Processed"] == "1") return Outcome::kFull;
+  return Outcome::kError;
+}
+
+Outcome OutcomeOf(UpstreamExchange::Cause cause, bool written) {
+  switch (cause) {
+    case UpstreamExchange::Cause::kBroken:
+      return written ? Outcome::kReset : Outcome::kConnectFailed;
+    case UpstreamExchange::Cause::kTimeout:
+      return written ? Outcome::kTimeout : Outcome::kConnectFailed;
+    case UpstreamExchange::Cause::kCancelled:
+      return Outcome::kCancelled;
+    case UpstreamExchange::Cause::kNotSent:
+      break;
+  }
+  return Outcome::kNotSent;
+}
+
+}  // namespace
+
+UpstreamExchange::UpstreamExchange(Owner& owner, boost::asio::io_context& io, runtime::ByteBudget& budget,
+                                   std::shared_ptr<UpstreamConnection> connection, Request request,
+                                   dispatch::ExchangeHooks hooks)
+    : owner_(owner),
+      budget_(budget),
+      connection_(std::move(connection)),
+      request_(std::move(request)),
+      hooks_(std::move(hooks)),
+      writer_(connection_->socket(), *this),
+      timer_(io) {}
+
+void UpstreamExchange::Start() {
+  sent_at_ = runtime::Now();
+  deadline_ = sent_at_ + request_.timeout;
+  // Of a message that still comes the time counts from its last byte on.
+  const ComingBody& coming = request_.message->coming;
+  arriving_ = coming && coming.stream->state() == runtime::Stream::State::kComing;
+  connection_->BeginUse();
+  if (connection_->connected()) return BeginWriting();
+  phase_ = Phase::kConnecting;
+  ArmTimer(std::min(deadline_, sent_at_ + request_.connect_timeout));
+  connection_->Connect([self = shared_from_this()](error_code error) { self->OnConnected(error); });
+}
+
+// ---- Connecting and writing ----
+
+void UpstreamExchange::OnConnected(error_code error) {
+  if (error) return End(IsLocalFailure(error) ? Cause::kNotSent : Cause::kBroken);
+  if (abandoned_) return FinishUnused();
+  BeginWriting();
+}
+
+void UpstreamExchange::BeginWriting() {
+  phase_ = Phase::kWriting;
+  if (arriving_) {
+    DisarmTimer();
+  } else {
+    ArmTimer(deadline_);
+  }
+  ReadHeader();
+  // The peer learns how long it will be waited for from now on, which is what is left after connecting.
+  const runtime::Duration left = arriving_ ? request_.timeout : runtime::Duration(deadline_ - runtime::Now());
+  writer_.Start(*request_.message, std::chrono::duration_cast<milliseconds>(left));
+}
+
+void UpstreamExchange::OnWriteEnded(bool written, error_code error) {
+  if (written) SetWritten();
+  if (pending_end_) return FinishWithout(*pending_end_);
+  if (connection_->closed()) return;
+  if (error) return End(Cause::kBroken);
+  phase_ = Phase::kAwaitingResponse;
+}
+
+// The time that the client takes for its body is not the upstream's.
+void UpstreamExchange::OnBodyAwaited() {
+  if (arriving_) DisarmTimer();
+}
+
+void UpstreamExchange::OnSocketFull() {
+  if (arriving_) ArmTimer(runtime::Now() + kWriteIdleTimeout);
+}
+
+void UpstreamExchange::OnBodyWritten() {
+  phase_ = Phase::kAwaitingResponse;
+  if (std::exchange(arriving_, false)) {
+    sent_at_ = runtime::Now();
+    deadline_ = sent_at_ + request_.timeout;
+    ArmTimer(deadline_);
+  }
+  SetWritten();
+}
+
+void UpstreamExchange::SetWritten() {
+  written_ = true;
+  hooks_.on_written();
+}
+
+// ---- Reading ----
+
+void UpstreamExchange::ReadHeader() {
+  parser_.emplace();
+  parser_->body_limit(kMaxBodySize);
+  parser_->get().body().capacity = kBufferLimit;
+  parser_->header_limit(kMaxHeaderSize);
+  // The header on its own first: Beast 1.74 forgets that the body is beyond the bound where the first of
+  // the body comes along with the header, and would take all of it.
+  beast_http::async_read_header(connection_->socket(), connection_->buffer(), *parser_,
+                                [self = shared_from_this()](error_code error, std::size_t) {
+                                  if (!self->connection_->closed()) self->OnHeader(error);
+                                });
+}
+
+void UpstreamExchange::OnHeader(error_code error) {
+  if (error) return End(Cause::kBroken);
+  const unsigned status = parser_->get().result_int();
+  if (status / 100 == 1) {
+    const bool switches = status == static_cast<unsigned>(beast_http::status::switching_protocols);
+    if (switches || ++interim_responses_ > kMaxInterimResponses) return End(Cause::kBroken);
+    return ReadHeader();
+  }
+  // Nor does an upstream have an answer before it has the whole request.
+  if (status == 200 && (!written_ || !TellsItsEnd(*parser_))) return End(Cause::kBroken);
+  const auto length = parser_->content_length();
+  if (status == 200 && length && *length > kBufferLimit) return StartStreaming();
+  if (status != 200 || length) return ReadWholeBody();
+  buffering_until_ = runtime::Now() + kBufferingTimeout;
+  ArmTimer(std::min(*buffering_until_, deadline_));
+  ReadSomeBody();
+}
+
+void UpstreamExchange::ReadWholeBody() {
+  beast_http::async_read(connection_->socket(), connection_->buffer(), *parser_,
+                         [self = shared_from_this()](error_code error, std::size_t) {
+                           if (!self->connection_->closed()) self->OnWholeBody(error);
+                         });
+}
+
+void UpstreamExchange::OnWholeBody(error_code error) {
+  // Of an answer that is no service the first of its body does.
+  if (error && error != beast_http::error::need_buffer) return End(Cause::kBroken);
+  FinishWithResponse();
+}
+
+void UpstreamExchange::ReadSomeBody() {
+  if (connection_->closed() || reading_body_ || (!response_stream_ && !buffering_until_)) return;
+  if (response_stream_) {
+    const std::size_t capacity = response_stream_->Capacity();
+    // The client takes its time.
+    if (capacity == 0) return DisarmTimer();
+    parser_->get().body().capacity = capacity;
+    ArmTimer(runtime::Now() + kAnswerIdleTimeout);
+  }
+  reading_body_ = true;
+  beast_http::async_read_some(connection_->socket(), connection_->buffer(), *parser_,
+                              [self = shared_from_this()](error_code error, std::size_t) {
+                                if (!self->connection_->closed()) self->OnSomeBody(error);
+                              });
+}
+
+void UpstreamExchange::OnSomeBody(error_code error) {
+  if (error && error != beast_http::error::need_buffer) return End(Cause::kBroken);
+  if (!response_stream_) {
+    reading_body_ = false;
+    if (parser_->is_done()) return FinishWithResponse();
+    return ContinueBuffering(error == beast_http::error::need_buffer);
+  }
+  const auto stream = response_stream_;  // whoever takes may end all of this
+  stream->Append(parser_->get().body().bytes);
+  if (connection_->closed()) return;
+  parser_->get().body().bytes.clear();
+  reading_body_ = false;
+  if (parser_->is_done()) return FinishWithResponse();
+  ReadSomeBody();
+}
+
+void UpstreamExchange::ContinueBuffering(bool beyond_bound) {
+  const std::size_t size = parser_->get().body().bytes.size();
+  const bool long_enough = size >= kMinStreamedSize && runtime::Now() >= *buffering_until_;
+  if (beyond_bound || long_enough) return StartStreaming();
+  ReadSomeBody();
+}
+
+// It is long by now, or may still end in its time, whole or as one that is tried again.
+void UpstreamExchange::OnBufferingTimeout() {
+  if (parser_->get().body().bytes.size() >= kMinStreamedSize) return StartStreaming();
+  ArmTimer(deadline_);
+}
+
+// A long answer is passed on as it comes: from here on it has no deadline but may not stop for long.
+void UpstreamExchange::StartStreaming() {
+  if (!hooks_.on_started) return End(Cause::kBroken);
+  buffering_until_.reset();
+  HttpResponse head;
+  head.base() = parser_->get().base();
+  ComingBody coming{std::make_shared<runtime::Stream>(budget_, 0), std::nullopt};
+  if (const auto length = parser_->content_length()) coming.length = *length;
+  response_stream_ = coming.stream;
+  response_stream_->Append(parser_->get().body().bytes);
+  parser_->get().body().bytes.clear();
+  response_stream_->on_capacity = [weak = weak_from_this()] {
+    if (const auto self = weak.lock()) self->ReadSomeBody();
+  };
+  DisarmTimer();
+  streaming_ = true;
+  hooks_.on_started(std::make_unique<HttpReply>(std::move(head), std::move(coming)));
+  if (reading_body_ && !connection_->closed()) return ArmTimer(runtime::Now() + kAnswerIdleTimeout);
+  ReadSomeBody();
+}
+
+// ---- Its end ----
+
+void UpstreamExchange::FinishWithResponse() {
+  const bool whole = parser_->is_done();
+  const bool keep_alive = parser_->get().keep_alive() && !parser_->need_eof();
+  auto message = parser_->release();
+  HttpResponse response;
+  response.base() = std::move(message.base());
+  response.body() = std::move(message.body().bytes);
+  dispatch::ExchangeResult result{OutcomeOf(response), runtime::Now() - sent_at_,
+                                  ParseLoadReport(response["X-Server-Load"]), nullptr};
+  // An answer before the request was written out leaves the connection between messages.
+  const bool reusable = keep_alive && whole && written_ && connection_->buffer().size() == 0;
+  if (result.outcome == Outcome::kServed && !streaming_) {
+    result.reply = std::make_unique<HttpReply>(std::move(response));
+  }
+  timer_.cancel();
+  ReleaseRequestBody();
+  const auto stream = std::exchange(response_stream_, nullptr);
+  const auto self = shared_from_this();
+  const auto on_end = CloseBooks();
+  if (reusable) {
+    ReleaseConnection();
+  } else {
+    connection_->Close();
+  }
+  on_end(std::move(result));
+  // Last: whoever ends it is not asked about the request again.
+  if (stream) stream->End(runtime::Stream::State::kWhole);
+}
+
+// The connection came up for nothing, and waits for the next request.
+void UpstreamExchange::FinishUnused() {
+  timer_.cancel();
+  ReleaseRequestBody();
+  const auto self = shared_from_this();
+  const auto on_end = CloseBooks();
+  ReleaseConnection();
+  on_end({Outcome::kNotSent, connection_->idle_since() - sent_at_, {}, nullptr});
+}
+
+void UpstreamExchange::End(Cause cause) {
+  if (phase_ == Phase::kEnded || pending_end_) return;
+  if (connection_->connected()) connection_->DiscardUnsent();
+  Close();
+  if (writer_.pending()) {
+    pending_end_ = cause;
+    return;
+  }
+  FinishWithout(cause);
+}
+
+void UpstreamExchange::FinishWithout(Cause cause) {
+  ReleaseRequestBody();
+  const auto stream = std::exchange(response_stream_, nullptr);
+  const Outcome outcome = OutcomeOf(cause, written_);
+  const auto self = shared_from_this();
+  const auto on_end = CloseBooks();
+  on_end({outcome, runtime::Now() - sent_at_, {}, nullptr});
+  if (stream) stream->End(runtime::Stream::State::kBroken);
+}
+
+void UpstreamExchange::Abandon() {
+  if (phase_ == Phase::kConnecting) abandoned_ = true;
+  if (phase_ == Phase::kWriting && !written_) End(Cause::kCancelled);
+}
+
+void UpstreamExchange::Close() {
+  if (connection_->closed()) return;
+  connection_->Close();
+  timer_.cancel();
+}
+
+dispatch::Transport::OnEnd UpstreamExchange::CloseBooks() {
+  phase_ = Phase::kEnded;
+  auto on_end = std::exchange(hooks_.on_end, nullptr);
+  owner_.Remove(request_.id);
+  return on_end;
+}
+
+// Another attempt may take the request's body from here on.
+void UpstreamExchange::ReleaseRequestBody() {
+  writer_.StopBody();
+  if (request_.message->coming) request_.message->coming.stream->StopConsuming();
+}
+
+// The next exchange finds nothing of this one.
+void UpstreamExchange::ReleaseConnection() {
+  writer_.Clear();
+  request_.message.reset();
+  parser_.reset();
+  connection_->BeginIdle();
+  owner_.Release(connection_);
+}
+
+// ---- Its timer ----
+
+// Also makes void what has fired and not been handled.
+void UpstreamExchange::DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
+
+void UpstreamExchange::ArmTimer(runtime::TimePoint at) {
+  timer_.expires_at(runtime::ToSteady(at));
+  timer_.async_wait([self = shared_from_this()](error_code error) {
+    if (!error) self->OnTimer();
+  });
+}
+
+void UpstreamExchange::OnTimer() {
+  if (connection_->closed() || phase_ == Phase::kEnded) return;
+  // Guards against a timer that fired just before it was set anew.
+  if (timer_.expiry() > std::chrono::steady_clock::now()) return;
+  if (buffering_until_ && runtime::Now() < deadline_) return OnBufferingTimeout();
+  End(Cause::kTimeout);
+}
+
+}  // namespace mothrack::http
