--- a/src/http/eviction_policy.cpp
+++ b/src/http/eviction_policy.cpp
@@ -7,7 +7,7 @@
 
 // Usual clients connect when they have a request: one that has sent nothing by now, or not finished its
 // request by then, goes before those.
-constexpr runtime::Duration kSilentAfter = std::chrono::seconds(1);
+constexpr runtime::Duration kNothingSentAfter = std::chrono::seconds(1);
 constexpr runtime::Duration kSlowAfter = std::chrono::seconds(1);
 
 }  // namespace
@@ -24,8 +24,9 @@
   if (activity.request_started) {
     return activity.age > kSlowAfter ? EvictionRank::kSlowRequest : EvictionRank::kRequestArriving;
   }
-  if (activity.unused) return activity.age > kSilentAfter ? EvictionRank::kSilent : EvictionRank::kNew;
-  return EvictionRank::kKeptAlive;
+  if (activity.unused)
+    return activity.age > kNothingSentAfter ? EvictionRank::kNothingSent : EvictionRank::kNew;
+  return EvictionRank::kIdleReusable;
 }
 
 }  // namespace mothrack::http
--- a/src/http/eviction_policy.h
+++ b/src/http/eviction_policy.h
@@ -23,9 +23,9 @@
 // The lowest goes first. Usual clients' connections outlast those of clients that say nothing.
 enum class EvictionRank {
   kAwaitingClose,
-  kSilent,  // connected a while ago and sent nothing
+  kNothingSent,  // connected a while ago and sent nothing
   // A kept connection is closed at no cost: its client asks on another.
-  kKeptAlive,
+  kIdleReusable,
   kSlowRequest,  // took long over a request that is not there yet
   kNew,          // has not asked yet, and is about to
   kRequestArriving,
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -96,8 +96,8 @@
 }
 
 void Listener::Rest(bool on) {
-  if (on == resting_) return;
-  resting_ = on;
+  if (on == quiescing_) return;
+  quiescing_ = on;
   sweep_timer_.Cancel();
   Sweep();
   sweep_timer_.Restart();
@@ -121,7 +121,7 @@
 void Listener::PollAcceptor(runtime::TimePoint now) {
   if (now - last_poll_ < kPollInterval) return;
   last_poll_ = now;
-  acceptor_.Look();
+  acceptor_.PollForMissedClients();
 }
 
 // ---- Sweeps ----
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -53,7 +53,7 @@
   // Empties it, or takes clients again: `/up` says no, idle connections are closed, the others after their
   // answer. It listens on, so that `/up` can be asked; what still comes is served.
   void Rest(bool on);
-  bool resting() const { return resting_ || drained_; }
+  bool resting() const { return quiescing_ || drained_; }
   // Times that clients waited in the system's queue and the event loop was not told.
   std::uint64_t missed() const { return acceptor_.missed(); }
   // A planned stop: serves what still comes for a while, unless a successor does, tells each client to close,
@@ -98,7 +98,7 @@
   runtime::TimePoint last_poll_;         // of the acceptor
   runtime::SweepTimer sweep_timer_;
   std::function<void()> drained_;  // set while draining
-  bool resting_ = false;
+  bool quiescing_ = false;
   bool has_unread_connections_ = false;  // a connection is served while nothing is read from it
   bool ended_ = false;                   // drained, and the owner was told
   bool has_successor_ = false;           // draining, and a successor takes clients at the same address
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -130,7 +130,7 @@
   return (PollNow(socket_.native_handle(), POLLIN).value_or(POLLIN) & POLLIN) != 0;
 }
 
-void Acceptor::Look() {
+void Acceptor::PollForMissedClients() {
   // Without a wait there is a pause, which ends by a timer.
   if (!waiting_ || paused_ || confirming_ || !socket_.is_open() || !ClientWaits()) return;
   confirming_ = true;
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -1,8 +1,11 @@
 // A listening TCP socket. Room for a connection is made only once a client waits for it; where the system has
 // no descriptor or memory left, clients stay in the backlog for a moment instead of the program spinning.
 //
-// The event loop is told once of a client that waits. Whoever owns an Acceptor calls Look() now and then, so
-// that a client is taken also where that once was missed: docs/design/wakeups.md.
+// The event loop is told once of a client that waits. Whoever owns an Acceptor calls PollForMissedClients()
+// now and then, so that a client is taken also where that once was missed: docs/design/wakeups.md.
+//
+// Owned by a server, used on the thread of its event loop only. Errors of accept() are logged and retried
+// after a pause of 1 to 20 ms; errors of single connections are passed over.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -30,12 +33,14 @@
 
 class Acceptor {
  public:
+  // The server that the connections are for.
   class Owner {
    public:
-    // Is there room for one more?
+    // May one more connection be accepted?
     virtual bool Room() const = 0;
     // Closes the connection that can be spared best; false where there is none.
     virtual bool MakeRoom() = 0;
+    // A new connection, as accept() returned it.
     virtual void Admit(boost::asio::ip::tcp::socket socket) = 0;
 
    protected:
@@ -61,7 +66,9 @@
 
   // Takes clients that wait although the event loop has had its chance to tell of them. Costs one system call
   // where there is none. To be called from the event loop.
-  void Look();
+  void PollForMissedClients();
+  // The former name of PollForMissedClients().
+  void Look() { PollForMissedClients(); }
   // Times that only a look found clients: more than 0 is a fault of the system or of the event loop.
   std::uint64_t missed() const { return missed_; }
 
--- a/tests/http/bulk_test.cpp
+++ b/tests/http/bulk_test.cpp
@@ -128,7 +128,7 @@
   EXPECT_EQ(upstream.requests().size(), 2U);  // the client has some of it: nothing is sent again
 }
 
-TEST(BulkAnswer, ThirtyReadSlowlyFitTheMemoryAndLeaveRoomForPages) {
+TEST(BulkAnswer, ThirtySlowReadersFitTheMemoryAndLeaveCapacityForPages) {
   const std::string body = Pattern(32 * kMegabyte);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() != "/page/big") return (void)wire.Answer(200, "small");
@@ -210,7 +210,7 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-TEST(BulkUpload, GoesToAnotherWhereNothingRanAndAllIsStillHeld) {
+TEST(BulkUpload, IsRetriedOnAnotherWhereNothingRanAndAllIsStillBuffered) {
   Upstream upstream(Upstream::Echo("u"));
   Refusing refusing;
   Upstream full([](Wire& wire, const Request&, int) { wire.Answer(503, "x", "X-Not-Processed: 1\r\n"); });
--- a/tests/http/listener_test.cpp
+++ b/tests/http/listener_test.cpp
@@ -33,7 +33,7 @@
   std::optional<timespec> now;  // of the steady clock
   int listening = -1;
   std::vector<int> accepted;  // by the listener, in order
-  int ending = -1;            // of this one the next half-close or close is
+  int watched = -1;           // of this one the next half-close or close is
   Hook before_end;            // told here, once
   Hook after_end;
   Hook after_wake;  // once, between a wake-up of the event loop and what it wakes
@@ -50,8 +50,8 @@
 }
 
 int End(int fd, const std::function<int()>& end) {
-  if (fd < 0 || fd != system_.ending) return end();
-  system_.ending = -1;
+  if (fd < 0 || fd != system_.watched) return end();
+  system_.watched = -1;
   Once(system_.before_end);
   const int result = end();
   Once(system_.after_end);
@@ -70,9 +70,9 @@
 
 extern "C" int accept(int fd, sockaddr* from, socklen_t* size) {
   static const auto next = Next<int(int, sockaddr*, socklen_t*)>("accept");
-  const int taken = next(fd, from, size);
-  if (fd == system_.listening && taken >= 0) system_.accepted.push_back(taken);
-  return taken;
+  const int accepted = next(fd, from, size);
+  if (fd == system_.listening && accepted >= 0) system_.accepted.push_back(accepted);
+  return accepted;
 }
 
 extern "C" int shutdown(int fd, int how) {
@@ -88,9 +88,9 @@
 extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
   static const auto next = Next<int(int, epoll_event*, int, int)>("epoll_wait");
   ++system_.waits;
-  const int told = next(epoll, events, most, timeout);
-  if (told > 0) Once(system_.after_wake);
-  return told;
+  const int ready = next(epoll, events, most, timeout);
+  if (ready > 0) Once(system_.after_wake);
+  return ready;
 }
 
 namespace mothrack {
@@ -120,7 +120,7 @@
  protected:
   ListenerTest() { Listen(kRoomy); }
   ~ListenerTest() override {
-    system_.listening = system_.ending = -1;
+    system_.listening = system_.watched = -1;
     system_.before_end = system_.after_end = system_.after_wake = nullptr;
   }
 
@@ -130,7 +130,7 @@
     std::string body;
     http::ReplyCallback reply;
     http::ComingBody coming;
-    bool gone = false;
+    bool disconnected = false;
     bool whole = false;
   };
 
@@ -156,31 +156,31 @@
   }
 
   http::RequestObserver Take(http::HttpRequest request, http::ComingBody coming, http::ReplyCallback reply) {
-    Handed& taken = handed.emplace_back();
-    taken.target = std::string(request.target());
-    taken.body = request.body();
-    taken.coming = coming;
-    taken.reply = std::move(reply);
+    Handed& handed_request = handed.emplace_back();
+    handed_request.target = std::string(request.target());
+    handed_request.body = request.body();
+    handed_request.coming = coming;
+    handed_request.reply = std::move(reply);
     if (coming && takes) {
       coming.stream->BeginConsuming();
-      const auto take = [&taken, stream = coming.stream.get()] {
-        taken.body += stream->Ready();
+      const auto take = [&handed_request, stream = coming.stream.get()] {
+        handed_request.body += stream->Ready();
         stream->Consume(stream->Ready().size());
       };
       coming.stream->on_bytes = take;
     }
-    if (answers && !coming) Answer(taken);
-    return {[&taken] { taken.gone = true; },
-            [this, &taken] {
-              taken.whole = true;
-              if (answers) Answer(taken);
+    if (answers && !coming) Answer(handed_request);
+    return {[&handed_request] { handed_request.disconnected = true; },
+            [this, &handed_request] {
+              handed_request.whole = true;
+              if (answers) Answer(handed_request);
             }};
   }
 
-  void Answer(Handed& taken) {
+  void Answer(Handed& handed_request) {
     http::HttpResponse response(beast_http::status::ok, 11);
-    response.body() = "answer " + taken.target + std::string(more_of_answer, '.');
-    std::exchange(taken.reply, nullptr)(std::move(response), {});
+    response.body() = "answer " + handed_request.target + std::string(more_of_answer, '.');
+    std::exchange(handed_request.reply, nullptr)(std::move(response), {});
   }
 
   // Runs the event loop until it has nothing to do by now.
@@ -192,11 +192,11 @@
 
   // Runs it until the condition holds, with an eye to the real clock.
   bool Until(const std::function<bool()>& condition, bool running = true) {
-    const auto patience = std::chrono::system_clock::now() + std::chrono::seconds(20);
+    const auto give_up_at = std::chrono::system_clock::now() + std::chrono::seconds(20);
     while (true) {
       if (running) Settle();
       if (condition()) return true;
-      if (std::chrono::system_clock::now() > patience) return false;
+      if (std::chrono::system_clock::now() > give_up_at) return false;
       ::poll(nullptr, 0, 1);
     }
   }
@@ -256,8 +256,9 @@
     for (int refusals = 0; sent < bytes.size() && refusals < 200;) {
       error_code error;
       // In small parts: the system accounts a large one as held until all of it is read.
-      const auto rest = boost::asio::buffer(&bytes[sent], std::min<std::size_t>(bytes.size() - sent, 8192));
-      const std::size_t size = client.socket.write_some(rest, error);
+      const auto remaining =
+          boost::asio::buffer(&bytes[sent], std::min<std::size_t>(bytes.size() - sent, 8192));
+      const std::size_t size = client.socket.write_some(remaining, error);
       if (error && error != boost::asio::error::would_block) break;
       refusals = size == 0 ? refusals + 1 : 0;
       sent += size;
@@ -361,7 +362,7 @@
       EXPECT_TRUE(handed[0].body == kind.body);
       Leave(client, Way::kClose);
       ASSERT_TRUE(AllClosed());
-      EXPECT_FALSE(handed[0].gone);
+      EXPECT_FALSE(handed[0].disconnected);
       handed.clear();
       clients.clear();
     }
@@ -380,7 +381,7 @@
         // One whose body still comes may have been begun, and is told to end.
         ASSERT_LE(handed.size(), kind.body.size() > http::kBufferLimit ? 1U : 0U);
         for (const Handed& begun : handed) {
-          EXPECT_TRUE(begun.gone);
+          EXPECT_TRUE(begun.disconnected);
           EXPECT_FALSE(begun.whole);
           EXPECT_EQ(begun.coming.stream->state(), runtime::Stream::State::kBroken);
         }
@@ -430,7 +431,7 @@
     SCOPED_TRACE(moment == &System::before_end ? "before the end" : "after it");
     Client& client = Served();
     bool crossed = false;
-    system_.ending = client.server;
+    system_.watched = client.server;
     system_.*moment = [&] {
       Send(client, Get("/crossing"));
       crossed = true;
@@ -497,9 +498,9 @@
   Settle();
   ASSERT_EQ(handed.size(), 3U);
   Begin();
-  system_.ending = crossing.server;
+  system_.watched = crossing.server;
   system_.before_end = [&] { Send(crossing, Get("/crossing")); };
-  for (Handed& held : handed) Answer(held);
+  for (Handed& request : handed) Answer(request);
   Settle();
   Send(behind, Get("/behind"));
   for (Client* client : {&ahead, &behind, &crossing}) {
@@ -514,14 +515,14 @@
 
 TEST_F(ListenerTest, ADrainEndsOnceAndOnlyWhenAllIsAnswered) {
   answers = false;
-  Client& held = Connect();
-  Send(held, Get("/held"));
+  Client& in_flight = Connect();
+  Send(in_flight, Get("/held"));
   Settle();
   // One that has connected and says nothing for now, one that comes later.
-  Client& fresh = Connect();
+  Client& recent = Connect();
   listener->Drain([this] { ++ended; });
   Pass(milliseconds(200));
-  Send(fresh, Get("/fresh"));
+  Send(recent, Get("/fresh"));
   Settle();
   Client& late = Connect();
   Send(late, Get("/late"));
@@ -530,7 +531,7 @@
   Pass(milliseconds(2800));
   EXPECT_EQ(ended, 0);
   for (Handed& request : handed) Answer(request);
-  for (Client* client : {&held, &fresh, &late}) {
+  for (Client* client : {&in_flight, &recent, &late}) {
     EXPECT_TRUE(Receives(*client, "answer"));
     EXPECT_TRUE(Ends(*client));
   }
@@ -711,10 +712,10 @@
       ASSERT_EQ(SendAll(client, departure.sent), departure.sent.size());
       Settle();
       ASSERT_EQ(handed.size(), 1U);
-      ASSERT_FALSE(handed[0].gone);
+      ASSERT_FALSE(handed[0].disconnected);
       Leave(client, way);
       Pass(milliseconds(100));
-      EXPECT_TRUE(handed[0].gone);
+      EXPECT_TRUE(handed[0].disconnected);
       EXPECT_EQ(descriptors->used(), 0U);
       EXPECT_EQ(handed.size(), 1U);
       EXPECT_EQ(departure.comes, static_cast<bool>(handed[0].coming));
@@ -766,8 +767,8 @@
   answers = false;
   Client& client = Connect();
   const std::string sent = Get("/p") + Followers(64 << 20);
-  const std::size_t taken = SendAll(client, sent);
-  EXPECT_LT(taken, sent.size());
+  const std::size_t sent_bytes = SendAll(client, sent);
+  EXPECT_LT(sent_bytes, sent.size());
   // Nothing is read any more, and nothing asks whether it should be.
   Settle();
   const std::size_t waiting = Unread(client);
@@ -775,7 +776,7 @@
   Settle();
   EXPECT_LE(system_.waits - waits, 2U);
   EXPECT_EQ(Unread(client), waiting);
-  EXPECT_FALSE(handed[0].gone);
+  EXPECT_FALSE(handed[0].disconnected);
   // Others are served meanwhile, and its own request is answered.
   answers = true;
   Client& other = Connect();
@@ -816,7 +817,7 @@
   EXPECT_LE(system_.waits - waits, 2U);
   Leave(client, Way::kReset);
   Pass(milliseconds(100));
-  EXPECT_TRUE(handed[0].gone);
+  EXPECT_TRUE(handed[0].disconnected);
 }
 
 }  // namespace
--- a/tests/http/transport_test.cpp
+++ b/tests/http/transport_test.cpp
@@ -57,14 +57,14 @@
   }
 
   bool up() const { return socket_.has_value(); }
-  const std::string& heard() const { return heard_; }
+  const std::string& received() const { return received_; }
   void Answer(const std::string& text) { boost::asio::write(*socket_, boost::asio::buffer(text)); }
 
  private:
   void Read() {
     socket_->async_read_some(boost::asio::buffer(bytes_),
                              [this](boost::system::error_code error, std::size_t size) {
-                               heard_.append(bytes_.data(), size);
+                               received_.append(bytes_.data(), size);
                                if (!error) Read();
                              });
   }
@@ -74,7 +74,7 @@
   std::optional<tcp::socket> filler_;
   std::optional<tcp::socket> socket_;
   std::array<char, 4096> bytes_{};
-  std::string heard_;
+  std::string received_;
 };
 
 // Bytes written that the other side's system has not taken.
@@ -148,8 +148,8 @@
   EXPECT_EQ(written, 0);
   Until([&] { return late.up(); });
   Send(dispatch::ExchangeId{2}, "u1", "/page/next");
-  Until([&] { return late.heard().find("\r\n\r\n") != std::string::npos; });
-  EXPECT_EQ(late.heard().rfind("GET /page/next ", 0), 0U) << late.heard();
+  Until([&] { return late.received().find("\r\n\r\n") != std::string::npos; });
+  EXPECT_EQ(late.received().rfind("GET /page/next ", 0), 0U) << late.received();
   late.Answer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   Until([&] { return ended.size() == 2; });
   EXPECT_EQ(ended[1], Outcome::kServed);
@@ -199,10 +199,10 @@
     ASSERT_EQ(ended.size(), 1U);
     // What the module takes for never run must not have gone out, nor what it takes for run have stayed here.
     boost::system::error_code error;
-    std::string heard;
-    boost::asio::read(upstream, boost::asio::dynamic_buffer(heard), error);
-    const bool arrived = heard.find("unsafe") != std::string::npos;
-    EXPECT_EQ(ended[0], arrived ? Outcome::kTimeout : Outcome::kConnectFailed) << heard;
+    std::string received;
+    boost::asio::read(upstream, boost::asio::dynamic_buffer(received), error);
+    const bool arrived = received.find("unsafe") != std::string::npos;
+    EXPECT_EQ(ended[0], arrived ? Outcome::kTimeout : Outcome::kConnectFailed) << received;
     EXPECT_EQ(written, arrived ? 1 : 0);
   }
 }
@@ -326,7 +326,7 @@
   late.Open();
   Serving("u1", late.address());
   Send(dispatch::ExchangeId{1}, "u1", "/page/x");
-  Until([&] { return late.heard().find("\r\n\r\n") != std::string::npos; });
+  Until([&] { return late.received().find("\r\n\r\n") != std::string::npos; });
   transport.Abandon(dispatch::ExchangeId{1});
   late.Answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
   Until([&] { return !ended.empty(); });
--- a/tests/runtime/acceptor_test.cpp
+++ b/tests/runtime/acceptor_test.cpp
@@ -62,18 +62,18 @@
     const rlimit few{system_.descriptors, usual.rlim_max};
     ::setrlimit(RLIMIT_NOFILE, &few);
   }
-  const int taken = next(fd, from, size);
+  const int accepted = next(fd, from, size);
   if (limited) {
     const int error = errno;
     ::setrlimit(RLIMIT_NOFILE, &usual);
     errno = error;
   }
-  if (fd == system_.listening && taken < 0 && system_.after_refusal) {
+  if (fd == system_.listening && accepted < 0 && system_.after_refusal) {
     const int error = errno;
     std::exchange(system_.after_refusal, nullptr)();
     errno = error;
   }
-  return taken;
+  return accepted;
 }
 
 extern "C" int poll(pollfd* fds, nfds_t count, int timeout) {
@@ -105,18 +105,18 @@
 
 extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
   static const auto next = Next<int(int, epoll_event*, int, int)>("epoll_wait");
-  const int told = next(epoll, events, most, timeout);
-  int kept = 0;
-  for (int i = 0; i < told; ++i) {
+  const int notified = next(epoll, events, most, timeout);
+  int retained = 0;
+  for (int i = 0; i < notified; ++i) {
     const auto listening = system_.registered.find(system_.listening);
     if (system_.lost_wakes > 0 && listening != system_.registered.end() &&
         events[i].data.ptr == listening->second && (events[i].events & EPOLLIN) != 0) {
       --system_.lost_wakes;
       continue;
     }
-    events[kept++] = events[i];
+    events[retained++] = events[i];
   }
-  return kept;
+  return retained;
 }
 
 namespace mothrack {
@@ -143,13 +143,13 @@
     system_.listening = acceptor->native_handle();
   }
 
-  bool Room() const override { return room > 0; }
+  bool Room() const override { return capacity > 0; }
   bool MakeRoom() override {
-    ++made_room;
+    ++evicted;
     return false;
   }
   void Admit(tcp::socket socket) override {
-    --room;
+    --capacity;
     admitted.push_back(std::move(socket));
   }
 
@@ -174,8 +174,8 @@
     }
   }
 
-  int room = 1 << 30;
-  int made_room = 0;  // calls
+  int capacity = 1 << 30;
+  int evicted = 0;  // calls
   runtime::Logger log{"t"};
   boost::asio::io_context own;  // of the clients: never run
   boost::asio::io_context io{1};
@@ -192,14 +192,14 @@
   EXPECT_EQ(acceptor->missed(), 0U);
 }
 
-TEST_F(AcceptorTest, ALookFindsAClientOfWhichNobodyTold) {
+TEST_F(AcceptorTest, APollFindsAClientOfWhichTheEventLoopDidNotTell) {
   Settle();
   system_.lost_wakes = 1;
   Connect();
   Settle();
   ASSERT_TRUE(admitted.empty());
   ASSERT_EQ(system_.lost_wakes, 0);
-  acceptor->Look();
+  acceptor->PollForMissedClients();
   Settle();
   EXPECT_EQ(admitted.size(), 1U);
   EXPECT_EQ(acceptor->missed(), 1U);
@@ -209,18 +209,18 @@
   EXPECT_EQ(acceptor->missed(), 1U);
 }
 
-TEST_F(AcceptorTest, ALookLeavesToTheEventLoopWhatThatIsAboutToTell) {
+TEST_F(AcceptorTest, APollLeavesToTheEventLoopWhatThatIsAboutToTell) {
   Settle();
   Connect();
-  acceptor->Look();
+  acceptor->PollForMissedClients();
   EXPECT_TRUE(Admits(1));
   Settle();
   EXPECT_EQ(acceptor->missed(), 0U);
 }
 
-TEST_F(AcceptorTest, ALookFindsNobodyWhereNobodyWaits) {
+TEST_F(AcceptorTest, APollFindsNobodyWhereNobodyWaits) {
   Settle();
-  for (int i = 0; i < 10; ++i) acceptor->Look();
+  for (int i = 0; i < 10; ++i) acceptor->PollForMissedClients();
   Settle();
   EXPECT_EQ(acceptor->missed(), 0U);
   EXPECT_TRUE(admitted.empty());
@@ -230,17 +230,17 @@
 TEST_F(AcceptorTest, LooksServeAllWhereEveryWakeUpIsLost) {
   Settle();
   system_.lost_wakes = 1 << 30;
-  room = 0;
+  capacity = 0;
   Connect();
   Settle();
-  acceptor->Look();
+  acceptor->PollForMissedClients();
   Settle();
   EXPECT_TRUE(admitted.empty());
-  room = 1 << 30;  // the pause for want of room ends by a timer
+  capacity = 1 << 30;  // the pause for want of room ends by a timer
   EXPECT_TRUE(Admits(1));
   for (std::size_t i = 2; i < 6; ++i) {
     Connect();
-    acceptor->Look();
+    acceptor->PollForMissedClients();
     EXPECT_TRUE(Admits(i));
   }
 }
@@ -274,24 +274,24 @@
 }
 
 // A lack that is over at the next call closes nobody's connection; one that lasts does.
-TEST_F(AcceptorTest, OnlyALackThatLastsMakesRoomByClosingOthers) {
+TEST_F(AcceptorTest, OnlyALackThatLastsEvictsOthers) {
   for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS}) {
     const std::size_t before = admitted.size();
     Settle();
-    made_room = 0;
+    evicted = 0;
     system_.error = error;
     system_.fails = 1;
     Connect();
     EXPECT_TRUE(Admits(before + 1)) << error;
-    EXPECT_EQ(made_room, 0) << error;
+    EXPECT_EQ(evicted, 0) << error;
     system_.fails = 3;
     Connect();
     EXPECT_TRUE(Admits(before + 2)) << error;
-    EXPECT_EQ(made_room, 2) << error;
+    EXPECT_EQ(evicted, 2) << error;
   }
 }
 
-TEST_F(AcceptorTest, WhereTheLookAtTheQueueIsInterruptedItIsTakenAgainAheadOfTheClose) {
+TEST_F(AcceptorTest, AnInterruptedPollOfTheQueueIsRepeatedAheadOfTheClose) {
   Settle();
   Connect();
   system_.interrupts = 3;
@@ -300,7 +300,7 @@
   EXPECT_EQ(system_.interrupts, 0);
 }
 
-TEST_F(AcceptorTest, ASystemThatOnlyFailsIsNotAskedWithoutAnEnd) {
+TEST_F(AcceptorTest, AcceptIsNotRetriedWithoutAnEndWhereItOnlyFails) {
   Settle();
   system_.fails = 1000;
   system_.error = ECONNABORTED;
@@ -326,7 +326,7 @@
   acceptor->Pause();
   Connect();
   Settle();
-  acceptor->Look();
+  acceptor->PollForMissedClients();
   Settle();
   EXPECT_TRUE(admitted.empty());
   acceptor->Resume();
@@ -416,25 +416,25 @@
   ASSERT_TRUE(Admits(1));
   Connect();
   Connect();
-  room = 0;
+  capacity = 0;
   EXPECT_FALSE(acceptor->Close());
   EXPECT_EQ(admitted.size(), 1U);
-  room = 1;
+  capacity = 1;
   EXPECT_FALSE(acceptor->Close());
   EXPECT_EQ(admitted.size(), 2U);
   EXPECT_TRUE(IsOpen(clients[2]));
-  room = 1;
+  capacity = 1;
   EXPECT_TRUE(acceptor->Close());
   EXPECT_EQ(admitted.size(), 3U);
   EXPECT_TRUE(IsOpen(clients[2]));
 }
 
-TEST_F(AcceptorTest, GoneItIsNotTouchedByWhatWasPutOff) {
+TEST_F(AcceptorTest, HandlersThatWerePutOffDoNotTouchADestroyedAcceptor) {
   Settle();
   system_.lost_wakes = 1;
   Connect();
   Settle();
-  acceptor->Look();
+  acceptor->PollForMissedClients();
   system_.listening = -1;
   acceptor.reset();
   Settle();
--- a/tests/runtime/connection_set_test.cpp
+++ b/tests/runtime/connection_set_test.cpp
@@ -27,7 +27,7 @@
   EXPECT_EQ(connections.Lowest(rank_of), lowest);
 }
 
-TEST(ConnectionSet, ConnectionsMayLeaveWhileASnapshotIsGoneOver) {
+TEST(ConnectionSet, ConnectionsMayLeaveWhileASnapshotIsIterated) {
   runtime::ConnectionSet<Connection> connections;
   for (int i = 0; i < 3; ++i) connections.Add(std::make_shared<Connection>(i));
   for (const auto& connection : connections.Snapshot()) connections.Remove(connection);
--- a/tests/runtime/deadlines_test.cpp
+++ b/tests/runtime/deadlines_test.cpp
@@ -14,7 +14,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(Deadlines, TakenBackOnesDoNotPass) {
+TEST(Deadlines, CancelledOnesDoNotPass) {
   boost::asio::io_context io;
   std::vector<std::uint64_t> passed;
   runtime::Deadlines deadlines(io, [&](std::uint64_t token) { passed.push_back(token); });
--- a/tests/runtime/descriptors_test.cpp
+++ b/tests/runtime/descriptors_test.cpp
@@ -23,7 +23,7 @@
   EXPECT_TRUE(descriptors.Room(runtime::Descriptors::Side::kClient));
 }
 
-TEST(Descriptors, AreSharedWithAnotherProcessUntilItIsGone) {
+TEST(Descriptors, AreSharedWithAnotherProcessUntilItEnds) {
   runtime::Descriptors descriptors(100, 4);
   const std::size_t full = descriptors.full();
   descriptors.Cap(20);
--- a/tests/runtime/stream_test.cpp
+++ b/tests/runtime/stream_test.cpp
@@ -42,7 +42,7 @@
   EXPECT_EQ(budget.held(), 0U);
 }
 
-TEST(Stream, BeginsAgainOnlyWhileAllIsHeld) {
+TEST(Stream, CanBeConsumedAgainOnlyWhileAllIsBuffered) {
   runtime::ByteBudget budget(1024 * 1024);
   runtime::Stream stream(budget, 100);
   ASSERT_TRUE(stream.BeginConsuming());
