--- a/src/runtime/address.h
+++ b/src/runtime/address.h
@@ -1,4 +1,4 @@
-// An address and port, as operators and discovery write them.
+// An address and port, as operators and discovery write them. Pure: no name is looked up.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -1,5 +1,6 @@
 // The program's one clock: steady, in microseconds. The machine's wall clock is read here for what others say
 // in Unix time; it may be stepped at any moment, by any amount, so no span of time is ever measured by it.
+// Functions of any thread.
 #pragma once
 
 #include <chrono>
--- a/src/runtime/deadlines.h
+++ b/src/runtime/deadlines.h
@@ -1,5 +1,7 @@
 // Points in time that are mostly taken back before they come, on one timer of the event loop. Holds only what
-// is still set; for points that always come see Timers, which is cheaper.
+// is still set; for points that always come see TimerQueue, which is cheaper.
+//
+// Owned by whoever sets them, on the thread of the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,6 +17,7 @@
 
 class Deadlines {
  public:
+  // Called once for a point that was not taken back, at or after its time; may set and take back others.
   using OnPassed = std::function<void(std::uint64_t token)>;
   Deadlines(boost::asio::io_context& io, OnPassed on_passed) : timer_(io), on_passed_(std::move(on_passed)) {}
 
@@ -22,6 +25,7 @@
     set_.emplace(at, token);
     Arm();
   }
+  // `at` and `token` as they were set; no effect where that has passed.
   void TakeBack(TimePoint at, std::uint64_t token) { set_.erase({at, token}); }
 
  private:
--- a/src/runtime/descriptors.h
+++ b/src/runtime/descriptors.h
@@ -1,4 +1,7 @@
 // Counts the sockets that are open, against the limit that the deployment sets.
+//
+// One for the process, handed to all that open sockets; used on the thread of the event loop only. Numbers
+// are file descriptors.
 #pragma once
 
 #include <algorithm>
@@ -20,13 +23,16 @@
   // What is over stays until it is closed.
   void Cap(std::size_t most) { limit_ = std::clamp<std::size_t>(most, 1, full_); }
   void Uncap() { limit_ = full_; }
+  // What both sides may have together, where no other process has a part.
   std::size_t full() const { return full_; }
+  // What is open all the time.
   std::size_t fixed() const { return fixed_; }
+  // Open now, on both sides.
   std::size_t used() const { return clients_ + upstreams_; }
 
   enum class Side { kClient, kUpstream };
 
-  // Held as long as its socket is open.
+  // One descriptor of one side; held as long as its socket is open. The Descriptors must outlive it.
   class Slot {
    public:
     Slot(Descriptors& owner, Side side) : used_(side == Side::kClient ? owner.clients_ : owner.upstreams_) {
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -1,4 +1,7 @@
 // Lines for the people on call, on standard error; bounded, whatever happens.
+//
+// One for the process, on the thread of the event loop. Errors of the stream are ignored: nothing is left to
+// tell them to.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +15,7 @@
 
 class Logger {
  public:
+  // `name` begins each line; `out` must outlive the logger.
   explicit Logger(std::string name, std::ostream& out = std::cerr) : out_(out), name_(std::move(name)) {}
 
   // One of a few long lines that come by the clock and are asked for.
@@ -29,9 +33,9 @@
   }
 
  private:
-  static constexpr double kBurst = 100;
+  static constexpr double kBurst = 100;  // lines
   static constexpr double kPerSecond = 5;
-  static constexpr std::size_t kMaxLineLength = 500;
+  static constexpr std::size_t kMaxLineLength = 500;  // bytes
   std::ostream& out_;
   std::string name_;
   RateLimiter rate_limiter_{kPerSecond, kBurst, Now()};
--- a/src/runtime/rate_limiter.h
+++ b/src/runtime/rate_limiter.h
@@ -1,5 +1,7 @@
 // So many a second, and a burst of them after a pause: for log lines and answers that must not take what
-// requests need.
+// requests need. A token bucket.
+//
+// Owned by whoever is limited, on its thread; time is handed in and must not go back.
 #pragma once
 
 #include <algorithm>
@@ -11,6 +13,7 @@
 
 class RateLimiter {
  public:
+  // Begins with a full burst.
   RateLimiter(double per_second, double burst, TimePoint now)
       : per_second_(per_second), burst_(burst), left_(burst), refilled_(now) {}
 
--- a/src/runtime/secure_random.h
+++ b/src/runtime/secure_random.h
@@ -1,4 +1,7 @@
-// Unpredictable numbers, for what others must not guess: from the system's generator, read in blocks.
+// Unpredictable numbers, for what others must not guess: from the system's generator (getrandom(2)), read in
+// blocks.
+//
+// Owned by whoever draws, on its thread. Throws std::runtime_error where the system has none.
 #pragma once
 
 #include <sys/random.h>
@@ -13,6 +16,7 @@
 
 class SecureRandom {
  public:
+  // Uniform over all 16 bits.
   std::uint16_t Next16() {
     if (at_ + 2 > block_.size()) Refill();
     std::uint16_t value = 0;
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -2,6 +2,9 @@
 // the other takes what it can pass on, and what is held in between is bounded by a window, which is this
 // stream's share of the process's budget. What was taken is kept too, as long as it is little, so that the
 // body can be sent again from its beginning.
+//
+// Shared by the two sides through a shared_ptr, on the thread of the event loop; sizes are bytes. Has no
+// errors of its own: a body that breaks off ends as kBroken.
 #pragma once
 
 #include <cstddef>
@@ -16,6 +19,7 @@
 // Bytes that all streams of the process may hold together, shared evenly among those that are open.
 class ByteBudget {
  public:
+  // `bytes`: of the whole process.
   explicit ByteBudget(std::size_t bytes) : bytes_(bytes), full_(bytes) {}
 
   // What each open stream may hold: enough to keep both sides busy, never so little that it stands still. The
@@ -26,6 +30,7 @@
   void Halve() { bytes_ = full_ / 2; }
   void Restore() { bytes_ = full_; }
 
+  // Bytes that the streams hold now, and how many streams are open.
   std::size_t held() const { return held_; }
   std::size_t open() const { return open_; }
 
@@ -42,7 +47,11 @@
 
 class Stream {
  public:
-  enum class State { kComing, kWhole, kBroken };
+  enum class State {
+    kComing,  // more may be appended
+    kWhole,   // all of it was
+    kBroken,  // the rest will never come
+  };
 
   // What is taken is kept, too, until the body is longer than `keep`, or half of the budget is held.
   Stream(ByteBudget& budget, std::size_t keep);
@@ -56,6 +65,7 @@
   std::size_t Capacity() const;
   // Takes what `bytes` holds; more than Capacity() is taken, too, and leaves none.
   void Append(std::string_view bytes);
+  // No more comes; the first call counts.
   void End(State state);
   // There is room again, or nobody wants the rest. Called from within the other side's calls.
   std::function<void()> on_capacity;
@@ -69,6 +79,7 @@
   void StopConsuming();
   // What can be taken now; valid until the next call of either side.
   std::string_view Ready() const { return std::string_view(bytes_).substr(head_ + (next_ - base_)); }
+  // Passes over the first `size` bytes of Ready(), which has at least so many.
   void Consume(std::size_t size);
   State state() const { return state_; }
   // All has come, and all is taken.
--- a/src/runtime/system_calls.h
+++ b/src/runtime/system_calls.h
@@ -1,5 +1,6 @@
 // System calls on sockets that never block, made again where a signal interrupted them: EINTR says nothing of
 // the socket, and whoever took it for an error would close a connection over a request that it had read.
+// Errors come back as the system has them; functions of any thread.
 #pragma once
 
 #include <poll.h>
--- a/src/runtime/timer_queue.h
+++ b/src/runtime/timer_queue.h
@@ -1,4 +1,7 @@
-// Many points in time on one alarm: that of the event loop, or of a made-up clock.
+// Many points in time on one timer: that of the event loop, or of a simulated clock.
+//
+// Owned by whoever sets them, on the thread of the event loop. A handler that throws leaves the queue armed
+// for what is left; the exception goes on to the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -40,15 +43,17 @@
 class TimerQueue {
  public:
   using OnDue = std::function<void(std::uint64_t token)>;
-  TimerQueue(std::unique_ptr<Timer> alarm, OnDue on_due)
-      : timer_(std::move(alarm)), on_due_(std::move(on_due)) {}
+  TimerQueue(std::unique_ptr<Timer> timer, OnDue on_due)
+      : timer_(std::move(timer)), on_due_(std::move(on_due)) {}
   TimerQueue(boost::asio::io_context& io, OnDue on_due)
       : TimerQueue(std::make_unique<EventLoopTimer>(io), std::move(on_due)) {}
 
   // Counts from the next Arm() on: whoever sets several arms once.
   void Set(TimePoint at, std::uint64_t token) { queue_.emplace(at, token); }
   void Arm();
+  // As the timer has it.
   TimePoint Now() const { return timer_->Now(); }
+  // Points that are set and not due yet.
   std::size_t size() const { return queue_.size(); }
 
  private:
