--- a/src/http/front.cpp
+++ b/src/http/frontend.cpp
@@ -1,4 +1,4 @@
-#include "http/front.h"
+#include "http/frontend.h"
 
 #include <algorithm>
 #include <charconv>
@@ -17,57 +17,57 @@
 using std::chrono::milliseconds;
 
 // The client's clock started when it sent the request: so much earlier, at least, than it was read here.
-constexpr runtime::Duration kTrip = milliseconds(2);
-constexpr std::size_t kLongestId = 128;
+constexpr runtime::Duration kClientLatency = milliseconds(2);
+constexpr std::size_t kMaxIdSize = 128;
 // A client that says it waits longer than this many of its class's deadlines has no idea what it says.
-constexpr int kMostDeadlines = 2;
+constexpr int kMaxDeadlines = 2;
 
 // For what is no request of this protocol: its connection is closed, too.
-HttpResponse Unfit(const std::string& why) {
+HttpResponse InvalidRequestResponse(const std::string& why) {
   auto response = PlainResponse(beast_http::status::bad_request, why);
   response.keep_alive(false);
   return response;
 }
 
 // The one value of a header; nothing where it is missing or given twice.
-std::optional<string_view> Single(const HttpRequest& request, string_view name) {
+std::optional<string_view> SingleValue(const HttpRequest& request, string_view name) {
   const auto range = request.equal_range(name);
   if (range.first == range.second || std::next(range.first) != range.second) return std::nullopt;
   return range.first->value();
 }
 
-bool Visible(string_view text) {
+bool IsVisibleText(string_view text) {
   return std::all_of(text.begin(), text.end(), [](char c) { return c > ' ' && c < 127; });
 }
 
-bool GoodId(string_view id) { return !id.empty() && id.size() <= kLongestId && Visible(id); }
+bool IsValidId(string_view id) { return !id.empty() && id.size() <= kMaxIdSize && IsVisibleText(id); }
 
 // Does the method tell the same as the class? What contradicts itself could be repeated against its class.
-bool Fits(const HttpRequest& request, bool body, balancer::Effect effect) {
+bool MethodFitsEffect(const HttpRequest& request, bool body, balancer::Effect effect) {
   if (effect == balancer::Effect::kSafe) {
     return request.method() == beast_http::verb::get && !body;
   }
-  const auto key = Single(request, "Idempotency-Key");
-  const bool keyed = key && GoodId(*key);
+  const auto key = SingleValue(request, "Idempotency-Key");
+  const bool has_key = key && IsValidId(*key);
   return request.method() == beast_http::verb::post &&
-         (effect == balancer::Effect::kKeyed ? keyed : request.count("Idempotency-Key") == 0);
+         (effect == balancer::Effect::kKeyed ? has_key : request.count("Idempotency-Key") == 0);
 }
 
 template <typename T>
-std::optional<T> Whole(string_view text) {
+std::optional<T> ParseNumber(string_view text) {
   T value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
   return value;
 }
 
-string_view FirstPart(string_view target) {
+string_view FirstSegment(string_view target) {
   if (target.empty() || target.front() != '/') return {};
   target.remove_prefix(1);
   return target.substr(0, target.find_first_of("/?"));
 }
 
-HttpResponse Served(dispatch::Final& final) {
+HttpResponse ServedResponse(dispatch::Final& final) {
   HttpResponse own = std::move(static_cast<HttpReply&>(*final.reply).response);
   HttpResponse response(beast_http::status::ok, 11);
   response.base() = std::move(own.base());
@@ -77,7 +77,7 @@
   return response;
 }
 
-HttpResponse Refused(runtime::Duration retry_after) {
+HttpResponse RejectedResponse(runtime::Duration retry_after) {
   auto response = PlainResponse(beast_http::status::service_unavailable, "refused: trying again is harmless");
   if (retry_after > runtime::Duration::zero()) {
     char seconds[32];
@@ -96,16 +96,16 @@
   return range;
 }
 
-ComingBody Coming(dispatch::Final& final) {
+ComingBody TakeComingBody(dispatch::Final& final) {
   return final.streaming ? std::move(static_cast<HttpReply&>(*final.reply).coming) : ComingBody{};
 }
 
 HttpResponse ToResponse(dispatch::Final& final) {
   switch (final.kind) {
     case dispatch::Final::Kind::kServed:
-      return Served(final);
+      return ServedResponse(final);
     case dispatch::Final::Kind::kRejected:
-      return Refused(final.retry_after);
+      return RejectedResponse(final.retry_after);
     case dispatch::Final::Kind::kFailed:
       break;
   }
@@ -120,8 +120,8 @@
                      dispatch::Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
       listener_(io, where, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
-                [this](HttpRequest request, ComingBody coming, ReplyCallback reply) {
-                  return Take(std::move(request), std::move(coming), std::move(reply));
+                [this](HttpRequest request, ComingBody coming, const ReplyCallback& reply) {
+                  return Accept(std::move(request), std::move(coming), reply);
                 }) {
   const balancer::Settings& settings = dispatcher.settings();
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
@@ -132,48 +132,70 @@
   }
 }
 
-RequestObserver HttpFront::Take(HttpRequest request, ComingBody coming, ReplyCallback reply) {
+RequestObserver HttpFront::Accept(HttpRequest request, ComingBody coming, const ReplyCallback& reply) {
   const runtime::TimePoint now = runtime::Now();
-  const auto bad = [&reply](const std::string& why) {
-    reply(Unfit(why), {});
-    return RequestObserver{};
-  };
   RemoveHopByHop(request);  // first: `Connection` may name what is checked below
-  if (!Visible(request.target())) return bad("bad target");
-  const auto cls = classes_.find(std::string(FirstPart(request.target())));
-  if (cls == classes_.end()) return bad("unknown class");
-  const auto& known = dispatcher_.settings().classes[static_cast<std::size_t>(cls->second)];
-  const bool body = coming || !request.body().empty();
-  if (!Fits(request, body, known.effect)) return bad("method or Idempotency-Key does not fit the class");
-  const auto wire_id = Single(request, "X-Request-ID");
-  if (!wire_id || !GoodId(*wire_id)) return bad("missing or bad X-Request-ID");
-  const auto timeout_text = Single(request, "X-Timeout-Ms");
-  const auto timeout = timeout_text ? Whole<std::uint32_t>(*timeout_text) : std::nullopt;
-  if (!timeout || *timeout == 0 || milliseconds(*timeout) > kMostDeadlines * known.deadline) {
-    return bad("missing or bad X-Timeout-Ms");
-  }
-
-  dispatch::NewRequest taken;
-  taken.request_class = cls->second;
-  const runtime::Duration patience =
-      std::max<runtime::Duration>(milliseconds(*timeout) - kTrip, milliseconds(1));
-  taken.deadline = now + patience;
-  taken.arriving = static_cast<bool>(coming);
-  if (const auto tenant = tenants_.find(std::string(request["X-Tenant-Id"])); tenant != tenants_.end()) {
-    taken.tenant = tenant->second;
+  const bool has_body = coming || !request.body().empty();
+  auto parsed = Parse(request, has_body);
+  if (const auto* invalid = std::get_if<InvalidRequest>(&parsed)) {
+    reply(InvalidRequestResponse(invalid->reason), {});
+    return {};
   }
-  if (const auto cost = Whole<std::uint32_t>(request["X-Cost"])) taken.work = runtime::Duration(*cost);
-  taken.client_retry = request["X-Retried"] == "1";
-  taken.key = std::string(*wire_id);  // two requests of one id could not be told apart upstream
-  taken.message = std::make_shared<const HttpMessage>(std::move(request), std::move(coming));
-  taken.on_final = [reply](dispatch::Final final) {
-    ComingBody answer = Coming(final);
+  auto& attributes = std::get<RequestAttributes>(parsed);
+  const runtime::Duration timeout = attributes.timeout;
+
+  dispatch::NewRequest accepted;
+  accepted.request_class = attributes.request_class;
+  accepted.deadline = now + timeout;
+  accepted.arriving = static_cast<bool>(coming);
+  accepted.tenant = attributes.tenant;
+  accepted.work = attributes.work;
+  accepted.client_retry = attributes.client_retry;
+  accepted.key = std::move(attributes.id);  // two requests of one id could not be told apart upstream
+  accepted.message = std::make_shared<const HttpMessage>(std::move(request), std::move(coming));
+  accepted.on_final = [reply](dispatch::Final final) {
+    ComingBody answer = TakeComingBody(final);
     reply(ToResponse(final), std::move(answer));
   };
-  const auto id = dispatcher_.Submit(std::move(taken));
-  if (!id) return bad("X-Request-ID is taken");
+  const auto id = dispatcher_.Submit(std::move(accepted));
+  if (!id) {
+    reply(InvalidRequestResponse("X-Request-ID is taken"), {});
+    return {};
+  }
   return {[this, id = *id] { dispatcher_.OnClientDisconnected(id); },
-          [this, id = *id, patience] { dispatcher_.OnRequestComplete(id, runtime::Now() + patience); }};
+          [this, id = *id, timeout] { dispatcher_.OnRequestComplete(id, runtime::Now() + timeout); }};
+}
+
+std::variant<HttpFront::RequestAttributes, HttpFront::InvalidRequest> HttpFront::Parse(
+    const HttpRequest& request, bool has_body) const {
+  if (!IsVisibleText(request.target())) return InvalidRequest{"bad target"};
+  const auto named_class = classes_.find(std::string(FirstSegment(request.target())));
+  if (named_class == classes_.end()) return InvalidRequest{"unknown class"};
+  const auto& known = dispatcher_.settings().classes[static_cast<std::size_t>(named_class->second)];
+  if (!MethodFitsEffect(request, has_body, known.effect)) {
+    return InvalidRequest{"method or Idempotency-Key does not fit the class"};
+  }
+  const auto id = SingleValue(request, "X-Request-ID");
+  if (!id || !IsValidId(*id)) return InvalidRequest{"missing or bad X-Request-ID"};
+  const auto timeout_text = SingleValue(request, "X-Timeout-Ms");
+  const auto timeout_ms = timeout_text ? ParseNumber<std::uint32_t>(*timeout_text) : std::nullopt;
+  if (!timeout_ms || *timeout_ms == 0 || milliseconds(*timeout_ms) > kMaxDeadlines * known.deadline) {
+    return InvalidRequest{"missing or bad X-Timeout-Ms"};
+  }
+
+  RequestAttributes attributes;
+  attributes.request_class = named_class->second;
+  attributes.id = std::string(*id);
+  attributes.timeout =
+      std::max<runtime::Duration>(milliseconds(*timeout_ms) - kClientLatency, milliseconds(1));
+  if (const auto tenant = tenants_.find(std::string(request["X-Tenant-Id"])); tenant != tenants_.end()) {
+    attributes.tenant = tenant->second;
+  }
+  if (const auto cost = ParseNumber<std::uint32_t>(request["X-Cost"])) {
+    attributes.work = runtime::Duration(*cost);
+  }
+  attributes.client_retry = request["X-Retried"] == "1";
+  return attributes;
 }
 
 }  // namespace mothrack::http
