--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,4 +1,5 @@
-// Follows discovery: the list and watch loop, and what a list says.
+// Follows the source of the endpoint list: polls it, watches it for changes, and polls again after failures
+// as the PollPolicy says. The design and its bounds: docs/design/news.md.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -10,79 +11,85 @@
 #include <random>
 #include <string>
 
-#include "balancer/balancer.h"
+#include "discovery/endpoint_list.h"
 #include "discovery/endpoint_staleness.h"
+#include "discovery/list_call.h"
 #include "dispatch/membership.h"
 #include "dispatch/start_times.h"
-#include "nlohmann/json.hpp"
 #include "runtime/address.h"
 #include "runtime/clock.h"
 #include "runtime/log.h"
 
 namespace mothrack::discovery {
 
-// One answer of discovery. Throws std::exception, naming what is wrong with the list. A list is a telling in
-// order: where an id is in it twice, what is said of it last counts, and it is told once. When processes
-// started is left to StartTimes.
-dispatch::MembershipList ParseList(const nlohmann::json& body);
-
-class Discovery {
+// Used by the thread of the event loop only. Runs until it is destroyed; failures of the source are logged
+// (the first of a run, and the answer that ends it) and never thrown.
+class Discovery : private ListCall::Observer {
  public:
   using OnList = std::function<void(dispatch::MembershipList)>;
 
-  // Asks again by itself whatever becomes of a call, as the terms say; `seed` spreads that. `start_times`
-  // must outlive it, and places each list before `on_list` gets it.
-  Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const PollPolicy& terms,
+  // `seed` is of the random jitter. `start_times` and `log` must outlive this; `start_times` places each list
+  // before `on_list` gets it.
+  Discovery(boost::asio::io_context& io, runtime::Endpoint endpoint, const PollPolicy& policy,
             std::uint64_t seed, dispatch::StartTimes& start_times, runtime::Logger& log, OnList on_list);
   ~Discovery();
 
-  // The list of this version is held already: what is asked for is what changed since. Before the first
-  // Ask().
+  // The list of this revision is held already: only what changed since is polled. Before the first Ask().
   void Hold(std::uint64_t revision) { revision_ = revision; }
-  // Asks for the list now and watches it from then on. Nothing to do where that is under way.
+  // Starts to poll; does nothing once started.
   void Ask();
-  // Changes over to another address at once: asks there for the whole list. The old list stands until then.
+  // Changes over to another source at once and polls its full list. The old list stands until then.
   void MoveTo(runtime::Endpoint endpoint);
 
   struct Counts {
-    std::uint64_t calls = 0, whole_asked = 0, failed = 0;  // whole_asked: among the calls
-    std::uint64_t whole = 0, changes = 0, lines = 0;       // answers, and what was in them
+    std::uint64_t calls = 0;
+    std::uint64_t whole_asked = 0;  // of the calls, those for a full list
+    std::uint64_t failed = 0;       // calls that brought no list, timed-out ones included
+    std::uint64_t whole = 0;        // answers with a full list
+    std::uint64_t changes = 0;      // answers with changes
+    std::uint64_t lines = 0;        // upstreams in all answers
   };
   const Counts& counts() const { return counts_; }
 
  private:
-  class Call;
+  enum class State {
+    kIdle,           // before Ask()
+    kSynchronizing,  // no answer yet, or a failure since the last one: calls do not wait
+    kFollowing,      // the last call was answered: the next one is a watch
+  };
+  enum class CallKind { kFullList, kChanges, kWatch };
 
-  void Start();
-  void StartIn(runtime::Duration wait);
-  // What the call that is out has not brought by then is a failure.
-  void GiveUpIn(runtime::Duration patience);
-  // Nobody listens to any call any more.
+  void StartCall();
+  CallKind NextCallKind() const;
+  // `delay` from now; replaces whatever the timer was set for.
+  void ScheduleCall(runtime::Duration delay);
+  // For a full list: fails the call that is out after `timeout`, and keeps it open for a late answer.
+  void ScheduleListTimeout(runtime::Duration timeout);
   void DropCalls();
-  double Draw() { return std::uniform_real_distribution<>()(random_); }
-  void Answered(Call& call, const std::string& body);
-  void Failed(const Call& call, const boost::system::error_code& error);
-  void Failed(const Call& call, const std::string& why, FailedCall::Kind kind = FailedCall::Kind::kFault);
-  void Failed(const std::string& why, FailedCall::Kind kind);
+  double Jitter() { return std::uniform_real_distribution<>()(random_); }
+
+  void OnBody(ListCall& call, const std::string& body) override;
+  void OnError(ListCall& call, const CallError& error) override;
+  void Accept(dispatch::MembershipList list);
+  void Fail(const CallError& error);
 
   boost::asio::io_context& io_;
   runtime::Endpoint endpoint_;
-  const PollPolicy terms_;
+  const PollPolicy policy_;
   dispatch::StartTimes& start_times_;
   runtime::Logger& log_;
   const OnList on_list_;
-  boost::asio::steady_timer pause_;
-  std::shared_ptr<Call> call_;
-  std::shared_ptr<Call>
-      overdue_;  // given up for a whole list, and heard all the same if it answers before others
-  bool running_ = false;
-  bool heard_ = false;      // there was an answer, and no failure since: the next call is a watch
-  bool news_ = false;       // there was something in it
-  bool watch_ = false;      // the call that is out is one
-  std::uint64_t turn_ = 0;  // counts the calls, begun or planned: an older plan is void
-  std::optional<std::uint64_t> revision_;  // absent: the whole list is needed
-  runtime::TimePoint asked_;
-  int failures_ = 0;  // in a row
+  boost::asio::steady_timer timer_;  // the next call, or the timeout of a full list
+  std::uint64_t timer_number_ = 0;   // a handler of an earlier setting of the timer does nothing
+  std::shared_ptr<ListCall> call_;
+  // The call for a full list that timed out first; accepted all the same if it is answered before others.
+  std::shared_ptr<ListCall> late_call_;
+  State state_ = State::kIdle;
+  CallKind call_kind_ = CallKind::kFullList;  // of the call that was started last
+  runtime::TimePoint call_started_;
+  bool last_answer_had_changes_ = false;
+  std::optional<std::uint64_t> revision_;  // of the list that is held; absent: the full list is needed
+  int consecutive_failures_ = 0;
   std::mt19937_64 random_;
   Counts counts_;
 };
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -1,75 +1,79 @@
-// Until when news of the list may be missing, and what keeps that: the one place for both. No sockets, no
-// clock.
+// How stale the endpoint list may become, and the timing of polls that keeps the bound. The one place for
+// both: pure functions of the settings, without sockets and without a clock, callable from any thread. The
+// table of cases, bounds and worst cases stands in docs/design/news.md.
+//
+// There are two kinds of source. A local agent ("push") is this machine's own, holds the newest list and
+// answers a watch as soon as something changes. A shared service ("on request") answers all sidecars, so its
+// load bounds how often each of them may poll.
 #pragma once
 
 #include "balancer/balancer.h"
 
 namespace mothrack::discovery {
 
-// What the deployment says that bears on it.
+// The deployment's settings that the bound depends on.
 struct StalenessRules {
-  bool on_request =
-      false;  // one service for all sidecars is asked; else an agent on this machine is pushed to
-  balancer::Duration drain_within{};
-  balancer::Duration poll_within{};
+  bool on_request = false;  // a shared service is polled; otherwise a local agent pushes
+  balancer::Duration
+      drain_within{};  // a draining upstream gets no new requests this long after the notification
+  balancer::Duration poll_within{};  // the longest time between two polls that the platform allows
 
   static StalenessRules Of(const balancer::Settings& settings);
 };
 
-// Where news can be missed.
+// The ways in which a change of the list can be missed, and the moment from which its staleness counts.
 enum class StalenessCase {
-  kWatch,  // a watch falls silent. Counted: pushed, from when the agent has news; asked, from the watch's
-           // start
-  kList,   // a call that does not wait falls silent; counted alike
-  kAfterOutage,  // after any series of failed calls. Counted from when discovery has the change and can be
-                 // reached
-  kMoved,        // SIGHUP named another address. Counted from the signal
-  kNewProcess,   // counted from its start
+  kWatchTimeout,    // a watch got no answer. Push: from when the agent has the change; on request: from the
+                    // start of the watch
+  kListTimeout,     // a call without a wait got no answer; counted in the same way
+  kAfterOutage,     // after any number of failed calls. From when the source has the change and is reachable
+  kAddressChanged,  // SIGHUP named another source. From the signal
+  kNewProcess,      // from the start of the process
 };
 
 // A call that brought no list.
 struct FailedCall {
   enum class Kind {
-    kSilent,  // it was given up
-    kFault,   // refused, reset, turned away or malformed
-    kOlder,   // changes of a version older than the one held: the whole list is needed
+    kTimeout,   // no answer in time
+    kFault,     // refused, reset, rejected with a status, or malformed
+    kOutdated,  // changes of an older revision than the one held: the full list is needed
   };
   Kind kind = Kind::kFault;
-  bool watch = false;           // it was to wait for news
-  int in_row = 1;               // failed calls since the last answer, with this one
-  balancer::Duration lasted{};  // from its start
+  bool watch = false;            // the call was a watch
+  int consecutive_failures = 1;  // since the last answer, this one included
+  balancer::Duration elapsed{};  // from the start of the call to its failure
 };
 
-// How discovery is asked. Only a call that follows an answer is a watch. Until there is one calls do not
-// wait, since only of such a call can be told soon that it is silent.
+// When the source is polled and how long each call may take. A watch is a call that the source answers when
+// something has changed or its wait is over. Only a call after an answer is a watch: until there is one,
+// calls do not wait, since only such a call can be recognized soon as unanswered.
 struct PollPolicy {
   bool on_request = false;
-  balancer::Duration wait{};            // a watch asks to be answered by then
-  balancer::Duration watch_patience{};  // and is given up this long after that
-  balancer::Duration list_patience{};   // a call that does not wait is given up after this
-  balancer::Duration retry_patience{};  // and this from the first failed call on to the next answer
-  balancer::Duration longest_list{};    // pushed: a list that was given up is heard up to this all the same
-  balancer::Duration fault_pause{};  // the least before the next call, after one refused, broken or malformed
+  balancer::Duration watch_wait{};     // the wait that a watch names
+  balancer::Duration watch_timeout{};  // a watch fails this long after its wait
+  balancer::Duration list_timeout{};   // a call without a wait fails after this
+  balancer::Duration retry_timeout{};  // the same from the first failure on until the next answer
   balancer::Duration
-      retry_within{};  // asked: the next call starts at the latest this long after a failed one did
+      late_list_timeout{};  // push: the answer to a full list that timed out is accepted until then
+  balancer::Duration fault_backoff{};  // least time from a fault to the next call
   balancer::Duration
-      turned_away_least{};      // asked: and, where a call was turned away in a row, not sooner than this
-  balancer::Duration answer{};  // until what was asked for is acted on: what the answer may take
+      max_retry_interval{};  // on request: most time from the start of a failed call to the next
+  balancer::Duration min_fault_interval{};  // on request: least such time from the second fault in a row on
+  balancer::Duration answer_time{};         // what an answer may take until it is acted on
 
   static PollPolicy For(const StalenessRules& rules);
-  // What a watch asks to be answered by. One that follows an answer with news was begun by all sidecars
-  // together.
-  balancer::Duration WaitAfter(bool news, double spread) const;
-  // From the failure to the next call; `spread`, drawn anew from 0 up to 1, keeps sidecars out of step, here
-  // and above.
-  balancer::Duration PauseAfter(const FailedCall& call, double spread) const;
+  // The wait of a watch. After an answer with changes, which all sidecars get together, `jitter` spreads the
+  // ends of their watches. `jitter`, here and below: drawn anew for each call, at least 0 and below 1.
+  balancer::Duration WatchWaitAfter(bool had_changes, double jitter) const;
+  // The time from the failure of `call` to the start of the next one.
+  balancer::Duration BackoffAfter(const FailedCall& call, double jitter) const;
 };
 
-// How late news may be acted on, and how late it is at worst, from the moment named at the case.
-balancer::Duration AllowedBy(const StalenessRules& rules, StalenessCase news);
-balancer::Duration WorstOf(const PollPolicy& terms, StalenessCase news);
-// What the difference of the two must be at least, for what no figure here knows of: a process that waits for
-// its core, a timer that fires late.
-balancer::Duration MarginOf(const StalenessRules& rules);
+// The staleness that the operators allow in a case, from the moment named there.
+balancer::Duration StalenessBound(const StalenessRules& rules, StalenessCase staleness_case);
+// The staleness that `policy` leads to at worst.
+balancer::Duration WorstCaseStaleness(const PollPolicy& policy, StalenessCase staleness_case);
+// The least difference between the two: covers late scheduling of the process and of its timers.
+balancer::Duration SchedulingMargin(const StalenessRules& rules);
 
 }  // namespace mothrack::discovery
