--- a/bench/dns_wire.cpp
+++ b/bench/dns_wire.cpp
@@ -31,9 +31,9 @@
   constexpr int kTimes = 50000;
   constexpr int kRounds = 7;
   for (const int records : {1, 8, 60}) {
-    mothrack::testing::QuerySpec asked;
-    asked.edns_size = 1232;
-    const Buffer query = mothrack::testing::MakeQuery(asked);
+    mothrack::testing::QuerySpec client_query;
+    client_query.edns_size = 1232;
+    const Buffer query = mothrack::testing::MakeQuery(client_query);
     mothrack::testing::AnswerSpec spec;
     spec.records = records;
     spec.edns_size = 4096;
@@ -44,8 +44,8 @@
     for (int round = 0; round < kRounds; ++round) {
       own.push_back(Nanoseconds(kTimes, [&] {
         Layout layout;
-        if (Read(answer, layout) != Reading::kWhole) return;
-        sum += ForClient(answer, layout, Asked{7, 0, true, false, 1232}, 1232).size();
+        if (ParseMessage(answer, layout) != ParseStatus::kOk) return;
+        sum += ToClientResponse(answer, layout, ClientQuery{7, 0, true, false, 1232}, 1232).size();
       }));
       library.push_back(Nanoseconds(kTimes, [&] {
         ldns_pkt* packet = nullptr;
--- a/fuzz/dns_message_fuzz.cpp
+++ b/fuzz/dns_message_fuzz.cpp
@@ -17,26 +17,27 @@
 
 void TryMessage(Bytes message) {
   Layout layout;
-  const Reading reading = Read(message, layout);
-  if (reading == Reading::kNoHeader) return Require(message.size() < kHeaderSize);
-  if (reading != Reading::kWhole) return;
+  const ParseStatus reading = ParseMessage(message, layout);
+  if (reading == ParseStatus::kNoHeader) return Require(message.size() < kHeaderSize);
+  if (reading != ParseStatus::kOk) return;
   Require(layout.question_end <= message.size() && layout.additional_at <= message.size());
   const Bytes question = Question(message, layout);
-  Judge(message, layout);
+  OutcomeOf(message, layout);
   Layout again;
   for (const std::uint16_t size : {512, 1232}) {
-    const Buffer query = ForResolver(message, layout, size);
+    const Buffer query = ToResolverQuery(message, layout, size);
     Require(query.size() <= message.size());
-    Require(Read(query, again) == Reading::kWhole);
+    Require(ParseMessage(query, again) == ParseStatus::kOk);
     Require(again.question_end == layout.question_end);
     for (const bool edns : {false, true}) {
-      Asked asked{1, layout.flags, edns, true, size};
-      const Buffer answer = ForClient(message, layout, asked, size);
-      Require(answer.size() <= std::max<std::size_t>(size, kPlainUdp));
-      Require(Read(answer, again) == Reading::kWhole && again.id == 1);
-      Require(again.truncated() || answer.size() <= asked.most);
-      const Buffer own = OwnAnswer(asked, question, kServFail, Explanation{kOtherError, "x"}, size);
-      Require(Read(own, again) == Reading::kWhole && again.response());
+      ClientQuery client_query{1, layout.flags, edns, true, size};
+      const Buffer answer = ToClientResponse(message, layout, client_query, size);
+      Require(answer.size() <= std::max<std::size_t>(size, kMaxUdpWithoutEdns));
+      Require(ParseMessage(answer, again) == ParseStatus::kOk && again.id == 1);
+      Require(again.truncated() || answer.size() <= client_query.max_response_size);
+      const Buffer own =
+          MakeResponse(client_query, question, kServFail, ExtendedErrorInfo{kOtherError, "x"}, size);
+      Require(ParseMessage(own, again) == ParseStatus::kOk && again.response());
     }
   }
 }
@@ -52,7 +53,7 @@
   FrameReader frames;
   std::size_t taken = 0;
   for (std::size_t at = 1; at < size; at += piece) {
-    frames.Add(input.subspan(at, std::min(piece, size - at)));
+    frames.Append(input.subspan(at, std::min(piece, size - at)));
     while (const auto message = frames.Next()) {
       taken += 2 + message->size();
       TryMessage(*message);
--- a/src/dns/attempt.cpp
+++ b/src/dns/attempt.cpp
@@ -4,7 +4,7 @@
 
 namespace mothrack::dns {
 
-Attempt* Match(const OpenIds& open, Bytes message, Layout& layout, Counters& counters) {
+Attempt* MatchResponse(const OpenAttempts& open, Bytes message, Layout& layout, Counters& counters) {
   const auto unmatched = [&counters] {
     ++counters.unmatched;
     return nullptr;
@@ -14,16 +14,17 @@
   Attempt* attempt = open.Find(id);
   if (attempt == nullptr) return unmatched();
   const Query& query = *attempt->query;
-  const Bytes asked = Bytes(query.wire).subspan(kHeaderSize, query.question_end - kHeaderSize);
-  const Reading reading = Read(message, layout);
+  const Bytes client_query = Bytes(query.wire).subspan(kHeaderSize, query.question_end - kHeaderSize);
+  const ParseStatus reading = ParseMessage(message, layout);
   if (!layout.response() || layout.opcode() != query.opcode) return unmatched();
   // Only an UPDATE's answer may leave its zone out (RFC 2136 section 3.8). Case counts: it was sent as asked.
   const bool bare = layout.questions == 0 && query.opcode == kUpdate;
   if (!bare) {
-    if (layout.questions != 1 || layout.question_end - kHeaderSize != asked.size()) return unmatched();
-    if (!std::equal(asked.begin(), asked.end(), message.begin() + kHeaderSize)) return unmatched();
+    if (layout.questions != 1 || layout.question_end - kHeaderSize != client_query.size()) return unmatched();
+    if (!std::equal(client_query.begin(), client_query.end(), message.begin() + kHeaderSize))
+      return unmatched();
   }
-  if (reading != Reading::kWhole) {
+  if (reading != ParseStatus::kOk) {
     ++counters.garbled;
     return nullptr;
   }
--- a/src/dns/attempt.h
+++ b/src/dns/attempt.h
@@ -14,7 +14,7 @@
 
 struct Resolver;
 class UdpPort;
-class TcpLink;
+class ResolverConnection;
 
 struct Attempt {
   dispatch::ExchangeId id{};
@@ -22,33 +22,33 @@
   std::shared_ptr<const Query> query;
   dispatch::ExchangeHooks hooks;
   runtime::TimePoint sent;
-  runtime::TimePoint gives_up;
+  runtime::TimePoint deadline;
   std::uint16_t wire_id = 0;
   // One of these, while it is out.
   std::shared_ptr<UdpPort> port;
-  std::shared_ptr<TcpLink> link;
+  std::shared_ptr<ResolverConnection> connection;
   bool written = false;  // its last byte, to a TCP connection
   // What came over UDP before it was moved to TCP.
-  std::unique_ptr<Answer> truncated;
+  std::unique_ptr<ResolverResponse> truncated;
 };
 
 // Whoever carries attempts tells their owner through this. Each call may end attempts, and with that close
 // the one who calls.
-class CarrierEvents {
+class AttemptEvents {
  public:
   // A whole message that fits the attempt (RFC 5452 section 9.1: address and port by the socket, id,
   // question).
-  virtual void OnAnswer(Attempt& attempt, Bytes message, const Layout& layout) = 0;
+  virtual void OnResponse(Attempt& attempt, Bytes message, const Layout& layout) = 0;
   // The resolver's port is closed.
   virtual void OnUnreachable(UdpPort& port) = 0;
   // The connection is gone, or never came up.
-  virtual void OnBroken(TcpLink& link) = 0;
+  virtual void OnConnectionLost(ResolverConnection& connection) = 0;
 
  protected:
-  ~CarrierEvents() = default;
+  ~AttemptEvents() = default;
 };
 
-class OpenIds {
+class OpenAttempts {
  public:
   // Gives it an id of its own that nobody can foresee. There must be fewer than half of all ids open.
   void Add(Attempt& attempt, runtime::SecureRandom& random) {
@@ -72,6 +72,6 @@
 };
 
 // The open attempt that a message from its resolver answers; counts what answers none. `layout` is filled in.
-Attempt* Match(const OpenIds& open, Bytes message, Layout& layout, Counters& counters);
+Attempt* MatchResponse(const OpenAttempts& open, Bytes message, Layout& layout, Counters& counters);
 
 }  // namespace mothrack::dns
--- a/src/dns/frames.h
+++ b/src/dns/frames.h
@@ -13,36 +13,36 @@
 class FrameReader {
  public:
   // Makes void what Next() gave.
-  void Add(Bytes bytes) {
-    held_.erase(held_.begin(), held_.begin() + static_cast<std::ptrdiff_t>(at_));
-    at_ = 0;
-    held_.insert(held_.end(), bytes.begin(), bytes.end());
+  void Append(Bytes bytes) {
+    buffer_.erase(buffer_.begin(), buffer_.begin() + static_cast<std::ptrdiff_t>(offset_));
+    offset_ = 0;
+    buffer_.insert(buffer_.end(), bytes.begin(), bytes.end());
   }
 
   // The next whole message; nothing until more has come.
   std::optional<Bytes> Next() {
-    const Bytes rest = Bytes(held_).subspan(at_);
-    if (rest.size() < 2) return std::nullopt;
-    const std::size_t size = std::size_t{rest[0]} << 8 | rest[1];
-    if (rest.size() - 2 < size) return std::nullopt;
-    at_ += 2 + size;
-    return rest.subspan(2, size);
+    const Bytes unread = Bytes(buffer_).subspan(offset_);
+    if (unread.size() < 2) return std::nullopt;
+    const std::size_t size = std::size_t{unread[0]} << 8 | unread[1];
+    if (unread.size() - 2 < size) return std::nullopt;
+    offset_ += 2 + size;
+    return unread.subspan(2, size);
   }
 
-  bool empty() const { return at_ == held_.size(); }
+  bool empty() const { return offset_ == buffer_.size(); }
   // Gives the memory back; only while empty().
   void Shrink() {
-    held_ = Buffer();
-    at_ = 0;
+    buffer_ = Buffer();
+    offset_ = 0;
   }
 
  private:
-  Buffer held_;
-  std::size_t at_ = 0;  // read so far
+  Buffer buffer_;
+  std::size_t offset_ = 0;  // read so far
 };
 
 // The length, then the message.
-inline void AddFrame(Buffer& out, Bytes message) {
+inline void AppendFrame(Buffer& out, Bytes message) {
   out.reserve(out.size() + 2 + message.size());
   out.push_back(static_cast<std::uint8_t>(message.size() >> 8));
   out.push_back(static_cast<std::uint8_t>(message.size()));
--- a/src/dns/front.cpp
+++ b/src/dns/frontend.cpp
@@ -1,4 +1,4 @@
-#include "dns/front.h"
+#include "dns/frontend.h"
 
 #include <algorithm>
 #include <boost/system/system_error.hpp>
@@ -22,7 +22,7 @@
 
 // Where a client's query and its retransmission are the same: the id and the question, for an UPDATE all but
 // the additional section, where a new signature would stand. Two UPDATEs of one zone are not the same.
-std::string Name(const Front::Client& client, Bytes message, const Layout& layout) {
+std::string Name(const Frontend::Client& client, Bytes message, const Layout& layout) {
   const std::size_t end = layout.opcode() == kUpdate ? layout.additional_at : layout.question_end;
   std::string name = client.name;
   name.reserve(name.size() + 3 + end - kHeaderSize);
@@ -32,7 +32,7 @@
   return name;
 }
 
-Explanation WhyNot(const dispatch::Final& final, std::uint8_t opcode) {
+ExtendedErrorInfo WhyNot(const dispatch::Final& final, std::uint8_t opcode) {
   if (final.kind == dispatch::Final::Kind::kFailed && opcode == kUpdate) {
     return {kOtherError, "no answer from the resolver: the update may have been made"};
   }
@@ -47,8 +47,8 @@
 
 }  // namespace
 
-Front::Front(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
-             runtime::Logger& log, dispatch::Dispatcher& dispatcher, Counters& counters)
+Frontend::Frontend(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
+                   runtime::Logger& log, dispatch::Dispatcher& dispatcher, Counters& counters)
     : io_(io),
       settings_(settings),
       dispatcher_(dispatcher),
@@ -72,36 +72,37 @@
   }
 }
 
-Front::~Front() = default;
+Frontend::~Frontend() = default;
 
-std::vector<runtime::Endpoint> Front::local() const {
+std::vector<runtime::Endpoint> Frontend::local() const {
   std::vector<runtime::Endpoint> all;
   for (const auto& server : udp_) all.push_back(server->local());
   return all;
 }
 
-Front::Handle Front::Take(Bytes message, const Client& client, Respond respond) {
+Frontend::Handle Frontend::HandleMessage(Bytes message, const Client& client, Respond respond) {
   const bool tcp = client.address.empty();
   ++(tcp ? counters_.tcp_queries : counters_.udp_queries);
   Layout layout;
-  const Reading reading = Read(message, layout);
+  const ParseStatus reading = ParseMessage(message, layout);
   // Answering an answer could go on for ever.
-  if (reading == Reading::kNoHeader || layout.response()) {
+  if (reading == ParseStatus::kNoHeader || layout.response()) {
     ++counters_.dropped;
     return nullptr;
   }
-  Asked asked{layout.id, layout.flags};
-  const bool whole = reading == Reading::kWhole;
+  ClientQuery client_query{layout.id, layout.flags};
+  const bool whole = reading == ParseStatus::kOk;
   if (whole && layout.edns) {
-    asked.edns = true;
-    asked.dnssec_ok = layout.edns->dnssec_ok;
-    asked.most = std::clamp<std::size_t>(layout.edns->payload, kPlainUdp, settings_.edns_size);
+    client_query.edns = true;
+    client_query.dnssec_ok = layout.edns->dnssec_ok;
+    client_query.max_response_size =
+        std::clamp<std::size_t>(layout.edns->payload, kMaxUdpWithoutEdns, settings_.edns_size);
   }
-  if (tcp) asked.most = kMostMessage;
-  const auto answer = [&](std::uint16_t rcode, const std::optional<Explanation>& why) -> Handle {
+  if (tcp) client_query.max_response_size = kMaxMessageSize;
+  const auto answer = [&](std::uint16_t rcode, const std::optional<ExtendedErrorInfo>& why) -> Handle {
     ++counters_.answers;
     const Bytes question = whole ? Question(message, layout) : Bytes();
-    respond(OwnAnswer(asked, question, rcode, why, settings_.edns_size));
+    respond(MakeResponse(client_query, question, rcode, why, settings_.edns_size));
     return nullptr;
   };
   const std::uint8_t opcode = layout.opcode();
@@ -113,10 +114,10 @@
     return answer(kFormErr, {});
   }
   if (layout.edns && layout.edns->version > 0) return answer(kBadVers, {});
-  if (transfer) return answer(kRefused, Explanation{kNotSupported, "zone transfers are not passed on"});
+  if (transfer) return answer(kRefused, ExtendedErrorInfo{kNotSupported, "zone transfers are not passed on"});
   balancer::ClassId class_id{};
   const ClassSettings* known = classifier_.Find(opcode, layout.qtype, class_id);
-  if (known == nullptr) return answer(kNotImp, Explanation{kNotSupported, "no class is set for it"});
+  if (known == nullptr) return answer(kNotImp, ExtendedErrorInfo{kNotSupported, "no class is set for it"});
 
   std::string name = Name(client, message, layout);
   if (open_.contains(name)) {
@@ -135,16 +136,17 @@
   std::string_view bound;
   if (!MayOpen(client, opcode, bound)) {
     ++counters_.over_bound;
-    return answer(kRefused, Explanation{kNotReady, bound});
+    return answer(kRefused, ExtendedErrorInfo{kNotReady, bound});
   }
 
   auto query = std::make_shared<Query>();
-  query->wire = ForResolver(message, layout, settings_.edns_size);
+  query->wire = ToResolverQuery(message, layout, settings_.edns_size);
   query->question_end = static_cast<std::uint16_t>(layout.question_end);
   query->opcode = opcode;
   query->repeatable = known->effect == Effect::kSafe;
   query->over_tcp = tcp;
-  const auto it = open_.emplace(name, Open{{}, asked, query, std::move(respond), client.address}).first;
+  const auto it =
+      open_.emplace(name, Open{{}, client_query, query, std::move(respond), client.address}).first;
   if (!tcp) ++open_of_[client.address];
   if (opcode == kUpdate) ++open_updates_;
 
@@ -160,7 +162,7 @@
   return &still->first;
 }
 
-bool Front::MayOpen(const Client& client, std::uint8_t opcode, std::string_view& why) {
+bool Frontend::MayOpen(const Client& client, std::uint8_t opcode, std::string_view& why) {
   if (open_.size() >= settings_.max_open_queries) {
     why = "too many queries are open";
     return false;
@@ -177,7 +179,7 @@
   return true;
 }
 
-void Front::Gone(Handle handle) {
+void Frontend::OnClientDisconnected(Handle handle) {
   const auto it = open_.find(*handle);
   if (it == open_.end()) return;
   const balancer::RequestId id = it->second.id;
@@ -185,7 +187,7 @@
   dispatcher_.OnClientDisconnected(id);
 }
 
-void Front::Close(Handle handle) {
+void Frontend::Close(Handle handle) {
   const auto it = open_.find(*handle);
   if (!it->second.address.empty()) {
     const auto count = open_of_.find(it->second.address);
@@ -195,7 +197,7 @@
   open_.erase(it);
 }
 
-void Front::Ended(Handle handle, dispatch::Final final) {
+void Frontend::Ended(Handle handle, dispatch::Final final) {
   const auto it = open_.find(*handle);
   const Open& open = it->second;
   Buffer answer = ToAnswer(open, final);
@@ -206,25 +208,26 @@
   respond(std::move(answer));
 }
 
-Buffer Front::ToAnswer(const Open& open, const dispatch::Final& final) const {
-  if (const auto* reply = static_cast<const Answer*>(final.reply.get())) {
-    return ForClient(reply->wire, reply->layout, open.asked, settings_.edns_size);
+Buffer Frontend::ToAnswer(const Open& open, const dispatch::Final& final) const {
+  if (const auto* reply = static_cast<const ResolverResponse*>(final.reply.get())) {
+    return ToClientResponse(reply->wire, reply->layout, open.client_query, settings_.edns_size);
   }
   const Bytes question = Bytes(open.query->wire).subspan(kHeaderSize, open.query->question_end - kHeaderSize);
   // No attempt was made: whoever is told REFUSED asks elsewhere, and may well come back here.
   if (final.kind == dispatch::Final::Kind::kRejected && final.attempts == 0) {
-    return OwnAnswer(open.asked, question, kRefused, Explanation{kNotReady, "no resolver can take it now"},
-                     settings_.edns_size);
+    return MakeResponse(open.client_query, question, kRefused,
+                        ExtendedErrorInfo{kNotReady, "no resolver can take it now"}, settings_.edns_size);
   }
-  return OwnAnswer(open.asked, question, kServFail, WhyNot(final, open.query->opcode), settings_.edns_size);
+  return MakeResponse(open.client_query, question, kServFail, WhyNot(final, open.query->opcode),
+                      settings_.edns_size);
 }
 
-void Front::Remember(const std::string& name, const Buffer& answer) {
+void Frontend::Remember(const std::string& name, const Buffer& answer) {
   updates_.emplace(name, answer);
   updates_by_age_.emplace_back(runtime::Now(), name);
 }
 
-void Front::ForgetOldUpdates() {
+void Frontend::ForgetOldUpdates() {
   const runtime::TimePoint now = runtime::Now();
   while (!updates_by_age_.empty() && now - updates_by_age_.front().first > settings_.update_memory) {
     updates_.erase(updates_by_age_.front().second);
@@ -232,7 +235,7 @@
   }
 }
 
-void Front::Drain(std::function<void()> done) {
+void Frontend::Drain(std::function<void()> done) {
   if (drained_) return;
   drained_ = std::move(done);
   drain_started_ = runtime::Now();
@@ -240,10 +243,10 @@
   CheckDrained();
 }
 
-void Front::CheckDrained() {
+void Frontend::CheckDrained() {
   const bool over = runtime::Now() - drain_started_ > kTakeWhileDraining;
   if (over) {
-    for (const auto& server : udp_) server->StopTaking();
+    for (const auto& server : udp_) server->StopReceiving();
     for (const auto& server : tcp_) server->StopAccepting();
   }
   const auto done = [](const auto& server) { return server->done(); };
--- a/src/dns/front.h
+++ b/src/dns/frontend.h
@@ -24,7 +24,7 @@
 class UdpServer;
 class TcpServer;
 
-class Front {
+class Frontend {
  public:
   // Hands the answer over; called once for each query that was taken, unless it is called off.
   using Respond = std::function<void(Buffer answer)>;
@@ -38,14 +38,14 @@
 
   // Binds and takes queries at once; throws boost::system::system_error, after `failed` was set to the
   // address.
-  Front(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
-        runtime::Logger& log, dispatch::Dispatcher& dispatcher, Counters& counters);
-  ~Front();
+  Frontend(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
+           runtime::Logger& log, dispatch::Dispatcher& dispatcher, Counters& counters);
+  ~Frontend();
 
   // `respond` may be called before this returns. Null where nothing is open: answered, or left out.
-  Handle Take(Bytes message, const Client& client, Respond respond);
+  Handle HandleMessage(Bytes message, const Client& client, Respond respond);
   // Its client has left.
-  void Gone(Handle handle);
+  void OnClientDisconnected(Handle handle);
 
   // A planned stop: takes what still comes for a while, then answers all it has taken, then calls `done`.
   void Drain(std::function<void()> done);
@@ -55,7 +55,7 @@
  private:
   struct Open {
     balancer::RequestId id{};
-    Asked asked;
+    ClientQuery client_query;
     std::shared_ptr<const Query> query;
     Respond respond;
     std::string address;
--- a/src/dns/message.h
+++ b/src/dns/message.h
@@ -18,9 +18,9 @@
 using Bytes = std::span<const std::uint8_t>;
 using Buffer = std::vector<std::uint8_t>;
 
-constexpr std::size_t kHeaderSize = 12;      // RFC 1035 section 4.1.1
-constexpr std::size_t kMostMessage = 65535;  // the length field over TCP, RFC 1035 section 4.2.2
-constexpr std::size_t kPlainUdp = 512;       // answers over UDP without EDNS, RFC 1035 section 4.2.1
+constexpr std::size_t kHeaderSize = 12;          // RFC 1035 section 4.1.1
+constexpr std::size_t kMaxMessageSize = 65535;   // the length field over TCP, RFC 1035 section 4.2.2
+constexpr std::size_t kMaxUdpWithoutEdns = 512;  // answers over UDP without EDNS, RFC 1035 section 4.2.1
 
 // RFC 1035, 1996, 2136; the numbers are the wire's.
 enum Opcode : std::uint8_t { kQuery = 0, kNotify = 4, kUpdate = 5 };
@@ -87,13 +87,13 @@
   }
 };
 
-enum class Reading {
-  kWhole,
+enum class ParseStatus {
+  kOk,
   kNoHeader,   // shorter than a header: nobody can be answered
   kMalformed,  // the header is there (id, flags, counts in the layout), what follows makes no sense
 };
 // Reads a whole message. Anything behind the last record makes it malformed.
-Reading Read(Bytes message, Layout& layout);
+ParseStatus ParseMessage(Bytes message, Layout& layout);
 
 // The question section's bytes.
 inline Bytes Question(Bytes message, const Layout& layout) {
@@ -105,31 +105,32 @@
 // A query as it goes to a resolver: EDNS is between neighbours (RFC 6891 section 6), so its size becomes ours
 // and options that speak of one hop only (cookies, RFC 7873; keep-alive, RFC 7828; padding, RFC 7830) go. A
 // signed one stays as it is.
-Buffer ForResolver(Bytes query, const Layout& layout, std::uint16_t our_size);
+Buffer ToResolverQuery(Bytes query, const Layout& layout, std::uint16_t local_edns_size);
 
 // What of a client's query its answer depends on.
-struct Asked {
+struct ClientQuery {
   std::uint16_t id = 0;
   std::uint16_t flags = 0;
   bool edns = false;
   bool dnssec_ok = false;
-  std::size_t most = kPlainUdp;  // bytes that the answer may have
+  std::size_t max_response_size = kMaxUdpWithoutEdns;  // bytes that the answer may have
 };
 
 // A resolver's answer as it goes to the client: the client's id, our EDNS size, and truncated to question and
 // OPT where it is larger than the client takes.
-Buffer ForClient(Bytes answer, const Layout& layout, const Asked& asked, std::uint16_t our_size);
+Buffer ToClientResponse(Bytes answer, const Layout& layout, const ClientQuery& client_query,
+                        std::uint16_t local_edns_size);
 
-struct Explanation {
+struct ExtendedErrorInfo {
   ExtendedError code = kOtherError;
   std::string_view text;  // for people; at most 200 bytes of it are sent
 };
 // An answer of our own: header, `question` (the section's bytes, may be empty) and, where the client speaks
 // EDNS, OPT with the reason.
-Buffer OwnAnswer(const Asked& asked, Bytes question, std::uint16_t rcode,
-                 const std::optional<Explanation>& why, std::uint16_t our_size);
+Buffer MakeResponse(const ClientQuery& client_query, Bytes question, std::uint16_t rcode,
+                    const std::optional<ExtendedErrorInfo>& why, std::uint16_t local_edns_size);
 
 // The first extended error of an answer, RFC 8914; nothing where it has none.
-std::optional<std::uint16_t> ExtendedErrorOf(Bytes answer, const Layout& layout);
+std::optional<std::uint16_t> FindExtendedError(Bytes answer, const Layout& layout);
 
 }  // namespace mothrack::dns
--- a/src/dns/query.h
+++ b/src/dns/query.h
@@ -19,7 +19,7 @@
   bool over_tcp = false;    // the client's way, kept where a message must not be repeated
 };
 
-struct Answer : dispatch::Reply {
+struct ResolverResponse : dispatch::Reply {
   Buffer wire;  // as the resolver sent it
   Layout layout;
 };
--- a/src/dns/tcp_link.cpp
+++ b/src/dns/resolver_connection.cpp
@@ -1,4 +1,4 @@
-#include "dns/tcp_link.h"
+#include "dns/resolver_connection.h"
 
 #include <algorithm>
 #include <array>
@@ -13,13 +13,13 @@
 using boost::system::error_code;
 
 // Answers of queries that were given up: a connection that owes more of them is not used any further.
-constexpr std::size_t kMostAbandoned = 64;
+constexpr std::size_t kMaxAbandoned = 64;
 constexpr std::size_t kReadSize = 16 * 1024;
 
 }  // namespace
 
-TcpLink::TcpLink(boost::asio::io_context& io, runtime::Descriptors& descriptors, CarrierEvents& events,
-                 Counters& counters)
+ResolverConnection::ResolverConnection(boost::asio::io_context& io, runtime::Descriptors& descriptors,
+                                       AttemptEvents& events, Counters& counters)
     : socket_(io),
       timer_(io),
       slot_(std::in_place, descriptors, runtime::Descriptors::Side::kUpstream),
@@ -27,7 +27,7 @@
       counters_(counters),
       idle_since_(runtime::Now()) {}
 
-bool TcpLink::Open(const runtime::Endpoint& resolver, runtime::Duration connect_timeout) {
+bool ResolverConnection::Open(const runtime::Endpoint& resolver, runtime::Duration connect_timeout) {
   error_code error;
   socket_.open(resolver.protocol(), error);
   if (!error) socket_.set_option(tcp::no_delay(true), error);
@@ -38,20 +38,20 @@
   }
   timer_.expires_after(connect_timeout);
   timer_.async_wait([self = shared_from_this()](error_code late) {
-    if (!late && !self->closed_ && !self->connected_) self->Break();
+    if (!late && !self->closed_ && !self->connected_) self->Fail();
   });
   socket_.async_connect(resolver, [self = shared_from_this()](error_code failed) {
     if (self->closed_) return;
-    if (failed) return self->Break();
+    if (failed) return self->Fail();
     self->connected_ = true;
     self->timer_.cancel();
-    self->Wait();
+    self->WaitReadable();
     self->Flush();
   });
   return true;
 }
 
-void TcpLink::Close() {
+void ResolverConnection::Close() {
   if (closed_) return;
   closed_ = true;
   error_code ignored;
@@ -60,7 +60,7 @@
   timer_.cancel();
 }
 
-void TcpLink::Send(Attempt& attempt, runtime::SecureRandom& random) {
+void ResolverConnection::Send(Attempt& attempt, runtime::SecureRandom& random) {
   // An id whose answer may still come must not be given to another.
   open_.Add(attempt, random);
   while (abandoned_.contains(attempt.wire_id)) {
@@ -68,7 +68,7 @@
     open_.Add(attempt, random);
   }
   Frame frame;
-  AddFrame(frame.bytes, attempt.query->wire);
+  AppendFrame(frame.bytes, attempt.query->wire);
   SetId(std::span(frame.bytes).subspan(2), attempt.wire_id);
   frame.attempt = &attempt;
   attempt.written = false;
@@ -76,41 +76,41 @@
   if (connected_) Flush();
 }
 
-void TcpLink::Forget(const Attempt& attempt) {
+void ResolverConnection::Remove(const Attempt& attempt) {
   open_.Remove(attempt.wire_id);
   const auto it = std::find_if(frames_.begin(), frames_.end(),
                                [&attempt](const Frame& frame) { return frame.attempt == &attempt; });
-  if (it != frames_.end() && (it != frames_.begin() || front_written_ == 0)) {
+  if (it != frames_.end() && (it != frames_.begin() || first_frame_written_ == 0)) {
     frames_.erase(it);
   } else {
     if (it != frames_.end()) it->attempt = nullptr;
     abandoned_.insert(attempt.wire_id);  // Take() has removed it where this is the answer's doing
   }
-  if (abandoned_.size() > kMostAbandoned) retired_ = true;
+  if (abandoned_.size() > kMaxAbandoned) retired_ = true;
   CloseIfDone();
 }
 
-std::vector<Attempt*> TcpLink::Unbegun() const {
+std::vector<Attempt*> ResolverConnection::UnwrittenAttempts() const {
   std::vector<Attempt*> unbegun;
   for (std::size_t i = 0; i < frames_.size(); ++i) {
-    if (frames_[i].attempt != nullptr && (i > 0 || front_written_ == 0))
+    if (frames_[i].attempt != nullptr && (i > 0 || first_frame_written_ == 0))
       unbegun.push_back(frames_[i].attempt);
   }
   return unbegun;
 }
 
-void TcpLink::Retire() {
+void ResolverConnection::Retire() {
   retired_ = true;
   CloseIfDone();
 }
 
-void TcpLink::CloseIfDone() {
+void ResolverConnection::CloseIfDone() {
   if (open_.size() > 0) return;
   idle_since_ = runtime::Now();
   if (retired_) Close();
 }
 
-bool TcpLink::Takes() {
+bool ResolverConnection::CanAccept() {
   if (closed_ || retired_) return false;
   if (!connected_ || open_.size() > 0) return true;
   // The event of its close may not have been delivered yet.
@@ -121,80 +121,81 @@
   return false;
 }
 
-void TcpLink::Flush() {
+void ResolverConnection::Flush() {
   if (flushing_ || closed_) return;
   while (!frames_.empty()) {
     Frame& frame = frames_.front();
     error_code error;
-    front_written_ += runtime::WriteSome(
-        socket_,
-        boost::asio::buffer(frame.bytes.data() + front_written_, frame.bytes.size() - front_written_), error);
+    first_frame_written_ += runtime::WriteSome(socket_,
+                                               boost::asio::buffer(frame.bytes.data() + first_frame_written_,
+                                                                   frame.bytes.size() - first_frame_written_),
+                                               error);
     if (runtime::WouldBlock(error)) {
       flushing_ = true;
       socket_.async_wait(tcp::socket::wait_write, [self = shared_from_this()](error_code failed) {
         self->flushing_ = false;
         if (self->closed_) return;
-        if (failed) return self->Break();
+        if (failed) return self->Fail();
         self->Flush();
       });
       return;
     }
     if (error) {
       // Not from here: the one who hands an attempt in is still at it.
-      boost::asio::post(socket_.get_executor(), [self = shared_from_this()] { self->Break(); });
+      boost::asio::post(socket_.get_executor(), [self = shared_from_this()] { self->Fail(); });
       return;
     }
-    if (front_written_ < frame.bytes.size()) continue;
+    if (first_frame_written_ < frame.bytes.size()) continue;
     if (frame.attempt != nullptr) {
       frame.attempt->written = true;
       frame.attempt->hooks.on_written();
     }
     frames_.pop_front();
-    front_written_ = 0;
+    first_frame_written_ = 0;
   }
 }
 
-void TcpLink::Break() {
+void ResolverConnection::Fail() {
   if (closed_) return;
   Close();
-  events_.OnBroken(*this);
+  events_.OnConnectionLost(*this);
 }
 
-void TcpLink::Wait() {
+void ResolverConnection::WaitReadable() {
   socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
     if (self->closed_) return;
-    if (error) return self->Break();
+    if (error) return self->Fail();
     self->Receive();
   });
 }
 
-void TcpLink::Receive() {
+void ResolverConnection::Receive() {
   static thread_local std::array<std::uint8_t, kReadSize> bytes;
   error_code error;
   const std::size_t size = runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
-  read_.Add(Bytes(bytes).first(size));
-  if (runtime::WouldBlock(error)) return Wait();
-  if (error || (open_.size() == 0 && abandoned_.empty())) return Break();
-  Take();
-  if (!closed_) Wait();
+  frame_reader_.Append(Bytes(bytes).first(size));
+  if (runtime::WouldBlock(error)) return WaitReadable();
+  if (error || (open_.size() == 0 && abandoned_.empty())) return Fail();
+  ProcessFrames();
+  if (!closed_) WaitReadable();
 }
 
-void TcpLink::Take() {
+void ResolverConnection::ProcessFrames() {
   while (!closed_) {
-    const auto message = read_.Next();
+    const auto message = frame_reader_.Next();
     if (!message) break;
     if (message->size() >= 2) {
       const auto id = static_cast<std::uint16_t>((*message)[0] << 8 | (*message)[1]);
       if (abandoned_.erase(id) > 0) continue;
     }
     Layout layout;
-    Attempt* attempt = Match(open_, *message, layout, counters_);
+    Attempt* attempt = MatchResponse(open_, *message, layout, counters_);
     if (attempt == nullptr) continue;
     const std::uint16_t id = attempt->wire_id;
-    events_.OnAnswer(*attempt, *message, layout);
+    events_.OnResponse(*attempt, *message, layout);
     abandoned_.erase(id);
   }
-  if (!closed_ && read_.empty() && open_.size() == 0) read_.Shrink();
+  if (!closed_ && frame_reader_.empty() && open_.size() == 0) frame_reader_.Shrink();
 }
 
 }  // namespace mothrack::dns
--- a/src/dns/tcp_link.h
+++ b/src/dns/resolver_connection.h
@@ -18,10 +18,10 @@
 
 namespace mothrack::dns {
 
-class TcpLink : public std::enable_shared_from_this<TcpLink> {
+class ResolverConnection : public std::enable_shared_from_this<ResolverConnection> {
  public:
-  TcpLink(boost::asio::io_context& io, runtime::Descriptors& descriptors, CarrierEvents& events,
-          Counters& counters);
+  ResolverConnection(boost::asio::io_context& io, runtime::Descriptors& descriptors, AttemptEvents& events,
+                     Counters& counters);
 
   // False where the system has no room for a socket.
   bool Open(const runtime::Endpoint& resolver, runtime::Duration connect_timeout);
@@ -30,14 +30,14 @@
   // The attempt is open here until Forget(). It is written once the connection is up.
   void Send(Attempt& attempt, runtime::SecureRandom& random);
   // Takes it out of the queue, too, where no byte of it was written.
-  void Forget(const Attempt& attempt);
+  void Remove(const Attempt& attempt);
   // Those of which no byte was written.
-  std::vector<Attempt*> Unbegun() const;
+  std::vector<Attempt*> UnwrittenAttempts() const;
 
   void Retire();
 
   // May it take one more? Looks whether the resolver has closed it meanwhile.
-  bool Takes();
+  bool CanAccept();
   std::size_t open() const { return open_.size(); }
   bool closed() const { return closed_; }
   runtime::TimePoint idle_since() const { return idle_since_; }
@@ -50,22 +50,22 @@
   };
 
   void Flush();
-  void Wait();
+  void WaitReadable();
   void Receive();
-  void Take();
-  void Break();
+  void ProcessFrames();
+  void Fail();
   void CloseIfDone();
 
   boost::asio::ip::tcp::socket socket_;
   boost::asio::steady_timer timer_;
   std::optional<runtime::Descriptors::Slot> slot_;
-  CarrierEvents& events_;
+  AttemptEvents& events_;
   Counters& counters_;
-  OpenIds open_;
+  OpenAttempts open_;
   std::set<std::uint16_t> abandoned_;  // written and given up: their answers may still come
   std::deque<Frame> frames_;
-  std::size_t front_written_ = 0;  // bytes of the first frame
-  FrameReader read_;
+  std::size_t first_frame_written_ = 0;  // bytes of the first frame
+  FrameReader frame_reader_;
   runtime::TimePoint idle_since_;
   bool connected_ = false;
   bool flushing_ = false;
--- a/src/dns/service.cpp
+++ b/src/dns/service.cpp
@@ -7,7 +7,7 @@
     : settings_(settings),
       transport_(io, settings_, descriptors, counters_),
       dispatcher_(io, ModuleSettings(settings_), seed, transport_, log),
-      front_(io, settings_, descriptors, log, dispatcher_, counters_) {
+      frontend_(io, settings_, descriptors, log, dispatcher_, counters_) {
   dispatch::MembershipList list = Resolvers(settings_);
   list.update.kind = balancer::MembershipUpdate::Kind::kRestored;
   dispatcher_.Apply(std::move(list));
--- a/src/dns/service.h
+++ b/src/dns/service.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "dispatch/dispatcher.h"
-#include "dns/front.h"
+#include "dns/frontend.h"
 #include "dns/query.h"
 #include "dns/settings.h"
 #include "dns/transport.h"
@@ -27,11 +27,11 @@
   // Open all the time: the listening sockets, UDP and TCP, and the descriptor that the ports are watched by.
   static std::size_t FixedDescriptors(const Settings& settings) { return 2 * settings.listen.size() + 1; }
 
-  std::vector<runtime::Endpoint> local() const { return front_.local(); }
+  std::vector<runtime::Endpoint> local() const { return frontend_.local(); }
   // Takes over the list of resolvers; nothing else of `settings`.
   void Follow(const Settings& settings);
   // A planned stop; `done` is called when all that was taken is answered.
-  void Drain(std::function<void()> done) { front_.Drain(std::move(done)); }
+  void Drain(std::function<void()> done) { frontend_.Drain(std::move(done)); }
   const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }  // for people who look
   std::string Account() const { return counters_.Line(); }
 
@@ -40,7 +40,7 @@
   Counters counters_;
   Transport transport_;
   dispatch::Dispatcher dispatcher_;
-  Front front_;  // last: it takes queries from here on, and goes first
+  Frontend frontend_;  // last: it takes queries from here on, and goes first
 };
 
 }  // namespace mothrack::dns
--- a/src/dns/tcp_server.cpp
+++ b/src/dns/tcp_server.cpp
@@ -38,7 +38,7 @@
     client_.name = "tcp" + std::to_string(number) + ':';
   }
 
-  void Start() { Wait(); }
+  void Start() { WaitReadable(); }
 
   void Close() {
     if (closed_) return;
@@ -48,7 +48,8 @@
     slot_.reset();
     const auto self = shared_from_this();
     owner_->connections_.erase(self);
-    for (const Front::Handle handle : std::exchange(open_, {})) owner_->front_.Gone(handle);
+    for (const Frontend::Handle handle : std::exchange(open_, {}))
+      owner_->frontend_.OnClientDisconnected(handle);
   }
 
   // The server is going: handlers that are still to come must not touch it.
@@ -61,7 +62,7 @@
 
   runtime::TimePoint since() const { return since_; }
   // Nothing of a query has come, nothing of an answer is owed.
-  bool Idle() const { return open_.empty() && read_.empty() && unwritten_.empty(); }
+  bool Idle() const { return open_.empty() && frame_reader_.empty() && unwritten_.empty(); }
   bool Fresh(runtime::TimePoint now) const { return unused_ && now - since_ < kFreshConnection; }
   // Not even the system holds a byte of a query.
   bool SparesClose() {
@@ -72,7 +73,7 @@
   void CloseIfOverdue(runtime::TimePoint now) {
     const Settings& settings = owner_->settings_;
     if (!unwritten_.empty() && now - write_began_ > settings.tcp_first_byte) return Close();
-    const bool partial = !read_.empty() && !Paused();
+    const bool partial = !frame_reader_.empty() && !Paused();
     if (partial && now - read_began_ > settings.tcp_first_byte) return Close();
     if (!Idle()) return;
     if (now - since_ > (unused_ ? settings.tcp_first_byte : settings.tcp_idle)) Close();
@@ -84,11 +85,11 @@
     return open_.size() >= owner_->settings_.max_open_per_connection || unwritten_.size() > kMostUnwritten;
   }
 
-  void Wait() {
-    if (waiting_ || closed_ || ended_ || broken_ || Paused()) return;
-    waiting_ = true;
+  void WaitReadable() {
+    if (unsent_ || closed_ || ended_ || broken_ || Paused()) return;
+    unsent_ = true;
     socket_.async_wait(tcp::socket::wait_read, [self = shared_from_this()](error_code error) {
-      self->waiting_ = false;
+      self->unsent_ = false;
       if (self->closed_) return;
       if (error) return self->Close();
       self->Receive();
@@ -99,7 +100,7 @@
     static thread_local std::array<std::uint8_t, kReadSize> bytes;
     error_code error;
     const std::size_t size = runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
-    if (runtime::WouldBlock(error)) return Wait();
+    if (runtime::WouldBlock(error)) return WaitReadable();
     if (error == boost::asio::error::eof) {
       // It may have closed its sending side only: what it asked is answered first.
       ended_ = true;
@@ -107,43 +108,43 @@
       return;
     }
     if (error) return Close();
-    if (read_.empty()) read_began_ = runtime::Now();
-    read_.Add(Bytes(bytes).first(size));
-    Take();
-    Wait();
+    if (frame_reader_.empty()) read_began_ = runtime::Now();
+    frame_reader_.Append(Bytes(bytes).first(size));
+    ProcessFrames();
+    WaitReadable();
   }
 
-  void Take() {
-    if (taking_) return;  // an answer that came at once
-    taking_ = true;
+  void ProcessFrames() {
+    if (receiving_) return;  // an answer that came at once
+    receiving_ = true;
     while (!closed_ && !broken_ && !Paused()) {
-      const auto message = read_.Next();
+      const auto message = frame_reader_.Next();
       if (!message) break;
       unused_ = false;
       read_began_ = runtime::Now();
       // Whoever frames what is no message can't be followed any further.
       broken_ = message->size() < kHeaderSize;
-      const auto slot = std::make_shared<Front::Handle>(nullptr);
-      const auto handle =
-          owner_->front_.Take(*message, client_, [self = shared_from_this(), slot](Buffer answer) {
-            if (self->closed_) return;
-            self->open_.erase(*slot);
-            self->Answer(answer);
-          });
+      const auto slot = std::make_shared<Frontend::Handle>(nullptr);
+      const auto handle = owner_->frontend_.HandleMessage(*message, client_,
+                                                          [self = shared_from_this(), slot](Buffer answer) {
+                                                            if (self->closed_) return;
+                                                            self->open_.erase(*slot);
+                                                            self->ResolverResponse(answer);
+                                                          });
       if (handle != nullptr) {
         *slot = handle;
         open_.insert(handle);
       }
     }
-    taking_ = false;
+    receiving_ = false;
     if (closed_) return;
-    if (read_.empty()) read_.Shrink();
+    if (frame_reader_.empty()) frame_reader_.Shrink();
     if (broken_ && open_.empty() && unwritten_.empty()) Close();
   }
 
-  void Answer(const Buffer& answer) {
+  void ResolverResponse(const Buffer& answer) {
     if (unwritten_.empty()) write_began_ = runtime::Now();
-    AddFrame(unwritten_, answer);
+    AppendFrame(unwritten_, answer);
     since_ = runtime::Now();
     Flush();
   }
@@ -165,35 +166,35 @@
       });
       return;
     }
-    if (open_.empty() && (ended_ || broken_) && !taking_) return Close();
-    if (!taking_ && !read_.empty()) Take();
-    Wait();
+    if (open_.empty() && (ended_ || broken_) && !receiving_) return Close();
+    if (!receiving_ && !frame_reader_.empty()) ProcessFrames();
+    WaitReadable();
   }
 
   TcpServer* owner_;
   std::optional<runtime::Descriptors::Slot> slot_;
   tcp::socket socket_;
-  Front::Client client_;
-  std::unordered_set<Front::Handle> open_;
-  FrameReader read_;
+  Frontend::Client client_;
+  std::unordered_set<Frontend::Handle> open_;
+  FrameReader frame_reader_;
   Buffer unwritten_;
   runtime::TimePoint since_;  // of the connection, or of its last answer
   runtime::TimePoint read_began_;
   runtime::TimePoint write_began_;  // or went on
   bool unused_ = true;
-  bool waiting_ = false;
+  bool unsent_ = false;
   bool flushing_ = false;
-  bool taking_ = false;
+  bool receiving_ = false;
   bool ended_ = false;   // the client sends no more
   bool broken_ = false;  // nothing more of it is read
   bool closed_ = false;
 };
 
 TcpServer::TcpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, const Settings& settings,
-                     runtime::Descriptors& descriptors, Front& front, runtime::Logger& log)
+                     runtime::Descriptors& descriptors, Frontend& frontend, runtime::Logger& log)
     : settings_(settings),
       descriptors_(descriptors),
-      front_(front),
+      frontend_(frontend),
       log_(log),
       acceptor_(io, endpoint, "dns: ", *this, log),
       sweep_(io) {
--- a/src/dns/tcp_server.h
+++ b/src/dns/tcp_server.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <set>
 
-#include "dns/front.h"
+#include "dns/frontend.h"
 #include "runtime/acceptor.h"
 #include "runtime/address.h"
 #include "runtime/descriptors.h"
@@ -20,7 +20,7 @@
  public:
   // Binds and listens; throws boost::system::system_error.
   TcpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, const Settings& settings,
-            runtime::Descriptors& descriptors, Front& front, runtime::Logger& log);
+            runtime::Descriptors& descriptors, Frontend& frontend, runtime::Logger& log);
   ~TcpServer();
 
   // From now on connections are closed as they become idle.
@@ -42,7 +42,7 @@
 
   const Settings& settings_;
   runtime::Descriptors& descriptors_;
-  Front& front_;
+  Frontend& frontend_;
   runtime::Logger& log_;
   std::set<std::shared_ptr<Connection>> connections_;
   runtime::Acceptor acceptor_;
--- a/src/dns/transport.cpp
+++ b/src/dns/transport.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "dns/tcp_link.h"
+#include "dns/resolver_connection.h"
 #include "dns/udp_port.h"
 
 namespace mothrack::dns {
@@ -22,8 +22,8 @@
 // A connection with so many queries open gets company, as long as there may be more.
 constexpr std::size_t kCrowdedLink = 16;
 
-std::unique_ptr<Answer> Keep(Bytes message, const Layout& layout) {
-  auto answer = std::make_unique<Answer>();
+std::unique_ptr<ResolverResponse> Keep(Bytes message, const Layout& layout) {
+  auto answer = std::make_unique<ResolverResponse>();
   answer->wire.assign(message.begin(), message.end());
   answer->layout = layout;
   return answer;
@@ -31,13 +31,13 @@
 
 }  // namespace
 
-Outcome Judge(Bytes message, const Layout& layout) {
+Outcome OutcomeOf(Bytes message, const Layout& layout) {
   const std::uint16_t rcode = layout.rcode();
   if (rcode == kRefused) return Outcome::kFull;
   if (rcode != kServFail) return Outcome::kServed;
   // Some failures are the name's, wherever it is asked (RFC 8914 sections 4.6 to 4.13, 4.23): no reason to
   // ask elsewhere, nor to think ill of the resolver.
-  const auto why = ExtendedErrorOf(message, layout);
+  const auto why = FindExtendedError(message, layout);
   const bool of_name =
       why && ((*why >= kDnssecIndeterminate && *why <= kNsecMissing) || *why == kNoReachableAuthority);
   return of_name ? Outcome::kServed : Outcome::kError;
@@ -58,11 +58,11 @@
 Transport::~Transport() {
   for (auto& [id, attempt] : attempts_) {
     if (attempt.port) attempt.port->Close();
-    if (attempt.link) attempt.link->Close();
+    if (attempt.connection) attempt.connection->Close();
   }
   for (const auto& [uid, resolver] : resolvers_) {
     for (const auto& port : resolver->ports) port->Close();
-    for (const auto& link : resolver->links) link->Close();
+    for (const auto& connection : resolver->connections) connection->Close();
   }
 }
 
@@ -82,10 +82,10 @@
   if (old->location.state == UpstreamState::kServing) return;
   // Guards a drain against what was asked for before it was told: nothing queued or connecting goes there.
   for (const auto& port : std::exchange(old->ports, {})) port->Retire();
-  const auto links = std::exchange(old->links, {});
-  for (const auto& link : links) link->Retire();
-  for (const auto& link : links) {
-    for (Attempt* attempt : link->Unbegun()) EndWithoutAnswer(*attempt, Outcome::kNotSent);
+  const auto connections = std::exchange(old->connections, {});
+  for (const auto& connection : connections) connection->Retire();
+  for (const auto& connection : connections) {
+    for (Attempt* attempt : connection->UnwrittenAttempts()) EndWithoutAnswer(*attempt, Outcome::kNotSent);
   }
 }
 
@@ -102,8 +102,8 @@
   attempt.query = std::static_pointer_cast<const Query>(message);
   attempt.hooks = std::move(hooks);
   attempt.sent = runtime::Now();
-  attempt.gives_up = attempt.sent + timeout;
-  deadlines_.Set(attempt.gives_up, static_cast<std::uint64_t>(id));
+  attempt.deadline = attempt.sent + timeout;
+  deadlines_.Set(attempt.deadline, static_cast<std::uint64_t>(id));
   // What must not be repeated can't be followed over TCP once it was truncated: it goes as it came.
   const Query& query = *attempt.query;
   const bool tcp = query.wire.size() > settings_.edns_size || (query.over_tcp && !query.repeatable);
@@ -119,7 +119,7 @@
   if (!attempt.port) return End(attempt, Outcome::kNotSent, nullptr);
   const auto port = attempt.port;
   const auto sending = port->Send(attempt, random_);
-  if (sending == UdpPort::Sending::kSent) {
+  if (sending == UdpPort::SendResult::kSent) {
     ++counters_.udp_attempts;
     attempt.hooks.on_written();
     if (port->uses() >= kMostUses && !port->exclusive()) {
@@ -130,14 +130,15 @@
   }
   attempt.port.reset();
   if (port->exclusive()) port->Close();
-  End(attempt, sending == UdpPort::Sending::kNotTaken ? Outcome::kNotSent : Outcome::kConnectFailed, nullptr);
+  End(attempt, sending == UdpPort::SendResult::kNotSent ? Outcome::kNotSent : Outcome::kConnectFailed,
+      nullptr);
 }
 
 void Transport::SendOverTcp(Attempt& attempt) {
-  attempt.link = PickLink(*attempt.resolver);
-  if (!attempt.link) return EndWithoutAnswer(attempt, Outcome::kNotSent);
+  attempt.connection = PickLink(*attempt.resolver);
+  if (!attempt.connection) return EndWithoutAnswer(attempt, Outcome::kNotSent);
   ++counters_.tcp_attempts;
-  attempt.link->Send(attempt, random_);
+  attempt.connection->Send(attempt, random_);
 }
 
 // One of `udp_ports` places by chance, where a socket is opened for the first that falls there. Few queries
@@ -157,20 +158,20 @@
   return resolver.ports[random_.Below(resolver.ports.size())];
 }
 
-std::shared_ptr<TcpLink> Transport::PickLink(Resolver& resolver) {
+std::shared_ptr<ResolverConnection> Transport::PickLink(Resolver& resolver) {
   if (resolver.location.state != UpstreamState::kServing) return nullptr;
-  std::erase_if(resolver.links, [](const auto& link) { return !link->Takes(); });
-  std::shared_ptr<TcpLink> least;
-  for (const auto& link : resolver.links) {
-    if (!least || link->open() < least->open()) least = link;
+  std::erase_if(resolver.connections, [](const auto& connection) { return !connection->CanAccept(); });
+  std::shared_ptr<ResolverConnection> least;
+  for (const auto& connection : resolver.connections) {
+    if (!least || connection->open() < least->open()) least = connection;
   }
   const bool crowded = least && least->open() >= kCrowdedLink;
-  if ((!least || (crowded && resolver.links.size() < settings_.tcp_connections)) &&
+  if ((!least || (crowded && resolver.connections.size() < settings_.tcp_connections)) &&
       (descriptors_.Room(runtime::Descriptors::Side::kUpstream) || (!least && MakeRoom()))) {
-    auto link = std::make_shared<TcpLink>(io_, descriptors_, events(), counters_);
-    if (link->Open(resolver.location.endpoint, settings_.connect_timeout)) {
-      resolver.links.push_back(link);
-      return link;
+    auto connection = std::make_shared<ResolverConnection>(io_, descriptors_, events(), counters_);
+    if (connection->Open(resolver.location.endpoint, settings_.connect_timeout)) {
+      resolver.connections.push_back(connection);
+      return connection;
     }
   }
   return least && least->open() < settings_.max_open_per_connection ? least : nullptr;
@@ -180,34 +181,34 @@
 bool Transport::MakeRoom() {
   while (!descriptors_.Room(runtime::Descriptors::Side::kUpstream)) {
     std::shared_ptr<UdpPort> port;
-    std::shared_ptr<TcpLink> link;
+    std::shared_ptr<ResolverConnection> connection;
     Resolver* owner = nullptr;
     runtime::TimePoint longest = runtime::TimePoint::max();
     for (const auto& [uid, resolver] : resolvers_) {
       for (const auto& p : resolver->ports) {
         if (p->open() == 0 && p->idle_since() < longest) {
-          port = p, link = nullptr, owner = resolver.get(), longest = p->idle_since();
+          port = p, connection = nullptr, owner = resolver.get(), longest = p->idle_since();
         }
       }
-      for (const auto& l : resolver->links) {
+      for (const auto& l : resolver->connections) {
         if (l->open() == 0 && l->idle_since() < longest) {
-          link = l, port = nullptr, owner = resolver.get(), longest = l->idle_since();
+          connection = l, port = nullptr, owner = resolver.get(), longest = l->idle_since();
         }
       }
     }
     if (owner == nullptr) return false;
     if (port) port->Close();
-    if (link) link->Close();
+    if (connection) connection->Close();
     std::erase(owner->ports, port);
-    std::erase(owner->links, link);
+    std::erase(owner->connections, connection);
   }
   return true;
 }
 
-void Transport::OnAnswer(Attempt& attempt, Bytes message, const Layout& layout) {
-  if (!layout.truncated()) return End(attempt, Judge(message, layout), Keep(message, layout));
+void Transport::OnResponse(Attempt& attempt, Bytes message, const Layout& layout) {
+  if (!layout.truncated()) return End(attempt, OutcomeOf(message, layout), Keep(message, layout));
   // Over TCP there is no cause for it; and what must not be repeated has perhaps run.
-  if (attempt.link || !attempt.query->repeatable) {
+  if (attempt.connection || !attempt.query->repeatable) {
     return End(attempt, Outcome::kError, attempt.query->repeatable ? Keep(message, layout) : nullptr);
   }
   ++counters_.moved_to_tcp;
@@ -229,11 +230,12 @@
   }
 }
 
-void Transport::OnBroken(TcpLink& link) {
+void Transport::OnConnectionLost(ResolverConnection& connection) {
   std::vector<dispatch::ExchangeId> ids;
-  for (const Attempt* attempt : link.attempts()) ids.push_back(attempt->id);
+  for (const Attempt* attempt : connection.attempts()) ids.push_back(attempt->id);
   if (!ids.empty()) {
-    std::erase_if(attempts_.at(ids.front()).resolver->links, [&](const auto& l) { return l.get() == &link; });
+    std::erase_if(attempts_.at(ids.front()).resolver->connections,
+                  [&](const auto& l) { return l.get() == &connection; });
   }
   for (const dispatch::ExchangeId id : ids) {
     const auto it = attempts_.find(id);
@@ -246,10 +248,10 @@
   const auto it = attempts_.find(id);
   if (it == attempts_.end()) return;
   Attempt& attempt = it->second;
-  const auto link = attempt.link;
-  EndWithoutAnswer(attempt, link && !attempt.written ? Outcome::kConnectFailed : Outcome::kTimeout);
+  const auto connection = attempt.connection;
+  EndWithoutAnswer(attempt, connection && !attempt.written ? Outcome::kConnectFailed : Outcome::kTimeout);
   // A connection that is silent may be dead without a word: the next query takes another.
-  if (link) link->Retire();
+  if (connection) connection->Retire();
 }
 
 void Transport::EndWithoutAnswer(Attempt& attempt, Outcome outcome) {
@@ -259,14 +261,14 @@
 }
 
 void Transport::Leave(Attempt& attempt) {
-  if (const auto port = std::exchange(attempt.port, nullptr)) port->Forget(attempt);
-  if (const auto link = std::exchange(attempt.link, nullptr)) link->Forget(attempt);
+  if (const auto port = std::exchange(attempt.port, nullptr)) port->Remove(attempt);
+  if (const auto connection = std::exchange(attempt.connection, nullptr)) connection->Remove(attempt);
 }
 
 void Transport::End(Attempt& attempt, Outcome outcome, std::unique_ptr<dispatch::Reply> reply) {
   Leave(attempt);
   const dispatch::ExchangeId id = attempt.id;
-  deadlines_.TakeBack(attempt.gives_up, static_cast<std::uint64_t>(id));
+  deadlines_.TakeBack(attempt.deadline, static_cast<std::uint64_t>(id));
   const auto on_end = std::move(attempt.hooks.on_end);
   const runtime::Duration elapsed = runtime::Now() - attempt.sent;
   attempts_.erase(id);
@@ -281,7 +283,7 @@
 void Transport::Cancel(dispatch::ExchangeId id) {
   const auto it = attempts_.find(id);
   if (it == attempts_.end()) return;
-  const bool over = runtime::Now() + kTimerSlack >= it->second.gives_up;
+  const bool over = runtime::Now() + kTimerSlack >= it->second.deadline;
   End(it->second, over ? Outcome::kTimeout : Outcome::kCancelled, nullptr);
 }
 
@@ -289,16 +291,16 @@
 // where that answer was truncated, and ends by what that says.
 void Transport::Abandon(dispatch::ExchangeId id) {
   const auto it = attempts_.find(id);
-  if (it == attempts_.end() || !it->second.link || it->second.written) return;
+  if (it == attempts_.end() || !it->second.connection || it->second.written) return;
   EndWithoutAnswer(it->second, Outcome::kCancelled);
 }
 
 void Transport::CloseIdle(const std::string& uid) {
   const auto it = resolvers_.find(uid);
   if (it == resolvers_.end()) return;
-  std::erase_if(it->second->links, [](const auto& link) {
-    if (link->open() > 0) return false;
-    link->Close();
+  std::erase_if(it->second->connections, [](const auto& connection) {
+    if (connection->open() > 0) return false;
+    connection->Close();
     return true;
   });
 }
@@ -321,8 +323,8 @@
   };
   for (const auto& [uid, resolver] : resolvers_) {
     std::erase_if(resolver->ports, idle);
-    std::erase_if(resolver->links, idle);
-    std::erase_if(resolver->links, [](const auto& link) { return link->closed(); });
+    std::erase_if(resolver->connections, idle);
+    std::erase_if(resolver->connections, [](const auto& connection) { return connection->closed(); });
   }
 }
 
--- a/src/dns/transport.h
+++ b/src/dns/transport.h
@@ -14,7 +14,7 @@
 #include "dispatch/exchange.h"
 #include "dns/attempt.h"
 #include "dns/settings.h"
-#include "dns/udp_poll.h"
+#include "dns/udp_poller.h"
 #include "runtime/deadlines.h"
 #include "runtime/descriptors.h"
 
@@ -24,14 +24,14 @@
 struct Resolver {
   dispatch::Location location;
   std::vector<std::shared_ptr<UdpPort>> ports;  // shared ones that take attempts
-  std::vector<std::shared_ptr<TcpLink>> links;
+  std::vector<std::shared_ptr<ResolverConnection>> connections;
 };
 
 // Whether the resolver's answer ends the matter (kServed), says that it never began (kFull) or that it failed
 // (kError).
-balancer::Outcome Judge(Bytes message, const Layout& layout);
+balancer::Outcome OutcomeOf(Bytes message, const Layout& layout);
 
-class Transport : public dispatch::Transport, private CarrierEvents {
+class Transport : public dispatch::Transport, private AttemptEvents {
  public:
   // `settings` and `counters` must outlive it.
   Transport(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
@@ -49,15 +49,15 @@
   void CloseIdle(const std::string& uid) override;
 
  private:
-  CarrierEvents& events() { return *this; }
-  void OnAnswer(Attempt& attempt, Bytes message, const Layout& layout) override;
+  AttemptEvents& events() { return *this; }
+  void OnResponse(Attempt& attempt, Bytes message, const Layout& layout) override;
   void OnUnreachable(UdpPort& port) override;
-  void OnBroken(TcpLink& link) override;
+  void OnConnectionLost(ResolverConnection& connection) override;
 
   void SendOverUdp(Attempt& attempt);
   void SendOverTcp(Attempt& attempt);
   std::shared_ptr<UdpPort> PickPort(Resolver& resolver, bool exclusive);
-  std::shared_ptr<TcpLink> PickLink(Resolver& resolver);
+  std::shared_ptr<ResolverConnection> PickLink(Resolver& resolver);
   bool MakeRoom();
   void Expired(dispatch::ExchangeId id);
   void End(Attempt& attempt, balancer::Outcome outcome, std::unique_ptr<dispatch::Reply> reply);
@@ -72,7 +72,7 @@
   runtime::Descriptors& descriptors_;
   Counters& counters_;
   runtime::SecureRandom random_;
-  UdpPoll poll_;
+  UdpPoller poll_;
   std::map<std::string, std::shared_ptr<Resolver>> resolvers_;
   std::unordered_map<dispatch::ExchangeId, Attempt> attempts_;
   runtime::Deadlines deadlines_;
--- a/src/dns/udp_poll.cpp
+++ b/src/dns/udp_poller.cpp
@@ -1,4 +1,4 @@
-#include "dns/udp_poll.h"
+#include "dns/udp_poller.h"
 
 #include <sys/epoll.h>
 
@@ -11,7 +11,7 @@
 namespace mothrack::dns {
 namespace {
 
-constexpr int kMostEvents = 64;
+constexpr int kMaxEvents = 64;
 
 int NewEpoll() {
   const int fd = ::epoll_create1(EPOLL_CLOEXEC);
@@ -23,9 +23,9 @@
 
 }  // namespace
 
-UdpPoll::UdpPoll(boost::asio::io_context& io) : epoll_(io, NewEpoll()) { Wait(); }
+UdpPoller::UdpPoller(boost::asio::io_context& io) : epoll_(io, NewEpoll()) { WaitReadable(); }
 
-bool UdpPoll::Add(int socket, const std::shared_ptr<UdpPort>& port) {
+bool UdpPoller::Add(int socket, const std::shared_ptr<UdpPort>& port) {
   epoll_event event{};
   event.events = EPOLLIN;
   event.data.fd = socket;
@@ -34,28 +34,28 @@
   return true;
 }
 
-void UdpPoll::Remove(int socket) {
+void UdpPoller::Remove(int socket) {
   ::epoll_ctl(epoll_.native_handle(), EPOLL_CTL_DEL, socket, nullptr);
   ports_.erase(socket);
 }
 
-void UdpPoll::Wait() {
+void UdpPoller::WaitReadable() {
   epoll_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                     [this](boost::system::error_code error) {
                       if (error) return;
                       // Waits again also when a handler throws: a watch that ended would stop all UDP.
                       struct Again {
-                        ~Again() { poll.Wait(); }
-                        UdpPoll& poll;
+                        ~Again() { poll.WaitReadable(); }
+                        UdpPoller& poll;
                       } const again{*this};
-                      Look();
+                      DispatchReady();
                     });
 }
 
 // What still waits after it is told again by the next wait.
-void UdpPoll::Look() {
-  std::array<epoll_event, kMostEvents> events;
-  const int ready = ::epoll_wait(epoll_.native_handle(), events.data(), kMostEvents, 0);
+void UdpPoller::DispatchReady() {
+  std::array<epoll_event, kMaxEvents> events;
+  const int ready = ::epoll_wait(epoll_.native_handle(), events.data(), kMaxEvents, 0);
   for (int i = 0; i < ready; ++i) {
     const auto it = ports_.find(events[static_cast<std::size_t>(i)].data.fd);
     if (it == ports_.end()) continue;
--- a/src/dns/udp_poll.h
+++ b/src/dns/udp_poller.h
@@ -12,10 +12,10 @@
 
 class UdpPort;
 
-class UdpPoll {
+class UdpPoller {
  public:
   // Throws boost::system::system_error where the system gives no descriptor.
-  explicit UdpPoll(boost::asio::io_context& io);
+  explicit UdpPoller(boost::asio::io_context& io);
 
   // Calls the port's Receive() whenever a datagram or an error waits at `socket`, until Remove(). False where
   // the system has no room.
@@ -24,8 +24,8 @@
   void Remove(int socket);
 
  private:
-  void Wait();
-  void Look();
+  void WaitReadable();
+  void DispatchReady();
 
   boost::asio::posix::stream_descriptor epoll_;
   // By socket. A number that was closed and taken anew while its event waited costs one look for nothing.
--- a/src/dns/udp_port.cpp
+++ b/src/dns/udp_port.cpp
@@ -15,8 +15,8 @@
 
 }  // namespace
 
-UdpPort::UdpPort(boost::asio::io_context& io, UdpPoll& poll, runtime::Descriptors& descriptors,
-                 CarrierEvents& events, Counters& counters, bool exclusive)
+UdpPort::UdpPort(boost::asio::io_context& io, UdpPoller& poll, runtime::Descriptors& descriptors,
+                 AttemptEvents& events, Counters& counters, bool exclusive)
     : socket_(io),
       poll_(poll),
       slot_(std::in_place, descriptors, runtime::Descriptors::Side::kUpstream),
@@ -48,7 +48,7 @@
   slot_.reset();
 }
 
-UdpPort::Sending UdpPort::Send(Attempt& attempt, runtime::SecureRandom& random) {
+UdpPort::SendResult UdpPort::Send(Attempt& attempt, runtime::SecureRandom& random) {
   open_.Add(attempt, random);
   // The id goes into a copy: other attempts share the message.
   static thread_local Buffer datagram;
@@ -60,7 +60,7 @@
     // The error is of an earlier datagram, and this one has not been sent: those are told, then it goes.
     open_.Remove(attempt.wire_id);
     events_.OnUnreachable(*this);
-    if (closed_) return Sending::kNotTaken;
+    if (closed_) return SendResult::kNotSent;
     open_.Add(attempt, random);
     SetId(datagram, attempt.wire_id);
   }
@@ -70,13 +70,13 @@
   }
   if (error) {
     open_.Remove(attempt.wire_id);
-    return Unreachable(error) ? Sending::kUnreachable : Sending::kNotTaken;
+    return Unreachable(error) ? SendResult::kUnreachable : SendResult::kNotSent;
   }
   ++uses_;
-  return Sending::kSent;
+  return SendResult::kSent;
 }
 
-void UdpPort::Forget(const Attempt& attempt) {
+void UdpPort::Remove(const Attempt& attempt) {
   open_.Remove(attempt.wire_id);
   if (open_.size() > 0) return;
   idle_since_ = runtime::Now();
@@ -91,7 +91,7 @@
 // No more than one at a time: whatever still waits is told again, and another look costs less than a read for
 // nothing on every port.
 void UdpPort::Receive() {
-  static thread_local std::array<std::uint8_t, kMostMessage> datagram;
+  static thread_local std::array<std::uint8_t, kMaxMessageSize> datagram;
   if (closed_) return;
   error_code error;
   const std::size_t size = socket_.receive(boost::asio::buffer(datagram), 0, error);
@@ -101,8 +101,8 @@
   }
   Layout layout;
   const Bytes message(datagram.data(), size);
-  if (Attempt* attempt = Match(open_, message, layout, counters_)) {
-    events_.OnAnswer(*attempt, message, layout);
+  if (Attempt* attempt = MatchResponse(open_, message, layout, counters_)) {
+    events_.OnResponse(*attempt, message, layout);
   }
 }
 
--- a/src/dns/udp_port.h
+++ b/src/dns/udp_port.h
@@ -8,7 +8,7 @@
 #include <optional>
 
 #include "dns/attempt.h"
-#include "dns/udp_poll.h"
+#include "dns/udp_poller.h"
 #include "runtime/address.h"
 #include "runtime/descriptors.h"
 
@@ -17,8 +17,8 @@
 class UdpPort : public std::enable_shared_from_this<UdpPort> {
  public:
   // `exclusive`: for one attempt only, so that an ICMP error can speak of no other.
-  UdpPort(boost::asio::io_context& io, UdpPoll& poll, runtime::Descriptors& descriptors,
-          CarrierEvents& events, Counters& counters, bool exclusive);
+  UdpPort(boost::asio::io_context& io, UdpPoller& poll, runtime::Descriptors& descriptors,
+          AttemptEvents& events, Counters& counters, bool exclusive);
 
   ~UdpPort() { Close(); }
   UdpPort(const UdpPort&) = delete;
@@ -28,10 +28,10 @@
   bool Open(const runtime::Endpoint& resolver);
   void Close();
 
-  enum class Sending { kSent, kNotTaken, kUnreachable };
+  enum class SendResult { kSent, kNotSent, kUnreachable };
   // On kSent the attempt is open here until Forget(); else nothing was sent.
-  Sending Send(Attempt& attempt, runtime::SecureRandom& random);
-  void Forget(const Attempt& attempt);
+  SendResult Send(Attempt& attempt, runtime::SecureRandom& random);
+  void Remove(const Attempt& attempt);
 
   // Takes one datagram or error that waits.
   void Receive();
@@ -47,12 +47,12 @@
 
  private:
   boost::asio::ip::udp::socket socket_;
-  UdpPoll& poll_;
+  UdpPoller& poll_;
   std::optional<runtime::Descriptors::Slot> slot_;
-  CarrierEvents& events_;
+  AttemptEvents& events_;
   Counters& counters_;
   const bool exclusive_;
-  OpenIds open_;
+  OpenAttempts open_;
   unsigned uses_ = 0;
   runtime::TimePoint idle_since_;
   bool retired_ = false;
--- a/src/dns/udp_server.cpp
+++ b/src/dns/udp_server.cpp
@@ -10,13 +10,13 @@
 using boost::system::error_code;
 
 // Read in a row before others get their turn.
-constexpr int kMostInARow = 64;
+constexpr int kMaxBatch = 64;
 // Room for what comes while the loop is at something else; the system may give less.
 constexpr int kReceiveBuffer = 1 << 20;
-constexpr std::size_t kMostWaiting = 4096;
+constexpr std::size_t kMaxUnsentResponses = 4096;
 
-Front::Client ToClient(const udp::endpoint& peer) {
-  Front::Client client;
+Frontend::Client ToClient(const udp::endpoint& peer) {
+  Frontend::Client client;
   if (peer.address().is_v4()) {
     const auto bytes = peer.address().to_v4().to_bytes();
     client.address.assign(bytes.begin(), bytes.end());
@@ -32,16 +32,16 @@
 
 }  // namespace
 
-UdpServer::UdpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, Front& front,
+UdpServer::UdpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, Frontend& frontend,
                      Counters& counters, runtime::Logger& log)
     : socket_(io, udp::endpoint(endpoint.address(), endpoint.port())),
-      front_(front),
+      frontend_(frontend),
       counters_(counters),
       log_(log) {
   error_code ignored;
   socket_.set_option(boost::asio::socket_base::receive_buffer_size(kReceiveBuffer), ignored);
   socket_.non_blocking(true);
-  Wait();
+  WaitReadable();
 }
 
 runtime::Endpoint UdpServer::local() const {
@@ -49,39 +49,39 @@
   return runtime::Endpoint(local.address(), local.port());
 }
 
-void UdpServer::Wait() {
+void UdpServer::WaitReadable() {
   socket_.async_wait(udp::socket::wait_read, [this](error_code error) {
-    if (error || !taking_) return;
+    if (error || !receiving_) return;
     Receive();
-    Wait();
+    WaitReadable();
   });
 }
 
 void UdpServer::Receive() {
-  static thread_local std::array<std::uint8_t, kMostMessage> datagram;
-  for (int i = 0; i < kMostInARow; ++i) {
+  static thread_local std::array<std::uint8_t, kMaxMessageSize> datagram;
+  for (int i = 0; i < kMaxBatch; ++i) {
     Peer from;
     error_code error;
     const std::size_t size = socket_.receive_from(boost::asio::buffer(datagram), from, 0, error);
     if (error == boost::asio::error::would_block) return;
     if (error) continue;  // the error is gone with being read
-    front_.Take({datagram.data(), size}, ToClient(from),
-                [this, from](Buffer answer) { Send(from, std::move(answer)); });
+    frontend_.HandleMessage({datagram.data(), size}, ToClient(from),
+                            [this, from](Buffer answer) { Send(from, std::move(answer)); });
   }
 }
 
-void UdpServer::StopTaking() {
-  if (!taking_) return;
+void UdpServer::StopReceiving() {
+  if (!receiving_) return;
   for (std::size_t last = 1, now = 0; last != now;) {
     last = counters_.udp_queries;
     Receive();
     now = counters_.udp_queries;
   }
-  taking_ = false;
+  receiving_ = false;
 }
 
 void UdpServer::Send(const Peer& to, Buffer answer) {
-  if (waiting_.empty()) {
+  if (unsent_.empty()) {
     error_code error;
     socket_.send_to(boost::asio::buffer(answer), to, 0, error);
     if (!error) return;
@@ -91,24 +91,24 @@
     }
     Flush();
   }
-  if (waiting_.size() >= kMostWaiting) {
+  if (unsent_.size() >= kMaxUnsentResponses) {
     if (counters_.unsent_answers++ == 0) log_.Line("dns: answers dropped, the system takes none");
     return;
   }
-  waiting_.emplace_back(to, std::move(answer));
+  unsent_.emplace_back(to, std::move(answer));
 }
 
 void UdpServer::Flush() {
   socket_.async_wait(udp::socket::wait_write, [this](error_code error) {
     if (error) return;
-    while (!waiting_.empty()) {
-      auto& [to, answer] = waiting_.front();
+    while (!unsent_.empty()) {
+      auto& [to, answer] = unsent_.front();
       socket_.send_to(boost::asio::buffer(answer), to, 0, error);
       if (error == boost::asio::error::would_block || error == boost::asio::error::no_buffer_space) {
         return Flush();
       }
       if (error) ++counters_.unsent_answers;
-      waiting_.pop_front();
+      unsent_.pop_front();
     }
   });
 }
--- a/src/dns/udp_server.h
+++ b/src/dns/udp_server.h
@@ -6,7 +6,7 @@
 #include <deque>
 #include <utility>
 
-#include "dns/front.h"
+#include "dns/frontend.h"
 #include "runtime/address.h"
 #include "runtime/log.h"
 
@@ -15,29 +15,29 @@
 class UdpServer {
  public:
   // Binds; throws boost::system::system_error.
-  UdpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, Front& front, Counters& counters,
-            runtime::Logger& log);
+  UdpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, Frontend& frontend,
+            Counters& counters, runtime::Logger& log);
 
   runtime::Endpoint local() const;
   // Takes what the system holds, and nothing after it.
-  void StopTaking();
+  void StopReceiving();
   // No answer waits to be sent.
-  bool done() const { return waiting_.empty(); }
+  bool done() const { return unsent_.empty(); }
 
  private:
   using Peer = boost::asio::ip::udp::endpoint;
 
-  void Wait();
+  void WaitReadable();
   void Receive();
   void Send(const Peer& to, Buffer answer);
   void Flush();
 
   boost::asio::ip::udp::socket socket_;
-  Front& front_;
+  Frontend& frontend_;
   Counters& counters_;
   runtime::Logger& log_;
-  std::deque<std::pair<Peer, Buffer>> waiting_;  // answers that the system has had no room for
-  bool taking_ = true;
+  std::deque<std::pair<Peer, Buffer>> unsent_;  // answers that the system has had no room for
+  bool receiving_ = true;
 };
 
 }  // namespace mothrack::dns
--- a/tests/dns/dns_message_test.cpp
+++ b/tests/dns/dns_message_test.cpp
@@ -15,13 +15,13 @@
 using testing::MakeQuery;
 using testing::QuerySpec;
 
-Asked AskedBy(const Buffer& query, std::size_t most = kPlainUdp) {
+ClientQuery AskedBy(const Buffer& query, std::size_t max_response_size = kMaxUdpWithoutEdns) {
   Layout layout;
-  EXPECT_EQ(Read(query, layout), Reading::kWhole);
-  Asked asked{layout.id, layout.flags};
-  asked.edns = layout.edns.has_value();
-  asked.most = most;
-  return asked;
+  EXPECT_EQ(ParseMessage(query, layout), ParseStatus::kOk);
+  ClientQuery client_query{layout.id, layout.flags};
+  client_query.edns = layout.edns.has_value();
+  client_query.max_response_size = max_response_size;
+  return client_query;
 }
 
 TEST(Message, LayoutOfAQueryAndItsAnswer) {
@@ -29,7 +29,7 @@
   spec.edns_size = 1400;
   const Buffer query = MakeQuery(spec);
   Layout layout;
-  ASSERT_EQ(Read(query, layout), Reading::kWhole);
+  ASSERT_EQ(ParseMessage(query, layout), ParseStatus::kOk);
   EXPECT_EQ(layout.id, 0x1234);
   EXPECT_EQ(layout.qtype, 1);
   EXPECT_EQ(layout.question_end, query.size() - 11);
@@ -39,7 +39,7 @@
   AnswerSpec answer;
   answer.records = 7;
   const Buffer bytes = MakeAnswer(query, answer);
-  ASSERT_EQ(Read(bytes, layout), Reading::kWhole);
+  ASSERT_EQ(ParseMessage(bytes, layout), ParseStatus::kOk);
   EXPECT_TRUE(layout.response());
   EXPECT_EQ(layout.answers, 7);
   EXPECT_FALSE(layout.edns);
@@ -57,7 +57,9 @@
   for (std::size_t size = 0; size < bytes.size(); ++size) {
     const Buffer prefix(bytes.begin(), bytes.begin() + static_cast<std::ptrdiff_t>(size));
     Layout layout;
-    EXPECT_EQ(Read(prefix, layout), size < kHeaderSize ? Reading::kNoHeader : Reading::kMalformed) << size;
+    EXPECT_EQ(ParseMessage(prefix, layout),
+              size < kHeaderSize ? ParseStatus::kNoHeader : ParseStatus::kMalformed)
+        << size;
   }
 }
 
@@ -69,7 +71,7 @@
   answer.extended_error = 22;
   const Buffer query = MakeQuery(spec);
   const Buffer good = MakeAnswer(query, answer);
-  const Asked asked = AskedBy(query, 600);
+  const ClientQuery client_query = AskedBy(query, 600);
   std::mt19937 random(11);
   for (int i = 0; i < 200000; ++i) {
     Buffer bytes = good;
@@ -77,16 +79,16 @@
       bytes[random() % bytes.size()] = static_cast<std::uint8_t>(random());
     }
     Layout layout;
-    if (Read(bytes, layout) != Reading::kWhole) continue;
+    if (ParseMessage(bytes, layout) != ParseStatus::kOk) continue;
     // What can be read can be rewritten, and read again.
-    const Buffer out = ForClient(bytes, layout, asked, 1232);
-    ASSERT_LE(out.size(), asked.most);
+    const Buffer out = ToClientResponse(bytes, layout, client_query, 1232);
+    ASSERT_LE(out.size(), client_query.max_response_size);
     Layout again;
-    ASSERT_EQ(Read(out, again), Reading::kWhole);
-    ASSERT_EQ(again.id, asked.id);
+    ASSERT_EQ(ParseMessage(out, again), ParseStatus::kOk);
+    ASSERT_EQ(again.id, client_query.id);
     ASSERT_EQ(again.rcode(), layout.rcode());
-    const Buffer query_out = ForResolver(bytes, layout, 1232);
-    ASSERT_EQ(Read(query_out, again), Reading::kWhole);
+    const Buffer query_out = ToResolverQuery(bytes, layout, 1232);
+    ASSERT_EQ(ParseMessage(query_out, again), ParseStatus::kOk);
   }
 }
 
@@ -105,14 +107,14 @@
   bytes[6] = static_cast<std::uint8_t>(records >> 8);
   bytes[7] = static_cast<std::uint8_t>(records);
   Layout layout;
-  EXPECT_EQ(Read(bytes, layout), Reading::kWhole);
+  EXPECT_EQ(ParseMessage(bytes, layout), ParseStatus::kOk);
   // One that leads to itself, and one that leads forwards.
   Buffer loop = bytes;
   loop[19] = 0xc0;
   loop[20] = 19;
-  EXPECT_EQ(Read(loop, layout), Reading::kMalformed);
+  EXPECT_EQ(ParseMessage(loop, layout), ParseStatus::kMalformed);
   loop[20] = 31;
-  EXPECT_EQ(Read(loop, layout), Reading::kMalformed);
+  EXPECT_EQ(ParseMessage(loop, layout), ParseStatus::kMalformed);
 }
 
 TEST(Message, NamesHave255OctetsAtMost) {
@@ -123,7 +125,8 @@
     QuerySpec spec;
     spec.name = name;
     Layout layout;
-    EXPECT_EQ(Read(MakeQuery(spec), layout), last == 61 ? Reading::kWhole : Reading::kMalformed) << last;
+    EXPECT_EQ(ParseMessage(MakeQuery(spec), layout), last == 61 ? ParseStatus::kOk : ParseStatus::kMalformed)
+        << last;
   }
 }
 
@@ -136,13 +139,13 @@
   for (const std::uint8_t byte : {1, 107, 0, 0, 250, 0, 255, 0, 0, 0, 0, 0, 0}) query.push_back(byte);
   query[11] = 2;
   Layout layout;
-  ASSERT_EQ(Read(query, layout), Reading::kWhole);
+  ASSERT_EQ(ParseMessage(query, layout), ParseStatus::kOk);
   EXPECT_TRUE(layout.is_signed);
-  EXPECT_EQ(ForResolver(query, layout, 1232), query);
+  EXPECT_EQ(ToResolverQuery(query, layout, 1232), query);
   // Nothing may stand behind the signature.
   for (const std::uint8_t byte : {0, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0}) query.push_back(byte);
   query[11] = 3;
-  EXPECT_EQ(Read(query, layout), Reading::kMalformed);
+  EXPECT_EQ(ParseMessage(query, layout), ParseStatus::kMalformed);
 }
 
 TEST(Message, OwnAnswerRepeatsTheQuestionAndSaysWhy) {
@@ -150,18 +153,18 @@
   spec.edns_size = 1232;
   const Buffer query = MakeQuery(spec);
   Layout layout;
-  ASSERT_EQ(Read(query, layout), Reading::kWhole);
-  const Buffer answer = OwnAnswer(AskedBy(query), Question(query, layout), kServFail,
-                                  Explanation{kNoReachableAuthority, std::string(500, 'x')}, 1232);
+  ASSERT_EQ(ParseMessage(query, layout), ParseStatus::kOk);
+  const Buffer answer = MakeResponse(AskedBy(query), Question(query, layout), kServFail,
+                                     ExtendedErrorInfo{kNoReachableAuthority, std::string(500, 'x')}, 1232);
   Layout read;
-  ASSERT_EQ(Read(answer, read), Reading::kWhole);
+  ASSERT_EQ(ParseMessage(answer, read), ParseStatus::kOk);
   EXPECT_EQ(read.rcode(), kServFail);
-  EXPECT_EQ(ExtendedErrorOf(answer, read), kNoReachableAuthority);
-  EXPECT_LE(answer.size(), kPlainUdp);
+  EXPECT_EQ(FindExtendedError(answer, read), kNoReachableAuthority);
+  EXPECT_LE(answer.size(), kMaxUdpWithoutEdns);
   EXPECT_EQ(testing::QuestionOf(answer), testing::QuestionOf(query));
   // Whoever speaks no EDNS gets none.
-  const Buffer plain = OwnAnswer(AskedBy(MakeQuery({})), {}, kBadVers, Explanation{}, 1232);
-  ASSERT_EQ(Read(plain, read), Reading::kWhole);
+  const Buffer plain = MakeResponse(AskedBy(MakeQuery({})), {}, kBadVers, ExtendedErrorInfo{}, 1232);
+  ASSERT_EQ(ParseMessage(plain, read), ParseStatus::kOk);
   EXPECT_FALSE(read.edns);
 }
 
@@ -171,20 +174,20 @@
   spec.edns_size = 4096;
   const Buffer answer = MakeAnswer(query, spec);
   Layout layout;
-  ASSERT_EQ(Read(answer, layout), Reading::kWhole);
-  const Buffer out = ForClient(answer, layout, AskedBy(query), 1232);
+  ASSERT_EQ(ParseMessage(answer, layout), ParseStatus::kOk);
+  const Buffer out = ToClientResponse(answer, layout, AskedBy(query), 1232);
   EXPECT_EQ(out, MakeAnswer(query));
 }
 
-TEST(Judge, TellsTheNamesTroubleFromTheResolvers) {
+TEST(OutcomeOf, TellsTheNamesTroubleFromTheResolvers) {
   const auto judged = [](int rcode, int extended_error) {
     AnswerSpec spec;
     spec.rcode = rcode;
     spec.extended_error = extended_error;
     const Buffer answer = MakeAnswer(MakeQuery({}), spec);
     Layout layout;
-    EXPECT_EQ(Read(answer, layout), Reading::kWhole);
-    return Judge(answer, layout);
+    EXPECT_EQ(ParseMessage(answer, layout), ParseStatus::kOk);
+    return OutcomeOf(answer, layout);
   };
   using balancer::Outcome;
   EXPECT_EQ(judged(kNoError, -1), Outcome::kServed);
