--- a/fuzz/dns_message_fuzz.cpp
+++ b/fuzz/dns_message_fuzz.cpp
@@ -5,7 +5,7 @@
 
 #include "dns/frames.h"
 #include "dns/message.h"
-#include "dns/transport.h"
+#include "dns/response_outcome.h"
 
 namespace {
 
--- a/src/dns/attempt.h
+++ b/src/dns/attempt.h
@@ -1,4 +1,4 @@
-// One attempt on its way to a resolver, and the ids under which the open ones of a socket are known.
+// One attempt on its way to a resolver, and the open attempts of a socket by their message ids.
 #pragma once
 
 #include <cstdint>
@@ -24,24 +24,24 @@
   runtime::TimePoint sent;
   runtime::TimePoint deadline;
   std::uint16_t wire_id = 0;
-  // One of these, while it is out.
+  // The socket that carries it; one of the two while it is open.
   std::shared_ptr<UdpPort> port;
   std::shared_ptr<ResolverConnection> connection;
-  bool written = false;  // its last byte, to a TCP connection
-  // What came over UDP before it was moved to TCP.
+  bool written = false;  // over TCP: up to its last byte
+  // The response over UDP, where the attempt moved to TCP for it.
   std::unique_ptr<ResolverResponse> truncated;
 };
 
-// Whoever carries attempts tells their owner through this. Each call may end attempts, and with that close
-// the one who calls.
+// What sockets notify the owner of their attempts of. Each call may end attempts, and with that close the
+// socket that calls.
 class AttemptEvents {
  public:
-  // A whole message that fits the attempt (RFC 5452 section 9.1: address and port by the socket, id,
-  // question).
+  // A well-formed response that matches the attempt (RFC 5452 section 9.1: address and port by the socket,
+  // id, question).
   virtual void OnResponse(Attempt& attempt, Bytes message, const Layout& layout) = 0;
   // The resolver's port is closed.
   virtual void OnUnreachable(UdpPort& port) = 0;
-  // The connection is gone, or never came up.
+  // The connection was lost, or never came up.
   virtual void OnConnectionLost(ResolverConnection& connection) = 0;
 
  protected:
@@ -50,7 +50,7 @@
 
 class OpenAttempts {
  public:
-  // Gives it an id of its own that nobody can foresee. There must be fewer than half of all ids open.
+  // Gives the attempt an id of its own that nobody can foresee. Fewer than half of all ids must be open.
   void Add(Attempt& attempt, runtime::SecureRandom& random) {
     do attempt.wire_id = random.Next16();
     while (!open_.try_emplace(attempt.wire_id, &attempt).second);
@@ -71,7 +71,8 @@
   std::unordered_map<std::uint16_t, Attempt*> open_;
 };
 
-// The open attempt that a message from its resolver answers; counts what answers none. `layout` is filled in.
+// The open attempt to which `message` from the resolver is the response; null, and counted, where there is
+// none. `layout` is filled in.
 Attempt* MatchResponse(const OpenAttempts& open, Bytes message, Layout& layout, Counters& counters);
 
 }  // namespace mothrack::dns
--- a/src/dns/frames.h
+++ b/src/dns/frames.h
@@ -9,17 +9,17 @@
 
 namespace mothrack::dns {
 
-// Cuts whole messages off what has come. Holds no more than was added, whatever a length says.
+// Cuts messages off a stream of bytes. Holds no more bytes than were appended, whatever a length field says.
 class FrameReader {
  public:
-  // Makes void what Next() gave.
+  // Invalidates what Next() returned.
   void Append(Bytes bytes) {
     buffer_.erase(buffer_.begin(), buffer_.begin() + static_cast<std::ptrdiff_t>(offset_));
     offset_ = 0;
     buffer_.insert(buffer_.end(), bytes.begin(), bytes.end());
   }
 
-  // The next whole message; nothing until more has come.
+  // The next complete message; nothing until more bytes have come.
   std::optional<Bytes> Next() {
     const Bytes unread = Bytes(buffer_).subspan(offset_);
     if (unread.size() < 2) return std::nullopt;
@@ -30,7 +30,7 @@
   }
 
   bool empty() const { return offset_ == buffer_.size(); }
-  // Gives the memory back; only while empty().
+  // Frees the memory; only while empty().
   void Shrink() {
     buffer_ = Buffer();
     offset_ = 0;
@@ -38,7 +38,7 @@
 
  private:
   Buffer buffer_;
-  std::size_t offset_ = 0;  // read so far
+  std::size_t offset_ = 0;  // bytes of buffer_ that Next() has returned
 };
 
 // The length, then the message.
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -105,7 +105,7 @@
   std::size_t offset_;
 };
 
-// Calls `visit(code, whole option)` for each option of the OPT record, whose form Read() has checked.
+// Calls `visit(code, whole option)` for each option of the OPT record, whose form ParseMessage() has checked.
 template <typename Callback>
 void ForEachOption(Bytes message, const Edns& edns, Callback callback) {
   for (std::size_t at = edns.at + kOptHeaderSize; at < edns.end;) {
@@ -200,7 +200,7 @@
 void SetId(std::span<std::uint8_t> message, std::uint16_t id) { WriteUint16(message, 0, id); }
 
 Buffer ToResolverQuery(Bytes query, const Layout& layout, std::uint16_t local_edns_size) {
-  if (!layout.edns || layout.is_signed) return Buffer(query.begin(), query.end());
+  if (!layout.edns || layout.is_signed) return {query.begin(), query.end()};
   return WithLocalEdns(query, layout, local_edns_size);
 }
 
--- a/src/dns/message.h
+++ b/src/dns/message.h
@@ -102,22 +102,22 @@
 
 void SetId(std::span<std::uint8_t> message, std::uint16_t id);
 
-// A query as it goes to a resolver: EDNS is between neighbours (RFC 6891 section 6), so its size becomes ours
-// and options that speak of one hop only (cookies, RFC 7873; keep-alive, RFC 7828; padding, RFC 7830) go. A
-// signed one stays as it is.
+// A query as it is sent to a resolver: EDNS is between neighbours (RFC 6891 section 6), so its size becomes
+// ours and options that speak of one hop only (cookies, RFC 7873; keep-alive, RFC 7828; padding, RFC 7830)
+// go. A signed one stays as it is.
 Buffer ToResolverQuery(Bytes query, const Layout& layout, std::uint16_t local_edns_size);
 
-// What of a client's query its answer depends on.
+// The properties of a client's query that its response depends on.
 struct ClientQuery {
   std::uint16_t id = 0;
   std::uint16_t flags = 0;
   bool edns = false;
   bool dnssec_ok = false;
-  std::size_t max_response_size = kMaxUdpWithoutEdns;  // bytes that the answer may have
+  std::size_t max_response_size = kMaxUdpWithoutEdns;  // in bytes
 };
 
-// A resolver's answer as it goes to the client: the client's id, our EDNS size, and truncated to question and
-// OPT where it is larger than the client takes.
+// A resolver's response as it is sent to the client: the client's id, our EDNS size, and truncated to
+// question and OPT where it is larger than the client accepts.
 Buffer ToClientResponse(Bytes answer, const Layout& layout, const ClientQuery& client_query,
                         std::uint16_t local_edns_size);
 
@@ -125,12 +125,12 @@
   ExtendedError code = kOtherError;
   std::string_view text;  // for people; at most 200 bytes of it are sent
 };
-// An answer of our own: header, `question` (the section's bytes, may be empty) and, where the client speaks
-// EDNS, OPT with the reason.
+// A response of this program: header, `question` (the section's bytes, may be empty) and, where the client
+// speaks EDNS, OPT with the reason.
 Buffer MakeResponse(const ClientQuery& client_query, Bytes question, std::uint16_t rcode,
                     const std::optional<ExtendedErrorInfo>& why, std::uint16_t local_edns_size);
 
-// The first extended error of an answer, RFC 8914; nothing where it has none.
+// The first extended error of a response, RFC 8914; nothing where it has none.
 std::optional<std::uint16_t> FindExtendedError(Bytes answer, const Layout& layout);
 
 }  // namespace mothrack::dns
--- a/src/dns/query.h
+++ b/src/dns/query.h
@@ -1,4 +1,4 @@
-// What DNS's front and transport hand each other through the dispatcher, and what they count.
+// What the DNS front end and transport pass to each other through the dispatcher, and their counters.
 #pragma once
 
 #include <cstdint>
@@ -15,8 +15,8 @@
   Buffer wire;  // as it goes to a resolver, but for the id
   std::uint16_t question_end = 0;
   std::uint8_t opcode = kQuery;
-  bool repeatable = false;  // by its class: a truncated answer may be asked for again over TCP
-  bool over_tcp = false;    // the client's way, kept where a message must not be repeated
+  bool repeatable = false;  // by its class: after a truncated response it may be sent again over TCP
+  bool over_tcp = false;    // as the client sent it; counts where it is not repeatable
 };
 
 struct ResolverResponse : dispatch::Reply {
@@ -24,21 +24,21 @@
   Layout layout;
 };
 
-// Each is told in the log at the end of the process and at a reload.
+// Logged at the end of the process and at a reload; the names in Line() are the operators'.
 struct Counters {
   std::uint64_t udp_queries = 0;
   std::uint64_t tcp_queries = 0;
-  std::uint64_t answers = 0;          // handed to clients, of whatever kind
-  std::uint64_t retransmissions = 0;  // of open queries, left out, and of answered UPDATEs, answered again
-  std::uint64_t dropped = 0;          // bytes from clients that nobody can be answered for
+  std::uint64_t answers = 0;          // responses to clients, of whatever kind
+  std::uint64_t retransmissions = 0;  // of open queries (ignored) and of answered UPDATEs (answered again)
+  std::uint64_t dropped = 0;          // messages of clients that have no answer: no header, or a response
   std::uint64_t malformed = 0;        // answered FORMERR
   std::uint64_t over_bound = 0;       // refused for a bound on open queries
-  std::uint64_t unsent_answers = 0;   // over UDP, the system did not take them
+  std::uint64_t unsent_answers = 0;   // over UDP, not accepted by the system
   std::uint64_t udp_attempts = 0;
   std::uint64_t tcp_attempts = 0;
   std::uint64_t moved_to_tcp = 0;  // truncated over UDP
-  std::uint64_t unmatched = 0;     // answers from resolvers' addresses that fit no open query
-  std::uint64_t garbled = 0;       // such that fit, but make no sense
+  std::uint64_t unmatched = 0;     // responses from a resolver's address that match no open attempt
+  std::uint64_t garbled = 0;       // that match, but are malformed
 
   std::string Line() const {
     std::string text = "dns:";
--- a/src/dns/resolver_connection.cpp
+++ b/src/dns/resolver_connection.cpp
@@ -12,9 +12,9 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Answers of queries that were given up: a connection that owes more of them is not used any further.
+// Responses to removed queries that may still come: with more of them a connection accepts no further query.
 constexpr std::size_t kMaxAbandoned = 64;
-constexpr std::size_t kReadSize = 16 * 1024;
+constexpr std::size_t kReadSize = std::size_t{16} * 1024;
 
 }  // namespace
 
@@ -61,7 +61,7 @@
 }
 
 void ResolverConnection::Send(Attempt& attempt, runtime::SecureRandom& random) {
-  // An id whose answer may still come must not be given to another.
+  // An id whose response may still come must not be given to another query.
   open_.Add(attempt, random);
   while (abandoned_.contains(attempt.wire_id)) {
     open_.Remove(attempt.wire_id);
@@ -84,7 +84,7 @@
     frames_.erase(it);
   } else {
     if (it != frames_.end()) it->attempt = nullptr;
-    abandoned_.insert(attempt.wire_id);  // Take() has removed it where this is the answer's doing
+    abandoned_.insert(attempt.wire_id);  // ProcessFrames() removes it again where this is its response
   }
   if (abandoned_.size() > kMaxAbandoned) retired_ = true;
   CloseIfDone();
@@ -141,7 +141,7 @@
       return;
     }
     if (error) {
-      // Not from here: the one who hands an attempt in is still at it.
+      // Not from here: the caller of Send() still uses the attempt.
       boost::asio::post(socket_.get_executor(), [self = shared_from_this()] { self->Fail(); });
       return;
     }
--- a/src/dns/resolver_connection.h
+++ b/src/dns/resolver_connection.h
@@ -1,5 +1,6 @@
-// A TCP connection to one resolver that carries many queries at once and takes the answers in any order
-// (RFC 7766 section 6.2). While it is idle it is watched: whatever comes then, a close or bytes, ends it.
+// A TCP connection to one resolver that carries many queries at once and accepts responses in any order
+// (RFC 7766 section 6.2). Whatever comes while it is idle, a close or bytes, ends it. Used
+// by the thread of the event loop only; handlers keep it alive.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,20 +24,21 @@
   ResolverConnection(boost::asio::io_context& io, runtime::Descriptors& descriptors, AttemptEvents& events,
                      Counters& counters);
 
-  // False where the system has no room for a socket.
+  // False where the system gives no socket.
   bool Open(const runtime::Endpoint& resolver, runtime::Duration connect_timeout);
   void Close();
 
-  // The attempt is open here until Forget(). It is written once the connection is up.
+  // The attempt is open here until Remove(). It is written once the connection is up.
   void Send(Attempt& attempt, runtime::SecureRandom& random);
-  // Takes it out of the queue, too, where no byte of it was written.
+  // Where no byte of its query was written, none will be.
   void Remove(const Attempt& attempt);
-  // Those of which no byte was written.
+  // Those of whose query no byte was written.
   std::vector<Attempt*> UnwrittenAttempts() const;
 
+  // Accepts no further attempt: closes with the last that is open.
   void Retire();
 
-  // May it take one more? Looks whether the resolver has closed it meanwhile.
+  // Checks, too, whether the resolver has closed it meanwhile.
   bool CanAccept();
   std::size_t open() const { return open_.size(); }
   bool closed() const { return closed_; }
@@ -46,7 +48,7 @@
  private:
   struct Frame {
     Buffer bytes;                // with its length before it
-    Attempt* attempt = nullptr;  // null once forgotten
+    Attempt* attempt = nullptr;  // null once removed
   };
 
   void Flush();
@@ -62,7 +64,7 @@
   AttemptEvents& events_;
   Counters& counters_;
   OpenAttempts open_;
-  std::set<std::uint16_t> abandoned_;  // written and given up: their answers may still come
+  std::set<std::uint16_t> abandoned_;  // written and removed: their responses may still come
   std::deque<Frame> frames_;
   std::size_t first_frame_written_ = 0;  // bytes of the first frame
   FrameReader frame_reader_;
--- a/src/dns/service.cpp
+++ b/src/dns/service.cpp
@@ -1,10 +1,12 @@
 #include "dns/service.h"
 
+#include <utility>
+
 namespace mothrack::dns {
 
-Service::Service(boost::asio::io_context& io, const Settings& settings, std::uint64_t seed,
+Service::Service(boost::asio::io_context& io, Settings settings, std::uint64_t seed,
                  runtime::Descriptors& descriptors, runtime::Logger& log)
-    : settings_(settings),
+    : settings_(std::move(settings)),
       transport_(io, settings_, descriptors, counters_),
       dispatcher_(io, ModuleSettings(settings_), seed, transport_, log),
       frontend_(io, settings_, descriptors, log, dispatcher_, counters_) {
--- a/src/dns/service.h
+++ b/src/dns/service.h
@@ -1,4 +1,5 @@
-// DNS as one sidecar carries it: front, dispatcher and transport of one pool of resolvers.
+// DNS as one sidecar serves it: front end, dispatcher and transport of one pool of resolvers. Used by the
+// thread of the event loop only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,19 +21,20 @@
 
 class Service {
  public:
-  // Takes queries at once. Throws boost::system::system_error where it can't listen.
-  Service(boost::asio::io_context& io, const Settings& settings, std::uint64_t seed,
+  // Accepts queries at once. Throws boost::system::system_error where it can't listen. `descriptors` and
+  // `log` must outlive it.
+  Service(boost::asio::io_context& io, Settings settings, std::uint64_t seed,
           runtime::Descriptors& descriptors, runtime::Logger& log);
 
   // Open all the time: the listening sockets, UDP and TCP, and the descriptor that the ports are watched by.
   static std::size_t FixedDescriptors(const Settings& settings) { return 2 * settings.listen.size() + 1; }
 
   std::vector<runtime::Endpoint> local() const { return frontend_.local(); }
-  // Takes over the list of resolvers; nothing else of `settings`.
+  // Applies the resolvers of `settings`; nothing else of them.
   void Follow(const Settings& settings);
-  // A planned stop; `done` is called when all that was taken is answered.
+  // A planned stop; `done` is called when every accepted query is answered.
   void Drain(std::function<void()> done) { frontend_.Drain(std::move(done)); }
-  const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }  // for people who look
+  const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }  // for the admin API and the log
   std::string Account() const { return counters_.Line(); }
 
  private:
@@ -40,7 +42,7 @@
   Counters counters_;
   Transport transport_;
   dispatch::Dispatcher dispatcher_;
-  Frontend frontend_;  // last: it takes queries from here on, and goes first
+  Frontend frontend_;  // last: it accepts queries from here on, and is destroyed first
 };
 
 }  // namespace mothrack::dns
--- a/src/dns/settings.cpp
+++ b/src/dns/settings.cpp
@@ -7,8 +7,8 @@
 using std::chrono::milliseconds;
 
 std::vector<ClassSettings> DefaultClasses() {
-  // Stub resolvers give up after 5 s. An answer after its aim is still worth having: attempts are not given
-  // up there, a second copy goes elsewhere.
+  // Stub resolvers give up after 5 s. An answer after its objective still has a weight: the attempt goes on,
+  // and a hedge goes to another resolver.
   return {
       {"query", kQuery, {}, milliseconds(1000), milliseconds(4000), balancer::Effect::kSafe, 1, 0.5},
       {"update", kUpdate, {}, milliseconds(2000), milliseconds(4500), balancer::Effect::kUnsafe, 5, 0.5},
@@ -42,8 +42,8 @@
   out.limits.max_attempts = settings.max_attempts;
   out.limits.hedging = true;
   out.limits.cancel = true;
-  out.limits.probes = false;       // trials of real queries bring a resolver back
-  out.limits.retry_after = false;  // DNS has no word for it
+  out.limits.probes = false;       // real queries serve as half-open probes
+  out.limits.retry_after = false;  // DNS has no such field
   out.limits.connect_timeout = settings.connect_timeout;
   out.limits.idle_close = settings.resolver_idle;
   out.limits.streams = settings.max_open_per_connection;
--- a/src/dns/settings.h
+++ b/src/dns/settings.h
@@ -1,4 +1,4 @@
-// What the operator's file says of DNS, with the defaults, and what of it the decision module is told.
+// The operator's settings of DNS with their defaults, and the decision module's settings made of them.
 #pragma once
 
 #include <cstddef>
@@ -32,7 +32,7 @@
   runtime::Duration deadline{};
   balancer::Effect effect = balancer::Effect::kSafe;
   double priority_weight = 1;
-  double late_priority_weight = 0;  // share of the worth that is left for an answer after the aim
+  double late_priority_weight = 0;  // share of priority_weight for an answer after the objective
 };
 
 // QUERY may be repeated at will. NOTIFY too: it only hints that a zone may have changed (RFC 1996 section 3),
@@ -45,7 +45,7 @@
   std::vector<ResolverSettings> resolvers;
   std::vector<ClassSettings> classes = DefaultClasses();
 
-  // The largest datagram either side is told to send: what crosses nearly every network whole
+  // The largest datagram that either side is asked to send: crosses nearly every network unfragmented
   // (https://www.dnsflagday.net/2020/).
   std::uint16_t edns_size = 1232;
   std::size_t max_open_queries = 20000;
@@ -53,7 +53,7 @@
   std::size_t max_open_per_connection = 128;  // over TCP; more wait unread
   std::size_t max_tcp_clients = 64;
   runtime::Duration tcp_first_byte =
-      std::chrono::milliseconds(2500);  // for a message to come whole, and to be taken
+      std::chrono::milliseconds(2500);  // for a query to arrive completely, and for a response to be read
   runtime::Duration tcp_idle = std::chrono::seconds(10);
   runtime::Duration update_memory =
       std::chrono::seconds(30);  // an answered UPDATE's retransmission gets that answer
--- a/src/dns/tcp_server.h
+++ b/src/dns/tcp_server.h
@@ -1,13 +1,15 @@
-// One address at which queries come over TCP connections: many at once on each, answered in the order in
-// which the answers come (RFC 7766 section 7).
+// One address at which clients connect for queries over TCP: accepts connections within the bounds, and
+// closes those that are overdue. Used by the thread of the event loop only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
 #include <boost/asio/steady_timer.hpp>
+#include <cstdint>
 #include <memory>
 #include <set>
 
+#include "dns/client_connection.h"
 #include "dns/frontend.h"
 #include "runtime/acceptor.h"
 #include "runtime/address.h"
@@ -18,22 +20,21 @@
 
 class TcpServer : private runtime::Acceptor::Owner {
  public:
-  // Binds and listens; throws boost::system::system_error.
+  // Binds and listens; throws boost::system::system_error. The references must outlive it.
   TcpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, const Settings& settings,
             runtime::Descriptors& descriptors, Frontend& frontend, runtime::Logger& log);
   ~TcpServer();
 
   // From now on connections are closed as they become idle.
   void Drain();
-  // Takes the connections that wait, and none after them.
+  // Accepts the connections that wait, and none after them.
   void StopAccepting() {
     if (acceptor_.is_open()) acceptor_.Close();
   }
+  // No connection is open.
   bool done() const { return connections_.empty(); }
 
  private:
-  class Connection;
-
   bool Room() const override;
   bool MakeRoom() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
@@ -43,10 +44,9 @@
   const Settings& settings_;
   runtime::Descriptors& descriptors_;
   Frontend& frontend_;
-  runtime::Logger& log_;
-  std::set<std::shared_ptr<Connection>> connections_;
+  std::set<std::shared_ptr<ClientConnection>> connections_;
   runtime::Acceptor acceptor_;
-  boost::asio::steady_timer sweep_;
+  boost::asio::steady_timer sweep_timer_;
   std::uint64_t last_connection_ = 0;
   bool draining_ = false;
 };
--- a/src/dns/udp_poller.cpp
+++ b/src/dns/udp_poller.cpp
@@ -52,7 +52,7 @@
                     });
 }
 
-// What still waits after it is told again by the next wait.
+// The next wait reports again what still waits after this.
 void UdpPoller::DispatchReady() {
   std::array<epoll_event, kMaxEvents> events;
   const int ready = ::epoll_wait(epoll_.native_handle(), events.data(), kMaxEvents, 0);
--- a/src/dns/udp_poller.h
+++ b/src/dns/udp_poller.h
@@ -28,7 +28,7 @@
   void DispatchReady();
 
   boost::asio::posix::stream_descriptor epoll_;
-  // By socket. A number that was closed and taken anew while its event waited costs one look for nothing.
+  // By descriptor. One that was closed and reused while its event waited costs one read in vain.
   std::unordered_map<int, std::weak_ptr<UdpPort>> ports_;
 };
 
--- a/src/dns/udp_port.cpp
+++ b/src/dns/udp_port.cpp
@@ -57,7 +57,7 @@
   error_code error;
   socket_.send(boost::asio::buffer(datagram), 0, error);
   if (Unreachable(error) && open_.size() > 1) {
-    // The error is of an earlier datagram, and this one has not been sent: those are told, then it goes.
+    // The error is of an earlier datagram, and this one has not been sent: notify of it, then send again.
     open_.Remove(attempt.wire_id);
     events_.OnUnreachable(*this);
     if (closed_) return SendResult::kNotSent;
@@ -88,8 +88,8 @@
   if (open_.size() == 0) Close();
 }
 
-// No more than one at a time: whatever still waits is told again, and another look costs less than a read for
-// nothing on every port.
+// One at a time: whatever still waits is notified again, and one more poll costs less than a read in vain on
+// every port.
 void UdpPort::Receive() {
   static thread_local std::array<std::uint8_t, kMaxMessageSize> datagram;
   if (closed_) return;
@@ -97,7 +97,7 @@
   const std::size_t size = socket_.receive(boost::asio::buffer(datagram), 0, error);
   if (error) {
     if (Unreachable(error)) events_.OnUnreachable(*this);
-    return;  // the error is gone with being read
+    return;  // reading the error has cleared it
   }
   Layout layout;
   const Bytes message(datagram.data(), size);
--- a/src/dns/udp_port.h
+++ b/src/dns/udp_port.h
@@ -24,19 +24,19 @@
   UdpPort(const UdpPort&) = delete;
   UdpPort& operator=(const UdpPort&) = delete;
 
-  // Binds, connects and listens; false where the system has no room.
+  // Binds and connects; false where the system gives no socket.
   bool Open(const runtime::Endpoint& resolver);
   void Close();
 
   enum class SendResult { kSent, kNotSent, kUnreachable };
-  // On kSent the attempt is open here until Forget(); else nothing was sent.
+  // On kSent the attempt is open here until Remove(); else nothing was sent.
   SendResult Send(Attempt& attempt, runtime::SecureRandom& random);
   void Remove(const Attempt& attempt);
 
-  // Takes one datagram or error that waits.
+  // Reads one datagram or error that waits.
   void Receive();
 
-  // No further attempt: it closes with the last that is open.
+  // Accepts no further attempt: closes with the last that is open.
   void Retire();
 
   bool exclusive() const { return exclusive_; }
--- a/src/dns/udp_server.cpp
+++ b/src/dns/udp_server.cpp
@@ -9,9 +9,9 @@
 using boost::asio::ip::udp;
 using boost::system::error_code;
 
-// Read in a row before others get their turn.
+// Datagrams read in a row before other handlers of the event loop run.
 constexpr int kMaxBatch = 64;
-// Room for what comes while the loop is at something else; the system may give less.
+// Bytes for what comes while the event loop is busy; the system may give less.
 constexpr int kReceiveBuffer = 1 << 20;
 constexpr std::size_t kMaxUnsentResponses = 4096;
 
@@ -46,7 +46,7 @@
 
 runtime::Endpoint UdpServer::local() const {
   const auto local = socket_.local_endpoint();
-  return runtime::Endpoint(local.address(), local.port());
+  return {local.address(), local.port()};
 }
 
 void UdpServer::WaitReadable() {
@@ -64,7 +64,7 @@
     error_code error;
     const std::size_t size = socket_.receive_from(boost::asio::buffer(datagram), from, 0, error);
     if (error == boost::asio::error::would_block) return;
-    if (error) continue;  // the error is gone with being read
+    if (error) continue;  // reading the error has cleared it
     frontend_.HandleMessage({datagram.data(), size}, ToClient(from),
                             [this, from](Buffer answer) { Send(from, std::move(answer)); });
   }
--- a/src/dns/udp_server.h
+++ b/src/dns/udp_server.h
@@ -1,4 +1,5 @@
-// One address at which queries come as datagrams; answers go out from the same.
+// One address at which clients send queries as datagrams; responses are sent from the same. Used by the
+// thread of the event loop only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,9 +20,9 @@
             Counters& counters, runtime::Logger& log);
 
   runtime::Endpoint local() const;
-  // Takes what the system holds, and nothing after it.
+  // Reads what the system has received, and nothing after it.
   void StopReceiving();
-  // No answer waits to be sent.
+  // No response waits to be sent.
   bool done() const { return unsent_.empty(); }
 
  private:
@@ -36,7 +37,7 @@
   Frontend& frontend_;
   Counters& counters_;
   runtime::Logger& log_;
-  std::deque<std::pair<Peer, Buffer>> unsent_;  // answers that the system has had no room for
+  std::deque<std::pair<Peer, Buffer>> unsent_;  // responses that the system's full buffer did not accept
   bool receiving_ = true;
 };
 
--- a/tests/dns/dns_message_test.cpp
+++ b/tests/dns/dns_message_test.cpp
@@ -3,7 +3,7 @@
 #include <string>
 
 #include "dns/message.h"
-#include "dns/transport.h"
+#include "dns/response_outcome.h"
 #include "gtest/gtest.h"
 #include "standins/dns_wire.h"
 
@@ -179,7 +179,7 @@
   EXPECT_EQ(out, MakeAnswer(query));
 }
 
-TEST(OutcomeOf, TellsTheNamesTroubleFromTheResolvers) {
+TEST(OutcomeOf, SeparatesFaultsOfTheNameFromThoseOfTheResolver) {
   const auto judged = [](int rcode, int extended_error) {
     AnswerSpec spec;
     spec.rcode = rcode;
