--- a/tests/discovery/discovery_process_test.cpp
+++ b/tests/discovery/discovery_process_test.cpp
@@ -123,10 +123,10 @@
       Node node(With(old, List({Target("u1", a.address())}), on_request));
       ASSERT_TRUE(node.Listening());
       ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
-      const auto told = steady_clock::now();
+      const auto reloaded = steady_clock::now();
       node.Reload(FollowingTo(node, next.address()));
       EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
-      EXPECT_LE(steady_clock::now() - told, seconds(2));
+      EXPECT_LE(steady_clock::now() - reloaded, seconds(2));
     }
   }
 }
@@ -155,10 +155,10 @@
 // A request is under way, so the program stays: neither a good file nor a broken one ends it early or loses
 // the answer.
 TEST(Reload, AfterThePlannedStopBeganLosesNothing) {
-  std::promise<void> asked;
+  std::promise<void> request_arrived;
   std::promise<void> go;
   Upstream slow([&](Wire& wire, const Request&, int) {
-    asked.set_value();
+    request_arrived.set_value();
     go.get_future().wait();
     wire.Answer(200, "served");
   });
@@ -168,7 +168,7 @@
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "s1", "x", 15000)));
-  asked.get_future().wait();
+  request_arrived.get_future().wait();
   node.Signal(SIGTERM);
   node.Reload("{");
   EXPECT_TRUE(Eventually([&] { return node.log().find("not taken") != std::string::npos; }));
--- a/tests/dns/dns_forwarding_test.cpp
+++ b/tests/dns/dns_forwarding_test.cpp
@@ -24,9 +24,9 @@
 
 TEST(Dns, PassesAnswersOnUnchangedOverUdpAndTcp) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
-  const Octets query = MakeQuery(Named("WwW.Example.org", 0x4711));
+  const Octets query = MakeQuery(QueryFor("WwW.Example.org", 0x4711));
   DnsUdpClient udp(node.dns_port());
   const auto datagram = udp.Ask(query);
   ASSERT_TRUE(datagram);
@@ -41,12 +41,12 @@
 
 TEST(Dns, AttemptsHaveIdsAndPortsOfTheirOwn) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   constexpr int kQueries = 300;
   for (int i = 0; i < kQueries; ++i)
-    ASSERT_TRUE(client.Ask(MakeQuery(Named("n" + std::to_string(i) + ".org", 7))));
+    ASSERT_TRUE(client.Ask(MakeQuery(QueryFor("n" + std::to_string(i) + ".org", 7))));
   std::set<std::uint16_t> ids;
   std::set<std::uint16_t> ports;
   std::set<int> steps;
@@ -71,27 +71,27 @@
       turn.Answer();
     }
   });
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsTcpClient client(node.dns_port());
-  client.Send(MakeQuery(Named("slow.org", 1)));
-  client.Send(MakeQuery(Named("fast.org", 2)));
-  client.Send(MakeQuery(Named("fast.org", 3)));
-  std::vector<int> order;
+  client.Send(MakeQuery(QueryFor("slow.org", 1)));
+  client.Send(MakeQuery(QueryFor("fast.org", 2)));
+  client.Send(MakeQuery(QueryFor("fast.org", 3)));
+  std::vector<int> answer_ids;
   for (int i = 0; i < 3; ++i) {
     const auto answer = client.Receive();
     ASSERT_TRUE(answer);
-    order.push_back(IdOf(*answer));
+    answer_ids.push_back(IdOf(*answer));
   }
-  EXPECT_EQ(order.back(), 1);
+  EXPECT_EQ(answer_ids.back(), 1);
 }
 
 TEST(Dns, ClientThatEndsItsSendingStillGetsItsAnswers) {
   StandinResolver resolver([](Turn& turn) { turn.SendAfter(milliseconds(100), MakeAnswer(turn.query())); });
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsTcpClient client(node.dns_port());
-  client.Send(MakeQuery(Named("a.org", 1)));
+  client.Send(MakeQuery(QueryFor("a.org", 1)));
   client.EndSending();
   EXPECT_TRUE(client.Receive());
   EXPECT_TRUE(client.ReadsEnd());
@@ -102,7 +102,7 @@
   Upstream upstream(Upstream::Echo("u"));
   Node::Options options;
   options.known = List({Target("u1", upstream.address())});
-  options.operator_file = File(Upstreams().Add("r1", resolver.address()));
+  options.operator_file = OperatorFile(ResolverList().Add("r1", resolver.address()));
   Node node(options);
   ASSERT_TRUE(node.Listening());
   ASSERT_TRUE(node.DnsListening());
@@ -126,7 +126,7 @@
     spec.edns_size = 4096;
     turn.Answer(spec);
   });
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   // 40 records take 684 bytes and more: too much for one that speaks no EDNS, or takes 600 bytes.
@@ -139,7 +139,7 @@
   std::uint16_t id = 0;
   for (const auto& c : cases) {
     records = c.records;
-    QuerySpec spec = Named("big.org", ++id);
+    QuerySpec spec = QueryFor("big.org", ++id);
     spec.edns_size = c.asked;
     const auto answer = client.Ask(MakeQuery(spec));
     ASSERT_TRUE(answer);
@@ -151,14 +151,14 @@
   }
   // Over TCP it comes whole.
   DnsTcpClient tcp(node.dns_port());
-  const auto answer = tcp.Ask(MakeQuery(Named("big.org", 99)));
+  const auto answer = tcp.Ask(MakeQuery(QueryFor("big.org", 99)));
   ASSERT_TRUE(answer);
   EXPECT_EQ(AnswersOf(*answer), 80);
 }
 
 TEST(Edns, OptionsOfOneHopStayBehind) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   QuerySpec spec;
   spec.edns_size = 1232;
@@ -178,7 +178,7 @@
 
 TEST(Edns, UnknownVersionIsToldSo) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   QuerySpec spec;
   spec.edns_size = 1232;
@@ -195,7 +195,7 @@
 
 TEST(Dns, UnknownOpcodesAndTransfersAreTurnedAway) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   for (const std::uint8_t opcode : {1, 2, 3, 6, 15}) {
@@ -225,7 +225,7 @@
   failed.extended_error = 13;
   StandinResolver one([&](Turn& turn) { turn.Answer(failed); });
   StandinResolver two([&](Turn& turn) { turn.Answer(failed); });
-  Node node(DnsOnly(File(Upstreams().Add("r1", one.address()).Add("r2", two.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()))));
   ASSERT_TRUE(node.DnsListening());
   QuerySpec spec;
   spec.edns_size = 1232;
@@ -245,12 +245,12 @@
   bogus.extended_error = 6;
   StandinResolver one([&](Turn& turn) { turn.Answer(bogus); });
   StandinResolver two([&](Turn& turn) { turn.Answer(bogus); });
-  Node node(DnsOnly(File(Upstreams().Add("r1", one.address()).Add("r2", two.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   constexpr int kQueries = 30;
   for (int i = 0; i < kQueries; ++i) {
-    QuerySpec spec = Named("bogus.org", static_cast<std::uint16_t>(i));
+    QuerySpec spec = QueryFor("bogus.org", static_cast<std::uint16_t>(i));
     spec.edns_size = 1232;
     const auto answer = client.Ask(MakeQuery(spec));
     ASSERT_TRUE(answer);
--- a/tests/dns/dns_helpers.h
+++ b/tests/dns/dns_helpers.h
@@ -18,30 +18,31 @@
 inline constexpr int kNotImp = 4;
 inline constexpr int kRefused = 5;
 // Long enough for what must not come to have come on a busy machine, short enough to wait for often.
-inline constexpr std::chrono::milliseconds kQuiet{150};
+inline constexpr std::chrono::milliseconds kQuietPeriod{150};
 
-struct Upstreams {
+struct ResolverList {
   std::string text;
-  Upstreams& Add(const std::string& uid, const std::string& endpoint, const std::string& state = "active") {
+  ResolverList& Add(const std::string& uid, const std::string& endpoint,
+                    const std::string& state = "active") {
     text += "[[dns.resolver]]\nuid = \"" + uid + "\"\nendpoint = \"" + endpoint + "\"\nstate = \"" + state +
             "\"\n";
     return *this;
   }
 };
 
-inline std::string File(const Upstreams& upstreams, const std::string& dns = "",
-                        const std::string& top = "") {
+inline std::string OperatorFile(const ResolverList& upstreams, const std::string& dns = "",
+                                const std::string& top = "") {
   return top + "[dns]\nlisten = [\"127.0.0.1:0\"]\n" + dns + "\n" + upstreams.text;
 }
 
-inline Node::Options DnsOnly(const std::string& file) {
+inline Node::Options DnsOnlyOptions(const std::string& file) {
   Node::Options options;
   options.platform = false;
   options.operator_file = file;
   return options;
 }
 
-inline QuerySpec Named(const std::string& name, std::uint16_t id = 0x1234) {
+inline QuerySpec QueryFor(const std::string& name, std::uint16_t id = 0x1234) {
   QuerySpec spec;
   spec.name = name;
   spec.id = id;
@@ -49,7 +50,7 @@
 }
 
 // A counter of the program's account, which it logs when it is told to read its file again.
-inline long Counted(Node& node, const std::string& file, const std::string& name) {
+inline long ReadCounter(Node& node, const std::string& file, const std::string& name) {
   const std::size_t before = node.log().size();
   node.ReloadOperatorFile(file);
   const std::string mark = " " + name + "=";
@@ -64,7 +65,7 @@
 }
 
 // The scripts of one test share this: which query is the first of all, at whichever resolver.
-struct Order {
+struct SharedQueryCount {
   std::atomic<int> queries{0};
 };
 
--- a/tests/dns/dns_hostile_input_test.cpp
+++ b/tests/dns/dns_hostile_input_test.cpp
@@ -38,7 +38,7 @@
     }
     // Once the flood is through: the system's own buffer may drop some of that.
     constexpr milliseconds kLater{150};
-    QuerySpec other = Named("evil.example.org", IdOf(right));
+    QuerySpec other = QueryFor("evil.example.org", IdOf(right));
     turn.SendAfter(kLater, MakeAnswer(MakeQuery(other)));
     forged = right;
     forged[13] ^= 0x20;
@@ -53,32 +53,31 @@
     turn.SendAfter(2 * kLater, right);
   });
   // Another process at the same machine answers from its own port: the system keeps that out.
-  const std::string file = File(Upstreams().Add("r1", resolver.address()));
-  Node node(DnsOnly(file));
+  const std::string file = OperatorFile(ResolverList().Add("r1", resolver.address()));
+  Node node(DnsOnlyOptions(file));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
-  const Octets query = MakeQuery(Named("www.example.org"));
+  const Octets query = MakeQuery(QueryFor("www.example.org"));
   const auto answer = client.Ask(query);
   ASSERT_TRUE(answer);
   EXPECT_EQ(*answer, MakeAnswer(query));
-  EXPECT_FALSE(client.Receive(kQuiet));
-  EXPECT_EQ(Counted(node, file, "garbled"), 1);
-  const long unmatched = Counted(node, file, "unmatched");
+  EXPECT_FALSE(client.Receive(kQuietPeriod));
+  EXPECT_EQ(ReadCounter(node, file, "garbled"), 1);
+  const long unmatched = ReadCounter(node, file, "unmatched");
   EXPECT_GT(unmatched, 4) << "four of these, and some of the flood";
   EXPECT_LE(unmatched, kGuesses + 4);
   EXPECT_EQ(resolver.queries(), 1);
 }
 
 TEST(Forged, AnswerFromAnotherPortIsNone) {
-  Order order;
   std::unique_ptr<StandinResolver> resolver;
   // A second socket sends what would be right, to the very port that asked.
   resolver = std::make_unique<StandinResolver>(
       [](Turn& turn) { turn.SendAfter(milliseconds(300), MakeAnswer(turn.query())); });
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver->address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver->address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
-  const Octets query = MakeQuery(Named("www.example.org"));
+  const Octets query = MakeQuery(QueryFor("www.example.org"));
   client.Send(query);
   ASSERT_TRUE(Eventually([&] { return resolver->queries() == 1; }));
   const auto seen = resolver->seen()[0];
@@ -100,7 +99,7 @@
 };
 
 std::vector<Hostile> HostileMessages() {
-  const Octets good = MakeQuery(Named("www.example.org"));
+  const Octets good = MakeQuery(QueryFor("www.example.org"));
   const auto with = [&good](std::size_t at, std::uint8_t value) {
     Octets bytes = good;
     bytes.at(at) = value;
@@ -152,11 +151,11 @@
 
 TEST(HostileBytes, AreAnsweredOrDroppedAndServiceGoesOn) {
   StandinResolver resolver(StandinResolver::Echo());
-  const std::string file = File(Upstreams().Add("r1", resolver.address()));
-  Node node(DnsOnly(file));
+  const std::string file = OperatorFile(ResolverList().Add("r1", resolver.address()));
+  Node node(DnsOnlyOptions(file));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
-  const Octets good = MakeQuery(Named("good.org", 0x7777));
+  const Octets good = MakeQuery(QueryFor("good.org", 0x7777));
   for (const Hostile& hostile : HostileMessages()) {
     client.Send(hostile.bytes);
     // Datagrams are taken in their order: what comes before the good one's answer is the hostile one's.
@@ -174,7 +173,7 @@
     EXPECT_EQ(IdOf(*second), 0x7777) << hostile.what;
   }
   EXPECT_EQ(resolver.queries(), static_cast<int>(HostileMessages().size()));
-  EXPECT_EQ(Counted(node, file, "dropped"), 3);
+  EXPECT_EQ(ReadCounter(node, file, "dropped"), 3);
   // Over TCP the same, on a connection each.
   for (const Hostile& hostile : HostileMessages()) {
     DnsTcpClient tcp(node.dns_port());
@@ -192,9 +191,9 @@
 
 TEST(HostileBytes, FramesOfEverySizeAndPieceAreTaken) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
-  const Octets query = MakeQuery(Named("www.example.org"));
+  const Octets query = MakeQuery(QueryFor("www.example.org"));
   {
     DnsTcpClient client(node.dns_port());
     client.SendRaw({0});
@@ -248,12 +247,12 @@
   });
   const std::string classes =
       "[[dns.class]]\nname = \"query\"\nopcode = \"QUERY\"\naim_ms = 200\ndeadline_ms = 400\n";
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()), classes)));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), classes)));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
-    const auto answer = client.Ask(MakeQuery(Named("a.org", ++id)));
+    const auto answer = client.Ask(MakeQuery(QueryFor("a.org", ++id)));
     EXPECT_TRUE(answer);
     return answer && AnswersOf(*answer) == 1 && turn_number > 3;
   }));
--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -29,11 +29,11 @@
 TEST(Bounds, OpenQueriesOfAClientAndOfAll) {
   StandinResolver resolver(StandinResolver::Silent());
   for (const char* bound : {"max_open_per_client = 5\n", "max_open_queries = 5\n"}) {
-    Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()), bound)));
+    Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), bound)));
     ASSERT_TRUE(node.DnsListening());
     DnsUdpClient client(node.dns_port());
     for (std::uint16_t id = 0; id < 8; ++id) {
-      QuerySpec spec = Named("a.org", id);
+      QuerySpec spec = QueryFor("a.org", id);
       spec.edns_size = 1232;
       client.Send(MakeQuery(spec));
     }
@@ -49,11 +49,12 @@
 TEST(Bounds, PipelinedQueriesBeyondTheBoundWaitAndAreAnswered) {
   std::atomic<int> most{0};
   StandinResolver resolver([&](Turn& turn) { turn.SendAfter(milliseconds(5), MakeAnswer(turn.query())); });
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()), "max_open_per_connection = 4\n")));
+  Node node(DnsOnlyOptions(
+      OperatorFile(ResolverList().Add("r1", resolver.address()), "max_open_per_connection = 4\n")));
   ASSERT_TRUE(node.DnsListening());
   DnsTcpClient client(node.dns_port());
   constexpr int kQueries = 200;
-  for (std::uint16_t id = 0; id < kQueries; ++id) client.Send(MakeQuery(Named("a.org", id)));
+  for (std::uint16_t id = 0; id < kQueries; ++id) client.Send(MakeQuery(QueryFor("a.org", id)));
   std::set<int> ids;
   for (int i = 0; i < kQueries; ++i) {
     const auto answer = client.Receive();
@@ -65,8 +66,8 @@
 
 TEST(Bounds, TcpClientsThatSayNothingOrHalfOfItGo) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(
-      File(Upstreams().Add("r1", resolver.address()), "tcp_first_byte_ms = 300\ntcp_idle_ms = 600\n")));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()),
+                                        "tcp_first_byte_ms = 300\ntcp_idle_ms = 600\n")));
   ASSERT_TRUE(node.DnsListening());
   DnsTcpClient silent(node.dns_port());
   DnsTcpClient half(node.dns_port());
@@ -80,12 +81,13 @@
 
 TEST(Bounds, MoreTcpClientsThanAllowedTakeTheIdleOnesPlace) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()), "max_tcp_clients = 4\n")));
+  Node node(
+      DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), "max_tcp_clients = 4\n")));
   ASSERT_TRUE(node.DnsListening());
   std::vector<std::unique_ptr<DnsTcpClient>> clients;
   for (std::uint16_t i = 0; i < 40; ++i) {
     clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
-    ASSERT_TRUE(clients.back()->Ask(MakeQuery(Named("a.org", i)))) << i;
+    ASSERT_TRUE(clients.back()->Ask(MakeQuery(QueryFor("a.org", i)))) << i;
   }
   EXPECT_LE(node.descriptors(), 40);
 }
@@ -100,16 +102,16 @@
     spec.truncated = turn.via() == Via::kUdp;
     turn.Answer(spec);
   });
-  Node node(
-      DnsOnly(File(Upstreams().Add("r1", one.address()).Add("r2", two.address()).Add("r3", three.address()),
-                   "", "[limits]\nsockets = 64\n")));
+  Node node(DnsOnlyOptions(OperatorFile(
+      ResolverList().Add("r1", one.address()).Add("r2", two.address()).Add("r3", three.address()), "",
+      "[limits]\nsockets = 64\n")));
   ASSERT_TRUE(node.DnsListening());
   std::vector<std::unique_ptr<DnsTcpClient>> clients;
   DnsUdpClient udp(node.dns_port());
   for (std::uint16_t i = 0; i < 150; ++i) {
     clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
-    ASSERT_TRUE(clients.back()->Ask(MakeQuery(Named("a.org", i)))) << i;
-    const auto answer = udp.Ask(MakeQuery(Named("a.org", i)));
+    ASSERT_TRUE(clients.back()->Ask(MakeQuery(QueryFor("a.org", i)))) << i;
+    const auto answer = udp.Ask(MakeQuery(QueryFor("a.org", i)));
     ASSERT_TRUE(answer) << i;
     EXPECT_EQ(AnswersOf(*answer), 1) << i;
     ASSERT_LE(node.descriptors(), 64) << i;
@@ -118,7 +120,7 @@
 
 TEST(DnsDescriptors, RunningOutOfThemIsSurvived) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node::Options options = DnsOnly(File(Upstreams().Add("r1", resolver.address())));
+  Node::Options options = DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address())));
   {
     Node usual(options);
     ASSERT_TRUE(usual.DnsListening());
@@ -128,7 +130,7 @@
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient udp(node.dns_port());
   for (std::uint16_t i = 0; i < 100; ++i) {
-    const auto answer = udp.Ask(MakeQuery(Named("a.org", i)));
+    const auto answer = udp.Ask(MakeQuery(QueryFor("a.org", i)));
     ASSERT_TRUE(answer) << i;
     EXPECT_EQ(RcodeOf(*answer), 0) << i;
   }
@@ -137,20 +139,21 @@
   for (int i = 0; i < 5; ++i) clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
   clients.clear();
   EXPECT_TRUE(udp.Ask(MakeUpdate("example.org", 1, "a")));
-  EXPECT_TRUE(udp.Ask(MakeQuery(Named("a.org", 999))));
+  EXPECT_TRUE(udp.Ask(MakeQuery(QueryFor("a.org", 999))));
   EXPECT_TRUE(Eventually([&] { return node.log().find("Too many open files") != std::string::npos; }));
 }
 
 TEST(DnsBuffers, FullOnesDelayAnswersAndLoseNone) {
   StandinResolver one(StandinResolver::Echo());
   StandinResolver two(StandinResolver::Echo());
-  Node::Options options = DnsOnly(File(Upstreams().Add("r1", one.address()).Add("r2", two.address())));
+  Node::Options options =
+      DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address())));
   options.full_send = 3;
   Node node(options);
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   constexpr int kQueries = 60;
-  for (std::uint16_t id = 0; id < kQueries; ++id) client.Send(MakeQuery(Named("a.org", id)));
+  for (std::uint16_t id = 0; id < kQueries; ++id) client.Send(MakeQuery(QueryFor("a.org", id)));
   std::map<int, int> answers;
   for (int i = 0; i < kQueries; ++i) {
     const auto answer = client.Receive();
@@ -158,27 +161,27 @@
     ++answers[IdOf(*answer)];
   }
   EXPECT_EQ(answers.size(), std::size_t{kQueries});
-  EXPECT_FALSE(client.Receive(kQuiet));
+  EXPECT_FALSE(client.Receive(kQuietPeriod));
 }
 
 // ---- Planned stop ----
 
 TEST(DnsStop, AnswersWhatWasTakenAndEnds) {
   StandinResolver resolver([](Turn& turn) { turn.SendAfter(milliseconds(1200), MakeAnswer(turn.query())); });
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient udp(node.dns_port());
   DnsTcpClient tcp(node.dns_port());
   constexpr int kQueries = 20;
   for (std::uint16_t id = 0; id < kQueries; ++id) {
-    udp.Send(MakeQuery(Named("a.org", id)));
-    tcp.Send(MakeQuery(Named("a.org", id)));
+    udp.Send(MakeQuery(QueryFor("a.org", id)));
+    tcp.Send(MakeQuery(QueryFor("a.org", id)));
   }
   ASSERT_TRUE(Eventually([&] { return resolver.queries() >= 2 * kQueries; }));
   node.Signal(SIGTERM);
   // Clients go on for a moment.
   std::this_thread::sleep_for(milliseconds(100));
-  udp.Send(MakeQuery(Named("late.org", 99)));
+  udp.Send(MakeQuery(QueryFor("late.org", 99)));
   std::set<int> ids;
   for (int i = 0; i < kQueries + 1; ++i) {
     const auto answer = udp.Receive();
@@ -196,12 +199,12 @@
 
 TEST(DnsStart, TakenAddressAndEmptyFileAreNamed) {
   StandinResolver taken(StandinResolver::Echo());
-  Node::Options options = DnsOnly("[dns]\nlisten = [\"" + taken.address() +
-                                  "\"]\n[[dns.resolver]]\nuid = \"r\"\nendpoint = \"127.0.0.1:1\"\n");
+  Node::Options options = DnsOnlyOptions("[dns]\nlisten = [\"" + taken.address() +
+                                         "\"]\n[[dns.resolver]]\nuid = \"r\"\nendpoint = \"127.0.0.1:1\"\n");
   Node busy(options);
   EXPECT_EQ(busy.Wait(), 1);
   EXPECT_NE(busy.log().find(taken.address()), std::string::npos) << busy.log();
-  Node empty(DnsOnly("name = \"x\"\n"));
+  Node empty(DnsOnlyOptions("name = \"x\"\n"));
   EXPECT_EQ(empty.Wait(), 1);
   EXPECT_NE(empty.log().find("nothing to start"), std::string::npos) << empty.log();
 }
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -29,13 +29,13 @@
   StandinResolver silent(StandinResolver::Silent());
   StandinResolver good(StandinResolver::Echo());
   StandinResolver better(StandinResolver::Echo());
-  Node node(DnsOnly(
-      File(Upstreams().Add("s", silent.address()).Add("g", good.address()).Add("b", better.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(
+      ResolverList().Add("s", silent.address()).Add("g", good.address()).Add("b", better.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   const auto ask = [&] {
-    const Octets query = MakeQuery(Named("a.org", ++id));
+    const Octets query = MakeQuery(QueryFor("a.org", ++id));
     const auto answer = client.Ask(query);
     return answer && *answer == MakeAnswer(query);
   };
@@ -63,12 +63,13 @@
   StandinResolver two(StandinResolver::Silent());
   const std::string classes =
       "[[dns.class]]\nname = \"query\"\nopcode = \"QUERY\"\naim_ms = 200\ndeadline_ms = 400\n";
-  Node node(DnsOnly(File(Upstreams().Add("r1", one.address()).Add("r2", two.address()), classes)));
+  Node node(DnsOnlyOptions(
+      OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()), classes)));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   constexpr int kQueries = 50;
   for (std::uint16_t id = 0; id < kQueries; ++id) {
-    QuerySpec spec = Named("a.org", id);
+    QuerySpec spec = QueryFor("a.org", id);
     spec.edns_size = 1232;
     client.Send(MakeQuery(spec));
   }
@@ -81,19 +82,19 @@
     EXPECT_EQ(ExtendedErrorOf(*answer), 22);
   }
   EXPECT_EQ(answers.size(), std::size_t{kQueries}) << "an answer each";
-  EXPECT_FALSE(client.Receive(kQuiet));
+  EXPECT_FALSE(client.Receive(kQuietPeriod));
 }
 
 TEST(Silent, AllEjectedIsToldAtOnceAndTriedAgain) {
   StandinResolver only(StandinResolver::Silent());
   const std::string classes =
       "[[dns.class]]\nname = \"query\"\nopcode = \"QUERY\"\naim_ms = 50\ndeadline_ms = 100\n";
-  Node node(DnsOnly(File(Upstreams().Add("r1", only.address()), classes)));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", only.address()), classes)));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   const auto ask = [&] {
-    QuerySpec spec = Named("a.org", ++id);
+    QuerySpec spec = QueryFor("a.org", ++id);
     spec.edns_size = 1232;
     const auto answer = client.Ask(MakeQuery(spec));
     return answer ? RcodeOf(*answer) * 100 + std::max(0, ExtendedErrorOf(*answer)) : -1;
@@ -117,12 +118,12 @@
 TEST(Closed, PortIsToldByTheSystemAndTheQueryGoesElsewhere) {
   StandinResolver good(StandinResolver::Echo());
   Refusing closed;  // nobody listens there, over UDP neither
-  Node node(DnsOnly(File(Upstreams().Add("c", closed.address()).Add("g", good.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("c", closed.address()).Add("g", good.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
-    const Octets query = MakeQuery(Named("a.org", ++id));
+    const Octets query = MakeQuery(QueryFor("a.org", ++id));
     EXPECT_EQ(client.Ask(query), MakeAnswer(query));
     return node.log().find("ejected c") != std::string::npos;
   }));
@@ -139,7 +140,8 @@
   };
   StandinResolver leaving(script);
   StandinResolver staying(script);
-  Node node(DnsOnly(File(Upstreams().Add("l", leaving.address()).Add("s", staying.address()))));
+  Node node(
+      DnsOnlyOptions(OperatorFile(ResolverList().Add("l", leaving.address()).Add("s", staying.address()))));
   ASSERT_TRUE(node.DnsListening());
   std::atomic<bool> stop{false};
   std::atomic<int> asked{0};
@@ -153,8 +155,8 @@
         // Over UDP, moved to TCP, and UPDATEs over TCP: both kinds of sockets are in use.
         ++asked;
         std::optional<Octets> answer;
-        if (id % 3 == 0) answer = udp.Ask(MakeQuery(Named("a" + std::to_string(c) + ".org", id)));
-        if (id % 3 == 1) answer = udp.Ask(MakeQuery(Named("t" + std::to_string(c) + ".org", id)));
+        if (id % 3 == 0) answer = udp.Ask(MakeQuery(QueryFor("a" + std::to_string(c) + ".org", id)));
+        if (id % 3 == 1) answer = udp.Ask(MakeQuery(QueryFor("t" + std::to_string(c) + ".org", id)));
         if (id % 3 == 2) answer = tcp.Ask(MakeUpdate("z.org", id, "h" + std::to_string(c)));
         if (answer && RcodeOf(*answer) == 0 && !IsTruncated(*answer)) ++answered;
       }
@@ -163,10 +165,10 @@
   ASSERT_TRUE(Eventually([&] { return leaving.udp_queries() > 20 && leaving.tcp_queries() > 20; }));
   // One that is under way at the leaving one finishes there.
   DnsUdpClient slow(node.dns_port());
-  for (std::uint16_t id = 0; id < 2; ++id) slow.Send(MakeQuery(Named("slow.org", id)));
+  for (std::uint16_t id = 0; id < 2; ++id) slow.Send(MakeQuery(QueryFor("slow.org", id)));
   ASSERT_TRUE(Eventually([&] { return leaving.queries() > 40; }));
   node.ReloadOperatorFile(
-      File(Upstreams().Add("l", leaving.address(), "leaving").Add("s", staying.address())));
+      OperatorFile(ResolverList().Add("l", leaving.address(), "leaving").Add("s", staying.address())));
   ASSERT_TRUE(Eventually([&] { return node.log().find("read again") != std::string::npos; }));
   const auto told = std::chrono::steady_clock::now();
   std::this_thread::sleep_until(told + milliseconds(1200));
@@ -179,19 +181,19 @@
   }
   // Dropped altogether, and a new one enters.
   StandinResolver fresh(script);
-  node.ReloadOperatorFile(File(Upstreams().Add("s", staying.address()).Add("f", fresh.address())));
+  node.ReloadOperatorFile(OperatorFile(ResolverList().Add("s", staying.address()).Add("f", fresh.address())));
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
-    EXPECT_TRUE(client.Ask(MakeQuery(Named("a.org", ++id))));
+    EXPECT_TRUE(client.Ask(MakeQuery(QueryFor("a.org", ++id))));
     return fresh.queries() > 3;
   }));
 }
 
 TEST(Reload, BadFileIsLoggedAndTheOldOneStays) {
   StandinResolver resolver(StandinResolver::Echo());
-  const std::string file = File(Upstreams().Add("r1", resolver.address()));
-  Node node(DnsOnly(file));
+  const std::string file = OperatorFile(ResolverList().Add("r1", resolver.address()));
+  Node node(DnsOnlyOptions(file));
   ASSERT_TRUE(node.DnsListening());
   node.ReloadOperatorFile(file + "surprise = 1\n");
   ASSERT_TRUE(Eventually([&] { return node.log().find("configuration not taken") != std::string::npos; }));
@@ -199,7 +201,7 @@
   DnsUdpClient client(node.dns_port());
   EXPECT_TRUE(client.Ask(MakeQuery({})));
   // What can't change under way is said.
-  node.ReloadOperatorFile(File(Upstreams().Add("r1", resolver.address()), "udp_ports = 3\n"));
+  node.ReloadOperatorFile(OperatorFile(ResolverList().Add("r1", resolver.address()), "udp_ports = 3\n"));
   EXPECT_TRUE(Eventually([&] { return node.log().find("count from the next start") != std::string::npos; }));
 }
 
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -26,11 +26,11 @@
     spec.records = 3;
     turn.Answer(spec);
   });
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   for (std::uint16_t id = 0; id < 20; ++id) {
-    const auto answer = client.Ask(MakeQuery(Named("a.org", id)));
+    const auto answer = client.Ask(MakeQuery(QueryFor("a.org", id)));
     ASSERT_TRUE(answer);
     EXPECT_FALSE(IsTruncated(*answer));
     EXPECT_EQ(AnswersOf(*answer), 3);
@@ -44,7 +44,7 @@
 // Whichever answers first, the client gets one answer and no second.
 TEST(Truncated, PartwayThroughARetryWithAnEarlierAttemptStillOut) {
   for (const bool first_wins : {false, true}) {
-    Order order;
+    SharedQueryCount query_count;
     std::atomic<bool> move_done{false};
     const Script script = [&](Turn& turn) {
       if (turn.via() == Via::kTcp) {
@@ -52,7 +52,7 @@
         AnswerSpec spec;
         spec.records = 5;
         turn.SendAfter(milliseconds(first_wins ? 1500 : 0), MakeAnswer(turn.query(), spec));
-      } else if (order.queries++ == 0) {
+      } else if (query_count.queries++ == 0) {
         // Later than the copy, which goes out at 750 ms.
         turn.SendAfter(milliseconds(first_wins ? 1000 : 1500), MakeAnswer(turn.query()));
       } else {
@@ -63,10 +63,10 @@
     };
     StandinResolver one(script);
     StandinResolver two(script);
-    Node node(DnsOnly(File(Upstreams().Add("r1", one.address()).Add("r2", two.address()))));
+    Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()))));
     ASSERT_TRUE(node.DnsListening());
     DnsUdpClient client(node.dns_port());
-    const auto answer = client.Ask(MakeQuery(Named("a.org")));
+    const auto answer = client.Ask(MakeQuery(QueryFor("a.org")));
     ASSERT_TRUE(answer);
     EXPECT_TRUE(move_done);
     EXPECT_EQ(AnswersOf(*answer), first_wins ? 1 : 5);
@@ -87,11 +87,12 @@
   };
   StandinResolver refusing(truncating, false);
   StandinResolver good(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", refusing.address()).Add("r2", good.address()))));
+  Node node(
+      DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", refusing.address()).Add("r2", good.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   for (std::uint16_t id = 0; id < 8; ++id) {
-    const auto answer = client.Ask(MakeQuery(Named("a.org", id)));
+    const auto answer = client.Ask(MakeQuery(QueryFor("a.org", id)));
     ASSERT_TRUE(answer);
     EXPECT_FALSE(IsTruncated(*answer));
     EXPECT_EQ(AnswersOf(*answer), 1);
@@ -117,12 +118,12 @@
         way != Way::kRefused);
     const std::string classes =
         "[[dns.class]]\nname = \"query\"\nopcode = \"QUERY\"\naim_ms = 200\ndeadline_ms = 400\n";
-    Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()), classes)));
+    Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), classes)));
     ASSERT_TRUE(node.DnsListening());
     DnsUdpClient client(node.dns_port());
-    const auto answer = client.Ask(MakeQuery(Named("a.org")));
+    const auto answer = client.Ask(MakeQuery(QueryFor("a.org")));
     ASSERT_TRUE(answer) << static_cast<int>(way);
-    EXPECT_FALSE(client.Receive(kQuiet)) << static_cast<int>(way);
+    EXPECT_FALSE(client.Receive(kQuietPeriod)) << static_cast<int>(way);
     if (way == Way::kSilent) {
       // At its deadline nothing has ended yet: the attempt is still out.
       EXPECT_EQ(RcodeOf(*answer), kServFail);
--- a/tests/dns/dns_update_test.cpp
+++ b/tests/dns/dns_update_test.cpp
@@ -24,7 +24,7 @@
 
 TEST(Update, RunsOnce) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   const Octets update = MakeUpdate("example.org", 77, "host");
@@ -52,7 +52,8 @@
     StandinResolver two(script);
     const std::string classes =
         "[[dns.class]]\nname = \"update\"\nopcode = \"UPDATE\"\naim_ms = 200\ndeadline_ms = 400\n";
-    Node node(DnsOnly(File(Upstreams().Add("r1", one.address()).Add("r2", two.address()), classes)));
+    Node node(DnsOnlyOptions(
+        OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()), classes)));
     ASSERT_TRUE(node.DnsListening());
     Octets update = MakeUpdate("example.org", 5, "host");
     std::optional<Octets> answer;
@@ -66,7 +67,7 @@
     }
     ASSERT_TRUE(answer) << static_cast<int>(way);
     EXPECT_EQ(RcodeOf(*answer), kServFail);
-    std::this_thread::sleep_for(kQuiet);
+    std::this_thread::sleep_for(kQuietPeriod);
     EXPECT_EQ(one.queries() + two.queries(), 1) << static_cast<int>(way);
   }
 }
@@ -81,7 +82,7 @@
   });
   Refusing closed;
   for (const std::string& bad : {closed.address(), refusing.address()}) {
-    Node node(DnsOnly(File(Upstreams().Add("bad", bad).Add("good", good.address()))));
+    Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("bad", bad).Add("good", good.address()))));
     ASSERT_TRUE(node.DnsListening());
     DnsUdpClient udp(node.dns_port());
     DnsTcpClient tcp(node.dns_port());
@@ -100,7 +101,7 @@
 // Each has a socket of its own: an error that another datagram caused says nothing of it.
 TEST(Update, TakesTheClientsWay) {
   StandinResolver resolver(StandinResolver::Echo());
-  Node node(DnsOnly(File(Upstreams().Add("r1", resolver.address()))));
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient udp(node.dns_port());
   ASSERT_TRUE(udp.Ask(MakeUpdate("example.org", 1, "a")));
@@ -120,14 +121,14 @@
     if (NameOf(turn.query()) != "slow.org") return turn.Answer();
     turn.SendAfter(milliseconds(400), MakeAnswer(turn.query()));
   });
-  const std::string file = File(Upstreams().Add("r1", resolver.address()));
-  Node node(DnsOnly(file));
+  const std::string file = OperatorFile(ResolverList().Add("r1", resolver.address()));
+  Node node(DnsOnlyOptions(file));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
-  const Octets query = MakeQuery(Named("slow.org"));
+  const Octets query = MakeQuery(QueryFor("slow.org"));
   for (int i = 0; i < 5; ++i) client.Send(query);
   // The same id with another question is another query, and so is another client's.
-  client.Send(MakeQuery(Named("fast.org")));
+  client.Send(MakeQuery(QueryFor("fast.org")));
   DnsUdpClient other(node.dns_port());
   EXPECT_TRUE(other.Ask(query));
   std::map<std::string, int> answers;
@@ -135,7 +136,7 @@
   EXPECT_EQ(answers["slow.org"], 1);
   EXPECT_EQ(answers["fast.org"], 1);
   EXPECT_EQ(resolver.queries(), 3);
-  EXPECT_EQ(Counted(node, file, "retransmissions"), 4);
+  EXPECT_EQ(ReadCounter(node, file, "retransmissions"), 4);
 }
 
 }  // namespace
