--- a/src/dns/tcp_server.cpp
+++ b/src/dns/tcp_server.cpp
@@ -1,14 +1,15 @@
 #include "dns/tcp_server.h"
 
 #include <chrono>
+#include <optional>
 #include <utility>
-#include <vector>
+
+#include "runtime/system_calls.h"
 
 namespace mothrack::dns {
 namespace {
 
 using boost::asio::ip::tcp;
-using boost::system::error_code;
 using std::chrono::milliseconds;
 
 // How exact the time-outs of connections are.
@@ -24,18 +25,22 @@
       descriptors_(descriptors),
       frontend_(frontend),
       acceptor_(io, endpoint, "dns: ", *this, log),
-      sweep_timer_(io) {
-  ScheduleSweep();
+      sweep_timer_(
+          io, [this]() -> runtime::Duration { return draining_ ? kDrainSweepInterval : kSweepInterval; },
+          [this] {
+            Sweep();
+            return true;
+          }) {
+  sweep_timer_.Restart();
 }
 
 TcpServer::~TcpServer() {
-  for (const auto& connection : std::exchange(connections_, {})) connection->Drop();
+  for (const auto& connection : connections_.TakeAll()) connection->Drop();
 }
 
 void TcpServer::Drain() {
   draining_ = true;
-  sweep_timer_.cancel();
-  ScheduleSweep();
+  sweep_timer_.Restart();
 }
 
 bool TcpServer::Room() const {
@@ -45,41 +50,29 @@
 
 // Closes the connection that has been idle longest.
 bool TcpServer::MakeRoom() {
-  std::shared_ptr<ClientConnection> longest_idle;
-  for (const auto& connection : connections_) {
-    if (!connection->CanCloseUnnoticed()) continue;
-    if (!longest_idle || connection->idle_since() < longest_idle->idle_since()) longest_idle = connection;
-  }
+  const auto longest_idle =
+      connections_.Lowest([](const ClientConnection& connection) -> std::optional<runtime::TimePoint> {
+        if (!connection.CanCloseUnnoticed()) return std::nullopt;
+        return connection.idle_since();
+      });
   if (!longest_idle) return false;
   longest_idle->Close();
   return true;
 }
 
 void TcpServer::Admit(tcp::socket socket) {
-  error_code ignored;
-  socket.set_option(tcp::no_delay(true), ignored);
-  socket.non_blocking(true, ignored);
+  runtime::ConfigureAccepted(socket);
   const auto connection = std::make_shared<ClientConnection>(
       std::move(socket), ++last_connection_, settings_, descriptors_, frontend_,
-      [this](const std::shared_ptr<ClientConnection>& closed) { connections_.erase(closed); });
-  connections_.insert(connection);
+      [this](const std::shared_ptr<ClientConnection>& closed) { connections_.Remove(closed); });
+  connections_.Add(connection);
   connection->Start();
 }
 
-void TcpServer::ScheduleSweep() {
-  sweep_timer_.expires_after(draining_ ? kDrainSweepInterval : kSweepInterval);
-  sweep_timer_.async_wait([this](error_code error) {
-    if (error) return;
-    Sweep();
-    ScheduleSweep();
-  });
-}
-
 void TcpServer::Sweep() {
   acceptor_.Look();
   const runtime::TimePoint now = runtime::Now();
-  const std::vector<std::shared_ptr<ClientConnection>> all(connections_.begin(), connections_.end());
-  for (const auto& connection : all) {
+  for (const auto& connection : connections_.Snapshot()) {
     if (draining_ && !connection->IsNew(now) && connection->CanCloseUnnoticed()) connection->Close();
     connection->CloseIfOverdue(now);
   }
--- a/src/dns/tcp_server.h
+++ b/src/dns/tcp_server.h
@@ -4,17 +4,17 @@
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
-#include <boost/asio/steady_timer.hpp>
 #include <cstdint>
 #include <memory>
-#include <set>
 
 #include "dns/client_connection.h"
 #include "dns/frontend.h"
 #include "runtime/acceptor.h"
 #include "runtime/address.h"
+#include "runtime/connection_set.h"
 #include "runtime/descriptors.h"
 #include "runtime/log.h"
+#include "runtime/sweep_timer.h"
 
 namespace mothrack::dns {
 
@@ -38,15 +38,14 @@
   bool Room() const override;
   bool MakeRoom() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
-  void ScheduleSweep();
   void Sweep();
 
   const Settings& settings_;
   runtime::Descriptors& descriptors_;
   Frontend& frontend_;
-  std::set<std::shared_ptr<ClientConnection>> connections_;
+  runtime::ConnectionSet<ClientConnection> connections_;
   runtime::Acceptor acceptor_;
-  boost::asio::steady_timer sweep_timer_;
+  runtime::SweepTimer sweep_timer_;
   std::uint64_t last_connection_ = 0;
   bool draining_ = false;
 };
