--- a/src/balancer/types.h
+++ b/src/balancer/types.h
@@ -17,8 +17,8 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<Clock>;
-  static constexpr bool is_steady =
-      true;  // NOLINT(readability-identifier-naming): the name is the standard's
+  // NOLINTNEXTLINE(readability-identifier-naming): the name that the standard gives it
+  static constexpr bool is_steady = true;
 };
 using TimePoint = Clock::time_point;
 
