--- a/fuzz/fleet_wire_fuzz.cpp
+++ b/fuzz/fleet_wire_fuzz.cpp
@@ -32,6 +32,6 @@
   Try(input, StepFrom);
   Try(input, PlanFrom);
   Try(input, ReportFrom);
-  Try(input, RecordFrom);
+  Try(input, InstanceRecordFrom);
   return 0;
 }
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -47,7 +47,7 @@
   return answer;
 }
 
-bool Agent::SaveLease(const rollout::LeaseBook& next, const rollout::Plan* opened, const Event& note,
+bool Agent::SaveLease(const rollout::Lessor& next, const rollout::Plan* opened, const Event& note,
                       Answer& answer) {
   if (!store_.SaveLease(next.state(), opened, note)) {
     answer.refused = kNotOnDisk;
@@ -60,11 +60,11 @@
 
 Agent::Answer Agent::Acquire(rollout::Epoch epoch, const rollout::Holder& holder, rollout::TimePoint now,
                              std::int64_t unix_ms) {
-  rollout::LeaseBook next = lease_;
+  rollout::Lessor next = lease_;
   Answer answer = Highest(now);
   answer.verdict = next.Acquire(epoch, holder, now);
-  if (answer.verdict == rollout::LeaseBook::Verdict::kOpen) answer.holder = next.state().open;
-  if (answer.verdict != rollout::LeaseBook::Verdict::kGranted) return answer;
+  if (answer.verdict == rollout::Lessor::Verdict::kOpen) answer.holder = next.state().open;
+  if (answer.verdict != rollout::Lessor::Verdict::kGranted) return answer;
   answer.open = next.state().open && next.state().open->change == holder.change;
   // Asked again, it is not written again.
   if (next.state() == lease_.state()) return answer;
@@ -79,9 +79,9 @@
     answer.refused = "the plan is of another change than the lease";
     return answer;
   }
-  rollout::LeaseBook next = lease_;
+  rollout::Lessor next = lease_;
   answer.verdict = next.Open(epoch, holder, now);
-  if (answer.verdict != rollout::LeaseBook::Verdict::kGranted) return answer;
+  if (answer.verdict != rollout::Lessor::Verdict::kGranted) return answer;
   answer.open = true;
   if (next.state() == lease_.state() && plans_.contains(plan.id) && plans_.at(plan.id) == plan) {
     lease_ = next;  // its time was renewed
@@ -91,17 +91,17 @@
   return answer;
 }
 
-Agent::Answer Agent::Renew(rollout::Epoch epoch, const std::string& tool, rollout::TimePoint now) {
+Agent::Answer Agent::Renew(rollout::Epoch epoch, const std::string& claim_id, rollout::TimePoint now) {
   Answer answer = Highest(now);
-  answer.verdict = lease_.Use(epoch, tool, now);
+  answer.verdict = lease_.Renew(epoch, claim_id, now);
   return answer;
 }
 
-Agent::Answer Agent::Release(rollout::Epoch epoch, const std::string& tool, bool close,
+Agent::Answer Agent::Release(rollout::Epoch epoch, const std::string& claim_id, bool close,
                              std::int64_t unix_ms) {
-  rollout::LeaseBook next = lease_;
+  rollout::Lessor next = lease_;
   Answer answer;
-  next.Release(epoch, tool, close);
+  next.Release(epoch, claim_id, close);
   if (next.state() == lease_.state()) return answer;
   const std::string change = lease_.state().holder ? lease_.state().holder->change : "";
   SaveLease(next, nullptr, {unix_ms, change, close ? "closed" : "given back"}, answer);
@@ -109,9 +109,9 @@
 }
 
 Agent::Answer Agent::Take(const std::string& instance, const rollout::Step& step, rollout::Epoch epoch,
-                          const std::string& tool, rollout::TimePoint now, std::int64_t unix_ms) {
-  Answer answer = Renew(epoch, tool, now);
-  if (answer.verdict != rollout::LeaseBook::Verdict::kGranted) return answer;
+                          const std::string& claim_id, rollout::TimePoint now, std::int64_t unix_ms) {
+  Answer answer = Renew(epoch, claim_id, now);
+  if (answer.verdict != rollout::Lessor::Verdict::kGranted) return answer;
   const auto it = kept_.find(instance);
   if (it == kept_.end()) {
     answer.refused = "there is no such instance";
@@ -123,13 +123,13 @@
     return answer;
   }
   rollout::Instance next = it->second.instance;
-  switch (next.Take(step)) {
-    case rollout::Instance::Verdict::kTaken:
+  switch (next.Accept(step)) {
+    case rollout::Instance::Verdict::kAccepted:
       break;
     case rollout::Instance::Verdict::kBusy:
       answer.refused = "busy with " + next.record().step.token();
       break;
-    case rollout::Instance::Verdict::kMoved:
+    case rollout::Instance::Verdict::kGenerationMismatch:
       answer.refused = "it has " + next.record().generation + ", not " + step.from;
       break;
     case rollout::Instance::Verdict::kStale:
@@ -154,10 +154,10 @@
 void Agent::Live(rollout::TimePoint now, std::int64_t unix_ms) {
   for (auto& [name, kept] : kept_) {
     std::vector<rollout::Action> actions;
-    kept.instance.Look(machine_.See(name), now, actions);
+    kept.instance.Reconcile(machine_.Inspect(name), now, actions);
     const rollout::InstanceRecord& record = kept.instance.record();
     if (record != kept.saved) {
-      const std::string end = record.phase == rollout::Phase::kFailed ? " failed: " + record.why : " done";
+      const std::string end = record.phase == rollout::Phase::kFailed ? " failed: " + record.failure_reason : " done";
       if (store_.SaveRecord(name, record,
                             {unix_ms, record.step.change, name + ": " + record.step.token() + end})) {
         kept.saved = record;
@@ -169,16 +169,16 @@
 
 rollout::Report Agent::ReportOf(const std::string& instance) {
   const Kept& kept = kept_.at(instance);
-  const rollout::Seen seen = machine_.See(instance);
+  const rollout::ProcessState seen = machine_.Inspect(instance);
   rollout::Report report;
   report.step = kept.saved.step;
   report.phase = kept.saved.phase;
-  report.why = kept.saved.why;
+  report.failure_reason = kept.saved.failure_reason;
   report.running = seen.running;
   report.ready = seen.ready && !seen.draining;
   report.held = kept.instance.held();
   report.generation = seen.generation;
-  std::tie(report.taken, report.bad) = machine_.Requests(instance);
+  std::tie(report.requests, report.failed_requests) = machine_.Requests(instance);
   return report;
 }
 
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -21,7 +21,7 @@
 class Machine {
  public:
   virtual ~Machine() = default;
-  virtual rollout::Seen See(const std::string& instance) = 0;
+  virtual rollout::ProcessState Inspect(const std::string& instance) = 0;
   virtual void Do(const std::string& instance, const rollout::Action& action) = 0;
   // Of the process that runs now.
   virtual std::pair<std::uint64_t, std::uint64_t> Requests(const std::string& instance) = 0;  // taken, bad
@@ -32,7 +32,7 @@
 class Agent {
  public:
   struct Answer {
-    rollout::LeaseBook::Verdict verdict = rollout::LeaseBook::Verdict::kGranted;
+    rollout::Lessor::Verdict verdict = rollout::Lessor::Verdict::kGranted;
     std::optional<rollout::Holder> holder;  // who is in the way
     bool open = false;                      // the change that was asked for is open here
     rollout::Epoch highest = 0;
@@ -50,10 +50,10 @@
                  std::int64_t unix_ms);
   Answer Open(rollout::Epoch epoch, const rollout::Holder& holder, const rollout::Plan& plan,
               rollout::TimePoint now, std::int64_t unix_ms);
-  Answer Renew(rollout::Epoch epoch, const std::string& tool, rollout::TimePoint now);
-  Answer Release(rollout::Epoch epoch, const std::string& tool, bool close, std::int64_t unix_ms);
+  Answer Renew(rollout::Epoch epoch, const std::string& claim_id, rollout::TimePoint now);
+  Answer Release(rollout::Epoch epoch, const std::string& claim_id, bool close, std::int64_t unix_ms);
   Answer Take(const std::string& instance, const rollout::Step& step, rollout::Epoch epoch,
-              const std::string& tool, rollout::TimePoint now, std::int64_t unix_ms);
+              const std::string& claim_id, rollout::TimePoint now, std::int64_t unix_ms);
 
   // Looks after every instance. Call it at least every Tick, and whenever a process changed.
   static constexpr rollout::Duration kTick{100};
@@ -70,7 +70,7 @@
   const rollout::LeaseState& lease() const { return lease_.state(); }
   std::optional<rollout::Holder> holder(rollout::TimePoint now) const { return lease_.holder(now); }
   const rollout::Plan* PlanOf(const std::string& change) const;
-  // A line of an instance's record that Look() changed and the disk has not taken yet.
+  // A line of an instance's record that Reconcile() changed and the disk has not taken yet.
   bool behind() const;
 
  private:
@@ -79,12 +79,11 @@
     rollout::InstanceRecord saved;  // on disk
   };
 
-  bool SaveLease(const rollout::LeaseBook& next, const rollout::Plan* opened, const Event& note,
-                 Answer& answer);
+  bool SaveLease(const rollout::Lessor& next, const rollout::Plan* opened, const Event& note, Answer& answer);
 
   Store& store_;
   Machine& machine_;
-  rollout::LeaseBook lease_;
+  rollout::Lessor lease_;
   std::map<std::string, Kept> kept_;
   std::map<std::string, rollout::Plan> plans_;
 };
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -113,14 +113,14 @@
   if (ask == "open") {
     const rollout::Holder holder = rollout::HolderFrom(rollout::Member<json>(asked, "holder"));
     const rollout::Plan plan = rollout::PlanFrom(rollout::Member<json>(asked, "plan"));
-    if (const auto fault = rollout::FaultOf(plan)) return admin::Fault(400, *fault);
+    if (const auto fault = rollout::ValidatePlan(plan)) return admin::Fault(400, *fault);
     return {200, ToAnswer(agent_.Open(epoch, holder, plan, SteadyNow(), UnixNow()))};
   }
-  const auto tool = rollout::Member<std::string>(asked, "tool");
-  if (ask == "renew") return {200, ToAnswer(agent_.Renew(epoch, tool, SteadyNow()))};
+  const auto claim_id = rollout::Member<std::string>(asked, "tool");
+  if (ask == "renew") return {200, ToAnswer(agent_.Renew(epoch, claim_id, SteadyNow()))};
   if (ask == "release") {
     const Agent::Answer answer =
-        agent_.Release(epoch, tool, rollout::Member<bool>(asked, "close"), UnixNow());
+        agent_.Release(epoch, claim_id, rollout::Member<bool>(asked, "close"), UnixNow());
     return answer.refused.empty() ? Answer{200, ToAnswer(answer)} : admin::Fault(507, answer.refused);
   }
   return admin::Fault(400, "ask: '" + ask + "' is none of acquire, open, renew, release");
@@ -172,7 +172,7 @@
                    agent_.Renew(rollout::Member<std::uint64_t>(asked, "epoch"),
                                 rollout::Member<std::string>(asked, "tool"), SteadyNow());
                json told = ToAnswer(answer);
-               if (answer.verdict == rollout::LeaseBook::Verdict::kGranted) {
+               if (answer.verdict == rollout::Lessor::Verdict::kGranted) {
                  for (const std::string& name : agent_.Names())
                    told["reports"][name] = rollout::ToJson(agent_.ReportOf(name));
                }
--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -42,7 +42,7 @@
   }
   std::string Named(const std::string& key) {
     const std::string name = Text(key);
-    if (!rollout::GoodName(name))
+    if (!rollout::IsValidName(name))
       Fault(key, "takes letters, digits, '-', '_' and '.', at most 64, no dot first");
     return name;
   }
@@ -231,10 +231,10 @@
     rollout::InstanceLimits& l = file.limits;
     l.stop = limits->Milliseconds("stop_ms", l.stop, rollout::Duration(100), rollout::Duration(600'000));
     l.ready = limits->Milliseconds("ready_ms", l.ready, rollout::Duration(100), rollout::Duration(600'000));
-    l.first_pause = limits->Milliseconds("first_pause_ms", l.first_pause, rollout::Duration(100),
-                                         rollout::Duration(60'000));
-    l.longest_pause =
-        limits->Milliseconds("longest_pause_ms", l.longest_pause, l.first_pause, rollout::Duration(600'000));
+    l.first_backoff = limits->Milliseconds("first_pause_ms", l.first_backoff, rollout::Duration(100),
+                                           rollout::Duration(60'000));
+    l.max_backoff =
+        limits->Milliseconds("longest_pause_ms", l.max_backoff, l.first_backoff, rollout::Duration(600'000));
     l.crashes =
         static_cast<std::size_t>(limits->Number("crashes", static_cast<std::int64_t>(l.crashes), 1, 100));
     l.crash_window = limits->Milliseconds("crash_window_ms", l.crash_window, rollout::Duration(1000),
@@ -245,7 +245,7 @@
   }
   if (auto generations = whole.Table("generations")) file.generations = whole.Pairs("generations");
   for (const auto& [name, from] : file.generations) {
-    if (!rollout::GoodName(name)) whole.Fault("generations", name + " is no name for a generation");
+    if (!rollout::IsValidName(name)) whole.Fault("generations", name + " is no name for a generation");
   }
   std::set<std::string> names;
   for (Section& section : whole.Tables("instance")) {
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -99,7 +99,7 @@
 
   boost::asio::steady_timer tick(io);
   const std::function<void()> live = [&] {
-    processes.Look(SteadyNow());
+    processes.Poll(SteadyNow());
     agent.Live(SteadyNow(), UnixNow());
     tick.expires_after(processes.awaited() ? kSoon : Agent::kTick);
     tick.async_wait([&](const boost::system::error_code& error) {
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -226,7 +226,7 @@
       });
 }
 
-void Processes::Look(rollout::TimePoint now) {
+void Processes::Poll(rollout::TimePoint now) {
   constexpr rollout::Duration kLogEvery{1000};
   for (const auto& [name, held] : held_) {
     if (held->pid != 0) {
@@ -289,7 +289,7 @@
       });
 }
 
-rollout::Seen Processes::See(const std::string& instance) {
+rollout::ProcessState Processes::Inspect(const std::string& instance) {
   const Held& held = Of(instance);
   // What holds the lock and is not known yet runs all the same: nothing may be started beside it.
   if (held.pid == 0) return {LockedByAnother(held.path("lock")), "", "", false, false};
@@ -457,7 +457,7 @@
 }
 
 bool Processes::HasGeneration(const std::string& generation) const {
-  return rollout::GoodName(generation) && fs::is_directory(directory_ + "/generations/" + generation);
+  return rollout::IsValidName(generation) && fs::is_directory(directory_ + "/generations/" + generation);
 }
 
 std::vector<std::string> Processes::Generations() const {
@@ -466,7 +466,7 @@
   for (fs::directory_iterator it(directory_ + "/generations", error), end; !error && it != end;
        it.increment(error)) {
     const std::string name = it->path().filename().string();
-    if (rollout::GoodName(name)) names.insert(name);
+    if (rollout::IsValidName(name)) names.insert(name);
   }
   return {names.begin(), names.end()};
 }
@@ -483,12 +483,12 @@
 }
 
 std::string Processes::Keep(const std::string& generation, const std::map<std::string, std::string>& files) {
-  if (!rollout::GoodName(generation))
+  if (!rollout::IsValidName(generation))
     return "generation: a name has letters, digits, '-', '_' and '.', at most 64";
   if (files.empty() || files.size() > kMostFiles) return "files: give 1 to " + std::to_string(kMostFiles);
   const std::string to = directory_ + "/generations/" + generation;
   for (const auto& [name, text] : files) {
-    if (!rollout::GoodName(name)) return "files: '" + name + "' is no name for a file of a generation";
+    if (!rollout::IsValidName(name)) return "files: '" + name + "' is no name for a file of a generation";
     if (text.size() > kMostFileBytes)
       return name + ": longer than " + std::to_string(kMostFileBytes) + " bytes";
   }
--- a/src/agent/processes.h
+++ b/src/agent/processes.h
@@ -56,14 +56,14 @@
   Processes(const Processes&) = delete;
   Processes& operator=(const Processes&) = delete;
 
-  // Called from the event loop when a process has ended or its door said something new: Look() and
+  // Called from the event loop when a process has ended or its door said something new: Poll() and
   // Agent::Live() are due. Between such calls a tick is enough.
   void OnNews(std::function<void()> on_news) { on_news_ = std::move(on_news); }
 
   // Looks for what has ended, asks the doors, moves logs aside. Call it before Agent::Live().
-  void Look(rollout::TimePoint now);
+  void Poll(rollout::TimePoint now);
 
-  rollout::Seen See(const std::string& instance) override;
+  rollout::ProcessState Inspect(const std::string& instance) override;
   void Do(const std::string& instance, const rollout::Action& action) override;
   std::pair<std::uint64_t, std::uint64_t> Requests(const std::string& instance) override;
   bool HasGeneration(const std::string& generation) const override;
--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -74,7 +74,8 @@
     if (!lease.Null(2)) read.lease.open = rollout::HolderFrom(json::parse(lease.Text(2)));
   }
   Statement records(*db_, "SELECT instance, json FROM record");
-  while (records.Step()) read.records[records.Text(0)] = rollout::RecordFrom(json::parse(records.Text(1)));
+  while (records.Step())
+    read.records[records.Text(0)] = rollout::InstanceRecordFrom(json::parse(records.Text(1)));
   Statement plans(*db_, "SELECT id, json FROM plan");
   while (plans.Step()) read.plans[plans.Text(0)] = rollout::PlanFrom(json::parse(plans.Text(1)));
   if (read.lease.open && !read.plans.contains(read.lease.open->change)) {
--- a/src/ctl/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -144,8 +144,8 @@
     plan.policy.max_unavailable = asked_.max_unavailable;
     plan.policy.canary = !asked_.no_canary;
     plan.policy.on_failure = asked_.roll_back ? rollout::OnFailure::kRollBack : rollout::OnFailure::kHold;
-    plan.policy.watch = rollout::Duration(asked_.watch_ms);
-    plan.policy.step_limit = rollout::Duration(asked_.step_limit_ms);
+    plan.policy.watch_interval = rollout::Duration(asked_.watch_ms);
+    plan.policy.step_timeout = rollout::Duration(asked_.step_limit_ms);
     std::set<std::string> wanted(asked_.only.begin(), asked_.only.end());
     for (const agent::AgentPlace& agent : driver_.agents()) {
       for (const auto& [name, instance] : about_.at(agent.name)["instances"].items()) {
@@ -162,7 +162,7 @@
       std::cout << "nothing to change: every instance has " << asked_.generation << std::endl;
       return kDone;
     }
-    if (const auto fault = rollout::FaultOf(plan)) return Refused(kUsage, *fault);
+    if (const auto fault = rollout::ValidatePlan(plan)) return Refused(kUsage, *fault);
     if (!carry || asked_.dry_run) return Show(plan, files);
     // To all agents before the first step: what one of them refuses changes nothing anywhere.
     if (!files.empty()) {
@@ -177,7 +177,7 @@
     }
     std::cout << plan.id << ": " << plan.targets.size() << " instances in " << rollout::Batches(plan).size()
               << " batches" << std::endl;
-    return Told(driver_.Carry(plan, rollout::Change::Aim::kForward, false, plan.who, LeaseTime()));
+    return Told(driver_.Carry(plan, rollout::Change::Direction::kForward, false, plan.who, LeaseTime()));
   }
 
   int Resume(bool undo) {
@@ -185,8 +185,9 @@
     if (!plan) return no_plan_;
     std::cout << plan->id << " by " << Plain(plan->who) << " (" << Plain(plan->why) << ") is "
               << (undo ? "undone" : "carried on") << std::endl;
-    const auto aim = undo ? rollout::Change::Aim::kUndo : rollout::Change::Aim::kForward;
-    return Told(driver_.Carry(*plan, aim, true, asked_.who.empty() ? UserName() : asked_.who, LeaseTime()));
+    const auto direction = undo ? rollout::Change::Direction::kUndo : rollout::Change::Direction::kForward;
+    return Told(
+        driver_.Carry(*plan, direction, true, asked_.who.empty() ? UserName() : asked_.who, LeaseTime()));
   }
 
   int Abort() {
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -16,7 +16,7 @@
 
 // An answer of an agent to a lease's question; nothing where it gave none that can be read.
 struct Read {
-  rollout::LeaseBook::Verdict verdict = rollout::LeaseBook::Verdict::kFenced;
+  rollout::Lessor::Verdict verdict = rollout::Lessor::Verdict::kFenced;
   std::optional<rollout::Holder> holder;
   std::string refused;
   bool open = false;
@@ -93,9 +93,9 @@
 rollout::Holder Driver::HolderOf(const rollout::Plan& plan, const std::string& who) {
   char host[64] = "";
   ::gethostname(host, sizeof host - 1);
-  const std::string tool = std::string(host) + '.' + std::to_string(::getpid()) + '.' + RandomText() + '.' +
-                           std::to_string(++claims_);
-  return {plan.id, who, plan.why, agent::UnixNow(), tool};
+  const std::string claim_id = std::string(host) + '.' + std::to_string(::getpid()) + '.' + RandomText() +
+                               '.' + std::to_string(++claims_);
+  return {plan.id, who, plan.why, agent::UnixNow(), claim_id};
 }
 
 Driver::Lease Driver::ClaimAll(const rollout::Plan& plan, const rollout::Holder& holder, bool resumes) {
@@ -104,20 +104,21 @@
   std::set<std::string> needed;
   for (const rollout::Target& target : plan.targets) needed.insert(target.name.agent);
   life_ = std::make_shared<int>();
-  rollout::Claim claim(holder.tool, names, needed, resumes, kPatience, agent::SteadyNow());
+  rollout::Claim claim(holder.claim_id, names, needed, resumes, kPatience, agent::SteadyNow());
   Lease lease;
   std::string fault;  // of an agent, that is no verdict
-  while (!claim.granted() && claim.refused().empty() && !interrupted_ && fault.empty()) {
+  while (!claim.granted() && claim.rejection().empty() && !interrupted_ && fault.empty()) {
     std::vector<rollout::ClaimCommand> commands;
-    claim.Turn(agent::SteadyNow(), commands);
+    claim.Tick(agent::SteadyNow(), commands);
     for (const rollout::ClaimCommand& c : commands) {
       switch (c.kind) {
-        case rollout::ClaimCommand::Kind::kLook:
+        case rollout::ClaimCommand::Kind::kReadEpoch:
           agent::Ask(
               io_, {Of(c.agent).place, Of(c.agent).token, "GET", "/v1/agent", {}}, kPatience,
               [&claim, &fault, life = std::weak_ptr(life_), name = c.agent](const agent::Reply& reply) {
                 if (life.expired()) return;
-                if (reply.ok()) return claim.Looked(name, reply.body.value("highest", rollout::Epoch{0}));
+                if (reply.ok())
+                  return claim.OnHighestEpoch(name, reply.body.value("highest", rollout::Epoch{0}));
                 if (reply.fault.empty()) fault = name + ": " + reply.why();
               });
           break;
@@ -128,19 +129,19 @@
               {"ask", opens ? "open" : "acquire"}, {"epoch", c.epoch}, {"holder", rollout::ToJson(holder)}};
           if (opens) body["plan"] = rollout::ToJson(plan);
           Send(c.agent, "/v1/lease", std::move(body),
-               [&claim, &fault, c, tool = holder.tool](const agent::Reply& reply) {
+               [&claim, &fault, c, claim_id = holder.claim_id](const agent::Reply& reply) {
                  const auto read = ReadAnswer(reply);
                  if (!read && reply.fault.empty()) fault = c.agent + ": " + reply.why();
                  if (!read) return;  // without an answer it is asked again
                  if (!read->refused.empty()) fault = c.agent + ": " + read->refused;
                  if (read->refused.empty())
-                   claim.Answered(tool, c.agent, c.epoch, read->verdict, read->holder, read->open);
+                   claim.OnLeaseAnswer(claim_id, c.agent, c.epoch, read->verdict, read->holder, read->open);
                });
           break;
         }
         case rollout::ClaimCommand::Kind::kRelease:
           Send(c.agent, "/v1/lease",
-               {{"ask", "release"}, {"epoch", c.epoch}, {"tool", holder.tool}, {"close", false}},
+               {{"ask", "release"}, {"epoch", c.epoch}, {"tool", holder.claim_id}, {"close", false}},
                [](const agent::Reply&) {});
           break;
       }
@@ -150,17 +151,17 @@
   }
   life_ = std::make_shared<int>();  // `claim` and `fault` go
   if (claim.granted()) return {claim.granted()->epoch, claim.granted()->since, {}};
-  lease.refused = !fault.empty() ? fault : interrupted_ ? "interrupted" : claim.refused();
+  lease.refused = !fault.empty() ? fault : interrupted_ ? "interrupted" : claim.rejection();
   // What was got on the way is given back, wherever the claim itself did not come to that.
-  if (lease.epoch > 0) Release(lease.epoch, holder.tool, false);
+  if (lease.epoch > 0) Release(lease.epoch, holder.claim_id, false);
   return lease;
 }
 
-void Driver::Run(rollout::Change& change, rollout::Epoch epoch, const std::string& tool) {
+void Driver::Run(rollout::Change& change, rollout::Epoch epoch, const std::string& claim_id) {
   while (!change.end() && !interrupted_) {
     std::vector<rollout::ChangeCommand> commands;
     const rollout::TimePoint now = agent::SteadyNow();
-    change.Turn(now, commands);
+    change.Tick(now, commands);
     // One report of an agent answers for all of its instances, and renews its lease.
     std::map<std::string, std::vector<std::pair<rollout::InstanceName, std::uint64_t>>> reports;
     for (const rollout::ChangeCommand& c : commands) {
@@ -174,42 +175,42 @@
         case rollout::ChangeCommand::Kind::kReport:
           reports[c.name.agent].emplace_back(c.name, c.number);
           break;
-        case rollout::ChangeCommand::Kind::kTake:
+        case rollout::ChangeCommand::Kind::kTakeStep:
           Send(c.name.agent, "/v1/take",
                {{"epoch", epoch},
-                {"tool", tool},
+                {"tool", claim_id},
                 {"instance", c.name.instance},
                 {"step", rollout::ToJson(c.step)}},
                [&change, c, now](const agent::Reply& reply) {
                  const auto read = ReadAnswer(reply);
                  if (!read) return;
-                 if (read->verdict != rollout::LeaseBook::Verdict::kGranted) {
-                   return change.Fenced(c.name.agent, read->holder ? read->holder->who : "");
+                 if (read->verdict != rollout::Lessor::Verdict::kGranted) {
+                   return change.OnFenced(c.name.agent, read->holder ? read->holder->who : "");
                  }
-                 change.Renewed(c.name.agent, now);
-                 if (!read->refused.empty()) return change.Refused(c.name, read->refused);
+                 change.OnLeaseRenewed(c.name.agent, now);
+                 if (!read->refused.empty()) return change.OnStepRejected(c.name, read->refused);
                  if (reply.body.contains("report")) {
-                   change.Heard(c.name, c.number, rollout::ReportFrom(reply.body["report"]), now);
+                   change.OnReport(c.name, c.number, rollout::ReportFrom(reply.body["report"]), now);
                  }
                });
           break;
       }
     }
     for (const auto& [agent, asked] : reports) {
-      Send(agent, "/v1/report", {{"epoch", epoch}, {"tool", tool}},
+      Send(agent, "/v1/report", {{"epoch", epoch}, {"tool", claim_id}},
            [&change, agent = agent, asked = asked, now](const agent::Reply& reply) {
              const auto read = ReadAnswer(reply);
              if (!read) return;
-             if (read->verdict != rollout::LeaseBook::Verdict::kGranted) {
-               return change.Fenced(agent, read->holder ? read->holder->who : "");
+             if (read->verdict != rollout::Lessor::Verdict::kGranted) {
+               return change.OnFenced(agent, read->holder ? read->holder->who : "");
              }
-             change.Renewed(agent, now);
+             change.OnLeaseRenewed(agent, now);
              for (const auto& [name, number] : asked) {
                const json& told = reply.body.value("reports", json::object());
                if (told.contains(name.instance))
-                 change.Heard(name, number, rollout::ReportFrom(told[name.instance]), now);
+                 change.OnReport(name, number, rollout::ReportFrom(told[name.instance]), now);
                else
-                 change.Refused(name, "its agent has no such instance");
+                 change.OnStepRejected(name, "its agent has no such instance");
              }
            });
     }
@@ -218,12 +219,12 @@
   life_ = std::make_shared<int>();
 }
 
-std::set<std::string> Driver::Release(rollout::Epoch epoch, const std::string& tool, bool close) {
+std::set<std::string> Driver::Release(rollout::Epoch epoch, const std::string& claim_id, bool close) {
   constexpr int kTries = 3;
   std::set<std::string> missing;
   for (const agent::AgentPlace& agent : agents_) missing.insert(agent.name);
   for (int i = 0; i < kTries && !missing.empty(); ++i) {
-    const json body = {{"ask", "release"}, {"epoch", epoch}, {"tool", tool}, {"close", close}};
+    const json body = {{"ask", "release"}, {"epoch", epoch}, {"tool", claim_id}, {"close", close}};
     for (const auto& [name, reply] : AskAll("POST", "/v1/lease", body, missing)) {
       if (reply.ok()) missing.erase(name);
     }
@@ -231,20 +232,20 @@
   return missing;
 }
 
-Driver::Outcome Driver::Carry(const rollout::Plan& plan, rollout::Change::Aim aim, bool resumes,
+Driver::Outcome Driver::Carry(const rollout::Plan& plan, rollout::Change::Direction direction, bool resumes,
                               const std::string& who, rollout::Duration lease_time) {
   const rollout::Holder holder = HolderOf(plan, who);
   const Lease lease = ClaimAll(plan, holder, resumes);
   Outcome outcome;
   outcome.refused = lease.refused;
   if (!outcome.refused.empty()) return outcome;
-  rollout::Change change(plan, aim, lease.epoch, lease_time, lease.since);
-  Run(change, lease.epoch, holder.tool);
+  rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
+  Run(change, lease.epoch, holder.claim_id);
   outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
-  outcome.why = change.end() ? change.why() : "interrupted; what was taken is finished by the agents";
+  outcome.why = change.end() ? change.reason() : "interrupted; what was taken is finished by the agents";
   if (!change.end()) say_(plan.id + " held: " + outcome.why);
   const bool close = outcome.end != rollout::ChangeEnd::kHeld;
-  const auto missing = Release(lease.epoch, holder.tool, close);
+  const auto missing = Release(lease.epoch, holder.claim_id, close);
   if (close) outcome.left_open = missing;
   return outcome;
 }
@@ -256,7 +257,7 @@
   outcome.refused = lease.refused;
   if (!outcome.refused.empty()) return outcome;
   outcome.end = rollout::ChangeEnd::kAborted;
-  outcome.left_open = Release(lease.epoch, holder.tool, true);
+  outcome.left_open = Release(lease.epoch, holder.claim_id, true);
   return outcome;
 }
 
--- a/src/ctl/driver.h
+++ b/src/ctl/driver.h
@@ -34,8 +34,8 @@
     std::set<std::string> left_open;  // agents that were not reached for the close
   };
   // `resumes`: it was opened before. `lease_time`: the shortest of the agents'.
-  Outcome Carry(const rollout::Plan& plan, rollout::Change::Aim aim, bool resumes, const std::string& who,
-                rollout::Duration lease_time);
+  Outcome Carry(const rollout::Plan& plan, rollout::Change::Direction direction, bool resumes,
+                const std::string& who, rollout::Duration lease_time);
   // Claims the open change and closes it as it stands.
   Outcome Close(const rollout::Plan& plan, const std::string& who);
   // Ends what is under way, held; from a signal handler of the event loop.
@@ -55,8 +55,8 @@
     std::string refused;
   };
   Lease ClaimAll(const rollout::Plan& plan, const rollout::Holder& holder, bool resumes);
-  void Run(rollout::Change& change, rollout::Epoch epoch, const std::string& tool);
-  std::set<std::string> Release(rollout::Epoch epoch, const std::string& tool, bool close);
+  void Run(rollout::Change& change, rollout::Epoch epoch, const std::string& claim_id);
+  std::set<std::string> Release(rollout::Epoch epoch, const std::string& claim_id, bool close);
   rollout::Holder HolderOf(const rollout::Plan& plan, const std::string& who);
   const agent::AgentPlace& Of(const std::string& agent) const;
   void Send(const std::string& agent, const std::string& target, nlohmann::json body,
--- a/src/rollout/change.h
+++ b/src/rollout/change.h
@@ -35,10 +35,10 @@
 
 struct ChangeCommand {
   enum class Kind {
-    kTake,    // tells `name`'s agent to take `step`; its answer is a report
-    kReport,  // asks `name`'s agent for a report
-    kRenew,   // asks `name.agent` to confirm the lease
-    kSay,     // `line`, for the operator
+    kTakeStep,  // tells `name`'s agent to take `step`; its answer is a report
+    kReport,    // asks `name`'s agent for a report
+    kRenew,     // asks `name.agent` to confirm the lease
+    kSay,       // `line`, for the operator
   };
   Kind kind = Kind::kSay;
   InstanceName name{};
@@ -49,84 +49,85 @@
 
 class Change {
  public:
-  enum class Aim { kForward, kUndo };
+  enum class Direction { kForward, kUndo };
 
   // `plan` has no fault. `epoch`: of the lease that it is held by. The lease of every agent that it touches
-  // was granted no earlier than `leased_at`, and counts for `lease_time` there.
-  Change(Plan plan, Aim aim, Epoch epoch, Duration lease_time, TimePoint leased_at);
+  // was granted no earlier than `lease_granted_at`, and counts for `lease_duration` there.
+  Change(Plan plan, Direction direction, Epoch epoch, Duration lease_duration, TimePoint lease_granted_at);
 
-  // What agents answer. `asked_at`: when the question left, of this clock.
-  void Heard(const InstanceName& name, std::uint64_t number, const Report& report, TimePoint asked_at);
-  void Renewed(const std::string& agent, TimePoint asked_at);
+  // What agents answer. `sent_at`: when the question left, of this clock.
+  void OnReport(const InstanceName& name, std::uint64_t number, const Report& report, TimePoint sent_at);
+  void OnLeaseRenewed(const std::string& agent, TimePoint sent_at);
   // An agent has another holder, or none: nothing more is commanded.
-  void Fenced(const std::string& agent, const std::string& holder);
+  void OnFenced(const std::string& agent, const std::string& holder);
   // An agent refused a step, as it can't be taken there.
-  void Refused(const InstanceName& name, const std::string& why);
+  void OnStepRejected(const InstanceName& name, const std::string& reason);
   // The operator wants no further step.
   void Abort();
 
-  // Appends what is to be done. Call it after each of the above, and at least every kTurn.
-  static constexpr Duration kTurn{250};
-  void Turn(TimePoint now, std::vector<ChangeCommand>& commands);
+  // Appends what is to be done. Call it after each of the above, and at least every kTickInterval.
+  static constexpr Duration kTickInterval{250};
+  void Tick(TimePoint now, std::vector<ChangeCommand>& commands);
 
   std::optional<ChangeEnd> end() const { return end_; }
-  const std::string& why() const { return why_; }
+  const std::string& reason() const { return reason_; }
 
  private:
   struct Progress {
-    std::optional<Report> report;        // the latest
-    std::uint64_t number = 0;            // of the question that it answers
-    TimePoint heard;                     // when that question left
-    std::optional<TimePoint> asked;      // when the last question left
-    std::optional<TimePoint> commanded;  // when its step was, the last time
-    bool sent = false;                   // a step was commanded, whether or not it was taken
-    std::optional<Report> before;        // when its step was about to be commanded
-    std::optional<Report> done;          // when its step was first seen to have ended well
+    std::optional<Report> report;              // the latest
+    std::uint64_t number = 0;                  // of the question that it answers
+    TimePoint polled_at;                       // when that question left
+    std::optional<TimePoint> last_poll_at;     // when the last question left
+    std::optional<TimePoint> last_command_at;  // when its step was, the last time
+    bool command_sent = false;                 // a step was commanded, whether or not it was taken
+    std::optional<Report> baseline;            // when its step was about to be commanded
+    std::optional<Report> after_step;          // when its step was first seen to have ended well
   };
 
   // Has the target's agent taken this change's step, in the direction that it goes now? One that failed for
   // an earlier holder is tried again.
-  bool Taken(std::size_t target) const;
+  bool StepAccepted(std::size_t target) const;
   // Is there anything to undo, or may there be?
-  bool Touched(std::size_t target) const;
+  bool StepMaySurvive(std::size_t target) const;
   Step StepOf(std::size_t target) const;
-  std::string Name(std::size_t target) const;
+  std::string LabelOf(std::size_t target) const;
 
-  void Finish(ChangeEnd end, const std::string& why, std::vector<ChangeCommand>& commands);
+  void Finish(ChangeEnd end, const std::string& reason, std::vector<ChangeCommand>& commands);
   // Something looks wrong: it ends held, or turns back where the policy says so.
-  void Trouble(const std::string& why, TimePoint now, std::vector<ChangeCommand>& commands);
-  void Enter(std::size_t batch, TimePoint now);
-  void Question(ChangeCommand::Kind kind, std::size_t target, TimePoint now,
-                std::vector<ChangeCommand>& commands);
-  void AskAround(TimePoint now, std::vector<ChangeCommand>& commands);
+  void HandleFailure(const std::string& reason, TimePoint now, std::vector<ChangeCommand>& commands);
+  void EnterBatch(std::size_t batch, TimePoint now);
+  void SendToInstance(ChangeCommand::Kind kind, std::size_t target, TimePoint now,
+                      std::vector<ChangeCommand>& commands);
+  void RenewAndPoll(TimePoint now, std::vector<ChangeCommand>& commands);
   // The agent that has not been heard of for too long; empty: none.
-  std::string Silent(TimePoint now) const;
+  std::string UnresponsiveAgent(TimePoint now) const;
   // What stands against beginning the batch; empty: nothing.
-  std::string Against(const std::vector<std::size_t>& batch) const;
+  std::string BatchBlocker(const std::vector<std::size_t>& batch) const;
   // What is wrong with a target whose step has ended well; empty: nothing.
-  std::string Unwell(std::size_t target) const;
-  void Work(TimePoint now, std::vector<ChangeCommand>& commands);
+  std::string HealthFault(std::size_t target) const;
+  void AdvanceBatch(TimePoint now, std::vector<ChangeCommand>& commands);
 
   const Plan plan_;
-  Aim aim_;
+  Direction direction_;
   const Epoch epoch_;
-  const Duration lease_time_;
+  const Duration lease_duration_;
   std::vector<std::vector<std::size_t>> batches_;  // in the order in which they go now
   std::vector<Progress> progress_;                 // by target
-  std::map<std::string, TimePoint> leased_;        // by agent: when the question left that it confirmed last
-  std::optional<TimePoint> renewed_at_;            // the last question
+  std::map<std::string, TimePoint>
+      lease_confirmed_at_;                    // by agent: when the question left that it confirmed last
+  std::optional<TimePoint> last_renewal_at_;  // the last question
   std::uint64_t last_number_ = 0;
   bool started_ = false;
   std::size_t batch_ = 0;
-  TimePoint entered_;               // the batch is the current one
-  std::optional<TimePoint> began_;  // its first step was commanded
-  std::optional<TimePoint> well_since_;
-  std::string fault_;  // told by an agent, for the next turn
+  TimePoint batch_entered_at_;                 // the batch is the current one
+  std::optional<TimePoint> batch_started_at_;  // its first step was commanded
+  std::optional<TimePoint> healthy_since_;
+  std::string agent_fault_;  // told by an agent, for the next turn
   bool fenced_ = false;
   bool aborted_ = false;
   std::optional<ChangeEnd> end_;
-  std::string why_;
-  std::string trouble_;  // why it turned back
+  std::string reason_;
+  std::string rollback_reason_;  // why it turned back
 };
 
 }  // namespace mothrack::rollout
--- a/src/rollout/claim.cpp
+++ b/src/rollout/claim.cpp
@@ -6,50 +6,51 @@
 namespace {
 
 // A question without an answer is put again.
-constexpr Duration kAgain{400};
+constexpr Duration kRetryInterval{400};
 
-std::string HeldBy(const std::string& agent, const std::optional<Holder>& holder) {
+std::string DescribeConflict(const std::string& agent, const std::optional<Holder>& holder) {
   if (!holder) return agent + " was claimed by another at the same instant; try again";
   return holder->who + " has the fleet for " + holder->change + " (" + holder->why + ")";
 }
 
 }  // namespace
 
-Claim::Claim(std::string tool, std::set<std::string> agents, std::set<std::string> needed, bool resumes,
-             Duration patience, TimePoint now)
-    : tool_(std::move(tool)),
+Claim::Claim(std::string claim_id, std::set<std::string> agents, std::set<std::string> required,
+             bool resuming, Duration timeout, TimePoint now)
+    : claim_id_(std::move(claim_id)),
       agents_(std::move(agents)),
-      needed_(std::move(needed)),
-      resumes_(resumes),
-      patience_(patience),
-      since_(now) {}
+      required_(std::move(required)),
+      resuming_(resuming),
+      timeout_(timeout),
+      request_started_at_(now) {}
 
-void Claim::Looked(const std::string& agent, Epoch highest) {
-  if (epoch_ == 0 && agents_.contains(agent)) looked_[agent] = highest;
+void Claim::OnHighestEpoch(const std::string& agent, Epoch highest) {
+  if (epoch_ == 0 && agents_.contains(agent)) highest_by_agent_[agent] = highest;
 }
 
-void Claim::Answered(const std::string& tool, const std::string& agent, Epoch epoch,
-                     LeaseBook::Verdict verdict, const std::optional<Holder>& holder, bool open) {
-  if (tool != tool_ || epoch != epoch_ || next_ >= order_.size() || order_[next_] != agent || !asked_) return;
-  if (verdict == LeaseBook::Verdict::kGranted) {
-    got_.insert(agent);
-    open_somewhere_ = open_somewhere_ || open;
-    ++next_;
-    asked_ = false;
+void Claim::OnLeaseAnswer(const std::string& claim_id, const std::string& agent, Epoch epoch,
+                          Lessor::Verdict verdict, const std::optional<Holder>& holder, bool open) {
+  if (claim_id != claim_id_ || epoch != epoch_ || next_agent_ >= claim_order_.size() ||
+      claim_order_[next_agent_] != agent || !request_pending_)
+    return;
+  if (verdict == Lessor::Verdict::kGranted) {
+    granted_by_.insert(agent);
+    open_at_any_agent_ = open_at_any_agent_ || open;
+    ++next_agent_;
+    request_pending_ = false;
   } else {
-    const bool known = verdict == LeaseBook::Verdict::kHeld || verdict == LeaseBook::Verdict::kOpen;
-    fault_ = HeldBy(agent, known ? holder : std::nullopt);
-    if (verdict == LeaseBook::Verdict::kOpen)
-      fault_ += ", and it is not closed; resume, undo or abort it first";
+    const bool known = verdict == Lessor::Verdict::kHeld || verdict == Lessor::Verdict::kOpen;
+    fault_ = DescribeConflict(agent, known ? holder : std::nullopt);
+    if (verdict == Lessor::Verdict::kOpen) fault_ += ", and it is not closed; resume, undo or abort it first";
   }
 }
 
-bool Claim::Enough(const std::set<std::string>& agents) const {
+bool Claim::HasQuorum(const std::set<std::string>& agents) const {
   return agents.size() * 2 > agents_.size() &&
-         std::includes(agents.begin(), agents.end(), needed_.begin(), needed_.end());
+         std::includes(agents.begin(), agents.end(), required_.begin(), required_.end());
 }
 
-std::string Claim::Missing(const std::set<std::string>& agents) const {
+std::string Claim::MissingFrom(const std::set<std::string>& agents) const {
   std::string names;
   for (const std::string& agent : agents_) {
     if (!agents.contains(agent)) names += (names.empty() ? "" : ", ") + agent;
@@ -57,69 +58,70 @@
   return names;
 }
 
-void Claim::Refuse(const std::string& why, std::vector<ClaimCommand>& commands) {
-  refused_ = why;
+void Claim::Reject(const std::string& why, std::vector<ClaimCommand>& commands) {
+  rejection_ = why;
   // Also where no answer came: it may have been granted all the same.
-  const std::size_t asked = opening_ ? order_.size() : std::min(order_.size(), next_ + 1);
-  for (std::size_t i = 0; i < asked; ++i) {
-    commands.push_back({ClaimCommand::Kind::kRelease, order_[i], epoch_});
+  const std::size_t contacted =
+      opening_ ? claim_order_.size() : std::min(claim_order_.size(), next_agent_ + 1);
+  for (std::size_t i = 0; i < contacted; ++i) {
+    commands.push_back({ClaimCommand::Kind::kRelease, claim_order_[i], epoch_});
   }
 }
 
-void Claim::Turn(TimePoint now, std::vector<ClaimCommand>& commands) {
-  if (granted_ || !refused_.empty()) return;
-  if (!fault_.empty()) return Refuse(fault_, commands);
-  if (epoch_ == 0 && !Looking(now, commands)) return;
-  while (next_ < order_.size() && asked_ && now - since_ >= patience_) {
+void Claim::Tick(TimePoint now, std::vector<ClaimCommand>& commands) {
+  if (granted_ || !rejection_.empty()) return;
+  if (!fault_.empty()) return Reject(fault_, commands);
+  if (epoch_ == 0 && !CollectEpochs(now, commands)) return;
+  while (next_agent_ < claim_order_.size() && request_pending_ && now - request_started_at_ >= timeout_) {
     // It may have been granted, and is given back. Without it, the rest may be enough.
-    commands.push_back({ClaimCommand::Kind::kRelease, order_[next_], epoch_});
-    order_.erase(order_.begin() + static_cast<std::ptrdiff_t>(next_));
-    asked_ = false;
+    commands.push_back({ClaimCommand::Kind::kRelease, claim_order_[next_agent_], epoch_});
+    claim_order_.erase(claim_order_.begin() + static_cast<std::ptrdiff_t>(next_agent_));
+    request_pending_ = false;
   }
-  if (next_ < order_.size()) return Ask(now, commands);
-  if (!Enough(got_)) return Refuse("can't be reached: " + Missing(got_), commands);
+  if (next_agent_ < claim_order_.size()) return AskNextAgent(now, commands);
+  if (!HasQuorum(granted_by_)) return Reject("can't be reached: " + MissingFrom(granted_by_), commands);
   if (!opening_) {
-    if (resumes_ && !open_somewhere_) return Refuse("the change has come to its end meanwhile", commands);
+    if (resuming_ && !open_at_any_agent_) return Reject("the change has come to its end meanwhile", commands);
     opening_ = true;
-    got_.clear();
-    next_ = 0;
-    return Ask(now, commands);
+    granted_by_.clear();
+    next_agent_ = 0;
+    return AskNextAgent(now, commands);
   }
-  granted_ = Granted{epoch_, *first_asked_};
+  granted_ = Granted{epoch_, *first_request_at_};
 }
 
 // False while the epoch is not known yet.
-bool Claim::Looking(TimePoint now, std::vector<ClaimCommand>& commands) {
-  if (!looking_) since_ = now;
-  if (!looking_ || now - again_ >= kAgain) {
+bool Claim::CollectEpochs(TimePoint now, std::vector<ClaimCommand>& commands) {
+  if (!epochs_requested_) request_started_at_ = now;
+  if (!epochs_requested_ || now - last_sent_at_ >= kRetryInterval) {
     for (const std::string& agent : agents_) {
-      if (!looked_.contains(agent)) commands.push_back({ClaimCommand::Kind::kLook, agent, 0});
+      if (!highest_by_agent_.contains(agent)) commands.push_back({ClaimCommand::Kind::kReadEpoch, agent, 0});
     }
-    looking_ = true;
-    again_ = now;
+    epochs_requested_ = true;
+    last_sent_at_ = now;
   }
-  if (looked_.size() < agents_.size() && now - since_ < patience_) return false;
-  std::set<std::string> there;
-  for (const auto& [agent, highest] : looked_) {
-    there.insert(agent);
-    order_.push_back(agent);
+  if (highest_by_agent_.size() < agents_.size() && now - request_started_at_ < timeout_) return false;
+  std::set<std::string> reached;
+  for (const auto& [agent, highest] : highest_by_agent_) {
+    reached.insert(agent);
+    claim_order_.push_back(agent);
     epoch_ = std::max(epoch_, highest);
   }
   ++epoch_;
-  if (Enough(there)) return true;
-  Refuse("can't be reached: " + Missing(there), commands);
+  if (HasQuorum(reached)) return true;
+  Reject("can't be reached: " + MissingFrom(reached), commands);
   return false;
 }
 
 // The agent whose turn it is; again where no answer came.
-void Claim::Ask(TimePoint now, std::vector<ClaimCommand>& commands) {
-  if (asked_ && now - again_ < kAgain) return;
-  if (!asked_) since_ = now;
-  asked_ = true;
-  again_ = now;
-  if (!first_asked_) first_asked_ = now;
+void Claim::AskNextAgent(TimePoint now, std::vector<ClaimCommand>& commands) {
+  if (request_pending_ && now - last_sent_at_ < kRetryInterval) return;
+  if (!request_pending_) request_started_at_ = now;
+  request_pending_ = true;
+  last_sent_at_ = now;
+  if (!first_request_at_) first_request_at_ = now;
   const auto kind = opening_ ? ClaimCommand::Kind::kOpen : ClaimCommand::Kind::kAcquire;
-  commands.push_back({kind, order_[next_], epoch_});
+  commands.push_back({kind, claim_order_[next_agent_], epoch_});
 }
 
 }  // namespace mothrack::rollout
--- a/src/rollout/claim.h
+++ b/src/rollout/claim.h
@@ -16,8 +16,8 @@
 namespace mothrack::rollout {
 
 struct ClaimCommand {
-  enum class Kind { kLook, kAcquire, kOpen, kRelease };
-  Kind kind = Kind::kLook;
+  enum class Kind { kReadEpoch, kAcquire, kOpen, kRelease };
+  Kind kind = Kind::kReadEpoch;
   std::string agent;
   Epoch epoch = 0;
 };
@@ -29,18 +29,18 @@
   // `tool`: as in Holder, of this claim alone.
   // `resumes`: the change was opened before; it must still be open somewhere, or it has come to an end
   // meanwhile.
-  Claim(std::string tool, std::set<std::string> agents, std::set<std::string> needed, bool resumes,
-        Duration patience, TimePoint now);
+  Claim(std::string claim_id, std::set<std::string> agents, std::set<std::string> required, bool resuming,
+        Duration timeout, TimePoint now);
 
-  void Looked(const std::string& agent, Epoch highest);
+  void OnHighestEpoch(const std::string& agent, Epoch highest);
   // Of kAcquire and kOpen alike; `tool`: whose question is answered; `holder`: who is in the way; `open`:
   // this change is, there.
-  void Answered(const std::string& tool, const std::string& agent, Epoch epoch, LeaseBook::Verdict verdict,
-                const std::optional<Holder>& holder, bool open);
+  void OnLeaseAnswer(const std::string& claim_id, const std::string& agent, Epoch epoch,
+                     Lessor::Verdict verdict, const std::optional<Holder>& holder, bool open);
 
-  // Call it after each of the above, and at least every kTurn.
-  static constexpr Duration kTurn{100};
-  void Turn(TimePoint now, std::vector<ClaimCommand>& commands);
+  // Call it after each of the above, and at least every kTickInterval.
+  static constexpr Duration kTickInterval{100};
+  void Tick(TimePoint now, std::vector<ClaimCommand>& commands);
 
   struct Granted {
     Epoch epoch = 0;
@@ -48,34 +48,34 @@
   };
   const std::optional<Granted>& granted() const { return granted_; }
   // Why it was not; everything that was granted is given back.
-  const std::string& refused() const { return refused_; }
+  const std::string& rejection() const { return rejection_; }
 
  private:
-  bool Looking(TimePoint now, std::vector<ClaimCommand>& commands);
-  void Ask(TimePoint now, std::vector<ClaimCommand>& commands);
-  bool Enough(const std::set<std::string>& agents) const;
-  void Refuse(const std::string& why, std::vector<ClaimCommand>& commands);
-  std::string Missing(const std::set<std::string>& agents) const;
+  bool CollectEpochs(TimePoint now, std::vector<ClaimCommand>& commands);
+  void AskNextAgent(TimePoint now, std::vector<ClaimCommand>& commands);
+  bool HasQuorum(const std::set<std::string>& agents) const;
+  void Reject(const std::string& why, std::vector<ClaimCommand>& commands);
+  std::string MissingFrom(const std::set<std::string>& agents) const;
 
-  const std::string tool_;
+  const std::string claim_id_;
   const std::set<std::string> agents_;
-  const std::set<std::string> needed_;
-  const bool resumes_;
-  const Duration patience_;
-  TimePoint since_;       // of the question that is out
-  TimePoint again_;       // when it was put last
-  bool looking_ = false;  // the first question is out
-  std::map<std::string, Epoch> looked_;
+  const std::set<std::string> required_;
+  const bool resuming_;
+  const Duration timeout_;
+  TimePoint request_started_at_;   // of the question that is out
+  TimePoint last_sent_at_;         // when it was put last
+  bool epochs_requested_ = false;  // the first question is out
+  std::map<std::string, Epoch> highest_by_agent_;
   Epoch epoch_ = 0;  // 0: not chosen yet
-  std::vector<std::string> order_;
-  std::size_t next_ = 0;  // in `order_`: asked, or about to be
-  bool asked_ = false;
-  bool opening_ = false;       // all are claimed
-  std::set<std::string> got_;  // claimed or, once opening, opened
-  std::optional<TimePoint> first_asked_;
+  std::vector<std::string> claim_order_;
+  std::size_t next_agent_ = 0;  // in `claim_order_`: asked, or about to be
+  bool request_pending_ = false;
+  bool opening_ = false;              // all are claimed
+  std::set<std::string> granted_by_;  // claimed or, once opening, opened
+  std::optional<TimePoint> first_request_at_;
   std::optional<Granted> granted_;
-  std::string refused_;
-  bool open_somewhere_ = false;
+  std::string rejection_;
+  bool open_at_any_agent_ = false;
   std::string fault_;  // for the next turn
 };
 
--- a/src/rollout/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -4,42 +4,42 @@
 
 namespace mothrack::rollout {
 
-Instance::Verdict Instance::Take(const Step& step) {
+Instance::Verdict Instance::Accept(const Step& step) {
   const bool same_change = record_.phase != Phase::kNone && record_.step.change == step.change;
   const bool tried_again = record_.phase == Phase::kFailed && step.epoch > record_.step.epoch;
-  if (same_change && record_.step.undo == step.undo && !tried_again) return Verdict::kTaken;
+  if (same_change && record_.step.undo == step.undo && !tried_again) return Verdict::kAccepted;
   if (same_change && record_.step.undo && !step.undo) return Verdict::kStale;
   // An undo takes over from its own change's step at any point; every other step waits its turn.
   if (record_.phase == Phase::kAccepted && !same_change) return Verdict::kBusy;
-  if (!step.undo && !same_change && record_.generation != step.from) return Verdict::kMoved;
+  if (!step.undo && !same_change && record_.generation != step.from) return Verdict::kGenerationMismatch;
   record_.step = step;
   if (step.undo && !same_change) {
     // Nothing is to be undone; but the step itself may still be on its way, and is stale from now on.
     record_.phase = Phase::kDone;
-    record_.why.clear();
-    return Verdict::kTaken;
+    record_.failure_reason.clear();
+    return Verdict::kAccepted;
   }
   record_.phase = Phase::kAccepted;
-  record_.why.clear();
+  record_.failure_reason.clear();
   record_.wanted = step.kind != StepKind::kStop;
   record_.generation = step.generation;
   record_.token = step.token();
   stopping_since_.reset();
   killed_ = false;
   started_at_.reset();
-  step_ends_ = 0;
+  step_exits_ = 0;
   start_at_.reset();
-  ends_.clear();
-  held_ = false;
-  return Verdict::kTaken;
+  exits_.clear();
+  crash_loop_held_ = false;
+  return Verdict::kAccepted;
 }
 
-void Instance::Look(const Seen& seen, TimePoint now, std::vector<Action>& actions) {
-  if (was_running_ && !seen.running && !stopping_since_) NoteEnd(now);
+void Instance::Reconcile(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
+  if (was_running_ && !seen.running && !stopping_since_) RecordExit(now);
   if (!seen.running) stopping_since_.reset(), killed_ = false;
   was_running_ = seen.running;
   if (record_.phase == Phase::kAccepted) {
-    StepOn(seen, now, actions);
+    AdvanceStep(seen, now, actions);
   } else {
     Supervise(seen, now, actions);
   }
@@ -47,18 +47,18 @@
 
 void Instance::Finish(Phase phase, const std::string& why, std::vector<Action>& actions) {
   record_.phase = phase;
-  record_.why = why;
+  record_.failure_reason = why;
   const std::string end = phase == Phase::kDone ? " done" : " failed: " + why;
   actions.push_back({Action::Kind::kSay, {}, {}, record_.step.token() + end});
 }
 
-void Instance::StepOn(const Seen& seen, TimePoint now, std::vector<Action>& actions) {
-  const bool of_step = seen.running && seen.token == record_.token;
-  if (seen.running && !of_step) return Stop(seen, now, actions);
+void Instance::AdvanceStep(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
+  const bool started_for_step = seen.running && seen.token == record_.token;
+  if (seen.running && !started_for_step) return Stop(seen, now, actions);
   if (!record_.wanted) return Finish(Phase::kDone, {}, actions);
   if (!seen.running) {
-    if (step_ends_ >= limits_.step_starts) {
-      return Finish(Phase::kFailed, "it ended " + std::to_string(step_ends_) + " times", actions);
+    if (step_exits_ >= limits_.max_step_starts) {
+      return Finish(Phase::kFailed, "it ended " + std::to_string(step_exits_) + " times", actions);
     }
     if (!start_at_ || now >= *start_at_) Start(now, actions);
     return;
@@ -71,25 +71,25 @@
   }
 }
 
-void Instance::Supervise(const Seen& seen, TimePoint now, std::vector<Action>& actions) {
+void Instance::Supervise(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
   if (!record_.wanted) {
     if (seen.running) Stop(seen, now, actions);
     return;
   }
-  if (seen.running || held_) return;
-  if (ends_.size() >= limits_.crashes) {
-    held_ = true;
+  if (seen.running || crash_loop_held_) return;
+  if (exits_.size() >= limits_.crashes) {
+    crash_loop_held_ = true;
     actions.push_back({Action::Kind::kSay,
                        {},
                        {},
-                       "crash loop: it ended " + std::to_string(ends_.size()) +
+                       "crash loop: it ended " + std::to_string(exits_.size()) +
                            " times; held, restart it once it is mended"});
     return;
   }
   if (!start_at_ || now >= *start_at_) Start(now, actions);
 }
 
-void Instance::Stop(const Seen& seen, TimePoint now, std::vector<Action>& actions) {
+void Instance::Stop(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
   if (!stopping_since_) {
     stopping_since_ = now;
     if (!seen.draining) actions.push_back({Action::Kind::kStop, {}, {}, {}});
@@ -100,20 +100,20 @@
   }
 }
 
-void Instance::NoteEnd(TimePoint now) {
-  ends_.push_back(now);
-  while (!ends_.empty() && now - ends_.front() > limits_.crash_window) ends_.pop_front();
-  if (record_.phase == Phase::kAccepted && started_at_) ++step_ends_;
-  Duration pause = limits_.first_pause;
-  for (std::size_t i = 1; i < ends_.size() && pause < limits_.longest_pause; ++i) pause *= 2;
-  start_at_ = now + std::min(pause, limits_.longest_pause);
+void Instance::RecordExit(TimePoint now) {
+  exits_.push_back(now);
+  while (!exits_.empty() && now - exits_.front() > limits_.crash_window) exits_.pop_front();
+  if (record_.phase == Phase::kAccepted && started_at_) ++step_exits_;
+  Duration pause = limits_.first_backoff;
+  for (std::size_t i = 1; i < exits_.size() && pause < limits_.max_backoff; ++i) pause *= 2;
+  start_at_ = now + std::min(pause, limits_.max_backoff);
 }
 
 void Instance::Start(TimePoint now, std::vector<Action>& actions) {
   // Counts from each start of a step: one that ends at once has not used up the next one's time.
   if (record_.phase == Phase::kAccepted) started_at_ = now;
   // Until it is seen to run, or a pause has passed: a start that failed looks like one that has not happened.
-  start_at_ = now + limits_.first_pause;
+  start_at_ = now + limits_.first_backoff;
   was_running_ = true;
   actions.push_back({Action::Kind::kStart, record_.generation, record_.token, {}});
 }
--- a/src/rollout/instance.h
+++ b/src/rollout/instance.h
@@ -7,9 +7,9 @@
 // ever repeated after a crash, whatever the agent was about to do; and a stop only where the process can't
 // tell that it drains, which a second stop does no harm.
 //
-// A value, like LeaseBook: a copy takes a step, its record is made durable, then the copy is kept. What
-// Look() changes in the record is made durable where the disk takes it; until then the end of a step is not
-// told.
+// A value, like Lessor: a copy takes a step, its record is made durable, then the copy is kept. What
+// Reconcile() changes in the record is made durable where the disk takes it; until then the end of a step is
+// not told.
 #pragma once
 
 #include <deque>
@@ -28,22 +28,22 @@
   std::string token;       // of the step that it was last started for; empty before any
   Step step;               // the last one taken
   Phase phase = Phase::kNone;
-  std::string why;  // of kFailed
+  std::string failure_reason;  // of kFailed
   bool operator==(const InstanceRecord&) const = default;
 };
 
 struct InstanceLimits {
-  Duration stop{15'000};      // for a planned stop; then it is killed
-  Duration ready{10'000};     // from a start until it says that it is ready
-  Duration first_pause{200};  // before it is started again after it ended by itself; doubles each time
-  Duration longest_pause{30'000};
+  Duration stop{15'000};        // for a planned stop; then it is killed
+  Duration ready{10'000};       // from a start until it says that it is ready
+  Duration first_backoff{200};  // before it is started again after it ended by itself; doubles each time
+  Duration max_backoff{30'000};
   std::size_t crashes = 5;  // as many ends within `crash_window` are a crash loop: it is held
   Duration crash_window{60'000};
-  std::size_t step_starts = 3;  // a step that saw as many of its processes end has failed
+  std::size_t max_step_starts = 3;  // a step that saw as many of its processes end has failed
 };
 
 // The process, as it is seen now.
-struct Seen {
+struct ProcessState {
   bool running = false;
   std::string token;       // that it was started with
   std::string generation;  // likewise
@@ -67,29 +67,29 @@
 class Instance {
  public:
   enum class Verdict {
-    kTaken,  // now, or before: a repeated command is told what became of it by the report
-    kBusy,   // with another step that has not ended
-    kStale,  // it has taken the undo of this change already
-    kMoved,  // it has another generation than the one that the change starts from
+    kAccepted,            // now, or before: a repeated command is told what became of it by the report
+    kBusy,                // with another step that has not ended
+    kStale,               // it has taken the undo of this change already
+    kGenerationMismatch,  // it has another generation than the one that the change starts from
   };
 
   Instance(InstanceRecord record, const InstanceLimits& limits)
       : record_(std::move(record)), limits_(limits) {}
 
-  Verdict Take(const Step& step);
-  // Appends what is to be done. Call it at least every `first_pause`, and whenever the process changed.
-  void Look(const Seen& seen, TimePoint now, std::vector<Action>& actions);
+  Verdict Accept(const Step& step);
+  // Appends what is to be done. Call it at least every `first_backoff`, and whenever the process changed.
+  void Reconcile(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
 
   const InstanceRecord& record() const { return record_; }
-  bool held() const { return held_; }
+  bool held() const { return crash_loop_held_; }
 
  private:
   void Finish(Phase phase, const std::string& why, std::vector<Action>& actions);
-  void StepOn(const Seen& seen, TimePoint now, std::vector<Action>& actions);
-  void Supervise(const Seen& seen, TimePoint now, std::vector<Action>& actions);
-  void Stop(const Seen& seen, TimePoint now, std::vector<Action>& actions);
+  void AdvanceStep(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
+  void Supervise(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
+  void Stop(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
   // It ended, and nobody had told it to: when to start it again.
-  void NoteEnd(TimePoint now);
+  void RecordExit(TimePoint now);
   void Start(TimePoint now, std::vector<Action>& actions);
 
   InstanceRecord record_;
@@ -99,10 +99,10 @@
   std::optional<TimePoint> stopping_since_;
   bool killed_ = false;
   std::optional<TimePoint> started_at_;  // the step's process was first seen or started
-  std::size_t step_ends_ = 0;            // of the step's processes
+  std::size_t step_exits_ = 0;           // of the step's processes
   std::optional<TimePoint> start_at_;    // not before
-  std::deque<TimePoint> ends_;           // within the crash window
-  bool held_ = false;
+  std::deque<TimePoint> exits_;          // within the crash window
+  bool crash_loop_held_ = false;
 };
 
 }  // namespace mothrack::rollout
--- a/src/rollout/lease.h
+++ b/src/rollout/lease.h
@@ -27,7 +27,7 @@
   bool operator==(const LeaseState&) const = default;
 };
 
-class LeaseBook {
+class Lessor {
  public:
   enum class Verdict {
     kGranted,
@@ -39,18 +39,18 @@
 
   // After a restart of the agent a lease that was held has its whole time again: nobody knows how much was
   // left.
-  LeaseBook(LeaseState state, Duration time, TimePoint now)
-      : state_(std::move(state)), time_(time), until_(now + time) {}
+  Lessor(LeaseState state, Duration time, TimePoint now)
+      : state_(std::move(state)), duration_(time), expires_at_(now + time) {}
 
   // A new holder. One of the same change takes over from itself: it is its tool that was started again.
   Verdict Acquire(Epoch epoch, const Holder& holder, TimePoint now);
   // May a command of this epoch and tool be taken? That renews the lease.
-  Verdict Use(Epoch epoch, const std::string& tool, TimePoint now);
+  Verdict Renew(Epoch epoch, const std::string& claim_id, TimePoint now);
   // The holder's change begins; of another holder than the lease was granted to, or of another change:
   // kFenced.
   Verdict Open(Epoch epoch, const Holder& holder, TimePoint now);
   // The holder is done; with `close`, so is its change. Of another epoch or tool: nothing happens.
-  void Release(Epoch epoch, const std::string& tool, bool close);
+  void Release(Epoch epoch, const std::string& claim_id, bool close);
 
   const LeaseState& state() const { return state_; }
   // Who holds it; nobody once the time is over.
@@ -58,8 +58,8 @@
 
  private:
   LeaseState state_;
-  Duration time_;
-  TimePoint until_;
+  Duration duration_;
+  TimePoint expires_at_;
 };
 
 }  // namespace mothrack::rollout
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -5,7 +5,7 @@
 
 namespace mothrack::rollout {
 
-std::optional<std::string> FaultOf(const Plan& plan) {
+std::optional<std::string> ValidatePlan(const Plan& plan) {
   if (plan.id.empty()) return "the change has no id";
   if (plan.who.empty()) return "nobody is named who makes the change; give a name";
   if (plan.targets.empty()) return "no instance is named; name at least one";
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -23,13 +23,13 @@
   std::size_t max_unavailable = 1;  // instances that are down at once for the change's sake, in one hall
   bool canary = true;               // the first instance goes alone
   OnFailure on_failure = OnFailure::kHold;
-  Duration step_limit{60'000};        // for a batch's steps to end
-  Duration watch{2'000};              // for which a batch must look well after its steps
-  Duration unreachable_limit{5'000};  // without a word of an agent that is needed
+  Duration step_timeout{60'000};        // for a batch's steps to end
+  Duration watch_interval{2'000};       // for which a batch must look well after its steps
+  Duration unreachable_timeout{5'000};  // without a word of an agent that is needed
   // Refused and failed requests of an instance, as a share of all it took while it is watched, may exceed the
-  // share before the change by so much; fewer requests than `least_requests` tell nothing.
-  double worse_by = 0.05;
-  std::uint64_t least_requests = 20;
+  // share before the change by so much; fewer requests than `min_requests` tell nothing.
+  double max_failure_increase = 0.05;
+  std::uint64_t min_requests = 20;
   bool operator==(const Policy&) const = default;
 };
 
@@ -44,7 +44,7 @@
 };
 
 // What is wrong with a plan, with the mend; nothing where it can be carried out.
-std::optional<std::string> FaultOf(const Plan& plan);
+std::optional<std::string> ValidatePlan(const Plan& plan);
 
 // The targets' indices in the order in which they go: the canary, then hall by hall, in the order in which
 // halls are first named, at most `max_unavailable` at once. No batch has targets of two halls.
--- a/src/rollout/types.h
+++ b/src/rollout/types.h
@@ -22,7 +22,7 @@
   std::int64_t since_unix_ms = 0;
   // Differs for each claim (src/rollout/claim.h), also of one tool for one change: two that chose the same
   // epoch are told apart by it, and so is a claim from what is still on its way of one before it.
-  std::string tool;
+  std::string claim_id;
   bool operator==(const Holder&) const = default;
 };
 
@@ -60,15 +60,15 @@
   // The last step that it took, and how far it is; `phase` is kNone before any.
   Step step;
   Phase phase = Phase::kNone;
-  std::string why;  // of kFailed
+  std::string failure_reason;  // of kFailed
   // The process as it is now.
   bool running = false;
   bool ready = false;
   bool held = false;       // it crashed too often and is not started again
   std::string generation;  // that it runs with
   // Requests since the process started.
-  std::uint64_t taken = 0;
-  std::uint64_t bad = 0;  // refused or failed
+  std::uint64_t requests = 0;
+  std::uint64_t failed_requests = 0;  // refused or failed
 
   // Does it serve, and will it go on doing so by all that is planned?
   bool available() const { return running && ready && phase != Phase::kAccepted; }
--- a/src/rollout/wire.cpp
+++ b/src/rollout/wire.cpp
@@ -34,11 +34,11 @@
   return {{"max_unavailable", p.max_unavailable},
           {"canary", p.canary},
           {"on_failure", NameIn(kOnFailure, p.on_failure)},
-          {"step_limit_ms", p.step_limit.count()},
-          {"watch_ms", p.watch.count()},
-          {"unreachable_limit_ms", p.unreachable_limit.count()},
-          {"worse_by", p.worse_by},
-          {"least_requests", p.least_requests}};
+          {"step_limit_ms", p.step_timeout.count()},
+          {"watch_ms", p.watch_interval.count()},
+          {"unreachable_limit_ms", p.unreachable_timeout.count()},
+          {"worse_by", p.max_failure_increase},
+          {"least_requests", p.min_requests}};
 }
 
 Policy PolicyFrom(const json& from) {
@@ -46,11 +46,11 @@
   policy.max_unavailable = Member<std::size_t>(from, "max_unavailable");
   policy.canary = Member<bool>(from, "canary");
   policy.on_failure = OneOf<OnFailure>(kOnFailure, Member<std::string>(from, "on_failure"), "on_failure");
-  policy.step_limit = Milliseconds(from, "step_limit_ms");
-  policy.watch = Milliseconds(from, "watch_ms");
-  policy.unreachable_limit = Milliseconds(from, "unreachable_limit_ms");
-  policy.worse_by = Member<double>(from, "worse_by");
-  policy.least_requests = Member<std::uint64_t>(from, "least_requests");
+  policy.step_timeout = Milliseconds(from, "step_limit_ms");
+  policy.watch_interval = Milliseconds(from, "watch_ms");
+  policy.unreachable_timeout = Milliseconds(from, "unreachable_limit_ms");
+  policy.max_failure_increase = Member<double>(from, "worse_by");
+  policy.min_requests = Member<std::uint64_t>(from, "least_requests");
   return policy;
 }
 
@@ -86,9 +86,9 @@
 template json Member(const json&, const char*);
 
 std::string Name(Phase phase) { return NameIn(kPhases, phase); }
-std::string Name(LeaseBook::Verdict verdict) { return NameIn(kVerdicts, verdict); }
-LeaseBook::Verdict VerdictFrom(const std::string& name) {
-  return OneOf<LeaseBook::Verdict>(kVerdicts, name, "verdict");
+std::string Name(Lessor::Verdict verdict) { return NameIn(kVerdicts, verdict); }
+Lessor::Verdict VerdictFrom(const std::string& name) {
+  return OneOf<Lessor::Verdict>(kVerdicts, name, "verdict");
 }
 
 json ToJson(const Holder& h) {
@@ -96,7 +96,7 @@
           {"who", h.who},
           {"why", h.why},
           {"since_unix_ms", h.since_unix_ms},
-          {"tool", h.tool}};
+          {"tool", h.claim_id}};
 }
 
 Holder HolderFrom(const json& from) {
@@ -156,42 +156,42 @@
 }
 
 json ToJson(const Report& r) {
-  return {{"step", ToJson(r.step)},     {"phase", Name(r.phase)}, {"why", r.why},
+  return {{"step", ToJson(r.step)},     {"phase", Name(r.phase)}, {"why", r.failure_reason},
           {"running", r.running},       {"ready", r.ready},       {"held", r.held},
-          {"generation", r.generation}, {"taken", r.taken},       {"bad", r.bad}};
+          {"generation", r.generation}, {"taken", r.requests},    {"bad", r.failed_requests}};
 }
 
 Report ReportFrom(const json& from) {
   Report report;
   report.step = StepFrom(Member<json>(from, "step"));
   report.phase = OneOf<Phase>(kPhases, Member<std::string>(from, "phase"), "phase");
-  report.why = Member<std::string>(from, "why");
+  report.failure_reason = Member<std::string>(from, "why");
   report.running = Member<bool>(from, "running");
   report.ready = Member<bool>(from, "ready");
   report.held = Member<bool>(from, "held");
   report.generation = Member<std::string>(from, "generation");
-  report.taken = Member<std::uint64_t>(from, "taken");
-  report.bad = Member<std::uint64_t>(from, "bad");
+  report.requests = Member<std::uint64_t>(from, "taken");
+  report.failed_requests = Member<std::uint64_t>(from, "bad");
   return report;
 }
 
 json ToJson(const InstanceRecord& r) {
   return {{"wanted", r.wanted},     {"generation", r.generation}, {"token", r.token},
-          {"step", ToJson(r.step)}, {"phase", Name(r.phase)},     {"why", r.why}};
+          {"step", ToJson(r.step)}, {"phase", Name(r.phase)},     {"why", r.failure_reason}};
 }
 
-InstanceRecord RecordFrom(const json& from) {
+InstanceRecord InstanceRecordFrom(const json& from) {
   InstanceRecord record;
   record.wanted = Member<bool>(from, "wanted");
   record.generation = Member<std::string>(from, "generation");
   record.token = Member<std::string>(from, "token");
   record.step = StepFrom(Member<json>(from, "step"));
   record.phase = OneOf<Phase>(kPhases, Member<std::string>(from, "phase"), "phase");
-  record.why = Member<std::string>(from, "why");
+  record.failure_reason = Member<std::string>(from, "why");
   return record;
 }
 
-bool GoodName(const std::string& name) {
+bool IsValidName(const std::string& name) {
   const auto good = [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
            c == '_' || c == '.';
--- a/src/rollout/wire.h
+++ b/src/rollout/wire.h
@@ -23,11 +23,11 @@
 Step StepFrom(const nlohmann::json& json);
 Plan PlanFrom(const nlohmann::json& json);
 Report ReportFrom(const nlohmann::json& json);
-InstanceRecord RecordFrom(const nlohmann::json& json);
+InstanceRecord InstanceRecordFrom(const nlohmann::json& json);
 
 std::string Name(Phase phase);
-std::string Name(LeaseBook::Verdict verdict);
-LeaseBook::Verdict VerdictFrom(const std::string& name);
+std::string Name(Lessor::Verdict verdict);
+Lessor::Verdict VerdictFrom(const std::string& name);
 
 // A required member of the right kind.
 template <typename T>
@@ -35,6 +35,6 @@
 
 // Names of instances, agents and generations become parts of paths: letters, digits, '-', '_' and '.', at
 // most 64, no dot first.
-bool GoodName(const std::string& name);
+bool IsValidName(const std::string& name);
 
 }  // namespace mothrack::rollout
--- a/tests/agent/sqlite_store_test.cpp
+++ b/tests/agent/sqlite_store_test.cpp
@@ -60,7 +60,7 @@
   record.step = {"c1", StepKind::kRestart, false, record.generation, 3, "g0"};
   record.token = record.step.token();
   record.phase = Phase::kAccepted;
-  record.why = std::string(200, 'w');
+  record.failure_reason = std::string(200, 'w');
   return record;
 }
 
--- a/tests/rollout/changes_model.cpp
+++ b/tests/rollout/changes_model.cpp
@@ -33,7 +33,7 @@
   InstanceLimits limits;
   limits.stop = milliseconds(1500);
   limits.ready = milliseconds(2500);
-  limits.longest_pause = milliseconds(2000);
+  limits.max_backoff = milliseconds(2000);
   limits.crash_window = milliseconds(20'000);
   return limits;
 }
@@ -42,9 +42,9 @@
   Policy policy;
   policy.max_unavailable = 2;
   policy.on_failure = roll_back ? OnFailure::kRollBack : OnFailure::kHold;
-  policy.step_limit = milliseconds(9000);
-  policy.watch = milliseconds(500);
-  policy.unreachable_limit = milliseconds(2000);
+  policy.step_timeout = milliseconds(9000);
+  policy.watch_interval = milliseconds(500);
+  policy.unreachable_timeout = milliseconds(2000);
   return policy;
 }
 
@@ -87,7 +87,7 @@
   std::unique_ptr<Claim> claim;
   std::unique_ptr<Change> change;
   Plan plan;
-  Change::Aim aim = Change::Aim::kForward;
+  Change::Direction direction = Change::Direction::kForward;
   Epoch epoch = 0;
   int claims = 0;  // of its life: each has a name of its own
   int held_in_calm = 0;
@@ -319,7 +319,7 @@
     }
   }
 
-  Seen See(const Host& host, const std::string& name) const {
+  ProcessState Inspect(const Host& host, const std::string& name) const {
     const auto it = host.processes.find(name);
     if (it == host.processes.end()) return {};
     const Process& p = it->second;
@@ -353,7 +353,7 @@
 
   // Counts what was refused by its epoch; checks that no holder's command comes behind a later one's.
   agent::Agent::Answer Counted(agent::Agent::Answer answer, Epoch epoch, bool command) {
-    if (answer.verdict != LeaseBook::Verdict::kGranted) {
+    if (answer.verdict != Lessor::Verdict::kGranted) {
       ++history_.fenced;
     } else if (command) {
       if (epoch < last_taken_) Violation("a holder's command was taken after a later holder's");
@@ -421,15 +421,15 @@
         target.from = RecordOf(target.name).generation;
         target.to = Chance(0.2) ? target.from : "g" + std::to_string(history_.changes);
       }
-      tool.aim = Change::Aim::kForward;
+      tool.direction = Change::Direction::kForward;
     } else {
       resumes = true;
-      tool.aim = script_ != nullptr ? script_->then
-                 : calm_            ? Change::Aim::kUndo
-                 : Chance(0.5)      ? Change::Aim::kUndo
-                                    : Change::Aim::kForward;
+      tool.direction = script_ != nullptr ? script_->then
+                       : calm_            ? Change::Direction::kUndo
+                       : Chance(0.5)      ? Change::Direction::kUndo
+                                          : Change::Direction::kForward;
     }
-    if (const auto fault = FaultOf(tool.plan)) return Violation(*fault);
+    if (const auto fault = ValidatePlan(tool.plan)) return Violation(*fault);
     std::set<std::string> names;
     for (const Host& host : hosts_) names.insert(host.name);
     ++tool.claims;
@@ -438,15 +438,15 @@
 
   void Claiming(Tool& tool) {
     std::vector<ClaimCommand> commands;
-    tool.claim->Turn(now_, commands);
+    tool.claim->Tick(now_, commands);
     const Holder holder{tool.plan.id, tool.who, tool.plan.why, 0, NameOf(tool)};
     for (const ClaimCommand& c : commands) {
       switch (c.kind) {
-        case ClaimCommand::Kind::kLook:
+        case ClaimCommand::Kind::kReadEpoch:
           Ask(
               tool, c.agent, [this](agent::Agent& agent) { return agent.Highest(now_); },
               [&tool, name = c.agent](const agent::Agent::Answer& a) {
-                if (tool.claim) tool.claim->Looked(name, a.highest);
+                if (tool.claim) tool.claim->OnHighestEpoch(name, a.highest);
               });
           break;
         case ClaimCommand::Kind::kAcquire:
@@ -459,7 +459,7 @@
               },
               [&tool, c, holder](const agent::Agent::Answer& a) {
                 if (tool.claim && a.refused.empty())
-                  tool.claim->Answered(holder.tool, c.agent, c.epoch, a.verdict, a.holder, a.open);
+                  tool.claim->OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, a.verdict, a.holder, a.open);
               });
           break;
         case ClaimCommand::Kind::kRelease:
@@ -469,11 +469,11 @@
     }
     if (tool.claim->granted()) {
       tool.epoch = tool.claim->granted()->epoch;
-      tool.change =
-          std::make_unique<Change>(tool.plan, tool.aim, tool.epoch, kLeaseTime, tool.claim->granted()->since);
+      tool.change = std::make_unique<Change>(tool.plan, tool.direction, tool.epoch, kLeaseTime,
+                                             tool.claim->granted()->since);
       tool.claim.reset();
-    } else if (!tool.claim->refused().empty()) {
-      last_said_ = tool.claim->refused();
+    } else if (!tool.claim->rejection().empty()) {
+      last_said_ = tool.claim->rejection();
       ++history_.refused_claims;
       tool.claim.reset();
       tool.next = now_ + milliseconds(500 + Upto(4000));
@@ -493,7 +493,7 @@
     std::vector<ChangeCommand> commands;
     // At last, what can't be undone either (its former generation was bad, too) is left as it is.
     if (calm_ ? tool.held_in_calm >= 3 : Chance(0.0008 * trouble_)) tool.change->Abort();
-    tool.change->Turn(now_, commands);
+    tool.change->Tick(now_, commands);
     for (const ChangeCommand& c : commands) {
       if (c.kind == ChangeCommand::Kind::kSay) {
         last_said_ = c.line;
@@ -502,24 +502,24 @@
       Ask(
           tool, c.name.agent,
           [this, c, epoch = tool.epoch, name = NameOf(tool)](agent::Agent& agent) {
-            if (c.kind == ChangeCommand::Kind::kTake)
+            if (c.kind == ChangeCommand::Kind::kTakeStep)
               return Counted(agent.Take(c.name.instance, c.step, epoch, name, now_, 0), epoch, true);
             agent::Agent::Answer answer = Counted(agent.Renew(epoch, name, now_), epoch, false);
-            if (c.kind == ChangeCommand::Kind::kReport && answer.verdict == LeaseBook::Verdict::kGranted) {
+            if (c.kind == ChangeCommand::Kind::kReport && answer.verdict == Lessor::Verdict::kGranted) {
               answer.report = agent.ReportOf(c.name.instance);
             }
             return answer;
           },
           [this, &tool, c, asked = now_, epoch = tool.epoch](const agent::Agent::Answer& a) {
             if (!tool.change || tool.epoch != epoch) return;
-            if (a.verdict != LeaseBook::Verdict::kGranted) {
-              return tool.change->Fenced(c.name.agent, a.holder ? a.holder->who : "");
+            if (a.verdict != Lessor::Verdict::kGranted) {
+              return tool.change->OnFenced(c.name.agent, a.holder ? a.holder->who : "");
             }
-            tool.change->Renewed(c.name.agent, asked);
-            if (a.report) tool.change->Heard(c.name, c.number, *a.report, asked);
-            if (!a.refused.empty()) tool.change->Refused(c.name, a.refused);
+            tool.change->OnLeaseRenewed(c.name.agent, asked);
+            if (a.report) tool.change->OnReport(c.name, c.number, *a.report, asked);
+            if (!a.refused.empty()) tool.change->OnStepRejected(c.name, a.refused);
           },
-          c.kind == ChangeCommand::Kind::kTake ? 0.15 : 0.02);
+          c.kind == ChangeCommand::Kind::kTakeStep ? 0.15 : 0.02);
     }
     if (tool.change->end()) Ended(tool, *tool.change->end());
   }
@@ -658,7 +658,7 @@
 class Box : public agent::Machine {
  public:
   Box(World& world, Host& host) : world_(world), host_(host) {}
-  Seen See(const std::string& instance) override { return world_.See(host_, instance); }
+  ProcessState Inspect(const std::string& instance) override { return world_.Inspect(host_, instance); }
   void Do(const std::string& instance, const Action& action) override { world_.Do(host_, instance, action); }
   std::pair<std::uint64_t, std::uint64_t> Requests(const std::string&) override { return {0, 0}; }
   bool HasGeneration(const std::string&) const override { return true; }
--- a/tests/rollout/changes_model.h
+++ b/tests/rollout/changes_model.h
@@ -37,7 +37,7 @@
 struct Script {
   std::vector<int> agent_dies_at{};  // at these places of History::points, counted over all agents
   int tool_dies_at = -1;             // after this one of History::commands; -1: never
-  Change::Aim then = Change::Aim::kForward;
+  Change::Direction then = Change::Direction::kForward;
 };
 // The seed draws the delays.
 History Play(std::uint64_t seed, const Script& script);
--- a/tests/rollout/changes_test.cpp
+++ b/tests/rollout/changes_test.cpp
@@ -25,41 +25,41 @@
 
 // ---- Lease ----
 
-using Verdict = LeaseBook::Verdict;
+using Verdict = Lessor::Verdict;
 
 TEST(Lease, OneHolderAtATimeAndOlderOnesAreFenced) {
-  LeaseBook book({}, milliseconds(1000), At(0));
+  Lessor book({}, milliseconds(1000), At(0));
   EXPECT_EQ(book.Acquire(1, By("ann", "c1"), At(0)), Verdict::kGranted);
   EXPECT_EQ(book.Acquire(2, By("bob", "c2"), At(999)), Verdict::kHeld);
   EXPECT_EQ(book.holder(At(999))->who, "ann");
-  EXPECT_EQ(book.Use(1, "ann", At(500)), Verdict::kGranted);
+  EXPECT_EQ(book.Renew(1, "ann", At(500)), Verdict::kGranted);
   EXPECT_EQ(book.Acquire(2, By("bob", "c2"), At(1400)), Verdict::kHeld) << "it was used";
   EXPECT_EQ(book.Acquire(2, By("bob", "c2"), At(1500)), Verdict::kGranted);
-  EXPECT_EQ(book.Use(1, "ann", At(1501)), Verdict::kFenced) << "it wakes up late";
+  EXPECT_EQ(book.Renew(1, "ann", At(1501)), Verdict::kFenced) << "it wakes up late";
   EXPECT_EQ(book.Acquire(2, By("eve", "c3"), At(9000)), Verdict::kFenced) << "an epoch is granted once";
   book.Release(1, "ann", true);
-  EXPECT_EQ(book.Use(2, "bob", At(1600)), Verdict::kGranted) << "a late release of another's";
+  EXPECT_EQ(book.Renew(2, "bob", At(1600)), Verdict::kGranted) << "a late release of another's";
 }
 
 TEST(Lease, TwoThatChoseTheSameEpochAreToldApart) {
-  LeaseBook book({}, milliseconds(1000), At(0));
+  Lessor book({}, milliseconds(1000), At(0));
   ASSERT_EQ(book.Acquire(1, By("ann", "c1"), At(0)), Verdict::kGranted);
   EXPECT_EQ(book.Acquire(1, By("bob", "c2"), At(0)), Verdict::kFenced);
   book.Release(1, "bob", true);
-  EXPECT_EQ(book.Use(1, "bob", At(1)), Verdict::kFenced);
-  EXPECT_EQ(book.Use(1, "ann", At(1)), Verdict::kGranted);
+  EXPECT_EQ(book.Renew(1, "bob", At(1)), Verdict::kFenced);
+  EXPECT_EQ(book.Renew(1, "ann", At(1)), Verdict::kGranted);
 }
 
 TEST(Lease, LapsedOneIsNotRenewed) {
-  LeaseBook book({}, milliseconds(1000), At(0));
+  Lessor book({}, milliseconds(1000), At(0));
   ASSERT_EQ(book.Acquire(1, By("ann", "c1"), At(0)), Verdict::kGranted);
-  EXPECT_EQ(book.Use(1, "ann", At(1000)), Verdict::kLapsed);
+  EXPECT_EQ(book.Renew(1, "ann", At(1000)), Verdict::kLapsed);
   EXPECT_FALSE(book.holder(At(1000)));
   EXPECT_EQ(book.Acquire(2, By("ann", "c1"), At(1000)), Verdict::kGranted);
 }
 
 TEST(Lease, OpenChangeIsFinishedBeforeAnother) {
-  LeaseBook book({}, milliseconds(1000), At(0));
+  Lessor book({}, milliseconds(1000), At(0));
   ASSERT_EQ(book.Acquire(1, By("ann", "c1"), At(0)), Verdict::kGranted);
   ASSERT_EQ(book.Open(1, By("ann", "c1"), At(1)), Verdict::kGranted);
   book.Release(1, "ann", false);
@@ -71,7 +71,7 @@
 
 // A question of the same run and epoch, but for another change, was granted meanwhile.
 TEST(Lease, OpensNoOtherChangeThanItWasGrantedFor) {
-  LeaseBook book({}, milliseconds(1000), At(0));
+  Lessor book({}, milliseconds(1000), At(0));
   ASSERT_EQ(book.Acquire(5, By("ann", "c1"), At(0)), Verdict::kGranted);
   EXPECT_EQ(book.Open(5, By("ann", "c4"), At(1)), Verdict::kFenced);
   EXPECT_FALSE(book.state().open);
@@ -79,12 +79,12 @@
 }
 
 TEST(Lease, AfterARestartItHasItsWholeTime) {
-  LeaseBook before({}, milliseconds(1000), At(0));
+  Lessor before({}, milliseconds(1000), At(0));
   ASSERT_EQ(before.Acquire(7, By("ann", "c1"), At(0)), Verdict::kGranted);
   // The machine started anew, and so did its clock.
-  LeaseBook book(before.state(), milliseconds(1000), At(10));
+  Lessor book(before.state(), milliseconds(1000), At(10));
   EXPECT_EQ(book.Acquire(8, By("bob", "c2"), At(1009)), Verdict::kHeld);
-  EXPECT_EQ(book.Use(7, "ann", At(1009)), Verdict::kGranted);
+  EXPECT_EQ(book.Renew(7, "ann", At(1009)), Verdict::kGranted);
   EXPECT_EQ(book.Acquire(8, By("bob", "c2"), At(2009)), Verdict::kGranted);
 }
 
@@ -92,10 +92,10 @@
 
 // Agents that answer a claim at once.
 struct Agents {
-  std::map<std::string, LeaseBook> books;
+  std::map<std::string, Lessor> books;
   Agents() {
     for (const char* name : {"a", "b", "c", "d"})
-      books.emplace(name, LeaseBook({}, milliseconds(10'000), At(0)));
+      books.emplace(name, Lessor({}, milliseconds(10'000), At(0)));
   }
   std::set<std::string> Names() const {
     std::set<std::string> names;
@@ -105,24 +105,25 @@
   // One turn of the claim; those in `silent` say nothing.
   void Turn(Claim& claim, const Holder& holder, TimePoint now, const std::set<std::string>& silent = {}) {
     std::vector<ClaimCommand> commands;
-    claim.Turn(now, commands);
+    claim.Tick(now, commands);
     for (const ClaimCommand& c : commands) {
       if (silent.contains(c.agent)) continue;
-      LeaseBook& book = books.at(c.agent);
+      Lessor& book = books.at(c.agent);
       const auto in_the_way = book.holder(now);
       switch (c.kind) {
-        case ClaimCommand::Kind::kLook:
-          claim.Looked(c.agent, book.state().highest);
+        case ClaimCommand::Kind::kReadEpoch:
+          claim.OnHighestEpoch(c.agent, book.state().highest);
           break;
         case ClaimCommand::Kind::kAcquire:
-          claim.Answered(holder.tool, c.agent, c.epoch, book.Acquire(c.epoch, holder, now), in_the_way,
-                         book.state().open && book.state().open->change == holder.change);
+          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, book.Acquire(c.epoch, holder, now),
+                              in_the_way, book.state().open && book.state().open->change == holder.change);
           break;
         case ClaimCommand::Kind::kOpen:
-          claim.Answered(holder.tool, c.agent, c.epoch, book.Open(c.epoch, holder, now), in_the_way, true);
+          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, book.Open(c.epoch, holder, now), in_the_way,
+                              true);
           break;
         case ClaimCommand::Kind::kRelease:
-          book.Release(c.epoch, holder.tool, false);
+          book.Release(c.epoch, holder.claim_id, false);
           break;
       }
     }
@@ -141,10 +142,10 @@
   }
   ASSERT_TRUE(first.granted());
   EXPECT_FALSE(second.granted());
-  EXPECT_NE(second.refused().find("the same instant"), std::string::npos) << second.refused();
+  EXPECT_NE(second.rejection().find("the same instant"), std::string::npos) << second.rejection();
   Claim third("bob", agents.Names(), agents.Names(), false, milliseconds(1000), At(100));
   for (int i = 0; i < 12; ++i) agents.Turn(third, bob, At(100 + i));
-  EXPECT_EQ(third.refused(), "ann has the fleet for c1 (a test)");
+  EXPECT_EQ(third.rejection(), "ann has the fleet for c1 (a test)");
   for (const auto& [name, book] : agents.books) EXPECT_EQ(book.holder(At(200))->who, "ann") << name;
 }
 
@@ -153,7 +154,7 @@
     Agents agents;
     Claim claim("ann", agents.Names(), needed, false, milliseconds(1000), At(0));
     for (int i = 0; i < 100; ++i) agents.Turn(claim, By("ann", "c1"), At(i * 100), silent);
-    return claim.granted() ? "granted" : claim.refused();
+    return claim.granted() ? "granted" : claim.rejection();
   };
   EXPECT_EQ(claim({"a"}, {"d"}), "granted");
   EXPECT_EQ(claim({"a", "d"}, {"d"}), "can't be reached: d");
@@ -165,13 +166,13 @@
   const Holder ann = By("ann", "c1");
   Claim closed("ann", agents.Names(), agents.Names(), true, milliseconds(1000), At(0));
   for (int i = 0; i < 12; ++i) agents.Turn(closed, ann, At(i));
-  EXPECT_EQ(closed.refused(), "the change has come to its end meanwhile");
-  LeaseBook& book = agents.books.at("c");
+  EXPECT_EQ(closed.rejection(), "the change has come to its end meanwhile");
+  Lessor& book = agents.books.at("c");
   ASSERT_EQ(book.Acquire(9, ann, At(20)), Verdict::kGranted);
   ASSERT_EQ(book.Open(9, ann, At(20)), Verdict::kGranted);
   Claim open("ann", agents.Names(), agents.Names(), true, milliseconds(1000), At(20));
   for (int i = 0; i < 12; ++i) agents.Turn(open, ann, At(20 + i));
-  EXPECT_TRUE(open.granted()) << open.refused();
+  EXPECT_TRUE(open.granted()) << open.rejection();
 }
 
 // History 98150: ann's first claim, for c1, was refused, and its question to "a" was still on its way. It
@@ -181,14 +182,14 @@
   Agents agents;
   const Holder first{"c1", "ann", "a test", 0, "ann.1"};
   const Holder second{"c4", "ann", "a test", 0, "ann.2"};
-  Claim claim(second.tool, agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
+  Claim claim(second.claim_id, agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
   agents.Turn(claim, second, At(0));                  // asks for the highest epoch
   agents.Turn(claim, second, At(1), agents.Names());  // asks "a" for epoch 1, which takes its time
-  LeaseBook& a = agents.books.at("a");
-  claim.Answered(first.tool, "a", 1, a.Acquire(1, first, At(2)), std::nullopt, false);
+  Lessor& a = agents.books.at("a");
+  claim.OnLeaseAnswer(first.claim_id, "a", 1, a.Acquire(1, first, At(2)), std::nullopt, false);
   for (int i = 0; i < 12; ++i) agents.Turn(claim, second, At(500 + i));
   EXPECT_FALSE(claim.granted());
-  EXPECT_NE(claim.refused().find("the same instant"), std::string::npos) << claim.refused();
+  EXPECT_NE(claim.rejection().find("the same instant"), std::string::npos) << claim.rejection();
   for (const auto& [name, book] : agents.books) EXPECT_FALSE(book.state().open) << name;
   EXPECT_EQ(agents.books.at("b").state().highest, 0U) << "it went on from an agent that it has not got";
 }
@@ -198,7 +199,7 @@
   ASSERT_EQ(agents.books.at("c").Acquire(5, By("bob", "c2"), At(0)), Verdict::kGranted);
   Claim claim("ann", agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
   for (int i = 0; i < 12; ++i) agents.Turn(claim, By("ann", "c1"), At(i));
-  EXPECT_EQ(claim.refused(), "bob has the fleet for c2 (a test)");
+  EXPECT_EQ(claim.rejection(), "bob has the fleet for c2 (a test)");
   for (const char* name : {"a", "b", "d"}) EXPECT_FALSE(agents.books.at(name).holder(At(20))) << name;
   EXPECT_EQ(agents.books.at("c").holder(At(20))->who, "bob");
 }
@@ -227,13 +228,13 @@
   return text;
 }
 
-std::string Look(Instance& instance, const Seen& seen, int ms) {
+std::string Reconcile(Instance& instance, const ProcessState& seen, int ms) {
   std::vector<Action> actions;
-  instance.Look(seen, At(ms), actions);
+  instance.Reconcile(seen, At(ms), actions);
   return Told(actions);
 }
 
-Seen Process(const std::string& token, const std::string& generation, bool ready = true) {
+ProcessState Process(const std::string& token, const std::string& generation, bool ready = true) {
   return {true, token, generation, ready, false};
 }
 
@@ -247,30 +248,30 @@
 
 TEST(Instance, RestartIsOneStopAndOneStart) {
   Instance instance(Running(), {});
-  const Seen old = Process("", "g1");
-  EXPECT_EQ(Look(instance, old, 0), "");
-  ASSERT_EQ(instance.Take(kRestart), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(instance, old, 10), "stop");
-  EXPECT_EQ(Look(instance, old, 20), "");
-  EXPECT_EQ(Look(instance, {}, 30), "start g2 c1/do.0");
-  EXPECT_EQ(Look(instance, Process("c1/do.0", "g2", false), 40), "");
-  EXPECT_EQ(Look(instance, Process("c1/do.0", "g2"), 50), "c1/do.0 done");
+  const ProcessState old = Process("", "g1");
+  EXPECT_EQ(Reconcile(instance, old, 0), "");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, old, 10), "stop");
+  EXPECT_EQ(Reconcile(instance, old, 20), "");
+  EXPECT_EQ(Reconcile(instance, {}, 30), "start g2 c1/do.0");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 40), "");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2"), 50), "c1/do.0 done");
   EXPECT_EQ(instance.record().phase, Phase::kDone);
-  ASSERT_EQ(instance.Take(kRestart), Instance::Verdict::kTaken) << "the command came twice";
-  EXPECT_EQ(Look(instance, Process("c1/do.0", "g2"), 60), "");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted) << "the command came twice";
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2"), 60), "");
 }
 
 // The agent dies after each durable step and before each action; what it sees then tells the rest.
 TEST(Instance, AgentThatDiedGoesOnFromWhatItSees) {
   Instance accepted(Running(), {});
-  ASSERT_EQ(accepted.Take(kRestart), Instance::Verdict::kTaken);
+  ASSERT_EQ(accepted.Accept(kRestart), Instance::Verdict::kAccepted);
   const InstanceRecord record = accepted.record();
-  const auto after = [&](const Seen& seen) {
+  const auto after = [&](const ProcessState& seen) {
     Instance instance(record, {});
-    return Look(instance, seen, 1000);
+    return Reconcile(instance, seen, 1000);
   };
   EXPECT_EQ(after(Process("", "g1")), "stop");
-  Seen draining = Process("", "g1", false);
+  ProcessState draining = Process("", "g1", false);
   draining.draining = true;
   EXPECT_EQ(after(draining), "") << "it has been told";
   EXPECT_EQ(after({}), "start g2 c1/do.0");
@@ -282,45 +283,45 @@
   InstanceLimits limits;
   limits.stop = milliseconds(1000);
   Instance instance(Running(), limits);
-  ASSERT_EQ(instance.Take(kRestart), Instance::Verdict::kTaken);
-  const Seen deaf = Process("", "g1");
-  EXPECT_EQ(Look(instance, deaf, 0), "stop");
-  EXPECT_EQ(Look(instance, deaf, 999), "");
-  EXPECT_EQ(Look(instance, deaf, 1000), "kill; killed: it ignored the planned stop");
-  EXPECT_EQ(Look(instance, deaf, 1100), "");
-  EXPECT_EQ(Look(instance, {}, 1200), "start g2 c1/do.0");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  const ProcessState deaf = Process("", "g1");
+  EXPECT_EQ(Reconcile(instance, deaf, 0), "stop");
+  EXPECT_EQ(Reconcile(instance, deaf, 999), "");
+  EXPECT_EQ(Reconcile(instance, deaf, 1000), "kill; killed: it ignored the planned stop");
+  EXPECT_EQ(Reconcile(instance, deaf, 1100), "");
+  EXPECT_EQ(Reconcile(instance, {}, 1200), "start g2 c1/do.0");
 }
 
 TEST(Instance, StepWhoseProcessNeverGetsReadyOrEndsAtOnceHasFailed) {
   InstanceLimits limits;
   limits.ready = milliseconds(1000);
   Instance slow(Running(), limits);
-  ASSERT_EQ(slow.Take(kRestart), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(slow, {}, 0), "start g2 c1/do.0");
-  EXPECT_EQ(Look(slow, Process("c1/do.0", "g2", false), 999), "");
-  EXPECT_EQ(Look(slow, Process("c1/do.0", "g2", false), 1000), "c1/do.0 failed: not ready within 1 s");
+  ASSERT_EQ(slow.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(slow, {}, 0), "start g2 c1/do.0");
+  EXPECT_EQ(Reconcile(slow, Process("c1/do.0", "g2", false), 999), "");
+  EXPECT_EQ(Reconcile(slow, Process("c1/do.0", "g2", false), 1000), "c1/do.0 failed: not ready within 1 s");
   EXPECT_EQ(slow.record().phase, Phase::kFailed);
 
   Instance dying(Running(), limits);
-  ASSERT_EQ(dying.Take(kRestart), Instance::Verdict::kTaken);
+  ASSERT_EQ(dying.Accept(kRestart), Instance::Verdict::kAccepted);
   int starts = 0;
   int now = 0;
   for (; now < 60'000 && dying.record().phase == Phase::kAccepted; now += 50) {
-    if (Look(dying, {}, now).starts_with("start")) ++starts;
+    if (Reconcile(dying, {}, now).starts_with("start")) ++starts;
   }
   EXPECT_EQ(starts, 3);
-  EXPECT_EQ(dying.record().why, "it ended 3 times");
+  EXPECT_EQ(dying.record().failure_reason, "it ended 3 times");
 }
 
 TEST(Instance, CrashLoopBacksOffAndIsHeldUntilAStep) {
   InstanceLimits limits;
-  limits.first_pause = milliseconds(100);
+  limits.first_backoff = milliseconds(100);
   Instance instance(Running(), limits);
-  Look(instance, Process("", "g1"), 0);
+  Reconcile(instance, Process("", "g1"), 0);
   std::vector<int> starts;
   std::string held;
   for (int now = 10; now < 60'000; now += 10) {
-    const std::string told = Look(instance, {}, now);
+    const std::string told = Reconcile(instance, {}, now);
     if (told.starts_with("start g1")) starts.push_back(now);
     if (told.starts_with("crash loop")) held += told;
   }
@@ -330,59 +331,60 @@
   }
   EXPECT_EQ(held, "crash loop: it ended 5 times; held, restart it once it is mended");
   EXPECT_TRUE(instance.held());
-  ASSERT_EQ(instance.Take(kRestart), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(instance, {}, 60'000), "start g2 c1/do.0");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, {}, 60'000), "start g2 c1/do.0");
 }
 
 TEST(Instance, OneThatWasKilledOutsideIsStartedAgain) {
   Instance instance(Running(), {});
-  Look(instance, Process("", "g1"), 0);
-  EXPECT_EQ(Look(instance, {}, 10), "");
-  EXPECT_EQ(Look(instance, {}, 210), "start g1 ");
+  Reconcile(instance, Process("", "g1"), 0);
+  EXPECT_EQ(Reconcile(instance, {}, 10), "");
+  EXPECT_EQ(Reconcile(instance, {}, 210), "start g1 ");
 }
 
 TEST(Instance, UndoTakesOverAndTheStepIsStaleThen) {
   const Step undo{"c1", StepKind::kRestart, true, "g1"};
   Instance halfway(Running(), {});
-  ASSERT_EQ(halfway.Take(kRestart), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(halfway, {}, 0), "start g2 c1/do.0");
-  ASSERT_EQ(halfway.Take(undo), Instance::Verdict::kTaken);
-  EXPECT_EQ(halfway.Take(kRestart), Instance::Verdict::kStale) << "reordered";
-  EXPECT_EQ(Look(halfway, Process("c1/do.0", "g2"), 10), "stop");
-  EXPECT_EQ(Look(halfway, {}, 20), "start g1 c1/undo.0");
-  EXPECT_EQ(Look(halfway, Process("c1/undo.0", "g1"), 30), "c1/undo.0 done");
+  ASSERT_EQ(halfway.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(halfway, {}, 0), "start g2 c1/do.0");
+  ASSERT_EQ(halfway.Accept(undo), Instance::Verdict::kAccepted);
+  EXPECT_EQ(halfway.Accept(kRestart), Instance::Verdict::kStale) << "reordered";
+  EXPECT_EQ(Reconcile(halfway, Process("c1/do.0", "g2"), 10), "stop");
+  EXPECT_EQ(Reconcile(halfway, {}, 20), "start g1 c1/undo.0");
+  EXPECT_EQ(Reconcile(halfway, Process("c1/undo.0", "g1"), 30), "c1/undo.0 done");
 
   Instance untouched(Running(), {});
-  ASSERT_EQ(untouched.Take(undo), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(untouched, Process("", "g1"), 0), "") << "nothing to undo";
-  EXPECT_EQ(untouched.Take(kRestart), Instance::Verdict::kStale) << "it was still on its way";
+  ASSERT_EQ(untouched.Accept(undo), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(untouched, Process("", "g1"), 0), "") << "nothing to undo";
+  EXPECT_EQ(untouched.Accept(kRestart), Instance::Verdict::kStale) << "it was still on its way";
 }
 
 TEST(Instance, FailedStepIsTakenAgainFromALaterHolderOnly) {
   InstanceLimits limits;
   limits.ready = milliseconds(1000);
   Instance instance(Running(), limits);
-  ASSERT_EQ(instance.Take(kRestart), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(instance, {}, 0), "start g2 c1/do.0");
-  EXPECT_EQ(Look(instance, Process("c1/do.0", "g2", false), 1000), "c1/do.0 failed: not ready within 1 s");
-  ASSERT_EQ(instance.Take(kRestart), Instance::Verdict::kTaken);
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, {}, 0), "start g2 c1/do.0");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 1000),
+            "c1/do.0 failed: not ready within 1 s");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(instance.record().phase, Phase::kFailed) << "the command came twice";
   Step again = kRestart;
   again.epoch = 1;
-  ASSERT_EQ(instance.Take(again), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(instance, Process("c1/do.0", "g2", false), 2000), "stop");
-  EXPECT_EQ(Look(instance, {}, 2100), "start g2 c1/do.1");
-  EXPECT_EQ(Look(instance, Process("c1/do.1", "g2"), 2200), "c1/do.1 done");
+  ASSERT_EQ(instance.Accept(again), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 2000), "stop");
+  EXPECT_EQ(Reconcile(instance, {}, 2100), "start g2 c1/do.1");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.1", "g2"), 2200), "c1/do.1 done");
   again.epoch = 2;
-  ASSERT_EQ(instance.Take(again), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(instance, Process("c1/do.1", "g2"), 2300), "") << "it is done";
+  ASSERT_EQ(instance.Accept(again), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.1", "g2"), 2300), "") << "it is done";
 }
 
 TEST(Instance, AnotherChangeWaitsForTheStep) {
   Instance instance(Running(), {});
-  ASSERT_EQ(instance.Take(kRestart), Instance::Verdict::kTaken);
-  EXPECT_EQ(instance.Take({"c2", StepKind::kRestart, false, "g3", 0, "g2"}), Instance::Verdict::kBusy);
-  EXPECT_EQ(instance.Take({"c2", StepKind::kRestart, true, "g1"}), Instance::Verdict::kBusy);
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(instance.Accept({"c2", StepKind::kRestart, false, "g3", 0, "g2"}), Instance::Verdict::kBusy);
+  EXPECT_EQ(instance.Accept({"c2", StepKind::kRestart, true, "g1"}), Instance::Verdict::kBusy);
   EXPECT_EQ(instance.record().generation, "g2");
 }
 
@@ -391,16 +393,16 @@
   Step step = kRestart;
   step.from = "g0";
   const InstanceRecord before = instance.record();
-  EXPECT_EQ(instance.Take(step), Instance::Verdict::kMoved);
+  EXPECT_EQ(instance.Accept(step), Instance::Verdict::kGenerationMismatch);
   EXPECT_EQ(instance.record(), before);
 }
 
 TEST(Instance, StoppedOneStaysDown) {
   Instance instance(Running(), {});
-  ASSERT_EQ(instance.Take({"c1", StepKind::kStop, false, "g1", 0, "g1"}), Instance::Verdict::kTaken);
-  EXPECT_EQ(Look(instance, Process("", "g1"), 0), "stop");
-  EXPECT_EQ(Look(instance, {}, 10), "c1/do.0 done");
-  for (int now = 20; now < 100'000; now += 1000) EXPECT_EQ(Look(instance, {}, now), "");
+  ASSERT_EQ(instance.Accept({"c1", StepKind::kStop, false, "g1", 0, "g1"}), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, Process("", "g1"), 0), "stop");
+  EXPECT_EQ(Reconcile(instance, {}, 10), "c1/do.0 done");
+  for (int now = 20; now < 100'000; now += 1000) EXPECT_EQ(Reconcile(instance, {}, now), "");
 }
 
 // ---- Plan ----
@@ -425,15 +427,15 @@
 }
 
 TEST(Plan, FaultsAreNamed) {
-  EXPECT_EQ(FaultOf(PlanOf(2, 1)), std::nullopt);
-  EXPECT_EQ(FaultOf(PlanOf(0, 1)), "no instance is named; name at least one");
-  EXPECT_EQ(FaultOf(PlanOf(2, 0)), "max_unavailable is 0, so nothing can be changed; give 1 or more");
+  EXPECT_EQ(ValidatePlan(PlanOf(2, 1)), std::nullopt);
+  EXPECT_EQ(ValidatePlan(PlanOf(0, 1)), "no instance is named; name at least one");
+  EXPECT_EQ(ValidatePlan(PlanOf(2, 0)), "max_unavailable is 0, so nothing can be changed; give 1 or more");
   Plan twice = PlanOf(1, 1);
   twice.targets.push_back(twice.targets.front());
-  EXPECT_EQ(FaultOf(twice), "bole/i0 is named twice; take one of them out");
+  EXPECT_EQ(ValidatePlan(twice), "bole/i0 is named twice; take one of them out");
   Plan stop = PlanOf(1, 1);
   stop.kind = StepKind::kStop;
-  EXPECT_EQ(FaultOf(stop),
+  EXPECT_EQ(ValidatePlan(stop),
             "kality/i0 is in another hall than the first; stop instances of one hall at a time");
 }
 
@@ -442,13 +444,13 @@
 // Plays the agents of one change: what each instance tells is set by the test.
 class Fleet {
  public:
-  Fleet(const Plan& plan, Change::Aim aim = Change::Aim::kForward)
-      : plan_(plan), change(plan, aim, 1, milliseconds(30'000), At(0)) {
+  Fleet(const Plan& plan, Change::Direction direction = Change::Direction::kForward)
+      : plan_(plan), change(plan, direction, 1, milliseconds(30'000), At(0)) {
     for (const Target& target : plan.targets) {
       Report& report = reports[target.name];
       report.running = report.ready = true;
       report.generation = target.from;
-      report.taken = 1000;
+      report.requests = 1000;
     }
   }
 
@@ -456,17 +458,17 @@
   void Run(int until) {
     for (; now_ <= until && !change.end(); now_ += 100) {
       std::vector<ChangeCommand> commands;
-      change.Turn(At(now_), commands);
+      change.Tick(At(now_), commands);
       for (const ChangeCommand& c : commands) {
         if (c.kind == ChangeCommand::Kind::kSay) {
           said += c.line + '\n';
           continue;
         }
         if (silent.contains(c.name.agent)) continue;
-        change.Renewed(c.name.agent, At(now_));
+        change.OnLeaseRenewed(c.name.agent, At(now_));
         if (c.kind == ChangeCommand::Kind::kRenew) continue;
         Report& report = reports.at(c.name);
-        if (c.kind == ChangeCommand::Kind::kTake && report.step != c.step) {
+        if (c.kind == ChangeCommand::Kind::kTakeStep && report.step != c.step) {
           steps.push_back(c.name.agent + '/' + c.name.instance + (c.step.undo ? " undo" : ""));
           report.step = c.step;
           report.phase = Phase::kDone;
@@ -474,7 +476,7 @@
           if (on_step) on_step(c.name, report);
         }
         if (c.kind == ChangeCommand::Kind::kReport && on_report) on_report(c.name, report);
-        change.Heard(c.name, c.number, report, At(now_));
+        change.OnReport(c.name, c.number, report, At(now_));
       }
     }
   }
@@ -510,11 +512,11 @@
       report.ready = true;
       if (name.instance != "i1" || report.step.undo) return;
       report.phase = Phase::kFailed;
-      report.why = "not ready within 10 s";
+      report.failure_reason = "not ready within 10 s";
       report.ready = false;
     };
     fleet.Run(120'000);
-    EXPECT_EQ(fleet.change.why(), "bole/i1: not ready within 10 s");
+    EXPECT_EQ(fleet.change.reason(), "bole/i1: not ready within 10 s");
     if (policy == OnFailure::kHold) {
       EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
       EXPECT_EQ(fleet.steps, (Names{"bole/i0", "bole/i1"}));
@@ -528,25 +530,25 @@
 TEST(Change, GateStopsAtMoreFailuresThanBefore) {
   Fleet fleet(PlanOf(2, 1));
   fleet.on_report = [](const InstanceName&, Report& report) {
-    report.taken += 100;
-    report.bad += report.generation == "g2" ? 20 : 1;
+    report.requests += 100;
+    report.failed_requests += report.generation == "g2" ? 20 : 1;
   };
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
   EXPECT_EQ(fleet.steps, Names{"bole/i0"});
-  EXPECT_NE(fleet.change.why().find("bole/i0 refuses or fails 20% of its requests, before"),
+  EXPECT_NE(fleet.change.reason().find("bole/i0 refuses or fails 20% of its requests, before"),
             std::string::npos)
-      << fleet.change.why();
+      << fleet.change.reason();
 }
 
 TEST(Change, DoesNotBeginWhileAnInstanceElsewhereIsDown) {
   Plan plan = PlanOf(2, 1);
-  plan.policy.step_limit = milliseconds(3000);
+  plan.policy.step_timeout = milliseconds(3000);
   Fleet fleet(plan);
   fleet.reports[{"kality", "i1"}].ready = false;
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
-  EXPECT_EQ(fleet.change.why(), "kality/i1 is not available");
+  EXPECT_EQ(fleet.change.reason(), "kality/i1 is not available");
   EXPECT_EQ(fleet.steps, Names{});
 }
 
@@ -565,19 +567,19 @@
   fleet.on_step = [&](const InstanceName&, Report&) { fleet.silent.insert("kality"); };
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
-  EXPECT_EQ(fleet.change.why(), "kality can't be reached; its instances finish what they have taken");
+  EXPECT_EQ(fleet.change.reason(), "kality can't be reached; its instances finish what they have taken");
   EXPECT_EQ(fleet.steps, Names{"bole/i0"});
 }
 
 // Claiming forty agents one by one takes longer than an agent may be silent.
 TEST(Change, TimeWithoutAWordCountsFromItsStart) {
-  Change change(PlanOf(1, 1), Change::Aim::kForward, 1, milliseconds(60'000), At(0));
+  Change change(PlanOf(1, 1), Change::Direction::kForward, 1, milliseconds(60'000), At(0));
   std::vector<ChangeCommand> commands;
-  change.Turn(At(9000), commands);
-  EXPECT_FALSE(change.end()) << change.why();
-  change.Turn(At(9000 + 4999), commands);
-  EXPECT_FALSE(change.end()) << change.why();
-  change.Turn(At(9000 + 5000), commands);
+  change.Tick(At(9000), commands);
+  EXPECT_FALSE(change.end()) << change.reason();
+  change.Tick(At(9000 + 4999), commands);
+  EXPECT_FALSE(change.end()) << change.reason();
+  change.Tick(At(9000 + 5000), commands);
   EXPECT_EQ(change.end(), ChangeEnd::kHeld);
 }
 
@@ -585,10 +587,10 @@
   Fleet fenced(PlanOf(2, 1));
   fenced.Run(200);
   const std::size_t before = fenced.steps.size();
-  fenced.change.Fenced("bole", "bob");
+  fenced.change.OnFenced("bole", "bob");
   fenced.Run(60'000);
   EXPECT_EQ(fenced.change.end(), ChangeEnd::kHeld);
-  EXPECT_EQ(fenced.change.why(), "lost the lease at bole to bob");
+  EXPECT_EQ(fenced.change.reason(), "lost the lease at bole to bob");
   EXPECT_EQ(fenced.steps.size(), before);
 
   Fleet aborted(PlanOf(2, 1));
@@ -649,7 +651,7 @@
   fleet.Run(1000);
   ASSERT_FALSE(fleet.steps.empty());
   // Of before everything: its number is older than what has been heard.
-  for (int i = 0; i < 5; ++i) fleet.change.Heard({"bole", "i0"}, 1, old, At(0));
+  for (int i = 0; i < 5; ++i) fleet.change.OnReport({"bole", "i0"}, 1, old, At(0));
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted);
   EXPECT_EQ(fleet.steps, (Names{"bole/i0", "kality/i0"}));
@@ -705,7 +707,7 @@
   // and after.
   ASSERT_GE(calm.points, 2 * (8 * 4 + 4 * 3));
   std::map<std::string, int> ends;
-  for (const Change::Aim then : {Change::Aim::kForward, Change::Aim::kUndo}) {
+  for (const Change::Direction then : {Change::Direction::kForward, Change::Direction::kUndo}) {
     for (int point = 0; point < calm.points; ++point) {
       const testing::History history = testing::Play(kScriptSeed, {{point}, -1, then});
       ASSERT_EQ(history.violation, "") << "point " << point;
@@ -728,7 +730,7 @@
   for (int first = 0; first < points; ++first) {
     for (int second = first + 1; second < points + 8; ++second) {
       if (++pair % stride != 0) continue;
-      const Change::Aim then = pair % 2 == 0 ? Change::Aim::kForward : Change::Aim::kUndo;
+      const Change::Direction then = pair % 2 == 0 ? Change::Direction::kForward : Change::Direction::kUndo;
       const testing::History history = testing::Play(kScriptSeed, {{first, second}, -1, then});
       ASSERT_EQ(history.violation, "") << "points " << first << " and " << second;
       if (history.agent_deaths == 2) ++both;
@@ -742,7 +744,7 @@
   ASSERT_GT(calm.commands, 40);
   std::map<std::string, int> ends;
   for (int command = 0; command < calm.commands; ++command) {
-    const Change::Aim then = command % 2 == 0 ? Change::Aim::kForward : Change::Aim::kUndo;
+    const Change::Direction then = command % 2 == 0 ? Change::Direction::kForward : Change::Direction::kUndo;
     const testing::History history = testing::Play(kScriptSeed, {{}, command, then});
     ASSERT_EQ(history.violation, "") << "command " << command;
     ASSERT_EQ(history.tool_deaths, 1) << "command " << command;
