--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -1,6 +1,7 @@
 #include "rollout/change.h"
 
 #include <algorithm>
+#include <cmath>
 #include <utility>
 
 namespace mothrack::rollout {
@@ -19,11 +20,11 @@
   return std::to_string(std::chrono::duration_cast<std::chrono::seconds>(time).count()) + " s";
 }
 
-double Share(std::uint64_t bad, std::uint64_t taken) {
-  return taken == 0 ? 0 : static_cast<double>(bad) / static_cast<double>(taken);
+double Share(std::uint64_t part, std::uint64_t whole) {
+  return whole == 0 ? 0 : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-std::string Percent(double share) { return std::to_string(static_cast<int>(share * 100 + 0.5)) + "%"; }
+std::string Percent(double share) { return std::to_string(std::lround(share * 100)) + "%"; }
 
 }  // namespace
 
@@ -135,7 +136,7 @@
   return report->step.undo == (direction_ == Direction::kUndo) && !failed_before;
 }
 
-bool Change::StepMaySurvive(std::size_t target) const {
+bool Change::MayNeedUndo(std::size_t target) const {
   const Progress& progress = progress_[target];
   return progress.command_sent || (progress.report && progress.report->phase != Phase::kNone &&
                                    progress.report->step.change == plan_.id);
@@ -191,7 +192,7 @@
     const Progress& progress = progress_[i];
     // Older news may be of before the last batch.
     if (!progress.report || progress.polled_at < batch_entered_at_) return "no news of " + LabelOf(i);
-    const bool stopped_on_purpose = plan_.kind == StepKind::kStop && StepMaySurvive(i) &&
+    const bool stopped_on_purpose = plan_.kind == StepKind::kStop && MayNeedUndo(i) &&
                                     progress.report->phase == Phase::kDone && !progress.report->step.undo;
     if (!stopped_on_purpose && !progress.report->available()) return LabelOf(i) + " is not available";
   }
@@ -199,96 +200,143 @@
 }
 
 std::string Change::HealthFault(std::size_t target) const {
-  const Progress& progress = progress_[target];
-  const Report& now = *progress.report;
-  const bool stops = StepOf(target).kind == StepKind::kStop;
-  if (stops) return now.running ? LabelOf(target) + " runs again" : "";
+  const Report& now = *progress_[target].report;
+  const Step step = StepOf(target);
+  if (step.kind == StepKind::kStop) return now.running ? LabelOf(target) + " runs again" : "";
   if (!now.available()) return LabelOf(target) + " is not ready any more";
-  if (now.generation != StepOf(target).generation) return LabelOf(target) + " runs with another generation";
+  if (now.generation != step.generation) return LabelOf(target) + " runs with another generation";
+  return FailureShareFault(target);
+}
+
+std::string Change::FailureShareFault(std::size_t target) const {
+  const Progress& progress = progress_[target];
   if (!progress.after_step || !progress.baseline) return {};
+  const Report& now = *progress.report;
+  const Report& baseline = *progress.baseline;
+  // The counters are of the process: fewer requests than before are of another one.
   if (now.requests < progress.after_step->requests) return LabelOf(target) + " ended while it was watched";
-  const std::uint64_t taken = now.requests - progress.after_step->requests;
-  const double share = Share(now.failed_requests - progress.after_step->failed_requests, taken);
-  const bool known = progress.baseline->requests >= plan_.policy.min_requests;
-  const double baseline_share =
-      known ? Share(progress.baseline->failed_requests, progress.baseline->requests) : 0;
-  if (taken < plan_.policy.min_requests || share <= baseline_share + plan_.policy.max_failure_increase)
-    return {};
-  return LabelOf(target) + " refuses or fails " + Percent(share) + " of its requests, before " +
+  const std::uint64_t requests = now.requests - progress.after_step->requests;
+  const std::uint64_t failed_requests = now.failed_requests - progress.after_step->failed_requests;
+  const double failure_share = Share(failed_requests, requests);
+  const bool baseline_counts = baseline.requests >= plan_.policy.min_requests;
+  const double baseline_share = baseline_counts ? Share(baseline.failed_requests, baseline.requests) : 0;
+  if (requests < plan_.policy.min_requests) return {};
+  if (failure_share <= baseline_share + plan_.policy.max_failure_increase) return {};
+  return LabelOf(target) + " refuses or fails " + Percent(failure_share) + " of its requests, before " +
          Percent(baseline_share);
 }
 
 void Change::AdvanceBatch(TimePoint now, std::vector<ChangeCommand>& commands) {
-  if (batch_ == batches_.size()) {
-    return Finish(direction_ == Direction::kForward ? ChangeEnd::kCompleted : ChangeEnd::kRolledBack,
-                  rollback_reason_, commands);
+  while (true) {
+    if (batch_ == batches_.size()) {
+      const bool forward = direction_ == Direction::kForward;
+      return Finish(forward ? ChangeEnd::kCompleted : ChangeEnd::kRolledBack, rollback_reason_, commands);
+    }
+    if (!ReportsAreFresh(batches_[batch_], batch_entered_at_)) return;  // UnresponsiveAgent() bounds the wait
+    const std::vector<std::size_t> targets = BatchTargets();
+    if (!batch_started_at_ && !StartBatch(targets, now, commands)) return;
+    if (!CompleteSteps(targets, now, commands)) return;
+    if (!PassGate(targets, now, commands)) return;
+    EnterBatch(batch_ + 1, now);
   }
-  std::vector<std::size_t> batch = batches_[batch_];
-  for (const std::size_t i : batch) {
-    if (!progress_[i].report || progress_[i].polled_at < batch_entered_at_)
-      return;  // UnresponsiveAgent() bounds the wait
+}
+
+std::vector<std::size_t> Change::BatchTargets() const {
+  std::vector<std::size_t> targets = batches_[batch_];
+  if (direction_ == Direction::kUndo) {
+    std::erase_if(targets, [this](std::size_t i) { return !MayNeedUndo(i); });
   }
-  if (direction_ == Direction::kUndo)
-    std::erase_if(batch, [this](std::size_t i) { return !StepMaySurvive(i); });
+  return targets;
+}
+
+bool Change::ReportsAreFresh(const std::vector<std::size_t>& targets, TimePoint since) const {
+  return std::all_of(targets.begin(), targets.end(),
+                     [&](std::size_t i) { return progress_[i].report && progress_[i].polled_at >= since; });
+}
 
-  // Steps that an earlier holder had commanded need no leave to begin.
+bool Change::StartBatch(const std::vector<std::size_t>& targets, TimePoint now,
+                        std::vector<ChangeCommand>& commands) {
+  // Steps that an earlier holder had commanded need no availability check to go on.
   const bool all_accepted =
-      std::all_of(batch.begin(), batch.end(), [this](std::size_t i) { return StepAccepted(i); });
-  if (!batch_started_at_ && !all_accepted) {
-    if (const std::string reason = BatchBlocker(batch); !reason.empty()) {
+      std::all_of(targets.begin(), targets.end(), [this](std::size_t i) { return StepAccepted(i); });
+  if (!all_accepted) {
+    if (const std::string reason = BatchBlocker(targets); !reason.empty()) {
       if (now - batch_entered_at_ >= plan_.policy.step_timeout) HandleFailure(reason, now, commands);
-      return;
+      return false;
     }
-    for (const std::size_t i : batch) {
+    for (const std::size_t i : targets) {
       if (!StepAccepted(i)) progress_[i].baseline = progress_[i].report;
     }
   }
-  if (!batch_started_at_) {
-    batch_started_at_ = now;
-    std::string line = plan_.id + (direction_ == Direction::kUndo ? " undoes" : " changes");
-    for (const std::size_t i : batch) line += ' ' + LabelOf(i);
-    if (!batch.empty()) commands.push_back({ChangeCommand::Kind::kSay, {}, {}, 0, line});
-  }
+  batch_started_at_ = now;
+  if (targets.empty()) return true;
+  std::string line = plan_.id + (direction_ == Direction::kUndo ? " undoes" : " changes");
+  for (const std::size_t i : targets) line += ' ' + LabelOf(i);
+  commands.push_back({ChangeCommand::Kind::kSay, {}, {}, 0, line});
+  return true;
+}
 
+bool Change::CompleteSteps(const std::vector<std::size_t>& targets, TimePoint now,
+                           std::vector<ChangeCommand>& commands) {
   bool all_steps_done = true;
-  for (const std::size_t i : batch) {
-    Progress& progress = progress_[i];
-    if (!StepAccepted(i)) {
-      if (!progress.last_command_at || now - *progress.last_command_at >= kRetryInterval) {
-        progress.last_command_at = now;
-        SendToInstance(ChangeCommand::Kind::kTakeStep, i, now, commands);
-      }
-      all_steps_done = false;
-    } else if (progress.report->phase == Phase::kFailed) {
-      return HandleFailure(LabelOf(i) + ": " + progress.report->failure_reason, now, commands);
-    } else if (progress.report->phase == Phase::kAccepted) {
-      all_steps_done = false;
-    } else if (!progress.after_step) {
-      progress.after_step = progress.report;
+  for (const std::size_t i : targets) {
+    switch (StepStateOf(i)) {
+      case StepState::kNotAccepted:
+        CommandStep(i, now, commands);
+        all_steps_done = false;
+        break;
+      case StepState::kRunning:
+        all_steps_done = false;
+        break;
+      case StepState::kFailed:
+        HandleFailure(LabelOf(i) + ": " + progress_[i].report->failure_reason, now, commands);
+        return false;
+      case StepState::kDone:
+        if (!progress_[i].after_step) progress_[i].after_step = progress_[i].report;
+        break;
     }
   }
-  if (!all_steps_done) {
-    if (now - *batch_started_at_ >= plan_.policy.step_timeout) {
-      HandleFailure("batch " + std::to_string(batch_ + 1) + " was not done within " +
-                        Seconds(plan_.policy.step_timeout),
-                    now, commands);
-    }
-    return;
+  if (all_steps_done) return true;
+  if (now - *batch_started_at_ >= plan_.policy.step_timeout) {
+    HandleFailure(
+        "batch " + std::to_string(batch_ + 1) + " was not done within " + Seconds(plan_.policy.step_timeout),
+        now, commands);
   }
+  return false;
+}
 
-  // The gate: it has looked well for the whole time, by news from after it.
-  for (const std::size_t i : batch) {
-    if (const std::string reason = HealthFault(i); !reason.empty())
-      return HandleFailure(reason, now, commands);
+Change::StepState Change::StepStateOf(std::size_t target) const {
+  if (!StepAccepted(target)) return StepState::kNotAccepted;
+  switch (progress_[target].report->phase) {
+    case Phase::kFailed:
+      return StepState::kFailed;
+    case Phase::kAccepted:
+      return StepState::kRunning;
+    case Phase::kNone:
+    case Phase::kDone:
+      break;
   }
-  if (!healthy_since_) healthy_since_ = now;
-  const TimePoint watch_ends_at =
-      *healthy_since_ + (batch.empty() ? Duration{0} : plan_.policy.watch_interval);
-  for (const std::size_t i : batch) {
-    if (progress_[i].polled_at < watch_ends_at) return;
+  return StepState::kDone;
+}
+
+void Change::CommandStep(std::size_t target, TimePoint now, std::vector<ChangeCommand>& commands) {
+  auto& last_command_at = progress_[target].last_command_at;
+  if (last_command_at && now - *last_command_at < kRetryInterval) return;
+  last_command_at = now;
+  SendToInstance(ChangeCommand::Kind::kTakeStep, target, now, commands);
+}
+
+bool Change::PassGate(const std::vector<std::size_t>& targets, TimePoint now,
+                      std::vector<ChangeCommand>& commands) {
+  for (const std::size_t i : targets) {
+    if (const std::string fault = HealthFault(i); !fault.empty()) {
+      HandleFailure(fault, now, commands);
+      return false;
+    }
   }
-  EnterBatch(batch_ + 1, now);
-  AdvanceBatch(now, commands);
+  if (!healthy_since_) healthy_since_ = now;
+  const Duration watch_interval = targets.empty() ? Duration{0} : plan_.policy.watch_interval;
+  return ReportsAreFresh(targets, *healthy_since_ + watch_interval);
 }
 
 }  // namespace mothrack::rollout
--- a/src/rollout/claim.h
+++ b/src/rollout/claim.h
@@ -1,7 +1,9 @@
-// A tool's way to the lease (src/rollout/lease.h): it asks every agent for the highest epoch, takes the next
-// one, and then claims the agents one after the other in the order of their names. Two tools that begin at
-// the same instant thus meet at the first agent, and one of them stops there with nothing to give back. With
-// all of them it opens its change there.
+// How a tool acquires the lease (src/rollout/lease.h) of many agents: it reads the highest epoch of every
+// agent, takes the next one as its fencing token, and acquires the lease of one agent after the other, in the
+// order of their names. Two tools that begin at the same instant thus meet at the first agent, and one of
+// them stops there with nothing to release. Once it has all leases it opens its change at each agent.
+//
+// A state machine without I/O, driven by answers and by time. Not thread-safe.
 #pragma once
 
 #include <map>
@@ -24,17 +26,17 @@
 
 class Claim {
  public:
-  // `agents`: all of the fleet. `needed`: those that the change touches; a majority of all is needed besides.
-  // An agent that does not answer within `patience` counts as not to be reached.
-  // `tool`: as in Holder, of this claim alone.
-  // `resumes`: the change was opened before; it must still be open somewhere, or it has come to an end
+  // `claim_id`: as in Holder, of this claim alone. `agents`: all of the fleet. `required`: those that the
+  // change touches; a majority of all is required besides. An agent that does not answer within `timeout`
+  // counts as unreachable.
+  // `resuming`: the change was opened before; it must still be open somewhere, or it has come to an end
   // meanwhile.
   Claim(std::string claim_id, std::set<std::string> agents, std::set<std::string> required, bool resuming,
         Duration timeout, TimePoint now);
 
   void OnHighestEpoch(const std::string& agent, Epoch highest);
-  // Of kAcquire and kOpen alike; `tool`: whose question is answered; `holder`: who is in the way; `open`:
-  // this change is, there.
+  // The answer to kAcquire or kOpen. `claim_id`: of the request that it answers; `holder`: who has the lease
+  // instead; `open`: whether this change is open at the agent.
   void OnLeaseAnswer(const std::string& claim_id, const std::string& agent, Epoch epoch,
                      Lessor::Verdict verdict, const std::optional<Holder>& holder, bool open);
 
@@ -47,7 +49,7 @@
     TimePoint since;  // no agent granted it earlier
   };
   const std::optional<Granted>& granted() const { return granted_; }
-  // Why it was not; everything that was granted is given back.
+  // Why it was not granted; empty while that is open. Everything that was granted is released.
   const std::string& rejection() const { return rejection_; }
 
  private:
@@ -62,9 +64,9 @@
   const std::set<std::string> required_;
   const bool resuming_;
   const Duration timeout_;
-  TimePoint request_started_at_;   // of the question that is out
-  TimePoint last_sent_at_;         // when it was put last
-  bool epochs_requested_ = false;  // the first question is out
+  TimePoint request_started_at_;   // when the current request was first sent
+  TimePoint last_sent_at_;         // when it was sent last
+  bool epochs_requested_ = false;  // kReadEpoch was sent
   std::map<std::string, Epoch> highest_by_agent_;
   Epoch epoch_ = 0;  // 0: not chosen yet
   std::vector<std::string> claim_order_;
--- a/src/rollout/instance.h
+++ b/src/rollout/instance.h
@@ -1,15 +1,15 @@
 // An agent's decisions on one instance: it keeps it running, restarts it with back-off, holds a crash loop,
 // and carries a step to its known end, through its own death at any point.
 //
-// Driven by looks: what is seen of the process now, against what is wanted, gives the next actions. Nothing
+// Driven by Reconcile(): the process as it is now, against what is wanted, gives the next actions. Nothing
 // but the record need survive the agent: which step was accepted, and how it ended. How far a step had come
 // is seen from the process itself, which carries the token of the step it was started for. So no start is
 // ever repeated after a crash, whatever the agent was about to do; and a stop only where the process can't
 // tell that it drains, which a second stop does no harm.
 //
-// A value, like Lessor: a copy takes a step, its record is made durable, then the copy is kept. What
-// Reconcile() changes in the record is made durable where the disk takes it; until then the end of a step is
-// not told.
+// A value without I/O, like Lessor: a copy accepts a step, its record is made durable, then the copy is kept.
+// What Reconcile() changes in the record is made durable where the disk takes it; until then the end of a
+// step is not told.
 #pragma once
 
 #include <deque>
@@ -42,12 +42,12 @@
   std::size_t max_step_starts = 3;  // a step that saw as many of its processes end has failed
 };
 
-// The process, as it is seen now.
+// The process as it is now.
 struct ProcessState {
   bool running = false;
   std::string token;       // that it was started with
   std::string generation;  // likewise
-  bool ready = false;      // by its own door
+  bool ready = false;      // by its own admin API
   bool draining = false;   // likewise
 };
 
--- a/src/rollout/lease.h
+++ b/src/rollout/lease.h
@@ -1,15 +1,17 @@
-// An agent's part in who may change the fleet. A holder needs the lease of every agent that its change
-// touches, and of a majority of all agents: so there is one holder at a time, and no agent that it commands
-// has granted an older one. Each agent counts the lease's time by its own steady clock, from when it granted
-// or renewed it; the holder counts from when it asked, and stops at half the time (src/rollout/change.h). A
-// holder that went silent thus knows that it has lost the lease before any agent gives it to another, by any
-// clocks that run at about the same rate, wherever they stand.
+// The lease that an agent grants on its machine: who may change the fleet. A holder needs the lease of every
+// agent that its change touches, and of a majority of all agents: so there is one holder at a time, and no
+// agent that it commands has granted an older one. Each agent counts the lease's time by its own steady
+// clock, from when it granted or renewed it; the holder counts from when it asked, and stops at half the time
+// (src/rollout/change.h). A holder that went silent thus knows that it has lost the lease before any agent
+// gives it to another, by any clocks that run at about the same rate, wherever they stand.
 //
 // Before its first step a change is opened at every agent whose lease it has, and closed only once it has
 // come to an end that leaves nothing to do. While one is open an agent grants the lease to it alone: its
 // steps are finished or undone before another change begins.
 //
-// A value: let a copy decide, make its state durable, then keep the copy. Answers go out only after that.
+// A value without I/O: let a copy decide, make its state durable, then keep the copy, and answer only after
+// that. The epoch is a fencing token (Kleppmann, "How to do distributed locking", 2016): commands of an epoch
+// below the highest one granted are refused.
 #pragma once
 
 #include <optional>
@@ -44,12 +46,12 @@
 
   // A new holder. One of the same change takes over from itself: it is its tool that was started again.
   Verdict Acquire(Epoch epoch, const Holder& holder, TimePoint now);
-  // May a command of this epoch and tool be taken? That renews the lease.
+  // May a command of this epoch and claim be carried out? That renews the lease.
   Verdict Renew(Epoch epoch, const std::string& claim_id, TimePoint now);
   // The holder's change begins; of another holder than the lease was granted to, or of another change:
   // kFenced.
   Verdict Open(Epoch epoch, const Holder& holder, TimePoint now);
-  // The holder is done; with `close`, so is its change. Of another epoch or tool: nothing happens.
+  // The holder is done; with `close`, so is its change. Of another epoch or claim: nothing happens.
   void Release(Epoch epoch, const std::string& claim_id, bool close);
 
   const LeaseState& state() const { return state_; }
--- a/src/rollout/types.h
+++ b/src/rollout/types.h
@@ -1,4 +1,4 @@
-// Words that the fleet's decisions share. Pure: nothing here does I/O or reads a clock. A TimePoint is of one
+// Types that the decisions of a rollout share. Nothing here does I/O or reads a clock. A TimePoint is of one
 // machine's steady clock and is never compared with another machine's.
 #pragma once
 
@@ -11,7 +11,7 @@
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// The right to change the fleet, numbered: each holder's epoch is greater than that of any holder before it.
+// Fencing token of the lease: each holder's epoch is greater than that of any holder before it.
 using Epoch = std::uint64_t;
 
 // Who changes what, for the others to read.
@@ -20,8 +20,8 @@
   std::string who;
   std::string why;
   std::int64_t since_unix_ms = 0;
-  // Differs for each claim (src/rollout/claim.h), also of one tool for one change: two that chose the same
-  // epoch are told apart by it, and so is a claim from what is still on its way of one before it.
+  // Unique to each claim (src/rollout/claim.h), also of one tool for one change: it tells apart two holders
+  // that chose the same epoch, and a claim's requests from late ones of a claim before it.
   std::string claim_id;
   bool operator==(const Holder&) const = default;
 };
@@ -30,6 +30,7 @@
 struct InstanceName {
   std::string agent;
   std::string instance;
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check takes the comparison with 0 in the default for a pointer
   auto operator<=>(const InstanceName&) const = default;
 };
 
@@ -55,20 +56,20 @@
 
 enum class Phase { kNone, kAccepted, kDone, kFailed };
 
-// What an agent says of one instance, to whoever asks.
+// What an agent reports of one instance.
 struct Report {
-  // The last step that it took, and how far it is; `phase` is kNone before any.
+  // The last step that it accepted, and how far it is; `phase` is kNone before any.
   Step step;
   Phase phase = Phase::kNone;
   std::string failure_reason;  // of kFailed
   // The process as it is now.
   bool running = false;
   bool ready = false;
-  bool held = false;       // it crashed too often and is not started again
+  bool held = false;       // crash loop: it ended too often and is not started again
   std::string generation;  // that it runs with
   // Requests since the process started.
   std::uint64_t requests = 0;
-  std::uint64_t failed_requests = 0;  // refused or failed
+  std::uint64_t failed_requests = 0;  // rejected or failed
 
   // Does it serve, and will it go on doing so by all that is planned?
   bool available() const { return running && ready && phase != Phase::kAccepted; }
