--- a/src/agent/client.cpp
+++ b/src/admin_client/admin_client.cpp
@@ -1,4 +1,4 @@
-#include "agent/client.h"
+#include "admin_client/admin_client.h"
 
 #include <sys/un.h>
 
@@ -13,7 +13,7 @@
 #include "runtime/address.h"
 #include "runtime/write_stream.h"
 
-namespace mothrack::agent {
+namespace mothrack::admin_client {
 namespace {
 
 namespace beast_http = boost::beast::http;
@@ -33,7 +33,7 @@
     parser_.body_limit(kLongestReply);
   }
 
-  void Start(rollout::Duration patience) {
+  void Start(std::chrono::milliseconds patience) {
     timer_.expires_after(patience);
     timer_.async_wait([self = shared_from_this()](error_code error) {
       if (!error) self->End({"no answer in time", 0, nullptr});
@@ -115,9 +115,9 @@
              : "is no loopback address; agents are reached on their own machine";
 }
 
-void Ask(boost::asio::io_context& io, Question question, rollout::Duration patience,
+void Ask(boost::asio::io_context& io, Question question, std::chrono::milliseconds patience,
          std::function<void(Reply)> hear) {
   std::make_shared<Exchange>(io, std::move(question), std::move(hear))->Start(patience);
 }
 
-}  // namespace mothrack::agent
+}  // namespace mothrack::admin_client
--- a/src/agent/client.h
+++ b/src/admin_client/admin_client.h
@@ -3,14 +3,13 @@
 #pragma once
 
 #include <boost/asio/io_context.hpp>
+#include <chrono>
 #include <functional>
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
 
-#include "rollout/types.h"
-
-namespace mothrack::agent {
+namespace mothrack::admin_client {
 
 struct Reply {
   std::string fault;  // why there is none; empty: there is one
@@ -34,10 +33,10 @@
 constexpr std::size_t kLongestReply = 4 * 1024 * 1024;
 
 // Calls `hear` once, from the event loop, within `patience`.
-void Ask(boost::asio::io_context& io, Question question, rollout::Duration patience,
+void Ask(boost::asio::io_context& io, Question question, std::chrono::milliseconds patience,
          std::function<void(Reply)> hear);
 
 // What is wrong with a place; empty: nothing.
 std::string FaultOfPlace(const std::string& place);
 
-}  // namespace mothrack::agent
+}  // namespace mothrack::admin_client
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -157,7 +157,8 @@
     kept.instance.Reconcile(machine_.Inspect(name), now, actions);
     const rollout::InstanceRecord& record = kept.instance.record();
     if (record != kept.saved) {
-      const std::string end = record.phase == rollout::Phase::kFailed ? " failed: " + record.failure_reason : " done";
+      const std::string end =
+          record.phase == rollout::Phase::kFailed ? " failed: " + record.failure_reason : " done";
       if (store_.SaveRecord(name, record,
                             {unix_ms, record.step.change, name + ": " + record.step.token() + end})) {
         kept.saved = record;
--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <utility>
 
-#include "agent/client.h"
+#include "admin_client/admin_client.h"
 #include "rollout/wire.h"
 
 namespace mothrack::agent {
@@ -100,7 +100,7 @@
   }
   std::string Place(const std::string& key) {
     std::string place = Text(key);
-    if (const std::string fault = FaultOfPlace(place); !fault.empty()) Fault(key, fault);
+    if (const std::string fault = admin_client::FaultOfPlace(place); !fault.empty()) Fault(key, fault);
     return place;
   }
   void End() const {
--- a/src/agent/processes.cpp
+++ b/src/agent/processes.cpp
@@ -22,7 +22,7 @@
 #include <stdexcept>
 #include <utility>
 
-#include "agent/client.h"
+#include "admin_client/admin_client.h"
 #include "rollout/wire.h"
 
 namespace mothrack::agent {
@@ -257,36 +257,37 @@
   held->ask_at = now + (held->awaited ? limits_.door_busy : limits_.door_idle);
   const std::string place = Replaced(held->spec.door, held->words(""));
   // Behind all upstreams: their list is not wanted here.
-  Ask(io_, {place, {}, "GET", "/v1/status?after=~", {}}, limits_.door_patience,
-      [this, weak = std::weak_ptr(held), pid = held->pid](const Reply& reply) {
-        const auto held = weak.lock();
-        if (!held) return;
-        held->asking = false;
-        if (held->pid != pid || pid == 0) return;
-        const bool was_ready = std::exchange(held->ready, false);
-        held->draining = false;
-        // Not there yet: that costs the sidecar nothing, so it is tried again soon.
-        if (!reply.fault.empty() && held->awaited) held->ask_at -= limits_.door_busy - limits_.door_absent;
-        if (!reply.ok() || !reply.body.is_object()) return;
-        const json& body = reply.body;
-        // A sidecar that was started beside it, or before, is another one.
-        if (!body.contains("process") || body["process"].value("pid", 0) != pid) return;
-        held->draining = body.value("state", "") == "draining";
-        held->ready = body.value("state", "") == "ready";
-        held->awaited = !held->ready;
-        std::uint64_t taken = 0;
-        std::uint64_t bad = 0;
-        for (const json& pool : body.value("pools", json::array())) {
-          for (const json& row : pool.value("counters", json::array())) {
-            taken += row.value("taken", std::uint64_t{0});
-            for (const char* outcome : {"refused", "failed", "late"})
-              bad += row.value(outcome, std::uint64_t{0});
-          }
-        }
-        held->taken = taken;
-        held->bad = bad;
-        if (held->ready != was_ready) News();
-      });
+  admin_client::Ask(io_, {place, {}, "GET", "/v1/status?after=~", {}}, limits_.door_patience,
+                    [this, weak = std::weak_ptr(held), pid = held->pid](const admin_client::Reply& reply) {
+                      const auto held = weak.lock();
+                      if (!held) return;
+                      held->asking = false;
+                      if (held->pid != pid || pid == 0) return;
+                      const bool was_ready = std::exchange(held->ready, false);
+                      held->draining = false;
+                      // Not there yet: that costs the sidecar nothing, so it is tried again soon.
+                      if (!reply.fault.empty() && held->awaited)
+                        held->ask_at -= limits_.door_busy - limits_.door_absent;
+                      if (!reply.ok() || !reply.body.is_object()) return;
+                      const json& body = reply.body;
+                      // A sidecar that was started beside it, or before, is another one.
+                      if (!body.contains("process") || body["process"].value("pid", 0) != pid) return;
+                      held->draining = body.value("state", "") == "draining";
+                      held->ready = body.value("state", "") == "ready";
+                      held->awaited = !held->ready;
+                      std::uint64_t taken = 0;
+                      std::uint64_t bad = 0;
+                      for (const json& pool : body.value("pools", json::array())) {
+                        for (const json& row : pool.value("counters", json::array())) {
+                          taken += row.value("taken", std::uint64_t{0});
+                          for (const char* outcome : {"refused", "failed", "late"})
+                            bad += row.value(outcome, std::uint64_t{0});
+                        }
+                      }
+                      held->taken = taken;
+                      held->bad = bad;
+                      if (held->ready != was_ready) News();
+                    });
 }
 
 rollout::ProcessState Processes::Inspect(const std::string& instance) {
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -23,7 +23,7 @@
   rollout::Epoch highest = 0;
 };
 
-std::optional<Read> ReadAnswer(const agent::Reply& reply) {
+std::optional<Read> ReadAnswer(const admin_client::Reply& reply) {
   if (!reply.ok()) return std::nullopt;
   try {
     Read read;
@@ -61,30 +61,33 @@
 }
 
 void Driver::Send(const std::string& agent, const std::string& target, json body,
-                  std::function<void(const agent::Reply&)> hear) {
+                  std::function<void(const admin_client::Reply&)> hear) {
   const agent::AgentPlace& place = Of(agent);
-  agent::Ask(io_, {place.place, place.token, "POST", target, std::move(body)}, kPatience,
-             [this, agent, life = std::weak_ptr(life_), hear = std::move(hear)](const agent::Reply& reply) {
-               if (life.expired()) return;
-               try {
-                 hear(reply);
-               } catch (const std::invalid_argument& e) {
-                 say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
-               }
-             });
+  admin_client::Ask(
+      io_, {place.place, place.token, "POST", target, std::move(body)}, kPatience,
+      [this, agent, life = std::weak_ptr(life_), hear = std::move(hear)](const admin_client::Reply& reply) {
+        if (life.expired()) return;
+        try {
+          hear(reply);
+        } catch (const std::invalid_argument& e) {
+          say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
+        }
+      });
 }
 
-std::map<std::string, agent::Reply> Driver::AskAll(const std::string& method, const std::string& target,
-                                                   const std::optional<json>& body,
-                                                   const std::set<std::string>& only) {
+std::map<std::string, admin_client::Reply> Driver::AskAll(const std::string& method,
+                                                          const std::string& target,
+                                                          const std::optional<json>& body,
+                                                          const std::set<std::string>& only) {
   // Filled by answers that come after this has returned, too: it lives as long as they may.
-  const auto replies = std::make_shared<std::map<std::string, agent::Reply>>();
+  const auto replies = std::make_shared<std::map<std::string, admin_client::Reply>>();
   std::size_t asked = 0;
   for (const agent::AgentPlace& agent : agents_) {
     if (!only.empty() && !only.contains(agent.name)) continue;
     ++asked;
-    agent::Ask(io_, {agent.place, agent.token, method, target, body}, kPatience,
-               [replies, name = agent.name](agent::Reply reply) { (*replies)[name] = std::move(reply); });
+    admin_client::Ask(
+        io_, {agent.place, agent.token, method, target, body}, kPatience,
+        [replies, name = agent.name](admin_client::Reply reply) { (*replies)[name] = std::move(reply); });
   }
   while (replies->size() < asked) Pass(rollout::Duration(20));
   return *replies;
@@ -113,14 +116,15 @@
     for (const rollout::ClaimCommand& c : commands) {
       switch (c.kind) {
         case rollout::ClaimCommand::Kind::kReadEpoch:
-          agent::Ask(
-              io_, {Of(c.agent).place, Of(c.agent).token, "GET", "/v1/agent", {}}, kPatience,
-              [&claim, &fault, life = std::weak_ptr(life_), name = c.agent](const agent::Reply& reply) {
-                if (life.expired()) return;
-                if (reply.ok())
-                  return claim.OnHighestEpoch(name, reply.body.value("highest", rollout::Epoch{0}));
-                if (reply.fault.empty()) fault = name + ": " + reply.why();
-              });
+          admin_client::Ask(io_, {Of(c.agent).place, Of(c.agent).token, "GET", "/v1/agent", {}}, kPatience,
+                            [&claim, &fault, life = std::weak_ptr(life_),
+                             name = c.agent](const admin_client::Reply& reply) {
+                              if (life.expired()) return;
+                              if (reply.ok())
+                                return claim.OnHighestEpoch(name,
+                                                            reply.body.value("highest", rollout::Epoch{0}));
+                              if (reply.fault.empty()) fault = name + ": " + reply.why();
+                            });
           break;
         case rollout::ClaimCommand::Kind::kAcquire:
         case rollout::ClaimCommand::Kind::kOpen: {
@@ -129,7 +133,7 @@
               {"ask", opens ? "open" : "acquire"}, {"epoch", c.epoch}, {"holder", rollout::ToJson(holder)}};
           if (opens) body["plan"] = rollout::ToJson(plan);
           Send(c.agent, "/v1/lease", std::move(body),
-               [&claim, &fault, c, claim_id = holder.claim_id](const agent::Reply& reply) {
+               [&claim, &fault, c, claim_id = holder.claim_id](const admin_client::Reply& reply) {
                  const auto read = ReadAnswer(reply);
                  if (!read && reply.fault.empty()) fault = c.agent + ": " + reply.why();
                  if (!read) return;  // without an answer it is asked again
@@ -142,7 +146,7 @@
         case rollout::ClaimCommand::Kind::kRelease:
           Send(c.agent, "/v1/lease",
                {{"ask", "release"}, {"epoch", c.epoch}, {"tool", holder.claim_id}, {"close", false}},
-               [](const agent::Reply&) {});
+               [](const admin_client::Reply&) {});
           break;
       }
       lease.epoch = std::max(lease.epoch, c.epoch);
@@ -181,7 +185,7 @@
                 {"tool", claim_id},
                 {"instance", c.name.instance},
                 {"step", rollout::ToJson(c.step)}},
-               [&change, c, now](const agent::Reply& reply) {
+               [&change, c, now](const admin_client::Reply& reply) {
                  const auto read = ReadAnswer(reply);
                  if (!read) return;
                  if (read->verdict != rollout::Lessor::Verdict::kGranted) {
@@ -198,7 +202,7 @@
     }
     for (const auto& [agent, asked] : reports) {
       Send(agent, "/v1/report", {{"epoch", epoch}, {"tool", claim_id}},
-           [&change, agent = agent, asked = asked, now](const agent::Reply& reply) {
+           [&change, agent = agent, asked = asked, now](const admin_client::Reply& reply) {
              const auto read = ReadAnswer(reply);
              if (!read) return;
              if (read->verdict != rollout::Lessor::Verdict::kGranted) {
--- a/src/ctl/driver.h
+++ b/src/ctl/driver.h
@@ -10,8 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "admin_client/admin_client.h"
 #include "agent/agent_file.h"
-#include "agent/client.h"
 #include "rollout/change.h"
 #include "rollout/claim.h"
 #include "rollout/plan.h"
@@ -42,9 +42,9 @@
   void Interrupt() { interrupted_ = true; }
 
   // Asks all agents, or those named, the same question at once.
-  std::map<std::string, agent::Reply> AskAll(const std::string& method, const std::string& target,
-                                             const std::optional<nlohmann::json>& body,
-                                             const std::set<std::string>& only = {});
+  std::map<std::string, admin_client::Reply> AskAll(const std::string& method, const std::string& target,
+                                                    const std::optional<nlohmann::json>& body,
+                                                    const std::set<std::string>& only = {});
 
   const std::vector<agent::AgentPlace>& agents() const { return agents_; }
 
@@ -60,7 +60,7 @@
   rollout::Holder HolderOf(const rollout::Plan& plan, const std::string& who);
   const agent::AgentPlace& Of(const std::string& agent) const;
   void Send(const std::string& agent, const std::string& target, nlohmann::json body,
-            std::function<void(const agent::Reply&)> hear);
+            std::function<void(const admin_client::Reply&)> hear);
   // One turn of the event loop, for so long at most.
   void Pass(rollout::Duration time);
 
