--- a/src/admin_client/admin_client.cpp
+++ b/src/admin_client/admin_client.cpp
@@ -22,102 +22,113 @@
 
 const std::string kUnix = "unix:";
 
+constexpr unsigned kHttp11 = 11;  // as Beast counts versions
+
+// One request and its response. Lives until its handlers have run: each holds a shared_ptr to it.
 class Exchange : public std::enable_shared_from_this<Exchange> {
  public:
-  Exchange(boost::asio::io_context& io, Question question, std::function<void(Reply)> hear)
+  Exchange(boost::asio::io_context& io, Request request, std::function<void(Response)> on_response)
       : socket_(io),
         write_stream_(socket_),
         timer_(io),
-        question_(std::move(question)),
-        hear_(std::move(hear)) {
-    parser_.body_limit(kLongestReply);
+        request_(std::move(request)),
+        on_response_(std::move(on_response)) {
+    parser_.body_limit(kMaxResponseBytes);
   }
 
-  void Start(std::chrono::milliseconds patience) {
-    timer_.expires_after(patience);
-    timer_.async_wait([self = shared_from_this()](error_code error) {
-      if (!error) self->End({"no answer in time", 0, nullptr});
+  void Start(std::chrono::milliseconds timeout) {
+    timer_.expires_after(timeout);
+    timer_.async_wait([exchange = shared_from_this()](error_code error) {
+      if (!error) exchange->Finish({"no answer in time", 0, nullptr});
     });
     Protocol::endpoint to;
-    if (question_.place.rfind(kUnix, 0) == 0) {
-      to = boost::asio::local::stream_protocol::endpoint(question_.place.substr(kUnix.size()));
-    } else if (const auto endpoint = runtime::ParseEndpoint(question_.place)) {
+    if (request_.address.rfind(kUnix, 0) == 0) {
+      to = boost::asio::local::stream_protocol::endpoint(request_.address.substr(kUnix.size()));
+    } else if (const auto endpoint = runtime::ParseEndpoint(request_.address)) {
       to = *endpoint;
     }
-    socket_.async_connect(to, [self = shared_from_this()](error_code error) {
-      if (error) return self->End({error.message(), 0, nullptr});
-      self->Write();
+    socket_.async_connect(to, [exchange = shared_from_this()](error_code error) {
+      if (error) return exchange->Finish({error.message(), 0, nullptr});
+      exchange->Write();
     });
   }
 
  private:
   void Write() {
-    request_.version(11);
-    request_.method_string(question_.method);
-    request_.target(question_.target);
-    request_.set(beast_http::field::host, "agent");
-    request_.keep_alive(false);
-    if (!question_.token.empty()) request_.set(beast_http::field::authorization, "Bearer " + question_.token);
-    if (question_.body) request_.body() = question_.body->dump();
-    request_.prepare_payload();
-    beast_http::async_write(
-        write_stream_, request_, [self = shared_from_this()](error_code error, std::size_t) {
-          if (error) return self->End({error.message(), 0, nullptr});
-          beast_http::async_read(
-              self->socket_, self->buffer_, self->parser_, [self](error_code failed, std::size_t) {
-                if (failed) return self->End({failed.message(), 0, nullptr});
-                const auto& response = self->parser_.get();
-                Reply reply{
-                    {}, response.result_int(), nlohmann::json::parse(response.body(), nullptr, false)};
-                if (reply.body.is_discarded()) reply.fault = "the answer is no JSON";
-                self->End(std::move(reply));
-              });
-        });
+    message_.version(kHttp11);
+    message_.method_string(request_.method);
+    message_.target(request_.target);
+    message_.set(beast_http::field::host, "agent");
+    message_.keep_alive(false);
+    if (!request_.token.empty()) message_.set(beast_http::field::authorization, "Bearer " + request_.token);
+    if (request_.body) message_.body() = request_.body->dump();
+    message_.prepare_payload();
+    beast_http::async_write(write_stream_, message_,
+                            [exchange = shared_from_this()](error_code error, std::size_t) {
+                              if (error) return exchange->Finish({error.message(), 0, nullptr});
+                              exchange->Read();
+                            });
+  }
+
+  void Read() {
+    beast_http::async_read(socket_, buffer_, parser_,
+                           [exchange = shared_from_this()](error_code error, std::size_t) {
+                             if (error) return exchange->Finish({error.message(), 0, nullptr});
+                             exchange->Finish(exchange->Parse());
+                           });
+  }
+
+  Response Parse() const {
+    const auto& message = parser_.get();
+    Response response{{}, message.result_int(), nlohmann::json::parse(message.body(), nullptr, false)};
+    if (response.body.is_discarded()) response.transport_error = "the answer is no JSON";
+    return response;
   }
 
-  void End(Reply reply) {
-    const auto hear = std::exchange(hear_, nullptr);
+  // Only the first call counts: the timer and the socket may both have come to an end.
+  void Finish(Response response) {
+    const auto on_response = std::exchange(on_response_, nullptr);
     timer_.cancel();
     error_code ignored;
     socket_.close(ignored);
-    if (hear) hear(std::move(reply));
+    if (on_response) on_response(std::move(response));
   }
 
   Protocol::socket socket_;
   runtime::WriteStream<Protocol::socket> write_stream_;
   boost::asio::steady_timer timer_;
-  const Question question_;
-  std::function<void(Reply)> hear_;
-  beast_http::request<beast_http::string_body> request_;
+  const Request request_;
+  std::function<void(Response)> on_response_;
+  beast_http::request<beast_http::string_body> message_;
   beast_http::response_parser<beast_http::string_body> parser_;
   boost::beast::flat_buffer buffer_;
 };
 
 }  // namespace
 
-std::string Reply::why() const {
-  if (!fault.empty()) return fault;
+std::string Response::ErrorText() const {
+  if (!transport_error.empty()) return transport_error;
   if (body.is_object() && body.contains("error") && body["error"].is_string()) return body["error"];
   return "answered " + std::to_string(status);
 }
 
-std::string FaultOfPlace(const std::string& place) {
-  if (place.rfind(kUnix, 0) == 0) {
-    const std::size_t length = place.size() - kUnix.size();
+std::string FaultOfAddress(const std::string& address) {
+  if (address.rfind(kUnix, 0) == 0) {
+    const std::size_t length = address.size() - kUnix.size();
     if (length == 0) return "names no path";
     return length < sizeof(sockaddr_un::sun_path) ? ""
                                                   : "is longer than the system's 107 bytes for a Unix socket";
   }
-  const auto endpoint = runtime::ParseEndpoint(place);
+  const auto endpoint = runtime::ParseEndpoint(address);
   if (!endpoint) return "is neither unix:/path nor an address and port";
   return endpoint->address().is_loopback()
              ? ""
              : "is no loopback address; agents are reached on their own machine";
 }
 
-void Ask(boost::asio::io_context& io, Question question, std::chrono::milliseconds patience,
-         std::function<void(Reply)> hear) {
-  std::make_shared<Exchange>(io, std::move(question), std::move(hear))->Start(patience);
+void SendRequest(boost::asio::io_context& io, Request request, std::chrono::milliseconds timeout,
+                 std::function<void(Response)> on_response) {
+  std::make_shared<Exchange>(io, std::move(request), std::move(on_response))->Start(timeout);
 }
 
 }  // namespace mothrack::admin_client
--- a/src/admin_client/admin_client.h
+++ b/src/admin_client/admin_client.h
@@ -1,5 +1,5 @@
-// Asks an agent or a sidecar's door: one HTTP/1.1 call with JSON a connection, as src/admin/server.h serves
-// it.
+// Client side of the admin API (src/admin/server.h): one HTTP/1.1 request with JSON a connection, over a Unix
+// socket or loopback TCP. The agent asks sidecars with it, mothrackctl asks agents.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -11,32 +11,33 @@
 
 namespace mothrack::admin_client {
 
-struct Reply {
-  std::string fault;  // why there is none; empty: there is one
-  unsigned status = 0;
+struct Response {
+  std::string transport_error;  // why there is no response; empty: there is one
+  unsigned status = 0;          // of HTTP
   nlohmann::json body;
 
-  bool ok() const { return fault.empty() && status / 100 == 2; }
-  // What to tell people where it is not.
-  std::string why() const;
+  bool ok() const { return transport_error.empty() && status / 100 == 2; }
+  // For people, where it is not ok().
+  std::string ErrorText() const;
 };
 
-struct Question {
-  std::string place;  // "unix:/path" or "127.0.0.1:7090"
-  std::string token;  // empty: none is given
+struct Request {
+  std::string address;  // "unix:/path" or "127.0.0.1:7090"
+  std::string token;    // empty: none is given
   std::string method = "GET";
   std::string target;
   std::optional<nlohmann::json> body{};
 };
 
-// Answers are at most this long, in bytes.
-constexpr std::size_t kLongestReply = 4 * 1024 * 1024;
+// A longer response body is a transport error.
+constexpr std::size_t kMaxResponseBytes = 4 * 1024 * 1024;
 
-// Calls `hear` once, from the event loop, within `patience`.
-void Ask(boost::asio::io_context& io, Question question, std::chrono::milliseconds patience,
-         std::function<void(Reply)> hear);
+// Sends a request on a connection of its own. Calls `on_response` once, from the event loop, no later than
+// `timeout` after the call. The address must be valid.
+void SendRequest(boost::asio::io_context& io, Request request, std::chrono::milliseconds timeout,
+                 std::function<void(Response)> on_response);
 
-// What is wrong with a place; empty: nothing.
-std::string FaultOfPlace(const std::string& place);
+// Why an address is not valid; empty: it is.
+std::string FaultOfAddress(const std::string& address);
 
 }  // namespace mothrack::admin_client
--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -179,7 +179,9 @@
   report.ready = seen.ready && !seen.draining;
   report.held = kept.instance.held();
   report.generation = seen.generation;
-  std::tie(report.requests, report.failed_requests) = machine_.Requests(instance);
+  const RequestCounts counts = machine_.RequestsOf(instance);
+  report.requests = counts.total;
+  report.failed_requests = counts.failed;
   return report;
 }
 
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -17,14 +17,20 @@
 
 namespace mothrack::agent {
 
-// The processes of a machine, and what they tell of themselves.
+// Requests of a process since its start.
+struct RequestCounts {
+  std::uint64_t total = 0;
+  std::uint64_t failed = 0;  // rejected, failed or late
+};
+
+// The processes of a machine: what the agent sees of them, and how it acts on them.
 class Machine {
  public:
   virtual ~Machine() = default;
   virtual rollout::ProcessState Inspect(const std::string& instance) = 0;
   virtual void Do(const std::string& instance, const rollout::Action& action) = 0;
   // Of the process that runs now.
-  virtual std::pair<std::uint64_t, std::uint64_t> Requests(const std::string& instance) = 0;  // taken, bad
+  virtual RequestCounts RequestsOf(const std::string& instance) = 0;
   // Is there such a configuration for it? A step to another is refused.
   virtual bool HasGeneration(const std::string& generation) const = 0;
 };
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -50,8 +50,8 @@
       .count();
 }
 
-AgentApi::AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, Processes& processes,
-                   Store& store, runtime::Logger& log)
+AgentApi::AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent,
+                   ProcessSupervisor& processes, Store& store, runtime::Logger& log)
     : file_(file),
       agent_(agent),
       processes_(processes),
@@ -94,7 +94,7 @@
                {"now_unix_ms", UnixNow()},
                {"lease_ms", file_.lease_time.count()},
                {"highest", lease.highest},
-               {"generations", processes_.Generations()},
+               {"generations", processes_.generations().Names()},
                {"instances", std::move(instances)},
                {"fault", store_.fault()}};
   if (const auto holder = agent_.holder(SteadyNow())) told["holder"] = rollout::ToJson(*holder);
@@ -150,7 +150,7 @@
            }},
           {"GET", "/v1/generation",
            [this](const Call& call) {
-             const auto files = processes_.FilesOf(admin::Unescaped(call.query));
+             const auto files = processes_.generations().FilesOf(admin::Unescaped(call.query));
              return files.empty() ? admin::Fault(404, "no such generation") : Answer{200, {{"files", files}}};
            }},
           {"GET", "/v1/log",
@@ -203,8 +203,8 @@
                  files[name] = text.get<std::string>();
                }
                const auto generation = rollout::Member<std::string>(asked, "name");
-               const std::string fault = processes_.Keep(generation, files);
-               if (!fault.empty()) return admin::Fault(409, fault);
+               const auto error = processes_.generations().Keep(generation, files);
+               if (error) return admin::Fault(409, error->message);
                store_.Note({UnixNow(), "", "kept generation " + generation});
                return Answer{200, {{"kept", generation}}};
              });
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -30,7 +30,7 @@
 class AgentApi {
  public:
   // Listens at once; throws std::runtime_error where it can't.
-  AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, Processes& processes,
+  AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, ProcessSupervisor& processes,
            Store& store, runtime::Logger& log);
 
   std::string local() const { return server_.local(); }
@@ -51,7 +51,7 @@
 
   const AgentFile& file_;
   Agent& agent_;
-  Processes& processes_;
+  ProcessSupervisor& processes_;
   Store& store_;
   runtime::Logger& log_;
   std::function<void()> on_taken_;
--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -100,7 +100,7 @@
   }
   std::string Place(const std::string& key) {
     std::string place = Text(key);
-    if (const std::string fault = admin_client::FaultOfPlace(place); !fault.empty()) Fault(key, fault);
+    if (const std::string fault = admin_client::FaultOfAddress(place); !fault.empty()) Fault(key, fault);
     return place;
   }
   void End() const {
@@ -179,7 +179,7 @@
   if (spec.command.front().front() != '/')
     section.Fault("command", "begins with a whole path, as /usr/bin/mothrack");
   spec.environment = section.Pairs("environment");
-  spec.door = section.Text("door", "unix:{directory}/door");
+  spec.admin_address = section.Text("door", "unix:{directory}/door");
   spec.generation = section.Named("generation");
   section.End();
   return spec;
@@ -239,8 +239,9 @@
         static_cast<std::size_t>(limits->Number("crashes", static_cast<std::int64_t>(l.crashes), 1, 100));
     l.crash_window = limits->Milliseconds("crash_window_ms", l.crash_window, rollout::Duration(1000),
                                           rollout::Duration(3'600'000));
-    file.process_limits.log_bytes = static_cast<std::uint64_t>(limits->Number(
-        "log_bytes", static_cast<std::int64_t>(file.process_limits.log_bytes), 4096, std::int64_t{1} << 30));
+    file.process_limits.max_log_bytes = static_cast<std::uint64_t>(
+        limits->Number("log_bytes", static_cast<std::int64_t>(file.process_limits.max_log_bytes), 4096,
+                       std::int64_t{1} << 30));
     limits->End();
   }
   if (auto generations = whole.Table("generations")) file.generations = whole.Pairs("generations");
--- a/src/agent/agent_file.h
+++ b/src/agent/agent_file.h
@@ -9,7 +9,7 @@
 #include <string>
 #include <vector>
 
-#include "agent/processes.h"
+#include "agent/process_supervisor.h"
 #include "rollout/instance.h"
 #ifdef MOTHRACK_WITH_PEERS
 #include "gossip/settings.h"
@@ -32,7 +32,7 @@
   std::map<std::string, Role> tokens;  // of an address; by the token
   rollout::Duration lease_time{10'000};
   rollout::InstanceLimits limits;
-  Processes::Limits process_limits;
+  ProcessSupervisor::Limits process_limits;
   std::vector<std::string> check;  // a command that says whether a generation's files are good
   std::map<std::string, std::string>
       generations;  // that it begins with: name, and a directory with the files
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -39,7 +39,7 @@
 }
 
 // The generations that the file names are kept like those that a tool sends.
-void KeepNamed(const AgentFile& file, Processes& processes) {
+void KeepNamed(const AgentFile& file, ProcessSupervisor& processes) {
   for (const auto& [name, from] : file.generations) {
     if (processes.HasGeneration(name)) continue;
     std::map<std::string, std::string> files;
@@ -50,8 +50,8 @@
       files[it->path().filename().string()] = text.str();
     }
     if (error) throw FileError("generations." + name + ": " + from + ": " + error.message());
-    if (const std::string fault = processes.Keep(name, files); !fault.empty()) {
-      throw FileError("generations." + name + ": " + fault);
+    if (const auto rejection = processes.generations().Keep(name, files)) {
+      throw FileError("generations." + name + ": " + rejection->message);
     }
   }
 }
@@ -70,7 +70,7 @@
   runtime::Logger log(file.name);
   SqliteStore store(file.directory + "/state.sqlite");
   if (!store.fault().empty()) log.Line(store.fault() + "; no change is taken until then");
-  Processes processes(io, file.directory, file.instances, file.check, file.process_limits, log);
+  ProcessSupervisor processes(io, file.directory, file.instances, file.check, file.process_limits, log);
   KeepNamed(file, processes);
   std::map<std::string, std::string> instances;
   for (const InstanceSpec& spec : file.instances) instances[spec.name] = spec.generation;
@@ -101,13 +101,13 @@
   const std::function<void()> live = [&] {
     processes.Poll(SteadyNow());
     agent.Live(SteadyNow(), UnixNow());
-    tick.expires_after(processes.awaited() ? kSoon : Agent::kTick);
+    tick.expires_after(processes.awaits_state_change() ? kSoon : Agent::kTick);
     tick.async_wait([&](const boost::system::error_code& error) {
       if (!error) live();
     });
   };
   // At the next turn of the event loop: what tells may be in the midst of its work.
-  processes.OnNews([&] { boost::asio::post(io, live); });
+  processes.OnStateChange([&] { boost::asio::post(io, live); });
   api.OnTaken([&] { boost::asio::post(io, live); });
   live();
   // Its instances run on: a later agent adopts them.
--- /dev/null
+++ b/src/agent/generation_store.cpp
@@ -0,0 +1,121 @@
+#include "agent/generation_store.h"
+
+#include <cerrno>
+#include <cstring>
+#include <filesystem>
+#include <set>
+#include <stdexcept>
+#include <utility>
+
+#include "agent/posix_io.h"
+#include "rollout/wire.h"
+
+namespace mothrack::agent {
+namespace {
+
+namespace fs = std::filesystem;
+using Cause = GenerationError::Cause;
+
+GenerationError DiskError(const std::string& path, const std::string& error) {
+  return {Cause::kDiskWriteFailed, path + ": " + error};
+}
+
+}  // namespace
+
+GenerationStore::GenerationStore(std::string directory, Check check)
+    : directory_(std::move(directory)), check_(std::move(check)) {
+  std::error_code error;
+  fs::create_directories(directory_, error);
+  if (error) throw std::runtime_error(fs::path(directory_).parent_path().string() + ": " + error.message());
+}
+
+bool GenerationStore::Has(const std::string& generation) const {
+  return rollout::IsValidName(generation) && fs::is_directory(DirectoryOf(generation));
+}
+
+std::vector<std::string> GenerationStore::Names() const {
+  std::set<std::string> names;
+  std::error_code error;
+  for (fs::directory_iterator it(directory_, error), end; !error && it != end; it.increment(error)) {
+    const std::string name = it->path().filename().string();
+    if (rollout::IsValidName(name)) names.insert(name);
+  }
+  return {names.begin(), names.end()};
+}
+
+GenerationStore::Files GenerationStore::FilesOf(const std::string& generation) const {
+  Files files;
+  if (!Has(generation)) return files;
+  std::error_code error;
+  for (fs::directory_iterator it(DirectoryOf(generation), error), end; !error && it != end;
+       it.increment(error)) {
+    files[it->path().filename().string()] = ReadFile(it->path());
+  }
+  return files;
+}
+
+std::optional<GenerationError> GenerationStore::Validate(const std::string& generation,
+                                                         const Files& files) const {
+  if (!rollout::IsValidName(generation)) {
+    return GenerationError{Cause::kInvalidName,
+                           "generation: a name has letters, digits, '-', '_' and '.', at most 64"};
+  }
+  if (files.empty() || files.size() > kMaxFiles) {
+    return GenerationError{Cause::kInvalidFiles, "files: give 1 to " + std::to_string(kMaxFiles)};
+  }
+  for (const auto& [name, text] : files) {
+    if (!rollout::IsValidName(name)) {
+      return GenerationError{Cause::kInvalidFiles,
+                             "files: '" + name + "' is no name for a file of a generation"};
+    }
+    if (text.size() > kMaxFileBytes) {
+      return GenerationError{Cause::kInvalidFiles,
+                             name + ": longer than " + std::to_string(kMaxFileBytes) + " bytes"};
+    }
+  }
+  return std::nullopt;
+}
+
+std::optional<GenerationError> GenerationStore::Keep(const std::string& generation, const Files& files) {
+  if (auto invalid = Validate(generation, files)) return invalid;
+  if (Has(generation)) {
+    if (FilesOf(generation) == files) return std::nullopt;
+    return GenerationError{Cause::kOtherFiles,
+                           generation + " is there with other files; give the new ones a name of their own"};
+  }
+  if (Names().size() >= kMaxGenerations) {
+    return GenerationError{Cause::kTooMany, "there are " + std::to_string(kMaxGenerations) +
+                                                " generations already; remove some that nothing runs"};
+  }
+  return Write(generation, files);
+}
+
+std::optional<GenerationError> GenerationStore::Write(const std::string& generation,
+                                                      const Files& files) const {
+  const std::string target = DirectoryOf(generation);
+  // Under a name that is not valid first: a generation is there complete, or not.
+  const std::string temporary = directory_ + "/." + generation;
+  std::error_code error;
+  fs::remove_all(temporary, error);
+  fs::create_directories(temporary, error);
+  if (error) return DiskError(temporary, error.message());
+  for (const auto& [name, text] : files) {
+    const std::string path = temporary + '/' + name;
+    if (!WriteFileDurably(path, text)) return DiskError(path, std::strerror(errno));
+  }
+  if (const std::string fault = check_(generation, temporary); !fault.empty()) {
+    fs::remove_all(temporary, error);
+    return GenerationError{Cause::kCheckFailed, generation + ": " + fault};
+  }
+  if (!SyncDirectory(temporary)) return DiskError(temporary, std::strerror(errno));
+  fs::rename(temporary, target, error);
+  if (error) return DiskError(target, error.message());
+  if (SyncDirectory(directory_)) return std::nullopt;
+  // Taken back, as far as that goes: who gets an error may ask again, and must not be answered that the
+  // generation is there.
+  const GenerationError sync_error = DiskError(directory_, std::strerror(errno));
+  fs::rename(target, temporary, error);
+  return sync_error;
+}
+
+}  // namespace mothrack::agent
--- /dev/null
+++ b/src/agent/process_supervisor.cpp
@@ -0,0 +1,284 @@
+#include "agent/process_supervisor.h"
+
+#include <fcntl.h>
+
+#include <boost/asio/posix/stream_descriptor.hpp>
+#include <cerrno>
+#include <csignal>
+#include <cstring>
+#include <filesystem>
+#include <stdexcept>
+#include <utility>
+
+#include "agent/child_process.h"
+#include "agent/posix_io.h"
+#include "agent/sidecar_status.h"
+
+namespace mothrack::agent {
+namespace {
+
+namespace fs = std::filesystem;
+
+constexpr rollout::Duration kLogCheckInterval{1000};
+
+std::vector<std::string> SubstituteAll(std::vector<std::string> texts,
+                                       const std::map<std::string, std::string>& values) {
+  for (std::string& text : texts) text = Substitute(text, values);
+  return texts;
+}
+
+}  // namespace
+
+// An instance, and its process where one runs.
+struct ProcessSupervisor::ManagedInstance {
+  InstanceSpec spec;
+  std::string directory;
+  ChildProcess process;
+  SidecarStatus status;    // of `process`, as it reported last
+  RequestCounts requests;  // likewise
+  std::unique_ptr<boost::asio::posix::stream_descriptor> exit_watch;
+  bool poll_in_flight = false;
+  bool awaits_state_change = true;  // polled more often
+  rollout::TimePoint next_poll_at{};
+  rollout::TimePoint next_log_check_at{};
+
+  std::string PathOf(const char* name) const { return directory + '/' + name; }
+  // What is replaced in its command, environment and files, where a generation's files lie in `files`.
+  std::map<std::string, std::string> Placeholders(const std::string& files) const {
+    return {{"instance", spec.name}, {"directory", directory}, {"generation", files}};
+  }
+  void ForgetProcess() {
+    exit_watch.reset();
+    process = ChildProcess();
+    status = SidecarStatus();
+    requests = RequestCounts();
+    awaits_state_change = true;
+    next_poll_at = {};
+  }
+};
+
+ProcessSupervisor::ProcessSupervisor(boost::asio::io_context& io, std::string directory,
+                                     const std::vector<InstanceSpec>& specs, std::vector<std::string> check,
+                                     const Limits& limits, runtime::Logger& log)
+    : io_(io),
+      directory_(std::move(directory)),
+      check_(std::move(check)),
+      limits_(limits),
+      log_(log),
+      generations_(directory_ + "/generations",
+                   [this](const std::string& generation, const std::string& files) {
+                     return CheckGeneration(generation, files);
+                   }) {
+  for (const InstanceSpec& spec : specs) {
+    auto instance = std::make_shared<ManagedInstance>();
+    instance->spec = spec;
+    instance->directory = directory_ + "/instances/" + spec.name;
+    std::error_code error;
+    fs::create_directories(instance->directory, error);
+    if (error) throw std::runtime_error(instance->directory + ": " + error.message());
+    FindProcess(*instance);
+    if (instance->process.running()) {
+      log_.Line(spec.name + ": adopted, pid " + std::to_string(instance->process.pid) + ", generation " +
+                instance->process.generation);
+    }
+    instances_.emplace(spec.name, std::move(instance));
+  }
+}
+
+ProcessSupervisor::~ProcessSupervisor() = default;
+
+void ProcessSupervisor::NotifyStateChange() const {
+  if (on_state_change_) on_state_change_();
+}
+
+void ProcessSupervisor::FindProcess(ManagedInstance& instance) const {
+  if (auto process = FindRunning(instance.PathOf("lock"), instance.PathOf("process.json"))) {
+    instance.process = std::move(*process);
+  }
+}
+
+void ProcessSupervisor::CollectExit(ManagedInstance& instance) const {
+  const auto how = PollExit(instance.process);
+  if (!how) return;
+  log_.Line(instance.spec.name + ": pid " + std::to_string(instance.process.pid) + ' ' + *how);
+  instance.ForgetProcess();
+}
+
+// Of the process that runs now.
+void ProcessSupervisor::WatchExit(const ManagedPointer& instance) {
+  const int copy = ::fcntl(instance->process.pid_fd.get(), F_DUPFD_CLOEXEC, 0);
+  if (copy < 0) return;  // the tick finds its end, later
+  instance->exit_watch = std::make_unique<boost::asio::posix::stream_descriptor>(io_, copy);
+  instance->exit_watch->async_wait(
+      boost::asio::posix::stream_descriptor::wait_read,
+      [this, weak = std::weak_ptr(instance), pid = instance->process.pid](const auto& error) {
+        const auto locked = weak.lock();
+        if (!error && locked && locked->process.pid == pid) NotifyStateChange();
+      });
+}
+
+void ProcessSupervisor::Poll(rollout::TimePoint now) {
+  for (const auto& [name, instance] : instances_) {
+    if (instance->process.running()) {
+      CollectExit(*instance);
+    } else {
+      FindProcess(*instance);
+    }
+    if (instance->process.running()) {
+      if (!instance->exit_watch) WatchExit(instance);
+      if (!instance->poll_in_flight && now >= instance->next_poll_at) PollAdminApi(instance, now);
+    }
+    if (now >= instance->next_log_check_at) {
+      instance->next_log_check_at = now + kLogCheckInterval;
+      BoundLog(*instance);
+    }
+  }
+}
+
+void ProcessSupervisor::PollAdminApi(const ManagedPointer& instance, rollout::TimePoint now) {
+  instance->poll_in_flight = true;
+  instance->next_poll_at =
+      now + (instance->awaits_state_change ? limits_.poll_interval_awaited : limits_.poll_interval_settled);
+  const std::string address = Substitute(instance->spec.admin_address, instance->Placeholders(""));
+  // `after=~` is behind all upstreams: their list is not wanted here.
+  admin_client::SendRequest(io_, {address, {}, "GET", "/v1/status?after=~", {}}, limits_.poll_timeout,
+                            [this, weak = std::weak_ptr(instance),
+                             pid = instance->process.pid](const admin_client::Response& response) {
+                              const auto locked = weak.lock();
+                              if (!locked) return;
+                              locked->poll_in_flight = false;
+                              if (locked->process.pid == pid && pid != 0) {
+                                OnAdminResponse(*locked, pid, response);
+                              }
+                            });
+}
+
+void ProcessSupervisor::OnAdminResponse(ManagedInstance& instance, int pid,
+                                        const admin_client::Response& response) {
+  const bool was_ready = std::exchange(instance.status.ready, false);
+  instance.status.draining = false;
+  // Not listening yet: a poll costs the sidecar nothing, so it is repeated soon.
+  if (!response.transport_error.empty() && instance.awaits_state_change) {
+    instance.next_poll_at -= limits_.poll_interval_awaited - limits_.poll_interval_unreachable;
+  }
+  if (!response.ok() || !response.body.is_object()) return;
+  const auto status = ParseSidecarStatus(response.body, pid);
+  if (!status) return;
+  instance.status = *status;
+  instance.awaits_state_change = !status->ready;
+  instance.requests = SumRequests(response.body);
+  if (status->ready != was_ready) NotifyStateChange();
+}
+
+rollout::ProcessState ProcessSupervisor::Inspect(const std::string& name) {
+  const ManagedInstance& instance = Of(name);
+  const ChildProcess& process = instance.process;
+  // What holds the lock and is not known yet runs all the same: nothing may be started beside it.
+  if (!process.running()) return {IsLockedByAnother(instance.PathOf("lock")), "", "", false, false};
+  return {true, process.token, process.generation, instance.status.ready, instance.status.draining};
+}
+
+RequestCounts ProcessSupervisor::RequestsOf(const std::string& instance) {
+  return Of(instance).requests;
+}
+
+void ProcessSupervisor::Do(const std::string& name, const rollout::Action& action) {
+  ManagedInstance& instance = Of(name);
+  switch (action.kind) {
+    case rollout::Action::Kind::kStart:
+      return Start(instance, action);
+    case rollout::Action::Kind::kStop:
+      log_.Line(name + ": planned stop of pid " + std::to_string(instance.process.pid));
+      instance.awaits_state_change = true;
+      return instance.process.Signal(SIGTERM);
+    case rollout::Action::Kind::kKill:
+      return instance.process.Signal(SIGKILL);
+    case rollout::Action::Kind::kSay:
+      return log_.Line(name + ": " + action.line);
+  }
+}
+
+std::string ProcessSupervisor::RenderFiles(const ManagedInstance& instance, const std::string& generation,
+                                           const std::string& from) {
+  const std::string to = instance.PathOf("files") + '/' + generation;
+  std::error_code error;
+  fs::create_directories(to, error);
+  for (fs::directory_iterator it(from, error), end; !error && it != end; it.increment(error)) {
+    const std::string name = it->path().filename().string();
+    const std::string text = Substitute(ReadFile(it->path()), instance.Placeholders(to));
+    if (!WriteFileDurably(to + '/' + name, text)) return {};
+  }
+  return error ? std::string() : to;
+}
+
+std::string ProcessSupervisor::CheckGeneration(const std::string& generation,
+                                               const std::string& directory) const {
+  if (check_.empty() || instances_.empty()) return {};
+  const ManagedInstance& instance = *instances_.begin()->second;
+  const std::string files = RenderFiles(instance, ".check-" + generation, directory);
+  if (files.empty()) return "can't be checked: its files can't be written";
+  const CommandResult result = RunCommand(SubstituteAll(check_, instance.Placeholders(files)),
+                                          static_cast<int>(limits_.check_timeout.count()));
+  if (result.outcome == CommandResult::Outcome::kNotStarted) {
+    return std::string("can't be checked: ") + std::strerror(result.error);
+  }
+  std::error_code ignored;
+  fs::remove_all(files, ignored);
+  if (result.outcome == CommandResult::Outcome::kTimedOut) return "its check did not end in time";
+  if (result.outcome == CommandResult::Outcome::kSucceeded) return {};
+  return "its check says: " + (result.output.empty()
+                                   ? "nothing, and failed"
+                                   : result.output.substr(0, CommandResult::kMaxOutputBytes));
+}
+
+void ProcessSupervisor::Start(ManagedInstance& instance, const rollout::Action& action) {
+  if (instance.process.running()) return;
+  const std::string& name = instance.spec.name;
+  const std::string files =
+      RenderFiles(instance, action.generation, generations_.DirectoryOf(action.generation));
+  if (files.empty()) return log_.Line(name + ": can't be started: no files of " + action.generation);
+  const auto placeholders = instance.Placeholders(files);
+  LaunchSpec launch;
+  launch.arguments = SubstituteAll(instance.spec.command, placeholders);
+  for (const auto& [variable, value] : instance.spec.environment) {
+    launch.environment.push_back(variable + '=' + Substitute(value, placeholders));
+  }
+  launch.lock_path = instance.PathOf("lock");
+  launch.process_file_path = instance.PathOf("process.json");
+  launch.log_path = instance.PathOf("log");
+  launch.token = action.token;
+  launch.generation = action.generation;
+  auto process = Launch(std::move(launch));
+  if (!process) return log_.Line(name + ": can't be started: " + std::strerror(errno));
+  instance.ForgetProcess();
+  instance.process = std::move(*process);
+  log_.Line(name + ": started, pid " + std::to_string(instance.process.pid) + ", generation " +
+            action.generation + (action.token.empty() ? "" : ", for " + action.token));
+}
+
+// The process holds its log open, so the file itself stays: it is copied aside and truncated. Lines that come
+// between the two are lost; a pipe through the agent would lose them all when the agent dies.
+void ProcessSupervisor::BoundLog(const ManagedInstance& instance) const {
+  const std::string path = instance.PathOf("log");
+  std::error_code error;
+  const auto size = fs::file_size(path, error);
+  if (error || size <= limits_.max_log_bytes) return;
+  fs::copy_file(path, instance.PathOf("log.1"), fs::copy_options::overwrite_existing, error);
+  if (!error) fs::resize_file(path, 0, error);
+}
+
+std::string ProcessSupervisor::LogTail(const std::string& instance, std::size_t bytes) const {
+  const std::string text = ReadFile(Of(instance).PathOf("log"));
+  return text.size() > bytes ? text.substr(text.size() - bytes) : text;
+}
+
+bool ProcessSupervisor::awaits_state_change() const {
+  for (const auto& [name, instance] : instances_) {
+    if (instance->process.running() && instance->awaits_state_change) return true;
+  }
+  return false;
+}
+
+int ProcessSupervisor::pid(const std::string& instance) const { return Of(instance).process.pid; }
+
+}  // namespace mothrack::agent
--- a/src/ctl/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -171,7 +171,7 @@
       const json body = {{"name", asked_.generation}, {"files", files}};
       for (const auto& [agent, reply] : driver_.AskAll("POST", "/v1/generation", body, touched)) {
         if (!reply.ok())
-          return Refused(kRefused, agent + " does not take " + asked_.generation + ": " + reply.why() +
+          return Refused(kRefused, agent + " does not take " + asked_.generation + ": " + reply.ErrorText() +
                                        "; nothing has changed");
       }
     }
@@ -245,7 +245,8 @@
       std::cout << "  it ended too often and is not started again: restart it once mended\n";
     const auto log = driver_.AskAll("GET", "/v1/log?" + name, {}, {agent});
     std::cout << "  the end of its log:\n";
-    std::istringstream lines(log.at(agent).ok() ? log.at(agent).body.value("log", "") : log.at(agent).why());
+    std::istringstream lines(log.at(agent).ok() ? log.at(agent).body.value("log", "")
+                                                : log.at(agent).ErrorText());
     std::vector<std::string> last;
     for (std::string line; std::getline(lines, line);) last.push_back(line);
     constexpr std::size_t kShown = 10;
@@ -276,7 +277,7 @@
         about_[agent] = reply.body;
       } else {
         unreached_.insert(agent);
-        faults_[agent] = reply.why();
+        faults_[agent] = reply.ErrorText();
       }
     }
   }
@@ -390,7 +391,7 @@
       const std::string change = about["open"].value("change", "");
       const auto plan = driver_.AskAll("GET", "/v1/plan?" + change, {}, {agent});
       if (plan.at(agent).ok()) return rollout::PlanFrom(plan.at(agent).body);
-      Refused(kRefused, agent + ": " + plan.at(agent).why());
+      Refused(kRefused, agent + ": " + plan.at(agent).ErrorText());
       return std::nullopt;
     }
     if (!unreached_.empty()) {
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -14,37 +14,40 @@
 
 using nlohmann::json;
 
-// An answer of an agent to a lease's question; nothing where it gave none that can be read.
-struct Read {
+// The event loop is run so long at most before the time is looked at again.
+constexpr rollout::Duration kLoopTurn{20};
+
+std::string RandomText() {
+  std::random_device random;
+  return std::to_string(std::uint64_t{random()} << 32 | random());
+}
+
+}  // namespace
+
+// An agent's answer to a request that needs the lease.
+struct Driver::LeaseAnswer {
   rollout::Lessor::Verdict verdict = rollout::Lessor::Verdict::kFenced;
-  std::optional<rollout::Holder> holder;
-  std::string refused;
+  std::optional<rollout::Holder> holder;  // who has the lease instead
+  std::string refused;                    // why it was refused, where the verdict is not the reason
   bool open = false;
   rollout::Epoch highest = 0;
 };
 
-std::optional<Read> ReadAnswer(const admin_client::Reply& reply) {
-  if (!reply.ok()) return std::nullopt;
+std::optional<Driver::LeaseAnswer> Driver::ParseLeaseAnswer(const admin_client::Response& response) {
+  if (!response.ok()) return std::nullopt;
   try {
-    Read read;
-    read.verdict = rollout::VerdictFrom(rollout::Member<std::string>(reply.body, "verdict"));
-    read.refused = rollout::Member<std::string>(reply.body, "refused");
-    read.open = rollout::Member<bool>(reply.body, "open");
-    read.highest = rollout::Member<std::uint64_t>(reply.body, "highest");
-    if (reply.body.contains("holder")) read.holder = rollout::HolderFrom(reply.body["holder"]);
-    return read;
+    LeaseAnswer answer;
+    answer.verdict = rollout::VerdictFrom(rollout::Member<std::string>(response.body, "verdict"));
+    answer.refused = rollout::Member<std::string>(response.body, "refused");
+    answer.open = rollout::Member<bool>(response.body, "open");
+    answer.highest = rollout::Member<std::uint64_t>(response.body, "highest");
+    if (response.body.contains("holder")) answer.holder = rollout::HolderFrom(response.body["holder"]);
+    return answer;
   } catch (const std::invalid_argument&) {
     return std::nullopt;
   }
 }
 
-std::string RandomText() {
-  std::random_device random;
-  return std::to_string(std::uint64_t{random()} << 32 | random());
-}
-
-}  // namespace
-
 Driver::Driver(boost::asio::io_context& io, std::vector<agent::AgentPlace> agents,
                std::function<void(const std::string&)> say)
     : io_(io), agents_(std::move(agents)), say_(std::move(say)) {}
@@ -54,42 +57,43 @@
                        [&](const agent::AgentPlace& a) { return a.name == agent; });
 }
 
-void Driver::Pass(rollout::Duration time) {
+void Driver::RunEventLoop(rollout::Duration time) {
   io_.restart();
   // Whatever came is acted on at once; the time is for when nothing comes.
   if (io_.run_one_for(time) > 0) io_.poll();
 }
 
 void Driver::Send(const std::string& agent, const std::string& target, json body,
-                  std::function<void(const admin_client::Reply&)> hear) {
+                  std::function<void(const admin_client::Response&)> on_response) {
   const agent::AgentPlace& place = Of(agent);
-  admin_client::Ask(
-      io_, {place.place, place.token, "POST", target, std::move(body)}, kPatience,
-      [this, agent, life = std::weak_ptr(life_), hear = std::move(hear)](const admin_client::Reply& reply) {
+  admin_client::SendRequest(
+      io_, {place.place, place.token, "POST", target, std::move(body)}, kTimeout,
+      [this, agent, life = std::weak_ptr(life_),
+       on_response = std::move(on_response)](const admin_client::Response& reply) {
         if (life.expired()) return;
         try {
-          hear(reply);
+          on_response(reply);
         } catch (const std::invalid_argument& e) {
           say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
         }
       });
 }
 
-std::map<std::string, admin_client::Reply> Driver::AskAll(const std::string& method,
-                                                          const std::string& target,
-                                                          const std::optional<json>& body,
-                                                          const std::set<std::string>& only) {
+std::map<std::string, admin_client::Response> Driver::AskAll(const std::string& method,
+                                                             const std::string& target,
+                                                             const std::optional<json>& body,
+                                                             const std::set<std::string>& only) {
   // Filled by answers that come after this has returned, too: it lives as long as they may.
-  const auto replies = std::make_shared<std::map<std::string, admin_client::Reply>>();
+  const auto replies = std::make_shared<std::map<std::string, admin_client::Response>>();
   std::size_t asked = 0;
   for (const agent::AgentPlace& agent : agents_) {
     if (!only.empty() && !only.contains(agent.name)) continue;
     ++asked;
-    admin_client::Ask(
-        io_, {agent.place, agent.token, method, target, body}, kPatience,
-        [replies, name = agent.name](admin_client::Reply reply) { (*replies)[name] = std::move(reply); });
+    admin_client::SendRequest(
+        io_, {agent.place, agent.token, method, target, body}, kTimeout,
+        [replies, name = agent.name](admin_client::Response reply) { (*replies)[name] = std::move(reply); });
   }
-  while (replies->size() < asked) Pass(rollout::Duration(20));
+  while (replies->size() < asked) RunEventLoop(kLoopTurn);
   return *replies;
 }
 
@@ -101,133 +105,183 @@
   return {plan.id, who, plan.why, agent::UnixNow(), claim_id};
 }
 
-Driver::Lease Driver::ClaimAll(const rollout::Plan& plan, const rollout::Holder& holder, bool resumes) {
+// One claim under way, with what its answers change. Answers that come after its end must not touch it: see
+// Driver::life_.
+struct Driver::ClaimRun {
+  const rollout::Plan& plan;
+  const rollout::Holder& holder;
+  rollout::Claim claim;
+  std::string agent_fault;         // an agent answered with an error instead of a verdict
+  rollout::Epoch last_epoch = 0;  // the highest that was asked for
+};
+
+Driver::Lease Driver::AcquireLease(const rollout::Plan& plan, const rollout::Holder& holder, bool resuming) {
   std::set<std::string> names;
   for (const agent::AgentPlace& agent : agents_) names.insert(agent.name);
-  std::set<std::string> needed;
-  for (const rollout::Target& target : plan.targets) needed.insert(target.name.agent);
+  std::set<std::string> required;
+  for (const rollout::Target& target : plan.targets) required.insert(target.name.agent);
   life_ = std::make_shared<int>();
-  rollout::Claim claim(holder.claim_id, names, needed, resumes, kPatience, agent::SteadyNow());
-  Lease lease;
-  std::string fault;  // of an agent, that is no verdict
-  while (!claim.granted() && claim.rejection().empty() && !interrupted_ && fault.empty()) {
+  ClaimRun run{plan, holder,
+               rollout::Claim(holder.claim_id, names, required, resuming, kTimeout, agent::SteadyNow())};
+  const rollout::Claim& claim = run.claim;
+  while (!claim.granted() && claim.rejection().empty() && !interrupted_ && run.agent_fault.empty()) {
     std::vector<rollout::ClaimCommand> commands;
-    claim.Tick(agent::SteadyNow(), commands);
-    for (const rollout::ClaimCommand& c : commands) {
-      switch (c.kind) {
-        case rollout::ClaimCommand::Kind::kReadEpoch:
-          admin_client::Ask(io_, {Of(c.agent).place, Of(c.agent).token, "GET", "/v1/agent", {}}, kPatience,
-                            [&claim, &fault, life = std::weak_ptr(life_),
-                             name = c.agent](const admin_client::Reply& reply) {
-                              if (life.expired()) return;
-                              if (reply.ok())
-                                return claim.OnHighestEpoch(name,
-                                                            reply.body.value("highest", rollout::Epoch{0}));
-                              if (reply.fault.empty()) fault = name + ": " + reply.why();
-                            });
-          break;
-        case rollout::ClaimCommand::Kind::kAcquire:
-        case rollout::ClaimCommand::Kind::kOpen: {
-          const bool opens = c.kind == rollout::ClaimCommand::Kind::kOpen;
-          json body = {
-              {"ask", opens ? "open" : "acquire"}, {"epoch", c.epoch}, {"holder", rollout::ToJson(holder)}};
-          if (opens) body["plan"] = rollout::ToJson(plan);
-          Send(c.agent, "/v1/lease", std::move(body),
-               [&claim, &fault, c, claim_id = holder.claim_id](const admin_client::Reply& reply) {
-                 const auto read = ReadAnswer(reply);
-                 if (!read && reply.fault.empty()) fault = c.agent + ": " + reply.why();
-                 if (!read) return;  // without an answer it is asked again
-                 if (!read->refused.empty()) fault = c.agent + ": " + read->refused;
-                 if (read->refused.empty())
-                   claim.OnLeaseAnswer(claim_id, c.agent, c.epoch, read->verdict, read->holder, read->open);
-               });
-          break;
-        }
-        case rollout::ClaimCommand::Kind::kRelease:
-          Send(c.agent, "/v1/lease",
-               {{"ask", "release"}, {"epoch", c.epoch}, {"tool", holder.claim_id}, {"close", false}},
-               [](const admin_client::Reply&) {});
-          break;
-      }
-      lease.epoch = std::max(lease.epoch, c.epoch);
+    run.claim.Tick(agent::SteadyNow(), commands);
+    for (const rollout::ClaimCommand& command : commands) {
+      SendClaimCommand(run, command);
+      run.last_epoch = std::max(run.last_epoch, command.epoch);
     }
-    Pass(rollout::Duration(20));
+    RunEventLoop(kLoopTurn);
   }
-  life_ = std::make_shared<int>();  // `claim` and `fault` go
+  life_ = std::make_shared<int>();  // `run` goes
   if (claim.granted()) return {claim.granted()->epoch, claim.granted()->since, {}};
-  lease.refused = !fault.empty() ? fault : interrupted_ ? "interrupted" : claim.rejection();
-  // What was got on the way is given back, wherever the claim itself did not come to that.
+  Lease lease;
+  lease.epoch = run.last_epoch;
+  lease.refused = !run.agent_fault.empty() ? run.agent_fault : interrupted_ ? "interrupted" : claim.rejection();
+  // What was granted on the way is released, wherever the claim itself did not come to that.
   if (lease.epoch > 0) Release(lease.epoch, holder.claim_id, false);
   return lease;
 }
 
-void Driver::Run(rollout::Change& change, rollout::Epoch epoch, const std::string& claim_id) {
+void Driver::SendClaimCommand(ClaimRun& run, const rollout::ClaimCommand& command) {
+  switch (command.kind) {
+    case rollout::ClaimCommand::Kind::kReadEpoch:
+      return ReadEpoch(run, command.agent);
+    case rollout::ClaimCommand::Kind::kAcquire:
+    case rollout::ClaimCommand::Kind::kOpen:
+      return RequestLease(run, command);
+    case rollout::ClaimCommand::Kind::kRelease:
+      return Send(command.agent, "/v1/lease",
+                  {{"ask", "release"},
+                   {"epoch", command.epoch},
+                   {"tool", run.holder.claim_id},
+                   {"close", false}},
+                  [](const admin_client::Response&) {});
+  }
+}
+
+void Driver::ReadEpoch(ClaimRun& run, const std::string& agent) {
+  const agent::AgentPlace& place = Of(agent);
+  admin_client::SendRequest(
+      io_, {place.place, place.token, "GET", "/v1/agent", {}}, kTimeout,
+      [&run, life = std::weak_ptr(life_), agent](const admin_client::Response& response) {
+        if (life.expired()) return;
+        if (response.ok()) {
+          run.claim.OnHighestEpoch(agent, response.body.value("highest", rollout::Epoch{0}));
+        } else if (response.transport_error.empty()) {
+          run.agent_fault = agent + ": " + response.ErrorText();
+        }
+      });
+}
+
+void Driver::RequestLease(ClaimRun& run, const rollout::ClaimCommand& command) {
+  const bool opens = command.kind == rollout::ClaimCommand::Kind::kOpen;
+  json body = {{"ask", opens ? "open" : "acquire"},
+               {"epoch", command.epoch},
+               {"holder", rollout::ToJson(run.holder)}};
+  if (opens) body["plan"] = rollout::ToJson(run.plan);
+  Send(command.agent, "/v1/lease", std::move(body),
+       [&run, command, claim_id = run.holder.claim_id](const admin_client::Response& response) {
+         const auto answer = ParseLeaseAnswer(response);
+         if (!answer) {
+           // Without any answer it is asked again.
+           if (response.transport_error.empty())
+             run.agent_fault = command.agent + ": " + response.ErrorText();
+           return;
+         }
+         if (!answer->refused.empty()) {
+           run.agent_fault = command.agent + ": " + answer->refused;
+           return;
+         }
+         run.claim.OnLeaseAnswer(claim_id, command.agent, command.epoch, answer->verdict, answer->holder,
+                                 answer->open);
+       });
+}
+
+// A change under way, and the lease that its commands are sent with.
+struct Driver::ChangeRun {
+  rollout::Change& change;
+  const rollout::Epoch epoch;
+  const std::string& claim_id;
+};
+
+void Driver::RunChange(rollout::Change& change, rollout::Epoch epoch, const std::string& claim_id) {
+  ChangeRun run{change, epoch, claim_id};
   while (!change.end() && !interrupted_) {
     std::vector<rollout::ChangeCommand> commands;
     const rollout::TimePoint now = agent::SteadyNow();
     change.Tick(now, commands);
     // One report of an agent answers for all of its instances, and renews its lease.
-    std::map<std::string, std::vector<std::pair<rollout::InstanceName, std::uint64_t>>> reports;
-    for (const rollout::ChangeCommand& c : commands) {
-      switch (c.kind) {
+    std::map<std::string, std::vector<ReportRequest>> reports;
+    for (const rollout::ChangeCommand& command : commands) {
+      switch (command.kind) {
         case rollout::ChangeCommand::Kind::kSay:
-          say_(c.line);
+          say_(command.line);
           break;
         case rollout::ChangeCommand::Kind::kRenew:
-          reports[c.name.agent];
+          reports[command.name.agent];
           break;
         case rollout::ChangeCommand::Kind::kReport:
-          reports[c.name.agent].emplace_back(c.name, c.number);
+          reports[command.name.agent].push_back({command.name, command.number});
           break;
         case rollout::ChangeCommand::Kind::kTakeStep:
-          Send(c.name.agent, "/v1/take",
-               {{"epoch", epoch},
-                {"tool", claim_id},
-                {"instance", c.name.instance},
-                {"step", rollout::ToJson(c.step)}},
-               [&change, c, now](const admin_client::Reply& reply) {
-                 const auto read = ReadAnswer(reply);
-                 if (!read) return;
-                 if (read->verdict != rollout::Lessor::Verdict::kGranted) {
-                   return change.OnFenced(c.name.agent, read->holder ? read->holder->who : "");
-                 }
-                 change.OnLeaseRenewed(c.name.agent, now);
-                 if (!read->refused.empty()) return change.OnStepRejected(c.name, read->refused);
-                 if (reply.body.contains("report")) {
-                   change.OnReport(c.name, c.number, rollout::ReportFrom(reply.body["report"]), now);
-                 }
-               });
+          SendStep(run, command, now);
           break;
       }
     }
-    for (const auto& [agent, asked] : reports) {
-      Send(agent, "/v1/report", {{"epoch", epoch}, {"tool", claim_id}},
-           [&change, agent = agent, asked = asked, now](const admin_client::Reply& reply) {
-             const auto read = ReadAnswer(reply);
-             if (!read) return;
-             if (read->verdict != rollout::Lessor::Verdict::kGranted) {
-               return change.OnFenced(agent, read->holder ? read->holder->who : "");
-             }
-             change.OnLeaseRenewed(agent, now);
-             for (const auto& [name, number] : asked) {
-               const json& told = reply.body.value("reports", json::object());
-               if (told.contains(name.instance))
-                 change.OnReport(name, number, rollout::ReportFrom(told[name.instance]), now);
-               else
-                 change.OnStepRejected(name, "its agent has no such instance");
-             }
-           });
-    }
-    if (!change.end()) Pass(rollout::Duration(20));
+    for (const auto& [agent, requests] : reports) RequestReports(run, agent, requests, now);
+    if (!change.end()) RunEventLoop(kLoopTurn);
   }
-  life_ = std::make_shared<int>();
+  life_ = std::make_shared<int>();  // `run` goes
+}
+
+bool Driver::ConfirmLease(rollout::Change& change, const std::string& agent, const LeaseAnswer& answer,
+                          rollout::TimePoint sent_at) {
+  if (answer.verdict != rollout::Lessor::Verdict::kGranted) {
+    change.OnFenced(agent, answer.holder ? answer.holder->who : "");
+    return false;
+  }
+  change.OnLeaseRenewed(agent, sent_at);
+  return true;
+}
+
+void Driver::SendStep(ChangeRun& run, const rollout::ChangeCommand& command, rollout::TimePoint now) {
+  Send(command.name.agent, "/v1/take",
+       {{"epoch", run.epoch},
+        {"tool", run.claim_id},
+        {"instance", command.name.instance},
+        {"step", rollout::ToJson(command.step)}},
+       [&change = run.change, command, now](const admin_client::Response& response) {
+         const auto answer = ParseLeaseAnswer(response);
+         if (!answer || !ConfirmLease(change, command.name.agent, *answer, now)) return;
+         if (!answer->refused.empty()) return change.OnStepRejected(command.name, answer->refused);
+         if (!response.body.contains("report")) return;
+         change.OnReport(command.name, command.number, rollout::ReportFrom(response.body["report"]), now);
+       });
+}
+
+void Driver::RequestReports(ChangeRun& run, const std::string& agent,
+                            const std::vector<ReportRequest>& requests, rollout::TimePoint now) {
+  Send(agent, "/v1/report", {{"epoch", run.epoch}, {"tool", run.claim_id}},
+       [&change = run.change, agent, requests, now](const admin_client::Response& response) {
+         const auto answer = ParseLeaseAnswer(response);
+         if (!answer || !ConfirmLease(change, agent, *answer, now)) return;
+         for (const auto& [name, number] : requests) {
+           const json& reports = response.body.value("reports", json::object());
+           if (reports.contains(name.instance)) {
+             change.OnReport(name, number, rollout::ReportFrom(reports[name.instance]), now);
+           } else {
+             change.OnStepRejected(name, "its agent has no such instance");
+           }
+         }
+       });
 }
 
 std::set<std::string> Driver::Release(rollout::Epoch epoch, const std::string& claim_id, bool close) {
-  constexpr int kTries = 3;
+  constexpr int kAttempts = 3;
   std::set<std::string> missing;
   for (const agent::AgentPlace& agent : agents_) missing.insert(agent.name);
-  for (int i = 0; i < kTries && !missing.empty(); ++i) {
+  for (int i = 0; i < kAttempts && !missing.empty(); ++i) {
     const json body = {{"ask", "release"}, {"epoch", epoch}, {"tool", claim_id}, {"close", close}};
     for (const auto& [name, reply] : AskAll("POST", "/v1/lease", body, missing)) {
       if (reply.ok()) missing.erase(name);
@@ -236,15 +290,15 @@
   return missing;
 }
 
-Driver::Outcome Driver::Carry(const rollout::Plan& plan, rollout::Change::Direction direction, bool resumes,
+Driver::Outcome Driver::Carry(const rollout::Plan& plan, rollout::Change::Direction direction, bool resuming,
                               const std::string& who, rollout::Duration lease_time) {
   const rollout::Holder holder = HolderOf(plan, who);
-  const Lease lease = ClaimAll(plan, holder, resumes);
+  const Lease lease = AcquireLease(plan, holder, resuming);
   Outcome outcome;
   outcome.refused = lease.refused;
   if (!outcome.refused.empty()) return outcome;
   rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
-  Run(change, lease.epoch, holder.claim_id);
+  RunChange(change, lease.epoch, holder.claim_id);
   outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
   outcome.why = change.end() ? change.reason() : "interrupted; what was taken is finished by the agents";
   if (!change.end()) say_(plan.id + " held: " + outcome.why);
@@ -256,7 +310,7 @@
 
 Driver::Outcome Driver::Close(const rollout::Plan& plan, const std::string& who) {
   const rollout::Holder holder = HolderOf(plan, who);
-  const Lease lease = ClaimAll(plan, holder, true);
+  const Lease lease = AcquireLease(plan, holder, true);
   Outcome outcome;
   outcome.refused = lease.refused;
   if (!outcome.refused.empty()) return outcome;
--- a/tests/rollout/changes_model.cpp
+++ b/tests/rollout/changes_model.cpp
@@ -660,7 +660,7 @@
   Box(World& world, Host& host) : world_(world), host_(host) {}
   ProcessState Inspect(const std::string& instance) override { return world_.Inspect(host_, instance); }
   void Do(const std::string& instance, const Action& action) override { world_.Do(host_, instance, action); }
-  std::pair<std::uint64_t, std::uint64_t> Requests(const std::string&) override { return {0, 0}; }
+  agent::RequestCounts RequestsOf(const std::string&) override { return {}; }
   bool HasGeneration(const std::string&) const override { return true; }
 
  private:
