--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -1,4 +1,4 @@
-// What an agent answers, as JSON (src/admin/server.h carries it):
+// The agent's admin API, JSON over HTTP (src/admin/server.h):
 //
 //   GET  /v1/agent                 viewer    what it is, its lease, its instances
 //   GET  /v1/history?MOST          viewer    what happened, the latest last
@@ -11,7 +11,7 @@
 //   POST /v1/generation            operator  {"name", "files": {name: text}}
 //
 // On a Unix socket whoever may open it is an operator. Refused commands are logged. More than kPerSecond
-// answers a second are refused with 429 unlooked at.
+// calls a second are answered 429 unread. Called from the event loop only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -34,27 +34,38 @@
            Store& store, runtime::Logger& log);
 
   std::string local() const { return server_.local(); }
-  // Told under "peers", where the agent has some.
-  void TellPeers(std::function<nlohmann::json()> peers) { peers_ = std::move(peers); }
+  // Reported under "peers", where the agent has some.
+  void ReportPeers(std::function<nlohmann::json()> peers) { peers_ = std::move(peers); }
   // Called when a step was taken: Agent::Live() is due.
-  void OnTaken(std::function<void()> on_taken) { on_taken_ = std::move(on_taken); }
+  void OnStepTaken(std::function<void()> on_step_taken) { on_step_taken_ = std::move(on_step_taken); }
 
   static constexpr double kPerSecond = 200;
-  static constexpr std::size_t kConnections = 32;
-  static constexpr std::size_t kMostBody = 1024 * 1024;  // bytes
+  static constexpr std::size_t kMaxConnections = 32;
+  static constexpr std::size_t kMaxBodyBytes = 1024 * 1024;
 
  private:
+  // The table of routes; one function each below. `query` is what comes after '?', still escaped; `body` is
+  // read strictly: std::invalid_argument becomes 400, and the command has no effect.
   std::vector<admin::Route> Routes();
-  std::optional<admin::Answer> Guard(const admin::Call& call);
+  admin::Answer History(const std::string& query) const;
+  admin::Answer Plan(const std::string& query) const;
+  admin::Answer GenerationFiles(const std::string& query) const;
+  admin::Answer LogEnd(const std::string& query) const;
+  admin::Answer Lease(const nlohmann::json& body);
+  admin::Answer Report(const nlohmann::json& body);
+  admin::Answer TakeStep(const nlohmann::json& body);
+  admin::Answer KeepGeneration(const nlohmann::json& body);
   nlohmann::json About() const;
-  admin::Answer Lease(const nlohmann::json& asked);
+
+  // Rate limit, tokens and roles; an answer where the call is refused.
+  std::optional<admin::Answer> Guard(const admin::Call& call);
 
   const AgentFile& file_;
   Agent& agent_;
   ProcessSupervisor& processes_;
   Store& store_;
   runtime::Logger& log_;
-  std::function<void()> on_taken_;
+  std::function<void()> on_step_taken_;
   std::function<nlohmann::json()> peers_;
   runtime::RateLimiter rate_limiter_;
   admin::Server server_;  // last: it calls the rest
--- a/src/agent/agent_file.h
+++ b/src/agent/agent_file.h
@@ -1,14 +1,14 @@
-// The files that an operator writes for agents and tools (TOML): the fleet file of one machine, and the list
-// of agents that a tool calls. Each fault names file, line or key, and the mend; nothing of a file with one
-// counts.
+// The agent's file (TOML), as an operator writes it for one machine. A file with a fault is refused as a
+// whole.
 #pragma once
 
 #include <map>
 #include <optional>
-#include <stdexcept>
 #include <string>
 #include <vector>
 
+#include "agent/agent_list.h"
+#include "agent/file_error.h"
 #include "agent/process_supervisor.h"
 #include "rollout/instance.h"
 #ifdef MOTHRACK_WITH_PEERS
@@ -17,11 +17,6 @@
 
 namespace mothrack::agent {
 
-class FileError : public std::runtime_error {
- public:
-  using std::runtime_error::runtime_error;
-};
-
 enum class Role { kViewer, kOperator };
 
 struct AgentFile {
@@ -42,16 +37,7 @@
 #endif
 };
 
+// Throws FileError.
 AgentFile LoadAgentFile(const std::string& path);
 
-// Of one agent, as a tool calls it.
-struct AgentPlace {
-  std::string name;
-  std::string hall;
-  std::string place;
-  std::string token;  // empty: none is given
-};
-
-std::vector<AgentPlace> LoadAgentsFile(const std::string& path);
-
 }  // namespace mothrack::agent
--- /dev/null
+++ b/src/agent/agent_list.cpp
@@ -0,0 +1,42 @@
+#include "agent/agent_list.h"
+
+#include <fstream>
+#include <set>
+#include <utility>
+
+#include "agent/toml_section.h"
+
+namespace mothrack::agent {
+namespace {
+
+constexpr std::size_t kMaxAgents = 256;
+
+}  // namespace
+
+std::vector<AgentPlace> LoadAgentsFile(const std::string& path) {
+  const toml::table table = ParseToml(path);
+  TomlSection file_section(path, "", table);
+  std::vector<AgentPlace> agents;
+  std::set<std::string> names;
+  for (TomlSection& section : file_section.Tables("agent")) {
+    AgentPlace agent;
+    agent.name = section.Name("name");
+    agent.hall = section.Name("hall");
+    agent.place = section.Address("place");
+    const std::string token = section.Text("token_file", "");
+    if (!token.empty()) {
+      RequirePrivateFile(section, "token_file", token);
+      std::ifstream(token) >> agent.token;
+      if (agent.token.empty()) section.Fault("token_file", token + " is empty");
+    }
+    section.RejectUnknownKeys();
+    if (!names.insert(agent.name).second) section.Fault("name", "is that of another agent, too");
+    agents.push_back(std::move(agent));
+  }
+  if (agents.empty()) file_section.Fault("", "there is no [[agent]]");
+  if (agents.size() > kMaxAgents) file_section.Fault("agent", "more than " + std::to_string(kMaxAgents));
+  file_section.RejectUnknownKeys();
+  return agents;
+}
+
+}  // namespace mothrack::agent
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -83,7 +83,7 @@
   std::function<void()> rekey_on_signal;
   if (file.peers) {
     peers.emplace(io, *file.peers, file.name, log);
-    api.TellPeers([&] { return peers->Report(); });
+    api.ReportPeers([&] { return peers->Report(); });
     if (const auto local = peers->local()) std::cerr << file.name << ": peers on " << *local << std::endl;
     rekey.add(SIGHUP);  // reads the keys again, and nothing else
     rekey_on_signal = [&] {
@@ -108,7 +108,7 @@
   };
   // At the next turn of the event loop: what tells may be in the midst of its work.
   processes.OnStateChange([&] { boost::asio::post(io, live); });
-  api.OnTaken([&] { boost::asio::post(io, live); });
+  api.OnStepTaken([&] { boost::asio::post(io, live); });
   live();
   // Its instances run on: a later agent adopts them.
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -178,9 +178,7 @@
   return {true, process.token, process.generation, instance.status.ready, instance.status.draining};
 }
 
-RequestCounts ProcessSupervisor::RequestsOf(const std::string& instance) {
-  return Of(instance).requests;
-}
+RequestCounts ProcessSupervisor::RequestsOf(const std::string& instance) { return Of(instance).requests; }
 
 void ProcessSupervisor::Do(const std::string& name, const rollout::Action& action) {
   ManagedInstance& instance = Of(name);
--- /dev/null
+++ b/src/agent/toml_section.h
@@ -0,0 +1,141 @@
+// Reads the TOML files that operators write for agents and tools.
+#pragma once
+
+#include <toml++/toml.h>
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <set>
+#include <stdexcept>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "admin_client/admin_client.h"
+#include "agent/file_error.h"
+#include "rollout/types.h"
+#include "rollout/wire.h"
+
+namespace mothrack::agent {
+
+// A table of a file, read key by key. Each fault names file, line and key, and how to mend it, as FileError.
+// Refers to the path and the table that it was made with.
+class TomlSection {
+ public:
+  TomlSection(const std::string& path, std::string key, const toml::table& table)
+      : path_(path), key_(std::move(key)), table_(table) {}
+
+  [[noreturn]] void Fault(const std::string& key, const std::string& what) const {
+    const toml::node* node = key.empty() ? nullptr : table_.get(key);
+    const auto line = (node != nullptr ? node->source() : table_.source()).begin.line;
+    const std::string name = key_.empty() ? key : key.empty() ? key_ : key_ + '.' + key;
+    throw FileError(path_ + ':' + std::to_string(line) + ": " + name + ": " + what);
+  }
+
+  bool Has(const std::string& key) { return Get(key) != nullptr; }
+  std::string Text(const std::string& key, const std::optional<std::string>& fallback = std::nullopt) {
+    const toml::node* node = Get(key);
+    if (node == nullptr && fallback) return *fallback;
+    if (node == nullptr) Fault(key, "is missing; give a text");
+    if (!node->is_string()) Fault(key, "is no text; put it in quotes");
+    return *node->value<std::string>();
+  }
+  // A name that may become part of a path.
+  std::string Name(const std::string& key) {
+    const std::string name = Text(key);
+    if (!rollout::IsValidName(name))
+      Fault(key, "takes letters, digits, '-', '_' and '.', at most 64, no dot first");
+    return name;
+  }
+  rollout::Duration Milliseconds(const std::string& key, rollout::Duration fallback, rollout::Duration min,
+                                 rollout::Duration max) {
+    return rollout::Duration(Number(key, fallback.count(), min.count(), max.count()));
+  }
+  std::int64_t Number(const std::string& key, std::int64_t fallback, std::int64_t min, std::int64_t max) {
+    const toml::node* node = Get(key);
+    if (node == nullptr) return fallback;
+    const auto value = node->value_exact<std::int64_t>();
+    if (!value || *value < min || *value > max) {
+      Fault(key, "takes a whole number from " + std::to_string(min) + " to " + std::to_string(max));
+    }
+    return *value;
+  }
+  std::vector<std::string> Strings(const std::string& key) {
+    std::vector<std::string> texts;
+    const toml::node* node = Get(key);
+    if (node == nullptr) return texts;
+    if (!node->is_array()) Fault(key, "is no list; write [\"...\"]");
+    for (const toml::node& item : *node->as_array()) {
+      if (!item.is_string()) Fault(key, "holds something that is no text");
+      texts.push_back(*item.value<std::string>());
+    }
+    return texts;
+  }
+  std::map<std::string, std::string> StringMap(const std::string& key) {
+    std::map<std::string, std::string> pairs;
+    const toml::node* node = Get(key);
+    if (node == nullptr) return pairs;
+    if (!node->is_table()) Fault(key, "is no table; write { NAME = \"...\" }");
+    for (const auto& [name, item] : *node->as_table()) {
+      if (!item.is_string()) Fault(key, std::string(name.str()) + " is no text");
+      pairs[std::string(name.str())] = *item.value<std::string>();
+    }
+    return pairs;
+  }
+  std::optional<TomlSection> Table(const std::string& key) {
+    const toml::node* node = Get(key);
+    if (node == nullptr) return std::nullopt;
+    if (!node->is_table()) Fault(key, "is no table");
+    return TomlSection(path_, key_.empty() ? key : key_ + '.' + key, *node->as_table());
+  }
+  std::vector<TomlSection> Tables(const std::string& key) {
+    std::vector<TomlSection> tables;
+    const toml::node* node = Get(key);
+    if (node == nullptr) return tables;
+    if (!node->is_array()) Fault(key, "is no list of tables; write [[" + key + "]]");
+    for (const toml::node& item : *node->as_array()) {
+      if (!item.is_table()) Fault(key, "holds something that is no table; write [[" + key + "]]");
+      tables.emplace_back(path_, key + '[' + std::to_string(tables.size()) + ']', *item.as_table());
+    }
+    return tables;
+  }
+  // Of an admin API: "unix:/path" or a loopback address with its port.
+  std::string Address(const std::string& key) {
+    std::string address = Text(key);
+    if (const std::string fault = admin_client::FaultOfAddress(address); !fault.empty()) Fault(key, fault);
+    return address;
+  }
+  // Call it once every known key was read.
+  void RejectUnknownKeys() const {
+    for (const auto& [key, value] : table_) {
+      if (!known_keys_.contains(std::string(key.str()))) {
+        Fault(std::string(key.str()), "is unknown; there are " + Known());
+      }
+    }
+  }
+
+ private:
+  const toml::node* Get(const std::string& key) {
+    known_keys_.insert(key);
+    return table_.get(key);
+  }
+  std::string Known() const {
+    std::string names;
+    for (const std::string& key : known_keys_) names += (names.empty() ? "" : ", ") + key;
+    return names;
+  }
+
+  const std::string path_;
+  const std::string key_;
+  const toml::table& table_;
+  std::set<std::string> known_keys_;
+};
+
+// Throws FileError where the file can't be read or is no TOML.
+toml::table ParseToml(const std::string& path);
+
+// Throws FileError where others than its owner may read a file with secrets; `key` names the file.
+void RequirePrivateFile(const TomlSection& section, const std::string& key, const std::string& path);
+
+}  // namespace mothrack::agent
