--- /dev/null
+++ b/src/ctl/command_resume.cpp
@@ -0,0 +1,57 @@
+// mothrackctl resume, undo, abort: the change that is open at the agents, carried on, undone or closed.
+#include <iostream>
+#include <optional>
+
+#include "ctl/fleet_snapshot.h"
+#include "ctl/session.h"
+#include "ctl/show.h"
+#include "rollout/wire.h"
+
+namespace mothrack::ctl {
+namespace {
+
+// The plan of the open change, or the exit code where there is none to be had.
+struct OpenPlan {
+  std::optional<rollout::Plan> plan;
+  ExitCode code = kRefused;
+};
+
+OpenPlan FetchOpenPlan(Session& session, const FleetSnapshot& snapshot) {
+  if (const auto agent = snapshot.AgentWithOpenChange()) {
+    const std::string target = "/v1/plan?" + snapshot.OpenChange(*agent, "change");
+    const auto reply = session.driver().AskAll("GET", target, {}, {*agent}).at(*agent);
+    if (reply.ok()) return {rollout::PlanFrom(reply.body)};
+    return {std::nullopt, Fail(kRefused, *agent + ": " + reply.ErrorText())};
+  }
+  if (snapshot.faults.empty()) return {std::nullopt, Fail(kRefused, "no change is open")};
+  return {std::nullopt, Fail(kUnreachable, "no change is open where one was reached; not reached: " +
+                                               Join(snapshot.Unreachable()))};
+}
+
+ExitCode CarryOn(Session& session, rollout::Change::Direction direction) {
+  const FleetSnapshot snapshot = TakeSnapshot(session.driver());
+  const auto [plan, code] = FetchOpenPlan(session, snapshot);
+  if (!plan) return code;
+  const bool undo = direction == rollout::Change::Direction::kUndo;
+  std::cout << plan->id << " by " << Plain(plan->who) << " (" << Plain(plan->why) << ") is "
+            << (undo ? "undone" : "carried on") << std::endl;
+  return PrintOutcome(
+      session.driver().Carry(*plan, direction, true, session.OperatorName(), snapshot.ShortestLease()));
+}
+
+}  // namespace
+
+ExitCode RunResume(Session& session) { return CarryOn(session, rollout::Change::Direction::kForward); }
+
+ExitCode RunUndo(Session& session) { return CarryOn(session, rollout::Change::Direction::kUndo); }
+
+ExitCode RunAbort(Session& session) {
+  const auto [plan, code] = FetchOpenPlan(session, TakeSnapshot(session.driver()));
+  if (!plan) return code;
+  const auto outcome = session.driver().Close(*plan, session.OperatorName());
+  if (!outcome.refused.empty()) return Fail(kRefused, outcome.refused);
+  std::cout << plan->id << " closed as it stands; no step is undone" << std::endl;
+  return PrintLeftOpen(outcome) ? kUnreachable : kDone;
+}
+
+}  // namespace mothrack::ctl
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -111,7 +111,7 @@
   const rollout::Plan& plan;
   const rollout::Holder& holder;
   rollout::Claim claim;
-  std::string agent_fault;         // an agent answered with an error instead of a verdict
+  std::string agent_fault{};      // an agent answered with an error instead of a verdict
   rollout::Epoch last_epoch = 0;  // the highest that was asked for
 };
 
@@ -137,7 +137,9 @@
   if (claim.granted()) return {claim.granted()->epoch, claim.granted()->since, {}};
   Lease lease;
   lease.epoch = run.last_epoch;
-  lease.refused = !run.agent_fault.empty() ? run.agent_fault : interrupted_ ? "interrupted" : claim.rejection();
+  lease.refused = !run.agent_fault.empty() ? run.agent_fault
+                  : interrupted_           ? "interrupted"
+                                           : claim.rejection();
   // What was granted on the way is released, wherever the claim itself did not come to that.
   if (lease.epoch > 0) Release(lease.epoch, holder.claim_id, false);
   return lease;
@@ -151,12 +153,10 @@
     case rollout::ClaimCommand::Kind::kOpen:
       return RequestLease(run, command);
     case rollout::ClaimCommand::Kind::kRelease:
-      return Send(command.agent, "/v1/lease",
-                  {{"ask", "release"},
-                   {"epoch", command.epoch},
-                   {"tool", run.holder.claim_id},
-                   {"close", false}},
-                  [](const admin_client::Response&) {});
+      return Send(
+          command.agent, "/v1/lease",
+          {{"ask", "release"}, {"epoch", command.epoch}, {"tool", run.holder.claim_id}, {"close", false}},
+          [](const admin_client::Response&) {});
   }
 }
 
@@ -176,9 +176,8 @@
 
 void Driver::RequestLease(ClaimRun& run, const rollout::ClaimCommand& command) {
   const bool opens = command.kind == rollout::ClaimCommand::Kind::kOpen;
-  json body = {{"ask", opens ? "open" : "acquire"},
-               {"epoch", command.epoch},
-               {"holder", rollout::ToJson(run.holder)}};
+  json body = {
+      {"ask", opens ? "open" : "acquire"}, {"epoch", command.epoch}, {"holder", rollout::ToJson(run.holder)}};
   if (opens) body["plan"] = rollout::ToJson(run.plan);
   Send(command.agent, "/v1/lease", std::move(body),
        [&run, command, claim_id = run.holder.claim_id](const admin_client::Response& response) {
--- a/src/ctl/driver.h
+++ b/src/ctl/driver.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "admin_client/admin_client.h"
-#include "agent/agent_file.h"
+#include "agent/agent_list.h"
 #include "rollout/change.h"
 #include "rollout/claim.h"
 #include "rollout/plan.h"
--- /dev/null
+++ b/src/ctl/session.h
@@ -0,0 +1,52 @@
+// What every command of mothrackctl works with: its options, the driver to the agents, SIGINT and SIGTERM.
+// One thread.
+#pragma once
+
+#include <boost/asio/io_context.hpp>
+#include <boost/asio/signal_set.hpp>
+#include <set>
+#include <string>
+
+#include "ctl/driver.h"
+#include "ctl/exit_code.h"
+#include "ctl/options.h"
+
+namespace mothrack::ctl {
+
+class Session {
+ public:
+  // Throws agent::FileError where the list of agents has a fault.
+  explicit Session(Options options);
+
+  const Options& options() const { return options_; }
+  Driver& driver() { return driver_; }
+  // In whose name the command is given.
+  std::string OperatorName() const;
+
+ private:
+  const Options options_;
+  boost::asio::io_context io_{1};
+  Driver driver_;
+  boost::asio::signal_set signals_;
+};
+
+// The commands. Each prints what it has to say and returns the exit code.
+ExitCode RunStatus(Session& session);
+ExitCode RunPlan(Session& session);
+ExitCode RunApply(Session& session);
+ExitCode RunRestart(Session& session);
+ExitCode RunDrain(Session& session);
+ExitCode RunResume(Session& session);
+ExitCode RunUndo(Session& session);
+ExitCode RunAbort(Session& session);
+ExitCode RunHistory(Session& session);
+ExitCode RunExplain(Session& session);
+
+// Says on standard error why a command fails; returns `code`.
+ExitCode Fail(ExitCode code, const std::string& reason);
+// Says how a change ended; the exit code for it.
+ExitCode PrintOutcome(const Driver::Outcome& outcome);
+// Says which agents still have the change open; false: none.
+bool PrintLeftOpen(const Driver::Outcome& outcome);
+
+}  // namespace mothrack::ctl
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -1,6 +1,7 @@
 #include "ctl/show.h"
 
 #include <algorithm>
+#include <ctime>
 #include <sstream>
 
 namespace mothrack::ctl {
@@ -13,6 +14,39 @@
   return lines;
 }
 
+// All lines of both texts, each with its mark, and which of them differ.
+struct DiffLines {
+  std::vector<std::string> lines;
+  std::vector<std::size_t> changed;  // indices into `lines`
+};
+
+// By the longest common subsequence of lines; time and memory grow with the product of both sizes.
+DiffLines Compare(const std::vector<std::string>& before, const std::vector<std::string>& after) {
+  // Its length for the rest of both from each pair of lines on.
+  std::vector<std::vector<unsigned>> common(before.size() + 1, std::vector<unsigned>(after.size() + 1, 0));
+  for (std::size_t i = before.size(); i-- > 0;) {
+    for (std::size_t j = after.size(); j-- > 0;) {
+      common[i][j] =
+          before[i] == after[j] ? common[i + 1][j + 1] + 1 : std::max(common[i + 1][j], common[i][j + 1]);
+    }
+  }
+  DiffLines diff;
+  std::size_t i = 0;
+  std::size_t j = 0;
+  while (i < before.size() || j < after.size()) {
+    if (i < before.size() && j < after.size() && before[i] == after[j]) {
+      diff.lines.push_back("  " + before[i]);
+      ++i;
+      ++j;
+      continue;
+    }
+    diff.changed.push_back(diff.lines.size());
+    const bool removed = j == after.size() || (i < before.size() && common[i + 1][j] >= common[i][j + 1]);
+    diff.lines.push_back(removed ? "- " + before[i++] : "+ " + after[j++]);
+  }
+  return diff;
+}
+
 }  // namespace
 
 std::string Plain(const std::string& text) {
@@ -21,6 +55,21 @@
   return plain;
 }
 
+std::string Join(const std::set<std::string>& names) {
+  std::string text;
+  for (const std::string& name : names) text += (text.empty() ? "" : ", ") + name;
+  return text;
+}
+
+std::string ClockText(std::int64_t unix_ms) {
+  const std::time_t at = unix_ms / 1000;
+  std::tm local{};
+  ::localtime_r(&at, &local);
+  char text[32];
+  std::strftime(text, sizeof text, "%Y-%m-%d %H:%M:%S", &local);
+  return text;
+}
+
 std::string Table(const std::vector<std::vector<std::string>>& rows) {
   std::vector<std::size_t> widths;
   for (const auto& row : rows) {
@@ -39,40 +88,24 @@
   return text;
 }
 
-std::string Difference(const std::string& before, const std::string& after, std::size_t around) {
+std::string Difference(const std::string& before, const std::string& after, std::size_t context) {
   if (before == after) return {};
-  const auto a = Lines(before);
-  const auto b = Lines(after);
-  if (a.size() > kMostLines || b.size() > kMostLines) return "(differs; too long to compare line by line)\n";
-  // The longest common run of lines, from the end on.
-  std::vector<std::vector<unsigned>> common(a.size() + 1, std::vector<unsigned>(b.size() + 1, 0));
-  for (std::size_t i = a.size(); i-- > 0;) {
-    for (std::size_t j = b.size(); j-- > 0;) {
-      common[i][j] = a[i] == b[j] ? common[i + 1][j + 1] + 1 : std::max(common[i + 1][j], common[i][j + 1]);
-    }
-  }
-  std::vector<std::string> all;
-  std::vector<std::size_t> marks;
-  std::size_t i = 0;
-  std::size_t j = 0;
-  while (i < a.size() || j < b.size()) {
-    if (i < a.size() && j < b.size() && a[i] == b[j]) {
-      all.push_back("  " + a[i++]), ++j;
-      continue;
-    }
-    marks.push_back(all.size());
-    const bool goes = j == b.size() || (i < a.size() && common[i + 1][j] >= common[i][j + 1]);
-    all.push_back(goes ? "- " + a[i++] : "+ " + b[j++]);
+  const auto removed = Lines(before);
+  const auto added = Lines(after);
+  if (removed.size() > kMaxLines || added.size() > kMaxLines) {
+    return "(differs; too long to compare line by line)\n";
   }
+  const DiffLines diff = Compare(removed, added);
   std::string text;
   std::size_t shown = 0;
-  for (const std::size_t mark : marks) {
-    const std::size_t from = std::max(shown, mark > around ? mark - around : 0);
+  for (const std::size_t changed : diff.changed) {
+    const std::size_t from = std::max(shown, changed > context ? changed - context : 0);
     if (from > shown) text += "  ...\n";
-    for (shown = from; shown < std::min(all.size(), mark + around + 1); ++shown)
-      text += Plain(all[shown]) + '\n';
+    for (shown = from; shown < std::min(diff.lines.size(), changed + context + 1); ++shown) {
+      text += Plain(diff.lines[shown]) + '\n';
+    }
   }
-  if (shown < all.size()) text += "  ...\n";
+  if (shown < diff.lines.size()) text += "  ...\n";
   return text;
 }
 
