--- /dev/null
+++ b/tests/rollout/change_test.cpp
@@ -0,0 +1,238 @@
+// One change from its first batch to its end, against agents that the test plays.
+#include "rollout/change.h"
+
+#include <chrono>
+#include <functional>
+#include <map>
+#include <set>
+#include <string>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "rollout/rollout_test_support.h"
+
+namespace mothrack::rollout {
+namespace {
+
+using std::chrono::milliseconds;
+using testing::At;
+using testing::TwoHallPlan;
+
+// Plays the agents of one change: what each instance tells is set by the test.
+class Fleet {
+ public:
+  Fleet(const Plan& plan, Change::Direction direction = Change::Direction::kForward)
+      : plan_(plan), change(plan, direction, 1, milliseconds(30'000), At(0)) {
+    for (const Target& target : plan.targets) {
+      Report& report = reports[target.name];
+      report.running = report.ready = true;
+      report.generation = target.from;
+      report.requests = 1000;
+    }
+  }
+
+  // Turns until the change has ended or `until`; steps end well at once, unless `on_step` does otherwise.
+  void Run(int until) {
+    for (; now_ <= until && !change.end(); now_ += 100) {
+      std::vector<ChangeCommand> commands;
+      change.Tick(At(now_), commands);
+      for (const ChangeCommand& c : commands) {
+        if (c.kind == ChangeCommand::Kind::kSay) {
+          said += c.line + '\n';
+          continue;
+        }
+        if (silent.contains(c.name.agent)) continue;
+        change.OnLeaseRenewed(c.name.agent, At(now_));
+        if (c.kind == ChangeCommand::Kind::kRenew) continue;
+        Report& report = reports.at(c.name);
+        if (c.kind == ChangeCommand::Kind::kTakeStep && report.step != c.step) {
+          steps.push_back(c.name.agent + '/' + c.name.instance + (c.step.undo ? " undo" : ""));
+          report.step = c.step;
+          report.phase = Phase::kDone;
+          report.generation = c.step.generation;
+          if (on_step) on_step(c.name, report);
+        }
+        if (c.kind == ChangeCommand::Kind::kReport && on_report) on_report(c.name, report);
+        change.OnReport(c.name, c.number, report, At(now_));
+      }
+    }
+  }
+
+  const Plan plan_;
+  Change change;
+  std::map<InstanceName, Report> reports;
+  std::set<std::string> silent;
+  std::function<void(const InstanceName&, Report&)> on_step;
+  std::function<void(const InstanceName&, Report&)> on_report;
+  std::vector<std::string> steps;
+  std::string said;
+
+ private:
+  int now_ = 0;
+};
+
+using Names = std::vector<std::string>;
+
+TEST(Change, GoesThroughAllBatchesInOrder) {
+  Fleet fleet(TwoHallPlan(2, 1));
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted) << fleet.said;
+  EXPECT_EQ(fleet.steps, (Names{"bole/i0", "bole/i1", "kality/i0", "kality/i1"}));
+}
+
+TEST(Change, FailedStepHoldsOrTurnsBack) {
+  for (const OnFailure policy : {OnFailure::kHold, OnFailure::kRollBack}) {
+    Plan plan = TwoHallPlan(3, 1);
+    plan.policy.on_failure = policy;
+    Fleet fleet(plan);
+    fleet.on_step = [](const InstanceName& name, Report& report) {
+      report.ready = true;
+      if (name.instance != "i1" || report.step.undo) return;
+      report.phase = Phase::kFailed;
+      report.failure_reason = "not ready within 10 s";
+      report.ready = false;
+    };
+    fleet.Run(120'000);
+    EXPECT_EQ(fleet.change.reason(), "bole/i1: not ready within 10 s");
+    if (policy == OnFailure::kHold) {
+      EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
+      EXPECT_EQ(fleet.steps, (Names{"bole/i0", "bole/i1"}));
+    } else {
+      EXPECT_EQ(fleet.change.end(), ChangeEnd::kRolledBack);
+      EXPECT_EQ(fleet.steps, (Names{"bole/i0", "bole/i1", "bole/i1 undo", "bole/i0 undo"}));
+    }
+  }
+}
+
+TEST(Change, GateStopsAtMoreFailuresThanBefore) {
+  Fleet fleet(TwoHallPlan(2, 1));
+  fleet.on_report = [](const InstanceName&, Report& report) {
+    report.requests += 100;
+    report.failed_requests += report.generation == "g2" ? 20 : 1;
+  };
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
+  EXPECT_EQ(fleet.steps, Names{"bole/i0"});
+  EXPECT_NE(fleet.change.reason().find("bole/i0 refuses or fails 20% of its requests, before"),
+            std::string::npos)
+      << fleet.change.reason();
+}
+
+TEST(Change, DoesNotBeginWhileAnInstanceElsewhereIsDown) {
+  Plan plan = TwoHallPlan(2, 1);
+  plan.policy.step_timeout = milliseconds(3000);
+  Fleet fleet(plan);
+  fleet.reports[{"kality", "i1"}].ready = false;
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
+  EXPECT_EQ(fleet.change.reason(), "kality/i1 is not available");
+  EXPECT_EQ(fleet.steps, Names{});
+}
+
+TEST(Change, WaitsForOneThatIsDownForAMoment) {
+  Fleet fleet(TwoHallPlan(2, 1));
+  fleet.reports[{"kality", "i1"}].ready = false;
+  fleet.Run(1000);
+  EXPECT_EQ(fleet.steps, Names{});
+  fleet.reports[{"kality", "i1"}].ready = true;
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted);
+}
+
+TEST(Change, HaltsWhenAnAgentIsOutOfReach) {
+  Fleet fleet(TwoHallPlan(2, 1));
+  fleet.on_step = [&](const InstanceName&, Report&) { fleet.silent.insert("kality"); };
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
+  EXPECT_EQ(fleet.change.reason(), "kality can't be reached; its instances finish what they have taken");
+  EXPECT_EQ(fleet.steps, Names{"bole/i0"});
+}
+
+// Claiming forty agents one by one takes longer than an agent may be silent.
+TEST(Change, TimeWithoutAWordCountsFromItsStart) {
+  Change change(TwoHallPlan(1, 1), Change::Direction::kForward, 1, milliseconds(60'000), At(0));
+  std::vector<ChangeCommand> commands;
+  change.Tick(At(9000), commands);
+  EXPECT_FALSE(change.end()) << change.reason();
+  change.Tick(At(9000 + 4999), commands);
+  EXPECT_FALSE(change.end()) << change.reason();
+  change.Tick(At(9000 + 5000), commands);
+  EXPECT_EQ(change.end(), ChangeEnd::kHeld);
+}
+
+TEST(Change, CommandsNothingOnceItIsFencedOrAborted) {
+  Fleet fenced(TwoHallPlan(2, 1));
+  fenced.Run(200);
+  const std::size_t before = fenced.steps.size();
+  fenced.change.OnFenced("bole", "bob");
+  fenced.Run(60'000);
+  EXPECT_EQ(fenced.change.end(), ChangeEnd::kHeld);
+  EXPECT_EQ(fenced.change.reason(), "lost the lease at bole to bob");
+  EXPECT_EQ(fenced.steps.size(), before);
+
+  Fleet aborted(TwoHallPlan(2, 1));
+  aborted.Run(200);
+  aborted.change.Abort();
+  aborted.Run(60'000);
+  EXPECT_EQ(aborted.change.end(), ChangeEnd::kAborted);
+}
+
+TEST(Change, ResumedOneGoesOnWhereTheOtherStopped) {
+  Fleet fleet(TwoHallPlan(2, 1));
+  for (const char* done : {"i0", "i1"}) {
+    Report& report = fleet.reports[{"bole", done}];
+    report.step = {"c1", StepKind::kRestart, false, "g2"};
+    report.phase = Phase::kDone;
+    report.generation = "g2";
+  }
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted);
+  EXPECT_EQ(fleet.steps, (Names{"kality/i0", "kality/i1"}));
+}
+
+TEST(Change, ResumedOneTriesAFailedStepAgain) {
+  Fleet fleet(TwoHallPlan(1, 1));
+  Report& report = fleet.reports[{"bole", "i0"}];
+  report.step = {"c1", StepKind::kRestart, false, "g2", 0};
+  report.phase = Phase::kFailed;
+  report.ready = false;
+  fleet.on_step = [](const InstanceName&, Report& r) { r.ready = true; };
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted) << fleet.said;
+  EXPECT_EQ(fleet.steps, (Names{"bole/i0", "kality/i0"}));
+}
+
+// An earlier holder had come to the second hall, and what this one begins with fails.
+TEST(Change, ResumedOneThatTurnsBackUndoesWhatIsAhead) {
+  Plan plan = TwoHallPlan(2, 1);
+  plan.policy.on_failure = OnFailure::kRollBack;
+  Fleet fleet(plan);
+  for (const char* hall : {"bole", "kality"}) {
+    Report& report = fleet.reports[{hall, "i0"}];
+    report.step = {"c1", StepKind::kRestart, false, "g2", 0, "g1"};
+    report.phase = Phase::kDone;
+    report.generation = "g2";
+  }
+  fleet.on_step = [](const InstanceName&, Report& report) {
+    report.ready = report.step.undo;
+    report.phase = report.step.undo ? Phase::kDone : Phase::kFailed;
+  };
+  fleet.Run(120'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kRolledBack) << fleet.said;
+  EXPECT_EQ(fleet.steps, (Names{"bole/i1", "bole/i1 undo", "kality/i0 undo", "bole/i0 undo"}));
+}
+
+TEST(Change, LateAndRepeatedNewsChangeNothing) {
+  Fleet fleet(TwoHallPlan(1, 1));
+  Report old;
+  fleet.Run(1000);
+  ASSERT_FALSE(fleet.steps.empty());
+  // Of before everything: its number is older than what has been heard.
+  for (int i = 0; i < 5; ++i) fleet.change.OnReport({"bole", "i0"}, 1, old, At(0));
+  fleet.Run(60'000);
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted);
+  EXPECT_EQ(fleet.steps, (Names{"bole/i0", "kality/i0"}));
+}
+
+}  // namespace
+}  // namespace mothrack::rollout
--- /dev/null
+++ b/tests/rollout/changes_world.cpp
@@ -0,0 +1,160 @@
+#include "rollout/changes_world.h"
+
+namespace mothrack::rollout::testing {
+
+World::World(std::uint64_t seed, const Script* script) : random_(seed), script_(script) {
+  for (int a = 0; a < kAgents; ++a) {
+    Host host;
+    host.name = "a" + std::to_string(a);
+    host.hall = a < kAgents / 2 ? "bole" : "kality";
+    for (int i = 0; i < kInstances; ++i) {
+      const std::string name = "i" + std::to_string(i);
+      host.disk.records[name].generation = "g0";
+      host.processes[name] = {"", "g0", TimePoint{}, {}, false, false, 0};
+    }
+    hosts_.push_back(std::move(host));
+  }
+  for (Host& host : hosts_) Boot(host);
+  if (script_ != nullptr) {
+    trouble_ = 0;
+    for (int i = 0; i < 2; ++i) {
+      tools_.emplace_back();
+      tools_.back().who = "operator " + std::to_string(i);
+      tools_.back().next = TimePoint(milliseconds(i == 0 ? 100 : 500));
+    }
+    return;
+  }
+  constexpr double kTroubles[] = {0.1, 0.4, 1, 2.5};
+  trouble_ = kTroubles[Upto(3)];
+  // A generation that is bad everywhere, or on some machines only.
+  if (Chance(0.35)) {
+    for (const Host& host : hosts_) {
+      if (Chance(0.5)) bad_at_.insert(host.name);
+    }
+    dies_at_once_ = Chance(0.5);
+  }
+  for (int i = 0; i < 2; ++i) {
+    tools_.emplace_back();
+    tools_.back().who = "operator " + std::to_string(i);
+    // Often at the same instant.
+    tools_.back().next = TimePoint(milliseconds(i == 0 || Chance(0.5) ? 100 : Upto(20'000)));
+  }
+}
+
+History World::Run() {
+  while (history_.violation.empty() && now_.time_since_epoch() < kRecovery && !through_) {
+    now_ += milliseconds(20 + Upto(80));
+    const bool calm = now_.time_since_epoch() >= kTrouble;
+    if (calm && !calm_) Calm();
+    if (!calm) Fail();
+    Deliver();
+    for (Host& host : hosts_) Live(host);
+    for (Tool& tool : tools_) Use(tool);
+    CheckHalls();
+  }
+  if (history_.violation.empty() && !through_) Violation("no end: " + Told());
+  return history_;
+}
+
+void World::Violation(const std::string& what) {
+  if (history_.violation.empty()) {
+    history_.violation = what + " at " + std::to_string(now_.time_since_epoch().count()) + " ms";
+  }
+}
+
+std::string World::Told() const {
+  std::string text;
+  for (const Host& host : hosts_) {
+    for (const auto& [name, record] : host.disk.records) {
+      const auto p = host.processes.find(name);
+      text += host.name + '/' + name + '=' + record.generation + ':' + record.step.token() + ':' +
+              std::to_string(static_cast<int>(record.phase)) + (p == host.processes.end() ? " down; " : "; ");
+    }
+  }
+  for (const Tool& tool : tools_) {
+    text += tool.who + (tool.change ? " changes " : tool.claim ? " claims " : " idle ") + tool.plan.id + "; ";
+  }
+  return text + last_said_;
+}
+
+void World::Fail() {
+  for (Host& host : hosts_) {
+    if (host.up && Chance(0.0008 * trouble_)) Kill(host);
+    if (Chance(host.cut_off ? 0.02 : 0.0008 * trouble_)) host.cut_off = !host.cut_off;
+    if (Chance(host.disk_full ? 0.02 : 0.0008 * trouble_)) host.disk_full = !host.disk_full;
+    for (auto& [name, process] : host.processes) {
+      if (Chance(0.0002 * trouble_)) process.ends_at = now_;  // killed outside
+      if (Chance(0.0003 * trouble_)) process.deaf = true;
+    }
+  }
+  for (Tool& tool : tools_) {
+    if (tool.up && Chance(0.0008 * trouble_)) KillTool(tool);
+  }
+}
+
+void World::KillTool(Tool& tool) {
+  tool.up = false;
+  ++tool.life;
+  ++history_.tool_deaths;
+  tool.claim.reset();
+  tool.change.reset();
+  tool.next = now_ + milliseconds(Upto(15'000));
+}
+
+void World::Calm() {
+  calm_ = true;
+  for (Host& host : hosts_) {
+    host.cut_off = host.disk_full = false;
+    if (!host.up) host.back_at = now_;
+  }
+}
+
+void World::Kill(Host& host) {
+  ++history_.agent_deaths;
+  host.up = false;
+  host.back_at = now_ + milliseconds(Upto(8000));
+  host.agent.reset();
+}
+
+void World::Point(bool after) {
+  if (script_ != nullptr) {
+    const int point = history_.points++;
+    for (const int at : script_->agent_dies_at) {
+      if (at == point) throw Died();
+    }
+  } else if (!calm_ && (!after || saving_) && Chance(0.01 * trouble_)) {
+    throw Died();
+  }
+}
+
+bool World::Save(Host& host, const std::function<void()>& write) {
+  saving_ = true;
+  Point(false);
+  if (host.disk_full) return saving_ = false, ++history_.saves_failed, false;
+  write();
+  Point(true);
+  return saving_ = false, true;
+}
+
+void World::Send(const Host& host, std::function<void()> arrive, double late) {
+  if (host.cut_off) return;
+  if (!calm_ && Chance(0.05 * trouble_)) return;
+  for (int copies = !calm_ && Chance(0.05 * trouble_) ? 2 : 1; copies > 0; --copies) {
+    int delay = Upto(150);
+    if (!calm_ && Chance(late * trouble_)) delay = Upto(12'000);  // a message from long ago
+    messages_.emplace(now_ + milliseconds(delay), arrive);
+  }
+}
+
+void World::Deliver() {
+  while (!messages_.empty() && messages_.begin()->first <= now_) {
+    const auto arrive = std::move(messages_.begin()->second);
+    messages_.erase(messages_.begin());
+    arrive();
+  }
+}
+
+History Play(std::uint64_t seed) { return World(seed).Run(); }
+History Play(std::uint64_t seed, const Script& script) { return World(seed, &script).Run(); }
+
+}  // namespace mothrack::rollout::testing
--- /dev/null
+++ b/tests/rollout/changes_world_tools.cpp
@@ -0,0 +1,188 @@
+#include "rollout/changes_world.h"
+
+namespace mothrack::rollout::testing {
+
+std::string World::NameOf(const Tool& tool) {
+  return tool.who + '.' + std::to_string(tool.life) + '.' + std::to_string(tool.claims);
+}
+
+void World::Use(Tool& tool) {
+  if (!tool.up) {
+    if (now_ < tool.next) return;
+    tool.up = true;
+  }
+  if (!tool.claim && !tool.change && now_ >= tool.next) Begin(tool);
+  if (tool.claim) Claiming(tool);
+  if (tool.change) Changing(tool);
+  if (std::exchange(tool_dies_, false)) KillTool(tool);
+}
+
+std::vector<Target> World::Everything() const {
+  std::vector<Target> targets;
+  for (const Host& host : hosts_) {
+    for (const auto& [name, record] : host.disk.records)
+      targets.push_back({{host.name, name}, host.hall, "g0", "g1"});
+  }
+  return targets;
+}
+
+void World::Begin(Tool& tool) {
+  if (calm_ && &tool != &tools_.front()) return;
+  std::string open;
+  for (const Host& host : hosts_) {
+    if (!host.up || !host.agent->lease().open) continue;
+    open = host.agent->lease().open->change;
+    tool.plan = *host.agent->PlanOf(open);
+  }
+  if (script_ != nullptr && (open.empty() ? history_.changes > 0 || &tool != &tools_.front() : calm_)) {
+    const auto busy = [](const Tool& t) { return !t.up || t.claim || t.change; };
+    through_ =
+        open.empty() && history_.changes > 0 && std::none_of(tools_.begin(), tools_.end(), busy) && Settled();
+    if (open.empty()) return;
+  }
+  bool resumes = false;
+  // Some begin another change regardless, and must be refused.
+  if (open.empty() || (!calm_ && history_.changes < 4 && Chance(0.2))) {
+    if (calm_ || history_.changes >= 4) {
+      if (calm_ && Settled()) through_ = true;
+      return;
+    }
+    tool.plan = Plan{"c" + std::to_string(++history_.changes),
+                     tool.who,
+                     "a test",
+                     StepKind::kRestart,
+                     Everything(),
+                     PolicyOf(Chance(0.5))};
+    // A later change goes on from where the ones before it left the fleet, a generation further.
+    for (Target& target : tool.plan.targets) {
+      target.from = RecordOf(target.name).generation;
+      target.to = Chance(0.2) ? target.from : "g" + std::to_string(history_.changes);
+    }
+    tool.direction = Change::Direction::kForward;
+  } else {
+    resumes = true;
+    tool.direction = script_ != nullptr ? script_->then
+                     : calm_            ? Change::Direction::kUndo
+                     : Chance(0.5)      ? Change::Direction::kUndo
+                                        : Change::Direction::kForward;
+  }
+  if (const auto fault = ValidatePlan(tool.plan)) return Violation(*fault);
+  std::set<std::string> names;
+  for (const Host& host : hosts_) names.insert(host.name);
+  ++tool.claims;
+  tool.claim = std::make_unique<Claim>(NameOf(tool), names, names, resumes, milliseconds(1500), now_);
+}
+
+void World::Claiming(Tool& tool) {
+  std::vector<ClaimCommand> commands;
+  tool.claim->Tick(now_, commands);
+  const Holder holder{tool.plan.id, tool.who, tool.plan.why, 0, NameOf(tool)};
+  for (const ClaimCommand& c : commands) {
+    switch (c.kind) {
+      case ClaimCommand::Kind::kReadEpoch:
+        Ask(
+            tool, c.agent, [this](agent::Agent& agent) { return agent.Highest(now_); },
+            [&tool, name = c.agent](const agent::Agent::Answer& a) {
+              if (tool.claim) tool.claim->OnHighestEpoch(name, a.highest);
+            });
+        break;
+      case ClaimCommand::Kind::kAcquire:
+      case ClaimCommand::Kind::kOpen:
+        Ask(
+            tool, c.agent,
+            [this, c, holder, plan = tool.plan](agent::Agent& agent) {
+              return c.kind == ClaimCommand::Kind::kOpen ? agent.Open(c.epoch, holder, plan, now_, 0)
+                                                         : agent.Acquire(c.epoch, holder, now_, 0);
+            },
+            [&tool, c, holder](const agent::Agent::Answer& a) {
+              if (tool.claim && a.refused.empty())
+                tool.claim->OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, a.verdict, a.holder, a.open);
+            });
+        break;
+      case ClaimCommand::Kind::kRelease:
+        Release(tool, c.agent, c.epoch, false);
+        break;
+    }
+  }
+  if (tool.claim->granted()) {
+    tool.epoch = tool.claim->granted()->epoch;
+    tool.change = std::make_unique<Change>(tool.plan, tool.direction, tool.epoch, kLeaseTime,
+                                           tool.claim->granted()->since);
+    tool.claim.reset();
+  } else if (!tool.claim->rejection().empty()) {
+    last_said_ = tool.claim->rejection();
+    ++history_.refused_claims;
+    tool.claim.reset();
+    tool.next = now_ + milliseconds(500 + Upto(4000));
+  }
+}
+
+void World::Release(Tool& tool, const std::string& name, Epoch epoch, bool close) {
+  Ask(
+      tool, name,
+      [epoch, close, name = NameOf(tool)](agent::Agent& agent) {
+        return agent.Release(epoch, name, close, 0);
+      },
+      [](const agent::Agent::Answer&) {});
+}
+
+void World::Changing(Tool& tool) {
+  std::vector<ChangeCommand> commands;
+  // At last, what can't be undone either (its former generation was bad, too) is left as it is.
+  if (calm_ ? tool.held_in_calm >= 3 : Chance(0.0008 * trouble_)) tool.change->Abort();
+  tool.change->Tick(now_, commands);
+  for (const ChangeCommand& c : commands) {
+    if (c.kind == ChangeCommand::Kind::kSay) {
+      last_said_ = c.line;
+      continue;
+    }
+    Ask(
+        tool, c.name.agent,
+        [this, c, epoch = tool.epoch, name = NameOf(tool)](agent::Agent& agent) {
+          if (c.kind == ChangeCommand::Kind::kTakeStep)
+            return Counted(agent.Take(c.name.instance, c.step, epoch, name, now_, 0), epoch, true);
+          agent::Agent::Answer answer = Counted(agent.Renew(epoch, name, now_), epoch, false);
+          if (c.kind == ChangeCommand::Kind::kReport && answer.verdict == Lessor::Verdict::kGranted) {
+            answer.report = agent.ReportOf(c.name.instance);
+          }
+          return answer;
+        },
+        [this, &tool, c, asked = now_, epoch = tool.epoch](const agent::Agent::Answer& a) {
+          if (!tool.change || tool.epoch != epoch) return;
+          if (a.verdict != Lessor::Verdict::kGranted) {
+            return tool.change->OnFenced(c.name.agent, a.holder ? a.holder->who : "");
+          }
+          tool.change->OnLeaseRenewed(c.name.agent, asked);
+          if (a.report) tool.change->OnReport(c.name, c.number, *a.report, asked);
+          if (!a.refused.empty()) tool.change->OnStepRejected(c.name, a.refused);
+        },
+        c.kind == ChangeCommand::Kind::kTakeStep ? 0.15 : 0.02);
+  }
+  if (tool.change->end()) Ended(tool, *tool.change->end());
+}
+
+void World::Ended(Tool& tool, ChangeEnd end) {
+  const bool closed = end != ChangeEnd::kHeld;
+  for (const Host& host : hosts_) Release(tool, host.name, tool.epoch, closed);
+  tool.change.reset();
+  tool.next = now_ + milliseconds(1000 + Upto(6000));
+  switch (end) {
+    case ChangeEnd::kCompleted:
+    case ChangeEnd::kRolledBack:
+      ended_.insert(tool.plan.id);
+      history_.end = end == ChangeEnd::kCompleted ? "completed" : "rolled back";
+      if (end == ChangeEnd::kRolledBack) ++history_.undone;
+      CheckEnd(tool.plan, end);
+      break;
+    case ChangeEnd::kAborted:
+      ++history_.aborted;
+      history_.end = "aborted";
+      break;
+    case ChangeEnd::kHeld:
+      history_.end = "held";
+      if (calm_) ++tool.held_in_calm;
+      break;
+  }
+}
+
+}  // namespace mothrack::rollout::testing
--- /dev/null
+++ b/tests/rollout/instance_test.cpp
@@ -0,0 +1,217 @@
+// What an agent does with one instance.
+#include "rollout/instance.h"
+
+#include <chrono>
+#include <string>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "rollout/rollout_test_support.h"
+
+namespace mothrack::rollout {
+namespace {
+
+using std::chrono::milliseconds;
+using testing::At;
+
+std::string Describe(const std::vector<Action>& actions) {
+  std::string text;
+  for (const Action& action : actions) {
+    if (!text.empty()) text += "; ";
+    switch (action.kind) {
+      case Action::Kind::kStart:
+        text += "start " + action.generation + ' ' + action.token;
+        break;
+      case Action::Kind::kStop:
+        text += "stop";
+        break;
+      case Action::Kind::kKill:
+        text += "kill";
+        break;
+      case Action::Kind::kSay:
+        text += action.line;
+        break;
+    }
+  }
+  return text;
+}
+
+std::string Reconcile(Instance& instance, const ProcessState& seen, int ms) {
+  std::vector<Action> actions;
+  instance.Reconcile(seen, At(ms), actions);
+  return Describe(actions);
+}
+
+ProcessState Process(const std::string& token, const std::string& generation, bool ready = true) {
+  return {true, token, generation, ready, false};
+}
+
+const Step kRestart{"c1", StepKind::kRestart, false, "g2", 0, "g1"};
+
+InstanceRecord Running() {
+  InstanceRecord record;
+  record.generation = "g1";
+  return record;
+}
+
+TEST(Instance, RestartIsOneStopAndOneStart) {
+  Instance instance(Running(), {});
+  const ProcessState old = Process("", "g1");
+  EXPECT_EQ(Reconcile(instance, old, 0), "");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, old, 10), "stop");
+  EXPECT_EQ(Reconcile(instance, old, 20), "");
+  EXPECT_EQ(Reconcile(instance, {}, 30), "start g2 c1/do.0");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 40), "");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2"), 50), "c1/do.0 done");
+  EXPECT_EQ(instance.record().phase, Phase::kDone);
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted) << "the command came twice";
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2"), 60), "");
+}
+
+// The agent dies after each durable step and before each action; what it sees then tells the rest.
+TEST(Instance, AgentThatDiedGoesOnFromWhatItSees) {
+  Instance accepted(Running(), {});
+  ASSERT_EQ(accepted.Accept(kRestart), Instance::Verdict::kAccepted);
+  const InstanceRecord record = accepted.record();
+  const auto after = [&](const ProcessState& seen) {
+    Instance instance(record, {});
+    return Reconcile(instance, seen, 1000);
+  };
+  EXPECT_EQ(after(Process("", "g1")), "stop");
+  ProcessState draining = Process("", "g1", false);
+  draining.draining = true;
+  EXPECT_EQ(after(draining), "") << "it has been told";
+  EXPECT_EQ(after({}), "start g2 c1/do.0");
+  EXPECT_EQ(after(Process("c1/do.0", "g2", false)), "") << "it has been started";
+  EXPECT_EQ(after(Process("c1/do.0", "g2")), "c1/do.0 done");
+}
+
+TEST(Instance, OneThatIgnoresThePlannedStopIsKilledOnce) {
+  InstanceLimits limits;
+  limits.stop = milliseconds(1000);
+  Instance instance(Running(), limits);
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  const ProcessState deaf = Process("", "g1");
+  EXPECT_EQ(Reconcile(instance, deaf, 0), "stop");
+  EXPECT_EQ(Reconcile(instance, deaf, 999), "");
+  EXPECT_EQ(Reconcile(instance, deaf, 1000), "kill; killed: it ignored the planned stop");
+  EXPECT_EQ(Reconcile(instance, deaf, 1100), "");
+  EXPECT_EQ(Reconcile(instance, {}, 1200), "start g2 c1/do.0");
+}
+
+TEST(Instance, StepWhoseProcessNeverGetsReadyOrEndsAtOnceHasFailed) {
+  InstanceLimits limits;
+  limits.ready = milliseconds(1000);
+  Instance slow(Running(), limits);
+  ASSERT_EQ(slow.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(slow, {}, 0), "start g2 c1/do.0");
+  EXPECT_EQ(Reconcile(slow, Process("c1/do.0", "g2", false), 999), "");
+  EXPECT_EQ(Reconcile(slow, Process("c1/do.0", "g2", false), 1000), "c1/do.0 failed: not ready within 1 s");
+  EXPECT_EQ(slow.record().phase, Phase::kFailed);
+
+  Instance dying(Running(), limits);
+  ASSERT_EQ(dying.Accept(kRestart), Instance::Verdict::kAccepted);
+  int starts = 0;
+  int now = 0;
+  for (; now < 60'000 && dying.record().phase == Phase::kAccepted; now += 50) {
+    if (Reconcile(dying, {}, now).starts_with("start")) ++starts;
+  }
+  EXPECT_EQ(starts, 3);
+  EXPECT_EQ(dying.record().failure_reason, "it ended 3 times");
+}
+
+TEST(Instance, CrashLoopBacksOffAndIsHeldUntilAStep) {
+  InstanceLimits limits;
+  limits.first_backoff = milliseconds(100);
+  Instance instance(Running(), limits);
+  Reconcile(instance, Process("", "g1"), 0);
+  std::vector<int> starts;
+  std::string held;
+  for (int now = 10; now < 60'000; now += 10) {
+    const std::string told = Reconcile(instance, {}, now);
+    if (told.starts_with("start g1")) starts.push_back(now);
+    if (told.starts_with("crash loop")) held += told;
+  }
+  ASSERT_EQ(starts.size(), 4U) << "the first end, and four more";
+  for (std::size_t i = 2; i < starts.size(); ++i) {
+    EXPECT_GE(starts[i] - starts[i - 1], 2 * (starts[i - 1] - starts[i - 2]) - 40);
+  }
+  EXPECT_EQ(held, "crash loop: it ended 5 times; held, restart it once it is mended");
+  EXPECT_TRUE(instance.held());
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, {}, 60'000), "start g2 c1/do.0");
+}
+
+TEST(Instance, OneThatWasKilledOutsideIsStartedAgain) {
+  Instance instance(Running(), {});
+  Reconcile(instance, Process("", "g1"), 0);
+  EXPECT_EQ(Reconcile(instance, {}, 10), "");
+  EXPECT_EQ(Reconcile(instance, {}, 210), "start g1 ");
+}
+
+TEST(Instance, UndoTakesOverAndTheStepIsStaleThen) {
+  const Step undo{"c1", StepKind::kRestart, true, "g1"};
+  Instance halfway(Running(), {});
+  ASSERT_EQ(halfway.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(halfway, {}, 0), "start g2 c1/do.0");
+  ASSERT_EQ(halfway.Accept(undo), Instance::Verdict::kAccepted);
+  EXPECT_EQ(halfway.Accept(kRestart), Instance::Verdict::kStale) << "reordered";
+  EXPECT_EQ(Reconcile(halfway, Process("c1/do.0", "g2"), 10), "stop");
+  EXPECT_EQ(Reconcile(halfway, {}, 20), "start g1 c1/undo.0");
+  EXPECT_EQ(Reconcile(halfway, Process("c1/undo.0", "g1"), 30), "c1/undo.0 done");
+
+  Instance untouched(Running(), {});
+  ASSERT_EQ(untouched.Accept(undo), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(untouched, Process("", "g1"), 0), "") << "nothing to undo";
+  EXPECT_EQ(untouched.Accept(kRestart), Instance::Verdict::kStale) << "it was still on its way";
+}
+
+TEST(Instance, FailedStepIsTakenAgainFromALaterHolderOnly) {
+  InstanceLimits limits;
+  limits.ready = milliseconds(1000);
+  Instance instance(Running(), limits);
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, {}, 0), "start g2 c1/do.0");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 1000),
+            "c1/do.0 failed: not ready within 1 s");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(instance.record().phase, Phase::kFailed) << "the command came twice";
+  Step again = kRestart;
+  again.epoch = 1;
+  ASSERT_EQ(instance.Accept(again), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 2000), "stop");
+  EXPECT_EQ(Reconcile(instance, {}, 2100), "start g2 c1/do.1");
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.1", "g2"), 2200), "c1/do.1 done");
+  again.epoch = 2;
+  ASSERT_EQ(instance.Accept(again), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, Process("c1/do.1", "g2"), 2300), "") << "it is done";
+}
+
+TEST(Instance, AnotherChangeWaitsForTheStep) {
+  Instance instance(Running(), {});
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
+  EXPECT_EQ(instance.Accept({"c2", StepKind::kRestart, false, "g3", 0, "g2"}), Instance::Verdict::kBusy);
+  EXPECT_EQ(instance.Accept({"c2", StepKind::kRestart, true, "g1"}), Instance::Verdict::kBusy);
+  EXPECT_EQ(instance.record().generation, "g2");
+}
+
+TEST(Instance, StepFromAnotherStateIsNotTaken) {
+  Instance instance(Running(), {});
+  Step step = kRestart;
+  step.from = "g0";
+  const InstanceRecord before = instance.record();
+  EXPECT_EQ(instance.Accept(step), Instance::Verdict::kGenerationMismatch);
+  EXPECT_EQ(instance.record(), before);
+}
+
+TEST(Instance, StoppedOneStaysDown) {
+  Instance instance(Running(), {});
+  ASSERT_EQ(instance.Accept({"c1", StepKind::kStop, false, "g1", 0, "g1"}), Instance::Verdict::kAccepted);
+  EXPECT_EQ(Reconcile(instance, Process("", "g1"), 0), "stop");
+  EXPECT_EQ(Reconcile(instance, {}, 10), "c1/do.0 done");
+  for (int now = 20; now < 100'000; now += 1000) EXPECT_EQ(Reconcile(instance, {}, now), "");
+}
+
+}  // namespace
+}  // namespace mothrack::rollout
