--- a/src/admin_client/admin_client.h
+++ b/src/admin_client/admin_client.h
@@ -11,6 +11,7 @@
 
 namespace mothrack::admin_client {
 
+// NOLINTNEXTLINE(bugprone-exception-escape): nlohmann::json's move is noexcept; the check sees its assertions
 struct Response {
   std::string transport_error;  // why there is no response; empty: there is one
   unsigned status = 0;          // of HTTP
@@ -30,7 +31,7 @@
 };
 
 // A longer response body is a transport error.
-constexpr std::size_t kMaxResponseBytes = 4 * 1024 * 1024;
+constexpr std::size_t kMaxResponseBytes = std::size_t{4} * 1024 * 1024;
 
 // Sends a request on a connection of its own. Calls `on_response` once, from the event loop, no later than
 // `timeout` after the call. The address must be valid.
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -15,7 +15,7 @@
 
 constexpr std::size_t kMaxEvents = 500;
 constexpr std::size_t kDefaultEvents = 50;
-constexpr std::size_t kLogEndBytes = 16 * 1024;
+constexpr std::size_t kLogEndBytes = std::size_t{16} * 1024;
 constexpr std::size_t kMaxLoggedName = 64;  // bytes of what a caller sent
 // HTTP status where the disk took nothing (RFC 4918).
 constexpr unsigned kInsufficientStorage = 507;
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -41,7 +41,7 @@
 
   static constexpr double kPerSecond = 200;
   static constexpr std::size_t kMaxConnections = 32;
-  static constexpr std::size_t kMaxBodyBytes = 1024 * 1024;
+  static constexpr std::size_t kMaxBodyBytes = std::size_t{1024} * 1024;
 
  private:
   // The table of routes; one function each below. `query` is what comes after '?', still escaped; `body` is
--- a/src/agent/generation_store.h
+++ b/src/agent/generation_store.h
@@ -35,7 +35,7 @@
 
   static constexpr std::size_t kMaxGenerations = 32;
   static constexpr std::size_t kMaxFiles = 32;  // of a generation
-  static constexpr std::size_t kMaxFileBytes = 256 * 1024;
+  static constexpr std::size_t kMaxFileBytes = std::size_t{256} * 1024;
 
   // Throws std::runtime_error where the directory can't be made.
   GenerationStore(std::string directory, Check check);
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -44,7 +44,7 @@
   struct Limits {
     rollout::Duration check_timeout{5000};  // for the command that checks a generation
     // A longer log is moved aside, over the one that was moved before. Bytes.
-    std::uint64_t max_log_bytes = 8 * 1024 * 1024;
+    std::uint64_t max_log_bytes = std::uint64_t{8} * 1024 * 1024;
     rollout::Duration poll_timeout{1000};
     rollout::Duration poll_interval_settled{1000};
     // While a change of state is awaited; the admin API answers 20 times a second.
--- a/src/ctl/command_change.cpp
+++ b/src/ctl/command_change.cpp
@@ -141,8 +141,9 @@
   const json body = {{"name", generation}, {"files", files}};
   for (const auto& [agent, reply] : session.driver().AskAll("POST", "/v1/generation", body, agents)) {
     if (reply.ok()) continue;
-    return Fail(kRefused,
-                agent + " does not take " + generation + ": " + reply.ErrorText() + "; nothing has changed");
+    std::string reason = agent;
+    reason += " does not take " + generation + ": " + reply.ErrorText() + "; nothing has changed";
+    return Fail(kRefused, reason);
   }
   return kDone;
 }
