--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -13,8 +13,8 @@
 namespace {
 
 using mothrack::gossip::Change;
-using mothrack::gossip::State;
-using mothrack::testing::Net;
+using mothrack::gossip::MemberState;
+using mothrack::testing::SimulatedNetwork;
 
 double At(std::vector<std::int64_t>& all, double share) {
   if (all.empty()) return -1;
@@ -24,7 +24,7 @@
 }
 
 // A second in which each puts its value at its own tenth of every `put` seconds; 0: nobody does.
-void Second(Net& net, std::size_t silent, std::size_t put) {
+void Second(SimulatedNetwork& net, std::size_t silent, std::size_t put) {
   for (int part = 0; part < 10; ++part) {
     const auto tenth = static_cast<std::size_t>(net.now / 100);
     for (std::size_t i = 0; put > 0 && i < net.nodes.size(); ++i) {
@@ -34,24 +34,25 @@
   }
 }
 
-void Measure(std::size_t members, const mothrack::gossip::Terms& terms, std::size_t put) {
+void Measure(std::size_t members, const mothrack::gossip::ProtocolConfig& config, std::size_t put) {
   const bool large = members > 1000;
-  Net net(members, terms);
+  SimulatedNetwork net(members, config);
   net.Add(members);
   net.links = {1, 0, 1, 2};
   const std::size_t none = members, dead = 1;
   std::int64_t killed = -1, changed = -1;
-  std::vector<std::int64_t> known, heard;
+  std::vector<std::int64_t> known, received;
   int false_deaths = 0;
   net.on_change = [&](std::size_t i, const Change& change) {
-    if (change.what == Change::What::kMember && change.member.state == State::kDead) {
-      if (killed >= 0 && change.member.life.name == net.nodes[dead].name) {
+    if (change.what == Change::What::kMember && change.member.state == MemberState::kDead) {
+      if (killed >= 0 && change.member.boot_id.name == net.nodes[dead].name) {
         known.push_back(net.now - killed);
       } else {
         ++false_deaths;
       }
     }
-    if (change.what == Change::What::kValue && change.value.key == "one") heard.push_back(net.now - changed);
+    if (change.what == Change::What::kValue && change.value.key == "one")
+      received.push_back(net.now - changed);
     (void)i;
   };
   net.StartAll();
@@ -85,14 +86,14 @@
   changed = net.now;
   net.Put(0, "one", "changed", 600'000);
   for (int s = 0; s < (large ? 6 : 10); ++s) Second(net, none, put);
-  const double share = static_cast<double>(heard.size()) / static_cast<double>(members - 1);
+  const double share = static_cast<double>(received.size()) / static_cast<double>(members - 1);
   killed = net.now;
   net.Kill(dead);
   for (int s = 0; s < (large ? 15 : 60) && known.size() < members - 1; ++s) Second(net, dead, put);
   const double each = static_cast<double>(members) * seconds;
   std::printf("| %zu | %zu | %.1f | %.1f | %.2f / %.2f / %.0f%% | %.1f / %.1f | %.1f / %.1f / %.0f%% |",
               members, put, static_cast<double>(bytes) / each / 1000, static_cast<double>(datagrams) / each,
-              At(heard, 0.5), At(heard, 1), share * 100, At(known, 0.5), At(known, 1), At(ages, 0.5),
+              At(received, 0.5), At(received, 1), share * 100, At(known, 0.5), At(known, 1), At(ages, 0.5),
               At(ages, 0.99), seen * 100);
   std::fflush(stdout);
   // A bad night: one datagram in ten lost.
@@ -111,7 +112,7 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  mothrack::gossip::Terms terms;
+  mothrack::gossip::ProtocolConfig config;
   std::vector<std::size_t> sizes;
   for (int i = 1; i < argc; ++i) {
     const std::string word = argv[i];
@@ -122,10 +123,10 @@
     }
     const std::string name = word.substr(0, equals);
     const int value = std::atoi(word.c_str() + equals + 1);
-    if (name == "fanout") terms.fanout = static_cast<std::size_t>(value);
-    if (name == "gossip") terms.gossip_every = mothrack::gossip::Duration(value);
-    if (name == "rate") terms.datagrams_per_s = static_cast<std::size_t>(value);
-    if (name == "retransmit") terms.retransmit = value;
+    if (name == "fanout") config.fanout = static_cast<std::size_t>(value);
+    if (name == "gossip") config.gossip_interval = mothrack::gossip::Duration(value);
+    if (name == "rate") config.datagrams_per_s = static_cast<std::size_t>(value);
+    if (name == "retransmit") config.retransmit_multiplier = value;
   }
   if (sizes.empty()) sizes = {10, 100, 300, 2000};
   std::printf(
@@ -136,6 +137,6 @@
   for (const std::size_t members : sizes) {
     std::vector<std::size_t> every = {0, 1};
     if (members > 100) every.push_back(members / 100);  // what the datagrams bear, in all
-    for (const std::size_t put : every) Measure(members, terms, put);
+    for (const std::size_t put : every) Measure(members, config, put);
   }
 }
--- a/bench/peers_wire.cpp
+++ b/bench/peers_wire.cpp
@@ -13,10 +13,10 @@
 
 using namespace mothrack::gossip;
 
-MemberNews Member(std::size_t number) {
+MembershipUpdate Member(std::size_t number) {
   return {{"sidecar-" + std::to_string(100 + number), 1'700'000'000'000'000 + number},
           number % 3,
-          State::kAlive,
+          MemberState::kAlive,
           Role::kSidecar,
           "10.20.3." + std::to_string(number % 256) + ":7946",
           "hall-a"};
@@ -38,15 +38,15 @@
 std::size_t g_sink = 0;
 
 void Report(const char* name, const Message& message, const KeyRing& ring, const KeyRing& others) {
-  const std::string bytes = Write(message);
+  const std::string bytes = Encode(message);
   Seal from(ring), stranger(others), to(ring);
   const std::string sealed = *from.Close(bytes);
   const std::string foreign = *stranger.Close(bytes);
   std::string posing = foreign;  // names our key without having it
   std::copy(ring[0].id.begin(), ring[0].id.end(), posing.begin() + 2);
   std::printf("| %s | %zu | %zu | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f |\n", name, bytes.size(),
-              sealed.size(), Nanoseconds([&] { g_sink += Write(message).size(); }),
-              Nanoseconds([&] { g_sink += Read(bytes)->news.size(); }),
+              sealed.size(), Nanoseconds([&] { g_sink += Encode(message).size(); }),
+              Nanoseconds([&] { g_sink += Decode(bytes)->updates.size(); }),
               Nanoseconds([&] { g_sink += from.Close(bytes)->size(); }),
               Nanoseconds([&] { g_sink += to.Open(sealed).payload.size(); }),
               Nanoseconds([&] { g_sink += to.Open(foreign).payload.size(); }),
@@ -62,35 +62,35 @@
   const KeyRing others{MakeKey(bytes.data())};
 
   Message ping;
-  ping.kind = Kind::kPing;
+  ping.kind = MessageKind::kPing;
   ping.sender = Member(1);
   ping.sequence = 123'456;
   ping.subject = Member(2);
   Message gossip;
-  gossip.kind = Kind::kGossip;
+  gossip.kind = MessageKind::kGossip;
   gossip.sender = Member(1);
   Message values = gossip, digest = gossip;
-  digest.kind = Kind::kDigest;
-  digest.range_from = Member(10).life.name;
-  digest.range_to = Member(40).life.name;
+  digest.kind = MessageKind::kDigest;
+  digest.range_from = Member(10).boot_id.name;
+  digest.range_to = Member(40).boot_id.name;
   const auto fill = [](const Message& message, auto& parts, const auto& make) {
-    std::size_t room = kMostPayload - MostSize(message);
+    std::size_t capacity = kMaxPayloadSize - MaxEncodedSize(message);
     for (std::size_t i = 0;; ++i) {
       auto part = make(i);
-      if (MostSize(part) > room) return;
-      room -= MostSize(part);
+      if (MaxEncodedSize(part) > capacity) return;
+      capacity -= MaxEncodedSize(part);
       parts.push_back(std::move(part));
     }
   };
-  fill(gossip, gossip.news, Member);
+  fill(gossip, gossip.updates, Member);
   fill(values, values.values, [](std::size_t i) {
-    return Value{Member(i).life, "evidence",       4711 + i,
-                 Duration(1234), Duration(10'000), std::string(64, 'v')};
+    return Value{Member(i).boot_id, "evidence",       4711 + i,
+                 Duration(1234),    Duration(10'000), std::string(64, 'v')};
   });
   fill(digest, digest.digest, [](std::size_t i) {
-    return DigestLine{Member(i).life, i % 3, State::kAlive, 0x9e3779b97f4a7c15 * (i + 1)};
+    return DigestEntry{Member(i).boot_id, i % 3, MemberState::kAlive, 0x9e3779b97f4a7c15 * (i + 1)};
   });
-  std::printf("a full gossip: %zu news; values of 64 bytes: %zu; digest: %zu lines\n", gossip.news.size(),
+  std::printf("a full gossip: %zu news; values of 64 bytes: %zu; digest: %zu lines\n", gossip.updates.size(),
               values.values.size(), digest.digest.size());
   std::printf(
       "| datagram | bytes | sealed | write | read | seal | open, repeated | unknown key | forged |\n");
@@ -103,14 +103,15 @@
   std::size_t datagrams = 0, size = 0;
   for (std::size_t i = 0; i < 300;) {
     Message part;
-    part.kind = Kind::kRecords;
+    part.kind = MessageKind::kRecords;
     part.sender = Member(1);
-    for (std::size_t room = kMostPayload - MostSize(part); i < 300 && MostSize(Member(i)) <= room; ++i) {
-      room -= MostSize(Member(i));
-      part.news.push_back(Member(i));
+    for (std::size_t capacity = kMaxPayloadSize - MaxEncodedSize(part);
+         i < 300 && MaxEncodedSize(Member(i)) <= capacity; ++i) {
+      capacity -= MaxEncodedSize(Member(i));
+      part.updates.push_back(Member(i));
     }
     ++datagrams;
-    size += Write(part).size() + kSealHead + kSealTag;
+    size += Encode(part).size() + kSealHead + kSealTag;
   }
   std::printf("news of 300 members: %zu datagrams, %zu bytes\n", datagrams, size);
   return g_sink == 0;
--- a/fuzz/peers_wire_fuzz.cpp
+++ b/fuzz/peers_wire_fuzz.cpp
@@ -8,16 +8,17 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   using namespace mothrack::gossip;
   std::string why;
-  ReadFault fault = ReadFault::kNone;
-  const auto message = Read({reinterpret_cast<const char*>(data), size}, &why, &fault);
-  if (message.has_value() != (fault == ReadFault::kNone) || message.has_value() != why.empty()) std::abort();
+  DecodeFault fault = DecodeFault::kNone;
+  const auto message = Decode({reinterpret_cast<const char*>(data), size}, &why, &fault);
+  if (message.has_value() != (fault == DecodeFault::kNone) || message.has_value() != why.empty())
+    std::abort();
   if (!message) return 0;
-  const std::string written = Write(*message);
-  std::size_t most = MostSize(*message);
-  for (const auto& part : message->digest) most += MostSize(part);
-  for (const auto& part : message->news) most += MostSize(part);
-  for (const auto& part : message->values) most += MostSize(part);
+  const std::string written = Encode(*message);
+  std::size_t most = MaxEncodedSize(*message);
+  for (const auto& part : message->digest) most += MaxEncodedSize(part);
+  for (const auto& part : message->updates) most += MaxEncodedSize(part);
+  for (const auto& part : message->values) most += MaxEncodedSize(part);
   if (written.size() > most) std::abort();
-  if (Read(written) != message) std::abort();
+  if (Decode(written) != message) std::abort();
   return 0;
 }
--- a/src/gossip/anti_entropy.h
+++ b/src/gossip/anti_entropy.h
@@ -13,20 +13,20 @@
 class AntiEntropy {
  public:
   // The next range, as many lines as fit into `room`.
-  void Ask(Message& digest, std::size_t room, TimePoint now, const Membership& membership,
-           const Values& values);
+  void FillDigest(Message& digest, std::size_t capacity, TimePoint now, const Membership& membership,
+                  const ValueStore& values);
   // What is later here, in the order of names, until `room` is full: then range_to says how far it went.
   // Returns how many pieces it holds.
-  std::size_t Answer(const Message& digest, Message& records, std::size_t room, TimePoint now,
-                     const Membership& membership, const Values& values);
+  std::size_t FillRecords(const Message& digest, Message& records, std::size_t capacity, TimePoint now,
+                          const Membership& membership, const ValueStore& values);
   // The answer to the last question: the next range begins where it ended. False for another's or a late one.
-  bool Answered(const Message& records);
+  bool OnRecords(const Message& records);
   // The last answer came to the end of all names.
-  bool round() const { return cursor_.empty(); }
+  bool round_complete() const { return cursor_.empty(); }
 
  private:
-  std::string cursor_, asked_;
-  std::size_t turn_ = 0;  // where a member's values begin that do not fit in all
+  std::string cursor_, requested_from_;
+  std::size_t value_rotation_ = 0;  // where a member's values begin that do not fit in all
 };
 
 }  // namespace mothrack::gossip
--- a/src/gossip/core.cpp
+++ b/src/gossip/core.cpp
@@ -29,130 +29,130 @@
 
 class Core::Impl {
  public:
-  Impl(MemberNews self, const Terms& terms, std::uint64_t seed, TimePoint now)
-      : terms_(terms),
+  Impl(MembershipUpdate self, const ProtocolConfig& config, std::uint64_t seed, TimePoint now)
+      : config_(config),
         self_(std::move(self)),
         random_(seed),
-        members_(self_, terms, now),
-        probes_(terms, now, random_),
-        rate_(terms.datagrams_per_s, now),
-        gossip_at_(now + Phase(terms.gossip_every)),
-        digest_at_(now + Phase(terms.digest_every)),
+        members_(self_, config, now),
+        probes_(config, now, random_),
+        rate_(config.datagrams_per_s, now),
+        gossip_at_(now + Phase(config.gossip_interval)),
+        digest_at_(now + Phase(config.digest_interval)),
         reunion_at_(now) {
     due_ = next();
   }
 
-  void Seeds(std::vector<std::string> addresses) {
+  void SetSeeds(std::vector<std::string> addresses) {
     std::erase(addresses, self_.address);
     seeds_ = std::move(addresses);
   }
 
-  void Hear(const Message& message, const std::string& from, TimePoint now, Out& out) {
+  void Receive(const Message& message, const std::string& from, TimePoint now, CoreOutput& out) {
     if (left_) return;
     Wake(now);
-    if (!Fine(message.sender) || (!message.subject.life.name.empty() && !Fine(message.subject))) {
-      ++counts_.not_taken;
+    if (!IsValid(message.sender) || (!message.subject.boot_id.name.empty() && !IsValid(message.subject))) {
+      ++counts_.rejected;
       return;
     }
-    ++counts_.heard;
-    MemberNews sender = message.sender;
-    if (message.kind == Kind::kLeave) sender.state = State::kLeft;
-    if (sender.life.name == self_.life.name) {
+    ++counts_.received;
+    MembershipUpdate sender = message.sender;
+    if (message.kind == MessageKind::kLeave) sender.state = MemberState::kLeft;
+    if (sender.boot_id.name == self_.boot_id.name) {
       // A former process, still on its way out, or a later one: nothing else it says concerns this one.
       Own(sender, now, out);
     } else {
       const auto later = LaterThan(sender);
       if (!later) {
-        TakeNews(sender, By::kGossip, now, out);
+        TakeNews(sender, UpdateOrigin::kGossip, now, out);
         Read(message, from, now, out);
-      } else if (message.kind == Kind::kPing || message.kind == Kind::kAck) {
+      } else if (message.kind == MessageKind::kPing || message.kind == MessageKind::kAck) {
         // It never speaks again, but is told why: a process whose clock went back has to be born later. An
         // ack is told by what nobody answers, or the two would go on for ever.
-        Message why = Start(message.kind == Kind::kPing ? Kind::kAck : Kind::kGossip);
+        Message why = Start(message.kind == MessageKind::kPing ? MessageKind::kAck : MessageKind::kGossip);
         why.sequence = message.sequence;
-        why.news.push_back(*later);
+        why.updates.push_back(*later);
         Send(from, std::move(why), kForProbes, now, out);
       }
     }
     Due(now);
   }
 
-  void Tick(TimePoint now, Out& out) {
+  void Tick(TimePoint now, CoreOutput& out) {
     if (left_) return;
     Wake(now);
     Probe(now, out);
-    for (const std::string& name : members_.Expired(now)) {
-      MemberNews dead = members_.Find(name)->news;
-      dead.state = State::kDead;
-      TakeNews(dead, By::kGossip, now, out);
+    for (const std::string& name : members_.ExpiredSuspicions(now)) {
+      MembershipUpdate dead = members_.Find(name)->update;
+      dead.state = MemberState::kDead;
+      TakeNews(dead, UpdateOrigin::kGossip, now, out);
     }
-    for (Probes::Errand& errand : probes_.Overdue(now)) {
-      Message nack = Start(Kind::kNack);
-      nack.sequence = errand.sequence;
-      Send(errand.address, std::move(nack), kForProbes, now, out);
+    for (ProbeScheduler::RelayedProbe& probe : probes_.TakeOverdueRelayed(now)) {
+      Message nack = Start(MessageKind::kNack);
+      nack.sequence = probe.sequence;
+      Send(probe.address, std::move(nack), kForProbes, now, out);
     }
-    for (Value& value : values_.Lapse(now)) {
+    for (Value& value : values_.ExpireDue(now)) {
       const std::string owner = value.owner.name;
-      Lapsed(std::move(value), out);
+      Expired(std::move(value), out);
       // Of nobody who is known: nothing but its values kept it here.
-      if (members_.Find(owner) == nullptr && values_.AllLapsed(owner)) values_.Forget(owner);
+      if (members_.Find(owner) == nullptr && values_.AllExpired(owner)) values_.Forget(owner);
     }
-    for (const std::string& name : members_.Forgettable(now)) {
+    for (const std::string& name : members_.ForgettableMembers(now)) {
       members_.Forget(name);
       values_.Forget(name);
     }
     if (now >= reunion_at_) Reunite(now, out);
     if (now >= digest_at_) {
-      digest_at_ = now + terms_.digest_every;
-      const auto whom = members_.Some(1, "", random_);
-      if (!whom.empty()) Digest(members_.Find(whom.front())->news.address, now, out);
+      digest_at_ = now + config_.digest_interval;
+      const auto whom = members_.SampleLive(1, "", random_);
+      if (!whom.empty()) Digest(members_.Find(whom.front())->update.address, now, out);
     }
-    if (now >= gossip_at_ && !spread_.empty() && !members_.live().empty()) Gossip(now, out);
+    if (now >= gossip_at_ && !updates_.empty() && !members_.live().empty()) Gossip(now, out);
     Due(now);
   }
 
   TimePoint next() const {
     if (left_) return TimePoint::max();
     TimePoint next = std::min({members_.next(), probes_.next(), values_.next(), reunion_at_, digest_at_});
-    if (!spread_.empty() && !members_.live().empty()) next = std::min(next, gossip_at_);
+    if (!updates_.empty() && !members_.live().empty()) next = std::min(next, gossip_at_);
     return next;
   }
 
-  bool Put(const std::string& key, const std::string& bytes, Duration lasts, TimePoint now) {
-    const Value value{self_.life, key, 1, Duration(0), lasts, bytes};
-    if (left_ || !gossip::Fine(value) || !values_.Put(self_.life, key, bytes, lasts, now)) return false;
-    spread_.Add(self_.life.name, key, now);
+  bool Put(const std::string& key, const std::string& bytes, Duration ttl, TimePoint now) {
+    const Value value{self_.boot_id, key, 1, Duration(0), ttl, bytes};
+    if (left_ || !gossip::IsValid(value) || !values_.Put(self_.boot_id, key, bytes, ttl, now)) return false;
+    updates_.Add(self_.boot_id.name, key, now);
     Due(now);
     return true;
   }
 
-  void Leave(TimePoint now, Out& out) {
+  void Leave(TimePoint now, CoreOutput& out) {
     if (left_) return;
-    self_.state = State::kLeft;
-    members_.Own(self_);
-    for (const std::string& name : members_.Some(kFarewells, "", random_)) {
-      Send(members_.Find(name)->news.address, Start(Kind::kLeave), kForProbes, now, out);
+    self_.state = MemberState::kLeft;
+    members_.SetLocal(self_);
+    for (const std::string& name : members_.SampleLive(kFarewells, "", random_)) {
+      Send(members_.Find(name)->update.address, Start(MessageKind::kLeave), kForProbes, now, out);
     }
     left_ = true;
   }
 
-  const MemberNews& self() const { return self_; }
+  const MembershipUpdate& self() const { return self_; }
   int health() const { return probes_.health(); }
   const Counts& counts() const { return counts_; }
   std::size_t alive() const { return members_.live().size() + 1; }
 
   std::size_t known() const {
     return alive() + static_cast<std::size_t>(std::count_if(
-                         members_.gone().begin(), members_.gone().end(), [this](const auto& gone) {
+                         members_.departed().begin(), members_.departed().end(), [this](const auto& gone) {
                            const auto* member = members_.Find(gone.second);
-                           return member->lived && member->news.state == State::kDead;
+                           return member->was_live && member->update.state == MemberState::kDead;
                          }));
   }
 
   std::vector<MemberView> members() const {
     std::vector<MemberView> views;
     for (const auto& [name, member] : members_.all()) {
-      if (name != self_.life.name) views.push_back({member.news, member.since});
+      if (name != self_.boot_id.name) views.push_back({member.update, member.since});
     }
     return views;
   }
@@ -160,17 +160,17 @@
   std::optional<MemberView> Find(const std::string& name) const {
     const auto* member = members_.Find(name);
     if (member == nullptr) return std::nullopt;
-    return MemberView{member->news, member->since};
+    return MemberView{member->update, member->since};
   }
 
   std::vector<ValueView> ValuesOf(const std::string& key, TimePoint now) const {
     std::vector<ValueView> views;
     for (const auto& [name, member] : members_.all()) {
-      if (member.news.state > State::kSuspect) continue;
-      const auto* said = values_.Of(member.news.life);
+      if (member.update.state > MemberState::kSuspect) continue;
+      const auto* said = values_.ValuesOf(member.update.boot_id);
       if (said == nullptr) continue;
       const auto it = said->find(key);
-      if (it == said->end() || it->second.lapsed || it->second.AgeAt(now) >= it->second.value.lasts) continue;
+      if (it == said->end() || it->second.expired || it->second.AgeAt(now) >= it->second.value.ttl) continue;
       views.push_back({&it->second.value, it->second.AgeAt(now)});
     }
     return views;
@@ -190,22 +190,22 @@
   // This process was not run for longer than a probe's time, or it was called late: what is due now was due
   // while nobody could be heard, so it judges nobody by it.
   void Wake(TimePoint now) {
-    if (now <= due_ || now - due_ <= terms_.probe_every) return;
-    members_.Postpone(now - due_);
+    if (now <= due_ || now - due_ <= config_.probe_interval) return;
+    members_.ExtendSuspicions(now - due_);
     probes_.Restart(now);
-    probes_.Learn(Outcome::kStopped);
+    probes_.RecordOutcome(Outcome::kPaused);
     due_ = now;
     // What waited in the socket meanwhile has an age that nobody knows: its values come again.
-    woke_ = now + terms_.gossip_every;
+    woke_ = now + config_.gossip_interval;
   }
 
   // Each piece this often: enough that all hear it but for one in thousands, whatever the number of members.
   std::size_t Most() const {
-    return static_cast<std::size_t>(
-        std::ceil(terms_.retransmit * std::log10(static_cast<double>(members_.live().size()) + 2)));
+    return static_cast<std::size_t>(std::ceil(config_.retransmit_multiplier *
+                                              std::log10(static_cast<double>(members_.live().size()) + 2)));
   }
 
-  Message Start(Kind kind) const {
+  Message Start(MessageKind kind) const {
     Message message;
     message.kind = kind;
     message.sender = self_;
@@ -213,153 +213,156 @@
   }
 
   static std::size_t RoomIn(const Message& message) {
-    std::size_t size = MostSize(message) + kSealSize;
-    for (const MemberNews& news : message.news) size += MostSize(news);
-    return size >= kMostDatagram ? 0 : kMostDatagram - size;
+    std::size_t size = MaxEncodedSize(message) + kMaxSealSize;
+    for (const MembershipUpdate& update : message.updates) size += MaxEncodedSize(update);
+    return size >= kMaxDatagramSize ? 0 : kMaxDatagramSize - size;
   }
 
   // What is known of a later life than this one's, or of its end. A value may be all that came of a later
   // life.
-  std::optional<MemberNews> LaterThan(const MemberNews& news) const {
-    const auto* held = members_.Find(news.life.name);
-    if (held != nullptr && (news.life.born < held->news.life.born ||
-                            (news.life.born == held->news.life.born && held->news.state == State::kLeft))) {
-      return held->news;
-    }
-    if (news.life.born >= values_.BornOf(news.life.name)) return std::nullopt;
-    MemberNews later = news;
-    later.life.born = values_.BornOf(news.life.name);
+  std::optional<MembershipUpdate> LaterThan(const MembershipUpdate& update) const {
+    const auto* stored = members_.Find(update.boot_id.name);
+    if (stored != nullptr && (update.boot_id.boot_number < stored->update.boot_id.boot_number ||
+                              (update.boot_id.boot_number == stored->update.boot_id.boot_number &&
+                               stored->update.state == MemberState::kLeft))) {
+      return stored->update;
+    }
+    if (update.boot_id.boot_number >= values_.BootNumberOf(update.boot_id.name)) return std::nullopt;
+    MembershipUpdate later = update;
+    later.boot_id.boot_number = values_.BootNumberOf(update.boot_id.name);
     return later;
   }
 
-  bool Send(const std::string& address, Message&& message, What what, TimePoint now, Out& out) {
-    if (!rate_.Take(what == kForProbes ? 0 : kKeptForProbes, now)) {
-      ++counts_.over_rate;
+  bool Send(const std::string& address, Message&& message, What what, TimePoint now, CoreOutput& out) {
+    if (!rate_.TryAcquire(what == kForProbes ? 0 : kKeptForProbes, now)) {
+      ++counts_.rate_limited;
       return false;
     }
     ++counts_.sent;
-    const bool full = message.kind == Kind::kDigest || message.kind == Kind::kRecords;
+    const bool full = message.kind == MessageKind::kDigest || message.kind == MessageKind::kRecords;
     if (!full) {
       const std::size_t room = RoomIn(message);
-      if (room >= kLeastRoom) spread_.Fill(message, room, Most(), now, members_, values_);
+      if (room >= kLeastRoom) updates_.Fill(message, room, Most(), now, members_, values_);
     }
     out.datagrams.push_back({address, std::move(message)});
     return true;
   }
 
-  void Read(const Message& message, const std::string& from, TimePoint now, Out& out) {
-    const MemberNews& subject = message.subject;
-    const bool of_self = subject.life.name == self_.life.name;
-    const By by = message.kind == Kind::kRecords ? By::kRecords : By::kGossip;
-    for (const MemberNews& news : message.news) TakeNews(news, by, now, out);
+  void Read(const Message& message, const std::string& from, TimePoint now, CoreOutput& out) {
+    const MembershipUpdate& subject = message.subject;
+    const bool of_self = subject.boot_id.name == self_.boot_id.name;
+    const UpdateOrigin origin =
+        message.kind == MessageKind::kRecords ? UpdateOrigin::kAntiEntropy : UpdateOrigin::kGossip;
+    for (const MembershipUpdate& update : message.updates) TakeNews(update, origin, now, out);
     for (const Value& value : message.values) TakeValue(value, now, out);
     switch (message.kind) {
-      case Kind::kPing: {
+      case MessageKind::kPing: {
         if (of_self) Own(subject, now, out);
-        Message ack = Start(Kind::kAck);
+        Message ack = Start(MessageKind::kAck);
         ack.sequence = message.sequence;
         // So that it can refute, whatever else there is to tell.
-        const auto* held = members_.Find(message.sender.life.name);
-        if (held != nullptr && held->news.state != State::kAlive) ack.news.push_back(held->news);
+        const auto* stored = members_.Find(message.sender.boot_id.name);
+        if (stored != nullptr && stored->update.state != MemberState::kAlive)
+          ack.updates.push_back(stored->update);
         Send(from, std::move(ack), kForProbes, now, out);
         break;
       }
-      case Kind::kAck:
-        if (probes_.Acked(message.sender.life.name, message.sequence)) {
-          probes_.Learn(Outcome::kAcked);
-        } else if (const auto errand = probes_.Done(message.sender.life.name, message.sequence)) {
-          Message ack = Start(Kind::kAck);
-          ack.sequence = errand->sequence;
-          Send(errand->address, std::move(ack), kForProbes, now, out);
+      case MessageKind::kAck:
+        if (probes_.OnAck(message.sender.boot_id.name, message.sequence)) {
+          probes_.RecordOutcome(Outcome::kAcked);
+        } else if (const auto probe = probes_.FinishRelayed(message.sender.boot_id.name, message.sequence)) {
+          Message ack = Start(MessageKind::kAck);
+          ack.sequence = probe->sequence;
+          Send(probe->address, std::move(ack), kForProbes, now, out);
         }
         break;
-      case Kind::kPingFor: {
-        if (subject.life.name.empty()) break;
+      case MessageKind::kPingRequest: {
+        if (subject.boot_id.name.empty()) break;
         const auto sequence =
-            probes_.Run({subject.life.name, from, message.sequence, now + terms_.probe_patience});
+            probes_.StartRelayed({subject.boot_id.name, from, message.sequence, now + config_.probe_timeout});
         if (!sequence) {
-          ++counts_.not_taken;
+          ++counts_.rejected;
           break;
         }
-        Message ping = Start(Kind::kPing);
+        Message ping = Start(MessageKind::kPing);
         ping.sequence = *sequence;
         ping.subject = subject;
         Send(subject.address, std::move(ping), kForProbes, now, out);
         break;
       }
-      case Kind::kNack:
-        probes_.Nacked(message.sender.life.name, message.sequence);
+      case MessageKind::kNack:
+        probes_.OnNack(message.sender.boot_id.name, message.sequence);
         break;
-      case Kind::kGossip:
-        if (!subject.life.name.empty() && subject.state == State::kSuspect) {
-          TakeNews(subject, By::kGossip, now, out);
-          members_.Accuse(subject.life.name, subject.incarnation, message.sender.life.name);
+      case MessageKind::kGossip:
+        if (!subject.boot_id.name.empty() && subject.state == MemberState::kSuspect) {
+          TakeNews(subject, UpdateOrigin::kGossip, now, out);
+          members_.ReportSuspect(subject.boot_id.name, subject.incarnation, message.sender.boot_id.name);
         }
         break;
-      case Kind::kDigest:
+      case MessageKind::kDigest:
         Answer(message, from, now, out);
         break;
-      case Kind::kRecords:
-        if (anti_entropy_.Answered(message)) CatchUp(from, now, out);
+      case MessageKind::kRecords:
+        if (anti_entropy_.OnRecords(message)) CatchUp(from, now, out);
         break;
-      case Kind::kLeave:
+      case MessageKind::kLeave:
         break;  // its sender's news have said it
     }
   }
 
-  void Answer(const Message& digest, const std::string& from, TimePoint now, Out& out) {
-    for (const DigestLine& line : digest.digest) {
-      if (!Fine(line.life) || line.incarnation > kMostNumber || line.state < State::kAlive ||
-          line.state > State::kLeft) {
-        ++counts_.not_taken;
+  void Answer(const Message& digest, const std::string& from, TimePoint now, CoreOutput& out) {
+    for (const DigestEntry& line : digest.digest) {
+      if (!IsValid(line.boot_id) || line.incarnation > kMaxCounter || line.state < MemberState::kAlive ||
+          line.state > MemberState::kLeft) {
+        ++counts_.rejected;
         return;
       }
-      const auto* held = members_.Find(line.life.name);
-      if (held == nullptr) continue;
+      const auto* stored = members_.Find(line.boot_id.name);
+      if (stored == nullptr) continue;
       // Whom it holds for dead hears of it through those that know better, and refutes: one question heals
       // both sides.
-      MemberNews news = held->news;
-      news.life = line.life;
-      news.incarnation = line.incarnation;
-      news.state = line.state;
-      if (line.life.name == self_.life.name) {
-        Own(news, now, out);
-      } else if (line.state == State::kDead && line.life == held->news.life) {
-        TakeNews(news, By::kRecords, now, out);
+      MembershipUpdate update = stored->update;
+      update.boot_id = line.boot_id;
+      update.incarnation = line.incarnation;
+      update.state = line.state;
+      if (line.boot_id.name == self_.boot_id.name) {
+        Own(update, now, out);
+      } else if (line.state == MemberState::kDead && line.boot_id == stored->update.boot_id) {
+        TakeNews(update, UpdateOrigin::kAntiEntropy, now, out);
       }
     }
-    Message records = Start(Kind::kRecords);
+    Message records = Start(MessageKind::kRecords);
     // The ranges of the answer are as long as the question's, or names that are held here.
-    const std::size_t room = RoomIn(records) - 2 * (kMostName + 1);
-    counts_.records += anti_entropy_.Answer(digest, records, room, now, members_, values_);
+    const std::size_t room = RoomIn(records) - 2 * (kMaxNameSize + 1);
+    counts_.records += anti_entropy_.FillRecords(digest, records, room, now, members_, values_);
     Send(from, std::move(records), kForNews, now, out);
   }
 
-  void Digest(const std::string& address, TimePoint now, Out& out) {
-    Message digest = Start(Kind::kDigest);
-    anti_entropy_.Ask(digest, RoomIn(digest) - 2 * (kMostName + 1), now, members_, values_);
+  void Digest(const std::string& address, TimePoint now, CoreOutput& out) {
+    Message digest = Start(MessageKind::kDigest);
+    anti_entropy_.FillDigest(digest, RoomIn(digest) - 2 * (kMaxNameSize + 1), now, members_, values_);
     if (Send(address, std::move(digest), kForNews, now, out)) ++counts_.digests;
   }
 
   // The first time around as fast as answers come; then, where all start at once and those asked knew little
   // themselves, at the pace of gossip until a round brought nothing new.
-  void CatchUp(const std::string& from, TimePoint now, Out& out) {
+  void CatchUp(const std::string& from, TimePoint now, CoreOutput& out) {
     if (catching_up_ == Pace::kNone) return;
-    if (anti_entropy_.round()) {
+    if (anti_entropy_.round_complete()) {
       catching_up_ = learned_ ? Pace::kSlow : Pace::kNone;
       learned_ = false;
     }
     if (catching_up_ == Pace::kFast) Digest(from, now, out);
-    if (catching_up_ == Pace::kSlow) digest_at_ = std::min(digest_at_, now + terms_.gossip_every);
+    if (catching_up_ == Pace::kSlow) digest_at_ = std::min(digest_at_, now + config_.gossip_interval);
   }
 
-  void Gossip(TimePoint now, Out& out) {
-    gossip_at_ = now + terms_.gossip_every;
-    for (const std::string& name : members_.Some(terms_.fanout, "", random_)) {
-      if (spread_.empty()) break;
-      Message gossip = Start(Kind::kGossip);
-      if (const auto* accused = OneAccused()) gossip.subject = accused->news;
-      if (!Send(members_.Find(name)->news.address, std::move(gossip), kForNews, now, out)) break;
+  void Gossip(TimePoint now, CoreOutput& out) {
+    gossip_at_ = now + config_.gossip_interval;
+    for (const std::string& name : members_.SampleLive(config_.fanout, "", random_)) {
+      if (updates_.empty()) break;
+      Message gossip = Start(MessageKind::kGossip);
+      if (const auto* accused = OneAccused()) gossip.subject = accused->update;
+      if (!Send(members_.Find(name)->update.address, std::move(gossip), kForNews, now, out)) break;
     }
   }
 
@@ -368,213 +371,215 @@
     std::vector<const Membership::Member*> accused;
     for (const auto& [over, name] : members_.suspects()) {
       const auto* member = members_.Find(name);
-      if (member->accusers.contains(self_.life.name)) accused.push_back(member);
+      if (member->reporters.contains(self_.boot_id.name)) accused.push_back(member);
     }
     return accused.empty() ? nullptr : accused[turn_++ % accused.size()];
   }
 
-  void Probe(TimePoint now, Out& out) {
-    for (auto step = probes_.Next(now, members_, random_); step.what != Probes::Step::What::kNone;
+  void Probe(TimePoint now, CoreOutput& out) {
+    for (auto step = probes_.Next(now, members_, random_); step.what != ProbeScheduler::Step::What::kNone;
          step = probes_.Next(now, members_, random_)) {
       const auto* member = members_.Find(step.name);
-      if (step.what == Probes::Step::What::kOver) {
+      if (step.what == ProbeScheduler::Step::What::kRoundOver) {
         ++counts_.probes_failed;
-        probes_.Learn(step.outcome);
-        if (!Judge(step.outcome).suspect || member == nullptr || member->news.life.born != step.born ||
-            member->news.incarnation != step.incarnation) {
+        probes_.RecordOutcome(step.outcome);
+        if (!EffectOf(step.outcome).suspect || member == nullptr ||
+            member->update.boot_id.boot_number != step.boot_number ||
+            member->update.incarnation != step.incarnation) {
           continue;
         }
-        MemberNews news = member->news;
-        news.state = std::max(news.state, State::kSuspect);
-        if (news.state == State::kSuspect) {
-          TakeNews(news, By::kGossip, now, out);
-          members_.Accuse(step.name, step.incarnation, self_.life.name);
-          spread_.Add(step.name, "", now);  // with its accuser named, also where the suspicion was known
+        MembershipUpdate update = member->update;
+        update.state = std::max(update.state, MemberState::kSuspect);
+        if (update.state == MemberState::kSuspect) {
+          TakeNews(update, UpdateOrigin::kGossip, now, out);
+          members_.ReportSuspect(step.name, step.incarnation, self_.boot_id.name);
+          updates_.Add(step.name, "", now);  // with its accuser named, also where the suspicion was known
         }
         continue;
       }
       if (member == nullptr) continue;
-      if (step.what == Probes::Step::What::kPing) {
+      if (step.what == ProbeScheduler::Step::What::kPing) {
         ++counts_.probes;
-        Message ping = Start(Kind::kPing);
+        Message ping = Start(MessageKind::kPing);
         ping.sequence = step.sequence;
-        if (member->news.state != State::kAlive) ping.subject = member->news;
-        Send(member->news.address, std::move(ping), kForProbes, now, out);
+        if (member->update.state != MemberState::kAlive) ping.subject = member->update;
+        Send(member->update.address, std::move(ping), kForProbes, now, out);
         continue;
       }
       std::vector<std::string> asked;
-      for (const std::string& other : members_.Some(terms_.indirect, step.name, random_)) {
-        Message ask = Start(Kind::kPingFor);
+      for (const std::string& other : members_.SampleLive(config_.indirect_probes, step.name, random_)) {
+        Message ask = Start(MessageKind::kPingRequest);
         ask.sequence = step.sequence;
-        ask.subject = member->news;
-        if (!Send(members_.Find(other)->news.address, std::move(ask), kForProbes, now, out)) break;
-        ++counts_.indirect;
+        ask.subject = member->update;
+        if (!Send(members_.Find(other)->update.address, std::move(ask), kForProbes, now, out)) break;
+        ++counts_.indirect_probes;
         asked.push_back(other);
       }
-      probes_.Asked(asked);
+      probes_.SetHelpers(asked);
     }
   }
 
   // While it is alone all seeds and one that is held for dead; afterwards one of them, but for seeds that are
   // the address of a live one.
-  void Reunite(TimePoint now, Out& out) {
+  void Reunite(TimePoint now, CoreOutput& out) {
     const bool alone = members_.live().empty();
-    reunion_at_ = now + terms_.probe_every * (alone ? 1 : kReunion);
+    reunion_at_ = now + config_.probe_interval * (alone ? 1 : kReunion);
     std::set<std::string> known;
-    for (const std::string& name : members_.live()) known.insert(members_.Find(name)->news.address);
-    std::vector<const MemberNews*> dead;
-    for (const auto& [since, name] : members_.gone()) {
-      const MemberNews& news = members_.Find(name)->news;
-      if (news.state == State::kDead) dead.push_back(&news);
+    for (const std::string& name : members_.live()) known.insert(members_.Find(name)->update.address);
+    std::vector<const MembershipUpdate*> dead;
+    for (const auto& [since, name] : members_.departed()) {
+      const MembershipUpdate& update = members_.Find(name)->update;
+      if (update.state == MemberState::kDead) dead.push_back(&update);
     }
-    std::vector<std::pair<std::string, const MemberNews*>> whom;
+    std::vector<std::pair<std::string, const MembershipUpdate*>> whom;
     for (const std::string& seed : seeds_) {
       if (!known.contains(seed)) whom.emplace_back(seed, nullptr);
     }
     if (alone && !dead.empty()) dead = {dead[random_.Below(dead.size())]};
-    for (const MemberNews* news : dead) whom.emplace_back(news->address, news);
+    for (const MembershipUpdate* update : dead) whom.emplace_back(update->address, update);
     if (!alone && !whom.empty()) whom = {whom[random_.Below(whom.size())]};
-    for (const auto& [address, news] : whom) {
-      Message ping = Start(Kind::kPing);
+    for (const auto& [address, update] : whom) {
+      Message ping = Start(MessageKind::kPing);
       ping.sequence = probes_.NewSequence();
-      if (news != nullptr) ping.subject = *news;
+      if (update != nullptr) ping.subject = *update;
       Send(address, std::move(ping), kForProbes, now, out);
       if (!alone) Digest(address, now, out);
     }
   }
 
-  void TakeNews(const MemberNews& news, By by, TimePoint now, Out& out) {
-    if (!Fine(news)) {
-      ++counts_.not_taken;
+  void TakeNews(const MembershipUpdate& update, UpdateOrigin origin, TimePoint now, CoreOutput& out) {
+    if (!IsValid(update)) {
+      ++counts_.rejected;
       return;
     }
-    if (news.life.name == self_.life.name) return Own(news, now, out);
-    if (news.life.born < values_.BornOf(news.life.name)) {
-      ++counts_.news_old;
+    if (update.boot_id.name == self_.boot_id.name) return Own(update, now, out);
+    if (update.boot_id.boot_number < values_.BootNumberOf(update.boot_id.name)) {
+      ++counts_.updates_stale;
       return;
     }
     const bool alone = members_.live().empty();
-    const auto taken = members_.Take(news, by, now);
-    for (const std::string& name : members_.forgotten_for_room()) values_.Forget(name);
-    if (!taken.taken) {
-      ++(taken.full ? counts_.not_taken : counts_.news_old);
+    const auto result = members_.Apply(update, origin, now);
+    for (const std::string& name : members_.TakeEvicted()) values_.Forget(name);
+    if (!result.applied) {
+      ++(result.full ? counts_.rejected : counts_.updates_stale);
       return;
     }
-    ++counts_.news_taken;
-    learned_ = learned_ || by == By::kRecords;
-    const MemberNews& held = members_.Find(news.life.name)->news;
-    const bool live = held.state <= State::kSuspect;
-    const bool was_live = taken.before && taken.before->state <= State::kSuspect;
-    if (held.state == State::kSuspect) ++counts_.suspected;
-    if (held.state == State::kDead && was_live) ++counts_.died;
-    if (live && taken.before && !was_live) ++counts_.returned;
-    if (live && !was_live) probes_.Joined(news.life.name, random_);
+    ++counts_.updates_applied;
+    learned_ = learned_ || origin == UpdateOrigin::kAntiEntropy;
+    const MembershipUpdate& stored = members_.Find(update.boot_id.name)->update;
+    const bool live = stored.state <= MemberState::kSuspect;
+    const bool was_live = result.before && result.before->state <= MemberState::kSuspect;
+    if (stored.state == MemberState::kSuspect) ++counts_.suspected;
+    if (stored.state == MemberState::kDead && was_live) ++counts_.died;
+    if (live && result.before && !was_live) ++counts_.returned;
+    if (live && !was_live) probes_.AddMember(update.boot_id.name, random_);
     if (live && alone) {
       catching_up_ = Pace::kFast;
       digest_at_ = now;
     }
-    for (Value& value : values_.Later(held.life, false)) Lapsed(std::move(value), out);
-    spread_.Add(news.life.name, "", now);
-    MemberNews like = held;
-    if (taken.before) like.incarnation = taken.before->incarnation;
+    for (Value& value : values_.AdvanceBoot(stored.boot_id, false)) Expired(std::move(value), out);
+    updates_.Add(update.boot_id.name, "", now);
+    MembershipUpdate like = stored;
+    if (result.before) like.incarnation = result.before->incarnation;
     // A refutation that nobody here had doubted changes nothing for whoever uses it.
-    if (!taken.before || like != *taken.before) Changed(Change::What::kMember, held, out);
+    if (!result.before || like != *result.before) Changed(Change::What::kMember, stored, out);
   }
 
-  void TakeValue(const Value& value, TimePoint now, Out& out) {
-    if (!gossip::Fine(value)) {
-      ++counts_.not_taken;
+  void TakeValue(const Value& value, TimePoint now, CoreOutput& out) {
+    if (!gossip::IsValid(value)) {
+      ++counts_.rejected;
       return;
     }
-    if (value.owner.name == self_.life.name) {
-      if (value.owner.born > self_.life.born) {
-        MemberNews news = self_;
-        news.life = value.owner;
-        Own(news, now, out);
-      } else if (values_.Outdo(value)) {
-        spread_.Add(self_.life.name, value.key, now);
+    if (value.owner.name == self_.boot_id.name) {
+      if (value.owner.boot_number > self_.boot_id.boot_number) {
+        MembershipUpdate update = self_;
+        update.boot_id = value.owner;
+        Own(update, now, out);
+      } else if (values_.RefuteVersion(value)) {
+        updates_.Add(self_.boot_id.name, value.key, now);
       }
       return;
     }
     const auto* member = members_.Find(value.owner.name);
-    const bool over = member == nullptr && value.age >= value.lasts;  // nothing would ever forget it
-    const bool former = member != nullptr && value.owner.born < member->news.life.born;
+    const bool over = member == nullptr && value.age >= value.ttl;  // nothing would ever forget it
+    const bool former = member != nullptr && value.owner.boot_number < member->update.boot_id.boot_number;
     if (over || former || now < woke_) {
-      ++counts_.values_old;
+      ++counts_.values_stale;
       return;
     }
-    auto result = values_.Take(value, now);
-    for (Value& lapsed : result.lapsed) Lapsed(std::move(lapsed), out);
-    switch (result.verdict) {
-      case Values::Verdict::kFull:
-        ++counts_.not_taken;
+    auto result = values_.Merge(value, now);
+    for (Value& expired : result.expired) Expired(std::move(expired), out);
+    switch (result.outcome) {
+      case ValueStore::MergeOutcome::kFull:
+        ++counts_.rejected;
         break;
-      case Values::Verdict::kTaken:
-        ++counts_.values_taken;
-        spread_.Add(value.owner.name, value.key, now - value.age);
+      case ValueStore::MergeOutcome::kApplied:
+        ++counts_.values_applied;
+        updates_.Add(value.owner.name, value.key, now - value.age);
         Changed(Change::What::kValue, value, out);
         break;
       default:
-        ++counts_.values_old;
+        ++counts_.values_stale;
     }
   }
 
-  void Own(const MemberNews& news, TimePoint now, Out& out) {
-    const Reply reply = JudgeOwn(self_, news);
-    if (reply == Reply::kNothing) return;
-    if (reply == Reply::kReborn) {
+  void Own(const MembershipUpdate& update, TimePoint now, CoreOutput& out) {
+    const SelfResponse reply = ResponseTo(self_, update);
+    if (reply == SelfResponse::kIgnore) return;
+    if (reply == SelfResponse::kRaiseBootNumber) {
       // Two processes of one name would outbid each other without end: not more often than that.
-      if (news.life.born >= kMostNumber - kRebirths || (reborn_ && now < *reborn_ + terms_.probe_every))
+      if (update.boot_id.boot_number >= kMaxCounter - kRebirths ||
+          (reborn_ && now < *reborn_ + config_.probe_interval))
         return;
       reborn_ = now;
       // Two that are born after the same former one, one after the other, must not be of one life.
-      self_.life.born = news.life.born + 1 + random_.Below(kRebirths);
+      self_.boot_id.boot_number = update.boot_id.boot_number + 1 + random_.Below(kRebirths);
       self_.incarnation = 0;
-      values_.Later(self_.life, true);
-      if (const auto* said = values_.Of(self_.life)) {
-        for (const auto& [key, held] : *said) {
-          if (!held.lapsed) spread_.Add(self_.life.name, key, now);
+      values_.AdvanceBoot(self_.boot_id, true);
+      if (const auto* said = values_.ValuesOf(self_.boot_id)) {
+        for (const auto& [key, stored] : *said) {
+          if (!stored.expired) updates_.Add(self_.boot_id.name, key, now);
         }
       }
-      Changed(Change::What::kSelfReborn, self_, out);
+      Changed(Change::What::kLocalBootRaised, self_, out);
     } else {
-      self_.incarnation = news.incarnation + 1;
+      self_.incarnation = update.incarnation + 1;
     }
-    if (reply == Reply::kRefute) {
-      probes_.Learn(Outcome::kDoubted);
+    if (reply == SelfResponse::kRefute) {
+      probes_.RecordOutcome(Outcome::kRefuted);
       ++counts_.refuted;
       // Dead to somebody: it was cut off or stopped, so what it knows is old.
-      if (news.state == State::kDead) catching_up_ = Pace::kFast;
+      if (update.state == MemberState::kDead) catching_up_ = Pace::kFast;
     }
-    members_.Own(self_);
-    spread_.Add(self_.life.name, "", now);
+    members_.SetLocal(self_);
+    updates_.Add(self_.boot_id.name, "", now);
   }
 
-  static void Changed(Change::What what, const MemberNews& member, Out& out) {
+  static void Changed(Change::What what, const MembershipUpdate& member, CoreOutput& out) {
     out.changes.emplace_back().what = what;
     out.changes.back().member = member;
   }
-  static void Changed(Change::What what, const Value& value, Out& out) {
+  static void Changed(Change::What what, const Value& value, CoreOutput& out) {
     out.changes.emplace_back().what = what;
     out.changes.back().value = value;
   }
 
-  void Lapsed(Value&& value, Out& out) {
-    ++counts_.lapsed;
-    spread_.Drop(value.owner.name, value.key);
+  void Expired(Value&& value, CoreOutput& out) {
+    ++counts_.expired;
+    updates_.Drop(value.owner.name, value.key);
     value.bytes.clear();
-    Changed(Change::What::kLapsed, value, out);
+    Changed(Change::What::kValueExpired, value, out);
   }
 
-  const Terms terms_;
-  MemberNews self_;
+  const ProtocolConfig config_;
+  MembershipUpdate self_;
   Random random_;
   Membership members_;
-  class Values values_;
-  Spread spread_;
+  ValueStore values_;
+  UpdateQueue updates_;
   AntiEntropy anti_entropy_;
-  Probes probes_;
-  Rate rate_;
+  ProbeScheduler probes_;
+  DatagramRateLimiter rate_;
   std::vector<std::string> seeds_;
   TimePoint gossip_at_, digest_at_, reunion_at_;
   TimePoint due_;  // when it wanted to be called
@@ -587,23 +592,23 @@
   Counts counts_;
 };
 
-Core::Core(MemberNews self, const Terms& terms, std::uint64_t seed, TimePoint now)
-    : impl_(std::make_unique<Impl>(std::move(self), terms, seed, now)) {}
+Core::Core(MembershipUpdate self, const ProtocolConfig& config, std::uint64_t seed, TimePoint now)
+    : impl_(std::make_unique<Impl>(std::move(self), config, seed, now)) {}
 Core::~Core() = default;
 Core::Core(Core&&) noexcept = default;
 Core& Core::operator=(Core&&) noexcept = default;
 
-void Core::Seeds(std::vector<std::string> addresses) { impl_->Seeds(std::move(addresses)); }
-void Core::Hear(const Message& message, const std::string& from, TimePoint now, Out& out) {
-  impl_->Hear(message, from, now, out);
+void Core::SetSeeds(std::vector<std::string> addresses) { impl_->SetSeeds(std::move(addresses)); }
+void Core::Receive(const Message& message, const std::string& from, TimePoint now, CoreOutput& out) {
+  impl_->Receive(message, from, now, out);
 }
-void Core::Tick(TimePoint now, Out& out) { impl_->Tick(now, out); }
+void Core::Tick(TimePoint now, CoreOutput& out) { impl_->Tick(now, out); }
 TimePoint Core::next() const { return impl_->next(); }
-bool Core::Put(const std::string& key, const std::string& bytes, Duration lasts, TimePoint now) {
-  return impl_->Put(key, bytes, lasts, now);
+bool Core::Put(const std::string& key, const std::string& bytes, Duration ttl, TimePoint now) {
+  return impl_->Put(key, bytes, ttl, now);
 }
-void Core::Leave(TimePoint now, Out& out) { impl_->Leave(now, out); }
-const MemberNews& Core::self() const { return impl_->self(); }
+void Core::Leave(TimePoint now, CoreOutput& out) { impl_->Leave(now, out); }
+const MembershipUpdate& Core::self() const { return impl_->self(); }
 int Core::health() const { return impl_->health(); }
 std::size_t Core::alive() const { return impl_->alive(); }
 std::size_t Core::known() const { return impl_->known(); }
--- a/src/gossip/keys.cpp
+++ b/src/gossip/keys.cpp
@@ -15,7 +15,7 @@
 namespace mothrack::gossip {
 namespace {
 
-constexpr std::size_t kMostFile = 4096;  // two keys and a page of comments
+constexpr std::size_t kMaxKeyFileSize = 4096;  // two keys and a page of comments
 constexpr std::size_t kHexSize = 2 * kKeySize;
 constexpr std::size_t kBase64Size = 44;  // of 32 bytes, padding included
 constexpr const char* kMend = "; write 32 random bytes as 64 hex digits (openssl rand -hex 32)";
@@ -31,7 +31,7 @@
 
 // What was read of the file: zeroed whichever way Load ends.
 struct Content {
-  std::array<char, kMostFile + 1> bytes;
+  std::array<char, kMaxKeyFileSize + 1> bytes;
   std::size_t size = 0;
   ~Content() { sodium_memzero(bytes.data(), bytes.size()); }
 };
@@ -134,7 +134,7 @@
     const auto fault = [&](const std::string& what) {
       throw KeyFileError(path + ':' + std::to_string(number) + ": " + what);
     };
-    if (ring.size() == kMostRingKeys) fault("a third key; take out one that nobody seals with any more");
+    if (ring.size() == kMaxRingKeys) fault("a third key; take out one that nobody seals with any more");
     Secret bytes;
     if (const auto wrong = Decode(text, bytes)) fault(*wrong + kMend);
     ring.push_back(MakeKey(bytes.data()));
--- a/src/gossip/keys.h
+++ b/src/gossip/keys.h
@@ -13,7 +13,7 @@
 namespace mothrack::gossip {
 
 constexpr std::size_t kKeySize = 32;  // of a key of BLAKE2b
-constexpr std::size_t kMostRingKeys = 2;
+constexpr std::size_t kMaxRingKeys = 2;
 
 // Names the file, the line where there is one, and the mend; never the key.
 struct KeyFileError : std::runtime_error {
--- a/src/gossip/link.h
+++ b/src/gossip/link.h
@@ -1,4 +1,4 @@
-// The loop's side of the peers' task: keeps the latest picture, with its age, and tells it. Lives in the
+// The loop's side of the peers' task: keeps the latest snapshot, with its age, and tells it. Lives in the
 // thread of the event loop that it is given; whatever becomes of the task, nothing here waits.
 #pragma once
 
@@ -22,27 +22,27 @@
 
   // Starts the task. Throws TaskError; where the system refuses what it needs, says so once and does without.
   Link(boost::asio::io_context& io, const Settings& settings, const std::string& name, runtime::Logger& log,
-       Task::EachTurn each_turn = {});
+       Task::TurnHook turn_hook = {});
 
   std::optional<std::string> local() const;  // nothing where it does without
-  const PicturePtr& latest() const { return latest_; }
-  std::optional<Duration> age() const;  // of the latest picture
-  void Say(ToTask message);
-  // Members are told at once where the task is well; nothing is waited for.
-  void Leave() { Say(LeaveNow{}); }
-  void Rekey() { Say(RekeyNow{}); }
+  const MembershipSnapshotPtr& latest() const { return latest_; }
+  std::optional<Duration> age() const;  // of the latest snapshot
+  void Post(TaskCommand message);
+  // Members are report at once where the task is well; nothing is waited for.
+  void Leave() { Post(LeaveCommand{}); }
+  void Rekey() { Post(ReloadKeysCommand{}); }
 
   // For people, as JSON; a bounded number of members, those that are not alive first.
   nlohmann::json Report() const;
-  static constexpr std::size_t kMostMembers = 300;
+  static constexpr std::size_t kMaxReportedMembers = 300;
 
  private:
   void Await();
 
   std::unique_ptr<Task> task_;
-  std::string refused_;
-  PicturePtr latest_;
-  boost::asio::posix::stream_descriptor wake_;
+  std::string refusal_;
+  MembershipSnapshotPtr latest_;
+  boost::asio::posix::stream_descriptor signal_;
 };
 
 }  // namespace mothrack::gossip
--- a/src/gossip/membership.cpp
+++ b/src/gossip/membership.cpp
@@ -6,169 +6,177 @@
 namespace mothrack::gossip {
 namespace {
 
-bool Live(State state) { return state == State::kAlive || state == State::kSuspect; }
+bool Live(MemberState state) { return state == MemberState::kAlive || state == MemberState::kSuspect; }
 
 }  // namespace
 
-std::optional<State> Judge(const MemberNews* held, const MemberNews& news, By by) {
-  if (held == nullptr) return news.state;
-  if (news.life.born != held->life.born) {
-    if (news.life.born < held->life.born) return std::nullopt;
-    return news.state;
+std::optional<MemberState> ResolveState(const MembershipUpdate* current, const MembershipUpdate& update,
+                                        UpdateOrigin by) {
+  if (current == nullptr) return update.state;
+  if (update.boot_id.boot_number != current->boot_id.boot_number) {
+    if (update.boot_id.boot_number < current->boot_id.boot_number) return std::nullopt;
+    return update.state;
   }
   // Its own last word: no incarnation comes after it.
-  if (held->state == State::kLeft) return std::nullopt;
-  if (news.state == State::kLeft) return State::kLeft;
-  MemberNews as = news;
-  if (news.state == State::kDead && by == By::kRecords && Live(held->state)) as.state = State::kSuspect;
-  if (!Supersedes(as, *held)) return std::nullopt;
-  return as.state;
+  if (current->state == MemberState::kLeft) return std::nullopt;
+  if (update.state == MemberState::kLeft) return MemberState::kLeft;
+  MembershipUpdate effective = update;
+  if (update.state == MemberState::kDead && by == UpdateOrigin::kAntiEntropy && Live(current->state))
+    effective.state = MemberState::kSuspect;
+  if (!Supersedes(effective, *current)) return std::nullopt;
+  return effective.state;
 }
 
-Reply JudgeOwn(const MemberNews& self, const MemberNews& news) {
-  if (news.life.born < self.life.born) return Reply::kNothing;
-  if (news.life.born > self.life.born || news.state == State::kLeft) return Reply::kReborn;
-  if (news.incarnation < self.incarnation) return Reply::kNothing;
-  if (news.state == State::kAlive && news.incarnation == self.incarnation) return Reply::kNothing;
-  if (news.incarnation >= kMostNumber) return Reply::kReborn;
-  return news.state == State::kAlive ? Reply::kOutdo : Reply::kRefute;
+SelfResponse ResponseTo(const MembershipUpdate& local, const MembershipUpdate& update) {
+  if (update.boot_id.boot_number < local.boot_id.boot_number) return SelfResponse::kIgnore;
+  if (update.boot_id.boot_number > local.boot_id.boot_number || update.state == MemberState::kLeft)
+    return SelfResponse::kRaiseBootNumber;
+  if (update.incarnation < local.incarnation) return SelfResponse::kIgnore;
+  if (update.state == MemberState::kAlive && update.incarnation == local.incarnation)
+    return SelfResponse::kIgnore;
+  if (update.incarnation >= kMaxCounter) return SelfResponse::kRaiseBootNumber;
+  return update.state == MemberState::kAlive ? SelfResponse::kRaiseIncarnation : SelfResponse::kRefute;
 }
 
-bool Fine(const Life& life) {
-  return !life.name.empty() && life.name.size() <= kMostName && life.born > 0 && life.born <= kMostNumber;
+bool IsValid(const BootId& boot_id) {
+  return !boot_id.name.empty() && boot_id.name.size() <= kMaxNameSize && boot_id.boot_number > 0 &&
+         boot_id.boot_number <= kMaxCounter;
 }
 
-bool Fine(const MemberNews& news) {
-  return Fine(news.life) && news.incarnation <= kMostNumber && news.state >= State::kAlive &&
-         news.state <= State::kLeft && (news.role == Role::kSidecar || news.role == Role::kAgent) &&
-         !news.address.empty() && news.address.size() <= kMostAddress && news.zone.size() <= kMostName;
+bool IsValid(const MembershipUpdate& update) {
+  return IsValid(update.boot_id) && update.incarnation <= kMaxCounter &&
+         update.state >= MemberState::kAlive && update.state <= MemberState::kLeft &&
+         (update.role == Role::kSidecar || update.role == Role::kAgent) && !update.address.empty() &&
+         update.address.size() <= kMaxAddressSize && update.zone.size() <= kMaxNameSize;
 }
 
-Membership::Membership(const MemberNews& self, const Terms& terms, TimePoint now)
-    : self_(self.life.name), terms_(terms) {
-  members_[self_] = {self, now, true, now, now, {}};
+Membership::Membership(const MembershipUpdate& local, const ProtocolConfig& config, TimePoint now)
+    : local_name_(local.boot_id.name), config_(config) {
+  members_[local_name_] = {local, now, true, now, now, {}};
 }
 
-Membership::Taken Membership::Take(const MemberNews& news, By by, TimePoint now) {
-  auto it = members_.find(news.life.name);
-  const auto state = Judge(it == members_.end() ? nullptr : &it->second.news, news, by);
+Membership::ApplyResult Membership::Apply(const MembershipUpdate& update, UpdateOrigin by, TimePoint now) {
+  auto it = members_.find(update.boot_id.name);
+  const auto state = ResolveState(it == members_.end() ? nullptr : &it->second.update, update, by);
   if (!state) return {};
-  Taken taken;
+  ApplyResult applied;
   if (it == members_.end()) {
-    if (members_.size() >= kMostMembers) {
-      if (gone_.empty()) return {false, true, std::nullopt};
-      for_room_.push_back(gone_.begin()->second);
-      Forget(for_room_.back());
+    if (members_.size() >= kMaxMembers) {
+      if (departed_.empty()) return {false, true, std::nullopt};
+      evicted_.push_back(departed_.begin()->second);
+      Forget(evicted_.back());
     }
-    it = members_.try_emplace(news.life.name).first;
+    it = members_.try_emplace(update.boot_id.name).first;
   } else {
-    taken.before = it->second.news;
+    applied.before = it->second.update;
     Unindex(it->first, it->second);
   }
   Member& member = it->second;
-  member.news = news;
-  member.news.state = *state;
-  if (!taken.before || taken.before->state != *state) member.since = now;
-  member.lived = member.lived || Live(*state);
-  member.suspected = now;
-  member.accusers.clear();
+  member.update = update;
+  member.update.state = *state;
+  if (!applied.before || applied.before->state != *state) member.since = now;
+  member.was_live = member.was_live || Live(*state);
+  member.suspected_at = now;
+  member.reporters.clear();
   Index(it->first, member);
-  if (*state == State::kSuspect) Time(it->first, member);
-  taken.taken = true;
-  return taken;
+  if (*state == MemberState::kSuspect) RescheduleSuspicion(it->first, member);
+  applied.applied = true;
+  return applied;
 }
 
 void Membership::Index(const std::string& name, const Member& member) {
-  if (!Live(member.news.state)) {
-    gone_.emplace(member.since, name);
+  if (!Live(member.update.state)) {
+    departed_.emplace(member.since, name);
     return;
   }
   live_.push_back(name);
-  if (member.news.state == State::kSuspect) suspects_.emplace(member.over, name);
+  if (member.update.state == MemberState::kSuspect) suspects_.emplace(member.suspicion_ends, name);
 }
 
 void Membership::Unindex(const std::string& name, const Member& member) {
-  if (!Live(member.news.state)) {
-    gone_.erase({member.since, name});
+  if (!Live(member.update.state)) {
+    departed_.erase({member.since, name});
     return;
   }
   live_.erase(std::find(live_.begin(), live_.end(), name));
-  suspects_.erase({member.over, name});
+  suspects_.erase({member.suspicion_ends, name});
 }
 
-void Membership::Accuse(const std::string& name, std::uint64_t incarnation, const std::string& by) {
+void Membership::ReportSuspect(const std::string& name, std::uint64_t incarnation, const std::string& by) {
   const auto it = members_.find(name);
-  if (it == members_.end() || it->second.news.state != State::kSuspect) return;
+  if (it == members_.end() || it->second.update.state != MemberState::kSuspect) return;
   Member& member = it->second;
   // The bound: those that come later change nothing.
-  if (member.news.incarnation != incarnation || (member.accusers.size() > kConfirmations && by != self_) ||
-      !member.accusers.insert(by).second) {
+  if (member.update.incarnation != incarnation ||
+      (member.reporters.size() > kMaxConfirmations && by != local_name_) ||
+      !member.reporters.insert(by).second) {
     return;
   }
-  Time(name, member);
+  RescheduleSuspicion(name, member);
 }
 
-void Membership::Time(const std::string& name, Member& member) {
-  suspects_.erase({member.over, name});
-  member.over = member.suspected + Suspicion(member);
-  suspects_.emplace(member.over, name);
+void Membership::RescheduleSuspicion(const std::string& name, Member& member) {
+  suspects_.erase({member.suspicion_ends, name});
+  member.suspicion_ends = member.suspected_at + SuspicionTimeout(member);
+  suspects_.emplace(member.suspicion_ends, name);
 }
 
-Duration Membership::Suspicion(const Member& member) const {
-  const double least = terms_.suspicion *
+Duration Membership::SuspicionTimeout(const Member& member) const {
+  const double least = config_.suspicion_multiplier *
                        std::log10(std::max<double>(10, static_cast<double>(live_.size() + 1))) *
-                       static_cast<double>(terms_.probe_every.count());
-  const double longest = least * std::max(1.0, terms_.longest_suspicion);
-  const auto wanted = static_cast<double>(std::min(kConfirmations, live_.empty() ? 0 : live_.size() - 1));
+                       static_cast<double>(config_.probe_interval.count());
+  const double longest = least * std::max(1.0, config_.max_suspicion_multiplier);
+  const auto wanted = static_cast<double>(std::min(kMaxConfirmations, live_.empty() ? 0 : live_.size() - 1));
   if (wanted < 1) return Duration(std::llround(least));  // nobody is there who could confirm
-  const double had = member.accusers.empty() ? 0 : static_cast<double>(member.accusers.size() - 1);
+  const double had = member.reporters.empty() ? 0 : static_cast<double>(member.reporters.size() - 1);
   return Duration(
       std::llround(std::max(least, longest - (longest - least) * std::log(had + 1) / std::log(wanted + 1))));
 }
 
-void Membership::Postpone(Duration gap) {
-  for (const auto& [over, name] : std::exchange(suspects_, {})) {
+void Membership::ExtendSuspicions(Duration gap) {
+  for (const auto& [ends, name] : std::exchange(suspects_, {})) {
     Member& member = members_.at(name);
-    member.suspected += gap;
-    member.over += gap;
-    suspects_.emplace(member.over, name);
+    member.suspected_at += gap;
+    member.suspicion_ends += gap;
+    suspects_.emplace(member.suspicion_ends, name);
   }
 }
 
-std::vector<std::string> Membership::Expired(TimePoint now) const {
-  std::vector<std::string> over;
+std::vector<std::string> Membership::ExpiredSuspicions(TimePoint now) const {
+  std::vector<std::string> names;
   for (const auto& [at, name] : suspects_) {
     if (now < at) break;
-    over.push_back(name);
+    names.push_back(name);
   }
-  return over;
+  return names;
 }
 
-std::vector<std::string> Membership::Forgettable(TimePoint now) const {
-  std::vector<std::string> over;
-  for (const auto& [since, name] : gone_) {
-    if (now < since + terms_.remember_dead) break;
-    over.push_back(name);
+std::vector<std::string> Membership::ForgettableMembers(TimePoint now) const {
+  std::vector<std::string> names;
+  for (const auto& [since, name] : departed_) {
+    if (now < since + config_.dead_retention) break;
+    names.push_back(name);
   }
-  return over;
+  return names;
 }
 
 void Membership::Forget(const std::string& name) {
   const auto it = members_.find(name);
-  if (it == members_.end() || name == self_) return;
+  if (it == members_.end() || name == local_name_) return;
   Unindex(name, it->second);
   members_.erase(it);
 }
 
-std::vector<std::string> Membership::forgotten_for_room() { return std::exchange(for_room_, {}); }
+std::vector<std::string> Membership::TakeEvicted() { return std::exchange(evicted_, {}); }
 
 TimePoint Membership::next() const {
-  const TimePoint forget = gone_.empty() ? TimePoint::max() : gone_.begin()->first + terms_.remember_dead;
+  const TimePoint forget =
+      departed_.empty() ? TimePoint::max() : departed_.begin()->first + config_.dead_retention;
   return suspects_.empty() ? forget : std::min(forget, suspects_.begin()->first);
 }
 
-bool Membership::Telling(const Member& member, TimePoint now) const {
-  return Live(member.news.state) || now < member.since + terms_.remember_dead / 2;
+bool Membership::ShouldDisseminate(const Member& member, TimePoint now) const {
+  return Live(member.update.state) || now < member.since + config_.dead_retention / 2;
 }
 
 const Membership::Member* Membership::Find(const std::string& name) const {
@@ -176,15 +184,17 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-std::vector<std::string> Membership::Some(std::size_t count, const std::string& not_this,
-                                          Random& random) const {
-  std::vector<std::string> some;
+std::vector<std::string> Membership::SampleLive(std::size_t count, const std::string& excluded,
+                                                Random& random) const {
+  std::vector<std::string> sample;
   // Drawn until there are enough: `count` is small, and a fleet of few ends by the second bound.
-  for (std::size_t tries = 0; some.size() < count && tries < 8 * count && !live_.empty(); ++tries) {
+  for (std::size_t attempts = 0; sample.size() < count && attempts < 8 * count && !live_.empty();
+       ++attempts) {
     const std::string& name = live_[random.Below(live_.size())];
-    if (name != not_this && std::find(some.begin(), some.end(), name) == some.end()) some.push_back(name);
+    if (name != excluded && std::find(sample.begin(), sample.end(), name) == sample.end())
+      sample.push_back(name);
   }
-  return some;
+  return sample;
 }
 
 }  // namespace mothrack::gossip
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -13,65 +13,64 @@
 
 namespace mothrack::gossip {
 
-// Lives, incarnations and versions above it are nobody's: nothing could outdo them.
-constexpr std::uint64_t kMostNumber = std::uint64_t{1} << 62;
 // That many others than the first must have had no answer either for a suspicion to be over soonest: with
 // fewer, one or two sick ones hasten the end of a healthy one; more are long in coming.
-constexpr std::size_t kConfirmations = 2;
+constexpr std::size_t kMaxConfirmations = 2;
 
-enum class By {
-  kGossip,   // somebody learned it just now
-  kRecords,  // somebody holds it, perhaps since a cut that is healed: its dead may live
+enum class UpdateOrigin {
+  kGossip,       // somebody learned it just now
+  kAntiEntropy,  // somebody holds it, perhaps since a cut that is healed: its dead may live
 };
 
 // The state to hold after this news, or nothing where the news is old. `held` is null for one that is not
 // known.
-std::optional<State> Judge(const MemberNews* held, const MemberNews& news, By by);
+std::optional<MemberState> ResolveState(const MembershipUpdate* current, const MembershipUpdate& update,
+                                        UpdateOrigin by);
 
 // What a member does on hearing this of itself.
-enum class Reply {
-  kNothing,
-  kOutdo,
+enum class SelfResponse {
+  kIgnore,
+  kRaiseIncarnation,
   kRefute,
-  kReborn
-};  // kOutdo: a higher incarnation, without having been doubted
-Reply JudgeOwn(const MemberNews& self, const MemberNews& news);
+  kRaiseBootNumber
+};  // kRaiseIncarnation: a higher incarnation, without having been doubted
+SelfResponse ResponseTo(const MembershipUpdate& local, const MembershipUpdate& update);
 
-bool Fine(const Life& life);
-bool Fine(const MemberNews& news);
+bool IsValid(const BootId& boot_id);
+bool IsValid(const MembershipUpdate& update);
 
 class Membership {
  public:
   struct Member {
-    MemberNews news;
-    TimePoint since;                 // of its state
-    bool lived = false;              // has been believed alive here
-    TimePoint suspected, over;       // its suspicion: from here to there
-    std::set<std::string> accusers;  // who had no answer themselves; not who only heard of it
+    MembershipUpdate update;
+    TimePoint since;                         // of its state
+    bool was_live = false;                   // has been believed alive here
+    TimePoint suspected_at, suspicion_ends;  // its suspicion: from here to there
+    std::set<std::string> reporters;         // who had no answer themselves; not who only heard of it
   };
-  struct Taken {
-    bool taken = false, full = false;
-    std::optional<MemberNews> before;
+  struct ApplyResult {
+    bool applied = false, full = false;
+    std::optional<MembershipUpdate> before;
   };
 
-  Membership(const MemberNews& self, const Terms& terms, TimePoint now);
+  Membership(const MembershipUpdate& local, const ProtocolConfig& config, TimePoint now);
 
   // News of another, within the bounds. Makes room by forgetting the dead.
-  Taken Take(const MemberNews& news, By by, TimePoint now);
+  ApplyResult Apply(const MembershipUpdate& update, UpdateOrigin by, TimePoint now);
   // Itself: raised by its owner.
-  void Own(const MemberNews& self) { members_.at(self_).news = self; }
+  void SetLocal(const MembershipUpdate& local) { members_.at(local_name_).update = local; }
   // `by` had no answer of this incarnation; counts once while it is suspected.
-  void Accuse(const std::string& name, std::uint64_t incarnation, const std::string& by);
+  void ReportSuspect(const std::string& name, std::uint64_t incarnation, const std::string& by);
   // This process did not run for so long: nobody could refute to it.
-  void Postpone(Duration gap);
-  std::vector<std::string> Expired(TimePoint now) const;      // suspicions that are over
-  std::vector<std::string> Forgettable(TimePoint now) const;  // the dead, after `remember_dead`
+  void ExtendSuspicions(Duration gap);
+  std::vector<std::string> ExpiredSuspicions(TimePoint now) const;   // suspicions that are over
+  std::vector<std::string> ForgettableMembers(TimePoint now) const;  // the dead, after `dead_retention`
   void Forget(const std::string& name);
-  std::vector<std::string> forgotten_for_room();  // since the last call
+  std::vector<std::string> TakeEvicted();  // since the last call
   TimePoint next() const;
   // Whether others are still told: not in the second half of its memory, or two members would remind each
   // other of it for ever.
-  bool Telling(const Member& member, TimePoint now) const;
+  bool ShouldDisseminate(const Member& member, TimePoint now) const;
 
   const Member* Find(const std::string& name) const;
   const std::map<std::string, Member>& all() const { return members_; }  // itself included
@@ -79,24 +78,24 @@
   const std::set<std::pair<TimePoint, std::string>>& suspects() const {
     return suspects_;
   }  // by when it is over
-  const std::set<std::pair<TimePoint, std::string>>& gone() const { return gone_; }
-  // At most `count` of the live ones but for `not_this`.
-  std::vector<std::string> Some(std::size_t count, const std::string& not_this, Random& random) const;
+  const std::set<std::pair<TimePoint, std::string>>& departed() const { return departed_; }
+  // At most `count` of the live ones but for `excluded`.
+  std::vector<std::string> SampleLive(std::size_t count, const std::string& excluded, Random& random) const;
 
  private:
   void Index(const std::string& name, const Member& member);
   void Unindex(const std::string& name, const Member& member);
   // From the fleet's size as it is now, and who confirmed it.
-  Duration Suspicion(const Member& member) const;
-  void Time(const std::string& name, Member& member);
+  Duration SuspicionTimeout(const Member& member) const;
+  void RescheduleSuspicion(const std::string& name, Member& member);
 
-  const std::string self_;
-  const Terms terms_;
+  const std::string local_name_;
+  const ProtocolConfig config_;
   std::map<std::string, Member> members_;
   std::vector<std::string> live_;
   std::set<std::pair<TimePoint, std::string>> suspects_;
-  std::set<std::pair<TimePoint, std::string>> gone_;  // dead and left, by when
-  std::vector<std::string> for_room_;
+  std::set<std::pair<TimePoint, std::string>> departed_;  // dead and left, by when
+  std::vector<std::string> evicted_;
 };
 
 }  // namespace mothrack::gossip
--- a/src/gossip/probes.cpp
+++ b/src/gossip/probes.cpp
@@ -4,7 +4,7 @@
 
 namespace mothrack::gossip {
 
-Verdict Judge(Outcome outcome) {
+OutcomeEffect EffectOf(Outcome outcome) {
   switch (outcome) {
     case Outcome::kAcked:
       return {-1, false};
@@ -12,126 +12,127 @@
     case Outcome::kAllNacked:
       return {0, true};
     case Outcome::kNackMissed:
-    case Outcome::kNobody:
+    case Outcome::kNoHelper:
       return {1, true};
-    case Outcome::kDoubted:
-    case Outcome::kStopped:
+    case Outcome::kRefuted:
+    case Outcome::kPaused:
       return {1, false};
   }
   return {};
 }
 
-Probes::Probes(const Terms& terms, TimePoint now, Random& random)
+ProbeScheduler::ProbeScheduler(const ProtocolConfig& config, TimePoint now, Random& random)
     // Those that start together do not ask together.
-    : terms_(terms),
-      next_(now + Duration(random.Below(static_cast<std::size_t>(terms.probe_every.count())))) {}
+    : config_(config),
+      next_round_(now + Duration(random.Below(static_cast<std::size_t>(config.probe_interval.count())))) {}
 
-Probes::Step Probes::Next(TimePoint now, const Membership& membership, Random& random) {
+ProbeScheduler::Step ProbeScheduler::Next(TimePoint now, const Membership& membership, Random& random) {
   Step step;
   if (round_) {
     step.name = round_->name;
     step.sequence = round_->sequence;
-    step.born = round_->born;
+    step.boot_number = round_->boot_number;
     step.incarnation = round_->incarnation;
-    if (!round_->asked && now >= round_->patience && now < round_->end) {
-      round_->asked = true;
-      step.what = Step::What::kAskOthers;
+    if (!round_->asked_helpers && now >= round_->ack_deadline && now < round_->end) {
+      round_->asked_helpers = true;
+      step.what = Step::What::kPingIndirectly;
       return step;
     }
     if (now < round_->end) return step;
-    step.what = Step::What::kOver;
-    step.outcome = !any_helper_       ? Outcome::kNobody
+    step.what = Step::What::kRoundOver;
+    step.outcome = !any_helper_       ? Outcome::kNoHelper
                    : helpers_.empty() ? Outcome::kAllNacked
                                       : Outcome::kNackMissed;
     round_.reset();
     return step;
   }
-  if (now < next_) return step;
-  const Duration every = terms_.probe_every * (health_ + 1);
-  next_ = now + every;
+  if (now < next_round_) return step;
+  const Duration interval = config_.probe_interval * (health_ + 1);
+  next_round_ = now + interval;
   const auto gone = [&](const std::string& name) {
     const auto* member = membership.Find(name);
-    return member == nullptr || member->news.state > State::kSuspect;
+    return member == nullptr || member->update.state > MemberState::kSuspect;
   };
-  while (at_ < order_.size() && gone(order_[at_])) ++at_;
-  if (at_ >= order_.size()) {
-    order_ = membership.live();
+  while (ring_position_ < ring_.size() && gone(ring_[ring_position_])) ++ring_position_;
+  if (ring_position_ >= ring_.size()) {
+    ring_ = membership.live();
     // live() is in the order of arrival; sorted first, so that only the seed decides.
-    std::sort(order_.begin(), order_.end());
-    random.Shuffle(order_);
-    at_ = 0;
-    if (order_.empty()) return step;
+    std::sort(ring_.begin(), ring_.end());
+    random.Shuffle(ring_);
+    ring_position_ = 0;
+    if (ring_.empty()) return step;
   }
-  const MemberNews& news = membership.Find(order_[at_])->news;
-  ++at_;
+  const MembershipUpdate& update = membership.Find(ring_[ring_position_])->update;
+  ++ring_position_;
   helpers_.clear();
   any_helper_ = false;
-  round_ = Round{news.life.name,
+  round_ = Round{update.boot_id.name,
                  NewSequence(),
-                 news.life.born,
-                 news.incarnation,
-                 now + terms_.probe_patience * (health_ + 1),
-                 now + every,
+                 update.boot_id.boot_number,
+                 update.incarnation,
+                 now + config_.probe_timeout * (health_ + 1),
+                 now + interval,
                  false};
-  step = {Step::What::kPing, news.life.name,   round_->sequence,
-          news.life.born,    news.incarnation, Outcome::kAcked};
+  step = {Step::What::kPing,          update.boot_id.name, round_->sequence,
+          update.boot_id.boot_number, update.incarnation,  Outcome::kAcked};
   return step;
 }
 
-void Probes::Joined(const std::string& name, Random& random) {
+void ProbeScheduler::AddMember(const std::string& name, Random& random) {
   // Somewhere in what is left of this time around: a new one is neither first nor last everywhere.
-  const std::size_t left = order_.size() - at_;
-  order_.insert(order_.begin() + static_cast<std::ptrdiff_t>(at_ + random.Below(left + 1)), name);
+  const std::size_t left = ring_.size() - ring_position_;
+  ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(ring_position_ + random.Below(left + 1)), name);
 }
 
-bool Probes::Acked(const std::string& by, std::uint64_t sequence) {
+bool ProbeScheduler::OnAck(const std::string& by, std::uint64_t sequence) {
   if (!round_ || round_->sequence != sequence || (by != round_->name && !helpers_.contains(by))) return false;
   round_.reset();
   return true;
 }
 
-void Probes::Nacked(const std::string& by, std::uint64_t sequence) {
+void ProbeScheduler::OnNack(const std::string& by, std::uint64_t sequence) {
   if (round_ && round_->sequence == sequence) helpers_.erase(by);
 }
 
-std::optional<std::uint64_t> Probes::Run(Errand errand) {
-  if (errands_.size() >= kMostErrands) return std::nullopt;
+std::optional<std::uint64_t> ProbeScheduler::StartRelayed(RelayedProbe probe) {
+  if (relayed_probes_.size() >= kMaxRelayedProbes) return std::nullopt;
   const std::uint64_t sequence = NewSequence();
-  errands_.emplace(sequence, std::move(errand));
+  relayed_probes_.emplace(sequence, std::move(probe));
   return sequence;
 }
 
-std::optional<Probes::Errand> Probes::Done(const std::string& by, std::uint64_t sequence) {
-  const auto it = errands_.find(sequence);
-  if (it == errands_.end() || it->second.subject != by) return std::nullopt;
-  Errand errand = std::move(it->second);
-  errands_.erase(it);
-  return errand;
+std::optional<ProbeScheduler::RelayedProbe> ProbeScheduler::FinishRelayed(const std::string& by,
+                                                                          std::uint64_t sequence) {
+  const auto it = relayed_probes_.find(sequence);
+  if (it == relayed_probes_.end() || it->second.subject != by) return std::nullopt;
+  RelayedProbe probe = std::move(it->second);
+  relayed_probes_.erase(it);
+  return probe;
 }
 
-std::vector<Probes::Errand> Probes::Overdue(TimePoint now) {
-  std::vector<Errand> over;
-  while (!errands_.empty() && errands_.begin()->second.until <= now) {
-    over.push_back(std::move(errands_.begin()->second));
-    errands_.erase(errands_.begin());
+std::vector<ProbeScheduler::RelayedProbe> ProbeScheduler::TakeOverdueRelayed(TimePoint now) {
+  std::vector<RelayedProbe> overdue;
+  while (!relayed_probes_.empty() && relayed_probes_.begin()->second.until <= now) {
+    overdue.push_back(std::move(relayed_probes_.begin()->second));
+    relayed_probes_.erase(relayed_probes_.begin());
   }
-  return over;
+  return overdue;
 }
 
-void Probes::Learn(Outcome outcome) {
-  health_ = std::clamp(health_ + Judge(outcome).health, 0, kWorstHealth);
+void ProbeScheduler::RecordOutcome(Outcome outcome) {
+  health_ = std::clamp(health_ + EffectOf(outcome).health, 0, kMaxHealthScore);
 }
 
-void Probes::Restart(TimePoint now) {
+void ProbeScheduler::Restart(TimePoint now) {
   round_.reset();
-  errands_.clear();
-  next_ = now;
+  relayed_probes_.clear();
+  next_round_ = now;
 }
 
-TimePoint Probes::next() const {
-  TimePoint next = next_;
-  if (round_) next = round_->asked ? round_->end : std::min(round_->patience, round_->end);
-  if (!errands_.empty()) next = std::min(next, errands_.begin()->second.until);
+TimePoint ProbeScheduler::next() const {
+  TimePoint next = next_round_;
+  if (round_) next = round_->asked_helpers ? round_->end : std::min(round_->ack_deadline, round_->end);
+  if (!relayed_probes_.empty()) next = std::min(next, relayed_probes_.begin()->second.until);
   return next;
 }
 
--- a/src/gossip/rate.h
+++ b/src/gossip/rate.h
@@ -10,30 +10,31 @@
 
 namespace mothrack::gossip {
 
-class Rate {
+class DatagramRateLimiter {
  public:
-  Rate(std::size_t per_s, TimePoint now)
-      : most_(std::max<std::int64_t>(1, static_cast<std::int64_t>(per_s) / 5)),
-        per_s_(std::max<std::int64_t>(1, static_cast<std::int64_t>(per_s) - most_)),
-        left_(most_ * kOne),
-        at_(now) {}
+  DatagramRateLimiter(std::size_t per_s, TimePoint now)
+      : burst_(std::max<std::int64_t>(1, static_cast<std::int64_t>(per_s) / 5)),
+        per_s_(std::max<std::int64_t>(1, static_cast<std::int64_t>(per_s) - burst_)),
+        tokens_(burst_ * kUnitsPerToken),
+        refilled_at_(now) {}
 
   // One more now? `leave`: as many must be left for others.
-  bool Take(std::int64_t leave, TimePoint now) {
-    if (now > at_) {
-      const std::int64_t passed = std::min<std::int64_t>((now - at_).count(), 60'000);
-      left_ = std::min(most_ * kOne, left_ + passed * per_s_);
-      at_ = now;
+  bool TryAcquire(std::int64_t reserve, TimePoint now) {
+    if (now > refilled_at_) {
+      const std::int64_t elapsed = std::min<std::int64_t>((now - refilled_at_).count(), 60'000);
+      tokens_ = std::min(burst_ * kUnitsPerToken, tokens_ + elapsed * per_s_);
+      refilled_at_ = now;
     }
-    if (left_ < kOne || left_ < (std::min(leave, most_ - 1) + 1) * kOne) return false;
-    left_ -= kOne;
+    if (tokens_ < kUnitsPerToken || tokens_ < (std::min(reserve, burst_ - 1) + 1) * kUnitsPerToken)
+      return false;
+    tokens_ -= kUnitsPerToken;
     return true;
   }
 
  private:
-  static constexpr std::int64_t kOne = 1000;  // so a millisecond's share is a whole number
-  std::int64_t most_, per_s_, left_;
-  TimePoint at_;
+  static constexpr std::int64_t kUnitsPerToken = 1000;  // so a millisecond's share is a whole number
+  std::int64_t burst_, per_s_, tokens_;
+  TimePoint refilled_at_;
 };
 
 }  // namespace mothrack::gossip
--- a/src/gossip/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -39,10 +39,10 @@
 
 }  // namespace
 
-bool ReplayWindow::Take(std::uint64_t stream, std::uint64_t count) {
+bool ReplayWindow::Accept(std::uint64_t stream, std::uint64_t count) {
   const auto found = by_id_.find(stream);
   if (found == by_id_.end()) {
-    if (streams_.size() >= most_) {
+    if (streams_.size() >= max_streams_) {
       by_id_.erase(streams_.back().id);
       streams_.pop_back();
     }
@@ -53,14 +53,14 @@
   Stream& known = *found->second;
   if (count > known.latest) {
     const std::uint64_t on = count - known.latest;
-    known.heard = (on < kWindow ? known.heard << on : 0) | 1;
+    known.received = (on < kWindow ? known.received << on : 0) | 1;
     known.latest = count;
   } else {
     const std::uint64_t back = known.latest - count;
     if (back >= kWindow) return false;
     const std::uint64_t bit = std::uint64_t{1} << back;
-    if ((known.heard & bit) != 0) return false;
-    known.heard |= bit;
+    if ((known.received & bit) != 0) return false;
+    known.received |= bit;
   }
   streams_.splice(streams_.begin(), streams_, found->second);
   return true;
@@ -72,12 +72,12 @@
 }
 
 void Seal::Use(KeyRing ring) {
-  if (ring.empty() || ring.size() > kMostRingKeys) throw std::invalid_argument("a ring has one or two keys");
+  if (ring.empty() || ring.size() > kMaxRingKeys) throw std::invalid_argument("a ring has one or two keys");
   ring_ = std::move(ring);
 }
 
 std::optional<std::string> Seal::Close(std::string_view payload) {
-  if (payload.size() > kMostPayload) return std::nullopt;
+  if (payload.size() > kMaxPayloadSize) return std::nullopt;
   std::string datagram;
   datagram.reserve(kSealHead + payload.size() + kSealTag);
   datagram += kMagic;
@@ -90,44 +90,44 @@
   return datagram;
 }
 
-Seal::Opened Seal::Look(std::string_view datagram) {
-  if (datagram.size() < kSealHead + kSealTag || datagram.size() > kMostDatagram ||
+Seal::Opened Seal::Verify(std::string_view datagram) {
+  if (datagram.size() < kSealHead + kSealTag || datagram.size() > kMaxDatagramSize ||
       !datagram.starts_with(kMagic)) {
-    return {Verdict::kNoDatagram, {}};
+    return {SealVerdict::kNoDatagram, {}};
   }
   const auto key = std::find_if(ring_.begin(), ring_.end(), [&](const Key& one) {
     return std::equal(one.id.begin(), one.id.end(), Bytes(datagram) + kIdAt);
   });
-  if (key == ring_.end()) return {Verdict::kUnknownKey, {}};
+  if (key == ring_.end()) return {SealVerdict::kUnknownKey, {}};
   const std::string_view covered = datagram.substr(0, datagram.size() - kSealTag);
-  // In constant time: how far a guess was right must not be heard.
+  // In constant time: how far a guess was right must not be received.
   if (sodium_memcmp(TagOf(*key, covered).data(), datagram.data() + covered.size(), kSealTag) != 0) {
-    return {Verdict::kForged, {}};
+    return {SealVerdict::kForged, {}};
   }
   // Only now: what nobody sealed must not move the window.
   const std::uint64_t stream = NumberAt(datagram, kStreamAt);
-  if (stream == stream_ || !window_.Take(stream, NumberAt(datagram, kCountAt)))
-    return {Verdict::kRepeated, {}};
-  return {Verdict::kHeard, covered.substr(kSealHead)};
+  if (stream == stream_ || !window_.Accept(stream, NumberAt(datagram, kCountAt)))
+    return {SealVerdict::kReplayed, {}};
+  return {SealVerdict::kAccepted, covered.substr(kSealHead)};
 }
 
 Seal::Opened Seal::Open(std::string_view datagram) {
-  const Opened opened = Look(datagram);
+  const Opened opened = Verify(datagram);
   switch (opened.verdict) {
-    case Verdict::kHeard:
-      ++counts_.heard;
+    case SealVerdict::kAccepted:
+      ++counts_.received;
       break;
-    case Verdict::kNoDatagram:
+    case SealVerdict::kNoDatagram:
       ++counts_.no_datagram;
       break;
-    case Verdict::kUnknownKey:
+    case SealVerdict::kUnknownKey:
       ++counts_.unknown_key;
       break;
-    case Verdict::kForged:
+    case SealVerdict::kForged:
       ++counts_.forged;
       break;
-    case Verdict::kRepeated:
-      ++counts_.repeated;
+    case SealVerdict::kReplayed:
+      ++counts_.replayed;
       break;
   }
   return opened;
--- a/src/gossip/settings.cpp
+++ b/src/gossip/settings.cpp
@@ -10,8 +10,8 @@
 namespace mothrack::gossip {
 namespace {
 
-constexpr std::uint16_t kLeastPort = 1024;  // below, a socket takes a right that a sidecar should not have
-constexpr std::size_t kMostSeeds = 64;      // enough of any fleet: one that answers is all it takes
+constexpr std::uint16_t kMinPort = 1024;  // below, a socket takes a right that a sidecar should not have
+constexpr std::size_t kMaxSeeds = 64;     // enough of any fleet: one that answers is all it takes
 
 std::string Quoted(const std::string& text) { return '"' + text + '"'; }
 
@@ -30,7 +30,7 @@
     source.Fail(key, element, Quoted(text) + " is no loopback address, which is all that peers serve so far");
   }
   if (endpoint->port() == 0 && any_port) return *endpoint;
-  if (endpoint->port() < kLeastPort) {
+  if (endpoint->port() < kMinPort) {
     source.Fail(key, element,
                 Quoted(text) + " has no port of 1024 or above; give one, as \"127.0.0.1:7600\"");
   }
@@ -40,14 +40,14 @@
 }  // namespace
 
 // Bounds: no probe so often that a fleet's datagrams would be its load, none so seldom that it finds nothing.
-const std::vector<TimeOf> kTimes = {{"probe_ms", &Terms::probe_every, 50, 60'000},
-                                    {"probe_patience_ms", &Terms::probe_patience, 10, 30'000},
-                                    {"gossip_ms", &Terms::gossip_every, 20, 10'000},
-                                    {"digest_ms", &Terms::digest_every, 100, 600'000},
-                                    {"remember_dead_ms", &Terms::remember_dead, 10'000, 3'600'000}};
-const std::vector<CountOf> kCounts = {{"indirect", &Terms::indirect, 0, 16},
-                                      {"fanout", &Terms::fanout, 1, 16},
-                                      {"datagrams_per_s", &Terms::datagrams_per_s, 10, 1000}};
+const std::vector<TimeOf> kTimes = {{"probe_ms", &ProtocolConfig::probe_interval, 50, 60'000},
+                                    {"probe_patience_ms", &ProtocolConfig::probe_timeout, 10, 30'000},
+                                    {"gossip_ms", &ProtocolConfig::gossip_interval, 20, 10'000},
+                                    {"digest_ms", &ProtocolConfig::digest_interval, 100, 600'000},
+                                    {"remember_dead_ms", &ProtocolConfig::dead_retention, 10'000, 3'600'000}};
+const std::vector<CountOf> kCounts = {{"indirect", &ProtocolConfig::indirect_probes, 0, 16},
+                                      {"fanout", &ProtocolConfig::fanout, 1, 16},
+                                      {"datagrams_per_s", &ProtocolConfig::datagrams_per_s, 10, 1000}};
 
 Settings ReadSettings(Source& source, Role role, const std::string& zone) {
   Settings settings;
@@ -64,10 +64,10 @@
     settings.advertise = ReadAddress(source, "advertise", std::nullopt, *advertise, false);
   }
   settings.zone = source.Text("zone").value_or(zone);
-  if (!GoodName(settings.zone)) {
+  if (!IsValidName(settings.zone)) {
     source.Fail("zone", std::nullopt,
                 "must be the hall it stands in: letters, digits, '-', '_' and '.', at most " +
-                    std::to_string(kMostName) + ", no dot first");
+                    std::to_string(kMaxNameSize) + ", no dot first");
   }
   settings.key_file = needed("key_file", "/etc/mothrack/peers.keys");
   try {
@@ -76,9 +76,9 @@
     source.Fail("key_file", std::nullopt, e.what());
   }
   const auto seeds = source.Texts("seeds").value_or(std::vector<std::string>());
-  if (seeds.size() > kMostSeeds) {
+  if (seeds.size() > kMaxSeeds) {
     source.Fail("seeds", std::nullopt,
-                "are more than " + std::to_string(kMostSeeds) + "; one that answers is enough");
+                "are more than " + std::to_string(kMaxSeeds) + "; one that answers is enough");
   }
   std::set<runtime::Endpoint> known;
   for (std::size_t i = 0; i < seeds.size(); ++i) {
@@ -96,7 +96,7 @@
       settings.terms.*count.at = static_cast<std::size_t>(*value);
     }
   }
-  if (settings.terms.probe_patience >= settings.terms.probe_every) {
+  if (settings.terms.probe_timeout >= settings.terms.probe_interval) {
     source.Fail("probe_patience_ms", std::nullopt,
                 "leaves nothing of probe_ms for the others to be asked; keep it below that");
   }
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -21,7 +21,7 @@
   Role role = Role::kSidecar;
   std::string key_file;
   std::vector<runtime::Endpoint> seeds;
-  Terms terms;
+  ProtocolConfig terms;
 };
 
 // One section of a file. Fail names the place of the key (or of the element of its list), and throws.
@@ -41,12 +41,12 @@
 // The settings that have a number, as the file names them; for printing them all.
 struct TimeOf {
   const char* key;
-  Duration Terms::*at;
+  Duration ProtocolConfig::*at;
   std::int64_t least, most;
 };
 struct CountOf {
   const char* key;
-  std::size_t Terms::*at;
+  std::size_t ProtocolConfig::*at;
   std::int64_t least, most;
 };
 extern const std::vector<TimeOf> kTimes;
--- a/src/gossip/spread.cpp
+++ b/src/gossip/spread.cpp
@@ -6,68 +6,68 @@
 namespace {
 
 // Pieces that did not fit, after which no more are tried: a datagram is not worth a walk over all that waits.
-constexpr int kMisfits = 8;
+constexpr int kMaxMisfits = 8;
 
 }  // namespace
 
-void Spread::Add(const std::string& name, const std::string& key, TimePoint of) {
+void UpdateQueue::Add(const std::string& name, const std::string& key, TimePoint changed_at) {
   Drop(name, key);
   const Id id(name, key);
-  const Piece piece{0, of};
-  pieces_.emplace(id, piece);
-  order_.insert(OrderOf(id, piece));
+  const Entry entry{0, changed_at};
+  entries_.emplace(id, entry);
+  by_priority_.insert(PriorityOf(id, entry));
 }
 
-void Spread::Drop(const std::string& name, const std::string& key) {
-  const auto it = pieces_.find({name, key});
-  if (it == pieces_.end()) return;
-  order_.erase(OrderOf(it->first, it->second));
-  pieces_.erase(it);
+void UpdateQueue::Drop(const std::string& name, const std::string& key) {
+  const auto it = entries_.find({name, key});
+  if (it == entries_.end()) return;
+  by_priority_.erase(PriorityOf(it->first, it->second));
+  entries_.erase(it);
 }
 
-void Spread::Told(const Id& id, std::size_t most) {
-  const auto it = pieces_.find(id);
-  order_.erase(OrderOf(id, it->second));
-  if (++it->second.told >= most) {
-    pieces_.erase(it);
+void UpdateQueue::CountSend(const Id& id, std::size_t max_sends) {
+  const auto it = entries_.find(id);
+  by_priority_.erase(PriorityOf(id, it->second));
+  if (++it->second.sends >= max_sends) {
+    entries_.erase(it);
   } else {
-    order_.insert(OrderOf(id, it->second));
+    by_priority_.insert(PriorityOf(id, it->second));
   }
 }
 
-void Spread::Fill(Message& message, std::size_t room, std::size_t most, TimePoint now,
-                  const Membership& membership, const Values& values) {
-  std::vector<Id> told, gone;
+void UpdateQueue::Fill(Message& message, std::size_t capacity, std::size_t max_sends, TimePoint now,
+                       const Membership& membership, const ValueStore& values) {
+  std::vector<Id> sent, obsolete;
   int misfits = 0;
-  for (auto it = order_.begin(); it != order_.end() && misfits < kMisfits; ++it) {
+  for (auto it = by_priority_.begin(); it != by_priority_.end() && misfits < kMaxMisfits; ++it) {
     const Id& id = std::get<Id>(*it);
     const auto fits = [&](std::size_t size) {
-      if (size > room) {
+      if (size > capacity) {
         ++misfits;
         return false;
       }
-      room -= size;
-      told.push_back(id);
+      capacity -= size;
+      sent.push_back(id);
       return true;
     };
     if (id.second.empty()) {
       const auto* member = membership.Find(id.first);
       if (member == nullptr) {
-        gone.push_back(id);
-      } else if (fits(MostSize(member->news))) {
-        message.news.push_back(member->news);
+        obsolete.push_back(id);
+      } else if (fits(MaxEncodedSize(member->update))) {
+        message.updates.push_back(member->update);
       }
       continue;
     }
-    const auto* held = values.Find(id.first, id.second);
-    if (held == nullptr || held->lapsed || held->AgeAt(now) >= held->value.lasts) {
-      gone.push_back(id);
-    } else if (fits(MostSize(held->value))) {
-      message.values.push_back(Values::Told(*held, now));
+    const auto* stored = values.Find(id.first, id.second);
+    if (stored == nullptr || stored->expired || stored->AgeAt(now) >= stored->value.ttl) {
+      obsolete.push_back(id);
+    } else if (fits(MaxEncodedSize(stored->value))) {
+      message.values.push_back(ValueStore::WithCurrentAge(*stored, now));
     }
   }
-  for (const Id& id : told) Told(id, most);
-  for (const Id& id : gone) Drop(id.first, id.second);
+  for (const Id& id : sent) CountSend(id, max_sends);
+  for (const Id& id : obsolete) Drop(id.first, id.second);
 }
 
 }  // namespace mothrack::gossip
--- a/src/gossip/spread.h
+++ b/src/gossip/spread.h
@@ -13,32 +13,32 @@
 
 namespace mothrack::gossip {
 
-class Spread {
+class UpdateQueue {
  public:
   // New: it counts from nothing. `key` empty: of the member itself. `of`: when it became so, by this member's
   // clock.
-  void Add(const std::string& name, const std::string& key, TimePoint of);
+  void Add(const std::string& name, const std::string& key, TimePoint changed_at);
   void Drop(const std::string& name, const std::string& key);
   // Puts in what fits into `room`; each piece at most `most` times in all.
-  void Fill(Message& message, std::size_t room, std::size_t most, TimePoint now, const Membership& membership,
-            const Values& values);
-  bool empty() const { return pieces_.empty(); }
-  std::size_t size() const { return pieces_.size(); }
+  void Fill(Message& message, std::size_t capacity, std::size_t max_sends, TimePoint now,
+            const Membership& membership, const ValueStore& values);
+  bool empty() const { return entries_.empty(); }
+  std::size_t size() const { return entries_.size(); }
 
  private:
   using Id = std::pair<std::string, std::string>;
-  struct Piece {
-    std::size_t told = 0;
-    TimePoint of;
+  struct Entry {
+    std::size_t sends = 0;
+    TimePoint changed_at;
   };
-  using Order = std::tuple<bool, std::size_t, TimePoint::rep, Id>;  // a value; told; minus when; whose
-  static Order OrderOf(const Id& id, const Piece& piece) {
-    return {!id.second.empty(), piece.told, -piece.of.time_since_epoch().count(), id};
+  using Priority = std::tuple<bool, std::size_t, TimePoint::rep, Id>;  // a value; told; minus when; whose
+  static Priority PriorityOf(const Id& id, const Entry& entry) {
+    return {!id.second.empty(), entry.sends, -entry.changed_at.time_since_epoch().count(), id};
   }
-  void Told(const Id& id, std::size_t most);
+  void CountSend(const Id& id, std::size_t max_sends);
 
-  std::map<Id, Piece> pieces_;
-  std::set<Order> order_;
+  std::map<Id, Entry> entries_;
+  std::set<Priority> by_priority_;
 };
 
 }  // namespace mothrack::gossip
--- a/src/gossip/values.cpp
+++ b/src/gossip/values.cpp
@@ -16,59 +16,61 @@
 
 }  // namespace
 
-bool Fine(const Value& value) {
-  return Fine(value.owner) && !value.key.empty() && value.key.size() <= kMostKey &&
-         value.bytes.size() <= kMostValue && value.version > 0 && value.version <= kMostNumber &&
-         value.age.count() >= 0 && value.lasts.count() > 0 && value.lasts <= kLongestLife;
+bool IsValid(const Value& value) {
+  return IsValid(value.owner) && !value.key.empty() && value.key.size() <= kMaxKeySize &&
+         value.bytes.size() <= kMaxValueSize && value.version > 0 && value.version <= kMaxCounter &&
+         value.age.count() >= 0 && value.ttl.count() > 0 && value.ttl <= kMaxValueTtl;
 }
 
-Values::Result Values::Take(const Value& value, TimePoint now) {
-  Result result;
+ValueStore::MergeResult ValueStore::Merge(const Value& value, TimePoint now) {
+  MergeResult result;
   auto it = owners_.find(value.owner.name);
-  if (it != owners_.end() && value.owner.born < it->second.born) return result;
+  if (it != owners_.end() && value.owner.boot_number < it->second.boot_number) return result;
   if (it == owners_.end()) {
-    if (owners_.size() >= kMostMembers) return {Verdict::kFull, {}};
+    if (owners_.size() >= kMaxMembers) return {MergeOutcome::kFull, {}};
     it = owners_.try_emplace(value.owner.name).first;
-    it->second.born = value.owner.born;
+    it->second.boot_number = value.owner.boot_number;
   }
   Owner& owner = it->second;
-  if (value.owner.born > owner.born) result.lapsed = Later(value.owner, false);
-  if (!owner.keys.contains(value.key) && owner.keys.size() >= kMostKeys) return {Verdict::kFull, {}};
-  Held& held = owner.keys[value.key];
-  const bool over = value.age >= value.lasts;
-  if (value.version < held.value.version) return result;
-  if (value.version == held.value.version) {
-    if (held.lapsed || value.age <= held.AgeAt(now)) return result;
-    held.value.age = value.age;
-    held.came = now;
-    Due(held, now);
-    result.verdict = Verdict::kAged;
+  if (value.owner.boot_number > owner.boot_number) result.expired = AdvanceBoot(value.owner, false);
+  if (!owner.keys.contains(value.key) && owner.keys.size() >= kMaxKeysPerOwner)
+    return {MergeOutcome::kFull, {}};
+  StoredValue& stored = owner.keys[value.key];
+  const bool over = value.age >= value.ttl;
+  if (value.version < stored.value.version) return result;
+  if (value.version == stored.value.version) {
+    if (stored.expired || value.age <= stored.AgeAt(now)) return result;
+    stored.value.age = value.age;
+    stored.received_at = now;
+    Reschedule(stored, now);
+    result.outcome = MergeOutcome::kAged;
     return result;
   }
-  if (over && held.value.version > 0 && !held.lapsed) {
-    Value lapsed = held.value;
-    lapsed.bytes.clear();
-    result.lapsed.push_back(std::move(lapsed));
+  if (over && stored.value.version > 0 && !stored.expired) {
+    Value expired = stored.value;
+    expired.bytes.clear();
+    result.expired.push_back(std::move(expired));
   }
-  Set(owner, held, value, now);
-  if (over) Lapsed(held);
-  result.verdict = over ? Verdict::kNoted : Verdict::kTaken;
+  Set(owner, stored, value, now);
+  if (over) MarkExpired(stored);
+  result.outcome = over ? MergeOutcome::kAppliedExpired : MergeOutcome::kApplied;
   return result;
 }
 
-bool Values::Put(const Life& life, const std::string& key, const std::string& bytes, Duration lasts,
-                 TimePoint now) {
-  Owner& owner = owners_[life.name];
-  owner.born = life.born;
-  if (!owner.keys.contains(key) && owner.keys.size() >= kMostKeys) return false;
-  Held& held = owner.keys[key];
-  Set(owner, held, {life, key, held.value.version + 1, Duration(0), lasts, bytes}, now);
+bool ValueStore::Put(const BootId& boot_id, const std::string& key, const std::string& bytes, Duration ttl,
+                     TimePoint now) {
+  Owner& owner = owners_[boot_id.name];
+  owner.boot_number = boot_id.boot_number;
+  if (!owner.keys.contains(key) && owner.keys.size() >= kMaxKeysPerOwner) return false;
+  StoredValue& stored = owner.keys[key];
+  Set(owner, stored, {boot_id, key, stored.value.version + 1, Duration(0), ttl, bytes}, now);
   return true;
 }
 
-bool Values::Outdo(const Value& value) {
+bool ValueStore::RefuteVersion(const Value& value) {
   const auto owner = owners_.find(value.owner.name);
-  if (owner == owners_.end() || owner->second.born != value.owner.born || value.version >= kMostNumber)
+  if (owner == owners_.end() || owner->second.boot_number != value.owner.boot_number ||
+      value.version >= kMaxCounter)
     return false;
   const auto it = owner->second.keys.find(value.key);
   if (it == owner->second.keys.end() || it->second.value.version >= value.version) return false;
@@ -78,111 +80,111 @@
   return true;
 }
 
-std::vector<Value> Values::Later(const Life& life, bool keep) {
-  std::vector<Value> lapsed;
-  const auto it = owners_.find(life.name);
-  if (it == owners_.end() || it->second.born >= life.born) return lapsed;
+std::vector<Value> ValueStore::AdvanceBoot(const BootId& boot_id, bool keep_values) {
+  std::vector<Value> expired;
+  const auto it = owners_.find(boot_id.name);
+  if (it == owners_.end() || it->second.boot_number >= boot_id.boot_number) return expired;
   Owner& owner = it->second;
-  owner.born = life.born;
-  if (keep) {
-    for (auto& [key, held] : owner.keys) held.value.owner = life;
-    return lapsed;
+  owner.boot_number = boot_id.boot_number;
+  if (keep_values) {
+    for (auto& [key, stored] : owner.keys) stored.value.owner = boot_id;
+    return expired;
   }
-  for (auto& [key, held] : owner.keys) {
-    if (held.lapsed) continue;
-    due_.erase({held.due, life.name, key});
-    held.value.bytes.clear();
-    lapsed.push_back(std::move(held.value));
+  for (auto& [key, stored] : owner.keys) {
+    if (stored.expired) continue;
+    due_.erase({stored.due, boot_id.name, key});
+    stored.value.bytes.clear();
+    expired.push_back(std::move(stored.value));
   }
   owner.keys.clear();
   owner.hash = 0;
-  return lapsed;
+  return expired;
 }
 
-std::vector<Value> Values::Lapse(TimePoint now) {
-  std::vector<Value> lapsed;
+std::vector<Value> ValueStore::ExpireDue(TimePoint now) {
+  std::vector<Value> expired;
   while (!due_.empty() && std::get<0>(*due_.begin()) <= now) {
     const auto [at, name, key] = *due_.begin();
-    Held& held = owners_.at(name).keys.at(key);
-    if (held.AgeAt(now) < held.value.lasts) {
-      Due(held, now);
+    StoredValue& stored = owners_.at(name).keys.at(key);
+    if (stored.AgeAt(now) < stored.value.ttl) {
+      Reschedule(stored, now);
       continue;
     }
-    Lapsed(held);
-    lapsed.push_back(held.value);
+    MarkExpired(stored);
+    expired.push_back(stored.value);
   }
-  return lapsed;
+  return expired;
 }
 
-void Values::Forget(const std::string& name) {
+void ValueStore::Forget(const std::string& name) {
   const auto it = owners_.find(name);
   if (it == owners_.end()) return;
-  for (const auto& [key, held] : it->second.keys) {
-    if (!held.lapsed) due_.erase({held.due, name, key});
+  for (const auto& [key, stored] : it->second.keys) {
+    if (!stored.expired) due_.erase({stored.due, name, key});
   }
   owners_.erase(it);
 }
 
-void Values::Set(Owner& owner, Held& held, const Value& value, TimePoint now) {
-  const bool queued = held.value.version > 0 && !held.lapsed;
-  owner.hash += gossip::HashOf(value.key, value.version) - gossip::HashOf(value.key, held.value.version);
-  held.value = value;
-  held.came = now;
-  held.lapsed = false;
-  if (!queued) held.due = TimePoint::max();
-  Due(held, now);
+void ValueStore::Set(Owner& owner, StoredValue& stored, const Value& value, TimePoint now) {
+  const bool queued = stored.value.version > 0 && !stored.expired;
+  owner.hash += gossip::HashOf(value.key, value.version) - gossip::HashOf(value.key, stored.value.version);
+  stored.value = value;
+  stored.received_at = now;
+  stored.expired = false;
+  if (!queued) stored.due = TimePoint::max();
+  Reschedule(stored, now);
 }
 
 // Moves what is queued only where its moment is too late, or is over.
-void Values::Due(Held& held, TimePoint now) {
-  const TimePoint due = held.came + (held.value.lasts - held.value.age);
-  if (held.due <= due && held.due > now) return;
-  if (held.due != TimePoint::max()) due_.erase({held.due, held.value.owner.name, held.value.key});
-  held.due = due;
-  due_.emplace(due, held.value.owner.name, held.value.key);
+void ValueStore::Reschedule(StoredValue& stored, TimePoint now) {
+  const TimePoint due = stored.received_at + (stored.value.ttl - stored.value.age);
+  if (stored.due <= due && stored.due > now) return;
+  if (stored.due != TimePoint::max()) due_.erase({stored.due, stored.value.owner.name, stored.value.key});
+  stored.due = due;
+  due_.emplace(due, stored.value.owner.name, stored.value.key);
 }
 
-void Values::Lapsed(Held& held) {
-  due_.erase({held.due, held.value.owner.name, held.value.key});
-  held.lapsed = true;
-  held.value.bytes.clear();
-  held.value.bytes.shrink_to_fit();
+void ValueStore::MarkExpired(StoredValue& stored) {
+  due_.erase({stored.due, stored.value.owner.name, stored.value.key});
+  stored.expired = true;
+  stored.value.bytes.clear();
+  stored.value.bytes.shrink_to_fit();
 }
 
-const Values::Held* Values::Find(const std::string& owner, const std::string& key) const {
+const ValueStore::StoredValue* ValueStore::Find(const std::string& owner, const std::string& key) const {
   const auto it = owners_.find(owner);
   if (it == owners_.end()) return nullptr;
-  const auto held = it->second.keys.find(key);
-  return held == it->second.keys.end() ? nullptr : &held->second;
+  const auto stored = it->second.keys.find(key);
+  return stored == it->second.keys.end() ? nullptr : &stored->second;
 }
 
-Value Values::Told(const Held& held, TimePoint now) {
-  Value told = held.value;
-  told.age = std::min(held.lapsed ? held.value.lasts : held.AgeAt(now), kLongestLife);
-  return told;
+Value ValueStore::WithCurrentAge(const StoredValue& stored, TimePoint now) {
+  Value current = stored.value;
+  current.age = std::min(stored.expired ? stored.value.ttl : stored.AgeAt(now), kMaxValueTtl);
+  return current;
 }
 
-const std::map<std::string, Values::Held>* Values::Of(const Life& owner) const {
+const std::map<std::string, ValueStore::StoredValue>* ValueStore::ValuesOf(const BootId& owner) const {
   const auto it = owners_.find(owner.name);
-  return it == owners_.end() || it->second.born != owner.born ? nullptr : &it->second.keys;
+  return it == owners_.end() || it->second.boot_number != owner.boot_number ? nullptr : &it->second.keys;
 }
 
-std::uint64_t Values::BornOf(const std::string& owner) const {
+std::uint64_t ValueStore::BootNumberOf(const std::string& owner) const {
   const auto it = owners_.find(owner);
-  return it == owners_.end() ? 0 : it->second.born;
+  return it == owners_.end() ? 0 : it->second.boot_number;
 }
 
-bool Values::AllLapsed(const std::string& owner) const {
+bool ValueStore::AllExpired(const std::string& owner) const {
   const auto it = owners_.find(owner);
   return it != owners_.end() && std::all_of(it->second.keys.begin(), it->second.keys.end(),
-                                            [](const auto& key) { return key.second.lapsed; });
+                                            [](const auto& key) { return key.second.expired; });
 }
 
-std::uint64_t Values::HashOf(const Life& owner) const {
+std::uint64_t ValueStore::HashOf(const BootId& owner) const {
   const auto it = owners_.find(owner.name);
-  return it == owners_.end() || it->second.born != owner.born ? 0 : it->second.hash;
+  return it == owners_.end() || it->second.boot_number != owner.boot_number ? 0 : it->second.hash;
 }
 
-TimePoint Values::next() const { return due_.empty() ? TimePoint::max() : std::get<0>(*due_.begin()); }
+TimePoint ValueStore::next() const { return due_.empty() ? TimePoint::max() : std::get<0>(*due_.begin()); }
 
 }  // namespace mothrack::gossip
--- a/src/gossip/wire.h
+++ b/src/gossip/wire.h
@@ -14,10 +14,7 @@
 // A reader takes its own version alone. Fields that a later build adds within it are skipped.
 constexpr std::uint64_t kVersion = 1;
 
-// Of lives, incarnations and versions: whoever has to go one above what it heard must have the room to.
-constexpr std::uint64_t kMostCount = std::uint64_t{1} << 62;
-
-enum class ReadFault : std::uint8_t {
+enum class DecodeFault : std::uint8_t {
   kNone,
   kLater,      // of a later version: no fault of the sender's, and counted on its own during an upgrade
   kMalformed,  // cut, or something else altogether
@@ -25,18 +22,19 @@
 };
 
 // The rule of the fleet's names: letters, digits, '-', '_' and '.', at most 64, no dot first.
-bool GoodName(std::string_view name);
+bool IsValidName(std::string_view name);
 // "ip:port": digits, hex digits, '.', ':', '[' and ']', at most 48. Whether one can send there, the socket
 // tells.
-bool GoodAddress(std::string_view address);
+bool IsValidAddress(std::string_view address);
 // Printable ASCII without blanks, at most 24.
-bool GoodKey(std::string_view key);
+bool IsValidKey(std::string_view key);
 
-// Of a message within the bounds; never more bytes than MostSize() of its parts in sum. A subject without a
-// name is none and is left out.
-std::string Write(const Message& message);
+// Of a message within the bounds; never more bytes than MaxEncodedSize() of its parts in sum. A subject
+// without a name is none and is left out.
+std::string Encode(const Message& message);
 
 // Nothing where it can't be used; `why`, where it is asked for, then says what stands against it.
-std::optional<Message> Read(std::string_view bytes, std::string* why = nullptr, ReadFault* fault = nullptr);
+std::optional<Message> Decode(std::string_view bytes, std::string* why = nullptr,
+                              DecodeFault* fault = nullptr);
 
 }  // namespace mothrack::gossip
--- a/tests/gossip/peers_net.h
+++ b/tests/gossip/peers_net.h
@@ -22,19 +22,19 @@
 using gossip::TimePoint;
 
 inline std::size_t SizeOf(const Message& message) {
-  std::size_t size = MostSize(message) + gossip::kSealSize;
-  for (const auto& part : message.digest) size += MostSize(part);
-  for (const auto& part : message.news) size += MostSize(part);
-  for (const auto& part : message.values) size += MostSize(part);
+  std::size_t size = MaxEncodedSize(message) + gossip::kMaxSealSize;
+  for (const auto& part : message.digest) size += MaxEncodedSize(part);
+  for (const auto& part : message.updates) size += MaxEncodedSize(part);
+  for (const auto& part : message.values) size += MaxEncodedSize(part);
   return size;
 }
 
-struct Links {
-  int loss = 0, repeat = 0;   // percent
-  int delay = 1, spread = 0;  // ms: delay to delay + spread, so that they overtake each other
+struct LinkConditions {
+  int loss = 0, duplication = 0;  // percent
+  int delay = 1, jitter = 0;      // ms: delay to delay + spread, so that they overtake each other
 };
 
-class Net {
+class SimulatedNetwork {
  public:
   struct Node {
     std::string name, address;
@@ -50,7 +50,8 @@
   };
   using OnChange = std::function<void(std::size_t node, const gossip::Change&)>;
 
-  explicit Net(std::uint64_t seed, gossip::Terms terms = {}) : terms_(terms), random(seed) {}
+  explicit SimulatedNetwork(std::uint64_t seed, gossip::ProtocolConfig config = {})
+      : config_(config), random(seed) {}
 
   std::size_t Add(std::size_t count = 1) {
     for (; count > 0; --count) {
@@ -64,13 +65,13 @@
     return nodes.size() - 1;
   }
   // A process of it starts, `born` by its clock's word.
-  void Start(std::size_t i, std::uint64_t born) {
+  void Start(std::size_t i, std::uint64_t boot_number) {
     Node& node = nodes[i];
-    gossip::MemberNews self{{node.name, born},     0,
-                            gossip::State::kAlive, gossip::Role::kSidecar,
-                            node.address,          i % 2 == 0 ? "north" : "south"};
-    node.core = std::make_unique<Core>(self, terms_, random.Next(), LocalNow(i));
-    node.core->Seeds({nodes[0].address, nodes[nodes.size() / 2].address});
+    gossip::MembershipUpdate self{
+        {node.name, boot_number},      0, gossip::MemberState::kAlive, gossip::Role::kSidecar, node.address,
+        i % 2 == 0 ? "north" : "south"};
+    node.core = std::make_unique<Core>(self, config_, random.Next(), LocalNow(i));
+    node.core->SetSeeds({nodes[0].address, nodes[nodes.size() / 2].address});
     node.stopped = false;
     node.waiting.clear();
     node.sent.clear();
@@ -86,18 +87,18 @@
     Node& node = nodes[i];
     if (!node.core || !node.stopped) return;
     node.stopped = false;
-    for (const auto& [message, from] : std::exchange(node.waiting, {})) Hear(i, *message, from);
+    for (const auto& [message, from] : std::exchange(node.waiting, {})) Receive(i, *message, from);
     node.tick = kNever;
     Schedule(i);
   }
   void Leave(std::size_t i) {
-    gossip::Out out;
+    gossip::CoreOutput out;
     nodes[i].core->Leave(LocalNow(i), out);
-    Take(i, out);
+    Dispatch(i, out);
     Kill(i);
   }
-  bool Put(std::size_t i, const std::string& key, const std::string& bytes, int lasts) {
-    const bool put = nodes[i].core->Put(key, bytes, Duration(lasts), LocalNow(i));
+  bool Put(std::size_t i, const std::string& key, const std::string& bytes, int ttl) {
+    const bool put = nodes[i].core->Put(key, bytes, Duration(ttl), LocalNow(i));
     Schedule(i);
     return put;
   }
@@ -112,10 +113,10 @@
       if (event.message == nullptr) {
         if (!node.core || node.stopped || node.tick != event.at) continue;
         node.tick = kNever;
-        gossip::Out out;
+        gossip::CoreOutput out;
         node.core->Tick(LocalNow(event.node), out);
         ++ticks;
-        Take(event.node, out);
+        Dispatch(event.node, out);
         Schedule(event.node);
         continue;
       }
@@ -124,7 +125,7 @@
         // A socket's buffer is bounded.
         if (node.waiting.size() < 200) node.waiting.emplace_back(event.message, nodes[event.from].address);
       } else {
-        Hear(event.node, *event.message, nodes[event.from].address);
+        Receive(event.node, *event.message, nodes[event.from].address);
       }
     }
     now = until;
@@ -137,10 +138,10 @@
   }
   bool Up(std::size_t i) const { return nodes[i].core && !nodes[i].stopped; }
 
-  const gossip::Terms terms_;
+  const gossip::ProtocolConfig config_;
   gossip::Random random;
   std::vector<Node> nodes;
-  Links links;
+  LinkConditions links;
   std::int64_t now = 0;
   std::uint64_t ticks = 0;
   OnChange on_change;
@@ -157,16 +158,16 @@
     bool operator<(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
   };
 
-  void Hear(std::size_t i, const Message& message, const std::string& from) {
-    gossip::Out out;
+  void Receive(std::size_t i, const Message& message, const std::string& from) {
+    gossip::CoreOutput out;
     if (tamper) {
       Message copy = message;
       if (!tamper(copy, i)) return;
-      nodes[i].core->Hear(copy, from, LocalNow(i), out);
+      nodes[i].core->Receive(copy, from, LocalNow(i), out);
     } else {
-      nodes[i].core->Hear(message, from, LocalNow(i), out);
+      nodes[i].core->Receive(message, from, LocalNow(i), out);
     }
-    Take(i, out);
+    Dispatch(i, out);
     Schedule(i);
   }
 
@@ -182,36 +183,38 @@
     events_.push({at, ++order_, i, i, nullptr});
   }
 
-  void Take(std::size_t i, gossip::Out& out) {
+  void Dispatch(std::size_t i, gossip::CoreOutput& out) {
     for (const auto& change : out.changes) {
       if (on_change) on_change(i, change);
     }
     Node& node = nodes[i];
     for (auto& datagram : out.datagrams) {
       const std::size_t size = SizeOf(datagram.message);
-      if (size > gossip::kMostDatagram) Violated(node.name + " sent " + std::to_string(size) + " bytes");
+      if (size > gossip::kMaxDatagramSize)
+        RecordViolation(node.name + " sent " + std::to_string(size) + " bytes");
       ++node.datagrams;
       node.bytes += size;
       const auto local = LocalNow(i).time_since_epoch().count();
       while (!node.sent.empty() && node.sent.front() <= local - 1000) node.sent.pop_front();
       node.sent.push_back(local);
       node.most_in_a_second = std::max(node.most_in_a_second, node.sent.size());
-      if (node.sent.size() > terms_.datagrams_per_s) Violated(node.name + " sent more than a second allows");
+      if (node.sent.size() > config_.datagrams_per_s)
+        RecordViolation(node.name + " sent more than a second allows");
       const auto to = by_address_.find(datagram.address);
       if (to == by_address_.end()) continue;
       const auto message = std::make_shared<Message>(std::move(datagram.message));
-      const int times = Chance(links.repeat) ? 2 : 1;
+      const int times = Chance(links.duplication) ? 2 : 1;
       for (int t = 0; t < times; ++t) {
         if (Chance(links.loss)) continue;
         const auto delay =
-            links.delay + static_cast<int>(random.Below(static_cast<std::size_t>(links.spread) + 1));
+            links.delay + static_cast<int>(random.Below(static_cast<std::size_t>(links.jitter) + 1));
         events_.push({now + delay, ++order_, to->second, i, message});
       }
     }
   }
 
   bool Chance(int percent) { return percent > 0 && static_cast<int>(random.Below(100)) < percent; }
-  void Violated(const std::string& what) {
+  void RecordViolation(const std::string& what) {
     if (violation.empty()) violation = "at " + std::to_string(now) + ": " + what;
   }
 
--- a/tests/gossip/peers_task_test.cpp
+++ b/tests/gossip/peers_task_test.cpp
@@ -33,16 +33,16 @@
 using nlohmann::json;
 
 // Files of the test's own, gone with it.
-class Place {
+class TemporaryDirectory {
  public:
-  Place() {
+  TemporaryDirectory() {
     static std::atomic<int> count{0};
     path_ = fs::temp_directory_path() /
             ("peers-task-" + std::to_string(::getpid()) + '-' + std::to_string(count++));
     fs::create_directory(path_);
     Keys("keys", {'a'});
   }
-  ~Place() { fs::remove_all(path_); }
+  ~TemporaryDirectory() { fs::remove_all(path_); }
   std::string File(const std::string& name) const { return path_ / name; }
   std::string Write(const std::string& name, const std::string& text) const {
     std::ofstream(File(name)) << text;
@@ -61,89 +61,90 @@
   fs::path path_;
 };
 
-Settings Quick(const Place& place, std::vector<runtime::Endpoint> seeds = {},
-               const std::string& keys = "keys") {
+Settings FastSettings(const TemporaryDirectory& place, std::vector<runtime::Endpoint> seeds = {},
+                      const std::string& keys = "keys") {
   Settings settings;
   settings.listen = *runtime::ParseEndpoint("127.0.0.1:0");
   settings.zone = "hall";
   settings.key_file = place.File(keys);
   settings.seeds = std::move(seeds);
-  settings.terms.probe_every = Duration(100);
-  settings.terms.probe_patience = Duration(40);
-  settings.terms.gossip_every = Duration(20);
-  settings.terms.longest_suspicion = 1;
+  settings.terms.probe_interval = Duration(100);
+  settings.terms.probe_timeout = Duration(40);
+  settings.terms.gossip_interval = Duration(20);
+  settings.terms.max_suspicion_multiplier = 1;
   return settings;
 }
 
 // A loop's side without a loop.
-class Side {
+class TaskClient {
  public:
-  Side(const Place& place, const std::string& name, std::vector<runtime::Endpoint> seeds = {},
-       const std::string& keys = "keys", Task::EachTurn each_turn = {})
-      : task(Quick(place, std::move(seeds), keys), name, std::move(each_turn)) {}
-  const Picture* Latest() {
-    while (auto picture = task.pictures().Take()) latest_ = *picture;
+  TaskClient(const TemporaryDirectory& place, const std::string& name,
+             std::vector<runtime::Endpoint> seeds = {}, const std::string& keys = "keys",
+             Task::TurnHook turn_hook = {})
+      : task(FastSettings(place, std::move(seeds), keys), name, std::move(turn_hook)) {}
+  const MembershipSnapshot* Latest() {
+    while (auto picture = task.snapshots().TryPop()) latest_ = *picture;
     return latest_.get();
   }
-  bool Sees(const std::string& name, gossip::State state) {
-    const Picture* picture = Latest();
+  bool HasState(const std::string& name, gossip::MemberState state) {
+    const MembershipSnapshot* picture = Latest();
     if (picture == nullptr) return false;
     for (const MemberView& member : picture->members) {
-      if (member.news.life.name == name) return member.news.state == state;
+      if (member.update.boot_id.name == name) return member.update.state == state;
     }
     return false;
   }
   Duration Age() {
-    const Picture* picture = Latest();
+    const MembershipSnapshot* picture = Latest();
     if (picture == nullptr) return Duration(-1);
-    return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()) - picture->made;
+    return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()) - picture->created_at;
   }
   Task task;
 
  private:
-  PicturePtr latest_;
+  MembershipSnapshotPtr latest_;
 };
 
-TEST(Box, DropsTheOldestAndCountsIt) {
-  Box<int> box(3);
-  for (int i = 0; i < 10; ++i) box.Push(i);
-  EXPECT_EQ(box.dropped(), 7U);
-  for (const int kept : {7, 8, 9}) EXPECT_EQ(box.Take(), kept);
-  EXPECT_FALSE(box.Take());
+TEST(BoundedQueue, DropsTheOldestAndCountsIt) {
+  BoundedQueue<int> queue(3);
+  for (int i = 0; i < 10; ++i) queue.Push(i);
+  EXPECT_EQ(queue.dropped(), 7U);
+  for (const int kept : {7, 8, 9}) EXPECT_EQ(queue.TryPop(), kept);
+  EXPECT_FALSE(queue.TryPop());
 }
 
-TEST(Box, TellsTheSystemOnceUntilTheOtherSideIsAwake) {
-  Box<int> box(8);
+TEST(BoundedQueue, TellsTheSystemOnceUntilTheOtherSideIsAwake) {
+  BoundedQueue<int> queue(8);
   const auto readable = [&] {
-    pollfd awaited{box.descriptor(), POLLIN, 0};
+    pollfd awaited{queue.descriptor(), POLLIN, 0};
     return ::poll(&awaited, 1, 0) == 1;
   };
   EXPECT_FALSE(readable());
-  for (int i = 0; i < 5; ++i) box.Push(i);
+  for (int i = 0; i < 5; ++i) queue.Push(i);
   std::uint64_t writes = 0;
-  ASSERT_EQ(::read(box.descriptor(), &writes, sizeof writes), static_cast<ssize_t>(sizeof writes));
+  ASSERT_EQ(::read(queue.descriptor(), &writes, sizeof writes), static_cast<ssize_t>(sizeof writes));
   EXPECT_EQ(writes, 1U);
-  box.Quiet();
+  queue.ClearSignal();
   EXPECT_FALSE(readable());
-  box.Push(5);
+  queue.Push(5);
   EXPECT_TRUE(readable());
 }
 
 // The taker sleeps whenever it finds nothing; it is told of every last message.
-TEST(Box, LosesNoWakeBetweenTwoThreads) {
+TEST(BoundedQueue, LosesNoWakeBetweenTwoThreads) {
   constexpr int kMessages = 200'000;
-  Box<int> box(64);
+  BoundedQueue<int> queue(64);
   int taken = 0, last = -1;
   bool in_order = true, missed = false;
   std::thread taker([&] {
     while (last != kMessages - 1) {
-      pollfd awaited{box.descriptor(), POLLIN, 0};
+      pollfd awaited{queue.descriptor(), POLLIN, 0};
       if (::poll(&awaited, 1, 5000) == 0) {
         missed = true;
         return;
       }
-      box.Quiet();
-      while (const auto message = box.Take()) {
+      queue.ClearSignal();
+      while (const auto message = queue.TryPop()) {
         in_order = in_order && *message > last;
         last = *message;
         ++taken;
@@ -151,46 +152,47 @@
     }
   });
   for (int i = 0; i < kMessages; ++i) {
-    box.Push(i);
+    queue.Push(i);
     if (i % 1000 == 0) std::this_thread::sleep_for(50us);  // so that it falls asleep in between
   }
   taker.join();
   EXPECT_FALSE(missed);
   EXPECT_TRUE(in_order);
-  EXPECT_EQ(taken + static_cast<int>(box.dropped()), kMessages);
+  EXPECT_EQ(taken + static_cast<int>(queue.dropped()), kMessages);
 }
 
 TEST(Task, TwoFindEachOtherAndValuesPass) {
-  const Place place;
-  Side a(place, "a");
-  Side b(place, "b", {a.task.local()});
-  EXPECT_TRUE(
-      Eventually([&] { return a.Sees("b", gossip::State::kAlive) && b.Sees("a", gossip::State::kAlive); }));
-  a.task.Say(PutValue{"load", "7", Duration(60'000)});
+  const TemporaryDirectory place;
+  TaskClient a(place, "a");
+  TaskClient b(place, "b", {a.task.local()});
   EXPECT_TRUE(Eventually([&] {
-    const Picture* picture = b.Latest();
+    return a.HasState("b", gossip::MemberState::kAlive) && b.HasState("a", gossip::MemberState::kAlive);
+  }));
+  a.task.Post(PutValueCommand{"load", "7", Duration(60'000)});
+  EXPECT_TRUE(Eventually([&] {
+    const MembershipSnapshot* picture = b.Latest();
     return !picture->values.empty() && picture->values[0].owner.name == "a" &&
            picture->values[0].bytes == "7";
   }));
-  a.task.Say(LeaveNow{});
+  a.task.Post(LeaveCommand{});
   EXPECT_TRUE(a.task.Stop());
-  EXPECT_TRUE(Eventually([&] { return b.Sees("a", gossip::State::kLeft); }))
+  EXPECT_TRUE(Eventually([&] { return b.HasState("a", gossip::MemberState::kLeft); }))
       << "what was said before the stop is done";
 }
 
 TEST(Task, OneThatEndsWithoutAWordIsDead) {
-  const Place place;
-  Side a(place, "a");
-  auto b = std::make_unique<Side>(place, "b", std::vector{a.task.local()});
-  ASSERT_TRUE(Eventually([&] { return a.Sees("b", gossip::State::kAlive); }));
+  const TemporaryDirectory place;
+  TaskClient a(place, "a");
+  auto b = std::make_unique<TaskClient>(place, "b", std::vector{a.task.local()});
+  ASSERT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kAlive); }));
   b.reset();
-  EXPECT_TRUE(Eventually([&] { return a.Sees("b", gossip::State::kDead); }));
+  EXPECT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kDead); }));
 }
 
 TEST(Task, ThatIsStuckLetsTheLoopGoOnAndIsLeftBehind) {
-  const Place place;
+  const TemporaryDirectory place;
   const auto stuck = std::make_shared<std::atomic<bool>>(false);
-  Side a(place, "a", {}, "keys", [stuck] {
+  TaskClient a(place, "a", {}, "keys", [stuck] {
     while (*stuck) std::this_thread::sleep_for(1ms);
   });
   ASSERT_TRUE(Eventually([&] { return a.Latest() != nullptr; }));
@@ -198,9 +200,9 @@
   std::this_thread::sleep_for(1200ms);
   const Duration before = a.Age();
   const auto began = std::chrono::steady_clock::now();
-  for (int i = 0; i < 1000; ++i) a.task.Say(PutValue{"load", std::to_string(i), Duration(1000)});
+  for (int i = 0; i < 1000; ++i) a.task.Post(PutValueCommand{"load", std::to_string(i), Duration(1000)});
   EXPECT_LT(std::chrono::steady_clock::now() - began, 100ms);
-  EXPECT_GE(a.task.dropped(), 1000 - kMostToTask);
+  EXPECT_GE(a.task.dropped(), 1000 - kMaxPendingCommands);
   std::this_thread::sleep_for(100ms);
   EXPECT_GT(a.Age(), before);
   EXPECT_FALSE(a.task.Stop());
@@ -209,22 +211,22 @@
 }
 
 TEST(Task, ThatDiesIsCountedAndTheLoopGoesOn) {
-  const Place place;
+  const TemporaryDirectory place;
   std::atomic<int> turns{0};
-  Side a(place, "a", {}, "keys", [&] {
+  TaskClient a(place, "a", {}, "keys", [&] {
     if (++turns == 5) throw std::runtime_error("planted");
   });
-  EXPECT_TRUE(Eventually([&] { return a.task.deaths() == 1; }));
-  a.task.Say(PutValue{"load", "1", Duration(1000)});
+  EXPECT_TRUE(Eventually([&] { return a.task.failures() == 1; }));
+  a.task.Post(PutValueCommand{"load", "1", Duration(1000)});
   EXPECT_TRUE(a.task.Stop());
 }
 
 TEST(Task, WithAnotherKeyIsNotHeardUntilTheKeysAreReadAgain) {
-  const Place place;
+  const TemporaryDirectory place;
   place.Keys("others", {'b'});
-  Side a(place, "a");
-  Side b(place, "b", {a.task.local()}, "others");
-  EXPECT_TRUE(Eventually([&] { return a.Latest() != nullptr && a.Latest()->unheard > 0; }));
+  TaskClient a(place, "a");
+  TaskClient b(place, "b", {a.task.local()}, "others");
+  EXPECT_TRUE(Eventually([&] { return a.Latest() != nullptr && a.Latest()->unauthenticated > 0; }));
   EXPECT_TRUE(a.Latest()->members.empty());
   // A faulty file changes nothing.
   place.Write("others", "no key at all\n");
@@ -233,23 +235,23 @@
   EXPECT_TRUE(a.Latest()->members.empty());
   place.Keys("others", {'a', 'b'});
   b.task.Rekey();
-  EXPECT_TRUE(Eventually([&] { return a.Sees("b", gossip::State::kAlive); }));
+  EXPECT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kAlive); }));
 }
 
 TEST(Task, CountsWhatIsNoDatagram) {
-  const Place place;
-  Side a(place, "a");
+  const TemporaryDirectory place;
+  TaskClient a(place, "a");
   boost::asio::io_context io;
   boost::asio::ip::udp::socket stranger(io, boost::asio::ip::udp::v4());
   const boost::asio::ip::udp::endpoint to(a.task.local().address(), a.task.local().port());
   for (const std::size_t size : {0, 1, 40, 1200, 1201, 9000})
     stranger.send_to(boost::asio::buffer(std::string(size, 'x')), to);
-  EXPECT_TRUE(Eventually([&] { return a.Latest() != nullptr && a.Latest()->unheard == 6; }));
+  EXPECT_TRUE(Eventually([&] { return a.Latest() != nullptr && a.Latest()->unauthenticated == 6; }));
 }
 
 TEST(Task, SaysWhatStandsAgainstItsStart) {
-  const Place place;
-  Side a(place, "a");
+  const TemporaryDirectory place;
+  TaskClient a(place, "a");
   const auto error = [](const Settings& settings, const std::string& name) {
     try {
       const Task task(settings, name);
@@ -258,17 +260,17 @@
     }
     return std::string("started");
   };
-  Settings settings = Quick(place);
+  Settings settings = FastSettings(place);
   EXPECT_NE(error(settings, "no good name").find("no member's name"), std::string::npos);
   settings.listen = a.task.local();
   EXPECT_NE(error(settings, "b").find("Address already in use; free the address"), std::string::npos);
-  settings = Quick(place, {}, "none");
+  settings = FastSettings(place, {}, "none");
   EXPECT_NE(error(settings, "b").find(place.File("none")), std::string::npos);
 }
 
 // Both files say the same by the same rules.
 TEST(Settings, ErrorsNameThePlaceAndTheMend) {
-  const Place place;
+  const TemporaryDirectory place;
   const std::string listen = "listen = \"127.0.0.1:7600\"\n", zone = "zone = \"hall\"\n";
   const std::string keys = "key_file = \"" + place.File("keys") + "\"\n";
   const std::string good = listen + zone + keys;  // lines 2 to 4
@@ -324,7 +326,7 @@
 }
 
 TEST(Settings, EffectiveOnesReadAsTheSame) {
-  const Place place;
+  const TemporaryDirectory place;
   const auto file = sidecar::LoadOperatorFile(place.Write(
       "file.toml",
       "[peers]\nlisten = \"127.0.0.1:7600\"\nadvertise = \"127.0.0.1:7700\"\nzone = \"hall\"\nkey_file = \"" +
@@ -333,8 +335,8 @@
   const auto again = sidecar::LoadOperatorFile(place.Write("again.toml", effective));
   EXPECT_EQ(sidecar::Effective(again), effective);
   ASSERT_TRUE(again.peers);
-  EXPECT_EQ(again.peers->terms.probe_every, Duration(300));
-  EXPECT_EQ(again.peers->terms.gossip_every, Terms().gossip_every);
+  EXPECT_EQ(again.peers->terms.probe_interval, Duration(300));
+  EXPECT_EQ(again.peers->terms.gossip_interval, ProtocolConfig().gossip_interval);
   EXPECT_EQ(Text(*again.peers->advertise), "127.0.0.1:7700");
   EXPECT_EQ(Text(again.peers->seeds.at(0)), "[::1]:7601");
 }
@@ -342,7 +344,8 @@
 // A real sidecar: HTTP by the platform's variables, peers and the door by the operator's file.
 class Sidecar {
  public:
-  Sidecar(const Place& place, const std::string& name, const std::string& upstream, int port, int seed)
+  Sidecar(const TemporaryDirectory& place, const std::string& name, const std::string& upstream, int port,
+          int seed)
       : node_(Options(place, name, upstream, port, seed)), door_("unix:" + place.File(name + ".sock")) {}
   json Peers() const {
     const auto answer = mothrack::testing::AdminClient(door_).Get("/v1/status");
@@ -359,7 +362,7 @@
   mothrack::testing::Node& node() { return node_; }
 
  private:
-  static mothrack::testing::Node::Options Options(const Place& place, const std::string& name,
+  static mothrack::testing::Node::Options Options(const TemporaryDirectory& place, const std::string& name,
                                                   const std::string& upstream, int port, int seed) {
     mothrack::testing::Node::Options options;
     options.known = mothrack::testing::List({mothrack::testing::Target("u1", upstream)});
@@ -384,7 +387,7 @@
 }
 
 TEST(Programs, GoOnWhileAPeerIsStoppedAndComesBack) {
-  const Place place;
+  const TemporaryDirectory place;
   mothrack::testing::Upstream upstream(mothrack::testing::Upstream::Echo("u"));
   const int a_port = FreePort(), b_port = FreePort();
   Sidecar a(place, "a", upstream.address(), a_port, b_port);
@@ -427,8 +430,8 @@
 }
 
 TEST(Programs, WhoseAddressIsTakenSayIt) {
-  const Place place;
-  Side a(place, "a");
+  const TemporaryDirectory place;
+  TaskClient a(place, "a");
   Sidecar b(place, "b", "127.0.0.1:9", a.task.local().port(), 7601);
   EXPECT_EQ(b.node().Wait(), 1);
   EXPECT_NE(b.node().log().find("Address already in use; free the address"), std::string::npos)
@@ -436,8 +439,8 @@
 }
 
 TEST(Programs, AnAgentIsAMemberAsWell) {
-  const Place place;
-  Side a(place, "a");
+  const TemporaryDirectory place;
+  TaskClient a(place, "a");
   const std::string file = place.Write(
       "agent.toml",
       "[agent]\nname = \"agent-1\"\nhall = \"hall\"\nlisten = \"unix:" + place.File("agent.sock") +
@@ -449,15 +452,15 @@
     ::execl(MOTHRACK_AGENT, MOTHRACK_AGENT, file.c_str(), nullptr);
     ::_exit(127);
   }
-  EXPECT_TRUE(Eventually([&] { return a.Sees("agent-1", gossip::State::kAlive); }));
-  EXPECT_EQ(a.Latest()->members.at(0).news.role, Role::kAgent);
+  EXPECT_TRUE(Eventually([&] { return a.HasState("agent-1", gossip::MemberState::kAlive); }));
+  EXPECT_EQ(a.Latest()->members.at(0).update.role, Role::kAgent);
   const auto answer = mothrack::testing::AdminClient("unix:" + place.File("agent.sock")).Get("/v1/agent");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->body["peers"]["task"], "runs");
   ::kill(pid, SIGTERM);
   int status = 0;
   ::waitpid(pid, &status, 0);
-  EXPECT_TRUE(Eventually([&] { return a.Sees("agent-1", gossip::State::kLeft); }));
+  EXPECT_TRUE(Eventually([&] { return a.HasState("agent-1", gossip::MemberState::kLeft); }));
 }
 
 }  // namespace
