--- a/src/gossip/anti_entropy.h
+++ b/src/gossip/anti_entropy.h
@@ -6,7 +6,7 @@
 #include <string>
 
 #include "gossip/membership.h"
-#include "gossip/values.h"
+#include "gossip/value_store.h"
 
 namespace mothrack::gossip {
 
--- a/src/gossip/core.cpp
+++ b/src/gossip/core.cpp
@@ -4,11 +4,11 @@
 #include <cmath>
 
 #include "gossip/anti_entropy.h"
+#include "gossip/datagram_rate_limiter.h"
 #include "gossip/membership.h"
-#include "gossip/probes.h"
-#include "gossip/rate.h"
-#include "gossip/spread.h"
-#include "gossip/values.h"
+#include "gossip/probe_scheduler.h"
+#include "gossip/update_queue.h"
+#include "gossip/value_store.h"
 
 namespace mothrack::gossip {
 namespace {
--- a/src/gossip/probes.cpp
+++ b/src/gossip/probe_scheduler.cpp
@@ -1,4 +1,4 @@
-#include "gossip/probes.h"
+#include "gossip/probe_scheduler.h"
 
 #include <algorithm>
 
--- a/src/gossip/task.h
+++ b/src/gossip/task.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <thread>
 
-#include "gossip/mailbox.h"
+#include "gossip/bounded_queue.h"
 #include "gossip/settings.h"
 
 namespace mothrack::gossip {
--- a/src/gossip/spread.cpp
+++ b/src/gossip/update_queue.cpp
@@ -1,4 +1,4 @@
-#include "gossip/spread.h"
+#include "gossip/update_queue.h"
 
 #include <vector>
 
--- a/src/gossip/spread.h
+++ b/src/gossip/update_queue.h
@@ -9,7 +9,7 @@
 #include <utility>
 
 #include "gossip/membership.h"
-#include "gossip/values.h"
+#include "gossip/value_store.h"
 
 namespace mothrack::gossip {
 
--- a/src/gossip/values.cpp
+++ b/src/gossip/value_store.cpp
@@ -1,4 +1,4 @@
-#include "gossip/values.h"
+#include "gossip/value_store.h"
 
 #include <algorithm>
 
