--- a/src/gossip/core.h
+++ b/src/gossip/core.h
@@ -1,72 +1,33 @@
-// Who is there, and what is known: membership by SWIM with Lifeguard's refinements, and small values that
-// merge in any order. A state machine without I/O, clock and thread: messages and time go in, datagrams and
-// changes come out. The same seed and inputs give the same outputs. docs/design/peers.md has its rules as
-// tables.
+// Membership of a fleet, and small values that its members share: SWIM with Lifeguard's refinements, and
+// anti-entropy. A state machine without I/O, clock and thread: messages and time go in, datagrams and changes
+// come out. The same seed and inputs give the same outputs. docs/design/peers.md has its rules as tables.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <memory>
 #include <optional>
 #include <string>
 #include <vector>
 
+#include "gossip/core_output.h"
 #include "gossip/message.h"
+#include "gossip/protocol_config.h"
 #include "gossip/types.h"
 
 namespace mothrack::gossip {
 
-// Times are of a healthy member; its local health (0 to 8) makes a sick one slower in judging others.
-struct ProtocolConfig {
-  Duration probe_interval{500};
-  Duration probe_timeout{200};  // for the ack, then `indirect` others are asked until the round is over
-  std::size_t indirect_probes = 3;
-  double suspicion_multiplier =
-      4;  // least time of a suspicion: this x log10(members, 10 at least) x probe_interval
-  double max_suspicion_multiplier = 6;  // without confirmations: this many times the least
-  Duration gossip_interval{100};
-  std::size_t fanout = 2;            // datagrams of news each time; none where there is no news
-  double retransmit_multiplier = 4;  // each piece of news is sent this x log10(members + 1) times, rounded up
-  Duration digest_interval{1000};    // one range to one member
-  std::size_t datagrams_per_s = 40;  // sent in all, whatever the fleet's size; acks count too
-  Duration dead_retention{300'000};
-};
-
-struct Datagram {
-  std::string address;
-  Message message;
-};
-
-// What changed for whoever uses it.
-struct Change {
-  enum class What { kMember, kValue, kValueExpired, kLocalBootRaised } what = What::kMember;
-  MembershipUpdate member;  // kMember; of kLocalBootRaised: this process, whose `born` had to be raised
-  Value value;              // kValue, kValueExpired (bytes empty)
-};
-
-struct CoreOutput {
-  std::vector<Datagram> datagrams;
-  std::vector<Change> changes;
-};
-
-struct Counts {
-  std::uint64_t sent = 0, received = 0, rate_limited = 0;  // rate_limited: datagrams that the bound kept back
-  std::uint64_t probes = 0, probes_failed = 0, indirect_probes = 0, refuted = 0;
-  std::uint64_t suspected = 0, died = 0, returned = 0;
-  std::uint64_t updates_applied = 0, updates_stale = 0, values_applied = 0, values_stale = 0, expired = 0,
-                rejected = 0;
-  std::uint64_t digests = 0, records = 0;
-};
-
-// A member's view of another, for people and for decisions.
+// What is known of another member, for people and for decisions.
 struct MemberView {
   MembershipUpdate update;
-  TimePoint since;  // of its state, here
+  TimePoint since;  // when it took its state, here
 };
 struct ValueView {
-  const Value* value = nullptr;  // its `age` as of when it came
+  const Value* value = nullptr;  // its `age` as of when it was received; valid until the core is next called
   Duration age{0};               // now
 };
 
+// Routes events to the parts of the protocol. Not thread-safe; `now` must never go back.
 class Core {
  public:
   Core(MembershipUpdate self, const ProtocolConfig& config, std::uint64_t seed, TimePoint now);
@@ -74,26 +35,29 @@
   Core(Core&&) noexcept;
   Core& operator=(Core&&) noexcept;
 
-  // Addresses of which one at least is asked until a member is known; also asked now and then afterwards, so
-  // that two halves that took each other for dead find together again.
+  // Addresses that are pinged until a member is known; also now and then afterwards, so that two halves that
+  // declared each other dead find together again.
   void SetSeeds(std::vector<std::string> addresses);
-  // A datagram came, checked and read.
+  // A datagram that was authenticated and decoded. `from`: the address it came from.
   void Receive(const Message& message, const std::string& from, TimePoint now, CoreOutput& out);
-  // Time passed. Call it at next() at the latest; sooner does no harm.
+  // Runs what is due. To be called at next() at the latest; sooner does no harm.
   void Tick(TimePoint now, CoreOutput& out);
+  // TimePoint::max() once it left.
   TimePoint next() const;
-  // This member's value, from now on. False where a bound forbids it.
+  // Publishes this member's value. False where a bound of types.h forbids it, or it left.
   bool Put(const std::string& key, const std::string& bytes, Duration ttl, TimePoint now);
+  // Tells some members and takes no further part.
   void Leave(TimePoint now, CoreOutput& out);
 
   const MembershipUpdate& self() const;
-  int health() const;         // 0: well; to 8: it hears so little that it had better doubt itself
+  // Lifeguard's local health: 0 is healthy, up to 8 it receives so little that it had better doubt itself.
+  int health() const;
   std::size_t alive() const;  // itself and the suspected included
   // The live ones and those that died within the last `dead_retention`, itself included; not who left.
   std::size_t known() const;
   std::vector<MemberView> members() const;  // itself not; by name
   std::optional<MemberView> Find(const std::string& name) const;
-  // Of live and suspected owners, itself included, what has not lapsed; by owner's name.
+  // Unexpired values of live and suspected owners, itself included; by owner's name.
   std::vector<ValueView> Values(const std::string& key, TimePoint now) const;
   const Counts& counts() const;
 
--- /dev/null
+++ b/src/gossip/core_output.h
@@ -0,0 +1,54 @@
+// What the core hands back to its caller: datagrams to send, changes to report, counters. Pure values.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "gossip/message.h"
+#include "gossip/types.h"
+
+namespace mothrack::gossip {
+
+struct Datagram {
+  std::string address;
+  Message message;
+};
+
+// A change that users of the membership act on.
+struct Change {
+  enum class What { kMember, kValue, kValueExpired, kLocalBootRaised } what = What::kMember;
+  MembershipUpdate member;  // kMember; of kLocalBootRaised: this process, whose boot number had to be raised
+  Value value;              // kValue, kValueExpired (bytes empty)
+};
+
+// Appended to by each call of the core, in the order of what happened; the caller sends, reports and clears.
+struct CoreOutput {
+  std::vector<Datagram> datagrams;
+  std::vector<Change> changes;
+
+  void AddChange(Change::What what, const MembershipUpdate& member) {
+    changes.emplace_back().what = what;
+    changes.back().member = member;
+  }
+  void AddChange(Change::What what, const Value& value) {
+    changes.emplace_back().what = what;
+    changes.back().value = value;
+  }
+};
+
+// Since the core was made.
+struct Counts {
+  std::uint64_t sent = 0, received = 0;  // datagrams
+  std::uint64_t rate_limited = 0;        // datagrams that `datagrams_per_s` kept back
+  std::uint64_t probes = 0, probes_failed = 0, indirect_probes = 0;
+  std::uint64_t refuted = 0;  // suspicions and deaths of this member that it refuted
+  std::uint64_t suspected = 0, died = 0, returned = 0;
+  std::uint64_t updates_applied = 0, updates_stale = 0;
+  std::uint64_t values_applied = 0, values_stale = 0, expired = 0;
+  std::uint64_t rejected = 0;  // invalid, or beyond a bound
+  std::uint64_t digests = 0;   // sent
+  std::uint64_t records = 0;   // updates and values sent in answer to digests
+};
+
+}  // namespace mothrack::gossip
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -8,7 +8,8 @@
 #include <utility>
 #include <vector>
 
-#include "gossip/core.h"
+#include "gossip/message.h"
+#include "gossip/protocol_config.h"
 #include "gossip/random.h"
 
 namespace mothrack::gossip {
--- /dev/null
+++ b/src/gossip/protocol_context.h
@@ -0,0 +1,42 @@
+// State that several parts of the protocol read and change. Owned by the core, handed to each part by
+// reference; one thread, no I/O, no clock.
+#pragma once
+
+#include <cstdint>
+#include <utility>
+
+#include "gossip/core_output.h"
+#include "gossip/membership.h"
+#include "gossip/protocol_config.h"
+#include "gossip/random.h"
+#include "gossip/update_queue.h"
+#include "gossip/value_store.h"
+
+namespace mothrack::gossip {
+
+struct ProtocolContext {
+  ProtocolContext(MembershipUpdate local, const ProtocolConfig& protocol_config, std::uint64_t seed,
+                  TimePoint now)
+      : config(protocol_config),
+        self(std::move(local)),
+        random(seed),
+        membership(self, protocol_config, now) {}
+
+  bool IsSelf(const BootId& boot_id) const { return boot_id.name == self.boot_id.name; }
+  // No other member is alive or suspected.
+  bool alone() const { return membership.live().empty(); }
+  // 0 to `interval`: members that start together must not act together.
+  Duration RandomPhase(Duration interval) {
+    return Duration(random.Below(static_cast<std::size_t>(interval.count()) + 1));
+  }
+
+  const ProtocolConfig config;
+  MembershipUpdate self;
+  Random random;  // the order of draws is part of the core's behaviour: the same seed gives the same outputs
+  Membership membership;
+  ValueStore values;
+  UpdateQueue updates;
+  Counts counts;
+};
+
+}  // namespace mothrack::gossip
--- a/src/gossip/value_store.h
+++ b/src/gossip/value_store.h
@@ -7,7 +7,7 @@
 #include <tuple>
 #include <vector>
 
-#include "gossip/core.h"
+#include "gossip/types.h"
 
 namespace mothrack::gossip {
 
