--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -4,6 +4,46 @@
 #include <iterator>
 
 namespace mothrack::gossip {
+namespace {
+
+using StoredValues = std::map<std::string, ValueStore::StoredValue>;
+
+// What the sender of a digest lacks of one member.
+struct Difference {
+  bool update_is_later = false;
+  const StoredValues* values = nullptr;  // null: the same there, of a later boot there, or none
+  std::size_t size = 0;                  // bytes that all of it takes at most
+};
+
+bool UpdateIsLater(const MembershipUpdate& update, const DigestEntry* entry) {
+  if (entry == nullptr) return true;
+  MembershipUpdate theirs;
+  theirs.boot_id = entry->boot_id;
+  theirs.incarnation = entry->incarnation;
+  theirs.state = entry->state;
+  return ResolveState(&theirs, update, UpdateOrigin::kGossip).has_value();
+}
+
+bool ValuesDiffer(const BootId& owner, const DigestEntry* entry, const ValueStore& values) {
+  if (entry == nullptr) return true;
+  if (entry->boot_id.boot_number > owner.boot_number) return false;
+  return entry->boot_id != owner || entry->values_hash != values.HashOf(owner);
+}
+
+// `entry`: null where the digest does not name the member.
+Difference DifferenceOf(const MembershipUpdate& update, const DigestEntry* entry, const ValueStore& values) {
+  Difference difference;
+  difference.update_is_later = UpdateIsLater(update, entry);
+  if (difference.update_is_later) difference.size += MaxEncodedSize(update);
+  const StoredValues* stored_values = values.ValuesOf(update.boot_id);
+  if (stored_values == nullptr || stored_values->empty()) return difference;
+  if (!ValuesDiffer(update.boot_id, entry, values)) return difference;
+  difference.values = stored_values;
+  for (const auto& [key, stored] : *stored_values) difference.size += MaxEncodedSize(stored.value);
+  return difference;
+}
+
+}  // namespace
 
 void AntiEntropy::FillDigest(Message& digest, std::size_t capacity, TimePoint now,
                              const Membership& membership, const ValueStore& values) {
@@ -18,7 +58,7 @@
     digest.digest.push_back(entry);
   }
   if (it != membership.all().end()) digest.range_to = it->first;
-  // Without an answer the round goes on all the same: the one asked may be gone.
+  // Without an answer the round goes on all the same: its recipient may be dead.
   cursor_ = digest.range_to;
 }
 
@@ -26,54 +66,44 @@
                                      TimePoint now, const Membership& membership, const ValueStore& values) {
   records.range_from = digest.range_from;
   records.range_to = digest.range_to;
-  std::map<std::string, const DigestEntry*> lines;
-  for (const DigestEntry& entry : digest.digest) lines[entry.boot_id.name] = &entry;
+  std::map<std::string, const DigestEntry*> entries;
+  for (const DigestEntry& entry : digest.digest) entries[entry.boot_id.name] = &entry;
   std::size_t count = 0;
   for (auto it = membership.all().lower_bound(digest.range_from); it != membership.all().end(); ++it) {
-    const MembershipUpdate& update = it->second.update;
     if (!digest.range_to.empty() && it->first >= digest.range_to) break;
     if (!membership.ShouldDisseminate(it->second, now)) continue;
-    const auto found = lines.find(it->first);
-    const DigestEntry* entry = found == lines.end() ? nullptr : found->second;
-    MembershipUpdate theirs;
-    if (entry != nullptr) {
-      theirs.boot_id = entry->boot_id;
-      theirs.incarnation = entry->incarnation;
-      theirs.state = entry->state;
-    }
-    const bool later = entry == nullptr || ResolveState(&theirs, update, UpdateOrigin::kGossip);
-    const auto* values_of_member = values.ValuesOf(update.boot_id);
-    const bool differs =
-        values_of_member != nullptr && !values_of_member->empty() &&
-        (entry == nullptr ||
-         (entry->boot_id.boot_number <= update.boot_id.boot_number &&
-          (entry->boot_id != update.boot_id || entry->values_hash != values.HashOf(update.boot_id))));
-    std::size_t size = later ? MaxEncodedSize(update) : 0;
-    if (differs) {
-      for (const auto& [key, stored] : *values_of_member) size += MaxEncodedSize(stored.value);
-    }
-    // What is too much for any datagram is told in part, from another key each time.
-    if (size > capacity && count > 0) {
+    const MembershipUpdate& update = it->second.update;
+    const auto entry = entries.find(it->first);
+    const Difference difference =
+        DifferenceOf(update, entry == entries.end() ? nullptr : entry->second, values);
+    // A member that does not fit begins the next range; one that fits into no datagram is sent in part.
+    if (difference.size > capacity && count > 0) {
       records.range_to = it->first;
       break;
     }
-    if (later && MaxEncodedSize(update) <= capacity) {
+    if (difference.update_is_later && MaxEncodedSize(update) <= capacity) {
       capacity -= MaxEncodedSize(update);
       records.updates.push_back(update);
       ++count;
     }
-    if (!differs) continue;
-    ++value_rotation_;
-    for (std::size_t i = 0; i < values_of_member->size(); ++i) {
-      const auto& stored =
-          std::next(values_of_member->begin(),
-                    static_cast<std::ptrdiff_t>((i + value_rotation_) % values_of_member->size()))
-              ->second;
-      if (MaxEncodedSize(stored.value) > capacity) continue;
-      capacity -= MaxEncodedSize(stored.value);
-      records.values.push_back(ValueStore::WithCurrentAge(stored, now));
-      ++count;
-    }
+    if (difference.values != nullptr) count += AppendValues(*difference.values, records, capacity, now);
+  }
+  return count;
+}
+
+std::size_t AntiEntropy::AppendValues(const StoredValues& stored_values, Message& records,
+                                      std::size_t& capacity, TimePoint now) {
+  // Another key first each time: where they do not all fit, each has its turn.
+  ++value_rotation_;
+  std::size_t count = 0;
+  for (std::size_t i = 0; i < stored_values.size(); ++i) {
+    const auto index = static_cast<std::ptrdiff_t>((i + value_rotation_) % stored_values.size());
+    const ValueStore::StoredValue& stored = std::next(stored_values.begin(), index)->second;
+    const std::size_t size = MaxEncodedSize(stored.value);
+    if (size > capacity) continue;
+    capacity -= size;
+    records.values.push_back(ValueStore::WithCurrentAge(stored, now));
+    ++count;
   }
   return count;
 }
