--- a/src/gossip/bounded_queue.h
+++ b/src/gossip/bounded_queue.h
@@ -1,6 +1,4 @@
-// What the serving loop and the peers' task say to each other: values in two bounded boxes, each with an
-// eventfd that wakes the other side. Neither side ever waits for the other. A full box drops its oldest
-// message and counts it.
+// A bounded queue from one thread to another, with an eventfd that wakes the receiver.
 #pragma once
 
 #include <concurrentqueue/concurrentqueue.h>
@@ -11,53 +9,14 @@
 #include <cerrno>
 #include <cstddef>
 #include <cstdint>
-#include <memory>
 #include <optional>
-#include <string>
 #include <system_error>
 #include <utility>
-#include <variant>
-#include <vector>
-
-#include "gossip/core.h"
 
 namespace mothrack::gossip {
 
-// To the task.
-struct PutValueCommand {
-  std::string key, bytes;
-  Duration ttl{0};
-};
-struct LeaveCommand {};
-struct ReloadKeysCommand {};  // reads the key file again
-using TaskCommand = std::variant<PutValueCommand, LeaveCommand, ReloadKeysCommand>;
-
-// Every value of an owner four times over: a later put of a key makes the former worthless, so a task that is
-// further behind than this has lost nothing that would still count, as long as the loop repeats what it puts.
-constexpr std::size_t kMaxPendingCommands = 4 * kMaxKeysPerOwner;
-// Only the latest picture counts. A second one, so that the task does not throw out what the loop is about to
-// take.
-constexpr std::size_t kMaxPendingSnapshots = 2;
-
-// To the loop: one picture, whole, each time something changed (at most ten a second); the loop keeps the
-// latest and knows by `made` how old it is.
-struct MembershipSnapshot {
-  TimePoint created_at;  // this machine's steady clock: both threads read the same
-  MembershipUpdate self;
-  int health = 0;
-  std::size_t alive = 0, known = 0;
-  std::vector<MemberView> members;
-  std::vector<Value> values;  // ages as of `made`
-  Counts counts;
-  std::uint64_t dropped = 0;                           // messages, by both boxes
-  std::uint64_t unauthenticated = 0, undecodable = 0;  // datagrams with a wrong seal; that could not be read
-  std::uint64_t replayed = 0;       // datagrams that were heard before, or are older than the window
-  std::uint64_t send_failures = 0;  // datagrams that the system did not take
-};
-using MembershipSnapshotPtr = std::shared_ptr<const MembershipSnapshot>;
-
-// One direction: one thread pushes, one takes; lock-free, and neither ever waits. Only pushing at the bound
-// drops.
+// One thread pushes, one pops; lock-free, and neither ever waits. A push at capacity drops the oldest element
+// and counts it.
 template <typename T>
 class BoundedQueue {
  public:
--- /dev/null
+++ b/src/gossip/task_worker.cpp
@@ -0,0 +1,241 @@
+#include "gossip/task_worker.h"
+
+#include <poll.h>
+
+#include <algorithm>
+#include <array>
+#include <chrono>
+#include <exception>
+#include <memory>
+#include <optional>
+#include <random>
+#include <utility>
+#include <variant>
+#include <vector>
+
+#include "gossip/keys.h"
+#include "gossip/task_error.h"
+#include "gossip/wire.h"
+
+namespace mothrack::gossip {
+namespace {
+
+// Datagrams received in one turn. With the longest message that takes a healthy machine well under 10 ms,
+// after which commands and the clock have their turn: a flood delays the task's own probes by that much and
+// no more.
+constexpr int kMaxReadsPerTurn = 64;
+// After the system refused to read, so that a broken socket does not make the thread spin.
+constexpr Duration kReadPause{100};
+// Where nothing is due.
+constexpr Duration kMaxSleep{1000};
+
+TimePoint SteadyNow() { return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()); }
+
+std::uint64_t RandomSeed() {
+  std::random_device random;
+  return std::uint64_t{random()} << 32 | random();
+}
+
+std::uint64_t UnixMicroseconds() {
+  return static_cast<std::uint64_t>(std::chrono::duration_cast<std::chrono::microseconds>(
+                                        std::chrono::system_clock::now().time_since_epoch())
+                                        .count());
+}
+
+KeyRing LoadKeys(const std::string& path) {
+  try {
+    return Load(path);
+  } catch (const std::exception& e) {
+    throw TaskError(std::string("peers.key_file: ") + e.what());
+  }
+}
+
+MembershipUpdate LocalMember(const Settings& settings, const std::string& name,
+                             const runtime::Endpoint& local) {
+  if (!IsValidName(name)) {
+    throw TaskError("peers: " + name.substr(0, kMaxNameSize) +
+                    " can be no member's name; make it letters, digits, '-', "
+                    "'_' and '.', at most " +
+                    std::to_string(kMaxNameSize) + ", no dot first");
+  }
+  MembershipUpdate self;
+  self.boot_id = {name, UnixMicroseconds()};
+  self.role = settings.role;
+  self.address = Text(settings.advertise.value_or(local));
+  self.zone = settings.zone;
+  return self;
+}
+
+}  // namespace
+
+TaskWorker::TaskWorker(const Settings& settings, const std::string& name, TurnHook turn_hook)
+    : settings_(settings),
+      turn_hook_(std::move(turn_hook)),
+      socket_(settings.listen),
+      log_(name),
+      seal_(LoadKeys(settings.key_file)),
+      core_(LocalMember(settings, name, socket_.local()), settings.terms, RandomSeed(), SteadyNow()) {
+  std::vector<std::string> seeds;
+  for (const runtime::Endpoint& seed : settings.seeds) seeds.push_back(Text(seed));
+  core_.SetSeeds(std::move(seeds));
+}
+
+void TaskWorker::Run() noexcept {
+  try {
+    while (!stop_) RunTurn();
+    // Commands from before the stop, so that the others learn at once of one that leaves.
+    RunCommands(SteadyNow());
+    FlushOutput();
+  } catch (const std::exception& e) {
+    OnFailure(e.what());
+  } catch (...) {  // the thread's outermost frame: anything else would end the program
+    OnFailure("an unknown exception");
+  }
+}
+
+void TaskWorker::RequestStop() {
+  stop_ = true;
+  commands_.Signal();
+}
+
+void TaskWorker::OnFailure(const std::string& cause) noexcept {
+  ++failures_;
+  log_.Line("the task ended: " + cause + "; this one goes on alone until it is started again");
+}
+
+void TaskWorker::RunTurn() {
+  if (turn_hook_) turn_hook_();
+  Wait();
+  const TimePoint now = SteadyNow();
+  RunCommands(now);
+  if (now >= reading_paused_until_) ReceiveDatagrams(now);
+  if (now >= core_.next()) core_.Tick(now, output_);
+  FlushOutput();
+  if (now >= publisher_.due()) PublishSnapshot(now);
+}
+
+// poll: the descriptors are two and never change; epoll would be a third one.
+void TaskWorker::Wait() {
+  const TimePoint now = SteadyNow();
+  const TimePoint due = std::min({core_.next(), publisher_.due(), now + kMaxSleep});
+  // At least 1 ms: whatever the core says is due, the thread does not spin.
+  const auto wait_ms = std::clamp<std::int64_t>((due - now).count(), 1, kMaxSleep.count());
+  const int socket = now >= reading_paused_until_ ? socket_.fd() : -1;
+  std::array<pollfd, 2> awaited{{{commands_.descriptor(), POLLIN, 0}, {socket, POLLIN, 0}}};
+  const int ready = ::poll(awaited.data(), awaited.size(), static_cast<int>(wait_ms));
+  if (ready > 0 && awaited[0].revents != 0) commands_.ClearSignal();
+}
+
+void TaskWorker::RunCommands(TimePoint now) {
+  for (std::size_t i = 0; i < kMaxPendingCommands; ++i) {
+    const auto command = commands_.TryPop();
+    if (!command) return;
+    std::visit([&](const auto& one) { Run(one, now); }, *command);
+  }
+  commands_.Signal();  // there may be more, and the signal of their push was cleared
+}
+
+void TaskWorker::Run(const PutValueCommand& command, TimePoint now) {
+  if (!core_.Put(command.key, command.bytes, command.ttl, now)) {
+    log_.Line("value " + command.key + " is beyond a bound");
+  }
+  publisher_.RememberKey(command.key);
+  publisher_.MarkChanged();
+}
+
+void TaskWorker::Run(const LeaveCommand&, TimePoint now) {
+  core_.Leave(now, output_);
+  publisher_.MarkChanged();
+}
+
+void TaskWorker::Run(const ReloadKeysCommand&, TimePoint) {
+  try {
+    seal_.Use(Load(settings_.key_file));
+    log_.Line(settings_.key_file + " read again");
+  } catch (const std::exception& e) {
+    log_.Line(std::string("the old keys stay: ") + e.what());
+  }
+}
+
+void TaskWorker::ReceiveDatagrams(TimePoint now) {
+  std::array<char, kMaxDatagramSize + 1> buffer;  // by the one more byte a datagram shows that it is too long
+  for (int i = 0; i < kMaxReadsPerTurn; ++i) {
+    const UdpSocket::Received received = socket_.Receive(buffer);
+    switch (received.status) {
+      case IoStatus::kDone:
+        ReceiveDatagram(received.datagram, received.from, now);
+        break;
+      case IoStatus::kInterrupted:
+        break;
+      case IoStatus::kWouldBlock:
+        return;
+      case IoStatus::kFailed:
+        log_.SystemRefuses("to read", received.error);
+        reading_paused_until_ = now + kReadPause;
+        return;
+    }
+  }
+}
+
+// The seal first: whoever has no key costs a checksum and a count, and no memory.
+void TaskWorker::ReceiveDatagram(std::string_view datagram, const runtime::Endpoint& from, TimePoint now) {
+  const Seal::Opened opened = seal_.Open(datagram);
+  if (opened.verdict != SealVerdict::kAccepted) return;
+  const auto message = Decode(opened.payload);
+  if (!message) {
+    ++undecodable_;
+    return;
+  }
+  core_.Receive(*message, Text(from), now, output_);
+}
+
+void TaskWorker::FlushOutput() {
+  for (const Datagram& datagram : output_.datagrams) Send(datagram);
+  for (const Change& change : output_.changes) OnChange(change);
+  if (!output_.changes.empty()) publisher_.MarkChanged();
+  output_.datagrams.clear();
+  output_.changes.clear();
+}
+
+void TaskWorker::Send(const Datagram& datagram) {
+  const auto to = runtime::ParseEndpoint(datagram.address);
+  const auto sealed = seal_.Close(Encode(datagram.message));
+  if (!to || !sealed) {  // a member's address, as it states it, is parsed here and not before
+    ++send_failures_;
+    return;
+  }
+  const UdpSocket::Sent sent = socket_.Send(*sealed, *to);
+  if (sent.status == IoStatus::kDone) return;
+  ++send_failures_;
+  if (sent.status != IoStatus::kWouldBlock) log_.SystemRefuses("to send", sent.error);
+}
+
+void TaskWorker::OnChange(const Change& change) {
+  switch (change.what) {
+    case Change::What::kMember:
+      if (change.member.state == MemberState::kDead) log_.Line(change.member.boot_id.name + " is dead");
+      if (change.member.state == MemberState::kLeft) log_.Line(change.member.boot_id.name + " left");
+      break;
+    case Change::What::kValue:
+      publisher_.RememberKey(change.value.key);
+      break;
+    case Change::What::kValueExpired:
+      break;
+    case Change::What::kLocalBootRaised:
+      log_.Line("a former process of this name had a clock ahead of this one's; goes on as a later one");
+      break;
+  }
+}
+
+void TaskWorker::PublishSnapshot(TimePoint now) {
+  auto snapshot = std::make_shared<MembershipSnapshot>(publisher_.Make(core_, now));
+  snapshot->dropped = dropped();
+  const SealCounts& sealed = seal_.counts();
+  snapshot->unauthenticated = sealed.no_datagram + sealed.unknown_key + sealed.forged;
+  snapshot->undecodable = undecodable_;
+  snapshot->replayed = sealed.replayed;
+  snapshot->send_failures = send_failures_;
+  snapshots_.Push(std::move(snapshot));
+}
+
+}  // namespace mothrack::gossip
--- /dev/null
+++ b/src/gossip/task_worker.h
@@ -0,0 +1,76 @@
+// The loop of the gossip task's thread: socket, keys, core, log and the queues to and from the event loop.
+#pragma once
+
+#include <atomic>
+#include <cstdint>
+#include <functional>
+#include <string>
+#include <string_view>
+
+#include "gossip/bounded_queue.h"
+#include "gossip/core.h"
+#include "gossip/membership_snapshot.h"
+#include "gossip/seal.h"
+#include "gossip/settings.h"
+#include "gossip/snapshot_publisher.h"
+#include "gossip/task_command.h"
+#include "gossip/task_log.h"
+#include "gossip/udp_socket.h"
+
+namespace mothrack::gossip {
+
+// Made and asked by the event loop's thread, run by the task's. What both may use is marked.
+class TaskWorker {
+ public:
+  using TurnHook = std::function<void()>;
+
+  // Throws TaskError and ResourceError (task_error.h), std::system_error where there is no eventfd.
+  TaskWorker(const Settings& settings, const std::string& name, TurnHook turn_hook);
+
+  // The task's thread, from begin to end; returns after RequestStop(), or when an exception ended the task.
+  void Run() noexcept;
+
+  // Any thread.
+  void RequestStop();
+  std::uint64_t failures() const { return failures_; }  // 1 once an exception ended the task
+  std::uint64_t dropped() const { return commands_.dropped() + snapshots_.dropped(); }
+  runtime::Endpoint local() const { return socket_.local(); }
+
+  // The event loop's thread pushes the one and pops the other.
+  BoundedQueue<TaskCommand>& commands() { return commands_; }
+  BoundedQueue<MembershipSnapshotPtr>& snapshots() { return snapshots_; }
+
+ private:
+  void RunTurn();
+  // Until something is due, a command or a datagram came.
+  void Wait();
+  void RunCommands(TimePoint now);
+  void Run(const PutValueCommand& command, TimePoint now);
+  void Run(const LeaveCommand& command, TimePoint now);
+  void Run(const ReloadKeysCommand& command, TimePoint now);
+  void ReceiveDatagrams(TimePoint now);
+  void ReceiveDatagram(std::string_view datagram, const runtime::Endpoint& from, TimePoint now);
+  // Sends, logs and clears what the core put out.
+  void FlushOutput();
+  void Send(const Datagram& datagram);
+  void OnChange(const Change& change);
+  void PublishSnapshot(TimePoint now);
+  void OnFailure(const std::string& cause) noexcept;
+
+  const Settings settings_;
+  const TurnHook turn_hook_;
+  BoundedQueue<TaskCommand> commands_{kMaxPendingCommands};
+  BoundedQueue<MembershipSnapshotPtr> snapshots_{kMaxPendingSnapshots};
+  std::atomic<bool> stop_{false};
+  std::atomic<std::uint64_t> failures_{0};
+  const UdpSocket socket_;
+  TaskLog log_;
+  Seal seal_;
+  Core core_;
+  CoreOutput output_;
+  SnapshotPublisher publisher_;
+  TimePoint reading_paused_until_{};
+  std::uint64_t undecodable_ = 0, send_failures_ = 0;
+};
+
+}  // namespace mothrack::gossip
