--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "gossip/peers_net.h"
+#include "gossip/simulated_network.h"
 
 namespace {
 
--- /dev/null
+++ b/tests/gossip/core_bounds_test.cpp
@@ -0,0 +1,98 @@
+// What the core rejects and evicts, and that updates merge in any order.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "gossip/core.h"
+#include "gossip/random.h"
+#include "gossip/single_node.h"
+
+namespace mothrack::gossip {
+namespace {
+
+TEST(Bounds, InvalidUpdatesAreRejectedAndCounted) {
+  const std::string longer(kMaxNameSize + 1, 'x');
+  std::vector<MembershipUpdate> invalid(7, MakeMember("m"));
+  invalid[0].boot_id.name = longer;
+  invalid[1].boot_id.name = "";
+  invalid[2].address = longer;
+  invalid[3].zone = longer;
+  invalid[4].state = static_cast<MemberState>(9);
+  invalid[5].boot_id.boot_number = 0;
+  invalid[6].incarnation = ~0ull;
+  SingleNode node;
+  for (const auto& update : invalid) node.ReceiveUpdate(update);
+  EXPECT_EQ(node.core.counts().rejected, invalid.size());
+  EXPECT_EQ(node.core.alive(), 2u);
+  std::vector<Value> values(5, MakeValue(50, 1, 0, 1000, "v"));
+  values[0].key = longer;
+  values[1].bytes.resize(kMaxValueSize + 1);
+  values[2].ttl = kMaxValueTtl + Duration(1);
+  values[3].version = 0;
+  values[4].age = Duration(-1);
+  for (const auto& value : values) node.ReceiveValue(value);
+  EXPECT_EQ(node.core.counts().rejected, invalid.size() + values.size());
+  for (std::size_t i = 0; i <= kMaxKeysPerOwner; ++i) {
+    EXPECT_EQ(node.core.Put(Numbered("k", i), "v", Duration(1000), At(0)), i < kMaxKeysPerOwner);
+    node.ReceiveValue(MakeValue(50, 1, 0, 1000, "v", Numbered("k", i)));
+  }
+  EXPECT_EQ(node.core.counts().rejected, invalid.size() + values.size() + 1);
+}
+
+TEST(Bounds, TheOldestDeadAreEvictedFirst) {
+  SingleNode node;
+  node.ReceiveUpdate(MakeMember("dead1", 50, 5, MemberState::kDead));
+  node.now = 100;
+  node.ReceiveUpdate(MakeMember("dead2", 50, 5, MemberState::kDead));
+  for (std::size_t i = 4; i < kMaxMembers; ++i) node.ReceiveUpdate(MakeMember(Numbered("n", i)));
+  EXPECT_TRUE(node.core.Find("dead1"));
+  node.ReceiveUpdate(MakeMember("x1"));
+  EXPECT_FALSE(node.core.Find("dead1"));
+  EXPECT_TRUE(node.core.Find("dead2"));
+  node.ReceiveUpdate(MakeMember("x2"));
+  const auto before = node.core.counts().rejected;
+  node.ReceiveUpdate(MakeMember("x3"));
+  EXPECT_FALSE(node.core.Find("x3"));
+  EXPECT_EQ(node.core.counts().rejected, before + 1);
+}
+
+// The same news in any order: the same is held.
+TEST(Merge, OrderDoesNotMatter) {
+  for (std::uint64_t seed = 1; seed <= 300; ++seed) {
+    Random random(seed);
+    std::vector<Message> all;
+    for (int i = 0; i < 12; ++i) {
+      Message message = From("helper");
+      message.updates = {MakeMember("m", 50 + random.Below(2), random.Below(3),
+                                    static_cast<MemberState>(1 + random.Below(4)))};
+      const auto version =
+          1 + random.Below(4);  // what it holds is its owner's: the same wherever it is heard
+      message.values.push_back(
+          MakeValue(50 + random.Below(2), version, version == 3 ? 9000 : 0, 9000, Numbered("v", version)));
+      all.push_back(message);
+    }
+    // A value alone would tell of its life, but not of its member.
+    all.push_back(From("helper"));
+    all.back().updates = {MakeMember("m", 51, 0)};
+    std::string first;
+    for (int order = 0; order < 6; ++order) {
+      SingleNode node;
+      random.Shuffle(all);
+      for (const auto& message : all) node.Receive(message);
+      const auto held = node.core.Find("m")->update;
+      std::string text =
+          std::to_string(held.boot_id.boot_number) + '/' + std::to_string(static_cast<int>(held.state));
+      // Of one that left nothing but that it did counts.
+      if (held.state != MemberState::kLeft) text += '/' + std::to_string(held.incarnation);
+      for (const auto& view : node.core.Values("k", At(0))) text += '/' + view.value->bytes;
+      if (order == 0) first = text;
+      ASSERT_EQ(text, first) << "seed " << seed;
+    }
+  }
+}
+
+}  // namespace
+}  // namespace mothrack::gossip
--- /dev/null
+++ b/tests/gossip/core_scenarios_test.cpp
@@ -0,0 +1,103 @@
+// Directed scenarios: loss, restarts, pauses, partitions, leaving.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <string>
+
+#include "gossip/scenario.h"
+#include "gossip/single_node.h"
+
+namespace mothrack::gossip {
+namespace {
+
+TEST(Scenarios, NobodyDiesOfLossDelayAndRepeats) {
+  Scenario scenario(30);
+  scenario.links = {10, 5, 150, 100};
+  for (std::size_t i = 0; i < 30; i += 3) scenario.nodes[i].rate = 1.05;
+  scenario.Run(1'200'000);
+  EXPECT_TRUE(scenario.deaths.empty());
+  EXPECT_EQ(scenario.violation, "");
+  EXPECT_LT(scenario.ticks, 30u * 1200 * 20) << "called more often than there is something to do";
+  for (std::size_t i = 0; i < 30; ++i) scenario.PutValue(i, Numbered("w", i));
+  EXPECT_LT(scenario.RunUntilAgreed(30'000), 30'000) << scenario.Disagreement();
+}
+
+TEST(Scenarios, ADeadOneIsKnownAndComesBackByALaterLife) {
+  Scenario scenario(20);
+  scenario.Run(10'000);
+  scenario.PutValue(3, "former", 60'000);
+  scenario.Run(3000);
+  scenario.Kill(3);
+  scenario.words.clear();
+  EXPECT_LT(scenario.RunUntilAgreed(15'000), 8000) << scenario.Disagreement();
+  EXPECT_EQ(scenario.nodes[0].core->known(), 20u);
+  EXPECT_EQ(scenario.nodes[0].core->alive(), 19u);
+  scenario.Start(3, 500);  // its clock went back: before its former life
+  EXPECT_LT(scenario.RunUntilAgreed(10'000), 5000) << scenario.Disagreement();
+  EXPECT_GT(scenario.nodes[3].core->self().boot_id.boot_number, 1'000'000u);
+}
+
+TEST(Scenarios, OneThatWasStoppedWakesWithItsOldState) {
+  Scenario scenario(20);
+  scenario.Run(10'000);
+  scenario.Kill(4);  // suspected, it may be, when the other stops
+  scenario.Run(700);
+  scenario.Stop(7);
+  scenario.Run(60'000);
+  EXPECT_EQ(scenario.deaths[scenario.nodes[7].name], 18);
+  scenario.deaths.clear();
+  scenario.Continue(7);
+  // Who died meanwhile it learns out of records, so it suspects first.
+  EXPECT_LT(scenario.RunUntilAgreed(20'000), 20'000) << scenario.Disagreement();
+  scenario.Run(20'000);
+  scenario.deaths.erase(scenario.nodes[4].name);
+  EXPECT_TRUE(scenario.deaths.empty()) << "it buried " << scenario.deaths.begin()->first;
+}
+
+TEST(Scenarios, HalvesFindTogether) {
+  Scenario scenario(40);
+  scenario.Run(10'000);
+  for (std::size_t i = 0; i < 20; ++i) scenario.nodes[i].group = 1;
+  scenario.Run(60'000);
+  EXPECT_EQ(scenario.nodes[5].core->alive(), 20u);
+  EXPECT_EQ(scenario.nodes[5].core->known(), 40u);
+  for (std::size_t i = 0; i < 40; ++i) scenario.PutValue(i, Numbered("w", i));
+  scenario.Run(5000);
+  scenario.deaths.clear();
+  for (auto& node : scenario.nodes) node.group = 0;
+  EXPECT_LT(scenario.RunUntilAgreed(60'000), 30'000) << scenario.Disagreement();
+  EXPECT_TRUE(scenario.deaths.empty()) << "the living were buried at the reunion";
+}
+
+TEST(Scenarios, AllStartAnewAtOnce) {
+  Scenario scenario(60);
+  scenario.Run(10'000);
+  for (std::size_t i = 0; i < 60; ++i) scenario.Kill(i);
+  scenario.Run(1000);
+  scenario.StartAll();
+  EXPECT_LT(scenario.RunUntilAgreed(30'000), 15'000) << scenario.Disagreement();
+  EXPECT_TRUE(scenario.deaths.empty());
+}
+
+TEST(Scenarios, LeavingIsHeardAtOnceAndFinal) {
+  Scenario scenario(20);
+  scenario.Run(10'000);
+  scenario.Leave(5);
+  EXPECT_LT(scenario.RunUntilAgreed(5000), 3000);
+  EXPECT_TRUE(scenario.deaths.empty());
+  EXPECT_EQ(scenario.nodes[0].core->Find(scenario.nodes[5].name)->update.state, MemberState::kLeft);
+  EXPECT_EQ(scenario.nodes[0].core->known(), 19u);
+}
+
+TEST(Scenarios, TimeThatItDidNotRunIsNobodysFault) {
+  SingleNode node(NoProbes());
+  node.ReceiveUpdate(MakeMember("m", 50, 5, MemberState::kSuspect));
+  node.now += 10'000'000;
+  node.core.Tick(At(node.now), node.out);
+  EXPECT_EQ(node.core.Find("m")->update.state, MemberState::kSuspect);
+  node.Run(1'500'000);
+  EXPECT_EQ(node.core.Find("m")->update.state, MemberState::kDead);
+}
+
+}  // namespace
+}  // namespace mothrack::gossip
--- /dev/null
+++ b/tests/gossip/core_tables_test.cpp
@@ -0,0 +1,252 @@
+// The core's rules, row by row from the tables of the design page.
+#include <gtest/gtest.h>
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <set>
+#include <sstream>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "gossip/core.h"
+#include "gossip/single_node.h"
+#include "support/tables.h"
+
+namespace mothrack::gossip {
+namespace {
+
+using testing::Row;
+
+// Every combination of `columns`' words must have exactly one row. A cell names words by commas, "any", or
+// "-" where the column does not matter; `play` gets the combination and its row.
+void CheckEveryCombination(const std::string& heading,
+                           const std::vector<std::pair<std::string, Texts>>& columns,
+                           const std::function<bool(const Row&)>& there,
+                           const std::function<void(const Row&, const Row&)>& play) {
+  const auto rows = testing::TableOf(MOTHRACK_PEERS_PAGE, heading);
+  std::set<const Row*> used;
+  std::size_t combinations = 1;
+  for (const auto& [column, words] : columns) combinations *= words.size();
+  for (std::size_t n = 0; n < combinations; ++n) {
+    Row one;
+    std::size_t rest = n;
+    for (const auto& [column, words] : columns) {
+      one[column] = words[rest % words.size()];
+      rest /= words.size();
+    }
+    if (!there(one)) continue;
+    std::string text;
+    std::vector<const Row*> fitting;
+    for (const Row& row : rows) {
+      bool fits = true;
+      for (const auto& [column, words] : columns) {
+        const std::string& cell = row.at(column);
+        std::istringstream list(cell);
+        bool named = cell == "any" || cell == "-";
+        for (std::string word; std::getline(list >> std::ws, word, ',');)
+          named = named || word == one[column];
+        fits = fits && named;
+      }
+      if (fits) fitting.push_back(&row);
+    }
+    for (const auto& [column, word] : one) text += column + ": " + word + "; ";
+    ASSERT_EQ(fitting.size(), 1u) << heading << ": rows for " << text;
+    used.insert(fitting.front());
+    SCOPED_TRACE(text);
+    play(one, *fitting.front());
+  }
+  EXPECT_EQ(used.size(), rows.size()) << heading << ": a row that nothing plays";
+}
+
+// Where nothing is held there is nothing to be earlier or later than.
+bool SameOfNothing(const Row& one) {
+  return one.at("held") != "nothing" ||
+         (one.at("life") == "same" && (!one.contains("version") || one.at("version") == "same") &&
+          (!one.contains("incarnation") || one.at("incarnation") == "same"));
+}
+
+TEST(Tables, Membership) {
+  CheckEveryCombination(
+      "Rules of membership",
+      {{"held", {"nothing", "alive", "suspect", "dead", "left", "self"}},
+       {"life", {"former", "same", "later"}},
+       {"incarnation", {"lower", "same", "higher"}},
+       {"news", kStates},
+       {"by", {"gossip", "records"}}},
+      SameOfNothing, [](const Row& one, const Row& row) {
+        SingleNode node(NoProbes());
+        const bool self = one.at("held") == "self", nothing = one.at("held") == "nothing";
+        const MembershipUpdate held = MakeMember(self ? "self" : "m", 50, 5, StateOf(one.at("held")));
+        if (!self && !nothing) node.ReceiveUpdate(held);
+        node.Run(600);
+        const auto number = [](const std::string& word, std::uint64_t of) {
+          return word == "former" || word == "lower" ? of - 1 : word == "same" ? of : of + 1;
+        };
+        const MembershipUpdate update = MakeMember(held.boot_id.name, number(one.at("life"), 50),
+                                                   number(one.at("incarnation"), 5), StateOf(one.at("news")));
+        node.ReceiveUpdate(update, one.at("by") == "gossip" ? MessageKind::kGossip : MessageKind::kRecords);
+        const MembershipUpdate after = self ? node.core.self() : node.core.Find("m")->update;
+        EXPECT_EQ(after.state,
+                  row.at("held then") == "as before" ? held.state : StateOf(row.at("held then")));
+        if (self) {
+          const std::string did = after.boot_id.boot_number > 50   ? "born again"
+                                  : after.incarnation == 5         ? "nothing"
+                                  : node.core.counts().refuted > 0 ? "refutes"
+                                                                   : "outdoes";
+          EXPECT_EQ(did, row.at("oneself"));
+          EXPECT_TRUE(did == "nothing" || Supersedes(after, update));
+        } else if (row.at("told on") == "yes") {
+          EXPECT_EQ(after.boot_id, update.boot_id);
+          EXPECT_EQ(after.incarnation, update.incarnation);
+        }
+        EXPECT_EQ(node.Disseminates(update.boot_id.name), row.at("told on") == "yes");
+      });
+}
+
+TEST(Tables, Values) {
+  CheckEveryCombination(
+      "Rules of values",
+      {{"held", {"nothing", "shown", "lapsed"}},
+       {"life", {"former", "same", "later"}},
+       {"version", {"lower", "same", "higher"}},
+       {"age", {"younger", "older", "over"}}},
+      SameOfNothing, [](const Row& one, const Row& row) {
+        SingleNode node(NoProbes());
+        node.ReceiveUpdate(MakeMember("m"));
+        const Value held = MakeValue(50, 5, 500, one.at("held") == "lapsed" ? 800 : 5000, "held");
+        if (one.at("held") != "nothing") node.ReceiveValue(held);
+        node.Run(600);  // the held one's age: 1100
+        const auto number = [](const std::string& word, std::uint64_t of) {
+          return word == "former" || word == "lower" ? of - 1 : word == "same" ? of : of + 1;
+        };
+        const std::string& age = one.at("age");
+        const Value value = MakeValue(number(one.at("life"), 50), number(one.at("version"), 5),
+                                      age == "younger" ? 100
+                                      : age == "older" ? 1200
+                                                       : 5000,
+                                      5000, "new");
+        node.ReceiveValue(value);
+        const bool disseminated = node.Disseminates("m", "k");
+        if (one.at("life") == "later") node.ReceiveUpdate(MakeMember("m", 51));
+        const auto views = node.core.Values("k", At(node.now));
+        const std::string& result = row.at("result");
+        EXPECT_EQ(disseminated, row.at("told on") == "yes");
+        if (result == "noted" || (result == "as before" && one.at("held") != "shown") ||
+            (result == "aged" && age == "over")) {
+          EXPECT_TRUE(views.empty());
+        } else {
+          ASSERT_EQ(views.size(), 1u);
+          EXPECT_EQ(views[0].value->bytes, result == "taken" ? "new" : "held");
+          EXPECT_EQ(views[0].age.count(), (result == "as before" ? 1100 : value.age.count()) + 300);
+        }
+        if (result == "noted") {
+          Value old = value;
+          old.age = Duration(0);
+          old.bytes = "an old copy";
+          node.ReceiveValue(old);
+          EXPECT_TRUE(node.core.Values("k", At(node.now)).empty());
+        }
+      });
+}
+
+TEST(Tables, Probes) {
+  CheckEveryCombination(
+      "Rules of probes",
+      {{"what happened",
+        {"acked", "acked by another", "no ack but all nacks", "no ack and a nack missing",
+         "no ack and nobody to ask", "had to refute", "was stopped"}}},
+      [](const Row&) { return true; },
+      [](const Row& one, const Row& row) {
+        const std::string& what = one.at("what happened");
+        SingleNode node;
+        if (what != "no ack and nobody to ask") {
+          for (const char* name : {"a", "b", "c", "d"}) node.ReceiveUpdate(MakeMember(name));
+        }
+        // Some health to lose: twice it had to refute.
+        for (std::uint64_t i = 0; i < 2; ++i)
+          node.ReceiveUpdate(MakeMember("self", 50, 5 + i, MemberState::kSuspect));
+        std::string asked;
+        std::uint64_t sequence = 0;
+        Texts others;
+        const auto run = [&] {
+          for (const Datagram& sent : node.Run(50)) {
+            if (sent.message.kind == MessageKind::kPing && asked.empty()) {
+              asked = sent.address.substr(0, sent.address.find(':'));
+              sequence = sent.message.sequence;
+            }
+            if (sent.message.kind == MessageKind::kPingRequest)
+              others.push_back(sent.address.substr(0, sent.address.find(':')));
+          }
+        };
+        while (asked.empty()) run();
+        const auto answer = [&](const std::string& by, MessageKind kind) {
+          Message message = From(by, kind);
+          message.sequence = sequence;
+          node.Receive(message);
+        };
+        if (what == "acked") answer(asked, MessageKind::kAck);
+        if (what == "had to refute") node.ReceiveUpdate(MakeMember("self", 50, 7, MemberState::kDead));
+        if (what == "was stopped") {
+          node.now += 60'000;
+          node.core.Tick(At(node.now), node.out);
+        }
+        if (what.find("by another") != std::string::npos || what.starts_with("no ack")) {
+          for (int i = 0; i < 13; ++i) run();
+          ASSERT_EQ(others.size(), what == "no ack and nobody to ask" ? 0u : 3u);
+          if (what == "acked by another") answer(others[0], MessageKind::kAck);
+          const std::size_t nacks = what == "no ack but all nacks"        ? 3
+                                    : what == "no ack and a nack missing" ? 2
+                                                                          : 0;
+          for (std::size_t i = 0; i < nacks; ++i) answer(others[i], MessageKind::kNack);
+          if (what.starts_with("no ack")) {
+            while (node.core.counts().probes_failed == 0) run();
+          }
+        }
+        EXPECT_EQ(node.core.health() - 2, std::stoi(row.at("health")));
+        EXPECT_EQ(node.core.Find(asked)->update.state,
+                  row.at("the one asked") == "suspect" ? MemberState::kSuspect : MemberState::kAlive);
+      });
+}
+
+TEST(Tables, Times) {
+  std::vector<std::string> sizes;
+  const auto rows = testing::TableOf(MOTHRACK_PEERS_PAGE, "Times as a function of the fleet's size");
+  for (const Row& row : rows) {
+    sizes.push_back(row.at("members"));
+    SCOPED_TRACE(row.at("members"));
+    const std::size_t members = std::stoul(row.at("members"));
+    for (const bool confirmed : {false, true}) {
+      SingleNode node;
+      for (std::size_t i = 2; i < members; ++i) node.ReceiveUpdate(MakeMember(Numbered("n", i)));
+      ASSERT_EQ(node.core.alive(), members);
+      // Relayed, by whomever: nobody's own word.
+      for (const char* by : {"n3", "n4", "n5"}) {
+        Message relayed = From(by);
+        relayed.updates = {MakeMember("n2", 50, 5, MemberState::kSuspect)};
+        node.Receive(relayed);
+      }
+      if (confirmed) {
+        for (const char* by : {"n3", "n4", "n5", "n5"}) {
+          Message first_hand = From(by);
+          first_hand.subject = MakeMember("n2", 50, 5, MemberState::kSuspect);
+          node.Receive(first_hand);
+        }
+      }
+      while (node.core.Find("n2")->update.state != MemberState::kDead) node.Run(1);
+      EXPECT_EQ(node.now, std::stoi(row.at(confirmed ? "least suspicion ms" : "longest suspicion ms")));
+    }
+    SingleNode node;
+    for (std::size_t i = 2; i < members; ++i) node.ReceiveUpdate(MakeMember(Numbered("n", i)));
+    ASSERT_TRUE(node.core.Put("k", "v", Duration(600'000), At(0)));
+    int disseminated = 0;
+    for (const Datagram& sent : node.Run(120'000))
+      disseminated += static_cast<int>(sent.message.values.size());
+    EXPECT_EQ(disseminated, std::stoi(row.at("told at most")));
+  }
+  EXPECT_EQ(sizes, (Texts{"10", "100", "300", "2000"}));
+}
+
+}  // namespace
+}  // namespace mothrack::gossip
--- a/tests/gossip/peers_task_test.cpp
+++ b/tests/gossip/task_test.cpp
@@ -1,5 +1,7 @@
 // The peers' task between threads and between processes: nothing is lost at its boxes that still counts, and
 // whatever becomes of it the loop goes on.
+#include "gossip/task.h"
+
 #include <poll.h>
 #include <sys/socket.h>
 #include <sys/stat.h>
@@ -18,7 +20,6 @@
 
 #include "agent/agent_file.h"
 #include "gossip/link.h"
-#include "gossip/task.h"
 #include "gtest/gtest.h"
 #include "sidecar/operator_file.h"
 #include "standins/admin_client.h"
--- a/tests/gossip/peers_wire_test.cpp
+++ b/tests/gossip/wire_test.cpp
@@ -9,7 +9,7 @@
 #include <functional>
 
 #include "gossip/peers.pb.h"
-#include "gossip/peers_messages.h"
+#include "gossip/random_messages.h"
 #include "gossip/seal.h"
 
 namespace mothrack::gossip {
