--- a/src/gossip/keys.cpp
+++ b/src/gossip/keys.cpp
@@ -46,7 +46,7 @@
 void ReadAll(const std::string& path, Content& content) {
   // Not blocking: a pipe of that name must not hold the task up.
   const File file{::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK)};
-  const auto fault = [&](const std::string& what) { throw KeyFileError(path + ": " + what); };
+  const auto fault = [&](const std::string& cause) { throw KeyFileError(path, std::nullopt, cause); };
   if (file.fd < 0)
     fault(std::string("cannot be opened: ") + std::strerror(errno) + "; make it with mode 0600");
   // Of what was opened, not of the path: they may differ by now.
@@ -97,8 +97,15 @@
   return std::nullopt;
 }
 
+std::string PlaceOf(const std::string& path, std::optional<std::size_t> line) {
+  return line ? path + ':' + std::to_string(*line) : path;
+}
+
 }  // namespace
 
+KeyFileError::KeyFileError(const std::string& path, std::optional<std::size_t> line, const std::string& cause)
+    : std::runtime_error(PlaceOf(path, line) + ": " + cause), line_(line) {}
+
 Secret::Secret() {
   NeedSodium();
   bytes_.reset(static_cast<std::uint8_t*>(sodium_malloc(kKeySize)));
@@ -131,9 +138,7 @@
     const std::string_view text = Trim(rest.substr(0, end));
     rest.remove_prefix(std::min(end + 1, rest.size()));
     if (text.empty() || text.front() == '#') continue;
-    const auto fault = [&](const std::string& what) {
-      throw KeyFileError(path + ':' + std::to_string(number) + ": " + what);
-    };
+    const auto fault = [&](const std::string& cause) { throw KeyFileError(path, number, cause); };
     if (ring.size() == kMaxRingKeys) fault("a third key; take out one that nobody seals with any more");
     Secret bytes;
     if (const auto wrong = Decode(text, bytes)) fault(*wrong + kMend);
@@ -145,7 +150,7 @@
       fault("the same key as in line " + std::to_string(lines[0]) + "; take out one of the two");
     }
   }
-  if (ring.empty()) throw KeyFileError(path + ": holds no key" + kMend);
+  if (ring.empty()) throw KeyFileError(path, std::nullopt, std::string("holds no key") + kMend);
   return ring;
 }
 
--- a/src/gossip/keys.h
+++ b/src/gossip/keys.h
@@ -1,11 +1,13 @@
-// The cluster's keys, out of a file that nobody else may read. One key a line, 32 random bytes as hex or
-// base64; what is sealed is sealed with the first, and both are accepted. So a key is changed without a
-// pause: the new one second everywhere, then first everywhere, then the old one taken out everywhere.
+// The cluster's keys, from a file that nobody else may read. One key a line, 32 random bytes as hex or
+// base64; datagrams are sealed with the first, and both are accepted. Rotation without a pause: the new key
+// second on all members, then first on all, then the old one removed from all (docs/design/peers_wire.md).
 #pragma once
 
 #include <array>
+#include <cstddef>
 #include <cstdint>
 #include <memory>
+#include <optional>
 #include <stdexcept>
 #include <string>
 #include <vector>
@@ -15,9 +17,16 @@
 constexpr std::size_t kKeySize = 32;  // of a key of BLAKE2b
 constexpr std::size_t kMaxRingKeys = 2;
 
-// Names the file, the line where there is one, and the mend; never the key.
-struct KeyFileError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+// A fault of the key file: its place, and in `cause` what is wrong and the mend; never the key. what() has
+// both.
+class KeyFileError : public std::runtime_error {
+ public:
+  // `line`: from 1; nothing where the file as a whole is at fault.
+  KeyFileError(const std::string& path, std::optional<std::size_t> line, const std::string& cause);
+  const std::optional<std::size_t>& line() const { return line_; }
+
+ private:
+  std::optional<std::size_t> line_;
 };
 
 // Bytes in memory of their own: kept out of swap and core files where the system allows it, zeroed when given
--- a/src/gossip/value_store.cpp
+++ b/src/gossip/value_store.cpp
@@ -2,7 +2,11 @@
 
 #include <algorithm>
 
+// The analyzer takes the header's own check for null for a case that occurs, and reports what follows from
+// it.
+#ifndef __clang_analyzer__
 #define XXH_INLINE_ALL
+#endif
 #include <xxhash.h>
 
 #include "gossip/membership.h"
--- a/src/gossip/wire.cpp
+++ b/src/gossip/wire.cpp
@@ -36,7 +36,7 @@
   to.set_zone(update.zone);
 }
 
-// Takes part by part; the first fault stays.
+// Decodes part by part; each function is false at the first fault, whose cause stays.
 class Decoder {
  public:
   bool Decode(const pb::Datagram& from, Message& to) {
@@ -52,11 +52,11 @@
     return DecodeAll(from.digest(), to.digest) && DecodeAll(from.updates(), to.updates) &&
            DecodeAll(from.values(), to.values);
   }
-  const char* why() const { return why_; }
+  std::string_view cause() const { return cause_; }
 
  private:
-  bool Require(bool good, const char* otherwise) {
-    if (!good) why_ = otherwise;
+  bool Require(bool good, std::string_view otherwise) {
+    if (!good) cause_ = otherwise;
     return good;
   }
   bool Counter(std::uint64_t from, std::uint64_t& to) {
@@ -64,7 +64,7 @@
     return Require(from <= kMaxCounter, "a life, incarnation or version is above 2^62");
   }
   template <typename E>
-  bool Enum(std::uint64_t from, E last, E& to, const char* otherwise) {
+  bool Enum(std::uint64_t from, E last, E& to, std::string_view otherwise) {
     to = static_cast<E>(from);
     return Require(from >= 1 && from <= static_cast<std::uint64_t>(last), otherwise);
   }
@@ -121,7 +121,7 @@
     return std::all_of(from.begin(), from.end(), [&](const auto& part) { return Decode(part, to[at++]); });
   }
 
-  const char* why_ = "";
+  std::string_view cause_;
 };
 
 }  // namespace
@@ -180,13 +180,12 @@
   return to.SerializeAsString();
 }
 
-std::optional<Message> Decode(std::string_view bytes, std::string* why, DecodeFault* fault) {
-  const auto reject = [&](DecodeFault what, const char* text) {
-    if (fault != nullptr) *fault = what;
-    if (why != nullptr) *why = text;
+std::optional<Message> Decode(std::string_view bytes, DecodeError* error) {
+  const auto reject = [&](DecodeFault fault, std::string_view cause) {
+    if (error != nullptr) *error = {fault, cause};
     return std::nullopt;
   };
-  if (fault != nullptr) *fault = DecodeFault::kNone;
+  if (error != nullptr) *error = {};
   if (bytes.size() > kMaxDatagramSize) return reject(DecodeFault::kBounds, "longer than a datagram");
   const auto version = VersionOf(bytes);
   if (!version) return reject(DecodeFault::kMalformed, "does not begin with a version");
@@ -199,7 +198,7 @@
   if (from.version() != kVersion) return reject(DecodeFault::kBounds, "of no version");
   Decoder decoder;
   std::optional<Message> message(std::in_place);
-  if (!decoder.Decode(from, *message)) return reject(DecodeFault::kBounds, decoder.why());
+  if (!decoder.Decode(from, *message)) return reject(DecodeFault::kBounds, decoder.cause());
   return message;
 }
 
--- a/src/gossip/wire.h
+++ b/src/gossip/wire.h
@@ -1,5 +1,5 @@
-// A message as bytes (peers.proto) and back. Whatever comes is checked against the bounds of types.h before
-// anyone else sees it: what was read may be used without another look.
+// A message as bytes (peers.proto) and back. Decoding checks everything against the bounds of types.h: what
+// it returns needs no further check. Pure.
 #pragma once
 
 #include <cstdint>
@@ -18,7 +18,12 @@
   kNone,
   kLater,      // of a later version: no fault of the sender's, and counted on its own during an upgrade
   kMalformed,  // cut, or something else altogether
-  kBounds,     // well formed, but says what must not be said
+  kBounds,     // well formed, but with a value beyond the bounds of types.h
+};
+
+struct DecodeError {
+  DecodeFault fault = DecodeFault::kNone;
+  std::string_view cause;  // for people; static, empty of kNone
 };
 
 // The rule of the fleet's names: letters, digits, '-', '_' and '.', at most 64, no dot first.
@@ -33,8 +38,7 @@
 // without a name is none and is left out.
 std::string Encode(const Message& message);
 
-// Nothing where it can't be used; `why`, where it is asked for, then says what stands against it.
-std::optional<Message> Decode(std::string_view bytes, std::string* why = nullptr,
-                              DecodeFault* fault = nullptr);
+// Nothing where the bytes are no valid message of this version; `error`, where it is given, then says why.
+std::optional<Message> Decode(std::string_view bytes, DecodeError* error = nullptr);
 
 }  // namespace mothrack::gossip
