--- a/src/gossip/bounded_queue.h
+++ b/src/gossip/bounded_queue.h
@@ -44,8 +44,8 @@
     Signal();
   }
 
-  // Wakes the other side without a message. Tells the system only where it was not told since the other
-  // side's Quiet().
+  // Wakes the receiver without an element. A system call only where none was made since the receiver's
+  // ClearSignal().
   void Signal() {
     if (signalled_.exchange(true)) return;
     const std::uint64_t one = 1;
@@ -53,8 +53,8 @@
         ::write(event_fd_, &one, sizeof one);  // never full: it is read before the next
   }
 
-  // The other side, awake: from here on a push wakes it again. Call it before taking, not after: what is
-  // pushed in between is either taken or wakes.
+  // The receiver, awake: from here on a push wakes it again. To be called before TryPop(), not after: what is
+  // pushed in between is either popped or wakes.
   void ClearSignal() {
     std::uint64_t count = 0;
     [[maybe_unused]] const auto got = ::read(event_fd_, &count, sizeof count);
@@ -67,7 +67,7 @@
     return value;
   }
 
-  int descriptor() const { return event_fd_; }  // readable while there may be something to take
+  int descriptor() const { return event_fd_; }  // readable while there may be something to pop
   std::uint64_t dropped() const { return dropped_.load(std::memory_order_relaxed); }
 
  private:
--- a/src/gossip/datagram_rate_limiter.h
+++ b/src/gossip/datagram_rate_limiter.h
@@ -1,5 +1,5 @@
-// Datagrams a second. What came together is sent together up to a fifth of the second's number, the rest by
-// rate: so no second, wherever it begins, has more than the number.
+// A token bucket of datagrams. The burst is a fifth of the number allowed in a second, the refill is the
+// rest: so no second, wherever it begins, has more than that number. Pure.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +18,7 @@
         tokens_(burst_ * kUnitsPerToken),
         refilled_at_(now) {}
 
-  // One more now? `leave`: as many must be left for others.
+  // Takes a token, where more than `reserve` are left.
   bool TryAcquire(std::int64_t reserve, TimePoint now) {
     if (now > refilled_at_) {
       const std::int64_t elapsed = std::min<std::int64_t>((now - refilled_at_).count(), 60'000);
--- a/src/gossip/link.cpp
+++ b/src/gossip/link.cpp
@@ -80,7 +80,7 @@
                        if (error) return;
                        auto& snapshots = task_->snapshots();
                        snapshots.ClearSignal();
-                       // What came before the newest is of no use; the box's bound is that of the turns.
+                       // Only the newest counts; there are never more than the queue's capacity.
                        for (std::size_t i = 0; i < kMaxPendingSnapshots; ++i) {
                          auto snapshot = snapshots.TryPop();
                          if (!snapshot) break;
--- a/src/gossip/link.h
+++ b/src/gossip/link.h
@@ -1,5 +1,5 @@
-// The loop's side of the peers' task: keeps the latest snapshot, with its age, and tells it. Lives in the
-// thread of the event loop that it is given; whatever becomes of the task, nothing here waits.
+// The event loop's side of the gossip task: keeps the latest snapshot and its age, and reports it. Used on
+// the thread of the event loop that it is given; whatever becomes of the task, nothing here waits.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -1,4 +1,7 @@
-// Who is there: what is held of each member, and which news replace it. Pure.
+// The table of members: what is known of each, which updates replace it, how long a suspicion lasts. Pure.
+//
+// Source: SWIM, section 4.2 (order of updates); Lifeguard, section IV.B (suspicion time-outs that shrink with
+// confirmations); the table "Rules of membership" in docs/design/peers.md.
 #pragma once
 
 #include <map>
@@ -14,27 +17,27 @@
 
 namespace mothrack::gossip {
 
-// That many others than the first must have had no answer either for a suspicion to be over soonest: with
-// fewer, one or two sick ones hasten the end of a healthy one; more are long in coming.
+// Confirmations by other members after which a suspicion lasts shortest (Lifeguard's K). With fewer, one or
+// two unhealthy members hasten the death of a healthy one; more take long to arrive.
 constexpr std::size_t kMaxConfirmations = 2;
 
 enum class UpdateOrigin {
-  kGossip,       // somebody learned it just now
-  kAntiEntropy,  // somebody holds it, perhaps since a cut that is healed: its dead may live
+  kGossip,       // its sender learned it just now
+  kAntiEntropy,  // its sender has it stored, perhaps since a partition that is healed: its dead may live
 };
 
-// The state to hold after this news, or nothing where the news is old. `held` is null for one that is not
-// known.
+// The member's state after this update, or nothing where the update is stale. `current` is null for a member
+// that is not known.
 std::optional<MemberState> ResolveState(const MembershipUpdate* current, const MembershipUpdate& update,
                                         UpdateOrigin by);
 
-// What a member does on hearing this of itself.
+// What a member does about an update of itself.
 enum class SelfResponse {
   kIgnore,
-  kRaiseIncarnation,
-  kRefute,
-  kRaiseBootNumber
-};  // kRaiseIncarnation: a higher incarnation, without having been doubted
+  kRaiseIncarnation,  // above the update's, which is later than its own though nobody suspected it
+  kRefute,            // by a higher incarnation
+  kRaiseBootNumber,   // above the update's, which is a later process's or nothing could refute
+};
 SelfResponse ResponseTo(const MembershipUpdate& local, const MembershipUpdate& update);
 
 bool IsValid(const BootId& boot_id);
@@ -44,10 +47,10 @@
  public:
   struct Member {
     MembershipUpdate update;
-    TimePoint since;                         // of its state
-    bool was_live = false;                   // has been believed alive here
-    TimePoint suspected_at, suspicion_ends;  // its suspicion: from here to there
-    std::set<std::string> reporters;         // who had no answer themselves; not who only heard of it
+    TimePoint since;                         // when it took its state, here
+    bool was_live = false;                   // was alive or suspected at any time, here
+    TimePoint suspected_at, suspicion_ends;  // of kSuspect
+    std::set<std::string> reporters;         // who had no ack themselves; not who only relayed the suspicion
   };
   struct ApplyResult {
     bool applied = false, full = false;
@@ -56,21 +59,21 @@
 
   Membership(const MembershipUpdate& local, const ProtocolConfig& config, TimePoint now);
 
-  // News of another, within the bounds. Makes room by forgetting the dead.
+  // A valid update of another member. Evicts the one longest dead where the table is full.
   ApplyResult Apply(const MembershipUpdate& update, UpdateOrigin by, TimePoint now);
-  // Itself: raised by its owner.
+  // This member's own state.
   void SetLocal(const MembershipUpdate& local) { members_.at(local_name_).update = local; }
-  // `by` had no answer of this incarnation; counts once while it is suspected.
+  // `by` had no ack of this incarnation; counts once while the member is suspected.
   void ReportSuspect(const std::string& name, std::uint64_t incarnation, const std::string& by);
-  // This process did not run for so long: nobody could refute to it.
+  // This process did not run for so long, so it could receive no refutation.
   void ExtendSuspicions(Duration gap);
   std::vector<std::string> ExpiredSuspicions(TimePoint now) const;   // suspicions that are over
   std::vector<std::string> ForgettableMembers(TimePoint now) const;  // the dead, after `dead_retention`
   void Forget(const std::string& name);
   std::vector<std::string> TakeEvicted();  // since the last call
   TimePoint next() const;
-  // Whether others are still told: not in the second half of its memory, or two members would remind each
-  // other of it for ever.
+  // Whether digests and records still name the member: not in the second half of its retention, or two
+  // members would remind each other of it for ever.
   bool ShouldDisseminate(const Member& member, TimePoint now) const;
 
   const Member* Find(const std::string& name) const;
@@ -86,7 +89,7 @@
  private:
   void Index(const std::string& name, const Member& member);
   void Unindex(const std::string& name, const Member& member);
-  // From the fleet's size as it is now, and who confirmed it.
+  // By the fleet's size as it is now, and the confirmations.
   Duration SuspicionTimeout(const Member& member) const;
   void RescheduleSuspicion(const std::string& name, Member& member);
 
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -14,9 +14,9 @@
 
 }  // namespace
 
-bool Supersedes(const MembershipUpdate& update, const MembershipUpdate& held) {
+bool Supersedes(const MembershipUpdate& update, const MembershipUpdate& current) {
   return std::tuple(update.boot_id.boot_number, update.incarnation, update.state) >
-         std::tuple(held.boot_id.boot_number, held.incarnation, held.state);
+         std::tuple(current.boot_id.boot_number, current.incarnation, current.state);
 }
 
 std::size_t MaxEncodedSize(const DigestEntry& line) {
--- a/src/gossip/message.h
+++ b/src/gossip/message.h
@@ -1,4 +1,5 @@
-// What one datagram says, before it is written (src/gossip/wire.h) and sealed (src/gossip/seal.h). Pure.
+// One datagram's content, before it is encoded (src/gossip/wire.h) and sealed (src/gossip/seal.h). Pure
+// values.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +12,17 @@
 
 // SWIM's messages with Lifeguard's nack; and anti-entropy in ranges of names, so that its cost is bounded.
 enum class MessageKind : std::uint8_t {
-  kPing = 1,  // answer me by kAck with my `sequence`
+  kPing = 1,  // to be answered by kAck with the same `sequence`
   kAck = 2,
-  kPingRequest = 3,  // ping `subject` for me; answer kAck if it did, kNack if it did not in time
+  kPingRequest = 3,  // ping `subject`; to be answered by kAck if it acked, by kNack if it did not in time
   kNack = 4,
-  kGossip = 5,   // news only
-  kDigest = 6,   // what I hold of the owners whose names lie in [range_from, range_to): tell me what is later
-  kRecords = 7,  // the answer: news and values, as many as fit
-  kLeave = 8,    // the sender's last word
+  kGossip = 5,   // updates only
+  kDigest = 6,   // what the sender knows of names in [range_from, range_to)
+  kRecords = 7,  // the answer: what is later at its sender, as much as fits
+  kLeave = 8,    // the sender leaves
 };
 
-// One line of a digest: the sender holds this of the member.
+// The version of one member, and of its values, that the sender of a digest knows.
 struct DigestEntry {
   BootId boot_id;
   std::uint64_t incarnation = 0;
@@ -44,8 +45,8 @@
   bool operator==(const Message&) const = default;
 };
 
-// Never less than what they take on the wire; the core packs by these, a test of the wire holds them to it.
-std::size_t MaxEncodedSize(const Message& message);  // without digest, news and values
+// Bytes, never less than the encoding takes; the core packs datagrams by these, and a test checks them.
+std::size_t MaxEncodedSize(const Message& message);  // without digest, updates and values
 std::size_t MaxEncodedSize(const DigestEntry& line);
 std::size_t MaxEncodedSize(const MembershipUpdate& update);
 std::size_t MaxEncodedSize(const Value& value);
--- a/src/gossip/probe_scheduler.cpp
+++ b/src/gossip/probe_scheduler.cpp
@@ -49,11 +49,11 @@
   if (now < next_round_) return step;
   const Duration interval = config_.probe_interval * (health_ + 1);
   next_round_ = now + interval;
-  const auto gone = [&](const std::string& name) {
+  const auto not_live = [&](const std::string& name) {
     const auto* member = membership.Find(name);
     return member == nullptr || member->update.state > MemberState::kSuspect;
   };
-  while (ring_position_ < ring_.size() && gone(ring_[ring_position_])) ++ring_position_;
+  while (ring_position_ < ring_.size() && not_live(ring_[ring_position_])) ++ring_position_;
   if (ring_position_ >= ring_.size()) {
     ring_ = membership.live();
     // live() is in the order of arrival; sorted first, so that only the seed decides.
--- a/src/gossip/probe_scheduler.h
+++ b/src/gossip/probe_scheduler.h
@@ -1,6 +1,9 @@
-// Whom to ask next, and what no answer means. One round at a time: a ping, then `indirect` others are asked,
-// then it is over. Health is this member's doubt in itself: it waits longer, and asks less often, the less it
-// hears. Pure.
+// Which member is probed next, and what a missing ack means. One round at a time: a ping, then
+// `indirect_probes` others are asked to ping, then it is over. The less a member receives, the higher is its
+// health score, the longer it waits and the less often it probes. Pure.
+//
+// Source: SWIM, sections 3.1 and 4.3 (round-robin probing over a shuffled list); Lifeguard, section IV.A
+// (local health multiplier); the table "Rules of probes" in docs/design/peers.md.
 #pragma once
 
 #include <map>
@@ -13,31 +16,34 @@
 
 namespace mothrack::gossip {
 
+// Lifeguard's bound of the local health multiplier. 0 is healthy.
 constexpr int kMaxHealthScore = 8;
-// Pings on others' behalf at once: more is a flood.
+// Relayed probes at once: more is a flood.
 constexpr std::size_t kMaxRelayedProbes = 256;
 
-// How a round ended, or what else tells this member of itself.
+// How a round ended, or what else this member learns about its own health.
 enum class Outcome {
-  kAcked,       // by the one asked, or by another on its behalf, before the round was over
-  kAllNacked,   // no ack, and every other that was asked answered so: this member hears well
-  kNackMissed,  // no ack, and another that was asked said nothing
-  kNoHelper,    // no ack, and there was no other to ask
-  kRefuted,     // it had to refute
-  kPaused,      // its own process did not run for a while
+  kAcked,       // by the probed member, or by a helper on its behalf, before the round was over
+  kAllNacked,   // no ack, and a nack of every helper: this member receives well
+  kNackMissed,  // no ack, and no answer at all from a helper
+  kNoHelper,    // no ack, and there was no helper
+  kRefuted,     // this member had to refute its suspicion or death
+  kPaused,      // this process did not run for a while
 };
 struct OutcomeEffect {
-  int health = 0;        // added, within 0 and kMaxHealthScore
-  bool suspect = false;  // the one asked
+  int health = 0;        // added to the score, within 0 and kMaxHealthScore
+  bool suspect = false;  // the probed member becomes suspected
 };
 OutcomeEffect EffectOf(Outcome outcome);
 
 class ProbeScheduler {
  public:
-  struct RelayedProbe {  // a ping on another's behalf
-    std::string subject, address;
-    std::uint64_t sequence = 0;  // the asker's
-    TimePoint until;
+  // A ping on behalf of another member.
+  struct RelayedProbe {
+    std::string subject;         // whom it pings
+    std::string address;         // of the requesting member
+    std::uint64_t sequence = 0;  // of its request
+    TimePoint until;             // then it gets a nack
   };
   struct Step {
     enum class What { kNone, kPing, kPingIndirectly, kRoundOver } what = What::kNone;
@@ -48,24 +54,24 @@
 
   ProbeScheduler(const ProtocolConfig& config, TimePoint now, Random& random);
 
-  // To be called until it says kNone.
+  // What is due; to be called until it is kNone.
   Step Next(TimePoint now, const Membership& membership, Random& random);
   void SetHelpers(const std::vector<std::string>& others) {
     helpers_.insert(others.begin(), others.end());
     any_helper_ = !others.empty();
   }
   void AddMember(const std::string& name, Random& random);
-  // True where it is the answer that the round waited for.
+  // True where it is the ack that the round waits for.
   bool OnAck(const std::string& by, std::uint64_t sequence);
   void OnNack(const std::string& by, std::uint64_t sequence);
 
-  // Its sequence, or nothing where there are too many.
+  // The sequence of its ping, or nothing where kMaxRelayedProbes are running.
   std::optional<std::uint64_t> StartRelayed(RelayedProbe probe);
   std::optional<RelayedProbe> FinishRelayed(const std::string& by, std::uint64_t sequence);
   std::vector<RelayedProbe> TakeOverdueRelayed(TimePoint now);
 
   void RecordOutcome(Outcome outcome);
-  // This process did not run: what is open is judged by nobody.
+  // This process did not run: no open round or relayed probe is judged.
   void Restart(TimePoint now);
   std::uint64_t NewSequence() { return ++sequence_; }
   int health() const { return health_; }
--- a/src/gossip/random.h
+++ b/src/gossip/random.h
@@ -1,4 +1,5 @@
-// Numbers drawn from a seed, the same with every standard library: its distributions are not.
+// Random numbers from a seed, the same with every standard library, whose distributions are not. SplitMix64
+// (Steele, Lea, Flood 2014). Not for secrets.
 #pragma once
 
 #include <cstddef>
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -1,10 +1,10 @@
-// The seal around each datagram: whoever has none of the cluster's keys is not received. It tells that a
-// datagram comes whole from a member, and not that it is secret; docs/design/peers_wire.md says why.
+// The seal around each datagram: a keyed BLAKE2b hash (RFC 7693), so that only holders of the cluster's key
+// are accepted. It gives integrity and authenticity, not secrecy; docs/design/peers_wire.md says why.
 //
 //   magic (2) | key's name (4) | stream (8) | count (8) | payload | tag (16)
 //
-// A stream is one process: a number drawn at its start. Its datagrams are counted through, whoever they go
-// to, so that one that comes again is known.
+// A stream is one process: a number drawn at its start. Its datagrams are numbered through, whoever they go
+// to, so that a replayed one is recognised.
 #pragma once
 
 #include <array>
@@ -25,12 +25,12 @@
 static_assert(kSealHead + kSealTag <= kMaxSealSize);
 constexpr std::size_t kMaxPayloadSize = kMaxDatagramSize - kMaxSealSize;
 
-// Which counts of each stream were received: the latest, and a bit for each of the 64 up to it. What lies
-// further back is taken for received: at 40 datagrams a second it is 1.6 s late, which no probe waits for,
-// and news comes again.
+// Which numbers of each stream were received: the latest, and a bit for each of the 64 up to it (the window
+// of RFC 4303, section 3.4.3). What lies further back counts as received: at 40 datagrams a second it is 1.6
+// s late, which no probe waits for, and updates are sent again.
 class ReplayWindow {
  public:
-  // As many streams as members; beyond, the one that was silent for longest is forgotten.
+  // As many streams as members; beyond, the one that was idle for longest is forgotten.
   explicit ReplayWindow(std::size_t max_streams = kMaxMembers) : max_streams_(max_streams) {}
   // False where it was received before, or may have been.
   bool Accept(std::uint64_t stream, std::uint64_t count);
@@ -41,16 +41,16 @@
     std::uint64_t id = 0, latest = 0, received = 0;  // bit n of `received`: latest - n
   };
   std::size_t max_streams_;
-  std::list<Stream> streams_;  // the one received last first
+  std::list<Stream> streams_;  // the one received last is first
   std::unordered_map<std::uint64_t, std::list<Stream>::iterator> by_id_;
 };
 
 enum class SealVerdict : std::uint8_t {
   kAccepted,
   kNoDatagram,  // too short, too long, or of something else that sends here
-  kUnknownKey,  // sealed with a key that is not in the ring: found without reckoning
+  kUnknownKey,  // sealed with a key that is not in the ring: rejected without hashing
   kForged,      // its tag is not what the key makes of it
-  kReplayed,    // received before, too late to tell, or this process's own come back
+  kReplayed,    // received before, too late to tell, or this process's own
 };
 
 struct SealCounts {
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -1,5 +1,5 @@
-// What the operator's file of a sidecar, and the fleet file of an agent, say under [peers]. Both files are
-// read by the same rules, through a Source each.
+// The section [peers] of a sidecar's operator file and of an agent's fleet file. Both are read by the same
+// rules, through a Source each.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 struct Settings {
   runtime::Endpoint listen;                    // UDP; port 0: the system picks one
   std::optional<runtime::Endpoint> advertise;  // where the others send to; absent: `listen`
-  std::string zone;                            // hall
+  std::string zone;                            // the datacenter zone that it stands in
   Role role = Role::kSidecar;
   std::string key_file;
   std::vector<runtime::Endpoint> seeds;
@@ -52,7 +52,7 @@
 extern const std::vector<TimeOf> kTimes;
 extern const std::vector<CountOf> kCounts;
 
-// "ip:port", as the peers tell it.
+// "ip:port", as members disseminate it.
 std::string Text(const runtime::Endpoint& endpoint);
 
 }  // namespace mothrack::gossip
--- a/src/gossip/update_queue.cpp
+++ b/src/gossip/update_queue.cpp
@@ -5,7 +5,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Pieces that did not fit, after which no more are tried: a datagram is not worth a walk over all that waits.
+// Updates that did not fit, after which no more are tried: a datagram is not worth a walk over the whole
+// queue.
 constexpr int kMaxMisfits = 8;
 
 }  // namespace
--- a/src/gossip/update_queue.h
+++ b/src/gossip/update_queue.h
@@ -1,5 +1,7 @@
-// What is still to be told on, and what of it goes into the next datagram: who is there before what they say,
-// the least told first, of these the youngest. Pure.
+// Updates that are still to be disseminated, and which of them go into the next datagram: members before
+// values, the least sent first, of these the latest. Pure.
+//
+// Source: SWIM, section 4.1 (piggybacked updates, those sent least first).
 #pragma once
 
 #include <map>
@@ -15,11 +17,11 @@
 
 class UpdateQueue {
  public:
-  // New: it counts from nothing. `key` empty: of the member itself. `of`: when it became so, by this member's
-  // clock.
+  // Queues it with no sends counted, also where it was queued already. `key` empty: the member itself.
+  // `changed_at`: when it became so, by this member's clock.
   void Add(const std::string& name, const std::string& key, TimePoint changed_at);
   void Drop(const std::string& name, const std::string& key);
-  // Puts in what fits into `room`; each piece at most `most` times in all.
+  // Appends what fits into `capacity` bytes; each update is sent at most `max_sends` times in all.
   void Fill(Message& message, std::size_t capacity, std::size_t max_sends, TimePoint now,
             const Membership& membership, const ValueStore& values);
   bool empty() const { return entries_.empty(); }
@@ -31,7 +33,8 @@
     std::size_t sends = 0;
     TimePoint changed_at;
   };
-  using Priority = std::tuple<bool, std::size_t, TimePoint::rep, Id>;  // a value; told; minus when; whose
+  // Is a value; sends; minus the time of the change; whose.
+  using Priority = std::tuple<bool, std::size_t, TimePoint::rep, Id>;
   static Priority PriorityOf(const Id& id, const Entry& entry) {
     return {!id.second.empty(), entry.sends, -entry.changed_at.time_since_epoch().count(), id};
   }
--- a/src/gossip/value_store.h
+++ b/src/gossip/value_store.h
@@ -1,4 +1,7 @@
-// What members say: small values that merge in any order, and lapse by their age. Pure.
+// Values that members publish: they merge in any order, and expire by their age. Pure.
+//
+// A state-based CRDT: the greatest version of an owner's latest boot wins. The table "Rules of values" in
+// docs/design/peers.md has its rules. Bounds: kMaxMembers owners, kMaxKeysPerOwner values each.
 #pragma once
 
 #include <map>
@@ -17,40 +20,42 @@
 class ValueStore {
  public:
   struct StoredValue {
-    Value value;  // `age` as of when it came
+    Value value;  // `age` as of `received_at`
     TimePoint received_at;
-    TimePoint due;         // looked at then; not after it has lapsed
+    TimePoint due;         // checked for expiry then; not once it expired
     bool expired = false;  // without bytes; its version is kept, so no old copy comes back
     Duration AgeAt(TimePoint now) const { return value.age + (now - received_at); }
   };
   enum class MergeOutcome {
-    kApplied,         // told on
-    kAged,            // the same version, but older than was thought: its age is taken, not told on
-    kStale,           // a former life's, an earlier version, or the same
-    kAppliedExpired,  // later, but its time is over: its version is remembered, and what it replaces lapses
+    kApplied,         // to be disseminated
+    kAged,            // the same version with a greater age: the age is applied, not disseminated
+    kStale,           // of a former boot, an earlier version, or the same
+    kAppliedExpired,  // later, but expired: its version is remembered, and what it replaces expires
     kFull,            // too many keys or owners
   };
   struct MergeResult {
     MergeOutcome outcome = MergeOutcome::kStale;
-    std::vector<Value> expired;  // by this: replaced by what is over, or a former life's
+    std::vector<Value> expired;  // by this merge: replaced by an expired version, or of a former boot
   };
 
   MergeResult Merge(const Value& value, TimePoint now);
   // The owner's own: a version above all before. False where there are too many keys.
   bool Put(const BootId& owner, const std::string& key, const std::string& bytes, Duration ttl,
            TimePoint now);
-  // Somebody tells a later version of an own value than was ever put: the own one is put above it.
+  // `value` has a later version of an own value than was ever put: the own one's version is raised above it.
+  // False where there is nothing to raise.
   bool RefuteVersion(const Value& value);
-  // The former life's values are nobody's any more; those of `keep` go over into this life.
+  // A later boot of an owner. `keep_values`: they pass to the new boot; otherwise they expire and are
+  // returned.
   std::vector<Value> AdvanceBoot(const BootId& boot_id, bool keep_values);
   std::vector<Value> ExpireDue(TimePoint now);
   void Forget(const std::string& owner);
 
   const StoredValue* Find(const std::string& owner, const std::string& key) const;
-  // As it is told now.
+  // With its age as of `now`, as it is sent.
   static Value WithCurrentAge(const StoredValue& stored, TimePoint now);
   const std::map<std::string, StoredValue>* ValuesOf(const BootId& owner) const;
-  std::uint64_t BootNumberOf(const std::string& owner) const;  // of the life whose values are held; 0: none
+  std::uint64_t BootNumberOf(const std::string& owner) const;  // of the boot whose values are stored; 0: none
   bool AllExpired(const std::string& owner) const;
   std::uint64_t HashOf(const BootId& owner) const;  // 0: none
   TimePoint next() const;
@@ -58,7 +63,7 @@
  private:
   struct Owner {
     std::uint64_t boot_number = 0;
-    std::uint64_t hash = 0;  // a sum, so that the order of arrival is nothing to it
+    std::uint64_t hash = 0;  // a sum, so that the order of arrival does not matter
     std::map<std::string, StoredValue> keys;
   };
   void Set(Owner& owner, StoredValue& stored, const Value& value, TimePoint now);
@@ -66,8 +71,8 @@
   void MarkExpired(StoredValue& stored);
 
   std::map<std::string, Owner> owners_;
-  // Each held value once, at a moment not after its time: renewed ones are looked at again, so that a new
-  // version costs nothing here.
+  // Each unexpired value once, at or before its expiry: renewed ones are checked again, so that a new version
+  // costs nothing here.
   std::set<std::tuple<TimePoint, std::string, std::string>> due_;
 };
 
