--- a/src/http/connection_pools.cpp
+++ b/src/http/connection_pools.cpp
@@ -51,7 +51,7 @@
   const dispatch::Location before = std::exchange(pool->location, location);
   const bool moved = before.endpoint != location.endpoint || before.boot_ms != location.boot_ms;
   if (location.state == UpstreamState::kServing && !moved) return nullptr;
-  const auto old = pool;
+  auto old = pool;
   if (moved) {
     // What is still out there belongs to the former process or place and is not pooled again.
     pool = std::make_shared<UpstreamPool>();
