--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -120,7 +120,7 @@
   event.arriving = request.arriving;
   const RequestId id = event.request;
 
-  Pending pending;
+  PendingRequest pending;
   pending.key = std::move(request.key);
   pending.request_class = request.request_class;
   pending.tenant = request.tenant;
@@ -128,8 +128,7 @@
   pending.deadline = request.deadline;
   pending.on_final = std::move(request.on_final);
   request_counters_.Taken(pending.request_class, pending.tenant);
-  pending.arriving = request.arriving;
-  if (!pending.arriving) CountInFlight(pending);
+  if (!request.arriving) Advance(pending, RequestEvent::kBodyComplete);
   requests_.emplace(id, std::move(pending));
   Deliver(event);
   return id;
@@ -137,32 +136,46 @@
 
 void Dispatcher::OnRequestComplete(RequestId id, runtime::TimePoint deadline) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || !std::exchange(it->second.arriving, false)) return;
+  if (it == requests_.end() || !Advance(it->second, RequestEvent::kBodyComplete)) return;
   it->second.deadline = deadline;
-  if (!it->second.ended) CountInFlight(it->second);
   Deliver(balancer::RequestComplete{id, deadline});
 }
 
 void Dispatcher::OnClientDisconnected(RequestId id) {
   const auto it = requests_.find(id);
-  if (it == requests_.end() || (!it->second.on_final && !it->second.streaming)) return;
+  if (it == requests_.end()) return;
+  if (!Finish(it->second, RequestEvent::kClientDisconnected, RequestCounters::Outcome::kLeft)) return;
   it->second.on_final = nullptr;
-  it->second.streaming = false;
-  Count(it->second, RequestCounters::Outcome::kLeft);
   Deliver(balancer::ClientDisconnected{id});
   AbandonUnsent(id);
   ForgetIfDone(id);
 }
 
+bool Dispatcher::Advance(PendingRequest& pending, RequestEvent event) {
+  const auto next = NextState(pending.state, event);
+  if (!next) return false;
+  if (IsInFlight(pending.state)) --in_flight_;
+  if (IsInFlight(*next)) ++in_flight_;
+  pending.state = *next;
+  return true;
+}
+
+bool Dispatcher::Finish(PendingRequest& pending, RequestEvent event, RequestCounters::Outcome outcome) {
+  if (!Advance(pending, event)) return false;
+  request_counters_.Ended(pending.request_class, pending.tenant, outcome);
+  return true;
+}
+
 // The request is this attempt's from here on: the module calls the others off.
 void Dispatcher::Started(RequestId id, AttemptId attempt, std::unique_ptr<Reply> reply) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
-  Pending& pending = it->second;
-  const auto on_final = std::exchange(pending.on_final, nullptr);
+  PendingRequest& pending = it->second;
   // Nobody wants it any more.
-  if (!on_final) return transport_.Cancel(pending.attempts[static_cast<std::size_t>(attempt)]);
-  pending.streaming = true;
+  if (!Advance(pending, RequestEvent::kAnswerStarted)) {
+    return transport_.Cancel(pending.attempts[static_cast<std::size_t>(attempt)]);
+  }
+  const auto on_final = std::exchange(pending.on_final, nullptr);
   pending.winner = attempt;
   Final final;
   final.kind = Final::Kind::kServed;
@@ -181,23 +194,23 @@
 void Dispatcher::Ended(RequestId id, AttemptId attempt, ExchangeResult result) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
-  Pending& pending = it->second;
+  PendingRequest& pending = it->second;
   --pending.out;
   pending.last = result.outcome;
   const bool served = result.outcome == Outcome::kServed;
-  if (pending.streaming && pending.winner == attempt) {
-    pending.streaming = false;
-    Count(pending, served ? RequestCounters::Outcome::kServed : RequestCounters::Outcome::kFailed);
+  if (IsStreaming(pending.state) && pending.winner == attempt) {
+    Finish(pending, RequestEvent::kStreamEnded,
+           served ? RequestCounters::Outcome::kServed : RequestCounters::Outcome::kFailed);
   }
-  const bool finished = served || !pending.on_final;
+  const bool finished = served || !AwaitsFinal(pending.state);
   {
     // The module hears of the end ahead of what the front does on it, such as taking the next request in.
     const Busy busy(delivering_);
     events_.emplace_back(AttemptEnded{id, attempt, result.outcome, result.elapsed, finished, result.load});
     if (!served) {
       pending.last_reply = std::move(result.reply);
-    } else if (const auto on_final = std::exchange(pending.on_final, nullptr)) {
-      Count(pending, RequestCounters::Outcome::kServed);
+    } else if (Finish(pending, RequestEvent::kFinalGiven, RequestCounters::Outcome::kServed)) {
+      const auto on_final = std::exchange(pending.on_final, nullptr);
       Final final;
       final.kind = Final::Kind::kServed;
       final.reply = std::move(result.reply);
@@ -215,15 +228,16 @@
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   // Of one that still comes the time has not begun.
-  final.late = !it->second.arriving && Now() >= it->second.deadline;
+  final.late = !IsArriving(it->second.state) && Now() >= it->second.deadline;
   final.attempts = it->second.attempts.size();
   final.last = it->second.last;
   final.reply = std::move(it->second.last_reply);
-  if (const auto on_final = std::exchange(it->second.on_final, nullptr)) {
-    const bool refused = final.kind == Final::Kind::kRejected;
-    Count(it->second, refused      ? RequestCounters::Outcome::kRejected
-                      : final.late ? RequestCounters::Outcome::kLate
-                                   : RequestCounters::Outcome::kFailed);
+  const bool rejected = final.kind == Final::Kind::kRejected;
+  const auto outcome = rejected     ? RequestCounters::Outcome::kRejected
+                       : final.late ? RequestCounters::Outcome::kLate
+                                    : RequestCounters::Outcome::kFailed;
+  if (Finish(it->second, RequestEvent::kFinalGiven, outcome)) {
+    const auto on_final = std::exchange(it->second.on_final, nullptr);
     on_final(std::move(final));
   }
   AbandonUnsent(id);
@@ -243,8 +257,7 @@
 void Dispatcher::ForgetIfDone(RequestId id) {
   if (delivering_) return done_.push_back(id);
   const auto it = requests_.find(id);
-  if (it == requests_.end() || it->second.on_final || it->second.out > 0) return;
-  if (it->second.counted) --in_flight_;  // refused or failed while it still came
+  if (it == requests_.end() || AwaitsFinal(it->second.state) || it->second.out > 0) return;
   if (!it->second.key.empty()) keys_.Ended(std::move(it->second.key), Now());
   requests_.erase(it);
 }
@@ -252,7 +265,7 @@
 void Dispatcher::CarryOut(const balancer::SendAttempt& action) {
   const auto it = requests_.find(action.request);
   if (it == requests_.end()) return;
-  Pending& pending = it->second;
+  PendingRequest& pending = it->second;
   const AttemptId attempt{pending.attempts.size()};
   const ExchangeId exchange{++last_exchange_};
   pending.attempts.push_back(exchange);
@@ -268,7 +281,8 @@
     Ended(id, attempt, std::move(result));
   };
   // The client left or has its answer: nothing more is sent for it.
-  if (!pending.on_final) return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
+  if (!AwaitsFinal(pending.state))
+    return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   transport_.Send(exchange, action.upstream.value, pending.message, action.timeout, std::move(hooks));
 }
 
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -19,6 +19,7 @@
 #include "dispatch/membership.h"
 #include "dispatch/recent_request_ids.h"
 #include "dispatch/request_counters.h"
+#include "dispatch/request_state.h"
 #include "dispatch/upstream_overrides.h"
 #include "runtime/clock.h"
 #include "runtime/log.h"
@@ -76,18 +77,15 @@
   std::size_t in_flight() const { return in_flight_; }
 
  private:
-  struct Pending {
+  struct PendingRequest {
     std::string key;
     balancer::ClassId request_class{};
     std::optional<balancer::TenantId> tenant;
     std::shared_ptr<const Message> message;
     runtime::TimePoint deadline;
-    bool arriving = false;   // its body still comes
-    bool counted = false;    // among those that are owed their end
-    bool ended = false;      // its outcome is counted
-    bool streaming = false;  // its answer has begun, with the attempt `winner`
-    balancer::AttemptId winner{};
-    OnFinal on_final;  // empty once the request has its answer or its client is gone
+    RequestState state = RequestState::kArriving;
+    balancer::AttemptId winner{};  // whose answer is streaming, once one is
+    OnFinal on_final;              // called at most once, while the state awaits the Final
     std::vector<ExchangeId> attempts;
     std::size_t out = 0;  // attempts that have not ended
     std::optional<balancer::Outcome> last;
@@ -109,15 +107,11 @@
   // Nobody waits for its answer any more: what has not begun upstream must not begin.
   void AbandonUnsent(balancer::RequestId id);
   void ForgetIfDone(balancer::RequestId id);
-  void CountInFlight(Pending& pending) {
-    pending.counted = true;
-    ++in_flight_;
-  }
-  void Count(Pending& pending, RequestCounters::Outcome outcome) {
-    if (std::exchange(pending.ended, true)) return;
-    if (std::exchange(pending.counted, false)) --in_flight_;
-    request_counters_.Ended(pending.request_class, pending.tenant, outcome);
-  }
+  // Takes the request to the state that `event` leads to and keeps in_flight_; false, and nothing changes,
+  // where the event does not apply.
+  bool Advance(PendingRequest& pending, RequestEvent event);
+  // An event that ends the request: its outcome is counted, once.
+  bool Finish(PendingRequest& pending, RequestEvent event, RequestCounters::Outcome outcome);
 
   void CarryOut(const balancer::SendAttempt& action);
   void CarryOut(const balancer::CancelAttempt& action);
@@ -138,7 +132,7 @@
   std::vector<balancer::Action> actions_;
   bool delivering_ = false;
   std::vector<balancer::RequestId> done_;  // to be forgotten behind this turn
-  std::unordered_map<balancer::RequestId, Pending> requests_;
+  std::unordered_map<balancer::RequestId, PendingRequest> requests_;
   RequestCounters request_counters_;
   std::size_t in_flight_ = 0;
   UpstreamOverrides upstream_overrides_;
