--- /dev/null
+++ b/src/hot_restart/client.cpp
@@ -0,0 +1,108 @@
+#include "hot_restart/client.h"
+
+#include <poll.h>
+#include <sys/socket.h>
+#include <unistd.h>
+
+#include <array>
+#include <boost/asio/local/stream_protocol.hpp>
+#include <cerrno>
+#include <chrono>
+#include <stdexcept>
+#include <string_view>
+#include <thread>
+#include <utility>
+
+#include "hot_restart/socket_passing.h"
+
+namespace mothrack::hot_restart {
+namespace {
+
+using boost::system::error_code;
+using nlohmann::json;
+using Protocol = boost::asio::local::stream_protocol;
+
+constexpr auto kAskAgain = std::chrono::milliseconds(50);
+constexpr std::size_t kReadSize = 16384;
+
+// All of it, on a socket that blocks; false where the connection broke.
+bool SendAll(int to, std::string_view text) {
+  while (!text.empty()) {
+    const ssize_t sent = ::send(to, text.data(), text.size(), MSG_NOSIGNAL);
+    if (sent < 0 && errno != EINTR) return false;
+    if (sent > 0) text.remove_prefix(static_cast<std::size_t>(sent));
+  }
+  return true;
+}
+
+// Is there something to read, or the end, before `until`?
+bool Readable(int descriptor, std::chrono::steady_clock::time_point until) {
+  while (true) {
+    const auto left =
+        std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
+    if (left.count() <= 0) return false;
+    pollfd ready{descriptor, POLLIN, 0};
+    const int events = ::poll(&ready, 1, static_cast<int>(left.count()));
+    if (events >= 0) return events > 0;
+    if (errno != EINTR) return false;
+  }
+}
+
+// One try: the line that came, with the socket; nothing where it ended or took too long.
+std::optional<json> AskOnce(Protocol::socket& socket, std::chrono::steady_clock::time_point until,
+                            int& listening, std::string& rest) {
+  const std::string ask = json{{"takeover", kVersion}}.dump() + '\n';
+  if (!SendAll(socket.native_handle(), ask)) return std::nullopt;
+  std::string text;
+  while (text.size() < kLongestLine) {
+    if (!Readable(socket.native_handle(), until)) return std::nullopt;
+    std::array<char, kReadSize> part;
+    const ssize_t got = Receive(socket.native_handle(), part.data(), part.size(), listening);
+    if (got <= 0) return std::nullopt;
+    text.append(part.data(), static_cast<std::size_t>(got));
+    while (!text.empty() && text.front() == kWithSocket) text.erase(0, 1);
+    if (const auto end = text.find('\n'); end != std::string::npos) {
+      json line = json::parse(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(end), nullptr, false);
+      rest = text.substr(end + 1);  // what was told since
+      if (line.is_object()) return line;
+      return std::nullopt;
+    }
+  }
+  return std::nullopt;
+}
+
+}  // namespace
+
+std::optional<Taken> TakeOver(boost::asio::io_context& io, const std::string& path,
+                              runtime::Duration patience, runtime::Logger& log) {
+  const auto until = std::chrono::steady_clock::now() + patience;
+  while (true) {
+    Protocol::socket socket(io);
+    error_code error;
+    socket.connect(Protocol::endpoint(path), error);
+    if (error) return std::nullopt;  // nobody serves
+    Taken taken;
+    std::string rest;
+    const auto answer = AskOnce(socket, until, taken.listening, rest);
+    const bool busy = answer && answer->contains("busy");
+    std::string fault = busy ? "another successor gets ready" : "it did not answer";
+    if (answer && !busy) {
+      try {
+        taken.state = FromJson(*answer);
+        if (!IsListening(taken.listening)) throw std::runtime_error("it gave no listening socket");
+        taken.link = std::make_shared<Link>(std::move(socket), std::move(rest));
+        return taken;
+      } catch (const std::exception& e) {
+        fault = e.what();
+      }
+    }
+    if (taken.listening >= 0) ::close(taken.listening);
+    if (!busy || std::chrono::steady_clock::now() + kAskAgain > until) {
+      log.Line("handover: nothing taken over from the process that serves: " + fault);
+      return std::nullopt;
+    }
+    std::this_thread::sleep_for(kAskAgain);
+  }
+}
+
+}  // namespace mothrack::hot_restart
--- /dev/null
+++ b/src/sidecar/admin_section.cpp
@@ -0,0 +1,78 @@
+#include "sidecar/admin_section.h"
+
+#include <sys/stat.h>
+#include <sys/un.h>
+
+#include <algorithm>
+#include <fstream>
+#include <string>
+#include <string_view>
+
+namespace mothrack::sidecar {
+namespace {
+
+constexpr std::string_view kUnixPrefix = "unix:";
+// Characters. The lower bound keeps a token from being guessed: 16 hexadecimal digits are 64 bits.
+constexpr std::size_t kMinToken = 16;
+constexpr std::size_t kMaxToken = 256;
+// Bytes of a Unix socket's path, without the zero behind it.
+constexpr std::size_t kMaxUnixPath = sizeof(sockaddr_un::sun_path) - 1;
+
+// The token that the file at `path` holds. Whoever can read it is let in, so nobody else may.
+std::string ReadToken(const TomlTable& table, const std::string& path) {
+  struct stat info {};
+  std::ifstream stream(path);
+  std::string token;
+  if (::stat(path.c_str(), &info) != 0 || !stream || !std::getline(stream, token)) {
+    table.Fail("token_file", path + " cannot be read; put a token into it, as from openssl rand -hex 16");
+  }
+  if ((info.st_mode & (S_IRWXG | S_IRWXO)) != 0) {
+    table.Fail("token_file", path + " is open to others; chmod 600 it");
+  }
+  const bool visible = std::all_of(token.begin(), token.end(), [](char c) { return c > ' ' && c < 127; });
+  if (token.size() < kMinToken || token.size() > kMaxToken || !visible) {
+    table.Fail("token_file", path + ": its first line is no token; make it 16 to 256 visible characters");
+  }
+  return token;
+}
+
+std::string ReadUnixPath(const TomlTable& table, const std::string& listen) {
+  std::string path = listen.substr(kUnixPrefix.size());
+  if (!path.starts_with('/') || path.size() > kMaxUnixPath) {
+    table.Fail("listen", "is no path of a Unix socket; give a full path of at most " +
+                             std::to_string(kMaxUnixPath) + " bytes");
+  }
+  return path;
+}
+
+}  // namespace
+
+admin::Settings ReadAdmin(TomlTable& table) {
+  admin::Settings admin;
+  const std::string listen = table.RequiredText("listen", "unix:/run/mothrack/admin.sock");
+  const auto token_file = table.Text("token_file");
+  if (listen.starts_with(kUnixPrefix)) {
+    admin.unix_path = ReadUnixPath(table, listen);
+    if (token_file) table.Fail("token_file", "a Unix socket takes none: its mode guards it; take it out");
+    return admin;
+  }
+  admin.endpoint = runtime::ParseEndpoint(listen);
+  if (!admin.endpoint || !admin.endpoint->address().is_loopback()) {
+    table.Fail("listen", Quoted(listen) +
+                             " is neither a Unix socket nor a loopback address; write it as "
+                             "\"unix:/run/mothrack/admin.sock\" or \"127.0.0.1:7080\"");
+  }
+  if (!token_file) {
+    table.Fail("listen", "an address lets anyone on the machine in; add token_file, or use a Unix socket");
+  }
+  admin.token_file = *token_file;
+  admin.token = ReadToken(table, admin.token_file);
+  return admin;
+}
+
+toml::table ToToml(const admin::Settings& admin) {
+  if (!admin.endpoint) return toml::table{{"listen", std::string(kUnixPrefix) + admin.unix_path}};
+  return toml::table{{"listen", ToText(*admin.endpoint)}, {"token_file", admin.token_file}};
+}
+
+}  // namespace mothrack::sidecar
--- a/src/sidecar/hot_restart_coordinator.h
+++ b/src/sidecar/hot_restart_coordinator.h
@@ -10,7 +10,8 @@
 #include <set>
 #include <string>
 
-#include "hot_restart/handover.h"
+#include "hot_restart/client.h"
+#include "hot_restart/server.h"
 #include "runtime/descriptors.h"
 #include "runtime/log.h"
 #include "sidecar/sidecar.h"
--- a/src/sidecar/program.cpp
+++ b/src/sidecar/program.cpp
@@ -1,8 +1,5 @@
 #include "sidecar/program.h"
 
-#include <sys/resource.h>
-
-#include <algorithm>
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/signal_set.hpp>
 #include <boost/system/system_error.hpp>
@@ -17,7 +14,6 @@
 #include "admin/operator_api.h"
 #include "admin/report.h"
 #include "dns/service.h"
-#include "hot_restart/handover.h"
 #include "runtime/descriptors.h"
 #include "runtime/log.h"
 #include "sidecar/config.h"
@@ -25,61 +21,12 @@
 #include "sidecar/hot_restart_coordinator.h"
 #include "sidecar/operator_file.h"
 #include "sidecar/peers_link.h"
+#include "sidecar/program_settings.h"
 #include "sidecar/sidecar.h"
 
 namespace mothrack::sidecar {
 namespace {
 
-// As many descriptors as a process may usually hold, where nobody said.
-constexpr std::size_t kUsualSockets = 1024;
-
-// What the program is told, at its start and on each SIGHUP: by the platform, by the operator's file, by
-// both.
-struct Told {
-  std::optional<Config> platform;
-  std::optional<OperatorFile> file;
-  std::string shared_path;  // of what two processes of this sidecar find each other by; empty: they don't
-
-  std::string name() const { return platform ? platform->name : file->name; }
-  std::size_t sockets() const {
-    rlimit limit{};
-    std::size_t sockets = platform ? platform->sockets : kUsualSockets;
-    if (file && file->sockets) sockets = platform ? std::min(sockets, *file->sockets) : *file->sockets;
-    if (::getrlimit(RLIMIT_NOFILE, &limit) == 0 && limit.rlim_cur != RLIM_INFINITY) {
-      sockets = std::min<std::size_t>(sockets, limit.rlim_cur);
-    }
-    return sockets;
-  }
-  // Open all the time, of what only some installations have.
-  std::size_t fixed_descriptors() const {
-    std::size_t fixed = 0;
-    if (file && file->dns) fixed += dns::Service::FixedDescriptors(*file->dns);
-    if (file && file->admin) fixed += admin::AdminApi::kFixedDescriptors;
-    if (file) fixed += PeersLink::FixedDescriptors(*file);
-    if (platform && platform->ops) fixed += admin::OperatorApi::kFixedDescriptors;
-    return fixed;
-  }
-};
-
-Told Read(const std::optional<std::string>& path, const std::function<const char*(const char*)>& variable) {
-  Told told;
-  if (path) told.file = LoadOperatorFile(*path);
-  bool platform = !path;
-  for (const char* name : {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"}) {
-    const char* value = variable(name);
-    platform = platform || (value != nullptr && *value != '\0');
-  }
-  if (platform) told.platform = LoadConfig(variable);
-  const char* shared = variable("TMPDIR");
-  if (platform && shared != nullptr && *shared != '\0') {
-    told.shared_path = std::string(shared) + "/mothrack-" + HashOf(variable("LB_LISTEN") + told.name());
-  }
-  if (!platform && !told.file->dns) {
-    throw ConfigError(*path + ": names nothing to start; add [dns], or set the LB_* variables");
-  }
-  return told;
-}
-
 class Program {
  public:
   using ReadAgain = std::function<Told()>;
