--- /dev/null
+++ b/tests/sidecar/client_limits_test.cpp
@@ -0,0 +1,130 @@
+// The real program between scripted peers: bounds on descriptors, and clients of which the system tells
+// nothing.
+
+#include <chrono>
+#include <memory>
+#include <string>
+#include <thread>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "sidecar/node_cases.h"
+#include "standins/peers.h"
+
+namespace mothrack::testing {
+namespace {
+
+using std::chrono::milliseconds;
+
+TEST(Descriptors, StayWithinTheLimitAndClientsAreServed) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node::Options options = With(List({Target("u1", upstream.address())}));
+  options.sockets = 64;
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  // More clients than there are descriptors; each asks once and stays.
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int i = 0; i < 150; ++i) {
+    clients.push_back(std::make_unique<Client>(node.port()));
+    const auto response = clients.back()->Get("/page/k", "d" + std::to_string(i));
+    ASSERT_TRUE(response) << i;
+    EXPECT_EQ(response->result_int(), 200U) << i;
+    ASSERT_LE(node.descriptors(), 64) << i;
+  }
+}
+
+// Guards against making room for a client that is not there at the cost of the last one that came.
+TEST(Descriptors, LastOneThatFitsIsServedThoughItTakesAMoment) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node::Options options = With(List({Target("u1", upstream.address())}));
+  options.sockets = 64;
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int i = 0; i < 30; ++i) {
+    clients.push_back(std::make_unique<Client>(node.port()));
+    std::this_thread::sleep_for(milliseconds(20));
+    const auto response = clients.back()->Get("/page/k", "l" + std::to_string(i));
+    ASSERT_TRUE(response) << i;
+    EXPECT_EQ(response->result_int(), 200U) << i;
+  }
+}
+
+// Many clients connect and say nothing: usual clients are served all the same.
+TEST(Descriptors, SilentClientsKeepNobodyOut) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node::Options options = With(List({Target("u1", upstream.address())}));
+  options.sockets = 64;
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  std::vector<std::unique_ptr<Client>> silent;
+  for (int i = 0; i < 100; ++i) silent.push_back(std::make_unique<Client>(node.port()));
+  for (int i = 0; i < 5; ++i) {
+    Client usual(node.port());
+    const auto response = usual.Get("/page/k", "v" + std::to_string(i));
+    ASSERT_TRUE(response) << i;
+    EXPECT_EQ(response->result_int(), 200U);
+  }
+  for (const auto& client : silent) EXPECT_TRUE(client->wire.ReadsEnd());
+}
+
+TEST(Descriptors, RunningOutOfThemIsSurvived) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node::Options options = With(List({Target("u1", upstream.address())}));
+  {
+    Node usual(options);
+    ASSERT_TRUE(usual.Listening());
+    // The system allows less than the deployment said.
+    options.few_sockets = usual.descriptors() + 6;
+  }
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int i = 0; i < 40; ++i) {
+    clients.push_back(std::make_unique<Client>(node.port()));
+    const auto response = clients.back()->Get("/page/k", "e" + std::to_string(i));
+    ASSERT_TRUE(response) << i;
+    EXPECT_TRUE(response->result_int() == 200U || response->result_int() == 503U) << response->result_int();
+  }
+  clients.clear();
+  EXPECT_TRUE(BecomesServedBy(node, "u /page/k"));
+}
+
+std::size_t Count(const std::string& text, const std::string& part) {
+  std::size_t count = 0;
+  for (auto at = text.find(part); at != std::string::npos; at = text.find(part, at + 1)) ++count;
+  return count;
+}
+
+// A class's deadline is 5 s here: a client of which the system says nothing is found well within it.
+TEST(WakeUps, ClientsAreServedWhereTheSystemNeverTellsOfThem) {
+  Upstream upstream(Upstream::Echo("u"));
+  Node::Options options = With(List({Target("u1", upstream.address())}));
+  options.lost_wakes = true;
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  std::vector<std::unique_ptr<Client>> clients;
+  for (int i = 0; i < 5; ++i) {
+    clients.push_back(std::make_unique<Client>(node.port()));
+    const auto response = clients.back()->Get("/page/k", "w" + std::to_string(i));
+    ASSERT_TRUE(response) << i;
+    EXPECT_EQ(response->result_int(), 200U);
+  }
+  EXPECT_EQ(Count(node.log(), "the system did not tell"), 1U);
+}
+
+// Nothing else happens at the sidecar, and no client comes behind the one that waits.
+TEST(WakeUps, LoneClientsOneAfterTheOther) {
+  Node node(With(List({})));
+  ASSERT_TRUE(node.Listening());
+  for (int i = 0; i < 10000; ++i) {
+    Client client(node.port());
+    ASSERT_TRUE(client.Send("GET /up HTTP/1.1\r\nHost: h\r\n\r\n"));
+    ASSERT_TRUE(client.Read()) << i;
+    client.wire.Reset();
+  }
+  EXPECT_EQ(Count(node.log(), "the system did not tell"), 0U);
+}
+
+}  // namespace
+}  // namespace mothrack::testing
--- /dev/null
+++ b/tests/sidecar/node_cases.h
@@ -0,0 +1,69 @@
+// What the tests of the real program share: nodes between scripted upstreams, and what is often asked of
+// them.
+#pragma once
+
+#include <cstddef>
+#include <future>
+#include <string>
+
+#include "standins/peers.h"
+
+namespace mothrack::testing {
+
+// Holds a script up until the test lets it go on.
+class Gate {
+ public:
+  void Open() { promise_.set_value(); }
+  void Pass() const { opened_.wait(); }
+
+ private:
+  std::promise<void> promise_;
+  std::shared_future<void> opened_ = promise_.get_future().share();
+};
+
+// A node that begins with `known` as its list of upstreams.
+inline Node::Options With(const json& known, json settings = Settings()) {
+  Node::Options options;
+  options.known = known;
+  options.settings = std::move(settings);
+  return options;
+}
+
+// The status that an unsafe request ends with, for one upstream that behaves like this: 503 says that nothing
+// ran, 502 and 504 that it may have.
+inline unsigned UnsafeStatus(const std::string& address, int timeout_ms, std::size_t body = 10) {
+  Node node(With(List({Target("u1", address)})));
+  if (!node.Listening()) return 0;
+  Client client(node.port());
+  const auto response = client.Post("/submit/k", "a1", std::string(body, 'x'), timeout_ms);
+  return response ? response->result_int() : 0;
+}
+
+// How much of a message a connection takes whose narrow other end never reads.
+inline std::size_t TakenUnread() {
+  boost::asio::io_context io;
+  tcp::acceptor acceptor(io, tcp::v4());
+  MakeNarrow(acceptor);
+  acceptor.bind({boost::asio::ip::make_address_v4("127.0.0.1"), 0});
+  acceptor.listen();
+  tcp::socket socket(io);
+  socket.connect(acceptor.local_endpoint());
+  socket.non_blocking(true);
+  boost::system::error_code error;
+  const std::string bytes(65536, 'x');
+  std::size_t taken = 0;
+  while (!error && taken < bytes.size()) taken += socket.write_some(boost::asio::buffer(bytes), error);
+  return taken;
+}
+
+// Sends requests until one is answered with this body.
+inline bool BecomesServedBy(Node& node, const std::string& body) {
+  static int number = 0;
+  return Eventually([&] {
+    Client client(node.port());
+    const auto response = client.Get("/page/k", "w" + std::to_string(number++));
+    return response && response->body() == body;
+  });
+}
+
+}  // namespace mothrack::testing
--- /dev/null
+++ b/tests/sidecar/reload_test.cpp
@@ -0,0 +1,88 @@
+// The real program between scripted peers: SIGHUP reads the configuration again.
+
+#include <csignal>
+#include <string>
+
+#include "gtest/gtest.h"
+#include "sidecar/node_cases.h"
+#include "standins/peers.h"
+
+namespace mothrack::testing {
+namespace {
+
+std::string FollowingTo(const Node& node, const std::string& discovery) {
+  json config = node.config();
+  config["discovery"] = discovery;
+  return config.dump();
+}
+
+// Guards against ending on SIGHUP, and against a version or a pause that belonged to the old address.
+TEST(Reload, FollowsTheNewDiscoveryEachTime) {
+  Upstream a(Upstream::Echo("a"));
+  Upstream b(Upstream::Echo("b"));
+  Discovery first(List({Target("u1", a.address())}));
+  for (int i = 0; i < 5; ++i)
+    first.Tell(List({Target("u1", a.address())}));  // a higher version than the next
+  Discovery second(List({Target("u2", b.address())}));
+  Node::Options options = With(nullptr);
+  options.discovery = first.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
+  node.Reload(FollowingTo(node, second.address()));  // with a watch open
+  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+  first.Set(Discovery::Mood::kBreaks);
+  node.Reload(FollowingTo(node, first.address()));
+  ASSERT_TRUE(Eventually([&] { return node.log().find("discovery: ") != std::string::npos; }));
+  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list stands
+  for (int i = 0; i < 3; ++i) node.Reload(FollowingTo(node, second.address()));
+  second.Tell(List({Target("u1", a.address())}));
+  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+  node.Signal(SIGTERM);
+  node.Reload(FollowingTo(node, first.address()));  // in a drain
+  EXPECT_EQ(node.Wait(), 0);
+}
+
+TEST(Reload, FaultIsLoggedAndTheOldConfigurationStays) {
+  Upstream a(Upstream::Echo("a"));
+  Upstream b(Upstream::Echo("b"));
+  Discovery discovery(List({Target("u1", a.address())}));
+  Node::Options options = With(nullptr);
+  options.discovery = discovery.address();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
+  json known = node.config();
+  known["known"] = {{"no", "list"}};
+  for (const auto& text : {std::string("{"), FollowingTo(node, "nowhere"), known.dump()}) {
+    const auto faults = [&node] {
+      const std::string log = node.log();
+      int count = 0;
+      for (auto at = log.find("not taken"); at != std::string::npos; at = log.find("not taken", at + 1))
+        ++count;
+      return count;
+    };
+    const int before = faults();
+    node.Reload(text);
+    EXPECT_TRUE(Eventually([&] { return faults() > before; })) << text;
+  }
+  discovery.Tell(List({Target("u2", b.address())}));
+  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
+}
+
+// The file can be replaced under a running process, its environment can't: after a restart it counts too.
+TEST(Reload, FileCountsBeforeTheEnvironment) {
+  Upstream a(Upstream::Echo("a"));
+  Discovery discovery(List({Target("u1", a.address())}));
+  Node::Options options = With(nullptr);
+  options.discovery = "127.0.0.1:1";
+  json config = Node(options).config();
+  config["discovery"] = discovery.address();
+  options.config_text = config.dump();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
+}
+
+}  // namespace
+}  // namespace mothrack::testing
