--- a/src/hot_restart/client.cpp
+++ b/src/hot_restart/client.cpp
@@ -13,6 +13,7 @@
 #include <thread>
 #include <utility>
 
+#include "hot_restart/messages.h"
 #include "hot_restart/socket_passing.h"
 
 namespace mothrack::hot_restart {
@@ -53,7 +54,7 @@
 // the socket that came along, `remainder` what came behind the line.
 std::optional<json> FetchState(Protocol::socket& socket, std::chrono::steady_clock::time_point until,
                                int& listening, std::string& remainder) {
-  const std::string request = json{{"takeover", kVersion}}.dump() + '\n';
+  const std::string request = json{{kTakeOverKey, kVersion}}.dump() + '\n';
   if (!SendAll(socket.native_handle(), request)) return std::nullopt;
   std::string text;
   while (text.size() < kLongestLine) {
@@ -86,7 +87,7 @@
     InheritedState inherited;
     std::string remainder;
     const auto answer = FetchState(socket, until, inherited.listening, remainder);
-    const bool busy = answer && answer->contains("busy");
+    const bool busy = answer && answer->contains(kBusyKey);
     std::string fault = busy ? "another successor gets ready" : "it did not answer";
     if (answer && !busy) {
       try {
--- a/src/hot_restart/server.cpp
+++ b/src/hot_restart/server.cpp
@@ -34,7 +34,7 @@
       predecessor_(std::move(predecessor)) {
   if (!predecessor_) return;
   const auto link = predecessor_;  // it may end at once
-  link->Start([this](const json& line) { handler_.OnMessage(line); },
+  link->Start([this](const json& line) { handler_.OnUpdate(ParseUpdate(line)); },
               [this] {
                 predecessor_.reset();
                 handler_.OnPredecessorExited();
@@ -50,7 +50,7 @@
 }
 
 void HotRestartServer::AnnounceReady() {
-  if (predecessor_) predecessor_->Send({{"ready", true}});
+  if (predecessor_) predecessor_->Send({{kReadyKey, true}});
   ListenOrLog();
 }
 
@@ -110,14 +110,14 @@
 
 void HotRestartServer::OnCandidateMessage(const std::shared_ptr<Link>& link, const json& line) {
   if (link == successor_) {
-    if (!line.contains("ready")) return handler_.OnMessage(line);
+    if (!line.contains(kReadyKey)) return handler_.OnUpdate(ParseUpdate(line));
     if (std::exchange(successor_ready_, true)) return;
     log_.Line("handover: a successor takes clients");
     return handler_.OnSuccessorReady();
   }
-  if (!line.contains("takeover")) return link->Close();
+  if (!line.contains(kTakeOverKey)) return link->Close();
   if (successor_) {
-    link->Send({{"busy", true}});
+    link->Send({{kBusyKey, true}});
     return;
   }
   HandOverTo(link);
@@ -140,13 +140,13 @@
   link->Send(ToJson(handler_.ExportState()));
 }
 
-void HotRestartServer::Notify(const json& line) {
-  if (predecessor_) predecessor_->Send(line);
-  NotifySuccessor(line);
+void HotRestartServer::Notify(const Update& update) {
+  if (predecessor_) predecessor_->Send(ToJson(update));
+  NotifySuccessor(update);
 }
 
-void HotRestartServer::NotifySuccessor(const json& line) {
-  if (successor_) successor_->Send(line);
+void HotRestartServer::NotifySuccessor(const Update& update) {
+  if (successor_) successor_->Send(ToJson(update));
 }
 
 }  // namespace mothrack::hot_restart
--- a/src/hot_restart/server.h
+++ b/src/hot_restart/server.h
@@ -6,9 +6,9 @@
 // successor's first step.
 //
 // Lines, either way (link.h): {"takeover":1} asks; the state answers, or {"busy":true} while another
-// successor gets ready; {"ready":true} says that the successor accepts clients; then {"ban":ID},
-// {"unban":ID},
-// {"rest":bool}, {"id":ID}, {"sockets":N}.
+// successor gets ready; {"ready":true} says that the successor accepts clients. All others are Updates
+// (messages.h):
+// {"ban":ID}, {"unban":ID}, {"rest":bool}, {"id":ID}, {"sockets":N}.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,6 +18,7 @@
 #include <string>
 
 #include "hot_restart/link.h"
+#include "hot_restart/messages.h"
 #include "hot_restart/state.h"
 #include "runtime/log.h"
 
@@ -39,8 +40,8 @@
     // The successor exited, ready or not: this process is alone again.
     virtual void OnSuccessorExited() = 0;
     virtual void OnPredecessorExited() = 0;
-    // A line from the other process, of those that are not about the hot restart itself.
-    virtual void OnMessage(const nlohmann::json& line) = 0;
+    // The other process notifies this one.
+    virtual void OnUpdate(const Update& update) = 0;
 
    protected:
     ~Handler() = default;
@@ -57,9 +58,9 @@
   // This process accepts clients: its predecessor is notified, and the next successor finds this one by the
   // path. Where it can't listen there that is logged.
   void AnnounceReady();
-  // Sends a line to the predecessor and the successor, where there are any.
-  void Notify(const nlohmann::json& line);
-  void NotifySuccessor(const nlohmann::json& line);
+  // Notifies the predecessor and the successor, where there are any.
+  void Notify(const Update& update);
+  void NotifySuccessor(const Update& update);
 
   // A successor that accepts clients.
   bool has_successor() const { return successor_ready_; }
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -69,7 +69,7 @@
   server_ = std::make_unique<hot_restart::HotRestartServer>(
       io_, path_, inherited_ ? inherited_->link : nullptr, handler, log_);
   inherited_.reset();
-  sidecar.SetIdObserver([this](const std::string& id) { server_->Notify({{"id", id}}); });
+  sidecar.SetIdObserver([this](const std::string& id) { server_->Notify({.id = id}); });
   server_->AnnounceReady();
 }
 
@@ -81,13 +81,15 @@
     bans_.erase(uid);
   }
   PersistBans();
-  if (server_) server_->Notify({{banned ? "ban" : "unban", uid}});
+  hot_restart::Update update;
+  (banned ? update.ban : update.unban) = uid;
+  if (server_) server_->Notify(update);
   return true;
 }
 
 void HotRestartCoordinator::Quiesce(Sidecar& sidecar, bool on) {
   sidecar.Quiesce(on);
-  if (server_) server_->Notify({{"rest", on}});
+  if (server_) server_->Notify({.quiesce = on});
 }
 
 // A ban that was confirmed holds from now on: it is kept in memory, and written again until it is on disk.
@@ -129,7 +131,7 @@
   if (needed < reserved_descriptors_) {
     reserved_descriptors_ = needed;
     descriptors_.Cap(reserved_descriptors_);
-    server_->NotifySuccessor({{"sockets", reserved_descriptors_}});
+    server_->NotifySuccessor({.sockets = reserved_descriptors_});
   }
   release_timer_.expires_after(kReleaseInterval);
   release_timer_.async_wait([this](const boost::system::error_code& error) {
@@ -155,25 +157,18 @@
   descriptors_.Cap(descriptors_.full() > reserved ? descriptors_.full() - reserved : 1);
 }
 
-void HotRestartCoordinator::OnMessage(const nlohmann::json& line) {
-  const auto text = [&line](const char* name) {
-    const auto it = line.find(name);
-    return it != line.end() && it->is_string() ? it->get<std::string>() : std::string();
-  };
-  if (const auto uid = text("ban"); !uid.empty()) {
-    bans_.insert(uid);
-    sidecar_->RestoreBans({uid});
-  }
-  if (const auto uid = text("unban"); !uid.empty()) {
-    bans_.erase(uid);
-    sidecar_->Unban(uid);
+void HotRestartCoordinator::OnUpdate(const hot_restart::Update& update) {
+  if (update.ban) {
+    bans_.insert(*update.ban);
+    sidecar_->RestoreBans({*update.ban});
   }
-  if (const auto id = text("id"); !id.empty()) sidecar_->ImportId(id);
-  if (const auto it = line.find("rest"); it != line.end() && it->is_boolean())
-    sidecar_->Quiesce(it->get<bool>());
-  if (const auto it = line.find("sockets"); it != line.end() && it->is_number_unsigned()) {
-    if (!server_ || server_->has_predecessor()) ReserveForPredecessor(it->get<std::size_t>());
+  if (update.unban) {
+    bans_.erase(*update.unban);
+    sidecar_->Unban(*update.unban);
   }
+  if (update.id) sidecar_->ImportId(*update.id);
+  if (update.quiesce) sidecar_->Quiesce(*update.quiesce);
+  if (update.sockets && (!server_ || server_->has_predecessor())) ReserveForPredecessor(*update.sockets);
 }
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/hot_restart_coordinator.h
+++ b/src/sidecar/hot_restart_coordinator.h
@@ -46,7 +46,7 @@
   void OnSuccessorReady() override;
   void OnSuccessorExited() override;
   void OnPredecessorExited() override;
-  void OnMessage(const nlohmann::json& line) override;
+  void OnUpdate(const hot_restart::Update& update) override;
   // Lets the successor use the descriptors that were closed here, again and again until it exits.
   void ReleaseDescriptors();
   void PersistBans();
