--- /dev/null
+++ b/tests/sidecar/hot_restart_messages_test.cpp
@@ -0,0 +1,35 @@
+// What two processes of one sidecar notify each other of, as it stands on their link.
+#include <string>
+
+#include "gtest/gtest.h"
+#include "hot_restart/messages.h"
+
+namespace mothrack::hot_restart {
+namespace {
+
+struct Row {
+  Update update;
+  std::string line;
+};
+
+TEST(HotRestartUpdate, IsWrittenAndReadAsOneLine) {
+  const Row rows[] = {
+      {{.ban = "u1"}, R"({"ban":"u1"})"},        {{.unban = "u1"}, R"({"unban":"u1"})"},
+      {{.id = "r1"}, R"({"id":"r1"})"},          {{.quiesce = true}, R"({"rest":true})"},
+      {{.quiesce = false}, R"({"rest":false})"}, {{.sockets = 32}, R"({"sockets":32})"},
+  };
+  for (const Row& row : rows) {
+    EXPECT_EQ(ToJson(row.update).dump(), row.line);
+    EXPECT_EQ(ToJson(ParseUpdate(nlohmann::json::parse(row.line))).dump(), row.line);
+  }
+}
+
+TEST(HotRestartUpdate, IgnoresWhatItCanNotUse) {
+  for (const char* line :
+       {"{}", R"({"ban":""})", R"({"ban":7})", R"({"rest":1})", R"({"sockets":-1})", R"({"later":true})"}) {
+    EXPECT_EQ(ToJson(ParseUpdate(nlohmann::json::parse(line))).dump(), "{}") << line;
+  }
+}
+
+}  // namespace
+}  // namespace mothrack::hot_restart
