--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -239,6 +239,7 @@
   Accept();
 }
 
+// NOLINTNEXTLINE(bugprone-exception-escape): to cancel a timer throws by its type only, never for a live one
 Server::~Server() {
   for (const auto& connection : connections_) connection->Close();
   if (!address_.unix_path.empty()) ::unlink(address_.unix_path.c_str());
--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -78,7 +78,7 @@
   // lines; `log` must outlive it. Throws std::runtime_error, which names setting and address, where it can't.
   Server(boost::asio::io_context& io, ListenAddress address, Bounds bounds, std::string label,
          std::vector<Route> routes, Guard guard, runtime::Logger& log);
-  ~Server();
+  ~Server();  // NOLINT(bugprone-exception-escape): as in server.cpp
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
--- a/src/sidecar/admin_section.cpp
+++ b/src/sidecar/admin_section.cpp
@@ -60,7 +60,7 @@
   if (!admin.endpoint || !admin.endpoint->address().is_loopback()) {
     table.Fail("listen", Quoted(listen) +
                              " is neither a Unix socket nor a loopback address; write it as "
-                             "\"unix:/run/mothrack/admin.sock\" or \"127.0.0.1:7080\"");
+                             R"("unix:/run/mothrack/admin.sock" or "127.0.0.1:7080")");
   }
   if (!token_file) {
     table.Fail("listen", "an address lets anyone on the machine in; add token_file, or use a Unix socket");
--- a/src/sidecar/dns_section.cpp
+++ b/src/sidecar/dns_section.cpp
@@ -40,7 +40,7 @@
       return static_cast<std::uint16_t>(number);
     }
   }
-  table.Fail(node.source(), key, Quoted(text) + " is no type; write it as \"AAAA\" or \"TYPE28\"");
+  table.Fail(node.source(), key, Quoted(text) + R"( is no type; write it as "AAAA" or "TYPE28")");
 }
 
 std::string TypeName(std::uint16_t type) {
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -24,9 +24,14 @@
 
 }  // namespace
 
-HotRestartCoordinator::HotRestartCoordinator(boost::asio::io_context& io, const std::string& path,
+HotRestartCoordinator::HotRestartCoordinator(boost::asio::io_context& io, std::string path,
                                              runtime::Descriptors& descriptors, runtime::Logger& log)
-    : io_(io), path_(path), descriptors_(descriptors), log_(log), release_timer_(io), ban_write_timer_(io) {
+    : io_(io),
+      path_(std::move(path)),
+      descriptors_(descriptors),
+      log_(log),
+      release_timer_(io),
+      ban_write_timer_(io) {
   if (path_.empty()) return;
   if (path_.size() + kMaxPathSuffix >= sizeof(sockaddr_un::sun_path)) {
     const auto slash = path_.rfind('/');
--- a/src/sidecar/hot_restart_coordinator.h
+++ b/src/sidecar/hot_restart_coordinator.h
@@ -23,8 +23,8 @@
  public:
   // `path` begins the names of the files; empty: no process follows another. Blocks for kTakeOverTimeout at
   // most, to take over from the process that serves, if any. `descriptors` and `log` must outlive it.
-  HotRestartCoordinator(boost::asio::io_context& io, const std::string& path,
-                        runtime::Descriptors& descriptors, runtime::Logger& log);
+  HotRestartCoordinator(boost::asio::io_context& io, std::string path, runtime::Descriptors& descriptors,
+                        runtime::Logger& log);
   ~HotRestartCoordinator();
 
   // What the sidecar of this process starts with. To be called once, before Serve().
