--- a/src/hot_restart/server.cpp
+++ b/src/hot_restart/server.cpp
@@ -25,8 +25,7 @@
 
 HotRestartServer::HotRestartServer(boost::asio::io_context& io, std::string path,
                                    std::shared_ptr<Link> predecessor, Handler& handler, runtime::Logger& log)
-    : io_(io),
-      path_(std::move(path)),
+    : path_(std::move(path)),
       handler_(handler),
       log_(log),
       acceptor_(io),
--- a/src/hot_restart/server.h
+++ b/src/hot_restart/server.h
@@ -76,7 +76,6 @@
   void OnCandidateMessage(const std::shared_ptr<Link>& link, const nlohmann::json& line);
   void HandOverTo(const std::shared_ptr<Link>& link);
 
-  boost::asio::io_context& io_;
   const std::string path_;
   Handler& handler_;
   runtime::Logger& log_;
