--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -84,7 +84,8 @@
   SimulationRun world(s, 11);
   world.Run();
   const Second sum = world.figures().Sum();
-  return {world.figures().served_share(), static_cast<double>(sum.attempts) / static_cast<double>(sum.tries),
+  return {world.figures().served_share(),
+          static_cast<double>(sum.attempts) / static_cast<double>(sum.client_attempts),
           world.figures().p(0.5), world.figures().p(0.99)};
 }
 
--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -9,7 +9,7 @@
 
 std::string AfterParameter(const Call& call) {
   static const std::string kName = "after=";
-  return call.query.rfind(kName, 0) == 0 ? Unescaped(call.query.substr(kName.size())) : std::string();
+  return call.query.rfind(kName, 0) == 0 ? PercentDecoded(call.query.substr(kName.size())) : std::string();
 }
 
 }  // namespace
@@ -43,7 +43,7 @@
 std::optional<Answer> AdminApi::Guard(const Call& call) {
   if (!rate_limiter_.Take(runtime::Now())) return Fault(429, "too many requests; ask less often");
   // Without a token the mode of the Unix socket has let the caller in.
-  if (settings_.token.empty() || HoldsToken(call, settings_.token)) return std::nullopt;
+  if (settings_.token.empty() || HasBearerToken(call, settings_.token)) return std::nullopt;
   return Fault(401, "give the token as Authorization: Bearer TOKEN");
 }
 
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -82,7 +82,7 @@
 
 }  // namespace
 
-std::string Unescaped(const std::string& text) {
+std::string PercentDecoded(const std::string& text) {
   const auto digit = [](char c) { return std::isxdigit(static_cast<unsigned char>(c)) != 0; };
   std::string plain;
   for (std::size_t i = 0; i < text.size(); ++i) {
@@ -96,7 +96,7 @@
   return plain;
 }
 
-bool HoldsToken(const Call& call, const std::string& token) {
+bool HasBearerToken(const Call& call, const std::string& token) {
   static const std::string kScheme = "Bearer ";
   const std::string& given = call.authorization;
   if (given.size() < kScheme.size() || !boost::beast::iequals(given.substr(0, kScheme.size()), kScheme)) {
--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -42,10 +42,10 @@
 
 // Does the call present this token, as `Authorization: Bearer TOKEN` (RFC 6750 section 2.1)? Compared in
 // constant time. Never true for an empty token.
-bool HoldsToken(const Call& call, const std::string& token);
+bool HasBearerToken(const Call& call, const std::string& token);
 
 // A part of a URL as it was before it was escaped (RFC 3986 section 2.1); what is no escape stays as it is.
-std::string Unescaped(const std::string& text);
+std::string PercentDecoded(const std::string& text);
 
 // One row of a server's table. A call that no row has is answered with 404, or 405 where only the method
 // differs, and with the routes that there are.
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -75,7 +75,7 @@
   // All are compared, so that the time does not tell which one it was.
   std::optional<Role> role;
   for (const auto& [token, its] : file_.tokens) {
-    if (admin::HoldsToken(call, token)) role = its;
+    if (admin::HasBearerToken(call, token)) role = its;
   }
   if (!role) return admin::Fault(401, "give the token as Authorization: Bearer TOKEN");
   if (*role == Role::kOperator || call.method == "GET") return std::nullopt;
@@ -166,20 +166,20 @@
 }
 
 Answer AgentApi::Plan(const std::string& query) const {
-  const rollout::Plan* plan = agent_.PlanOf(admin::Unescaped(query));
+  const rollout::Plan* plan = agent_.PlanOf(admin::PercentDecoded(query));
   if (plan == nullptr) return admin::Fault(404, "no such change was opened here");
   return {200, rollout::ToJson(*plan)};
 }
 
 Answer AgentApi::GenerationFiles(const std::string& query) const {
-  const auto files = processes_.generations().FilesOf(admin::Unescaped(query));
+  const auto files = processes_.generations().FilesOf(admin::PercentDecoded(query));
   if (files.empty()) return admin::Fault(404, "no such generation");
   return {200, {{"files", files}}};
 }
 
 Answer AgentApi::LogEnd(const std::string& query) const {
   const auto names = agent_.Names();
-  const std::string name = admin::Unescaped(query);
+  const std::string name = admin::PercentDecoded(query);
   if (std::find(names.begin(), names.end(), name) == names.end()) {
     return admin::Fault(404, "no such instance");
   }
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -78,7 +78,7 @@
   AgentApi api(io, file, agent, processes, store, log);
   std::cerr << file.name << ": agent on " << api.local() << std::endl;
 #ifdef MOTHRACK_WITH_PEERS
-  std::optional<gossip::Link> peers;
+  std::optional<gossip::GossipClient> peers;
   boost::asio::signal_set rekey(io);
   std::function<void()> rekey_on_signal;
   if (file.peers) {
@@ -89,7 +89,7 @@
     rekey_on_signal = [&] {
       rekey.async_wait([&](const boost::system::error_code& error, int) {
         if (error) return;
-        peers->Rekey();
+        peers->ReloadKeys();
         rekey_on_signal();
       });
     };
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -46,7 +46,7 @@
 
   Counts CountsNow() const {
     Counts counts = context_.counts;
-    counts.held = request_handler_.shedder().in_flight();
+    counts.in_flight = request_handler_.shedder().in_flight();
     counts.shed = request_handler_.shedder().shed();
     counts.rate = fleet_.usual_rate();
     counts.subset = std::min(fleet_.SubsetSize(), static_cast<double>(fleet_.ranked().size()));
--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -53,13 +53,13 @@
   // Attempts by their reason, and their ends by Outcome.
   std::uint64_t first = 0, retries = 0, hedges = 0, half_open_probes = 0;
   std::array<std::uint64_t, 8> ended{};
-  std::uint64_t connects = 0;  // attempts that found no connection to use
-  std::uint64_t cold = 0;      // attempts sent to cold upstreams
+  std::uint64_t connects = 0;    // attempts that found no connection to use
+  std::uint64_t slow_start = 0;  // attempts sent to cold upstreams
   // Refusals and failures by their reason: overload, nobody to send to, given up after attempts.
-  std::uint64_t overload = 0, nobody = 0, given_up = 0;
+  std::uint64_t overload = 0, no_upstream = 0, given_up = 0;
   std::uint64_t ejected = 0, returned = 0;
-  double held = 0, shed = 0;    // calls held; the share of the work asked for that is refused as overload
-  double rate = 0, subset = 0;  // requests a second, as usual; upstreams it spreads them over
+  double in_flight = 0, shed = 0;  // calls held; the share of the work asked for that is refused as overload
+  double rate = 0, subset = 0;     // requests a second, as usual; upstreams it spreads them over
 };
 
 class Balancer {
--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -82,7 +82,7 @@
   ++u.in_flight.sent;
   if (SlowStartFactor(u) < 1) {
     SlowStart::Spend(u.slow_start);
-    ++context_.counts.cold;
+    ++context_.counts.slow_start;
   }
   if (in_flight) RecordInFlight(u);
   if (half_open_probe) {
--- a/src/balancer/request_handler.cpp
+++ b/src/balancer/request_handler.cpp
@@ -142,7 +142,7 @@
   }
   if (first && SendHalfOpenProbe(r)) return;
   if (first) RecordRefusal("no upstream can take a call");
-  ++(first ? context_.counts.nobody : context_.counts.given_up);
+  ++(first ? context_.counts.no_upstream : context_.counts.given_up);
   Finish(r);
 }
 
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -35,13 +35,13 @@
 
 Discovery::~Discovery() { DropCalls(); }
 
-void Discovery::Ask() {
+void Discovery::Start() {
   if (state_ != State::kIdle) return;
   state_ = State::kSynchronizing;
   StartCall();
 }
 
-void Discovery::MoveTo(runtime::Endpoint endpoint) {
+void Discovery::SetEndpoint(runtime::Endpoint endpoint) {
   DropCalls();
   timer_.cancel();
   endpoint_ = std::move(endpoint);
@@ -84,7 +84,7 @@
   call_started_ = runtime::Now();
   call_kind_ = NextCallKind();
   ++counts_.calls;
-  counts_.whole_asked += call_kind_ == CallKind::kFullList;
+  counts_.full_list_calls += call_kind_ == CallKind::kFullList;
   if (call_ && !call_->reusable()) std::exchange(call_, nullptr)->Drop();
   if (!call_) {
     ListCall::Observer& observer = *this;  // the base is private
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -34,26 +34,26 @@
             std::uint64_t seed, dispatch::StartTimes& start_times, runtime::Logger& log, OnList on_list);
   ~Discovery();
 
-  // The list of this revision is held already: only what changed since is polled. Before the first Ask().
-  void Hold(std::uint64_t revision) { revision_ = revision; }
+  // The list of this revision is held already: only what changed since is polled. Before the first Start().
+  void SetKnownRevision(std::uint64_t revision) { revision_ = revision; }
   // Starts to poll; does nothing once started.
-  void Ask();
+  void Start();
   // Changes over to another source at once and polls its full list. The old list stands until then.
-  void MoveTo(runtime::Endpoint endpoint);
+  void SetEndpoint(runtime::Endpoint endpoint);
 
   struct Counts {
     std::uint64_t calls = 0;
-    std::uint64_t whole_asked = 0;  // of the calls, those for a full list
-    std::uint64_t failed = 0;       // calls that brought no list, timed-out ones included
-    std::uint64_t whole = 0;        // answers with a full list
-    std::uint64_t changes = 0;      // answers with changes
-    std::uint64_t lines = 0;        // upstreams in all answers
+    std::uint64_t full_list_calls = 0;  // of the calls, those for a full list
+    std::uint64_t failed = 0;           // calls that brought no list, timed-out ones included
+    std::uint64_t whole = 0;            // answers with a full list
+    std::uint64_t changes = 0;          // answers with changes
+    std::uint64_t lines = 0;            // upstreams in all answers
   };
   const Counts& counts() const { return counts_; }
 
  private:
   enum class State {
-    kIdle,           // before Ask()
+    kIdle,           // before Start()
     kSynchronizing,  // no answer yet, or a failure since the last one: calls do not wait
     kFollowing,      // the last call was answered: the next one is a watch
   };
--- a/src/dns/resolver_pool.h
+++ b/src/dns/resolver_pool.h
@@ -52,7 +52,7 @@
     std::shared_ptr<ResolverConnection> connection;
   };
 
-  bool HasDescriptor() const { return descriptors_.Room(runtime::Descriptors::Side::kUpstream); }
+  bool HasDescriptor() const { return descriptors_.HasCapacity(runtime::Descriptors::Side::kUpstream); }
   // Closes sockets that have been idle longest until there is a descriptor; false where none is idle.
   bool FreeDescriptor();
   IdleSocket LongestIdle() const;
--- a/src/dns/tcp_server.cpp
+++ b/src/dns/tcp_server.cpp
@@ -43,15 +43,15 @@
   sweep_timer_.Restart();
 }
 
-bool TcpServer::Room() const {
+bool TcpServer::HasCapacity() const {
   return connections_.size() < settings_.max_tcp_clients &&
-         descriptors_.Room(runtime::Descriptors::Side::kClient);
+         descriptors_.HasCapacity(runtime::Descriptors::Side::kClient);
 }
 
 // Closes the connection that has been idle longest.
-bool TcpServer::MakeRoom() {
+bool TcpServer::EvictOne() {
   const auto longest_idle =
-      connections_.Lowest([](const ClientConnection& connection) -> std::optional<runtime::TimePoint> {
+      connections_.Lowest([](ClientConnection& connection) -> std::optional<runtime::TimePoint> {
         if (!connection.CanCloseUnnoticed()) return std::nullopt;
         return connection.idle_since();
       });
@@ -70,7 +70,7 @@
 }
 
 void TcpServer::Sweep() {
-  acceptor_.Look();
+  acceptor_.PollForMissedClients();
   const runtime::TimePoint now = runtime::Now();
   for (const auto& connection : connections_.Snapshot()) {
     if (draining_ && !connection->IsNew(now) && connection->CanCloseUnnoticed()) connection->Close();
--- a/src/dns/tcp_server.h
+++ b/src/dns/tcp_server.h
@@ -35,8 +35,8 @@
   bool done() const { return connections_.empty(); }
 
  private:
-  bool Room() const override;
-  bool MakeRoom() override;
+  bool HasCapacity() const override;
+  bool EvictOne() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
   void Sweep();
 
--- a/src/dns/transport.cpp
+++ b/src/dns/transport.cpp
@@ -166,7 +166,7 @@
 void Transport::End(Attempt& attempt, Outcome outcome, std::unique_ptr<dispatch::Reply> reply) {
   Detach(attempt);
   const dispatch::ExchangeId id = attempt.id;
-  deadlines_.TakeBack(attempt.deadline, static_cast<std::uint64_t>(id));
+  deadlines_.Cancel(attempt.deadline, static_cast<std::uint64_t>(id));
   const auto on_end = std::move(attempt.hooks.on_end);
   const runtime::Duration elapsed = runtime::Now() - attempt.sent;
   attempts_.erase(id);
--- a/src/gossip/link.cpp
+++ b/src/gossip/link.cpp
@@ -53,8 +53,8 @@
 
 }  // namespace
 
-Link::Link(boost::asio::io_context& io, const Settings& settings, const std::string& name,
-           runtime::Logger& log, Task::TurnHook turn_hook)
+GossipClient::GossipClient(boost::asio::io_context& io, const Settings& settings, const std::string& name,
+                           runtime::Logger& log, Task::TurnHook turn_hook)
     : signal_(io) {
   try {
     task_ = std::make_unique<Task>(settings, name, std::move(turn_hook));
@@ -69,12 +69,12 @@
   }
 }
 
-std::optional<std::string> Link::local() const {
+std::optional<std::string> GossipClient::local() const {
   if (!task_) return std::nullopt;
   return Text(task_->local());
 }
 
-void Link::Await() {
+void GossipClient::Await() {
   signal_.async_wait(boost::asio::posix::descriptor_base::wait_read,
                      [this](const boost::system::error_code& error) {
                        if (error) return;
@@ -90,16 +90,16 @@
                      });
 }
 
-std::optional<Duration> Link::age() const {
+std::optional<Duration> GossipClient::age() const {
   if (!latest_) return std::nullopt;
   return std::max(SteadyNow() - latest_->created_at, Duration(0));
 }
 
-void Link::Post(TaskCommand message) {
+void GossipClient::Post(TaskCommand message) {
   if (task_) task_->Post(std::move(message));
 }
 
-json Link::Report() const {
+json GossipClient::Report() const {
   json report = {{"task", !task_                  ? "refused"
                           : task_->failures() > 0 ? "ended"
                                                   : "runs"},
--- a/src/gossip/link.h
+++ b/src/gossip/link.h
@@ -15,14 +15,14 @@
 
 namespace mothrack::gossip {
 
-class Link {
+class GossipClient {
  public:
   // The task's, and a second descriptor of one eventfd for the loop.
   static constexpr std::size_t kFixedDescriptors = Task::kFixedDescriptors + 1;
 
   // Starts the task. Throws TaskError; where the system refuses what it needs, says so once and does without.
-  Link(boost::asio::io_context& io, const Settings& settings, const std::string& name, runtime::Logger& log,
-       Task::TurnHook turn_hook = {});
+  GossipClient(boost::asio::io_context& io, const Settings& settings, const std::string& name,
+               runtime::Logger& log, Task::TurnHook turn_hook = {});
 
   std::optional<std::string> local() const;  // nothing where it does without
   const MembershipSnapshotPtr& latest() const { return latest_; }
@@ -30,7 +30,7 @@
   void Post(TaskCommand message);
   // Members are report at once where the task is well; nothing is waited for.
   void Leave() { Post(LeaveCommand{}); }
-  void Rekey() { Post(ReloadKeysCommand{}); }
+  void ReloadKeys() { Post(ReloadKeysCommand{}); }
 
   // For people, as JSON; a bounded number of members, those that are not alive first.
   nlohmann::json Report() const;
--- a/src/gossip/settings.cpp
+++ b/src/gossip/settings.cpp
@@ -40,14 +40,16 @@
 }  // namespace
 
 // Bounds: no probe so often that a fleet's datagrams would be its load, none so seldom that it finds nothing.
-const std::vector<TimeOf> kTimes = {{"probe_ms", &ProtocolConfig::probe_interval, 50, 60'000},
-                                    {"probe_patience_ms", &ProtocolConfig::probe_timeout, 10, 30'000},
-                                    {"gossip_ms", &ProtocolConfig::gossip_interval, 20, 10'000},
-                                    {"digest_ms", &ProtocolConfig::digest_interval, 100, 600'000},
-                                    {"remember_dead_ms", &ProtocolConfig::dead_retention, 10'000, 3'600'000}};
-const std::vector<CountOf> kCounts = {{"indirect", &ProtocolConfig::indirect_probes, 0, 16},
-                                      {"fanout", &ProtocolConfig::fanout, 1, 16},
-                                      {"datagrams_per_s", &ProtocolConfig::datagrams_per_s, 10, 1000}};
+const std::vector<DurationSetting> kDurationSettings = {
+    {"probe_ms", &ProtocolConfig::probe_interval, 50, 60'000},
+    {"probe_patience_ms", &ProtocolConfig::probe_timeout, 10, 30'000},
+    {"gossip_ms", &ProtocolConfig::gossip_interval, 20, 10'000},
+    {"digest_ms", &ProtocolConfig::digest_interval, 100, 600'000},
+    {"remember_dead_ms", &ProtocolConfig::dead_retention, 10'000, 3'600'000}};
+const std::vector<CountSetting> kCountSettings = {
+    {"indirect", &ProtocolConfig::indirect_probes, 0, 16},
+    {"fanout", &ProtocolConfig::fanout, 1, 16},
+    {"datagrams_per_s", &ProtocolConfig::datagrams_per_s, 10, 1000}};
 
 Settings ReadSettings(Source& source, Role role, const std::string& zone) {
   Settings settings;
@@ -87,16 +89,16 @@
       source.Fail("seeds", i, Quoted(seeds[i]) + " is given before; take one of them out");
     }
   }
-  for (const TimeOf& time : kTimes) {
+  for (const DurationSetting& time : kDurationSettings) {
     if (const auto value = source.Number(time.key, time.least, time.most))
-      settings.terms.*time.at = Duration(*value);
+      settings.protocol.*time.at = Duration(*value);
   }
-  for (const CountOf& count : kCounts) {
+  for (const CountSetting& count : kCountSettings) {
     if (const auto value = source.Number(count.key, count.least, count.most)) {
-      settings.terms.*count.at = static_cast<std::size_t>(*value);
+      settings.protocol.*count.at = static_cast<std::size_t>(*value);
     }
   }
-  if (settings.terms.probe_timeout >= settings.terms.probe_interval) {
+  if (settings.protocol.probe_timeout >= settings.protocol.probe_interval) {
     source.Fail("probe_patience_ms", std::nullopt,
                 "leaves nothing of probe_ms for the others to be asked; keep it below that");
   }
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -21,7 +21,7 @@
   Role role = Role::kSidecar;
   std::string key_file;
   std::vector<runtime::Endpoint> seeds;
-  ProtocolConfig terms;
+  ProtocolConfig protocol;
 };
 
 // One section of a file. Fail names the place of the key (or of the element of its list), and throws.
@@ -39,18 +39,18 @@
 Settings ReadSettings(Source& source, Role role, const std::string& zone);
 
 // The settings that have a number, as the file names them; for printing them all.
-struct TimeOf {
+struct DurationSetting {
   const char* key;
   Duration ProtocolConfig::*at;
   std::int64_t least, most;
 };
-struct CountOf {
+struct CountSetting {
   const char* key;
   std::size_t ProtocolConfig::*at;
   std::int64_t least, most;
 };
-extern const std::vector<TimeOf> kTimes;
-extern const std::vector<CountOf> kCounts;
+extern const std::vector<DurationSetting> kDurationSettings;
+extern const std::vector<CountSetting> kCountSettings;
 
 // "ip:port", as members disseminate it.
 std::string Text(const runtime::Endpoint& endpoint);
--- a/src/gossip/task.h
+++ b/src/gossip/task.h
@@ -40,7 +40,7 @@
   Task& operator=(const Task&) = delete;
 
   void Post(TaskCommand command);
-  void Rekey() { Post(ReloadKeysCommand{}); }
+  void ReloadKeys() { Post(ReloadKeysCommand{}); }
   BoundedQueue<MembershipSnapshotPtr>& snapshots();
 
   // Commands that were posted before are run first, unless the thread is stuck. False where it had to be left
--- a/src/gossip/task_worker.cpp
+++ b/src/gossip/task_worker.cpp
@@ -74,7 +74,7 @@
       socket_(settings.listen),
       log_(name),
       seal_(LoadKeys(settings.key_file)),
-      core_(LocalMember(settings, name, socket_.local()), settings.terms, RandomSeed(), SteadyNow()) {
+      core_(LocalMember(settings, name, socket_.local()), settings.protocol, RandomSeed(), SteadyNow()) {
   std::vector<std::string> seeds;
   for (const runtime::Endpoint& seed : settings.seeds) seeds.push_back(Text(seed));
   core_.SetSeeds(std::move(seeds));
--- a/src/http/connection_pools.cpp
+++ b/src/http/connection_pools.cpp
@@ -85,7 +85,7 @@
 // Idle connections make room; where there is none, the attempt is not sent. That is no failure of the
 // upstream and proves that nothing ran.
 std::shared_ptr<UpstreamConnection> ConnectionPools::Open(const std::shared_ptr<UpstreamPool>& pool) {
-  while (!descriptors_.Room(runtime::Descriptors::Side::kUpstream)) {
+  while (!descriptors_.HasCapacity(runtime::Descriptors::Side::kUpstream)) {
     if (!EvictIdle()) return nullptr;
   }
   do {
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -115,9 +115,9 @@
 
 }  // namespace
 
-HttpFront::HttpFront(boost::asio::io_context& io, const runtime::ListenOn& where,
-                     runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
-                     dispatch::Dispatcher& dispatcher)
+HttpFrontend::HttpFrontend(boost::asio::io_context& io, const runtime::ListenOn& where,
+                           runtime::Descriptors& descriptors, runtime::ByteBudget& budget,
+                           runtime::Logger& log, dispatch::Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
       listener_(io, where, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
                 [this](HttpRequest request, ComingBody coming, const ReplyCallback& reply) {
@@ -132,7 +132,7 @@
   }
 }
 
-RequestObserver HttpFront::Accept(HttpRequest request, ComingBody coming, const ReplyCallback& reply) {
+RequestObserver HttpFrontend::Accept(HttpRequest request, ComingBody coming, const ReplyCallback& reply) {
   const runtime::TimePoint now = runtime::Now();
   RemoveHopByHop(request);  // first: `Connection` may name what is checked below
   const bool has_body = coming || !request.body().empty();
@@ -166,7 +166,7 @@
           [this, id = *id, timeout] { dispatcher_.OnRequestComplete(id, runtime::Now() + timeout); }};
 }
 
-std::variant<HttpFront::RequestAttributes, HttpFront::InvalidRequest> HttpFront::Parse(
+std::variant<HttpFrontend::RequestAttributes, HttpFrontend::InvalidRequest> HttpFrontend::Parse(
     const HttpRequest& request, bool has_body) const {
   if (!IsVisibleText(request.target())) return InvalidRequest{"bad target"};
   const auto named_class = classes_.find(std::string(FirstSegment(request.target())));
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -16,20 +16,20 @@
 
 namespace mothrack::http {
 
-class HttpFront {
+class HttpFrontend {
  public:
   // Takes requests at once. Throws boost::system::system_error where it can't listen.
-  HttpFront(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
-            runtime::ByteBudget& budget, runtime::Logger& log, dispatch::Dispatcher& dispatcher);
+  HttpFrontend(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
+               runtime::ByteBudget& budget, runtime::Logger& log, dispatch::Dispatcher& dispatcher);
 
   runtime::Endpoint local() const { return listener_.local(); }
-  void HandOver() { listener_.HandOver(); }
-  void TakeBack() { listener_.TakeBack(); }
+  void PauseAccepting() { listener_.PauseAccepting(); }
+  void ResumeAccepting() { listener_.ResumeAccepting(); }
   int native_handle() { return listener_.native_handle(); }
-  void Rest(bool on) { listener_.Rest(on); }
-  bool resting() const { return listener_.resting(); }
+  void Quiesce(bool on) { listener_.Quiesce(on); }
+  bool quiescing() const { return listener_.quiescing(); }
   // Times that clients waited and the system did not tell.
-  std::uint64_t missed() const { return listener_.missed(); }
+  std::uint64_t missed_wakeups() const { return listener_.missed_wakeups(); }
   // A planned stop; `done` is called when all that was taken is answered.
   void Drain(std::function<void()> done) { listener_.Drain(std::move(done)); }
 
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -68,7 +68,7 @@
   connection->Start();
 }
 
-bool Listener::MakeRoom() {
+bool Listener::EvictOne() {
   using Rank = std::pair<EvictionRank, runtime::TimePoint>;
   const runtime::TimePoint now = runtime::Now();
   // Those of which more has come than was read are no candidates; there are few. What still arrives between
@@ -95,7 +95,7 @@
   return handler_(std::move(request), std::move(coming), std::move(reply));
 }
 
-void Listener::Rest(bool on) {
+void Listener::Quiesce(bool on) {
   if (on == quiescing_) return;
   quiescing_ = on;
   sweep_timer_.Cancel();
@@ -129,7 +129,7 @@
 runtime::Duration Listener::SweepInterval() const {
   runtime::Duration interval = sweep_every_;
   if (has_unread_connections_) interval = std::min(interval, kDisconnectCheckInterval);
-  if (resting()) interval = std::min(interval, kDrainSweepInterval);
+  if (quiescing()) interval = std::min(interval, kDrainSweepInterval);
   return interval;
 }
 
@@ -157,7 +157,7 @@
   if (draining_for >= stop_within_ && connection.AwaitsClose()) return connection.CloseNow();
   // Towards the end there is no time left to wait for what a new connection would bring.
   const bool spares_new = draining_for < stop_within_ - kLingerTimeout;
-  const bool closes = resting() && connection.Idle() && !(spares_new && connection.IsNew(now));
+  const bool closes = quiescing() && connection.Idle() && !(spares_new && connection.IsNew(now));
   if (closes && !connection.HasUnreadBytes()) connection.HalfClose();
   connection.CloseIfOverdue(now);
   if (!connection.ReadsNothing()) return;
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,7 +1,7 @@
 // The address at which the application's clients connect: accepts connections, sweeps those that are overdue,
 // gives one up when descriptors run out, and empties itself on a planned stop.
 //
-// Owned by HttpFront, on the thread of its event loop. Holds as many connections as Descriptors allows its
+// Owned by HttpFrontend, on the thread of its event loop. Holds as many connections as Descriptors allows its
 // side; what a connection may hold is bounded there. Errors of single connections close these; the
 // constructor throws boost::system::system_error where it can't listen.
 #pragma once
@@ -47,23 +47,23 @@
   runtime::Endpoint local() const { return acceptor_.local(); }
 
   // A successor accepts from the same socket: this one leaves new clients to it. Taken back where it is gone.
-  void HandOver() { acceptor_.Pause(); }
-  void TakeBack() { acceptor_.Resume(); }
+  void PauseAccepting() { acceptor_.Pause(); }
+  void ResumeAccepting() { acceptor_.Resume(); }
   int native_handle() { return acceptor_.native_handle(); }
   // Empties it, or takes clients again: `/up` says no, idle connections are closed, the others after their
   // answer. It listens on, so that `/up` can be asked; what still comes is served.
-  void Rest(bool on);
-  bool resting() const { return quiescing_ || drained_; }
+  void Quiesce(bool on);
+  bool quiescing() const { return quiescing_ || drained_; }
   // Times that clients waited in the system's queue and the event loop was not told.
-  std::uint64_t missed() const { return acceptor_.missed(); }
+  std::uint64_t missed_wakeups() const { return acceptor_.missed_wakeups(); }
   // A planned stop: serves what still comes for a while, unless a successor does, tells each client to close,
   // then calls `done`, once. Calls after the first have no effect.
   void Drain(std::function<void()> done);
 
  private:
   // Of the acceptor
-  bool Room() const override { return descriptors_.Room(runtime::Descriptors::Side::kClient); }
-  bool MakeRoom() override;
+  bool HasCapacity() const override { return descriptors_.HasCapacity(runtime::Descriptors::Side::kClient); }
+  bool EvictOne() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
 
   // Of the connections
@@ -72,9 +72,9 @@
   }
   void OnAwaitingRequest(runtime::TimePoint now) override { PollAcceptor(now); }
   void CheckForDisconnects() override;
-  bool ClosesAfterResponse() const override { return resting(); }
+  bool ClosesAfterResponse() const override { return quiescing(); }
   // Asked is whether the address takes clients: with a successor it does.
-  bool ReportsDraining() const override { return resting() && !has_successor_; }
+  bool ReportsDraining() const override { return quiescing() && !has_successor_; }
   RequestObserver HandleRequest(HttpRequest request, ComingBody coming, ReplyCallback reply) override;
 
   runtime::Duration SweepInterval() const;
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -158,8 +158,8 @@
 void Acceptor::Accept() {
   int aborted = 0;
   while (true) {
-    while (!owner_.Room()) {
-      if (!owner_.MakeRoom()) return RetryAfter(kMaxRetryPause);
+    while (!owner_.HasCapacity()) {
+      if (!owner_.EvictOne()) return RetryAfter(kMaxRetryPause);
     }
     tcp::socket socket(io_);
     error_code error;
@@ -168,7 +168,7 @@
       retry_pause_ = kMinRetryPause;
       owner_.Admit(std::move(socket));
       // Room for the next is made only once it is there: it would be this one's that had said nothing yet.
-      if (!owner_.Room()) break;
+      if (!owner_.HasCapacity()) break;
       continue;
     }
     if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) break;
@@ -181,7 +181,7 @@
     // Guards against a spin where descriptors or memory ran out: the client stays in the backlog. Other
     // connections make room only for a lack that outlasts a pause.
     const bool lasting = retry_pause_ > kMinRetryPause;
-    if (IsExhausted(error) && lasting) owner_.MakeRoom();
+    if (IsExhausted(error) && lasting) owner_.EvictOne();
     return RetryAfter(NextRetryPause());
   }
   WaitForClient();
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -37,9 +37,9 @@
   class Owner {
    public:
     // May one more connection be accepted?
-    virtual bool Room() const = 0;
+    virtual bool HasCapacity() const = 0;
     // Closes the connection that can be spared best; false where there is none.
-    virtual bool MakeRoom() = 0;
+    virtual bool EvictOne() = 0;
     // A new connection, as accept() returned it.
     virtual void Admit(boost::asio::ip::tcp::socket socket) = 0;
 
@@ -67,10 +67,8 @@
   // Takes clients that wait although the event loop has had its chance to tell of them. Costs one system call
   // where there is none. To be called from the event loop.
   void PollForMissedClients();
-  // The former name of PollForMissedClients().
-  void Look() { PollForMissedClients(); }
   // Times that only a look found clients: more than 0 is a fault of the system or of the event loop.
-  std::uint64_t missed() const { return missed_; }
+  std::uint64_t missed_wakeups() const { return missed_; }
 
  private:
   void WaitForClient();
--- a/src/runtime/deadlines.h
+++ b/src/runtime/deadlines.h
@@ -26,7 +26,7 @@
     Arm();
   }
   // `at` and `token` as they were set; no effect where that has passed.
-  void TakeBack(TimePoint at, std::uint64_t token) { set_.erase({at, token}); }
+  void Cancel(TimePoint at, std::uint64_t token) { set_.erase({at, token}); }
 
  private:
   // One that was taken back may still wake the loop once, for nothing: cheaper than setting the timer back.
--- a/src/runtime/descriptors.h
+++ b/src/runtime/descriptors.h
@@ -49,7 +49,7 @@
   // Is there room for one more? Each side has half for its own: clients that connect and stay must not leave
   // nothing to serve them with, nor make the pools close what the next request needs. A request takes one
   // descriptor on either side, and a second copy one more.
-  bool Room(Side side) const {
+  bool HasCapacity(Side side) const {
     return side == Side::kClient ? clients_ < limit_ / 2 : upstreams_ < limit_ - limit_ / 2;
   }
 
--- a/src/sidecar/counter_logger.cpp
+++ b/src/sidecar/counter_logger.cpp
@@ -23,8 +23,8 @@
 constexpr Named<DecisionCounts> kDecisions[] = {
     {"first", &DecisionCounts::first},       {"retries", &DecisionCounts::retries},
     {"copies", &DecisionCounts::hedges},     {"trials", &DecisionCounts::half_open_probes},
-    {"connects", &DecisionCounts::connects}, {"cold", &DecisionCounts::cold},
-    {"overload", &DecisionCounts::overload}, {"nobody", &DecisionCounts::nobody},
+    {"connects", &DecisionCounts::connects}, {"cold", &DecisionCounts::slow_start},
+    {"overload", &DecisionCounts::overload}, {"nobody", &DecisionCounts::no_upstream},
     {"given_up", &DecisionCounts::given_up}, {"ejected", &DecisionCounts::ejected},
     {"returned", &DecisionCounts::returned}};
 using ConnectionCounts = http::HttpTransport::Counts;
@@ -35,7 +35,7 @@
                                                     {"probes", &ConnectionCounts::probes}};
 using DiscoveryCounts = discovery::Discovery::Counts;
 constexpr Named<DiscoveryCounts> kDiscovery[] = {
-    {"calls", &DiscoveryCounts::calls},         {"whole_asked", &DiscoveryCounts::whole_asked},
+    {"calls", &DiscoveryCounts::calls},         {"whole_asked", &DiscoveryCounts::full_list_calls},
     {"calls_failed", &DiscoveryCounts::failed}, {"lists", &DiscoveryCounts::whole},
     {"changes", &DiscoveryCounts::changes},     {"lines", &DiscoveryCounts::lines}};
 
@@ -89,7 +89,7 @@
   for (std::size_t i = 0; i < kOutcomes.size(); ++i) {
     delta.Put(kOutcomes[i], decisions.ended[i], decisions_.ended[i]);
   }
-  line["held"] = decisions.held;
+  line["held"] = decisions.in_flight;
   if (decisions.shed > 0) line["shed"] = Rounded(decisions.shed);
   line["rate"] = Rounded(decisions.rate);
   line["subset"] = Rounded(decisions.subset);
--- a/src/sidecar/peers_link.cpp
+++ b/src/sidecar/peers_link.cpp
@@ -32,7 +32,7 @@
 
 void PeersLink::Apply(const OperatorFile& file, runtime::Logger& log) {
   if (SectionOf(file) != settings_) log.Line(file.path + ": changes of [peers] count from the next start on");
-  link_.Rekey();
+  link_.ReloadKeys();
 }
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/peers_link.h
+++ b/src/sidecar/peers_link.h
@@ -22,7 +22,7 @@
  public:
   // Descriptors that are open all the time.
   static std::size_t FixedDescriptors(const OperatorFile& file) {
-    return file.peers ? gossip::Link::kFixedDescriptors : 0;
+    return file.peers ? gossip::GossipClient::kFixedDescriptors : 0;
   }
   // Null where the file has no [peers]. Prints where it listens on standard error. Throws ConfigError.
   static std::unique_ptr<PeersLink> Create(boost::asio::io_context& io, const OperatorFile& file,
@@ -39,7 +39,7 @@
 
  private:
   const std::string settings_;  // as at the start
-  gossip::Link link_;
+  gossip::GossipClient link_;
 };
 #else
 class PeersLink {
--- a/src/sidecar/peers_section.cpp
+++ b/src/sidecar/peers_section.cpp
@@ -52,9 +52,10 @@
   toml::array seeds;
   for (const runtime::Endpoint& seed : peers.seeds) seeds.push_back(ToText(seed));
   table.insert("seeds", seeds);
-  for (const auto& time : gossip::kTimes) table.insert(time.key, (peers.terms.*time.at).count());
-  for (const auto& count : gossip::kCounts) {
-    table.insert(count.key, static_cast<std::int64_t>(peers.terms.*count.at));
+  for (const auto& time : gossip::kDurationSettings)
+    table.insert(time.key, (peers.protocol.*time.at).count());
+  for (const auto& count : gossip::kCountSettings) {
+    table.insert(count.key, static_cast<std::int64_t>(peers.protocol.*count.at));
   }
   return table;
 }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -47,7 +47,7 @@
       log_(log),
       budget_(config.memory / kBodyMemoryDivisor),
       transport_(io, config.settings.limits, config.settings.load_by_probe, descriptors, budget_),
-      dispatcher_(io, config.settings, config.seed, transport_, log, [this] { discovery_.Ask(); }),
+      dispatcher_(io, config.settings, config.seed, transport_, log, [this] { discovery_.Start(); }),
       discovery_(io, config.discovery,
                  discovery::PollPolicy::For(discovery::StalenessRules::Of(config.settings)), config.seed,
                  start_times_, log,
@@ -61,17 +61,18 @@
   // Before anything is sent.
   dispatcher_.RestoreBans(inheritance.bans);
   for (const std::string& id : inheritance.ids) dispatcher_.ImportKey(id);
-  front_.Rest(inheritance.quiescing);
+  front_.Quiesce(inheritance.quiescing);
   ShareMemory(inheritance.share_memory);
   start_times_.Import(inheritance.starts, inheritance.last_list);
   dispatch::MembershipList known = ParseKnownList(config.known);
   start_times_.Place(known, runtime::ReadClocks());
   // A service that all sidecars ask is asked for what changed since then: after a mass restart whole lists
   // for all are the most it could be asked for.
-  if (config.settings.membership_on_request && !config.known.is_null()) discovery_.Hold(known.revision);
+  if (config.settings.membership_on_request && !config.known.is_null())
+    discovery_.SetKnownRevision(known.revision);
   dispatcher_.Apply(std::move(known));
   // Where membership is told on request, the module asks.
-  if (!config.settings.membership_on_request) discovery_.Ask();
+  if (!config.settings.membership_on_request) discovery_.Start();
   list_timeout_.expires_after(inheritance.wait_for_list ? kListTimeout : runtime::Duration::zero());
   list_timeout_.async_wait([this](const boost::system::error_code& error) {
     if (!error && !ready_) StartServing();
@@ -80,14 +81,14 @@
 
 void Sidecar::StartServing() {
   ready_ = true;
-  front_.TakeBack();
+  front_.ResumeAccepting();
   on_ready_();
 }
 
 void Sidecar::Reconfigure(const Config& config) {
   ParseKnownList(config.known);  // checked like the rest, though the list from discovery is newer
   log_.Line("configuration read again");
-  discovery_.MoveTo(config.discovery);
+  discovery_.SetEndpoint(config.discovery);
 }
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -14,7 +14,7 @@
 #include "discovery/discovery.h"
 #include "dispatch/dispatcher.h"
 #include "dispatch/start_times.h"
-#include "http/front.h"
+#include "http/frontend.h"
 #include "http/transport.h"
 #include "runtime/clock.h"
 #include "runtime/descriptors.h"
@@ -53,9 +53,9 @@
   int listening() { return front_.native_handle(); }
 
   // A successor accepts clients from the same socket.
-  void StopAccepting() { front_.HandOver(); }
+  void StopAccepting() { front_.PauseAccepting(); }
   // The successor exited: accepts them again.
-  void ResumeAccepting() { front_.TakeBack(); }
+  void ResumeAccepting() { front_.ResumeAccepting(); }
   // Whether another process of this sidecar has half of the memory for bodies.
   void ShareMemory(bool on) { on ? budget_.Halve() : budget_.Restore(); }
   // For a successor.
@@ -75,8 +75,8 @@
   void RestoreBans(const std::set<std::string>& bans) { dispatcher_.RestoreBans(bans); }
 
   // Accepts no new clients and lets the old ones finish; or accepts clients again.
-  void Quiesce(bool on) { front_.Rest(on); }
-  bool quiescing() const { return front_.resting(); }
+  void Quiesce(bool on) { front_.Quiesce(on); }
+  bool quiescing() const { return front_.quiescing(); }
   // A planned stop; `done` is called when all that was accepted is answered.
   void Drain(std::function<void()> done) { front_.Drain(std::move(done)); }
   // The configuration was replaced: follows its `discovery`. The rest counts from the next start on.
@@ -88,7 +88,7 @@
   const http::HttpTransport& transport() const { return transport_; }
   const discovery::Discovery& discovery() const { return discovery_; }
   // Times that clients waited to be accepted and the system did not say so (docs/design/wakeups.md).
-  std::uint64_t missed_wakeups() const { return front_.missed(); }
+  std::uint64_t missed_wakeups() const { return front_.missed_wakeups(); }
 
  private:
   void StartServing();
@@ -102,7 +102,7 @@
   const std::function<void()> on_ready_;
   bool ready_ = false;
   boost::asio::steady_timer list_timeout_;
-  http::HttpFront front_;  // last: it accepts requests from here on, and is destroyed first
+  http::HttpFrontend front_;  // last: it accepts requests from here on, and is destroyed first
 };
 
 }  // namespace mothrack::sidecar
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -304,7 +304,7 @@
     if (sidecar->open) demand += sidecar->rate * sidecar->times;
     const balancer::Counts counts = sidecar->dispatcher->counts();
     second.overload += counts.overload - sidecar->last_counts.overload;
-    second.nobody += counts.nobody - sidecar->last_counts.nobody;
+    second.nobody += counts.no_upstream - sidecar->last_counts.no_upstream;
     second.given_up += counts.given_up - sidecar->last_counts.given_up;
     second.retries += counts.retries - sidecar->last_counts.retries;
     second.hedges += counts.hedges - sidecar->last_counts.hedges;
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -226,7 +226,7 @@
   for (const int calls : {1, 2, 3}) {
     Source source;
     LoopUnderTest loop(discovery::PollPolicy::For(rules), source.endpoint());
-    loop.discovery.Ask();
+    loop.discovery.Start();
     ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));  // a watch has been over
     source.StopAnswering(GetParam(), calls);
     ASSERT_TRUE(loop.Until([&] { return source.unanswered() == calls; }));
@@ -248,10 +248,10 @@
     source.StopAnswering(GetParam(), 1);
     LoopUnderTest loop(discovery::PollPolicy::For(rules),
                        address_changed ? first.endpoint() : source.endpoint());
-    loop.discovery.Ask();
+    loop.discovery.Start();
     if (address_changed) {
       ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; }));
-      loop.discovery.MoveTo(source.endpoint());
+      loop.discovery.SetEndpoint(source.endpoint());
     }
     source.Publish(7);
     const runtime::TimePoint published = runtime::Now();
@@ -264,7 +264,7 @@
   const discovery::PollPolicy policy = ShortOnRequestPolicy();
   Source source;
   LoopUnderTest loop(policy, source.endpoint());
-  loop.discovery.Ask();
+  loop.discovery.Start();
   ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
   source.StopAnswering(GetParam(), 1);
   ASSERT_TRUE(loop.Until([&] { return source.unanswered() == 1; }));
@@ -286,7 +286,7 @@
   const discovery::PollPolicy policy = ShortOnRequestPolicy();
   Source source;
   LoopUnderTest loop(policy, source.endpoint());
-  loop.discovery.Ask();
+  loop.discovery.Start();
   ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
   source.StopAnswering(GetParam(), 1000);
   ASSERT_TRUE(loop.Until([&] { return source.unanswered() == 1; }));
@@ -307,12 +307,12 @@
   Source source;
   source.StopAnswering(GetParam(), 1);
   LoopUnderTest loop(policy, source.endpoint());
-  loop.discovery.Ask();
+  loop.discovery.Start();
   const runtime::TimePoint started = runtime::Now();
   ASSERT_TRUE(loop.Until([&] { return loop.revision == 1; }));
   EXPECT_LE(runtime::Now() - started,
             discovery::WorstCaseStaleness(policy, discovery::StalenessCase::kListTimeout) + kSlack);
-  EXPECT_EQ(loop.discovery.counts().whole_asked, 2U);
+  EXPECT_EQ(loop.discovery.counts().full_list_calls, 2U);
 }
 
 INSTANTIATE_TEST_SUITE_P(Points, UnansweredCall, ::testing::ValuesIn(kStopPoints));
@@ -322,7 +322,7 @@
     const discovery::PollPolicy policy = ShortOnRequestPolicy();
     Source source;
     LoopUnderTest loop(policy, source.endpoint());
-    loop.discovery.Ask();
+    loop.discovery.Start();
     ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
     source.AnswerWith(text, 1000);
     ASSERT_TRUE(loop.Until([&] { return loop.discovery.counts().failed >= 1; }));
@@ -340,8 +340,8 @@
 TEST(DiscoveryLoop, FirstCallOfAProcessThatHoldsAListIsNoWatch) {
   Source source;
   LoopUnderTest loop(ShortOnRequestPolicy(), source.endpoint());
-  loop.discovery.Hold(1);
-  loop.discovery.Ask();
+  loop.discovery.SetKnownRevision(1);
+  loop.discovery.Start();
   ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
   EXPECT_EQ(source.seen()[0].target, "/discovery/hosts?index=1&wait=1");
   EXPECT_EQ(source.seen()[1].target, "/discovery/hosts?index=1&wait=300");
@@ -357,10 +357,10 @@
       third.Publish(3);
       if (outage) first.AnswerWith("", 1000);
       LoopUnderTest loop(discovery::PollPolicy::For(Rules(on_request, kDrain)), first.endpoint());
-      loop.discovery.Ask();
+      loop.discovery.Start();
       ASSERT_TRUE(loop.Until([&] { return outage ? loop.discovery.counts().failed > 0 : loop.lists > 0; }));
-      loop.discovery.MoveTo(second.endpoint());
-      loop.discovery.MoveTo(third.endpoint());
+      loop.discovery.SetEndpoint(second.endpoint());
+      loop.discovery.SetEndpoint(third.endpoint());
       const std::size_t before = first.seen().size();
       ASSERT_TRUE(loop.Until([&] { return loop.revision == 3; }));
       loop.For(milliseconds(300));
@@ -379,7 +379,7 @@
       source.DelayLists(milliseconds(delay_ms));
       LoopUnderTest loop(discovery::PollPolicy::For(Rules(false, milliseconds(drain_ms))), source.endpoint());
       const runtime::TimePoint started = runtime::Now();
-      loop.discovery.Ask();
+      loop.discovery.Start();
       ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; })) << delay_ms << ' ' << drain_ms;
       EXPECT_LE(runtime::Now() - started, milliseconds(delay_ms + 2 * drain_ms) + kSlack)
           << delay_ms << ' ' << drain_ms;
@@ -406,7 +406,7 @@
   source.DelayLists(delay);
   LoopUnderTest loop(policy, source.endpoint());
   const runtime::TimePoint started = runtime::Now();
-  loop.discovery.Ask();
+  loop.discovery.Start();
   ASSERT_TRUE(loop.Until([&] { return loop.lists >= 3; }));
   // The one beside it would have been a list more, between two watches.
   EXPECT_GE(runtime::Now() - started, delay + 2 * policy.watch_wait - milliseconds(20));
@@ -438,7 +438,7 @@
         Row{broken.endpoint(), policy.fault_backoff, policy.fault_backoff},
         Row{unresponsive.endpoint(), policy.list_timeout, policy.retry_timeout}}) {
     LoopUnderTest loop(policy, row.endpoint);
-    loop.discovery.Ask();
+    loop.discovery.Start();
     loop.For(time);
     EXPECT_LE(loop.discovery.counts().calls, static_cast<std::uint64_t>((time - row.first) / row.each) + 2);
     EXPECT_GE(loop.discovery.counts().calls, static_cast<std::uint64_t>(time / row.each) / 2);
@@ -454,14 +454,14 @@
   Source source;
   source.Publish(5);
   LoopUnderTest loop(discovery::PollPolicy::For(Rules(false, kDrain)), source.endpoint());
-  loop.discovery.Ask();
+  loop.discovery.Start();
   ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; }));
   source.AnswerWith(changes(4), 1);
   ASSERT_TRUE(loop.Until([&] { return loop.discovery.counts().failed == 1; }));
   EXPECT_EQ(loop.revision, 5);
   ASSERT_TRUE(loop.Until([&] { return loop.discovery.counts().whole == 2; }, seconds(5)));
   EXPECT_EQ(loop.discovery.counts().changes, 0U);
-  EXPECT_EQ(loop.discovery.counts().whole_asked, 2U);
+  EXPECT_EQ(loop.discovery.counts().full_list_calls, 2U);
 }
 
 }  // namespace
--- a/tests/gossip/task_test.cpp
+++ b/tests/gossip/task_test.cpp
@@ -69,10 +69,10 @@
   settings.zone = "hall";
   settings.key_file = place.File(keys);
   settings.seeds = std::move(seeds);
-  settings.terms.probe_interval = Duration(100);
-  settings.terms.probe_timeout = Duration(40);
-  settings.terms.gossip_interval = Duration(20);
-  settings.terms.max_suspicion_multiplier = 1;
+  settings.protocol.probe_interval = Duration(100);
+  settings.protocol.probe_timeout = Duration(40);
+  settings.protocol.gossip_interval = Duration(20);
+  settings.protocol.max_suspicion_multiplier = 1;
   return settings;
 }
 
@@ -231,11 +231,11 @@
   EXPECT_TRUE(a.Latest()->members.empty());
   // A faulty file changes nothing.
   place.Write("others", "no key at all\n");
-  b.task.Rekey();
+  b.task.ReloadKeys();
   std::this_thread::sleep_for(200ms);
   EXPECT_TRUE(a.Latest()->members.empty());
   place.Keys("others", {'a', 'b'});
-  b.task.Rekey();
+  b.task.ReloadKeys();
   EXPECT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kAlive); }));
 }
 
@@ -336,8 +336,8 @@
   const auto again = sidecar::LoadOperatorFile(place.Write("again.toml", effective));
   EXPECT_EQ(sidecar::Effective(again), effective);
   ASSERT_TRUE(again.peers);
-  EXPECT_EQ(again.peers->terms.probe_interval, Duration(300));
-  EXPECT_EQ(again.peers->terms.gossip_interval, ProtocolConfig().gossip_interval);
+  EXPECT_EQ(again.peers->protocol.probe_interval, Duration(300));
+  EXPECT_EQ(again.peers->protocol.gossip_interval, ProtocolConfig().gossip_interval);
   EXPECT_EQ(Text(*again.peers->advertise), "127.0.0.1:7700");
   EXPECT_EQ(Text(again.peers->seeds.at(0)), "[::1]:7601");
 }
--- a/tests/http/listener_test.cpp
+++ b/tests/http/listener_test.cpp
@@ -394,14 +394,14 @@
 
 // ---- Ends between requests ----
 
-class Ending : public ListenerTest, public ::testing::WithParamInterface<bool> {
+class ConnectionEnd : public ListenerTest, public ::testing::WithParamInterface<bool> {
  protected:
   // By hand, or for good.
   void Begin() {
     if (GetParam()) {
       listener->Drain([this] { ++ended; });
     } else {
-      listener->Rest(true);
+      listener->Quiesce(true);
     }
   }
   Client& Served() {
@@ -414,10 +414,10 @@
   }
 };
 
-INSTANTIATE_TEST_SUITE_P(Listener, Ending, ::testing::Bool(),
+INSTANTIATE_TEST_SUITE_P(Listener, ConnectionEnd, ::testing::Bool(),
                          [](const auto& info) { return info.param ? "Drained" : "Rested"; });
 
-TEST_P(Ending, WhatCameBeforeTheLookIsServedAndToldToClose) {
+TEST_P(ConnectionEnd, WhatCameBeforeTheCheckIsServedAndAnsweredWithClose) {
   Client& client = Served();
   Send(client, Get("/second"));
   Begin();
@@ -426,7 +426,7 @@
   EXPECT_TRUE(Ends(client));
 }
 
-TEST_P(Ending, WhatCrossesTheEndIsNotReadAndMeetsNoReset) {
+TEST_P(ConnectionEnd, WhatCrossesTheEndIsNotReadAndMeetsNoReset) {
   for (Hook System::*const moment : {&System::before_end, &System::after_end}) {
     SCOPED_TRACE(moment == &System::before_end ? "before the end" : "after it");
     Client& client = Served();
@@ -448,11 +448,11 @@
     EXPECT_EQ(descriptors->used(), 0U);
     EXPECT_TRUE(handed.empty());
     if (GetParam()) break;  // once for good
-    listener->Rest(false);
+    listener->Quiesce(false);
   }
 }
 
-TEST_P(Ending, AClientThatRestsClosesAndAnotherThatStaysIsClosed) {
+TEST_P(ConnectionEnd, AClientThatRestsClosesAndAnotherThatStaysIsClosed) {
   Client& closes = Served();
   Client& stays = Served();
   Begin();
@@ -466,7 +466,7 @@
   EXPECT_EQ(descriptors->used(), 0U);
 }
 
-TEST_P(Ending, HalfARequestIsAwaitedServedAndToldToClose) {
+TEST_P(ConnectionEnd, APartialRequestIsAwaitedServedAndAnsweredWithClose) {
   const std::string request = Post("Content-Length: 5\r\n", "abcde");
   for (const std::size_t cut : {std::size_t{1}, std::size_t{20}, request.size() - 1}) {
     Client& client = Served();
@@ -483,11 +483,11 @@
     EXPECT_EQ(handed[0].body, "abcde");
     EXPECT_TRUE(Ends(client));
     if (GetParam()) break;
-    listener->Rest(false);
+    listener->Quiesce(false);
   }
 }
 
-TEST_P(Ending, WhatFollowsTheLastAnswerIsNotHandedOn) {
+TEST_P(ConnectionEnd, WhatFollowsTheLastAnswerIsNotHandedOn) {
   answers = false;
   Client& ahead = Connect();
   Send(ahead, Get("/held") + Get("/ahead"));
@@ -541,7 +541,7 @@
 }
 
 TEST_F(ListenerTest, ADrainThatASweepCrossesEndsOnce) {
-  listener->HandOver();
+  listener->PauseAccepting();
   // The sweep is due, and the signal is handled ahead of it.
   boost::asio::steady_timer signal(io, std::chrono::steady_clock::time_point());
   signal.async_wait([this](error_code) { listener->Drain([this] { ++ended; }); });
@@ -607,7 +607,7 @@
   }
 };
 
-TEST_F(Eviction, ARequestWhoseRestWaitsUnreadIsNotClosedForAnother) {
+TEST_F(Eviction, ARequestWhoseRemainderIsUnreadIsNotEvicted) {
   Hold();
   const std::string request = Post("Content-Length: 5\r\n", "abcde");
   Client& half = Connect();
--- a/tests/http/transport_test.cpp
+++ b/tests/http/transport_test.cpp
@@ -134,7 +134,7 @@
 };
 
 // Seen: a copy whose connection came up 50 ms after its request had been answered was written then, and ran.
-TEST_F(TransportTest, WhatIsAbandonedWhileItConnectsIsNeverWrittenAndItsConnectionIsKept) {
+TEST_F(TransportTest, WhatIsAbandonedWhileItConnectsIsNeverWrittenAndItsConnectionIsPooled) {
   Late late(io);
   Serving("u1", late.address());
   Send(dispatch::ExchangeId{1}, "u1", "/page/abandoned");
@@ -244,7 +244,7 @@
 }
 
 // An answer that does not tell its length: what comes of it, and whether another attempt can still be made.
-TEST_F(TransportTest, AnAnswerWithoutALengthIsKeptWholeForAsLongAsItMayBe) {
+TEST_F(TransportTest, AnAnswerWithoutALengthIsBufferedForAsLongAsItMayBe) {
   constexpr std::size_t kKilo = 1024;
   enum class Then { kEnds, kStops, kBreaks, kGoesOn };
   struct Row {
--- a/tests/runtime/acceptor_test.cpp
+++ b/tests/runtime/acceptor_test.cpp
@@ -143,8 +143,8 @@
     system_.listening = acceptor->native_handle();
   }
 
-  bool Room() const override { return capacity > 0; }
-  bool MakeRoom() override {
+  bool HasCapacity() const override { return capacity > 0; }
+  bool EvictOne() override {
     ++evicted;
     return false;
   }
@@ -189,7 +189,7 @@
   system_.after_refusal = [this] { Connect(); };
   Connect();
   EXPECT_TRUE(Admits(2));
-  EXPECT_EQ(acceptor->missed(), 0U);
+  EXPECT_EQ(acceptor->missed_wakeups(), 0U);
 }
 
 TEST_F(AcceptorTest, APollFindsAClientOfWhichTheEventLoopDidNotTell) {
@@ -202,11 +202,11 @@
   acceptor->PollForMissedClients();
   Settle();
   EXPECT_EQ(admitted.size(), 1U);
-  EXPECT_EQ(acceptor->missed(), 1U);
+  EXPECT_EQ(acceptor->missed_wakeups(), 1U);
   // And from then on as ever.
   Connect();
   EXPECT_TRUE(Admits(2));
-  EXPECT_EQ(acceptor->missed(), 1U);
+  EXPECT_EQ(acceptor->missed_wakeups(), 1U);
 }
 
 TEST_F(AcceptorTest, APollLeavesToTheEventLoopWhatThatIsAboutToTell) {
@@ -215,14 +215,14 @@
   acceptor->PollForMissedClients();
   EXPECT_TRUE(Admits(1));
   Settle();
-  EXPECT_EQ(acceptor->missed(), 0U);
+  EXPECT_EQ(acceptor->missed_wakeups(), 0U);
 }
 
 TEST_F(AcceptorTest, APollFindsNobodyWhereNobodyWaits) {
   Settle();
   for (int i = 0; i < 10; ++i) acceptor->PollForMissedClients();
   Settle();
-  EXPECT_EQ(acceptor->missed(), 0U);
+  EXPECT_EQ(acceptor->missed_wakeups(), 0U);
   EXPECT_TRUE(admitted.empty());
 }
 
@@ -410,7 +410,7 @@
   for (tcp::socket& client : clients) EXPECT_TRUE(IsOpen(client));
 }
 
-TEST_F(AcceptorTest, WhoWaitsWhenItClosesWithoutRoomIsAdmittedOnceThereIsSome) {
+TEST_F(AcceptorTest, WhoWaitsWhenItClosesWithoutCapacityIsAdmittedOnceThereIsSome) {
   Settle();
   Connect();
   ASSERT_TRUE(Admits(1));
@@ -452,7 +452,7 @@
     admitted.clear();
     clients.clear();
   }
-  EXPECT_EQ(acceptor->missed(), 0U);
+  EXPECT_EQ(acceptor->missed_wakeups(), 0U);
 }
 
 }  // namespace
--- a/tests/runtime/deadlines_test.cpp
+++ b/tests/runtime/deadlines_test.cpp
@@ -22,7 +22,7 @@
   deadlines.Set(now + milliseconds(1), 1);
   deadlines.Set(now + milliseconds(2), 2);
   deadlines.Set(now + milliseconds(3), 3);
-  deadlines.TakeBack(now + milliseconds(1), 1);
+  deadlines.Cancel(now + milliseconds(1), 1);
   io.run();
   EXPECT_EQ(passed, (std::vector<std::uint64_t>{2, 3}));
 }
--- a/tests/runtime/descriptors_test.cpp
+++ b/tests/runtime/descriptors_test.cpp
@@ -13,14 +13,14 @@
 TEST(Descriptors, EachSideHasItsHalfOfWhatIsNotFixed) {
   runtime::Descriptors descriptors(64, 4);
   std::vector<std::unique_ptr<runtime::Descriptors::Slot>> slots;
-  while (descriptors.Room(runtime::Descriptors::Side::kClient)) {
+  while (descriptors.HasCapacity(runtime::Descriptors::Side::kClient)) {
     slots.push_back(
         std::make_unique<runtime::Descriptors::Slot>(descriptors, runtime::Descriptors::Side::kClient));
   }
   EXPECT_EQ(slots.size(), (64U - runtime::Descriptors::kFixed - 4) / 2);
-  EXPECT_TRUE(descriptors.Room(runtime::Descriptors::Side::kUpstream));
+  EXPECT_TRUE(descriptors.HasCapacity(runtime::Descriptors::Side::kUpstream));
   slots.pop_back();
-  EXPECT_TRUE(descriptors.Room(runtime::Descriptors::Side::kClient));
+  EXPECT_TRUE(descriptors.HasCapacity(runtime::Descriptors::Side::kClient));
 }
 
 TEST(Descriptors, AreSharedWithAnotherProcessUntilItEnds) {
@@ -28,13 +28,13 @@
   const std::size_t full = descriptors.full();
   descriptors.Cap(20);
   std::vector<std::unique_ptr<runtime::Descriptors::Slot>> slots;
-  while (descriptors.Room(runtime::Descriptors::Side::kClient)) {
+  while (descriptors.HasCapacity(runtime::Descriptors::Side::kClient)) {
     slots.push_back(
         std::make_unique<runtime::Descriptors::Slot>(descriptors, runtime::Descriptors::Side::kClient));
   }
   EXPECT_EQ(slots.size(), 10U);
   descriptors.Uncap();
-  EXPECT_TRUE(descriptors.Room(runtime::Descriptors::Side::kClient));
+  EXPECT_TRUE(descriptors.HasCapacity(runtime::Descriptors::Side::kClient));
   descriptors.Cap(full * 2);
   EXPECT_EQ(descriptors.used(), 10U);
 }
--- a/tests/simulation/lab_test.cpp
+++ b/tests/simulation/lab_test.cpp
@@ -125,7 +125,7 @@
     return rules.count(rule);
   }
   void Flush() {
-    if (next) rules.Tell(*next);
+    if (next) rules.Record(*next);
     next.reset();
   }
   Rules rules;
@@ -229,10 +229,10 @@
       h.kind = Kind::kRequested;
       h.request = ++client_request;
       h.at = runtime::TimePoint(SecondsOf(s + 0.001 * i));
-      figures.Tell(h);
+      figures.Record(h);
       h.kind = Kind::kResolved;
       h.request_outcome = s >= 3 && s < 9 && i < 10 ? RequestOutcome::kRefused : RequestOutcome::kServed;
-      figures.Tell(h);
+      figures.Record(h);
     }
   }
   figures.Finish();
--- a/tests/standins/hall.cpp
+++ b/tests/standins/hall.cpp
@@ -536,7 +536,7 @@
   limits.drain = drain;
   simulation::Rules rules(limits);
   std::ranges::stable_sort(happened, {}, &simulation::SimulationEvent::at);
-  for (const simulation::SimulationEvent& happening : happened) rules.Tell(happening);
+  for (const simulation::SimulationEvent& happening : happened) rules.Record(happening);
   rules.End(testing::At({}, Clock::now() + kTimeout + limits.grace).at);
   for (const simulation::Breach& broke : rules.breaches()) {
     broken.push_back("rule " + std::string(NameOf(broke.rule)) + ": " + broke.what + " (" +
