--- a/src/balancer/actions.h
+++ b/src/balancer/actions.h
@@ -1,4 +1,4 @@
-// What a balancer has its sidecar do.
+// Actions: the output of the balancer, which the sidecar carries out in order.
 #pragma once
 
 #include <cstdint>
@@ -12,32 +12,37 @@
 struct SendAttempt {
   RequestId request{};
   UpstreamId upstream;
-  Duration timeout{};  // always positive; of an arriving request it counts from its last byte on
+  Duration timeout{};  // positive; for a request that is still arriving it counts from its last byte
 };
-struct CancelAttempt {  // stop waiting for it; it still ends with one AttemptEnded
+// Stop waiting for the attempt. It still ends with exactly one AttemptEnded.
+struct CancelAttempt {
   RequestId request{};
   AttemptId attempt{};
 };
-struct Reject {  // final: nothing was done, trying again is harmless
+// Final answer: the request had no effect, so that a retry by the client is harmless.
+struct Reject {
   RequestId request{};
-  Duration retry_after{};  // zero: no advice
+  Duration retry_after{};  // for the Retry-After header; zero: none
 };
-struct Fail {  // final: no promise whether it took effect
+// Final answer: the request may or may not have taken effect.
+struct Fail {
   RequestId request{};
 };
-struct SetTimer {  // at: may already be past by the time it is carried out
-  TimePoint at;
+struct SetTimer {
+  TimePoint at;             // may already be past when the action is carried out
   std::uint64_t token = 0;  // at most 2^63
 };
+// Send a load probe.
 struct SendProbe {
   UpstreamId upstream;
 };
-struct CloseIdle {  // close this sidecar's idle connections to it
+// Close this sidecar's idle connections to the upstream.
+struct CloseIdle {
   UpstreamId upstream;
 };
-struct Subscribe {};  // ask for membership changes from now on, the missed ones first
+struct Subscribe {};  // subscribe to membership changes, starting with those that were missed
 struct Log {
-  std::string text;  // one line for the people on call
+  std::string text;  // one line for the log
 };
 
 using Action =
--- a/src/balancer/arithmetic.h
+++ b/src/balancer/arithmetic.h
@@ -1,4 +1,4 @@
-// Arithmetic that the rooms of the decision module share. No state, no decisions.
+// Arithmetic shared by the components of the decision module.
 #pragma once
 
 #include <algorithm>
@@ -25,7 +25,7 @@
   return hash ^ (hash >> 31);
 }
 
-// A mean that forgets: over all samples while they are few, over about the latest `memory` later on.
+// Moving average: over all samples while there are few, later over about the last `memory` samples.
 struct Mean {
   double value = 0;
   double samples = 0;
@@ -35,12 +35,12 @@
   }
 };
 
-// A mean of microseconds as a duration; `unknown` where the mean has not reached one microsecond.
+// A mean of microseconds as a duration; `unknown` while the mean is below one microsecond.
 inline Duration TimeOr(const Mean& mean, Duration unknown) {
   return mean.value >= 1 ? Duration(static_cast<Duration::rep>(mean.value)) : unknown;
 }
 
-// Proves by the interface's promise that the upstream ran nothing.
+// The outcome proves that the upstream did not run the request.
 inline bool ProvesNotRun(Outcome outcome) {
   return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
@@ -51,7 +51,7 @@
          outcome == Outcome::kReset;
 }
 
-// Something answered, whatever it said.
+// The upstream answered, with whatever result.
 inline bool IsAnswer(Outcome outcome) {
   return outcome == Outcome::kServed || outcome == Outcome::kError || outcome == Outcome::kFull;
 }
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,8 +1,8 @@
-// Routes every event to those that it concerns, in the order in which they are asked.
+// Routes each event to Fleet and RequestHandler, in a fixed order.
 //
-// The interface is src/balancer/balancer.h; docs/ARCHITECTURE.md has the rooms. Fleet holds what is known of
-// the upstreams and chooses among them; RequestHandler decides what is done with each request; each of their
-// rooms answers one kind of question and knows no other room.
+// The interface is src/balancer/balancer.h; docs/ARCHITECTURE.md lists the components. Fleet holds the state
+// of the upstreams and chooses among them; RequestHandler decides what to do with each request. Each of their
+// components answers one kind of question and does not know the others.
 #include "balancer/balancer.h"
 
 #include <algorithm>
@@ -19,11 +19,11 @@
 namespace mothrack::balancer {
 namespace {
 
-// After a failed call for membership the next one follows in up to a fifth of `poll_within`, or of this: a
-// change counts as told 6 s after it could be asked for, and the failed call and the next take 2 s each. The
-// look takes the rest.
+// After a failed membership call the next one follows within a fifth of `poll_within`, or of this if shorter.
+// A change counts as announced 6 s after it could have been polled; the failed call and the next take up to 2
+// s each, and the tick takes the rest.
 constexpr Duration kMaxPollInterval = std::chrono::milliseconds(8750);
-// The next call follows after this share of it at least, and up to twice that: sidecars must not ask in step.
+// The delay is this share at least and up to twice that, randomly, so that sidecars do not poll in step.
 constexpr double kResubscribeShare = 0.1;
 
 }  // namespace
@@ -63,7 +63,7 @@
   void Route(const MembershipUpdate& update) {
     if (update.kind != MembershipUpdate::Kind::kFailed) return fleet_.UpdateMembership(update);
     if (!context_.settings.membership_on_request) return;
-    // Asking again at once would add to what made it fail.
+    // An immediate retry would add to the load that may have made it fail.
     const Duration interval = std::min(context_.settings.rules.poll_within, kMaxPollInterval);
     const double share = kResubscribeShare + kResubscribeShare * context_.random.Uniform();
     subscribe_at_ = context_.now + Scaled(interval, share);
--- a/src/balancer/connection_model.h
+++ b/src/balancer/connection_model.h
@@ -1,8 +1,8 @@
-// Connection model: what is known of this sidecar's idle connections and of how connecting fares.
+// Connection model: estimates which idle connections are still usable and how hard it is to open new ones.
 //
-// Guards attempts that may not be repeated against idle connections that the far side dropped unseen (RFC
-// 9112, section 9.6: a reused connection may be closed at any time), and requests against upstreams where
-// opening a connection takes long or fails, as when their tables of connections are full.
+// Guards attempts that may not be repeated against idle connections that the upstream has closed unnoticed
+// (RFC 9112, section 9.6: a reused connection may be closed at any time), and requests against upstreams
+// where opening a connection is slow or fails, for example because their connection tables are full.
 #pragma once
 
 #include "balancer/arithmetic.h"
@@ -10,37 +10,37 @@
 
 namespace mothrack::balancer {
 
-// How long an idle connection is trusted: half the age at which one was found dropped, this at least, ...
+// An idle connection is reused up to half the age at which one was found closed, at least this, ...
 inline constexpr Duration kMinTrustedIdle = std::chrono::milliseconds(100);
-// ... growing by this factor each tick (twice in some ten seconds).
+// ... and the limit grows by this factor each tick (it doubles in about ten seconds).
 inline constexpr double kTrustGrowth = 1.02;
-// A reset within this share of the connect time-out is immediate: the connection had been dropped before.
+// A reset within this share of the connect time-out means that the connection was already closed.
 inline constexpr double kImmediateShare = 0.1;
-// From this difficulty on connecting is hard: in sum half of the attempts that connect take twice their time
-// or fail.
+// Connecting is hard above this difficulty: about half of the attempts that open a connection take twice
+// their usual time or fail.
 inline constexpr double kHardToConnect = 0.5;
-// The difficulty follows about this many of the latest attempts that connect, ...
+// Memory of the difficulty, in attempts that open a connection, ...
 inline constexpr double kConnectingMemory = 20;
-// ... and fades over this time: failures to connect to machines that are gone say nothing of the next ones.
+// ... and its decay time: failed connections to machines that are gone say nothing about others.
 inline constexpr Duration kConnectingFadeTime = std::chrono::seconds(2);
 
-// An upstream's connections from this sidecar that wait for an attempt.
+// The idle connections of this sidecar to an upstream, as estimated.
 struct ConnectionRecord {
   int idle = 0;
-  TimePoint idle_since;  // the last one of them
+  TimePoint idle_since;  // when the most recently used one became idle
 };
 
-// What an attempt found when it was sent.
+// How an attempt got its connection.
 struct ConnectionUse {
-  bool connects = false;  // it found no connection to use
-  Duration idle_for{};    // how long the one it found had been idle
+  bool connects = false;  // it opened a new one
+  Duration idle_for{};    // how long the reused one had been idle
 };
 
 class ConnectionModel {
  public:
   explicit ConnectionModel(const Limits& limits) : limits_(limits), trusted_idle_(limits.idle_close) {}
 
-  // Whether an attempt sent now finds a connection; `in_flight`: attempts that the upstream holds.
+  // Whether an attempt sent now finds a usable connection. `in_flight`: attempts at the upstream.
   bool HasConnection(const ConnectionRecord& record, int in_flight, TimePoint now) const {
     if (limits_.streams > 1 && in_flight > 0) return true;
     return record.idle > 0 && now - record.idle_since < limits_.idle_close;
@@ -48,7 +48,7 @@
 
   bool IsConnectingHard() const { return difficulty_.value > kHardToConnect; }
 
-  // Whether the upstream's idle connections are too old to be trusted; the record then has them as closed.
+  // Whether the idle connections are too old to be reused; if so, the record counts them as closed.
   bool DropStale(ConnectionRecord& record, TimePoint now) const;
   // An attempt is being sent.
   ConnectionUse Use(ConnectionRecord& record, int in_flight, TimePoint now) const;
@@ -59,8 +59,8 @@
 
  private:
   const Limits& limits_;
-  Mean difficulty_;        // of connecting, 0 to 1: 1 where it fails or takes as long as an answer
-  Duration trusted_idle_;  // connections idle for longer are closed before an attempt
+  Mean difficulty_;        // of connecting, 0 to 1; 1 if it fails or adds a whole answer time
+  Duration trusted_idle_;  // connections that were idle for longer are closed, not reused
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/context.h
+++ b/src/balancer/context.h
@@ -1,5 +1,5 @@
-// What every decision about one event shares: the settings, the event's time, the source of chance, the
-// counters, and the actions that come of it.
+// What all decisions about one event share: settings, the event's time, random numbers, counters, and the
+// list of resulting actions.
 #pragma once
 
 #include <cstdint>
@@ -22,17 +22,17 @@
   }
   void EndEvent() { actions_ = nullptr; }
 
-  // Only while an event is handled.
+  // Appends an action. Only between BeginEvent() and EndEvent().
   template <typename T>
   void Emit(T action) {
     actions_->emplace_back(std::move(action));
   }
-  // One line for the people on call.
+  // One line for the log.
   void EmitLog(std::string text) { Emit(Log{std::move(text)}); }
 
   const Settings settings;
   Random random;
-  TimePoint now;  // of the event, or of the last one
+  TimePoint now;  // time of the current event, or of the last one
   Counts counts;
 
  private:
--- a/src/balancer/events.h
+++ b/src/balancer/events.h
@@ -1,4 +1,4 @@
-// What a sidecar tells its balancer.
+// Events: the input of the balancer, in the order in which they happened.
 #pragma once
 
 #include <cstdint>
@@ -16,19 +16,20 @@
 struct UpstreamInfo {
   UpstreamId id{};
   std::string zone{};
-  std::string kind{};  // machines of one kind are about alike; empty where kinds are not told
+  std::string kind{};  // machine type; upstreams of one kind are about equally fast; empty if unknown
   std::int64_t cell = 0;
   UpstreamState state = UpstreamState::kServing;
-  double weight = 1;                   // the registered size; 1 where none is registered
-  std::optional<TimePoint> started{};  // absent: long ago. A new time means a new process
+  double weight = 1;  // registered capacity, relative; 1 if none is registered
+  std::optional<TimePoint>
+      started{};  // start of its process; absent: long ago. A different time is a different process
 };
 
 struct MembershipUpdate {
   enum class Kind {
-    kChanges,   // `upstreams` has only what changed
-    kFull,      // `upstreams` is the whole list: what is missing is gone
-    kRestored,  // the whole list as it was last seen, perhaps out of date
-    kFailed,    // a Subscribe failed or a subscription ended: the old list stands
+    kChanges,   // `upstreams` has only the entries that changed
+    kFull,      // `upstreams` is the complete list: an upstream that is missing is gone
+    kRestored,  // the complete list as last seen, possibly stale
+    kFailed,    // a Subscribe failed or a subscription ended: the last list stays in force
   };
   Kind kind = Kind::kFull;
   std::vector<UpstreamInfo> upstreams;
@@ -38,40 +39,42 @@
   RequestId request{};
   ClassId request_class{};
   std::optional<TenantId> tenant{};
-  TimePoint deadline{};            // when the client gives up on this try
-  std::optional<Duration> work{};  // expected work, where it is known
-  bool client_retry = false;       // a client's own repeat, where clients say so
-  // Its body is still coming: its time, which is as long as `deadline` is off now, counts from
-  // RequestComplete on. Its attempts may begin before.
+  TimePoint deadline{};            // when the client gives up
+  std::optional<Duration> work{};  // expected service time, if known
+  bool client_retry = false;       // the client marked it as a retry of its own
+  // The body is still being received: the time allowed, now the time until `deadline`, counts from
+  // RequestComplete on. Attempts may start earlier.
   bool arriving = false;
 };
 
-struct RequestComplete {  // the last byte of a request that was arriving has come
+// The last byte of a request that was still arriving has been received.
+struct RequestComplete {
   RequestId request{};
   TimePoint deadline{};
 };
 
+// How an attempt or a load probe ended, and whether the upstream may have run it.
 enum class Outcome {
-  kServed,
+  kServed,         // a complete successful answer
   kError,          // the upstream answered with an error: may have run
-  kFull,           // turned away unseen: did not run
+  kFull,           // the upstream rejected it for lack of capacity: did not run
   kTimeout,        // no answer in time: may have run
   kConnectFailed,  // no connection: did not run
   kReset,          // the connection broke: may have run
-  kCancelled,      // called off: may have run
-  kNotSent,        // the sidecar did not send it (the request had ended): did not run
+  kCancelled,      // cancelled by the sidecar: may have run
+  kNotSent,        // never sent, as the request had already ended: did not run
 };
 
-// An upstream's view of its load; absent values were not reported.
+// An upstream's own report of its load. Absent values were not reported.
 struct LoadReport {
   std::optional<double> in_flight;
   std::optional<double> queued;
   std::optional<double> utilization;
-  std::optional<double> rate;  // requests served a second
+  std::optional<double> rate;  // requests served per second
 };
 
-// A streamed answer has begun: the request is the client's now and has no deadline any more. It counts as
-// served in time or late by now; only a break of it is still a failure of its upstream.
+// A streamed answer has begun. From now on the request has no deadline and can't be retried. Whether it was
+// served in time is decided by this moment; a later break is still recorded as a failure of the upstream.
 struct AnswerStarted {
   RequestId request{};
   AttemptId attempt{};
@@ -82,11 +85,12 @@
   AttemptId attempt{};
   Outcome outcome = Outcome::kServed;
   Duration elapsed{};     // since it was sent
-  bool finished = false;  // the client has its answer: no further one is owed
+  bool finished = false;  // the client got its final answer from this attempt
   LoadReport load;
 };
 
-struct ClientDisconnected {  // the client left: no answer is owed
+// The client closed its connection: the request needs no final answer any more.
+struct ClientDisconnected {
   RequestId request{};
 };
 
--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -12,11 +12,11 @@
 
 namespace {
 
-// An upstream that said it is full gets nothing for this share of a usual answer's time at least, and for up
-// to that and a whole one: it needs about the time of an answer to have capacity again.
+// An upstream that rejected an attempt as full gets nothing for this many usual answer times, plus up to one
+// more at random: it needs about one answer time to have capacity again.
 constexpr double kMinFullTimes = 0.5;
-// Half-open probes of one zone are this share of kFirstProbeDelay apart at least, and up to that and a whole
-// one: sidecars must not probe in step.
+// Half-open probes of an unavailable zone are this many kFirstProbeDelay apart, plus up to one more at
+// random, so that sidecars do not probe in step.
 constexpr double kMinZoneProbeDelays = 0.5;
 
 }  // namespace
@@ -38,8 +38,8 @@
   upstreams_.FinishUpdate();
   zone_health_.KeepOnly([this](const std::string& zone) { return upstreams_.HasZone(zone); });
   MarkSubset();
-  // With the whole list known: a turn drawn from the sum so far would put the first ones of the list first at
-  // every sidecar, and a fleet of them would send their first requests to the same few.
+  // Only once the whole list is known: with credit drawn from a partial sum, the first upstreams of the list
+  // would come first at every sidecar, and the whole fleet would send its first requests to the same few.
   for (const UpstreamPtr& u : entering) EnterRotation(*u);
 }
 
@@ -130,7 +130,7 @@
 
 void Fleet::RecordHealth(Upstream& u, const Attempt& attempt, Outcome outcome) {
   if (IsFailure(outcome) && outcome != Outcome::kError) ++u.in_flight.unanswered;
-  if (u.info.state == UpstreamState::kGone) return;  // nothing more is decided about it
+  if (u.info.state == UpstreamState::kGone) return;  // its health no longer matters
   if (attempt.half_open_probe &&
       HalfOpenProbes::RecordOutcome(u.half_open, u.outlier.ejected, outcome, context_.now))
     Return(u, "after it served on trial");
@@ -149,9 +149,9 @@
   }
 }
 
-// The hedge, sent when the request was late, has been served before it, and its upstream says nothing: a
-// time-out that was not waited for. Guards against upstreams that swallow attempts, which hedges hide from
-// the failure run. Attempts that were out together tell of one silence, not of several.
+// A hedge was served before an earlier attempt whose upstream is unresponsive: that counts as a time-out.
+// Without it hedges would hide upstreams that drop attempts from outlier detection. Attempts that were in
+// flight at the same time count once.
 void Fleet::RecordOvertaken(const Request& r, const Attempt& winner) {
   for (const Attempt& a : r.attempts) {
     Upstream& u = *a.upstream;
@@ -190,7 +190,7 @@
 
 // ---- Standing and choice ----
 
-// But for the budget of slow start.
+// Whether it may get a request, apart from its slow start budget.
 bool Fleet::IsAvailable(Upstream& u, bool half_open_probe) {
   if (u.info.state != UpstreamState::kServing) return false;
   ReturnIfEjectionOver(u);
@@ -203,8 +203,8 @@
   return slow_start_.HasBudget(u.slow_start, BudgetBasis(u), context_.now);
 }
 
-// Whether it has no connection while connecting is hard. One that has just started has its table of
-// connections empty.
+// Whether it has no usable connection while connecting is hard. Not for one in slow start, whose connection
+// table is empty.
 bool Fleet::MustConnect(const Upstream& u) const {
   return connections_.IsConnectingHard() && SlowStartFactor(u) >= 1 &&
          !connections_.HasConnection(u.connection, u.in_flight.attempts, context_.now);
@@ -212,17 +212,17 @@
 
 bool Fleet::IsSuspect(const Upstream& u) const {
   if (outliers_.IsSuspect(u.outlier) || zone_health_.IsUnavailable(u.info.zone)) return true;
-  // Most hold nothing, and are spared the rest.
+  // Most have nothing in flight, and the rest need not be computed.
   return u.in_flight.attempts > 0 &&
          u.in_flight.IsUnresponsive(context_.now, latency_.UsualTime(), Slowness(u), SlowStartFactor(u));
 }
 
-// Lateness of one in slow start, suspect or ejected is its own fault and tells of no overload.
+// Whether late answers of the upstream are a sign of overload, rather than its own fault.
 bool Fleet::IsTelling(const Upstream& u) const {
   return !u.outlier.ejected && SlowStartFactor(u) >= 1 && !IsSuspect(u);
 }
 
-// The listed weight, less in slow start, by what was observed.
+// The listed weight, scaled by slow start, observed slowness and failures.
 double Fleet::RotationWeight(const Upstream& u) const {
   const double of_kind = latency_.KindSlowness(u.info.kind);
   const double own = LatencyModel::Slowness(u.latency, of_kind);
@@ -231,8 +231,8 @@
          OutlierDetector::SuccessFactor(u.outlier, LatencyModel::IsLoaded(u.latency));
 }
 
-// Members of the subset that are out, suspect or tried are made up for by the next ones in order. None is
-// chosen that just said it is full.
+// Upstreams of the subset that are ejected, suspect or already tried are replaced by the next ones in order.
+// Upstreams that have just rejected an attempt as full are left out.
 UpstreamPtr Fleet::Choose(const Request& r, const RetryPolicy& retries, bool only_good) {
   round_robin_.Clear();
   double places_left = SubsetSize();
@@ -249,7 +249,8 @@
     const bool tried = r.HasTried(u);
     round_robin_.Add(
         {&u.rotation, i, RotationWeight(u), u.in_flight.attempts, tried, suspect, MustConnect(u)});
-    if (!suspect && !tried) places_left -= SlowStartFactor(u);  // those in slow start are no help yet
+    if (!suspect && !tried)
+      places_left -= SlowStartFactor(u);  // one in slow start takes only part of a place
   }
   const auto chosen = round_robin_.Choose(only_good);
   return chosen ? ranked[*chosen] : nullptr;
--- a/src/balancer/fleet.h
+++ b/src/balancer/fleet.h
@@ -1,8 +1,9 @@
-// The fleet: the upstreams as this sidecar has met them, and which one takes the next request.
+// The fleet: the state of the upstreams as this sidecar has observed them, and the choice of one for a
+// request.
 //
-// It holds the rooms that keep a record of each upstream and hands each what the others know; none of these
-// rooms knows another. The choice is smooth weighted round robin over the upstreams of the subset that are
-// not ejected, with weights that follow what was observed.
+// Owns the components that keep a record per upstream and passes values between them, so that none depends on
+// another. The choice is a smooth weighted round robin over the upstreams of the subset that are not ejected,
+// with weights that follow the observations.
 #pragma once
 
 #include <cstddef>
@@ -33,47 +34,48 @@
  public:
   explicit Fleet(Context& context);
 
-  // ---- What is recorded ----
+  // ---- Events ----
 
   void Start() { request_rate_.Start(context_.now); }
-  // A list, or what changed of it; not a failed call for one.
+  // A complete list or changes of it; not Kind::kFailed.
   void UpdateMembership(const MembershipUpdate& update);
   void RecordArrival() { request_rate_.RecordArrival(); }
-  // An attempt is being sent. Tells which connection it uses; closes those that are too old to be trusted.
+  // An attempt is being sent. Returns how it gets its connection, and closes idle ones that are too old.
   ConnectionUse RecordSent(Upstream& upstream, bool half_open_probe, bool in_flight);
-  // What its upstream holds is what it can be late with: not a body that still comes, nor an answer that has
-  // begun.
+  // Counts the attempt as in flight: from when the upstream has the whole request until its answer begins,
+  // the time in which it can be late.
   void RecordInFlight(Upstream& upstream) const { upstream.in_flight.Begin(context_.now); }
   void RecordReleased(Upstream& upstream) const { upstream.in_flight.End(); }
-  // A streamed answer has begun: the upstream is not silent. Its time is recorded apart.
+  // A streamed answer has begun: the upstream is responsive. RecordAnswerTime() records the time.
   void RecordAnswerStarted(const Attempt& attempt) const {
     attempt.upstream->in_flight.waiting_since = context_.now;
   }
   void RecordAnswerTime(const Request& request, const Attempt& attempt, Outcome outcome, Duration elapsed);
-  // Of an attempt that has just got its outcome.
+  // An attempt has ended, and `attempt.outcome` is set.
   void RecordOutcome(const Request& request, const Attempt& attempt, Duration elapsed);
-  // A hedge was served before other attempts of the request.
+  // The attempt `winner`, a hedge, was served before other attempts of the request.
   void RecordOvertaken(const Request& request, const Attempt& winner);
-  // The request is late, and these attempts' upstreams say nothing.
+  // The request is late, and its attempts are unanswered.
   void RecordSilence(const Request& request);
   void RecordUnansweredProbe(Upstream& upstream) const {
     OutlierDetector::RecordUnansweredProbe(upstream.outlier);
   }
-  // `weights`: of the last tick.
+  // `weights`: as of the last tick.
   void RecordTick(const FleetWeights& weights);
   void ReturnThoseDue();
 
-  // ---- What is answered ----
+  // ---- Queries ----
 
-  // Null where there is none of this id.
+  // Null if there is none with this id.
   UpstreamPtr Find(const UpstreamId& id) const { return upstreams_.Find(id); }
-  // Those that are not gone, in this sidecar's order.
+  // The upstreams that are not gone, in this sidecar's order.
   const std::vector<UpstreamPtr>& ranked() const { return upstreams_.ranked(); }
-  // May this upstream take a request? The one gate to every upstream. An ejected one takes probes only.
+  // Whether the upstream may get a request. Checked before every attempt. An ejected one gets half-open
+  // probes only.
   bool MayTake(Upstream& upstream, bool half_open_probe = false) {
     return IsAvailable(upstream, half_open_probe) && HasSlowStartBudget(upstream);
   }
-  // The upstream whose turn it is; null where none can take the request. `only_good`: none that was tried or
+  // The next upstream by round robin; null if none can take the request. `only_good`: none that was tried or
   // is suspect.
   UpstreamPtr Choose(const Request& request, const RetryPolicy& retries, bool only_good = false);
   ProbedLoad LoadOf(const ProbedUpstream& probed) const;
@@ -89,7 +91,7 @@
   double SlowStartFactor(const Upstream& upstream) const {
     return slow_start_.Factor(upstream.info.started, context_.now);
   }
-  // By id.
+  // Sorted by id.
   std::vector<UpstreamView> Views(TimePoint now) const;
 
  private:
@@ -128,7 +130,7 @@
   ConnectionModel connections_;
   SlowStart slow_start_;
   SmoothWeightedRoundRobin round_robin_;
-  std::vector<SubsetMember> subset_members_;  // of one marking, kept for their memory
+  std::vector<SubsetMember> subset_members_;  // scratch space, a member only to reuse its memory
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/half_open_probes.h
+++ b/src/balancer/half_open_probes.h
@@ -1,25 +1,26 @@
-// Half-open probes: trying out an ejected or suspect upstream ahead of its time.
+// Half-open probes: test whether an ejected or suspect upstream serves again before its ejection ends.
 //
-// Guards against keeping an upstream out long after its fault has ended. Copies of requests that may be
-// repeated are the probes (the half-open state of a circuit breaker, as in the Linkerd circuit-breaking RFC),
-// so that a relapse costs no request.
+// Guards against keeping an upstream ejected long after its fault has ended. The probes are hedges of
+// requests that may be repeated (the half-open state of a circuit breaker, as in the Linkerd circuit-breaking
+// RFC), so that a failed probe costs no request.
 #pragma once
 
 #include "balancer/balancer.h"
 
 namespace mothrack::balancer {
 
-// The first probe follows after this, the next ones at twice the time after each that fails, up to the most.
+// Delay before the first probe; it doubles after each failed one, up to the cap.
 inline constexpr Duration kFirstProbeDelay = std::chrono::milliseconds(1000);
 inline constexpr Duration kMaxProbeDelay = std::chrono::milliseconds(8000);
-// Probes served in a row to return: one may be luck where an upstream fails only some.
+// Consecutive successful probes that end an ejection: one may be luck if an upstream fails only some
+// attempts.
 inline constexpr int kProbesToReturn = 2;
 
 struct HalfOpenRecord {
   TimePoint next_probe;
   Duration delay{};        // before the next probe
-  int served = 0;          // probes in a row since the ejection
-  bool under_way = false;  // one probe at a time
+  int served = 0;          // consecutive successful probes since the ejection
+  bool under_way = false;  // a probe is in flight: one at a time
 };
 
 class HalfOpenProbes {
@@ -29,7 +30,7 @@
   }
   static void RecordEjection(HalfOpenRecord& record, TimePoint now);
   static void RecordSent(HalfOpenRecord& record) { record.under_way = true; }
-  // Whether the upstream has served often enough to return from its ejection.
+  // A probe ended. Returns whether the upstream's ejection ends by that.
   static bool RecordOutcome(HalfOpenRecord& record, bool ejected, Outcome outcome, TimePoint now);
 };
 
--- a/src/balancer/in_flight.h
+++ b/src/balancer/in_flight.h
@@ -1,7 +1,8 @@
-// What an upstream holds of this sidecar's attempts, and since when it has said nothing.
+// The attempts of this sidecar that an upstream has in flight, and since when it has not answered.
 //
-// Guards against hangs, silent machines and cut links, which show by nothing but time: such an upstream is
-// passed over before its failures run long, while others stand. One answer clears it.
+// Guards against hung processes, dead machines and network partitions, which show only as time passing: such
+// an upstream is avoided, while others are usable, before its consecutive failures suffice for ejection. One
+// answer clears it.
 #pragma once
 
 #include <cstdint>
@@ -11,15 +12,16 @@
 
 namespace mothrack::balancer {
 
-// Unresponsive: it holds attempts and has answered nothing for this many usual times. Service times are about
-// exponential, so a healthy upstream with one attempt is that slow once in twenty.
+// An upstream with attempts in flight is unresponsive once it has answered nothing for this many usual answer
+// times. Service times are roughly exponential, so a healthy upstream with one attempt exceeds that once in
+// twenty.
 inline constexpr double kUnresponsiveTimes = 3;
 
 struct InFlightRecord {
-  int attempts = 0;         // that it holds
-  TimePoint waiting_since;  // while it holds attempts: since when it has answered none
-  TimePoint full_until;     // it said that it is full: nothing more is sent to it before
-  // For people who look: since this process of it was first heard of.
+  int attempts = 0;         // in flight
+  TimePoint waiting_since;  // while attempts > 0: since when none was answered
+  TimePoint full_until;     // it rejected an attempt as full: nothing is sent before this time
+  // For UpstreamView only, since this process became known.
   std::uint64_t sent = 0;
   std::uint64_t unanswered = 0;
 
@@ -28,7 +30,7 @@
   }
   void End() { --attempts; }
 
-  // `usual_time`: of an answer; `slowness` and `slow_start_factor`: the upstream's.
+  // `usual_time`: of an answer over all classes; `slowness` and `slow_start_factor`: of this upstream.
   bool IsUnresponsive(TimePoint now, Duration usual_time, double slowness, double slow_start_factor) const {
     return attempts > 0 &&
            now - waiting_since > Scaled(usual_time, kUnresponsiveTimes * slowness / slow_start_factor);
--- a/src/balancer/latency_model.cpp
+++ b/src/balancer/latency_model.cpp
@@ -13,12 +13,12 @@
   const Outcome outcome = answer.outcome;
   if (ProvesNotRun(outcome) || outcome == Outcome::kError || outcome == Outcome::kReset) return;
   const auto time = static_cast<double>(answer.elapsed.count());
-  // What slow start explains is no slowness of its own: it passes.
+  // Slow start is temporary and must not count as slowness of the upstream.
   const double warm = time * answer.slow_start_factor;
   const double usual = static_cast<double>(UsualTime(answer.class_index).count());
   const double ratio = std::min(warm / usual, 2 * kMaxSlowness);
   const double slowness = Slowness(record, kind);
-  // Unanswered so far says that it takes at least as long, but where others are answered fast.
+  // An unanswered attempt is a lower bound on the time, unless the upstream answers others fast.
   if (outcome != Outcome::kServed && (ratio < slowness || !IsLoaded(record))) return;
   if (answer.slow_start_factor < 1)
     slow_start_times_.Add(std::max(ratio / slowness, 1 / kMaxSlowness), kSlowStartTimesMemory);
--- a/src/balancer/latency_model.h
+++ b/src/balancer/latency_model.h
@@ -1,8 +1,8 @@
 // Latency model: how long answers take, by class, by upstream and by kind of machine.
 //
-// Guards against slow upstreams, which are given less, and tells what is late. A sidecar with few requests
-// meets one upstream too seldom to know it: until it has answered often, it is taken for what its kind of
-// machine is like.
+// Slow upstreams get less weight, and requests are late compared to the usual time of their class. A sidecar
+// with few requests has few samples of one upstream: until it has enough, the mean of the upstream's kind of
+// machine serves as prior.
 #pragma once
 
 #include <cstddef>
@@ -15,29 +15,29 @@
 
 namespace mothrack::balancer {
 
-// The usual time of a class and the slowness of a kind of machine follow about this many answers, ...
+// Memory, in answers, of the usual time of a class and the slowness of a kind of machine, ...
 inline constexpr double kUsualTimeMemory = 50;
-// ... an upstream's slowness this many of its own, ...
+// ... of an upstream's own slowness, ...
 inline constexpr double kSlownessMemory = 10;
-// ... and the speed of upstreams in slow start this many.
+// ... and of the speed of upstreams in slow start.
 inline constexpr double kSlowStartTimesMemory = 20;
-// Until an upstream has given this many answers its kind weighs more than its own times.
+// Weight of the prior, in answers.
 inline constexpr double kKindPrior = 5;
-// No upstream is taken for more than this many times slower or faster than the others.
+// Bound on an upstream's estimated slowness, and on its inverse.
 inline constexpr double kMaxSlowness = 3;
-// An upstream under load answers all slowly: a time-out tells of load only where its answers take this share
-// of their latency objectives in the mean. Guards against shedding for one that swallows some attempts and
-// has capacity left.
+// A time-out is a sign of overload only if the upstream's answers take this share of their latency objective
+// in the mean, since a loaded upstream answers everything slowly. Otherwise an upstream that drops some
+// attempts and has capacity left would cause load shedding.
 inline constexpr double kLoadedShare = 0.35;
-// Before a class has answers, its usual time is its latency objective divided by this.
+// The usual time of a class without answers is its latency objective divided by this.
 inline constexpr int kObjectiveToUsualTime = 4;
 
 struct LatencyRecord {
-  Mean slowness;         // its answers' time against the usual one of their class
-  Mean objective_share;  // its answers' time against their latency objective
+  Mean slowness;         // answer time divided by the usual time of the class
+  Mean objective_share;  // answer time divided by the latency objective
 };
 
-// An attempt's end, as far as its time is concerned.
+// The end of an attempt, reduced to what its time depends on.
 struct TimedAnswer {
   std::size_t class_index = 0;
   Duration latency_objective{};
@@ -51,7 +51,7 @@
   explicit LatencyModel(const Settings& settings)
       : settings_(settings), usual_time_(settings.classes.size()) {}
 
-  // The usual time of an answer to a class, and to all.
+  // The usual answer time of a class, and over all classes.
   Duration UsualTime(std::size_t class_index) const {
     return TimeOr(usual_time_[class_index],
                   settings_.classes[class_index].latency_objective / kObjectiveToUsualTime);
@@ -60,10 +60,10 @@
     return TimeOr(usual_time_of_all_, settings_.classes[0].latency_objective / kObjectiveToUsualTime);
   }
 
-  // Of each class, by its index, into a vector that is kept for its memory.
+  // The usual times of all classes by index, into a vector that the caller reuses.
   void GetUsualTimes(std::vector<Duration>& times) const;
 
-  // How many times as long as usual the answers take of a kind of machine, and of an upstream of that kind.
+  // Answer time as a multiple of the usual one: of a kind of machine, and of an upstream of that kind.
   double KindSlowness(const std::string& kind) const {
     const auto known = kind_slowness_.find(kind);
     if (known == kind_slowness_.end() || known->second.samples <= 0) return 1;
@@ -79,8 +79,8 @@
 
   static bool IsLoaded(const LatencyRecord& record) { return record.objective_share.value >= kLoadedShare; }
 
-  // What an upstream in slow start is likely to have of its capacity: as much more than the least,
-  // `slow_start_factor`, as those in slow start answer faster than by that.
+  // Estimated share of its capacity that an upstream in slow start has: the guaranteed minimum,
+  // `slow_start_factor`, scaled up by how much faster upstreams in slow start answer than that implies.
   double LikelyFactor(double slow_start_factor) const {
     if (slow_start_factor >= 1 || slow_start_times_.samples < kKindPrior) return slow_start_factor;
     return std::clamp(slow_start_factor / slow_start_times_.value, slow_start_factor, 1.0);
@@ -93,7 +93,7 @@
   std::vector<Mean> usual_time_;  // microseconds, by class
   Mean usual_time_of_all_;        // microseconds
   std::map<std::string, Mean> kind_slowness_;
-  Mean slow_start_times_;  // of upstreams in slow start, against what their least share makes of a usual time
+  Mean slow_start_times_;  // of upstreams in slow start, relative to what their minimum share implies
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/load_probes.h
+++ b/src/balancer/load_probes.h
@@ -1,8 +1,8 @@
-// Load probes: how many upstreams are asked for their load before a request, and which one answered best.
+// Load probes: how many upstreams are asked for their load before a request is sent, and which one to choose.
 //
-// Guards against queues that a sidecar with few requests doesn't see: they are other sidecars' requests. The
-// best of a few asked at random is close to the best of all (Mitzenmacher, "The power of two choices in
-// randomized load balancing", 2001).
+// Guards against queues of other sidecars' requests, which this sidecar can't observe itself. The best of a
+// few random choices is close to the best of all (Mitzenmacher, "The power of two choices in randomized load
+// balancing", 2001).
 #pragma once
 
 #include <cstddef>
@@ -13,35 +13,35 @@
 
 namespace mothrack::balancer {
 
-// As many are asked as this share of the service pays for, ...
+// Share of the service's value that may be spent on probes, ...
 inline constexpr double kProbeSpend = 0.01;
-// ... at most so many.
+// ... and the most probes per request.
 inline constexpr double kMaxProbesPerRequest = 3;
-// A price of probes below this is taken for this: a price of nothing buys the most.
+// Lower bound on the price of probes, to divide by.
 inline constexpr double kMinProbePrice = 1e-9;
-// The request waits for the answers for this share of a connect time-out.
+// How long a request waits for the reports, as a share of the connect time-out.
 inline constexpr double kProbeWaitShare = 0.1;
-// One that holds more than it serves in this share of the request's latency objective is jammed: times vary
-// about twofold.
+// An upstream is jammed if its queue takes longer than this share of the request's latency objective; service
+// times vary about twofold.
 inline constexpr double kJammedShare = 0.5;
 
-// An upstream's answer, and what it can do.
+// An upstream's load report, and its estimated capacity.
 struct ProbedLoad {
-  double in_flight = 0;     // requests that it holds, as it says
-  double served_per_s = 0;  // as it says; 0 where it doesn't
-  double slowness = 1;      // its answers' time against the usual one
-  double capacity = 1;      // its listed weight, as far as slow start has it by now
+  double in_flight = 0;     // requests, as reported
+  double served_per_s = 0;  // requests per second, as reported; 0 if not reported
+  double slowness = 1;      // answer time as a multiple of the usual one
+  double capacity = 1;      // listed weight times the slow start factor
 };
 
-// Chooses among the answers to one request's probes.
+// Chooses among the load reports for one request.
 class LeastLoaded {
  public:
   explicit LeastLoaded(Duration latency_objective) : latency_objective_(latency_objective) {}
 
   void Consider(std::size_t index, const ProbedLoad& load);
-  // The one with the least to do for what it can; absent where none was considered that is not jammed.
+  // The index with the least load per capacity; absent if all considered ones are jammed, or there was none.
   std::optional<std::size_t> best() const { return best_; }
-  // One holds more than it serves within the objective: a request would be late and keep it jammed.
+  // At least one was jammed: a request there would be late and add to its queue.
   bool any_jammed() const { return any_jammed_; }
 
  private:
@@ -55,15 +55,15 @@
  public:
   explicit LoadProbes(const Settings& settings);
 
-  // Upstreams asked for their load before a request; 1: none is asked, it is sent to the first in turn.
+  // Upstreams to probe per request; 1: send to the first choice without a probe.
   std::size_t upstreams_per_request() const { return upstreams_per_request_; }
-  // How long a request waits for the answers.
+  // How long a request waits for the reports.
   Duration Wait() const;
 
   void RecordSent(RequestId request) { waiting_.push_back(request); }
-  // It waits no longer: it is decided, or has ended.
+  // The request no longer waits: its upstream is chosen, or it has ended.
   void RecordDone(RequestId request) { std::erase(waiting_, request); }
-  // Requests that wait for answers, in the order of their probes.
+  // Requests that wait for reports, in the order of their probes.
   const std::vector<RequestId>& waiting() const { return waiting_; }
 
  private:
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -19,7 +19,7 @@
   const double cut_before = before * (1 - kClassFloor);
   const double own = demand_[class_index];
   const double cut = shed_ * all;
-  // Where each is at its floor, all are cut alike from there on.
+  // All classes are at their floor: the rest is cut from each alike.
   if (cut > all - floor) return kClassFloor * (all - cut) / floor;
   return 1 - std::clamp((cut - cut_before) / own, 0.0, 1 - kClassFloor);
 }
@@ -33,13 +33,13 @@
   if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
   if (outcome == Outcome::kTimeout && !end.loaded) return;
   const bool late = IsLate(outcome, end.elapsed, end.latency_objective);
-  // Lateness of an upstream in slow start, suspect or ejected is its own fault, unless such ones are the
-  // most. Its being in time counts all the same: where the few that are let in all go to those in slow start,
-  // nothing else tells that the overload is over.
+  // A late answer of an upstream that is ejected, suspect or in slow start is its own fault, unless most
+  // upstreams are such. Answers in time always count: if the few admitted requests all go to upstreams in
+  // slow start, nothing else shows that the overload is over.
   if (late && !end.telling && 4 * weights_.telling > weights_.serving) return;
   const double step = 1 / std::max(kShedSample, usual_rate * Seconds(kShedTime));
-  // Holding no more than usual is not what makes them late: refusing more would be for nothing, as when the
-  // whole fleet is slow.
+  // With no more in flight than usual, load is not the cause (for example the whole fleet is slow), and
+  // rejecting more would not help.
   if (late && mean_in_flight_ < usual_in_flight_ * weights_.able) return;
   late_share_ += ((late ? 1 : 0) - late_share_) / kLateMemory;
   const double ease = 1 + kShedEase * std::max(0.0, 1 - late_share_ / kTooManyLate);
@@ -50,7 +50,7 @@
 void LoadShedder::RecordTick(const FleetWeights& weights) {
   weights_ = weights;
   const double able = weights_.able;
-  // What is lost at once is known before the answers of the rest come late: by then their queues are full.
+  // React to a sudden loss of capacity before late answers show it, when queues are already full.
   able_before_ = std::max(able, able_before_ * (1 - Seconds(kTickInterval) / Seconds(kLossMemory)));
   const double lost = able_before_ - able;
   if (lost > able_before_ * kGreatLoss && lost * weights_.upstreams >= kMinUpstreamsLost * weights_.serving) {
@@ -60,7 +60,7 @@
   mean_in_flight_ += (in_flight_ - mean_in_flight_) * Seconds(kTickInterval) / Seconds(kShedTime);
   const bool in_time = shed_ <= 0 && late_share_ <= kTooManyLate / 2;
   if (in_time && able > 0) usual_in_flight_ += (in_flight_ / able - usual_in_flight_) / kUsualInFlightMemory;
-  // Where next to nothing is sent any more, little is heard of how that fares.
+  // Decays by itself, as few outcomes are left to lower it once most requests are rejected.
   shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kTickInterval) / kShedSample);
   for (double& work : demand_) work *= 1 - Seconds(kTickInterval) / Seconds(kDemandMemory);
 }
--- a/src/balancer/load_shedder.h
+++ b/src/balancer/load_shedder.h
@@ -1,11 +1,11 @@
-// Load shedder: which share of the requests is refused while the fleet is overloaded.
+// Load shedder: the share of requests that is rejected while the fleet is overloaded.
 //
-// Guards against an overload, whatever its cause: what can't be answered in time is refused while that is
-// harmless and cheap, so that the rest is in time. Overload shows as answers after their latency objective,
-// time-outs and refusals as full from upstreams in good standing. The share refused rises with each late one
-// and falls with each in time, so that it stands where kTooManyLate of them are late. By shares, not by
-// attempts in flight: a sidecar with few requests holds three by chance, and a hundred of them would refuse
-// what the fleet has capacity for.
+// Requests that can't be answered in time are rejected early, while that is harmless and cheap, so that the
+// rest is served in time. Signs of overload are answers later than their latency objective, time-outs and
+// "full" outcomes at healthy upstreams. The share rises with each late outcome and falls with each one in
+// time, so that it settles where kTooManyLate of the outcomes are late. It controls a share rather than a
+// concurrency limit: a sidecar with little traffic has three attempts in flight by chance, and with a limit a
+// hundred such sidecars would reject what the fleet has capacity for.
 #pragma once
 
 #include <cstddef>
@@ -16,56 +16,56 @@
 
 namespace mothrack::balancer {
 
-// Late is what took this share of its latency objective: a jam must be met before it costs its worth.
+// An answer counts as late from this share of its latency objective on, to react before answers lose weight.
 inline constexpr double kLateFrom = 0.8;
-// Of the answers; more than this share being late is an overload.
+// Share of late answers above which the fleet is overloaded.
 inline constexpr double kTooManyLate = 0.2;
-// The share of late answers follows about this many of the latest.
+// Memory, in answers, of the share of late ones.
 inline constexpr double kLateMemory = 10;
-// The share refused goes over its whole range in about this time, ...
+// The rejected share moves over its whole range in about this time, ...
 inline constexpr Duration kShedTime = std::chrono::milliseconds(1000);
-// ... or in this many outcomes where these take longer, ...
+// ... or in this many outcomes if these take longer, ...
 inline constexpr double kShedSample = 40;
-// ... and back up to this many times faster once hardly any are late.
+// ... and falls up to this many times faster while hardly any answer is late.
 inline constexpr double kShedEase = 5;
-// No more than this share is refused: the rest shows when the overload is over.
+// Upper bound of the rejected share: the remaining requests show when the overload is over.
 inline constexpr double kMaxShed = 0.9;
-// Shedding from here on, retries and hedges are left out too.
+// From this share on the sidecar counts as shedding, and hedges and retries are restricted.
 inline constexpr double kShedding = 0.1;
-// Where this share of what can serve goes within some seconds, ...
+// A sudden loss of this share of the usable weight, ...
 inline constexpr double kGreatLoss = 0.3;
-// ... and this many upstreams (the one of three that fails is no sign of overload), ...
+// ... that is also at least this many upstreams (one of three that fails is no sign of overload), ...
 inline constexpr double kMinUpstreamsLost = 4;
-// ... the rest is taken to bear this many times what it bore; the share refused starts from there, and the
-// answers tell whether that is too much.
+// ... sets the rejected share at once, assuming that the rest can serve this many times its former load. The
+// outcomes then correct it.
 inline constexpr double kHeadroom = 1.1;
-// How long the greatest weight that could serve is remembered.
+// Decay time of the maximum usable weight, against which a loss is measured.
 inline constexpr Duration kLossMemory = std::chrono::seconds(20);
-// The classes with the least worth for their time are refused first, but each class keeps at least this share
-// of its requests while others have more than that.
+// Classes with the least priority weight per unit of service time are rejected first, but each class keeps at
+// least this share of its requests while others still have more.
 inline constexpr double kClassFloor = 0.2;
-// How long the work that each class asks for is remembered.
+// Decay time of the work requested per class.
 inline constexpr Duration kDemandMemory = std::chrono::seconds(60);
-// The usual number of attempts in flight follows about this many ticks.
+// Memory, in ticks, of the usual number of attempts in flight.
 inline constexpr double kUsualInFlightMemory = 50;
-// Refusing is over when nothing was refused for this long.
+// An interval of rejections is over once nothing was rejected for this long.
 inline constexpr Duration kRefusalInterval = std::chrono::seconds(2);
 
-// Listed weights, summed over the upstreams that serve by the list.
+// Sums of listed weights over the upstreams that the list has as serving.
 struct FleetWeights {
   double serving = 0;
-  double able = 0;     // that can take requests, those in slow start as far as they can
-  double telling = 0;  // whose lateness tells of load: neither ejected nor suspect nor in slow start
-  int upstreams = 0;   // that serve
+  double able = 0;     // neither ejected nor suspect, scaled by the estimated slow start factor
+  double telling = 0;  // whose late answers are a sign of load: not ejected, suspect or in slow start
+  int upstreams = 0;   // number of serving ones
 };
 
-// The end of an attempt, as far as its lateness is concerned.
+// The end of an attempt, reduced to what its lateness depends on.
 struct TimelyOutcome {
   Outcome outcome = Outcome::kServed;
   Duration elapsed{};
   Duration latency_objective{};
-  bool loaded = false;   // its upstream answers slowly
-  bool telling = false;  // of a late one: its upstream is in good standing and past slow start
+  bool loaded = false;   // its upstream answers slowly (LatencyModel::IsLoaded)
+  bool telling = false;  // only if late: its upstream is healthy and past slow start
 };
 
 class LoadShedder {
@@ -77,11 +77,11 @@
   void RecordDemand(std::size_t class_index, Duration usual_time) {
     demand_[class_index] += static_cast<double>(usual_time.count());
   }
-  // The share of the class's requests that is let in, for `usual_times` by class.
+  // Share of the class's requests that is admitted, from 0 to 1. `usual_times`: by class.
   double AdmittedShare(std::size_t class_index, const std::vector<Duration>& usual_times) const;
   bool RefusesAny() const { return shed_ > 0; }
   bool IsShedding() const { return shed_ > kShedding; }
-  double shed() const { return shed_; }            // the share of the work asked for that is refused
+  double shed() const { return shed_; }            // share of the requested work that is rejected
   double in_flight() const { return in_flight_; }  // attempts
   const FleetWeights& weights() const { return weights_; }
 
@@ -94,9 +94,9 @@
   void RecordOutcome(const TimelyOutcome& outcome, double usual_rate);
   void RecordTick(const FleetWeights& weights);
 
-  // A request is refused. Tells whether refusing begins with it.
+  // A request is rejected. Returns whether an interval of rejections begins with it.
   bool RecordRefusal(TimePoint now);
-  // Tells whether refusing has just ended.
+  // Returns whether an interval of rejections has just ended.
   bool RefusingEnded(TimePoint now);
 
  private:
@@ -104,13 +104,13 @@
 
   const std::vector<RequestClass>& classes_;
   double shed_ = 0;
-  double late_share_ = 0;       // of the latest outcomes
-  std::vector<double> demand_;  // each class's, in microseconds of its usual time, slowly fading
+  double late_share_ = 0;       // of the latest outcomes, from 0 to 1
+  std::vector<double> demand_;  // by class, in microseconds of usual time, decaying
   double in_flight_ = 0;
-  double mean_in_flight_ = 0;   // over about kShedTime
-  double usual_in_flight_ = 0;  // for each unit of weight, while answers are in time
+  double mean_in_flight_ = 0;   // moving average over about kShedTime
+  double usual_in_flight_ = 0;  // per unit of usable weight, while answers are in time
   FleetWeights weights_;        // at the last tick
-  double able_before_ = 0;      // the most weight that could take requests, slow to fall
+  double able_before_ = 0;      // maximum of the usable weight, slowly decaying
   bool refusing_ = false;
   TimePoint refused_at_;
 };
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -40,8 +40,8 @@
   return calls < 1 ? 0 : std::clamp(failures / calls, 0.0, kMaxFailureShare);
 }
 
-// A run as rare as `run` in a row where attempts fail as seldom as is ordinary: longer where the other
-// upstreams fail too.
+// The length of a run of failures that is as rare, at the other upstreams' failure share, as `run` is at
+// kOrdinaryFailureShare.
 int OutlierDetector::RunAsRareAs(int run, const OutlierRecord& record) const {
   const double share = PeersFailureShare(record);
   if (share <= kOrdinaryFailureShare) return run;
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -1,8 +1,8 @@
-// Outlier detection: which upstreams fail more than the others, and are ejected for a time.
+// Outlier detection: ejects upstreams that fail more often than the others, for a limited time.
 //
-// Guards against broken upstreams by the consecutive-failures circuit breaker of the Linkerd circuit-breaking
-// RFC, per upstream. Load is no fault of one upstream: where the others fail too, the run of failures that
-// ejects must be longer, so that the time-outs of an overload do not string up until all are out.
+// A consecutive-failures circuit breaker per upstream, after the Linkerd circuit-breaking RFC. Overload is
+// not the fault of one upstream: the more the other upstreams fail, the longer the run of failures that
+// ejects, so that the time-outs of an overload do not eject upstreams one by one until none is left.
 #pragma once
 
 #include <optional>
@@ -12,43 +12,43 @@
 
 namespace mothrack::balancer {
 
-// The design page's own figures: failures in a row to eject, the first ejection, what each further one is
-// multiplied by, and the longest.
+// From the design page: consecutive failures that eject, duration of the first ejection, factor for each
+// further one, and the cap.
 inline constexpr int kFailuresToEject = 5;
 inline constexpr Duration kBaseEjection = std::chrono::seconds(60);
 inline constexpr int kEjectionMultiplier = 2;
 inline constexpr Duration kMaxEjection = std::chrono::seconds(120);
-// Failures in a row that make a suspect, which is passed over while others stand: a sidecar among many meets
-// one upstream every few seconds, and a second failure there would cost as much as the probe that tells.
+// Consecutive failures that make an upstream suspect; a suspect is avoided while others are usable. The
+// number is small because one sidecar of a big fleet sends an upstream only one request every few seconds.
 inline constexpr int kFailuresToSuspect = 2;
-// Five in a row are rare where this share of attempts fails. Where more of the attempts to the other
-// upstreams fail, the run must be long enough to be as rare as that.
+// Share of failed attempts at which kFailuresToEject in a row are still rare. If more of the attempts at the
+// other upstreams fail, the run has to be long enough to be equally rare.
 inline constexpr double kOrdinaryFailureShare = 0.1;
-// The others' share of failures is taken for no more than this: no run is rare where all fail.
+// Upper bound on the others' failure share: if all attempts failed, no run would be rare enough.
 inline constexpr double kMaxFailureShare = 0.95;
-// An upstream's share of failures follows about this many of its latest attempts.
+// Memory, in attempts, of an upstream's failure share.
 inline constexpr double kOutcomeMemory = 20;
-// How strongly an upstream's share of failures takes from its weight: errors come fast and would attract
-// requests.
+// Exponent by which the success share reduces an upstream's weight: errors are fast and would otherwise
+// attract requests.
 inline constexpr int kSuccessPower = 3;
-// Of its weight an upstream keeps this share however much it fails: it must be met to be known.
+// Share of its weight that an upstream keeps however much it fails, so that a recovery is noticed.
 inline constexpr double kMinSuccessFactor = 0.02;
 
 struct OutlierRecord {
-  int failure_run = 0;  // failures in a row
+  int failure_run = 0;  // consecutive failures
   bool ejected = false;
-  TimePoint ejected_until;              // or when it returned
-  Duration ejection_time{};             // of the last ejection
-  std::optional<TimePoint> ejected_at;  // the last ejection
-  int ejected_after = 0;                // failures in a row, then
-  TimePoint overtaken_at;               // the last time that a hedge was served before an attempt it held
-  // Its own recent attempts, old ones fading.
+  TimePoint ejected_until;              // or, once it has returned, the time of the return
+  Duration ejection_time{};             // duration of the last ejection
+  std::optional<TimePoint> ejected_at;  // start of the last ejection
+  int ejected_after = 0;                // consecutive failures that caused it
+  TimePoint overtaken_at;               // last time that a hedge elsewhere was served before an attempt here
+  // Its recent attempts, exponentially decayed.
   double calls = 0;
   double failures = 0;
   double timeouts = 0;  // of these
 };
 
-// What an upstream has just been ejected for.
+// An ejection that has just begun.
 struct Ejection {
   Duration duration{};
   int failures_in_a_row = 0;
@@ -60,26 +60,26 @@
     return record.ejected && now >= record.ejected_until;
   }
 
-  // Whether its run of failures makes it a suspect. No run is shorter than kFailuresToSuspect: most upstreams
-  // are spared the rest.
+  // Whether its consecutive failures make it suspect. The first comparison settles it for most upstreams.
   bool IsSuspect(const OutlierRecord& record) const {
     return record.failure_run >= kFailuresToSuspect &&
            record.failure_run >= RunAsRareAs(kFailuresToSuspect, record);
   }
 
-  // What is left of an upstream's weight by its failures, from kMinSuccessFactor to 1. `loaded`: its answers
-  // are slow. Time-outs beside fast answers attract no requests: the rest of what it takes it serves.
+  // Factor for an upstream's weight by its failures, from kMinSuccessFactor to 1. `loaded`: its answers are
+  // slow. Time-outs beside fast answers reduce the weight only in proportion: they attract no requests, and
+  // the other attempts are served.
   static double SuccessFactor(const OutlierRecord& record, bool loaded);
 
-  // An attempt was served or failed. Tells whether the upstream is ejected by that.
+  // An attempt was served or failed. Returns the ejection if this causes one.
   std::optional<Ejection> RecordOutcome(OutlierRecord& record, Outcome outcome, TimePoint now);
-  // A hedge was served before an attempt that the upstream still holds: a time-out that was not waited for.
+  // A hedge was served before an attempt still in flight here, which counts as a time-out.
   std::optional<Ejection> RecordOvertaken(OutlierRecord& record, TimePoint now);
-  // No answer to as little as a load probe is a failure like another, but ejects nobody.
+  // An unanswered load probe adds to the consecutive failures but does not eject by itself.
   static void RecordUnansweredProbe(OutlierRecord& record) { ++record.failure_run; }
   static void RecordReturn(OutlierRecord& record, TimePoint now);
 
-  // The sums over the serving upstreams are worked out anew after each outcome: clear, then add each.
+  // Recomputes the sums over the serving upstreams after an outcome: clear, then add each record.
   void ClearSums() { all_calls_ = all_failures_ = 0; }
   void AddToSums(const OutlierRecord& record) {
     if (record.ejected) return;
--- a/src/balancer/random.h
+++ b/src/balancer/random.h
@@ -1,5 +1,5 @@
-// The module's one source of chance. The order of draws is part of what the module does: the same settings,
-// seed and events give the same actions.
+// The only random number generator of the decision module. The order of draws is part of its behaviour: the
+// same settings, seed and events give the same actions.
 #pragma once
 
 #include <cstdint>
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -1,4 +1,4 @@
-// What the balancer keeps of a request, its attempts and the load probes that it waits for.
+// The record of one request: its attempts, and the load probes that it waits for.
 #pragma once
 
 #include <algorithm>
@@ -17,51 +17,51 @@
   TimePoint sent;
   bool half_open_probe = false;
   ConnectionUse connection{};
-  bool in_flight = false;            // its upstream holds it: it has all of it, and has not begun to answer
+  bool in_flight = false;            // the upstream has all of the request and has not begun to answer
   bool started = false;              // its answer has begun
-  std::optional<Outcome> outcome{};  // absent while it is out
+  std::optional<Outcome> outcome{};  // absent while the attempt has not ended
 
-  // It is out, and its upstream has answered nothing at all since it was sent.
+  // Not ended, and its upstream has answered no attempt at all since this one was sent.
   bool IsUnanswered() const { return !outcome && upstream->in_flight.waiting_since <= sent; }
 };
 
-// An upstream that was asked for its load before a call.
+// An upstream that was sent a load probe on behalf of a request.
 struct ProbedUpstream {
   UpstreamPtr upstream;
   bool answered = false;
-  std::optional<double> in_flight{};  // calls, as it says
-  double served_per_s = 0;            // calls a second, as it says; 0 where it does not
+  std::optional<double> in_flight{};  // requests, as reported
+  double served_per_s = 0;            // requests per second, as reported; 0 if it did not report
 };
 
 struct Request {
   RequestId id{};
   const RequestClass* request_class = nullptr;
   std::size_t class_index = 0;
-  Duration latency_objective{};  // an answer within it has its full worth
+  Duration latency_objective{};  // an answer within it has its full priority weight
   TimePoint arrived;
   TimePoint deadline;
-  TimePoint late_at;  // unanswered then, it is late against what is usual
+  TimePoint late_at;  // when it becomes late compared to the usual time of its class
   std::vector<Attempt> attempts;
-  std::vector<ProbedUpstream> probed;  // while it waits for their reports
-  bool ended = false;                  // it has its final answer: nothing more is sent for it
-  bool arriving = false;               // its body still comes
-  Duration time_allowed{};             // its time, then
-  bool streaming = false;              // its answer has begun: it belongs to the client
+  std::vector<ProbedUpstream> probed;  // while it waits for their load reports
+  bool ended = false;                  // it has its final answer: no further attempt is made
+  bool arriving = false;               // its body is still being received
+  Duration time_allowed{};             // while arriving: the time it will have once complete
+  bool streaming = false;              // a streamed answer to the client has begun
 
   bool AnyOut() const {
     return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return !a.outcome; });
   }
-  // Nobody who holds an attempt of it says a word.
+  // None of the upstreams with a pending attempt of it has answered anything since that was sent.
   bool IsUnanswered() const {
     return std::all_of(attempts.begin(), attempts.end(),
                        [](const Attempt& a) { return a.outcome || a.IsUnanswered(); });
   }
-  // Null where there is no such attempt.
+  // Null if there is no such attempt.
   Attempt* FindAttempt(AttemptId id) {
     const auto i = static_cast<std::size_t>(id);
     return i < attempts.size() ? &attempts[i] : nullptr;
   }
-  // An upstream that may be among those asked says its load, or ended without.
+  // The load probe of an upstream, which need not be one of this request's, ended with this report.
   void RecordLoad(const Upstream& u, const LoadReport& load) {
     for (ProbedUpstream& p : probed) {
       if (p.upstream.get() != &u) continue;
@@ -73,7 +73,7 @@
   bool HasAllLoads() const {
     return std::all_of(probed.begin(), probed.end(), [](const ProbedUpstream& p) { return p.answered; });
   }
-  // It was sent to this upstream, or has asked it for its load.
+  // It was sent to this upstream, or waits for its load report.
   bool HasTried(const Upstream& u) const {
     const auto same = [&u](const auto& a) { return a.upstream.get() == &u; };
     return std::any_of(attempts.begin(), attempts.end(), same) ||
--- a/src/balancer/request_handler.cpp
+++ b/src/balancer/request_handler.cpp
@@ -40,7 +40,8 @@
   ScheduleHedge(r);
 }
 
-// It may be sent on while it comes, but nobody can be late with it before it is whole.
+// Attempts may have started while the body was being received, but no upstream can be late before it is
+// complete.
 void RequestHandler::Handle(const RequestComplete& e) {
   Request* const r = requests_.Find(e.request);
   if (r == nullptr || !std::exchange(r->arriving, false)) return;
@@ -80,12 +81,12 @@
   if (!attempt->started) RecordLateness(*r, *attempt, e.outcome, e.elapsed);
   fleet_.RecordOutcome(*r, *attempt, e.elapsed);
   if (r->streaming && !attempt->started) {
-    // One of those that were called off: the answer that has begun goes on.
+    // An attempt that was cancelled for the one whose answer is being streamed.
   } else if (e.finished) {
     if (e.outcome == Outcome::kServed) fleet_.RecordOvertaken(*r, *attempt);
     End(*r);
   } else if (r->streaming) {
-    Finish(*r);  // a broken stream that the sidecar still wants an answer for
+    Finish(*r);  // the stream broke, and the sidecar still needs a final answer
   } else {
     Advance(*r);
   }
@@ -104,7 +105,7 @@
   if (!upstream) return;
   if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout)
     fleet_.RecordUnansweredProbe(*upstream);
-  const std::vector<RequestId> waiting = probes_.waiting();  // those that are decided leave it
+  const std::vector<RequestId> waiting = probes_.waiting();  // a copy: ChooseByLoad() removes entries
   for (const RequestId id : waiting) {
     Request* const r = requests_.Find(id);
     if (r == nullptr) continue;
@@ -127,7 +128,8 @@
 
 // ---- Attempts ----
 
-// Another attempt where one helps and is allowed, else the final answer. Nothing to do while one is out.
+// Makes another attempt if that helps and is allowed, else gives the final answer. Does nothing while an
+// attempt is in flight.
 void RequestHandler::Advance(Request& r) {
   if (r.ended || r.streaming || r.AnyOut() || !r.probed.empty()) return;
   const bool first = r.attempts.empty();
@@ -153,14 +155,14 @@
   return context_.random.Uniform() < shedder_.AdmittedShare(r.class_index, usual_times_);
 }
 
-// To the upstream in turn; or asks the next ones in turn for their load first. False where there is none.
+// Sends the request to the next upstream, or first probes the load of the next few. False if there is none.
 bool RequestHandler::SendOrProbe(Request& r) {
   const UpstreamPtr first = fleet_.Choose(r, retries_);
   if (!first) return false;
   r.probed = {{first}};
   while (r.probed.size() < probes_.upstreams_per_request()) {
     const UpstreamPtr next = fleet_.Choose(r, retries_);
-    if (!next || r.HasTried(*next)) break;  // there is no other
+    if (!next || r.HasTried(*next)) break;  // no further upstream
     r.probed.push_back({next});
   }
   if (r.probed.size() == 1) {
@@ -174,7 +176,7 @@
   return true;
 }
 
-// Of the upstreams asked, the one that holds the least for what it can do.
+// Sends the request to the probed upstream with the least load per capacity.
 void RequestHandler::ChooseByLoad(Request& r) {
   const std::vector<ProbedUpstream> probed = std::exchange(r.probed, {});
   probes_.RecordDone(r.id);
@@ -211,9 +213,9 @@
   context_.Emit(SendAttempt{r.id, upstream->info.id, timeout});
 }
 
-// A copy of a request that may be repeated tries out an ejected or suspect upstream; the client does not
-// depend on it, so a relapsing upstream costs no request. Where nothing else stands, the request itself is
-// the probe: refusing all while some could serve is the worst outcome.
+// A hedge of a request that may be repeated tests an ejected or suspect upstream. The client does not depend
+// on it, so a failure costs no request. If no other upstream is left, the request itself is the probe:
+// rejecting all requests while some upstream could serve is the worst outcome.
 bool RequestHandler::SendHalfOpenProbe(Request& r) {
   if (!retries_.MayProbe(r)) return false;
   for (const UpstreamPtr& u : fleet_.ranked()) {
@@ -225,8 +227,8 @@
   return false;
 }
 
-// A second attempt of a request that is late against what is usual: guards against hangs and pauses. Never
-// onto an upstream that is no better.
+// Hedges a request that is late compared to its class, against hangs and pauses. Never to an upstream that is
+// no better.
 void RequestHandler::Hedge(Request& r) {
   if (r.ended || r.streaming || !r.AnyOut()) return;
   if (context_.now < r.late_at) return;
@@ -234,7 +236,7 @@
   const bool affordable = !shedder_.IsShedding() && retries_.budget().Allows();
   const UpstreamPtr chosen = affordable ? fleet_.Choose(r, retries_, true) : nullptr;
   if (!chosen) {
-    // Nobody who holds it says a word: later, when it has waited as long again.
+    // Not affordable now, or no better upstream: check again when it has waited twice as long.
     r.late_at = context_.now + (context_.now - r.arrived);
     if (r.IsUnanswered() && r.late_at < r.deadline) SetRequestTimer(r, r.late_at);
     return;
@@ -269,7 +271,7 @@
   shedder_.RecordOutcome(fleet_.LatenessOf(r, attempt, outcome, elapsed), fleet_.usual_rate());
 }
 
-// ---- Refusal and the final answer ----
+// ---- Rejection and the final answer ----
 
 void RequestHandler::RecordRefusal(const std::string& why) {
   if (shedder_.RecordRefusal(context_.now)) context_.EmitLog("refusing: " + why);
@@ -279,8 +281,8 @@
   if (shedder_.RefusingEnded(context_.now)) context_.EmitLog("taking calls again");
 }
 
-// Gives the final answer: a refusal where it is true that nothing was done or that repeating is harmless,
-// else a failure. The one way out but for an answer served.
+// Gives the final answer if no attempt was served: Reject if the request had no effect or repeating it is
+// harmless, else Fail.
 void RequestHandler::Finish(Request& r) {
   if (r.ended) return;
   if (RetryPolicy::MayReject(r)) {
@@ -291,7 +293,7 @@
   End(r);
 }
 
-// Nothing more is sent for it from here on; what is still out is called off.
+// No further attempt is made; those in flight are cancelled.
 void RequestHandler::End(Request& r) {
   r.ended = true;
   probes_.RecordDone(r.id);
@@ -300,7 +302,7 @@
 
 void RequestHandler::Cancel(const Request& r, std::size_t attempt) {
   if (r.attempts[attempt].outcome || !context_.settings.limits.cancel) return;
-  if (r.attempts[attempt].half_open_probe) return;  // its outcome is what it was sent for
+  if (r.attempts[attempt].half_open_probe) return;  // its outcome is still wanted
   context_.Emit(CancelAttempt{r.id, AttemptId{attempt}});
 }
 
--- a/src/balancer/request_handler.h
+++ b/src/balancer/request_handler.h
@@ -1,7 +1,7 @@
-// The request handler: what is done with one request, from its arrival to its final answer.
+// The request handler: decides about a request from its arrival to its final answer.
 //
-// Each request is admitted or refused, sent, sent again or hedged where that helps and is allowed, and gets
-// exactly one final answer: an attempt's, a Reject or a Fail.
+// Each request is admitted or rejected, sent, retried or hedged if that helps and is allowed, and gets
+// exactly one final answer: that of an attempt, a Reject or a Fail.
 #pragma once
 
 #include <cstddef>
@@ -32,7 +32,7 @@
   void Handle(const ProbeEnded& event);
   void HandleTimer(std::uint64_t token);
   void RecordTick() { shedder_.RecordTick(fleet_.SumWeights()); }
-  // Says so where refusing has ended.
+  // Logs the end of an interval of rejections.
   void EndRefusing();
 
   const LoadShedder& shedder() const { return shedder_; }
@@ -63,7 +63,7 @@
   RetryPolicy retries_;
   LoadProbes probes_;
   LoadShedder shedder_;
-  std::vector<Duration> usual_times_;  // of one question, kept for its memory
+  std::vector<Duration> usual_times_;  // scratch space, a member only to reuse its memory
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/request_rate.h
+++ b/src/balancer/request_rate.h
@@ -1,6 +1,6 @@
-// Request rate: how many requests a second this sidecar usually takes, clients' repeats included.
+// Request rate: the usual number of requests per second at this sidecar, including clients' retries.
 //
-// It changes slowly: a burst must not raise what rests on it (budgets of slow start, size of the subset).
+// It changes slowly, so that a burst does not raise the slow start budgets and the subset that depend on it.
 #pragma once
 
 #include <cstdint>
@@ -9,7 +9,7 @@
 
 namespace mothrack::balancer {
 
-// The rate is known once it has been observed for this long.
+// The rate counts as known after this time.
 inline constexpr Duration kRateKnownAfter = std::chrono::seconds(2);
 
 class RequestRate {
@@ -17,7 +17,8 @@
   void Start(TimePoint now) { started_ = now; }
   void RecordArrival() { ++arrivals_; }
   void RecordServed() { ++served_; }
-  // The rate goes over to what came since the last tick, within `memory_s` seconds at most.
+  // Updates the moving average with the arrivals since the last tick. `memory_s`: its time constant, in
+  // seconds.
   void RecordTick(TimePoint now, double memory_s);
 
   double usual() const { return usual_; }  // requests a second
--- a/src/balancer/request_table.h
+++ b/src/balancer/request_table.h
@@ -1,5 +1,4 @@
-// Request table: the requests that have no final answer yet or whose attempts are still out, and their
-// timers.
+// Request table: the requests without a final answer or with attempts that have not ended, and their timers.
 #pragma once
 
 #include <cstdint>
@@ -16,30 +15,30 @@
 
 class RequestTable {
  public:
-  // Null where the id is known already. Pointers hold until the request is forgotten.
+  // Null if the id is already known. Pointers stay valid until ForgetIfDone() removes the request.
   Request* Add(RequestId id) {
     const auto [entry, is_new] = requests_.try_emplace(id);
     if (!is_new) return nullptr;
     entry->second.id = id;
     return &entry->second;
   }
-  // Null where it is not known, or forgotten.
+  // Null if unknown or already removed.
   Request* Find(RequestId id) {
     const auto found = requests_.find(id);
     return found == requests_.end() ? nullptr : &found->second;
   }
-  // Where nothing more can come of it.
+  // Removes the request if it has its final answer and all of its attempts have ended.
   void ForgetIfDone(RequestId id) {
     const auto found = requests_.find(id);
     if (found != requests_.end() && found->second.ended && !found->second.AnyOut()) requests_.erase(found);
   }
 
-  // A token for a timer of the request.
+  // A new timer token that maps to the request.
   std::uint64_t AddTimer(RequestId id) {
     timers_.emplace(++last_token_, id);
     return last_token_;
   }
-  // Whose timer it was; it may have been forgotten since. Absent where the token is not known.
+  // The request of a fired timer, which may have been removed since; absent if the token is unknown.
   std::optional<RequestId> TakeTimer(std::uint64_t token) {
     const auto found = timers_.find(token);
     if (found == timers_.end()) return std::nullopt;
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -10,8 +10,8 @@
     if (!a.outcome && !limits_.hedging) return false;
     if (r.request_class->effect == Effect::kUnsafe) return false;
     if (r.request_class->effect != Effect::kKeyed) continue;
-    // Repeats are dropped only among the upstreams that know the key, and only while they remember it. Half
-    // the window is left for the way there.
+    // Repeats are dropped only by upstreams that share the key, and only while they remember it. Half of the
+    // window is reserved for the retry's own delivery.
     if (now - a.sent >= r.request_class->key_window / 2) return false;
     const UpstreamInfo& first = a.upstream->info;
     if (r.request_class->key_scope == KeyScope::kZone && first.zone != upstream.zone) return false;
@@ -30,12 +30,13 @@
 Duration RetryPolicy::Timeout(const Request& r, bool shedding, TimePoint now) const {
   if (r.arriving) return r.time_allowed;
   const Duration left = r.deadline - now;
-  // What may be repeated is given up at its latency objective: another upstream may have time for it, or it
-  // is worth nothing. Where late answers have a worth, a hedge does that without losing the first attempt.
+  // An attempt that may be repeated is given up at the latency objective: another upstream may be faster, and
+  // a later answer may be worth nothing. If late answers keep some weight, a hedge achieves the same without
+  // losing the first attempt.
   if (r.request_class->late_priority_weight > 0 && limits_.hedging) return left;
   const TimePoint latency_objective = r.arrived + r.latency_objective;
-  // Under overload also what may not be repeated: kept past its objective it is worth nothing and holds up
-  // the rest.
+  // Under overload this applies to unsafe requests too: past the objective the answer is worth nothing and
+  // only delays others.
   const bool give_up =
       r.request_class->effect != Effect::kUnsafe || (r.request_class->late_priority_weight <= 0 && shedding);
   if (give_up && now < latency_objective) return std::min(left, Duration(latency_objective - now));
@@ -48,7 +49,7 @@
 
 bool RetryPolicy::TakeRetry(const Request& r, TimePoint now) {
   if (r.attempts.empty()) return true;
-  // What can no longer be in time for any worth is not tried again.
+  // No retry if the answer would come too late to be worth anything.
   if (r.request_class->late_priority_weight <= 0 && !r.arriving && now >= r.arrived + r.latency_objective)
     return false;
   const auto& last = r.attempts.back().outcome;
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -1,8 +1,8 @@
-// Retry policy: whether a request may be sent once more, with which time-out, and whether that is worth it.
+// Retry policy: whether a request may be sent again, with which time-out, and whether that is worth it.
 //
-// Guards against effects that happen twice (what may be repeated is the class's Effect, its key scope and
-// window; RFC 9110, section 9.2.2, has the same for idempotent methods) and against retry storms (the retry
-// budget: retries and hedges are a share of the requests, as in Finagle and Linkerd).
+// Guards against duplicate effects (the class's Effect, key scope and window say what may be repeated, as RFC
+// 9110, section 9.2.2, does for idempotent methods) and against retry storms (a retry budget limits retries
+// and hedges to a share of the requests, as in Finagle and Linkerd).
 #pragma once
 
 #include <algorithm>
@@ -13,19 +13,19 @@
 
 namespace mothrack::balancer {
 
-// Retries and hedges are at most this share of the requests, ...
+// Retries and hedges per request that the budget grants on average, ...
 inline constexpr double kRetryShare = 0.3;
-// ... saved up to a burst of this many.
+// ... and the most that it accumulates.
 inline constexpr double kRetryBurst = 3;
-// So many attempts after a proof that nothing ran are free of the budget: each may be a connection for a full
-// fleet.
+// Retries after a proof that the upstream ran nothing are free of the budget up to this many per request.
+// Each may open a connection, which a fully loaded fleet can't afford without bound.
 inline constexpr std::size_t kFreeRetries = 2;
-// A request that takes this many usual times of its class gets a hedge, where it may have one.
+// A request that takes this many usual times of its class is hedged, if allowed.
 inline constexpr double kLateTimes = 3;
-// Clients that are told to come back do so spread over one to two times this, or the settings' longest wait.
+// Retry-After is spread randomly over one to two times this, bounded by Limits::max_retry_after.
 inline constexpr Duration kRetryAfter = std::chrono::milliseconds(1500);
 
-// What pays for retries and hedges, so that they never feed an overload.
+// Token bucket filled by requests and spent by retries and hedges, so that these can't amplify an overload.
 class RetryBudget {
  public:
   void RecordRequest() { tokens_ = std::min(kRetryBurst, tokens_ + kRetryShare); }
@@ -33,14 +33,14 @@
   void Spend() { tokens_ -= 1; }
 
  private:
-  double tokens_ = kRetryBurst;  // attempts that may be made
+  double tokens_ = kRetryBurst;  // attempts
 };
 
 class RetryPolicy {
  public:
   explicit RetryPolicy(const Limits& limits) : limits_(limits) {}
 
-  // Whether the request may be sent, for the first time or again, to this upstream. The one gate to every
+  // Whether the request may be sent to this upstream, for the first time or again. Checked before every
   // attempt.
   bool MaySend(const Request& r, const UpstreamInfo& upstream, TimePoint now) const {
     if (r.ended || r.streaming || now >= r.deadline) return false;
@@ -48,29 +48,29 @@
     return r.attempts.empty() || MaySendAgain(r, upstream, now);
   }
 
-  // Whether a second attempt may be out beside the first, by the request's class.
+  // Whether the request's class allows a second attempt while the first is in flight.
   bool MayHedge(const Request& r) const {
     return limits_.hedging && r.request_class->effect != Effect::kUnsafe;
   }
-  // Whether a copy of it, or the request itself, may be a half-open probe.
+  // Whether a hedge of the request, or the request itself, may be a half-open probe.
   bool MayProbe(const Request& r) const {
     return (limits_.hedging || r.attempts.empty()) && r.request_class->effect != Effect::kUnsafe;
   }
 
-  // Whether Reject is a true answer: nothing was done, or repeating is harmless.
+  // Whether Reject would be correct: the request had no effect, or repeating it is harmless.
   static bool MayReject(const Request& r);
 
-  // Of an attempt that is sent now; always positive. `shedding`: the fleet is overloaded.
+  // Time-out of an attempt that is sent now; positive. `shedding`: the fleet is overloaded.
   Duration Timeout(const Request& r, bool shedding, TimePoint now) const;
 
-  // When an unanswered request is late against what is usual for its class; never while its body still comes.
+  // When an unanswered request becomes late compared to its class; never while its body is being received.
   static TimePoint LateAt(const Request& r, Duration usual_time, TimePoint now);
 
-  // Whether one more attempt is worth it; spends from the budget where it isn't free.
+  // Whether one more attempt is worth it; takes a token unless the attempt is free.
   bool TakeRetry(const Request& r, TimePoint now);
 
-  // The wait that a rejected client is told, spread by chance (`uniform`, from [0, 1)): clients must not come
-  // back in step, however short the longest advice is. Zero where none may be told.
+  // Retry-After of a rejected request, randomized (`uniform`, from [0, 1)) so that clients do not return all
+  // at once. Zero if the settings allow none.
   Duration RetryAfter(double uniform) const;
 
   RetryBudget& budget() { return budget_; }
--- a/src/balancer/round_robin.cpp
+++ b/src/balancer/round_robin.cpp
@@ -5,14 +5,14 @@
 namespace mothrack::balancer {
 namespace {
 
-// Standing of a candidate: the lower the better.
+// Rank of a candidate: lower is better.
 constexpr int kCrowded = 1;
 constexpr int kSuspect = 2;
-constexpr int kTried = 3;  // on top of the others
+constexpr int kTried = 3;  // added to the others
 constexpr int kWorst = kTried + kSuspect;
 
 void Gain(RotationRecord& record, double weight, double sum) {
-  // One that was not among the candidates for long comes from a turn of another length.
+  // Bounds the credit of an upstream that was no candidate for a while, as the sum has changed since.
   record.credit = std::clamp(record.credit, -sum, sum) + weight;
 }
 
@@ -47,7 +47,7 @@
   return chosen->index;
 }
 
-// Where connecting takes long or fails, one without a connection is no better than a crowded one.
+// While connecting is hard, an upstream without a usable connection ranks like a crowded one.
 bool SmoothWeightedRoundRobin::IsCrowded(const Candidate& candidate) const {
   const double share = in_flight_ * candidate.weight / weight_;
   return candidate.in_flight + 1 > kCrowdedSlack + 0.5 + share || candidate.must_connect;
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -1,4 +1,4 @@
-// Settings that make no sense are turned away before a balancer acts on them.
+// Validation of the settings. The keys in the errors are those of the settings' JSON.
 #include <stdexcept>
 #include <string>
 
--- a/src/balancer/settings.h
+++ b/src/balancer/settings.h
@@ -1,4 +1,5 @@
-// What a deployment tells its sidecars at start. The defaults are plain, not tuned.
+// The settings of a deployment, as its sidecars get them at start. The defaults are not tuned for any
+// deployment.
 #pragma once
 
 #include <chrono>
@@ -10,85 +11,87 @@
 
 namespace mothrack::balancer {
 
-// What may be done with a request that may already have taken effect.
+// What the balancer may do with a request whose earlier attempt may already have taken effect.
 enum class Effect {
-  kSafe,    // repeat and refuse at will
-  kKeyed,   // repeat only where and while the upstreams drop repeats: RequestClass::key_scope, key_window
-  kUnsafe,  // never repeat or refuse unless every earlier attempt is known not to have run
+  kSafe,    // may be retried and rejected at any time
+  kKeyed,   // carries an idempotency key: may be retried within RequestClass::key_scope and key_window
+  kUnsafe,  // may be retried or rejected only if every earlier attempt is known not to have run
 };
-enum class KeyScope { kAll, kZone, kCell };  // the upstreams that know each other's keys
+// Which upstreams share the idempotency keys that they have seen, and so drop each other's repeats.
+enum class KeyScope { kAll, kZone, kCell };
 
 struct RequestClass {
   std::string name{};
-  Duration latency_objective{};          // an answer within this time has its full worth
-  double latency_objective_stretch = 0;  // the aim grows by this many times the request's expected work
-  Duration deadline{};                   // a client waits this long in all, over all of its tries
+  Duration latency_objective{};          // an answer within this time has its full priority weight
+  double latency_objective_stretch = 0;  // the objective grows by this many times the request's expected work
+  Duration deadline{};                   // how long a client waits in all, including its own retries
   Effect effect = Effect::kUnsafe;
   KeyScope key_scope = KeyScope::kAll;
-  Duration key_window{};  // repeats are dropped for this long after the first attempt was sent
+  Duration key_window{};  // upstreams drop repeats for this long after the first attempt was sent
   double priority_weight = 1;
-  double late_priority_weight = 0;  // share of the worth left for an answer after the aim
-  bool stream = false;              // answers are streamed: AnswerStarted comes before AttemptEnded
+  double late_priority_weight = 0;  // share of the weight that a later answer keeps, 0 to 1
+  bool stream = false;              // answers are streamed: AnswerStarted precedes AttemptEnded
 };
 
 struct Tenant {
   std::string name{};
-  double share = 1;        // of the service
-  double quota_per_s = 0;  // requests a second, over all sidecars, that are within its share
+  double share = 1;        // of the service's capacity
+  double quota_per_s = 0;  // requests per second over all sidecars that count as within its share
 };
 
 struct Limits {
-  std::size_t max_attempts = 3;  // for one request, the first one included
-  bool hedging = false;          // two attempts of one request may be out at once
+  std::size_t max_attempts = 3;  // per request, including the first
+  bool hedging = false;          // two attempts of one request may be in flight at once
   bool cancel = true;            // CancelAttempt may be used
   bool probes = false;           // SendProbe may be used
-  bool retry_after = true;       // clients are handed Refuse::retry_after
+  bool retry_after = true;       // clients are given Reject::retry_after
   Duration max_retry_after = std::chrono::seconds(2);
   Duration connect_timeout = std::chrono::milliseconds(250);
-  Duration idle_close = std::chrono::seconds(15);  // the sidecar closes connections idle for this long
-  std::size_t streams = 1;                         // attempts that one connection carries at a time
+  Duration idle_close =
+      std::chrono::seconds(15);  // the sidecar closes connections that were idle for this long
+  std::size_t streams = 1;       // concurrent attempts per connection
 };
 
 struct Rules {
   Duration answer_grace =
-      std::chrono::milliseconds(20);                // a final answer this long after the deadline counts
-  Duration poll_within = std::chrono::seconds(10);  // membership on request: ask at least this often
-  // A draining upstream gets nothing new from then on, counted from the telling. The module stops at once;
-  // what brings it the lists has this long for that.
+      std::chrono::milliseconds(20);  // a final answer up to this long after the deadline still counts
+  Duration poll_within = std::chrono::seconds(10);  // with membership_on_request: poll at least this often
+  // No attempt may start at a draining upstream later than this after discovery announced the drain. The
+  // balancer stops at once, so the whole window is available for delivering the endpoint list to it.
   Duration drain_within = std::chrono::milliseconds(500);
-  // A fresh upstream starts at `slow_start_initial_share` of its capacity and is warm after
-  // `slow_start_duration`. All sidecars together must not send it more than `overload_multiple` times its
-  // present capacity within any `overload_window`.
+  // Slow start: a new process of an upstream has `slow_start_initial_share` of its capacity at first and all
+  // of it after `slow_start_duration`. Meanwhile all sidecars together must not send it more than
+  // `overload_multiple` times its present capacity within any `overload_window`.
   double slow_start_initial_share = 0.1;
   Duration slow_start_duration = std::chrono::seconds(20);
   double overload_multiple = 2;
   Duration overload_window = std::chrono::seconds(1);
 };
 
-// Costs of a decision, as a fraction of the whole service.
+// Costs of decisions, each as a fraction of the value of the whole service.
 struct Prices {
-  double cross_zone = 0;  // every request crosses zones once
-  double handshake = 0;   // a new connection for each request
-  double probe = 0;       // a probe for each request
-  double waste = 0;       // as much upstream work wasted as was asked for
-  double late_fail = 0;   // all fail only after their aim
+  double cross_zone = 0;  // if every request crosses zones once
+  double handshake = 0;   // if every request opens a connection
+  double probe = 0;       // if every request sends a load probe
+  double waste = 0;       // if upstreams waste as much work as was requested
+  double late_fail = 0;   // if every request fails after its latency objective
 };
 
 struct Settings {
   std::vector<RequestClass> classes;
-  std::vector<Tenant> tenants;            // empty where the deployment has none
-  double over_share_priority_weight = 1;  // worth of a request beyond its tenant's share
-  std::string zone{};                     // where this sidecar is
-  std::size_t sidecar_count = 1;          // how many sidecars there are; they share nothing
-  std::size_t sidecar_index = 0;          // this sidecar's number among them, from 0
-  bool membership_on_request = false;     // membership comes only after a Subscribe
-  bool live_weights = false;              // listed weights follow the load and change from list to list
-  bool load_by_probe = false;             // a probe's answer carries a LoadReport
+  std::vector<Tenant> tenants;            // empty if the deployment has none
+  double over_share_priority_weight = 1;  // factor for requests beyond their tenant's share
+  std::string zone{};                     // of this sidecar
+  std::size_t sidecar_count = 1;          // sidecars in the fleet; they share no state
+  std::size_t sidecar_index = 0;          // of this sidecar, from 0
+  bool membership_on_request = false;     // membership is sent only after a Subscribe
+  bool live_weights = false;              // listed weights follow the load and change with every list
+  bool load_by_probe = false;             // the answer to a load probe carries a LoadReport
   Limits limits;
   Rules rules;
   Prices prices;
 
-  void Validate() const;  // throws std::invalid_argument, naming the setting that makes no sense
+  void Validate() const;  // throws std::invalid_argument that names the invalid setting
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -14,11 +14,11 @@
   return 1 - Seconds(kTickInterval) / (2 * Seconds(rules_.slow_start_duration));
 }
 
-// The usual rate and weight change slowly: a burst or the loss of half the list must not raise the budgets.
-// Nor must a start: a fleet that restarts is met at once by all the requests that waited for it, and where
-// each sidecar took its first quarter of a second for its usual rate, the budgets of all would add up to more
-// than an upstream in slow start can do. So they go by what is learnt from nothing, over two windows at
-// least.
+// The rates and the weight change slowly, so that neither a burst nor the loss of half of the list raises the
+// budgets. A restart of the whole fleet must not raise them either: it is met at once by all requests that
+// waited, and if each sidecar took its first tick for its usual rate, the budgets would add up to more than
+// an upstream in slow start can serve. Hence the averages start from zero, over at least two overload
+// windows.
 void SlowStart::RecordTick(const SlowStartTick& tick) {
   const double interval = Seconds(kTickInterval);
   const double most = RateMemorySeconds();
@@ -42,21 +42,21 @@
   return record.budget;
 }
 
-// Attempts a second that this sidecar may send it: counted against what this sidecar usually sends a warm
-// upstream of its weight.
+// Attempts per second that this sidecar may send to the upstream, derived from what it usually sends to an
+// upstream of the same weight past slow start.
 double SlowStart::Rate(const SlowStartUpstream& upstream) const {
-  // Requests that nobody serves are no load that warm ones bear, beyond the most that was served while there
-  // were such.
+  // Requests that are not served are no load that the other upstreams carry, beyond the most that was served
+  // while enough of them were past slow start.
   const double countable_per_s =
       served_by_warm_ ? std::min(requests_per_s_ / 2, most_served_per_s_) : requests_per_s_ / 2;
   const double usual = std::max(served_per_s_, countable_per_s) * ShareOfRequests(upstream);
   return rules_.overload_multiple * kSlowStartSafety * upstream.factor * usual;
 }
 
-// Of what this sidecar sends, what a warm upstream of this weight would usually get from it. A big fleet's
-// sidecars each call a few upstreams of a long list: those that call this one have to make up its part for
-// all the others, who never spend what they are owed. Whoever has it in its subset sends it its share of the
-// subset, and in the mean over the fleet these shares add up to the share by the list.
+// The share of this sidecar's requests that an upstream of this weight past slow start would usually get. In
+// a big fleet each sidecar calls a few upstreams of a long list, so those that call this one have to use the
+// part of all others as well. A sidecar with the upstream in its subset sends it its share of the subset;
+// averaged over the fleet these shares add up to its share of the list.
 double SlowStart::ShareOfRequests(const SlowStartUpstream& upstream) const {
   const double of_list = upstream.weight / std::max(usual_weight_, upstream.weight);
   if (upstream.subset_share <= 0) return of_list;
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -1,8 +1,9 @@
-// Subset: over how many of the listed upstreams this sidecar spreads its requests.
+// Subset: the number of listed upstreams over which this sidecar spreads its requests.
 //
-// Guards against a few requests spread so thin that no upstream is met twice: every request would need a new
-// connection, fill the upstreams' tables, and tell nothing of the next. Where requests are many the subset is
-// the list. The order of choice is UpstreamSet's: rendezvous hashing, as in gRPC's deterministic subsetting.
+// With little traffic over many upstreams no connection would be reused: every request would open one, fill
+// the upstreams' connection tables, and its outcome would say nothing about the next. With much traffic the
+// subset is the whole list. The order is UpstreamSet's rendezvous hashing, similar to gRPC's deterministic
+// subsetting.
 #pragma once
 
 #include <algorithm>
@@ -14,40 +15,40 @@
 
 namespace mothrack::balancer {
 
-// The subset has as many upstreams as the sidecar calls about once in this share of the time after which an
-// idle connection is closed, ...
+// The subset is sized so that each of its upstreams gets about one request in this share of the idle
+// connection time-out, ...
 inline constexpr double kRequestIntervalShare = 0.25;
-// ... and this many at least.
+// ... and has at least this many upstreams.
 inline constexpr double kMinSubset = 3;
 
 struct SubsetRecord {
-  bool in_subset = false;  // requests reach it while nothing is tried twice
+  bool in_subset = false;  // first attempts may be sent to it
 };
 
-// An upstream of the list, in the order of choice.
+// A listed upstream, in rank order.
 struct SubsetMember {
   SubsetRecord* record = nullptr;
-  double weight = 0;    // listed; 0 where it does not serve
-  double capacity = 0;  // the place it takes up in the subset: its slow start factor, 0 where it is out
+  double weight = 0;    // listed; 0 if it does not serve
+  double capacity = 0;  // the part of a place it takes: its slow start factor; 0 if ejected or suspect
 };
 
 class Subset {
  public:
   explicit Subset(const Limits& limits) : limits_(limits) {}
 
-  // Upstreams that requests are spread over; the length of the list while the rate is not known.
+  // Number of upstreams; the length of the list while the request rate is unknown.
   double Size(double requests_per_s, bool rate_known, std::size_t listed) const {
     if (!rate_known) return static_cast<double>(listed);
     return std::max(kMinSubset, requests_per_s * kRequestIntervalShare * Seconds(limits_.idle_close));
   }
 
-  // Of the listed weight, the subset's, slow to fall; 0 until the rate is known: before that it is the whole
-  // list, which must not be remembered as a subset.
+  // The subset's share of the listed weight, a slowly decaying maximum; 0 until the rate is known, since the
+  // whole list, which is used until then, must not count as a subset.
   double share() const { return share_; }
 
-  // Marks which upstreams a request reaches while none of them is tried, full or waiting for its budget.
+  // Marks the upstreams that first attempts may be sent to. `listed_weight`: of all serving upstreams.
   void Mark(const std::vector<SubsetMember>& ranked, double size, bool rate_known, double listed_weight);
-  // `fading`: what is left of the share after a tick.
+  // `fading`: decay factor of the share per tick.
   void RecordTick(double fading) { share_ *= fading; }
 
  private:
--- a/src/balancer/types.h
+++ b/src/balancer/types.h
@@ -1,4 +1,4 @@
-// Time and ids, as the sidecar and the decision module both have them.
+// Time and id types shared by the sidecar and the decision module.
 #pragma once
 
 #include <chrono>
@@ -11,7 +11,8 @@
 
 using Duration = std::chrono::microseconds;
 
-// The sidecar's clock. It has no now(): the only time a balancer knows is the one handed to handle().
+// The sidecar's monotonic clock, in microseconds. It has no now(): the balancer knows only the time that is
+// passed to handle().
 struct Clock {
   using duration = Duration;
   using rep = duration::rep;
@@ -22,11 +23,11 @@
 };
 using TimePoint = Clock::time_point;
 
-// Ids are opaque. A request id is never used twice; an upstream keeps its id when its process restarts.
+// Ids are opaque. A request id is never reused; an upstream keeps its id when its process restarts.
 enum class RequestId : std::uint64_t {};
 enum class ClassId : std::size_t {};    // index into Settings::classes
 enum class TenantId : std::size_t {};   // index into Settings::tenants
-enum class AttemptId : std::size_t {};  // a request's attempts count from 0 in the order of their SendAttempt
+enum class AttemptId : std::size_t {};  // index of the attempt within its request, in SendAttempt order
 struct UpstreamId {
   std::string value;
   // NOLINTNEXTLINE(modernize-use-nullptr): the linter finds the comparison's own literal 0
--- a/src/balancer/upstream.h
+++ b/src/balancer/upstream.h
@@ -1,4 +1,4 @@
-// What the balancer keeps of an upstream: one record of each room.
+// The record of one upstream, composed of one record per component of the decision module.
 #pragma once
 
 #include <cstdint>
@@ -16,12 +16,12 @@
 
 namespace mothrack::balancer {
 
-// One process of an upstream. A new start time, or coming back after it was gone, makes another one: outcomes
-// of calls to the earlier process say nothing of it.
+// One process of an upstream. A different start time, or a return after it was gone, makes a new record,
+// since outcomes at the former process say nothing about the new one.
 struct Upstream {
   UpstreamInfo info;
-  std::uint64_t rank = 0;  // its place in this sidecar's order
-  bool listed = true;      // in the list that is being taken in
+  std::uint64_t rank = 0;  // position in this sidecar's order, a hash
+  bool listed = true;      // present in the list that is being processed
   SubsetRecord subset;
   OutlierRecord outlier;
   HalfOpenRecord half_open;
@@ -32,6 +32,6 @@
   SlowStartRecord slow_start;
 };
 
-using UpstreamPtr = std::shared_ptr<Upstream>;  // those that are gone live on while calls refer to them
+using UpstreamPtr = std::shared_ptr<Upstream>;  // one that is gone lives on while attempts refer to it
 
 }  // namespace mothrack::balancer
--- a/src/balancer/upstream_set.cpp
+++ b/src/balancer/upstream_set.cpp
@@ -15,14 +15,14 @@
 UpstreamSet::Change UpstreamSet::Update(const UpstreamInfo& info) {
   UpstreamPtr& u = by_id_[info.id.value];
   const bool was_serving = u && u->info.state == UpstreamState::kServing;
-  // A new start time is a new process: the failures and the ejection belong to the one that died.
+  // A different start time is a new process: failures and ejection belong to the former one.
   const bool new_process = !u || (info.started && info.started != u->info.started);
   if (new_process) {
     if (u) u->info.state = UpstreamState::kGone;
     u = std::make_shared<Upstream>();
     u->rank = Hash(info.id.value, seed_);
   }
-  // That it left may be told without its place, which decides who knows the keys of its requests.
+  // An entry that says "gone" may lack zone and cell, which decide where its requests may be repeated.
   const UpstreamInfo place = u->info;
   u->info = info;
   if (!new_process && info.state == UpstreamState::kGone) {
@@ -34,7 +34,7 @@
   return {u, new_process, new_process || !was_serving};
 }
 
-// Those that are gone are dropped: ids are ever new.
+// Drops the upstreams that are gone.
 void UpstreamSet::FinishUpdate() {
   std::erase_if(by_id_, [](const auto& entry) {
     UpstreamState& state = entry.second->info.state;
--- a/src/balancer/upstream_set.h
+++ b/src/balancer/upstream_set.h
@@ -1,8 +1,8 @@
-// Upstream set: which upstreams there are, by id and in this sidecar's own order.
+// Upstream set: the known upstreams, by id and in this sidecar's own order.
 //
-// The order is that in which this sidecar takes upstreams into its subset: rendezvous hashing (Thaler and
-// Ravishankar, 1998) of its number and the upstream's id, so that the sidecars' subsets spread evenly over
-// the list, cells and zones, and a change of the list changes nobody else's place.
+// Subsets are formed in that order: rendezvous hashing (Thaler and Ravishankar, 1998) of the sidecar's index
+// and the upstream's id, so that the subsets of all sidecars spread evenly over the list, cells and zones,
+// and a change of one entry moves no other.
 #pragma once
 
 #include <cstdint>
@@ -17,28 +17,29 @@
 
 class UpstreamSet {
  public:
-  // What came of one entry of a list.
+  // The result of processing one entry of a list.
   struct Change {
     UpstreamPtr upstream;
-    bool new_process = false;  // its record is new
-    bool enters = false;       // it did not serve before
+    bool new_process = false;  // its record was created
+    bool enters = false;       // it was not serving before
   };
 
-  // `seed` gives this sidecar's order.
+  // `seed` determines this sidecar's order.
   explicit UpstreamSet(std::uint64_t seed) : seed_(seed) {}
 
-  // An update: begin, take in each entry, finish. What a whole list leaves out is gone.
+  // An update: BeginUpdate(), Update() per entry, FinishUpdate(). Upstreams missing from a whole list are
+  // gone.
   void BeginUpdate(bool whole_list);
   Change Update(const UpstreamInfo& info);
   void FinishUpdate();
 
-  // Those that are not gone, in this sidecar's order.
+  // The upstreams that are not gone, in this sidecar's order.
   const std::vector<UpstreamPtr>& ranked() const { return ranked_; }
-  // Null where there is none of this id.
+  // Null if there is none with this id.
   UpstreamPtr Find(const UpstreamId& id) const;
   bool HasZone(const std::string& zone) const;
   double ServingWeight() const;
-  // The list tells sizes: what a kind of machine can do is in them, and not to be counted twice.
+  // The list has weights other than 1. They already reflect the kind of machine, which must not count twice.
   bool has_sizes() const { return has_sizes_; }
 
  private:
--- a/src/balancer/zone_health.h
+++ b/src/balancer/zone_health.h
@@ -1,8 +1,8 @@
-// Zone health: which zones have stopped answering altogether.
+// Zone health: detects zones of which no upstream answers.
 //
-// Guards against the loss of a zone, which a sidecar among many would otherwise find out once for each of the
-// zone's upstreams. A zone is unavailable once several of its upstreams were silent and none of the zone has
-// answered since. One probe at a time then tells when it is back.
+// Guards against the loss of a zone, which a sidecar would otherwise detect separately for each upstream of
+// the zone. A zone is unavailable once several of its upstreams did not answer and none of the zone has
+// answered since. One half-open probe at a time then detects its return.
 #pragma once
 
 #include <cstddef>
@@ -14,32 +14,32 @@
 
 namespace mothrack::balancer {
 
-// Upstreams that were silent, with no answer from their zone since, to take the zone for unavailable.
+// Unresponsive upstreams, without an answer from their zone since, that make the zone unavailable.
 inline constexpr std::size_t kUnresponsiveToLoseZone = 3;
 
 class ZoneHealth {
  public:
-  // Asked of every upstream for every request, and nearly always false.
+  // Called for every upstream on every request, and nearly always false: hence the early return.
   bool IsUnavailable(const std::string& zone) const {
     if (unavailable_zones_ == 0) return false;
     const auto it = zones_.find(zone);
     return it != zones_.end() && it->second.IsUnavailable();
   }
 
-  // Whether a half-open probe may go to an upstream of it: any time while the zone is available.
+  // Whether a half-open probe may be sent to an upstream of the zone; always while the zone is available.
   bool MayProbe(const std::string& zone, TimePoint now) const {
     return !IsUnavailable(zone) || now >= zones_.find(zone)->second.next_probe;
   }
 
-  // An answer says that its zone is there.
+  // An upstream of the zone answered.
   void RecordAnswer(const std::string& zone, TimePoint now);
-  // No answer to an attempt sent after the zone's last answer may say that the zone is not there.
+  // An attempt was not answered; it counts only if it was sent after the zone's last answer.
   void RecordSilence(const std::string& zone, const UpstreamId& upstream, TimePoint sent);
-  // A probe is under way; no other one is sent to the zone before `next_probe`.
+  // A probe was sent; the next one may not be sent before `next_probe`.
   void RecordProbe(const std::string& zone, TimePoint next_probe);
-  // A process that has just started says nothing of what the zone's silent ones did.
+  // A new process started in the zone: the upstreams that did not answer are forgotten.
   void RecordNewProcess(const std::string& zone);
-  // Forgets the zones that no listed upstream is in.
+  // Removes the zones without a listed upstream.
   template <typename IsListed>  // bool(const std::string& zone)
   void KeepOnly(const IsListed& is_listed) {
     std::erase_if(zones_, [&](const auto& zone) { return !is_listed(zone.first); });
