--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -13,14 +13,12 @@
 using balancer::Outcome;
 using balancer::RequestId;
 
-// Keys are never used again by honest clients, so they need to be known no longer than a copy that crosses
-// the answer takes: at least this, and as long as a request may be under way or upstreams tell its repeats
-// apart.
+// Clients do not reuse keys, so a key is needed only against a duplicate that was sent before the answer
+// arrived: for at least this time, and as long as a request may take or upstreams recognize its repeats.
 constexpr runtime::Duration kMinKeyRetention = std::chrono::seconds(5);
 constexpr std::size_t kMaxEndedKeys = 8192;
 
-// Sets a flag for as long as it lives, here: that events are only queued. A flag that an exception left set
-// would stop the whole node.
+// Sets a flag for its lifetime. An exception must not leave the flag set, which would stop all processing.
 class ScopedFlag {
  public:
   explicit ScopedFlag(bool& flag) : flag_(flag), before_(flag) { flag_ = true; }
@@ -73,8 +71,9 @@
   timers_.Arm();
 }
 
-// The module is given the list before it is given the ends of attempts that the list ended, and acts on it
-// only when the transport knows it too: else it would send again to what drains, or to what is not known yet.
+// The module gets the list before the ends of attempts that the list caused, and acts on it only once the
+// transport has it too: otherwise it would retry at draining upstreams, or at ones that the transport does
+// not know.
 void Dispatcher::UpdateMembership(MembershipList list) {
   {
     const ScopedFlag delivering(delivering_);
@@ -100,7 +99,7 @@
 
 void Dispatcher::RestoreBans(const std::set<std::string>& bans) {
   MembershipList change = upstream_overrides_.Restore(bans);
-  // The module must be given the list that is held first, which may be still to come.
+  // Without changes nothing is passed on: the module must get the restored list first, which may come later.
   if (!change.update.upstreams.empty()) UpdateMembership(std::move(change));
 }
 
@@ -167,12 +166,12 @@
   return true;
 }
 
-// The request is this attempt's from here on: the module calls the others off.
+// From now on the client gets this attempt's answer; the module cancels the other attempts.
 void Dispatcher::OnAnswerStarted(RequestId id, AttemptId attempt, std::unique_ptr<Reply> reply) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   PendingRequest& pending = it->second;
-  // Nobody wants it any more.
+  // The request has its outcome already.
   if (!Advance(pending, RequestEvent::kAnswerStarted)) {
     return transport_.Cancel(pending.attempts[static_cast<std::size_t>(attempt)]);
   }
@@ -186,7 +185,7 @@
   {
     const ScopedFlag delivering(delivering_);
     events_.emplace_back(balancer::AnswerStarted{id, attempt});
-    on_final(std::move(final));  // `pending` is not touched any more
+    on_final(std::move(final));  // may erase `pending`
   }
   if (!delivering_) ProcessEvents();
   AbandonUnsentAttempts(id);
@@ -205,8 +204,7 @@
   }
   const bool finished = served || !AwaitsFinal(pending.state);
   {
-    // The module is given the end ahead of what the front end does on it, such as submitting the next
-    // request.
+    // The module gets this event before those that the front end causes in turn, such as the next request.
     const ScopedFlag delivering(delivering_);
     events_.emplace_back(AttemptEnded{id, attempt, result.outcome, result.elapsed, finished, result.load});
     if (!served) {
@@ -218,7 +216,7 @@
       final.reply = std::move(result.reply);
       final.attempts = pending.attempts.size();
       final.last = Outcome::kServed;
-      on_final(std::move(final));  // `pending` is not touched any more
+      on_final(std::move(final));  // may erase `pending`
     }
   }
   if (!delivering_) ProcessEvents();
@@ -229,7 +227,7 @@
 void Dispatcher::GiveFinal(RequestId id, Final final) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
-  // While the body arrives the deadline has not begun.
+  // While the body is arriving the deadline does not count.
   final.late = !IsArriving(it->second.state) && Now() >= it->second.deadline;
   final.attempts = it->second.attempts.size();
   final.last = it->second.last_outcome;
@@ -246,16 +244,18 @@
   EraseIfDone(id);
 }
 
-// After the module's own cancellations, which end what they name. Left are attempts that it keeps for what
-// their outcome tells (half-open probes), and all of them where the settings allow no cancelling.
+// Called after the module's own cancellations. What is left are half-open probes, whose outcome the module
+// wants, and all attempts if the settings do not allow cancelling.
 void Dispatcher::AbandonUnsentAttempts(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.attempts_in_flight == 0) return;
-  const std::vector<ExchangeId> attempts = it->second.attempts;  // an end may forget the request
+  const std::vector<ExchangeId> attempts =
+      it->second.attempts;  // a copy: the end of an attempt may erase the request
   for (const ExchangeId attempt : attempts) transport_.Abandon(attempt);
 }
 
-// What the module decided within this turn may still send for it, and each such attempt must get its end.
+// Deferred while events are queued: the module may still send attempts for the request, and each needs its
+// end.
 void Dispatcher::EraseIfDone(RequestId id) {
   if (delivering_) return possibly_done_.push_back(id);
   const auto it = requests_.find(id);
@@ -282,7 +282,7 @@
   hooks.on_end = [this, id = action.request, attempt](ExchangeResult result) {
     OnAttemptEnded(id, attempt, std::move(result));
   };
-  // The client disconnected or has its answer: nothing more is sent for it.
+  // The client disconnected or has its answer: no further attempt is sent.
   if (!AwaitsFinal(pending.state))
     return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   transport_.Send(exchange, action.upstream.value, pending.message, action.timeout, std::move(hooks));
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,7 +1,7 @@
-// Drives one Balancer for one pool of upstreams: its clock, timers and table of requests. Turns what happens
-// into the module's events and executes its actions, in their order. Knows no protocol: see exchange.h for
-// the front ends and transports on either side, request_state.h for the life of a request. Nobody else calls
-// the module, sends an attempt or ends a request.
+// Drives one Balancer for one pool of upstreams: owns its clock, timers and request table, passes it events
+// and executes its actions in order. Independent of the protocol: see exchange.h for the front ends and
+// transports, request_state.h for the states of a request. No other class calls the module, sends an attempt
+// or ends a request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -28,58 +28,58 @@
 
 namespace mothrack::dispatch {
 
-// Not thread-safe: constructed, called and destroyed by the one thread of its event loop. Calls that it makes
-// (Final, hooks, Transport) may call it again; the module is never re-entered.
+// Not thread-safe: constructed, called and destroyed on the thread of its event loop. Its callbacks (OnFinal,
+// ExchangeHooks, Transport) may call it again; the module is never re-entered.
 class Dispatcher {
  public:
-  // Asks the source of membership for its list, where the settings say that it is asked on request.
+  // Subscribes to the endpoint list, if the settings say that membership is sent on request.
   using OnSubscribe = std::function<void()>;
 
-  // `transport` and `log` must outlive it. `seed`: of the module's random choices. The list that a former
-  // process held comes first, by Apply() with kRestored.
+  // `transport` and `log` must outlive it. `seed`: for the module's random number generator. The list that a
+  // former process had must be applied first, by Apply() with kRestored.
   Dispatcher(boost::asio::io_context& io, const balancer::Settings& settings, std::uint64_t seed,
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr)
       : Dispatcher(std::make_unique<runtime::EventLoopTimer>(io), settings, seed, transport, log,
                    std::move(on_subscribe)) {}
-  // With a clock and timer of its own, which must not call it once it is destroyed; as a simulation has them.
+  // With another clock and timer, for example of a simulation. The timer must not fire after destruction.
   Dispatcher(std::unique_ptr<runtime::Timer> timer, const balancer::Settings& settings, std::uint64_t seed,
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr);
 
-  // Accepts a request; nothing, and no Final, where its key is one that RecentKeys() has.
+  // Accepts a request. Returns nothing, and gives no Final, if its key is among RecentKeys().
   std::optional<balancer::RequestId> Submit(NewRequest request);
-  // The last byte of a request has come that was accepted while its body still came: its time counts from now
-  // on. Ids that are not known, or not arriving, are ignored.
+  // The body of a request that was submitted with `arriving` is complete; its deadline counts from now on.
+  // Ids that are unknown, or not arriving, are ignored.
   void OnRequestComplete(balancer::RequestId id, runtime::TimePoint deadline);
-  // The client disconnected: it gets no Final any more. Ids that are not known, or that had their whole
-  // answer, are ignored.
+  // The client disconnected: the request gets no Final any more. Ids that are unknown, or were answered
+  // completely, are ignored.
   void OnClientDisconnected(balancer::RequestId id);
 
-  // What discovery says: the list, or changes to it.
+  // The endpoint list from discovery, or changes to it.
   void Apply(MembershipList list);
-  // Discovery could not be asked.
+  // A call to discovery failed.
   void MembershipFailed();
-  // Takes an upstream out by hand, whatever the list says, and puts it back; false where it was never listed.
+  // An operator's ban of an upstream, regardless of the list, and its end; false if it was never listed.
   bool Ban(const std::string& uid);
   bool Unban(const std::string& uid);
-  // Bans that a former process held.
+  // The bans of a former process.
   void RestoreBans(const std::set<std::string>& bans);
 
-  // How long the key of a request that has ended is known.
+  // How long the key of an ended request is remembered.
   static runtime::Duration KeyRetention(const balancer::Settings& settings);
-  // Keys of requests that are open or ended less than KeyRetention() ago, sorted.
+  // Keys of requests that are open, or ended less than KeyRetention() ago; sorted.
   std::vector<std::string> RecentKeys() const { return keys_.All(); }
-  // A key of a request that another process of this sidecar accepted.
+  // Adds the key of a request that another process of this sidecar accepted.
   void ImportKey(const std::string& key) { keys_.Import(key, Now()); }
   // `on_key` is called with the key of each accepted request that must not be repeated.
   void SetKeyObserver(std::function<void(const std::string&)> on_key) { on_key_ = std::move(on_key); }
 
   const balancer::Settings& settings() const { return settings_; }
-  // Requests that wait for their Final, or have attempts that have not ended.
+  // Number of requests that wait for their Final or have attempts that have not ended.
   std::size_t open() const { return requests_.size(); }
-  // Requests whose body is complete and whose outcome is open.
+  // Number of requests with a complete body and no outcome yet.
   std::size_t in_flight() const { return in_flight_; }
 
-  // For reports.
+  // For the admin API and logs.
   std::vector<balancer::UpstreamView> upstreams() const { return balancer_.upstreams(Now()); }
   balancer::Counts counts() const { return balancer_.counts(); }
   const RequestCounters& request_counters() const { return request_counters_; }
@@ -93,15 +93,16 @@
     std::shared_ptr<const Message> message;
     runtime::TimePoint deadline;
     RequestState state = RequestState::kArriving;
-    balancer::AttemptId winner{};        // whose answer is streaming, once one is
-    OnFinal on_final;                    // called at most once, while the state awaits the Final
+    balancer::AttemptId winner{};        // the attempt whose answer is being streamed, if any
+    OnFinal on_final;                    // called at most once, while AwaitsFinal(state)
     std::vector<ExchangeId> attempts;    // by AttemptId
     std::size_t attempts_in_flight = 0;  // that have not ended
     std::optional<balancer::Outcome> last_outcome;
     std::unique_ptr<Reply> last_reply;
   };
 
-  // handle() is never re-entered: an action that ends something at once queues its event here.
+  // Queues an event if the module or a front end is on the stack, so that handle() is never re-entered; else
+  // processes it now.
   template <typename E>
   void Deliver(E&& event) {
     events_.emplace_back(std::forward<E>(event));
@@ -113,13 +114,13 @@
   void OnAnswerStarted(balancer::RequestId id, balancer::AttemptId attempt, std::unique_ptr<Reply> reply);
   void OnAttemptEnded(balancer::RequestId id, balancer::AttemptId attempt, ExchangeResult result);
   void GiveFinal(balancer::RequestId id, Final final);
-  // Nobody waits for its answer any more: what has not begun upstream must not begin.
+  // The request needs no answer any more: attempts that are not yet completely written must not be.
   void AbandonUnsentAttempts(balancer::RequestId id);
   void EraseIfDone(balancer::RequestId id);
-  // Takes the request to the state that `event` leads to and keeps in_flight_; false, and nothing changes,
-  // where the event does not apply.
+  // Moves the request to its next state and updates in_flight_; false, without effect, if the event does not
+  // apply.
   bool Advance(PendingRequest& pending, RequestEvent event);
-  // An event that ends the request: its outcome is counted, once.
+  // As Advance(), for an event that ends the request; counts the outcome.
   bool Finish(PendingRequest& pending, RequestEvent event, RequestCounters::Outcome outcome);
 
   void Execute(const balancer::SendAttempt& action);
@@ -140,7 +141,7 @@
   std::deque<balancer::Event> events_;
   std::vector<balancer::Action> actions_;
   bool delivering_ = false;  // events are queued, not processed: the module or a front end is on the stack
-  std::vector<balancer::RequestId> possibly_done_;  // to be looked at by EraseIfDone() after this turn
+  std::vector<balancer::RequestId> possibly_done_;  // to be passed to EraseIfDone() once the queue is empty
   std::unordered_map<balancer::RequestId, PendingRequest> requests_;
   RequestCounters request_counters_;
   std::size_t in_flight_ = 0;
--- a/src/dispatch/exchange.h
+++ b/src/dispatch/exchange.h
@@ -1,8 +1,8 @@
-// The seam between the dispatcher and a protocol. A *front end* accepts requests from clients and submits
-// them; each gets exactly one Final, unless its client disconnects first. A *transport* carries attempts and
-// probes to upstreams; each ends with exactly one call of its OnEnd. The dispatcher between them looks into
-// no message: what a front end of one protocol makes only the transport of the same protocol reads, and the
-// other way round for replies. All calls are made on the one event loop.
+// The interface between the dispatcher and a protocol. A *front end* accepts requests from clients and
+// submits them; each gets exactly one Final, unless its client disconnects first. A *transport* carries
+// attempts and load probes to upstreams; each ends with exactly one call of its on_end. Messages are opaque
+// to the dispatcher: the transport reads what the front end of the same protocol made, and the front end
+// reads the transport's replies. All calls are made on the thread of the event loop.
 #pragma once
 
 #include <cstddef>
@@ -18,34 +18,33 @@
 
 namespace mothrack::dispatch {
 
-// A request as it is sent to upstreams; shared by its attempts, which read it only.
+// A request as it is sent to upstreams; shared by its attempts, immutable.
 class Message {
  public:
   virtual ~Message() = default;
 };
 
-// What an upstream answered.
+// An upstream's answer.
 class Reply {
  public:
   virtual ~Reply() = default;
 };
 
-// How a request ended, given to its front end once.
+// The final answer to a request, given to its front end once.
 struct Final {
   enum class Kind {
     kServed,    // `reply` is the answer
-    kRejected,  // nothing was done, or doing it again is harmless
-    kFailed,    // no promise whether it took effect
+    kRejected,  // the request had no effect, or repeating it is harmless
+    kFailed,    // the request may have taken effect
   };
   Kind kind = Kind::kFailed;
-  // Of a request that was not served: what the last attempt got, where that is an answer of its own that says
-  // more than the front end could.
+  // If not served: the reply to the last attempt, if it is worth passing on to the client.
   std::unique_ptr<Reply> reply;
-  bool streaming = false;           // the body of `reply` still comes; the client may disconnect until it has
-  runtime::Duration retry_after{};  // of a rejection; zero: no advice
+  bool streaming = false;           // the body of `reply` is still arriving; the client may still disconnect
+  runtime::Duration retry_after{};  // of a rejection, for Retry-After; zero: none
   bool late = false;                // the request's deadline has passed
-  std::size_t attempts = 0;         // made so far; some may still be out
-  std::optional<balancer::Outcome> last;  // of the attempt that ended last; absent where none did
+  std::size_t attempts = 0;         // so far; some may still be in flight
+  std::optional<balancer::Outcome> last;  // outcome of the attempt that ended last; absent if none has
 };
 using OnFinal = std::function<void(Final)>;
 
@@ -54,18 +53,17 @@
   balancer::ClassId request_class{};
   std::optional<balancer::TenantId> tenant{};
   runtime::TimePoint deadline{};
-  // Its body still comes: its time counts from Dispatcher::OnRequestComplete() on, and `deadline` says how
-  // long it is.
+  // The body is still arriving: the time until `deadline` counts from Dispatcher::OnRequestComplete() on.
   bool arriving = false;
-  std::optional<runtime::Duration> work{};  // expected work, where the client says
-  bool client_retry = false;                // the client says that it sends this again
-  // The id under which the request must not come again, open or ended a short while ago; empty: none.
+  std::optional<runtime::Duration> work{};  // expected service time, if the client states it
+  bool client_retry = false;                // the client marked it as a retry of its own
+  // Request id for duplicate detection, see RecentRequestIds; empty: none.
   std::string key{};
   std::shared_ptr<const Message> message;
   OnFinal on_final;  // must be set; may be called before Submit() returns
 };
 
-// One attempt or probe on its way; the dispatcher numbers them, never twice the same.
+// Identifies one attempt or load probe; unique within a dispatcher.
 enum class ExchangeId : std::uint64_t {};
 
 // How an attempt or a probe ended.
@@ -73,14 +71,14 @@
   balancer::Outcome outcome = balancer::Outcome::kServed;
   runtime::Duration elapsed{};
   balancer::LoadReport load{};
-  // Of a served one, and of another where the upstream's answer is worth passing on.
+  // If served, or if the upstream's answer is worth passing on to the client.
   std::unique_ptr<Reply> reply;
 };
 
-// What an exchange reports while it goes on, each at most once, and its end exactly once.
+// Callbacks of an exchange: on_end is called exactly once, the others at most once before it.
 struct ExchangeHooks {
-  std::function<void()> on_written;  // the last byte of its message is written
-  // An answer has begun and its body still comes; the end says whether all of it did.
+  std::function<void()> on_written;  // the last byte of its message was written
+  // An answer has begun and its body is still arriving; on_end says whether it was completed.
   std::function<void(std::unique_ptr<Reply>)> on_started;
   std::function<void(ExchangeResult)> on_end;
 };
@@ -91,23 +89,24 @@
   using OnEnd = std::function<void(ExchangeResult)>;
   virtual ~Transport() = default;
 
-  // What membership says of one upstream. Where it drains, is gone, moved or started anew, nothing that has
-  // not begun to be written to it is written any more: such attempts end as not sent.
+  // The present location of an upstream. If it drains, is gone, moved or restarted, attempts that are not yet
+  // being written are not sent and end as kNotSent.
   virtual void Apply(const std::string& uid, const Location& location) = 0;
-  // Reports its end exactly once, also where nothing could be sent, perhaps at once. `timeout` counts from
-  // now on, or from when the last byte is written of a message that is still coming, and covers all that the
-  // attempt takes until an answer has started. Never sends a message twice by itself.
+  // Calls on_end exactly once, also if nothing could be sent, possibly before returning. `timeout` counts
+  // from now, or for a message that is still arriving from its last byte, and covers the attempt until its
+  // answer has started. Never resends a message by itself.
   virtual void Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message,
                     runtime::Duration timeout, ExchangeHooks hooks) = 0;
-  // Asks the upstream for its load report, with a request of the transport's own.
+  // Sends a load probe: a request of the transport's own for the upstream's load report.
   virtual void Probe(ExchangeId id, const std::string& uid, OnEnd on_end) = 0;
-  // Stops waiting; the exchange still ends once. Unknown ids are ignored.
+  // Stops waiting for the answer; on_end is still called. Unknown ids are ignored.
   virtual void Cancel(ExchangeId id) = 0;
-  // Its request has its final answer, or its client left: what is not wholly written by now never will be,
-  // and the exchange ends as not sent or as cancelled. What is written goes on. A connection that is coming
-  // up may be waited for, since how that ends tells of the upstream. Unknown ids are ignored.
+  // The request has its final answer, or its client disconnected. A message that is not completely written is
+  // not written any further, and the exchange ends as kNotSent or kCancelled; one that is written continues.
+  // A connection attempt may be completed first, as its result says something about the upstream. Unknown ids
+  // are ignored.
   virtual void Abandon(ExchangeId id) = 0;
-  // Closes connections to the upstream that carry nothing.
+  // Closes idle connections to the upstream.
   virtual void CloseIdle(const std::string& uid) = 0;
 };
 
--- a/src/dispatch/membership.h
+++ b/src/dispatch/membership.h
@@ -1,4 +1,4 @@
-// Which upstreams there are and where: what a source of membership (discovery, the operator's file) says.
+// The endpoint list: the upstreams and their addresses, from discovery or the operator's file.
 #pragma once
 
 #include <cstdint>
@@ -10,16 +10,16 @@
 
 namespace mothrack::dispatch {
 
-// Where an upstream listens, and whether it may be sent anything new.
+// An upstream's address, and whether new attempts may be sent to it.
 struct Location {
   balancer::UpstreamState state = balancer::UpstreamState::kServing;
   runtime::Endpoint endpoint;
   std::int64_t boot_ms = 0;  // Unix milliseconds when its process started; 0: unknown
 };
 
-// One list, or the changes since the one before: for the module, and for the transport.
+// A complete list, or the changes since the one before, for both the module and the transport.
 struct MembershipList {
-  std::uint64_t revision = 0;  // as discovery numbers its lists
+  std::uint64_t revision = 0;  // assigned by discovery
   balancer::MembershipUpdate update;
   std::map<std::string, Location> locations;  // by uid, of the same upstreams
 };
--- a/src/dispatch/recent_request_ids.h
+++ b/src/dispatch/recent_request_ids.h
@@ -1,6 +1,5 @@
-// Ids of requests that must not be accepted a second time: of those that are open, and of those that ended a
-// short while ago. A second request under the id of one that ended just now is a copy that crossed the
-// answer: it must not run again.
+// Duplicate detection: the ids of requests that are open or have ended recently. A second request with such
+// an id is a duplicate, for example one that was sent before the answer arrived, and must not run again.
 #pragma once
 
 #include <cstddef>
@@ -14,20 +13,21 @@
 
 namespace mothrack::dispatch {
 
-// Not thread-safe; called by the event loop only. `now` must not go back between calls.
+// Not thread-safe; called by the event loop only. `now` must not decrease between calls.
 class RecentRequestIds {
  public:
-  // Ids of ended requests are kept for `retention`, at most `max_ended` of them; the oldest go first.
+  // Ids of ended requests are kept for `retention`, at most `max_ended` of them; the oldest are dropped
+  // first.
   RecentRequestIds(runtime::Duration retention, std::size_t max_ended)
       : retention_(retention), max_ended_(max_ended) {}
 
-  // Adds the id of a request that is accepted now; false, and nothing changes, where the id is known.
+  // Adds the id of a new request; false, without effect, if the id is known.
   bool Insert(const std::string& id, runtime::TimePoint now);
-  // Adds the id of a request that another process accepted: it is kept as if it had ended here now.
+  // Adds the id of a request that another process accepted, as if it had ended now.
   void Import(const std::string& id, runtime::TimePoint now);
-  // Every id that is known, sorted.
+  // All known ids, sorted.
   std::vector<std::string> All() const { return {ids_.begin(), ids_.end()}; }
-  // The request of an id that Insert() added has ended; to be called once.
+  // A request added by Insert() has ended; to be called once for each.
   void OnRequestEnded(std::string id, runtime::TimePoint now);
 
  private:
@@ -36,7 +36,7 @@
   const runtime::Duration retention_;
   const std::size_t max_ended_;
   std::set<std::string, std::less<>> ids_;
-  std::deque<std::pair<runtime::TimePoint, std::string>> ended_;  // when, the oldest first
+  std::deque<std::pair<runtime::TimePoint, std::string>> ended_;  // time of the end, oldest first
 };
 
 }  // namespace mothrack::dispatch
--- a/src/dispatch/request_counters.h
+++ b/src/dispatch/request_counters.h
@@ -1,4 +1,4 @@
-// Counts what became of requests, by class, tenant and outcome, since the process began.
+// Counts requests by class, tenant and outcome since the start of the process.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
     kServed,
     kRejected,
     kFailed,
-    kLate,  // failed as its deadline had passed
+    kLate,  // failed because its deadline had passed
     kClientDisconnected,
   };
   static constexpr std::size_t kOutcomes = 5;
@@ -26,15 +26,15 @@
   // The counts of one class and tenant.
   struct Row {
     balancer::ClassId request_class{};
-    std::optional<balancer::TenantId> tenant{};  // absent: requests without one that the settings name
+    std::optional<balancer::TenantId> tenant{};  // absent: requests without a tenant that the settings name
     std::uint64_t accepted = 0;
     std::uint64_t sent = 0;                        // attempts whose last byte was written
     std::array<std::uint64_t, kOutcomes> ended{};  // by Outcome
     std::uint64_t Of(Outcome outcome) const { return ended[static_cast<std::size_t>(outcome)]; }
   };
 
-  // Bounded by what the settings name: `classes` of them, and `tenants`. A tenant that they don't name counts
-  // as none.
+  // `classes`, `tenants`: their numbers in the settings, which bound the table. Unknown tenants count as
+  // none.
   RequestCounters(std::size_t classes, std::size_t tenants)
       : tenants_(tenants), rows_(classes * (tenants + 1)) {
     for (std::size_t i = 0; i < rows_.size(); ++i) {
@@ -56,7 +56,7 @@
     ++RowOf(cls, tenant).ended[static_cast<std::size_t>(outcome)];
   }
 
-  // By class, within it by tenant, no tenant first; also rows that count nothing.
+  // Sorted by class, then tenant (no tenant first); includes rows without counts.
   const std::vector<Row>& rows() const { return rows_; }
 
  private:
--- a/src/dispatch/request_state.h
+++ b/src/dispatch/request_state.h
@@ -1,13 +1,14 @@
-// The life of one request in the dispatcher, as a state machine without I/O. Two things go on side by side:
-// the request's body may still be arriving from its client, and its answer is outstanding, streaming or over.
+// The states of a request in the dispatcher, as a state machine without I/O. The state combines two facts:
+// whether the request's body is still arriving from the client, and whether its answer is due, streaming or
+// over.
 //
 //                     body still arriving            body complete
 //   answer due        kArriving                      kInFlight
 //   answer streaming  kStreamingWhileArriving        kStreaming
 //   over              kEndedWhileArriving            kEnded
 //
-// kBodyComplete leads to the right, everything else downwards; request_state.cpp has the table. An event that
-// has no row does not apply to the state: the caller ignores it. A request that is over stays in the
+// kBodyComplete moves to the right, every other event downwards; request_state.cpp has the transition table.
+// An event without a row for the state does not apply and is ignored. A request that is over stays in the
 // dispatcher's table until its last attempt has ended.
 #pragma once
 
@@ -16,26 +17,26 @@
 namespace mothrack::dispatch {
 
 enum class RequestState {
-  kArriving,                // accepted while its body arrives; its deadline has not begun
-  kInFlight,                // the body is complete, its Final is due
-  kStreamingWhileArriving,  // an upstream answers before the body is complete
-  kStreaming,               // its Final was given, the answer's body still comes
-  kEndedWhileArriving,      // its outcome is counted, the client may still be sending
-  kEnded,                   // its outcome is counted
+  kArriving,                // accepted, its body is still arriving; its deadline does not count yet
+  kInFlight,                // its body is complete, its Final is due
+  kStreamingWhileArriving,  // an upstream's answer is streaming before the body is complete
+  kStreaming,               // its Final was given, the answer's body is still streaming
+  kEndedWhileArriving,      // it has its outcome, the client may still be sending
+  kEnded,                   // it has its outcome
 };
 
 enum class RequestEvent {
   kBodyComplete,        // the client sent the last byte
-  kAnswerStarted,       // an attempt's answer began and is given to the client while it comes
-  kStreamEnded,         // the attempt whose answer is streaming ended, well or not
-  kFinalGiven,          // a whole answer, a rejection or a failure was decided
-  kClientDisconnected,  // nobody waits any more
+  kAnswerStarted,       // an attempt's answer has begun and is streamed to the client
+  kStreamEnded,         // the attempt whose answer is streaming has ended, complete or not
+  kFinalGiven,          // a complete answer, a rejection or a failure was given
+  kClientDisconnected,  // the client needs no answer any more
 };
 
-// The state that `event` leads to; nothing where it does not apply to `state`.
+// The next state; nothing if `event` does not apply to `state`.
 std::optional<RequestState> NextState(RequestState state, RequestEvent event);
 
-// The client still gets a Final.
+// Whether the request still needs its Final.
 constexpr bool AwaitsFinal(RequestState state) {
   return state == RequestState::kArriving || state == RequestState::kInFlight;
 }
@@ -49,7 +50,7 @@
   return state == RequestState::kStreamingWhileArriving || state == RequestState::kStreaming;
 }
 
-// Counts among the requests in flight that operators see: complete, and its outcome is open.
+// Whether it counts as in flight in reports: body complete, no outcome yet.
 constexpr bool IsInFlight(RequestState state) {
   return state == RequestState::kInFlight || state == RequestState::kStreaming;
 }
--- a/src/dispatch/start_times.h
+++ b/src/dispatch/start_times.h
@@ -1,16 +1,17 @@
-// When the processes of upstreams started, on the program's steady clock. Pure: no I/O, and the clocks are
-// handed in.
+// Maps the start times of upstreams' processes to the program's steady clock. Pure: no I/O, clock readings
+// are parameters.
 //
-// Discovery gives the start of a process as Unix time (`boot_ms`). The module wants a TimePoint that stays
-// the same in every list, since it takes another start time for another process, and that is not too early,
-// since it opens a process to its traffic by its age (slow start). The wall clock between the two may be
-// stepped. So:
-//   * A process that has been placed keeps its time, also while it is not listed.
-//   * A new one started no later than the list that has it, and no sooner than the list before, which did not
+// Discovery gives the start of a process as Unix time (`boot_ms`). The module needs a TimePoint that is the
+// same in every list, since a different start time means a different process, and that is not too early,
+// since slow start depends on the age. The wall clock may be stepped at any time. Therefore:
+//   * A process keeps the time that it was given first, also while it is not listed.
+//   * A new process started no later than the list that has it, and no earlier than the list before, which
+//   did not
 //     have it.
-//   * The wall clock's reading counts within these bounds. Where it was stepped between the two lists, nobody
-//     knows which of its readings the start was stamped by, and the later start counts: a process that is
-//     taken for younger than it is serves less for a while, one that is taken for older may be overloaded.
+//   * Within these bounds the wall clock decides. If it was stepped between the two lists, it is unknown
+//   which
+//     setting `boot_ms` refers to, and the later start counts: a process assumed too young serves less for a
+//     while, one assumed too old may be overloaded.
 #pragma once
 
 #include <cstddef>
@@ -39,20 +40,19 @@
   // `at_start`: the clocks when the program started.
   explicit StartTimes(const runtime::ClockReading& at_start) : last_reading_(at_start) {}
 
-  // Sets `started` of each upstream whose boot_ms is known. `reading`: the clocks when the list was read;
-  // lists come in the order in which they were read. A restored list may be older than the program, and
-  // bounds nothing.
+  // Sets `started` of each upstream with a known boot_ms. `reading`: the clocks when the list was received;
+  // lists must be passed in that order. A restored list may be older than the program and sets no bound.
   void Place(MembershipList& list, const runtime::ClockReading& reading);
 
-  // What another process of this sidecar, on the same machine, has placed, and when its last list was read.
-  // Before the first Place().
+  // The start times that another process of this sidecar on the same machine has determined, and when it
+  // received its last list. To be called before the first Place().
   void Import(const std::vector<ProcessStart>& placed, std::optional<runtime::TimePoint> last_list);
-  // The processes that are listed.
+  // The start times of the listed processes.
   std::vector<ProcessStart> Export() const;
-  // When the last list was read; absent before the first.
+  // When the last list was received; absent before the first.
   std::optional<runtime::TimePoint> last_list() const { return last_list_; }
 
-  // Processes remembered after they left the list, the first ones forgotten first.
+  // Bound on remembered processes that are no longer listed; the oldest are dropped first.
   static constexpr std::size_t kMaxDeparted = 4096;
 
  private:
@@ -70,7 +70,7 @@
   std::map<std::string, PlacedProcess> departed_;
   std::deque<std::string> departed_in_order_;
   runtime::ClockReading last_reading_;
-  // When the list that is held was read; absent before the first.
+  // When the present list was received; absent before the first.
   std::optional<runtime::TimePoint> last_list_;
 };
 
--- a/src/dispatch/upstream_overrides.cpp
+++ b/src/dispatch/upstream_overrides.cpp
@@ -8,7 +8,7 @@
 using balancer::MembershipUpdate;
 using balancer::UpstreamState;
 
-// Ids are ever new where machines are replaced: without a bound those seen once would pile up.
+// Bound on remembered ids, which would otherwise accumulate as machines are replaced.
 constexpr std::size_t kMaxRemembered = 16384;
 
 }  // namespace
--- a/src/dispatch/upstream_overrides.h
+++ b/src/dispatch/upstream_overrides.h
@@ -1,6 +1,6 @@
-// The list of upstreams as it counts: what discovery says, with operators' bans laid over it. The two are
-// kept apart, so that a ban holds whatever the list says until it is lifted, and then what the list says by
-// then counts. A banned upstream drains: nothing new is sent to it.
+// Operators' bans on top of the endpoint list from discovery. Both are kept separately: a ban holds, whatever
+// the list says, until it is lifted, and then the list at that time applies. A banned upstream drains: it
+// gets no new attempts.
 #pragma once
 
 #include <cstddef>
@@ -14,21 +14,21 @@
 
 namespace mothrack::dispatch {
 
-// Not thread-safe; called by the event loop only. What its members return is to be applied by the caller.
+// Not thread-safe; called by the event loop only. The caller applies the returned lists.
 class UpstreamOverrides {
  public:
-  // A list from discovery. Returns it with the bans applied, and, of a full list, with the upstreams that it
-  // leaves out as gone.
+  // A list from discovery. Returns it with the bans applied; for a full list, missing upstreams are added as
+  // gone.
   MembershipList Apply(MembershipList list);
 
-  // The change that a ban, or lifting one, makes to the list, perhaps an empty one; absent where the upstream
-  // was never listed. May be repeated.
+  // Returns the resulting change of the list, which may be empty; absent if the upstream was never listed.
+  // Idempotent.
   std::optional<MembershipList> Ban(const std::string& uid);
   std::optional<MembershipList> Unban(const std::string& uid);
-  // Adds bans that another process held, also of upstreams that this one never saw listed.
+  // Adds the bans of another process, also of upstreams that were never listed here.
   MembershipList Restore(const std::set<std::string>& bans);
 
-  // Upstreams that the list has now, banned or not.
+  // Number of upstreams in the present list, banned or not.
   std::size_t listed() const { return listed_.size(); }
   bool IsListed(const std::string& uid) const { return listed_.contains(uid); }
   const std::set<std::string>& bans() const { return bans_; }
@@ -43,10 +43,10 @@
   void ApplyBan(const std::string& uid, Entry& entry) const;
   MembershipList ChangeOf(const std::string& uid) const;
 
-  std::map<std::string, Entry> listed_;  // as discovery says; those that are not gone
+  std::map<std::string, Entry> listed_;  // as from discovery, without those that are gone
   std::set<std::string> bans_;
-  // Ids that were listed once, and their order; the first ones are forgotten first, but for those that are
-  // listed or banned.
+  // Ids that were ever listed, and in which order; the oldest are dropped first, except listed and banned
+  // ones.
   std::set<std::string> remembered_;
   std::deque<std::string> remembered_in_order_;
 };
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -18,15 +18,15 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// After accept() failed: a lack of descriptors or memory for a moment costs little, one that lasts no spin.
-// Doubled from the least to the most while nothing is accepted. Where it is the owner that has no room, the
-// most.
+// Pause after a failed accept(), doubled from the minimum to the maximum while nothing is accepted: a
+// momentary lack of descriptors or memory costs little time, and a lasting one does not make the event loop
+// spin. If the owner has no capacity, the maximum applies.
 constexpr Duration kMinRetryPause = std::chrono::milliseconds(1);
 constexpr Duration kMaxRetryPause = std::chrono::milliseconds(20);
-// A handler that is put off runs behind a look of the event loop at the system, but ahead of what that found;
-// put off twice it runs behind both.
+// Posted once, a handler runs after the event loop has polled the kernel but before the handlers of what it
+// found; posted twice, it runs after those as well.
 constexpr int kRoundsBeforeMissed = 2;
-// Clients that left ahead of their turn, one behind the other, before others get theirs.
+// Bound on consecutive clients that had disconnected before accept(), before other handlers run.
 constexpr int kMaxAbortedInARow = 64;
 
 bool IsExhausted(const error_code& error) {
@@ -35,9 +35,9 @@
          error == boost::system::errc::too_many_files_open_in_system;
 }
 
-// Of the connection at the head of the queue, which is gone, or of this one call; nothing is wrong with the
-// listening socket. accept(2): what the network did to a connection in the queue is passed on as an error of
-// accept, and is to be taken like EAGAIN by calling again; EPERM is a firewall's word on one client.
+// Whether the error concerns only the connection at the head of the queue or this one call, not the listening
+// socket. accept(2): pending network errors of a queued connection are reported by accept() and should be
+// treated like EAGAIN by retrying; EPERM means that a firewall rejects one client.
 bool IsOfOneConnection(const error_code& error) {
   if (error.category() != boost::system::system_category()) return false;
   switch (error.value()) {
@@ -81,7 +81,7 @@
     socket_.assign(protocol, where.taken);
   } else {
     socket_.open(protocol);
-    // A start after a kill must not wait for the former process's connections to be forgotten.
+    // After a kill, do not wait until the former process's connections have left TIME_WAIT.
     socket_.set_option(boost::asio::socket_base::reuse_address(true));
     if (where.share_port) {
       socket_.set_option(boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
@@ -90,13 +90,12 @@
     socket_.listen(boost::asio::socket_base::max_listen_connections);
   }
   socket_.non_blocking(true);
-  // Else asio takes a client that left ahead of its turn for a reason to block until the next one comes, and
-  // with it everything that this event loop serves.
+  // Otherwise asio would block the event loop in accept() if a client disconnected before its turn.
   socket_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
   WaitForClient();
 }
 
-// Waits for a client before making room for it, and without a descriptor of its own.
+// Waits for a client without reserving a descriptor, and makes room only once one is waiting.
 void Acceptor::WaitForClient() {
   if (paused_ || waiting_) return;
   waiting_ = true;
@@ -108,9 +107,9 @@
     ++acceptor.wakeups_;
     if (acceptor.paused_ || !acceptor.socket_.is_open()) return;
     if (!error) return acceptor.Accept();
-    // Paused, and resumed since.
+    // The wait of before a pause that has ended since.
     if (error == boost::asio::error::operation_aborted) return acceptor.WaitForClient();
-    // Nobody foresaw it, and it must not end the listening.
+    // Unexpected; listening must go on.
     acceptor.log_.Line(acceptor.label_ + "waiting for clients: " + error.message());
     acceptor.RetryAfter(kMaxRetryPause);
   });
@@ -120,24 +119,24 @@
   pause_.expires_after(pause);
   pause_.async_wait([this](error_code error) {
     if (error || !socket_.is_open() || paused_) return;
-    // A wait that missed a client does not hear of it after the pause either.
+    // A wait that missed a client is not notified of it after the pause either.
     waiting_ ? Accept() : WaitForClient();
   });
 }
 
-// Where the system can't tell somebody may wait: closing over a client would reset it.
+// If the kernel can't tell, assume that a client is waiting: closing the socket would reset it.
 bool Acceptor::ClientWaits() {
   return (PollNow(socket_.native_handle(), POLLIN).value_or(POLLIN) & POLLIN) != 0;
 }
 
 void Acceptor::PollForMissedClients() {
-  // Without a wait there is a pause, which ends by a timer.
+  // Without a pending wait there is a pause, which a timer ends.
   if (!waiting_ || paused_ || confirming_ || !socket_.is_open() || !ClientWaits()) return;
   confirming_ = true;
   ConfirmMissedWakeup(kRoundsBeforeMissed);
 }
 
-// It may just have come: the event loop gets its chance to tell first.
+// The client may have arrived just now: give the event loop the chance to report it first.
 void Acceptor::ConfirmMissedWakeup(int rounds) {
   boost::asio::post(io_, [weak = std::weak_ptr(self_), rounds, woken = wakeups_] {
     const auto self = weak.lock();
@@ -167,7 +166,8 @@
     if (!error) {
       retry_pause_ = kMinRetryPause;
       owner_.Admit(std::move(socket));
-      // Room for the next is made only once it is there: it would be this one's that had said nothing yet.
+      // Do not evict for the next client before it is there: this one, which has sent nothing yet, would be
+      // evicted.
       if (!owner_.HasCapacity()) break;
       continue;
     }
@@ -178,8 +178,8 @@
     }
     log_.Line(label_ + "accept: " + error.message());
     if (error == boost::asio::error::bad_descriptor) return;
-    // Guards against a spin where descriptors or memory ran out: the client stays in the backlog. Other
-    // connections make room only for a lack that outlasts a pause.
+    // Out of descriptors or memory: the client stays in the backlog for a pause, which avoids a busy loop.
+    // Other connections are evicted only if the lack outlasts a pause.
     const bool lasting = retry_pause_ > kMinRetryPause;
     if (IsExhausted(error) && lasting) owner_.EvictOne();
     return RetryAfter(NextRetryPause());
@@ -198,7 +198,7 @@
   WaitForClient();
 }
 
-// Closing alone would leave it in this process's epoll set, since the other process keeps it open.
+// Closing alone would leave the socket in this process's epoll set, since the other process keeps it open.
 void Acceptor::Release() {
   if (!socket_.is_open()) return;
   boost::system::error_code ignored;
@@ -210,8 +210,8 @@
   return std::exchange(retry_pause_, std::min(retry_pause_ * 2, kMaxRetryPause));
 }
 
-// Closing over clients that wait resets them. An error alone says nothing of whether somebody waits: it may
-// be of one client, or of descriptors that ran out.
+// Closing the socket resets clients in the backlog. An error alone does not say whether one is waiting: it
+// may concern a single client, or a lack of descriptors.
 bool Acceptor::Close() {
   if (ClientWaits()) Accept();
   if (ClientWaits()) return false;
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -1,11 +1,12 @@
-// A listening TCP socket. Room for a connection is made only once a client waits for it; where the system has
-// no descriptor or memory left, clients stay in the backlog for a moment instead of the program spinning.
+// A listening TCP socket. A connection is evicted to make room only once a client is waiting. If the system
+// is out of descriptors or memory, clients stay in the backlog until a short pause is over, and the event
+// loop does not spin.
 //
-// The event loop is told once of a client that waits. Whoever owns an Acceptor calls PollForMissedClients()
-// now and then, so that a client is taken also where that once was missed: docs/design/wakeups.md.
+// The kernel notifies the event loop once per waiting client. The owner calls PollForMissedClients()
+// periodically, so that a client is accepted even if that notification was missed: docs/design/wakeups.md.
 //
 // Owned by a server, used on the thread of its event loop only. Errors of accept() are logged and retried
-// after a pause of 1 to 20 ms; errors of single connections are passed over.
+// after a pause of 1 to 20 ms; errors of single connections are ignored.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,21 +27,21 @@
   ListenOn(Endpoint endpoint)
       : endpoint(std::move(endpoint)) {}  // NOLINT: an endpoint alone is the usual case
   Endpoint endpoint;
-  int taken = -1;  // a socket that listens already, to be taken over; the endpoint tells its protocol
-  bool share_port = false;  // another process of the same user may listen there, too (SO_REUSEPORT)
-  bool paused = false;      // accepts only after Resume()
+  int taken = -1;           // an inherited listening socket; the endpoint tells its protocol
+  bool share_port = false;  // another process of the same user may listen as well (SO_REUSEPORT)
+  bool paused = false;      // does not accept until Resume()
 };
 
 class Acceptor {
  public:
-  // The server that the connections are for.
+  // The server that accepts the connections.
   class Owner {
    public:
-    // May one more connection be accepted?
+    // Whether one more connection may be accepted.
     virtual bool HasCapacity() const = 0;
-    // Closes the connection that can be spared best; false where there is none.
+    // Closes the connection with the lowest eviction rank; false if there is none.
     virtual bool EvictOne() = 0;
-    // A new connection, as accept() returned it.
+    // Takes over a new connection, as returned by accept().
     virtual void Admit(boost::asio::ip::tcp::socket socket) = 0;
 
    protected:
@@ -53,21 +54,21 @@
 
   Endpoint local() const { return socket_.local_endpoint(); }
   bool is_open() const { return socket_.is_open(); }
-  // What waits in the backlog counts as taken: it is admitted before the socket closes. False where there was
-  // no room for all of it: it listens on, and is to be told to close again.
+  // Stops listening. Clients in the backlog are admitted first. False if there was no capacity for all of
+  // them: then it still listens, and the caller tries again.
   bool Close();
-  // Leaves what comes to another process that has the same socket; accepts again.
+  // Leaves new clients to another process that has the same socket; accepts again.
   void Pause();
   void Resume();
-  // Gives up this process's hold of the socket; the other one's goes on, with what waits in the backlog.
+  // Closes this process's descriptor of the socket; the other process keeps it, and with it the backlog.
   void Release();
   bool paused() const { return paused_; }
   int native_handle() { return socket_.native_handle(); }
 
-  // Takes clients that wait although the event loop has had its chance to tell of them. Costs one system call
-  // where there is none. To be called from the event loop.
+  // Accepts clients that are waiting although the event loop was not notified. Costs one system call if there
+  // is none. To be called from the event loop.
   void PollForMissedClients();
-  // Times that only a look found clients: more than 0 is a fault of the system or of the event loop.
+  // How often only polling found a client; above 0 the kernel or the event loop lost a notification.
   std::uint64_t missed_wakeups() const { return missed_; }
 
  private:
@@ -84,14 +85,14 @@
   Logger& log_;
   boost::asio::ip::tcp::acceptor socket_;
   boost::asio::steady_timer pause_;
-  Duration retry_pause_;  // the next one after a failure of accept()
+  Duration retry_pause_;  // after the next failure of accept()
   bool paused_ = false;
-  bool waiting_ = false;     // the event loop is to tell of the next client
-  bool confirming_ = false;  // a look found one that the event loop may still tell of
+  bool waiting_ = false;     // an asynchronous wait for a client is pending
+  bool confirming_ = false;  // polling found a client that the event loop may still report
   std::uint64_t wakeups_ = 0;
   std::uint64_t missed_ = 0;
   const std::shared_ptr<Acceptor*>
-      self_;  // goes with this: handlers that are still to come must not touch it
+      self_;  // reset on destruction: pending handlers must not use the object then
 };
 
 }  // namespace mothrack::runtime
--- a/src/runtime/address.h
+++ b/src/runtime/address.h
@@ -1,4 +1,4 @@
-// An address and port, as operators and discovery write them. Pure: no name is looked up.
+// IP addresses with a port, as written by operators and discovery. Pure: names are not resolved.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -9,7 +9,7 @@
 
 using Endpoint = boost::asio::ip::tcp::endpoint;
 
-// `10.0.0.4:9000` or `[::1]:9000`; nothing where the text is no such address.
+// Parses `10.0.0.4:9000` or `[::1]:9000`; nothing if the text is not such an address.
 std::optional<Endpoint> ParseEndpoint(const std::string& text);
 
 }  // namespace mothrack::runtime
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -1,6 +1,6 @@
-// The program's one clock: steady, in microseconds. The machine's wall clock is read here for what others say
-// in Unix time; it may be stepped at any moment, by any amount, so no span of time is ever measured by it.
-// Functions of any thread.
+// The program's steady clock, in microseconds. The wall clock is read here only, to convert Unix times of
+// others; it may be stepped at any time by any amount, so it never measures an interval. May be called on any
+// thread.
 #pragma once
 
 #include <chrono>
@@ -23,12 +23,12 @@
 
 inline TimePoint Now() { return ToTimePoint(std::chrono::steady_clock::now()); }
 
-// Both clocks, read at one moment.
+// A reading of both clocks at the same moment.
 struct ClockReading {
-  TimePoint now;         // the steady one
-  Duration unix_time{};  // the wall clock's, since 1970
+  TimePoint now;         // steady clock
+  Duration unix_time{};  // wall clock, since 1970
 
-  // The moment that has this Unix time, as far as the wall clock was right when it was read.
+  // Converts a Unix time to the steady clock, assuming that the wall clock was right at this reading.
   TimePoint At(std::chrono::milliseconds other_unix_time) const {
     return now + (other_unix_time - unix_time);
   }
--- a/src/runtime/connection_set.h
+++ b/src/runtime/connection_set.h
@@ -1,9 +1,9 @@
-// The open client connections of one server: who they are, and which one is given up first when the server
-// runs out of descriptors.
+// The open client connections of one server, and the choice of the one to evict when the server runs out of
+// descriptors.
 //
 // Owned by the server that accepts the connections, used on the thread of its event loop only. Its size is
-// bounded by what the server admits (Acceptor::Owner), not by this class. A connection takes itself out when
-// it closes, so whoever goes over the connections and may close some goes over a Snapshot().
+// bounded by what the server admits (Acceptor::Owner), not by this class. A connection removes itself when it
+// closes, so iterate over a Snapshot() if connections may be closed meanwhile.
 #pragma once
 
 #include <cstddef>
@@ -19,26 +19,26 @@
 class ConnectionSet {
  public:
   void Add(std::shared_ptr<Connection> connection) { connections_.insert(std::move(connection)); }
-  // No effect where it is not in the set.
+  // No effect if it is not in the set.
   void Remove(const std::shared_ptr<Connection>& connection) { connections_.erase(connection); }
 
   bool empty() const { return connections_.empty(); }
   std::size_t size() const { return connections_.size(); }
 
-  // Those that are open now; keeps them alive, also when they leave the set meanwhile.
+  // The connections that are open now; keeps them alive even if they leave the set meanwhile.
   std::vector<std::shared_ptr<Connection>> Snapshot() const {
     return {connections_.begin(), connections_.end()};
   }
 
-  // Empties the set, for a server that ends.
+  // Removes and returns all, for the destruction of the server.
   std::vector<std::shared_ptr<Connection>> TakeAll() {
     const auto all = std::exchange(connections_, {});
     return {all.begin(), all.end()};
   }
 
-  // The connection with the lowest rank; null where none has one. `rank_of` is called once for each
-  // connection, must not add or remove any, and returns a std::optional of anything with operator<: nothing
-  // for a connection that must stay.
+  // The connection with the lowest rank; null if none has one. `rank_of` is called once for each connection,
+  // must not add or remove any, and returns a std::optional of a type with operator<: nothing for a
+  // connection that must stay.
   template <typename RankOf>
   std::shared_ptr<Connection> Lowest(RankOf rank_of) const {
     std::shared_ptr<Connection> best;
--- a/src/runtime/deadlines.h
+++ b/src/runtime/deadlines.h
@@ -1,7 +1,7 @@
-// Points in time that are mostly taken back before they come, on one timer of the event loop. Holds only what
-// is still set; for points that always come see TimerQueue, which is cheaper.
+// Timeouts that are mostly cancelled before they expire, on one timer of the event loop. Holds only the
+// pending ones. TimerQueue is cheaper for times that always expire.
 //
-// Owned by whoever sets them, on the thread of the event loop.
+// Owned by its only user, on the thread of the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,7 +17,7 @@
 
 class Deadlines {
  public:
-  // Called once for a point that was not taken back, at or after its time; may set and take back others.
+  // Called once for each deadline that was not cancelled, at or after its time; may set and cancel others.
   using OnPassed = std::function<void(std::uint64_t token)>;
   Deadlines(boost::asio::io_context& io, OnPassed on_passed) : timer_(io), on_passed_(std::move(on_passed)) {}
 
@@ -25,11 +25,12 @@
     set_.emplace(at, token);
     Arm();
   }
-  // `at` and `token` as they were set; no effect where that has passed.
+  // `at` and `token` as passed to Set(); no effect if it has expired.
   void Cancel(TimePoint at, std::uint64_t token) { set_.erase({at, token}); }
 
  private:
-  // One that was taken back may still wake the loop once, for nothing: cheaper than setting the timer back.
+  // A cancelled deadline may still wake the loop once without effect, which is cheaper than resetting the
+  // timer.
   void Arm() {
     if (set_.empty() || set_.begin()->first >= armed_for_) return;
     armed_for_ = set_.begin()->first;
@@ -41,7 +42,7 @@
       while (!set_.empty() && set_.begin()->first <= now) {
         const std::uint64_t token = set_.begin()->second;
         set_.erase(set_.begin());
-        Arm();  // first: the handler may throw
+        Arm();  // first, as the handler may throw
         on_passed_(token);
       }
       Arm();
--- a/src/runtime/rate_limiter.h
+++ b/src/runtime/rate_limiter.h
@@ -1,7 +1,6 @@
-// So many a second, and a burst of them after a pause: for log lines and answers that must not take what
-// requests need. A token bucket.
+// Token bucket: limits log lines and answers so that they do not use up what requests need.
 //
-// Owned by whoever is limited, on its thread; time is handed in and must not go back.
+// Owned by its only user, on its thread; the time is a parameter and must not decrease.
 #pragma once
 
 #include <algorithm>
@@ -13,11 +12,11 @@
 
 class RateLimiter {
  public:
-  // Begins with a full burst.
+  // Starts with a full bucket of `burst` tokens.
   RateLimiter(double per_second, double burst, TimePoint now)
       : per_second_(per_second), burst_(burst), left_(burst), refilled_(now) {}
 
-  // Takes one; false where none is left.
+  // Takes a token; false if none is left.
   bool Take(TimePoint now) {
     const double passed = std::chrono::duration<double>(now - refilled_).count();
     left_ = std::min(burst_, left_ + passed * per_second_);
--- a/src/runtime/secure_random.h
+++ b/src/runtime/secure_random.h
@@ -1,7 +1,6 @@
-// Unpredictable numbers, for what others must not guess: from the system's generator (getrandom(2)), read in
-// blocks.
+// Cryptographically secure random numbers from the kernel (getrandom(2)), read in blocks.
 //
-// Owned by whoever draws, on its thread. Throws std::runtime_error where the system has none.
+// Owned by its only user, on its thread. Throws std::runtime_error if the kernel has none.
 #pragma once
 
 #include <sys/random.h>
@@ -29,7 +28,7 @@
 
  private:
   void Refill() {
-    // Up to 256 bytes come whole or not at all (getrandom(2)).
+    // Reads of up to 256 bytes are never short (getrandom(2)).
     if (::getrandom(block_.data(), block_.size(), 0) != static_cast<ssize_t>(block_.size())) {
       throw std::runtime_error("no random numbers from the system");
     }
--- a/src/runtime/stream.cpp
+++ b/src/runtime/stream.cpp
@@ -17,7 +17,7 @@
 
 std::size_t Stream::Capacity() const {
   if (abandoned_) return ByteBudget::kMinWindow;
-  // What is only kept does not count: it is bounded by `keep`.
+  // Bytes that are only retained do not count: they are bounded by `keep`.
   const auto waiting = static_cast<std::size_t>(size() - next_);
   const std::size_t window = budget_.Window();
   return window > waiting ? window - waiting : 0;
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -1,10 +1,10 @@
-// The body of one message on its way through the sidecar, in bounded pieces: one side appends what has come,
-// the other takes what it can pass on, and what is held in between is bounded by a window, which is this
-// stream's share of the process's budget. What was taken is kept too, as long as it is little, so that the
-// body can be sent again from its beginning.
+// The body of one message while it passes through the sidecar: the producer appends received bytes, the
+// consumer takes what it can write. The buffer in between is bounded by a window, this stream's share of the
+// process's budget. A short body is retained after it was consumed, so that a retry can send it from its
+// beginning.
 //
 // Shared by the two sides through a shared_ptr, on the thread of the event loop; sizes are bytes. Has no
-// errors of its own: a body that breaks off ends as kBroken.
+// errors of its own: a body that is cut off ends as kBroken.
 #pragma once
 
 #include <cstddef>
@@ -16,21 +16,21 @@
 
 namespace mothrack::runtime {
 
-// Bytes that all streams of the process may hold together, shared evenly among those that are open.
+// The bytes that all streams of the process may buffer together, shared evenly among the open ones.
 class ByteBudget {
  public:
   // `bytes`: of the whole process.
   explicit ByteBudget(std::size_t bytes) : bytes_(bytes), full_(bytes) {}
 
-  // What each open stream may hold: enough to keep both sides busy, never so little that it stands still. The
-  // sum may pass the budget by kMinWindow for each stream beyond what it allows: streams are as many as
+  // The window of each open stream, from kMinWindow, so that every stream makes progress, to kMaxWindow. The
+  // sum may exceed the budget by kMinWindow for each stream too many; the number of streams is bounded by the
   // descriptors.
   std::size_t Window() const;
-  // Another process of this sidecar has the other half.
+  // While another process of this sidecar uses the other half.
   void Halve() { bytes_ = full_ / 2; }
   void Restore() { bytes_ = full_; }
 
-  // Bytes that the streams hold now, and how many streams are open.
+  // Buffered bytes, and the number of open streams.
   std::size_t held() const { return held_; }
   std::size_t open() const { return open_; }
 
@@ -49,48 +49,47 @@
  public:
   enum class State {
     kComing,  // more may be appended
-    kWhole,   // all of it was
-    kBroken,  // the rest will never come
+    kWhole,   // complete
+    kBroken,  // cut off: the rest will never arrive
   };
 
-  // What is taken is kept, too, until the body is longer than `keep`, or half of the budget is held.
+  // Consumed bytes are retained until the body exceeds `keep`, or half of the budget is in use.
   Stream(ByteBudget& budget, std::size_t keep);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
-  // ---- The side that appends ----
+  // ---- Producer ----
 
-  // Bytes that may be appended now.
+  // Number of bytes that may be appended now.
   std::size_t Capacity() const;
-  // Takes what `bytes` holds; more than Capacity() is taken, too, and leaves none.
+  // Appends `bytes`, even beyond Capacity(), which is 0 then.
   void Append(std::string_view bytes);
-  // No more comes; the first call counts.
+  // Ends the body; calls after the first have no effect.
   void End(State state);
-  // There is room again, or nobody wants the rest. Called from within the other side's calls.
+  // There is capacity again, or the stream was abandoned. Called from within the consumer's calls.
   std::function<void()> on_capacity;
 
-  // ---- The side that takes; one at a time ----
+  // ---- Consumer; one at a time ----
 
-  // Begins at the first byte; false where that is held no more. What another one took so far counts as not
-  // taken.
+  // Starts from the first byte, whatever an earlier consumer took; false if that byte is no longer retained.
   bool BeginConsuming();
-  // Whoever began takes no more: another may begin.
+  // The present consumer stops; another one may begin.
   void StopConsuming();
-  // What can be taken now; valid until the next call of either side.
+  // The bytes available to the consumer; valid until the next call of either side.
   std::string_view Ready() const { return std::string_view(bytes_).substr(head_ + (next_ - base_)); }
-  // Passes over the first `size` bytes of Ready(), which has at least so many.
+  // Consumes the first `size` bytes of Ready(), which must have at least that many.
   void Consume(std::size_t size);
   State state() const { return state_; }
-  // All has come, and all is taken.
+  // Complete and completely consumed.
   bool done() const { return state_ == State::kWhole && next_ == size(); }
-  // The rest is not wanted: it is dropped as it comes.
+  // The rest is not needed: it is dropped as it arrives.
   void Abandon();
   bool abandoned() const { return abandoned_; }
-  // More came, or its end. Called from within the other side's calls.
+  // More bytes or the end arrived. Called from within the producer's calls.
   std::function<void()> on_bytes;
 
-  std::uint64_t size() const { return base_ + bytes_.size() - head_; }  // all that came
+  std::uint64_t size() const { return base_ + bytes_.size() - head_; }  // appended so far
 
  private:
   void DropConsumed();
@@ -98,13 +97,13 @@
 
   ByteBudget& budget_;
   const std::size_t keep_;
-  std::string bytes_;  // from base_ on, behind `head_` that are dropped already
+  std::string bytes_;  // from base_ on, after `head_` bytes that are already dropped
   std::size_t head_ = 0;
-  std::uint64_t base_ = 0;  // of the body's bytes, the first one held
-  std::uint64_t next_ = 0;  // the next one to be taken
+  std::uint64_t base_ = 0;  // offset in the body of the first buffered byte
+  std::uint64_t next_ = 0;  // offset in the body of the next byte to be consumed
   State state_ = State::kComing;
   bool abandoned_ = false;
-  bool has_consumer_ = false;  // somebody takes
+  bool has_consumer_ = false;  // between BeginConsuming() and StopConsuming()
 };
 
 }  // namespace mothrack::runtime
--- a/src/runtime/sweep_timer.h
+++ b/src/runtime/sweep_timer.h
@@ -1,5 +1,4 @@
-// Goes over what a server has open, again and again: deadlines of connections that must be found overdue
-// without a timer each.
+// Calls a periodic sweep over a server's connections, which finds the overdue ones without a timer for each.
 //
 // Owned by the server, used on the thread of its event loop only; destroying it cancels the next sweep.
 #pragma once
@@ -16,13 +15,12 @@
 
 class SweepTimer {
  public:
-  // `interval` says how long to wait until the next sweep; it is asked each time the timer is set. `sweep`
-  // does the work and says whether the timer goes on. Nothing happens before Restart().
+  // `interval` returns the time until the next sweep and is called each time the timer is set. `sweep` does
+  // the work and returns whether the timer goes on. Does not start before Restart().
   SweepTimer(boost::asio::io_context& io, std::function<Duration()> interval, std::function<bool()> sweep)
       : timer_(io), interval_(std::move(interval)), sweep_(std::move(sweep)) {}
 
-  // Sets the next sweep one interval from now; one that was set before is cancelled. One that is due already
-  // still comes.
+  // Sets the next sweep one interval from now and cancels the pending one, unless that is already due.
   void Restart() {
     timer_.expires_after(interval_());
     timer_.async_wait([this](boost::system::error_code error) {
@@ -30,7 +28,7 @@
     });
   }
 
-  // Cancels the next sweep, if it is not due already.
+  // Cancels the next sweep, unless it is already due.
   void Cancel() { timer_.cancel(); }
 
  private:
--- a/src/runtime/system_calls.h
+++ b/src/runtime/system_calls.h
@@ -1,6 +1,6 @@
-// System calls on sockets that never block, made again where a signal interrupted them: EINTR says nothing of
-// the socket, and whoever took it for an error would close a connection over a request that it had read.
-// Errors come back as the system has them; functions of any thread.
+// System calls on non-blocking sockets, repeated on EINTR, which is no error of the socket: treating it as
+// one would close a connection although a request was read from it. Other errors are returned unchanged. May
+// be called on any thread.
 #pragma once
 
 #include <poll.h>
@@ -15,8 +15,8 @@
 
 namespace mothrack::runtime {
 
-// The events among `events` (poll(2)) that hold for the descriptor now, errors and hang-ups included; absent
-// where the system can't tell (ENOMEM).
+// The events among `events` (poll(2)) that are set for the descriptor now, including errors and hang-ups;
+// absent if the kernel can't tell (ENOMEM).
 inline std::optional<short> PollNow(int descriptor, short events) {
   pollfd polled{descriptor, events, 0};
   int ready = 0;
@@ -27,7 +27,7 @@
   return ready == 1 ? polled.revents : short{0};
 }
 
-// As socket.read_some(), on a socket that does not block.
+// As socket.read_some(), on a non-blocking socket.
 template <typename Socket, typename Buffers>
 std::size_t ReadSome(Socket& socket, const Buffers& buffers, boost::system::error_code& error) {
   std::size_t size = 0;
@@ -37,7 +37,7 @@
   return size;
 }
 
-// As socket.write_some(), on a socket that does not block.
+// As socket.write_some(), on a non-blocking socket.
 template <typename Socket, typename Buffers>
 std::size_t WriteSome(Socket& socket, const Buffers& buffers, boost::system::error_code& error) {
   std::size_t size = 0;
@@ -47,8 +47,8 @@
   return size;
 }
 
-// As socket.receive() of one byte that stays where it is, on a socket that does not block. No error: there is
-// something to read; would_block: there is not, and the connection stands.
+// Peeks at one byte (MSG_PEEK) of a non-blocking socket. No error: there is something to read; would_block:
+// there is not, and the connection is open.
 template <typename Socket>
 void PeekByte(Socket& socket, boost::system::error_code& error) {
   char byte = 0;
@@ -57,8 +57,8 @@
   } while (error == boost::asio::error::interrupted);
 }
 
-// How a connection that was accepted is used here: small messages leave at once (TCP_NODELAY), and no call on
-// it blocks. A socket that refuses either is broken, which its first read or write tells.
+// Configures an accepted connection: TCP_NODELAY, non-blocking. Errors are ignored, since a socket that fails
+// here fails at its first read or write too.
 template <typename Socket>
 void ConfigureAccepted(Socket& socket) {
   boost::system::error_code ignored;
--- a/src/runtime/timer_queue.cpp
+++ b/src/runtime/timer_queue.cpp
@@ -12,14 +12,15 @@
 void TimerQueue::Arm() {
   if (due_) return;  // Due() arms at its end
   const TimePoint next = queue_.empty() ? TimePoint::max() : queue_.top().first;
-  // One that was armed for earlier fires for nothing and arms anew: cheaper than setting it back each time.
+  // A timer armed for an earlier time fires without effect and rearms, which is cheaper than resetting it
+  // each time.
   if (next >= armed_for_) return;
   armed_for_ = next;
   timer_->Set(next, [this] { Due(); });
 }
 
 void TimerQueue::Due() {
-  // Arms for what is left also when a handler throws: a timer that is not armed would stop the whole node.
+  // Rearms even if a handler throws: without the timer the whole process would stop working.
   struct Rearm {
     explicit Rearm(TimerQueue& timers) : timers(timers) { timers.due_ = true; }
     ~Rearm() {
--- a/src/runtime/timer_queue.h
+++ b/src/runtime/timer_queue.h
@@ -1,7 +1,7 @@
-// Many points in time on one timer: that of the event loop, or of a simulated clock.
+// Many expiry times on one timer, of the event loop or of a simulated clock.
 //
-// Owned by whoever sets them, on the thread of the event loop. A handler that throws leaves the queue armed
-// for what is left; the exception goes on to the event loop.
+// Owned by its only user, on the thread of the event loop. If a handler throws, the queue stays armed for the
+// rest, and the exception propagates to the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,17 +17,16 @@
 
 namespace mothrack::runtime {
 
-// Where time comes from. One is set at a time: a later Set() replaces an earlier one.
+// A clock with one timer. A later Set() replaces an earlier one.
 class Timer {
  public:
   virtual ~Timer() = default;
   virtual TimePoint Now() const = 0;
-  // Calls `due` once, at or after `at`, from the loop and never from within Set(); not at all once it is
-  // destroyed.
+  // Calls `due` once, at or after `at`, from the loop and never from within Set(); not after destruction.
   virtual void Set(TimePoint at, std::function<void()> due) = 0;
 };
 
-// The program's clock and its event loop.
+// The steady clock and a timer of the event loop.
 class EventLoopTimer : public Timer {
  public:
   explicit EventLoopTimer(boost::asio::io_context& io) : timer_(io) {}
@@ -38,8 +37,8 @@
   boost::asio::steady_timer timer_;
 };
 
-// A token set is handed to `on_due` once, at or after its time, in the order of the times. There is no taking
-// back: whoever set a token that no longer matters ignores it.
+// Calls `on_due` once for each token, at or after its time, ordered by time. Tokens can't be cancelled: the
+// user ignores those that no longer matter.
 class TimerQueue {
  public:
   using OnDue = std::function<void(std::uint64_t token)>;
@@ -48,12 +47,12 @@
   TimerQueue(boost::asio::io_context& io, OnDue on_due)
       : TimerQueue(std::make_unique<EventLoopTimer>(io), std::move(on_due)) {}
 
-  // Counts from the next Arm() on: whoever sets several arms once.
+  // Takes effect at the next Arm(), so that several are armed by one call.
   void Set(TimePoint at, std::uint64_t token) { queue_.emplace(at, token); }
   void Arm();
-  // As the timer has it.
+  // The timer's clock.
   TimePoint Now() const { return timer_->Now(); }
-  // Points that are set and not due yet.
+  // Number of pending tokens.
   std::size_t size() const { return queue_.size(); }
 
  private:
--- a/src/runtime/write_stream.h
+++ b/src/runtime/write_stream.h
@@ -1,15 +1,14 @@
 // An asynchronous write stream that survives short writes.
 //
-// The event loop registers sockets edge-triggered and takes a write that moved less than it was given for a
-// full socket buffer: the next asynchronous write then waits for an edge. The system may also move less
-// although there is room (send(2) promises no more than one byte); then no edge ever comes, and the writer
-// waits for ever. So after a short write this stream asks the system anew whether the socket is writable,
-// which arms the edge again: it comes at once where there is room. Boost.Asio 1.74, epoll_reactor::start_op
-// and reactive_socket_send_op.
+// The event loop registers sockets edge-triggered and assumes after a short write that the socket buffer is
+// full: the next asynchronous write then waits for an edge. The kernel may also write less although there is
+// space (send(2) guarantees no more than one byte); then no edge ever comes, and the writer hangs. So after a
+// short write this stream waits for the socket to be writable anew, which rearms the edge: it comes at once
+// if there is space. Boost.Asio 1.74, epoll_reactor::start_op and reactive_socket_send_op.
 //
 // Every composed asynchronous write of the program (boost::asio::async_write,
-// boost::beast::http::async_write) goes through one of these. A writer that calls write_some() itself until
-// the system says EAGAIN, and only then waits, is safe without it.
+// boost::beast::http::async_write) must use one of these. A writer that calls write_some() itself until
+// EAGAIN, and only then waits, is safe without it.
 #pragma once
 
 #include <boost/asio/buffer.hpp>
@@ -20,8 +19,8 @@
 
 namespace mothrack::runtime {
 
-// `Stream` is a socket, or a Beast stream that has one. It is referred to and must outlive all its writes. To
-// be used on the thread of the stream's event loop; one write at a time.
+// `Stream` is a socket or a Beast stream; it must outlive all writes. To be used on the thread of the
+// stream's event loop; one write at a time.
 template <typename Stream>
 class WriteStream {
  public:
@@ -43,7 +42,7 @@
   }
 
  private:
-  // What waits for the edge is the write that follows; this wait has nothing to do once it comes.
+  // The following write is what needs the edge; the handler of this wait does nothing.
   void ArmWritable() {
     Socket().async_wait(boost::asio::socket_base::wait_write, [](boost::system::error_code) {});
   }
