--- a/src/sidecar/admin_section.h
+++ b/src/sidecar/admin_section.h
@@ -1,4 +1,4 @@
-// [admin] of the operator's file: where the admin API listens, and the token that guards an address.
+// Section [admin] of the operator's file: the admin API's listening address and its access token.
 #pragma once
 
 #include <toml++/toml.h>
@@ -8,11 +8,10 @@
 
 namespace mothrack::sidecar {
 
-// What the section says, and the token that its file holds. Throws ConfigError. Unknown keys are left to the
-// caller.
+// Reads the section and the token's file. Throws ConfigError. Rejecting unknown keys is left to the caller.
 admin::Settings ReadAdmin(TomlTable& table);
 
-// The section that ReadAdmin() would read the same settings from; the token itself is not in it.
+// The inverse of ReadAdmin(), without the token itself.
 toml::table ToToml(const admin::Settings& admin);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-// Descriptors: what a sidecar holds all the time, and a few for clients and upstreams.
+// Descriptors: those that are always open, and a few for clients and upstreams.
 constexpr std::size_t kMinSockets = 64;
 
 std::string Variable(const std::function<const char*(const char*)>& variable, const char* name) {
@@ -52,7 +52,7 @@
   throw ConfigError("LB_CONFIG: seed is no number in hexadecimal digits");
 }
 
-// The lower of what the deployment allows and what the system allows this process.
+// The lower one of the deployment's limit and the process's resource limit.
 std::size_t Sockets(const json& file) {
   const json& limits = Field(file, "", "limits");
   if (!limits.is_object()) throw ConfigError("LB_CONFIG: limits is no object");
@@ -68,7 +68,7 @@
   return sockets;
 }
 
-// MB, where the deployment does not say; and more than any has.
+// MB: the default, and an upper bound against slips of the unit.
 constexpr std::uint64_t kDefaultMemory = 192;
 constexpr double kMaxMemory = 1e6;
 
@@ -85,7 +85,7 @@
 balancer::Settings ReadSettings(const json& file) {
   const json& field = Field(file, "", "settings");
   CheckSettings(field, Pass::kForm);
-  std::string module_error;  // it goes by the module's own names
+  std::string module_error;  // the module has its own names for the settings
   try {
     auto settings = simulator_adapter::ParseSettings(field);
     try {
@@ -119,12 +119,12 @@
   config.sockets = Sockets(file);
   config.memory = Memory(file);
   config.settings = ReadSettings(file);
-  // The file can be replaced while the process runs, its environment can't: the file is newer.
+  // The file takes precedence: unlike the environment it can be replaced while the process runs.
   if (const auto discovery = file.find("discovery"); discovery != file.end()) {
     if (!discovery->is_string()) throw ConfigError("LB_CONFIG: discovery is no text");
     config.discovery = Address("LB_CONFIG: discovery", discovery->get<std::string>());
   }
-  // The environment is this process's own, the file may serve a former one beside it.
+  // The environment takes precedence: the file may be shared with a former process.
   if (const char* ops = variable("LB_OPS"); ops != nullptr && *ops != '\0') {
     config.ops = Address("LB_OPS", ops);
   } else if (const auto in_file = file.find("ops"); in_file != file.end()) {
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -1,5 +1,5 @@
-// The platform's configuration of this sidecar: the LB_* variables and the JSON file that LB_CONFIG names,
-// checked. The keys are the platform's; settings_schema.h has the form of its `settings`.
+// The platform's configuration of this sidecar: the LB_* variables and the JSON file named by LB_CONFIG,
+// validated. settings_schema.h has the schema of the file's `settings`.
 #pragma once
 
 #include <cstddef>
@@ -15,8 +15,8 @@
 
 namespace mothrack::sidecar {
 
-// A setting that is missing or makes no sense, of the platform or of the operator's file. The text is one
-// line that names it.
+// A missing or invalid setting, of the platform or of the operator's file. The text is one line that names
+// it.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -26,15 +26,15 @@
   std::string name;  // before each log line
   runtime::Endpoint listen;
   runtime::Endpoint discovery;
-  std::optional<runtime::Endpoint> ops;  // of the operator API; absent: there is none
-  std::uint64_t seed = 0;                // of the module's random choices
-  std::size_t sockets = 0;               // descriptors that the process may hold
+  std::optional<runtime::Endpoint> ops;  // of the operator API; absent: disabled
+  std::uint64_t seed = 0;                // for the module's random number generator
+  std::size_t sockets = 0;               // limit of open descriptors
   std::size_t memory = 0;                // bytes
-  nlohmann::json known;  // the list of upstreams as last held, in discovery's form; null where there is none
+  nlohmann::json known;  // the last known endpoint list, in discovery's format; null if there is none
   balancer::Settings settings;
 };
 
-// Reads the variables by `variable` (std::getenv's form), and the file. Throws ConfigError.
+// Reads the variables with `variable`, which has std::getenv's signature, and the file. Throws ConfigError.
 Config LoadConfig(const std::function<const char*(const char*)>& variable);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/counter_logger.cpp
+++ b/src/sidecar/counter_logger.cpp
@@ -10,13 +10,13 @@
 
 using nlohmann::json;
 
-// Upstreams that a line names at most: it must not grow with the list without end.
+// Bound on the upstreams in a line.
 constexpr std::size_t kMaxUpstreamsNamed = 200;
-// By balancer::Outcome.
+// Names in the line, by balancer::Outcome.
 constexpr std::array<const char*, 8> kOutcomes = {"served", "error", "full",      "timeout",
                                                   "noconn", "reset", "cancelled", "unsent"};
 
-// A count by its name in the line; tools/fleet_counts.py reads these.
+// A counter and its name in the line, which tools/fleet_counts.py reads.
 template <typename Counts>
 using Named = std::pair<const char*, std::uint64_t Counts::*>;
 using DecisionCounts = balancer::Counts;
@@ -41,7 +41,7 @@
 
 double Rounded(double value) { return std::round(value * 100) / 100; }
 
-// Puts counts that grew since the line before into the line, by how much.
+// Adds the increments of the counters that grew since the previous line.
 class CounterDelta {
  public:
   explicit CounterDelta(json& line) : line_(line) {}
@@ -106,8 +106,8 @@
   discovery_ = discovery;
 }
 
-// By upstream: attempts since the line before, those of them that ended without an answer, calls in flight,
-// idle connections, and the part of its capacity in slow start.
+// By upstream: attempts since the previous line, those of them that ended without an answer, attempts in
+// flight, idle connections, and the slow start factor.
 void CounterLogger::PutUpstreams(json& line) {
   std::map<std::string, Attempts> attempts;
   json upstreams = json::object();
@@ -120,7 +120,7 @@
     warming_up += view.slow_start_factor < 1;
     attempts[view.id.value] = {view.sent, view.unanswered};
     const auto before = attempts_.find(view.id.value);
-    // A new process of it counts from nothing.
+    // The counters of a new process start from zero.
     const bool same = before != attempts_.end() && before->second.sent <= view.sent;
     const std::uint64_t sent = view.sent - (same ? before->second.sent : 0);
     const std::uint64_t unanswered = view.unanswered - (same ? before->second.unanswered : 0);
--- a/src/sidecar/counter_logger.h
+++ b/src/sidecar/counter_logger.h
@@ -1,5 +1,5 @@
-// A line of counts in the log at an interval: what this sidecar did since the line before, and the state that
-// it decides by. Off unless asked for (`--counts`); tools/fleet_counts.py adds up those of a fleet.
+// Logs a line of counters periodically: the increments since the previous line and the present state. Off by
+// default (option `--counts`); tools/fleet_counts.py sums the lines of a fleet.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,7 +15,7 @@
 
 namespace mothrack::sidecar {
 
-// Used by the one thread of the event loop.
+// Used on the thread of the event loop only.
 class CounterLogger {
  public:
   // `sidecar` and `log` must outlive it.
@@ -23,10 +23,10 @@
                 runtime::Logger& log);
 
  private:
-  // Of one upstream, since its process began.
+  // Of one upstream, since the start of its process.
   struct Attempts {
     std::uint64_t sent = 0;
-    std::uint64_t unanswered = 0;  // of these
+    std::uint64_t unanswered = 0;  // of these attempts
   };
 
   void Schedule();
@@ -39,7 +39,7 @@
   const Sidecar& sidecar_;
   runtime::Logger& log_;
   boost::asio::steady_timer timer_;
-  // As in the line before.
+  // Values at the previous line.
   balancer::Counts decisions_;
   http::HttpTransport::Counts connections_;
   discovery::Discovery::Counts discovery_;
--- a/src/sidecar/dns_section.cpp
+++ b/src/sidecar/dns_section.cpp
@@ -15,7 +15,7 @@
 namespace mothrack::sidecar {
 namespace {
 
-// The types that a class may name; others as "TYPE123" (RFC 3597).
+// Record types with a name in the file; others are written as "TYPE123" (RFC 3597).
 constexpr std::array<std::pair<std::string_view, std::uint16_t>, 20> kTypes = {{
     {"A", 1},       {"NS", 2},    {"CNAME", 5},  {"SOA", 6},    {"PTR", 12},   {"MX", 15},    {"TXT", 16},
     {"AAAA", 28},   {"SRV", 33},  {"NAPTR", 35}, {"DS", 43},    {"SSHFP", 44}, {"RRSIG", 46}, {"NSEC", 47},
@@ -67,7 +67,7 @@
   return {};
 }
 
-// What a class of the file does not say is as in the default class of its opcode.
+// Keys that a class in the file leaves out are as in the default class of its opcode.
 void TakeDefaults(dns::ClassSettings& settings) {
   for (const dns::ClassSettings& usual : dns::DefaultClasses()) {
     if (usual.opcode != settings.opcode) continue;
@@ -169,7 +169,7 @@
       inner.Fail("name", Quoted(classes.back().name) + " is given before; give each class a name of its own");
     }
   });
-  // The file's classes come first; what fits none of them falls to the defaults.
+  // The file's classes come first; a query that matches none of them gets a default class.
   for (const dns::ClassSettings& usual : dns::DefaultClasses()) {
     if (names.insert(usual.name).second) classes.push_back(usual);
   }
@@ -190,7 +190,7 @@
     if (!is_new) {
       inner.Fail("endpoint", "is that of resolver " + Quoted(other->second) + ", too; take one of them out");
     }
-    // Port 0 in `listen` is no address yet; resolvers have none.
+    // Port 0 in `listen` is chosen later, so it can't be compared; resolvers can't have it.
     if (std::find(listen.begin(), listen.end(), resolver.endpoint) != listen.end()) {
       inner.Fail("endpoint", "is an address of dns.listen: queries would go round; name the resolver's own");
     }
--- a/src/sidecar/dns_section.h
+++ b/src/sidecar/dns_section.h
@@ -1,4 +1,4 @@
-// [dns] of the operator's file: addresses to listen on, bounds, classes of queries, resolvers.
+// Section [dns] of the operator's file: listening addresses, bounds, classes of queries, resolvers.
 #pragma once
 
 #include <toml++/toml.h>
@@ -8,10 +8,10 @@
 
 namespace mothrack::sidecar {
 
-// What the section says, defaults filled in. Throws ConfigError. Unknown keys are left to the caller.
+// Reads the section and fills in defaults. Throws ConfigError. Rejecting unknown keys is left to the caller.
 dns::Settings ReadDns(TomlTable& table);
 
-// The section that ReadDns() would read the same settings from.
+// The inverse of ReadDns().
 toml::table ToToml(const dns::Settings& dns);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -11,15 +11,15 @@
 namespace mothrack::sidecar {
 namespace {
 
-// For the serving process to answer, and to wait for another successor of it.
+// Time for the serving process to answer, including a wait for another successor.
 constexpr runtime::Duration kTakeOverTimeout = std::chrono::seconds(3);
-// Between looks at which descriptors the successor may have.
+// Interval at which the descriptors are shared out anew.
 constexpr auto kReleaseInterval = std::chrono::milliseconds(100);
-// Until bans that could not be written are written again.
+// Retry interval for bans that could not be written.
 constexpr auto kBanWriteRetry = std::chrono::seconds(1);
-// Descriptors that the predecessor keeps for its last answers.
+// Descriptors that the predecessor keeps to finish its last answers.
 constexpr std::size_t kMinReservedDescriptors = 32;
-// "." and a process id behind the path of the socket.
+// Bytes for "." and a process id after the path of the socket.
 constexpr std::size_t kMaxPathSuffix = 16;
 
 }  // namespace
@@ -97,7 +97,7 @@
   if (server_) server_->Notify({.quiesce = on});
 }
 
-// A ban that was confirmed holds from now on: it is kept in memory, and written again until it is on disk.
+// A confirmed ban holds at once: it is in memory, and writing it to disk is retried until it succeeds.
 void HotRestartCoordinator::PersistBans() {
   if (path_.empty()) return;
   const auto fault = hot_restart::WriteBans(path_ + ".bans", bans_);
--- a/src/sidecar/hot_restart_coordinator.h
+++ b/src/sidecar/hot_restart_coordinator.h
@@ -1,6 +1,7 @@
-// One process of the sidecar following another under load: what this one inherits, of what it notifies the
-// other while both run, and how the two share their limits (docs/design/service.md, section 2). Without a
-// directory to share it does nothing, and bans hold as long as the process.
+// Hot restart: a new process of the sidecar takes over from a running one. Decides what this process
+// inherits, what it sends to the other while both run, and how the two share their limits
+// (docs/design/service.md, section 2). Without a directory shared by both it does nothing, and bans last as
+// long as the process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,26 +19,26 @@
 
 namespace mothrack::sidecar {
 
-// Not thread-safe; used by the one thread of the event loop.
+// Not thread-safe; used on the thread of the event loop only.
 class HotRestartCoordinator : private hot_restart::HotRestartServer::Handler {
  public:
-  // `path` begins the names of the files; empty: no process follows another. Blocks for kTakeOverTimeout at
-  // most, to take over from the process that serves, if any. `descriptors` and `log` must outlive it.
+  // `path`: prefix of the names of the shared files; empty: no hot restart. Takes over from the serving
+  // process, if any, and blocks for at most kTakeOverTimeout. `descriptors` and `log` must outlive it.
   HotRestartCoordinator(boost::asio::io_context& io, std::string path, runtime::Descriptors& descriptors,
                         runtime::Logger& log);
   ~HotRestartCoordinator();
 
-  // What the sidecar of this process starts with. To be called once, before Serve().
+  // The state that the sidecar of this process starts with. To be called once, before Serve().
   Sidecar::Inheritance Inherit();
-  // The sidecar accepts clients from now on. It must live for as long as the event loop runs.
+  // The sidecar accepts clients from now on. It must live as long as the event loop runs.
   void Serve(Sidecar& sidecar);
 
-  // Bans an upstream, or lifts the ban, here, on disk and at the other process; false where it was never
-  // listed.
+  // Bans an upstream or lifts the ban, in this process, on disk and in the other process; false if it was
+  // never listed.
   bool Ban(Sidecar& sidecar, const std::string& uid, bool banned);
-  // The same of Sidecar::Quiesce(); not on disk.
+  // Calls Sidecar::Quiesce() in this process and the other one; not stored on disk.
   void Quiesce(Sidecar& sidecar, bool on);
-  // Why the bans are not on disk as they are held; absent while they are. They are written again until then.
+  // Why the present bans are not on disk; absent while they are. Writing is retried until it succeeds.
   const std::optional<std::string>& ban_storage_error() const { return ban_storage_error_; }
 
  private:
@@ -47,24 +48,24 @@
   void OnSuccessorExited() override;
   void OnPredecessorExited() override;
   void OnUpdate(const hot_restart::Update& update) override;
-  // Lets the successor use the descriptors that were closed here, again and again until it exits.
+  // Periodically lets the successor use the descriptors closed here, until it exits.
   void ReleaseDescriptors();
   void PersistBans();
-  // Limits this process to what the predecessor, which holds `sockets`, leaves.
+  // Limits this process to the descriptors that the predecessor, with `sockets` open ones, leaves.
   void ReserveForPredecessor(std::size_t sockets);
 
   boost::asio::io_context& io_;
   std::string path_;
-  int directory_ = -1;  // open where the path is too long for a socket's name
+  int directory_ = -1;  // open if the path is too long for the name of a Unix socket
   runtime::Descriptors& descriptors_;
   runtime::Logger& log_;
   std::optional<hot_restart::InheritedState> inherited_;
   std::set<std::string> bans_;  // in effect
-  Sidecar* sidecar_ = nullptr;  // once it accepts clients
+  Sidecar* sidecar_ = nullptr;  // set once it accepts clients
   boost::asio::steady_timer release_timer_;
   boost::asio::steady_timer ban_write_timer_;
   std::optional<std::string> ban_storage_error_;
-  std::size_t reserved_descriptors_ = 0;  // for this process, while a successor may use the rest
+  std::size_t reserved_descriptors_ = 0;  // for this process while a successor uses the others
   std::unique_ptr<hot_restart::HotRestartServer> server_;
 };
 
--- a/src/sidecar/operator_file.cpp
+++ b/src/sidecar/operator_file.cpp
@@ -17,10 +17,10 @@
 namespace mothrack::sidecar {
 namespace {
 
-// Bytes: beyond it the path is a slip, as of a log or a device.
+// Bytes: a larger file is a wrong path, for example of a log or a device.
 constexpr std::size_t kMaxFileSize = std::size_t{1} << 20;
 constexpr std::size_t kReadSize = 65536;
-// Descriptors: what a sidecar holds all the time, and a few for clients and upstreams.
+// Descriptors: those that are always open, and a few for clients and upstreams.
 constexpr std::int64_t kMinSockets = 64;
 constexpr std::int64_t kMaxSockets = 1'000'000;
 
--- a/src/sidecar/operator_file.h
+++ b/src/sidecar/operator_file.h
@@ -1,6 +1,6 @@
-// The operator's file (TOML): all settings that the platform's LB_* variables and their JSON do not have.
-// Read and checked as a whole: the first error names file, line, column and the remedy, and nothing is used
-// then. Its sections are read by *_section.h, with toml_table.h.
+// The operator's file (TOML): all settings that are not in the platform's LB_* variables and JSON file. It is
+// read and validated as a whole: on an error, which names file, line, column and remedy, nothing of it is
+// used. The *_section.h files read its sections, with toml_table.h.
 #pragma once
 
 #include <cstddef>
@@ -16,28 +16,27 @@
 
 namespace mothrack::sidecar {
 
-// Its sections; absent where the file has none.
+// The file's contents. Sections are absent if the file does not have them.
 struct OperatorFile {
   std::string path;
-  std::string name = "mothrack";       // before each log line, where LB_NAME is not set
-  std::optional<std::size_t> sockets;  // descriptors that the process may hold
+  std::string name = "mothrack";       // prefix of each log line if LB_NAME is not set
+  std::optional<std::size_t> sockets;  // limit of open descriptors
   std::optional<dns::Settings> dns;
   std::optional<admin::Settings> admin;
 #ifdef MOTHRACK_WITH_PEERS
   std::optional<gossip::Settings> peers;
 #endif
-  std::string hash;  // of the file's bytes, as HashOf() gives it
+  std::string hash;  // HashOf() the file's bytes
 };
 
-// Throws ConfigError.
+// Reads and validates the file at `path`. Throws ConfigError.
 OperatorFile LoadOperatorFile(const std::string& path);
 
-// Names a content, in 16 hex digits; does not guard it (FNV-1a,
+// A hash to tell contents apart, in 16 hex digits; not cryptographic (FNV-1a,
 // https://datatracker.ietf.org/doc/html/draft-eastlake-fnv).
 std::string HashOf(const std::string& bytes);
 
-// All settings in effect, defaults filled in, in the file's own form; LoadOperatorFile() reads it as the
-// same.
+// All settings in effect, including defaults, in the file's format; the inverse of LoadOperatorFile().
 std::string Effective(const OperatorFile& file);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/peers_link.cpp
+++ b/src/sidecar/peers_link.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::sidecar {
 namespace {
 
-// The section alone, as text: all that a change of it could be.
+// The section as text, to detect changes.
 std::string SectionOf(const OperatorFile& file) {
   OperatorFile only;
   only.peers = file.peers;
--- a/src/sidecar/peers_link.h
+++ b/src/sidecar/peers_link.h
@@ -1,5 +1,5 @@
-// The sidecar's link to its peers (src/gossip/link.h), if the operator's file asks for it and the program was
-// built with it; else nothing of it is linked, and no thread, no socket and no byte is spent.
+// The sidecar's part in gossip (src/gossip/link.h), if the operator's file has [peers] and the program was
+// built with MOTHRACK_PEERS. Otherwise nothing of it is linked, and there is no thread and no socket for it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,28 +17,28 @@
 namespace mothrack::sidecar {
 
 #ifdef MOTHRACK_WITH_PEERS
-// Used by the one thread of the event loop.
+// Used on the thread of the event loop only.
 class PeersLink {
  public:
-  // Descriptors that are open all the time.
+  // Descriptors that are always open.
   static std::size_t FixedDescriptors(const OperatorFile& file) {
     return file.peers ? gossip::GossipClient::kFixedDescriptors : 0;
   }
-  // Null where the file has no [peers]. Prints where it listens on standard error. Throws ConfigError.
+  // Null if the file has no [peers]. Prints its listening address on standard error. Throws ConfigError.
   static std::unique_ptr<PeersLink> Create(boost::asio::io_context& io, const OperatorFile& file,
                                            const std::string& name, runtime::Logger& log);
 
   PeersLink(boost::asio::io_context& io, const OperatorFile& file, const std::string& name,
             runtime::Logger& log);
 
-  // The file was read again: the keys count at once, the rest from the next start on.
+  // The file was reloaded: new keys apply at once, other changes from the next start on.
   void Apply(const OperatorFile& file, runtime::Logger& log);
-  // Tells the peers that this sidecar stops.
+  // Announces to the peers that this sidecar leaves.
   void Leave() { link_.Leave(); }
   nlohmann::json Report() const { return link_.Report(); }
 
  private:
-  const std::string settings_;  // as at the start
+  const std::string settings_;  // the section at the start
   gossip::GossipClient link_;
 };
 #else
--- a/src/sidecar/peers_section.h
+++ b/src/sidecar/peers_section.h
@@ -1,5 +1,5 @@
-// [peers] of the operator's file, where the program is built with peers. The rules of the section are those
-// of gossip::ReadSettings(); here is only how it is read from and written as TOML.
+// Section [peers] of the operator's file, if the program is built with MOTHRACK_PEERS. gossip::ReadSettings()
+// has the rules of the section; this file only converts it from and to TOML.
 #pragma once
 
 #include <toml++/toml.h>
@@ -9,10 +9,10 @@
 
 namespace mothrack::sidecar {
 
-// What the section says. Throws ConfigError. Unknown keys are left to the caller.
+// Reads the section. Throws ConfigError. Rejecting unknown keys is left to the caller.
 gossip::Settings ReadPeers(TomlTable& table);
 
-// The section that ReadPeers() would read the same settings from; the keys themselves are not in it.
+// The inverse of ReadPeers(), without the keys themselves.
 toml::table ToToml(const gossip::Settings& peers);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/program.cpp
+++ b/src/sidecar/program.cpp
@@ -27,8 +27,8 @@
 namespace mothrack::sidecar {
 namespace {
 
-// The parts that run in this process, wired together: HTTP sidecar, DNS service, peers, and the two APIs for
-// operators; each only where the settings ask for it. Used by the one thread of the event loop.
+// Wires together the parts of this process: HTTP sidecar, DNS service, gossip, admin API and operator API,
+// each only if configured. Used on the thread of the event loop only.
 class Program {
  public:
   using ReadSettings = std::function<ProgramSettings()>;
@@ -48,8 +48,8 @@
     if (settings_.file && settings_.file->admin) StartAdminApi();
   }
 
-  // Reads the configuration again. One with a fault is logged, and the old one stays; returns the fault,
-  // empty where there is none.
+  // Reloads the configuration. If it is invalid, the error is logged and returned, and the old one stays in
+  // effect; an empty string on success.
   std::string Reload() {
     try {
       const ProgramSettings settings = read_settings_();
@@ -63,15 +63,15 @@
     }
   }
 
-  // Accepts no new clients and lets the old ones finish, or accepts clients again; false, and nothing
-  // changes, during a planned stop.
+  // Stops accepting clients while the open requests finish, or accepts clients again; false, without effect,
+  // during a planned stop.
   bool Quiesce(bool on) {
     if (parts_draining_ > 0) return false;
     hot_restart_.Quiesce(*sidecar_, on);
     return true;
   }
 
-  // The planned stop: ends the event loop when all that was accepted is answered. May be called again.
+  // The planned stop: ends the event loop once all accepted requests are answered. May be called again.
   void Drain() {
     if (!draining_since_) draining_since_ = admin::UnixMilliseconds();
     const auto ended = [this] {
@@ -139,7 +139,7 @@
     std::cerr << settings_.name() << ": admin on " << admin_api_->local() << std::endl;
   }
 
-  // Takes over what may change while the program runs; the rest counts from the next start on.
+  // Applies the settings that may change at runtime; others take effect at the next start.
   void Apply(const ProgramSettings& settings) {
     if (sidecar_ && settings.platform) sidecar_->Reconfigure(*settings.platform);
     if (peers_) peers_->Apply(*settings.file, log_);
@@ -190,7 +190,8 @@
   static std::string AddressText(const runtime::Endpoint& endpoint) {
     return endpoint.address().to_string() + ':' + std::to_string(endpoint.port());
   }
-  // Of the DNS pool: sidecars must not act in step. The platform gives the seed of the HTTP pool.
+  // Seed of the DNS pool, random so that sidecars do not act in step. The platform gives that of the HTTP
+  // pool.
   static std::uint64_t RandomSeed() {
     std::random_device random;
     return std::uint64_t{random()} << 32 | random();
@@ -198,21 +199,21 @@
 
   boost::asio::io_context& io_;
   const ReadSettings read_settings_;
-  const ProgramSettings settings_;  // as at the start
+  const ProgramSettings settings_;  // the settings at the start
   runtime::Logger log_;
   runtime::Descriptors descriptors_;
   HotRestartCoordinator hot_restart_;
   std::unique_ptr<Sidecar> sidecar_;
   std::unique_ptr<CounterLogger> counter_logger_;
   std::unique_ptr<dns::Service> dns_;
-  std::unique_ptr<PeersLink> peers_;  // none where the file has no [peers]
+  std::unique_ptr<PeersLink> peers_;  // null if the file has no [peers]
   int parts_draining_ = 0;
-  // What the admin API reports.
+  // Reported by the admin API.
   const std::int64_t started_ = admin::UnixMilliseconds();
   std::optional<std::int64_t> draining_since_;
-  std::uint64_t generation_ = 0;  // configurations in effect so far: the one at the start, and each reload
+  std::uint64_t generation_ = 0;  // number of configurations so far: the first one and each reload
   nlohmann::json configuration_;
-  nlohmann::json rejected_configuration_;  // the last that was, until one is not
+  nlohmann::json rejected_configuration_;  // the last invalid one, until a valid one follows
   std::unique_ptr<admin::AdminApi> admin_api_;
   std::unique_ptr<admin::OperatorApi> operator_api_;
 };
@@ -223,8 +224,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     boost::asio::io_context io(1);
-    // Before there is a listening socket: a signal that comes while the program starts must not end it over
-    // clients that wait in the backlog. It is handled once the event loop runs.
+    // Before the listening socket exists: a signal during the start must not kill the process while clients
+    // wait in the backlog. It is handled once the event loop runs.
     boost::asio::signal_set reload(io, SIGHUP);
     boost::asio::signal_set stop(io, SIGTERM, SIGINT);
     Program program(
@@ -244,7 +245,7 @@
       try {
         io.run();
       } catch (const std::exception& e) {
-        // A fault at one connection must not end the others.
+        // An error at one connection must not end the others.
         program.log().Line(e.what());
       }
     }
--- a/src/sidecar/program.h
+++ b/src/sidecar/program.h
@@ -1,4 +1,4 @@
-// The running program: its start, its signals and its end.
+// The running program: start, signals and planned stop.
 #pragma once
 
 #include <functional>
@@ -9,12 +9,12 @@
 
 // The command line.
 struct Options {
-  std::optional<std::string> path;  // of the operator's file, where there is one
-  std::optional<double> counts_s;   // seconds between lines of counts in the log; absent: none
+  std::optional<std::string> path;  // of the operator's file, if any
+  std::optional<double> counts_s;   // interval of the counter lines in the log, in seconds; absent: none
 };
 
-// Runs until a planned stop (SIGTERM, SIGINT) has ended. `variable` (std::getenv's form) gives the platform's
-// LB_*. Returns the exit code; what can't start is said in one line on standard error.
+// Runs until a planned stop (SIGTERM, SIGINT) is complete. `variable`, with std::getenv's signature, gives
+// the platform's LB_*. Returns the exit code; a failure to start is one line on standard error.
 int Run(const Options& options, const std::function<const char*(const char*)>& variable);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/program_settings.cpp
+++ b/src/sidecar/program_settings.cpp
@@ -12,7 +12,7 @@
 namespace mothrack::sidecar {
 namespace {
 
-// Descriptors: the usual soft limit of a process, where no setting says.
+// Descriptors: the usual soft limit of a process, if not configured.
 constexpr std::size_t kDefaultSockets = 1024;
 
 }  // namespace
--- a/src/sidecar/program_settings.h
+++ b/src/sidecar/program_settings.h
@@ -1,5 +1,5 @@
-// What the program is told, at its start and on each SIGHUP: by the platform, by the operator's file, by
-// both.
+// The settings of the program, read at its start and on each SIGHUP, from the platform, the operator's file
+// or both.
 #pragma once
 
 #include <cstddef>
@@ -12,23 +12,23 @@
 
 namespace mothrack::sidecar {
 
-// At least one of `platform` and `file` is there.
+// At least one of `platform` and `file` is set.
 struct ProgramSettings {
   std::optional<Config> platform;
   std::optional<OperatorFile> file;
-  // Begins the names of the files by which two processes of this sidecar find each other; empty: they don't.
+  // Prefix of the names of the files shared for hot restart; empty: disabled.
   std::string shared_path;
 
-  // Before each log line.
+  // Prefix of each log line.
   std::string name() const { return platform ? platform->name : file->name; }
-  // Descriptors that the process may hold: the least of what the settings and the system allow.
+  // Limit of open descriptors: the lower one of the settings' and the system's.
   std::size_t sockets() const;
-  // Open all the time, of what only some installations have.
+  // Always open descriptors of optional parts.
   std::size_t fixed_descriptors() const;
 };
 
-// Reads the operator's file at `path`, if any, the variables by `variable` (std::getenv's form) and the file
-// that they name. Throws ConfigError, also where nothing names anything to start.
+// Reads the operator's file at `path`, if any, the variables with `variable`, which has std::getenv's
+// signature, and the file that they name. Throws ConfigError, also if nothing is configured.
 ProgramSettings ReadProgramSettings(const std::optional<std::string>& path,
                                     const std::function<const char*(const char*)>& variable);
 
--- a/src/sidecar/settings_schema.cpp
+++ b/src/sidecar/settings_schema.cpp
@@ -19,23 +19,23 @@
 enum class Kind { kText, kFlag, kWhole, kNumber };
 enum class Presence {
   kRequired,
-  kTogether,  // with all others of its object that are so, or none of them
+  kTogether,  // either all such fields of an object or none
   kOptional,
 };
 
 // No upper bound.
 constexpr auto kAny = std::numeric_limits<double>::max();
-constexpr double kDay = 86'400e6;   // microseconds: the longest time, far from where sums of times overflow
+constexpr double kDay = 86'400e6;   // microseconds: the longest duration, far below where sums overflow
 constexpr double kMostCount = 1e6;  // of sidecars, attempts and the like
 
-// One field of a JSON object, and what its value may be.
+// One field of a JSON object and its valid values.
 struct FieldSchema {
   const char* name;
   Kind kind;
   Presence presence;
   double least = 0;
   double most = 0;
-  std::string_view words{};  // between spaces; empty: any text
+  std::string_view words{};  // valid words, separated by spaces; empty: any text
 };
 
 using enum Kind;
@@ -53,7 +53,7 @@
     {"Stream", kFlag, kTogether},
     {"AimStretch", kNumber, kOptional, 0, kMostCount},
 };
-// What a class with idempotency keys must have.
+// Fields required of a class with idempotency keys.
 constexpr FieldSchema kKeyedFields[] = {
     {"KeyScope", kText, kRequired, 0, 0, " all zone cell "},
     {"Window", kWhole, kRequired, 1, kDay},
@@ -91,7 +91,7 @@
     {"Fall", kWhole, kTogether, 1, kDay},
     {"MustAskIn", kWhole, kOptional, 1, kDay},
 };
-// Where the list is asked for on request.
+// Fields required if the endpoint list is sent on request.
 constexpr FieldSchema kOnRequestFields[] = {{"MustAskIn", kWhole, kRequired, 1, kDay}};
 constexpr FieldSchema kPriceFields[] = {
     {"CrossZone", kNumber, kTogether, 0, kAny}, {"Handshake", kNumber, kTogether, 0, kAny},
@@ -128,7 +128,7 @@
     const std::string kind = whole ? "is no whole number" : "is no number";
     if (!field.is_number()) RejectField(path, kind);
     const double value = field.get<double>();
-    // Beyond the second no integer holds it, whatever the range.
+    // Above the second bound it does not fit the integer type, whatever the range.
     if (whole && (value != std::floor(value) || std::abs(value) > 9e18)) RejectField(path, kind);
     if (pass == Pass::kRange && !(value >= schema.least && value <= schema.most)) {
       RejectField(path, kind + " from " + Bound(schema.least) +
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -9,7 +9,7 @@
 
 using balancer::MembershipUpdate;
 
-// The list that the deployment last held; empty where it has none. Throws ConfigError.
+// The deployment's last known endpoint list; empty if there is none. Throws ConfigError.
 dispatch::MembershipList ParseKnownList(const nlohmann::json& known) {
   dispatch::MembershipList list;
   if (!known.is_null()) {
@@ -24,11 +24,11 @@
 }
 
 // How long a successor waits for discovery's list before it accepts clients. Its known list may be as old as
-// its predecessor; the agent of this machine answers at once.
+// its predecessor, while the agent of this machine answers at once.
 constexpr runtime::Duration kListTimeout = std::chrono::milliseconds(500);
 
-// One part in so many of the memory is for bodies that pass through. As much again may be held whole, and as
-// much by the system.
+// The memory limit divided by this is for bodies that are streamed. As much again may be buffered as whole
+// bodies, and as much by the kernel.
 constexpr std::size_t kBodyMemoryDivisor = 4;
 
 runtime::ListenOn ListenOptionsOf(const Config& config, const Sidecar::Inheritance& inheritance) {
@@ -58,7 +58,7 @@
       on_ready_(std::move(on_ready)),
       list_timeout_(io),
       front_(io, ListenOptionsOf(config, inheritance), descriptors, budget_, log, dispatcher_) {
-  // Before anything is sent.
+  // Before any attempt is sent.
   dispatcher_.RestoreBans(inheritance.bans);
   for (const std::string& id : inheritance.ids) dispatcher_.ImportKey(id);
   front_.Quiesce(inheritance.quiescing);
@@ -66,12 +66,12 @@
   start_times_.Import(inheritance.starts, inheritance.last_list);
   dispatch::MembershipList known = ParseKnownList(config.known);
   start_times_.Place(known, runtime::ReadClocks());
-  // A service that all sidecars ask is asked for what changed since then: after a mass restart whole lists
-  // for all are the most it could be asked for.
+  // Poll for changes since the known list: after a mass restart complete lists for all sidecars would
+  // overload the discovery service.
   if (config.settings.membership_on_request && !config.known.is_null())
     discovery_.SetKnownRevision(known.revision);
   dispatcher_.Apply(std::move(known));
-  // Where membership is told on request, the module asks.
+  // If membership is sent on request, the module subscribes.
   if (!config.settings.membership_on_request) discovery_.Start();
   list_timeout_.expires_after(inheritance.wait_for_list ? kListTimeout : runtime::Duration::zero());
   list_timeout_.async_wait([this](const boost::system::error_code& error) {
@@ -86,7 +86,7 @@
 }
 
 void Sidecar::Reconfigure(const Config& config) {
-  ParseKnownList(config.known);  // checked like the rest, though the list from discovery is newer
+  ParseKnownList(config.known);  // validated only, as the list from discovery is newer
   log_.Line("configuration read again");
   discovery_.SetEndpoint(config.discovery);
 }
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -1,4 +1,4 @@
-// Wires the parts of one HTTP sidecar together: front end, dispatcher, transport and discovery.
+// One HTTP sidecar: wires together front end, dispatcher, transport and discovery.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,71 +23,72 @@
 
 namespace mothrack::sidecar {
 
-// Not thread-safe: constructed, called and destroyed by the one thread of its event loop.
+// Not thread-safe: constructed, called and destroyed on the thread of its event loop.
 class Sidecar {
  public:
-  // What a process starts with that takes over from another one, or that another one will take over from.
+  // Initial state, inherited from a former process if there was one.
   struct Inheritance {
-    int listening = -1;          // the socket where clients wait; -1: to be bound
-    bool share_port = false;     // another process may listen there, too
-    bool wait_for_list = false;  // clients are accepted once discovery gave its list, or after kListTimeout
+    int listening = -1;          // an inherited listening socket; -1: bind a new one
+    bool share_port = false;     // another process may listen as well (SO_REUSEPORT)
+    bool wait_for_list = false;  // accept clients only once discovery sent its list, or after kListTimeout
     bool quiescing = false;
-    bool share_memory = false;  // with the process that served before
+    bool share_memory = false;  // with the former process
     std::set<std::string> bans{};
-    std::vector<std::string> ids{};  // of requests that must not be accepted again
-    // Of upstreams' processes, as the other process placed them, and when it read its last list.
+    std::vector<std::string> ids{};  // recent request ids, for duplicate detection
+    // Start times of upstreams' processes as the former process determined them, and when it got its last
+    // list.
     std::vector<dispatch::ProcessStart> starts{};
     std::optional<runtime::TimePoint> last_list{};
   };
 
-  // Starts at once: binds, hands the module the known list and asks discovery. `descriptors` and `log` must
-  // outlive it. Throws ConfigError for the known list, boost::system::system_error where it can't listen.
-  // `on_ready` is called later, once it accepts clients.
+  // Binds, passes the known list to the module and calls discovery. `descriptors` and `log` must outlive it.
+  // Throws ConfigError for the known list, boost::system::system_error if it can't listen. `on_ready` is
+  // called later, once it accepts clients.
   Sidecar(boost::asio::io_context& io, const Config& config, const Inheritance& inheritance,
           runtime::Descriptors& descriptors, runtime::Logger& log, std::function<void()> on_ready);
 
-  // Accepts clients, or did.
+  // Whether it accepts clients, or did.
   bool ready() const { return ready_; }
   runtime::Endpoint local() const { return front_.local(); }
-  // The listening socket; it stays this object's.
+  // The listening socket, which remains owned by this object.
   int listening() { return front_.native_handle(); }
 
-  // A successor accepts clients from the same socket.
+  // A successor accepts clients from the same socket: stops accepting.
   void StopAccepting() { front_.PauseAccepting(); }
-  // The successor exited: accepts them again.
+  // The successor exited: accepts clients again.
   void ResumeAccepting() { front_.ResumeAccepting(); }
-  // Whether another process of this sidecar has half of the memory for bodies.
+  // Whether another process of this sidecar uses half of the memory for bodies.
   void ShareMemory(bool on) { on ? budget_.Halve() : budget_.Restore(); }
-  // For a successor.
+  // State for a successor.
   std::vector<std::string> RecentIds() const { return dispatcher_.RecentKeys(); }
   std::vector<dispatch::ProcessStart> ProcessStarts() const { return start_times_.Export(); }
   std::optional<runtime::TimePoint> LastListTime() const { return start_times_.last_list(); }
-  // The id of a request that another process of this sidecar accepted.
+  // Adds the id of a request that another process of this sidecar accepted.
   void ImportId(const std::string& id) { dispatcher_.ImportKey(id); }
   // `on_id` is called with the id of each accepted request that must not be repeated.
   void SetIdObserver(std::function<void(const std::string&)> on_id) {
     dispatcher_.SetKeyObserver(std::move(on_id));
   }
 
-  // As Dispatcher has them.
+  // See Dispatcher.
   bool Ban(const std::string& uid) { return dispatcher_.Ban(uid); }
   bool Unban(const std::string& uid) { return dispatcher_.Unban(uid); }
   void RestoreBans(const std::set<std::string>& bans) { dispatcher_.RestoreBans(bans); }
 
-  // Accepts no new clients and lets the old ones finish; or accepts clients again.
+  // Stops accepting clients while the open requests finish, or accepts clients again.
   void Quiesce(bool on) { front_.Quiesce(on); }
   bool quiescing() const { return front_.quiescing(); }
-  // A planned stop; `done` is called when all that was accepted is answered.
+  // A planned stop; `done` is called once all accepted requests are answered.
   void Drain(std::function<void()> done) { front_.Drain(std::move(done)); }
-  // The configuration was replaced: follows its `discovery`. The rest counts from the next start on.
-  // Throws ConfigError, and changes nothing then.
+  // Applies the `discovery` of a new configuration; other changes take effect at the next start. Throws
+  // ConfigError, without effect.
   void Reconfigure(const Config& config);
 
-  // For reports.
+  // For the admin API and logs.
   const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }
   const http::HttpTransport& transport() const { return transport_; }
   const discovery::Discovery& discovery() const { return discovery_; }
-  // Times that clients waited to be accepted and the system did not say so (docs/design/wakeups.md).
+  // How often a waiting client was found by polling only (docs/design/wakeups.md).
   std::uint64_t missed_wakeups() const { return front_.missed_wakeups(); }
 
  private:
@@ -102,7 +103,7 @@
   const std::function<void()> on_ready_;
   bool ready_ = false;
   boost::asio::steady_timer list_timeout_;
-  http::HttpFrontend front_;  // last: it accepts requests from here on, and is destroyed first
+  http::HttpFrontend front_;  // last, so that it is destroyed first: it submits requests to the others
 };
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/toml_table.cpp
+++ b/src/sidecar/toml_table.cpp
@@ -11,12 +11,12 @@
 namespace mothrack::sidecar {
 namespace {
 
-// Letters by which a key may differ from a known one and still be taken for a slip.
+// Edit distance up to which an unknown key is taken for a misspelling of a known one.
 constexpr std::size_t kMaxMisspeltLetters = 2;
-// An hour: beyond it a time-out is a slip of the unit.
+// Milliseconds, an hour: a longer time-out is a wrong unit.
 constexpr std::int64_t kMaxMilliseconds = 3'600'000;
 
-// How many letters two words differ by (Levenshtein distance).
+// Levenshtein distance of two words.
 std::size_t EditDistance(std::string_view a, std::string_view b) {
   std::vector<std::size_t> row(b.size() + 1);
   for (std::size_t j = 0; j <= b.size(); ++j) row[j] = j;
@@ -167,7 +167,7 @@
   if (!endpoint) {
     table.Fail(node.source(), key, Quoted(text) + " is no address and port; write it as \"127.0.0.1:5300\"");
   }
-  // Answers to datagrams must leave from the address that was asked.
+  // Not a wildcard: answers to datagrams must come from the address that was queried.
   if (endpoint->address().is_unspecified()) {
     table.Fail(node.source(), key, Quoted(text) + " names no one address; name each address on its own");
   }
