--- a/src/http/body_writer.cpp
+++ b/src/http/body_writer.cpp
@@ -13,9 +13,10 @@
 
 using boost::system::error_code;
 
-// Written in one call, so that one fast reader does not keep the others waiting.
+// Byte budget of one call, so that one fast reader cannot starve the other connections of the event loop.
 constexpr std::uint64_t kMaxBytesPerCall = std::uint64_t{256} * 1024;
-// Of a chunk's frame: two line ends, the size in hexadecimal and the empty line behind the last one.
+// Maximum size of a chunk's framing: two line ends, the size in hexadecimal, and the empty line after the
+// last chunk.
 constexpr std::size_t kMaxFrameSize = 32;
 
 }  // namespace
@@ -44,7 +45,8 @@
   return std::nullopt;
 }
 
-// The first chunk's frame follows the head; the later ones end the chunk before.
+// The framing of the first chunk follows the head directly. Each later one starts with the line end of the
+// previous chunk.
 void BodyWriter::FrameChunk(bool last) {
   std::array<char, kMaxFrameSize> text;
   const int size = std::snprintf(text.data(), text.size(), "%s%zx\r\n%s", written_ > 0 ? "\r\n" : "",
--- a/src/http/body_writer.h
+++ b/src/http/body_writer.h
@@ -1,8 +1,10 @@
-// Writes a message's head and then its body as it comes out of a Stream, framed by its length, in chunks (RFC
-// 9112 section 7.1) or by the end of the connection. Never blocks and holds no bytes of the body: whoever has
-// the socket calls again when there is room in it, or more in the stream.
+// Writes a message head and then a body that arrives through a Stream. The body is delimited by
+// Content-Length, by chunked coding (RFC 9112 section 7.1) or by the end of the connection.
 //
-// Owned by a ResponseWriter or RequestWriter, on its thread. Errors are told as a Progress.
+// Writes never block, and no body bytes are copied into this object. The owner of the socket calls Write()
+// again when the socket is writable or the stream has more bytes.
+//
+// Owned by a ResponseWriter or RequestWriter and used on its thread. Errors are returned as a Progress value.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,42 +20,46 @@
 
 namespace mothrack::http {
 
+// Writes one message; not reusable.
 class BodyWriter {
  public:
+  // How the receiver finds the end of the body (RFC 9112 section 6.3).
   enum class Framing {
     kLength,      // the head has a Content-Length
     kChunked,     // the head has Transfer-Encoding: chunked
     kConnection,  // the body ends with the connection
   };
 
-  // `head` is the message's head as it goes over the wire, with its empty line.
+  // `head` is the serialized message head, including the empty line that ends it.
   BodyWriter(std::string head, std::shared_ptr<runtime::Stream> stream, Framing framing)
       : frame_(std::move(head)), stream_(std::move(stream)), framing_(framing) {}
 
+  // Why a call of Write() returned.
   enum class Progress {
-    kSocketFull,  // or it has written much and others shall have their turn
-    kNoBytes,     // the stream has nothing more for now
-    kDone,        // all is written
-    kCut,         // the stream broke: the message must be seen to be not whole
-    kFailed,      // the socket did
+    kSocketFull,  // the socket is not writable, or this call has used up its byte budget
+    kNoBytes,     // the stream has no more bytes for now
+    kDone,        // the whole message is written
+    kCut,         // the stream broke: the receiver must be able to see that the message is truncated
+    kFailed,      // writing to the socket failed
   };
+  // Writes as much as possible without blocking; at most 256 KiB of the body per call.
   Progress Write(boost::asio::ip::tcp::socket& socket);
 
   runtime::Stream& stream() { return *stream_; }
   Framing framing() const { return framing_; }
-  // Bytes of the body that the system has taken; head and frames do not count.
+  // Body bytes that the kernel has accepted, without the head and the chunk framing.
   std::uint64_t written() const { return written_; }
 
  private:
-  // Begins on what the stream has by now; a Progress where that is nothing that could be written.
+  // Starts a chunk from the bytes that the stream has now. Returns a Progress if there is nothing to write.
   std::optional<Progress> BeginChunk();
   void FrameChunk(bool last);
-  // One system call.
+  // Makes one write system call.
   void WritePart(boost::asio::ip::tcp::socket& socket, boost::system::error_code& error);
 
-  std::string frame_;  // of the head or of a chunk, to be written before the next bytes
+  std::string frame_;  // the head or a chunk's framing, written before the next body bytes
   std::size_t frame_written_ = 0;
-  std::size_t chunk_left_ = 0;  // bytes of the present chunk that are not written
+  std::size_t chunk_left_ = 0;  // bytes of the current chunk that are not written yet
   bool last_chunk_framed_ = false;
   std::uint64_t written_ = 0;
   std::shared_ptr<runtime::Stream> stream_;
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -20,12 +20,12 @@
 using boost::system::error_code;
 
 constexpr std::size_t kReadSize = 8192;
-// A body may come as slowly as this, bytes a second, and an answer be taken with pauses as long: usual
-// clients on bad lines. The system may hold much of an answer, which the client takes before any of ours
-// moves on.
+// Minimum rate of a request body, in bytes per second, and the longest pause while a client reads a response.
+// Both tolerate ordinary clients on bad links. The pause is long because the kernel's send buffer may hold
+// much of the response: the client reads that first, before we can write more.
 constexpr std::int64_t kMinBodyRate = std::int64_t{16} * 1024;
 constexpr runtime::Duration kWriteIdleTimeout = std::chrono::seconds(30);
-// A connection opened in that time is about to carry a request.
+// A connection younger than this that has sent nothing is assumed to be about to send a request.
 constexpr runtime::Duration kNewConnectionAge = std::chrono::milliseconds(300);
 
 }  // namespace
@@ -51,7 +51,7 @@
   slot_.reset();
   const auto self = shared_from_this();
   if (owner_ != nullptr) owner_->Remove(self);
-  // First: what is told then ends the attempts, and nobody waits for the rest of a body any more.
+  // Notify first: the observer ends the attempts, so nobody waits for the rest of a body any more.
   if (const auto on_disconnect = std::exchange(observer_, {}).on_disconnect) on_disconnect();
   if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kBroken);
   writer_.AbandonBody();
@@ -78,7 +78,7 @@
   if (closed_ || (phase_ == Phase::kServing && !upload_) || now - since_ <= Timeout(now)) return;
   if (phase_ != Phase::kReading) return CloseNow();
   if (!reader_.started() && !unused_) return;
-  // It may be the sidecar that had no time: what has come is read first.
+  // The sidecar itself may have been too busy to read, so bytes that have already arrived are read first.
   if (HasUnreadBytes() && !std::exchange(excused_, true)) return;
   if (reader_.started()) {
     return Reject(beast_http::status::request_timeout, "request did not come in time");
@@ -95,7 +95,7 @@
          runtime::Duration(body_bytes * runtime::Duration::period::den / kMinBodyRate);
 }
 
-// ---- What the owner asks ----
+// ---- Queries of the owner ----
 
 bool ClientConnection::IsNew(runtime::TimePoint now) const {
   return unused_ && now - since_ < kNewConnectionAge;
@@ -134,10 +134,10 @@
   owner_->OnAwaitingRequest(since_);
 }
 
-// Waits without a buffer: hundreds of connections may be idle.
+// Waits for readability without allocating a buffer, because hundreds of connections may be idle.
 void ClientConnection::Read() {
   if (reading_ || closed_) return;
-  // Its upstream takes the body more slowly than it comes.
+  // The upstream consumes the body more slowly than it arrives.
   const bool stalled = upload_ && upload_->Capacity() == 0;
   if (stalled && !upload_stall_.stalled()) upload_stall_.Stall(runtime::Now());
   const bool buffer_full = reader_.buffer().size() == reader_.buffer().max_size();
@@ -156,8 +156,8 @@
   });
 }
 
-// Of a half-closed connection something is to be read. If it is the end, all is done; else the sweep looks
-// for that behind what waits.
+// A half-closed connection is readable. If that is the client's close, the connection is finished. Otherwise
+// unread bytes precede the close, and the sweep polls for it.
 void ClientConnection::AwaitClose() {
   error_code error;
   runtime::PeekByte(socket_, error);
@@ -187,7 +187,8 @@
   parsing_ = true;
   Parse();
   parsing_ = false;
-  // Nobody sends so much ahead who waits for answers. Reading on tells whether it has left already.
+  // A client that waits for responses does not pipeline this much. Keep reading and discarding, because that
+  // reveals whether the client has disconnected.
   if (phase_ != Phase::kReading && !upload_ && reader_.buffer().size() == kMaxReadAhead) {
     flooded_ = close_after_ = true;
     DropBuffered();
@@ -195,7 +196,7 @@
   Read();
 }
 
-// Nothing of these bytes is read as a request.
+// The buffered bytes are not parsed as a request.
 void ClientConnection::DropBuffered() {
   auto& buffer = reader_.buffer();
   linger_.CountDropped(buffer.size());
@@ -208,7 +209,7 @@
   }
 }
 
-// False where nothing more can be parsed for now.
+// Returns false if nothing more can be parsed for now.
 bool ClientConnection::ParseStep() {
   if (upload_) {
     const std::size_t capacity = upload_->Capacity();
@@ -217,7 +218,7 @@
   }
   if (!reader_.started()) {
     reader_.set_started();
-    // The first request's time counts from the connection's start.
+    // The timeout of the first request counts from the start of the connection.
     if (!std::exchange(unused_, false)) since_ = runtime::Now();
   }
   const RequestReader::Step step = reader_.Advance();
@@ -238,7 +239,7 @@
   return step.consumed > 0;
 }
 
-// False where the request ends with its head.
+// Returns false if the request is rejected because of its head.
 bool ClientConnection::AcceptHead() {
   if (const char* error = FindFramingError(reader_.head())) {
     Reject(beast_http::status::bad_request, error);
@@ -248,7 +249,7 @@
   return !closed_;
 }
 
-// A client that asked whether to go on waits for this before it sends the body.
+// A client that sent `Expect: 100-continue` waits for this response before it sends the body.
 void ClientConnection::SendContinue() {
   if (!boost::beast::iequals(reader_.head()[beast_http::field::expect], "100-continue")) return;
   static constexpr std::string_view kContinue = "HTTP/1.1 100 Continue\r\n\r\n";
@@ -257,16 +258,17 @@
   while (!unsent.empty() && !error) {
     unsent.remove_prefix(runtime::WriteSome(socket_, boost::asio::buffer(unsent), error));
   }
-  // None of it is no harm: the client goes on after a pause of its own (RFC 9110 section 10.1.1). A part of
-  // it would be taken for the beginning of the answer.
+  // If no byte of it was written, no harm is done: the client sends the body after a pause anyway (RFC 9110
+  // section 10.1.1). A partial write would be taken for the start of the final response, so the connection is
+  // closed.
   if (!unsent.empty() && unsent.size() < kContinue.size()) Close();
 }
 
 // ---- Serving ----
 
 void ClientConnection::Serve(HttpRequest request, ComingBody coming) {
-  // Trailers have joined the head. And what follows a body must begin like a request, or its length was
-  // wrong.
+  // Check the framing again, because trailers have been merged into the head. Bytes after the body must look
+  // like the start of a request; otherwise the body length was wrong.
   if (const char* error = FindFramingError(request)) return Reject(beast_http::status::bad_request, error);
   if (!coming && reader_.NextRequestIsInvalid()) {
     return Reject(beast_http::status::bad_request, "no request behind the body");
@@ -279,7 +281,7 @@
                        ? PlainResponse(beast_http::status::service_unavailable, "draining")
                        : PlainResponse(beast_http::status::ok, "up"));
   }
-  // It may have waited here for longer than its client did.
+  // The request may have been queued here for longer than its client waited.
   if (ClientDisconnected()) return Close();
   auto reply = [self = shared_from_this()](HttpResponse response, ComingBody answer) {
     if (!answer) self->observer_ = {};
@@ -290,7 +292,7 @@
   if (phase_ == Phase::kServing) observer_ = std::move(observer);
 }
 
-// A body longer than is kept whole: the request goes its way, and the body follows as it comes.
+// The body exceeds what is buffered whole: the request is passed on now, and the body is streamed after it.
 void ClientConnection::BeginUpload() {
   HttpRequest request;
   request.base() = reader_.head();
@@ -303,7 +305,7 @@
   if (upload_) PassOnChunk();
 }
 
-// False where nothing more can be parsed for now.
+// Returns false if nothing more can be parsed for now.
 bool ClientConnection::ContinueUpload(const RequestReader::Step& step) {
   if (step.result == RequestReader::Step::Result::kInvalid) {
     Close();
@@ -317,7 +319,7 @@
   return step.consumed > 0;
 }
 
-// What has been read of the body goes on; false where that ended the upload.
+// Appends the parsed part of the body to the upload stream. Returns false if that ended the upload.
 bool ClientConnection::PassOnChunk() {
   const auto upload = upload_;
   upload->Append(reader_.chunk());
@@ -332,8 +334,8 @@
   upload->End(runtime::Stream::State::kWhole);
 }
 
-// Whoever sent this can't be followed any further: nothing behind it on this connection is read as a
-// request.
+// After a malformed request the message boundaries are unknown, so nothing after it on this connection is
+// parsed as a request.
 void ClientConnection::Reject(beast_http::status status, const std::string& reason) {
   close_after_ = true;
   Respond(PlainResponse(status, reason));
@@ -342,12 +344,13 @@
 void ClientConnection::Respond(HttpResponse response, ComingBody coming) {
   phase_ = Phase::kWriting;
   since_ = runtime::Now();
-  // Answered before its body had come: the client may not look before it has sent all of it.
+  // The response is sent before the request body has arrived. The client may not read it before it has sent
+  // the whole body.
   if (const auto upload = std::exchange(upload_, nullptr)) {
     upload->Abandon();
     upload_was_cut_ = close_after_ = true;
   }
-  // The one who finds a request unfit asks for the close by the answer.
+  // A handler that finds the request malformed asks for the close through the response's keep-alive flag.
   if (!response.keep_alive() || owner_->ClosesAfterResponse()) close_after_ = true;
   if (ResponseWriter::EndsWithConnection(coming, http_version_)) close_after_ = true;
   writer_.Start(std::move(response), std::move(coming), http_version_, !close_after_);
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -1,13 +1,13 @@
-// One client connection: reads requests, hands each to the owner, and writes the responses in order.
+// One client connection: reads requests, passes each to the owner, and writes the responses in order.
 //
-// Kept alive by its owner's set and by its own handlers that are under way; on the thread of the owner's
-// event loop. A read is always pending while there is room, also while a request is being served: that is how
-// a client that disconnects is noticed. Where there is none, the owner polls (ReadsNothing(),
-// ClientDisconnected()).
+// Kept alive by the owner's connection set and by its own pending handlers. Runs on the thread of the owner's
+// event loop. A read stays pending whenever there is buffer space, even while a request is being served,
+// because that is how a client disconnect is noticed. When there is no buffer space, the owner polls the
+// socket instead (ReadsNothing(), ClientDisconnected()).
 //
-// Bounds: kMaxReadAhead bytes ahead of the parser, a request's body as kBufferLimit or its stream's window
-// allow, time-outs as in the source file. Errors of the socket close the connection; what is wrong with a
-// request is answered with a 4xx status and ends the connection (RFC 9112 section 9.6).
+// Bounds: kMaxReadAhead bytes ahead of the parser; a request body up to kBufferLimit or its stream's window;
+// the timeouts below and in the source file. Socket errors close the connection. An invalid request gets a
+// 4xx response and ends the connection (RFC 9112 section 9.6).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -30,72 +30,78 @@
 
 namespace mothrack::http {
 
-// A connection has so long, from its start, for its first whole request; a later request from its first byte
-// on; an answer to be taken. Not renewed by what trickles: the deployment wants silent and stalled clients
-// gone within 3 s of connecting.
+// Time limit for the first complete request, counted from the start of the connection; for a later request,
+// counted from its first byte; and for writing a response. Trickling bytes does not renew it: the deployment
+// requires silent and stalled clients to be gone within 3 s of connecting.
 inline constexpr runtime::Duration kRequestTimeout = std::chrono::milliseconds(2500);
-// After a half-close the client's is waited for: a reset could overtake the answer. Short, as a planned stop
-// waits for it too.
+// How long to wait for the client's close after our half-close. Closing at once could send an RST that
+// overtakes the response. The time is short because a planned stop waits for it too.
 inline constexpr runtime::Duration kLingerTimeout = std::chrono::milliseconds(250);
 
 class ClientConnection : public std::enable_shared_from_this<ClientConnection>,
                          private ResponseWriter::Owner {
  public:
+  // The listener. It must outlive the connection or call Orphan().
   class Owner {
    public:
+    // The connection is closed; drop it from the set.
     virtual void Remove(const std::shared_ptr<ClientConnection>& connection) = 0;
-    // A connection waits for its next request from `now` on.
+    // The connection waits for its next request, starting at `now`.
     virtual void OnAwaitingRequest(runtime::TimePoint now) = 0;
-    // Nothing is read from a connection any more: only polling tells that its client has disconnected.
+    // The connection has stopped reading, so only polling can detect that its client has disconnected.
     virtual void CheckForDisconnects() = 0;
-    // Each connection is to be closed after the response that is being written.
+    // Whether each connection must be closed after the response that is being written.
     virtual bool ClosesAfterResponse() const = 0;
-    // What `/up` answers: the address takes no new clients.
+    // Whether `/up` answers that the address accepts no new clients.
     virtual bool ReportsDraining() const = 0;
+    // Serves one request, whose body may still be arriving. `reply` must be called once.
     virtual RequestObserver HandleRequest(HttpRequest request, ComingBody coming, ReplyCallback reply) = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // Takes a descriptor on the clients' side until it is closed.
+  // Occupies one descriptor of the client side until the connection is closed.
   ClientConnection(Owner& owner, runtime::Descriptors& descriptors, runtime::ByteBudget& budget,
                    boost::asio::ip::tcp::socket socket);
 
-  // To be called once, when a shared_ptr owns it.
+  // Starts reading. Must be called once, after a shared_ptr owns the connection.
   void Start() { Read(); }
+  // Closes the socket, notifies the observer of the current request, and leaves the owner's set. Idempotent.
   void Close();
-  // The owner is going: handlers that are still to come must not touch it.
+  // The owner is being destroyed: closes the connection, and handlers that run later must not touch the
+  // owner.
   void Orphan();
-  // Ends an idle connection of which nobody needs the descriptor at once. What arrives between the last check
-  // and this finds no reset: its client sees the end of the connection, closes its own, and only then does
-  // this one.
+  // Ends an idle connection whose descriptor is not needed at once. A request that arrives between the last
+  // check and this call does not cause an RST: the client sees our half-close and closes its side, and only
+  // then is this side closed.
   void HalfClose();
-  // Closes without awaiting the client's close any longer.
+  // Closes without waiting any longer for the client's close.
   void CloseNow();
-  // Ends what has had its time.
+  // Ends the connection if its current phase has exceeded its timeout.
   void CloseIfOverdue(runtime::TimePoint now);
 
-  // The start of the present phase, or of a request's first byte.
+  // Start of the current phase, or the time of the first byte of the current request.
   runtime::TimePoint since() const { return since_; }
+  // Waits for a request of which no byte has arrived.
   bool Idle() const { return phase_ == Phase::kReading && !reader_.started(); }
-  // Connected a moment ago and about to send a request.
+  // The client connected a moment ago and has sent nothing yet, so a request is likely to follow.
   bool IsNew(runtime::TimePoint now) const;
-  // All is answered, and only its client's close is waited for.
+  // All responses are written; only the client's close is awaited.
   bool AwaitsClose() const { return phase_ == Phase::kLingering || phase_ == Phase::kHalfClosed; }
-  // Nothing is read, so that nothing else tells when the client disconnects.
+  // No read is pending, so a disconnect of the client is not reported by the event loop.
   bool ReadsNothing() const;
-  // More of a request has come, into the system's buffer, than was read. Closing would lose it.
+  // The kernel's receive buffer holds request bytes that were not read. Closing now would lose them.
   bool HasUnreadBytes();
-  // The client has closed its end, or all of the connection; also where bytes wait ahead of that.
+  // The client has half-closed or closed the connection, even if unread bytes precede the close.
   bool ClientDisconnected();
-  // For the choice of the connection that goes when descriptors run out.
+  // Input of the eviction policy for the case that descriptors run out.
   ConnectionActivity Activity(runtime::TimePoint now) const;
 
  private:
-  // kLingering: after a last answer, half-closed; what comes is read and dropped. kHalfClosed: ended between
-  // requests; nothing is read any more, so that a request which crossed the half-close is one that was not
-  // read, and its client sends it on another connection.
+  // kLingering: half-closed after the last response; incoming bytes are read and discarded. kHalfClosed:
+  // half-closed between requests. Nothing more is read, so a request that crosses the half-close on the wire
+  // counts as never read, and its client can safely send it on another connection.
   enum class Phase { kReading, kServing, kWriting, kLingering, kHalfClosed };
 
   // Reading
@@ -119,35 +125,37 @@
   void Reject(beast_http::status status, const std::string& reason);
   void Respond(HttpResponse response, ComingBody coming = {});
 
-  // Of the response writer
+  // ResponseWriter::Owner
   void OnWriteProgress() override { since_ = runtime::Now(); }
   void OnResponseWritten() override;
   void OnWriteFailed() override { Close(); }
   std::shared_ptr<ResponseWriter> shared_writer() override { return {shared_from_this(), &writer_}; }
 
-  // How long the present phase may last, counted from since().
+  // Maximum duration of the current phase, counted from since().
   runtime::Duration Timeout(runtime::TimePoint now) const;
 
-  Owner* owner_;  // null once the owner is gone; the connection is closed then
+  Owner* owner_;  // null once the owner is destroyed; the connection is closed then
   runtime::ByteBudget& budget_;
   std::optional<runtime::Descriptors::Slot> slot_;
   boost::asio::ip::tcp::socket socket_;
   RequestReader reader_;
   ResponseWriter writer_;
   LingeringClose linger_;
-  RequestObserver observer_;                 // of the request that is being served
-  std::shared_ptr<runtime::Stream> upload_;  // of the request that was handed on while its body still comes
-  StallTimer upload_stall_;                  // nothing is read, since nobody takes the upload
+  RequestObserver observer_;  // of the request being served
+  // Body, still arriving, of a request already passed to the handler.
+  std::shared_ptr<runtime::Stream> upload_;
+  // Time during which reading is paused because the upload is not consumed.
+  StallTimer upload_stall_;
   Phase phase_ = Phase::kReading;
   runtime::TimePoint since_;
-  unsigned http_version_ = 11;   // of the present request
-  bool unused_ = true;           // nothing has ever come
-  bool excused_ = false;         // it was overdue once, and more had come
-  bool close_after_ = false;     // the present response
-  bool upload_was_cut_ = false;  // it was answered before its body had come
-  bool flooded_ = false;  // more came ahead of an answer than is buffered: none of it is read as a request
-  bool parsing_ = false;  // guards Parse() against being entered again
-  bool reading_ = false;  // a wait for bytes is under way
+  unsigned http_version_ = 11;   // of the current request
+  bool unused_ = true;           // no byte has ever arrived
+  bool excused_ = false;         // it was overdue once, but had unread bytes and got one extension
+  bool close_after_ = false;     // close after the current response
+  bool upload_was_cut_ = false;  // the response was sent before the request body had fully arrived
+  bool flooded_ = false;  // more pipelined bytes than the buffer holds: none of them is parsed as a request
+  bool parsing_ = false;  // guards Parse() against re-entry
+  bool reading_ = false;  // a wait for readability is pending
   bool closed_ = false;
 };
 
--- a/src/http/connection_pools.cpp
+++ b/src/http/connection_pools.cpp
@@ -11,8 +11,9 @@
 using balancer::UpstreamState;
 using std::chrono::milliseconds;
 
-// The upstream counts from when it wrote its answer, we from when we read it, and a request needs time to get
-// there: an idle connection is retired this share of the limit early, at least by so much.
+// The upstream's idle timer starts when it has written its response, ours when we have read it, and the next
+// request also needs time to arrive. So an idle connection is closed earlier than the upstream's limit: by a
+// tenth of the limit, and at least by kIdleMargin.
 constexpr int kIdleShare = 10;
 constexpr runtime::Duration kIdleMargin = milliseconds(500);
 constexpr runtime::Duration kSweepInterval = milliseconds(250);
@@ -53,7 +54,7 @@
   if (location.state == UpstreamState::kServing && !moved) return nullptr;
   auto old = pool;
   if (moved) {
-    // What is still out there belongs to the former process or place and is not pooled again.
+    // Connections that are in use belong to the previous process or address and are not pooled again.
     pool = std::make_shared<UpstreamPool>();
     pool->location = location;
     old->location.state = UpstreamState::kGone;
@@ -82,8 +83,8 @@
   return nullptr;
 }
 
-// Idle connections make room; where there is none, the attempt is not sent. That is no failure of the
-// upstream and proves that nothing ran.
+// Idle connections are evicted to free descriptors. If that is not enough, the attempt is not sent. This is
+// not a failure of the upstream, and it proves that nothing has run.
 std::shared_ptr<UpstreamConnection> ConnectionPools::Open(const std::shared_ptr<UpstreamPool>& pool) {
   while (!descriptors_.HasCapacity(runtime::Descriptors::Side::kUpstream)) {
     if (!EvictIdle()) return nullptr;
@@ -123,8 +124,9 @@
   return true;
 }
 
-// Retires what has been idle nearly as long as the upstream allows: a request written to a connection that is
-// being closed over there ends as a reset, and an unsafe one could not be sent again.
+// Closes connections that have been idle for nearly as long as the upstream allows. A request written while
+// the upstream closes the connection ends with an RST, and a non-idempotent request could then not be
+// retried.
 void ConnectionPools::CloseAged() {
   const runtime::TimePoint now = runtime::Now();
   for (const auto& [uid, pool] : pools_) {
--- a/src/http/connection_pools.h
+++ b/src/http/connection_pools.h
@@ -1,7 +1,9 @@
-// The idle connections to all upstreams: which one carries the next exchange, and when one is retired.
+// The pools of idle connections to all upstreams. Decides which connection carries the next exchange and when
+// an idle connection is closed.
 //
-// Owned by HttpTransport, on the thread of its event loop. Bounded by Descriptors, the upstreams' side: idle
-// connections make room for new ones. Has no errors of its own: where no connection can be had there is none.
+// Owned by HttpTransport, on the thread of its event loop. Bounded by the upstream side of Descriptors: idle
+// connections are evicted to make room for new ones. There are no error codes: if no connection can be had, a
+// null pointer is returned.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,7 +21,7 @@
 
 class ConnectionPools {
  public:
-  // `upstream_idle_limit`: after so long an upstream closes an idle connection by itself.
+  // `upstream_idle_limit`: idle time after which an upstream closes a connection on its own.
   ConnectionPools(boost::asio::io_context& io, runtime::Duration upstream_idle_limit,
                   runtime::Descriptors& descriptors, TransportCounters& counters);
   // Closes the idle connections.
@@ -27,28 +29,32 @@
   ConnectionPools(const ConnectionPools&) = delete;
   ConnectionPools& operator=(const ConnectionPools&) = delete;
 
-  // Takes over where the upstream is and what state it has. Where it drains, is gone, moved or started anew,
-  // its idle connections are closed, and the pool is returned to which nothing more may be sent; else null.
+  // Stores the address and state of an upstream. If the upstream drains, is gone, has moved or has restarted,
+  // its idle connections are closed, and the function returns the pool that must not be sent to any more.
+  // Otherwise returns null.
   std::shared_ptr<UpstreamPool> Apply(const std::string& uid, const dispatch::Location& location);
-  // A connection for one exchange: an idle one, or one whose socket is open and not connected. Null where the
-  // upstream takes no requests, or this machine has no descriptor to spare.
+  // Returns a connection for one exchange: an idle one, or a new one whose socket is open but not connected.
+  // Returns null if the upstream accepts no requests or no descriptor is available.
   std::shared_ptr<UpstreamConnection> Acquire(const std::string& uid);
-  // Its exchange is over, or never began. Closed where its upstream takes no more requests.
+  // Returns a connection whose exchange has ended or never began. It is closed if its upstream accepts no
+  // more requests.
   void Release(const std::shared_ptr<UpstreamConnection>& connection);
+  // Closes the idle connections to one upstream.
   void CloseIdle(const std::string& uid);
 
  private:
   std::shared_ptr<UpstreamConnection> TakeIdle(UpstreamPool& pool);
   std::shared_ptr<UpstreamConnection> Open(const std::shared_ptr<UpstreamPool>& pool);
-  // Closes the connection that has been idle longest; false where there is none.
+  // Closes the connection that has been idle longest. Returns false if there is none.
   bool EvictIdle();
   void CloseAged();
 
   boost::asio::io_context& io_;
   runtime::Descriptors& descriptors_;
   TransportCounters& counters_;
-  const runtime::Duration trusted_idle_;  // an older idle connection may be closing at the upstream
-  std::map<std::string, std::shared_ptr<UpstreamPool>> pools_;  // by the upstream's uid
+  // Beyond this idle time the upstream may already be closing the connection.
+  const runtime::Duration trusted_idle_;
+  std::map<std::string, std::shared_ptr<UpstreamPool>> pools_;  // keyed by upstream uid
   runtime::SweepTimer sweep_timer_;
 };
 
--- a/src/http/eviction_policy.cpp
+++ b/src/http/eviction_policy.cpp
@@ -5,8 +5,8 @@
 namespace mothrack::http {
 namespace {
 
-// Usual clients connect when they have a request: one that has sent nothing by now, or not finished its
-// request by then, goes before those.
+// Ordinary clients connect when they have a request to send. A client that has sent nothing, or has not
+// completed its request, after these times is evicted before them.
 constexpr runtime::Duration kNothingSentAfter = std::chrono::seconds(1);
 constexpr runtime::Duration kSlowAfter = std::chrono::seconds(1);
 
--- a/src/http/eviction_policy.h
+++ b/src/http/eviction_policy.h
@@ -1,4 +1,5 @@
-// Which client connection goes first when descriptors run out. Pure rules, without I/O or state.
+// Chooses which client connection is closed first when descriptors run out. Pure functions without I/O or
+// state.
 #pragma once
 
 #include <optional>
@@ -7,31 +8,32 @@
 
 namespace mothrack::http {
 
-// What a client connection is doing, as far as the policy is concerned.
+// The state of a client connection as far as the policy needs it.
 struct ConnectionActivity {
   enum class Phase {
-    kReading,        // waits for a request, or reads one
-    kResponding,     // a request is being served, or its response written
-    kAwaitingClose,  // all is answered, and only the client's close is waited for
+    kReading,        // waits for a request or is reading one
+    kResponding,     // a request is being served, or its response is being written
+    kAwaitingClose,  // all responses are written; only the client's close is awaited
   };
   Phase phase = Phase::kReading;
-  bool request_started = false;  // some of a request has come (with kReading)
-  bool unused = false;           // nothing has ever come
-  runtime::Duration age{};       // of the phase, or since the request's first byte
+  bool request_started = false;  // with kReading: part of a request has arrived
+  bool unused = false;           // no byte has ever arrived
+  runtime::Duration age{};       // since the start of the phase or the request's first byte
 };
 
-// The lowest goes first. Usual clients' connections outlast those of clients that say nothing.
+// The lowest rank is evicted first. Connections of ordinary clients outlast those of clients that send
+// nothing.
 enum class EvictionRank {
   kAwaitingClose,
-  kNothingSent,  // connected a while ago and sent nothing
-  // A kept connection is closed at no cost: its client asks on another.
+  kNothingSent,  // connected a while ago and has sent nothing
+  // Closing an idle keep-alive connection costs little: its client sends the next request on another one.
   kIdleReusable,
-  kSlowRequest,  // took long over a request that is not there yet
-  kNew,          // has not asked yet, and is about to
+  kSlowRequest,  // has taken long over a request that is still incomplete
+  kNew,          // connected recently and is about to send a request
   kRequestArriving,
 };
 
-// Nothing where the connection must stay.
+// Returns nothing if the connection must not be closed.
 std::optional<EvictionRank> RankForEviction(const ConnectionActivity& activity);
 
 }  // namespace mothrack::http
--- a/src/http/framing.cpp
+++ b/src/http/framing.cpp
@@ -18,7 +18,7 @@
 
 HeadStatus InspectHead(boost::beast::string_view bytes, std::size_t& scanned) {
   if (!MayBegin(bytes, "GET ") && !MayBegin(bytes, "POST ")) return HeadStatus::kInvalid;
-  // Each line end is judged with the byte behind it, so the last byte waits for the next look.
+  // Each line end is checked together with the byte after it, so the last byte waits for the next call.
   for (; scanned + 1 < bytes.size(); ++scanned) {
     const char c = bytes[scanned];
     const char next = bytes[scanned + 1];
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -1,6 +1,7 @@
-// Where a message begins and ends must be beyond doubt: what one reader takes for a body may hold a request
-// for the next (request smuggling, RFC 9112 section 11.2). Pure checks ahead of and behind Beast's parser,
-// which is more lenient, and what a proxy must not pass on.
+// Checks of message framing. Both ends of a message must be unambiguous: bytes that one parser takes for a
+// body may be a request to the next one (request smuggling, RFC 9112 section 11.2). These pure functions run
+// before and after Beast's parser, which is more lenient, and remove header fields that a proxy must not
+// forward.
 #pragma once
 
 #include <boost/beast/core/string.hpp>
@@ -12,21 +13,21 @@
 
 namespace mothrack::http {
 
-// What has come of a request's head.
+// How much of a request's head has arrived, and whether it is acceptable.
 enum class HeadStatus {
   kPartial,
   kWhole,
-  kInvalid,  // other readers may take it for something else than the parser does
+  kInvalid,  // another parser might read it differently from ours
 };
-// Invalid are lines that end or go on oddly, heads longer than kMaxHeaderSize, and all that begins with no
-// method that is served here. `scanned` is where the last call on the same bytes ended, 0 at first; each byte
-// is looked at once.
+// Rejects bare CR or LF, NUL bytes, folded headers, heads longer than kMaxHeaderSize, and methods other than
+// GET and POST. `scanned` is the position where the previous call on the same bytes stopped, 0 at first, so
+// that each byte is examined once.
 HeadStatus InspectHead(boost::beast::string_view bytes, std::size_t& scanned);
 
-// Names what is wrong with the framing of a request's body (RFC 9112 section 6); null where nothing is.
+// Returns what is wrong with the framing of a request's body (RFC 9112 section 6), or null if nothing is.
 const char* FindFramingError(const beast_http::request_header<>& header);
 
-// Removes what speaks of one connection only and must not be passed on (RFC 9110 section 7.6.1).
+// Removes hop-by-hop header fields, which a proxy must not forward (RFC 9110 section 7.6.1).
 void RemoveHopByHop(beast_http::fields& fields);
 
 }  // namespace mothrack::http
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -16,20 +16,20 @@
 using boost::beast::string_view;
 using std::chrono::milliseconds;
 
-// The client's clock started when it sent the request: so much earlier, at least, than it was read here.
+// The client's timeout started when it sent the request, which is at least this long before it was read here.
 constexpr runtime::Duration kClientLatency = milliseconds(2);
 constexpr std::size_t kMaxIdSize = 128;
-// A client that says it waits longer than this many of its class's deadlines has no idea what it says.
+// A timeout of more than this many deadlines of the request's class is invalid.
 constexpr int kMaxDeadlines = 2;
 
-// For what is no request of this protocol: its connection is closed, too.
+// Response to a request that does not follow the protocol. Its connection is closed as well.
 HttpResponse InvalidRequestResponse(const std::string& why) {
   auto response = PlainResponse(beast_http::status::bad_request, why);
   response.keep_alive(false);
   return response;
 }
 
-// The one value of a header; nothing where it is missing or given twice.
+// The value of a header field; nothing if the field is missing or repeated.
 std::optional<string_view> SingleValue(const HttpRequest& request, string_view name) {
   const auto range = request.equal_range(name);
   if (range.first == range.second || std::next(range.first) != range.second) return std::nullopt;
@@ -42,7 +42,8 @@
 
 bool IsValidId(string_view id) { return !id.empty() && id.size() <= kMaxIdSize && IsVisibleText(id); }
 
-// Does the method tell the same as the class? What contradicts itself could be repeated against its class.
+// Whether the method agrees with the effect of the class. A request that contradicts its class might be
+// retried although the class forbids it.
 bool MethodFitsEffect(const HttpRequest& request, bool body, balancer::Effect effect) {
   if (effect == balancer::Effect::kSafe) {
     return request.method() == beast_http::verb::get && !body;
@@ -134,7 +135,7 @@
 
 RequestObserver HttpFrontend::Accept(HttpRequest request, ComingBody coming, const ReplyCallback& reply) {
   const runtime::TimePoint now = runtime::Now();
-  RemoveHopByHop(request);  // first: `Connection` may name what is checked below
+  RemoveHopByHop(request);  // first, because `Connection` may name fields that are checked below
   const bool has_body = coming || !request.body().empty();
   auto parsed = Parse(request, has_body);
   if (const auto* invalid = std::get_if<InvalidRequest>(&parsed)) {
@@ -151,7 +152,7 @@
   accepted.tenant = attributes.tenant;
   accepted.work = attributes.work;
   accepted.client_retry = attributes.client_retry;
-  accepted.key = std::move(attributes.id);  // two requests of one id could not be told apart upstream
+  accepted.key = std::move(attributes.id);  // upstreams could not tell two requests with the same id apart
   accepted.message = std::make_shared<const HttpMessage>(std::move(request), std::move(coming));
   accepted.on_final = [reply](dispatch::Final final) {
     ComingBody answer = TakeComingBody(final);
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -1,8 +1,8 @@
-// What makes an HTTP message a request of this protocol: its class, key, tenant and deadline; and the answer
-// that each end of a request is told with.
+// Translates between HTTP messages and the dispatcher. Reads a request's class, idempotency key, tenant and
+// deadline from its head, and turns each final answer into an HTTP response.
 //
-// Owned by the sidecar, on the thread of its event loop. What is no request of this protocol is answered with
-// 400 and never reaches the dispatcher.
+// Owned by the sidecar, on the thread of its event loop. A request that does not follow the protocol is
+// answered with 400 and never reaches the dispatcher.
 #pragma once
 
 #include <functional>
@@ -18,28 +18,29 @@
 
 class HttpFrontend {
  public:
-  // Takes requests at once. Throws boost::system::system_error where it can't listen.
+  // Accepts connections at once. Throws boost::system::system_error if it cannot listen.
   HttpFrontend(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
                runtime::ByteBudget& budget, runtime::Logger& log, dispatch::Dispatcher& dispatcher);
 
+  // The functions below forward to Listener.
   runtime::Endpoint local() const { return listener_.local(); }
   void PauseAccepting() { listener_.PauseAccepting(); }
   void ResumeAccepting() { listener_.ResumeAccepting(); }
   int native_handle() { return listener_.native_handle(); }
   void Quiesce(bool on) { listener_.Quiesce(on); }
   bool quiescing() const { return listener_.quiescing(); }
-  // Times that clients waited and the system did not tell.
+  // How often clients waited in the listen backlog without a notification from the kernel.
   std::uint64_t missed_wakeups() const { return listener_.missed_wakeups(); }
-  // A planned stop; `done` is called when all that was taken is answered.
+  // Starts a planned stop. `done` is called when every accepted request has been answered.
   void Drain(std::function<void()> done) { listener_.Drain(std::move(done)); }
 
  private:
-  // What a request's head says of it.
+  // The attributes of a request, parsed from its head.
   struct RequestAttributes {
     balancer::ClassId request_class{};
     std::optional<balancer::TenantId> tenant;
     std::string id;
-    runtime::Duration timeout{};  // what is left of it
+    runtime::Duration timeout{};  // remaining time until the client's deadline
     std::optional<runtime::Duration> work;
     bool client_retry = false;
   };
@@ -53,7 +54,7 @@
   dispatch::Dispatcher& dispatcher_;
   std::map<std::string, balancer::ClassId, std::less<>> classes_;
   std::map<std::string, balancer::TenantId, std::less<>> tenants_;
-  Listener listener_;  // last: it takes requests from here on, and goes first
+  Listener listener_;  // last, because it delivers requests as soon as it exists and must be destroyed first
 };
 
 }  // namespace mothrack::http
--- a/src/http/incremental_body.h
+++ b/src/http/incremental_body.h
@@ -1,7 +1,7 @@
-// A body that its parser hands out in chunks: a Beast Body type of which a parser holds one bounded chunk at
-// a time.
+// A Beast Body type whose parser hands out the body in bounded chunks, so that a parser never holds more than
+// one chunk.
 //
-// Used by whoever owns the parser: takes `bytes` out of the parser's message, clears it, and goes on.
+// The owner of the parser takes `bytes` out of the parser's message, clears it, and continues parsing.
 #pragma once
 
 #include <algorithm>
@@ -19,13 +19,13 @@
 
 namespace mothrack::http {
 
-// What a parser has read of a body and nobody has taken yet.
+// Body bytes that were parsed and not yet taken.
 struct BodyChunk {
   std::string bytes;
   std::size_t capacity = 0;  // bytes at which the parser stops with http::error::need_buffer
 };
 
-// To be the Body of a beast_http::request_parser or response_parser.
+// For use as the Body of beast_http::request_parser or response_parser.
 struct IncrementalBody {
   using value_type = BodyChunk;
   class reader {  // NOLINT(readability-identifier-naming): the name that Beast asks for
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -17,25 +17,26 @@
 using std::chrono::seconds;
 
 constexpr runtime::Duration kSweepInterval = milliseconds(250);
-// With shorter deadlines it sweeps this often within the shortest, for the sake of clients in the system's
-// queue.
+// If the deadlines are short, this many sweeps run within the shortest one, so that clients in the listen
+// backlog are found in time.
 constexpr int kSweepsInDeadline = 3;
-// While requests pass, that queue is polled this often: a system call in 20 ms is nothing beside them.
+// While requests pass, the backlog is polled at this interval. One system call every 20 ms is negligible
+// beside them.
 constexpr runtime::Duration kPollInterval = milliseconds(20);
 constexpr runtime::Duration kDrainSweepInterval = milliseconds(10);
-// A client that has left is found this soon where nothing is read from it: an attempt that begins 0.1 s after
-// it left is one too many.
+// How soon a disconnected client is detected when nothing is read from it. An attempt that starts 0.1 s after
+// the client has left counts as one too many.
 constexpr runtime::Duration kDisconnectCheckInterval = milliseconds(25);
-// Clients go on opening connections for a moment after a planned stop began.
+// Clients keep opening connections for a moment after a planned stop began, so accepting continues this long.
 constexpr runtime::Duration kAcceptWhileDraining = milliseconds(800);
-// SIGKILL may follow SIGTERM after the longest deadline, which counts as kMaxCountedDeadline at most, and
+// SIGKILL may follow SIGTERM after the longest deadline (counted as kMaxCountedDeadline at most) plus
 // kKillAfter.
 constexpr runtime::Duration kMaxCountedDeadline = seconds(3);
 constexpr runtime::Duration kKillAfter = milliseconds(700);
-// By so much earlier all is over.
+// Safety margin: the stop is complete this long before SIGKILL.
 constexpr runtime::Duration kKillMargin = milliseconds(50);
 
-// Until when a planned stop is to be over.
+// How long a planned stop may take.
 runtime::Duration StopWithin(runtime::Duration longest_deadline) {
   return std::min(longest_deadline, kMaxCountedDeadline) + kKillAfter - kKillMargin;
 }
@@ -71,9 +72,9 @@
 bool Listener::EvictOne() {
   using Rank = std::pair<EvictionRank, runtime::TimePoint>;
   const runtime::TimePoint now = runtime::Now();
-  // Those of which more has come than was read are no candidates; there are few. What still arrives between
-  // the check and the close gets a reset, which takes nothing along: whoever sends a request has its last
-  // answer whole.
+  // Connections with unread request bytes are not evicted; there are few of them. If bytes arrive between the
+  // check and the close, the client gets an RST. That loses nothing else: a client that sends a new request
+  // has received its previous response completely.
   std::set<const ClientConnection*> busy;
   while (true) {
     const auto candidate =
@@ -137,7 +138,7 @@
   if (ended_) return false;
   Sweep();
   if (!drained_ || acceptor_.is_open() || !connections_.empty()) return true;
-  ended_ = true;  // a sweep that was due when another was asked for comes, too
+  ended_ = true;  // a sweep that was due when another one was requested runs as well
   drained_();
   return false;
 }
@@ -155,7 +156,7 @@
 void Listener::SweepConnection(ClientConnection& connection, runtime::TimePoint now,
                                runtime::Duration draining_for) {
   if (draining_for >= stop_within_ && connection.AwaitsClose()) return connection.CloseNow();
-  // Towards the end there is no time left to wait for what a new connection would bring.
+  // Near the end of the stop there is no time left to wait for a request on a new connection.
   const bool spares_new = draining_for < stop_within_ - kLingerTimeout;
   const bool closes = quiescing() && connection.Idle() && !(spares_new && connection.IsNew(now));
   if (closes && !connection.HasUnreadBytes()) connection.HalfClose();
@@ -171,7 +172,8 @@
 void Listener::StopAccepting(runtime::Duration draining_for) {
   if (draining_for <= std::min(kAcceptWhileDraining, stop_within_ - kLingerTimeout)) return;
   if (!acceptor_.is_open() || acceptor_.Close()) return;
-  // Without room for those that wait they are asked in until the others have had their time.
+  // If there is no capacity for the clients in the backlog, accepting continues until the existing
+  // connections have had their time.
   if (draining_for > kAcceptWhileDraining + kRequestTimeout) acceptor_.Release();
 }
 
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,9 +1,9 @@
-// The address at which the application's clients connect: accepts connections, sweeps those that are overdue,
-// gives one up when descriptors run out, and empties itself on a planned stop.
+// The listening socket for the application's clients. Accepts connections, closes overdue ones in periodic
+// sweeps, evicts one when descriptors run out, and closes all of them gradually during a planned stop.
 //
-// Owned by HttpFrontend, on the thread of its event loop. Holds as many connections as Descriptors allows its
-// side; what a connection may hold is bounded there. Errors of single connections close these; the
-// constructor throws boost::system::system_error where it can't listen.
+// Owned by HttpFrontend, on the thread of its event loop. Holds as many connections as the client side of
+// Descriptors allows; ClientConnection bounds what each may hold. An error on one connection closes that
+// connection. The constructor throws boost::system::system_error if it cannot listen.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -25,7 +25,7 @@
 
 namespace mothrack::http {
 
-// Of the requests that a deployment has, from their last byte on.
+// Deadlines of the deployment's request classes, counted from the last byte of a request.
 struct DeadlineRange {
   runtime::Duration shortest;
   runtime::Duration longest;
@@ -33,9 +33,10 @@
 
 class Listener : private runtime::Acceptor::Owner, private ClientConnection::Owner {
  public:
-  // Binds and listens; throws boost::system::system_error. `handler` gets each request.
-  // A client that the system does not tell of is found well within the shortest deadline of a request. A
-  // planned stop ends ahead of the SIGKILL that may follow the longest one.
+  // Binds and listens; throws boost::system::system_error. `handler` is called for each request. Both bounds
+  // of `deadlines` matter: the backlog is polled several times within the shortest one, in case the kernel's
+  // notification for a waiting client was missed, and a planned stop ends before the SIGKILL that may follow
+  // the longest one.
   Listener(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
            runtime::ByteBudget& budget, runtime::Logger& log, const DeadlineRange& deadlines,
            RequestHandler handler);
@@ -43,49 +44,52 @@
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
 
-  // The address that it listens at, with the port that the system chose where none was given.
+  // The listening address, with the port that the kernel chose if none was given.
   runtime::Endpoint local() const { return acceptor_.local(); }
 
-  // A successor accepts from the same socket: this one leaves new clients to it. Taken back where it is gone.
+  // Used in a hot restart: while a successor accepts from the same socket, this process leaves new clients to
+  // it. ResumeAccepting() undoes this if the successor is gone. native_handle() is the descriptor to pass on.
   void PauseAccepting() { acceptor_.Pause(); }
   void ResumeAccepting() { acceptor_.Resume(); }
   int native_handle() { return acceptor_.native_handle(); }
-  // Empties it, or takes clients again: `/up` says no, idle connections are closed, the others after their
-  // answer. It listens on, so that `/up` can be asked; what still comes is served.
+  // Turns quiescing on or off. While on, `/up` answers that the address is draining, idle connections are
+  // closed, and the others are closed after their response. The socket keeps listening so that `/up` can be
+  // requested, and requests that still arrive are served.
   void Quiesce(bool on);
   bool quiescing() const { return quiescing_ || drained_; }
-  // Times that clients waited in the system's queue and the event loop was not told.
+  // How often clients waited in the listen backlog without a notification to the event loop.
   std::uint64_t missed_wakeups() const { return acceptor_.missed_wakeups(); }
-  // A planned stop: serves what still comes for a while, unless a successor does, tells each client to close,
-  // then calls `done`, once. Calls after the first have no effect.
+  // Starts a planned stop: serves requests that still arrive for a while, unless a successor does so, closes
+  // each connection, then calls `done` once. Later calls have no effect.
   void Drain(std::function<void()> done);
 
  private:
-  // Of the acceptor
+  // runtime::Acceptor::Owner
   bool HasCapacity() const override { return descriptors_.HasCapacity(runtime::Descriptors::Side::kClient); }
   bool EvictOne() override;
   void Admit(boost::asio::ip::tcp::socket socket) override;
 
-  // Of the connections
+  // ClientConnection::Owner
   void Remove(const std::shared_ptr<ClientConnection>& connection) override {
     connections_.Remove(connection);
   }
   void OnAwaitingRequest(runtime::TimePoint now) override { PollAcceptor(now); }
   void CheckForDisconnects() override;
   bool ClosesAfterResponse() const override { return quiescing(); }
-  // Asked is whether the address takes clients: with a successor it does.
+  // `/up` reports whether the address accepts clients. With a successor it does, even while this process
+  // drains.
   bool ReportsDraining() const override { return quiescing() && !has_successor_; }
   RequestObserver HandleRequest(HttpRequest request, ComingBody coming, ReplyCallback reply) override;
 
   runtime::Duration SweepInterval() const;
-  // Of the timer; false once all is over.
+  // Called by the timer; returns false when the stop is complete.
   bool OnSweep();
   void Sweep();
   void SweepConnection(ClientConnection& connection, runtime::TimePoint now, runtime::Duration draining_for);
-  // Ends the accepting of a planned stop when its time has come.
+  // Closes the acceptor when the accepting period of a planned stop is over.
   void StopAccepting(runtime::Duration draining_for);
-  // Finds clients that wait and of which the event loop was not told; not more often than every
-  // kPollInterval.
+  // Looks for clients in the listen backlog for which the event loop got no notification. Runs at most once
+  // per kPollInterval.
   void PollAcceptor(runtime::TimePoint now);
 
   runtime::Descriptors& descriptors_;
@@ -94,14 +98,14 @@
   runtime::ConnectionSet<ClientConnection> connections_;
   runtime::Acceptor acceptor_;
   const runtime::Duration sweep_every_;
-  const runtime::Duration stop_within_;  // of a planned stop, from its start
-  runtime::TimePoint last_poll_;         // of the acceptor
+  const runtime::Duration stop_within_;  // duration of a planned stop
+  runtime::TimePoint last_poll_;         // of the listen backlog
   runtime::SweepTimer sweep_timer_;
   std::function<void()> drained_;  // set while draining
   bool quiescing_ = false;
-  bool has_unread_connections_ = false;  // a connection is served while nothing is read from it
-  bool ended_ = false;                   // drained, and the owner was told
-  bool has_successor_ = false;           // draining, and a successor takes clients at the same address
+  bool has_unread_connections_ = false;  // a connection is being served while nothing is read from it
+  bool ended_ = false;                   // draining is complete and the owner was notified
+  bool has_successor_ = false;           // draining while a successor accepts clients at the same address
   runtime::TimePoint drain_started_;
 };
 
--- a/src/http/load_report.cpp
+++ b/src/http/load_report.cpp
@@ -10,14 +10,14 @@
 using balancer::LoadReport;
 using boost::beast::string_view;
 
-// No load is beyond this, whatever its unit.
+// Upper bound of a plausible load value, in any unit.
 constexpr double kMaxLoad = 1e6;
 
 std::optional<double> ParseLoad(string_view text) {
   double value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
   if (error != std::errc() || end != text.data() + text.size()) return std::nullopt;
-  if (!(value >= 0 && value <= kMaxLoad)) return std::nullopt;  // from_chars takes "nan" and "inf", too
+  if (!(value >= 0 && value <= kMaxLoad)) return std::nullopt;  // from_chars also accepts "nan" and "inf"
   return value;
 }
 
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -1,5 +1,5 @@
-// The HTTP messages that front and transport hand each other through the dispatcher, and the bounds on them,
-// in bytes. Values without a thread of their own.
+// The HTTP messages that the front end and the transport exchange through the dispatcher, and their size
+// limits in bytes. Plain values, not bound to a thread.
 #pragma once
 
 #include <boost/beast/http/fields.hpp>
@@ -24,14 +24,15 @@
 using HttpRequest = beast_http::request<beast_http::string_body>;
 using HttpResponse = beast_http::response<beast_http::string_body>;
 
-// A body that still comes, while its message is on its way already. The message's own body is empty then.
+// A body that is still arriving while its message is already being forwarded. The message's own body is empty
+// then.
 struct ComingBody {
-  std::shared_ptr<runtime::Stream> stream;  // null: the message is whole
-  std::optional<std::uint64_t> length;      // absent: its end will tell
+  std::shared_ptr<runtime::Stream> stream;  // null if the message is complete
+  std::optional<std::uint64_t> length;      // absent if unknown until the body ends
   explicit operator bool() const { return stream != nullptr; }
 };
 
-// A request, as attempts send it.
+// A request in the form in which attempts send it.
 struct HttpMessage : dispatch::Message {
   explicit HttpMessage(HttpRequest request, ComingBody coming = {})
       : request(std::move(request)), coming(std::move(coming)) {}
@@ -39,7 +40,7 @@
   ComingBody coming;
 };
 
-// What an upstream answered.
+// An upstream's response.
 struct HttpReply : dispatch::Reply {
   explicit HttpReply(HttpResponse response, ComingBody coming = {})
       : response(std::move(response)), coming(std::move(coming)) {}
@@ -47,22 +48,22 @@
   ComingBody coming;
 };
 
-// Bodies up to this are kept whole on their way: what is sent again is all there, and an answer that breaks
-// is never begun. Longer ones pass through in pieces.
+// Bodies up to this size are buffered whole. A buffered request can be retried from the start, and a
+// truncated response is never forwarded. Longer bodies are streamed.
 inline constexpr std::size_t kBufferLimit = std::size_t{64} * 1024;
-// An answer that does not tell its length may begin its way from this on: it may take long to grow further.
+// A response of unknown length may be streamed from this size on, because it may take long to grow further.
 inline constexpr std::size_t kMinStreamedSize = std::size_t{16} * 1024;
-// No longer body is passed on at all.
+// Longer bodies are rejected.
 inline constexpr std::uint64_t kMaxBodySize = std::uint64_t{64} * 1024 * 1024;
-// A request's body that was passed on is kept until it is longer than this, to be sent again where nothing
-// ran.
+// A streamed request body is kept for replay until it exceeds this size, so that it can be sent again if
+// nothing has run.
 inline constexpr std::size_t kMaxReplaySize = std::size_t{512} * 1024;
-// Of a message's head, its empty line included.
+// Maximum size of a message head, including the empty line that ends it.
 inline constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
-// What a connection reads ahead of its parser.
+// Maximum number of bytes that a connection reads ahead of its parser.
 inline constexpr std::size_t kMaxReadAhead = std::size_t{32} * 1024;
 
-// A head as it goes over the wire, with its empty line.
+// Serializes a head, including the empty line that ends it.
 template <bool isRequest>
 std::string ToText(const beast_http::header<isRequest>& header) {
   std::ostringstream text;
--- a/src/http/plain_response.h
+++ b/src/http/plain_response.h
@@ -1,4 +1,4 @@
-// A response that says one line to a person, as the sidecar's own answers do.
+// Builds the short plain-text responses that the sidecar itself generates.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 namespace mothrack::http {
 
-// HTTP/1.1, text/plain; `text` is one line without its end.
+// HTTP/1.1, text/plain. `text` is one line without a line end.
 inline HttpResponse PlainResponse(beast_http::status status, const std::string& text) {
   HttpResponse response(status, 11);
   response.set(beast_http::field::content_type, "text/plain");
--- a/src/http/request_handler.h
+++ b/src/http/request_handler.h
@@ -1,6 +1,6 @@
-// What a client connection and whoever answers its requests tell each other.
+// The callbacks between a client connection and the handler of its requests.
 //
-// All of it is called on the thread of the listener's event loop.
+// All of them are called on the thread of the listener's event loop.
 #pragma once
 
 #include <functional>
@@ -9,19 +9,19 @@
 
 namespace mothrack::http {
 
-// Hands over the answer to one request; to be called once, perhaps at once. The answer's body may still be
-// coming. After the client has disconnected the call has no effect but that the body is abandoned.
+// Delivers the response to one request. Must be called exactly once, possibly before the handler returns. The
+// response body may still be arriving. If the client has disconnected, the call only abandons the body.
 using ReplyCallback = std::function<void(HttpResponse, ComingBody)>;
 
-// What whoever answers a request is told of its client. Either function may be empty.
+// Notifications about the client to the handler of its request. Either function may be empty.
 struct RequestObserver {
-  // The client disconnected before its answer was whole; no answer is wanted any more.
+  // The client disconnected before its response was complete; the response is no longer needed.
   std::function<void()> on_disconnect;
-  // The last byte has come of a request that was handed on before.
+  // The last byte of a request whose body was still arriving has arrived.
   std::function<void()> on_complete;
 };
 
-// Takes one request, whose body may still be coming.
+// Handles one request, whose body may still be arriving.
 using RequestHandler =
     std::function<RequestObserver(HttpRequest request, ComingBody coming, ReplyCallback reply)>;
 
--- a/src/http/request_reader.cpp
+++ b/src/http/request_reader.cpp
@@ -28,7 +28,7 @@
   started_ = false;
   head_reported_ = false;
   head_scanned_ = 0;
-  if (buffer_.size() == 0) buffer_.shrink_to_fit();  // most connections are idle most of the time
+  if (buffer_.size() == 0) buffer_.shrink_to_fit();  // because most connections are idle most of the time
 }
 
 RequestReader::Step RequestReader::Advance() {
@@ -41,7 +41,8 @@
 }
 
 RequestReader::Step RequestReader::Parse() {
-  // Not in one go with the header: Beast 1.74 then forgets that the body is beyond the bound.
+  // The head is parsed on its own: if head and body are parsed in one call, Beast 1.74 loses the error that
+  // the body exceeds its limit.
   parser_->eager(parser_->is_header_done());
   error_code error;
   const std::size_t used = parser_->put(buffer_.data(), error);
--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -1,9 +1,9 @@
-// Reads requests out of the bytes of one client connection (RFC 9112), one behind the other. Does no I/O: the
-// connection puts bytes into buffer() and calls Advance() until nothing moves any more.
+// Parses the successive requests of one client connection (RFC 9112). Does no I/O: the connection puts bytes
+// into buffer() and calls Advance() until it makes no more progress.
 //
 // Owned by a ClientConnection, on its thread. Holds at most kMaxReadAhead bytes ahead of the parser, a head
-// of kMaxHeaderSize and a chunk of a body as large as set_chunk_capacity() says. What is wrong with a request
-// is told as a Step with a status to answer it with; nothing throws.
+// of kMaxHeaderSize, and a body chunk of the size set by set_chunk_capacity(). An invalid request is reported
+// as a Step with the response status; nothing throws.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -22,48 +22,49 @@
  public:
   RequestReader();
 
-  // What one call of Advance() did.
+  // The result of one call of Advance().
   struct Step {
     enum class Result {
-      kParsed,       // look at complete(); where nothing was consumed, more bytes must come first
-      kBodyBlocked,  // as kParsed, and the body's chunk is full: it is to be taken before the next step
-      kInvalid,      // nothing from here on can be read as a request
+      kParsed,       // check complete(); if nothing was consumed, more bytes are needed
+      kBodyBlocked,  // like kParsed, but the body chunk is full and must be taken before the next step
+      kInvalid,      // no further bytes can be parsed as a request
     };
     Result result = Result::kParsed;
-    std::size_t consumed = 0;     // bytes taken out of buffer()
-    beast_http::status status{};  // with kInvalid: what to answer
-    std::string reason;           // with kInvalid
+    std::size_t consumed = 0;     // bytes removed from buffer()
+    beast_http::status status{};  // with kInvalid: the status to respond with
+    std::string reason;           // with kInvalid: the text of the response
   };
+  // Parses as much of buffer() as possible in one step.
   Step Advance();
 
-  // The next request's bytes are read from here on; to be called before the first Advance(), too.
+  // Resets the parser for the next request. Must also be called before the first Advance().
   void BeginNextRequest();
 
-  // What was read from the socket, and not parsed yet.
+  // Bytes that were read from the socket and not parsed yet.
   boost::beast::flat_buffer& buffer() { return buffer_; }
   const boost::beast::flat_buffer& buffer() const { return buffer_; }
 
-  // Some of the present request has come.
+  // Whether any byte of the current request has arrived.
   bool started() const { return started_; }
   void set_started() { started_ = true; }
-  // True once for each request: after the step that completed its head.
+  // True once per request: after the step that completed its head.
   bool TakeHeadCompleted();
-  // The request is there, its body included.
+  // Whether the current request has been parsed completely, including its body.
   bool complete() const { return parser_->is_done(); }
-  // Bytes of the request's body that have come.
+  // Bytes of the current request's body parsed so far.
   std::uint64_t body_bytes() const { return body_bytes_; }
-  // From the Content-Length; absent where the body is sent in chunks.
+  // From Content-Length; absent if the body is chunked.
   std::optional<std::uint64_t> content_length() const;
   const beast_http::request_header<>& head() const { return parser_->get(); }
 
-  // What has been read of the body and not been taken.
+  // Body bytes that were parsed and not taken yet.
   std::string& chunk() { return parser_->get().body().bytes; }
   void set_chunk_capacity(std::size_t bytes) { parser_->get().body().capacity = bytes; }
 
-  // A complete request.
+  // Moves the complete request out.
   HttpRequest Release();
 
-  // What follows the body begins like no request: the body's length was wrong.
+  // Whether the bytes after the body cannot start a request, which means that the body length was wrong.
   bool NextRequestIsInvalid() const;
 
  private:
@@ -74,7 +75,7 @@
   std::optional<beast_http::request_parser<IncrementalBody>> parser_;
   bool started_ = false;
   bool head_reported_ = false;
-  std::size_t head_scanned_ = 0;  // bytes of a head that is still to come whole
+  std::size_t head_scanned_ = 0;  // bytes already inspected of an incomplete head
   std::uint64_t body_bytes_ = 0;
 };
 
--- a/src/http/request_writer.cpp
+++ b/src/http/request_writer.cpp
@@ -72,7 +72,8 @@
 }
 
 void RequestWriter::StopBody() {
-  if (!pumping_) body_writer_.reset();  // else it is what called, and the connection is closed
+  // If pumping, Pump() is on the call stack and the connection is closed already.
+  if (!pumping_) body_writer_.reset();
 }
 
 void RequestWriter::Clear() {
--- a/src/http/request_writer.h
+++ b/src/http/request_writer.h
@@ -1,8 +1,8 @@
-// Writes one request to an upstream's socket: a whole one in one asynchronous write, and one whose body still
-// comes as it comes, framed by its length or in chunks (RFC 9112 section 6).
+// Writes one request to an upstream's socket. A complete request is written with one asynchronous write. A
+// body that is still arriving is streamed, framed by Content-Length or in chunks (RFC 9112 section 6).
 //
-// Owned by an UpstreamExchange, on its thread; used once. Holds the head and refers to the message's body,
-// which is not copied. Errors are told to the owner, once.
+// Owned by an UpstreamExchange, on its thread; used once. Holds the head and refers to the message's body
+// without copying it. The owner is notified once of an error.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,46 +21,47 @@
 
 class RequestWriter {
  public:
+  // Receives the notifications. Must outlive the writer.
   class Owner {
    public:
-    // The asynchronous write of a whole request has ended. `written`: the system has all of it, whatever the
-    // error says. Told also after the socket was closed.
+    // The asynchronous write of a complete request has ended. `written`: the kernel has accepted all of it,
+    // whatever `error` says. Called even after the socket was closed.
     virtual void OnWriteEnded(bool written, boost::system::error_code error) = 0;
-    // Of a body that still comes: there is nothing more to write for now.
+    // A streamed body has no more bytes to write for now.
     virtual void OnBodyAwaited() = 0;
-    // The upstream takes no more of it for now.
+    // The socket is not writable for now.
     virtual void OnSocketFull() = 0;
-    // The system has all of it.
+    // The kernel has accepted the whole streamed request.
     virtual void OnBodyWritten() = 0;
-    // It can't be written to its end.
+    // The streamed request cannot be completed.
     virtual void OnBodyFailed() = 0;
-    // Keeps the owner, and this writer with it, until the handlers that are under way have run.
+    // Keeps the owner, and this writer with it, alive until the pending handlers have run.
     virtual std::shared_ptr<RequestWriter> shared_writer() = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // `socket` must outlive this writer; closing it ends what is under way.
+  // `socket` must outlive this writer. Closing it ends any pending operation.
   RequestWriter(boost::asio::ip::tcp::socket& socket, Owner& owner)
       : socket_(socket), owner_(owner), write_stream_(socket) {}
 
-  // Begins to write; `message` must stay as it is until the write has ended. The peer is told by X-Timeout-Ms
-  // that it will be waited for `timeout` from now on.
+  // Starts writing. `message` must not change until the write has ended. X-Timeout-Ms tells the upstream that
+  // it has `timeout` from now on to answer.
   void Start(const HttpMessage& message, std::chrono::milliseconds timeout);
 
-  // A whole request is being written: OnWriteEnded() is still to come.
+  // A complete request is being written, and OnWriteEnded() has not been called yet.
   bool pending() const { return pending_; }
-  // Takes no more of the body.
+  // Stops reading from the body's stream.
   void StopBody();
-  // Lets go of what was written; nothing may be under way.
+  // Releases the written request. No write may be pending.
   void Clear();
 
  private:
   using BorrowedBody = beast_http::span_body<const char>;
 
   void StartStreaming(const ComingBody& coming);
-  // Writes what there is of the body. Called again when there is room, or more.
+  // Writes the body bytes that are available. Called again when the socket is writable or more bytes arrive.
   void Pump();
   void WaitUntilWritable();
 
--- a/src/http/response_writer.cpp
+++ b/src/http/response_writer.cpp
@@ -95,7 +95,7 @@
   if (body_writer_) body_writer_->stream().Abandon();
 }
 
-// Only this tells a client that an answer which ends with its connection is not whole.
+// If a response ends with its connection, only an RST tells the client that it is truncated.
 void ResponseWriter::ResetOnClose() {
   error_code ignored;
   socket_.set_option(boost::asio::socket_base::linger(true, 0), ignored);
--- a/src/http/response_writer.h
+++ b/src/http/response_writer.h
@@ -1,9 +1,10 @@
-// Writes one response after the other to a client's socket: whole ones in one asynchronous write, and those
-// whose body still comes as it comes (RFC 9112 section 6), framed by length, in chunks, or by the
-// connection's end.
+// Writes the successive responses of a client connection. A complete response is written with one
+// asynchronous write. A body that is still arriving is streamed, framed by Content-Length, in chunks, or by
+// the end of the connection (RFC 9112 section 6).
 //
-// Owned by a ClientConnection, on its thread; one response at a time. Holds one whole response, and of a body
-// that still comes only its stream, which has its own bound. Errors are told to the owner, once.
+// Owned by a ClientConnection, on its thread; one response at a time. Holds one complete response, or only
+// the stream of a body that is still arriving, which has its own bound. The owner is notified once of an
+// error.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -18,39 +19,41 @@
 
 class ResponseWriter {
  public:
+  // Receives the notifications. Must outlive the writer.
   class Owner {
    public:
-    // The client took bytes, or there were none that it could take: it is not to blame for the time so far.
+    // The client read some bytes, or there were none to write, so the client is not stalling.
     virtual void OnWriteProgress() = 0;
-    // The system has all of the response.
+    // The kernel has accepted the whole response.
     virtual void OnResponseWritten() = 0;
-    // The response can't be written to its end; the connection is to be closed.
+    // The response cannot be completed; the connection must be closed.
     virtual void OnWriteFailed() = 0;
-    // Keeps the owner, and this writer with it, until the handlers that are under way have run.
+    // Keeps the owner, and this writer with it, alive until the pending handlers have run.
     virtual std::shared_ptr<ResponseWriter> shared_writer() = 0;
 
    protected:
     ~Owner() = default;
   };
 
-  // `socket` belongs to the owner as well; closing it ends what is under way, without a further call.
+  // `socket` also belongs to the owner. Closing it ends any pending operation without a further notification.
   ResponseWriter(boost::asio::ip::tcp::socket& socket, Owner& owner)
       : socket_(socket), owner_(owner), write_stream_(socket) {}
 
-  // Only the connection's end tells an HTTP/1.0 client where a body of unknown length ends.
+  // Whether this response ends with its connection. That is so if the length is unknown and the client uses
+  // HTTP/1.0, which has no chunked coding.
   static bool EndsWithConnection(const ComingBody& body, unsigned http_version);
 
-  // Begins to write; `http_version` is 10 or 11, as the request had it.
+  // Starts writing. `http_version` is that of the request, 10 or 11.
   void Start(HttpResponse response, ComingBody coming, unsigned http_version, bool keep_alive);
 
-  // The body of the present response is written as it comes.
+  // Whether the body of the current response is streamed.
   bool streaming() const { return body_writer_.has_value(); }
-  // Nobody takes the rest of the body: whoever sends it is told. To be called after the socket was closed.
+  // Nobody reads the rest of the body: notifies its producer. Must be called after the socket was closed.
   void AbandonBody();
 
  private:
   void StartStreaming(ComingBody coming, BodyWriter::Framing framing, bool keep_alive);
-  // Writes what there is of the body. Called again when there is room, or more.
+  // Writes the body bytes that are available. Called again when the socket is writable or more bytes arrive.
   void Pump();
   void WaitUntilWritable();
   void Finish();
--- a/src/http/stall_timer.h
+++ b/src/http/stall_timer.h
@@ -1,6 +1,6 @@
-// How long something stood still, in all, over several pauses.
+// Sums up how long something was stalled, over several pauses.
 //
-// A value without a thread of its own; time is handed in.
+// A plain value, not bound to a thread; the caller passes in the time.
 #pragma once
 
 #include <optional>
@@ -13,11 +13,11 @@
 class StallTimer {
  public:
   bool stalled() const { return since_.has_value(); }
-  // No effect where it stands still already.
+  // No effect if already stalled.
   void Stall(runtime::TimePoint now) {
     if (!since_) since_ = now;
   }
-  // No effect where it moves already.
+  // No effect if not stalled.
   void Resume(runtime::TimePoint now) {
     if (since_) total_ += now - *std::exchange(since_, std::nullopt);
   }
@@ -25,7 +25,7 @@
     total_ = runtime::Duration::zero();
     since_.reset();
   }
-  // The pauses until now, the present one included.
+  // The total of all pauses up to `now`, including the current one.
   runtime::Duration Total(runtime::TimePoint now) const {
     return total_ + (since_ ? now - *since_ : runtime::Duration::zero());
   }
--- a/src/http/transport.cpp
+++ b/src/http/transport.cpp
@@ -11,7 +11,7 @@
 
 using balancer::Outcome;
 
-// Probe targets of the protocol: the second one answers with a load report.
+// Probe targets of the protocol. The second one answers with a load report.
 constexpr const char* kAliveTarget = "/alive";
 constexpr const char* kLoadTarget = "/metrics/load";
 
@@ -30,7 +30,8 @@
 }
 
 void HttpTransport::Apply(const std::string& uid, const dispatch::Location& location) {
-  // Guards a drain against what was asked for before it was told: nothing queued or connecting goes there.
+  // Requests that were submitted before the drain was reported must not reach the upstream either, so those
+  // that wait for a connection are ended.
   if (const auto retired = pools_.Apply(uid, location)) EndUnsent(retired);
 }
 
@@ -47,7 +48,7 @@
                          dispatch::ExchangeHooks hooks) {
   auto connection = pools_.Acquire(uid);
   auto http_message = std::static_pointer_cast<const HttpMessage>(message);
-  // Of a body that is not held from its first byte on any more nothing can be sent again.
+  // A body can only be sent (again) while its stream still holds it from the first byte on.
   if (connection && http_message->coming && !http_message->coming.stream->BeginConsuming()) {
     pools_.Release(std::exchange(connection, nullptr));
   }
--- a/src/http/transport.h
+++ b/src/http/transport.h
@@ -1,7 +1,8 @@
-// The upstream side of HTTP/1.1: carries the dispatcher's attempts and probes, and tells what became of each.
+// The upstream side of HTTP/1.1: carries the dispatcher's attempts and probes and reports the result of each.
 //
-// Owned by the sidecar, on the thread of its event loop. Holds as many connections as Descriptors allows its
-// side. Errors of connections become the Outcome of their exchange (UpstreamExchange); nothing throws.
+// Owned by the sidecar, on the thread of its event loop. Holds as many connections as the upstream side of
+// Descriptors allows. A connection error becomes the Outcome of its exchange (see UpstreamExchange); nothing
+// throws.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,23 +23,24 @@
 
 class HttpTransport : public dispatch::Transport, private UpstreamExchange::Owner {
  public:
-  // `load_by_probe`: a probe asks for the upstream's load, not only whether it lives.
+  // `load_by_probe`: probes request the upstream's load, not only a sign of life.
   HttpTransport(boost::asio::io_context& io, const balancer::Limits& limits, bool load_by_probe,
                 runtime::Descriptors& descriptors, runtime::ByteBudget& budget);
-  // Closes all connections; exchanges that are open are not told.
+  // Closes all connections. Callbacks of open exchanges are not called.
   ~HttpTransport() override;
   HttpTransport(const HttpTransport&) = delete;
   HttpTransport& operator=(const HttpTransport&) = delete;
 
-  // Also closes the idle connections of an upstream that drains, is gone, moved or started anew.
+  // Also closes the idle connections of an upstream that drains, is gone, has moved or has restarted.
   void Apply(const std::string& uid, const dispatch::Location& location) override;
-  // `message` is an HttpMessage; it is sent with its X-Timeout-Ms set to what is left of the time-out.
+  // `message` must be an HttpMessage. It is sent with X-Timeout-Ms set to the remaining timeout.
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
             runtime::Duration timeout, dispatch::ExchangeHooks hooks) override;
+  // Sends a GET to the probe target; a load report is part of the result.
   void Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) override;
-  // The connection is closed.
+  // Ends the exchange and closes its connection.
   void Cancel(dispatch::ExchangeId id) override;
-  // A connection that is coming up is waited for and pooled.
+  // Gives up the request, but a connection that is still being established is awaited and pooled.
   void Abandon(dispatch::ExchangeId id) override;
   void CloseIdle(const std::string& uid) override { pools_.CloseIdle(uid); }
 
@@ -46,11 +48,11 @@
   const Counts& counts() const { return counters_; }
 
  private:
-  // Of the exchanges
+  // UpstreamExchange::Owner
   void Remove(dispatch::ExchangeId id) override { exchanges_.erase(id); }
   void Release(const std::shared_ptr<UpstreamConnection>& connection) override { pools_.Release(connection); }
 
-  // Nothing that has not begun to be written goes to this pool's upstream any more.
+  // Ends the exchanges to this pool's upstream that have not begun to write.
   void EndUnsent(const std::shared_ptr<UpstreamPool>& pool);
 
   boost::asio::io_context& io_;
@@ -59,7 +61,7 @@
   runtime::ByteBudget& budget_;
   TransportCounters counters_;
   ConnectionPools pools_;
-  std::map<dispatch::ExchangeId, std::shared_ptr<UpstreamExchange>> exchanges_;  // that are open
+  std::map<dispatch::ExchangeId, std::shared_ptr<UpstreamExchange>> exchanges_;  // the open ones
 };
 
 }  // namespace mothrack::http
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -1,8 +1,8 @@
 // One connection to an upstream, and the pool that holds it while it is idle.
 //
-// A connection is owned by its pool while it is idle and by an UpstreamExchange while it carries one; on the
-// thread of the event loop. While it is idle it is only watched: whatever comes then, a close or bytes,
-// retires it, and each exchange starts with nothing read and nothing parsed.
+// A connection is owned by its pool while idle and by an UpstreamExchange while in use. It runs on the thread
+// of the event loop. While idle it is only watched: any event, a close or unexpected bytes, closes it. So
+// each exchange starts with empty read and parse buffers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,52 +23,55 @@
 
 class UpstreamConnection;
 
-// Since the start of the process.
+// Counters since the start of the process.
 struct TransportCounters {
-  std::uint64_t opened = 0, failed = 0, closed = 0, evicted = 0;  // connections; failed: never came up
+  // Connections; failed: connect() did not succeed.
+  std::uint64_t opened = 0, failed = 0, closed = 0, evicted = 0;
   std::uint64_t probes = 0;
 };
 
-// The idle connections to one upstream. An upstream that moved or started anew gets a new pool; the old one
-// lives on, as gone, for as long as exchanges refer to it.
+// The idle connections to one upstream. An upstream that moved or restarted gets a new pool. The old pool,
+// marked as gone, lives on while exchanges refer to it.
 struct UpstreamPool {
   dispatch::Location location;
-  std::vector<std::shared_ptr<UpstreamConnection>> idle;  // the most recently used one last
+  std::vector<std::shared_ptr<UpstreamConnection>> idle;  // most recently used last
 
+  // Removes `connection` from `idle`, if it is there.
   void Remove(const UpstreamConnection& connection);
 };
 
 class UpstreamConnection : public std::enable_shared_from_this<UpstreamConnection> {
  public:
-  // Takes a descriptor on the upstreams' side until it is closed. `counters` must outlive it.
+  // Occupies one descriptor of the upstream side until it is closed. `counters` must outlive the connection.
   UpstreamConnection(boost::asio::io_context& io, runtime::Descriptors& descriptors,
                      TransportCounters& counters, const std::shared_ptr<UpstreamPool>& pool);
 
-  // The first step of connecting; an error is one of this machine.
+  // First step of connecting: creates the socket. An error is local to this machine.
   boost::system::error_code OpenSocket();
-  // The second step; `done` is called from the event loop, unless Close() came before.
+  // Second step: connects. `done` is called from the event loop, unless Close() was called before.
   void Connect(std::function<void(boost::system::error_code)> done);
-  // Ends it; handlers that are under way do nothing any more.
+  // Closes the socket. Pending handlers have no effect any more.
   void Close();
 
-  // Begins to carry an exchange.
+  // Marks the start of an exchange.
   void BeginUse() { ++use_; }
-  // Its exchange is over: nothing of it is kept, and whatever comes from here on retires the connection.
+  // The exchange has ended: discards its buffered bytes. Any event from now on closes the connection.
   void BeginIdle();
-  // Did the upstream close it, or say something nobody asked for? Asked before each use: the event may not
-  // have been delivered yet.
+  // Whether the upstream has neither closed the connection nor sent unexpected bytes. Checked before each
+  // use, because the event loop may not have delivered the event yet.
   bool LooksAlive();
-  // A plain close leaves what the system has taken to be delivered, however late: the request would begin
-  // long after it was given up. A reset takes that back; to be called ahead of Close().
+  // Arranges that Close() sends an RST if the kernel's send buffer still holds bytes. After a plain close the
+  // kernel would still deliver them, however late, and the request would start long after it was given up.
+  // Must be called before Close().
   void DiscardUnsent();
 
   bool connected() const { return connected_; }
   bool closed() const { return closed_; }
   runtime::TimePoint idle_since() const { return idle_since_; }
-  // Null once the upstream is gone and nobody else refers to its pool.
+  // Null once the upstream is gone and nothing else refers to its pool.
   std::shared_ptr<UpstreamPool> pool() const { return pool_.lock(); }
   boost::asio::ip::tcp::socket& socket() { return socket_; }
-  // What was read and not parsed; at most kMaxReadAhead bytes.
+  // Bytes that were read and not parsed; at most kMaxReadAhead.
   boost::beast::flat_buffer& buffer() { return buffer_; }
 
  private:
@@ -81,7 +84,7 @@
   boost::beast::flat_buffer buffer_;
   bool connected_ = false;
   bool closed_ = false;
-  std::uint64_t use_ = 0;  // counts the exchanges: a watch that one outran is void
+  std::uint64_t use_ = 0;  // number of exchanges: a watch set before the latest one is void
   runtime::TimePoint idle_since_;
 };
 
--- a/src/http/upstream_exchange.cpp
+++ b/src/http/upstream_exchange.cpp
@@ -18,18 +18,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Interim answers ahead of the one answer; more are no honest upstream's.
+// Maximum number of interim (1xx) responses before the final one. A well-behaved upstream does not send more.
 constexpr int kMaxInterimResponses = 8;
-// A body that its upstream does not take, and an answer that stops, for so long are given up.
+// An upstream that does not read a streamed request body, or pauses in a streamed response, for this long has
+// failed.
 constexpr runtime::Duration kWriteIdleTimeout = seconds(5);
 constexpr runtime::Duration kAnswerIdleTimeout = seconds(15);
-// An answer that does not tell its length is kept whole like one that does, but no longer than this once it
-// is no small one: what has come of a long answer may not be kept from its client for 2 s.
+// A response of unknown length is buffered like one of known length, but once it is no longer small only for
+// this long: the part of a long response that has arrived must not be withheld from its client for 2 s.
 constexpr runtime::Duration kBufferingTimeout = seconds(1);
 
-// Does the head tell where a served answer ends? One that ends with its connection is told by that (RFC 9112
-// section 6.3) where its head says that the connection ends; otherwise it can't be told from one that was
-// cut.
+// Whether the head determines where the response ends. A response may end with its connection (RFC 9112
+// section 6.3) only if the head says that the connection ends. Otherwise a complete response could not be
+// distinguished from a truncated one.
 bool TellsItsEnd(const beast_http::response_parser<IncrementalBody>& parser) {
   const auto& header = parser.get();
   const auto codings = header.count(beast_http::field::transfer_encoding);
@@ -37,8 +38,8 @@
   return codings == 1 && boost::beast::iequals(header[beast_http::field::transfer_encoding], "chunked");
 }
 
-// Of a connection that did not come up: this machine lacked something (a port, memory, a route) or was
-// interrupted. It says nothing of the upstream, and nothing was sent. connect(2), ip(7).
+// Whether connecting failed because this machine lacked a resource (port, memory, route) or was interrupted.
+// Such an error says nothing about the upstream, and nothing was sent. See connect(2), ip(7).
 bool IsLocalFailure(const error_code& error) {
   if (error.category() != boost::system::system_category()) return false;
   switch (error.value()) {
@@ -62,7 +63,7 @@
 Outcome OutcomeOf(const beast_http::response_header<>& header) {
   const unsigned status = header.result_int();
   if (status == 200) return Outcome::kServed;
-  // Only this header proves that nothing ran: a bare 503 may come from behind the work.
+  // Only this header proves that nothing has run. A bare 503 may be sent after the work was done.
   if ((status == 503 || status == 504) && header["X-Not-Processed"] == "1") return Outcome::kFull;
   return Outcome::kError;
 }
@@ -97,7 +98,7 @@
 void UpstreamExchange::Start() {
   sent_at_ = runtime::Now();
   deadline_ = sent_at_ + request_.timeout;
-  // Of a message that still comes the time counts from its last byte on.
+  // The timeout of a request whose body is still arriving counts from its last byte.
   const ComingBody& coming = request_.message->coming;
   arriving_ = coming && coming.stream->state() == runtime::Stream::State::kComing;
   connection_->BeginUse();
@@ -123,7 +124,7 @@
     ArmTimer(deadline_);
   }
   ReadHeader();
-  // The peer learns how long it will be waited for from now on, which is what is left after connecting.
+  // Tell the upstream the time that remains after connecting.
   const runtime::Duration left = arriving_ ? request_.timeout : runtime::Duration(deadline_ - runtime::Now());
   writer_.Start(*request_.message, std::chrono::duration_cast<milliseconds>(left));
 }
@@ -136,7 +137,7 @@
   phase_ = Phase::kAwaitingResponse;
 }
 
-// The time that the client takes for its body is not the upstream's.
+// The time that the client needs to send its body does not count against the upstream.
 void UpstreamExchange::OnBodyAwaited() {
   if (arriving_) DisarmTimer();
 }
@@ -167,8 +168,8 @@
   parser_->body_limit(kMaxBodySize);
   parser_->get().body().capacity = kBufferLimit;
   parser_->header_limit(kMaxHeaderSize);
-  // The header on its own first: Beast 1.74 forgets that the body is beyond the bound where the first of
-  // the body comes along with the header, and would take all of it.
+  // Read the head on its own first: if the start of the body arrives together with the head, Beast 1.74 loses
+  // the error that the body exceeds its limit and would accept all of it.
   beast_http::async_read_header(connection_->socket(), connection_->buffer(), *parser_,
                                 [self = shared_from_this()](error_code error, std::size_t) {
                                   if (!self->connection_->closed()) self->OnHeader(error);
@@ -183,7 +184,7 @@
     if (switches || ++interim_responses_ > kMaxInterimResponses) return End(Cause::kBroken);
     return ReadHeader();
   }
-  // Nor does an upstream have an answer before it has the whole request.
+  // A 200 before the whole request was written is invalid too.
   if (status == 200 && (!written_ || !TellsItsEnd(*parser_))) return End(Cause::kBroken);
   const auto length = parser_->content_length();
   if (status == 200 && length && *length > kBufferLimit) return StartStreaming();
@@ -201,7 +202,7 @@
 }
 
 void UpstreamExchange::OnWholeBody(error_code error) {
-  // Of an answer that is no service the first of its body does.
+  // Of an error response the first part of the body is enough.
   if (error && error != beast_http::error::need_buffer) return End(Cause::kBroken);
   FinishWithResponse();
 }
@@ -210,7 +211,7 @@
   if (connection_->closed() || reading_body_ || (!response_stream_ && !buffering_until_)) return;
   if (response_stream_) {
     const std::size_t capacity = response_stream_->Capacity();
-    // The client takes its time.
+    // The client reads slowly; its pause does not count against the upstream.
     if (capacity == 0) return DisarmTimer();
     parser_->get().body().capacity = capacity;
     ArmTimer(runtime::Now() + kAnswerIdleTimeout);
@@ -229,7 +230,7 @@
     if (parser_->is_done()) return FinishWithResponse();
     return ContinueBuffering(error == beast_http::error::need_buffer);
   }
-  const auto stream = response_stream_;  // whoever takes may end all of this
+  const auto stream = response_stream_;  // Append() may end the exchange and with it the member
   stream->Append(parser_->get().body().bytes);
   if (connection_->closed()) return;
   parser_->get().body().bytes.clear();
@@ -245,13 +246,14 @@
   ReadSomeBody();
 }
 
-// It is long by now, or may still end in its time, whole or as one that is tried again.
+// A response that is large by now is streamed. A small one may still end before the deadline: complete, or
+// broken and retried.
 void UpstreamExchange::OnBufferingTimeout() {
   if (parser_->get().body().bytes.size() >= kMinStreamedSize) return StartStreaming();
   ArmTimer(deadline_);
 }
 
-// A long answer is passed on as it comes: from here on it has no deadline but may not stop for long.
+// A long response is streamed. From here on there is no deadline, but the upstream must not pause for long.
 void UpstreamExchange::StartStreaming() {
   if (!hooks_.on_started) return End(Cause::kBroken);
   buffering_until_.reset();
@@ -272,7 +274,7 @@
   ReadSomeBody();
 }
 
-// ---- Its end ----
+// ---- Ending ----
 
 void UpstreamExchange::FinishWithResponse() {
   const bool whole = parser_->is_done();
@@ -283,7 +285,8 @@
   response.body() = std::move(message.body().bytes);
   dispatch::ExchangeResult result{OutcomeOf(response), runtime::Now() - sent_at_,
                                   ParseLoadReport(response["X-Server-Load"]), nullptr};
-  // An answer before the request was written out leaves the connection between messages.
+  // If the response came before the request was fully written, the connection is in the middle of a message
+  // and cannot be reused.
   const bool reusable = keep_alive && whole && written_ && connection_->buffer().size() == 0;
   if (result.outcome == Outcome::kServed && !streaming_) {
     result.reply = std::make_unique<HttpReply>(std::move(response));
@@ -299,11 +302,12 @@
     connection_->Close();
   }
   on_end(std::move(result));
-  // Last: whoever ends it is not asked about the request again.
+  // Last, because the stream's consumer may react by closing its connection or by reading its next request.
+  // The dispatcher must have finished this request by then.
   if (stream) stream->End(runtime::Stream::State::kWhole);
 }
 
-// The connection came up for nothing, and waits for the next request.
+// The connection was established but is not needed; it is pooled for the next request.
 void UpstreamExchange::FinishUnused() {
   timer_.cancel();
   ReleaseRequestBody();
@@ -352,13 +356,13 @@
   return on_end;
 }
 
-// Another attempt may take the request's body from here on.
+// From here on another attempt may consume the request body.
 void UpstreamExchange::ReleaseRequestBody() {
   writer_.StopBody();
   if (request_.message->coming) request_.message->coming.stream->StopConsuming();
 }
 
-// The next exchange finds nothing of this one.
+// Discards all state of this exchange so that the next one starts clean.
 void UpstreamExchange::ReleaseConnection() {
   writer_.Clear();
   request_.message.reset();
@@ -367,9 +371,9 @@
   owner_.Release(connection_);
 }
 
-// ---- Its timer ----
+// ---- Timer ----
 
-// Also makes void what has fired and not been handled.
+// Setting the expiry also voids a timer event that has fired but was not handled yet.
 void UpstreamExchange::DisarmTimer() { timer_.expires_at(std::chrono::steady_clock::time_point::max()); }
 
 void UpstreamExchange::ArmTimer(runtime::TimePoint at) {
@@ -381,7 +385,7 @@
 
 void UpstreamExchange::OnTimer() {
   if (connection_->closed() || phase_ == Phase::kEnded) return;
-  // Guards against a timer that fired just before it was set anew.
+  // The timer may have fired just before it was re-armed.
   if (timer_.expiry() > std::chrono::steady_clock::now()) return;
   if (buffering_until_ && runtime::Now() < deadline_) return OnBufferingTimeout();
   End(Cause::kTimeout);
--- a/src/http/upstream_exchange.h
+++ b/src/http/upstream_exchange.h
@@ -1,10 +1,12 @@
-// One request on its way to an upstream and what comes back: an attempt or a probe of the dispatcher's.
+// One exchange with an upstream: sends the request of an attempt or probe and receives the response.
 //
-// Kept alive by HttpTransport while it is open and by its own handlers that are under way; on the thread of
-// the event loop. Ends exactly once: ExchangeHooks::on_end is called once, unless the transport is destroyed
-// before. Bounds: one response head of kMaxHeaderSize, and of its body kBufferLimit or its stream's window;
-// time-outs as in the source file. Errors become an Outcome: what was certainly not written is told apart
-// from what may have run.
+// Kept alive by HttpTransport while it is open, and by its own pending handlers. Runs on the thread of the
+// event loop. It ends exactly once: ExchangeHooks::on_end is called once, unless the transport is destroyed
+// first.
+//
+// Bounds: one response head of kMaxHeaderSize; of the body, kBufferLimit or its stream's window; the timeouts
+// in the source file. Errors become an Outcome, which distinguishes requests that were certainly not written
+// from those that may have run.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,9 +28,10 @@
 
 class UpstreamExchange : public std::enable_shared_from_this<UpstreamExchange>, private RequestWriter::Owner {
  public:
+  // The transport.
   class Owner {
    public:
-    // The exchange is over; it is no longer to be cancelled.
+    // The exchange has ended and can no longer be cancelled.
     virtual void Remove(dispatch::ExchangeId id) = 0;
     // The connection can carry another exchange.
     virtual void Release(const std::shared_ptr<UpstreamConnection>& connection) = 0;
@@ -37,36 +40,40 @@
     ~Owner() = default;
   };
 
+  // What to send, and the time limits.
   struct Request {
     dispatch::ExchangeId id{};
     std::shared_ptr<const HttpMessage> message;
     runtime::Duration connect_timeout{};
-    runtime::Duration timeout{};  // from the start on, or of a message that still comes from its last byte on
+    // Counted from Start(), or from the last byte of a request body that is still arriving.
+    runtime::Duration timeout{};
   };
 
   UpstreamExchange(Owner& owner, boost::asio::io_context& io, runtime::ByteBudget& budget,
                    std::shared_ptr<UpstreamConnection> connection, Request request,
                    dispatch::ExchangeHooks hooks);
 
-  // To be called once, when a shared_ptr owns it.
+  // Must be called once, after a shared_ptr owns the exchange.
   void Start();
 
+  // Why an exchange ends without a response.
   enum class Cause {
-    kBroken,     // the connection broke, or what came on it is no answer
-    kTimeout,    // no answer in time
-    kCancelled,  // nobody wants the answer
-    kNotSent,    // this machine could not send it
+    kBroken,     // the connection broke, or the response is malformed
+    kTimeout,    // no response in time
+    kCancelled,  // the response is no longer needed
+    kNotSent,    // a local error prevented sending
   };
-  // Ends it without an answer, and its connection with it: late bytes must never reach another request.
-  // Whether the last byte was written is asked once no write is under way: a write that the system has taken,
-  // but whose handler has not run, counts as written, and unsafe work hangs on that.
+  // Ends the exchange without a response and closes its connection, because late bytes must never reach
+  // another request. Whether the last byte was written is decided only when no write is pending: a write that
+  // the kernel has accepted, but whose handler has not run yet, counts as written. The safety of a retry
+  // depends on this.
   void End(Cause cause);
 
-  // Its request is over. A connection that comes up late must not carry it any more: it would run after its
-  // answer.
+  // The request has its final answer already. A connection that is established later must not carry this
+  // exchange, because the request would run after its final answer.
   void Abandon();
 
-  // The transport is going: closes the connection, and tells nobody.
+  // The transport is being destroyed: closes the connection without calling the hooks.
   void Close();
 
   bool unsent() const { return phase_ == Phase::kConnecting; }
@@ -97,11 +104,12 @@
   void OnBufferingTimeout();
   void StartStreaming();
 
-  // Its end
+  // Ending
   void FinishWithResponse();
   void FinishUnused();
   void FinishWithout(Cause cause);
-  // Nothing may reach the hooks after this; returns the one that is still to be called.
+  // Marks the exchange as ended; no hook is called after this. Returns on_end, which the caller still has to
+  // call.
   dispatch::Transport::OnEnd CloseBooks();
   void ReleaseRequestBody();
   void ReleaseConnection();
@@ -118,18 +126,18 @@
   RequestWriter writer_;
   boost::asio::steady_timer timer_;
   std::optional<beast_http::response_parser<IncrementalBody>> parser_;
-  std::shared_ptr<runtime::Stream> response_stream_;  // of an answer that is passed on as it comes
+  std::shared_ptr<runtime::Stream> response_stream_;  // of a response that is being streamed
   Phase phase_ = Phase::kEnded;
-  std::optional<Cause> pending_end_;  // it ends by this once the write that is under way has ended
+  std::optional<Cause> pending_end_;  // cause of an end that waits for the pending write
   int interim_responses_ = 0;
-  bool arriving_ = false;      // the message's body still came when it was begun, and is not written
-  bool written_ = false;       // its last byte
-  bool abandoned_ = false;     // its request is over: it is not written any more
-  bool streaming_ = false;     // the answer is passed on as it comes, or was
-  bool reading_body_ = false;  // ReadSomeBody() is under way
-  // Of an answer that does not tell its length and is not passed on yet.
+  bool arriving_ = false;      // the request body was still arriving at Start() and is not fully written
+  bool written_ = false;       // the last byte of the request was written
+  bool abandoned_ = false;     // the request has its final answer and must not be written any more
+  bool streaming_ = false;     // the response is, or was, streamed
+  bool reading_body_ = false;  // a read of ReadSomeBody() is pending
+  // Until when a response of unknown length is buffered before it is streamed.
   std::optional<runtime::TimePoint> buffering_until_;
-  runtime::TimePoint sent_at_;  // where its time counts from
+  runtime::TimePoint sent_at_;  // start of the exchange's time, see Request::timeout
   runtime::TimePoint deadline_;
 };
 
