--- a/src/dns/attempt.cpp
+++ b/src/dns/attempt.cpp
@@ -17,8 +17,8 @@
   const Bytes client_query = Bytes(query.wire).subspan(kHeaderSize, query.question_end - kHeaderSize);
   const ParseStatus reading = ParseMessage(message, layout);
   if (!layout.response() || layout.opcode() != query.opcode) return unmatched();
-  // Only the response to an UPDATE may leave out its zone (RFC 2136 section 3.8). Names are compared with
-  // their case (0x20), since the question is sent as the client wrote it.
+  // Only the response to an UPDATE may omit the question (RFC 2136 section 3.8). Names are compared
+  // case-sensitively (0x20 encoding), because the question is forwarded as the client wrote it.
   const bool bare = layout.questions == 0 && query.opcode == kUpdate;
   if (!bare) {
     if (layout.questions != 1 || layout.question_end - kHeaderSize != client_query.size()) return unmatched();
--- a/src/dns/attempt.h
+++ b/src/dns/attempt.h
@@ -1,4 +1,6 @@
-// One attempt on its way to a resolver, and the open attempts of a socket by their message ids.
+// One attempt that is in flight to a resolver, and the table of open attempts of a socket by message id.
+//
+// Used on the thread of the event loop only.
 #pragma once
 
 #include <cstdint>
@@ -16,6 +18,7 @@
 class UdpPort;
 class ResolverConnection;
 
+// State of one attempt. Owned by Transport from Send() to the end of the attempt.
 struct Attempt {
   dispatch::ExchangeId id{};
   std::shared_ptr<Resolver> resolver;
@@ -24,33 +27,35 @@
   runtime::TimePoint sent;
   runtime::TimePoint deadline;
   std::uint16_t wire_id = 0;
-  // The socket that carries it; one of the two while it is open.
+  // The socket that carries the attempt: exactly one of the two is set while the attempt is open.
   std::shared_ptr<UdpPort> port;
   std::shared_ptr<ResolverConnection> connection;
-  bool written = false;  // over TCP: up to its last byte
-  // The response over UDP, where the attempt moved to TCP for it.
+  bool written = false;  // over TCP: the last byte was written to the socket
+  // The truncated UDP response because of which the attempt was repeated over TCP.
   std::unique_ptr<ResolverResponse> truncated;
 };
 
-// What sockets notify the owner of their attempts of. Each call may end attempts, and with that close the
-// socket that calls.
+// Notifications from a socket to the owner of its attempts. Each call may end attempts and so close the
+// socket that makes the call.
 class AttemptEvents {
  public:
-  // A well-formed response that matches the attempt (RFC 5452 section 9.1: address and port by the socket,
-  // id, question).
+  // A well-formed response that matches the attempt. RFC 5452 section 9.1 requires that address, port, id and
+  // question match; the connected socket ensures address and port.
   virtual void OnResponse(Attempt& attempt, Bytes message, const Layout& layout) = 0;
-  // The resolver's port is closed.
+  // The resolver's port is closed (an ICMP error arrived).
   virtual void OnUnreachable(UdpPort& port) = 0;
-  // The connection was lost, or never came up.
+  // The connection was lost or could not be established.
   virtual void OnConnectionLost(ResolverConnection& connection) = 0;
 
  protected:
   ~AttemptEvents() = default;
 };
 
+// The open attempts of one socket by message id. Does not own them.
 class OpenAttempts {
  public:
-  // Gives the attempt an id of its own that nobody can foresee. Fewer than half of all ids must be open.
+  // Assigns an unused, unpredictable id to the attempt and adds it. Fewer than half of all ids may be in use,
+  // so that a random choice finds a free one soon.
   void Add(Attempt& attempt, runtime::SecureRandom& random) {
     do attempt.wire_id = random.Next16();
     while (!open_.try_emplace(attempt.wire_id, &attempt).second);
@@ -71,8 +76,8 @@
   std::unordered_map<std::uint16_t, Attempt*> open_;
 };
 
-// The open attempt to which `message` from the resolver is the response; null, and counted, where there is
-// none. `layout` is filled in.
+// Returns the open attempt that `message` from the resolver answers, and fills in `layout`. If there is none,
+// returns null and counts the message.
 Attempt* MatchResponse(const OpenAttempts& open, Bytes message, Layout& layout, Counters& counters);
 
 }  // namespace mothrack::dns
--- a/src/dns/client_connection.cpp
+++ b/src/dns/client_connection.cpp
@@ -13,10 +13,10 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// A connection accepted no longer ago than this is about to carry a query.
+// A connection younger than this is assumed to be about to carry a query.
 constexpr runtime::Duration kNewConnection = std::chrono::milliseconds(300);
 constexpr std::size_t kReadSize = std::size_t{16} * 1024;
-// A client that reads no responses is not read any further once so many bytes wait for it.
+// Reading stops when more response bytes than this are unwritten because the client does not read.
 constexpr std::size_t kMaxUnwritten = std::size_t{256} * 1024;
 
 }  // namespace
@@ -35,7 +35,7 @@
 void ClientConnection::Close() {
   if (closed_) return;
   Drop();
-  const auto self = shared_from_this();  // the server lets go of it
+  const auto self = shared_from_this();  // the server drops its reference in on_close_
   on_close_(self);
   for (const Frontend::Handle handle : std::exchange(open_, {})) frontend_.OnClientDisconnected(handle);
 }
@@ -85,7 +85,7 @@
   const std::size_t size = runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
   if (runtime::WouldBlock(error)) return WaitReadable();
   if (error == boost::asio::error::eof) {
-    // The client may have closed its sending side only: its open queries are answered first.
+    // The client may have only half-closed: its open queries are answered first.
     ended_ = true;
     if (HasNothingToWrite()) return Close();
     return;
@@ -98,7 +98,7 @@
 }
 
 void ClientConnection::ProcessFrames() {
-  if (processing_) return;  // called for a response that came at once
+  if (processing_) return;  // re-entered for a response that was available at once
   processing_ = true;
   while (!closed_ && !broken_ && !IsPaused()) {
     const auto message = frame_reader_.Next();
@@ -114,7 +114,7 @@
 void ClientConnection::HandleFrame(Bytes message) {
   unused_ = false;
   read_started_ = runtime::Now();
-  // The frames of a client that sends no messages can't be trusted any further.
+  // After a frame that is no message, the framing of this client cannot be trusted any more.
   broken_ = message.size() < kHeaderSize;
   const auto slot = std::make_shared<Frontend::Handle>(nullptr);
   const auto handle =
--- a/src/dns/client_connection.h
+++ b/src/dns/client_connection.h
@@ -1,5 +1,8 @@
-// A client's TCP connection: many queries at once, answered in the order in which the responses come (RFC
-// 7766 section 7). Used by the thread of the event loop only.
+// A client's TCP connection. Serves many queries at a time and sends the responses in the order in which they
+// become available (RFC 7766 section 7).
+//
+// Owned by a TcpServer and kept alive by its pending handlers. Used on the thread of the event loop only. The
+// bounds and timeouts are in Settings. Socket errors and malformed frames close the connection.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -21,31 +24,33 @@
  public:
   using OnClose = std::function<void(const std::shared_ptr<ClientConnection>&)>;
 
-  // `number` tells connections of one server apart. `on_close` is called once, unless Drop() comes first. The
-  // references must live until then.
+  // `number` distinguishes the connections of one server. `on_close` is called once, unless Drop() is called
+  // first. The references must stay valid until then.
   ClientConnection(boost::asio::ip::tcp::socket socket, std::uint64_t number, const Settings& settings,
                    runtime::Descriptors& descriptors, Frontend& frontend, OnClose on_close);
 
+  // Starts reading. Must be called once, after a shared_ptr owns the connection.
   void Start() { WaitReadable(); }
-  // Open queries get no response any more.
+  // Closes the connection; open queries get no response.
   void Close();
-  // The server is destroyed: handlers that are still to come do nothing.
+  // The server is being destroyed: closes the socket without calling `on_close`. Pending handlers have no
+  // effect.
   void Drop();
 
-  // When it became idle or was accepted.
+  // When the connection was accepted, or when its last response was queued.
   runtime::TimePoint idle_since() const { return idle_since_; }
-  // No part of a query has been read and no response is missing.
+  // No partial query has been read, no query is open and no response is unwritten.
   bool idle() const { return open_.empty() && frame_reader_.empty() && unwritten_.empty(); }
-  // Was accepted so lately that its first query may be on the way.
+  // Accepted so recently that its first query is probably in flight.
   bool IsNew(runtime::TimePoint now) const;
-  // Idle, and no byte of a query waits in the system's buffer either.
+  // Idle, and the kernel's receive buffer holds no bytes either.
   bool CanCloseUnnoticed();
 
-  // Closes it where the client takes longer than the settings allow.
+  // Closes the connection if the client exceeds a timeout of the settings.
   void CloseIfOverdue(runtime::TimePoint now);
 
  private:
-  // The bounds on open queries and on responses that the client does not read.
+  // Reading pauses while too many queries are open or the client does not read its responses.
   bool IsPaused() const;
   bool HasNothingToWrite() const { return open_.empty() && unwritten_.empty(); }
   void WaitReadable();
@@ -65,14 +70,14 @@
   FrameReader frame_reader_;
   Buffer unwritten_;
   runtime::TimePoint idle_since_;
-  runtime::TimePoint read_started_;   // of the frame that is incomplete
-  runtime::TimePoint write_started_;  // or made progress
-  bool unused_ = true;                // no frame has come
-  bool waiting_ = false;              // for bytes
-  bool flushing_ = false;             // waits until the socket is writable
-  bool processing_ = false;           // in ProcessFrames()
-  bool ended_ = false;                // the client sends no more
-  bool broken_ = false;               // it sent a frame that is no message: nothing more is read
+  runtime::TimePoint read_started_;   // of the incomplete frame
+  runtime::TimePoint write_started_;  // of the unwritten bytes, or the last write that made progress
+  bool unused_ = true;                // no frame has arrived
+  bool waiting_ = false;              // a wait for readability is pending
+  bool flushing_ = false;             // a wait for writability is pending
+  bool processing_ = false;           // guards ProcessFrames() against re-entry
+  bool ended_ = false;                // the client has half-closed
+  bool broken_ = false;               // the client sent a frame that is no message; reading has ended
   bool closed_ = false;
 };
 
--- a/src/dns/frames.h
+++ b/src/dns/frames.h
@@ -1,4 +1,5 @@
-// Messages over TCP: each with its length before it (RFC 1035 section 4.2.2, RFC 7766 section 8).
+// Framing of DNS messages over TCP: each message is preceded by its length (RFC 1035 section 4.2.2, RFC 7766
+// section 8).
 #pragma once
 
 #include <cstddef>
@@ -9,17 +10,18 @@
 
 namespace mothrack::dns {
 
-// Cuts messages off a stream of bytes. Holds no more bytes than were appended, whatever a length field says.
+// Splits a byte stream into messages. Holds no more bytes than were appended, whatever the length field says.
+// A value without a thread of its own.
 class FrameReader {
  public:
-  // Invalidates what Next() returned.
+  // Appends received bytes. Invalidates the result of Next().
   void Append(Bytes bytes) {
     buffer_.erase(buffer_.begin(), buffer_.begin() + static_cast<std::ptrdiff_t>(offset_));
     offset_ = 0;
     buffer_.insert(buffer_.end(), bytes.begin(), bytes.end());
   }
 
-  // The next complete message; nothing until more bytes have come.
+  // The next complete message, valid until Append() or Shrink(); nothing if more bytes are needed.
   std::optional<Bytes> Next() {
     const Bytes unread = Bytes(buffer_).subspan(offset_);
     if (unread.size() < 2) return std::nullopt;
@@ -30,7 +32,7 @@
   }
 
   bool empty() const { return offset_ == buffer_.size(); }
-  // Frees the memory; only while empty().
+  // Frees the memory. Allowed only while empty().
   void Shrink() {
     buffer_ = Buffer();
     offset_ = 0;
@@ -41,7 +43,7 @@
   std::size_t offset_ = 0;  // bytes of buffer_ that Next() has returned
 };
 
-// The length, then the message.
+// Appends the length and then the message.
 inline void AppendFrame(Buffer& out, Bytes message) {
   out.reserve(out.size() + 2 + message.size());
   out.push_back(static_cast<std::uint8_t>(message.size() >> 8));
--- a/src/dns/frontend.cpp
+++ b/src/dns/frontend.cpp
@@ -13,22 +13,25 @@
 using balancer::Effect;
 using balancer::Outcome;
 
-// UPDATEs open or cached. One more is refused: to forget one early could make it run twice.
+// Bound on UPDATEs that are open or cached. A further one is refused, because forgetting a cached one early
+// could let it run twice.
 constexpr std::size_t kMaxRecentUpdates = 4096;
-// Clients go on sending for a moment after a planned stop began.
+// Clients keep sending for a moment after a planned stop began, so queries are accepted this long.
 constexpr runtime::Duration kAcceptWhileDraining = std::chrono::milliseconds(800);
-// Port 0 takes a free port, the same for UDP and TCP: what is free for UDP may be in use for TCP.
+// Port 0 requests a free port, which must be the same for UDP and TCP. A port that is free for UDP may be in
+// use for TCP, so several are tried.
 constexpr int kMaxPortAttempts = 50;
 constexpr auto kDrainCheckInterval = std::chrono::milliseconds(10);
 
-// A query that the front end answers itself.
+// Content of a response that the front end generates itself.
 struct Rejection {
   std::uint16_t rcode = kFormErr;
   std::optional<ExtendedErrorInfo> why;
 };
 
-// Equal for a query and its retransmission: the client, the id and the question; of an UPDATE all but the
-// additional section, where a new signature would stand, since two UPDATEs of one zone differ.
+// Key that is equal for a query and its retransmission. It consists of the client, the id, the opcode and the
+// question. For an UPDATE it covers all sections except the additional one: two UPDATEs of one zone differ in
+// the other sections, and the additional section may hold a new signature.
 std::string QueryKey(const Frontend::Client& client, Bytes message, const Layout& layout) {
   const std::size_t end = layout.opcode() == kUpdate ? layout.additional_at : layout.question_end;
   std::string key = client.name;
@@ -39,7 +42,7 @@
   return key;
 }
 
-// Nothing where the query can be forwarded.
+// Returns nothing if the query can be forwarded.
 std::optional<Rejection> Validate(const Layout& layout, bool well_formed) {
   const std::uint8_t opcode = layout.opcode();
   if (opcode != kQuery && opcode != kNotify && opcode != kUpdate) return Rejection{kNotImp, {}};
@@ -109,7 +112,7 @@
   ++(tcp ? counters_.tcp_queries : counters_.udp_queries);
   Layout layout;
   const ParseStatus status = ParseMessage(message, layout);
-  // To answer a response could go on for ever.
+  // A response is never answered, because that could loop forever.
   if (status == ParseStatus::kNoHeader || layout.response()) {
     ++counters_.dropped;
     return nullptr;
@@ -159,8 +162,8 @@
   return client_query;
 }
 
-// True where the query is open already, whose one response is to come, or is an UPDATE that was answered
-// lately.
+// Returns true if the query is already open, so that its one response is still to come, or if it repeats an
+// UPDATE that was answered recently, which gets the cached response.
 bool Frontend::AnswerRetransmission(const std::string& key, std::uint8_t opcode, const Respond& respond) {
   if (open_.Contains(key)) {
     ++counters_.retransmissions;
@@ -208,7 +211,7 @@
   request.on_final = [this, handle](const dispatch::Final& final) { OnFinal(handle, final); };
   const auto id = dispatcher_.Submit(std::move(request));
   OpenQuery* open = open_.Find(key);
-  if (open == nullptr) return nullptr;  // it was answered at once
+  if (open == nullptr) return nullptr;  // it was answered before Submit() returned
   open->id = *id;
   return handle;
 }
@@ -236,7 +239,7 @@
     return ToClientResponse(reply->wire, reply->layout, open.client_query, settings_.edns_size);
   }
   const Bytes question = Bytes(open.query->wire).subspan(kHeaderSize, open.query->question_end - kHeaderSize);
-  // No attempt was made: a client that gets REFUSED asks elsewhere, and may well come back here.
+  // No attempt was made. REFUSED makes the client ask another server; it may well return here later.
   if (final.kind == dispatch::Final::Kind::kRejected && final.attempts == 0) {
     return MakeResponse(open.client_query, question, kRefused,
                         ExtendedErrorInfo{kNotReady, "no resolver can take it now"}, settings_.edns_size);
--- a/src/dns/frontend.h
+++ b/src/dns/frontend.h
@@ -1,6 +1,8 @@
-// The DNS front end: decides which messages are queries to forward, answers others itself, and gives each
-// query its one response. Sources: RFC 1035, 2136 (UPDATE), 6891 (EDNS), 8482/9210 (TCP), 8914 (extended
-// errors); the rules for operators: docs/operators/dns.md.
+// The DNS front end. Decides which messages are queries to forward, answers the others itself, and sends
+// exactly one response to each forwarded query.
+//
+// Sources: RFC 1035, 2136 (UPDATE), 6891 (EDNS), 8482/9210 (TCP), 8914 (extended errors). The rules for
+// operators are in docs/operators/dns.md.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -27,37 +29,40 @@
 class UdpServer;
 class TcpServer;
 
-// Owns the servers that clients reach. Used by the thread of the event loop only.
+// Owns the UDP and TCP servers. Owned by Service and used on the thread of the event loop only. Bounds are in
+// Settings; a query beyond a bound is answered with REFUSED.
 class Frontend {
  public:
-  // An open query; null where there is none (any more).
+  // Identifies an open query; null if there is none.
   using Handle = OpenQueries::Handle;
 
+  // The sender of a message.
   struct Client {
-    std::string name;     // its address and port, or its connection: where retransmissions come from
-    std::string address;  // over UDP, for the bound on its open queries; empty over TCP
+    std::string name;     // binary address and port, or the connection number: identifies retransmissions
+    std::string address;  // over UDP: binary address, for the bound on open queries; empty over TCP
   };
 
-  // Binds and accepts queries at once; throws boost::system::system_error, without the address. All
-  // references must outlive it.
+  // Binds and accepts queries at once. Throws boost::system::system_error, which does not name the address.
+  // All references must outlive this object.
   Frontend(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
            runtime::Logger& log, dispatch::Dispatcher& dispatcher, Counters& counters);
   ~Frontend();
 
-  // A message from a client. `respond` may be called before this returns. Null where no query is open then:
-  // it was answered or dropped.
+  // Handles a message from a client. `respond` may be called before this returns. Returns null if no query is
+  // open afterwards, because the message was answered or dropped.
   Handle HandleMessage(Bytes message, const Client& client, Respond respond);
-  // The response is not wanted any more.
+  // The client no longer needs the response.
   void OnClientDisconnected(Handle handle);
 
-  // A planned stop: accepts for a short while what clients still send, answers all that was accepted, then
-  // calls `done`.
+  // Starts a planned stop: accepts queries that clients still send for a short while, answers all accepted
+  // ones, then calls `done`. Later calls have no effect.
   void Drain(std::function<void()> done);
 
+  // The addresses of the UDP servers, with the ports that the kernel chose for port 0. TCP uses the same.
   std::vector<runtime::Endpoint> local() const;
 
  private:
-  // A bound on what is open at a time.
+  // A bound on what may be open at a time.
   enum class Limit { kOpenQueries, kOpenQueriesOfClient, kRecentUpdates };
   static std::string_view Describe(Limit limit);
 
--- a/src/dns/message.cpp
+++ b/src/dns/message.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxExtraText = 200;
 constexpr std::uint16_t kDnssecOkBit = 0x8000;
 
-// EDNS options, by their IANA numbers.
+// EDNS option codes assigned by IANA.
 constexpr std::uint16_t kCookie = 10;
 constexpr std::uint16_t kTcpKeepalive = 11;
 constexpr std::uint16_t kPadding = 12;
@@ -31,8 +31,9 @@
   buffer.push_back(static_cast<std::uint8_t>(value));
 }
 
-// Behind the name at `at`; nothing where it is none. Each pointer must lead to before the part that it ends,
-// so the walk ends, and the labels' lengths add up to a name's at most.
+// Returns the offset after the name at `at`, or nothing if the name is malformed. Each compression pointer
+// must point before the part that it ends, so the loop terminates, and the sum of the label lengths is
+// bounded.
 std::optional<std::size_t> SkipName(Bytes message, std::size_t at) {
   std::optional<std::size_t> end;  // known once a pointer was followed
   std::size_t part = at;
@@ -46,7 +47,8 @@
       at += 1 + size;
       continue;
     }
-    if (size < 0xc0 || at + 1 >= message.size()) return std::nullopt;  // RFC 6891 section 5: no other kinds
+    // RFC 6891 section 5: no other label types.
+    if (size < 0xc0 || at + 1 >= message.size()) return std::nullopt;
     const std::size_t target = ReadUint16(message, at) & 0x3fff;
     if (target >= part || target < kHeaderSize) return std::nullopt;
     if (!end) end = at + 2;
@@ -55,14 +57,14 @@
   return std::nullopt;
 }
 
-// The cursor over the records of one section.
+// A cursor over the records of a section.
 class Records {
  public:
   Records(Bytes message, Layout& layout, std::size_t at) : message_(message), layout_(layout), offset_(at) {}
 
   bool Skip(std::uint16_t count, bool additional) {
     for (; count > 0; --count) {
-      if (layout_.is_signed) return false;  // a signature is the last record, RFC 8945 section 5.1
+      if (layout_.is_signed) return false;  // a signature must be the last record, RFC 8945 section 5.1
       const auto name_end = SkipName(message_, offset_);
       if (!name_end || message_.size() - *name_end < kRecordHeaderSize) return false;
       const std::uint16_t type = ReadUint16(message_, *name_end);
@@ -83,7 +85,7 @@
 
  private:
   bool ReadOpt(std::size_t type_at, std::size_t end) {
-    if (layout_.edns || type_at != offset_ + 1) return false;  // the only one, and of the root
+    if (layout_.edns || type_at != offset_ + 1) return false;  // at most one OPT, and its name is the root
     Edns edns;
     edns.at = offset_;
     edns.end = end;
@@ -105,7 +107,8 @@
   std::size_t offset_;
 };
 
-// Calls `visit(code, whole option)` for each option of the OPT record, whose form ParseMessage() has checked.
+// Calls `callback(code, whole option)` for each option of the OPT record, whose format ParseMessage() has
+// checked.
 template <typename Callback>
 void ForEachOption(Bytes message, const Edns& edns, Callback callback) {
   for (std::size_t at = edns.at + kOptHeaderSize; at < edns.end;) {
@@ -115,8 +118,8 @@
   }
 }
 
-// The message with its EDNS made ours. Options can go only from a record at the end: what stands behind it
-// would move, and pointers lead there.
+// Returns the message with our EDNS parameters. Options can be removed only if OPT is the last record:
+// otherwise later records would move, and compression pointers refer to their offsets.
 Buffer WithLocalEdns(Bytes message, const Layout& layout, std::uint16_t local_edns_size) {
   Buffer out;
   const Edns& edns = *layout.edns;
@@ -179,7 +182,8 @@
   layout.answers = ReadUint16(message, 6);
   layout.authorities = ReadUint16(message, 8);
   layout.additionals = ReadUint16(message, 10);
-  // More than one question was never defined (RFC 9619); none is an answer of its header alone.
+  // More than one question was never defined (RFC 9619). A message without a question may be a response that
+  // consists of its header only.
   if (layout.questions > 1 || message.size() > kMaxMessageSize) return ParseStatus::kMalformed;
   if (layout.questions == 1) {
     const auto end = SkipName(message, kHeaderSize);
@@ -210,7 +214,7 @@
   if (layout.is_signed || !layout.edns) {
     out.assign(answer.begin(), answer.end());
   } else if (!client_query.edns && layout.edns->end == answer.size()) {
-    // RFC 6891 section 7: no OPT for whoever sent none.
+    // RFC 6891 section 7: no OPT in a response to a query without OPT.
     out.assign(answer.begin(), answer.begin() + static_cast<std::ptrdiff_t>(layout.edns->at));
     WriteUint16(out, 10, layout.additionals - 1);
   } else {
@@ -225,7 +229,7 @@
 Buffer MakeResponse(const ClientQuery& client_query, Bytes question, std::uint16_t rcode,
                     const std::optional<ExtendedErrorInfo>& why, std::uint16_t local_edns_size) {
   constexpr std::uint16_t kEchoedBits =
-      0x7800 | kRecursionDesiredBit | kCheckingDisabledBit;  // with the opcode
+      0x7800 | kRecursionDesiredBit | kCheckingDisabledBit;  // 0x7800 is the opcode
   const auto flags = static_cast<std::uint16_t>(kResponseBit | (client_query.flags & kEchoedBits) |
                                                 kRecursionAvailableBit | (rcode & 0x0f));
   Buffer out = MakeHeader(client_query.id, flags, question, client_query.edns);
--- a/src/dns/query.h
+++ b/src/dns/query.h
@@ -1,4 +1,4 @@
-// What the DNS front end and transport pass to each other through the dispatcher, and their counters.
+// The messages that the DNS front end and transport exchange through the dispatcher, and the counters of DNS.
 #pragma once
 
 #include <cstdint>
@@ -11,35 +11,39 @@
 
 namespace mothrack::dns {
 
+// A query as the dispatcher carries it to the transport. Immutable, so attempts share it.
 struct Query : dispatch::Message {
-  Buffer wire;  // as it goes to a resolver, but for the id
+  Buffer wire;  // as sent to a resolver, except for the id
   std::uint16_t question_end = 0;
   std::uint8_t opcode = kQuery;
-  bool repeatable = false;  // by its class: after a truncated response it may be sent again over TCP
-  bool over_tcp = false;    // as the client sent it; counts where it is not repeatable
+  bool repeatable = false;  // from its class: may be sent again over TCP after a truncated response
+  bool over_tcp = false;    // the client sent it over TCP; matters if it is not repeatable
 };
 
+// A resolver's response.
 struct ResolverResponse : dispatch::Reply {
-  Buffer wire;  // as the resolver sent it
+  Buffer wire;  // as received
   Layout layout;
 };
 
-// Logged at the end of the process and at a reload; the names in Line() are the operators'.
+// Counters since the start of the process. Logged at its end and at a reload; the names in Line() are those
+// of the operators' pages.
 struct Counters {
   std::uint64_t udp_queries = 0;
   std::uint64_t tcp_queries = 0;
-  std::uint64_t answers = 0;          // responses to clients, of whatever kind
+  std::uint64_t answers = 0;          // responses of any kind sent to clients
   std::uint64_t retransmissions = 0;  // of open queries (ignored) and of answered UPDATEs (answered again)
-  std::uint64_t dropped = 0;          // messages of clients that have no answer: no header, or a response
-  std::uint64_t malformed = 0;        // answered FORMERR
-  std::uint64_t over_bound = 0;       // refused for a bound on open queries
-  std::uint64_t unsent_answers = 0;   // over UDP, not accepted by the system
+  std::uint64_t dropped = 0;          // messages that get no response: no header, or a response themselves
+  std::uint64_t malformed = 0;        // answered with FORMERR
+  std::uint64_t over_bound = 0;       // refused because of a bound on open queries
+  std::uint64_t unsent_answers = 0;   // over UDP: not accepted by the kernel
   std::uint64_t udp_attempts = 0;
   std::uint64_t tcp_attempts = 0;
-  std::uint64_t moved_to_tcp = 0;  // truncated over UDP
-  std::uint64_t unmatched = 0;     // responses from a resolver's address that match no open attempt
-  std::uint64_t garbled = 0;       // that match, but are malformed
+  std::uint64_t moved_to_tcp = 0;  // repeated over TCP after a truncated UDP response
+  std::uint64_t unmatched = 0;     // messages from a resolver's address that match no open attempt
+  std::uint64_t garbled = 0;       // messages that match an attempt but are malformed
 
+  // All counters as one line of text.
   std::string Line() const {
     std::string text = "dns:";
     const auto add = [&text](const char* name, std::uint64_t value) {
--- a/src/dns/resolver_connection.cpp
+++ b/src/dns/resolver_connection.cpp
@@ -12,7 +12,7 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Responses to removed queries that may still come: with more of them a connection accepts no further query.
+// Bound on removed queries whose responses may still arrive: beyond it the connection is retired.
 constexpr std::size_t kMaxAbandoned = 64;
 constexpr std::size_t kReadSize = std::size_t{16} * 1024;
 
@@ -61,7 +61,7 @@
 }
 
 void ResolverConnection::Send(Attempt& attempt, runtime::SecureRandom& random) {
-  // An id whose response may still come must not be given to another query.
+  // An id whose response may still arrive must not be assigned to another query.
   open_.Add(attempt, random);
   while (abandoned_.contains(attempt.wire_id)) {
     open_.Remove(attempt.wire_id);
@@ -84,7 +84,8 @@
     frames_.erase(it);
   } else {
     if (it != frames_.end()) it->attempt = nullptr;
-    abandoned_.insert(attempt.wire_id);  // ProcessFrames() removes it again where this is its response
+    // If a response to it is being processed, ProcessFrames() removes it again.
+    abandoned_.insert(attempt.wire_id);
   }
   if (abandoned_.size() > kMaxAbandoned) retired_ = true;
   CloseIfDone();
@@ -113,7 +114,7 @@
 bool ResolverConnection::CanAccept() {
   if (closed_ || retired_) return false;
   if (!connected_ || open_.size() > 0) return true;
-  // The event of its close may not have been delivered yet.
+  // The event loop may not have delivered the close yet.
   error_code error;
   runtime::PeekByte(socket_, error);
   if (runtime::WouldBlock(error) || (!error && !abandoned_.empty())) return true;
@@ -141,7 +142,7 @@
       return;
     }
     if (error) {
-      // Not from here: the caller of Send() still uses the attempt.
+      // Deferred, because the caller of Send() still uses the attempt.
       boost::asio::post(socket_.get_executor(), [self = shared_from_this()] { self->Fail(); });
       return;
     }
--- a/src/dns/resolver_connection.h
+++ b/src/dns/resolver_connection.h
@@ -1,6 +1,8 @@
-// A TCP connection to one resolver that carries many queries at once and accepts responses in any order
-// (RFC 7766 section 6.2). Whatever comes while it is idle, a close or bytes, ends it. Used
-// by the thread of the event loop only; handlers keep it alive.
+// A TCP connection to one resolver. It carries many queries at a time and accepts responses in any order (RFC
+// 7766 section 6.2). While it is idle, any event, a close or unexpected bytes, closes it.
+//
+// Owned by a ResolverPool and kept alive by its pending handlers. Used on the thread of the event loop only.
+// Failures are reported through AttemptEvents.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,21 +26,24 @@
   ResolverConnection(boost::asio::io_context& io, runtime::Descriptors& descriptors, AttemptEvents& events,
                      Counters& counters);
 
-  // False where the system gives no socket.
+  // Starts connecting. Returns false if the kernel provides no socket. `connect_timeout` bounds the connect.
   bool Open(const runtime::Endpoint& resolver, runtime::Duration connect_timeout);
+  // Closes the socket without notifying anybody.
   void Close();
 
-  // The attempt is open here until Remove(). It is written once the connection is up.
+  // Adds the attempt, which stays open here until Remove(). Its query is written once the connection is
+  // established.
   void Send(Attempt& attempt, runtime::SecureRandom& random);
-  // Where no byte of its query was written, none will be.
+  // Removes the attempt. If no byte of its query was written, none will be.
   void Remove(const Attempt& attempt);
-  // Those of whose query no byte was written.
+  // The attempts of whose queries no byte was written.
   std::vector<Attempt*> UnwrittenAttempts() const;
 
-  // Accepts no further attempt: closes with the last that is open.
+  // Accepts no further attempt and closes when the last open one ends.
   void Retire();
 
-  // Checks, too, whether the resolver has closed it meanwhile.
+  // Whether a further attempt may be sent. Also detects a close by the resolver that the event loop has not
+  // reported yet.
   bool CanAccept();
   std::size_t open() const { return open_.size(); }
   bool closed() const { return closed_; }
@@ -46,8 +51,9 @@
   std::vector<Attempt*> attempts() const { return open_.All(); }
 
  private:
+  // A query to be written.
   struct Frame {
-    Buffer bytes;                // with its length before it
+    Buffer bytes;                // the length, then the message
     Attempt* attempt = nullptr;  // null once removed
   };
 
@@ -64,9 +70,9 @@
   AttemptEvents& events_;
   Counters& counters_;
   OpenAttempts open_;
-  std::set<std::uint16_t> abandoned_;  // written and removed: their responses may still come
+  std::set<std::uint16_t> abandoned_;  // removed after being written: their responses may still arrive
   std::deque<Frame> frames_;
-  std::size_t first_frame_written_ = 0;  // bytes of the first frame
+  std::size_t first_frame_written_ = 0;  // bytes of the first frame that were written
   FrameReader frame_reader_;
   runtime::TimePoint idle_since_;
   bool connected_ = false;
--- a/src/dns/resolver_pool.cpp
+++ b/src/dns/resolver_pool.cpp
@@ -11,9 +11,10 @@
 
 using balancer::UpstreamState;
 
-// How exact the time-out of idle sockets is.
+// Resolution of the idle timeout.
 constexpr auto kSweepInterval = std::chrono::milliseconds(250);
-// A connection with so many open queries gets another one beside it, as long as there may be more.
+// A further connection is opened if each existing one has at least this many open queries and the bound
+// allows it.
 constexpr std::size_t kBusyConnection = 16;
 
 }  // namespace
@@ -66,8 +67,9 @@
   return connections;
 }
 
-// One of `udp_ports` places at random, where a socket is opened for the first attempt that falls there. Few
-// queries get a port of their own each, many share and change them.
+// Picks one of `udp_ports` places at random and opens a socket for a place that has none yet. So a few
+// queries each get a port of their own, while many queries share the ports and the ports are replaced over
+// time.
 std::shared_ptr<UdpPort> ResolverPool::PickPort(Resolver& resolver, bool exclusive) {
   const std::size_t place = exclusive ? 0 : random_.Below(settings_.udp_ports);
   if (!exclusive && place < resolver.ports.size()) return resolver.ports[place];
@@ -83,7 +85,7 @@
   return resolver.ports[random_.Below(resolver.ports.size())];
 }
 
-// The one with the fewest open queries.
+// Picks the connection with the fewest open queries.
 std::shared_ptr<ResolverConnection> ResolverPool::PickConnection(Resolver& resolver) {
   if (resolver.location.state != UpstreamState::kServing) return nullptr;
   std::erase_if(resolver.connections, [](const auto& connection) { return !connection->CanAccept(); });
--- a/src/dns/response_outcome.cpp
+++ b/src/dns/response_outcome.cpp
@@ -8,8 +8,8 @@
   const std::uint16_t rcode = layout.rcode();
   if (rcode == kRefused) return Outcome::kFull;
   if (rcode != kServFail) return Outcome::kServed;
-  // Some failures are of the name at whichever resolver (RFC 8914 sections 4.6 to 4.13, 4.23): no reason to
-  // ask another one, nor to count a failure of this one.
+  // Some failures concern the name and would occur at any resolver (RFC 8914 sections 4.6 to 4.13, 4.23).
+  // They are no reason to ask another resolver or to count a failure of this one.
   const auto error = FindExtendedError(message, layout);
   const bool of_name = error && ((*error >= kDnssecIndeterminate && *error <= kNsecMissing) ||
                                  *error == kNoReachableAuthority);
--- a/src/dns/response_outcome.h
+++ b/src/dns/response_outcome.h
@@ -1,4 +1,5 @@
-// What a resolver's response says of the attempt. Pure; the table stands in docs/operators/dns.md.
+// Maps a resolver's response to the outcome of its attempt. A pure function; the table is in
+// docs/operators/dns.md.
 #pragma once
 
 #include "balancer/balancer.h"
@@ -6,8 +7,9 @@
 
 namespace mothrack::dns {
 
-// kServed: the response is the client's; kFull: the resolver refused, so nothing was done; kError: it failed,
-// and another resolver may not. `layout` is of `message`, which ParseMessage() found to be kOk.
+// kServed: the response goes to the client. kFull: the resolver refused, so nothing was done. kError: the
+// resolver failed, and another one may succeed. `layout` describes `message`, for which ParseMessage()
+// returned kOk.
 balancer::Outcome OutcomeOf(Bytes message, const Layout& layout);
 
 }  // namespace mothrack::dns
--- a/src/dns/service.h
+++ b/src/dns/service.h
@@ -1,4 +1,4 @@
-// DNS as one sidecar serves it: front end, dispatcher and transport of one pool of resolvers. Used by the
+// The DNS service of one sidecar: front end, dispatcher and transport of one pool of resolvers. Used on the
 // thread of the event loop only.
 #pragma once
 
@@ -21,20 +21,23 @@
 
 class Service {
  public:
-  // Accepts queries at once. Throws boost::system::system_error where it can't listen. `descriptors` and
-  // `log` must outlive it.
+  // Accepts queries at once. Throws boost::system::system_error if it cannot listen. `seed` initializes the
+  // dispatcher's random choices. `descriptors` and `log` must outlive this object.
   Service(boost::asio::io_context& io, Settings settings, std::uint64_t seed,
           runtime::Descriptors& descriptors, runtime::Logger& log);
 
-  // Open all the time: the listening sockets, UDP and TCP, and the descriptor that the ports are watched by.
+  // Number of descriptors that are always open: the UDP and TCP listening sockets, and the epoll descriptor
+  // that watches the UDP ports.
   static std::size_t FixedDescriptors(const Settings& settings) { return 2 * settings.listen.size() + 1; }
 
+  // See Frontend::local().
   std::vector<runtime::Endpoint> local() const { return frontend_.local(); }
-  // Applies the resolvers of `settings`; nothing else of them.
+  // Applies the resolvers of `settings` and ignores its other fields.
   void Follow(const Settings& settings);
-  // A planned stop; `done` is called when every accepted query is answered.
+  // Starts a planned stop. `done` is called when every accepted query is answered.
   void Drain(std::function<void()> done) { frontend_.Drain(std::move(done)); }
   const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }  // for the admin API and the log
+  // The counters as one line of text.
   std::string Account() const { return counters_.Line(); }
 
  private:
@@ -42,7 +45,7 @@
   Counters counters_;
   Transport transport_;
   dispatch::Dispatcher dispatcher_;
-  Frontend frontend_;  // last: it accepts queries from here on, and is destroyed first
+  Frontend frontend_;  // last, because it delivers queries as soon as it exists and must be destroyed first
 };
 
 }  // namespace mothrack::dns
--- a/src/dns/settings.cpp
+++ b/src/dns/settings.cpp
@@ -7,8 +7,8 @@
 using std::chrono::milliseconds;
 
 std::vector<ClassSettings> DefaultClasses() {
-  // Stub resolvers give up after 5 s. An answer after its objective still has a weight: the attempt goes on,
-  // and a hedge goes to another resolver.
+  // Stub resolvers give up after 5 s. A response after its objective keeps some weight: the attempt
+  // continues, and a hedged request goes to another resolver.
   return {
       {"query", kQuery, {}, milliseconds(1000), milliseconds(4000), balancer::Effect::kSafe, 1, 0.5},
       {"update", kUpdate, {}, milliseconds(2000), milliseconds(4500), balancer::Effect::kUnsafe, 5, 0.5},
--- a/src/dns/tcp_server.cpp
+++ b/src/dns/tcp_server.cpp
@@ -12,7 +12,7 @@
 using boost::asio::ip::tcp;
 using std::chrono::milliseconds;
 
-// How exact the time-outs of connections are.
+// Resolution of the connection timeouts.
 constexpr auto kSweepInterval = milliseconds(250);
 // While draining: how soon an idle connection is closed.
 constexpr auto kDrainSweepInterval = milliseconds(10);
--- a/src/dns/tcp_server.h
+++ b/src/dns/tcp_server.h
@@ -1,5 +1,6 @@
-// One address at which clients connect for queries over TCP: accepts connections within the bounds, and
-// closes those that are overdue. Used by the thread of the event loop only.
+// A TCP listening socket for DNS clients. Accepts connections within the bounds and closes overdue ones.
+//
+// Owned by Frontend and used on the thread of the event loop only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,18 +21,18 @@
 
 class TcpServer : private runtime::Acceptor::Owner {
  public:
-  // Binds and listens; throws boost::system::system_error. The references must outlive it.
+  // Binds and listens; throws boost::system::system_error. The references must outlive this object.
   TcpServer(boost::asio::io_context& io, const runtime::Endpoint& endpoint, const Settings& settings,
             runtime::Descriptors& descriptors, Frontend& frontend, runtime::Logger& log);
   ~TcpServer();
 
-  // From now on connections are closed as they become idle.
+  // From now on, connections are closed as soon as they are idle.
   void Drain();
-  // Accepts the connections that wait, and none after them.
+  // Accepts the connections in the listen backlog, then closes the listening socket.
   void StopAccepting() {
     if (acceptor_.is_open()) acceptor_.Close();
   }
-  // No connection is open.
+  // Whether no connection is open.
   bool done() const { return connections_.empty(); }
 
  private:
--- a/src/dns/transport.cpp
+++ b/src/dns/transport.cpp
@@ -11,11 +11,12 @@
 
 using balancer::Outcome;
 
-// A port takes so many attempts, so that its number does not stay the same for long, at about a hundredth of
-// the cost of a port for each.
+// Number of attempts after which a shared port is replaced, so that its number does not stay the same for
+// long. This costs about a hundredth of one port per attempt.
 constexpr unsigned kMaxPortUses = 64;
-// An attempt whose time ends with its request's is called off by the request's timer just before its own
-// fires: it has timed out all the same, and its resolver must be charged with that.
+// If the deadlines of an attempt and its request coincide, the request's timer fires first and cancels the
+// attempt just before its own timeout. Such an attempt has timed out all the same, and this must count
+// against its resolver.
 constexpr runtime::Duration kTimerSlack = std::chrono::milliseconds(1);
 
 std::unique_ptr<ResolverResponse> CopyResponse(Bytes message, const Layout& layout) {
@@ -42,7 +43,7 @@
 }
 
 void Transport::Apply(const std::string& uid, const dispatch::Location& location) {
-  // Nothing that waits or connects is sent after the drain was notified.
+  // Queries that wait for a connection must not be sent after the drain was reported.
   for (const auto& connection : pool_.Apply(uid, location)) {
     for (Attempt* attempt : connection->UnwrittenAttempts()) EndWithoutResponse(*attempt, Outcome::kNotSent);
   }
@@ -63,7 +64,8 @@
   attempt.sent = runtime::Now();
   attempt.deadline = attempt.sent + timeout;
   deadlines_.Set(attempt.deadline, static_cast<std::uint64_t>(id));
-  // What must not be repeated can't be followed over TCP once it was truncated: it goes as it came.
+  // A query that must not be repeated cannot be sent again over TCP after a truncated response, so it uses
+  // the protocol that the client used.
   const Query& query = *attempt.query;
   const bool tcp = query.wire.size() > settings_.edns_size || (query.over_tcp && !query.repeatable);
   if (tcp) {
@@ -102,7 +104,7 @@
 
 void Transport::OnResponse(Attempt& attempt, Bytes message, const Layout& layout) {
   if (!layout.truncated()) return End(attempt, OutcomeOf(message, layout), CopyResponse(message, layout));
-  // Over TCP there is no cause for it; and what must not be repeated has perhaps run.
+  // A truncated response over TCP makes no sense. And a query that must not be repeated may have run.
   if (attempt.connection || !attempt.query->repeatable) {
     return End(attempt, Outcome::kError, attempt.query->repeatable ? CopyResponse(message, layout) : nullptr);
   }
@@ -112,8 +114,8 @@
   SendOverTcp(attempt);
 }
 
-// A closed port refuses each datagram with an error of its own, but the system keeps only one: with several
-// open on this socket nobody knows whose it was.
+// A closed port causes an ICMP error for each datagram, but the kernel keeps only one error per socket. If
+// several attempts are open on this socket, it is unknown whose error it is.
 void Transport::OnUnreachable(UdpPort& port) {
   const auto attempts = port.attempts();
   const Outcome outcome = attempts.size() == 1 ? Outcome::kConnectFailed : Outcome::kReset;
@@ -148,13 +150,14 @@
   Attempt& attempt = it->second;
   const auto connection = attempt.connection;
   EndWithoutResponse(attempt, connection && !attempt.written ? Outcome::kConnectFailed : Outcome::kTimeout);
-  // A connection that is silent may be dead without a word: the next query takes another.
+  // A silent connection may be dead without notice, so the next query uses another one.
   if (connection) connection->Retire();
 }
 
 void Transport::EndWithoutResponse(Attempt& attempt, Outcome outcome) {
   if (!attempt.truncated) return End(attempt, outcome, nullptr);
-  // The resolver has had the query, whatever became of it over TCP; and half an answer is better than none.
+  // The resolver has received the query, whatever happened over TCP, and a truncated response is better than
+  // none.
   End(attempt, outcome == Outcome::kTimeout ? outcome : Outcome::kError, std::move(attempt.truncated));
 }
 
@@ -174,7 +177,7 @@
 }
 
 void Transport::Probe(dispatch::ExchangeId, const std::string&, OnEnd on_end) {
-  // Not asked for: the settings allow none. Real queries try a resolver out.
+  // Not used: the settings disable probes. Real queries serve as half-open probes.
   on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
 }
 
@@ -185,8 +188,8 @@
   End(it->second, over ? Outcome::kTimeout : Outcome::kCancelled, nullptr);
 }
 
-// Over UDP a query is written at once. One that waits for its TCP connection has been had by its resolver
-// where that answer was truncated, and ends by what that says.
+// Over UDP a query is written at once. Over TCP, an attempt whose query is not fully written is ended. If a
+// truncated UDP response came before, the resolver has received the query, and the outcome reflects that.
 void Transport::Abandon(dispatch::ExchangeId id) {
   const auto it = attempts_.find(id);
   if (it == attempts_.end() || !it->second.connection || it->second.written) return;
--- a/src/dns/transport.h
+++ b/src/dns/transport.h
@@ -1,5 +1,5 @@
-// Carries attempts to resolvers over UDP and TCP and reports the end of each. Ids and ports that nobody can
-// foresee: RFC 5452; truncation: RFC 7766 section 5.
+// Carries attempts to resolvers over UDP and TCP and reports the end of each. Ids and ports are unpredictable
+// (RFC 5452); a truncated response leads to a repeat over TCP (RFC 7766 section 5).
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,17 +18,17 @@
 
 namespace mothrack::dns {
 
-// Used by the thread of the event loop only. What the calls promise: dispatch/exchange.h.
+// Used on the thread of the event loop only. dispatch/exchange.h specifies the interface.
 class Transport : public dispatch::Transport, private AttemptEvents {
  public:
-  // The references must outlive it.
+  // The references must outlive this object.
   Transport(boost::asio::io_context& io, const Settings& settings, runtime::Descriptors& descriptors,
             Counters& counters);
   ~Transport() override;
 
   void Apply(const std::string& uid, const dispatch::Location& location) override;
-  // `message` is a Query. Where it may be repeated, a truncated response over UDP is followed by a query over
-  // TCP within the same attempt: at the same resolver and in what is left of its time.
+  // `message` must be a Query. If it is repeatable, a truncated UDP response is followed by a query over TCP
+  // within the same attempt: to the same resolver and within the remaining time.
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
             runtime::Duration timeout, dispatch::ExchangeHooks hooks) override;
   void Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) override;
@@ -37,7 +37,7 @@
   void CloseIdle(const std::string& uid) override;
 
  private:
-  AttemptEvents& events() { return *this; }  // the base is private
+  AttemptEvents& events() { return *this; }  // because the base class is private
   void OnResponse(Attempt& attempt, Bytes message, const Layout& layout) override;
   void OnUnreachable(UdpPort& port) override;
   void OnConnectionLost(ResolverConnection& connection) override;
@@ -46,9 +46,9 @@
   void SendOverTcp(Attempt& attempt);
   void OnTimeout(dispatch::ExchangeId id);
   void End(Attempt& attempt, balancer::Outcome outcome, std::unique_ptr<dispatch::Reply> reply);
-  // The attempt got no response, or over TCP none after a truncated one.
+  // Ends an attempt that got no response, or no response over TCP after a truncated one.
   void EndWithoutResponse(Attempt& attempt, balancer::Outcome outcome);
-  // Takes the attempt off its socket.
+  // Removes the attempt from its socket.
   void Detach(Attempt& attempt);
 
   const Settings& settings_;
--- a/src/dns/udp_poller.cpp
+++ b/src/dns/udp_poller.cpp
@@ -43,7 +43,7 @@
   epoll_.async_wait(boost::asio::posix::stream_descriptor::wait_read,
                     [this](boost::system::error_code error) {
                       if (error) return;
-                      // Waits again also when a handler throws: a watch that ended would stop all UDP.
+                      // Re-arms the wait even if a handler throws: without it, all UDP traffic would stop.
                       struct Again {
                         ~Again() { poll.WaitReadable(); }
                         UdpPoller& poll;
@@ -52,7 +52,7 @@
                     });
 }
 
-// The next wait reports again what still waits after this.
+// Handles at most kMaxEvents. The next wait reports sockets that are still readable.
 void UdpPoller::DispatchReady() {
   std::array<epoll_event, kMaxEvents> events;
   const int ready = ::epoll_wait(epoll_.native_handle(), events.data(), kMaxEvents, 0);
--- a/src/dns/udp_poller.h
+++ b/src/dns/udp_poller.h
@@ -1,6 +1,6 @@
-// Watches many UDP sockets through one epoll descriptor of its own, itself watched by the event loop. Answers
-// come spread over all ports: with a wait of the event loop's for each, a query costs three system calls more
-// than it needs (docs/design/dns.md has the figures).
+// Watches many UDP sockets through one epoll descriptor, which the event loop watches in turn. Responses are
+// spread over all ports. If the event loop waited on each socket separately, a query would cost three system
+// calls more than necessary (figures in docs/design/dns.md).
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,15 +12,16 @@
 
 class UdpPort;
 
+// Owned by ResolverPool and used on the thread of the event loop only.
 class UdpPoller {
  public:
-  // Throws boost::system::system_error where the system gives no descriptor.
+  // Throws boost::system::system_error if the kernel provides no descriptor.
   explicit UdpPoller(boost::asio::io_context& io);
 
-  // Calls the port's Receive() whenever a datagram or an error waits at `socket`, until Remove(). False where
-  // the system has no room.
+  // Calls the port's Receive() whenever `socket` has a datagram or an error, until Remove(). Returns false if
+  // the kernel cannot add the socket.
   bool Add(int socket, const std::shared_ptr<UdpPort>& port);
-  // Before the socket is closed.
+  // Must be called before the socket is closed.
   void Remove(int socket);
 
  private:
@@ -28,7 +29,8 @@
   void DispatchReady();
 
   boost::asio::posix::stream_descriptor epoll_;
-  // By descriptor. One that was closed and reused while its event waited costs one read in vain.
+  // Keyed by descriptor. If a descriptor was closed and reused while its event was pending, one read finds
+  // nothing.
   std::unordered_map<int, std::weak_ptr<UdpPort>> ports_;
 };
 
--- a/src/dns/udp_port.cpp
+++ b/src/dns/udp_port.cpp
@@ -29,7 +29,7 @@
   error_code error;
   const udp::endpoint to(resolver.address(), resolver.port());
   socket_.open(to.protocol(), error);
-  // Bound by connecting: Linux takes a port of its ephemeral range by a random number of its own.
+  // connect() binds the socket: Linux picks a random port from the ephemeral range.
   if (!error) socket_.connect(to, error);
   if (!error) socket_.non_blocking(true, error);
   if (error || !poll_.Add(socket_.native_handle(), shared_from_this())) {
@@ -50,14 +50,15 @@
 
 UdpPort::SendResult UdpPort::Send(Attempt& attempt, runtime::SecureRandom& random) {
   open_.Add(attempt, random);
-  // The id goes into a copy: other attempts share the message.
+  // The id is written to a copy, because attempts share the message.
   static thread_local Buffer datagram;
   datagram.assign(attempt.query->wire.begin(), attempt.query->wire.end());
   SetId(datagram, attempt.wire_id);
   error_code error;
   socket_.send(boost::asio::buffer(datagram), 0, error);
   if (Unreachable(error) && open_.size() > 1) {
-    // The error is of an earlier datagram, and this one has not been sent: notify of it, then send again.
+    // The pending error belongs to an earlier datagram, and this one was not sent: report the error, then
+    // send again.
     open_.Remove(attempt.wire_id);
     events_.OnUnreachable(*this);
     if (closed_) return SendResult::kNotSent;
@@ -88,8 +89,8 @@
   if (open_.size() == 0) Close();
 }
 
-// One at a time: whatever still waits is notified again, and one more poll costs less than a read in vain on
-// every port.
+// Reads one datagram at a time. If more are pending, epoll reports the socket again, and that additional poll
+// costs less than a read that finds nothing on every port.
 void UdpPort::Receive() {
   static thread_local std::array<std::uint8_t, kMaxMessageSize> datagram;
   if (closed_) return;
--- a/src/dns/udp_port.h
+++ b/src/dns/udp_port.h
@@ -1,5 +1,8 @@
-// A UDP socket that is connected to one resolver from a port that the system picked at random: only datagrams
-// from the resolver's address and port reach it, and its ICMP errors do (RFC 5452 section 9).
+// A UDP socket connected to one resolver, with a random ephemeral port. Because it is connected, it receives
+// only datagrams from the resolver's address and port, and its ICMP errors are reported (RFC 5452 section 9).
+//
+// Owned by a ResolverPool or by the attempt that uses it exclusively. Used on the thread of the event loop
+// only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +19,7 @@
 
 class UdpPort : public std::enable_shared_from_this<UdpPort> {
  public:
-  // `exclusive`: for one attempt only, so that an ICMP error can speak of no other.
+  // `exclusive`: for one attempt only, so that an ICMP error can be attributed to it.
   UdpPort(boost::asio::io_context& io, UdpPoller& poll, runtime::Descriptors& descriptors,
           AttemptEvents& events, Counters& counters, bool exclusive);
 
@@ -24,23 +27,25 @@
   UdpPort(const UdpPort&) = delete;
   UdpPort& operator=(const UdpPort&) = delete;
 
-  // Binds and connects; false where the system gives no socket.
+  // Binds and connects. Returns false if the kernel provides no socket.
   bool Open(const runtime::Endpoint& resolver);
   void Close();
 
+  // kUnreachable: an ICMP error was pending and sending again failed with one too.
   enum class SendResult { kSent, kNotSent, kUnreachable };
-  // On kSent the attempt is open here until Remove(); else nothing was sent.
+  // On kSent the attempt stays open here until Remove(). Otherwise nothing was sent.
   SendResult Send(Attempt& attempt, runtime::SecureRandom& random);
   void Remove(const Attempt& attempt);
 
-  // Reads one datagram or error that waits.
+  // Reads one pending datagram or error.
   void Receive();
 
-  // Accepts no further attempt: closes with the last that is open.
+  // Accepts no further attempt and closes when the last open one ends.
   void Retire();
 
   bool exclusive() const { return exclusive_; }
   std::size_t open() const { return open_.size(); }
+  // Number of attempts sent from this port.
   unsigned uses() const { return uses_; }
   runtime::TimePoint idle_since() const { return idle_since_; }
   std::vector<Attempt*> attempts() const { return open_.All(); }
--- a/src/dns/udp_server.cpp
+++ b/src/dns/udp_server.cpp
@@ -9,9 +9,10 @@
 using boost::asio::ip::udp;
 using boost::system::error_code;
 
-// Datagrams read in a row before other handlers of the event loop run.
+// Maximum number of datagrams read in a row, so that other handlers of the event loop can run.
 constexpr int kMaxBatch = 64;
-// Bytes for what comes while the event loop is busy; the system may give less.
+// Requested size of the receive buffer in bytes, for datagrams that arrive while the event loop is busy. The
+// kernel may grant less.
 constexpr int kReceiveBuffer = 1 << 20;
 constexpr std::size_t kMaxUnsentResponses = 4096;
 
--- a/src/dns/udp_server.h
+++ b/src/dns/udp_server.h
@@ -1,5 +1,7 @@
-// One address at which clients send queries as datagrams; responses are sent from the same. Used by the
-// thread of the event loop only.
+// A UDP socket to which clients send queries. Responses are sent from the same address.
+//
+// Owned by Frontend and used on the thread of the event loop only. Holds at most 4096 responses that the
+// kernel did not accept; further ones are dropped and counted.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,9 +22,9 @@
             Counters& counters, runtime::Logger& log);
 
   runtime::Endpoint local() const;
-  // Reads what the system has received, and nothing after it.
+  // Reads the datagrams that the kernel has received and ignores later ones.
   void StopReceiving();
-  // No response waits to be sent.
+  // Whether no response is waiting to be sent.
   bool done() const { return unsent_.empty(); }
 
  private:
@@ -37,7 +39,7 @@
   Frontend& frontend_;
   Counters& counters_;
   runtime::Logger& log_;
-  std::deque<std::pair<Peer, Buffer>> unsent_;  // responses that the system's full buffer did not accept
+  std::deque<std::pair<Peer, Buffer>> unsent_;  // responses that did not fit into the kernel's send buffer
   bool receiving_ = true;
 };
 
--- a/src/dns/update_cache.h
+++ b/src/dns/update_cache.h
@@ -1,5 +1,5 @@
-// The responses to recent UPDATEs. A client that lost the response sends its UPDATE again, and that must not
-// run a second time (RFC 2136 has no key to tell a repeat by). Used by the thread of the event loop only.
+// The responses to recent UPDATEs. A client that lost a response retransmits its UPDATE, which must not run a
+// second time (RFC 2136 has no key that identifies a repeat). Used on the thread of the event loop only.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +13,13 @@
 
 namespace mothrack::dns {
 
+// Owned by Frontend, which bounds the number of entries.
 class UpdateCache {
  public:
-  // A response is found for `retention`, and until the next Expire().
+  // An entry is kept for `retention`, and until the next Expire() after that.
   explicit UpdateCache(runtime::Duration retention) : retention_(retention) {}
 
-  // Null where there is none. Valid until the next Insert() or Expire().
+  // Returns null if there is no entry. The result is valid until the next Insert() or Expire().
   const Buffer* Find(const std::string& key) const {
     const auto it = responses_.find(key);
     return it == responses_.end() ? nullptr : &it->second;
@@ -29,6 +30,7 @@
     by_age_.emplace_back(runtime::Now(), key);
   }
 
+  // Removes entries older than the retention time.
   void Expire() {
     const runtime::TimePoint now = runtime::Now();
     while (!by_age_.empty() && now - by_age_.front().first > retention_) {
