--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -12,10 +12,10 @@
 using std::chrono::duration_cast;
 using std::chrono::milliseconds;
 
-// From the start of a call to the start of the next one, so that an agent that answers at once is not called
-// in a busy loop. Well below the 200 ms after which a watch would no longer follow the answer.
+// Minimum time between the starts of two calls, so that an agent that answers at once is not polled in a busy
+// loop. Well below 200 ms, beyond which a watch would no longer follow the answer immediately.
 constexpr auto kMinCallInterval = milliseconds(50);
-// A call that returns what changed up to now: the service wants a wait above 0.
+// The wait of a call that returns the changes up to now. The service requires a wait above 0.
 constexpr auto kNoWait = milliseconds(1);
 constexpr auto kListPath = "/discovery/hosts";
 
@@ -45,7 +45,7 @@
   DropCalls();
   timer_.cancel();
   endpoint_ = std::move(endpoint);
-  revision_.reset();  // revisions are of the source that counted them
+  revision_.reset();  // revisions of different sources are not comparable
   consecutive_failures_ = 0;
   state_ = State::kSynchronizing;
   StartCall();
@@ -62,7 +62,7 @@
   timer_.expires_after(timeout);
   timer_.async_wait([this, number = ++timer_number_](error_code error) {
     if (error || number != timer_number_) return;
-    // One late call is enough: the next one would be answered later still.
+    // Keep only one late call: a later one would be answered even later.
     if (!late_call_) late_call_ = std::exchange(call_, nullptr);
     Fail({FailedCall::Kind::kTimeout, "no list in time"});
   });
@@ -87,7 +87,7 @@
   counts_.full_list_calls += call_kind_ == CallKind::kFullList;
   if (call_ && !call_->reusable()) std::exchange(call_, nullptr)->Drop();
   if (!call_) {
-    ListCall::Observer& observer = *this;  // the base is private
+    ListCall::Observer& observer = *this;  // because the base class is private
     call_ = std::make_shared<ListCall>(io_, endpoint_, observer);
   }
   const runtime::Duration timeout = consecutive_failures_ > 0 ? policy_.retry_timeout : policy_.list_timeout;
@@ -110,10 +110,11 @@
   } catch (const MalformedList& error) {
     return OnError(call, {FailedCall::Kind::kFault, std::string("malformed list: ") + error.what()});
   }
-  // The connection that was answered first is used from here on.
+  // Keep the connection that answered first.
   if (&call == late_call_.get()) std::swap(call_, late_call_);
   if (late_call_) std::exchange(late_call_, nullptr)->Drop();
-  // Older than what is held: another source counts there, and what changed in between is not known.
+  // The revision is older than the known one, so another source is counting, and the changes in between are
+  // unknown.
   if (revision_ && list.revision < *revision_ && list.update.kind == MembershipUpdate::Kind::kChanges) {
     revision_.reset();
     return Fail(
@@ -137,14 +138,14 @@
 }
 
 void Discovery::OnError(ListCall& call, const CallError& error) {
-  // Its timeout has been counted as the failure already.
+  // The timeout of this call has already been counted as a failure.
   if (&call == late_call_.get()) return std::exchange(late_call_, nullptr)->Drop();
   Fail(error);
 }
 
-// The old list stands. On request its revision stands too, so that the next call is for what changed since:
-// that costs a shared service least. A local agent may have started anew and count from elsewhere, so its
-// full list is polled, which costs it nothing.
+// After a failure the old list stays in use. With a shared service its revision is kept too, so that the next
+// call requests only the changes since then, which costs the service least. A local agent may have restarted
+// and count anew, so its full list is polled, which costs it nothing.
 void Discovery::Fail(const CallError& error) {
   if (call_) std::exchange(call_, nullptr)->Drop();
   ++counts_.failed;
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -16,7 +16,8 @@
 using balancer::UpstreamState;
 using nlohmann::json;
 
-// Beyond these (the year 2286; a million times the usual machine) a list is damaged.
+// Plausibility limits (the year 2286; a million times the weight of an ordinary machine): a list with larger
+// values is damaged.
 constexpr std::int64_t kMaxBootMs = 9'999'999'999'999;
 constexpr double kMaxWeight = 1e6;
 
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -1,4 +1,5 @@
-// The endpoint list as the source writes it: JSON into a membership update. Pure, callable from any thread.
+// Parses the endpoint list from the source's JSON into a membership update. Pure functions, callable on any
+// thread.
 #pragma once
 
 #include <stdexcept>
@@ -15,11 +16,11 @@
   using std::runtime_error::runtime_error;
 };
 
-// One answer of the source. Throws MalformedList, naming the field or the value. Entries count in their
-// order: where an id stands twice, the last entry counts, and the id is in the result once. When processes
-// started is left to dispatch::StartTimes.
+// Parses one answer of the source. Throws MalformedList, which names the field or the value. If an id occurs
+// twice, the last entry counts, and the result contains the id once. The start times of processes are left to
+// dispatch::StartTimes.
 dispatch::MembershipList ParseList(const nlohmann::json& body);
-// The same of an answer's text; throws MalformedList also where it is no JSON.
+// Parses the text of an answer in the same way. Also throws MalformedList if it is not JSON.
 dispatch::MembershipList ParseListText(const std::string& text);
 
 }  // namespace mothrack::discovery
--- a/src/discovery/endpoint_staleness.cpp
+++ b/src/discovery/endpoint_staleness.cpp
@@ -9,19 +9,19 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Below the least drain a watch would be sent more than thirty times a second, which costs a hundredth of a
-// core, and an agent that only waits for its core would time out: a shorter drain is kept as well as this one
-// allows. Above the most nothing is gained any more.
+// Limits of the drain time. Below the minimum, a watch would be sent more than thirty times a second, which
+// costs one hundredth of a core, and an agent that only waits for its core would time out. A shorter drain is
+// kept as well as the minimum allows. Above the maximum nothing more is gained.
 constexpr Duration kMinDrain = milliseconds(100);
 constexpr Duration kMaxDrain = milliseconds(2000);
 
-// Push: all times are shares of the drain, in twentieths. The wait is the largest, since each watch costs
-// processor time.
+// Push: all times are shares of the drain time, in twentieths. The wait is the largest one, because each
+// watch costs processor time.
 constexpr int kDrainShares = 20;
 constexpr int kWatchWaitShares = 8;
 constexpr int kTimeoutShares = 4;
-// All that the drain leaves where no watch was out before: an agent that is slow to give a full list does not
-// time out again and again, and one that is away is polled less often.
+// If no watch was pending before, a call may use all the time that remains of the drain. So an agent that is
+// slow to produce a full list does not time out again and again, and one that is down is polled less often.
 constexpr int kRetryTimeoutShares = 12;
 constexpr int kBackoffShares = 2;
 constexpr int kAnswerShares = 1;
@@ -32,39 +32,41 @@
 
 // A sidecar counts as notified of the new source's list this long after the signal that named the source.
 constexpr Duration kNotifiedAfterAddressChange = seconds(4);
-// Whatever became of the calls before, a change counts as notified this long after the source had it and was
+// Whatever happened to earlier calls, a change counts as notified this long after the source had it and was
 // reachable.
 constexpr Duration kNotifiedAfterOutage = seconds(6);
-// On request: the service itself fails a call after this. A client that gives up earlier adds to its work.
+// On request: the service itself fails a call after this time. A client that gives up earlier adds to its
+// load.
 constexpr Duration kServiceTimeout = seconds(2);
-// The one figure that keeps the bound: the call that is out when the service comes back may be lost, and the
-// next one starts at most this long after the start of that call.
+// This value keeps the bound: the call that is pending when the service recovers may be lost, and the next
+// one starts at most this long after the start of that call.
 constexpr Duration kMaxRetryInterval = kNotifiedAfterOutage - kServiceTimeout;
-// A change during a watch counts as notified this long after the watch's wait. One call in five seconds from
-// each sidecar is what the service bears; with watches of 4 s an overbooked one answered nobody.
+// A change during a watch counts as notified this long after the end of the watch's wait. The service can
+// handle one call in five seconds from each sidecar; with watches of 4 s an overloaded service answered
+// nobody.
 constexpr Duration kNotifiedAfterWatch = kServiceTimeout;
 constexpr Duration kServiceWatchWait = seconds(5);
-// From the second fault in a row on, the next call starts no sooner than this after the one before.
+// From the second consecutive fault on, the minimum time between the starts of two calls.
 constexpr Duration kMinFaultInterval = seconds(3);
 static_assert(kMinFaultInterval < kMaxRetryInterval);
-// Longer than the service's own timeout, so that its answer is received; what is left to kMaxRetryInterval
-// spreads the calls that timed out together.
+// Longer than the service's own timeout, so that its answer is received. The time that remains until
+// kMaxRetryInterval spreads calls that timed out together.
 constexpr Duration kServiceListTimeout = milliseconds(2500);
 static_assert(kServiceTimeout < kServiceListTimeout && kServiceListTimeout < kMaxRetryInterval);
-// Push: a full list that takes an agent this long is still accepted. At worst a list that was begun just
-// before the change arrives first, then the watch after it times out, and only the next list has the change:
-// twice this, and the watch, within kNotifiedAfterOutage.
+// Push: a full list is accepted if the agent takes at most this long. In the worst case a list that was begun
+// just before the change arrives first, then the watch after it times out, and only the next list contains
+// the change: twice this time plus the watch must fit into kNotifiedAfterOutage.
 constexpr Duration kLateListTimeout = milliseconds(2200);
 static_assert(2 * kLateListTimeout +
                   kMaxDrain * (kWatchWaitShares + kTimeoutShares + kBackoffShares) / kDrainShares <=
               kNotifiedAfterOutage);
-// A service that rejected a call is busy or starts anew: it is not called again at once.
+// A service that rejected a call is overloaded or restarting, so it is not called again at once.
 constexpr Duration kServiceFaultBackoff = milliseconds(250);
-// A sidecar whose calls failed counts as notified after this many times `poll_within`: half of that until the
-// next call, half for its answer.
+// A sidecar whose calls failed counts as notified after this multiple of `poll_within`: half of it until the
+// next call, half for that call's answer.
 constexpr int kPollPeriodsUntilNotified = 4;
 
-// The point at `share` of the way from `from` to `until`.
+// The point at the fraction `share` of the way from `from` to `until`.
 Duration Interpolate(Duration from, Duration until, double share) {
   return from + Duration(static_cast<Duration::rep>(share * static_cast<double>((until - from).count())));
 }
@@ -122,15 +124,15 @@
   const bool timed_out = call.kind == FailedCall::Kind::kTimeout;
   // After a timeout of an agent enough time has passed already.
   if (!on_request) return timed_out ? Duration::zero() : fault_backoff;
-  // One watch that timed out says nothing of the service, and watches end at different moments. A service
-  // that answers with an outdated list can be called.
+  // A single watch that timed out says nothing about the service, and watches end at different moments, so no
+  // backoff is needed. A service that answers with an outdated list is available.
   if (call.kind == FailedCall::Kind::kOutdated || (timed_out && call.watch)) return Duration::zero();
-  // Times count from when the service may have been back: a watch that broke would have been answered until
-  // then.
+  // The interval counts from the moment at which the service may have recovered. For a broken watch that is
+  // the failure itself, because until then the watch would have been answered.
   const Duration used = call.watch ? Duration::zero() : call.elapsed;
   Duration from = timed_out ? used : used + fault_backoff;
-  // A service that refuses calls, or rejects what it can't work through, is called less often than one that
-  // does not answer.
+  // A service that refuses calls, or rejects them because it is overloaded, is called less often than one
+  // that does not answer.
   if (call.consecutive_failures > 1) from = std::max(from, timed_out ? retry_timeout : min_fault_interval);
   const Duration until = std::max(from, max_retry_interval);
   return Interpolate(from, until, jitter) - used;
@@ -147,7 +149,8 @@
   return staleness_case == StalenessCase::kAddressChanged ? kNotifiedAfterAddressChange + drain : drain;
 }
 
-// The call that is out when the change comes is lost, of whatever kind it was; the next one is answered.
+// Assumes that the call that is pending when the change happens is lost, whatever its kind, and that the next
+// one is answered.
 Duration WorstCaseStaleness(const PollPolicy& policy, StalenessCase staleness_case) {
   if (staleness_case == StalenessCase::kWatchTimeout) {
     const Duration backoff = policy.on_request ? Duration::zero() : policy.fault_backoff;
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -1,10 +1,10 @@
-// How stale the endpoint list may become, and the timing of polls that keeps the bound. The one place for
-// both: pure functions of the settings, without sockets and without a clock, callable from any thread. The
-// table of cases, bounds and worst cases stands in docs/design/news.md.
+// The bound on the staleness of the endpoint list, and the timing of polls that keeps the bound. Both are
+// defined only here, as pure functions of the settings, without sockets or a clock, callable on any thread.
+// The table of cases, bounds and worst cases is in docs/design/news.md.
 //
-// There are two kinds of source. A local agent ("push") is this machine's own, holds the newest list and
+// There are two kinds of source. A local agent ("push") belongs to this machine, has the newest list and
 // answers a watch as soon as something changes. A shared service ("on request") answers all sidecars, so its
-// load bounds how often each of them may poll.
+// load limits how often each of them may poll.
 #pragma once
 
 #include "balancer/balancer.h"
@@ -16,12 +16,13 @@
   bool on_request = false;  // a shared service is polled; otherwise a local agent pushes
   balancer::Duration
       drain_within{};  // a draining upstream gets no new requests this long after the notification
-  balancer::Duration poll_within{};  // the longest time between two polls that the platform allows
+  balancer::Duration poll_within{};  // the maximum time between two polls that the platform allows
 
   static StalenessRules Of(const balancer::Settings& settings);
 };
 
-// The ways in which a change of the list can be missed, and the moment from which its staleness counts.
+// The ways in which a change of the list can be missed. Each names the moment from which the staleness is
+// counted.
 enum class StalenessCase {
   kWatchTimeout,    // a watch got no answer. Push: from when the agent has the change; on request: from the
                     // start of the watch
@@ -31,7 +32,7 @@
   kNewProcess,      // from the start of the process
 };
 
-// A call that brought no list.
+// A call that returned no list.
 struct FailedCall {
   enum class Kind {
     kTimeout,   // no answer in time
@@ -45,35 +46,39 @@
 };
 
 // When the source is polled and how long each call may take. A watch is a call that the source answers when
-// something has changed or its wait is over. Only a call after an answer is a watch: until there is one,
-// calls do not wait, since only such a call can be recognized soon as unanswered.
+// something has changed or when its wait is over. Only a call that follows an answer is a watch. Until the
+// first answer, and after a failure, calls have no wait, because only then can a missing answer be detected
+// soon.
 struct PollPolicy {
   bool on_request = false;
-  balancer::Duration watch_wait{};     // the wait that a watch names
-  balancer::Duration watch_timeout{};  // a watch fails this long after its wait
-  balancer::Duration list_timeout{};   // a call without a wait fails after this
-  balancer::Duration retry_timeout{};  // the same from the first failure on until the next answer
+  balancer::Duration watch_wait{};     // the wait that a watch requests
+  balancer::Duration watch_timeout{};  // a watch fails this long after the end of its wait
+  balancer::Duration list_timeout{};   // a call without a wait fails after this time
+  balancer::Duration retry_timeout{};  // the same, from the first failure until the next answer
   balancer::Duration
       late_list_timeout{};  // push: the answer to a full list that timed out is accepted until then
-  balancer::Duration fault_backoff{};  // least time from a fault to the next call
+  balancer::Duration fault_backoff{};  // minimum time from a fault to the next call
   balancer::Duration
       max_retry_interval{};  // on request: most time from the start of a failed call to the next
-  balancer::Duration min_fault_interval{};  // on request: least such time from the second fault in a row on
-  balancer::Duration answer_time{};         // what an answer may take until it is acted on
+  // On request: minimum of that time from the second consecutive fault on.
+  balancer::Duration min_fault_interval{};
+  balancer::Duration answer_time{};  // time that an answer may take until it has been applied
 
+  // The policy that keeps StalenessBound() in all cases.
   static PollPolicy For(const StalenessRules& rules);
-  // The wait of a watch. After an answer with changes, which all sidecars get together, `jitter` spreads the
-  // ends of their watches. `jitter`, here and below: drawn anew for each call, at least 0 and below 1.
+  // The wait of the next watch. All sidecars get an answer with changes at the same moment, so after such an
+  // answer `jitter` spreads the ends of their watches. `jitter`, here and below, is drawn anew for each call,
+  // in [0, 1).
   balancer::Duration WatchWaitAfter(bool had_changes, double jitter) const;
   // The time from the failure of `call` to the start of the next one.
   balancer::Duration BackoffAfter(const FailedCall& call, double jitter) const;
 };
 
-// The staleness that the operators allow in a case, from the moment named there.
+// The staleness that the operators allow in a case, counted from the moment named there.
 balancer::Duration StalenessBound(const StalenessRules& rules, StalenessCase staleness_case);
-// The staleness that `policy` leads to at worst.
+// The worst staleness that `policy` can lead to.
 balancer::Duration WorstCaseStaleness(const PollPolicy& policy, StalenessCase staleness_case);
-// The least difference between the two: covers late scheduling of the process and of its timers.
+// The minimum difference between the two, which covers late scheduling of the process and of its timers.
 balancer::Duration SchedulingMargin(const StalenessRules& rules);
 
 }  // namespace mothrack::discovery
--- a/src/discovery/list_call.cpp
+++ b/src/discovery/list_call.cpp
@@ -12,8 +12,8 @@
 
 namespace beast_http = boost::beast::http;
 
-constexpr unsigned kHttp11 = 11;  // as Beast writes the version
-// Bytes of a body; the list of the largest fleet is far below.
+constexpr unsigned kHttp11 = 11;  // Beast's representation of the version
+// Maximum size of a body in bytes; the list of the largest fleet is far smaller.
 constexpr std::uint64_t kMaxListSize = std::uint64_t{4} * 1024 * 1024;
 
 CallError ToCallError(const boost::system::error_code& error) {
@@ -58,7 +58,8 @@
 void ListCall::ReadHeader() {
   parser_.emplace();
   parser_->body_limit(kMaxListSize);
-  // The header on its own first, or the bound on the body does not hold (see http/transport.cpp).
+  // Read the header on its own first; otherwise the limit of the body is not enforced (see
+  // http/upstream_exchange.cpp).
   beast_http::async_read_header(stream_, buffer_, *parser_, Then([this] { ReadBody(); }));
 }
 
--- a/src/discovery/list_call.h
+++ b/src/discovery/list_call.h
@@ -1,4 +1,4 @@
-// One connection to the source of the endpoint list and the HTTP call on it.
+// One HTTP connection to the source of the endpoint list, and the call on it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -19,18 +19,18 @@
 
 namespace mothrack::discovery {
 
-// Why a call brought no list.
+// Why a call returned no list.
 struct CallError {
   FailedCall::Kind kind = FailedCall::Kind::kFault;
   std::string cause;  // for the log
 };
 
-// Used by the thread of the event loop only. Keeps itself alive while a call is out, so it is held by
-// shared_ptr.
+// Used on the thread of the event loop only. Held by shared_ptr, because it keeps itself alive while a call
+// is pending. Bound: a body of 4 MiB. Errors are reported as CallError; nothing throws.
 class ListCall : public std::enable_shared_from_this<ListCall> {
  public:
-  // Is notified exactly once of each call, unless the call was dropped. May call Start() or Drop() from
-  // there.
+  // Notified exactly once of each call, unless the call was dropped. May call Start() or Drop() from the
+  // notification.
   class Observer {
    public:
     virtual void OnBody(ListCall& call, const std::string& body) = 0;
@@ -40,20 +40,20 @@
     ~Observer() = default;
   };
 
-  // `observer` must live until Drop().
+  // `observer` must stay valid until Drop().
   ListCall(boost::asio::io_context& io, runtime::Endpoint endpoint, Observer& observer);
 
-  // GETs `target`, connecting first where the connection is not up. Fails with kTimeout after `timeout`.
+  // Sends a GET for `target`; connects first if necessary. Fails with kTimeout after `timeout`.
   void Start(const std::string& target, runtime::Duration timeout);
-  // May the connection carry another call?
+  // Whether the connection can carry another call.
   bool reusable() const { return connected_; }
-  // Closes the connection; the observer is not notified any more.
+  // Closes the connection. The observer is not notified any more.
   void Drop();
 
  private:
   using ErrorCode = boost::system::error_code;
 
-  // Wraps the next step of the call: not taken after Drop(), and an error ends the call.
+  // Wraps the next step of the call. The step is skipped after Drop(), and an error ends the call.
   template <typename Next>
   auto Then(Next next);
   void Write();
