--- a/src/hot_restart/client.cpp
+++ b/src/hot_restart/client.cpp
@@ -23,11 +23,11 @@
 using nlohmann::json;
 using Protocol = boost::asio::local::stream_protocol;
 
-// While another successor gets ready.
+// Delay before asking again while another successor is starting.
 constexpr auto kRetryInterval = std::chrono::milliseconds(50);
 constexpr std::size_t kReadSize = 16384;  // bytes
 
-// All of it, on a socket that blocks; false where the connection broke.
+// Sends all of `text` on a blocking socket. Returns false if the connection broke.
 bool SendAll(int to, std::string_view text) {
   while (!text.empty()) {
     const ssize_t sent = ::send(to, text.data(), text.size(), MSG_NOSIGNAL);
@@ -37,7 +37,8 @@
   return true;
 }
 
-// Is there something to read, or the end, before `until`?
+// Waits until the descriptor is readable (data or the end of the stream). Returns false if that takes until
+// `until`.
 bool Readable(int descriptor, std::chrono::steady_clock::time_point until) {
   while (true) {
     const auto left =
@@ -50,8 +51,8 @@
   }
 }
 
-// One attempt: the line that answers; nothing where the connection ended or took too long. `listening` gets
-// the socket that came along, `remainder` what came behind the line.
+// One attempt: returns the reply line, or nothing if the connection ended or took too long. `listening`
+// receives the passed socket, `remainder` the bytes after the line.
 std::optional<json> FetchState(Protocol::socket& socket, std::chrono::steady_clock::time_point until,
                                int& listening, std::string& remainder) {
   const std::string request = json{{kTakeOverKey, kVersion}}.dump() + '\n';
@@ -66,7 +67,7 @@
     while (!text.empty() && text.front() == kSocketMarker) text.erase(0, 1);
     if (const auto end = text.find('\n'); end != std::string::npos) {
       json line = json::parse(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(end), nullptr, false);
-      remainder = text.substr(end + 1);  // sent since
+      remainder = text.substr(end + 1);  // sent after the line
       if (line.is_object()) return line;
       return std::nullopt;
     }
@@ -83,7 +84,7 @@
     Protocol::socket socket(io);
     error_code error;
     socket.connect(Protocol::endpoint(path), error);
-    if (error) return std::nullopt;  // nobody serves
+    if (error) return std::nullopt;  // no process is serving
     InheritedState inherited;
     std::string remainder;
     const auto answer = FetchState(socket, until, inherited.listening, remainder);
--- a/src/hot_restart/client.h
+++ b/src/hot_restart/client.h
@@ -1,5 +1,5 @@
-// The successor's side of a hot restart: finds the process that serves and takes over its state and its
-// listening socket. server.h has the other side, and the messages.
+// The successor's side of a hot restart: finds the serving process and takes over its state and its listening
+// socket. server.h has the other side and the messages.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,15 +14,16 @@
 
 namespace mothrack::hot_restart {
 
-// What the process that serves handed over.
+// What the serving process handed over.
 struct InheritedState {
   State state;
-  int listening = -1;          // the socket where clients connect; the caller's to close
-  std::shared_ptr<Link> link;  // to the predecessor; not started
+  int listening = -1;          // the listening socket for clients; the caller must close it
+  std::shared_ptr<Link> link;  // to the predecessor; not started yet
 };
 
-// Takes over from the process that serves by `path`, within `timeout`. Nothing where none does, or where what
-// it sends can't be used, which is logged. Blocks: to be called before anything is served.
+// Takes over from the process that listens at `path`, within `timeout`. Returns nothing if there is no such
+// process or if its data is unusable, which is logged. Blocks, so it must be called before anything is
+// served.
 std::optional<InheritedState> TakeOver(boost::asio::io_context& io, const std::string& path,
                                        runtime::Duration timeout, runtime::Logger& log);
 
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -49,8 +49,8 @@
                           });
 }
 
-// Calls on_line_ for each whole line in what has come, of which the first `scanned` bytes are known to hold
-// no end of one; false where the link is closed.
+// Calls on_line_ for each complete line received. The first `scanned` bytes are known to contain no line end.
+// Returns false if the link is closed.
 bool Link::DeliverLines(std::size_t scanned) {
   std::size_t begin = 0;
   for (auto end = received_.find('\n', scanned); end != std::string::npos;
@@ -59,7 +59,7 @@
         nlohmann::json::parse(received_.begin() + static_cast<std::ptrdiff_t>(begin),
                               received_.begin() + static_cast<std::ptrdiff_t>(end), nullptr, false);
     begin = end + 1;
-    const OnLine on_line = on_line_;  // it may close this
+    const OnLine on_line = on_line_;  // a copy, because the call may close this link
     if (line.is_object()) on_line(line);
     if (!line.is_object()) Disconnect();
     if (!on_line_) return false;
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/link.h
@@ -1,4 +1,5 @@
-// A connection between two processes of one sidecar: a JSON object a line, either way, on a Unix socket.
+// A connection between two processes of one sidecar over a Unix socket. Either side sends JSON objects, one
+// per line.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -12,27 +13,29 @@
 
 namespace mothrack::hot_restart {
 
-// Bytes: longer than a state with all ids that are remembered.
+// Maximum line length in bytes. Longer than a state with all remembered ids.
 inline constexpr std::size_t kLongestLine = std::size_t{4} * 1024 * 1024;
 
-// Not thread-safe. Owned by shared_ptr, and by its own operations while they are under way.
+// Used on the thread of the event loop only. Held by shared_ptr and kept alive by its pending operations.
+// Buffers at most twice kLongestLine bytes for sending; a link that exceeds a bound is closed.
 class Link : public std::enable_shared_from_this<Link> {
  public:
   using Socket = boost::asio::local::stream_protocol::socket;
   using OnLine = std::function<void(const nlohmann::json&)>;
   using OnEnd = std::function<void()>;
 
-  // `received`: bytes that have come already and are not parsed yet.
+  // `received`: bytes that were received already and are not parsed yet.
   explicit Link(Socket socket, std::string received = {})
       : socket_(std::move(socket)), write_stream_(socket_), received_(std::move(received)) {}
 
-  // Reads from now on; to be called once. `on_end` is called once, when the other process has exited, sends
-  // what is no JSON object, or does not read; nothing is called after Close().
+  // Starts reading. Must be called once. `on_end` is called once, when the other process has exited, has sent
+  // something other than a JSON object, or does not read. Nothing is called after Close().
   void Start(OnLine on_line, OnEnd on_end);
   // Replaces the handlers.
   void SetHandlers(OnLine on_line, OnEnd on_end);
-  // Sends one line, when those before are sent.
+  // Queues one line for sending.
   void Send(const nlohmann::json& line);
+  // Closes the socket without calling `on_end`.
   void Close();
 
   Socket& socket() { return socket_; }
--- a/src/hot_restart/messages.h
+++ b/src/hot_restart/messages.h
@@ -1,6 +1,5 @@
-// What two processes of one sidecar notify each other of while both run, and how it is written on their link
-// (link.h): one JSON object a line. A process ignores keys that it does not know, so that a later program may
-// add some.
+// The notifications between two processes of one sidecar while both run, and their form on the link (link.h):
+// one JSON object per line. A process ignores unknown keys, so that a later program may add some.
 #pragma once
 
 #include <cstddef>
@@ -10,22 +9,22 @@
 
 namespace mothrack::hot_restart {
 
-// Keys of the lines that are about the hot restart itself.
-inline constexpr const char* kTakeOverKey = "takeover";  // the successor asks; the value is its kVersion
-inline constexpr const char* kBusyKey = "busy";          // another successor gets ready: to be asked again
+// Keys of the lines that control the hot restart itself.
+inline constexpr const char* kTakeOverKey = "takeover";  // the successor's request; the value is its kVersion
+inline constexpr const char* kBusyKey = "busy";          // another successor is starting: ask again later
 inline constexpr const char* kReadyKey = "ready";        // the successor accepts clients
 
-// A change at one process that holds at the other, too. Usually one member is set.
+// A change in one process that applies to the other too. Usually only one member is set.
 struct Update {
   std::optional<std::string> ban{};      // uid of an upstream, never empty
   std::optional<std::string> unban{};    // the same
   std::optional<std::string> id{};       // of a request that must not be accepted again, never empty
-  std::optional<bool> quiesce{};         // no new clients, or clients again
-  std::optional<std::size_t> sockets{};  // descriptors that the predecessor still needs
+  std::optional<bool> quiesce{};         // true: accept no new clients; false: accept them again
+  std::optional<std::size_t> sockets{};  // descriptors that the predecessor still uses
 };
 
 nlohmann::json ToJson(const Update& update);
-// What is missing, empty or of another type is left unset.
+// Members that are missing, empty or of the wrong type are left unset.
 Update ParseUpdate(const nlohmann::json& line);
 
 }  // namespace mothrack::hot_restart
--- a/src/hot_restart/server.cpp
+++ b/src/hot_restart/server.cpp
@@ -16,9 +16,9 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-// Until the next accept after one that failed.
+// Delay before the next accept after a failed one.
 constexpr auto kRetryInterval = std::chrono::milliseconds(50);
-// Successors start one after the other.
+// Small, because successors start one after the other.
 constexpr int kBacklog = 8;
 
 }  // namespace
@@ -32,7 +32,7 @@
       accept_timer_(io),
       predecessor_(std::move(predecessor)) {
   if (!predecessor_) return;
-  const auto link = predecessor_;  // it may end at once
+  const auto link = predecessor_;  // a copy, because the link may end during Start()
   link->Start([this](const json& line) { handler_.OnUpdate(ParseUpdate(line)); },
               [this] {
                 predecessor_.reset();
@@ -44,7 +44,7 @@
   for (const auto& link : {predecessor_, successor_, candidate_}) {
     if (link) link->Close();
   }
-  // The path may be a successor's by now.
+  // If the successor is ready, the path belongs to it.
   if (acceptor_.is_open() && !successor_ready_) ::unlink(path_.c_str());
 }
 
@@ -63,12 +63,14 @@
   }
 }
 
-// Under another name first: a successor finds either process by the path, never none.
+// Binds under a temporary name and renames it. So a successor finds one of the two processes at the path at
+// any time.
 void HotRestartServer::Listen() {
   const std::string temporary = path_ + '.' + std::to_string(::getpid());
   ::unlink(temporary.c_str());
   acceptor_.open();
-  // Else one that left ahead of its turn hides those behind it until a further one comes.
+  // By default Asio hides ECONNABORTED and waits for the next connection. So if a successor disconnected
+  // while in the backlog, those behind it would stay unnoticed until another one connects.
   acceptor_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
   const mode_t before = ::umask(0177);
   error_code error;
@@ -89,9 +91,11 @@
 void HotRestartServer::Accept() {
   acceptor_.async_accept([this](error_code error, Protocol::socket socket) {
     if (error == boost::asio::error::operation_aborted || !acceptor_.is_open()) return;
-    // Descriptors or memory ran out for a moment: a successor must find this process all the same.
+    // Descriptors or memory ran out for a moment. Retry, because a successor must be able to find this
+    // process.
     if (error) return AcceptLater();
-    if (candidate_) std::exchange(candidate_, nullptr)->Close();  // one that wants to take over asks at once
+    // A real successor sends its request at once.
+    if (candidate_) std::exchange(candidate_, nullptr)->Close();
     candidate_ = std::make_shared<Link>(std::move(socket));
     candidate_->Start([this, link = candidate_.get()](
                           const json& line) { OnCandidateMessage(link->shared_from_this(), line); },
@@ -132,7 +136,7 @@
       [this] {
         successor_.reset();
         log_.Line("handover: the successor is gone");
-        // The path was the successor's.
+        // The path belonged to the successor.
         if (std::exchange(successor_ready_, false)) ListenOrLog();
         handler_.OnSuccessorExited();
       });
--- a/src/hot_restart/server.h
+++ b/src/hot_restart/server.h
@@ -1,14 +1,13 @@
-// Two processes of one sidecar, the serving one (the predecessor) and its successor, beside each other for a
-// while. The successor finds the serving one by a Unix socket in the directory that they share, and is handed
-// the listening socket itself (SCM_RIGHTS, unix(7)), so that no connection in the kernel's queue is lost when
-// either ends; and the state that must hold across the change (state.h). From then on each notifies the other
-// of what changes, until one of them exits. Here is the side of the process that serves; client.h has the
-// successor's first step.
+// Hot restart: the serving process (the predecessor) and its successor run side by side for a while. The
+// successor finds the serving process through a Unix socket in a shared directory. It receives the listening
+// socket itself (SCM_RIGHTS, unix(7)), so that no connection in the listen backlog is lost when either
+// process exits, and the state that must survive the restart (state.h). From then on each process notifies
+// the other of changes until one of them exits. This file has the side of the serving process; client.h has
+// the successor's first step.
 //
-// Lines, either way (link.h): {"takeover":1} asks; the state answers, or {"busy":true} while another
-// successor gets ready; {"ready":true} says that the successor accepts clients. All others are Updates
-// (messages.h):
-// {"ban":ID}, {"unban":ID}, {"rest":bool}, {"id":ID}, {"sockets":N}.
+// Lines, in either direction (link.h): {"takeover":1} requests the takeover; the reply is the state, or
+// {"busy":true} while another successor is starting; {"ready":true} says that the successor accepts clients.
+// All others are Updates (messages.h): {"ban":ID}, {"unban":ID}, {"rest":bool}, {"id":ID}, {"sockets":N}.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -24,23 +23,23 @@
 
 namespace mothrack::hot_restart {
 
-// Listens for successors, one at a time, and keeps the links to the successor and to the predecessor. Not
-// thread-safe: used by the one thread of its event loop.
+// Listens for successors, one at a time, and keeps the links to the successor and to the predecessor. Used on
+// the thread of the event loop only.
 class HotRestartServer {
  public:
-  // The process that serves. Called on the event loop.
+  // The serving process. Called on the event loop.
   class Handler {
    public:
-    // The state for a successor, as it is now.
+    // The current state, for a successor.
     virtual State ExportState() = 0;
-    // The socket where clients connect; it stays the handler's.
+    // The listening socket for clients. The handler keeps its ownership.
     virtual int ListeningSocket() = 0;
     // The successor accepts clients from now on.
     virtual void OnSuccessorReady() = 0;
     // The successor exited, ready or not: this process is alone again.
     virtual void OnSuccessorExited() = 0;
     virtual void OnPredecessorExited() = 0;
-    // The other process notifies this one.
+    // An update from the other process.
     virtual void OnUpdate(const Update& update) = 0;
 
    protected:
@@ -48,21 +47,21 @@
   };
 
   // `path`: of the Unix socket. `predecessor`: null unless this process took over. `handler` and `log` must
-  // outlive it.
+  // outlive this object.
   HotRestartServer(boost::asio::io_context& io, std::string path, std::shared_ptr<Link> predecessor,
                    Handler& handler, runtime::Logger& log);
   ~HotRestartServer();
   HotRestartServer(const HotRestartServer&) = delete;
   HotRestartServer& operator=(const HotRestartServer&) = delete;
 
-  // This process accepts clients: its predecessor is notified, and the next successor finds this one by the
-  // path. Where it can't listen there that is logged.
+  // This process accepts clients now: notifies its predecessor and takes over the path, so that the next
+  // successor finds this process. A failure to listen there is logged.
   void AnnounceReady();
-  // Notifies the predecessor and the successor, where there are any.
+  // Notifies the predecessor and the successor, if there are any.
   void Notify(const Update& update);
   void NotifySuccessor(const Update& update);
 
-  // A successor that accepts clients.
+  // Whether there is a successor that accepts clients.
   bool has_successor() const { return successor_ready_; }
   bool has_predecessor() const { return predecessor_ != nullptr; }
 
@@ -83,7 +82,7 @@
   boost::asio::steady_timer accept_timer_;
   std::shared_ptr<Link> predecessor_;
   std::shared_ptr<Link> successor_;
-  std::shared_ptr<Link> candidate_;  // has connected, and not asked to take over yet
+  std::shared_ptr<Link> candidate_;  // has connected but not yet requested the takeover
   bool successor_ready_ = false;     // the successor accepts clients
 };
 
--- a/src/hot_restart/socket_passing.h
+++ b/src/hot_restart/socket_passing.h
@@ -1,4 +1,4 @@
-// Hands an open socket to another process over a Unix socket (SCM_RIGHTS, unix(7)).
+// Passes an open socket to another process over a Unix socket (SCM_RIGHTS, unix(7)).
 #pragma once
 
 #include <sys/types.h>
@@ -7,16 +7,19 @@
 
 namespace mothrack::hot_restart {
 
-// The byte that a socket goes along with, ahead of the state's line: a message without bytes carries none.
+// The byte that accompanies the socket, before the state's line: a message without data cannot carry a
+// descriptor.
 inline constexpr char kSocketMarker = '\n';
 
-// Sends `socket` along with kWithSocket over the Unix socket `to`; false, and errno set, where it can't.
+// Sends `socket` with kSocketMarker over the Unix socket `to`. Returns false and sets errno on failure.
 bool SendSocket(int to, int socket);
 
-// What recvmsg(2) gives on `from`: at most `size` bytes, 0 at the end, negative with errno set. A socket that
-// came along replaces `socket`, which is closed unless it is negative; the caller owns it.
+// Receives at most `size` bytes from `from`, as recvmsg(2): returns 0 at the end of the stream, or a negative
+// value with errno set. A received socket is stored in `socket` and belongs to the caller; the previous value
+// is closed unless negative.
 ssize_t Receive(int from, char* bytes, std::size_t size, int& socket);
 
+// Whether `socket` is a listening socket (SO_ACCEPTCONN).
 bool IsListening(int socket);
 
 }  // namespace mothrack::hot_restart
--- a/src/hot_restart/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -26,7 +26,7 @@
   }
 }
 
-// False, and errno set, unless all of it is on disk.
+// Returns false and sets errno unless all of the text is on disk.
 bool WriteAndSync(const std::string& file, std::string_view text) {
   const int descriptor = ::open(file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, S_IRUSR | S_IWUSR);
   if (descriptor < 0) return false;
@@ -43,7 +43,8 @@
   return good;
 }
 
-// False, and errno set, where a rename in the file's directory may not outlive a crash of the machine.
+// Syncs the file's directory. Returns false and sets errno if a rename in it may not survive a crash of the
+// machine.
 bool SyncDirectoryOf(const std::string& file) {
   const auto slash = file.rfind('/');
   const std::string directory = slash == std::string::npos ? "." : file.substr(0, slash + 1);
