--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::admin {
 namespace {
 
-constexpr double kMaxCallsPerSecond = 20;  // and as many at once
+constexpr double kMaxCallsPerSecond = 20;  // and as many in one burst
 
 std::string AfterParameter(const Call& call) {
   static const std::string kName = "after=";
@@ -42,7 +42,7 @@
 
 std::optional<Answer> AdminApi::Guard(const Call& call) {
   if (!rate_limiter_.Take(runtime::Now())) return Fault(429, "too many requests; ask less often");
-  // Without a token the mode of the Unix socket has let the caller in.
+  // Without a token, the file mode of the Unix socket has authorized the caller.
   if (settings_.token.empty() || HasBearerToken(call, settings_.token)) return std::nullopt;
   return Fault(401, "give the token as Authorization: Bearer TOKEN");
 }
--- a/src/admin/operator_api.h
+++ b/src/admin/operator_api.h
@@ -1,10 +1,10 @@
-// The platform's API for operators (LB_OPS), for the people on call. 2xx is yes, 4xx and 5xx are no; see
+// The platform's API for the engineers on call (LB_OPS). A 2xx status means yes, 4xx and 5xx mean no; see
 // docs/operators/on_call.md.
 //
-//   GET /ops/readiness              yes while it accepts clients
+//   GET /ops/readiness              2xx while the sidecar accepts clients
 //   GET /ops/stats                  the figures
-//   PUT /ops/upstreams/down, up     {"name": ID}: nothing new for that upstream; as discovery says again
-//   PUT /ops/drain/start, stop      no new clients; accepts clients again
+//   PUT /ops/upstreams/down, up     {"name": ID}: sends nothing new to that upstream; follows discovery again
+//   PUT /ops/drain/start, stop      accepts no new clients; accepts clients again
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,30 +16,32 @@
 
 namespace mothrack::admin {
 
-// What the API shows, and what it may set off. All of it is called on the event loop.
+// The data and actions that the API offers. All functions are called on the event loop.
 struct OperatorApiSource {
   std::function<bool()> ready;
   std::function<nlohmann::json()> stats;
-  // False where the upstream was never listed.
+  // Take an upstream out and undo that. They return false if the upstream was never listed.
   std::function<bool(const std::string& uid)> ban;
   std::function<bool(const std::string& uid)> unban;
-  // False where it can't be done: a planned stop is not revoked.
+  // Starts or ends quiescing. Returns false if that is impossible: a planned stop cannot be revoked.
   std::function<bool(bool on)> drain;
 };
 
-// Used by the one thread of the event loop.
+// Owned by the sidecar and used on the thread of the event loop only.
 class OperatorApi {
  public:
-  // Listens at once. `log` must outlive it. Throws std::runtime_error, which names setting and address, where
-  // it can't.
+  // Listens at once. `log` must outlive this object. Throws std::runtime_error, which names setting and
+  // address, if it cannot listen.
   OperatorApi(boost::asio::io_context& io, const runtime::Endpoint& endpoint, OperatorApiSource source,
               runtime::Logger& log);
 
-  // Far more than ask at one time, so that those who hold a connection of these don't matter.
+  // Maximum number of open connections: far more than call at the same time, so that callers that keep a
+  // connection open do not matter.
   static constexpr std::size_t kConnections = 16;
   // Descriptors to reserve: the listening socket and its connections.
   static constexpr std::size_t kFixedDescriptors = 1 + kConnections;
 
+  // See Server::local().
   std::string local() const { return server_.local(); }
 
  private:
@@ -49,7 +51,7 @@
 
   const OperatorApiSource source_;
   runtime::Logger& log_;
-  Server server_;  // last: it calls the rest
+  Server server_;  // last, because its routes use the other members
 };
 
 }  // namespace mothrack::admin
--- a/src/admin/report.cpp
+++ b/src/admin/report.cpp
@@ -30,8 +30,8 @@
   return "gone";
 }
 
-// Member by member, each moved in: as a list in braces every pair is an array first, which was most of what
-// an answer cost.
+// Inserts the members one by one. With a braced list, nlohmann::json first builds an array for every pair,
+// which was most of the cost of an answer.
 json ToJson(const balancer::UpstreamView& view, runtime::TimePoint now, std::int64_t unix_now) {
   json upstream = json::object();
   upstream.emplace("id", view.id.value);
@@ -82,7 +82,7 @@
   }
   return {{"pid", ::getpid()},
           {"memory_bytes", resident * ::sysconf(_SC_PAGESIZE)},
-          {"descriptors", open > 0 ? open - 1 : 0},  // without the one that counts them
+          {"descriptors", open > 0 ? open - 1 : 0},  // without the one of the directory being read
           {"most_descriptors", max_descriptors}};
 }
 
--- a/src/admin/report.h
+++ b/src/admin/report.h
@@ -1,4 +1,4 @@
-// The reports of the admin APIs, as JSON. Times are Unix milliseconds.
+// The reports of the admin APIs, as JSON. Times are Unix milliseconds. Used on the thread of the event loop.
 #pragma once
 
 #include <cstdint>
@@ -9,22 +9,22 @@
 
 namespace mothrack::admin {
 
-// The process itself: its id, memory and open descriptors, as the system counts them.
+// The process itself: its id, memory and open descriptors as the kernel reports them.
 nlohmann::json ProcessReport(std::size_t max_descriptors);
 
-// One pool: requests open, counters by class, tenant and outcome (rows that count nothing are left out), and
-// those upstreams whose id is greater than `after`, at most kMaxUpstreams of them; "more" says that others
-// follow.
+// One pool: the number of open requests; counters by class, tenant and outcome (rows without requests are
+// omitted); and the upstreams whose id is greater than `after`, at most kMaxUpstreams of them. "more" says
+// whether others follow.
 inline constexpr std::size_t kMaxUpstreams = 100;
 nlohmann::json PoolReport(const std::string& name, const dispatch::Dispatcher& dispatcher,
                           const std::string& after);
 
-// The platform's figures: by class what became of requests and the attempts that were written, since the
-// process began; what is open now; upstreams in the list, and those of them that are avoided, by hand or by
-// choice.
+// The platform's figures: per class, the final answers of requests and the number of written attempts since
+// the start of the process; the requests open now; and the number of listed upstreams and of those that are
+// avoided, whether ejected or banned by an operator.
 nlohmann::json Figures(const dispatch::Dispatcher& dispatcher);
 
-// Now, as the system's clock has it.
+// The current time of the system clock.
 std::int64_t UnixMilliseconds();
 
 }  // namespace mothrack::admin
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -25,24 +25,25 @@
 using boost::system::error_code;
 using nlohmann::json;
 
-// For a call to arrive and its answer to be sent.
+// Time limit for the arrival of a call and the writing of its answer.
 constexpr auto kCallTimeout = std::chrono::seconds(5);
-// After the answer the caller's close is waited for: a reset could overtake the answer.
+// How long to wait for the caller's close after the answer: closing at once could send an RST that overtakes
+// the answer.
 constexpr auto kLinger = std::chrono::milliseconds(500);
-// Until the next accept after one that failed, as descriptors ran out.
+// Delay before the next accept after a failed one, because descriptors ran out.
 constexpr runtime::Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
 constexpr std::size_t kMaxHeaderSize = 4096;  // bytes
 constexpr int kBacklog = 64;
 constexpr std::size_t kMaxLogged = 64;  // characters of a method or a path
 
-// Of a request line, for the log: what a stranger sends may not break a line or fill it.
+// Makes a part of the request line safe for the log: input from outside must not break or fill a log line.
 std::string Printable(const std::string& text) {
   std::string printable;
   for (const char c : text.substr(0, kMaxLogged)) printable += c > ' ' && c < 127 ? c : '?';
   return printable;
 }
 
-// A socket that a killed process left behind is in the way of the next; one that is served must stay.
+// A socket that a killed process left behind prevents binding. One that a live process serves must stay.
 void RemoveStaleSocket(const ListenAddress& address) {
   const std::string& path = address.unix_path;
   struct stat info {};
@@ -59,7 +60,7 @@
   ::unlink(path.c_str());
 }
 
-// While it lives only the owner may open files and sockets that are created.
+// While it exists, files and sockets are created with access for the owner only.
 class PrivateUmask {
  public:
   PrivateUmask() : before_(::umask(0177)) {}
@@ -71,7 +72,7 @@
   mode_t before_;
 };
 
-// Takes the same time whatever `given` is, but for its length, which is no secret.
+// The time depends only on the length of `given`, which is no secret.
 bool EqualInConstantTime(const std::string& given, const std::string& secret) {
   unsigned char differ = given.size() == secret.size() ? 0 : 1;
   for (std::size_t i = 0; i < given.size(); ++i) {
@@ -127,7 +128,7 @@
         });
   }
 
-  // Nothing of it calls its server from here on.
+  // Closes the connection and detaches it from its server, which is not called any more.
   void Close() {
     server_ = nullptr;
     error_code ignored;
@@ -135,7 +136,7 @@
     timer_.cancel();
   }
 
-  // Is no answer on its way? Then a newer connection may have its place.
+  // Whether no answer is being written, so that a newer connection may replace this one.
   bool evictable() const { return !answering_; }
 
  private:
@@ -165,7 +166,7 @@
     response_.set(beast_http::field::content_type, "application/json");
     if (answer.status == 401) response_.set(beast_http::field::www_authenticate, "Bearer");
     response_.keep_alive(false);
-    // What is no UTF-8 (a name from outside) is replaced, never thrown at.
+    // Invalid UTF-8 (in a name from outside) is replaced, because dump() would throw otherwise.
     response_.body() = answer.body.dump(-1, ' ', false, json::error_handler_t::replace) + '\n';
     response_.prepare_payload();
     beast_http::async_write(write_stream_, response_,
@@ -230,7 +231,8 @@
       acceptor_.bind(stream_protocol::endpoint(address_.unix_path));
     }
     acceptor_.listen(kBacklog);
-    // Else a caller that left ahead of its turn hides those behind it until a further one comes.
+    // By default Asio hides ECONNABORTED and waits for the next connection. So if a caller disconnected while
+    // in the backlog, those behind it would stay unnoticed until another one connects.
     acceptor_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
   } catch (const boost::system::system_error& e) {
     throw std::runtime_error(address_.setting + ": " + local() + ": " + e.code().message() +
@@ -271,7 +273,7 @@
   });
 }
 
-// Those whose answer is on its way stay: there are no more of them than callers at one time.
+// Connections whose answer is being written stay; there are no more of them than concurrent callers.
 void Server::EvictOldest() {
   const auto oldest = std::find_if(connections_.begin(), connections_.end(),
                                    [](const auto& connection) { return connection->evictable(); });
@@ -280,7 +282,7 @@
   connections_.erase(oldest);
 }
 
-// Guards against a spin where descriptors or memory ran out.
+// Delays the next accept to prevent a busy loop while descriptors or memory are exhausted.
 void Server::AcceptLater() {
   accept_timer_.expires_after(kAcceptRetryDelay);
   accept_timer_.async_wait([this](error_code error) {
--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -1,7 +1,7 @@
-// The server of the admin APIs: HTTP/1.1 with JSON answers on a Unix socket or an address, one call a
-// connection. Up to a bound of connections are open at once, each for kCallTimeout at most; where another
-// comes, the one is closed that has been open longest without an answer on its way. So a caller that holds
-// its connection never keeps another waiting. Errors are {"error": text}.
+// The server of the admin APIs: HTTP/1.1 with JSON answers on a Unix socket or a TCP address, one call per
+// connection. The number of open connections is bounded, and each lasts kCallTimeout at most. If a further
+// client connects, the oldest connection without an answer in progress is closed, so that a caller that holds
+// its connection never blocks another. Errors have the form {"error": text}.
 #pragma once
 
 #include <boost/asio/generic/stream_protocol.hpp>
@@ -22,11 +22,11 @@
 
 namespace mothrack::admin {
 
-// A request, as a route looks at it.
+// A request in the form in which routes see it.
 struct Call {
   std::string method;
-  std::string path;   // of the target, without its query
-  std::string query;  // as it came, without the question mark
+  std::string path;   // of the target, without the query
+  std::string query;  // as received, without the question mark
   std::string authorization;
   std::string body;
 };
@@ -40,15 +40,16 @@
 // {"error": why}
 inline Answer Fault(unsigned status, const std::string& why) { return {status, {{"error", why}}}; }
 
-// Does the call present this token, as `Authorization: Bearer TOKEN` (RFC 6750 section 2.1)? Compared in
-// constant time. Never true for an empty token.
+// Whether the call presents this token as `Authorization: Bearer TOKEN` (RFC 6750 section 2.1). The
+// comparison takes constant time. Always false for an empty token.
 bool HasBearerToken(const Call& call, const std::string& token);
 
-// A part of a URL as it was before it was escaped (RFC 3986 section 2.1); what is no escape stays as it is.
+// Decodes the percent-encoding of a URL component (RFC 3986 section 2.1). Invalid escapes are left as they
+// are.
 std::string PercentDecoded(const std::string& text);
 
-// One row of a server's table. A call that no row has is answered with 404, or 405 where only the method
-// differs, and with the routes that there are.
+// An entry of the server's routing table. A call that matches no entry gets 404, or 405 if only the method
+// differs, with a list of the existing routes.
 struct Route {
   std::string method;
   std::string path;
@@ -57,16 +58,16 @@
 
 // Where a server listens: a Unix socket or an address.
 struct ListenAddress {
-  std::string setting;                        // that names it, for errors
-  std::string unix_path;                      // empty: `endpoint` counts
+  std::string setting;                        // the name of the setting, for errors
+  std::string unix_path;                      // if empty, `endpoint` is used
   std::optional<runtime::Endpoint> endpoint;  // TCP
 };
 
-// Not thread-safe: used by the one thread of its event loop, and destroyed when that has stopped or between
-// two handlers of it.
+// Used on the thread of the event loop only. Must be destroyed when the loop has stopped or between two of
+// its handlers.
 class Server {
  public:
-  // Looks at each call before any route; an answer of its own is all that the call gets.
+  // Called for each call before any route. If it returns an answer, no route is called.
   using Guard = std::function<std::optional<Answer>(const Call&)>;
 
   struct Bounds {
@@ -74,15 +75,16 @@
     std::size_t body = 0;         // bytes
   };
 
-  // Listens at once, and removes a socket that a killed process left at the path. `label` begins its log
-  // lines; `log` must outlive it. Throws std::runtime_error, which names setting and address, where it can't.
+  // Listens at once, after removing a socket that a killed process left at the path. `label` is the prefix of
+  // its log lines; `log` must outlive this object. Throws std::runtime_error, which names setting and
+  // address, if it cannot listen.
   Server(boost::asio::io_context& io, ListenAddress address, Bounds bounds, std::string label,
          std::vector<Route> routes, Guard guard, runtime::Logger& log);
   ~Server();  // NOLINT(bugprone-exception-escape): as in server.cpp
   Server(const Server&) = delete;
   Server& operator=(const Server&) = delete;
 
-  // "unix:PATH", or the address with the port that the system picked.
+  // "unix:PATH", or the address with the port that the kernel chose.
   std::string local() const;
 
  private:
@@ -93,7 +95,7 @@
   void AcceptLater();
   void EvictOldest();
   Answer Serve(const Call& call);
-  // Logs it, too.
+  // Logs the rejected call and builds its answer.
   Answer Reject(const Call& call, unsigned status, const std::string& reason, const std::string& error);
 
   boost::asio::io_context& io_;
@@ -105,7 +107,7 @@
   runtime::Logger& log_;
   boost::asio::basic_socket_acceptor<Protocol> acceptor_;
   boost::asio::steady_timer accept_timer_;
-  std::list<std::shared_ptr<Connection>> connections_;  // the oldest first
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace mothrack::admin
--- a/src/admin/settings.h
+++ b/src/admin/settings.h
@@ -1,4 +1,4 @@
-// Where the admin API listens, by the operator's file.
+// The listening address of the admin API, from the operator's file.
 #pragma once
 
 #include <optional>
@@ -8,12 +8,11 @@
 
 namespace mothrack::admin {
 
-// Either a Unix socket, which the file system guards (mode 0600), or a loopback address, which `token`
-// guards.
+// Either a Unix socket, protected by its file mode (0600), or a loopback address, protected by `token`.
 struct Settings {
-  std::string unix_path;                      // empty: there is an address
+  std::string unix_path;                      // if empty, `endpoint` is used
   std::optional<runtime::Endpoint> endpoint;  // TCP
-  std::string token_file;                     // of an address; its first line is the token
+  std::string token_file;                     // for `endpoint`: the first line of this file is the token
   std::string token;                          // never printed or logged
 };
 
