--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -11,8 +11,8 @@
 // What the sender of a digest lacks of one member.
 struct Difference {
   bool update_is_later = false;
-  const StoredValues* values = nullptr;  // null: the same there, of a later boot there, or none
-  std::size_t size = 0;                  // bytes that all of it takes at most
+  const StoredValues* values = nullptr;  // null: none, or the sender has the same or those of a later boot
+  std::size_t size = 0;                  // maximum encoded size in bytes
 };
 
 bool UpdateIsLater(const MembershipUpdate& update, const DigestEntry* entry) {
@@ -30,7 +30,7 @@
   return entry->boot_id != owner || entry->values_hash != values.HashOf(owner);
 }
 
-// `entry`: null where the digest does not name the member.
+// `entry` is null if the digest does not contain the member.
 Difference DifferenceOf(const MembershipUpdate& update, const DigestEntry* entry, const ValueStore& values) {
   Difference difference;
   difference.update_is_later = UpdateIsLater(update, entry);
@@ -58,7 +58,7 @@
     digest.digest.push_back(entry);
   }
   if (it != membership.all().end()) digest.range_to = it->first;
-  // Without an answer the round goes on all the same: its recipient may be dead.
+  // The round continues even without an answer, because the recipient may be dead.
   cursor_ = digest.range_to;
 }
 
@@ -76,7 +76,8 @@
     const auto entry = entries.find(it->first);
     const Difference difference =
         DifferenceOf(update, entry == entries.end() ? nullptr : entry->second, values);
-    // A member that does not fit begins the next range; one that fits into no datagram is sent in part.
+    // A member that does not fit starts the next range. One that is too large for any datagram is sent in
+    // part.
     if (difference.size > capacity && count > 0) {
       records.range_to = it->first;
       break;
@@ -93,7 +94,7 @@
 
 std::size_t AntiEntropy::AppendValues(const StoredValues& stored_values, Message& records,
                                       std::size_t& capacity, TimePoint now) {
-  // Another key first each time: where they do not all fit, each has its turn.
+  // Start with another key each time, so that each key gets its turn if they do not all fit.
   ++value_rotation_;
   std::size_t count = 0;
   for (std::size_t i = 0; i < stored_values.size(); ++i) {
--- a/src/gossip/anti_entropy_exchange.cpp
+++ b/src/gossip/anti_entropy_exchange.cpp
@@ -5,7 +5,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Bytes that the two ends of a range may take: a name each, and one more for an end right behind a name.
+// Maximum size in bytes of the two ends of a range: a name each, plus one byte for an end directly after a
+// name.
 constexpr std::size_t kRangeReserve = 2 * (kMaxNameSize + 1);
 
 bool IsValid(const DigestEntry& entry) {
@@ -41,7 +42,7 @@
     MergeDeath(entry, now, out);
   }
   Message records = sender_.Make(MessageKind::kRecords);
-  // The ranges of the answer are as long as the digest's, or names of members that are known here.
+  // The range ends of the answer are those of the digest or names of members known here.
   const std::size_t capacity = MessageSender::CapacityOf(records) - kRangeReserve;
   context_.counts.records +=
       anti_entropy_.FillRecords(digest, records, capacity, now, context_.membership, context_.values);
--- a/src/gossip/anti_entropy_exchange.h
+++ b/src/gossip/anti_entropy_exchange.h
@@ -1,7 +1,7 @@
-// Anti-entropy as messages: digests out, records in answer to others' digests. Pure. What goes into them is
-// AntiEntropy's concern, when they are sent is AntiEntropySchedule's.
+// The messages of anti-entropy: sends digests, and records in answer to other members' digests. AntiEntropy
+// decides what the messages contain, AntiEntropySchedule when they are sent. Pure: no I/O, clock or thread.
 //
-// Source: push-pull state exchange of Lifeguard's memberlist, here in ranges of names so that its cost a
+// Source: push-pull state exchange of Lifeguard's memberlist, here in ranges of names so that the cost per
 // second is bounded; docs/design/peers.md.
 #pragma once
 
@@ -21,16 +21,17 @@
                       AntiEntropySchedule& schedule)
       : context_(context), sender_(sender), merger_(merger), schedule_(schedule) {}
 
-  // To one random member.
+  // Sends a digest to one random member if one is due.
   void SendDigestIfDue(TimePoint now, CoreOutput& out);
   void SendDigest(const std::string& address, TimePoint now, CoreOutput& out);
   // Answers with what is later here. A digest with an invalid entry is rejected.
   void OnDigest(const Message& digest, const std::string& from, TimePoint now, CoreOutput& out);
-  // The updates and values of the message were merged before.
+  // Handles records whose updates and values have been merged already.
   void OnRecords(const Message& records, const std::string& from, TimePoint now, CoreOutput& out);
 
  private:
-  // Where the digest's sender holds a member for dead: lets it refute, and heals both sides by one digest.
+  // Handles an entry whose sender considers the member dead: lets the member refute it, so that one digest
+  // heals both sides of a partition.
   void MergeDeath(const DigestEntry& entry, TimePoint now, CoreOutput& out);
 
   ProtocolContext& context_;
--- a/src/gossip/anti_entropy_schedule.h
+++ b/src/gossip/anti_entropy_schedule.h
@@ -1,8 +1,9 @@
-// When the next digest is sent. Pure.
+// Decides when the next digest is sent. Pure: no I/O, clock or thread.
 //
-// Every `digest_interval` in calm. A member that just joined, or that somebody declared dead, first catches
-// up: once around all names as fast as answers come, then, where all start at once and those asked knew
-// little themselves, every `gossip_interval` until a round brought no new member (docs/design/peers.md).
+// Normally every `digest_interval`. A member that has just joined, or that was declared dead, first catches
+// up: one round over all names as fast as answers arrive. If all members start at once, those asked know
+// little themselves, so further rounds follow every `gossip_interval` until one brings no new member
+// (docs/design/peers.md).
 #pragma once
 
 #include <algorithm>
@@ -17,16 +18,17 @@
   AntiEntropySchedule(const ProtocolConfig& config, TimePoint first_digest)
       : config_(config), digest_at_(first_digest) {}
 
-  // The first other member is live: what it knows is wanted at once.
+  // The first other member is live: request its knowledge at once.
   void OnFirstLiveMember(TimePoint now) {
     pace_ = Pace::kAsAnswered;
     digest_at_ = now;
   }
-  // Somebody held this member dead: it was cut off or stopped, so what it knows is old.
+  // Another member considered this one dead: it was partitioned or stopped, so its knowledge is outdated.
   void OnDeclaredDead() { pace_ = Pace::kAsAnswered; }
-  // Records brought an update of a member.
+  // Records contained a new update of a member.
   void OnUpdateLearned() { learned_in_round_ = true; }
-  // Records answered the last digest. True where the next digest goes out at once, to the same member.
+  // Records answered the latest digest. Returns true if the next digest must be sent at once to the same
+  // member.
   bool OnRecords(bool round_complete, TimePoint now) {
     if (pace_ == Pace::kPeriodic) return false;
     if (round_complete) {
@@ -36,7 +38,7 @@
     if (pace_ == Pace::kByGossipInterval) digest_at_ = std::min(digest_at_, now + config_.gossip_interval);
     return pace_ == Pace::kAsAnswered;
   }
-  // True where a digest is due; the next one is then due after `digest_interval`.
+  // Returns true if a digest is due, and schedules the next one after `digest_interval`.
   bool StartIfDue(TimePoint now) {
     if (now < digest_at_) return false;
     digest_at_ = now + config_.digest_interval;
--- a/src/gossip/bounded_queue.h
+++ b/src/gossip/bounded_queue.h
@@ -15,12 +15,12 @@
 
 namespace mothrack::gossip {
 
-// One thread pushes, one pops; lock-free, and neither ever waits. A push at capacity drops the oldest element
-// and counts it.
+// One thread pushes and one pops. Lock-free; neither ever waits. A push into a full queue drops and counts
+// the oldest element.
 template <typename T>
 class BoundedQueue {
  public:
-  // Throws std::system_error where the system gives no eventfd.
+  // Throws std::system_error if the kernel provides no eventfd.
   explicit BoundedQueue(std::size_t capacity) : capacity_(capacity), queue_(2 * capacity) {
     if (event_fd_ < 0) throw std::system_error(errno, std::generic_category(), "eventfd");
   }
@@ -29,14 +29,14 @@
   BoundedQueue& operator=(const BoundedQueue&) = delete;
 
   void Push(T value) {
-    // Its place is taken first, so that there are never more than the bound. Where the other side took the
-    // last one meanwhile there is nothing to drop, and room.
+    // Reserve a place first, so that the bound is never exceeded. If the receiver has taken the last element
+    // meanwhile, there is nothing to drop and the place is free.
     T oldest;
     if (size_.fetch_add(1) >= capacity_ && queue_.try_dequeue(oldest)) {
       size_.fetch_sub(1);
       dropped_.fetch_add(1, std::memory_order_relaxed);
     }
-    if (!queue_.enqueue(std::move(value))) {  // no memory
+    if (!queue_.enqueue(std::move(value))) {  // out of memory
       size_.fetch_sub(1);
       dropped_.fetch_add(1, std::memory_order_relaxed);
       return;
@@ -44,22 +44,23 @@
     Signal();
   }
 
-  // Wakes the receiver without an element. A system call only where none was made since the receiver's
+  // Wakes the receiver without an element. Makes a system call only if there was none since the receiver's
   // ClearSignal().
   void Signal() {
     if (signalled_.exchange(true)) return;
     const std::uint64_t one = 1;
     [[maybe_unused]] const auto written =
-        ::write(event_fd_, &one, sizeof one);  // never full: it is read before the next
+        ::write(event_fd_, &one, sizeof one);  // cannot overflow: it is read before the next write
   }
 
-  // The receiver, awake: from here on a push wakes it again. To be called before TryPop(), not after: what is
-  // pushed in between is either popped or wakes.
+  // Called by the receiver after it woke up: the next push wakes it again. Must be called before TryPop(),
+  // not after it, so that an element pushed in between is either popped or wakes the receiver.
   void ClearSignal() {
     std::uint64_t count = 0;
     [[maybe_unused]] const auto got = ::read(event_fd_, &count, sizeof count);
     signalled_.exchange(false);
   }
+  // Returns the oldest element, or nothing if the queue is empty.
   std::optional<T> TryPop() {
     T value;
     if (!queue_.try_dequeue(value)) return std::nullopt;
@@ -67,7 +68,8 @@
     return value;
   }
 
-  int descriptor() const { return event_fd_; }  // readable while there may be something to pop
+  int descriptor() const { return event_fd_; }  // readable while there may be elements
+  // Elements dropped because the queue was full or memory was exhausted.
   std::uint64_t dropped() const { return dropped_.load(std::memory_order_relaxed); }
 
  private:
--- a/src/gossip/core.cpp
+++ b/src/gossip/core.cpp
@@ -16,14 +16,15 @@
 namespace mothrack::gossip {
 namespace {
 
-// Members that are told directly of a leave: one lost datagram in ten leaves seven that disseminate it.
+// Number of members notified directly of a leave. If one datagram in ten is lost, seven members remain to
+// disseminate it.
 constexpr std::size_t kLeaveRecipients = 8;
 
 }  // namespace
 
 class Core::Impl {
  public:
-  // Draws from the random engine in the order of its members.
+  // The members draw from the random engine in their order of initialization.
   Impl(MembershipUpdate self, const ProtocolConfig& config, std::uint64_t seed, TimePoint now)
       : context_(std::move(self), config, seed, now),
         probes_(config, now, context_.random),
@@ -50,8 +51,8 @@
     MembershipUpdate sender = message.sender;
     if (message.kind == MessageKind::kLeave) sender.state = MemberState::kLeft;
     if (context_.IsSelf(sender.boot_id)) {
-      // A former process of this name that still runs, or a later one: nothing else it sends concerns this
-      // one.
+      // The sender is an earlier process of this name that still runs, or a later one. Nothing else in its
+      // message concerns this process.
       merger_.RespondToOwnUpdate(sender, now, out);
     } else if (const auto later = merger_.FindLaterBoot(sender)) {
       ReplySuperseded(message, *later, from, now, out);
@@ -139,23 +140,24 @@
   }
 
  private:
-  // Gossip that waited for an update may have been due long since.
+  // A gossip round that waited for an update may be overdue already.
   void Reschedule(TimePoint now) { due_ = std::max(now, next()); }
 
-  // This process did not run for longer than a probe interval, or was called late: what is due now became due
-  // while it could receive nothing, so it judges nobody by it.
+  // Detects that this process did not run, or was called late, by more than a probe interval. Whatever is due
+  // now became due while nothing could be received, so no member is judged by it.
   void DetectPause(TimePoint now) {
     if (now <= due_ || now - due_ <= context_.config.probe_interval) return;
     context_.membership.ExtendSuspicions(now - due_);
     probes_.Restart(now);
     probes_.RecordOutcome(Outcome::kPaused);
     due_ = now;
-    // What waited in the socket has an age that nobody knows; its values are sent again.
+    // Datagrams that waited in the socket have an unknown age. Their values will be sent again.
     merger_.IgnoreValuesUntil(now + context_.config.gossip_interval);
   }
 
-  // A superseded process is told why it is ignored, so that one whose clock went back raises its boot number.
-  // An ack is answered by what nobody answers, or the two would go on for ever.
+  // Tells a superseded process why it is ignored, so that a process whose clock went back raises its boot
+  // number. The reply to an ack is a message that is never answered; otherwise the two would reply to each
+  // other forever.
   void ReplySuperseded(const Message& message, const MembershipUpdate& later, const std::string& from,
                        TimePoint now, CoreOutput& out) {
     const bool ping = message.kind == MessageKind::kPing;
@@ -190,7 +192,7 @@
       case MessageKind::kRecords:
         return anti_entropy_.OnRecords(message, from, now, out);
       case MessageKind::kLeave:
-        return;  // its sender was merged as one that left
+        return;  // its sender was merged as one that has left
     }
   }
 
@@ -204,7 +206,7 @@
   AntiEntropyExchange anti_entropy_;
   Rejoin rejoin_;
   bool left_ = false;
-  TimePoint due_;  // when it wanted to be called
+  TimePoint due_;  // when Tick() was due next
 };
 
 Core::Core(MembershipUpdate self, const ProtocolConfig& config, std::uint64_t seed, TimePoint now)
--- a/src/gossip/core.h
+++ b/src/gossip/core.h
@@ -1,6 +1,7 @@
-// Membership of a fleet, and small values that its members share: SWIM with Lifeguard's refinements, and
-// anti-entropy. A state machine without I/O, clock and thread: messages and time go in, datagrams and changes
-// come out. The same seed and inputs give the same outputs. docs/design/peers.md has its rules as tables.
+// Membership of a fleet and small values that its members share: SWIM with Lifeguard's refinements, and
+// anti-entropy. A state machine without I/O, clock or thread: messages and time are its inputs, datagrams and
+// changes its outputs. The same seed and inputs give the same outputs. docs/design/peers.md has its rules as
+// tables.
 #pragma once
 
 #include <cstddef>
@@ -17,17 +18,18 @@
 
 namespace mothrack::gossip {
 
-// What is known of another member, for people and for decisions.
+// What is known of another member, for reports and decisions.
 struct MemberView {
   MembershipUpdate update;
-  TimePoint since;  // when it took its state, here
+  TimePoint since;  // when it entered its state, as seen here
 };
+// A value and its current age.
 struct ValueView {
-  const Value* value = nullptr;  // its `age` as of when it was received; valid until the core is next called
-  Duration age{0};               // now
+  const Value* value = nullptr;  // its `age` is that at receipt; valid until the next call of the core
+  Duration age{0};               // current
 };
 
-// Routes events to the parts of the protocol. Not thread-safe; `now` must never go back.
+// Passes events to the parts of the protocol. Not thread-safe. `now` must never decrease.
 class Core {
  public:
   Core(MembershipUpdate self, const ProtocolConfig& config, std::uint64_t seed, TimePoint now);
@@ -35,27 +37,28 @@
   Core(Core&&) noexcept;
   Core& operator=(Core&&) noexcept;
 
-  // Addresses that are pinged until a member is known; also now and then afterwards, so that two halves that
-  // declared each other dead find together again.
+  // Sets the addresses that are pinged until another member is known. They are also pinged occasionally
+  // afterwards, so that two halves of a fleet that declared each other dead find each other again.
   void SetSeeds(std::vector<std::string> addresses);
-  // A datagram that was authenticated and decoded. `from`: the address it came from.
+  // Handles an authenticated and decoded datagram. `from`: the sender's address.
   void Receive(const Message& message, const std::string& from, TimePoint now, CoreOutput& out);
-  // Runs what is due. To be called at next() at the latest; sooner does no harm.
+  // Runs what is due. Must be called at next() at the latest; an earlier call does no harm.
   void Tick(TimePoint now, CoreOutput& out);
-  // TimePoint::max() once it left.
+  // When Tick() must be called next; TimePoint::max() after Leave().
   TimePoint next() const;
-  // Publishes this member's value. False where a bound of types.h forbids it, or it left.
+  // Publishes a value of this member. Returns false if it exceeds a bound of types.h or this member has left.
   bool Put(const std::string& key, const std::string& bytes, Duration ttl, TimePoint now);
-  // Tells some members and takes no further part.
+  // Notifies some members and takes no further part.
   void Leave(TimePoint now, CoreOutput& out);
 
   const MembershipUpdate& self() const;
-  // Lifeguard's local health: 0 is healthy, up to 8 it receives so little that it had better doubt itself.
+  // Lifeguard's local health score: 0 is healthy. At 8 this member receives so little that it must doubt its
+  // own judgement.
   int health() const;
-  std::size_t alive() const;  // itself and the suspected included
-  // The live ones and those that died within the last `dead_retention`, itself included; not who left.
+  std::size_t alive() const;  // including itself and suspected members
+  // Live members, itself included, and those that died within the last `dead_retention`; not those that left.
   std::size_t known() const;
-  std::vector<MemberView> members() const;  // itself not; by name
+  std::vector<MemberView> members() const;  // by name, without itself
   std::optional<MemberView> Find(const std::string& name) const;
   // Unexpired values of live and suspected owners, itself included; by owner's name.
   std::vector<ValueView> Values(const std::string& key, TimePoint now) const;
--- a/src/gossip/core_output.h
+++ b/src/gossip/core_output.h
@@ -1,4 +1,4 @@
-// What the core hands back to its caller: datagrams to send, changes to report, counters. Pure values.
+// The output of the core: datagrams to send, changes to report, counters. Plain values.
 #pragma once
 
 #include <cstdint>
@@ -10,19 +10,20 @@
 
 namespace mothrack::gossip {
 
+// A message to be encoded, sealed and sent to `address` ("ip:port").
 struct Datagram {
   std::string address;
   Message message;
 };
 
-// A change that users of the membership act on.
+// A change that users of the membership react to.
 struct Change {
   enum class What { kMember, kValue, kValueExpired, kLocalBootRaised } what = What::kMember;
-  MembershipUpdate member;  // kMember; of kLocalBootRaised: this process, whose boot number had to be raised
-  Value value;              // kValue, kValueExpired (bytes empty)
+  MembershipUpdate member;  // for kLocalBootRaised: this process, whose boot number had to be raised
+  Value value;              // for kValue and kValueExpired (then `bytes` is empty)
 };
 
-// Appended to by each call of the core, in the order of what happened; the caller sends, reports and clears.
+// Each call of the core appends to this in the order of events. The caller sends, reports and clears it.
 struct CoreOutput {
   std::vector<Datagram> datagrams;
   std::vector<Change> changes;
@@ -37,16 +38,16 @@
   }
 };
 
-// Since the core was made.
+// Counters since the core was created.
 struct Counts {
   std::uint64_t sent = 0, received = 0;  // datagrams
-  std::uint64_t rate_limited = 0;        // datagrams that `datagrams_per_s` kept back
+  std::uint64_t rate_limited = 0;        // datagrams not sent because of `datagrams_per_s`
   std::uint64_t probes = 0, probes_failed = 0, indirect_probes = 0;
-  std::uint64_t refuted = 0;  // suspicions and deaths of this member that it refuted
+  std::uint64_t refuted = 0;  // suspicions and deaths of this member that it has refuted
   std::uint64_t suspected = 0, died = 0, returned = 0;
   std::uint64_t updates_applied = 0, updates_stale = 0;
   std::uint64_t values_applied = 0, values_stale = 0, expired = 0;
-  std::uint64_t rejected = 0;  // invalid, or beyond a bound
+  std::uint64_t rejected = 0;  // invalid or beyond a bound
   std::uint64_t digests = 0;   // sent
   std::uint64_t records = 0;   // updates and values sent in answer to digests
 };
--- a/src/gossip/datagram_rate_limiter.h
+++ b/src/gossip/datagram_rate_limiter.h
@@ -1,5 +1,6 @@
-// A token bucket of datagrams. The burst is a fifth of the number allowed in a second, the refill is the
-// rest: so no second, wherever it begins, has more than that number. Pure.
+// A token bucket for datagrams. The burst is a fifth of the allowed number per second, and the refill rate is
+// the rest. So no interval of one second, wherever it begins, exceeds that number. Pure: no I/O, clock or
+// thread.
 #pragma once
 
 #include <algorithm>
@@ -18,7 +19,7 @@
         tokens_(burst_ * kUnitsPerToken),
         refilled_at_(now) {}
 
-  // Takes a token, where more than `reserve` are left.
+  // Takes a token if more than `reserve` tokens are left.
   bool TryAcquire(std::int64_t reserve, TimePoint now) {
     if (now > refilled_at_) {
       const std::int64_t elapsed = std::min<std::int64_t>((now - refilled_at_).count(), 60'000);
@@ -32,7 +33,7 @@
   }
 
  private:
-  static constexpr std::int64_t kUnitsPerToken = 1000;  // so a millisecond's share is a whole number
+  static constexpr std::int64_t kUnitsPerToken = 1000;  // so that the refill of one millisecond is an integer
   std::int64_t burst_, per_s_, tokens_;
   TimePoint refilled_at_;
 };
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -31,7 +31,7 @@
   ++context_.counts.probes;
   Message ping = sender_.Make(MessageKind::kPing);
   ping.sequence = step.sequence;
-  // Lifeguard's buddy system: a suspected member learns of it by the first ping.
+  // Lifeguard's buddy system: a suspected member learns of the suspicion from the first ping.
   if (member->update.state != MemberState::kAlive) ping.subject = member->update;
   sender_.Send(member->update.address, std::move(ping), TrafficClass::kProbe, now, out);
 }
@@ -59,7 +59,7 @@
   probes_.RecordOutcome(step.outcome);
   if (!EffectOf(step.outcome).suspect) return;
   const auto* member = context_.membership.Find(step.name);
-  // Another boot or incarnation than the probed one has to be probed anew.
+  // A newer boot or incarnation than the probed one must be probed anew.
   if (member == nullptr || member->update.boot_id.boot_number != step.boot_number ||
       member->update.incarnation != step.incarnation) {
     return;
@@ -69,7 +69,7 @@
   if (update.state != MemberState::kSuspect) return;
   merger_.ApplyMember(update, UpdateOrigin::kGossip, now, out);
   context_.membership.ReportSuspect(step.name, step.incarnation, context_.self.boot_id.name);
-  // Also where the suspicion was known: now it is this member's own.
+  // Also if the suspicion was already known, because it is now first-hand.
   context_.updates.Add(step.name, "", now);
 }
 
@@ -93,7 +93,8 @@
   if (context_.IsSelf(ping.subject.boot_id)) merger_.RespondToOwnUpdate(ping.subject, now, out);
   Message ack = sender_.Make(MessageKind::kAck);
   ack.sequence = ping.sequence;
-  // So that the pinging member can refute, whatever other updates are queued.
+  // Include the state known here, so that the pinging member can refute it, whatever other updates are
+  // queued.
   const auto* member = context_.membership.Find(ping.sender.boot_id.name);
   if (member != nullptr && member->update.state != MemberState::kAlive) ack.updates.push_back(member->update);
   sender_.Send(from, std::move(ack), TrafficClass::kProbe, now, out);
--- a/src/gossip/failure_detector.h
+++ b/src/gossip/failure_detector.h
@@ -1,5 +1,6 @@
-// Probes members directly and through others, answers probes, and turns missing acks into suspicions and
-// deaths. Pure. The table "Rules of probes" in docs/design/peers.md has its rules.
+// Probes members directly and through other members, answers probes, and turns missing acks into suspicions
+// and deaths. Pure: no I/O, clock or thread. The rules are in the table "Rules of probes" of
+// docs/design/peers.md.
 //
 // Source: SWIM, sections 3.1 (ping, ping-req) and 4.2 (suspicion); Lifeguard, section IV (local health,
 // nacks, buddy system).
@@ -20,19 +21,20 @@
                   UpdateMerger& merger)
       : context_(context), sender_(sender), probes_(probes), merger_(merger) {}
 
-  // Whatever the probe round has due: its ping, the requests to others, its end.
+  // Runs the steps of the probe round that are due: its ping, its indirect pings, its end.
   void RunRounds(TimePoint now, CoreOutput& out);
-  // Suspicions that nobody refuted in time.
+  // Declares members dead whose suspicion nobody refuted in time.
   void DeclareExpiredDead(TimePoint now, CoreOutput& out);
-  // To members that asked for a probe of one that did not answer in time.
+  // Sends nacks to members that requested an indirect ping whose target did not answer in time.
   void SendOverdueNacks(TimePoint now, CoreOutput& out);
 
-  // Messages of other members, whose updates were merged before. `from`: the sender's address.
+  // Handlers of other members' messages, whose updates have been merged already. `from`: the sender's
+  // address.
   void OnPing(const Message& ping, const std::string& from, TimePoint now, CoreOutput& out);
   void OnAck(const Message& ack, TimePoint now, CoreOutput& out);
   void OnPingRequest(const Message& request, const std::string& from, TimePoint now, CoreOutput& out);
   void OnNack(const Message& nack);
-  // Gossip that names a member from which its sender itself had no ack.
+  // Handles gossip that names a member from which the sender itself got no ack.
   void OnFirstHandSuspicion(const Message& gossip, TimePoint now, CoreOutput& out);
 
  private:
--- a/src/gossip/gossip_rounds.h
+++ b/src/gossip/gossip_rounds.h
@@ -1,6 +1,7 @@
-// Sends queued updates to random members, where probes and acks do not carry them soon enough. Pure.
+// Sends queued updates to random members if probes and acks do not carry them soon enough. Pure: no I/O,
+// clock or thread.
 //
-// Source: SWIM, section 4.1; the rounds of their own are memberlist's (HashiCorp), which Lifeguard describes.
+// Source: SWIM, section 4.1; the separate rounds are from memberlist (HashiCorp), as described by Lifeguard.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +17,13 @@
   GossipRounds(ProtocolContext& context, MessageSender& sender, TimePoint first_round)
       : context_(context), sender_(sender), round_at_(first_round) {}
 
-  // At most `fanout` datagrams, once every `gossip_interval` while there is something to send.
+  // Sends at most `fanout` datagrams, once every `gossip_interval`, while updates are queued.
   void RunIfDue(TimePoint now, CoreOutput& out);
-  // TimePoint::max() while nothing is queued or nobody is there.
+  // TimePoint::max() while no update is queued or no other member is live.
   TimePoint next() const;
 
  private:
-  // In turn, of the suspected members from which this member itself had no ack; null: none.
+  // Returns in turn the suspected members from which this member itself got no ack; null if there is none.
   const Membership::Member* NextFirstHandSuspect();
 
   ProtocolContext& context_;
--- a/src/gossip/keys.cpp
+++ b/src/gossip/keys.cpp
@@ -15,12 +15,12 @@
 namespace mothrack::gossip {
 namespace {
 
-constexpr std::size_t kMaxKeyFileSize = 4096;  // two keys and a page of comments
+constexpr std::size_t kMaxKeyFileSize = 4096;  // bytes; two keys and a page of comments
 constexpr std::size_t kHexSize = 2 * kKeySize;
-constexpr std::size_t kBase64Size = 44;  // of 32 bytes, padding included
+constexpr std::size_t kBase64Size = 44;  // length of 32 bytes in base64, with padding
 constexpr const char* kMend = "; write 32 random bytes as 64 hex digits (openssl rand -hex 32)";
 
-// Apart from each other and from every other use of the same key.
+// Separates the derived keys from each other and from any other use of the same key.
 constexpr char kContext[crypto_kdf_CONTEXTBYTES + 1] = "mothpeer";
 enum Purpose : std::uint64_t { kSealPurpose = 1, kIdPurpose = 2 };
 
@@ -29,7 +29,7 @@
     throw std::runtime_error("libsodium cannot be used on this machine: no source of randomness");
 }
 
-// What was read of the file: zeroed whichever way Load ends.
+// The content of the file, zeroed however Load() ends.
 struct Content {
   std::array<char, kMaxKeyFileSize + 1> bytes;
   std::size_t size = 0;
@@ -44,12 +44,12 @@
 };
 
 void ReadAll(const std::string& path, Content& content) {
-  // Not blocking: a pipe of that name must not hold the task up.
+  // Non-blocking, so that a FIFO of that name cannot block the task.
   const File file{::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK)};
   const auto fault = [&](const std::string& cause) { throw KeyFileError(path, std::nullopt, cause); };
   if (file.fd < 0)
     fault(std::string("cannot be opened: ") + std::strerror(errno) + "; make it with mode 0600");
-  // Of what was opened, not of the path: they may differ by now.
+  // Check the opened file, not the path: they may differ by now.
   struct stat about {};
   if (::fstat(file.fd, &about) != 0)
     fault(std::string("cannot be asked for its owner: ") + std::strerror(errno));
@@ -78,7 +78,7 @@
   return line.substr(first, line.find_last_not_of(kBlanks) - first + 1);
 }
 
-// What is wrong with it, or nothing.
+// Returns what is wrong with the text, or nothing.
 std::optional<std::string> Decode(std::string_view text, Secret& key) {
   const bool base64 = text.size() == kBase64Size && text.back() == '=';
   if (!base64 && text.size() != kHexSize) {
@@ -92,7 +92,7 @@
              : sodium_hex2bin(key.data(), kKeySize, text.data(), text.size(), nullptr, &size, nullptr) == 0;
   if (!read || size != kKeySize) return base64 ? "the key is not base64" : "the key is not hex";
   if (std::all_of(key.data(), key.data() + kKeySize, [&](auto byte) { return byte == *key.data(); })) {
-    return "the key is one byte over and over";  // a placeholder that somebody forgot
+    return "the key is one byte over and over";  // a placeholder that was never replaced
   }
   return std::nullopt;
 }
@@ -144,8 +144,8 @@
     if (const auto wrong = Decode(text, bytes)) fault(*wrong + kMend);
     ring.push_back(MakeKey(bytes.data()));
     lines.push_back(number);
-    // By the name, so that two keys whose names happen to be the same are not taken either: one would go
-    // unheard.
+    // Compare the ids: this also rejects two different keys whose ids coincide, one of which would never be
+    // used.
     if (ring.size() == 2 && ring[0].id == ring[1].id) {
       fault("the same key as in line " + std::to_string(lines[0]) + "; take out one of the two");
     }
--- a/src/gossip/keys.h
+++ b/src/gossip/keys.h
@@ -1,6 +1,7 @@
-// The cluster's keys, from a file that nobody else may read. One key a line, 32 random bytes as hex or
-// base64; datagrams are sealed with the first, and both are accepted. Rotation without a pause: the new key
-// second on all members, then first on all, then the old one removed from all (docs/design/peers_wire.md).
+// The cluster's keys, from a file that nobody else may read. The file has one key per line, 32 random bytes
+// as hex or base64. Datagrams are sealed with the first key, and both are accepted. To rotate without an
+// interruption: add the new key as the second one on all members, then make it the first on all, then remove
+// the old one from all (docs/design/peers_wire.md).
 #pragma once
 
 #include <array>
@@ -14,14 +15,13 @@
 
 namespace mothrack::gossip {
 
-constexpr std::size_t kKeySize = 32;  // of a key of BLAKE2b
+constexpr std::size_t kKeySize = 32;  // bytes of a BLAKE2b key
 constexpr std::size_t kMaxRingKeys = 2;
 
-// A fault of the key file: its place, and in `cause` what is wrong and the mend; never the key. what() has
-// both.
+// An error in the key file. what() has the location, the problem and its fix, but never the key.
 class KeyFileError : public std::runtime_error {
  public:
-  // `line`: from 1; nothing where the file as a whole is at fault.
+  // `line` counts from 1; absent if the error concerns the whole file.
   KeyFileError(const std::string& path, std::optional<std::size_t> line, const std::string& cause);
   const std::optional<std::size_t>& line() const { return line_; }
 
@@ -29,8 +29,8 @@
   std::optional<std::size_t> line_;
 };
 
-// Bytes in memory of their own: kept out of swap and core files where the system allows it, zeroed when given
-// back.
+// Secret bytes in separately allocated memory: excluded from swap and core dumps if the kernel allows it, and
+// zeroed when freed.
 class Secret {
  public:
   Secret();
@@ -44,21 +44,22 @@
   std::unique_ptr<std::uint8_t, Free> bytes_;
 };
 
-// What is made of one key of the file: a name for it that tells nothing of it, and the bytes that seal.
+// What is derived from one key of the file: an identifier that reveals nothing about it, and the bytes used
+// for sealing.
 struct Key {
   using Id = std::array<std::uint8_t, 4>;
   Id id{};
   std::shared_ptr<const Secret> seal;
 };
 
-// One or two.
+// One or two keys.
 using KeyRing = std::vector<Key>;
 
-// Of 32 bytes as they stand in a file.
+// Derives a Key from the 32 bytes of a key in the file.
 Key MakeKey(const std::uint8_t* bytes);
 
-// Throws KeyFileError; the ring in use is the caller's until this one is whole, so a bad file changes
-// nothing.
+// Throws KeyFileError. The caller keeps its current ring until this one is complete, so an invalid file
+// changes nothing.
 KeyRing Load(const std::string& path);
 
 }  // namespace mothrack::gossip
--- a/src/gossip/link.cpp
+++ b/src/gossip/link.cpp
@@ -58,7 +58,8 @@
     : signal_(io) {
   try {
     task_ = std::make_unique<Task>(settings, name, std::move(turn_hook));
-    const int signal = ::dup(task_->snapshots().descriptor());  // the loop closes its own
+    // Because the event loop closes its descriptor.
+    const int signal = ::dup(task_->snapshots().descriptor());
     if (signal < 0) throw ResourceError("no descriptor for the loop");
     signal_.assign(signal);
     Await();
@@ -80,7 +81,8 @@
                        if (error) return;
                        auto& snapshots = task_->snapshots();
                        snapshots.ClearSignal();
-                       // Only the newest counts; there are never more than the queue's capacity.
+                       // Only the latest snapshot counts. The queue never holds more than
+                       // kMaxPendingSnapshots.
                        for (std::size_t i = 0; i < kMaxPendingSnapshots; ++i) {
                          auto snapshot = snapshots.TryPop();
                          if (!snapshot) break;
@@ -118,7 +120,7 @@
   json states = json::object();
   for (std::size_t i = 1; i < kStates.size(); ++i) states[kStates[i]] = by_state[i];
   report["states"] = std::move(states);
-  // Whoever looks, looks for those that are not well.
+  // List unhealthy members first, because they are what an operator looks for.
   std::vector<const MemberView*> listed;
   for (const MemberView& member : snapshot.members) listed.push_back(&member);
   std::stable_partition(listed.begin(), listed.end(),
--- a/src/gossip/link.h
+++ b/src/gossip/link.h
@@ -1,5 +1,5 @@
 // The event loop's side of the gossip task: keeps the latest snapshot and its age, and reports it. Used on
-// the thread of the event loop that it is given; whatever becomes of the task, nothing here waits.
+// the thread of the given event loop. Never waits, whatever happens to the task.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -15,24 +15,28 @@
 
 namespace mothrack::gossip {
 
+// Owned by the sidecar or agent.
 class GossipClient {
  public:
-  // The task's, and a second descriptor of one eventfd for the loop.
+  // Descriptors of the task, plus a duplicate of one eventfd for the event loop.
   static constexpr std::size_t kFixedDescriptors = Task::kFixedDescriptors + 1;
 
-  // Starts the task. Throws TaskError; where the system refuses what it needs, says so once and does without.
+  // Starts the task. Throws TaskError. If the kernel refuses a resource, logs this once and continues without
+  // gossip.
   GossipClient(boost::asio::io_context& io, const Settings& settings, const std::string& name,
                runtime::Logger& log, Task::TurnHook turn_hook = {});
 
-  std::optional<std::string> local() const;  // nothing where it does without
+  std::optional<std::string> local() const;  // absent without gossip
   const MembershipSnapshotPtr& latest() const { return latest_; }
   std::optional<Duration> age() const;  // of the latest snapshot
+  // Sends a command to the task; has no effect without gossip.
   void Post(TaskCommand message);
-  // Members are report at once where the task is well; nothing is waited for.
+  // The task sends the leave messages as soon as it runs; nothing is awaited.
   void Leave() { Post(LeaveCommand{}); }
   void ReloadKeys() { Post(ReloadKeysCommand{}); }
 
-  // For people, as JSON; a bounded number of members, those that are not alive first.
+  // A JSON report for operators. At most kMaxReportedMembers members are included, those that are not alive
+  // first.
   nlohmann::json Report() const;
   static constexpr std::size_t kMaxReportedMembers = 300;
 
--- a/src/gossip/membership.cpp
+++ b/src/gossip/membership.cpp
@@ -17,7 +17,7 @@
     if (update.boot_id.boot_number < current->boot_id.boot_number) return std::nullopt;
     return update.state;
   }
-  // Its own last word: no incarnation comes after it.
+  // A leave is final: no incarnation supersedes it.
   if (current->state == MemberState::kLeft) return std::nullopt;
   if (update.state == MemberState::kLeft) return MemberState::kLeft;
   MembershipUpdate effective = update;
@@ -106,7 +106,7 @@
   const auto it = members_.find(name);
   if (it == members_.end() || it->second.update.state != MemberState::kSuspect) return;
   Member& member = it->second;
-  // The bound: those that come later change nothing.
+  // Bounded, because further reporters change nothing.
   if (member.update.incarnation != incarnation ||
       (member.reporters.size() > kMaxConfirmations && by != local_name_) ||
       !member.reporters.insert(by).second) {
@@ -127,7 +127,7 @@
                        static_cast<double>(config_.probe_interval.count());
   const double longest = least * std::max(1.0, config_.max_suspicion_multiplier);
   const auto wanted = static_cast<double>(std::min(kMaxConfirmations, live_.empty() ? 0 : live_.size() - 1));
-  if (wanted < 1) return Duration(std::llround(least));  // nobody is there who could confirm
+  if (wanted < 1) return Duration(std::llround(least));  // no other member could confirm
   const double had = member.reporters.empty() ? 0 : static_cast<double>(member.reporters.size() - 1);
   return Duration(
       std::llround(std::max(least, longest - (longest - least) * std::log(had + 1) / std::log(wanted + 1))));
@@ -187,7 +187,7 @@
 std::vector<std::string> Membership::SampleLive(std::size_t count, const std::string& excluded,
                                                 Random& random) const {
   std::vector<std::string> sample;
-  // Drawn until there are enough: `count` is small, and a fleet of few ends by the second bound.
+  // Random draws with rejection: `count` is small, and the second condition ends the loop in a small fleet.
   for (std::size_t attempts = 0; sample.size() < count && attempts < 8 * count && !live_.empty();
        ++attempts) {
     const std::string& name = live_[random.Below(live_.size())];
--- a/src/gossip/membership_snapshot.h
+++ b/src/gossip/membership_snapshot.h
@@ -10,25 +10,26 @@
 
 namespace mothrack::gossip {
 
-// The whole membership. Made each time something changed, at most ten times a second, and once a second where
-// nothing did; the reader keeps the latest and knows by `created_at` how old it is.
+// The whole membership. Created after changes, at most ten times a second, and once a second without changes.
+// The reader keeps the latest one and derives its age from `created_at`.
 struct MembershipSnapshot {
-  TimePoint created_at;  // this machine's steady clock: both threads read the same
+  TimePoint created_at;  // on this machine's steady clock, which both threads read
   MembershipUpdate self;
   int health = 0;  // Core::health()
   std::size_t alive = 0, known = 0;
   std::vector<MemberView> members;
-  std::vector<Value> values;  // ages as of `created_at`
+  std::vector<Value> values;  // their ages are as of `created_at`
   Counts counts;
-  std::uint64_t dropped = 0;          // commands and snapshots that a full queue dropped
+  std::uint64_t dropped = 0;          // commands and snapshots dropped by a full queue
   std::uint64_t unauthenticated = 0;  // datagrams without a valid seal
-  std::uint64_t undecodable = 0;      // datagrams with a valid seal that are no valid message
-  std::uint64_t replayed = 0;         // datagrams that were received before, or are older than the window
-  std::uint64_t send_failures = 0;    // datagrams that the system did not accept
+  std::uint64_t undecodable = 0;      // datagrams with a valid seal whose message is invalid
+  std::uint64_t replayed = 0;         // datagrams received before, or older than the replay window
+  std::uint64_t send_failures = 0;    // datagrams that the kernel did not accept
 };
 using MembershipSnapshotPtr = std::shared_ptr<const MembershipSnapshot>;
 
-// Only the latest counts. A second one, so that the task does not drop the one that the loop is about to pop.
+// Only the latest snapshot counts. A second place ensures that the task does not drop the one that the event
+// loop is about to pop.
 constexpr std::size_t kMaxPendingSnapshots = 2;
 
 }  // namespace mothrack::gossip
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -5,10 +5,11 @@
 namespace mothrack::gossip {
 namespace {
 
-// Of a field of the wire: its tag and length, or its tag and the longest number.
+// Maximum sizes of encoded fields: tag and length of a text; tag and longest varint; a number below 128, with
+// room to spare.
 constexpr std::size_t kText = 3;
 constexpr std::size_t kNumber = 11;
-constexpr std::size_t kSmall = 3;  // a number below 128, with room
+constexpr std::size_t kSmall = 3;
 
 std::size_t SizeOf(const BootId& boot_id) { return kText + boot_id.name.size() + kNumber; }
 
--- a/src/gossip/message_sender.cpp
+++ b/src/gossip/message_sender.cpp
@@ -6,9 +6,9 @@
 namespace mothrack::gossip {
 namespace {
 
-// Of the tokens that may be spent at once, so many are reserved for probes and acks.
+// Tokens of the burst that are reserved for probes and acks.
 constexpr std::int64_t kTokensReservedForProbes = 3;
-// Bytes: with less capacity left no queued update is looked for.
+// Minimum capacity in bytes for which queued updates are searched.
 constexpr std::size_t kMinPiggybackCapacity = 64;
 
 }  // namespace
--- a/src/gossip/message_sender.h
+++ b/src/gossip/message_sender.h
@@ -1,4 +1,4 @@
-// Outgoing datagrams: rate limit and piggybacked updates. Pure.
+// Outgoing datagrams: rate limit and piggybacked updates. Pure: no I/O, clock or thread.
 //
 // Source: SWIM, section 4.1 (dissemination by piggybacking on probes, acks and gossip).
 #pragma once
@@ -13,24 +13,24 @@
 
 namespace mothrack::gossip {
 
-// Probe traffic may use the tokens that are reserved for it; dissemination may not.
+// Only probe traffic may use the reserved tokens; dissemination may not.
 enum class TrafficClass : std::uint8_t { kProbe, kDissemination };
 
 class MessageSender {
  public:
   MessageSender(ProtocolContext& context, TimePoint now);
 
-  // A message of this member, with its own newest state as the sender.
+  // A new message of this member, with its own latest state as the sender.
   Message Make(MessageKind kind) const;
-  // Bytes that digest entries, updates and values may still take in the datagram.
+  // Bytes left in the datagram for digest entries, updates and values.
   static std::size_t CapacityOf(const Message& message);
-  // Fills the message up with queued updates, but for kDigest and kRecords, and appends it to `out`. False
-  // where the rate limit kept it back; it is then counted and dropped.
+  // Fills up the message with queued updates, except kDigest and kRecords, and appends it to `out`. Returns
+  // false if the rate limit forbids it; the message is then counted and dropped.
   bool Send(const std::string& address, Message&& message, TrafficClass traffic_class, TimePoint now,
             CoreOutput& out);
 
  private:
-  // How often each update is sent: enough that all but one member in thousands receive it, whatever the
+  // How often each update is sent: often enough that all but one member in thousands receive it, whatever the
   // fleet's size.
   std::size_t MaxSends() const;
 
--- a/src/gossip/probe_scheduler.cpp
+++ b/src/gossip/probe_scheduler.cpp
@@ -8,7 +8,7 @@
   switch (outcome) {
     case Outcome::kAcked:
       return {-1, false};
-    // Half the fleet lost is no reason to look more slowly at the other half.
+    // If half the fleet is lost, the other half must not be probed more slowly.
     case Outcome::kAllNacked:
       return {0, true};
     case Outcome::kNackMissed:
@@ -22,7 +22,7 @@
 }
 
 ProbeScheduler::ProbeScheduler(const ProtocolConfig& config, TimePoint now, Random& random)
-    // Those that start together do not ask together.
+    // A random phase: members that start together must not probe together.
     : config_(config),
       next_round_(now + Duration(random.Below(static_cast<std::size_t>(config.probe_interval.count())))) {}
 
@@ -56,7 +56,7 @@
   while (ring_position_ < ring_.size() && not_live(ring_[ring_position_])) ++ring_position_;
   if (ring_position_ >= ring_.size()) {
     ring_ = membership.live();
-    // live() is in the order of arrival; sorted first, so that only the seed decides.
+    // live() is in the order of arrival. Sort it first, so that only the seed decides the order.
     std::sort(ring_.begin(), ring_.end());
     random.Shuffle(ring_);
     ring_position_ = 0;
@@ -79,7 +79,8 @@
 }
 
 void ProbeScheduler::AddMember(const std::string& name, Random& random) {
-  // Somewhere in what is left of this time around: a new one is neither first nor last everywhere.
+  // Insert at a random position in the rest of this pass, so that a new member is not first or last
+  // everywhere.
   const std::size_t left = ring_.size() - ring_position_;
   ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(ring_position_ + random.Below(left + 1)), name);
 }
--- a/src/gossip/protocol_context.h
+++ b/src/gossip/protocol_context.h
@@ -1,5 +1,5 @@
-// State that several parts of the protocol read and change. Owned by the core, handed to each part by
-// reference; one thread, no I/O, no clock.
+// State that several parts of the protocol share. Owned by the core and passed to each part by reference.
+// Used on one thread; no I/O, no clock.
 #pragma once
 
 #include <cstdint>
@@ -23,16 +23,17 @@
         membership(self, protocol_config, now) {}
 
   bool IsSelf(const BootId& boot_id) const { return boot_id.name == self.boot_id.name; }
-  // No other member is alive or suspected.
+  // Whether no other member is alive or suspected.
   bool alone() const { return membership.live().empty(); }
-  // 0 to `interval`: members that start together must not act together.
+  // Random phase in [0, interval]: members that start together must not act together.
   Duration RandomPhase(Duration interval) {
     return Duration(random.Below(static_cast<std::size_t>(interval.count()) + 1));
   }
 
   const ProtocolConfig config;
   MembershipUpdate self;
-  Random random;  // the order of draws is part of the core's behaviour: the same seed gives the same outputs
+  // The order of draws is part of the core's behaviour: the same seed must give the same outputs.
+  Random random;
   Membership membership;
   ValueStore values;
   UpdateQueue updates;
--- a/src/gossip/random.h
+++ b/src/gossip/random.h
@@ -1,5 +1,5 @@
-// Random numbers from a seed, the same with every standard library, whose distributions are not. SplitMix64
-// (Steele, Lea, Flood 2014). Not for secrets.
+// Random numbers from a seed, identical with every standard library, unlike the standard distributions.
+// SplitMix64 (Steele, Lea, Flood 2014). Not for secrets.
 #pragma once
 
 #include <cstddef>
@@ -18,7 +18,7 @@
     z = (z ^ (z >> 27)) * 0x94d049bb133111eb;
     return z ^ (z >> 31);
   }
-  // Below `n`, which is small: its unevenness is not seen.
+  // A number below `n`. `n` must be small, so that the modulo bias is negligible.
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Next() % n); }
   template <typename T>
   void Shuffle(std::vector<T>& all) {
--- a/src/gossip/rejoin.cpp
+++ b/src/gossip/rejoin.cpp
@@ -5,8 +5,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Probe intervals between two attempts of a member that is not alone: that costs one datagram in ten at most,
-// and two halves find together within seconds.
+// Number of probe intervals between two attempts of a member that is not alone. The attempts then cost at
+// most one datagram in ten, and two halves find each other within seconds.
 constexpr int kIntervalsBetweenAttempts = 10;
 
 }  // namespace
--- a/src/gossip/rejoin.h
+++ b/src/gossip/rejoin.h
@@ -1,7 +1,7 @@
-// Joining through seeds, and finding together again after a partition: pings seeds and members that are held
-// for dead. Pure.
+// Joins the fleet through seeds, and finds the other side again after a partition: pings seeds and members
+// considered dead. Pure: no I/O, clock or thread.
 //
-// Source: docs/design/peers.md. SWIM has no rule for two halves that each declared the other dead.
+// Source: docs/design/peers.md. SWIM has no rule for two halves that have declared each other dead.
 #pragma once
 
 #include <string>
@@ -25,18 +25,19 @@
         anti_entropy_(anti_entropy),
         attempt_at_(first_attempt) {}
 
-  // This member's own address is left out.
+  // Sets the seeds, without this member's own address.
   void SetSeeds(std::vector<std::string> addresses);
-  // While alone: all seeds and one dead member, every `probe_interval`. Afterwards one of them, with a
-  // digest, ten times less often.
+  // While alone, pings all seeds and one dead member every `probe_interval`. Afterwards pings one of them,
+  // with a digest, ten times less often.
   void RunIfDue(TimePoint now, CoreOutput& out);
   TimePoint next() const { return attempt_at_; }
 
  private:
-  // An address, and what is known of the member there; null where it is only a seed.
+  // An address and the member known there; null if it is only a seed.
   using Target = std::pair<std::string, const MembershipUpdate*>;
 
-  // Seeds that are no live member's address, then dead members. While alone one dead member is drawn.
+  // Seeds that are not the address of a live member, then dead members. While alone, only one dead member,
+  // drawn at random.
   std::vector<Target> Candidates();
 
   ProtocolContext& context_;
--- a/src/gossip/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -10,7 +10,7 @@
 namespace {
 
 constexpr std::string_view kMagic =
-    "\xb7m";  // no text begins so: what strays here from elsewhere is told apart at once
+    "\xb7m";  // no text begins like this, so stray traffic is recognized at once
 constexpr std::size_t kIdAt = 2, kStreamAt = 6, kCountAt = 14;
 constexpr std::uint64_t kWindow = 64;
 
@@ -30,7 +30,7 @@
   return number;
 }
 
-// Over head and payload at once: that is why the tag stands last.
+// The tag covers head and payload in one pass, which is why it is last.
 Tag TagOf(const Key& key, std::string_view covered) {
   Tag tag;
   crypto_generichash(tag.data(), tag.size(), Bytes(covered), covered.size(), key.seal->data(), kKeySize);
@@ -100,11 +100,11 @@
   });
   if (key == ring_.end()) return {SealVerdict::kUnknownKey, {}};
   const std::string_view covered = datagram.substr(0, datagram.size() - kSealTag);
-  // In constant time: how far a guess was right must not be received.
+  // Constant-time comparison: the time must not reveal how much of a guess was right.
   if (sodium_memcmp(TagOf(*key, covered).data(), datagram.data() + covered.size(), kSealTag) != 0) {
     return {SealVerdict::kForged, {}};
   }
-  // Only now: what nobody sealed must not move the window.
+  // Only after the check, because a forged datagram must not move the replay window.
   const std::uint64_t stream = NumberAt(datagram, kStreamAt);
   if (stream == stream_ || !window_.Accept(stream, NumberAt(datagram, kCountAt)))
     return {SealVerdict::kReplayed, {}};
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -1,10 +1,10 @@
-// The seal around each datagram: a keyed BLAKE2b hash (RFC 7693), so that only holders of the cluster's key
-// are accepted. It gives integrity and authenticity, not secrecy; docs/design/peers_wire.md says why.
+// The seal of each datagram: a keyed BLAKE2b hash (RFC 7693), so that only senders with the cluster's key are
+// accepted. It provides integrity and authenticity, but not secrecy; docs/design/peers_wire.md explains why.
 //
-//   magic (2) | key's name (4) | stream (8) | count (8) | payload | tag (16)
+//   magic (2) | key id (4) | stream (8) | count (8) | payload | tag (16)     (sizes in bytes)
 //
-// A stream is one process: a number drawn at its start. Its datagrams are numbered through, whoever they go
-// to, so that a replayed one is recognised.
+// A stream is one process: a random number drawn at its start. All of its datagrams, whatever their
+// recipient, are numbered consecutively, so that replays are detected.
 #pragma once
 
 #include <array>
@@ -25,52 +25,56 @@
 static_assert(kSealHead + kSealTag <= kMaxSealSize);
 constexpr std::size_t kMaxPayloadSize = kMaxDatagramSize - kMaxSealSize;
 
-// Which numbers of each stream were received: the latest, and a bit for each of the 64 up to it (the window
-// of RFC 4303, section 3.4.3). What lies further back counts as received: at 40 datagrams a second it is 1.6
-// s late, which no probe waits for, and updates are sent again.
+// Tracks which numbers of each stream were received: the highest one, and one bit for each of the 64 numbers
+// up to it (the window of RFC 4303, section 3.4.3). An older datagram counts as received. At 40 datagrams a
+// second it is 1.6 s late: no probe waits that long, and updates are sent again.
 class ReplayWindow {
  public:
-  // As many streams as members; beyond, the one that was idle for longest is forgotten.
+  // Bounded to `max_streams`, by default one per member. Beyond it the stream that has been idle longest is
+  // forgotten.
   explicit ReplayWindow(std::size_t max_streams = kMaxMembers) : max_streams_(max_streams) {}
-  // False where it was received before, or may have been.
+  // Returns false if the number was, or may have been, received before.
   bool Accept(std::uint64_t stream, std::uint64_t count);
   std::size_t streams() const { return streams_.size(); }
 
  private:
   struct Stream {
-    std::uint64_t id = 0, latest = 0, received = 0;  // bit n of `received`: latest - n
+    std::uint64_t id = 0, latest = 0, received = 0;  // bit n of `received` stands for latest - n
   };
   std::size_t max_streams_;
-  std::list<Stream> streams_;  // the one received last is first
+  std::list<Stream> streams_;  // most recently received first
   std::unordered_map<std::uint64_t, std::list<Stream>::iterator> by_id_;
 };
 
+// Result of opening a datagram.
 enum class SealVerdict : std::uint8_t {
   kAccepted,
-  kNoDatagram,  // too short, too long, or of something else that sends here
+  kNoDatagram,  // too short, too long, or not of this protocol
   kUnknownKey,  // sealed with a key that is not in the ring: rejected without hashing
-  kForged,      // its tag is not what the key makes of it
-  kReplayed,    // received before, too late to tell, or this process's own
+  kForged,      // the tag does not match the key
+  kReplayed,    // received before, too old to tell, or sent by this process itself
 };
 
+// Number of datagrams by verdict, since the start of the process.
 struct SealCounts {
   std::uint64_t received = 0, no_datagram = 0, unknown_key = 0, forged = 0, replayed = 0;
 };
 
-// Seals and opens for one process, on one thread.
+// Seals and opens datagrams for one process. Used on one thread.
 class Seal {
  public:
   explicit Seal(KeyRing ring);
-  // Another ring from now on; count and window stay.
+  // Replaces the key ring; the count and the replay window are kept.
   void Use(KeyRing ring);
 
-  // Nothing where the payload is longer than kMaxPayloadSize.
+  // Seals a payload. Returns nothing if it is longer than kMaxPayloadSize.
   std::optional<std::string> Close(std::string_view payload);
 
   struct Opened {
     SealVerdict verdict = SealVerdict::kNoDatagram;
-    std::string_view payload;  // of kAccepted; within the datagram
+    std::string_view payload;  // for kAccepted; points into the datagram
   };
+  // Verifies a datagram and counts the verdict.
   Opened Open(std::string_view datagram);
   const SealCounts& counts() const { return counts_; }
 
--- a/src/gossip/settings.cpp
+++ b/src/gossip/settings.cpp
@@ -10,12 +10,12 @@
 namespace mothrack::gossip {
 namespace {
 
-constexpr std::uint16_t kMinPort = 1024;  // below, a socket takes a right that a sidecar should not have
-constexpr std::size_t kMaxSeeds = 64;     // enough of any fleet: one that answers is all it takes
+constexpr std::uint16_t kMinPort = 1024;  // lower ports need a privilege that a sidecar should not have
+constexpr std::size_t kMaxSeeds = 64;     // enough for any fleet, since one that answers suffices
 
 std::string Quoted(const std::string& text) { return '"' + text + '"'; }
 
-// Of an address that others send to, or that this one listens on.
+// Parses an address that others send to, or that this member listens on.
 runtime::Endpoint ReadAddress(Source& source, const std::string& key, std::optional<std::size_t> element,
                               const std::string& text, bool any_port) {
   const auto endpoint = runtime::ParseEndpoint(text);
@@ -25,7 +25,7 @@
   if (endpoint->address().is_unspecified()) {
     source.Fail(key, element, Quoted(text) + " names no one address; name the one that the others send to");
   }
-  // What is said is authenticated and not hidden: not for a network that others read.
+  // Datagrams are authenticated but not encrypted, so they must not cross a network that others can read.
   if (!endpoint->address().is_loopback()) {
     source.Fail(key, element, Quoted(text) + " is no loopback address, which is all that peers serve so far");
   }
@@ -39,7 +39,8 @@
 
 }  // namespace
 
-// Bounds: no probe so often that a fleet's datagrams would be its load, none so seldom that it finds nothing.
+// The bounds prevent probes so frequent that the fleet's datagrams become its load, and so rare that they
+// detect nothing.
 const std::vector<DurationSetting> kDurationSettings = {
     {"probe_ms", &ProtocolConfig::probe_interval, 50, 60'000},
     {"probe_patience_ms", &ProtocolConfig::probe_timeout, 10, 30'000},
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -1,5 +1,5 @@
-// The section [peers] of a sidecar's operator file and of an agent's fleet file. Both are read by the same
-// rules, through a Source each.
+// The section [peers] of a sidecar's or an agent's settings file. Both are read by the same rules, through
+// different implementations of Source.
 #pragma once
 
 #include <cstdint>
@@ -14,17 +14,19 @@
 
 namespace mothrack::gossip {
 
+// The settings of one member.
 struct Settings {
-  runtime::Endpoint listen;                    // UDP; port 0: the system picks one
-  std::optional<runtime::Endpoint> advertise;  // where the others send to; absent: `listen`
-  std::string zone;                            // the datacenter zone that it stands in
+  runtime::Endpoint listen;                    // UDP; port 0: the kernel chooses one
+  std::optional<runtime::Endpoint> advertise;  // the address that others send to; absent: `listen`
+  std::string zone;                            // the zone that the machine is in
   Role role = Role::kSidecar;
   std::string key_file;
   std::vector<runtime::Endpoint> seeds;
   ProtocolConfig protocol;
 };
 
-// One section of a file. Fail names the place of the key (or of the element of its list), and throws.
+// One section of a file. The readers return nothing if the key is absent and throw on an invalid value.
+// Fail() throws an error that names the location of the key or of the element of its list.
 class Source {
  public:
   virtual ~Source() = default;
@@ -35,10 +37,11 @@
                                  const std::string& what) = 0;
 };
 
-// `zone`: where the section names none; empty: it must. Reads the key file as well, for its faults.
+// Reads and checks all settings. `zone` is the default if the section names none; if empty, the section must
+// name one. Also reads the key file to report its errors.
 Settings ReadSettings(Source& source, Role role, const std::string& zone);
 
-// The settings that have a number, as the file names them; for printing them all.
+// The numeric settings by their names in the file, with their bounds; also used to print them all.
 struct DurationSetting {
   const char* key;
   Duration ProtocolConfig::*at;
@@ -52,7 +55,7 @@
 extern const std::vector<DurationSetting> kDurationSettings;
 extern const std::vector<CountSetting> kCountSettings;
 
-// "ip:port", as members disseminate it.
+// "ip:port", in the form that members disseminate.
 std::string Text(const runtime::Endpoint& endpoint);
 
 }  // namespace mothrack::gossip
--- a/src/gossip/snapshot_publisher.cpp
+++ b/src/gossip/snapshot_publisher.cpp
@@ -6,11 +6,11 @@
 namespace mothrack::gossip {
 namespace {
 
-// At most this often where something changed, at least this often where nothing did, so that the reader can
-// tell an idle task from a dead one.
+// Minimum interval after a change, and maximum interval without changes, which lets the reader distinguish an
+// idle task from a dead one.
 constexpr Duration kMinSnapshotInterval{100};
 constexpr Duration kMaxSnapshotInterval{1000};
-// The programs of a fleet use a handful of keys.
+// Bound on the number of keys; the programs of a fleet use only a few.
 constexpr std::size_t kMaxSnapshotKeys = 64;
 
 }  // namespace
--- a/src/gossip/snapshot_publisher.h
+++ b/src/gossip/snapshot_publisher.h
@@ -1,4 +1,5 @@
-// When a snapshot of the membership is published, and which values are in it. Used on the task's thread.
+// Decides when a snapshot of the membership is published and which values it contains. Used on the task's
+// thread only.
 #pragma once
 
 #include <set>
@@ -11,19 +12,19 @@
 
 class SnapshotPublisher {
  public:
-  // Something that a snapshot shows is different from the last one.
+  // Something that a snapshot shows has changed since the last one.
   void MarkChanged() { changed_ = true; }
-  // Values with this key go into the snapshots, as long as there are any.
+  // Values with this key are included in snapshots as long as there are any.
   void RememberKey(const std::string& key);
 
-  // When the next snapshot is to be made.
+  // When the next snapshot is due.
   TimePoint due() const;
-  // The membership and values as of `now`; its other counters are the caller's to fill in. The next one is
-  // then due by this one's time.
+  // Creates a snapshot of the membership and values as of `now`; the caller fills in the other counters. The
+  // next one becomes due relative to this one.
   MembershipSnapshot Make(const Core& core, TimePoint now);
 
  private:
-  TimePoint published_at_{};  // the epoch: the first is due at once
+  TimePoint published_at_{};  // the epoch, so that the first one is due at once
   bool changed_ = true;
   std::set<std::string> keys_;
 };
--- a/src/gossip/task.cmake
+++ b/src/gossip/task.cmake
@@ -1,5 +1,5 @@
-# What touches threads, the network and the log. spdlog and concurrentqueue come with it, so nothing else may link it
-# but programs that are built with peers.
+# The parts that use threads, the network and the log. They depend on spdlog and concurrentqueue, so only
+# programs that are built with gossip may link this library.
 find_package(spdlog REQUIRED)
 find_path(CONCURRENTQUEUE_INCLUDE_DIR concurrentqueue/concurrentqueue.h REQUIRED)
 add_library(mothrack_gossip_io link.cpp settings.cpp snapshot_publisher.cpp task.cpp task_log.cpp
--- a/src/gossip/task.cpp
+++ b/src/gossip/task.cpp
@@ -11,8 +11,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Blocks all signals in this thread, and with it in the threads that it starts, while it lives: signals are
-// the event loop's.
+// While it exists, blocks all signals in this thread and in the threads that it starts, because signals are
+// handled by the event loop.
 class SignalBlock {
  public:
   SignalBlock() {
--- a/src/gossip/task.h
+++ b/src/gossip/task.h
@@ -1,5 +1,5 @@
-// The gossip task: a thread of its own that owns the socket, the keys and the core, is told by commands and
-// answers by snapshots. docs/design/peers_task.md has the reasons.
+// The gossip task: a separate thread that owns the socket, the keys and the core. It receives commands and
+// publishes snapshots. docs/design/peers_task.md gives the reasons.
 #pragma once
 
 #include <chrono>
@@ -21,38 +21,40 @@
 
 class TaskWorker;
 
-// Used from one thread, always the same. Nothing here waits but Stop(), and that for kStopTimeout at most.
+// Must always be used from the same thread. Only Stop() waits, for kStopTimeout at most.
 class Task {
  public:
-  // Open all the time: the socket and the queues' two eventfds.
+  // Descriptors that are always open: the socket and the eventfds of the two queues.
   static constexpr std::size_t kFixedDescriptors = 3;
-  // The turn of a healthy thread is over in microseconds; one that is stuck in the system is left behind.
+  // A healthy thread ends its turn within microseconds. One that is stuck in a system call is detached.
   static constexpr std::chrono::milliseconds kStopTimeout{200};
 
-  // For tests: called at the beginning of each turn, on the task's thread.
+  // For tests: called at the start of each turn, on the task's thread.
   using TurnHook = std::function<void()>;
 
-  // Starts at once. `name` is the member's, and stands before each log line. Throws TaskError and
+  // Starts at once. `name` is the member's name and the prefix of its log lines. Throws TaskError and
   // ResourceError.
   Task(const Settings& settings, const std::string& name, TurnHook turn_hook = {});
   ~Task();
   Task(const Task&) = delete;
   Task& operator=(const Task&) = delete;
 
+  // Sends a command; never waits. If the queue is full, the oldest command is dropped.
   void Post(TaskCommand command);
   void ReloadKeys() { Post(ReloadKeysCommand{}); }
+  // Where the task publishes its snapshots.
   BoundedQueue<MembershipSnapshotPtr>& snapshots();
 
-  // Commands that were posted before are run first, unless the thread is stuck. False where it had to be left
-  // behind.
+  // Stops the thread after it has run the commands posted before, unless it is stuck. Returns false if it had
+  // to be detached.
   bool Stop();
 
   runtime::Endpoint local() const;
-  std::uint64_t failures() const;  // 1 once an exception ended the thread
-  std::uint64_t dropped() const;   // by both queues
+  std::uint64_t failures() const;  // 1 once an exception has ended the thread
+  std::uint64_t dropped() const;   // commands and snapshots
 
  private:
-  std::shared_ptr<TaskWorker> worker_;  // shared with the thread: one that is left behind keeps what it uses
+  std::shared_ptr<TaskWorker> worker_;  // shared with the thread, so that a detached one keeps what it uses
   std::future<void> ended_;
   std::thread thread_;
 };
--- a/src/gossip/task_command.h
+++ b/src/gossip/task_command.h
@@ -1,4 +1,5 @@
-// What the event loop's thread tells the gossip task to do. Values; delivered through a BoundedQueue.
+// The commands from the event loop's thread to the gossip task. Plain values, delivered through a
+// BoundedQueue.
 #pragma once
 
 #include <cstddef>
@@ -14,14 +15,14 @@
   std::string key, bytes;
   Duration ttl{0};
 };
-// Tells the others that this member leaves.
+// Notifies the other members that this one leaves.
 struct LeaveCommand {};
 // Reads the key file again.
 struct ReloadKeysCommand {};
 using TaskCommand = std::variant<PutValueCommand, LeaveCommand, ReloadKeysCommand>;
 
-// Every value of an owner four times over. A later put of a key makes the former worthless, so a task that is
-// further behind than this has lost nothing that would still count, as long as the loop repeats its puts.
+// Four times the number of values of one owner. A later put of a key replaces an earlier one, so a task that
+// is further behind loses nothing that still matters, provided that the event loop repeats its puts.
 constexpr std::size_t kMaxPendingCommands = 4 * kMaxKeysPerOwner;
 
 }  // namespace mothrack::gossip
--- a/src/gossip/task_error.h
+++ b/src/gossip/task_error.h
@@ -5,14 +5,14 @@
 
 namespace mothrack::gossip {
 
-// The operator can mend it: an address in use, a fault in the key file, no valid name. One line, which names
-// the setting and the mend.
+// An error that the operator can fix: an address in use, an invalid key file or name. what() is one line that
+// names the setting and the fix.
 class TaskError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The system gives no socket, eventfd or thread; the program goes on without gossip. One line.
+// The kernel provides no socket, eventfd or thread. The program continues without gossip. what() is one line.
 class ResourceError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/gossip/task_log.cpp
+++ b/src/gossip/task_log.cpp
@@ -9,7 +9,7 @@
 namespace mothrack::gossip {
 namespace {
 
-// A flood of changes must not fill the log.
+// Bounds, because many changes at once must not fill the log.
 constexpr double kLinesPerSecond = 1;
 constexpr double kLinesBurst = 20;
 
@@ -32,7 +32,7 @@
     }
     if (suppressed_ > 0) logger_.info("peers: {} lines left out", std::exchange(suppressed_, 0));
     logger_.info("peers: {}", text);
-  } catch (...) {  // a line that cannot be written, for whatever reason, is lost and the task goes on
+  } catch (...) {  // a line that cannot be written is lost, and the task continues
   }
 }
 
--- a/src/gossip/task_log.h
+++ b/src/gossip/task_log.h
@@ -1,4 +1,5 @@
-// The gossip task's lines on standard error, in the form of the program's own. Used on the task's thread.
+// The gossip task's log lines on standard error, in the format of the program's own. Used on the task's
+// thread only.
 #pragma once
 
 #include <spdlog/logger.h>
@@ -11,24 +12,24 @@
 
 namespace mothrack::gossip {
 
-// The system's text for an errno value.
+// The message of an errno value.
 std::string ErrorText(int error);
 
-// Rate-limited; never throws: whatever keeps it from writing, the task goes on.
+// Rate-limited. Never throws: if a line cannot be written, the task continues.
 class TaskLog {
  public:
-  // `name` stands before each line.
+  // `name` is the prefix of each line.
   explicit TaskLog(const std::string& name);
 
   void Line(const std::string& text) noexcept;
-  // One line for each errno value, however often the system refuses `operation` ("to read"): how often shows
-  // in the snapshot's counters.
+  // Logs that a system call failed, once per errno value; the snapshot's counters show how often.
+  // `operation`: for example "to read".
   void SystemRefuses(const std::string& operation, int error);
 
  private:
   spdlog::logger logger_;
   runtime::RateLimiter rate_limiter_;
-  std::uint64_t suppressed_ = 0;  // lines since the last one written
+  std::uint64_t suppressed_ = 0;  // since the last line written
   std::set<int> logged_errors_;
 };
 
--- a/src/gossip/task_worker.cpp
+++ b/src/gossip/task_worker.cpp
@@ -20,13 +20,13 @@
 namespace mothrack::gossip {
 namespace {
 
-// Datagrams received in one turn. With the longest message that takes a healthy machine well under 10 ms,
-// after which commands and the clock have their turn: a flood delays the task's own probes by that much and
-// no more.
+// Maximum number of datagrams received in one turn. Even with the longest messages this takes a healthy
+// machine well under 10 ms; then commands and timers run. So a flood delays the task's own probes by no more
+// than that.
 constexpr int kMaxReadsPerTurn = 64;
-// After the system refused to read, so that a broken socket does not make the thread spin.
+// Pause after a failed read, so that a broken socket does not cause a busy loop.
 constexpr Duration kReadPause{100};
-// Where nothing is due.
+// Maximum sleep if nothing is due.
 constexpr Duration kMaxSleep{1000};
 
 TimePoint SteadyNow() { return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()); }
@@ -83,12 +83,12 @@
 void TaskWorker::Run() noexcept {
   try {
     while (!stop_) RunTurn();
-    // Commands from before the stop, so that the others learn at once of one that leaves.
+    // Run the commands posted before the stop, so that the others learn of a leave at once.
     RunCommands(SteadyNow());
     FlushOutput();
   } catch (const std::exception& e) {
     OnFailure(e.what());
-  } catch (...) {  // the thread's outermost frame: anything else would end the program
+  } catch (...) {  // the thread's outermost frame: an exception that leaves it would end the program
     OnFailure("an unknown exception");
   }
 }
@@ -114,11 +114,11 @@
   if (now >= publisher_.due()) PublishSnapshot(now);
 }
 
-// poll: the descriptors are two and never change; epoll would be a third one.
+// poll() suffices for two fixed descriptors; epoll would need a third one.
 void TaskWorker::Wait() {
   const TimePoint now = SteadyNow();
   const TimePoint due = std::min({core_.next(), publisher_.due(), now + kMaxSleep});
-  // At least 1 ms: whatever the core says is due, the thread does not spin.
+  // At least 1 ms, so that the thread never spins, whatever the core says is due.
   const auto wait_ms = std::clamp<std::int64_t>((due - now).count(), 1, kMaxSleep.count());
   const int socket = now >= reading_paused_until_ ? socket_.fd() : -1;
   std::array<pollfd, 2> awaited{{{commands_.descriptor(), POLLIN, 0}, {socket, POLLIN, 0}}};
@@ -132,7 +132,7 @@
     if (!command) return;
     std::visit([&](const auto& one) { Run(one, now); }, *command);
   }
-  commands_.Signal();  // there may be more, and the signal of their push was cleared
+  commands_.Signal();  // there may be more, and their signal was cleared
 }
 
 void TaskWorker::Run(const PutValueCommand& command, TimePoint now) {
@@ -158,7 +158,7 @@
 }
 
 void TaskWorker::ReceiveDatagrams(TimePoint now) {
-  std::array<char, kMaxDatagramSize + 1> buffer;  // by the one more byte a datagram shows that it is too long
+  std::array<char, kMaxDatagramSize + 1> buffer;  // one more byte reveals a datagram that is too long
   for (int i = 0; i < kMaxReadsPerTurn; ++i) {
     const UdpSocket::Received received = socket_.Receive(buffer);
     switch (received.status) {
@@ -177,7 +177,7 @@
   }
 }
 
-// The seal first: whoever has no key costs a checksum and a count, and no memory.
+// The seal is checked first: a sender without a key costs a hash and a counter, but no memory.
 void TaskWorker::ReceiveDatagram(std::string_view datagram, const runtime::Endpoint& from, TimePoint now) {
   const Seal::Opened opened = seal_.Open(datagram);
   if (opened.verdict != SealVerdict::kAccepted) return;
@@ -200,7 +200,7 @@
 void TaskWorker::Send(const Datagram& datagram) {
   const auto to = runtime::ParseEndpoint(datagram.address);
   const auto sealed = seal_.Close(Encode(datagram.message));
-  if (!to || !sealed) {  // a member's address, as it states it, is parsed here and not before
+  if (!to || !sealed) {  // an address from a member's update is parsed only here
     ++send_failures_;
     return;
   }
--- a/src/gossip/task_worker.h
+++ b/src/gossip/task_worker.h
@@ -1,4 +1,5 @@
-// The loop of the gossip task's thread: socket, keys, core, log and the queues to and from the event loop.
+// The main loop of the gossip task's thread: socket, keys, core, log, and the queues to and from the event
+// loop.
 #pragma once
 
 #include <atomic>
@@ -19,30 +20,30 @@
 
 namespace mothrack::gossip {
 
-// Made and asked by the event loop's thread, run by the task's. What both may use is marked.
+// Created and queried by the event loop's thread, run by the task's thread. What both may use is marked.
 class TaskWorker {
  public:
   using TurnHook = std::function<void()>;
 
-  // Throws TaskError and ResourceError (task_error.h), std::system_error where there is no eventfd.
+  // Throws TaskError and ResourceError (task_error.h), and std::system_error if there is no eventfd.
   TaskWorker(const Settings& settings, const std::string& name, TurnHook turn_hook);
 
-  // The task's thread, from begin to end; returns after RequestStop(), or when an exception ended the task.
+  // The body of the task's thread. Returns after RequestStop(), or when an exception has ended the task.
   void Run() noexcept;
 
-  // Any thread.
+  // May be called on any thread.
   void RequestStop();
-  std::uint64_t failures() const { return failures_; }  // 1 once an exception ended the task
+  std::uint64_t failures() const { return failures_; }  // 1 once an exception has ended the task
   std::uint64_t dropped() const { return commands_.dropped() + snapshots_.dropped(); }
   runtime::Endpoint local() const { return socket_.local(); }
 
-  // The event loop's thread pushes the one and pops the other.
+  // The event loop's thread pushes commands and pops snapshots.
   BoundedQueue<TaskCommand>& commands() { return commands_; }
   BoundedQueue<MembershipSnapshotPtr>& snapshots() { return snapshots_; }
 
  private:
   void RunTurn();
-  // Until something is due, a command or a datagram came.
+  // Waits until something is due or a command or datagram arrives.
   void Wait();
   void RunCommands(TimePoint now);
   void Run(const PutValueCommand& command, TimePoint now);
@@ -50,7 +51,7 @@
   void Run(const ReloadKeysCommand& command, TimePoint now);
   void ReceiveDatagrams(TimePoint now);
   void ReceiveDatagram(std::string_view datagram, const runtime::Endpoint& from, TimePoint now);
-  // Sends, logs and clears what the core put out.
+  // Sends, logs and clears the core's output.
   void FlushOutput();
   void Send(const Datagram& datagram);
   void OnChange(const Change& change);
--- a/src/gossip/udp_socket.h
+++ b/src/gossip/udp_socket.h
@@ -11,17 +11,18 @@
 
 namespace mothrack::gossip {
 
+// Result of a system call.
 enum class IoStatus : std::uint8_t {
   kDone,
   kWouldBlock,
-  kInterrupted,  // by a signal; may be tried again
+  kInterrupted,  // by a signal; may be retried
   kFailed,
 };
 
-// Not thread-safe but for local().
+// Used on the task's thread only, except local().
 class UdpSocket {
  public:
-  // Throws ResourceError where the system gives no socket, TaskError where `listen` cannot be bound.
+  // Throws ResourceError if the kernel provides no socket, TaskError if `listen` cannot be bound.
   explicit UdpSocket(const runtime::Endpoint& listen);
   ~UdpSocket();
   UdpSocket(const UdpSocket&) = delete;
@@ -29,20 +30,20 @@
 
   struct Received {
     IoStatus status = IoStatus::kFailed;
-    int error = 0;                   // errno; 0 of kDone
-    std::string_view datagram = {};  // of kDone; within the buffer, and cut to its size
-    runtime::Endpoint from = {};     // of kDone
+    int error = 0;                   // errno; 0 for kDone
+    std::string_view datagram = {};  // for kDone; points into the buffer, truncated to its size
+    runtime::Endpoint from = {};     // for kDone
   };
   Received Receive(std::span<char> buffer) const;
 
   struct Sent {
     IoStatus status = IoStatus::kFailed;
-    int error = 0;  // errno; 0 of kDone
+    int error = 0;  // errno; 0 for kDone
   };
   Sent Send(std::string_view datagram, const runtime::Endpoint& to) const;
 
   int fd() const { return fd_; }
-  // The address that it is bound to, with the port that the system picked.
+  // The bound address, with the port that the kernel chose.
   runtime::Endpoint local() const;
 
  private:
--- a/src/gossip/update_merger.cpp
+++ b/src/gossip/update_merger.cpp
@@ -6,7 +6,7 @@
 namespace mothrack::gossip {
 namespace {
 
-// Microseconds: a raised boot number lies within this above the former process's.
+// A raised boot number exceeds the earlier process's by at most this many microseconds.
 constexpr std::size_t kBootNumberSpread = 1 << 20;
 
 bool IsLive(const MembershipUpdate& member) { return member.state <= MemberState::kSuspect; }
@@ -42,7 +42,7 @@
   for (Value& value : context_.values.AdvanceBoot(member.boot_id, false))
     ReportExpired(std::move(value), out);
   context_.updates.Add(name, "", now);
-  // A refutation of what nobody here had doubted changes nothing for the users of the membership.
+  // A refutation of a suspicion that was never seen here is no change for users of the membership.
   MembershipUpdate comparable = member;
   if (result.before) comparable.incarnation = result.before->incarnation;
   if (!result.before || comparable != *result.before) out.AddChange(Change::What::kMember, member);
@@ -70,7 +70,7 @@
     return;
   }
   const auto* owner = context_.membership.Find(value.owner.name);
-  // Expired, of an unknown owner: nothing would ever forget it.
+  // An expired value of an unknown owner is not stored, because nothing would ever remove it.
   const bool unforgettable = owner == nullptr && value.age >= value.ttl;
   const bool of_former_boot = owner != nullptr && value.owner.boot_number < owner->update.boot_id.boot_number;
   if (unforgettable || of_former_boot || now < values_ignored_until_) {
@@ -134,7 +134,7 @@
   if (boot_raised_at_ && now < *boot_raised_at_ + context_.config.probe_interval) return false;
   boot_raised_at_ = now;
   MembershipUpdate& self = context_.self;
-  // Drawn: two processes that start one after the other after the same former one must get different numbers.
+  // Random, because two processes that successively replace the same earlier one must get different numbers.
   self.boot_id.boot_number = received + 1 + context_.random.Below(kBootNumberSpread);
   self.incarnation = 0;
   context_.values.AdvanceBoot(self.boot_id, true);
@@ -151,7 +151,7 @@
   for (Value& value : context_.values.ExpireDue(now)) {
     const std::string owner = value.owner.name;
     ReportExpired(std::move(value), out);
-    // Of an unknown member: nothing but its values kept it here.
+    // An unknown member was kept only because of its values.
     if (context_.membership.Find(owner) == nullptr && context_.values.AllExpired(owner)) {
       context_.values.Forget(owner);
     }
@@ -174,7 +174,7 @@
     const bool left = boot_number == known.boot_id.boot_number && known.state == MemberState::kLeft;
     if (later || left) return known;
   }
-  // A value may be all that was received of a later boot.
+  // A value may be the only thing received of a later boot.
   const std::uint64_t boot_number_of_values = context_.values.BootNumberOf(name);
   if (boot_number >= boot_number_of_values) return std::nullopt;
   MembershipUpdate later = update;
--- a/src/gossip/update_merger.h
+++ b/src/gossip/update_merger.h
@@ -1,5 +1,6 @@
-// Merges what was received, or concluded here, into the local state: members, values, and this member itself.
-// Pure. The tables "Rules of membership" and "Rules of values" in docs/design/peers.md are its rules.
+// Merges received updates, and conclusions of this member, into the local state: members, values, and this
+// member itself. Pure: no I/O, clock or thread. The rules are in the tables "Rules of membership" and "Rules
+// of values" of docs/design/peers.md.
 //
 // Source: SWIM, section 4.2 (suspicion, incarnation numbers); Lifeguard, section IV (refutation).
 #pragma once
@@ -17,26 +18,29 @@
   UpdateMerger(ProtocolContext& context, ProbeScheduler& probes, AntiEntropySchedule& anti_entropy)
       : context_(context), probes_(probes), anti_entropy_(anti_entropy) {}
 
-  // An update of any member. Invalid and superseded ones are counted; one of this member is answered.
+  // Merges an update of any member. Invalid and superseded ones are counted; one of this member is answered.
   void ApplyMember(const MembershipUpdate& update, UpdateOrigin origin, TimePoint now, CoreOutput& out);
-  // An update of this very member: refutes it, by a higher incarnation or boot number, where it is wrong.
+  // Handles an update about this member itself: if it is wrong, refutes it with a higher incarnation or boot
+  // number.
   void RespondToOwnUpdate(const MembershipUpdate& update, TimePoint now, CoreOutput& out);
   void ApplyValue(const Value& value, TimePoint now, CoreOutput& out);
-  // Until then received values are counted as stale: they waited in the socket for an unknown time.
+  // Until `time`, received values count as stale, because they waited in the socket for an unknown time.
   void IgnoreValuesUntil(TimePoint time) { values_ignored_until_ = time; }
 
-  // Values whose time to live is over, and owners of which nothing else is known.
+  // Expires values whose time to live is over, and forgets owners of which nothing else is known.
   void ExpireValues(TimePoint now, CoreOutput& out);
-  // Dead and departed members after `dead_retention`.
+  // Forgets dead and departed members after `dead_retention`.
   void ForgetDeparted(TimePoint now);
 
-  // What is known of a later boot of this member, or of its end; nothing where the update is not superseded.
+  // Returns what is known of a later boot of this member, or of its leave; nothing if the update is not
+  // superseded.
   std::optional<MembershipUpdate> FindLaterBoot(const MembershipUpdate& update) const;
 
  private:
-  // False where it may not be raised now: two processes of one name would outbid each other without end.
+  // Returns false if the boot number may not be raised now: two processes of one name would outbid each other
+  // forever.
   bool RaiseBootNumber(const MembershipUpdate& update, TimePoint now, CoreOutput& out);
-  // Counters, probing and catching up after the state of a member changed. `was_alone`: before the change.
+  // Updates counters, probing and catching up after a member's state changed. `was_alone`: before the change.
   void OnMemberChanged(const MembershipUpdate& member, const std::optional<MembershipUpdate>& before,
                        bool was_alone, TimePoint now);
   void ApplyOwnValue(const Value& value, TimePoint now, CoreOutput& out);
--- a/src/gossip/update_queue.cpp
+++ b/src/gossip/update_queue.cpp
@@ -5,8 +5,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Updates that did not fit, after which no more are tried: a datagram is not worth a walk over the whole
-// queue.
+// After this many updates that did not fit, the search ends: one datagram is not worth a walk through the
+// whole queue.
 constexpr int kMaxMisfits = 8;
 
 }  // namespace
--- a/src/gossip/update_queue.h
+++ b/src/gossip/update_queue.h
@@ -1,7 +1,7 @@
-// Updates that are still to be disseminated, and which of them go into the next datagram: members before
-// values, the least sent first, of these the latest. Pure.
+// The updates that are still to be disseminated. Selects those for the next datagram: members before values,
+// then those sent least often, then the latest. Pure: no I/O, clock or thread.
 //
-// Source: SWIM, section 4.1 (piggybacked updates, those sent least first).
+// Source: SWIM, section 4.1 (piggybacked updates, those sent least often first).
 #pragma once
 
 #include <map>
@@ -17,11 +17,11 @@
 
 class UpdateQueue {
  public:
-  // Queues it with no sends counted, also where it was queued already. `key` empty: the member itself.
-  // `changed_at`: when it became so, by this member's clock.
+  // Queues an update and resets its number of sends. `key` is empty for the member itself. `changed_at`: when
+  // the change happened, on this member's clock.
   void Add(const std::string& name, const std::string& key, TimePoint changed_at);
   void Drop(const std::string& name, const std::string& key);
-  // Appends what fits into `capacity` bytes; each update is sent at most `max_sends` times in all.
+  // Appends what fits into `capacity` bytes. Each update is sent at most `max_sends` times in total.
   void Fill(Message& message, std::size_t capacity, std::size_t max_sends, TimePoint now,
             const Membership& membership, const ValueStore& values);
   bool empty() const { return entries_.empty(); }
@@ -33,7 +33,7 @@
     std::size_t sends = 0;
     TimePoint changed_at;
   };
-  // Is a value; sends; minus the time of the change; whose.
+  // Whether it is a value; sends; negated time of the change; id.
   using Priority = std::tuple<bool, std::size_t, TimePoint::rep, Id>;
   static Priority PriorityOf(const Id& id, const Entry& entry) {
     return {!id.second.empty(), entry.sends, -entry.changed_at.time_since_epoch().count(), id};
--- a/src/gossip/value_store.cpp
+++ b/src/gossip/value_store.cpp
@@ -2,8 +2,8 @@
 
 #include <algorithm>
 
-// The analyzer takes the header's own check for null for a case that occurs, and reports what follows from
-// it.
+// The static analyzer assumes that the null check in this header's inline code can succeed, and reports false
+// positives that follow from it.
 #ifndef __clang_analyzer__
 #define XXH_INLINE_ALL
 #endif
@@ -139,7 +139,7 @@
   Reschedule(stored, now);
 }
 
-// Moves what is queued only where its moment is too late, or is over.
+// Moves a queued entry only if its time is too late or has passed.
 void ValueStore::Reschedule(StoredValue& stored, TimePoint now) {
   const TimePoint due = stored.received_at + (stored.value.ttl - stored.value.age);
   if (stored.due <= due && stored.due > now) return;
--- a/src/gossip/value_store.h
+++ b/src/gossip/value_store.h
@@ -1,7 +1,8 @@
-// Values that members publish: they merge in any order, and expire by their age. Pure.
+// The values that members publish. They merge in any order and expire by their age. Pure: no I/O, clock or
+// thread.
 //
-// A state-based CRDT: the greatest version of an owner's latest boot wins. The table "Rules of values" in
-// docs/design/peers.md has its rules. Bounds: kMaxMembers owners, kMaxKeysPerOwner values each.
+// A state-based CRDT: the greatest version of an owner's latest boot wins. The rules are in the table "Rules
+// of values" of docs/design/peers.md. Bounds: kMaxMembers owners, kMaxKeysPerOwner values each.
 #pragma once
 
 #include <map>
@@ -14,7 +15,7 @@
 
 namespace mothrack::gossip {
 
-// Within the bounds of src/gossip/types.h.
+// Whether the value is within the bounds of gossip/types.h.
 bool IsValid(const Value& value);
 
 class ValueStore {
@@ -22,40 +23,43 @@
   struct StoredValue {
     Value value;  // `age` as of `received_at`
     TimePoint received_at;
-    TimePoint due;         // checked for expiry then; not once it expired
-    bool expired = false;  // without bytes; its version is kept, so no old copy comes back
+    TimePoint due;         // when the expiry is checked next; unused once expired
+    bool expired = false;  // stored without bytes; the version is kept, so that no old copy returns
     Duration AgeAt(TimePoint now) const { return value.age + (now - received_at); }
   };
+  // What became of a received value.
   enum class MergeOutcome {
-    kApplied,         // to be disseminated
-    kAged,            // the same version with a greater age: the age is applied, not disseminated
-    kStale,           // of a former boot, an earlier version, or the same
-    kAppliedExpired,  // later, but expired: its version is remembered, and what it replaces expires
+    kApplied,         // must be disseminated
+    kAged,            // same version with a greater age: the age is stored, but not disseminated
+    kStale,           // from an earlier boot, or the same or an earlier version
+    kAppliedExpired,  // a later version that has expired: it is remembered, and the value it replaces expires
     kFull,            // too many keys or owners
   };
   struct MergeResult {
     MergeOutcome outcome = MergeOutcome::kStale;
-    std::vector<Value> expired;  // by this merge: replaced by an expired version, or of a former boot
+    std::vector<Value> expired;  // by this merge: replaced by an expired version, or from an earlier boot
   };
 
   MergeResult Merge(const Value& value, TimePoint now);
-  // The owner's own: a version above all before. False where there are too many keys.
+  // Stores the owner's own value with a version above all earlier ones. Returns false if there are too many
+  // keys.
   bool Put(const BootId& owner, const std::string& key, const std::string& bytes, Duration ttl,
            TimePoint now);
-  // `value` has a later version of an own value than was ever put: the own one's version is raised above it.
-  // False where there is nothing to raise.
+  // `value` has a later version of an own value than was ever put: raises the own version above it. Returns
+  // false if there is nothing to raise.
   bool RefuteVersion(const Value& value);
-  // A later boot of an owner. `keep_values`: they pass to the new boot; otherwise they expire and are
-  // returned.
+  // Applies a later boot of an owner. `keep_values`: its values pass to the new boot; otherwise they expire
+  // and are returned.
   std::vector<Value> AdvanceBoot(const BootId& boot_id, bool keep_values);
+  // Expires the values that are due and returns them.
   std::vector<Value> ExpireDue(TimePoint now);
   void Forget(const std::string& owner);
 
   const StoredValue* Find(const std::string& owner, const std::string& key) const;
-  // With its age as of `now`, as it is sent.
+  // The value with its age as of `now`, in the form in which it is sent.
   static Value WithCurrentAge(const StoredValue& stored, TimePoint now);
   const std::map<std::string, StoredValue>* ValuesOf(const BootId& owner) const;
-  std::uint64_t BootNumberOf(const std::string& owner) const;  // of the boot whose values are stored; 0: none
+  std::uint64_t BootNumberOf(const std::string& owner) const;  // the boot whose values are stored; 0: none
   bool AllExpired(const std::string& owner) const;
   std::uint64_t HashOf(const BootId& owner) const;  // 0: none
   TimePoint next() const;
@@ -63,7 +67,7 @@
  private:
   struct Owner {
     std::uint64_t boot_number = 0;
-    std::uint64_t hash = 0;  // a sum, so that the order of arrival does not matter
+    std::uint64_t hash = 0;  // a sum, so that it does not depend on the order of arrival
     std::map<std::string, StoredValue> keys;
   };
   void Set(Owner& owner, StoredValue& stored, const Value& value, TimePoint now);
@@ -71,8 +75,8 @@
   void MarkExpired(StoredValue& stored);
 
   std::map<std::string, Owner> owners_;
-  // Each unexpired value once, at or before its expiry: renewed ones are checked again, so that a new version
-  // costs nothing here.
+  // Each unexpired value once, at or before its expiry. A renewed value is rescheduled only when its entry is
+  // due, so that a new version costs nothing here.
   std::set<std::tuple<TimePoint, std::string, std::string>> due_;
 };
 
--- a/src/gossip/wire.cmake
+++ b/src/gossip/wire.cmake
@@ -1,5 +1,5 @@
-# Messages as bytes, the seal and the keys. Protobuf in its lite runtime; what protoc makes stays in the build's folder
-# and is a library of its own, so that our warnings are not asked of it.
+# Encoding, seal and keys. Uses protobuf's lite runtime. The generated code stays in the build directory and
+# is a separate library, so that our warnings do not apply to it.
 find_package(Protobuf 3.12 REQUIRED)
 find_path(SODIUM_INCLUDE_DIR sodium.h REQUIRED)
 find_library(SODIUM_LIBRARY sodium REQUIRED)
--- a/src/gossip/wire.cpp
+++ b/src/gossip/wire.cpp
@@ -14,11 +14,13 @@
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9');
 }
 
-// The version without a parser: the rest of a later one may have a form that ours calls malformed.
+// Reads the version without the protobuf parser, because a later version may have a format that this parser
+// considers malformed.
 std::optional<std::uint64_t> VersionOf(std::string_view bytes) {
   if (bytes.empty() || bytes.front() != kVersionTag) return std::nullopt;
   std::uint64_t version = 0;
-  for (std::size_t i = 1; i < bytes.size() && i <= 9; ++i) {  // nine groups of seven bits: more is no version
+  // A varint has at most nine groups of seven bits here.
+  for (std::size_t i = 1; i < bytes.size() && i <= 9; ++i) {
     const auto byte = static_cast<std::uint8_t>(bytes[i]);
     version |= std::uint64_t{byte & 0x7fu} << (7 * (i - 1));
     if (byte < 0x80) return version;
@@ -36,7 +38,7 @@
   to.set_zone(update.zone);
 }
 
-// Decodes part by part; each function is false at the first fault, whose cause stays.
+// Decodes a message part by part. Each function returns false at the first error, whose cause is kept.
 class Decoder {
  public:
   bool Decode(const pb::Datagram& from, Message& to) {
@@ -82,7 +84,8 @@
     to = Duration(static_cast<Duration::rep>(ms));
     return true;
   }
-  // Only compared with names; one byte more than a name, so that a range can begin right behind one.
+  // A range end is only compared with names. It may be one byte longer than a name, so that a range can begin
+  // directly after one.
   bool Range(const std::string& from, std::string& to) {
     to = from;
     return Require(from.size() <= kMaxNameSize + 1, "a range's end is longer than a name");
@@ -97,7 +100,7 @@
            Enum(from.role(), Role::kAgent, to.role, "role is none") &&
            Require(IsValidAddress(to.address), "an address is no ip:port of at most 48 bytes") &&
            Require(to.zone.empty() || IsValidName(to.zone),
-                   "a zone is no name");  // empty: its settings name none
+                   "a zone is no name");  // empty: not configured
   }
   bool Decode(const pb::DigestEntry& from, DigestEntry& to) {
     to.values_hash = from.values_hash();
@@ -113,7 +116,7 @@
            Require(IsValidKey(to.key), "a key takes 1 to 24 printable characters without blanks") &&
            Require(to.bytes.size() <= kMaxValueSize, "a value is longer than 256 bytes");
   }
-  // As many as a datagram holds: its size is the bound.
+  // The number of parts is bounded by the size of the datagram.
   template <typename Parts, typename T>
   bool DecodeAll(const Parts& from, std::vector<T>& to) {
     to.resize(static_cast<std::size_t>(from.size()));
@@ -194,7 +197,7 @@
   if (!from.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
     return reject(DecodeFault::kMalformed, "cut or garbled");
   }
-  // A second version field would win in the parser; before the first version there was none.
+  // If there are two version fields, the parser keeps the second one. Version 0 does not exist.
   if (from.version() != kVersion) return reject(DecodeFault::kBounds, "of no version");
   Decoder decoder;
   std::optional<Message> message(std::in_place);
--- a/src/gossip/wire.h
+++ b/src/gossip/wire.h
@@ -1,5 +1,5 @@
-// A message as bytes (peers.proto) and back. Decoding checks everything against the bounds of types.h: what
-// it returns needs no further check. Pure.
+// Encodes messages to bytes (peers.proto) and back. Decode() checks everything against the bounds of types.h,
+// so that its result needs no further check. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -11,34 +11,37 @@
 
 namespace mothrack::gossip {
 
-// A reader takes its own version alone. Fields that a later build adds within it are skipped.
+// The protocol version. A reader accepts only its own version. Fields that a later build adds within it are
+// skipped.
 constexpr std::uint64_t kVersion = 1;
 
+// Why a datagram was rejected.
 enum class DecodeFault : std::uint8_t {
   kNone,
-  kLater,      // of a later version: no fault of the sender's, and counted on its own during an upgrade
-  kMalformed,  // cut, or something else altogether
-  kBounds,     // well formed, but with a value beyond the bounds of types.h
+  kLater,      // a later version: not the sender's error; counted separately during an upgrade
+  kMalformed,  // truncated, or not a message of this protocol
+  kBounds,     // well-formed, but a value is beyond the bounds of types.h
 };
 
+// The reason of a rejection.
 struct DecodeError {
   DecodeFault fault = DecodeFault::kNone;
-  std::string_view cause;  // for people; static, empty of kNone
+  std::string_view cause;  // human-readable; static; empty for kNone
 };
 
-// The rule of the fleet's names: letters, digits, '-', '_' and '.', at most 64, no dot first.
+// The rule of names in the fleet: letters, digits, '-', '_' and '.', at most 64, not starting with a dot.
 bool IsValidName(std::string_view name);
-// "ip:port": digits, hex digits, '.', ':', '[' and ']', at most 48. Whether one can send there, the socket
-// tells.
+// "ip:port" of digits, hex digits, '.', ':', '[' and ']', at most 48. Only the socket can tell whether the
+// address is usable.
 bool IsValidAddress(std::string_view address);
-// Printable ASCII without blanks, at most 24.
+// Printable ASCII without blanks, 1 to 24 characters.
 bool IsValidKey(std::string_view key);
 
-// Of a message within the bounds; never more bytes than MaxEncodedSize() of its parts in sum. A subject
-// without a name is none and is left out.
+// Encodes a message that is within the bounds. The result is never longer than the sum of MaxEncodedSize() of
+// its parts. A subject without a name is omitted.
 std::string Encode(const Message& message);
 
-// Nothing where the bytes are no valid message of this version; `error`, where it is given, then says why.
+// Returns nothing if the bytes are no valid message of this version; `error`, if given, then has the reason.
 std::optional<Message> Decode(std::string_view bytes, DecodeError* error = nullptr);
 
 }  // namespace mothrack::gossip
