--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -14,8 +14,8 @@
 // The deployment's settings that the bound depends on.
 struct StalenessRules {
   bool on_request = false;  // a shared service is polled; otherwise a local agent pushes
-  balancer::Duration
-      drain_within{};  // a draining upstream gets no new requests this long after the notification
+  // A draining upstream gets no new requests this long after the notification.
+  balancer::Duration drain_within{};
   balancer::Duration poll_within{};  // the maximum time between two polls that the platform allows
 
   static StalenessRules Of(const balancer::Settings& settings);
@@ -24,8 +24,8 @@
 // The ways in which a change of the list can be missed. Each names the moment from which the staleness is
 // counted.
 enum class StalenessCase {
-  kWatchTimeout,    // a watch got no answer. Push: from when the agent has the change; on request: from the
-                    // start of the watch
+  // A watch got no answer. Push: from when the agent has the change; on request: from the start of the watch.
+  kWatchTimeout,
   kListTimeout,     // a call without a wait got no answer; counted in the same way
   kAfterOutage,     // after any number of failed calls. From when the source has the change and is reachable
   kAddressChanged,  // SIGHUP named another source. From the signal
@@ -55,11 +55,11 @@
   balancer::Duration watch_timeout{};  // a watch fails this long after the end of its wait
   balancer::Duration list_timeout{};   // a call without a wait fails after this time
   balancer::Duration retry_timeout{};  // the same, from the first failure until the next answer
-  balancer::Duration
-      late_list_timeout{};  // push: the answer to a full list that timed out is accepted until then
+  // Push: the answer to a full list that timed out is still accepted until then.
+  balancer::Duration late_list_timeout{};
   balancer::Duration fault_backoff{};  // minimum time from a fault to the next call
-  balancer::Duration
-      max_retry_interval{};  // on request: most time from the start of a failed call to the next
+  // On request: maximum time from the start of a failed call to the start of the next one.
+  balancer::Duration max_retry_interval{};
   // On request: minimum of that time from the second consecutive fault on.
   balancer::Duration min_fault_interval{};
   balancer::Duration answer_time{};  // time that an answer may take until it has been applied
