--- a/src/zone_failover/conditions.cpp
+++ b/src/zone_failover/conditions.cpp
@@ -28,8 +28,8 @@
   return std::nullopt;
 }
 
-// Overload looks like a zone that does not respond to those that give up at their latency objective; but an
-// unavailable zone answers nobody at all.
+// Members that give up at their latency objective cannot distinguish an overloaded zone from an unresponsive
+// one. But an unavailable zone answers nobody at all.
 bool IsOverloadEverywhere(const ConditionInput& input) {
   return input.others_late && input.votes.unresponsive_weight < input.votes.total_weight;
 }
--- a/src/zone_failover/conditions.h
+++ b/src/zone_failover/conditions.h
@@ -1,4 +1,5 @@
-// Which condition holds of a zone: the rules, each a function, judged in a fixed order. Pure; any thread.
+// Determines the condition of a zone: one function per rule, evaluated in a fixed order. Pure functions; any
+// thread.
 #pragma once
 
 #include <cstddef>
@@ -11,10 +12,11 @@
 
 namespace mothrack::zone_failover {
 
+// What the rules depend on.
 struct ConditionInput {
   const ZoneState& zone;
   const VoteCounts& votes;
-  const OperatorOverride* effective_override = nullptr;  // null: none
+  const OperatorOverride* effective_override = nullptr;  // null if there is none
   bool isolated = false;
   bool has_alternative = false;  // another zone in use can take the load
   bool others_late = false;      // the other zones answer late
@@ -22,8 +24,8 @@
   TimePoint now;
 };
 
-// The first condition that holds, in the order of the page: isolation, overrides, quorum, doubt, no evidence,
-// proof of recovery; else kHealthy.
+// Returns the first condition that holds, in the order of docs/design/zones.md: isolation, overrides, quorum,
+// doubt, no evidence, proof of recovery; otherwise kHealthy.
 Condition ConditionOf(const ConditionInput& input, const FailoverConfig& config);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -15,14 +15,14 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// What the zones in use, one left out, can take.
+// What the zones in use, except one, can take over.
 struct OtherZones {
   bool has_alternative = false;
-  std::uint64_t spare_capacity = 0;  // calls a second that they bore at their peak beyond what they have now
-  bool late = false;                 // too many of their answers come late
+  std::uint64_t spare_capacity = 0;  // calls per second: their peak minus their current load
+  bool late = false;                 // too many of their answers are late
 };
 
-// One call of Decide(): zones are decided one after the other, by name, and each sees the new states of those
+// One call of Decide(). Zones are decided one after the other, by name, and each sees the new states of those
 // before it.
 class DecisionRound {
  public:
@@ -36,7 +36,7 @@
         isolated_(IsIsolated(members)) {}
 
   ZoneStates Run(const ZoneStates& previous, const std::vector<std::string>& names) {
-    const std::set<std::string> sorted(names.begin(), names.end());  // one order at every member
+    const std::set<std::string> sorted(names.begin(), names.end());  // the same order at every member
     for (const std::string& name : sorted) AddZone(name, previous);
     for (const std::string& name : sorted) DecideZone(name);
     return std::move(states_);
@@ -85,8 +85,9 @@
     UpdateShare(zone, locally_reachable);
   }
 
-  // True for this member's own zone while it is there for those inside: this member gets responses, and so do
-  // two thirds of them. One with little traffic may not have noticed yet, so all of them are asked.
+  // True for this member's own zone if it still responds to the members inside: to this member and to two
+  // thirds of them. All of them are considered, because a member with little traffic may not have noticed a
+  // failure yet.
   bool IsLocallyReachable(const std::string& name) const {
     Verdict own_verdict = Verdict::kNone;
     std::size_t insiders = 0;
@@ -108,8 +109,8 @@
     });
   }
 
-  // A member that fell behind takes over what more than half of the live members report at least. It drains a
-  // zone only where another can take the load.
+  // A member that fell behind adopts the state that more than half of the live members have at least reached.
+  // It drains a zone only if another zone can take the load.
   void FollowMajority(const std::string& name, bool has_alternative, bool locally_reachable) {
     ZoneState& zone = states_.at(name);
     const auto majority = MajorityState(observations_.at(name), members_.live.size());
@@ -172,7 +173,7 @@
   const TimePoint now_;
   const std::vector<const EvidenceReport*> recent_;
   const bool isolated_;
-  // By zone.
+  // By zone name.
   ZoneStates states_;
   std::map<std::string, std::vector<Observation>> observations_;
   std::map<std::string, VoteCounts> votes_;
@@ -198,7 +199,7 @@
     if (!majority) continue;
     Adopt(zone, *majority, now);
     if (IsOut(zone.phase)) zone.shifted = kWholeShare;
-    // A recovering zone's share begins at 0 as well and rises by the ramp.
+    // The share of a recovering zone also starts at 0 and rises with the ramp.
     if (!IsInUse(zone.phase)) zone.share = 0;
   }
   return states;
--- a/src/zone_failover/evidence.cpp
+++ b/src/zone_failover/evidence.cpp
@@ -5,11 +5,11 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// Most of the window's attempts: four of five, and at least five, were unanswered, though the latest had a
-// response.
+// Most attempts of the window are unanswered: at least five, and at least four per response, even if the
+// latest attempt got a response.
 constexpr std::uint32_t kMinUnanswered = 5;
 constexpr std::uint32_t kUnansweredPerResponse = 4;
-// One unanswered attempt is chance, and one upstream is not the zone.
+// One unanswered attempt may be chance, and one upstream is not the zone.
 constexpr std::uint16_t kUnresponsiveRun = 2;
 
 }  // namespace
--- a/src/zone_failover/evidence_codec.cpp
+++ b/src/zone_failover/evidence_codec.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kMaxStep = 15;  // a nibble
 constexpr int kMaxVarintBits = 35;    // five bytes of seven bits hold a std::uint32_t
 
-// The counts in the order in which they are sent.
+// The counts in encoding order.
 constexpr std::array kCounts = {&ZoneEvidence::sent,          &ZoneEvidence::answered,
                                 &ZoneEvidence::in_time,       &ZoneEvidence::rejected,
                                 &ZoneEvidence::unanswered,    &ZoneEvidence::unanswered_run,
@@ -29,7 +29,7 @@
   for (int shift = 0; shift < 32; shift += 8) to.push_back(static_cast<char>(id >> shift));
 }
 
-// Reads values in turn. After the first error valid() is false and all further values are 0.
+// Reads values in sequence. After the first error valid() is false and all further values are 0.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
@@ -50,7 +50,7 @@
       const std::uint32_t byte = Byte();
       value |= static_cast<std::uint64_t>(byte & 0x7f) << shift;
       if ((byte & 0x80) != 0) continue;
-      // Each number has one encoding only.
+      // Accept only the shortest encoding of each number.
       if (value > max || (byte == 0 && shift > 0)) return Fail();
       return static_cast<std::uint32_t>(value);
     }
--- a/src/zone_failover/evidence_codec.h
+++ b/src/zone_failover/evidence_codec.h
@@ -1,8 +1,8 @@
-// Evidence as bytes: the value that members send each other by gossip. Pure; any thread.
+// Encodes evidence as the value that members send each other by gossip. Pure functions; any thread.
 //
-// Version (1 byte), zone of the member (4, little-endian), number of zones (1); then of each zone, by rising
-// id: its id (4), eleven counts, phase and step (a nibble each), losses (1), generation, age of the state.
-// Counts are varints of 7 bits a byte, the lowest first.
+// Format: version (1 byte), zone of the member (4, little-endian), number of zones (1); then for each zone,
+// by ascending id: its id (4), eleven counts, phase and step (a nibble each), losses (1), generation, age of
+// the state. Counts are varints with 7 bits per byte, the lowest first.
 #pragma once
 
 #include <cstddef>
@@ -14,12 +14,13 @@
 
 namespace mothrack::zone_failover {
 
-constexpr std::size_t kMaxEvidenceBytes = 256;  // of a gossip value (src/gossip/types.h)
-constexpr std::size_t kMaxZones = 7;            // that fit with every count at its highest
+constexpr std::size_t kMaxEvidenceBytes = 256;  // bound of a gossip value (gossip/types.h)
+// Number of zones that fit even if every count has its maximum.
+constexpr std::size_t kMaxZones = 7;
 
-// Of zones beyond kMaxZones nothing is sent; counts above kMaxCount are sent as that.
+// Zones beyond kMaxZones are omitted, and counts above kMaxCount are clamped.
 std::string Encode(const Evidence& evidence);
-// Nothing where the bytes are not exactly what Encode() gives for some evidence, or contradict themselves.
+// Returns nothing if the bytes are not an exact result of Encode(), or if they contradict themselves.
 std::optional<Evidence> Decode(std::string_view bytes);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/fair_share.cpp
+++ b/src/zone_failover/fair_share.cpp
@@ -11,8 +11,8 @@
   return sum;
 }
 
-// The greatest number up to the highest value for which `holds` is true; it must hold for all below that, and
-// for 0.
+// The greatest number, up to the highest value, for which `holds` is true. `holds` must be true for 0, and
+// for all numbers below one for which it is true.
 template <typename Holds>
 std::uint64_t GreatestThatHolds(const std::vector<std::uint64_t>& values, const Holds& holds) {
   std::uint64_t low = 0;
@@ -31,7 +31,7 @@
 }  // namespace
 
 std::uint64_t WeightCap(const std::vector<std::uint64_t>& weights, std::uint64_t divisor) {
-  // What holds for one cap holds for all below it: the sum is concave.
+  // If the condition holds for one cap, it holds for all lower ones, because the sum is concave.
   return GreatestThatHolds(weights,
                            [&](std::uint64_t cap) { return SumCutTo(weights, cap) >= divisor * cap; });
 }
--- a/src/zone_failover/fair_share.h
+++ b/src/zone_failover/fair_share.h
@@ -1,4 +1,5 @@
-// Two exact divisions in whole numbers, each found by bisection; neither depends on the order of its input.
+// Two exact divisions of integers, each found by bisection. The order of the input does not matter. Pure
+// functions; any thread.
 #pragma once
 
 #include <cstdint>
@@ -6,12 +7,12 @@
 
 namespace mothrack::zone_failover {
 
-// The greatest cap so that with each weight cut down to it none is more than 1/divisor of their sum; 0 where
-// there is none, as they are too few. divisor x the highest weight must fit 64 bits.
+// The greatest cap such that, with each weight clamped to it, none exceeds 1/divisor of their sum; 0 if there
+// is none, because there are too few weights. divisor x the highest weight must fit into 64 bits.
 std::uint64_t WeightCap(const std::vector<std::uint64_t>& weights, std::uint64_t divisor);
 
-// Max-min fair division (water filling): the greatest level so that the sum of all needs, each cut down to
-// it, is at most `total`. Whoever needs less than an equal part leaves the rest to the others.
+// Max-min fair division (water filling): the greatest level such that the sum of all needs, each clamped to
+// it, is at most `total`. What one does not need of its equal part goes to the others.
 std::uint64_t FairShareLevel(const std::vector<std::uint64_t>& needs, std::uint64_t total);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/majority_state.cpp
+++ b/src/zone_failover/majority_state.cpp
@@ -7,8 +7,8 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// What speaks against a zone ranks higher: a later step of a drain, an earlier step of a recovery. Steps are
-// at most 15.
+// A state that is less favourable to the zone ranks higher: a later step of a drain, an earlier step of a
+// recovery. There are at most 15 steps.
 int Severity(Phase phase, int step) {
   switch (phase) {
     case Phase::kDrained:
@@ -24,11 +24,11 @@
   return 0;
 }
 
-// Of states of a zone the later one, compared field by field.
+// Order of a zone's states, compared member by member.
 struct StateRank {
   std::uint32_t generation;
   int severity;
-  int phase;  // so that no two that differ are equal; the phases in use count as one
+  int phase;  // makes different states unequal; the phases in use count as one
   bool operator==(const StateRank&) const = default;
   bool operator<(const StateRank& other) const {
     return std::tie(generation, severity, phase) < std::tie(other.generation, other.severity, other.phase);
@@ -48,7 +48,7 @@
   return a.age_quarters > b.age_quarters;
 }
 
-// The state with its age as of now: older by the time that the report was on its way.
+// The state with its current age, including the time for which the report was in flight.
 ReportedState WithCurrentAge(const Observation& observation) {
   ReportedState state = observation.evidence->reported;
   state.age_quarters = static_cast<std::uint16_t>(
--- a/src/zone_failover/majority_state.h
+++ b/src/zone_failover/majority_state.h
@@ -1,4 +1,5 @@
-// How a member that was cut off, or starts, catches up with the state of the others. Pure; any thread.
+// How a member that was cut off, or is starting, catches up with the state of the others. Pure functions; any
+// thread.
 #pragma once
 
 #include <cstddef>
@@ -10,15 +11,15 @@
 
 namespace mothrack::zone_failover {
 
-// The latest state that more than half of so many members have reached, or nothing where too few report one:
-// a minority that lies moves nobody. Later is: a higher generation; of one generation the state that is more
-// against the zone.
+// The latest state that more than half of `members` have reached, or nothing if too few report one. So a
+// minority with wrong reports cannot move anybody. A higher generation is later; within one generation, the
+// state that is less favourable to the zone.
 std::optional<ReportedState> MajorityState(const std::vector<Observation>& observations, std::size_t members);
 
-// True where the reported state is later than the zone's own.
+// Whether the reported state is later than the zone's own.
 bool IsLater(const ReportedState& reported, const ZoneState& zone);
 
-// Takes over a reported state.
+// Adopts a reported state.
 void Adopt(ZoneState& zone, const ReportedState& reported, TimePoint now);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/observer.cpp
+++ b/src/zone_failover/observer.cpp
@@ -8,11 +8,11 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// A run over so many different upstreams is one beyond doubt: no need to remember further ones.
+// A run over this many different upstreams is conclusive, so further ones need not be remembered.
 constexpr std::size_t kMaxRunUpstreams = 16;
-// A zone has hundreds of upstreams at most.
+// A zone has at most hundreds of upstreams.
 constexpr std::size_t kMaxResponsiveUpstreams = 512;
-// A repeated outcome comes soon after the first: by then at the very most so many others have ended.
+// A repeated outcome follows the first one soon. Not more than this many other attempts end in between.
 constexpr std::size_t kRememberedAttempts = 256;
 
 std::int64_t BucketNumber(TimePoint now) { return now.time_since_epoch() / kBucket; }
@@ -91,7 +91,8 @@
 
 void Observer::CountNoResponse(Zone& zone, const AttemptEnd& end, TimePoint now) {
   ++CurrentBucket(zone).unanswered;
-  // Sent before the zone's last response: it does not show what came after that.
+  // The attempt was sent before the zone's last response, so it says nothing about the time after that
+  // response.
   if (zone.last_response && now - end.elapsed < *zone.last_response) return;
   ++zone.unanswered_run;
   if (zone.run_upstreams.size() < kMaxRunUpstreams) zone.run_upstreams.insert(Hash(end.upstream));
@@ -123,7 +124,7 @@
     sum.rejected += bucket.rejected;
     sum.unanswered += bucket.unanswered;
   }
-  // A run to which nothing was added for a window shows what was, not what is.
+  // If nothing was added to a run within the window, the run is outdated.
   if (sum.unanswered == 0) {
     zone.unanswered_run = 0;
     zone.run_upstreams.clear();
--- a/src/zone_failover/operator_override.h
+++ b/src/zone_failover/operator_override.h
@@ -1,4 +1,4 @@
-// What operators want of a zone, as their agents spread it by gossip. Pure; any thread.
+// Operators' commands for a zone, which their agents disseminate by gossip. Pure functions; any thread.
 #pragma once
 
 #include <cstdint>
@@ -9,24 +9,26 @@
 
 namespace mothrack::zone_failover {
 
-// Rising priority among overrides of one number. The page calls them stay, return, leave.
+// In ascending priority among overrides with the same number. docs/design/zones.md calls them stay, return,
+// leave.
 enum class OverrideKind {
-  kHold,     // don't change the zone's phase by evidence
-  kRecover,  // begin a recovery now, once
-  kDrain,    // move the zone's traffic away, though it answers
+  kHold,     // do not change the zone's phase because of evidence
+  kRecover,  // start a recovery now, once
+  kDrain,    // move the zone's traffic away although it responds
 };
 
+// One override.
 struct OperatorOverride {
   std::string zone;
   OverrideKind kind = OverrideKind::kHold;
-  std::uint64_t number = 0;  // greater than that of any override that the operator's agent knew
+  std::uint64_t number = 0;  // greater than that of every override known to the operator's agent
   std::string owner, why;
-  TimePoint until;  // of this machine's clock
+  TimePoint until;  // expiry, on this machine's clock
   bool operator==(const OperatorOverride&) const = default;
 };
 
-// The override that counts for a zone, or null: of those that have not expired the greatest number; of one
-// number the kind with the highest priority, then the owner that sorts first. Points into `overrides`.
+// The effective override of a zone, or null. Among those that have not expired, the one with the greatest
+// number; then the kind with the highest priority; then the first owner by name. Points into `overrides`.
 const OperatorOverride* EffectiveOverride(const std::string& zone,
                                           const std::vector<OperatorOverride>& overrides, TimePoint now);
 
--- a/src/zone_failover/recovery.cpp
+++ b/src/zone_failover/recovery.cpp
@@ -6,10 +6,10 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// No more time than this counts for one change of a share; keeps the product small after a pause.
+// Maximum time that counts for one change of a share. It keeps the product small after a pause.
 constexpr Duration kMaxRampTime{10'000};
 
-// One failure in ten may be chance in a zone with traffic; of probes none may fail.
+// In a zone with traffic, one failure in ten may be chance. Of the probes none may fail.
 bool IsClean(const VoteCounts& votes, bool probes_only) {
   return probes_only ? votes.answered == votes.outcomes : votes.answered * 10 >= votes.outcomes * 9;
 }
@@ -44,7 +44,7 @@
   constexpr int kMillisecondsPerSecond = 1000;
   const Duration since = std::min(now - zone.share_updated, kMaxRampTime);
   const int max_change = static_cast<int>(since.count() * config.share_ramp / kMillisecondsPerSecond);
-  // Less than one thousandth: the time is left to add up.
+  // The change would be less than one thousandth: let the time accumulate.
   if (max_change <= 0 && target != zone.share) return;
   zone.share = std::clamp(target, zone.share - max_change, zone.share + max_change);
   zone.share_updated = now;
--- a/src/zone_failover/recovery.h
+++ b/src/zone_failover/recovery.h
@@ -1,5 +1,5 @@
 // The recovery ramp: when a drained zone may return, what proves a step, and how fast a zone's share changes.
-// Pure; any thread.
+// Pure functions; any thread.
 #pragma once
 
 #include <cstddef>
@@ -10,18 +10,18 @@
 
 namespace mothrack::zone_failover {
 
-// How long a zone stays drained at least: longer with each loss after the second.
+// Minimum time for which a zone stays drained; longer with each loss after the second.
 Duration DrainTimeOf(const ZoneState& zone, const FailoverConfig& config);
 
-// The time of the drain or the step is over, and enough calls were answered, to enough members.
+// Whether the drain or the step has lasted long enough and enough calls were answered, to enough members.
 bool IsRecoveryProven(const ZoneState& zone, const VoteCounts& votes, std::size_t live_members,
                       const FailoverConfig& config, TimePoint now);
 
-// The share that the zone's phase allows. `own_view`: this member has nobody to go by, or retains the zone;
-// it goes towards the whole share, and the balancer by its own attempts.
+// The share that the zone's phase allows. `own_view`: this member hears from nobody else, or retains the
+// zone. Then the target is the whole share, and the balancer judges by its own attempts.
 int TargetShare(const ZoneState& zone, bool own_view, const FailoverConfig& config);
 
-// Moves the zone's share towards the target, by no more than FailoverConfig::share_ramp allows since the last
+// Moves the zone's share towards the target by at most what FailoverConfig::share_ramp allows since the last
 // change.
 void RampShare(ZoneState& zone, int target, const FailoverConfig& config, TimePoint now);
 
--- a/src/zone_failover/state_machine.cpp
+++ b/src/zone_failover/state_machine.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t kConditions = 11;
 using TransitionTable = std::array<std::array<Transition, kConditions>, kPhases>;
 
-// A row a phase, a column a condition, in the order of the enums.
+// One row per phase, one column per condition, in the order of the enums.
 constexpr TransitionTable MakeTable() {
   // Short names keep a row on two lines.
   constexpr auto keep = Action::kKeep, watch = Action::kWatch, drain = Action::kStartDrain,
@@ -37,13 +37,13 @@
   // clang-format on
 }
 
-// The next step of a drain, or its end once all load is shifted.
+// Enters the next step of a drain, or ends it if the whole load is shifted.
 void EnterDrain(ZoneState& zone, int step, TimePoint now) {
   const bool all_shifted = zone.shifted >= kWholeShare;
   EnterPhase(zone, all_shifted ? Phase::kDrained : Phase::kDraining, all_shifted ? 0 : step, now);
 }
 
-// At once as much of the load is shifted as the other zones are known to bear.
+// Shifts at once as much of the load as the other zones are known to be able to take.
 void StartDrain(ZoneState& zone, const TransitionInput& input, const FailoverConfig& config) {
   zone.by_operator = input.condition == Condition::kOverrideDrain;
   zone.retained = !zone.by_operator && input.locally_reachable;
@@ -75,7 +75,7 @@
   ++zone.losses;
   zone.drain_started = now;
   zone.share = 0;
-  zone.shifted = kWholeShare;  // the other zones have borne it until now
+  zone.shifted = kWholeShare;  // the other zones have carried it until now
   EnterPhase(zone, Phase::kDrained, 0, now);
 }
 
@@ -109,7 +109,7 @@
     case Action::kWatch:
       if (transition.to != zone.phase) EnterPhase(zone, transition.to, 0, input.now);
       return;
-    case Action::kProbe:  // TrafficPlanFor() gives the probes out
+    case Action::kProbe:  // TrafficPlanFor() assigns the probes
       return;
     case Action::kStartDrain:
       return StartDrain(zone, input, config);
--- a/src/zone_failover/state_machine.h
+++ b/src/zone_failover/state_machine.h
@@ -1,5 +1,5 @@
-// The state machine of a zone: conditions, actions, one transition function and its table, which is the table
-// "Rules of a zone" of docs/design/zones.md (a test compares the two). Pure; any thread.
+// The state machine of a zone: conditions, actions, one transition function and its table. The table is the
+// table "Rules of a zone" of docs/design/zones.md (a test compares the two). Pure functions; any thread.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,26 @@
 
 namespace mothrack::zone_failover {
 
-// What holds of a zone; in the order of the page's table, whose word follows. conditions.h has the rules.
+// The condition of a zone, in the order of the page's table. Each comment starts with the page's word.
+// conditions.h has the rules.
 enum class Condition {
-  kIsolated,         // alone: this member hears fewer than half of those that it knew
+  kIsolated,         // alone: this member hears from fewer than half of the members that it knew
   kOverrideDrain,    // leave
   kOverrideHold,     // stay
   kOverrideRecover,  // return: not carried out yet
-  kNoAlternative,    // last: unavailable or to be drained, and no other zone in use can take its load
+  kNoAlternative,    // last: unavailable or to be drained, but no other zone in use can take its load
   kOverload,         // late: a quorum finds it unresponsive, but the other zones answer late as well
   kUnavailable,      // lost: a quorum finds it unresponsive
   kDoubtful,         // doubt: many find it unresponsive, or a quorum lacks judges
-  kNoEvidence,       // unknown: nobody has a verdict
+  kNoEvidence,       // unknown: no member has a verdict
   kRecoveryProven,   // proved: enough answers to enough members since the step began
   kHealthy,          // well
 };
 
+// What a transition does. Each comment starts with the page's word.
 enum class Action {
   kKeep,           // keep
-  kWatch,          // watch: suspect from now on
+  kWatch,          // watch: suspected from now on
   kStartDrain,     // leave
   kShiftMore,      // move: a further step of the drain
   kProbe,          // try: the probing members send probes
@@ -37,25 +39,26 @@
   kAbortRecovery,  // put back: drained again at once
 };
 
+// An entry of the table.
 struct Transition {
   Phase to = Phase::kActive;
   Action action = Action::kKeep;
 };
 Transition TransitionFor(Phase phase, Condition condition);
 
-// What the actions go by, beside the zone itself.
+// What the actions depend on, besides the zone itself.
 struct TransitionInput {
   Condition condition = Condition::kHealthy;
-  std::uint64_t override_number = 0;  // of the effective override; 0 where there is none
-  std::uint64_t spare_capacity = 0;   // calls a second that the other zones in use bore beyond what they have
-  bool others_late = false;           // their answers come late: nothing more is to be shifted to them
-  bool locally_reachable = false;     // this member's own zone, which it reaches itself
+  std::uint64_t override_number = 0;  // of the effective override; 0 if there is none
+  std::uint64_t spare_capacity = 0;   // calls per second that the other zones in use can take in addition
+  bool others_late = false;           // their answers are late, so no more load may be shifted to them
+  bool locally_reachable = false;     // this member's own zone, which it can reach itself
   TimePoint now;
 };
 
-// Carries out the transition for the condition. The phase may differ from Transition::to: a drain of which
-// all load is shifted is drained, a recovery after its last step is active, one that steps down from its
-// first is drained.
+// Carries out the transition for the condition. The resulting phase may differ from Transition::to: a
+// draining zone whose whole load is shifted becomes drained, a recovering one after its last step becomes
+// active, and one that steps down from its first step becomes drained.
 void ApplyTransition(ZoneState& zone, const TransitionInput& input, const FailoverConfig& config);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/traffic_plan.cpp
+++ b/src/zone_failover/traffic_plan.cpp
@@ -9,12 +9,13 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// One probe a second: three members learn soon enough of a zone, and no upstream falls over.
+// One probe per second and member: with three members a zone's return is detected soon enough, and no
+// upstream is overloaded.
 constexpr std::uint32_t kProbesPer1000s = 1000;
 constexpr std::uint64_t kWindowsPer1000s = 1'000'000 / kWindow.count();
 
-// Which of two members probes a zone rather than the other: those outside the zone first, then by a hash of
-// name and generation, so that it is others the next time and nobody has to be asked.
+// Order in which members are chosen to probe a zone: those outside the zone first, then by a hash of name and
+// generation. So different members probe in each generation, without any coordination.
 struct ProbeRank {
   bool inside;
   std::uint64_t hash;
@@ -36,14 +37,14 @@
   return static_cast<std::size_t>(before) < config.probing_members;
 }
 
-// Calls that each member makes to all zones, in a thousand seconds.
+// Calls of each member to all zones, per 1000 s.
 struct Needs {
   std::vector<std::uint64_t> of_members;
   std::uint64_t own = 0;
 };
 
-// A member's need of a zone goes by all that it sends. Live members that were not heard count as the mean of
-// the others, so that nothing is lent that may be wanted.
+// A member's need of a zone is estimated by everything that it sends. Live members without recent evidence
+// count as the mean of the others, so that no allowance is given away that they may need.
 Needs NeedsOf(const std::vector<EvidenceReport>& reports, const MemberList& members,
               const FailoverConfig& config) {
   Needs needs;
@@ -61,7 +62,7 @@
   return needs;
 }
 
-// This member's part of what all together may send to the zone's cold upstreams.
+// This member's part of what all members together may send to the zone's cold upstreams.
 std::uint32_t SlowStartAllowance(const ZoneState& zone, const Needs& needs, const FailoverConfig& config) {
   const std::uint64_t of_all =
       zone.peak_per_1000s * static_cast<std::uint64_t>(config.slow_start_share) / kWholeShare;
@@ -69,8 +70,8 @@
   return static_cast<std::uint32_t>(std::min<std::uint64_t>(own, UINT32_MAX));
 }
 
-// Share of the fleet's load that no zone takes, thousandths. A zone that was drained by an operator takes
-// what the others don't.
+// Share of the fleet's load that no zone takes, in thousandths. A zone that an operator drained still takes
+// what the others do not.
 int ShareToShed(const ZoneStates& states) {
   std::uint64_t load = 0;
   std::uint64_t untaken = 0;
@@ -92,7 +93,7 @@
   TrafficPlan plan;
   plan.valid_for = config.max_evidence_age;
   plan.shed = ShareToShed(states);
-  // Only where its own zone has upstreams: else it would send nothing at all.
+  // Only if the member's own zone has upstreams; otherwise it would send nothing at all.
   const bool cautious =
       started && states.contains(members.local.zone) && now - *started < config.cautious_start;
   const Needs needs = NeedsOf(reports, members, config);
--- a/src/zone_failover/traffic_plan.h
+++ b/src/zone_failover/traffic_plan.h
@@ -1,4 +1,5 @@
-// What the balancer of this member may send to each zone, from the zone states. Pure; any thread.
+// What this member's balancer may send to each zone, derived from the zone states. Pure functions; any
+// thread.
 #pragma once
 
 #include <cstdint>
@@ -12,25 +13,27 @@
 
 namespace mothrack::zone_failover {
 
-// Rates are this member's, in calls in a thousand seconds.
+// The plan for one zone. Rates are those of this member, in calls per 1000 s.
 struct ZoneShare {
   std::string zone;
-  int share = kWholeShare;  // of what it would send there, thousandths
-  // To cold upstreams of the zone, were they as cold as can be.
+  int share = kWholeShare;  // of the traffic that it would send there, in thousandths
+  // Allowed rate to cold upstreams of the zone if they are completely cold.
   std::uint32_t slow_start_per_1000s = 0;
   std::uint32_t probes_per_1000s = 0;
   std::uint32_t generation = 0;
 };
 
+// The plan for all zones.
 struct TrafficPlan {
-  std::vector<ZoneShare> zones;  // by name
-  // Share of all calls to be shed, thousandths: the load of drained zones that the others don't take.
+  std::vector<ZoneShare> zones;  // sorted by name
+  // Share of all calls to be shed, in thousandths: the load of drained zones that the other zones do not
+  // take.
   int shed = 0;
-  Duration valid_for{0};  // after that the balancer goes by its own view
+  Duration valid_for{0};  // afterwards the balancer uses its own view
 };
 
-// `started`: since when this member runs, where no peer reported a state to it; it then sends probes only to
-// zones other than its own for FailoverConfig::cautious_start. Else nothing.
+// `started`: the start of this member, if no peer reported a state to it. For FailoverConfig::cautious_start
+// it then sends only probes to zones other than its own. Otherwise absent.
 TrafficPlan TrafficPlanFor(const ZoneStates& states, const std::vector<EvidenceReport>& reports,
                            const MemberList& members, const FailoverConfig& config, TimePoint now,
                            std::optional<TimePoint> started = std::nullopt);
--- a/src/zone_failover/types.h
+++ b/src/zone_failover/types.h
@@ -1,5 +1,5 @@
-// Vocabulary of the package: time, zone ids, shares, members of the fleet and the phases of a zone. Values
-// only; nothing here does I/O or reads a clock.
+// Basic types of the package: time, zone ids, shares, members of the fleet and the phases of a zone. Plain
+// values; nothing here does I/O or reads a clock.
 #pragma once
 
 #include <chrono>
@@ -14,18 +14,18 @@
 namespace mothrack::zone_failover {
 
 using Duration = std::chrono::milliseconds;
-// Of this machine's steady clock; never compared with another machine's.
+// On this machine's steady clock; never compared with another machine's.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// Shares are whole thousandths, so that every machine computes the same.
+// Shares are integers in thousandths, so that every machine computes the same.
 constexpr int kWholeShare = 1000;
 
-// Hash of a zone's name, as sent to other members: names of up to 64 bytes would not leave room for the
-// figures. Two zones with one id would be judged as one; HaveDistinctIds() finds that out before the names
-// are used.
+// Hash of a zone's name, used in messages because names of up to 64 bytes would leave no room for the counts.
+// Two zones with the same id would be treated as one; HaveDistinctIds() detects this before the names are
+// used.
 using ZoneId = std::uint32_t;
 
-// FNV-1a, 64 bits: the same on every machine. `from` continues an earlier hash.
+// FNV-1a with 64 bits: the same on every machine. `from` continues an earlier hash.
 constexpr std::uint64_t Hash(std::string_view text, std::uint64_t from = 0xcbf29ce484222325) {
   for (const char c : text) from = (from ^ static_cast<unsigned char>(c)) * 0x100000001b3;
   return from;
@@ -34,39 +34,40 @@
   const std::uint64_t hash = Hash(zone);
   return static_cast<ZoneId>(hash ^ (hash >> 32));
 }
-// False where two different names have one id: then the fleet must not use this package's decisions.
+// Returns false if two different names have the same id. The fleet must not use this package's decisions
+// then.
 bool HaveDistinctIds(const std::vector<std::string>& zones);
 
-// The state of a zone at one member. docs/design/zones.md calls them in, suspect, leaving, left, returning.
-// The values are sent to other members.
+// The phase of a zone at one member. docs/design/zones.md calls them in, suspect, leaving, left, returning.
+// The numbers are sent to other members.
 enum class Phase : std::uint8_t {
-  kActive,      // gets the traffic that the balancer gives it
-  kSuspect,     // the same, while a quorum finds it unresponsive for the first time
-  kDraining,    // the other zones take its load step by step
+  kActive,      // gets the traffic that the balancer assigns to it
+  kSuspect,     // the same, after a quorum found it unresponsive for the first time
+  kDraining,    // the other zones take over its load step by step
   kDrained,     // gets probes only
   kRecovering,  // gets a share that rises step by step
 };
 
-// Traffic goes there as usual.
+// Whether traffic goes there as usual.
 constexpr bool IsInUse(Phase phase) { return phase == Phase::kActive || phase == Phase::kSuspect; }
-// Traffic is being moved away or has been.
+// Whether traffic is being, or has been, moved away.
 constexpr bool IsOut(Phase phase) { return phase == Phase::kDraining || phase == Phase::kDrained; }
 
-// A member of the fleet and the zone that it runs in. Names are unique.
+// A member of the fleet and the zone in which it runs. Names are unique.
 struct MemberId {
   std::string name, zone;
   auto operator<=>(const MemberId&) const = default;
 };
 
-// What this member knows of the fleet. It is itself in `live`, `zones` and `known_members`.
+// What this member knows of the fleet. `live`, `zones` and `known_members` include the member itself.
 struct MemberList {
   MemberId local;
   std::vector<MemberId> live;
-  std::set<std::string> zones;    // of all known members, those that are remembered as dead included
-  std::size_t known_members = 0;  // live ones and those that are remembered as dead
+  std::set<std::string> zones;    // of all known members, including remembered dead ones
+  std::size_t known_members = 0;  // live ones and remembered dead ones
 };
 
-// True where fewer than half of the known members are live: this member may be the one that is cut off.
+// Whether fewer than half of the known members are live, so that this member itself may be cut off.
 bool IsIsolated(const MemberList& members);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/votes.cpp
+++ b/src/zone_failover/votes.cpp
@@ -8,7 +8,7 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// One member by itself is no fleet: its own view is all there is, and the balancer has that already.
+// A single member is no fleet: its own view is all there is, and its balancer already uses that.
 constexpr std::size_t kMinFleetJudges = 2;
 
 struct Judge {
@@ -16,7 +16,7 @@
   std::uint64_t weight;
 };
 
-// Few names: a search through all of them is quicker than a set.
+// There are few names, so a linear search is faster than a set.
 class ZoneNames {
  public:
   void Add(std::string_view name) {
@@ -28,7 +28,7 @@
   std::vector<std::string_view> names_;
 };
 
-// A member that gets a response from no zone is cut off itself, or has a fault that is no zone's.
+// A member that gets a response from no zone is cut off itself, or has a problem that is not the zone's.
 bool GetsResponsesElsewhere(const Observation& observation) {
   const auto& zones = observation.report->evidence->zones;
   return std::any_of(zones.begin(), zones.end(), [&](const ZoneEvidence& z) {
@@ -55,7 +55,7 @@
   }
 }
 
-// part / whole compared with a share in thousandths.
+// Compares part / whole with a share in thousandths.
 bool IsAtLeast(std::uint64_t part, std::uint64_t whole, int share) {
   return part * kWholeShare >= whole * static_cast<std::uint64_t>(share);
 }
@@ -92,11 +92,13 @@
   votes.judges = judges.size();
   WeighJudges(judges, config, votes);
 
-  // As many judges as there could be: by who is live, not by who happens to have a verdict.
+  // As many judges as possible are required: counted by live members, not by those that happen to have a
+  // verdict.
   const auto possible = static_cast<std::size_t>(
       std::count_if(members.live.begin(), members.live.end(),
                     [&](const MemberId& member) { return insiders_judge || member.zone != zone; }));
-  // Judges of one zone alone decide where no other can: with more than half of all known members.
+  // Judges of a single zone decide alone if there is no other zone, and if more than half of all known
+  // members are live.
   const bool one_zone_suffices =
       insiders_judge && judge_zones.size() == 1 && members.live.size() * 2 > members.known_members;
   votes.enough_judges =
--- a/src/zone_failover/zone_state.cpp
+++ b/src/zone_failover/zone_state.cpp
@@ -8,12 +8,11 @@
 
 using std::chrono::seconds;
 
-// A second takes 1/866 of the peak: half in ten minutes, as its machines may be others by then.
+// Decay per second: 1/866, which halves the peak in ten minutes. By then the zone may have other machines.
 constexpr std::uint64_t kPeakDecayDivisor = 866;
 constexpr std::uint64_t kWindowsPer1000s = 1'000'000 / kWindow.count();
 
-// The median of the peaks that members report, in a thousand seconds: one that lies or is new changes
-// nothing.
+// The median of the peaks that members report, per 1000 s. A single wrong or new member does not change it.
 std::uint64_t MedianPeak(const std::vector<Observation>& observations) {
   std::vector<std::uint64_t> peaks;
   for (const Observation& observation : observations) {
@@ -54,7 +53,8 @@
   if (zone.peak_per_1000s == 0) zone.peak_updated = now;
   const std::uint64_t seen = SumOf(&ZoneEvidence::in_time, observations) * kWindowsPer1000s;
   zone.peak_per_1000s = std::max(zone.peak_per_1000s, seen);
-  // For a new member only: if all took over the others' peaks none would ever be forgotten.
+  // Only a much lower peak adopts the others', that is a new member's. If all members adopted each other's
+  // peaks, no peak would ever decay.
   const std::uint64_t reported = MedianPeak(observations);
   if (zone.peak_per_1000s < reported * 3 / 4) zone.peak_per_1000s = reported;
 }
--- a/src/zone_failover/zone_state.h
+++ b/src/zone_failover/zone_state.h
@@ -1,5 +1,5 @@
-// The state of a zone at one member: what Decide() carries from one call to the next. Values; whoever calls
-// Decide() owns them.
+// The state of a zone at one member, which Decide() carries from one call to the next. Plain values, owned by
+// the caller of Decide().
 #pragma once
 
 #include <cstdint>
@@ -12,45 +12,46 @@
 
 namespace mothrack::zone_failover {
 
-// Shares are thousandths.
+// The state of one zone. Shares are in thousandths.
 struct ZoneState {
   Phase phase = Phase::kActive;
-  int step = 0;                        // of kDraining and kRecovering, from 1
-  std::uint32_t generation = 0;        // rises with each change that the others must follow
-  TimePoint since;                     // of phase and step
-  TimePoint drain_started;             // the last time
+  int step = 0;                        // for kDraining and kRecovering, from 1
+  std::uint32_t generation = 0;        // incremented with each change that the others must follow
+  TimePoint since;                     // start of the current phase and step
+  TimePoint drain_started;             // start of the latest drain
   int losses = 0;                      // recent ones (FailoverConfig::loss_memory)
-  std::uint64_t applied_override = 0;  // number of the last kRecover that was carried out
-  // Drained for an operator: it answers, so what the others don't take still goes there.
+  std::uint64_t applied_override = 0;  // number of the latest kRecover that was carried out
+  // Drained by an operator although it responds, so it still gets what the others do not take.
   bool by_operator = false;
-  // This member's own zone, that it reaches though the others don't: its traffic there goes on.
+  // This member's own zone, which it can reach although the others cannot: its traffic there continues.
   bool retained = false;
   int shifted = 0;          // share of the zone's load that the other zones take
-  int share = kWholeShare;  // of the usual traffic, what may be sent there
+  int share = kWholeShare;  // share of its usual traffic that may be sent there
   TimePoint share_updated;
-  // Calls a second by all members, last seen while it was in use and no judge found it unresponsive.
+  // Calls per second by all members, as of the last time that the zone was in use and no judge found it
+  // unresponsive.
   std::uint32_t baseline_load = 0;
-  // Answers in time in a thousand seconds by all members at the zone's best; forgotten slowly. Not added up
-  // over members' own peaks: those of many with little traffic are together more than the zone ever bore.
+  // The zone's peak of answers in time, per 1000 s, by all members; decays slowly. It is not the sum of the
+  // members' own peaks: the sum over many members with little traffic exceeds what the zone ever carried.
   std::uint64_t peak_per_1000s = 0;
   TimePoint peak_updated;
 };
 
-// By zone.
+// By zone name.
 using ZoneStates = std::map<std::string, ZoneState>;
 
-// Moves a zone to a phase and step from `now` on. A change between the two phases in use is nobody else's
-// business and raises no generation.
+// Moves a zone to a phase and step as of `now`. A change between the two phases in use does not concern the
+// others and does not increment the generation.
 void EnterPhase(ZoneState& zone, Phase phase, int step, TimePoint now);
 
-// What this member sends of its decision on a zone.
+// The part of the decision on a zone that this member sends to the others.
 ReportedState ReportedStateOf(const ZoneState& zone, TimePoint now);
 
-// Lets the zone's peak decay to half in ten minutes, then takes what is seen now: sums over the window by all
-// members, and as a new member the peak that most of the others saw.
+// Updates the zone's peak: lets it decay by half in ten minutes, then raises it to the current sum over the
+// window by all members. A new member raises it to the peak that most others report.
 void UpdatePeak(ZoneState& zone, const std::vector<Observation>& observations, TimePoint now);
 
-// Calls a second to the zone, by all members that were observed.
+// Calls per second to the zone by all members with an observation.
 std::uint64_t SentPerSecond(const std::vector<Observation>& observations);
 
 }  // namespace mothrack::zone_failover
