--- a/src/change_freeze/agent_permits.cpp
+++ b/src/change_freeze/agent_permits.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// A confirmation that has lapsed for so long helps nobody to see why a change stands still.
+// After this time, a lapsed confirmation no longer helps to explain why a change has stopped.
 constexpr Duration kLapsedRetention{60'000};
 
 }  // namespace
@@ -18,7 +18,7 @@
     confirmations_.clear();
     version_ = 0;
   }
-  // Two answers may overtake each other.
+  // Two answers may arrive in reverse order.
   if (confirmation.version < version_) return false;
   version_ = confirmation.version;
   leaderless_reason_.clear();
--- a/src/change_freeze/agent_permits.h
+++ b/src/change_freeze/agent_permits.h
@@ -1,16 +1,17 @@
-// An agent's side of a freeze: which permits still count here, and break-glass.
+// An agent's side of a change freeze: which permits are valid here, and break-glass.
 //
-// The agent grants the lease of a change, and takes each of its steps, only while it has a permit that the
-// leader of the highest term it knows has confirmed a short while ago; a confirmation of an older term is
-// refused however late it comes. So a freeze is in force at every agent within kPermitValidity of its
-// decision, also at one that nobody can reach: an agent counts from when it *sent its request*, and the
-// leader answers only while its lease holds.
+// The agent grants the lease of a change, and takes each of its steps, only while it has a recently confirmed
+// permit. The confirmation must come from the leader of the highest term that the agent knows; one of an
+// older term is rejected however late it arrives. So a freeze is in force at every agent within
+// kPermitValidity of its decision, even at an unreachable one: an agent counts from when it *sent its
+// request*, and the leader answers only while its lease holds.
 //
-// With no leader nothing new begins, and what runs waits. Break-glass (break_glass.h) is the operator's way
-// past that.
+// Without a leader nothing new begins, and running changes wait. An operator can override this with
+// break-glass (break_glass.h).
 //
-// A value without clock, disk or socket; one thread at a time. For calls that change record(): let a copy
-// decide, make its record durable, keep the copy. Source: docs/design/freeze.md, "Rules of permits".
+// A value without clock, disk or socket; one thread at a time. For a call that changes record(): call it on a
+// copy, make the copy's record durable, then keep the copy. Source: docs/design/freeze.md, "Rules of
+// permits".
 #pragma once
 
 #include <cstdint>
@@ -27,43 +28,44 @@
 
 namespace mothrack::change_freeze {
 
-// What the agent keeps on disk.
+// What the agent stores on disk.
 struct PermitRecord {
   Term term = 0;                        // the highest known
-  std::uint64_t break_glass_count = 0;  // of all times
-  // Not yet committed by a leader; at most kMaxUnreportedBreakGlass.
+  std::uint64_t break_glass_count = 0;  // number of all overrides at this agent so far
+  // Not committed by a leader yet; at most kMaxUnreportedBreakGlass.
   std::vector<BreakGlassRecord> unreported{};
   bool operator==(const PermitRecord&) const = default;
 };
 
 class AgentPermits {
  public:
+  // Result of Check().
   enum class Verdict : std::uint8_t {
     kAllowed,
     kBreakGlass,  // allowed, by an override
-    kNoPermit,    // the leader has given none, or none for this kind or batch
-    kPaused,      // this batch does not begin
+    kNoPermit,    // the leader granted none, or none for this kind or batch
+    kPaused,      // this batch may not begin
     kBlocked,
-    kLapsed,  // not confirmed for too long: nobody leads, or the leader can't be reached
+    kLapsed,  // not confirmed for too long: there is no leader, or it is unreachable
   };
   struct Decision {
     Verdict verdict = Verdict::kNoPermit;
-    std::string reason{};  // for people; empty if and only if allowed()
+    std::string reason{};  // human-readable; empty if and only if allowed()
     bool allowed() const { return verdict == Verdict::kAllowed || verdict == Verdict::kBreakGlass; }
   };
 
   AgentPermits(std::string agent, PermitRecord record)
       : agent_(std::move(agent)), record_(std::move(record)) {}
 
-  // The leader's answer to a poll that left at `request_sent`, of this agent's clock. False: of an older term
-  // or state, and nothing has changed.
+  // Handles the leader's answer to a poll that was sent at `request_sent`, on this agent's clock. Returns
+  // false if it belongs to an older term or state; nothing has changed then.
   bool OnConfirmation(const PermitConfirmation& confirmation, TimePoint request_sent);
-  // A poll was answered by a voter that does not lead; `reason` says who is missing.
+  // A voter that is not the leader answered a poll; `reason` says which voters are missing.
   void OnLeaderless(const std::string& reason) { leaderless_reason_ = reason; }
-  // May the change's lease be granted (batch 0), or a step of its batch be taken, at this instant?
+  // Whether the change's lease may be granted (batch 0), or a step of its batch be taken, at `now`.
   Decision Check(const std::string& change, ChangeKind kind, std::uint32_t batch, TimePoint now) const;
-  // Overrides a freeze for one change here, for kBreakGlassDuration, once the record is durable. Fails with
-  // kNotAuthorized, kInvalidRequest or kLimitReached.
+  // Overrides a freeze at this agent for one change, for kBreakGlassDuration, once the record is durable.
+  // Fails with kNotAuthorized, kInvalidRequest or kLimitReached.
   Status BreakGlass(const BreakGlassRequest& request, TimePoint now);
   // A leader has this agent's break-glass records up to `number` in its committed state.
   void OnBreakGlassReported(std::uint64_t number);
@@ -73,17 +75,17 @@
  private:
   struct Confirmation {
     PermitConfirmation confirmation;
-    TimePoint until;  // it counts until then
+    TimePoint until;  // end of its validity
   };
   Decision CheckConfirmed(const PermitConfirmation& confirmation, ChangeKind kind, std::uint32_t batch) const;
 
   std::string agent_;
   PermitRecord record_;
-  // All below is of this process only; none of it is on disk.
-  std::uint64_t version_ = 0;                           // the highest received of the term
+  // The members below belong to this process only and are not stored on disk.
+  std::uint64_t version_ = 0;                           // the highest received in this term
   std::map<std::string, Confirmation> confirmations_;   // by change
   std::map<std::string, TimePoint> break_glass_until_;  // by change
-  std::string leaderless_reason_;                       // empty: somebody led when it was last asked
+  std::string leaderless_reason_;                       // empty: there was a leader at the latest poll
 };
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/apply_durably.h
+++ b/src/change_freeze/apply_durably.h
@@ -1,4 +1,5 @@
-// The one order in which a voter may act: decide, write, keep, send. What the disk refuses has not happened.
+// The only order in which a voter may act: decide, write, keep, send. A decision that could not be written
+// has not happened.
 #pragma once
 
 #include <utility>
@@ -10,10 +11,11 @@
 
 namespace mothrack::change_freeze {
 
-// Lets a copy of `decider` (a Voter, or a PermitService, which holds one) do `act(copy, messages)`, makes its
-// record durable if that changed, and only then replaces `decider` by the copy. What is in `out` afterwards
-// may be sent. False: the store refused; `decider` was told so (OnWriteFailed), and nothing was added to
-// `out`. Blocks for as long as `store` does; call it on the thread that owns `decider`.
+// Calls `act(copy, messages)` on a copy of `decider` (a Voter, or a PermitService, which contains one). If
+// this changed the record, makes the record durable, and only then replaces `decider` by the copy. Afterwards
+// the messages in `out` may be sent. Returns false if the store failed; `decider` was notified by
+// OnWriteFailed(), and nothing was added to `out`. Blocks as long as `store` does; call it on the thread that
+// owns `decider`.
 template <typename Decider, typename Act>
 bool ApplyDurably(Decider& decider, RecordStore& store, TimePoint now, Act act,
                   std::vector<VoterMessage>& out) {
--- a/src/change_freeze/clock_tolerance.h
+++ b/src/change_freeze/clock_tolerance.h
@@ -1,5 +1,5 @@
-// How far two machines' steady clocks may drift apart, and how both sides of a lease or permit allow for it:
-// the side that acts counts a shortened time, the side that waits for its end counts a lengthened one.
+// How far the steady clocks of two machines may drift apart, and how both sides of a lease or permit allow
+// for it: the holder counts a shortened time, and whoever waits for its end counts a lengthened time.
 //
 // Source: docs/design/freeze.md, "What a voter promises". Pure functions; any thread.
 #pragma once
@@ -8,17 +8,18 @@
 
 namespace mothrack::change_freeze {
 
-using rollout::Duration;   // milliseconds
-using rollout::TimePoint;  // of one machine's steady clock, which must count suspension; never sent as it is
+using rollout::Duration;  // milliseconds
+// On one machine's steady clock, which must include suspended time; never sent as such.
+using rollout::TimePoint;
 
-// Percent by which a steady clock may run fast or slow against true time. Crystals are within 0.01; a virtual
-// machine whose clock is slewed after a migration, within 1.
+// Maximum rate error of a steady clock in percent. Crystal oscillators are within 0.01; a virtual machine
+// whose clock is slewed after a migration, within 1.
 inline constexpr int kMaxClockErrorPercent = 10;
 
-// What the holder of a lease or permit may count on by its own clock.
+// The time for which the holder of a lease or permit may rely on it, by its own clock.
 constexpr Duration Shortened(Duration time) { return time * (100 - kMaxClockErrorPercent) / 100; }
 
-// What everybody else waits for by their own clocks until the holder's time is over.
+// The time for which everybody else must wait, by their own clocks, until the holder's time is over.
 constexpr Duration Lengthened(Duration time) { return time * (100 + kMaxClockErrorPercent) / 100; }
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -24,9 +24,8 @@
 constexpr Effect kA = Effect::kAllowed;
 constexpr Effect kR = Effect::kRemedy;
 
-// By change kind, relation (inside, overlapping, outside, fleet) and incident kind (zone left, crash loop,
-// refusals, operator).
-// clang-format off
+// Indexed by kind of change, relation (inside, overlapping, outside, fleet) and kind of incident (zone left,
+// crash loop, refusals, operator).
 constexpr Effect kEffectTable[8][4][4] = {
     {{kB, kB, kB, kB}, {kP, kB, kP, kP}, {kP, kP, kA, kA}, {kB, kB, kB, kB}},  // new generation
     {{kR, kR, kR, kR}, {kP, kP, kP, kP}, {kP, kA, kA, kA}, {kP, kR, kP, kB}},  // restart
--- a/src/change_freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -1,8 +1,8 @@
-// What may go on while something is wrong: change kind x where the change lies to the incident's scope x
-// incident kind; and which changes must not run at the same time.
+// What may proceed during an incident, by kind of change, relation of the change to the incident's scope, and
+// kind of incident; and which changes must not run at the same time.
 //
-// Pure functions of plain values; any thread. Source: docs/design/freeze.md, "What conflicts", which a test
-// holds to the table here.
+// Pure functions of plain values; any thread. Source: docs/design/freeze.md, "What conflicts"; a test
+// compares its table with the one here.
 #pragma once
 
 #include <cstdint>
@@ -11,7 +11,8 @@
 
 namespace mothrack::change_freeze {
 
-// What a change does. The order is that of the encoded state and of the table: new kinds go to the end.
+// The kind of a change. The order is that of the encoded state and of the table, so new kinds must be
+// appended.
 enum class ChangeKind : std::uint8_t {
   kNewGeneration,
   kRestart,
@@ -22,30 +23,30 @@
   kZoneReturn,
   kBreakGlass,
 };
-// Names by value, as people read them; of the enumerations below likewise.
+// Human-readable names, indexed by value; likewise for the enumerations below.
 inline constexpr const char* kChangeKinds[] = {"new generation", "restart",    "stop",        "undo",
                                                "reload",         "zone leave", "zone return", "break-glass"};
 
-// What an incident was opened for: evidence of one of three kinds, or an operator's decision. People read
-// kRejections as "refusals", in texts and on the page.
+// Why an incident was opened: evidence of one of three kinds, or an operator's decision. Texts and the page
+// call kRejections "refusals".
 enum class IncidentKind : std::uint8_t { kZoneLeft, kCrashLoop, kRejections, kOperator };
 inline constexpr const char* kIncidentKinds[] = {"zone left", "crash loop", "refusals", "operator"};
 
-// Where a change lies to an incident's scope.
+// The relation of a change to an incident's scope.
 enum class Relation : std::uint8_t {
-  kInside,       // all that it touches is in the scope
-  kOverlapping,  // some of it, or it is not known
+  kInside,       // everything that it touches is in the scope
+  kOverlapping,  // a part of it, or unknown
   kOutside,      // none of it
   kFleet,        // the scope is the whole fleet
 };
 inline constexpr const char* kRelations[] = {"inside", "overlapping", "outside", "fleet"};
 
-// What an incident does to a change; the stronger comes first.
+// The effect of an incident on a change, the stronger first.
 enum class Effect : std::uint8_t {
-  kBlocked,  // does not begin, and takes no further step
-  kPaused,   // does not begin; one that runs ends its batch and waits
+  kBlocked,  // may not begin or take a further step
+  kPaused,   // may not begin; a running one finishes its batch and waits
   kAllowed,
-  kRemedy,  // allowed where it names the incident as the one it mends, else as kPaused
+  kRemedy,  // allowed if it names the incident as the one it fixes, otherwise like kPaused
 };
 inline constexpr const char* kEffects[] = {"blocked", "paused", "allowed", "remedy"};
 
@@ -53,11 +54,11 @@
 struct Scope {
   enum class Kind : std::uint8_t { kFleet, kSite, kZone, kInstances, kGeneration };
   Kind kind = Kind::kFleet;
-  std::set<std::string> names{};  // empty for kFleet, and for no other kind
+  std::set<std::string> names{};  // empty if and only if kFleet
   bool operator==(const Scope&) const = default;
 };
 
-// What a change touches. Each set is complete or empty: empty means that it is not known.
+// What a change touches. Each set is either complete or empty; empty means unknown.
 struct Footprint {
   std::set<std::string> sites{};
   std::set<std::string> zones{};
@@ -66,12 +67,15 @@
   bool operator==(const Footprint&) const = default;
 };
 
+// Where the footprint lies relative to the scope.
 Relation RelationOf(const Footprint& footprint, const Scope& scope);
+// Looks up the table.
 Effect EffectOf(ChangeKind change, Relation relation, IncidentKind incident);
 
-// Must two changes not run at once? Two that touch instances must not, as only one holds the rollout lease
-// (rollout/lease.h). Two that move zones must not: each counts on the capacity of the others. One of each
-// must not, unless their sites, zones or instances are known to be disjoint. Break-glass excludes nothing.
+// Whether two changes must not run at the same time. Two that touch instances must not, because only one can
+// hold the rollout lease (rollout/lease.h). Two that move zones must not, because each relies on the capacity
+// of the others. One of each must not, unless their sites, zones or instances are known to be disjoint.
+// Break-glass excludes nothing.
 bool MutuallyExclusive(ChangeKind first, const Footprint& first_footprint, ChangeKind second,
                        const Footprint& second_footprint);
 
--- a/src/change_freeze/encoding.h
+++ b/src/change_freeze/encoding.h
@@ -1,8 +1,9 @@
-// The replicated state as bytes: numbers in decimal, each ended by a colon, and texts led by their length in
-// bytes. A reader that is handed anything else notices.
+// Encoding of the replicated state: numbers are decimal and end with a colon; texts are preceded by their
+// length in bytes. The decoder detects any other input.
 //
-// Values; not thread-safe. The bytes are on the voters' disks and between agents of two releases: they don't
-// change without a new kEncodingVersion (freeze_state_encoding.cpp).
+// Values; not thread-safe. The bytes are stored on the voters' disks and exchanged between agents of
+// different releases, so the format must not change without a new kEncodingVersion
+// (freeze_state_encoding.cpp).
 #pragma once
 
 #include <charconv>
@@ -13,7 +14,7 @@
 
 namespace mothrack::change_freeze {
 
-// Appends; can't fail.
+// Appends values; cannot fail.
 class Encoder {
  public:
   void Number(std::uint64_t number) { bytes_ += std::to_string(number) + ':'; }
@@ -35,8 +36,8 @@
   std::string bytes_;
 };
 
-// Reads what an Encoder wrote. After the first fault ok() stays false and everything reads as empty. The
-// bytes must outlive it.
+// Reads what an Encoder wrote. After the first error ok() stays false and everything reads as empty. The
+// bytes must outlive the decoder.
 class Decoder {
  public:
   explicit Decoder(std::string_view bytes) : remaining_(bytes) {}
@@ -48,12 +49,12 @@
     remaining_.remove_prefix(read.ptr + 1 - remaining_.data());
     return number;
   }
-  // Of an enumeration, or of how many follow: at most `most`.
+  // A number of at most `maximum`: an enumerator, or the number of elements that follow.
   std::uint64_t Number(std::uint64_t maximum) {
     const std::uint64_t number = Number();
     return number > maximum ? Fail() : number;
   }
-  // An enumeration whose last value is `last`.
+  // An enumerator, where `last` is the last one.
   template <typename Enumeration>
   Enumeration Enum(Enumeration last) {
     return static_cast<Enumeration>(Number(static_cast<std::uint64_t>(last)));
@@ -71,7 +72,7 @@
     return names;
   }
   bool ok() const { return ok_; }
-  // All bytes were read, without a fault.
+  // Whether all bytes were read without an error.
   bool done() const { return ok_ && remaining_.empty(); }
 
  private:
--- a/src/change_freeze/freeze_state.cpp
+++ b/src/change_freeze/freeze_state.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// What one incident does to a change, as people read it.
+// The effect of one incident on a change, with a human-readable reason.
 FreezeState::Evaluation EvaluateIncident(const Incident& incident, ChangeKind kind,
                                          const Footprint& footprint,
                                          const std::set<std::uint64_t>& remedies) {
@@ -30,8 +30,7 @@
     Evaluation evaluation = EvaluateIncident(incident, kind, footprint, remedies);
     if (evaluation.effect < strongest.effect) strongest = std::move(evaluation);
   }
-  // A change that is no remedy of the incident that it names is told so, also where nothing stands against
-  // it.
+  // Report a wrong remedy claim even if no incident stands against the change.
   for (const std::uint64_t id : remedies) {
     const Incident* incident = incidents.Find(id);
     if (strongest.effect != Effect::kAllowed || incident == nullptr) continue;
@@ -55,7 +54,8 @@
   return found == permits_.end() ? nullptr : &*found;
 }
 
-// Against the change's own permit and the others', in the order in which they were given.
+// Checks the request against the change's own permit and those of others, in the order in which they were
+// granted.
 Status FreezeState::CheckAgainstPermits(const PermitRequest& request, TimePoint now) {
   Status ending{StatusCode::kPermitEnding, "its former permit is still on its way; ask again"};
   for (Permit& permit : permits_) {
@@ -143,7 +143,7 @@
       Terminate(permit, PermitState::kNone, "nobody asked for it any more", now);
       continue;
     }
-    // An incident that it mended may be closed by now.
+    // An incident that the change fixed may be closed by now.
     std::erase_if(permit.remedies, [&](std::uint64_t id) { return incidents.Find(id) == nullptr; });
     const Evaluation evaluation = Evaluate(permit.kind, permit.footprint, permit.remedies);
     permit.reason = evaluation.reason;
--- a/src/change_freeze/freeze_state.h
+++ b/src/change_freeze/freeze_state.h
@@ -1,8 +1,8 @@
 // The replicated state, which survives the loss of any minority of the voters: incidents, permits, and the
-// break-glass records that agents reported. Who may run which change is decided here; what is not committed
-// does not count.
+// break-glass records that agents reported. It decides which change may run. Nothing takes effect before it
+// is committed.
 //
-// A value that PermitService owns; not thread-safe. It is replicated as bytes (Encode), through
+// A value owned by PermitService; not thread-safe. It is replicated as bytes (Encode()), through
 // Voter::Propose. Source: docs/design/freeze.md, "In force within two seconds".
 #pragma once
 
@@ -26,40 +26,45 @@
  public:
   Incidents incidents;
 
-  // What the incidents do to a change: the strongest effect of any, and the incident it is of, for people.
+  // The combined effect of the incidents on a change: the strongest effect, and a text that names its
+  // incident.
   struct Evaluation {
     Effect effect = Effect::kAllowed;
     std::string reason{};
   };
-  // `remedies`: ids of the incidents that the change says it mends. A claim that is wrong blocks it.
+  // `remedies`: ids of the incidents that the change claims to fix. A wrong claim blocks it.
   Evaluation Evaluate(ChangeKind kind, const Footprint& footprint,
                       const std::set<std::uint64_t>& remedies) const;
 
-  // Ok: the change's permit covers the requested batch once this state is committed. Asked again it changes
-  // nothing. A request of another kind or footprint ends the permit that the change has, and fails with
-  // kPermitEnding until that is over. Fails with kInvalidRequest, kExcludedByPermit, kBlockedByIncident or
-  // kLimitReached as well.
+  // On success the change's permit covers the requested batch once this state is committed; repeating the
+  // request changes nothing. A request with another kind or footprint ends the change's current permit and
+  // fails with kPermitEnding until that permit is over. Also fails with kInvalidRequest, kExcludedByPermit,
+  // kBlockedByIncident or kLimitReached.
   Status RequestPermit(const PermitRequest& wanted, TimePoint now);
+  // Ends the permit of a change that is done or withdrawn.
   void EndPermit(const std::string& change, TimePoint now);
-  // An agent still wants the permit: how it stands. The caller sets `term` and `version`.
+  // An agent still uses the permit: records the poll and returns the permit's status. The caller sets `term`
+  // and `version`.
   PermitConfirmation ConfirmPermit(const std::string& change, TimePoint now);
-  // What an agent reported: each record is kept once, the latest kMaxBreakGlassRecords of all agents.
+  // Stores what an agent reported: each record once, and the latest kMaxBreakGlassRecords of all agents.
   void RecordBreakGlass(const std::vector<BreakGlassRecord>& records);
-  // The highest number of that agent's records; 0: none.
+  // The highest number of that agent's records; 0 if there is none.
   std::uint64_t LastBreakGlassOf(const std::string& agent) const;
-  // This state is committed and follows `before`. Agents were given confirmations from `before` until now, so
-  // what ended in between is counted from now.
+  // This state was committed and replaces `before`. Agents received confirmations from `before` until now, so
+  // the end of a permit that ended in between is counted from now.
   void OnCommitted(const FreezeState& before, TimePoint now);
-  // Time has passed, or incidents have changed: permits follow.
+  // Updates permits after time has passed or incidents have changed.
   void Reevaluate(TimePoint now);
 
   const std::vector<Permit>& permits() const { return permits_; }
   const std::vector<BreakGlassRecord>& break_glass() const { return break_glass_; }
+  // Whether both states are equal except for times, which are not worth a write.
   bool EqualIgnoringTimes(const FreezeState& other) const;
 
+  // Times are encoded as ages relative to `now`.
   std::string Encode(TimePoint now) const;
-  // Permits get their whole time again, as another leader may have confirmed them until now. std::nullopt:
-  // these bytes are no state. No bytes at all are the state of a fleet that was founded just now.
+  // Each permit gets its full time again, because another leader may have confirmed it until now. Returns
+  // std::nullopt if the bytes are no valid state. No bytes at all are the state of a newly founded fleet.
   static std::optional<FreezeState> Decode(const std::string& bytes, TimePoint now);
 
  private:
@@ -71,7 +76,7 @@
   void DecodePermits(Decoder& decoder, TimePoint now);
   void DecodeBreakGlass(Decoder& decoder, std::size_t max_agents);
 
-  std::vector<Permit> permits_;                            // at most one a change
+  std::vector<Permit> permits_;                            // at most one per change
   std::vector<BreakGlassRecord> break_glass_;              // oldest first
   std::map<std::string, std::uint64_t> last_break_glass_;  // by agent: the highest number of its records
 };
--- a/src/change_freeze/freeze_state_encoding.cpp
+++ b/src/change_freeze/freeze_state_encoding.cpp
@@ -1,4 +1,5 @@
-// FreezeState as bytes. The order of the fields is the format: a change of it needs another kEncodingVersion.
+// Encoding of FreezeState. The order of the fields is the format: changing it requires another
+// kEncodingVersion.
 #include <array>
 #include <utility>
 
@@ -10,13 +11,13 @@
 
 constexpr std::uint64_t kEncodingVersion = 1;
 
-// The sets of a footprint in the order in which they are encoded.
+// The sets of a footprint in encoding order.
 template <typename AnyFootprint>
 auto NameSetsOf(AnyFootprint& footprint) {
   return std::array{&footprint.sites, &footprint.zones, &footprint.generations, &footprint.instances};
 }
 
-// The texts of a break-glass record in the order in which they are encoded.
+// The texts of a break-glass record in encoding order.
 template <typename AnyRecord>
 auto TextsOf(AnyRecord& record) {
   return std::array{&record.agent, &record.change, &record.operator_name, &record.reason};
--- a/src/change_freeze/incarnation_table.h
+++ b/src/change_freeze/incarnation_table.h
@@ -1,7 +1,7 @@
-// The latest incarnation of each voter that this one has seen, from whatever message. What a voter said in an
-// earlier incarnation counts no more: its file of then is lost.
+// The latest incarnation of each voter that this one knows, from any message. What a voter said in an earlier
+// incarnation is no longer valid, because its file from that time is lost.
 //
-// A value that its Voter owns; not thread-safe.
+// A value owned by its Voter; not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -16,13 +16,14 @@
  public:
   explicit IncarnationTable(std::map<std::string, Incarnation> latest) : latest_(std::move(latest)) {}
 
+  // Records an incarnation if it is later than the known one.
   void Observe(const std::string& voter, Incarnation incarnation);
-  // 0, the first one, for a voter of which nothing is known.
+  // Returns 0, the first incarnation, for an unknown voter.
   Incarnation Latest(const std::string& voter) const;
   bool IsCurrent(const std::string& voter, Incarnation incarnation) const {
     return incarnation >= Latest(voter);
   }
-  // How many of `voters` (with the incarnation that each spoke in) are current.
+  // Number of `voters` (with the incarnation in which each spoke) that are current.
   std::size_t CountCurrent(const std::map<std::string, Incarnation>& voters) const;
 
  private:
--- a/src/change_freeze/incidents.cpp
+++ b/src/change_freeze/incidents.cpp
@@ -9,10 +9,11 @@
 
 namespace {
 
-// The owner of an incident that evidence opened.
+// The owner of an incident that was opened by evidence.
 constexpr const char* kEvidenceOwner = "evidence";
 
-// The largest age or time-out that is read, in ms (35 years): no sum of it and a time point overflows.
+// Maximum age or timeout that is accepted, in ms (35 years), so that adding it to a time point cannot
+// overflow.
 constexpr std::uint64_t kMaxEncodedDuration = std::uint64_t{1} << 40;
 
 EvidenceSeverity SeverityOfLevel(double level, double firing_from) {
@@ -68,14 +69,14 @@
     case IncidentEvent::kEvidenceStayedClear:
       return std::nullopt;
     case IncidentEvent::kTimedOut:
-      // One that was closed by an operator and of which nobody speaks any more is not in force: that may go.
+      // A muted incident is not in force, so without further evidence it can be removed.
       if (muted) return std::nullopt;
       return State::kStale;
     case IncidentEvent::kRenewed:
       return State::kOpen;
     case IncidentEvent::kClosed:
       if (kind == IncidentKind::kOperator || state == State::kCalming) return std::nullopt;
-      // Its evidence would open the next one at once; it has to be clear once.
+      // Its evidence would open another incident at once, so it must become clear first.
       return State::kMuted;
   }
   return state;
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -1,12 +1,12 @@
-// What is wrong in the fleet, as operators and evidence say, and for how long that is so. Incidents are part
-// of the replicated state (freeze_state.h); while one is open, stale or calming, the table of conflicts.h
-// holds for its scope. Nothing closes because nobody speaks of it: an incident that is not renewed becomes
-// stale, is shown so, and stays in force.
+// The incidents in the fleet, reported by operators or by evidence, and their lifetime. Incidents are part of
+// the replicated state (freeze_state.h). While one is open, stale or calming, the table of conflicts.h
+// applies to its scope. No incident closes because of silence: one that is not renewed becomes stale, is
+// shown as stale, and stays in force.
 //
-// Times are of the leader's steady clock; what is replicated is ages. Another leader counts on from the age
-// that it reads, so that what is to lapse lapses late, never early.
+// Times are on the leader's steady clock; ages are replicated. Another leader continues from the age that it
+// reads, so that timeouts end late, never early.
 //
-// A value that FreezeState owns; not thread-safe. Source: docs/design/freeze.md, "Incidents" and "Rules of
+// A value owned by FreezeState; not thread-safe. Source: docs/design/freeze.md, "Incidents" and "Rules of
 // incidents".
 #pragma once
 
@@ -24,53 +24,58 @@
 
 namespace mothrack::change_freeze {
 
-// Without further evidence for so long, an incident by evidence is stale.
+// An incident opened by evidence becomes stale after this time without further evidence.
 inline constexpr Duration kEvidenceTimeout{30'000};
-// Hysteresis of rejected requests, as a share of all requests: what is clear is a quarter of what opens an
-// incident, and has to last ten times as long.
+// Hysteresis of rejected requests, as a share of all requests. The threshold for clear evidence is a quarter
+// of the one that opens an incident, and must last ten times as long.
 inline constexpr double kRejectionsOpenRatio = 0.20;
 inline constexpr double kRejectionsCalmRatio = 0.05;
 inline constexpr Duration kRejectionsOpenAfter{3'000};
-// Evidence has to stay clear for so long, at one leader, until the incident closes.
+// How long evidence must stay clear, at one leader, before the incident closes.
 inline constexpr Duration kCalmDuration{30'000};
-// Sites with an instance that is held for its crashes: a fault of one machine stays in one site.
+// Minimum number of sites with an instance that is held because of crashes. A fault of one machine affects
+// only one site.
 inline constexpr int kCrashLoopMinSites = 2;
 
-// What an observer measured; of any kind but kOperator.
+// What an observer measured. `kind` is never kOperator.
 struct Evidence {
   IncidentKind kind = IncidentKind::kRejections;
   Scope scope{};
-  // kRejections: the share of requests that was rejected, 0 to 1. kCrashLoop: sites with an instance that is
-  // held. kZoneLeft: 1 left, between 0 and 1 while it returns, 0 in.
+  // kRejections: the share of rejected requests, 0 to 1. kCrashLoop: the number of sites with a held
+  // instance. kZoneLeft: 1 while the zone is left, between 0 and 1 while it returns, 0 while it is in use.
   double level = 0;
-  Duration sustained{0};  // for how long it has been at or above that level
+  Duration sustained{0};  // how long it has been at or above that level
 };
 
+// What evidence means for an incident.
 enum class EvidenceSeverity : std::uint8_t {
   kFiring,         // opens an incident
-  kIndeterminate,  // opens none, and keeps one open
+  kIndeterminate,  // opens none, but keeps one open
   kClear,
 };
+// Compares the level with the thresholds above.
 EvidenceSeverity SeverityOf(const Evidence& evidence);
 
+// The state of an incident; NextIncidentState() has the transitions.
 enum class IncidentState : std::uint8_t {
   kOpen,
-  kCalming,  // its evidence is clear, not yet for long enough
-  kStale,    // nobody has renewed it in time
-  kMuted,    // closed by an operator while its evidence was not clear: not in force, and opens no other
+  kCalming,  // its evidence is clear, but not for long enough yet
+  kStale,    // not renewed in time
+  kMuted,    // closed by an operator while its evidence was not clear: not in force, and prevents a new one
 };
 inline constexpr const char* kIncidentStates[] = {"open", "calming", "stale", "muted"};
 
+// What changes the state of an incident.
 enum class IncidentEvent : std::uint8_t {
   kEvidenceNotClear,
   kEvidenceClear,
   kEvidenceStayedClear,  // for kCalmDuration
-  kTimedOut,             // Incident::stale_after has passed since it was renewed
+  kTimedOut,             // Incident::stale_after has passed since it was last renewed
   kRenewed,              // by an operator
   kClosed,               // by an operator
 };
 
-// The state after `event`; std::nullopt: the incident is removed. "-" below.
+// Returns the state after `event`, or std::nullopt ("-" below) if the incident is removed.
 //
 //   state \ event   NotClear  Clear    StayedClear  TimedOut  Renewed  Closed
 //   open            open      calming  -            stale     open     muted; of an operator: -
@@ -79,6 +84,7 @@
 //   muted           muted     muted    -            -         open     muted
 std::optional<IncidentState> NextIncidentState(IncidentState state, IncidentKind kind, IncidentEvent event);
 
+// One incident.
 struct Incident {
   std::uint64_t id = 0;
   IncidentKind kind = IncidentKind::kOperator;
@@ -89,40 +95,41 @@
   TimePoint opened{};
   TimePoint renewed{};      // by evidence or by an operator
   Duration stale_after{0};  // counted from `renewed`
-  TimePoint clear_since{};  // of its evidence; not replicated: the calm is counted by one leader
+  TimePoint clear_since{};  // of the evidence; not replicated, since one leader counts kCalmDuration
 
   bool IsInForce() const { return state != IncidentState::kMuted; }
 };
 
-// Ids count from 1; 0 is none.
+// Ids count from 1; 0 means none.
 struct IncidentResult {
   std::uint64_t id = 0;
   Status status{};
 };
 
+// All incidents; at most kMaxIncidents.
 class Incidents {
  public:
-  // An operator opens one; an operator's incident of the same scope is renewed instead. Fails with
-  // kInvalidRequest or kLimitReached.
+  // Opens an operator's incident. If an operator's incident of the same scope exists, renews that instead.
+  // Fails with kInvalidRequest or kLimitReached.
   IncidentResult Open(const Scope& scope, const std::string& cause, const std::string& owner,
                       Duration stale_after, TimePoint now);
-  // False: there is no such incident, or `owner` is empty or longer than kMaxTextBytes.
+  // Returns false if there is no such incident, or if `owner` is empty or longer than kMaxTextBytes.
   bool Renew(std::uint64_t id, const std::string& owner, TimePoint now);
-  // False: there is no such incident.
+  // Returns false if there is no such incident.
   bool Close(std::uint64_t id, TimePoint now);
-  // The id of the incident that the evidence belongs to, opened by it or before; 0 and ok: none. Fails as
-  // Open().
+  // Returns the id of the incident to which the evidence belongs, whether opened by it or before; 0 and ok if
+  // there is none. Fails like Open().
   IncidentResult OnEvidence(const Evidence& evidence, TimePoint now);
-  // Time has passed: what was not renewed becomes stale, or is removed where it was muted.
+  // Marks incidents that were not renewed in time as stale; removes them if they are muted.
   void ExpireStale(TimePoint now);
 
   const std::vector<Incident>& all() const { return all_; }
-  // nullptr: there is none. Valid until the next change.
+  // Returns nullptr if there is none. The result is valid until the next change.
   const Incident* Find(std::uint64_t id) const;
   bool EqualIgnoringTimes(const Incidents& other) const;
 
   void Encode(Encoder& encoder, TimePoint now) const;
-  // False: these bytes are none; what is here is then of no use.
+  // Returns false if the bytes are invalid; this object must not be used then.
   bool Decode(Decoder& decoder, TimePoint now);
 
  private:
@@ -132,7 +139,7 @@
   IncidentResult Add(IncidentKind kind, const Scope& scope, const std::string& cause,
                      const std::string& owner, Duration stale_after, TimePoint now);
 
-  std::vector<Incident> all_;  // by id
+  std::vector<Incident> all_;  // sorted by id
   std::uint64_t last_id_ = 0;
 };
 
--- a/src/change_freeze/permit.h
+++ b/src/change_freeze/permit.h
@@ -1,5 +1,5 @@
-// A permit is the leader's permission for one change to run: its kind, what it touches, and up to which
-// batch. Agents act by confirmations of it, and only for a short while after they asked (AgentPermits).
+// A permit is the leader's permission for one change to run: its kind, what it touches, and its last batch.
+// Agents act on confirmations of it, and only for a short time after they requested one (AgentPermits).
 //
 // Plain values; any thread.
 #pragma once
@@ -14,20 +14,19 @@
 
 namespace mothrack::change_freeze {
 
-// How long a confirmation counts from when it was asked for, by true time: a decision of the leader is in
-// force at every agent after that. An agent counts it shortened by the clock tolerance, the leader
-// lengthened.
+// How long a confirmation is valid from the time of its request, in true time. A decision of the leader is in
+// force at every agent after this time. An agent shortens it by the clock tolerance, the leader lengthens it.
 inline constexpr Duration kPermitValidity{2000};
-// How often the carrier is to poll for a permit that is in use: three chances before it lapses.
+// How often the host polls for a permit in use: three chances before it lapses.
 inline constexpr Duration kPermitPollInterval{500};
-// Nobody asked about a permit for so long: it ends here; the fleet's lease (rollout/lease.h) keeps its change
-// open.
+// A permit that nobody polled for this long ends. The fleet's lease (rollout/lease.h) keeps its change open.
 inline constexpr Duration kPermitIdleTimeout{60'000};
 
+// The state of a permit.
 enum class PermitState : std::uint8_t {
-  kNone,     // there is none
-  kRunning,  // to its batch
-  kPaused,   // the batch that runs may end, the next may not begin
+  kNone,     // there is no permit
+  kRunning,  // up to its batch
+  kPaused,   // the running batch may finish, the next one may not begin
   kBlocked,  // no further step
 };
 
@@ -37,36 +36,36 @@
   ChangeKind kind = ChangeKind::kRestart;
   Footprint footprint{};
   std::string requester{};
-  std::set<std::uint64_t> remedies{};  // ids of the incidents that it says it mends
-  std::uint32_t batch = 0;             // up to which it wants to begin; 0: none yet
+  std::set<std::uint64_t> remedies{};  // ids of the incidents that it claims to fix
+  std::uint32_t batch = 0;             // the last batch it wants to begin; 0: none yet
 };
 
-// As the leader keeps it.
+// A permit as stored by the leader.
 struct Permit {
   std::string change{};
   ChangeKind kind = ChangeKind::kRestart;
   Footprint footprint{};
   std::string requester{};
   std::set<std::uint64_t> remedies{};
-  std::uint32_t batch = 0;  // the last that may begin
+  std::uint32_t batch = 0;  // the last one that may begin
   PermitState state = PermitState::kRunning;
   std::string reason{};  // why it is paused, blocked or ended; empty otherwise
-  // Done, withdrawn, blocked or followed by another kind. It stays, and excludes others, until no agent can
-  // have a confirmation of it any more.
+  // Done, withdrawn, blocked, or replaced by another kind. It stays, and excludes other changes, until no
+  // agent can have a valid confirmation of it any more.
   bool ended = false;
   TimePoint ended_at{};
-  TimePoint last_polled{};  // when an agent or tool last asked about it
+  TimePoint last_polled{};  // the latest poll by an agent or tool
 };
 
 // The leader's answer to an agent's poll.
 struct PermitConfirmation {
   Term term = 0;
-  std::uint64_t version = 0;  // of the committed state that says so, in `term`
+  std::uint64_t version = 0;  // of the committed state it is based on, in `term`
   std::string change{};
   ChangeKind kind = ChangeKind::kRestart;
   PermitState state = PermitState::kNone;
-  std::uint32_t batch = 0;  // the last that may begin
-  std::string reason{};     // for people; empty while it runs
+  std::uint32_t batch = 0;  // the last one that may begin
+  std::string reason{};     // human-readable; empty while the change may run
 };
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/permit_service.cpp
+++ b/src/change_freeze/permit_service.cpp
@@ -4,11 +4,11 @@
 
 namespace {
 
-// Ages that are only renewed are written every third of the time by which they lapse, so that a new leader
-// finds no incident stale that was renewed in time.
+// Renewed ages are written every third of the timeout, so that a new leader finds no incident stale that was
+// renewed in time.
 constexpr Duration kRenewalInterval = kEvidenceTimeout / 3;
 
-// Voter::StartLeadership writes what the winner has read as the first version of its term.
+// Voter::StartLeadership writes the value that the winner has read as the first version of its term.
 constexpr std::uint64_t kFirstVersion = 1;
 
 Status KeepAsItIs(FreezeState& /*state*/) { return {}; }
@@ -34,8 +34,8 @@
   SyncWithVoter(now);
 }
 
-// Reads the state when the voter has come to lead, takes over what has been committed, and drops all when it
-// steps down.
+// Reads the state when the voter becomes the leader, adopts what was committed, and discards everything when
+// it steps down.
 void PermitService::SyncWithVoter(TimePoint now) {
   if (voter_.role() != Voter::Role::kLeader) {
     state_.reset();
@@ -80,7 +80,7 @@
   FreezeState next = *state_;
   const Status status = edit(next);
   next.Reevaluate(now);
-  // What is refused may have begun something: a permit that has to end before the next.
+  // Even a refused request may have begun something: the end of a permit before the next one.
   if (next.EqualIgnoringTimes(*state_) && !RenewalIsDue(now)) {
     if (!status.ok()) return {0, 0, status};
     state_ = std::move(next);
@@ -108,7 +108,7 @@
 std::optional<PermitConfirmation> PermitService::ConfirmPermit(const std::string& change, TimePoint now) {
   if (!HoldsLease(now)) return std::nullopt;
   PermitConfirmation confirmation = state_->ConfirmPermit(change, now);
-  // The poll counts for the proposed state too: its permit must not idle out for want of polls.
+  // The poll also counts for the proposed state: its permit must not time out because of missing polls.
   if (proposed_) proposed_->ConfirmPermit(change, now);
   confirmation.term = state_term_;
   confirmation.version = committed_version_;
--- a/src/change_freeze/permit_service.h
+++ b/src/change_freeze/permit_service.h
@@ -1,9 +1,9 @@
-// A voter with what it does as the leader: it reads the replicated state once it has won, changes it by
-// writes that count once they are committed, and answers agents and operators from what is committed, while
+// A voter and its work as the leader. It reads the replicated state once it has won, changes it by writes
+// that take effect when they are committed, and answers agents and operators from the committed state while
 // its lease holds.
 //
-// A value without clock, disk or socket; one thread at a time. Every call that adds messages to `out` goes
-// through ApplyDurably (apply_durably.h), as those of a Voter do.
+// A value without clock, disk or socket; one thread at a time. Every call that adds messages to `out` must go
+// through ApplyDurably (apply_durably.h), like those of a Voter.
 #pragma once
 
 #include <cstdint>
@@ -23,39 +23,41 @@
  public:
   explicit PermitService(Voter voter) : voter_(std::move(voter)) {}
 
-  // As Voter's; Tick() at least every Voter::kTickInterval.
+  // Like the functions of Voter. Tick() must be called at least every Voter::kTickInterval.
   void Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out);
   void Tick(TimePoint now, std::vector<VoterMessage>& out);
   void OnWriteFailed(TimePoint now);
   const VoterRecord& record() const { return voter_.record(); }
   const Voter& voter() const { return voter_; }
 
-  // May it answer agents and change the state at this instant?
+  // Whether it may answer agents and change the state at `now`.
   bool HoldsLease(TimePoint now) const { return voter_.HoldsLease(now) && state_.has_value(); }
-  // Why it does not hold the lease, for people: who leads, or who is missing. Empty: it does.
+  // Why it does not hold the lease, as a text for people: who leads, or which voters are missing. Empty if it
+  // does.
   std::string LeaderlessReason(TimePoint now) const;
 
-  // Of a change of the state: names the version that has to be committed for it to count (IsCommitted). After
-  // another leader won nobody knows whether it counts: ask again, every change here can be repeated.
+  // The result of a change of the state. It names the version that must be committed for the change to take
+  // effect (IsCommitted()). After another leader has won, the outcome is unknown: ask again, since every
+  // change here can be repeated.
   struct Receipt {
     Term term = 0;
-    std::uint64_t version = 0;  // 0: nothing that was asked for has begun, and `status` says why
+    std::uint64_t version = 0;  // 0: the request was not carried out, and `status` says why
     Status status{};
   };
-  // Changes the state that it is handed; what it refuses it may have changed all the same (a permit that has
-  // to end before the next), and that is proposed too.
+  // Changes the given state. Even if it returns an error it may have changed something (a permit that has to
+  // end before the next one can start), and that is proposed too.
   using Edit = std::function<Status(FreezeState&)>;
-  // Fails with kNotLeader, kChangePending or kStateTooLarge, or with what `edit` returned.
+  // Fails with kNotLeader, kChangePending or kStateTooLarge, or with the result of `edit`.
   Receipt Change(TimePoint now, const Edit& edit, std::vector<VoterMessage>& out);
   bool IsCommitted(const Receipt& receipt) const;
 
-  // The answer to an agent's poll; std::nullopt: it does not hold the lease.
+  // The answer to an agent's poll; std::nullopt if it does not hold the lease.
   std::optional<PermitConfirmation> ConfirmPermit(const std::string& change, TimePoint now);
-  // Evidence comes often and seldom changes anything: what only renews an incident is kept here, and written
-  // every third of kEvidenceTimeout. Dropped where it does not lead or a change is pending: the next comes
-  // soon.
+  // Handles evidence, which arrives often but seldom changes anything. A mere renewal of an incident is kept
+  // in memory and written every third of kEvidenceTimeout. Evidence is dropped if this voter is not the
+  // leader or a change is pending, because more follows soon.
   void OnEvidence(const Evidence& evidence, TimePoint now, std::vector<VoterMessage>& out);
-  // The committed state; nullptr: it does not lead. Valid until the next call.
+  // The committed state; nullptr if this voter is not the leader. Valid until the next call.
   const FreezeState* state() const { return state_ ? &*state_ : nullptr; }
 
  private:
@@ -64,9 +66,9 @@
 
   Voter voter_;
   Term state_term_ = 0;               // of `state_`
-  std::optional<FreezeState> state_;  // committed; while the voter leads
+  std::optional<FreezeState> state_;  // committed; set while this voter is the leader
   std::uint64_t committed_version_ = 0;
-  std::optional<FreezeState> proposed_;  // written, not yet committed: one at a time
+  std::optional<FreezeState> proposed_;  // written but not committed yet; one at a time
   std::uint64_t proposed_version_ = 0;
   TimePoint last_proposal_;
 };
--- a/src/change_freeze/voter.cpp
+++ b/src/change_freeze/voter.cpp
@@ -1,4 +1,4 @@
-// What is common to all roles of a voter: its entry points, and how messages are made and handed out.
+// The code common to all roles of a voter: its entry points, and how messages are created and delivered.
 #include "change_freeze/voter.h"
 
 #include <algorithm>
@@ -25,7 +25,7 @@
   const std::size_t first = out.size();
   ObservePeer(message, now);
   if (IsBehind(message) && role_ != Role::kRejoining) BeginRejoin(now);
-  // A voter that rejoins does not know what it would have to answer.
+  // A rejoining voter does not know what it would have to answer.
   if (role_ != Role::kRejoining) HandleRequest(message, now, out);
   HandleResponse(message, now);
   AdvanceRole(now, out);
@@ -56,7 +56,7 @@
 void Voter::OnWriteFailed(TimePoint now) {
   if (role_ == Role::kRejoining) return;
   BecomeFollower(now);
-  // The others go first: this one could not write its own vote.
+  // Let the others campaign first, because this voter could not write its own vote.
   next_action_ += settings_.lease;
 }
 
@@ -80,7 +80,7 @@
   ClearRoleState(now);
 }
 
-// What belongs to one campaign or one leadership ends with it.
+// Resets the state of the current campaign or leadership.
 void Voter::ClearRoleState(TimePoint now) {
   granted_by_.clear();
   replicas_.Clear();
@@ -88,7 +88,7 @@
   next_action_ = std::max(now, promised_until_) + ElectionDelay();
 }
 
-// Nobody may win before the holder of a lease that is promised now knows that it has ended.
+// Nobody may win before the holder of the promised lease knows that it has ended.
 void Voter::PromiseLease(TimePoint now) {
   promised_until_ = std::max(promised_until_, now + Lengthened(settings_.lease));
   if (role_ == Role::kFollower) next_action_ = promised_until_ + ElectionDelay();
@@ -102,8 +102,8 @@
   for (const auto& [name, incarnation] : message.incarnations) incarnations_.Observe(name, incarnation);
 }
 
-// Is this voter's file stale? It has sent more than it knows, or has asked to rejoin as a later incarnation
-// before its present file was put back.
+// Whether this voter's file is stale: the voter has sent a later position than the file has, or it requested
+// to rejoin as a later incarnation before the current file was restored.
 bool Voter::IsBehind(const VoterMessage& message) const {
   const bool sent_more =
       message.receiver_incarnation == record_.incarnation && message.receiver_serial > record_.serial;
@@ -115,7 +115,7 @@
   switch (request.kind) {
     case Kind::kPreVoteRequest:
       response = Respond(request, Kind::kPreVoteResponse, OnPreVoteRequest(request, now));
-      response.value_version = {request.term, 0};  // tells the sender which request this answers
+      response.value_version = {request.term, 0};  // identifies the answered request
       break;
     case Kind::kVoteRequest:
       response = Respond(request, Kind::kVoteResponse, OnVoteRequest(request, now));
@@ -154,7 +154,7 @@
   OnReplicateResponse(response);
 }
 
-// By the role: the moment to campaign, to give up, to send heartbeats or to ask again.
+// Depends on the role: campaigns, gives up, sends heartbeats or asks again.
 void Voter::OnActionDue(TimePoint now, std::vector<VoterMessage>& out) {
   switch (role_) {
     case Role::kRejoining:
@@ -181,8 +181,8 @@
   }
 }
 
-// What follows once enough voters have granted or acknowledged. One step may complete the next: a fleet of
-// one voter needs no response at all.
+// Takes the next step once enough voters have granted or acknowledged. One step may complete the next: a
+// fleet of one voter needs no responses at all.
 void Voter::AdvanceRole(TimePoint now, std::vector<VoterMessage>& out) {
   if (role_ == Role::kRejoining && incarnations_.CountCurrent(granted_by_) >= Majority()) FinishRejoin(now);
   if (role_ == Role::kPreCandidate && HasMajorityOfGrants()) StartElection(now, out);
@@ -226,7 +226,7 @@
   }
 }
 
-// Messages carry the position that the record will have on disk when they leave.
+// Messages carry the position that the record will have on disk when they are sent.
 void Voter::AssignSerial(const VoterRecord& before, std::size_t first, std::vector<VoterMessage>& out) {
   if (record_ != before) record_.serial = before.serial + 1;
   for (std::size_t i = first; i < out.size(); ++i) {
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -1,30 +1,30 @@
-// One voter of the leader election, and of the replicated register that keeps the leader's state: one value
-// of at most kMaxValueBytes, replaced as a whole. The register is single-decree Paxos under a lease;
-// docs/design/freeze.md says why it is no log.
+// One voter of the leader election, and of the replicated register with the leader's state: one value of at
+// most kMaxValueBytes, replaced as a whole. The register is single-decree Paxos under a lease;
+// docs/design/freeze.md explains why it is no log.
 //
-// Election. A term has one leader: each voter votes once a term, and has its vote on disk before it is sent.
-// A pre-vote first asks whether the candidate would win, so that a voter that was cut off ends nobody's
-// lease.
+// Election. A term has one leader: each voter votes once per term and has its vote on disk before it sends
+// it. A pre-vote first asks whether the candidate would win, so that a voter that was cut off does not end a
+// leader's lease.
 //
-// Commit. What a majority holds on disk is committed. Votes carry what the voter holds, so whoever wins has
-// read the latest from a majority; it writes that again under its own term, and acts only once that is
-// committed.
+// Commit. A value that a majority has on disk is committed. Votes carry the voter's value, so the winner has
+// read the latest value from a majority. It writes that value again under its own term, and acts only once
+// that is committed.
 //
-// Lease. The leader acts while its lease holds (LeaderLease). A voter that received a message of the leader
-// promises to let nobody else win for the lease, lengthened by the clock tolerance. A voter that starts does
-// so too: it may have promised before.
+// Lease. The leader acts while its lease holds (LeaderLease). A voter that receives a message of the leader
+// promises to let nobody else win for the duration of the lease, lengthened by the clock tolerance. A
+// starting voter makes the same promise, because it may have promised before its restart.
 //
 // Rejoining. A voter whose file is older than what it has sent takes no part. It rejoins as a later
-// incarnation, once as many others as are a majority of all have that incarnation on disk and have sent what
-// they hold. What it sent in an earlier incarnation counts no more.
+// incarnation once enough other voters, a majority of all, have that incarnation on disk and have sent their
+// values. What it sent in an earlier incarnation is no longer valid.
 //
-// "Raft" and a number is a section of D. Ongaro, "Consensus: Bridging Theory and Practice", 2014.
+// "Raft" and a number refer to a section of D. Ongaro, "Consensus: Bridging Theory and Practice", 2014.
 //
-// The parts: voter_role.h (the state machine), leader_lease.h, replica_tracker.h, incarnation_table.h,
-// voter_record.h (what is on disk), voter_message.h. voter.cpp has what is common; voter_election.cpp,
+// Parts: voter_role.h (the state machine), leader_lease.h, replica_tracker.h, incarnation_table.h,
+// voter_record.h (what is on disk), voter_message.h. voter.cpp has the common code; voter_election.cpp,
 // voter_replication.cpp and voter_rejoin.cpp have one concern each.
 //
-// A value without clock, disk or socket; one thread at a time. Every call that may change it goes through
+// A value without clock, disk or socket; one thread at a time. Every call that may change it must go through
 // ApplyDurably (apply_durably.h).
 #pragma once
 
@@ -45,47 +45,47 @@
 
 namespace mothrack::change_freeze {
 
-// The same at all voters of a fleet, but for `local_voter`.
+// The same at all voters of a fleet, except for `local_voter`.
 struct VoterSettings {
   std::string local_voter;
-  std::set<std::string> voters;  // all of them, this one included; an odd number
-  // A leader that falls silent is followed by another after that and the clock tolerance.
+  std::set<std::string> voters;  // all voters, including this one; an odd number
+  // A silent leader can be replaced after this time plus the clock tolerance.
   Duration lease{3000};
-  Duration heartbeat_interval{500};  // six chances a lease
-  Duration request_timeout{800};     // of a request to all voters: a round trip at 200 ms with one loss
+  Duration heartbeat_interval{500};  // six chances per lease
+  Duration request_timeout{800};     // for a request to all voters: a round trip of 200 ms with one loss
 };
 
 class Voter {
  public:
   using Role = VoterRole;
 
-  // How often Tick() must be called at least, whatever else happens.
+  // Tick() must be called at least this often, whatever else happens.
   static constexpr Duration kTickInterval{100};
 
-  // `record`: what was on disk, or a new one; `condition` as AssessRecord judged it.
+  // `record`: what was on disk, or a new one. `condition`: the result of AssessRecord().
   Voter(VoterSettings settings, VoterRecord record, RecordCondition condition, TimePoint now);
 
-  // A message of another voter; one that is not for this voter, or not of one, is ignored. Messages to send
-  // are added to `out`, here and below.
+  // Handles a message of another voter; ignores one that is not for this voter or not from a voter. Here and
+  // below, messages to send are added to `out`.
   void Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out);
   void Tick(TimePoint now, std::vector<VoterMessage>& out);
-  // Replaces the register's value. Returns its version, which is committed once committed() has reached it;
-  // 0: this voter does not hold the lease, or the value exceeds kMaxValueBytes.
+  // Replaces the register's value. Returns its version, which is committed once committed() has reached it.
+  // Returns 0 if this voter does not hold the lease or the value exceeds kMaxValueBytes.
   std::uint64_t Propose(const std::string& value, TimePoint now, std::vector<VoterMessage>& out);
-  // The disk refused what a copy of this voter decided. A leader steps down: what it could not write may be
-  // on its disk all the same, and its version must not come to name another value.
+  // A decision made on a copy of this voter could not be written to disk. A leader steps down: the failed
+  // write may still be on its disk, and its version must never name another value.
   void OnWriteFailed(TimePoint now);
 
   const VoterRecord& record() const { return record_; }
   Role role() const { return role_; }
   Term term() const { return record_.term; }
-  // May this voter act as the leader at this instant?
+  // Whether this voter may act as the leader at `now`.
   bool HoldsLease(TimePoint now) const { return role_ == Role::kLeader && now < LeaseEnd(); }
-  // The highest committed version of the term that this voter leads, or led last.
+  // The highest committed version of the term that this voter leads or led last.
   std::uint64_t committed() const { return replicas_.committed(); }
-  // The leader to which this voter's promise is in force; empty: nobody is known to lead.
+  // The leader for which this voter's promise is in force; empty if no leader is known.
   std::string LeaderAt(TimePoint now) const;
-  // The other voters of which nothing was received for a lease.
+  // The other voters from which nothing was received for the duration of a lease.
   std::set<std::string> UnreachableVoters(TimePoint now) const;
 
  private:
@@ -94,7 +94,8 @@
     std::string value;
   };
 
-  // Common: voter.cpp. A change of the record in any of these is durable before `out` leaves (ApplyDurably).
+  // Common code: voter.cpp. A change of the record in any of these functions is durable before the messages
+  // in `out` are sent (ApplyDurably).
   std::size_t Majority() const { return settings_.voters.size() / 2 + 1; }
   TimePoint LeaseEnd() const { return lease_.End(Majority()); }
   void BecomeFollower(TimePoint now);
@@ -139,24 +140,24 @@
 
   VoterSettings settings_;
   VoterRecord record_;
-  // All below is of this process only; none of it is on disk.
+  // The members below belong to this process only and are not stored on disk.
   Role role_ = Role::kFollower;
-  TimePoint promised_until_;     // this voter lets nobody else win before
-  TimePoint next_action_;        // to campaign, to give up, to send heartbeats or to ask again: by the role
+  TimePoint promised_until_;     // until then this voter lets nobody else win
+  TimePoint next_action_;        // by role: to campaign, to give up, to send heartbeats or to ask again
   std::uint64_t campaigns_ = 0;  // varies ElectionDelay
-  Term highest_seen_term_ = 0;   // in responses; the next campaign goes above it
+  Term highest_seen_term_ = 0;   // in responses; the next campaign uses a higher one
   std::string leader_;
   std::map<std::string, TimePoint> last_contact_;
-  std::map<std::string, RecordPosition> peer_positions_;  // as the other voters sent them
+  std::map<std::string, RecordPosition> peer_positions_;  // as received from the other voters
   IncarnationTable incarnations_;
-  // Who granted what is asked for now (pre-votes, votes or the rejoining), and in which incarnation.
+  // The voters that granted the current request (pre-vote, vote or rejoin), and their incarnations.
   std::map<std::string, Incarnation> granted_by_;
-  VersionedValue latest_;               // the latest among the votes, or among the rejoin responses
+  VersionedValue latest_;               // the latest among the votes or the rejoin responses
   Term rejoin_term_ = 0;                // the highest among the rejoin responses
-  Incarnation wanted_incarnation_ = 0;  // while it rejoins
+  Incarnation wanted_incarnation_ = 0;  // while rejoining
   LeaderLease lease_;
   ReplicaTracker replicas_;
-  TimePoint establish_deadline_;  // kEstablishing gives up then
+  TimePoint establish_deadline_;  // when kEstablishing gives up
 };
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/voter_election.cpp
+++ b/src/change_freeze/voter_election.cpp
@@ -9,18 +9,18 @@
 
 namespace {
 
-// The hash of FNV-1a, 64 bit, from an offset of its own (the published one has a digit more). Any hash would
-// do that is the same on every machine; another one would change the moments of campaigns.
+// 64-bit FNV-1a, with an offset of its own (the published one has one more digit). Any hash that is the same
+// on every machine would do; another one would change the times of campaigns.
 constexpr std::uint64_t kFnvOffset = 1469598103934665603U;
 constexpr std::uint64_t kFnvPrime = 1099511628211U;
-// Delays differ by sixteenths of a request's timeout: more voters than that are not in use.
+// Delays differ by sixteenths of a request's timeout; there are never more voters than that.
 constexpr int kDelaySteps = 16;
-constexpr int kDelayShift = 20;  // the low bits of FNV are mixed less
+constexpr int kDelayShift = 20;  // the low bits of FNV are mixed less well
 
 }  // namespace
 
-// Two voters that begin at once split the votes: each waits a while of its own, another one at each campaign.
-// No random engine, so that a voter is a value whose runs can be repeated.
+// Two voters that campaign at the same time split the votes. So each waits for a delay that depends on its
+// name and changes with each campaign. There is no random engine, so that a run of a voter can be reproduced.
 Duration Voter::ElectionDelay() {
   std::uint64_t hash = kFnvOffset + ++campaigns_;
   for (const char c : settings_.local_voter) hash = (hash ^ static_cast<unsigned char>(c)) * kFnvPrime;
@@ -29,7 +29,7 @@
 
 Term Voter::NextCampaignTerm() const { return std::max(record_.term, highest_seen_term_) + 1; }
 
-// The voter itself is the one more.
+// Adds one for the voter itself.
 bool Voter::HasMajorityOfGrants() const { return incarnations_.CountCurrent(granted_by_) + 1 >= Majority(); }
 
 void Voter::StartPreVote(TimePoint now, std::vector<VoterMessage>& out) {
@@ -54,8 +54,8 @@
 }
 
 bool Voter::OnVoteRequest(const VoterMessage& request, TimePoint now) {
-  // While another's lease is promised its term is not taken over either, or every voter that was alone would
-  // end one.
+  // While another leader's lease is promised, a higher term is not adopted either; otherwise every voter that
+  // was cut off would end a lease.
   if (now >= promised_until_ && request.term > record_.term) {
     record_.term = request.term;
     record_.voted_for = request.from;
--- a/src/change_freeze/voter_message.h
+++ b/src/change_freeze/voter_message.h
@@ -1,7 +1,7 @@
-// The messages between voters. One struct for all kinds, as etcd's raft has it; which fields a kind uses
-// stands with it.
+// The messages between voters. There is one struct for all kinds, as in etcd's raft; each kind lists the
+// fields that it uses.
 //
-// Plain values; any thread. Whoever carries them may lose, repeat, delay and reorder them.
+// Plain values; any thread. The transport may lose, repeat, delay and reorder messages.
 #pragma once
 
 #include <cstdint>
@@ -14,16 +14,16 @@
 
 struct VoterMessage {
   enum class Kind : std::uint8_t {
-    kPreVoteRequest,     // would the receiver vote for the sender in `term`? Changes nothing
-    kPreVoteResponse,    // `granted`; `value_version.term` repeats the term of the request
-    kVoteRequest,        // vote for the sender in `term`
-    kVoteResponse,       // `granted`; then `value_version` and `value` are what the responder holds
-    kReplicate,          // from the leader of `term`: hold `value` as `value_version`; counts as a heartbeat
-    kHeartbeat,          // from the leader of `term`, to a voter that holds its latest value
-    kReplicateResponse,  // to both: `granted`, and the `value_version` that the responder holds
-    kRejoinRequest,      // the sender's file was stale: it wants to come back as `wanted_incarnation`
-    kRejoinResponse,     // `granted`: that incarnation is on the responder's disk; `term`, `value_version`,
-                         // `value`
+    kPreVoteRequest,     // would the receiver vote for the sender in `term`? Changes no state
+    kPreVoteResponse,    // `granted`; `value_version.term` repeats the request's term
+    kVoteRequest,        // asks for a vote for the sender in `term`
+    kVoteResponse,       // `granted`; if so, `value_version` and `value` of the responder
+    kReplicate,          // from the leader of `term`: store `value` as `value_version`; also a heartbeat
+    kHeartbeat,          // from the leader of `term` to a voter that has its latest value
+    kReplicateResponse,  // to both: `granted`, and the responder's `value_version`
+    kRejoinRequest,      // the sender's file was stale: it asks to rejoin as `wanted_incarnation`
+    // `granted`: that incarnation is on the responder's disk; `term`, `value_version`, `value`.
+    kRejoinResponse,
   };
   Kind kind = Kind::kHeartbeat;
   std::string from{};
@@ -32,13 +32,13 @@
   bool granted = false;
   ValueVersion value_version{};
   std::string value{};
-  std::int64_t request_sent = 0;         // ms of the requester's steady clock; a response repeats it
-  Incarnation wanted_incarnation = 0;    // of kRejoinRequest; a response repeats it
-  Incarnation incarnation = 0;           // position of the sender's record, once it is on disk
-  std::uint64_t serial = 0;              // likewise
+  std::int64_t request_sent = 0;         // ms on the requester's steady clock; repeated in a response
+  Incarnation wanted_incarnation = 0;    // for kRejoinRequest; repeated in a response
+  Incarnation incarnation = 0;           // position of the sender's record once it is on disk
+  std::uint64_t serial = 0;              // same
   Incarnation receiver_incarnation = 0;  // position of the receiver's record, as the sender last received it:
   std::uint64_t receiver_serial = 0;     // tells a receiver that its own file is stale
-  std::map<std::string, Incarnation> incarnations{};  // VoterRecord::incarnations of the sender
+  std::map<std::string, Incarnation> incarnations{};  // the sender's VoterRecord::incarnations
 };
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/voter_record.cpp
+++ b/src/change_freeze/voter_record.cpp
@@ -5,7 +5,7 @@
 RecordCondition AssessRecord(const std::optional<VoterRecord>& record,
                              const std::optional<RecordPosition>& position, bool founding) {
   if (!record && !position) return founding ? RecordCondition::kCurrent : RecordCondition::kStale;
-  // A record that is ahead of its position was written and not sent: that does no harm.
+  // A record that is ahead of its position was written but not sent, which does no harm.
   const bool current = record && !record->stale && position && PositionOf(*record) >= *position;
   return current ? RecordCondition::kCurrent : RecordCondition::kStale;
 }
--- a/src/change_freeze/voter_rejoin.cpp
+++ b/src/change_freeze/voter_rejoin.cpp
@@ -1,4 +1,4 @@
-// Voter: coming back after its file was found to be stale (docs/design/freeze.md, "An old copy of the file").
+// Voter: rejoining after its file was found to be stale (docs/design/freeze.md, "An old copy of the file").
 #include <algorithm>
 
 #include "change_freeze/voter.h"
@@ -7,7 +7,7 @@
 
 namespace {
 
-// VoterRecord::voted_for of a voter that has rejoined: in this term it votes for nobody. No voter has this
+// VoterRecord::voted_for of a voter that has rejoined: it votes for nobody in this term. No voter has this
 // name.
 constexpr char kVotedForNobody = '-';
 
@@ -23,8 +23,9 @@
   next_action_ = now;
 }
 
-// Goes above whatever this voter may have voted for or held as far as those that granted know; for the rest,
-// those answer by carrying the new incarnation on (IncarnationTable).
+// Goes above whatever this voter may have voted for or stored, as far as the granting voters know. Beyond
+// that, those voters pass on the new incarnation (IncarnationTable), which invalidates what the voter sent
+// before.
 void Voter::FinishRejoin(TimePoint now) {
   record_.stale = false;
   record_.incarnation = wanted_incarnation_;
@@ -39,7 +40,7 @@
   ClearRoleState(now);
 }
 
-// An incarnation that was wanted before may have been in use since: only a later one is granted.
+// An incarnation that was requested before may have been used since, so only a later one is granted.
 bool Voter::OnRejoinRequest(const VoterMessage& request) {
   if (request.wanted_incarnation <= incarnations_.Latest(request.from)) return false;
   incarnations_.Observe(request.from, request.wanted_incarnation);
--- a/src/change_freeze/voter_replication.cpp
+++ b/src/change_freeze/voter_replication.cpp
@@ -1,11 +1,11 @@
-// Voter: the register's value at a majority, and the lease that heartbeats renew.
+// Voter: replication of the register's value to a majority, and the lease that heartbeats renew.
 #include "change_freeze/voter.h"
 
 namespace mothrack::change_freeze {
 
 using Kind = VoterMessage::Kind;
 
-// The winner writes the latest value that its majority holds again, under its own term.
+// The winner writes the latest value of its majority again, under its own term.
 void Voter::StartLeadership(TimePoint now, std::vector<VoterMessage>& out) {
   role_ = NextRole(role_, RoleEvent::kElectionWon);
   replicas_.BeginTerm();
@@ -16,7 +16,7 @@
   SendHeartbeats(now, out);
 }
 
-// The value goes along to those that do not hold it yet.
+// Voters that do not have the value yet receive it with the heartbeat.
 void Voter::SendHeartbeats(TimePoint now, std::vector<VoterMessage>& out) {
   lease_.OnHeartbeatsSent(now);
   PromiseLease(now);
@@ -38,12 +38,12 @@
   leader_ = settings_.local_voter;
 }
 
-// A heartbeat or a value of the leader of a term. False: of a term that has passed.
+// Handles a heartbeat or value of a term's leader. Returns false if the term is over.
 bool Voter::OnLeaderMessage(const VoterMessage& message, TimePoint now) {
   if (message.term < record_.term) return false;
   if (message.term > record_.term) {
     record_.term = message.term;
-    record_.voted_for = message.from;  // it has won, so nobody else does in its term
+    record_.voted_for = message.from;  // it has won, so nobody else can in its term
   }
   if (role_ != Role::kFollower) BecomeFollower(now);
   PromiseLease(now);
