--- a/src/hash_ring/bounded_load.cpp
+++ b/src/hash_ring/bounded_load.cpp
@@ -28,7 +28,7 @@
 void BoundedLoad::RecountInFlight() {
   in_flight_.assign(ring_->nodes().size(), 0);
   total_in_flight_ = 0;
-  // What is on nodes that do not serve any more is nobody's share.
+  // Requests in flight to nodes that no longer serve are not part of any node's share.
   const auto add = [&](const auto& counts) {
     for (const auto& [uid, count] : counts) {
       const auto node = ring_->Find(uid);
@@ -64,8 +64,8 @@
   --total_in_flight_;
 }
 
-// The limits of all nodes add up to more than what is in flight, so one always has capacity: Pick() ends
-// there.
+// The limits of all nodes add up to more than what is in flight, so at least one node has capacity. This
+// guarantees that Pick() finds one.
 std::uint64_t BoundedLoad::Limit(std::uint32_t node) const {
   const std::uint64_t total_weight = ring_->total_weight();
   if (total_weight == 0) return 0;
@@ -86,7 +86,7 @@
   ++requests_;
   if (ring_->serving() == 0 || max == 0) return;
   const std::size_t spread = std::min<std::size_t>(owners_of(key), ring_->serving());
-  // Most walks end among the first few. Where all of these are full the walk begins anew, further.
+  // Usually one of the first few owners has capacity. If all of these are full, repeat with more owners.
   for (std::size_t reach = std::max(max, spread) + 1;; reach *= 4) {
     nodes.clear();
     ring_->Owners(key, reach, scratch_);
@@ -109,13 +109,14 @@
       std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at >= config_.report_ttl; });
   if (lapsed > 0) RecountInFlight();
   if (now - period_started_ < config_.period) return;
-  // After a pause of several periods there is no telling which one it was asked in.
+  // After a pause of several periods it is unknown in which one the requests arrived, so count them in one.
   period_started_ = now;
   ClosePeriod();
 }
 
 void BoundedLoad::ClosePeriod() {
-  // Half of the last rate and half of this period's requests; a rate of one that nothing follows ends.
+  // The mean of the previous rate and this period's requests. A rate of 1 without further requests drops to
+  // 0.
   rate_ = (rate_ + requests_ + 1) / 2;
   if (requests_ == 0 && rate_ == 1) rate_ = 0;
   requests_ = 0;
@@ -125,12 +126,14 @@
 std::vector<BoundedLoad::KeyRate> BoundedLoad::TakeOwnRates() {
   std::map<std::uint64_t, std::uint32_t> rates;
   for (const auto& [key, rate] : own_rates_) rates[key] = rate / 2;
-  // Only what is certain: a key that replaced another is not hot by the other's count.
+  // Use only the certain part of the count: a key that replaced another one is not hot because of the other's
+  // count.
   for (const HeavyHitterSketch::Entry& entry : sketch_)
     rates[entry.key] += (entry.count - entry.overcount + 1) / 2;
   sketch_.Clear();
 
-  // As many as the sketch has; of equal ones the lower key, so that all members choose the same.
+  // Keep as many as the sketch has. Among equal rates the lower key comes first, so that all members choose
+  // the same.
   std::vector<KeyRate> ranked;
   for (const auto& [key, rate] : rates) {
     if (rate > 0) ranked.push_back({key, rate});
@@ -144,8 +147,8 @@
   return ranked;
 }
 
-// What is hot for the fleet may be lukewarm at each member. Of its own rates a member uses those that it
-// reports, so that all members add up the same.
+// A key that is hot for the fleet may have a moderate rate at each member. A member uses only those of its
+// own rates that it also reports, so that all members compute the same sum.
 std::map<std::uint64_t, BoundedLoad::KeyDemand> BoundedLoad::FleetDemand(
     const std::vector<KeyRate>& own) const {
   std::map<std::uint64_t, KeyDemand> demands;
@@ -176,7 +179,7 @@
         std::clamp<std::uint64_t>((rate + each - 1) / each, 1, config_.max_owners));
   };
   for (const auto& [key, demand] : demands) {
-    // Between the two numbers a key keeps the owners that it has.
+    // Between the two numbers a key keeps its current owners.
     const std::uint32_t fewest = owners_for(demand.rate, allowance);
     const std::uint32_t most = std::max(fewest, owners_for(demand.rate, cooled_allowance));
     const std::uint32_t owners = std::clamp(demand.owners, fewest, most);
--- a/src/hash_ring/heavy_hitter_sketch.h
+++ b/src/hash_ring/heavy_hitter_sketch.h
@@ -1,4 +1,4 @@
-// The keys that are asked for most, in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi, "Efficient
+// Finds the most requested keys in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi, "Efficient
 // Computation of Frequent and Top-k Elements in Data Streams", 2005).
 #pragma once
 
@@ -8,11 +8,11 @@
 
 namespace mothrack::hash_ring {
 
-// Not thread-safe. A key with more than 1 / kCapacity of all keys that were added is in it; an entry's count
+// Not thread-safe. Contains every key with more than 1 / kCapacity of all added keys. The count of an entry
 // is never too low, and too high by at most its overcount.
 class HeavyHitterSketch {
  public:
-  // 64 entries of 16 bytes; Add() passes over them once.
+  // 64 entries of 16 bytes; Add() scans them once.
   static constexpr std::size_t kCapacity = 64;
   struct Entry {
     std::uint64_t key = 0;
@@ -20,6 +20,7 @@
     std::uint32_t overcount = 0;  // the count of the key that this one replaced
   };
 
+  // Counts one request of a key.
   void Add(std::uint64_t key);
   void Clear() { used_ = 0; }
   const Entry* begin() const { return entries_.data(); }
--- a/src/hash_ring/ring.cpp
+++ b/src/hash_ring/ring.cpp
@@ -9,10 +9,10 @@
 namespace mothrack::hash_ring {
 namespace {
 
-constexpr int kFraction = 58;  // bits behind the point: the longest time, 64 ln 2 = 44.4, still fits 64 bits
+constexpr int kFraction = 58;  // fraction bits: the longest time, 64 ln 2 = 44.4, still fits 64 bits
 
-// 2^(-i/8) in 2^-63rds, 2^(i/8) in 2^-14ths, and 2^(i/16) in 2^-32nds rounded up. Written out, as no
-// library's pow() is the same everywhere.
+// 2^(-i/8) in units of 2^-63, 2^(i/8) in units of 2^-14, and 2^(i/16) in units of 2^-32, rounded up. They are
+// literals because pow() differs between libraries.
 constexpr std::array<std::uint64_t, 8> kInverse = {0x8000000000000000, 0x75606373ee921c97, 0x6ba27e656b4eb57a,
                                                    0x62b39508aa836d6f, 0x5a827999fcef3242, 0x52ff6b54d8a89c75,
                                                    0x4c1bf828c6dc54b8, 0x45cae0f1f545eb73};
@@ -21,10 +21,11 @@
     0x100000000, 0x10b5586d0, 0x1172b83c8, 0x12387a6e8, 0x1306fe0a4, 0x13dea64c2, 0x14bfdad54, 0x15ab07dd5,
     0x16a09e668, 0x17a11473f, 0x18ace5423, 0x19c49182b, 0x1ae89f996, 0x1c199bdd9, 0x1d5818dd0, 0x1ea4afa2b};
 
-// Steps below the lowest level that a quarter of it needs.
+// Number of steps below the lowest level that a quarter of its weight needs.
 constexpr int kMaxStepsBelow = 2 * kStepsPerOctave;
 
-// -ln(j / 256) in 2^-58ths, by 2 atanh((256 - j) / (256 + j)): the series ends where its terms do.
+// -ln(j / 256) in units of 2^-58, computed as 2 atanh((256 - j) / (256 + j)). The series ends when its terms
+// become 0.
 constexpr std::uint64_t MinusLog(std::uint64_t j) {
   constexpr int kBits = 62;
   const Uint128 z = (Uint128{256 - j} << kBits) / (256 + j);
@@ -40,8 +41,8 @@
 
 struct Tables {
   std::uint64_t ln2 = MinusLog(128);
-  std::array<std::uint64_t, 128> log{};         // -ln of the upper end of each 256th from one half to one
-  std::array<std::uint64_t, 128> reciprocal{};  // of that end, in 2^-63rds
+  std::array<std::uint64_t, 128> log{};         // -ln of the upper end of each 1/256 interval in [1/2, 1]
+  std::array<std::uint64_t, 128> reciprocal{};  // of that end, in units of 2^-63
   constexpr Tables() {
     for (std::uint64_t i = 0; i < 128; ++i) {
       log[i] = MinusLog(129 + i);
@@ -55,7 +56,7 @@
   return static_cast<std::uint64_t>((Uint128{a} * b) >> 64);
 }
 
-// In whole octaves down, as the levels are eighths.
+// In whole octaves, because a level is an eighth of an octave.
 int StepsBelowFull(WeightShare weight_share) {
   switch (weight_share) {
     case WeightShare::kFull:
@@ -97,7 +98,8 @@
 
 Level LevelWithHysteresis(std::optional<Level> current, std::uint64_t capacity, int hysteresis) {
   if (!current) return LevelOf(capacity);
-  // Half steps are rounded down: capacity is less than `band` off while lowest <= it < highest.
+  // Half steps are rounded down: the capacity is less than `hysteresis` half steps off the centre if `at` is
+  // in [2 * current - hysteresis, 2 * current + hysteresis).
   const int at = HalfSteps(capacity);
   const bool stays = at >= 2 * *current - hysteresis && at < 2 * *current + hysteresis;
   return stays ? *current : LevelOf(capacity);
@@ -105,12 +107,12 @@
 
 std::uint64_t Exponential(std::uint64_t v) {
   if (v == 0) return 0;
-  std::uint64_t u = 0 - v;  // 1 - v, in 2^-64ths
+  std::uint64_t u = 0 - v;  // 1 - v, in units of 2^-64
   const int shift = std::countl_zero(u);
   u <<= shift;
   const std::uint64_t i = (u >> 56) - 128;
-  // u is a little below the upper end c of its 256th: u = c (1 - r), with r below 1/128. Next to one c is
-  // one, so that the short times, which decide, keep their relative precision.
+  // u is slightly below the upper end c of its 1/256 interval: u = c (1 - r), with r below 1/128. In the last
+  // interval c is 1, so that short times, which decide, keep their relative precision.
   const std::uint64_t off = (i == 127 ? 0 : (129 + i) << 56) - u;
   const auto r = static_cast<std::uint64_t>((Uint128{off} * kTables.reciprocal[i]) >> 63);
   // r + r^2/2 + ... + r^5/5
@@ -149,8 +151,8 @@
   owners.clear();
   max = std::min(max, slots_.size());
   if (max == 0) return;
-  // A heap with the latest on top. A time is never shorter than what it is drawn from, -ln(1 - v) >= v: most
-  // nodes are ruled out by that alone.
+  // A max-heap by time. A time is never shorter than the number from which it is computed, -ln(1 - v) >= v,
+  // which rules out most nodes without computing the logarithm.
   std::uint64_t latest = ~std::uint64_t{0};
   for (const Slot& slot : slots_) {
     const std::uint64_t v = Mix(key ^ slot.hash);
--- a/src/hash_ring/ring.h
+++ b/src/hash_ring/ring.h
@@ -1,14 +1,14 @@
-// Which nodes a key belongs to, in order: weighted rendezvous hashing (Thaler and Ravishankar, 1998). READ
-// THIS FIRST; then ring_builder.h (how members come to the same ring) and bounded_load.h (which owner a
-// request goes to). Reasons and the options weighed: docs/design/ring.md.
+// Determines the owners of a key, in order: weighted rendezvous hashing (Thaler and Ravishankar, 1998). READ
+// THIS FIRST; then ring_builder.h (how members reach the same ring) and bounded_load.h (which owner serves a
+// request). Reasons and alternatives: docs/design/ring.md.
 //
-// Each node draws an exponential time for the key at the rate of its weight, and the earliest is the owner.
-// So a node that joins takes its share from all others alike and nothing else moves, one that leaves or is
-// bypassed gives up its own keys alone, and a weight that changes by c moves c. A node that is bypassed and
-// one that is absent lead to the same owners.
+// For each key, each node draws an exponentially distributed time with its weight as the rate. The node with
+// the earliest time is the owner. So a joining node takes its share equally from all others, and nothing else
+// moves. A node that leaves or is bypassed gives up only its own keys, and a weight change of c moves c of
+// the keys. A bypassed node and an absent one lead to the same owners.
 //
-// All in whole numbers: members on other machines, compilers or math libraries get the same owners bit for
-// bit. Nothing in the package does I/O, reads a clock or draws randomness.
+// All computations use integers, so that members on other machines, with other compilers or math libraries,
+// get the same owners bit for bit. Nothing in this package does I/O, reads a clock or draws random numbers.
 #pragma once
 
 #include <cstddef>
@@ -20,53 +20,57 @@
 
 namespace mothrack::hash_ring {
 
-// Products of two 64-bit numbers; GCC and Clang have it.
+// For products of two 64-bit numbers. An extension of GCC and Clang.
 __extension__ using Uint128 = unsigned __int128;
 
-// Seeds of xxHash64, fixed for good: with another one every key would move. Keys and nodes have each their
-// own, so that a key spelled as a node's uid is not special.
+// Seeds of xxHash64. They must never change, because another seed would move every key. Keys and nodes have
+// different seeds, so that a key that equals a node's uid is not special.
 constexpr std::uint64_t kKeySeed = 0x6b65792d72696e67;   // "key-ring"
 constexpr std::uint64_t kNodeSeed = 0x6e6f64652d726e67;  // "node-rng"
 
-constexpr std::size_t kMaxNodes = 4096;   // as many as gossip knows
-constexpr std::size_t kMaxUidBytes = 64;  // as a member's name
+constexpr std::size_t kMaxNodes = 4096;   // the same bound as in gossip
+constexpr std::size_t kMaxUidBytes = 64;  // the same bound as for a member's name
 
-// xxHash64 with the seed of its kind.
+// xxHash64 with the seed for keys, and with the seed for nodes.
 std::uint64_t KeyHash(std::string_view key);
 std::uint64_t NodeHash(std::string_view uid);
-// The last step of xxHash64: every bit of the input changes half of the output's.
+// The finalization step of xxHash64: each input bit affects half of the output bits.
 std::uint64_t Mix(std::uint64_t bits);
 
 // ---- Capacity in steps ----
 
-// An eighth of an octave: two neighbours differ by 9.05%, which is about what a capacity can be measured to.
+// A capacity on a logarithmic scale in eighths of an octave. Neighbours differ by 9.05%, which is about the
+// precision with which a capacity can be measured.
 using Level = std::uint8_t;
 constexpr int kStepsPerOctave = 8;
 constexpr Level kTopLevel = 255;  // 2^31.9 thousandths: a node of 3.9 million units
 
-// The nearest level of a capacity in thousandths of a unit; 0 counts as 1, and too high a one as kTopLevel.
+// The nearest level of a capacity in thousandths of a unit. 0 counts as 1, and a capacity that is too high as
+// kTopLevel.
 Level LevelOf(std::uint64_t capacity);
-// Half width of the hysteresis, in half steps (sixteenths of an octave). With three, noise of less than one
-// step (9.05% up, 8.3% down) around the capacity at which a level was taken never leaves it, as that capacity
-// was at most half a step off the level's centre.
+// Half the width of the hysteresis, in half steps (sixteenths of an octave). With three, noise of less than
+// one step (9.05% up, 8.3% down) around the capacity at which a level was chosen never leaves the level,
+// because that capacity was at most half a step off the level's centre.
 constexpr int kHysteresis = 3;
-// The current level while the capacity is less than `hysteresis` half steps off its centre; else the nearest.
+// Returns the current level while the capacity is less than `hysteresis` half steps off its centre, otherwise
+// the nearest level.
 Level LevelWithHysteresis(std::optional<Level> current, std::uint64_t capacity, int hysteresis = kHysteresis);
 
-// The share of its weight that a node has by now (slow start). The values are compared and hashed.
+// The share of its weight that a node currently has (slow start). The values are compared and hashed.
 enum class WeightShare : std::uint8_t { kNone = 0, kQuarter = 1, kHalf = 2, kFull = 3 };
 
 // ---- The ring ----
 
+// A node of the ring.
 struct Node {
   std::string uid;  // unique; at most kMaxUidBytes
   Level level = 0;  // of its capacity
   WeightShare weight_share = WeightShare::kFull;
-  bool bypassed = false;  // keeps its weight in hash(), but the next owners serve
+  bool bypassed = false;  // still counts in hash(), but the next owners serve its keys
   bool operator==(const Node&) const = default;
 };
 
-// An owner of a key; the earliest first. `cost` is the time drawn; only its order has a meaning.
+// An owner of a key, ordered by its drawn time, the earliest first. Only the order of `cost` has a meaning.
 struct Owner {
   Uint128 cost = 0;
   std::uint32_t node = 0;  // index into Ring::nodes()
@@ -75,45 +79,50 @@
   }
 };
 
-// The ring of one generation. Immutable: safe to read from any thread. A lookup takes time in the number of
-// serving nodes.
+// The ring of one generation. Immutable, so any thread may read it. The time of a lookup is proportional to
+// the number of serving nodes.
 class Ring {
  public:
   Ring() : Ring(0, {}) {}
-  // In any order; of two with one uid the first counts, and what is beyond kMaxNodes by uid is not in it.
+  // `nodes` may be in any order. Of two nodes with the same uid the first counts, and nodes beyond kMaxNodes,
+  // by uid, are ignored.
   Ring(std::uint64_t generation, std::vector<Node> nodes);
 
-  // The first `max` owners, in order; fewer where there are not as many that serve. `owners` is overwritten:
-  // keep it for the next call and nothing is allocated.
+  // Stores the first `max` owners in order, or fewer if fewer nodes serve. `owners` is overwritten; reuse it
+  // to avoid allocations.
   void Owners(std::uint64_t key, std::size_t max, std::vector<Owner>& owners) const;
 
   std::uint64_t generation() const { return generation_; }
-  // Hash of the nodes, their levels and weight shares: equal content has an equal hash at every member. Not
-  // of who is bypassed: that follows the list of nodes at once, and has no generation.
+  // Hash of the nodes, their levels and weight shares: the same content has the same hash at every member. It
+  // does not include which nodes are bypassed, because that follows the endpoint list at once, without a
+  // generation.
   std::uint64_t hash() const { return hash_; }
-  const std::vector<Node>& nodes() const { return nodes_; }  // by uid
+  const std::vector<Node>& nodes() const { return nodes_; }  // sorted by uid
+  // The index of a node in nodes().
   std::optional<std::uint32_t> Find(std::string_view uid) const;
+  // Number of serving nodes.
   std::size_t serving() const { return slots_.size(); }
-  // The weight of a node that serves (else 0), and the sum; units of no meaning but their ratio.
+  // The weight of a serving node (0 for others), and the sum of all. Only the ratio has a meaning.
   std::uint64_t weight(std::uint32_t node) const { return weights_[node]; }
   std::uint64_t total_weight() const { return total_weight_; }
-  std::size_t bytes() const;  // of memory, about
+  std::size_t bytes() const;  // approximate memory use
 
  private:
   struct Slot {
     std::uint64_t hash = 0;
-    std::uint64_t inverse = 0;  // of its weight
+    std::uint64_t inverse = 0;  // reciprocal of its weight
     std::uint32_t node = 0;
   };
   std::uint64_t generation_;
   std::uint64_t hash_ = 0;
   std::vector<Node> nodes_;
-  std::vector<Slot> slots_;  // of those that serve; all that a lookup reads
+  std::vector<Slot> slots_;  // the serving nodes; all that a lookup reads
   std::vector<std::uint64_t> weights_;
   std::uint64_t total_weight_ = 0;
 };
 
-// -ln(1 - v / 2^64) in 2^-58ths; relative error below 2^-36. Only for tests and measurements from outside.
+// -ln(1 - v / 2^64) in units of 2^-58, with a relative error below 2^-36. Public only for tests and
+// measurements.
 std::uint64_t Exponential(std::uint64_t v);
 
 }  // namespace mothrack::hash_ring
--- a/src/hash_ring/ring_builder.cpp
+++ b/src/hash_ring/ring_builder.cpp
@@ -7,11 +7,11 @@
 namespace mothrack::hash_ring {
 namespace {
 
-// A member that makes a generation a second for as long as it lives is below it by far; one that claims more
-// would leave no numbers for the others.
+// Far above what a member reaches with one generation per second during its whole life. A member that claims
+// more would leave no numbers for the others.
 constexpr std::uint64_t kMaxGeneration = std::uint64_t{1} << 48;
 
-// Heavier is greater; removed is the lightest.
+// A heavier record is greater; a removed one is the lightest.
 auto WeightRank(const NodeRecord& record) {
   return std::tuple(!record.removed, record.weight_share, record.level);
 }
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-// The lighter, as that one does no harm: a node that was overrated falls over, one that was underrated has
-// room.
+// The lighter record wins, because it does no harm: an overrated node gets overloaded, an underrated one has
+// spare capacity.
 bool Supersedes(const NodeRecord& record, const NodeRecord& current) {
   if (record.generation != current.generation) return record.generation > current.generation;
   return WeightRank(record) < WeightRank(current);
@@ -50,7 +50,7 @@
     desired.uid = update->uid;
     desired.weight_share = WeightShareAt(update->age);
     if (has) {
-      // A measurement that lapsed is no reason to go back to the hint.
+      // An expired measurement is no reason to return to the registered capacity.
       desired.level =
           update->measured_capacity
               ? LevelWithHysteresis(entry.record->level, *update->measured_capacity, config_.hysteresis)
@@ -68,7 +68,7 @@
   return desired;
 }
 
-// Noise around a change of one direction does not begin its time anew, a change of direction does.
+// Noise around a change in one direction does not restart its settle time, but a change of direction does.
 void RingBuilder::SetPending(Entry& entry, std::optional<NodeRecord> desired, TimePoint now) {
   const auto direction = [&](const NodeRecord& pending) {
     return entry.record ? WeightRank(pending) < WeightRank(*entry.record) : false;
@@ -100,8 +100,8 @@
 }
 
 bool RingBuilder::Update(const std::vector<NodeUpdate>& nodes, bool cut_off, TimePoint now) {
-  // What waited is begun anew once it hears again: a node that was missing before may have been back in
-  // between.
+  // Pending changes start over once the member is no longer cut off: a node that was missing before may have
+  // returned in between.
   if (cut_off) {
     for (auto& [uid, entry] : entries_) {
       entry.pending.reset();
@@ -133,7 +133,7 @@
                           WeightShareAt(update->age) == WeightShare::kNone;
     changed |= std::exchange(entry.bypassed, bypassed) != bypassed && entry.record && !entry.record->removed;
     SetPending(entry, DesiredRecord(entry, update, now), now);
-    // Nothing is left to be known of it.
+    // Nothing about this node has to be remembered any more.
     const bool forget =
         !update &&
         (!entry.record || (entry.record->removed && now - entry.changed_at >= config_.removal_memory));
@@ -155,12 +155,12 @@
     Entry& entry = at != entries_.end() ? at->second : entries_[record.uid];
     if (entry.record && !Supersedes(record, *entry.record)) continue;
     generation_ = std::max(generation_, record.generation);
-    // A node of which only its record is known is bypassed until the list has it.
+    // A node of which only the record is known is bypassed until it appears in the list.
     if (at == entries_.end()) entry.bypassed = true;
     entry.record = record;
     entry.changed_at = now;
-    // It may be what was due, or make something else due: the next Update() finds out, and its time begins
-    // anew, as whoever changed it may know more.
+    // This record may be the pending change, or may cause another one. The next Update() determines that. The
+    // settle time restarts, because the member that made the change may know more.
     entry.pending.reset();
     changed = true;
   }
