--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,5 @@
-// simulator_adapter: plays the simulator's wire on standard input and output, one reply a line.
+// simulator_adapter: speaks the simulator's protocol on standard input and output, one JSON object per line.
+// Each input line gets one reply line. Exits with 1 at a line that is no valid batch.
 #include <iostream>
 #include <string>
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -16,7 +16,7 @@
   return *it;
 }
 
-// The value of a field that must be there and have the right type.
+// The value of a required field of the given type.
 template <typename T>
 T Get(const json& object, const char* name) {
   try {
@@ -43,7 +43,7 @@
   if (const auto value = Maybe<std::int64_t>(object, name)) target = balancer::Duration(*value);
 }
 
-// A named part of the settings; an empty object where it is missing.
+// A named part of the settings; an empty object if it is missing.
 const json& Part(const json& params, const char* name) {
   static const json empty = json::object();
   const auto it = params.find(name);
@@ -144,7 +144,7 @@
   return c;
 }
 
-// An action as the wire writes it; the overloads mirror the interface.
+// Writes an action as JSON; the overloads correspond to the types of actions.
 struct Writer {
   std::int64_t instance;
 
@@ -275,7 +275,7 @@
     static const std::vector<std::string> known = {"Launch",   "Halt",    "Membership", "Order",  "Streaming",
                                                    "Finished", "Dropped", "Ring",       "Checked"};
     if (std::find(known.begin(), known.end(), type) == known.end())
-      return;  // an event this adapter has no use for
+      return;  // this adapter does not use the event
     const auto number = Get<std::int64_t>(item, "I");
     const Writer writer{number};
     actions_.clear();
@@ -284,7 +284,7 @@
       if (type == "Launch") Launch(number, item);
       if (type == "Halt" || type == "Launch") return;
       const auto it = instances_.find(number);
-      if (it == instances_.end()) return;  // it was halted
+      if (it == instances_.end()) return;  // the instance was halted
       it->second.balancer.handle(now, ToEvent(type, item, it->second), actions_);
     } catch (const Error&) {
       throw;
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,4 +1,5 @@
-// The simulator's wire: JSON to events, actions to JSON. No decisions live here.
+// The simulator's protocol: translates JSON to the balancer's events and its actions to JSON. Makes no
+// decisions. Used on one thread.
 #pragma once
 
 #include <cstdint>
@@ -12,19 +13,20 @@
 
 namespace mothrack::simulator_adapter {
 
-// A line that is not a batch, or lacks a field that it needs. The text names the field or the event.
+// A line that is not a batch, or lacks a required field. The text names the field or the event.
 class Error : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
-// The settings of one instance, from `Launch`'s `Params`. Missing settings keep their defaults.
+// Reads the settings of one instance from `Params` of a `Launch` event. Missing settings keep their defaults.
+// Throws Error.
 balancer::Settings ParseSettings(const nlohmann::json& params);
 
-// Hosts the instances of one process. Instances share nothing but the numbered lists they are handed.
+// The balancer instances of one process. They share only the numbered upstream lists, which are inputs.
 class Host {
  public:
-  // One batch in, one reply out (without the line's end). Throws Error.
+  // Handles one batch and returns the reply without a line end. Throws Error.
   std::string Reply(const std::string& line);
 
  private:
