--- a/src/change_freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -26,6 +26,7 @@
 
 // Indexed by kind of change, relation (inside, overlapping, outside, fleet) and kind of incident (zone left,
 // crash loop, refusals, operator).
+// clang-format off
 constexpr Effect kEffectTable[8][4][4] = {
     {{kB, kB, kB, kB}, {kP, kB, kP, kP}, {kP, kP, kA, kA}, {kB, kB, kB, kB}},  // new generation
     {{kR, kR, kR, kR}, {kP, kP, kP, kP}, {kP, kA, kA, kA}, {kP, kR, kP, kB}},  // restart
