--- a/src/zone_failover/config.h
+++ b/src/zone_failover/config.h
@@ -27,8 +27,8 @@
 
   // ---- Drain ----
 
-  // Share of the zone's load that is shifted at once, even if the other zones are not known to have that much
-  // spare capacity: capacity beyond what they have carried is only known once it has been tried.
+  // Minimum share of the zone's load that is shifted at once, even if the other zones are not known to have
+  // that much spare capacity: capacity beyond what they have carried is only known once it has been tried.
   int initial_shift = 250;
   // Share that each further step shifts.
   int shift_step = 250;
