--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -2,8 +2,8 @@
 // long the members disagree, what the cold zone is sent when it is back, and whether a zone is ever drained
 // that should not be.
 //   zones_bench [NIGHTS [MEMBERS [NAME]]]
-// gives the figures of docs/design/zones.md: NIGHTS calm and overloaded ones (NAME nights), 20 and 5 of the
-// others at most. zones_simulation.h has the models.
+// gives the figures of docs/design/zone_failover.md: NIGHTS calm and overloaded ones (NAME nights), 20 and 5
+// of the others at most. zones_simulation.h has the models.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
--- a/src/change_freeze/agent_permits.h
+++ b/src/change_freeze/agent_permits.h
@@ -10,7 +10,7 @@
 // past that.
 //
 // A value without clock, disk or socket; one thread at a time. For calls that change record(): let a copy
-// decide, make its record durable, keep the copy. Source: docs/design/freeze.md, "Rules of permits".
+// decide, make its record durable, keep the copy. Source: docs/design/change_freeze.md, "Rules of permits".
 #pragma once
 
 #include <cstdint>
--- a/src/change_freeze/change_freeze.h
+++ b/src/change_freeze/change_freeze.h
@@ -3,7 +3,7 @@
 //
 // While a zone is lost or an operator has declared an incident, changes make it worse. The agents elect a
 // leader, which keeps the incidents, decides which changes may go on, and gives out permits; an agent acts
-// only by a permit that was confirmed a short while ago. The design note is docs/design/freeze.md.
+// only by a permit that was confirmed a short while ago. The design note is docs/design/change_freeze.md.
 //
 //   at each of three or five agents            at every agent
 //   PermitService                              AgentPermits
--- a/src/change_freeze/clock_tolerance.h
+++ b/src/change_freeze/clock_tolerance.h
@@ -1,7 +1,7 @@
 // How far two machines' steady clocks may drift apart, and how both sides of a lease or permit allow for it:
 // the side that acts counts a shortened time, the side that waits for its end counts a lengthened one.
 //
-// Source: docs/design/freeze.md, "What a voter promises". Pure functions; any thread.
+// Source: docs/design/change_freeze.md, "What a voter promises". Pure functions; any thread.
 #pragma once
 
 #include "rollout/types.h"
--- a/src/change_freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -1,8 +1,8 @@
 // What may go on while something is wrong: change kind x where the change lies to the incident's scope x
 // incident kind; and which changes must not run at the same time.
 //
-// Pure functions of plain values; any thread. Source: docs/design/freeze.md, "What conflicts", which a test
-// holds to the table here.
+// Pure functions of plain values; any thread. Source: docs/design/change_freeze.md, "What conflicts", which a
+// test holds to the table here.
 #pragma once
 
 #include <cstdint>
--- a/src/change_freeze/freeze_state.h
+++ b/src/change_freeze/freeze_state.h
@@ -3,7 +3,7 @@
 // does not count.
 //
 // A value that PermitService owns; not thread-safe. It is replicated as bytes (Encode), through
-// Voter::Propose. Source: docs/design/freeze.md, "In force within two seconds".
+// Voter::Propose. Source: docs/design/change_freeze.md, "In force within two seconds".
 #pragma once
 
 #include <cstdint>
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -6,8 +6,8 @@
 // Times are of the leader's steady clock; what is replicated is ages. Another leader counts on from the age
 // that it reads, so that what is to lapse lapses late, never early.
 //
-// A value that FreezeState owns; not thread-safe. Source: docs/design/freeze.md, "Incidents" and "Rules of
-// incidents".
+// A value that FreezeState owns; not thread-safe. Source: docs/design/change_freeze.md, "Incidents" and
+// "Rules of incidents".
 #pragma once
 
 #include <cstddef>
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -1,6 +1,6 @@
 // One voter of the leader election, and of the replicated register that keeps the leader's state: one value
 // of at most kMaxValueBytes, replaced as a whole. The register is single-decree Paxos under a lease;
-// docs/design/freeze.md says why it is no log.
+// docs/design/change_freeze.md says why it is no log.
 //
 // Election. A term has one leader: each voter votes once a term, and has its vote on disk before it is sent.
 // A pre-vote first asks whether the candidate would win, so that a voter that was cut off ends nobody's
--- a/src/change_freeze/voter_record.h
+++ b/src/change_freeze/voter_record.h
@@ -1,6 +1,6 @@
 // What a voter keeps on disk, and how a voter that starts finds out whether its file is the latest one.
 //
-// Plain values; any thread. Source: docs/design/freeze.md, "What a voter promises".
+// Plain values; any thread. Source: docs/design/change_freeze.md, "What a voter promises".
 #pragma once
 
 #include <compare>
--- a/src/change_freeze/voter_rejoin.cpp
+++ b/src/change_freeze/voter_rejoin.cpp
@@ -1,4 +1,5 @@
-// Voter: coming back after its file was found to be stale (docs/design/freeze.md, "An old copy of the file").
+// Voter: coming back after its file was found to be stale (docs/design/change_freeze.md, "An old copy of the
+// file").
 #include <algorithm>
 
 #include "change_freeze/voter.h"
--- a/src/change_freeze/voter_role.h
+++ b/src/change_freeze/voter_role.h
@@ -13,9 +13,9 @@
 //   RecordStale      all            Rejoining      its file is behind what it has sent
 //   RejoinGranted    Rejoining      Follower       enough others hold its new incarnation on disk
 //
-// docs/design/freeze.md, "Rules of a voter", has which message or moment brings which event, and a test plays
-// it row by row; its words for Rejoining, PreCandidate, Establishing and Leader are lost, asking, taking and
-// coordinator.
+// docs/design/change_freeze.md, "Rules of a voter", has which message or moment brings which event, and a
+// test plays it row by row; its words for Rejoining, PreCandidate, Establishing and Leader are lost, asking,
+// taking and coordinator.
 #pragma once
 
 #include <cstdint>
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -1,4 +1,4 @@
-// Exit codes of mothrackctl. Scripts rely on them: docs/operators/fleet.md.
+// Exit codes of mothrackctl. Scripts rely on them: docs/operators/rollouts.md.
 #pragma once
 
 namespace mothrack::ctl {
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,5 +1,5 @@
 // Follows the source of the endpoint list: polls it, watches it for changes, and polls again after failures
-// as the PollPolicy says. The design and its bounds: docs/design/news.md.
+// as the PollPolicy says. The design and its bounds: docs/design/endpoint_staleness.md.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -1,6 +1,6 @@
 // How stale the endpoint list may become, and the timing of polls that keeps the bound. The one place for
 // both: pure functions of the settings, without sockets and without a clock, callable from any thread. The
-// table of cases, bounds and worst cases stands in docs/design/news.md.
+// table of cases, bounds and worst cases stands in docs/design/endpoint_staleness.md.
 //
 // There are two kinds of source. A local agent ("push") is this machine's own, holds the newest list and
 // answers a watch as soon as something changes. A shared service ("on request") answers all sidecars, so its
--- a/src/gossip/anti_entropy.h
+++ b/src/gossip/anti_entropy.h
@@ -2,7 +2,7 @@
 // later there. Pure.
 //
 // The ranges follow one another around all names, so the cost of a whole round grows with the fleet but the
-// cost of a second does not. Source: docs/design/peers.md; push-pull exchange of memberlist.
+// cost of a second does not. Source: docs/design/gossip.md; push-pull exchange of memberlist.
 #pragma once
 
 #include <cstddef>
--- a/src/gossip/anti_entropy_exchange.h
+++ b/src/gossip/anti_entropy_exchange.h
@@ -2,7 +2,7 @@
 // AntiEntropy's concern, when they are sent is AntiEntropySchedule's.
 //
 // Source: push-pull state exchange of Lifeguard's memberlist, here in ranges of names so that its cost a
-// second is bounded; docs/design/peers.md.
+// second is bounded; docs/design/gossip.md.
 #pragma once
 
 #include <string>
--- a/src/gossip/anti_entropy_schedule.h
+++ b/src/gossip/anti_entropy_schedule.h
@@ -2,7 +2,7 @@
 //
 // Every `digest_interval` in calm. A member that just joined, or that somebody declared dead, first catches
 // up: once around all names as fast as answers come, then, where all start at once and those asked knew
-// little themselves, every `gossip_interval` until a round brought no new member (docs/design/peers.md).
+// little themselves, every `gossip_interval` until a round brought no new member (docs/design/gossip.md).
 #pragma once
 
 #include <algorithm>
--- a/src/gossip/core.h
+++ b/src/gossip/core.h
@@ -1,6 +1,6 @@
 // Membership of a fleet, and small values that its members share: SWIM with Lifeguard's refinements, and
 // anti-entropy. A state machine without I/O, clock and thread: messages and time go in, datagrams and changes
-// come out. The same seed and inputs give the same outputs. docs/design/peers.md has its rules as tables.
+// come out. The same seed and inputs give the same outputs. docs/design/gossip.md has its rules as tables.
 #pragma once
 
 #include <cstddef>
--- a/src/gossip/failure_detector.h
+++ b/src/gossip/failure_detector.h
@@ -1,5 +1,5 @@
 // Probes members directly and through others, answers probes, and turns missing acks into suspicions and
-// deaths. Pure. The table "Rules of probes" in docs/design/peers.md has its rules.
+// deaths. Pure. The table "Rules of probes" in docs/design/gossip.md has its rules.
 //
 // Source: SWIM, sections 3.1 (ping, ping-req) and 4.2 (suspicion); Lifeguard, section IV (local health,
 // nacks, buddy system).
--- a/src/gossip/keys.h
+++ b/src/gossip/keys.h
@@ -1,6 +1,6 @@
 // The cluster's keys, from a file that nobody else may read. One key a line, 32 random bytes as hex or
 // base64; datagrams are sealed with the first, and both are accepted. Rotation without a pause: the new key
-// second on all members, then first on all, then the old one removed from all (docs/design/peers_wire.md).
+// second on all members, then first on all, then the old one removed from all (docs/design/gossip_wire.md).
 #pragma once
 
 #include <array>
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -1,7 +1,7 @@
 // The table of members: what is known of each, which updates replace it, how long a suspicion lasts. Pure.
 //
 // Source: SWIM, section 4.2 (order of updates); Lifeguard, section IV.B (suspicion time-outs that shrink with
-// confirmations); the table "Rules of membership" in docs/design/peers.md.
+// confirmations); the table "Rules of membership" in docs/design/gossip.md.
 #pragma once
 
 #include <map>
--- a/src/gossip/probe_scheduler.h
+++ b/src/gossip/probe_scheduler.h
@@ -3,7 +3,7 @@
 // health score, the longer it waits and the less often it probes. Pure.
 //
 // Source: SWIM, sections 3.1 and 4.3 (round-robin probing over a shuffled list); Lifeguard, section IV.A
-// (local health multiplier); the table "Rules of probes" in docs/design/peers.md.
+// (local health multiplier); the table "Rules of probes" in docs/design/gossip.md.
 #pragma once
 
 #include <map>
--- a/src/gossip/protocol_config.h
+++ b/src/gossip/protocol_config.h
@@ -1,8 +1,8 @@
 // The protocol's parameters. Pure; read-only after the core was made.
 //
 // Source: SWIM (Das, Gupta, Motivala 2002) for probing and dissemination, Lifeguard (Dadgar, Phillips, Currey
-// 2017) for suspicion and local health; docs/design/peers.md gives the reasons for the defaults and the times
-// that follow from them by the fleet's size.
+// 2017) for suspicion and local health; docs/design/gossip.md gives the reasons for the defaults and the
+// times that follow from them by the fleet's size.
 #pragma once
 
 #include <cstddef>
--- a/src/gossip/rejoin.h
+++ b/src/gossip/rejoin.h
@@ -1,7 +1,7 @@
 // Joining through seeds, and finding together again after a partition: pings seeds and members that are held
 // for dead. Pure.
 //
-// Source: docs/design/peers.md. SWIM has no rule for two halves that each declared the other dead.
+// Source: docs/design/gossip.md. SWIM has no rule for two halves that each declared the other dead.
 #pragma once
 
 #include <string>
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -1,5 +1,5 @@
 // The seal around each datagram: a keyed BLAKE2b hash (RFC 7693), so that only holders of the cluster's key
-// are accepted. It gives integrity and authenticity, not secrecy; docs/design/peers_wire.md says why.
+// are accepted. It gives integrity and authenticity, not secrecy; docs/design/gossip_wire.md says why.
 //
 //   magic (2) | key's name (4) | stream (8) | count (8) | payload | tag (16)
 //
--- a/src/gossip/task.h
+++ b/src/gossip/task.h
@@ -1,5 +1,5 @@
 // The gossip task: a thread of its own that owns the socket, the keys and the core, is told by commands and
-// answers by snapshots. docs/design/peers_task.md has the reasons.
+// answers by snapshots. docs/design/gossip_task.md has the reasons.
 #pragma once
 
 #include <chrono>
--- a/src/gossip/update_merger.h
+++ b/src/gossip/update_merger.h
@@ -1,5 +1,5 @@
 // Merges what was received, or concluded here, into the local state: members, values, and this member itself.
-// Pure. The tables "Rules of membership" and "Rules of values" in docs/design/peers.md are its rules.
+// Pure. The tables "Rules of membership" and "Rules of values" in docs/design/gossip.md are its rules.
 //
 // Source: SWIM, section 4.2 (suspicion, incarnation numbers); Lifeguard, section IV (refutation).
 #pragma once
--- a/src/gossip/value_store.h
+++ b/src/gossip/value_store.h
@@ -1,7 +1,7 @@
 // Values that members publish: they merge in any order, and expire by their age. Pure.
 //
 // A state-based CRDT: the greatest version of an owner's latest boot wins. The table "Rules of values" in
-// docs/design/peers.md has its rules. Bounds: kMaxMembers owners, kMaxKeysPerOwner values each.
+// docs/design/gossip.md has its rules. Bounds: kMaxMembers owners, kMaxKeysPerOwner values each.
 #pragma once
 
 #include <map>
--- a/src/hash_ring/bounded_load.h
+++ b/src/hash_ring/bounded_load.h
@@ -1,5 +1,5 @@
 // Consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018) over a ring, and hot keys
-// spread over several owners. Reasons and tables: docs/design/ring.md, "Rules of load".
+// spread over several owners. Reasons and tables: docs/design/hash_ring.md, "Rules of load".
 //   * No node is picked above (1 + e) of its share, by weight, of what the fleet has in flight, or above a
 //     few. What other members have is as old as their last report; one that is too old is not used, and a
 //     member that hears nobody goes by its own counts, of which each node has its share as well.
--- a/src/hash_ring/ring.h
+++ b/src/hash_ring/ring.h
@@ -1,6 +1,6 @@
 // Which nodes a key belongs to, in order: weighted rendezvous hashing (Thaler and Ravishankar, 1998). READ
 // THIS FIRST; then ring_builder.h (how members come to the same ring) and bounded_load.h (which owner a
-// request goes to). Reasons and the options weighed: docs/design/ring.md.
+// request goes to). Reasons and the options weighed: docs/design/hash_ring.md.
 //
 // Each node draws an exponential time for the key at the rate of its weight, and the earliest is the owner.
 // So a node that joins takes its share from all others alike and nothing else moves, one that leaves or is
--- a/src/hash_ring/ring_builder.h
+++ b/src/hash_ring/ring_builder.h
@@ -14,7 +14,7 @@
 //     where another member, not having received them, made its own of the same generation);
 //   * a change that an update makes due is made within `batch_window` + T of the first member's learning it.
 // That wants `settle_time` >= S + T: a member that does not know yet why a record changed waits that long
-// before it would change it back, and learns it in the meantime. Rules as tables: docs/design/ring.md.
+// before it would change it back, and learns it in the meantime. Rules as tables: docs/design/hash_ring.md.
 #pragma once
 
 #include <chrono>
@@ -32,7 +32,7 @@
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// The same at all members. Reasons: docs/design/ring.md.
+// The same at all members. Reasons: docs/design/hash_ring.md.
 struct RingConfig {
   // A change has to be due for so long before it is made; no less than S + T.
   Duration settle_time{1'500};
--- a/src/sidecar/hot_restart_coordinator.h
+++ b/src/sidecar/hot_restart_coordinator.h
@@ -1,5 +1,5 @@
 // One process of the sidecar following another under load: what this one inherits, of what it notifies the
-// other while both run, and how the two share their limits (docs/design/service.md, section 2). Without a
+// other while both run, and how the two share their limits (docs/design/production.md, section 2). Without a
 // directory to share it does nothing, and bans hold as long as the process.
 #pragma once
 
--- a/src/zone_failover/config.h
+++ b/src/zone_failover/config.h
@@ -1,5 +1,5 @@
 // The thresholds and times of zone failover. All members of a fleet must have the same, or they come to
-// different decisions from the same evidence. Shares are thousandths. Reasons: docs/design/zones.md.
+// different decisions from the same evidence. Shares are thousandths. Reasons: docs/design/zone_failover.md.
 #pragma once
 
 #include <cstddef>
--- a/src/zone_failover/decision.h
+++ b/src/zone_failover/decision.h
@@ -16,7 +16,7 @@
 //
 // State belongs to the caller; nothing here does I/O, reads a clock, draws randomness or throws of its own
 // accord. All functions are safe on any thread; Observer is for one thread. Reasons and tables:
-// docs/design/zones.md.
+// docs/design/zone_failover.md.
 #pragma once
 
 #include <string>
--- a/src/zone_failover/state_machine.h
+++ b/src/zone_failover/state_machine.h
@@ -1,5 +1,5 @@
 // The state machine of a zone: conditions, actions, one transition function and its table, which is the table
-// "Rules of a zone" of docs/design/zones.md (a test compares the two). Pure; any thread.
+// "Rules of a zone" of docs/design/zone_failover.md (a test compares the two). Pure; any thread.
 #pragma once
 
 #include <cstdint>
--- a/src/zone_failover/types.h
+++ b/src/zone_failover/types.h
@@ -37,8 +37,8 @@
 // False where two different names have one id: then the fleet must not use this package's decisions.
 bool HaveDistinctIds(const std::vector<std::string>& zones);
 
-// The state of a zone at one member. docs/design/zones.md calls them in, suspect, leaving, left, returning.
-// The values are sent to other members.
+// The state of a zone at one member. docs/design/zone_failover.md calls them in, suspect, leaving, left,
+// returning. The values are sent to other members.
 enum class Phase : std::uint8_t {
   kActive,      // gets the traffic that the balancer gives it
   kSuspect,     // the same, while a quorum finds it unresponsive for the first time
--- a/src/zone_failover/votes.h
+++ b/src/zone_failover/votes.h
@@ -1,4 +1,4 @@
-// Votes of the members on a zone, and the quorum (docs/design/zones.md, "Quorum"). Pure; any thread.
+// Votes of the members on a zone, and the quorum (docs/design/zone_failover.md, "Quorum"). Pure; any thread.
 #pragma once
 
 #include <cstddef>
--- a/tests/balancer/cold_fleet_test.cpp
+++ b/tests/balancer/cold_fleet_test.cpp
@@ -1,5 +1,5 @@
 // What a fleet of sidecars sends a cold upstream in sum, while each knows its own traffic only: modules over
-// simple upstreams in made-up time. docs/design/cold.md says what holds and why.
+// simple upstreams in made-up time. docs/design/slow_start.md says what holds and why.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
--- a/tests/change_freeze/cluster_faults.cpp
+++ b/tests/change_freeze/cluster_faults.cpp
@@ -97,7 +97,7 @@
   m.agent_permits.reset();
   m.back_at = now_ + (script_ != nullptr ? 1000 : UniformUpTo(6000));
   // Only while the others' files are current: of three, two that rejoin at once wait for an operator
-  // (docs/design/freeze.md).
+  // (docs/design/change_freeze.md).
   const bool others_current = OthersCurrent(m);
   const bool stale = script_ != nullptr ? script_->stale_copy : Chance(0.3);
   if (!(stale && others_current) && !stale_copy) return;
--- a/tests/change_freeze/conformance_table.h
+++ b/tests/change_freeze/conformance_table.h
@@ -1,5 +1,5 @@
-// The tables of docs/design/freeze.md against the code: every row is played, and everything that can be
-// played has its row.
+// The tables of docs/design/change_freeze.md against the code: every row is played, and everything that can
+// be played has its row.
 #pragma once
 
 #include <gtest/gtest.h>
--- a/tests/change_freeze/voter_fixture.h
+++ b/tests/change_freeze/voter_fixture.h
@@ -9,7 +9,7 @@
 
 namespace mothrack::change_freeze {
 
-// The words of docs/design/freeze.md, by VoterRole.
+// The words of docs/design/change_freeze.md, by VoterRole.
 inline constexpr const char* kRoles[] = {"lost", "follower", "asking", "candidate", "taking", "coordinator"};
 
 // Voter `a` of three, in a role, at 10 s of its clock; its term is 5, or 6 once it is a candidate.
--- a/tests/hash_ring/bounded_load_test.cpp
+++ b/tests/hash_ring/bounded_load_test.cpp
@@ -1,5 +1,5 @@
-// The table "Rules of load" of docs/design/ring.md row by row; bounds of nodes, and a hot key that spreads
-// and comes back.
+// The table "Rules of load" of docs/design/hash_ring.md row by row; bounds of nodes, and a hot key that
+// spreads and comes back.
 #include "hash_ring/bounded_load.h"
 
 #include <gtest/gtest.h>
--- a/tests/hash_ring/ring_builder_test.cpp
+++ b/tests/hash_ring/ring_builder_test.cpp
@@ -1,5 +1,5 @@
-// Generations: the tables of docs/design/ring.md on them row by row, and what noise, merging and slow start
-// do.
+// Generations: the tables of docs/design/hash_ring.md on them row by row, and what noise, merging and slow
+// start do.
 #include "hash_ring/ring_builder.h"
 
 #include <gtest/gtest.h>
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -1,4 +1,4 @@
-// The table "Words of operators" of docs/design/zones.md row by row.
+// The table "Words of operators" of docs/design/zone_failover.md row by row.
 #include "zone_failover/operator_override.h"
 
 #include <gtest/gtest.h>
--- a/tests/zone_failover/state_machine_test.cpp
+++ b/tests/zone_failover/state_machine_test.cpp
@@ -1,5 +1,5 @@
-// The table "Rules of a zone" of docs/design/zones.md row by row: as it stands in the code, and as evidence
-// plays it through the whole decision.
+// The table "Rules of a zone" of docs/design/zone_failover.md row by row: as it stands in the code, and as
+// evidence plays it through the whole decision.
 #include "zone_failover/state_machine.h"
 
 #include <gtest/gtest.h>
--- a/tests/zone_failover/votes_test.cpp
+++ b/tests/zone_failover/votes_test.cpp
@@ -1,4 +1,4 @@
-// The table "Quorum" of docs/design/zones.md row by row; caps of the judges' weights.
+// The table "Quorum" of docs/design/zone_failover.md row by row; caps of the judges' weights.
 #include "zone_failover/votes.h"
 
 #include <gtest/gtest.h>
