--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -2,7 +2,7 @@
 //
 // Guards new processes, which have little capacity at first, against the sum of what all sidecars send. The
 // round robin already reduces their weight; the budget still holds when requests move over from upstreams
-// that fail. See docs/design/cold.md.
+// that fail. See docs/design/slow_start.md.
 #pragma once
 
 #include <algorithm>
--- a/src/change_freeze/agent_permits.h
+++ b/src/change_freeze/agent_permits.h
@@ -10,7 +10,7 @@
 // break-glass (break_glass.h).
 //
 // A value without clock, disk or socket; one thread at a time. For a call that changes record(): call it on a
-// copy, make the copy's record durable, then keep the copy. Source: docs/design/freeze.md, "Rules of
+// copy, make the copy's record durable, then keep the copy. Source: docs/design/change_freeze.md, "Rules of
 // permits".
 #pragma once
 
--- a/src/change_freeze/change_freeze.h
+++ b/src/change_freeze/change_freeze.h
@@ -3,7 +3,7 @@
 //
 // While a zone is lost or an operator has declared an incident, changes make it worse. The agents elect a
 // leader. The leader keeps the incidents, decides which changes may proceed, and grants permits. An agent
-// acts only with a recently confirmed permit. Design: docs/design/freeze.md.
+// acts only with a recently confirmed permit. Design: docs/design/change_freeze.md.
 //
 //   at each of three or five agents            at every agent
 //   PermitService                              AgentPermits
--- a/src/change_freeze/clock_tolerance.h
+++ b/src/change_freeze/clock_tolerance.h
@@ -1,7 +1,7 @@
 // How far the steady clocks of two machines may drift apart, and how both sides of a lease or permit allow
 // for it: the holder counts a shortened time, and whoever waits for its end counts a lengthened time.
 //
-// Source: docs/design/freeze.md, "What a voter promises". Pure functions; any thread.
+// Source: docs/design/change_freeze.md, "What a voter promises". Pure functions; any thread.
 #pragma once
 
 #include "rollout/types.h"
--- a/src/change_freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -1,7 +1,7 @@
 // What may proceed during an incident, by kind of change, relation of the change to the incident's scope, and
 // kind of incident; and which changes must not run at the same time.
 //
-// Pure functions of plain values; any thread. Source: docs/design/freeze.md, "What conflicts"; a test
+// Pure functions of plain values; any thread. Source: docs/design/change_freeze.md, "What conflicts"; a test
 // compares its table with the one here.
 #pragma once
 
--- a/src/change_freeze/freeze_state.h
+++ b/src/change_freeze/freeze_state.h
@@ -3,7 +3,7 @@
 // is committed.
 //
 // A value owned by PermitService; not thread-safe. It is replicated as bytes (Encode()), through
-// Voter::Propose. Source: docs/design/freeze.md, "In force within two seconds".
+// Voter::Propose. Source: docs/design/change_freeze.md, "In force within two seconds".
 #pragma once
 
 #include <cstdint>
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -6,8 +6,8 @@
 // Times are on the leader's steady clock; ages are replicated. Another leader continues from the age that it
 // reads, so that timeouts end late, never early.
 //
-// A value owned by FreezeState; not thread-safe. Source: docs/design/freeze.md, "Incidents" and "Rules of
-// incidents".
+// A value owned by FreezeState; not thread-safe. Source: docs/design/change_freeze.md, "Incidents" and "Rules
+// of incidents".
 #pragma once
 
 #include <cstddef>
--- a/src/change_freeze/voter_role.h
+++ b/src/change_freeze/voter_role.h
@@ -14,8 +14,8 @@
 //   RecordStale      all            Rejoining      its file is behind what it has sent
 //   RejoinGranted    Rejoining      Follower       enough others have its new incarnation on disk
 //
-// docs/design/freeze.md, "Rules of a voter", lists the message or time that causes each event, and a test
-// checks it row by row. The page's words for Rejoining, PreCandidate, Establishing and Leader are lost,
+// docs/design/change_freeze.md, "Rules of a voter", lists the message or time that causes each event, and a
+// test checks it row by row. The page's words for Rejoining, PreCandidate, Establishing and Leader are lost,
 // asking, taking and coordinator.
 #pragma once
 
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,5 +1,5 @@
 // The client of the endpoint list's source. Polls the source, watches it for changes, and polls again after
-// failures as PollPolicy specifies. Design and bounds: docs/design/news.md.
+// failures as PollPolicy specifies. Design and bounds: docs/design/endpoint_staleness.md.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -1,6 +1,6 @@
 // The bound on the staleness of the endpoint list, and the timing of polls that keeps the bound. Both are
 // defined only here, as pure functions of the settings, without sockets or a clock, callable on any thread.
-// The table of cases, bounds and worst cases is in docs/design/news.md.
+// The table of cases, bounds and worst cases is in docs/design/endpoint_staleness.md.
 //
 // There are two kinds of source. A local agent ("push") belongs to this machine, has the newest list and
 // answers a watch as soon as something changes. A shared service ("on request") answers all sidecars, so its
--- a/src/gossip/anti_entropy.h
+++ b/src/gossip/anti_entropy.h
@@ -2,7 +2,7 @@
 // later updates and values in that range. Pure: no I/O, clock or thread.
 //
 // Successive ranges cover all names in turn. So the cost of a whole round grows with the fleet, but the cost
-// per second does not. Source: docs/design/peers.md; push-pull exchange of memberlist.
+// per second does not. Source: docs/design/gossip.md; push-pull exchange of memberlist.
 #pragma once
 
 #include <cstddef>
--- a/src/gossip/anti_entropy_exchange.h
+++ b/src/gossip/anti_entropy_exchange.h
@@ -2,7 +2,7 @@
 // decides what the messages contain, AntiEntropySchedule when they are sent. Pure: no I/O, clock or thread.
 //
 // Source: push-pull state exchange of Lifeguard's memberlist, here in ranges of names so that the cost per
-// second is bounded; docs/design/peers.md.
+// second is bounded; docs/design/gossip.md.
 #pragma once
 
 #include <string>
--- a/src/gossip/anti_entropy_schedule.h
+++ b/src/gossip/anti_entropy_schedule.h
@@ -3,7 +3,7 @@
 // Normally every `digest_interval`. A member that has just joined, or that was declared dead, first catches
 // up: one round over all names as fast as answers arrive. If all members start at once, those asked know
 // little themselves, so further rounds follow every `gossip_interval` until one brings no new member
-// (docs/design/peers.md).
+// (docs/design/gossip.md).
 #pragma once
 
 #include <algorithm>
--- a/src/gossip/failure_detector.h
+++ b/src/gossip/failure_detector.h
@@ -1,6 +1,6 @@
 // Probes members directly and through other members, answers probes, and turns missing acks into suspicions
 // and deaths. Pure: no I/O, clock or thread. The rules are in the table "Rules of probes" of
-// docs/design/peers.md.
+// docs/design/gossip.md.
 //
 // Source: SWIM, sections 3.1 (ping, ping-req) and 4.2 (suspicion); Lifeguard, section IV (local health,
 // nacks, buddy system).
--- a/src/gossip/keys.h
+++ b/src/gossip/keys.h
@@ -1,7 +1,7 @@
 // The cluster's keys, from a file that nobody else may read. The file has one key per line, 32 random bytes
 // as hex or base64. Datagrams are sealed with the first key, and both are accepted. To rotate without an
 // interruption: add the new key as the second one on all members, then make it the first on all, then remove
-// the old one from all (docs/design/peers_wire.md).
+// the old one from all (docs/design/gossip_wire.md).
 #pragma once
 
 #include <array>
--- a/src/gossip/membership.h
+++ b/src/gossip/membership.h
@@ -2,7 +2,7 @@
 // I/O, clock or thread.
 //
 // Source: SWIM, section 4.2 (order of updates); Lifeguard, section IV.B (suspicion timeouts that shrink with
-// confirmations); the table "Rules of membership" in docs/design/peers.md.
+// confirmations); the table "Rules of membership" in docs/design/gossip.md.
 #pragma once
 
 #include <map>
--- a/src/gossip/protocol_config.h
+++ b/src/gossip/protocol_config.h
@@ -1,7 +1,7 @@
 // The parameters of the protocol. Plain values, constant after the core was created.
 //
 // Source: SWIM (Das, Gupta, Motivala 2002) for probing and dissemination, Lifeguard (Dadgar, Phillips, Currey
-// 2017) for suspicion and local health. docs/design/peers.md gives the reasons for the defaults and the
+// 2017) for suspicion and local health. docs/design/gossip.md gives the reasons for the defaults and the
 // resulting times by fleet size.
 #pragma once
 
--- a/src/gossip/rejoin.h
+++ b/src/gossip/rejoin.h
@@ -1,7 +1,7 @@
 // Joins the fleet through seeds, and finds the other side again after a partition: pings seeds and members
 // considered dead. Pure: no I/O, clock or thread.
 //
-// Source: docs/design/peers.md. SWIM has no rule for two halves that have declared each other dead.
+// Source: docs/design/gossip.md. SWIM has no rule for two halves that have declared each other dead.
 #pragma once
 
 #include <string>
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -1,5 +1,5 @@
 // The seal of each datagram: a keyed BLAKE2b hash (RFC 7693), so that only senders with the cluster's key are
-// accepted. It provides integrity and authenticity, but not secrecy; docs/design/peers_wire.md explains why.
+// accepted. It provides integrity and authenticity, but not secrecy; docs/design/gossip_wire.md explains why.
 //
 //   magic (2) | key id (4) | stream (8) | count (8) | payload | tag (16)     (sizes in bytes)
 //
--- a/src/gossip/task.h
+++ b/src/gossip/task.h
@@ -1,5 +1,5 @@
 // The gossip task: a separate thread that owns the socket, the keys and the core. It receives commands and
-// publishes snapshots. docs/design/peers_task.md gives the reasons.
+// publishes snapshots. docs/design/gossip_task.md gives the reasons.
 #pragma once
 
 #include <chrono>
--- a/src/gossip/update_merger.h
+++ b/src/gossip/update_merger.h
@@ -1,6 +1,6 @@
 // Merges received updates, and conclusions of this member, into the local state: members, values, and this
 // member itself. Pure: no I/O, clock or thread. The rules are in the tables "Rules of membership" and "Rules
-// of values" of docs/design/peers.md.
+// of values" of docs/design/gossip.md.
 //
 // Source: SWIM, section 4.2 (suspicion, incarnation numbers); Lifeguard, section IV (refutation).
 #pragma once
--- a/src/gossip/value_store.h
+++ b/src/gossip/value_store.h
@@ -2,7 +2,7 @@
 // thread.
 //
 // A state-based CRDT: the greatest version of an owner's latest boot wins. The rules are in the table "Rules
-// of values" of docs/design/peers.md. Bounds: kMaxMembers owners, kMaxKeysPerOwner values each.
+// of values" of docs/design/gossip.md. Bounds: kMaxMembers owners, kMaxKeysPerOwner values each.
 #pragma once
 
 #include <map>
--- a/src/hash_ring/bounded_load.h
+++ b/src/hash_ring/bounded_load.h
@@ -1,5 +1,5 @@
 // Consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018) over a ring, and hot keys
-// that are spread over several owners. Reasons and tables: docs/design/ring.md, "Rules of load".
+// that are spread over several owners. Reasons and tables: docs/design/hash_ring.md, "Rules of load".
 //
 // Bound of a node: no node is picked if it would have more in flight than (1 + e) of its share, by weight, of
 // the fleet's requests in flight, or than a small minimum if that is greater. The counts of other members are
--- a/src/hash_ring/ring.h
+++ b/src/hash_ring/ring.h
@@ -1,6 +1,6 @@
 // Determines the owners of a key, in order: weighted rendezvous hashing (Thaler and Ravishankar, 1998). READ
 // THIS FIRST; then ring_builder.h (how members reach the same ring) and bounded_load.h (which owner serves a
-// request). Reasons and alternatives: docs/design/ring.md.
+// request). Reasons and alternatives: docs/design/hash_ring.md.
 //
 // For each key, each node draws an exponentially distributed time with its weight as the rate. The node with
 // the earliest time is the owner. So a joining node takes its share equally from all others, and nothing else
--- a/src/hash_ring/ring_builder.h
+++ b/src/hash_ring/ring_builder.h
@@ -17,7 +17,7 @@
 //   it.
 // This requires `settle_time` >= S + T: a member that does not know yet why a record changed waits that long
 // before it would change it back, and learns the reason in the meantime. Rules as tables:
-// docs/design/ring.md.
+// docs/design/hash_ring.md.
 #pragma once
 
 #include <chrono>
@@ -35,7 +35,7 @@
 using Duration = std::chrono::milliseconds;
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
-// Must be the same at all members. Reasons: docs/design/ring.md.
+// Must be the same at all members. Reasons: docs/design/hash_ring.md.
 struct RingConfig {
   // A change must be due for this long before it is made; at least S + T.
   Duration settle_time{1'500};
--- a/src/sidecar/hot_restart_coordinator.h
+++ b/src/sidecar/hot_restart_coordinator.h
@@ -1,7 +1,7 @@
 // Hot restart: a new process of the sidecar takes over from a running one. Decides what this process
 // inherits, what it sends to the other while both run, and how the two share their limits
-// (docs/design/service.md, section 2). Without a directory shared by both it does nothing, and bans last as
-// long as the process.
+// (docs/design/production.md, section 2). Without a directory shared by both it does nothing, and bans last
+// as long as the process.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,4 +1,4 @@
-// mothrack-lab: from a question to a table or a picture. docs/operators/lab.md.
+// mothrack-lab: from a question to a table or a picture. docs/operators/simulator.md.
 #include <sys/utsname.h>
 #include <unistd.h>
 
--- a/src/zone_failover/conditions.h
+++ b/src/zone_failover/conditions.h
@@ -24,8 +24,8 @@
   TimePoint now;
 };
 
-// Returns the first condition that holds, in the order of docs/design/zones.md: isolation, overrides, quorum,
-// doubt, no evidence, proof of recovery; otherwise kHealthy.
+// Returns the first condition that holds, in the order of docs/design/zone_failover.md: isolation, overrides,
+// quorum, doubt, no evidence, proof of recovery; otherwise kHealthy.
 Condition ConditionOf(const ConditionInput& input, const FailoverConfig& config);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/config.h
+++ b/src/zone_failover/config.h
@@ -1,6 +1,6 @@
 // The thresholds and times of zone failover. They must be the same at all members of a fleet; otherwise
 // members reach different decisions from the same evidence. Shares are thousandths. Reasons:
-// docs/design/zones.md.
+// docs/design/zone_failover.md.
 #pragma once
 
 #include <cstddef>
--- a/src/zone_failover/decision.h
+++ b/src/zone_failover/decision.h
@@ -16,7 +16,7 @@
 //
 // The caller owns the state. Nothing here does I/O, reads a clock, draws random numbers or throws exceptions
 // of its own. All functions are safe on any thread; Observer is for one thread. Reasons and tables:
-// docs/design/zones.md.
+// docs/design/zone_failover.md.
 #pragma once
 
 #include <string>
--- a/src/zone_failover/operator_override.h
+++ b/src/zone_failover/operator_override.h
@@ -9,8 +9,8 @@
 
 namespace mothrack::zone_failover {
 
-// In ascending priority among overrides with the same number. docs/design/zones.md calls them stay, return,
-// leave.
+// In ascending priority among overrides with the same number. docs/design/zone_failover.md calls them stay,
+// return, leave.
 enum class OverrideKind {
   kHold,     // do not change the zone's phase because of evidence
   kRecover,  // start a recovery now, once
--- a/src/zone_failover/state_machine.h
+++ b/src/zone_failover/state_machine.h
@@ -1,5 +1,6 @@
 // The state machine of a zone: conditions, actions, one transition function and its table. The table is the
-// table "Rules of a zone" of docs/design/zones.md (a test compares the two). Pure functions; any thread.
+// table "Rules of a zone" of docs/design/zone_failover.md (a test compares the two). Pure functions; any
+// thread.
 #pragma once
 
 #include <cstdint>
--- a/src/zone_failover/types.h
+++ b/src/zone_failover/types.h
@@ -38,8 +38,8 @@
 // then.
 bool HaveDistinctIds(const std::vector<std::string>& zones);
 
-// The phase of a zone at one member. docs/design/zones.md calls them in, suspect, leaving, left, returning.
-// The numbers are sent to other members.
+// The phase of a zone at one member. docs/design/zone_failover.md calls them in, suspect, leaving, left,
+// returning. The numbers are sent to other members.
 enum class Phase : std::uint8_t {
   kActive,      // gets the traffic that the balancer assigns to it
   kSuspect,     // the same, after a quorum found it unresponsive for the first time
--- a/src/zone_failover/votes.h
+++ b/src/zone_failover/votes.h
@@ -1,4 +1,5 @@
-// The members' votes on a zone, and the quorum (docs/design/zones.md, "Quorum"). Pure functions; any thread.
+// The members' votes on a zone, and the quorum (docs/design/zone_failover.md, "Quorum"). Pure functions; any
+// thread.
 #pragma once
 
 #include <cstddef>
