--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -50,7 +50,7 @@
 struct Counts {
   // Attempts by reason, and ended attempts indexed by Outcome.
   std::uint64_t first = 0, retries = 0, hedges = 0, half_open_probes = 0;
-  std::array<std::uint64_t, 8> ended{};
+  std::array<std::uint64_t, kOutcomes> ended{};
   std::uint64_t connects = 0;    // attempts that had to open a connection
   std::uint64_t slow_start = 0;  // attempts sent to upstreams in slow start
   // Rejected and failed requests by reason: overload, no usable upstream, given up after attempts.
--- a/src/balancer/events.h
+++ b/src/balancer/events.h
@@ -1,6 +1,7 @@
 // Events: the input of the balancer, in the order in which they happened.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
@@ -65,6 +66,9 @@
   kNotSent,        // never sent, as the request had already ended: did not run
 };
 
+// The number of outcomes, for tables that are indexed by Outcome.
+inline constexpr std::size_t kOutcomes = static_cast<std::size_t>(Outcome::kNotSent) + 1;
+
 // An upstream's own report of its load. Absent values were not reported.
 struct LoadReport {
   std::optional<double> in_flight;
--- a/src/sidecar/counter_logger.cpp
+++ b/src/sidecar/counter_logger.cpp
@@ -13,8 +13,8 @@
 // Bound on the upstreams in a line.
 constexpr std::size_t kMaxUpstreamsNamed = 200;
 // Names in the line, by balancer::Outcome.
-constexpr std::array<const char*, 8> kOutcomes = {"served", "error", "full",      "timeout",
-                                                  "noconn", "reset", "cancelled", "unsent"};
+constexpr std::array<const char*, balancer::kOutcomes> kOutcomeNames = {
+    "served", "error", "full", "timeout", "noconn", "reset", "cancelled", "unsent"};
 
 // A counter and its name in the line, which tools/fleet_counts.py reads.
 template <typename Counts>
@@ -86,8 +86,8 @@
   const DecisionCounts decisions = sidecar_.dispatcher().counts();
   CounterDelta delta(line);
   delta.PutAll(kDecisions, decisions, decisions_);
-  for (std::size_t i = 0; i < kOutcomes.size(); ++i) {
-    delta.Put(kOutcomes[i], decisions.ended[i], decisions_.ended[i]);
+  for (std::size_t i = 0; i < kOutcomeNames.size(); ++i) {
+    delta.Put(kOutcomeNames[i], decisions.ended[i], decisions_.ended[i]);
   }
   line["held"] = decisions.in_flight;
   if (decisions.shed > 0) line["shed"] = Rounded(decisions.shed);
