--- a/demo/run.sh
+++ b/demo/run.sh
@@ -3,7 +3,7 @@
 # server and one resolver going silent meanwhile.
 set -eu
 cd "$(dirname "$0")/.."
-sh tools/install.sh cmake g++ make libboost-dev nlohmann-json3-dev libtomlplusplus-dev libcli11-dev
+sh tools/install.sh cmake g++ make libboost-dev nlohmann-json3-dev libtomlplusplus-dev libcli11-dev libspdlog-dev
 cmake -B build-demo -DCMAKE_BUILD_TYPE=Release -DMOTHRACK_DEMO=ON > /dev/null
 cmake --build build-demo -j4 --target mothrack_demo
 exec build-demo/demo/mothrack_demo
--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -20,7 +20,7 @@
       log_(log),
       rate_limiter_(kMaxCallsPerSecond, kMaxCallsPerSecond, runtime::Now()),
       server_(
-          io, {"admin.listen", settings.unix_path, settings.endpoint}, {kConnections, 0}, "admin: ", Routes(),
+          io, {"admin.listen", settings.unix_path, settings.endpoint}, {kConnections, 0}, "admin", Routes(),
           [this](const Call& call) { return Guard(call); }, log) {}
 
 std::vector<Route> AdminApi::Routes() {
@@ -34,7 +34,7 @@
              return fault.empty() ? Answer{200, {{"reloaded", true}}} : Fault(409, fault);
            }},
           {"POST", "/v1/drain", [this](const Call&) {
-             log_.Line("admin: drain asked for");
+             log_.Info("drain_asked");
              source_.drain();
              return Answer{202, {{"draining", true}}};
            }}};
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -308,7 +308,13 @@
 
 Answer Server::Reject(const Call& call, unsigned status, const std::string& reason,
                       const std::string& error) {
-  log_.Line(label_ + "refused " + Printable(call.method) + ' ' + Printable(call.path) + ": " + reason);
+  const std::string method = Printable(call.method);
+  const std::string path = Printable(call.path);
+  if (label_ == kOperatorApi) {
+    log_.Stated(label_ + ": refused " + method + ' ' + path + ": " + reason);
+  } else {
+    log_.Warn("command_refused", {{"api", label_}, {"reason", reason}, {"method", method}, {"path", path}});
+  }
   return Fault(status, error);
 }
 
--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -62,6 +62,9 @@
   std::optional<runtime::Endpoint> endpoint;  // TCP
 };
 
+// The label of the operators' API, whose lines in the log begin with it (docs/operators/on_call.md).
+inline constexpr const char* kOperatorApi = "ops";
+
 // Not thread-safe: used by the one thread of its event loop, and destroyed when that has stopped or between
 // two handlers of it.
 class Server {
@@ -74,8 +77,9 @@
     std::size_t body = 0;         // bytes
   };
 
-  // Listens at once, and removes a socket that a killed process left at the path. `label` begins its log
-  // lines; `log` must outlive it. Throws std::runtime_error, which names setting and address, where it can't.
+  // Listens at once, and removes a socket that a killed process left at the path. `label` names the API in
+  // log lines; `log` must outlive it. Throws std::runtime_error, which names setting and address, where it
+  // can't.
   Server(boost::asio::io_context& io, ListenAddress address, Bounds bounds, std::string label,
          std::vector<Route> routes, Guard guard, runtime::Logger& log);
   ~Server();  // NOLINT(bugprone-exception-escape): as in server.cpp
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -66,7 +66,7 @@
           io,
           {"agent.listen", file.listen.rfind("unix:", 0) == 0 ? file.listen.substr(5) : std::string(),
            runtime::ParseEndpoint(file.listen)},
-          {kMaxConnections, kMaxBodyBytes}, "agent: ", Routes(),
+          {kMaxConnections, kMaxBodyBytes}, "agent", Routes(),
           [this](const Call& call) { return Guard(call); }, log) {}
 
 std::optional<Answer> AgentApi::Guard(const Call& call) {
@@ -79,7 +79,10 @@
   }
   if (!role) return admin::Fault(401, "give the token as Authorization: Bearer TOKEN");
   if (*role == Role::kOperator || call.method == "GET") return std::nullopt;
-  log_.Line("agent: refused " + call.path.substr(0, kMaxLoggedName) + ": a viewer may only look");
+  log_.Warn("command_refused", {{"api", "agent"},
+                                {"reason", "a viewer may only look"},
+                                {"method", call.method},
+                                {"path", call.path.substr(0, kMaxLoggedName)}});
   return admin::Fault(403, "a viewer may only look; this takes an operator's token");
 }
 
@@ -205,7 +208,7 @@
                   rollout::Member<std::uint64_t>(body, "epoch"), rollout::Member<std::string>(body, "tool"),
                   SteadyNow(), UnixNow());
   if (!answer.refused.empty()) {
-    log_.Line("agent: refused a step of " + name.substr(0, kMaxLoggedName) + ": " + answer.refused);
+    log_.Warn("step_refused", {{"instance", name.substr(0, kMaxLoggedName)}, {"reason", answer.refused}});
   }
   if (on_step_taken_) on_step_taken_();
   return {200, ToJson(answer)};
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -69,7 +69,7 @@
   boost::asio::io_context io(1);
   runtime::Logger log(file.name);
   SqliteStore store(file.directory + "/state.sqlite");
-  if (!store.fault().empty()) log.Line(store.fault() + "; no change is taken until then");
+  if (!store.fault().empty()) log.Error("store_unusable", {{"cause", store.fault()}});
   ProcessSupervisor processes(io, file.directory, file.instances, file.check, file.process_limits, log);
   KeepNamed(file, processes);
   std::map<std::string, std::string> instances;
@@ -123,7 +123,8 @@
     try {
       io.run();
     } catch (const std::exception& e) {
-      log.Line(e.what());  // one caller's trouble must not end the others
+      log.Error("unexpected_exception",
+                {{"cause", e.what()}});  // one caller's trouble must not end the others
     }
   }
   ::close(lock);
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -78,8 +78,9 @@
     if (error) throw std::runtime_error(instance->directory + ": " + error.message());
     FindProcess(*instance);
     if (instance->process.running()) {
-      log_.Line(spec.name + ": adopted, pid " + std::to_string(instance->process.pid) + ", generation " +
-                instance->process.generation);
+      log_.Info("process_adopted", {{"instance", spec.name},
+                                    {"pid", instance->process.pid},
+                                    {"generation", instance->process.generation}});
     }
     instances_.emplace(spec.name, std::move(instance));
   }
@@ -100,7 +101,8 @@
 void ProcessSupervisor::CollectExit(ManagedInstance& instance) const {
   const auto how = PollExit(instance.process);
   if (!how) return;
-  log_.Line(instance.spec.name + ": pid " + std::to_string(instance.process.pid) + ' ' + *how);
+  log_.Info("process_exited",
+            {{"instance", instance.spec.name}, {"pid", instance.process.pid}, {"how", *how}});
   instance.ForgetProcess();
 }
 
@@ -186,13 +188,13 @@
     case rollout::Action::Kind::kStart:
       return Start(instance, action);
     case rollout::Action::Kind::kStop:
-      log_.Line(name + ": planned stop of pid " + std::to_string(instance.process.pid));
+      log_.Info("process_stop_planned", {{"instance", name}, {"pid", instance.process.pid}});
       instance.awaits_state_change = true;
       return instance.process.Signal(SIGTERM);
     case rollout::Action::Kind::kKill:
       return instance.process.Signal(SIGKILL);
     case rollout::Action::Kind::kSay:
-      return log_.Line(name + ": " + action.line);
+      return log_.Info("instance_report", {{"instance", name}, {"text", action.line}});
   }
 }
 
@@ -234,7 +236,10 @@
   const std::string& name = instance.spec.name;
   const std::string files =
       RenderFiles(instance, action.generation, generations_.DirectoryOf(action.generation));
-  if (files.empty()) return log_.Line(name + ": can't be started: no files of " + action.generation);
+  if (files.empty()) {
+    return log_.Error("process_not_started",
+                      {{"instance", name}, {"cause", "no files of " + action.generation}});
+  }
   const auto placeholders = instance.Placeholders(files);
   LaunchSpec launch;
   launch.arguments = SubstituteAll(instance.spec.command, placeholders);
@@ -247,11 +252,15 @@
   launch.token = action.token;
   launch.generation = action.generation;
   auto process = Launch(std::move(launch));
-  if (!process) return log_.Line(name + ": can't be started: " + std::strerror(errno));
+  if (!process) {
+    return log_.Error("process_not_started", {{"instance", name}, {"cause", std::strerror(errno)}});
+  }
   instance.ForgetProcess();
   instance.process = std::move(*process);
-  log_.Line(name + ": started, pid " + std::to_string(instance.process.pid) + ", generation " +
-            action.generation + (action.token.empty() ? "" : ", for " + action.token));
+  log_.Info("process_started", {{"instance", name},
+                                {"pid", instance.process.pid},
+                                {"generation", action.generation},
+                                {"step", action.token}});
 }
 
 // The process holds its log open, so the file itself stays: it is copied aside and truncated. Lines that come
--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -323,6 +323,6 @@
   if (on_subscribe_) on_subscribe_();
 }
 
-void Dispatcher::Execute(const balancer::Log& action) { log_.Line(action.text); }
+void Dispatcher::Execute(const balancer::Log& action) { log_.Info("decision", {{"text", action.text}}); }
 
 }  // namespace mothrack::dispatch
--- a/src/dns/query.h
+++ b/src/dns/query.h
@@ -8,6 +8,7 @@
 
 #include "dispatch/exchange.h"
 #include "dns/message.h"
+#include "runtime/log.h"
 
 namespace mothrack::dns {
 
@@ -24,7 +25,7 @@
   Layout layout;
 };
 
-// Logged at the end of the process and at a reload; the names in Line() are the operators'.
+// Logged at the end of the process and at a reload; the names in Log() are the operators'.
 struct Counters {
   std::uint64_t udp_queries = 0;
   std::uint64_t tcp_queries = 0;
@@ -40,25 +41,20 @@
   std::uint64_t unmatched = 0;     // responses from a resolver's address that match no open attempt
   std::uint64_t garbled = 0;       // that match, but are malformed
 
-  std::string Line() const {
-    std::string text = "dns:";
-    const auto add = [&text](const char* name, std::uint64_t value) {
-      text += ' ' + std::string(name) + '=' + std::to_string(value);
-    };
-    add("udp_queries", udp_queries);
-    add("tcp_queries", tcp_queries);
-    add("answers", answers);
-    add("retransmissions", retransmissions);
-    add("dropped", dropped);
-    add("malformed", malformed);
-    add("over_bound", over_bound);
-    add("unsent_answers", unsent_answers);
-    add("udp_attempts", udp_attempts);
-    add("tcp_attempts", tcp_attempts);
-    add("moved_to_tcp", moved_to_tcp);
-    add("unmatched", unmatched);
-    add("garbled", garbled);
-    return text;
+  void Log(runtime::Logger& log) const {
+    log.Info("dns_counts", {{"udp_queries", udp_queries},
+                            {"tcp_queries", tcp_queries},
+                            {"answers", answers},
+                            {"retransmissions", retransmissions},
+                            {"dropped", dropped},
+                            {"malformed", malformed},
+                            {"over_bound", over_bound},
+                            {"unsent_answers", unsent_answers},
+                            {"udp_attempts", udp_attempts},
+                            {"tcp_attempts", tcp_attempts},
+                            {"moved_to_tcp", moved_to_tcp},
+                            {"unmatched", unmatched},
+                            {"garbled", garbled}});
   }
 };
 
--- a/src/dns/service.h
+++ b/src/dns/service.h
@@ -35,7 +35,7 @@
   // A planned stop; `done` is called when every accepted query is answered.
   void Drain(std::function<void()> done) { frontend_.Drain(std::move(done)); }
   const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }  // for the admin API and the log
-  std::string Account() const { return counters_.Line(); }
+  void LogCounts(runtime::Logger& log) const { counters_.Log(log); }
 
  private:
   const Settings settings_;
--- a/src/dns/tcp_server.cpp
+++ b/src/dns/tcp_server.cpp
@@ -24,7 +24,7 @@
     : settings_(settings),
       descriptors_(descriptors),
       frontend_(frontend),
-      acceptor_(io, endpoint, "dns: ", *this, log),
+      acceptor_(io, endpoint, "dns", *this, log),
       sweep_timer_(
           io, [this]() -> runtime::Duration { return draining_ ? kDrainSweepInterval : kSweepInterval; },
           [this] {
--- a/src/dns/udp_server.cpp
+++ b/src/dns/udp_server.cpp
@@ -86,13 +86,13 @@
     socket_.send_to(boost::asio::buffer(answer), to, 0, error);
     if (!error) return;
     if (error != boost::asio::error::would_block && error != boost::asio::error::no_buffer_space) {
-      if (counters_.unsent_answers++ == 0) log_.Line("dns: answer not sent: " + error.message());
+      if (counters_.unsent_answers++ == 0) log_.Warn("dns_answer_unsent", {{"cause", error.message()}});
       return;
     }
     Flush();
   }
   if (unsent_.size() >= kMaxUnsentResponses) {
-    if (counters_.unsent_answers++ == 0) log_.Line("dns: answers dropped, the system takes none");
+    if (counters_.unsent_answers++ == 0) log_.Warn("dns_answer_unsent", {{"cause", "the system takes none"}});
     return;
   }
   unsent_.emplace_back(to, std::move(answer));
--- a/src/gossip/link.cpp
+++ b/src/gossip/link.cpp
@@ -65,7 +65,7 @@
   } catch (const ResourceError& e) {
     task_.reset();
     refusal_ = e.what();
-    log.Line("peers: " + refusal_ + "; goes on alone");
+    log.Error("peers_refused", {{"cause", refusal_}});
   }
 }
 
--- a/src/gossip/task_log.cpp
+++ b/src/gossip/task_log.cpp
@@ -1,44 +1,22 @@
 #include "gossip/task_log.h"
 
-#include <spdlog/sinks/stdout_sinks.h>
-
-#include <memory>
 #include <system_error>
-#include <utility>
 
 namespace mothrack::gossip {
 namespace {
 
 // A flood of changes must not fill the log.
-constexpr double kLinesPerSecond = 1;
-constexpr double kLinesBurst = 20;
+constexpr runtime::Logger::Limits kLimits{.burst = 20, .per_second = 1};
 
 }  // namespace
 
 std::string ErrorText(int error) { return std::generic_category().message(error); }
 
-TaskLog::TaskLog(const std::string& name)
-    : logger_(name, std::make_shared<spdlog::sinks::stderr_sink_mt>()),
-      rate_limiter_(kLinesPerSecond, kLinesBurst, runtime::Now()) {
-  logger_.set_pattern("%n: %v");
-  logger_.set_error_handler([](const std::string&) {});
-}
-
-void TaskLog::Line(const std::string& text) noexcept {
-  try {
-    if (!rate_limiter_.Take(runtime::Now())) {
-      ++suppressed_;
-      return;
-    }
-    if (suppressed_ > 0) logger_.info("peers: {} lines left out", std::exchange(suppressed_, 0));
-    logger_.info("peers: {}", text);
-  } catch (...) {  // a line that cannot be written, for whatever reason, is lost and the task goes on
-  }
-}
+TaskLog::TaskLog(const std::string& name) : Logger(name, kLimits) {}
 
 void TaskLog::SystemRefuses(const std::string& operation, int error) {
   if (!logged_errors_.insert(error).second) return;
-  Line("the system refuses " + operation + ": " + ErrorText(error) + "; does without");
+  Warn("peers_system_refuses", {{"operation", operation}, {"cause", ErrorText(error)}});
 }
 
 }  // namespace mothrack::gossip
--- a/src/gossip/task_worker.cpp
+++ b/src/gossip/task_worker.cpp
@@ -100,7 +100,7 @@
 
 void TaskWorker::OnFailure(const std::string& cause) noexcept {
   ++failures_;
-  log_.Line("the task ended: " + cause + "; this one goes on alone until it is started again");
+  log_.Error("peers_task_ended", {{"cause", cause}});
 }
 
 void TaskWorker::RunTurn() {
@@ -137,7 +137,7 @@
 
 void TaskWorker::Run(const PutValueCommand& command, TimePoint now) {
   if (!core_.Put(command.key, command.bytes, command.ttl, now)) {
-    log_.Line("value " + command.key + " is beyond a bound");
+    log_.Warn("peers_value_refused", {{"value", command.key}});
   }
   publisher_.RememberKey(command.key);
   publisher_.MarkChanged();
@@ -151,9 +151,9 @@
 void TaskWorker::Run(const ReloadKeysCommand&, TimePoint) {
   try {
     seal_.Use(Load(settings_.key_file));
-    log_.Line(settings_.key_file + " read again");
+    log_.Stated("peers: " + settings_.key_file + " read again");
   } catch (const std::exception& e) {
-    log_.Line(std::string("the old keys stay: ") + e.what());
+    log_.Error("peers_keys_kept", {{"cause", e.what()}});
   }
 }
 
@@ -170,7 +170,7 @@
       case IoStatus::kWouldBlock:
         return;
       case IoStatus::kFailed:
-        log_.SystemRefuses("to read", received.error);
+        log_.SystemRefuses("read", received.error);
         reading_paused_until_ = now + kReadPause;
         return;
     }
@@ -207,14 +207,16 @@
   const UdpSocket::Sent sent = socket_.Send(*sealed, *to);
   if (sent.status == IoStatus::kDone) return;
   ++send_failures_;
-  if (sent.status != IoStatus::kWouldBlock) log_.SystemRefuses("to send", sent.error);
+  if (sent.status != IoStatus::kWouldBlock) log_.SystemRefuses("send", sent.error);
 }
 
 void TaskWorker::OnChange(const Change& change) {
   switch (change.what) {
     case Change::What::kMember:
-      if (change.member.state == MemberState::kDead) log_.Line(change.member.boot_id.name + " is dead");
-      if (change.member.state == MemberState::kLeft) log_.Line(change.member.boot_id.name + " left");
+      if (change.member.state == MemberState::kDead)
+        log_.Warn("peer_dead", {{"peer", change.member.boot_id.name}});
+      if (change.member.state == MemberState::kLeft)
+        log_.Info("peer_left", {{"peer", change.member.boot_id.name}});
       break;
     case Change::What::kValue:
       publisher_.RememberKey(change.value.key);
@@ -222,7 +224,7 @@
     case Change::What::kValueExpired:
       break;
     case Change::What::kLocalBootRaised:
-      log_.Line("a former process of this name had a clock ahead of this one's; goes on as a later one");
+      log_.Warn("peers_boot_raised");
       break;
   }
 }
--- a/src/hot_restart/server.cpp
+++ b/src/hot_restart/server.cpp
@@ -59,7 +59,7 @@
   try {
     Listen();
   } catch (const boost::system::system_error& e) {
-    log_.Line("handover: no successor will find this process: " + path_ + ": " + e.code().message());
+    log_.Warn("handover_unreachable", {{"path", path_}, {"cause", e.code().message()}});
   }
 }
 
@@ -111,7 +111,7 @@
   if (link == successor_) {
     if (!line.contains(kReadyKey)) return handler_.OnUpdate(ParseUpdate(line));
     if (std::exchange(successor_ready_, true)) return;
-    log_.Line("handover: a successor takes clients");
+    log_.Stated("handover: a successor takes clients");
     return handler_.OnSuccessorReady();
   }
   if (!line.contains(kTakeOverKey)) return link->Close();
@@ -126,12 +126,12 @@
   if (!SendSocket(link->socket().native_handle(), handler_.ListeningSocket())) return link->Close();
   candidate_.reset();
   successor_ = link;
-  log_.Line("handover: a successor asked and was given what it needs");
+  log_.Info("handover_state_given");
   link->SetHandlers(
       [this, raw = link.get()](const json& line) { OnCandidateMessage(raw->shared_from_this(), line); },
       [this] {
         successor_.reset();
-        log_.Line("handover: the successor is gone");
+        log_.Stated("handover: the successor is gone");
         // The path was the successor's.
         if (std::exchange(successor_ready_, false)) ListenOrLog();
         handler_.OnSuccessorExited();
--- a/src/hot_restart/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -116,7 +116,7 @@
     CheckVersion(object);
     return object.at("bans").get<std::set<std::string>>();
   } catch (const std::exception& e) {
-    log.Line(file + " is ignored: " + e.what());
+    log.Error("bans_ignored", {{"file", file}, {"cause", e.what()}});
     return {};
   }
 }
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -48,7 +48,7 @@
     : descriptors_(descriptors),
       budget_(budget),
       handler_(std::move(handler)),
-      acceptor_(io, where, "", *this, log),
+      acceptor_(io, where, "http", *this, log),
       sweep_every_(std::clamp(deadlines.shortest / kSweepsInDeadline, kPollInterval, kSweepInterval)),
       stop_within_(StopWithin(deadlines.longest)),
       sweep_timer_(
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -111,7 +111,7 @@
     // Paused, and resumed since.
     if (error == boost::asio::error::operation_aborted) return acceptor.WaitForClient();
     // Nobody foresaw it, and it must not end the listening.
-    acceptor.log_.Line(acceptor.label_ + "waiting for clients: " + error.message());
+    acceptor.log_.Warn("accept_wait_failed", {{"listener", acceptor.label_}, {"cause", error.message()}});
     acceptor.RetryAfter(kMaxRetryPause);
   });
 }
@@ -148,8 +148,7 @@
     acceptor.confirming_ = false;
     if (notified || acceptor.paused_ || !acceptor.socket_.is_open() || !acceptor.ClientWaits()) return;
     if (acceptor.missed_++ == 0) {
-      acceptor.log_.Line(acceptor.label_ +
-                         "a client waited and the system did not tell; further ones are only counted");
+      acceptor.log_.Warn("accept_wakeup_missed", {{"listener", acceptor.label_}});
     }
     acceptor.Accept();
   });
@@ -176,7 +175,7 @@
       if (++aborted < kMaxAbortedInARow) continue;
       return RetryAfter(NextRetryPause());
     }
-    log_.Line(label_ + "accept: " + error.message());
+    log_.Warn("accept_failed", {{"listener", label_}, {"cause", error.message()}});
     if (error == boost::asio::error::bad_descriptor) return;
     // Guards against a spin where descriptors or memory ran out: the client stays in the backlog. Other
     // connections make room only for a lack that outlasts a pause.
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -48,7 +48,7 @@
   };
 
   // Binds and listens, and calls `owner` from the event loop until Close(); throws
-  // boost::system::system_error. `label` begins its log lines, as "dns: ".
+  // boost::system::system_error. `label` names the listener in log lines, as "dns".
   Acceptor(boost::asio::io_context& io, const ListenOn& where, std::string label, Owner& owner, Logger& log);
 
   Endpoint local() const { return socket_.local_endpoint(); }
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -40,7 +40,7 @@
   }
   inherited_ = hot_restart::TakeOver(io, path_, kTakeOverTimeout, log);
   if (inherited_) {
-    log_.Line("handover: takes over from the process that serves");
+    log_.Stated("handover: takes over from the process that serves");
     bans_ = inherited_->state.bans;
     ReserveForPredecessor(inherited_->state.sockets);
   } else {
@@ -101,8 +101,8 @@
 void HotRestartCoordinator::PersistBans() {
   if (path_.empty()) return;
   const auto fault = hot_restart::WriteBans(path_ + ".bans", bans_);
-  if (fault && !ban_storage_error_) log_.Line("bans are not kept for a next process yet: " + *fault);
-  if (!fault && ban_storage_error_) log_.Line("bans are kept for a next process again");
+  if (fault && !ban_storage_error_) log_.Warn("bans_not_kept", {{"cause", *fault}});
+  if (!fault && ban_storage_error_) log_.Info("bans_kept_again");
   ban_storage_error_ = fault;
   ban_write_timer_.cancel();
   if (!fault) return;
@@ -152,7 +152,7 @@
 }
 
 void HotRestartCoordinator::OnPredecessorExited() {
-  log_.Line("handover: the former process is gone");
+  log_.Stated("handover: the former process is gone");
   descriptors_.Uncap();
   sidecar_->ShareMemory(false);
 }
--- a/src/sidecar/peers_link.cpp
+++ b/src/sidecar/peers_link.cpp
@@ -31,7 +31,9 @@
     : settings_(SectionOf(file)), link_(io, *file.peers, name, log) {}
 
 void PeersLink::Apply(const OperatorFile& file, runtime::Logger& log) {
-  if (SectionOf(file) != settings_) log.Line(file.path + ": changes of [peers] count from the next start on");
+  if (SectionOf(file) != settings_) {
+    log.Warn("changes_await_restart", {{"file", file.path}, {"part", "peers"}});
+  }
   link_.ReloadKeys();
 }
 
--- a/src/sidecar/program.cpp
+++ b/src/sidecar/program.cpp
@@ -57,7 +57,7 @@
       RecordConfiguration(settings);
       return {};
     } catch (const ConfigError& e) {
-      log_.Line(std::string("configuration not taken: ") + e.what());
+      log_.Error("configuration_not_taken", {{"cause", e.what()}});
       rejected_configuration_ = {{"error", e.what()}, {"at_ms", admin::UnixMilliseconds()}};
       return e.what();
     }
@@ -76,7 +76,7 @@
     if (!draining_since_) draining_since_ = admin::UnixMilliseconds();
     const auto ended = [this] {
       if (--parts_draining_ > 0) return;
-      if (dns_) log_.Line(dns_->Account());
+      if (dns_) dns_->LogCounts(log_);
       io_.stop();
     };
     if (parts_draining_ > 0) return;
@@ -144,18 +144,20 @@
     if (sidecar_ && settings.platform) sidecar_->Reconfigure(*settings.platform);
     if (peers_) peers_->Apply(*settings.file, log_);
     if (!dns_) {
-      if (settings.file && settings.file->dns) log_.Line("dns: [dns] counts from the next start on");
+      if (settings.file && settings.file->dns) {
+        log_.Warn("changes_await_restart", {{"file", settings.file->path}, {"part", "dns"}});
+      }
       return;
     }
-    log_.Line(dns_->Account());
-    if (!settings.file->dns) return log_.Line("dns: to end it, stop the program; the old resolvers stay");
+    dns_->LogCounts(log_);
+    if (!settings.file->dns) return log_.Warn("dns_end_needs_stop");
     dns_->Follow(*settings.file->dns);
-    log_.Line(settings.file->path + " read again: " + std::to_string(settings.file->dns->resolvers.size()) +
-              " resolvers");
+    log_.Info("resolvers_reloaded",
+              {{"file", settings.file->path}, {"resolvers", settings.file->dns->resolvers.size()}});
     OperatorFile others = *settings.file;
     others.dns->resolvers = settings_.file->dns->resolvers;
     if (Effective(others) != Effective(*settings_.file)) {
-      log_.Line(settings.file->path + ": other changes than of resolvers count from the next start on");
+      log_.Warn("changes_await_restart", {{"file", settings.file->path}, {"part", "all but resolvers"}});
     }
   }
 
@@ -245,7 +247,7 @@
         io.run();
       } catch (const std::exception& e) {
         // A fault at one connection must not end the others.
-        program.log().Line(e.what());
+        program.log().Error("unexpected_exception", {{"cause", e.what()}});
       }
     }
     return 0;
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -87,7 +87,7 @@
 
 void Sidecar::Reconfigure(const Config& config) {
   ParseKnownList(config.known);  // checked like the rest, though the list from discovery is newer
-  log_.Line("configuration read again");
+  log_.Info("configuration_reloaded");
   discovery_.SetEndpoint(config.discovery);
 }
 
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -302,7 +302,8 @@
     EXPECT_EQ(refused->status, 401) << given;
     EXPECT_NE(refused->head.find("WWW-Authenticate: Bearer"), std::string::npos);
   }
-  EXPECT_TRUE(Logs(node, "admin: refused POST /v1/drain: no valid token"));
+  EXPECT_TRUE(Logs(
+      node, " warning command_refused api=admin reason=\"no valid token\" method=POST path=/v1/drain\n"));
   const auto let_in = AdminClient(address, token).Get("/v1/status");
   ASSERT_TRUE(let_in);
   EXPECT_EQ(let_in->status, 200);
@@ -320,8 +321,10 @@
   EXPECT_EQ(status(admin.Get("/v1/drain")), 405);
   EXPECT_EQ(status(admin.Post("/v1/status")), 405);
   EXPECT_EQ(status(admin.Get("/v2/status")), 404);
-  EXPECT_TRUE(Logs(node, "admin: refused GET /v1/drain: wrong method"));
-  EXPECT_TRUE(Logs(node, "admin: refused GET /v2/status: unknown command"));
+  EXPECT_TRUE(
+      Logs(node, " warning command_refused api=admin reason=\"wrong method\" method=GET path=/v1/drain\n"));
+  EXPECT_TRUE(Logs(
+      node, " warning command_refused api=admin reason=\"unknown command\" method=GET path=/v2/status\n"));
   EXPECT_EQ(status(admin.Raw("POST /v1/reload HTTP/1.1\r\nContent-Length: 9\r\n\r\n123456789")), 413);
   EXPECT_EQ(status(admin.Raw("GET /v1/status HTTP/1.1\r\nX: " + std::string(5000, 'x') + "\r\n\r\n")), 413);
   EXPECT_EQ(status(admin.Raw("\x16\x03\x01 garbage\r\n\r\n")), 0);
--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -43,13 +43,13 @@
   ASSERT_TRUE(fleet.AllReady("g1"));
   EXPECT_EQ(fleet.Pid(0, 0), first);
   EXPECT_NE(fleet.Pid(0, 1), second);
-  EXPECT_NE(fleet.AgentLog(0).find("n0: adopted"), std::string::npos);
+  EXPECT_NE(fleet.AgentLog(0).find(" info process_adopted instance=n0 pid="), std::string::npos);
 }
 
 TEST(Agent, StartsAgainWhatIsKilledAndHoldsWhatEndsTooOften) {
   Fleet fleet({1, 2, "crashes = 3\nlongest_pause_ms = 200\n", R"(["/bin/false"])", false});
   EXPECT_TRUE(Eventually([&] { return fleet.Instance(0, 0).value("held", false); }));
-  EXPECT_EQ(Count(fleet.AgentLog(0), "n0: started"), 3U);
+  EXPECT_EQ(Count(fleet.AgentLog(0), " info process_started instance=n0 pid="), 3U);
   EXPECT_EQ(Count(fleet.AgentLog(0), "crash loop"), 1U);
   EXPECT_TRUE(Eventually([&] { return fleet.Instance(0, 1).value("ready", false); }));
   const int pid = fleet.Pid(0, 1);
@@ -87,7 +87,7 @@
   ASSERT_TRUE(fleet.AllReady("g1"));
   EXPECT_EQ(fleet.StartAgentAgain(0), 1);
   EXPECT_NE(fleet.AgentLog(0).find("another agent has it"), std::string::npos);
-  EXPECT_EQ(Count(fleet.AgentLog(0), "n0: started"), 1U);
+  EXPECT_EQ(Count(fleet.AgentLog(0), " info process_started instance=n0 pid="), 1U);
 }
 
 TEST(Agent, ADamagedStoreIsSaidAndItSupervisesOn) {
--- a/tests/discovery/discovery_process_test.cpp
+++ b/tests/discovery/discovery_process_test.cpp
@@ -171,7 +171,8 @@
   request_arrived.get_future().wait();
   node.Signal(SIGTERM);
   node.Reload("{");
-  EXPECT_TRUE(Eventually([&] { return node.log().find("not taken") != std::string::npos; }));
+  EXPECT_TRUE(Eventually(
+      [&] { return node.log().find(" error configuration_not_taken cause=") != std::string::npos; }));
   node.Reload(FollowingTo(node, second.address()));
   EXPECT_TRUE(Eventually([&] { return second.calls() > 0; }));
   go.set_value();
@@ -195,13 +196,14 @@
   const std::size_t lines = Count(node.log(), "\n");
   node.Reload(config.dump());
   ASSERT_TRUE(Eventually([&] { return Count(node.log(), "\n") > lines; }));
-  EXPECT_NE(node.log().find("configuration not taken: LB_CONFIG: limits.sockets"), std::string::npos)
+  EXPECT_NE(node.log().find(" error configuration_not_taken cause=\"LB_CONFIG: limits.sockets"),
+            std::string::npos)
       << node.log();
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
   discovery.Tell(List({Target("u2", b.address())}));
   discovery.Set(Discovery::Mood::kAnswers);
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
-  EXPECT_EQ(Count(node.log(), "not taken"), 1U);
+  EXPECT_EQ(Count(node.log(), "configuration_not_taken"), 1U);
 }
 
 // ---- Told to end while it starts ----
--- a/tests/dns/dns_helpers.h
+++ b/tests/dns/dns_helpers.h
@@ -57,7 +57,8 @@
   std::size_t at = std::string::npos;
   if (!Eventually([&] {
         at = node.log().find(mark, before);
-        return at != std::string::npos && node.log().find("read again", at) != std::string::npos;
+        return at != std::string::npos &&
+               node.log().find(" info resolvers_reloaded file=", at) != std::string::npos;
       })) {
     return -1;
   }
--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -140,7 +140,10 @@
   clients.clear();
   EXPECT_TRUE(udp.Ask(MakeUpdate("example.org", 1, "a")));
   EXPECT_TRUE(udp.Ask(MakeQuery(QueryFor("a.org", 999))));
-  EXPECT_TRUE(Eventually([&] { return node.log().find("Too many open files") != std::string::npos; }));
+  EXPECT_TRUE(Eventually([&] {
+    return node.log().find(" warning accept_failed listener=dns cause=\"Too many open files\"\n") !=
+           std::string::npos;
+  }));
 }
 
 TEST(DnsBuffers, FullOnesDelayAnswersAndLoseNone) {
@@ -192,7 +195,8 @@
   for (int i = 0; i < kQueries; ++i) EXPECT_TRUE(tcp.Receive()) << i;
   EXPECT_TRUE(tcp.ReadsEnd());
   EXPECT_EQ(node.Wait(), 0);
-  EXPECT_NE(node.log().find("udp_queries=21 tcp_queries=20 answers=41"), std::string::npos) << node.log();
+  EXPECT_NE(node.log().find(" info dns_counts udp_queries=21 tcp_queries=20 answers=41 "), std::string::npos)
+      << node.log();
 }
 
 // ---- Starting ----
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -169,7 +169,8 @@
   ASSERT_TRUE(Eventually([&] { return leaving.queries() > 40; }));
   node.ReloadOperatorFile(
       OperatorFile(ResolverList().Add("l", leaving.address(), "leaving").Add("s", staying.address())));
-  ASSERT_TRUE(Eventually([&] { return node.log().find("read again") != std::string::npos; }));
+  ASSERT_TRUE(
+      Eventually([&] { return node.log().find(" info resolvers_reloaded file=") != std::string::npos; }));
   const auto told = std::chrono::steady_clock::now();
   std::this_thread::sleep_until(told + milliseconds(1200));
   stop = true;
@@ -196,13 +197,15 @@
   Node node(DnsOnlyOptions(file));
   ASSERT_TRUE(node.DnsListening());
   node.ReloadOperatorFile(file + "surprise = 1\n");
-  ASSERT_TRUE(Eventually([&] { return node.log().find("configuration not taken") != std::string::npos; }));
+  ASSERT_TRUE(Eventually(
+      [&] { return node.log().find(" error configuration_not_taken cause=") != std::string::npos; }));
   EXPECT_NE(node.log().find("surprise"), std::string::npos);
   DnsUdpClient client(node.dns_port());
   EXPECT_TRUE(client.Ask(MakeQuery({})));
   // What can't change under way is said.
   node.ReloadOperatorFile(OperatorFile(ResolverList().Add("r1", resolver.address()), "udp_ports = 3\n"));
-  EXPECT_TRUE(Eventually([&] { return node.log().find("count from the next start") != std::string::npos; }));
+  EXPECT_TRUE(Eventually(
+      [&] { return node.log().find(" warning changes_await_restart file=") != std::string::npos; }));
 }
 
 }  // namespace
--- /dev/null
+++ b/tests/runtime/log_test.cpp
@@ -0,0 +1,232 @@
+// The one form of a log line, what keeps outsiders from forging it, and its bounds.
+#include "runtime/log.h"
+
+#include <gtest/gtest.h>
+
+#include <algorithm>
+#include <cstddef>
+#include <sstream>
+#include <string>
+#include <thread>
+#include <type_traits>
+#include <vector>
+
+#include "runtime/clock.h"
+
+namespace mothrack::runtime {
+namespace {
+
+constexpr std::size_t kNameSize = 3;  // of "n: "
+
+std::vector<std::string> LinesOf(const std::string& text) {
+  std::vector<std::string> lines;
+  std::istringstream stream(text);
+  for (std::string line; std::getline(stream, line);) lines.push_back(line);
+  return lines;
+}
+
+// Whether a literal compiles as the name of an event or a key.
+template <std::size_t N>
+struct Literal {
+  consteval Literal(const char (&literal)[N]) { std::copy_n(literal, N, text); }  // NOLINT: a literal
+  char text[N];
+};
+template <Literal L, int = (LogName(L.text), 0)>
+constexpr bool IsTaken(int) {
+  return true;
+}
+template <Literal L>
+constexpr bool IsTaken(long) {
+  return false;
+}
+
+class LogTest : public ::testing::Test {
+ protected:
+  std::string Take() {
+    const std::string text = out.str();
+    out.str("");
+    return text;
+  }
+
+  // The line of one value, by a logger of its own: its limit is not in the way.
+  static std::string LineOf(const std::string& value) {
+    std::ostringstream own;
+    Logger("n", own).Info("event", {{"key", value}, {"after", 1}});
+    return own.str();
+  }
+
+  std::ostringstream out;
+  Logger log{"n", out};
+};
+
+// ---- Form ----
+
+TEST_F(LogTest, LineIsNameLevelEventAndKeys) {
+  log.Warn("discovery_failed", {{"cause", "refused"}, {"calls", 17U}, {"left", -3}});
+  EXPECT_EQ(Take(), "n: warning discovery_failed cause=refused calls=17 left=-3\n");
+  log.Info("ready");
+  EXPECT_EQ(Take(), "n: info ready\n");
+}
+
+TEST_F(LogTest, EachLevelHasItsWord) {
+  log.Error("event");
+  log.Warn("event");
+  log.Info("event");
+  EXPECT_EQ(Take(), "n: error event\nn: warning event\nn: info event\n");
+}
+
+TEST_F(LogTest, PlainValuesStandBareAndOthersInQuotes) {
+  EXPECT_EQ(LineOf("127.0.0.1:80/a?b&c"), "n: info event key=127.0.0.1:80/a?b&c after=1\n");
+  EXPECT_EQ(LineOf("two words"), "n: info event key=\"two words\" after=1\n");
+  EXPECT_EQ(LineOf(""), "n: info event key=\"\" after=1\n");
+}
+
+// What is not in snake_case is no event and no key, and what is not a literal neither: it does not compile.
+TEST_F(LogTest, NamesAreConstants) {
+  static_assert(std::is_constructible_v<LogField, LogName, std::string>);
+  static_assert(!std::is_constructible_v<LogName, std::string>);
+  static_assert(!std::is_constructible_v<LogName, std::string_view>);
+  static_assert(LogName("snake_case_2").text() == "snake_case_2");
+  static_assert(IsTaken<"snake_case">(0));
+  static_assert(!IsTaken<"Camel">(0) && !IsTaken<"two words">(0) && !IsTaken<"a=b">(0) && !IsTaken<"">(0));
+  for (const char* name : {"a", "a_b", "a2"}) EXPECT_TRUE(LogName::IsSnakeCase(name)) << name;
+  for (const char* name : {"", "A", "aB", "2a", "_a", "a b", "a=b", "a\n", "a\"", "a-b", "a:", "\xc3\xa4"}) {
+    EXPECT_FALSE(LogName::IsSnakeCase(name)) << name;
+  }
+}
+
+// ---- Escaping ----
+
+TEST_F(LogTest, NoValueForgesALineAKeyOrAnOrderToATerminal) {
+  struct Row {
+    std::string value;
+    std::string shown;
+  };
+  const std::vector<Row> rows = {
+      {"a\nn: error forged", R"("a\nn: error forged")"},
+      {"a\r\tb", R"("a\r\tb")"},
+      {"x after=2", R"("x after=2")"},
+      {"x=y", R"("x=y")"},
+      {"x\" after=2 y=\"", R"("x\" after=2 y=\"")"},
+      {"\\", R"("\\")"},
+      {"\\\" after=2", R"("\\\" after=2")"},
+      {"\x1b[2J", R"("\x1b[2J")"},
+      {std::string("a\0b", 3), R"("a\x00b")"},
+      {"\x7f", R"("\x7f")"},
+      {"\xc2\x9b"
+       "2J",
+       R"("\xc2\x9b2J")"},
+      {"\xe2\x80\xa8", R"("\xe2\x80\xa8")"},
+  };
+  for (const Row& row : rows) EXPECT_EQ(LineOf(row.value), "n: info event key=" + row.shown + " after=1\n");
+  for (int c = 0; c < 256; ++c) {
+    const std::string line = LineOf(std::string("a") + static_cast<char>(c) + "b");
+    ASSERT_EQ(line.find('\n'), line.size() - 1) << c;
+    for (const char shown : line.substr(0, line.size() - 1)) ASSERT_TRUE(shown >= ' ' && shown <= '~') << c;
+  }
+}
+
+TEST_F(LogTest, StatedLineKeepsItsWordsAndIsOneLine) {
+  log.Stated("discovery: \"malformed\" list: a=b\nn: error forged \x1b");
+  EXPECT_EQ(Take(), "n: discovery: \"malformed\" list: a=b\\nn: error forged \\x1b\n");
+}
+
+// ---- Bounds ----
+
+TEST_F(LogTest, LineHas500BytesAtMostAndItsQuoteIsClosed) {
+  const std::string head = "n: info event key=";
+  const std::size_t room = Logger::kMaxLineLength + kNameSize - head.size();
+  EXPECT_EQ(LineOf(std::string(2000, 'x')), head + std::string(room, 'x') + '\n');
+  EXPECT_EQ(LineOf(std::string(2000, ' ')), head + '"' + std::string(room - 2, ' ') + "\"\n");
+  // Never half an escape, wherever the end falls.
+  for (std::size_t before = 0; before < 4; ++before) {
+    const std::string line = LineOf(std::string(before, 'x') + std::string(2000, '\x01'));
+    const std::string value = line.substr(head.size() + 1 + before, line.size() - head.size() - before - 3);
+    EXPECT_LE(line.size(), Logger::kMaxLineLength + kNameSize + 1);
+    EXPECT_EQ(line.substr(line.size() - 2), "\"\n");
+    EXPECT_EQ(value.size() % 4, 0U) << line;
+  }
+  // A key that has no room with its value is left out whole.
+  const std::string most(room - std::string(" after=").size(), 'x');
+  EXPECT_EQ(LineOf(most), head + most + '\n');
+  log.Stated(std::string(2000, 'x'));
+  EXPECT_EQ(Take(), "n: " + std::string(Logger::kMaxLineLength, 'x') + '\n');
+  log.Stated(std::string(2000, '\n'));
+  EXPECT_EQ(Take().size(), Logger::kMaxLineLength + kNameSize + 1);
+}
+
+TEST_F(LogTest, BurstOf100LinesThen5ASecondAndTheNextTellsHowManyWereLeftOut) {
+  const TimePoint begun = Now();
+  std::size_t asked = 0;
+  const auto log_one = [&] {
+    if (++asked % 2 == 0) {
+      log.Info("event");
+    } else {
+      log.Stated("stated");
+    }
+  };
+  for (int i = 0; i < 100; ++i) log_one();
+  ASSERT_EQ(LinesOf(out.str()).size(), 100U);
+  // Until a line has told of those left out.
+  while (out.str().find("lines_left_out") == std::string::npos) {
+    ASSERT_LT(Now() - begun, std::chrono::seconds(20));
+    log_one();
+  }
+  const double seconds = std::chrono::duration<double>(Now() - begun).count();
+  std::size_t written = 0;
+  std::size_t left_out = 0;
+  const std::string told = "n: warning lines_left_out count=";
+  for (const std::string& line : LinesOf(Take())) {
+    if (line.starts_with(told)) {
+      left_out += std::stoul(line.substr(told.size()));
+    } else {
+      ++written;
+    }
+  }
+  EXPECT_GT(left_out, 0U);
+  EXPECT_EQ(written + left_out, asked);
+  EXPECT_LE(static_cast<double>(written), 100 + 5 * seconds);
+  EXPECT_GE(seconds, 0.2);  // the first line after the burst is a fifth of a second off
+}
+
+TEST_F(LogTest, FiguresAreAsTheyAreAndHaveNoLimit) {
+  const std::string text = "counts {\"a\":\"" + std::string(2000, 'x') + "\"}";
+  for (int i = 0; i < 300; ++i) log.Figures(text);
+  const auto lines = LinesOf(Take());
+  ASSERT_EQ(lines.size(), 300U);
+  for (const std::string& line : lines) ASSERT_EQ(line, "n: " + text);
+  log.Info("event");
+  EXPECT_EQ(Take(), "n: info event\n") << "figures take nothing of the others' limit";
+}
+
+// ---- Standard error ----
+
+TEST(LogOnStandardError, LoggersOfTwoThreadsWriteWholeLines) {
+  constexpr int kLines = 2000;
+  ::testing::internal::CaptureStderr();
+  const auto write = [](const std::string& name) {
+    Logger log(name);
+    for (int i = 0; i < kLines; ++i) log.Figures("counts {}");
+  };
+  std::thread other(write, "other");
+  write("one");
+  other.join();
+  int ones = 0;
+  int others = 0;
+  for (const std::string& line : LinesOf(::testing::internal::GetCapturedStderr())) {
+    if (line == "one: counts {}") ++ones;
+    if (line == "other: counts {}") ++others;
+  }
+  EXPECT_EQ(ones, kLines);
+  EXPECT_EQ(others, kLines);
+}
+
+TEST(LogOnStandardError, LimitsOfItsOwn) {
+  ::testing::internal::CaptureStderr();
+  Logger log("n", {.burst = 3, .per_second = 0});
+  for (int i = 0; i < 9; ++i) log.Info("event");
+  EXPECT_EQ(::testing::internal::GetCapturedStderr(), "n: info event\nn: info event\nn: info event\n");
+}
+
+}  // namespace
+}  // namespace mothrack::runtime
--- a/tests/sidecar/client_limits_test.cpp
+++ b/tests/sidecar/client_limits_test.cpp
@@ -110,7 +110,7 @@
     ASSERT_TRUE(response) << i;
     EXPECT_EQ(response->result_int(), 200U);
   }
-  EXPECT_EQ(Count(node.log(), "the system did not tell"), 1U);
+  EXPECT_EQ(Count(node.log(), " warning accept_wakeup_missed listener=http\n"), 1U);
 }
 
 // Nothing else happens at the sidecar, and no client comes behind the one that waits.
@@ -123,7 +123,7 @@
     ASSERT_TRUE(client.Read()) << i;
     client.wire.Reset();
   }
-  EXPECT_EQ(Count(node.log(), "the system did not tell"), 0U);
+  EXPECT_EQ(Count(node.log(), " warning accept_wakeup_missed listener=http\n"), 0U);
 }
 
 }  // namespace
--- a/tests/sidecar/reload_test.cpp
+++ b/tests/sidecar/reload_test.cpp
@@ -57,9 +57,9 @@
   for (const auto& text : {std::string("{"), FollowingTo(node, "nowhere"), known.dump()}) {
     const auto faults = [&node] {
       const std::string log = node.log();
+      const std::string fault = " error configuration_not_taken cause=";
       int count = 0;
-      for (auto at = log.find("not taken"); at != std::string::npos; at = log.find("not taken", at + 1))
-        ++count;
+      for (auto at = log.find(fault); at != std::string::npos; at = log.find(fault, at + 1)) ++count;
       return count;
     };
     const int before = faults();
--- a/tests/sidecar/system_faults_test.cpp
+++ b/tests/sidecar/system_faults_test.cpp
@@ -334,12 +334,13 @@
         const auto answer = ops.Put("/ops/upstreams/down", R"({"name": "u1"})");
         return answer && answer->status == 200;
       }));
-      EXPECT_TRUE(Eventually([&] { return node.log().find("bans are not kept") != std::string::npos; }))
-          << node.log();
+      EXPECT_TRUE(Eventually([&] {
+        return node.log().find(" warning bans_not_kept cause=") != std::string::npos;
+      })) << node.log();
       EXPECT_TRUE(AdminClient(admin_address).Get("/v1/status")->body.contains("bans_not_kept"));
       faults.remaining = 0;
       EXPECT_TRUE(Eventually([&] {
-        return node.log().find("kept for a next process again") != std::string::npos;
+        return node.log().find(" info bans_kept_again\n") != std::string::npos;
       })) << node.log();
       EXPECT_FALSE(AdminClient(admin_address).Get("/v1/status")->body.contains("bans_not_kept"));
       node.Signal(SIGKILL);
--- a/tests/sidecar/upgrade_test.cpp
+++ b/tests/sidecar/upgrade_test.cpp
@@ -286,7 +286,8 @@
     std::ofstream(file) << text;
     Node next(options);
     ASSERT_TRUE(Ready(next));
-    EXPECT_NE(next.log().find("is ignored"), std::string::npos) << next.log();
+    EXPECT_NE(next.log().find(" error bans_ignored file=" + file + " cause="), std::string::npos)
+        << next.log();
     Client client(next.port());
     std::set<std::string> answers;
     for (int i = 0; i < 6; ++i) answers.insert(client.Get("/page/x", "i" + std::to_string(i))->body());
