--- /dev/null
+++ b/tests/support/log_events.sh
@@ -0,0 +1,41 @@
+#!/bin/sh
+# Every event that the sources log stands in docs/operators/logs.md, with its level and its keys, and nothing else does;
+# so do the words of the lines that keep a form of their own: log_events.sh SOURCE.
+set -eu
+source=$1
+page=$source/docs/operators/logs.md
+work=$(mktemp -d)
+trap 'rm -rf "$work"' EXIT
+fail() {
+  echo "$1" >&2
+  exit 1
+}
+
+# The sources, a file a line, without the line breaks that the formatter makes.
+find "$source/src" -name '*.h' -o -name '*.cpp' | sort | while read -r file; do
+  tr '\n' ' ' <"$file" | tr -s ' '
+  echo
+done >"$work/sources"
+
+# `event level key key` a line. A field is {"key", value}, and no value has braces.
+calls='(Error|Warn|Info|Write)\( ?(Level::k[A-Za-z]+, )?"[a-z0-9_]+"(, ?\{ ?(\{"[a-z0-9_]+", [^{}]*\},? ?)+\})?'
+grep -oE "$calls" "$work/sources" | sed -E 's/^Write\( ?Level::k(Error|Warn|Info)(ing)?, /\1(/' |
+  sed -E 's/^Error/error/; s/^Warn/warning/; s/^Info/info/; s/^([a-z]+)\( ?"([a-z0-9_]+)"/\2 \1/; s/, ?\{ ?\{/ {{/' |
+  sed -E 's/\{"([a-z0-9_]+)", [^{}]*\},? ?/ \1 /g; s/[{}]/ /g; s/ +/ /g; s/ $//' | sort -u >"$work/logged"
+
+# No call that the pattern above misses.
+grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\(' "$work/sources" | wc -l >"$work/calls"
+grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\( ?"[a-z0-9_]+"' "$work/sources" | wc -l >"$work/named"
+cmp -s "$work/calls" "$work/named" || fail "an event is not a literal at its call: $(cat "$work/calls") calls, $(cat "$work/named") named"
+
+sed -n '/^## Events/,/^## /p' "$page" | grep -E '^\| `' | tr -d '`,' |
+  awk -F'|' '{ gsub(/ +/, " ", $0); print $2 $3 $4 }' | sed -E 's/ +/ /g; s/^ //; s/ $//' | sort >"$work/page"
+[ "$(wc -l <"$work/logged")" -gt 20 ] || fail "hardly an event was found in the sources"
+diff "$work/page" "$work/logged" || fail "docs/operators/logs.md (<) and the sources (>) differ"
+
+# The literals of the lines whose words a page states.
+grep -oE '(\.|->)Stated\([^;]*;' "$work/sources" | grep -oE '"[^"]{4,}"' | tr -d '"' >"$work/stated"
+[ "$(wc -l <"$work/stated")" -gt 5 ] || fail "hardly a stated line was found in the sources"
+while read -r words; do
+  grep -qF -- "$words" "$page" || fail "docs/operators/logs.md does not have the line \"$words\""
+done <"$work/stated"
