--- a/tests/sidecar/system_faults_test.cpp
+++ b/tests/sidecar/system_faults_test.cpp
@@ -339,9 +339,8 @@
       })) << node.log();
       EXPECT_TRUE(AdminClient(admin_address).Get("/v1/status")->body.contains("bans_not_kept"));
       faults.remaining = 0;
-      EXPECT_TRUE(Eventually([&] {
-        return node.log().find(" info bans_kept_again\n") != std::string::npos;
-      })) << node.log();
+      EXPECT_TRUE(Eventually([&] { return node.log().find(" info bans_kept_again\n") != std::string::npos; }))
+          << node.log();
       EXPECT_FALSE(AdminClient(admin_address).Get("/v1/status")->body.contains("bans_not_kept"));
       node.Signal(SIGKILL);
       node.Wait();
