--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -63,6 +63,9 @@
   std::optional<runtime::Endpoint> endpoint;  // TCP
 };
 
+// Label of the operator API in the log (docs/operators/logs.md).
+inline constexpr const char* kOperatorApi = "ops";
+
 // Used on the thread of the event loop only. Must be destroyed when the loop has stopped or between two of
 // its handlers.
 class Server {
@@ -75,9 +78,9 @@
     std::size_t body = 0;         // bytes
   };
 
-  // Listens at once, after removing a socket that a killed process left at the path. `label` is the prefix of
-  // its log lines; `log` must outlive this object. Throws std::runtime_error, which names setting and
-  // address, if it cannot listen.
+  // Listens at once, after removing a socket that a killed process left at the path. `label` names the API in
+  // log lines; `log` must outlive this object. Throws std::runtime_error, which names setting and address, if
+  // it cannot listen.
   Server(boost::asio::io_context& io, ListenAddress address, Bounds bounds, std::string label,
          std::vector<Route> routes, Guard guard, runtime::Logger& log);
   ~Server();  // NOLINT(bugprone-exception-escape): as in server.cpp
--- a/src/dns/service.h
+++ b/src/dns/service.h
@@ -37,8 +37,8 @@
   // Starts a planned stop. `done` is called when every accepted query is answered.
   void Drain(std::function<void()> done) { frontend_.Drain(std::move(done)); }
   const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }  // for the admin API and the log
-  // The counters as one line of text.
-  std::string Account() const { return counters_.Line(); }
+  // Logs the counters as one line.
+  void LogCounts(runtime::Logger& log) const { counters_.Log(log); }
 
  private:
   const Settings settings_;
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -110,7 +110,7 @@
     // The wait of before a pause that has ended since.
     if (error == boost::asio::error::operation_aborted) return acceptor.WaitForClient();
     // Unexpected; listening must go on.
-    acceptor.log_.Line(acceptor.label_ + "waiting for clients: " + error.message());
+    acceptor.log_.Warn("accept_wait_failed", {{"listener", acceptor.label_}, {"cause", error.message()}});
     acceptor.RetryAfter(kMaxRetryPause);
   });
 }
@@ -147,8 +147,7 @@
     acceptor.confirming_ = false;
     if (notified || acceptor.paused_ || !acceptor.socket_.is_open() || !acceptor.ClientWaits()) return;
     if (acceptor.missed_++ == 0) {
-      acceptor.log_.Line(acceptor.label_ +
-                         "a client waited and the system did not tell; further ones are only counted");
+      acceptor.log_.Warn("accept_wakeup_missed", {{"listener", acceptor.label_}});
     }
     acceptor.Accept();
   });
@@ -176,7 +175,7 @@
       if (++aborted < kMaxAbortedInARow) continue;
       return RetryAfter(NextRetryPause());
     }
-    log_.Line(label_ + "accept: " + error.message());
+    log_.Warn("accept_failed", {{"listener", label_}, {"cause", error.message()}});
     if (error == boost::asio::error::bad_descriptor) return;
     // Out of descriptors or memory: the client stays in the backlog for a pause, which avoids a busy loop.
     // Other connections are evicted only if the lack outlasts a pause.
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -49,7 +49,7 @@
   };
 
   // Binds and listens, and calls `owner` from the event loop until Close(); throws
-  // boost::system::system_error. `label` begins its log lines, as "dns: ".
+  // boost::system::system_error. `label` names the listener in log lines, for example "dns".
   Acceptor(boost::asio::io_context& io, const ListenOn& where, std::string label, Owner& owner, Logger& log);
 
   Endpoint local() const { return socket_.local_endpoint(); }
