--- a/src/admin_client/admin_client.h
+++ b/src/admin_client/admin_client.h
@@ -1,5 +1,6 @@
 // Client side of the admin API (src/admin/server.h): one HTTP/1.1 request with JSON a connection, over a Unix
-// socket or loopback TCP. The agent asks sidecars with it, mothrackctl asks agents.
+// socket or loopback TCP. The agent polls sidecars with it, mothrackctl calls agents. Called from the event
+// loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -17,11 +18,13 @@
   unsigned status = 0;          // of HTTP
   nlohmann::json body;
 
+  // A response with a status of 2xx.
   bool ok() const { return transport_error.empty() && status / 100 == 2; }
   // For people, where it is not ok().
   std::string ErrorText() const;
 };
 
+// A call of the admin API.
 struct Request {
   std::string address;  // "unix:/path" or "127.0.0.1:7090"
   std::string token;    // empty: none is given
--- a/src/ctl/exit_code.h
+++ b/src/ctl/exit_code.h
@@ -5,11 +5,11 @@
 
 enum ExitCode {
   kDone = 0,
-  kUsage = 1,
-  kRefused = 2,
-  kHeld = 3,
-  kRolledBack = 4,
-  kAborted = 5,
+  kUsage = 1,        // a fault in the command line, in a file or in the plan: nothing was sent
+  kRefused = 2,      // by an agent, or another holder has the lease: nothing has changed
+  kHeld = 3,         // the change stopped and stays open
+  kRolledBack = 4,   // the change failed and was undone
+  kAborted = 5,      // the operator ended it; accepted steps stay
   kUnreachable = 6,  // not all agents were reached
 };
 
--- a/src/ctl/fleet_snapshot.h
+++ b/src/ctl/fleet_snapshot.h
@@ -1,4 +1,5 @@
-// What all agents said of themselves at one moment, as GET /v1/agent gives it.
+// The state of all agents at one moment, as GET /v1/agent reports it. Reads JSON leniently: an agent of
+// another version may have members that are missing here.
 #pragma once
 
 #include <map>
@@ -12,12 +13,13 @@
 
 namespace mothrack::ctl {
 
+// Of all agents in the list.
 struct FleetSnapshot {
   std::map<std::string, nlohmann::json> agents;  // those that answered, by name
   std::map<std::string, std::string> faults;     // why the others did not
 
   std::set<std::string> Unreachable() const;
-  // The shortest of the agents' lease times.
+  // The shortest of the agents' lease durations, 10 s at most.
   rollout::Duration ShortestLease() const;
   // The agent with an open change, the first by name; nothing: no agent has one.
   std::optional<std::string> AgentWithOpenChange() const;
@@ -25,10 +27,10 @@
   std::string OpenChange(const std::string& agent, const char* key) const;
 };
 
-// Asks all agents.
+// Polls all agents at once and waits for their answers.
 FleetSnapshot TakeSnapshot(Driver& driver);
 
-// One word or two for the state of an instance, as status and explain print it.
+// The state of an instance in a word or two, as status and explain print it.
 std::string StateOf(const nlohmann::json& instance);
 
 }  // namespace mothrack::ctl
--- a/src/ctl/options.h
+++ b/src/ctl/options.h
@@ -8,6 +8,7 @@
 
 namespace mothrack::ctl {
 
+// What the tool is to do.
 enum class Command {
   kStatus,
   kPlan,
@@ -37,13 +38,13 @@
   bool no_canary = false;
   bool roll_back = false;
   std::size_t max_unavailable = 1;
-  int watch_ms = 2000;
-  int step_limit_ms = 60'000;
+  int watch_ms = 2000;          // Policy::watch_interval
+  int step_limit_ms = 60'000;   // Policy::step_timeout
   std::size_t max_events = 50;  // of each agent
 };
 
 // Reads the command line. Where there is nothing to run (--help, --version, a fault) it has printed what
-// there is to say, and returns the exit code.
+// there is to print, and returns the exit code.
 std::variant<Options, int> ParseCommandLine(int argc, char** argv);
 
 }  // namespace mothrack::ctl
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -13,6 +13,7 @@
 
 namespace mothrack::ctl {
 
+// One run of the tool.
 class Session {
  public:
   // Throws agent::FileError where the list of agents has a fault.
@@ -20,7 +21,7 @@
 
   const Options& options() const { return options_; }
   Driver& driver() { return driver_; }
-  // In whose name the command is given.
+  // The operator's name: --who, else the user's name on this machine.
   std::string OperatorName() const;
 
  private:
@@ -30,7 +31,7 @@
   boost::asio::signal_set signals_;
 };
 
-// The commands. Each prints what it has to say and returns the exit code.
+// The commands. Each prints its result and returns the exit code.
 ExitCode RunStatus(Session& session);
 ExitCode RunPlan(Session& session);
 ExitCode RunApply(Session& session);
@@ -42,11 +43,11 @@
 ExitCode RunHistory(Session& session);
 ExitCode RunExplain(Session& session);
 
-// Says on standard error why a command fails; returns `code`.
+// Prints on standard error why a command fails; returns `code`.
 ExitCode Fail(ExitCode code, const std::string& reason);
-// Says how a change ended; the exit code for it.
+// Prints how a change ended; returns the exit code for it.
 ExitCode PrintOutcome(const Driver::Outcome& outcome);
-// Says which agents still have the change open; false: none.
+// Prints which agents still have the change open; false: none.
 bool PrintLeftOpen(const Driver::Outcome& outcome);
 
 }  // namespace mothrack::ctl
--- a/src/ctl/show.h
+++ b/src/ctl/show.h
@@ -12,11 +12,12 @@
 std::string Table(const std::vector<std::vector<std::string>>& rows);
 
 // Lines that were removed ("-") and added ("+"), with `context` unchanged lines on either side; empty where
-// nothing differs. Beyond kMaxLines a side only says so: the comparison costs the product of both.
+// nothing differs. Where a side has more than kMaxLines it only notes that they differ: the comparison costs
+// the product of both.
 std::string Difference(const std::string& before, const std::string& after, std::size_t context = 2);
 constexpr std::size_t kMaxLines = 2000;
 
-// Control characters of what others sent are shown, not obeyed.
+// The text with control characters made visible, as it comes from other machines and goes to a terminal.
 std::string Plain(const std::string& text);
 
 // With ", " between them.
--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -7,13 +7,13 @@
 namespace mothrack::rollout {
 namespace {
 
-// A command without an answer is repeated.
+// A command without an answer is repeated after this.
 constexpr Duration kRetryInterval{500};
-// News of an instance is asked for so often: a batch waits for news three times (its steps' end, the watch's
-// end, the others' being well), and a rolling change is as slow as the sum of those. One report of an agent
-// answers for all of its instances, so this is 16 answers a second of each agent that the change touches.
+// Between two polls of an instance. A batch waits for a new report three times (its steps' end, the watch's
+// end, the availability of the others), and a rolling change takes the sum of those. One report of an agent
+// answers for all of its instances, so this is 16 requests a second to each agent that the change touches.
 constexpr Duration kReportInterval{60};
-// The lease is confirmed so often within its time.
+// How often the lease is renewed within its duration.
 constexpr int kRenewalsPerLease = 6;
 
 std::string Seconds(Duration time) {
@@ -70,7 +70,7 @@
 void Change::Tick(TimePoint now, std::vector<ChangeCommand>& commands) {
   if (end_) return;
   if (!started_) {
-    // The time without a word counts from here: claiming many agents one by one takes its own.
+    // unreachable_timeout counts from here, as claiming many agents one by one may take longer than that.
     started_ = true;
     batch_entered_at_ = now;
     for (Progress& progress : progress_) progress.polled_at = now;
@@ -87,7 +87,7 @@
 }
 
 std::string Change::UnresponsiveAgent(TimePoint now) const {
-  // Half the time that the agents count: see src/rollout/lease.h.
+  // Half the duration that the agents count: see src/rollout/lease.h.
   for (const auto& [agent, confirmed] : lease_confirmed_at_) {
     if (now - confirmed >= lease_duration_ / 2) return agent;
   }
@@ -125,7 +125,7 @@
 Step Change::StepOf(std::size_t target) const {
   const Target& t = plan_.targets[target];
   const bool undo = direction_ == Direction::kUndo;
-  // What was stopped runs again after its undo.
+  // The undo of a stop is a start.
   return {plan_.id, undo ? StepKind::kRestart : plan_.kind, undo, undo ? t.from : t.to, epoch_, t.from};
 }
 
@@ -166,14 +166,18 @@
   commands.push_back({ChangeCommand::Kind::kSay, {}, {}, 0, plan_.id + " turns back: " + reason});
   rollback_reason_ = reason;
   direction_ = Direction::kUndo;
-  // The one that is in trouble first, as no other may begin before it is well. And all of them: an earlier
-  // holder may have come further than this one, which began at the first again.
+  // The failed batch first, as no other one may start before it is available again. Then all of them, also
+  // the later ones: an earlier holder may have come further than this one, which began at the first batch
+  // again.
   const std::vector<std::size_t> current = batches_[batch_];
   batches_.erase(batches_.begin() + static_cast<std::ptrdiff_t>(batch_));
   batches_.push_back(current);
   std::reverse(batches_.begin(), batches_.end());
-  for (Progress& progress : progress_)
-    progress.baseline.reset(), progress.after_step.reset(), progress.last_command_at.reset();
+  for (Progress& progress : progress_) {
+    progress.baseline.reset();
+    progress.after_step.reset();
+    progress.last_command_at.reset();
+  }
   EnterBatch(0, now);
 }
 
@@ -182,7 +186,7 @@
   batch_entered_at_ = now;
   batch_started_at_.reset();
   healthy_since_.reset();
-  // It begins by news from after the one before.
+  // Polls at once: the batch starts by reports that are newer than the end of the batch before it.
   for (Progress& progress : progress_) progress.last_poll_at.reset();
 }
 
@@ -190,7 +194,7 @@
   for (std::size_t i = 0; i < progress_.size(); ++i) {
     if (std::find(batch.begin(), batch.end(), i) != batch.end()) continue;
     const Progress& progress = progress_[i];
-    // Older news may be of before the last batch.
+    // An older report may be from before the last batch.
     if (!progress.report || progress.polled_at < batch_entered_at_) return "no news of " + LabelOf(i);
     const bool stopped_on_purpose = plan_.kind == StepKind::kStop && MayNeedUndo(i) &&
                                     progress.report->phase == Phase::kDone && !progress.report->step.undo;
@@ -213,7 +217,7 @@
   if (!progress.after_step || !progress.baseline) return {};
   const Report& now = *progress.report;
   const Report& baseline = *progress.baseline;
-  // The counters are of the process: fewer requests than before are of another one.
+  // The counters are of the process, so that a smaller one means another process.
   if (now.requests < progress.after_step->requests) return LabelOf(target) + " ended while it was watched";
   const std::uint64_t requests = now.requests - progress.after_step->requests;
   const std::uint64_t failed_requests = now.failed_requests - progress.after_step->failed_requests;
@@ -256,7 +260,7 @@
 
 bool Change::StartBatch(const std::vector<std::size_t>& targets, TimePoint now,
                         std::vector<ChangeCommand>& commands) {
-  // Steps that an earlier holder had commanded need no availability check to go on.
+  // A batch that an earlier holder started goes on, whether or not the others are available.
   const bool all_accepted =
       std::all_of(targets.begin(), targets.end(), [this](std::size_t i) { return StepAccepted(i); });
   if (!all_accepted) {
--- a/src/rollout/change.h
+++ b/src/rollout/change.h
@@ -25,6 +25,7 @@
 
 namespace mothrack::rollout {
 
+// How a change ended.
 enum class ChangeEnd {
   kCompleted,
   kHeld,        // as it stands, with the reason. Another holder may resume or undo it
@@ -32,17 +33,18 @@
   kAborted,     // on demand: no further step, those accepted stay
 };
 
+// What the change wants sent to an agent, or shown to the operator.
 struct ChangeCommand {
   enum class Kind {
-    kTakeStep,  // tells `name`'s agent to take `step`; its answer is a report
-    kReport,    // asks `name`'s agent for a report
-    kRenew,     // asks `name.agent` to confirm the lease
-    kSay,       // `line`, for the operator
+    kTakeStep,  // sends `step` to `name`'s agent, which answers with a report
+    kReport,    // polls `name`'s agent for a report
+    kRenew,     // renews the lease of `name.agent`
+    kSay,       // prints `line` for the operator
   };
   Kind kind = Kind::kSay;
   InstanceName name{};
   Step step{};
-  std::uint64_t number = 0;  // comes back with the answer; kRenew: likewise
+  std::uint64_t number = 0;  // of the request: goes to OnReport() with its answer
   std::string line{};
 };
 
@@ -54,18 +56,18 @@
   // Every agent that the change touches granted it no earlier than `lease_granted_at`, for `lease_duration`.
   Change(Plan plan, Direction direction, Epoch epoch, Duration lease_duration, TimePoint lease_granted_at);
 
-  // What agents answer; `sent_at`: when the request was sent, by this clock. A report with a number at or
-  // below that of the latest one is dropped.
+  // What agents answer; `sent_at`: when the request was sent, by this clock. A report whose number is not
+  // above that of the latest one is dropped: it is outdated or a duplicate.
   void OnReport(const InstanceName& name, std::uint64_t number, const Report& report, TimePoint sent_at);
   void OnLeaseRenewed(const std::string& agent, TimePoint sent_at);
-  // An agent has another holder, or none: nothing more is commanded.
+  // An agent has another holder, or none (empty): the change ends held and sends nothing more.
   void OnFenced(const std::string& agent, const std::string& holder);
-  // An agent refused a step that can't be carried out there.
+  // An agent refused a step that can't be carried out there; `reason` is for the operator.
   void OnStepRejected(const InstanceName& name, const std::string& reason);
   // The operator wants no further step.
   void Abort();
 
-  // Appends what is to be sent and said. Call it after each of the above, and at least every kTickInterval.
+  // Appends what is to be sent and shown. Call it after each of the above, and at least every kTickInterval.
   static constexpr Duration kTickInterval{250};
   void Tick(TimePoint now, std::vector<ChangeCommand>& commands);
 
@@ -146,7 +148,7 @@
   std::vector<Progress> progress_;                 // by target
   // By agent: when the request was sent whose answer confirmed its lease last.
   std::map<std::string, TimePoint> lease_confirmed_at_;
-  std::optional<TimePoint> last_renewal_at_;  // when all agents were last asked to renew
+  std::optional<TimePoint> last_renewal_at_;  // when the leases of all agents were last renewed
   std::uint64_t last_number_ = 0;
   bool started_ = false;
   std::size_t batch_ = 0;                      // index into batches_
--- a/src/rollout/claim.cpp
+++ b/src/rollout/claim.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::rollout {
 namespace {
 
-// A question without an answer is put again.
+// A request without an answer is repeated after this.
 constexpr Duration kRetryInterval{400};
 
 std::string DescribeConflict(const std::string& agent, const std::optional<Holder>& holder) {
@@ -60,7 +60,7 @@
 
 void Claim::Reject(const std::string& why, std::vector<ClaimCommand>& commands) {
   rejection_ = why;
-  // Also where no answer came: it may have been granted all the same.
+  // Also at the agent whose answer is missing: it may have granted the lease.
   const std::size_t contacted =
       opening_ ? claim_order_.size() : std::min(claim_order_.size(), next_agent_ + 1);
   for (std::size_t i = 0; i < contacted; ++i) {
@@ -73,24 +73,23 @@
   if (!fault_.empty()) return Reject(fault_, commands);
   if (epoch_ == 0 && !CollectEpochs(now, commands)) return;
   while (next_agent_ < claim_order_.size() && request_pending_ && now - request_started_at_ >= timeout_) {
-    // It may have been granted, and is given back. Without it, the rest may be enough.
+    // The agent may have granted the lease. The others may be a quorum without it.
     commands.push_back({ClaimCommand::Kind::kRelease, claim_order_[next_agent_], epoch_});
     claim_order_.erase(claim_order_.begin() + static_cast<std::ptrdiff_t>(next_agent_));
     request_pending_ = false;
   }
-  if (next_agent_ < claim_order_.size()) return AskNextAgent(now, commands);
+  if (next_agent_ < claim_order_.size()) return RequestNextAgent(now, commands);
   if (!HasQuorum(granted_by_)) return Reject("can't be reached: " + MissingFrom(granted_by_), commands);
   if (!opening_) {
     if (resuming_ && !open_at_any_agent_) return Reject("the change has come to its end meanwhile", commands);
     opening_ = true;
     granted_by_.clear();
     next_agent_ = 0;
-    return AskNextAgent(now, commands);
+    return RequestNextAgent(now, commands);
   }
   granted_ = Granted{epoch_, *first_request_at_};
 }
 
-// False while the epoch is not known yet.
 bool Claim::CollectEpochs(TimePoint now, std::vector<ClaimCommand>& commands) {
   if (!epochs_requested_) request_started_at_ = now;
   if (!epochs_requested_ || now - last_sent_at_ >= kRetryInterval) {
@@ -113,8 +112,7 @@
   return false;
 }
 
-// The agent whose turn it is; again where no answer came.
-void Claim::AskNextAgent(TimePoint now, std::vector<ClaimCommand>& commands) {
+void Claim::RequestNextAgent(TimePoint now, std::vector<ClaimCommand>& commands) {
   if (request_pending_ && now - last_sent_at_ < kRetryInterval) return;
   if (!request_pending_) request_started_at_ = now;
   request_pending_ = true;
--- a/src/rollout/claim.h
+++ b/src/rollout/claim.h
@@ -17,6 +17,7 @@
 
 namespace mothrack::rollout {
 
+// What the claim wants sent to an agent.
 struct ClaimCommand {
   enum class Kind { kReadEpoch, kAcquire, kOpen, kRelease };
   Kind kind = Kind::kReadEpoch;
@@ -53,8 +54,11 @@
   const std::string& rejection() const { return rejection_; }
 
  private:
+  // Reads the highest epochs and chooses the claim's own; false while it waits for them, or rejected the
+  // claim.
   bool CollectEpochs(TimePoint now, std::vector<ClaimCommand>& commands);
-  void AskNextAgent(TimePoint now, std::vector<ClaimCommand>& commands);
+  // Sends the current agent its request, and again where no answer came.
+  void RequestNextAgent(TimePoint now, std::vector<ClaimCommand>& commands);
   bool HasQuorum(const std::set<std::string>& agents) const;
   void Reject(const std::string& why, std::vector<ClaimCommand>& commands);
   std::string MissingFrom(const std::set<std::string>& agents) const;
@@ -70,7 +74,7 @@
   std::map<std::string, Epoch> highest_by_agent_;
   Epoch epoch_ = 0;  // 0: not chosen yet
   std::vector<std::string> claim_order_;
-  std::size_t next_agent_ = 0;  // in `claim_order_`: asked, or about to be
+  std::size_t next_agent_ = 0;  // in `claim_order_`: whose answer is awaited, or who gets the next request
   bool request_pending_ = false;
   bool opening_ = false;              // all are claimed
   std::set<std::string> granted_by_;  // claimed or, once opening, opened
@@ -78,7 +82,7 @@
   std::optional<Granted> granted_;
   std::string rejection_;
   bool open_at_any_agent_ = false;
-  std::string fault_;  // for the next turn
+  std::string fault_;  // why an agent did not grant it; Tick() rejects the claim for it
 };
 
 }  // namespace mothrack::rollout
--- a/src/rollout/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -36,7 +36,10 @@
 
 void Instance::Reconcile(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
   if (was_running_ && !seen.running && !stopping_since_) RecordExit(now);
-  if (!seen.running) stopping_since_.reset(), killed_ = false;
+  if (!seen.running) {
+    stopping_since_.reset();
+    killed_ = false;
+  }
   was_running_ = seen.running;
   if (record_.phase == Phase::kAccepted) {
     AdvanceStep(seen, now, actions);
@@ -110,9 +113,9 @@
 }
 
 void Instance::Start(TimePoint now, std::vector<Action>& actions) {
-  // Counts from each start of a step: one that ends at once has not used up the next one's time.
+  // The limit to become ready counts from each start: an early exit must not shorten the next attempt.
   if (record_.phase == Phase::kAccepted) started_at_ = now;
-  // Until it is seen to run, or a pause has passed: a start that failed looks like one that has not happened.
+  // No further start until the process is seen or a backoff has passed: a start that failed leaves no trace.
   start_at_ = now + limits_.first_backoff;
   was_running_ = true;
   actions.push_back({Action::Kind::kStart, record_.generation, record_.token, {}});
--- a/src/rollout/instance.h
+++ b/src/rollout/instance.h
@@ -1,15 +1,16 @@
-// An agent's decisions on one instance: it keeps it running, restarts it with back-off, holds a crash loop,
-// and carries a step to its known end, through its own death at any point.
+// An agent's decisions on one instance: it keeps the process running, restarts it with exponential backoff,
+// stops restarting a crash loop (the instance is "held"), and carries a step to a known end, through a crash
+// of the agent at any point.
 //
-// Driven by Reconcile(): the process as it is now, against what is wanted, gives the next actions. Nothing
+// Driven by Reconcile(): the process as it is now, compared with the record, gives the next actions. Nothing
 // but the record need survive the agent: which step was accepted, and how it ended. How far a step had come
-// is seen from the process itself, which carries the token of the step it was started for. So no start is
-// ever repeated after a crash, whatever the agent was about to do; and a stop only where the process can't
-// tell that it drains, which a second stop does no harm.
+// is seen from the process itself, which carries the token of the step that it was started for. So no start
+// is ever repeated after a crash; and a stop only where the process can't report that it drains, where a
+// second stop is harmless.
 //
-// A value without I/O, like Lessor: a copy accepts a step, its record is made durable, then the copy is kept.
-// What Reconcile() changes in the record is made durable where the disk takes it; until then the end of a
-// step is not told.
+// A value without I/O, like Lessor: a copy accepts a step, its record is made durable, then the copy replaces
+// the original. What Reconcile() changes in the record is made durable as soon as the store allows; until
+// then the end of a step is not reported. Not thread-safe. docs/design/fleet.md has the reasons.
 #pragma once
 
 #include <deque>
@@ -23,23 +24,24 @@
 
 // What survives the agent.
 struct InstanceRecord {
-  bool wanted = true;      // is to run
-  std::string generation;  // that it is to run with
+  bool wanted = true;      // it is to run
+  std::string generation;  // it is to run with this one
   std::string token;       // of the step that it was last started for; empty before any
-  Step step;               // the last one taken
+  Step step;               // the last one accepted
   Phase phase = Phase::kNone;
   std::string failure_reason;  // of kFailed
   bool operator==(const InstanceRecord&) const = default;
 };
 
+// Bounds of the supervision; the operators' keys are in [limits] of the agent's file.
 struct InstanceLimits {
-  Duration stop{15'000};        // for a planned stop; then it is killed
-  Duration ready{10'000};       // from a start until it says that it is ready
-  Duration first_backoff{200};  // before it is started again after it ended by itself; doubles each time
+  Duration stop{15'000};        // for a planned stop; then the process is killed
+  Duration ready{10'000};       // from a start until the process reports that it is ready
+  Duration first_backoff{200};  // before a restart after an exit by itself; doubles each time
   Duration max_backoff{30'000};
-  std::size_t crashes = 5;  // as many ends within `crash_window` are a crash loop: it is held
+  std::size_t crashes = 5;  // so many exits within `crash_window` are a crash loop: the instance is held
   Duration crash_window{60'000};
-  std::size_t max_step_starts = 3;  // a step that saw as many of its processes end has failed
+  std::size_t max_step_starts = 3;  // a step fails once so many of its processes have ended
 };
 
 // The process as it is now.
@@ -51,12 +53,13 @@
   bool draining = false;   // likewise
 };
 
+// What is to be done with the process.
 struct Action {
   enum class Kind {
     kStart,  // with `generation` and `token`
     kStop,   // a planned stop
     kKill,   // it ignores the planned stop
-    kSay,    // `line`, for the people on call
+    kSay,    // logs `line` for the people on call
   };
   Kind kind = Kind::kSay;
   std::string generation{};
@@ -67,20 +70,22 @@
 class Instance {
  public:
   enum class Verdict {
-    kAccepted,            // now, or before: a repeated command is told what became of it by the report
-    kBusy,                // with another step that has not ended
-    kStale,               // it has taken the undo of this change already
-    kGenerationMismatch,  // it has another generation than the one that the change starts from
+    kAccepted,            // now, or before: the report answers a repeated command
+    kBusy,                // a step of another change has not ended
+    kStale,               // the undo of this change was accepted already
+    kGenerationMismatch,  // the instance has another generation than the one that the change starts from
   };
 
   Instance(InstanceRecord record, const InstanceLimits& limits)
       : record_(std::move(record)), limits_(limits) {}
 
+  // Any verdict but kAccepted leaves the record as it is.
   Verdict Accept(const Step& step);
   // Appends what is to be done. Call it at least every `first_backoff`, and whenever the process changed.
   void Reconcile(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
 
   const InstanceRecord& record() const { return record_; }
+  // Is it a crash loop that is not restarted? The next step ends that.
   bool held() const { return crash_loop_held_; }
 
  private:
@@ -88,13 +93,13 @@
   void AdvanceStep(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
   void Supervise(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
   void Stop(const ProcessState& seen, TimePoint now, std::vector<Action>& actions);
-  // It ended, and nobody had told it to: when to start it again.
+  // The process ended without a stop: sets when to start it again.
   void RecordExit(TimePoint now);
   void Start(TimePoint now, std::vector<Action>& actions);
 
   InstanceRecord record_;
   InstanceLimits limits_;
-  // Of this agent's life only.
+  // Not durable: an agent that was restarted begins anew with these.
   bool was_running_ = false;
   std::optional<TimePoint> stopping_since_;
   bool killed_ = false;
--- a/src/rollout/lease.cpp
+++ b/src/rollout/lease.cpp
@@ -3,7 +3,7 @@
 namespace mothrack::rollout {
 
 Lessor::Verdict Lessor::Acquire(Epoch epoch, const Holder& holder, TimePoint now) {
-  // Its answer was lost, or the question came twice.
+  // A repeated or duplicated request.
   if (epoch == state_.highest && state_.holder == holder && now < expires_at_) return Verdict::kGranted;
   if (epoch <= state_.highest) return Verdict::kFenced;
   const auto other = this->holder(now);
--- a/src/rollout/types.h
+++ b/src/rollout/types.h
@@ -14,11 +14,11 @@
 // Fencing token of the lease: each holder's epoch is greater than that of any holder before it.
 using Epoch = std::uint64_t;
 
-// Who changes what, for the others to read.
+// Who has the lease and for which change: shown to the other operators.
 struct Holder {
   std::string change;  // id of the change
-  std::string who;
-  std::string why;
+  std::string who;     // the operator
+  std::string why;     // the operator's reason
   std::int64_t since_unix_ms = 0;
   // Unique to each claim (src/rollout/claim.h), also of one tool for one change: it tells apart two holders
   // that chose the same epoch, and a claim's requests from late ones of a claim before it.
@@ -54,6 +54,7 @@
   std::string token() const { return change + (undo ? "/undo." : "/do.") + std::to_string(epoch); }
 };
 
+// How far an instance's last step is; kDone and kFailed are final.
 enum class Phase { kNone, kAccepted, kDone, kFailed };
 
 // What an agent reports of one instance.
@@ -71,7 +72,7 @@
   std::uint64_t requests = 0;
   std::uint64_t failed_requests = 0;  // rejected or failed
 
-  // Does it serve, and will it go on doing so by all that is planned?
+  // Does it serve, with no step that is going to stop it?
   bool available() const { return running && ready && phase != Phase::kAccepted; }
 };
 
--- a/src/rollout/wire.h
+++ b/src/rollout/wire.h
@@ -1,6 +1,6 @@
-// The fleet's values as JSON: on disk, and between agents and tools. Reading throws std::invalid_argument,
-// which names what is missing or wrong; what is unknown is skipped, so that a newer tool and an older agent
-// understand each other.
+// The rollout's values as JSON: on disk, and between agents and tools. Reading throws std::invalid_argument,
+// which names what is missing or wrong. Unknown members are skipped, so that a newer tool and an older agent
+// understand each other. The member names are a wire format and differ from the fields' names in places.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -25,11 +25,12 @@
 Report ReportFrom(const nlohmann::json& json);
 InstanceRecord InstanceRecordFrom(const nlohmann::json& json);
 
+// Names of enumerators on the wire.
 std::string Name(Phase phase);
 std::string Name(Lessor::Verdict verdict);
 Lessor::Verdict VerdictFrom(const std::string& name);
 
-// A required member of the right kind.
+// A required member of type T: bool, std::string, std::int64_t, std::uint64_t, double or JSON as it is.
 template <typename T>
 T Member(const nlohmann::json& json, const char* name);
 
