--- a/tests/rollout/changes_world.cpp
+++ b/tests/rollout/fleet_model.cpp
@@ -1,8 +1,8 @@
-#include "rollout/changes_world.h"
+#include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
-World::World(std::uint64_t seed, const Script* script) : random_(seed), script_(script) {
+FleetModel::FleetModel(std::uint64_t seed, const Script* script) : random_(seed), script_(script) {
   for (int a = 0; a < kAgents; ++a) {
     Host host;
     host.name = "a" + std::to_string(a);
@@ -41,7 +41,7 @@
   }
 }
 
-History World::Run() {
+History FleetModel::Run() {
   while (history_.violation.empty() && now_.time_since_epoch() < kRecovery && !through_) {
     now_ += milliseconds(20 + Upto(80));
     const bool calm = now_.time_since_epoch() >= kTrouble;
@@ -56,13 +56,13 @@
   return history_;
 }
 
-void World::Violation(const std::string& what) {
+void FleetModel::Violation(const std::string& what) {
   if (history_.violation.empty()) {
     history_.violation = what + " at " + std::to_string(now_.time_since_epoch().count()) + " ms";
   }
 }
 
-std::string World::Told() const {
+std::string FleetModel::Told() const {
   std::string text;
   for (const Host& host : hosts_) {
     for (const auto& [name, record] : host.disk.records) {
@@ -77,7 +77,7 @@
   return text + last_said_;
 }
 
-void World::Fail() {
+void FleetModel::Fail() {
   for (Host& host : hosts_) {
     if (host.up && Chance(0.0008 * trouble_)) Kill(host);
     if (Chance(host.cut_off ? 0.02 : 0.0008 * trouble_)) host.cut_off = !host.cut_off;
@@ -92,7 +92,7 @@
   }
 }
 
-void World::KillTool(Tool& tool) {
+void FleetModel::KillTool(Tool& tool) {
   tool.up = false;
   ++tool.life;
   ++history_.tool_deaths;
@@ -101,7 +101,7 @@
   tool.next = now_ + milliseconds(Upto(15'000));
 }
 
-void World::Calm() {
+void FleetModel::Calm() {
   calm_ = true;
   for (Host& host : hosts_) {
     host.cut_off = host.disk_full = false;
@@ -109,14 +109,14 @@
   }
 }
 
-void World::Kill(Host& host) {
+void FleetModel::Kill(Host& host) {
   ++history_.agent_deaths;
   host.up = false;
   host.back_at = now_ + milliseconds(Upto(8000));
   host.agent.reset();
 }
 
-void World::Point(bool after) {
+void FleetModel::Point(bool after) {
   if (script_ != nullptr) {
     const int point = history_.points++;
     for (const int at : script_->agent_dies_at) {
@@ -127,7 +127,7 @@
   }
 }
 
-bool World::Save(Host& host, const std::function<void()>& write) {
+bool FleetModel::Save(Host& host, const std::function<void()>& write) {
   saving_ = true;
   Point(false);
   if (host.disk_full) return saving_ = false, ++history_.saves_failed, false;
@@ -136,7 +136,7 @@
   return saving_ = false, true;
 }
 
-void World::Send(const Host& host, std::function<void()> arrive, double late) {
+void FleetModel::Send(const Host& host, std::function<void()> arrive, double late) {
   if (host.cut_off) return;
   if (!calm_ && Chance(0.05 * trouble_)) return;
   for (int copies = !calm_ && Chance(0.05 * trouble_) ? 2 : 1; copies > 0; --copies) {
@@ -146,7 +146,7 @@
   }
 }
 
-void World::Deliver() {
+void FleetModel::Deliver() {
   while (!messages_.empty() && messages_.begin()->first <= now_) {
     const auto arrive = std::move(messages_.begin()->second);
     messages_.erase(messages_.begin());
@@ -154,7 +154,7 @@
   }
 }
 
-History Play(std::uint64_t seed) { return World(seed).Run(); }
-History Play(std::uint64_t seed, const Script& script) { return World(seed, &script).Run(); }
+History Play(std::uint64_t seed) { return FleetModel(seed).Run(); }
+History Play(std::uint64_t seed, const Script& script) { return FleetModel(seed, &script).Run(); }
 
 }  // namespace mothrack::rollout::testing
--- a/tests/rollout/changes_world.h
+++ b/tests/rollout/fleet_model.h
@@ -1,6 +1,6 @@
-// A fleet in one thread and in made-up time: see changes_model.h. Its parts: the run and its faults
-// (changes_world.cpp), machines and agents (changes_world_agents.cpp), operators' tools
-// (changes_world_tools.cpp), and the rules that it checks (changes_world_rules.cpp).
+// A fleet in one thread and in made-up time: see fleet_history.h. Its parts: the run and its faults
+// (fleet_model.cpp), machines and agents (fleet_model_agents.cpp), operators' tools
+// (fleet_model_tools.cpp), and the rules that it checks (fleet_model_rules.cpp).
 #pragma once
 
 #include <algorithm>
@@ -18,8 +18,8 @@
 #include "agent/agent.h"
 #include "agent/store.h"
 #include "rollout/change.h"
-#include "rollout/changes_model.h"
 #include "rollout/claim.h"
+#include "rollout/fleet_history.h"
 #include "rollout/instance.h"
 #include "rollout/lease.h"
 #include "rollout/plan.h"
@@ -98,9 +98,9 @@
   int held_in_calm = 0;
 };
 
-class World {
+class FleetModel {
  public:
-  explicit World(std::uint64_t seed, const Script* script = nullptr);
+  explicit FleetModel(std::uint64_t seed, const Script* script = nullptr);
   History Run();
 
  private:
--- a/tests/rollout/changes_world_agents.cpp
+++ b/tests/rollout/fleet_model_agents.cpp
@@ -1,11 +1,11 @@
-#include "rollout/changes_world.h"
+#include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
 // The agent's disk, and its processes, as the agent sees them.
 class Disk : public agent::Store {
  public:
-  Disk(World& world, Host& host) : world_(world), host_(host) {}
+  Disk(FleetModel& world, Host& host) : world_(world), host_(host) {}
   bool SaveLease(const LeaseState& state, const Plan* opened, const agent::Event&) override {
     return world_.Save(host_, [&] {
       host_.disk.lease = state;
@@ -23,24 +23,24 @@
   std::string fault() const override { return {}; }
 
  private:
-  World& world_;
+  FleetModel& world_;
   Host& host_;
 };
 
 class Box : public agent::Machine {
  public:
-  Box(World& world, Host& host) : world_(world), host_(host) {}
+  Box(FleetModel& world, Host& host) : world_(world), host_(host) {}
   ProcessState Inspect(const std::string& instance) override { return world_.Inspect(host_, instance); }
   void Do(const std::string& instance, const Action& action) override { world_.Do(host_, instance, action); }
   agent::RequestCounts RequestsOf(const std::string&) override { return {}; }
   bool HasGeneration(const std::string&) const override { return true; }
 
  private:
-  World& world_;
+  FleetModel& world_;
   Host& host_;
 };
 
-void World::Boot(Host& host) {
+void FleetModel::Boot(Host& host) {
   host.up = true;
   host.store = std::make_unique<Disk>(*this, host);
   host.machine = std::make_unique<Box>(*this, host);
@@ -50,11 +50,11 @@
                                               kLeaseTime, now_);
 }
 
-Host& World::Of(const std::string& name) {
+Host& FleetModel::Of(const std::string& name) {
   return *std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& h) { return h.name == name; });
 }
 
-void World::Live(Host& host) {
+void FleetModel::Live(Host& host) {
   std::erase_if(host.processes, [&](const auto& p) { return p.second.ends_at && now_ >= *p.second.ends_at; });
   if (host.up) {
     Call(host, [this](agent::Agent& agent) { return agent.Live(now_, 0), true; });
@@ -63,14 +63,14 @@
   }
 }
 
-ProcessState World::Inspect(const Host& host, const std::string& name) const {
+ProcessState FleetModel::Inspect(const Host& host, const std::string& name) const {
   const auto it = host.processes.find(name);
   if (it == host.processes.end()) return {};
   const Process& p = it->second;
   return {true, p.token, p.generation, now_ >= p.ready_at && !p.draining, p.draining};
 }
 
-void World::Do(Host& host, const std::string& name, const Action& action) {
+void FleetModel::Do(Host& host, const std::string& name, const Action& action) {
   if (action.kind == Action::Kind::kSay) return;
   Point(false);
   const auto it = host.processes.find(name);
@@ -95,7 +95,7 @@
   Point(true);
 }
 
-agent::Agent::Answer World::Counted(agent::Agent::Answer answer, Epoch epoch, bool command) {
+agent::Agent::Answer FleetModel::Counted(agent::Agent::Answer answer, Epoch epoch, bool command) {
   if (answer.verdict != Lessor::Verdict::kGranted) {
     ++history_.fenced;
   } else if (command) {
--- a/tests/rollout/changes_world_rules.cpp
+++ b/tests/rollout/fleet_model_rules.cpp
@@ -1,13 +1,13 @@
-#include "rollout/changes_world.h"
+#include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
-const InstanceRecord& World::RecordOf(const InstanceName& name) const {
+const InstanceRecord& FleetModel::RecordOf(const InstanceName& name) const {
   return std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& h) { return h.name == name.agent; })
       ->disk.records.at(name.instance);
 }
 
-void World::CheckEnd(const Plan& plan, ChangeEnd end) {
+void FleetModel::CheckEnd(const Plan& plan, ChangeEnd end) {
   for (const Target& target : plan.targets) {
     const InstanceRecord& record = RecordOf(target.name);
     const std::string& wanted = end == ChangeEnd::kCompleted ? target.to : target.from;
@@ -20,7 +20,7 @@
   }
 }
 
-void World::CheckHalls() {
+void FleetModel::CheckHalls() {
   std::set<std::string> halls;
   std::size_t down = 0;
   for (const Host& host : hosts_) {
@@ -41,7 +41,7 @@
   if (down > PolicyOf(false).max_unavailable) Violation("more are down than max_unavailable: " + Told());
 }
 
-bool World::Settled() {
+bool FleetModel::Settled() {
   for (const Host& host : hosts_) {
     if (!host.up) return false;
     for (const auto& [name, record] : host.disk.records) {
--- a/tests/rollout/changes_world_tools.cpp
+++ b/tests/rollout/fleet_model_tools.cpp
@@ -1,12 +1,12 @@
-#include "rollout/changes_world.h"
+#include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
-std::string World::NameOf(const Tool& tool) {
+std::string FleetModel::NameOf(const Tool& tool) {
   return tool.who + '.' + std::to_string(tool.life) + '.' + std::to_string(tool.claims);
 }
 
-void World::Use(Tool& tool) {
+void FleetModel::Use(Tool& tool) {
   if (!tool.up) {
     if (now_ < tool.next) return;
     tool.up = true;
@@ -17,7 +17,7 @@
   if (std::exchange(tool_dies_, false)) KillTool(tool);
 }
 
-std::vector<Target> World::Everything() const {
+std::vector<Target> FleetModel::Everything() const {
   std::vector<Target> targets;
   for (const Host& host : hosts_) {
     for (const auto& [name, record] : host.disk.records)
@@ -26,7 +26,7 @@
   return targets;
 }
 
-void World::Begin(Tool& tool) {
+void FleetModel::Begin(Tool& tool) {
   if (calm_ && &tool != &tools_.front()) return;
   std::string open;
   for (const Host& host : hosts_) {
@@ -73,7 +73,7 @@
   tool.claim = std::make_unique<Claim>(NameOf(tool), names, names, resumes, milliseconds(1500), now_);
 }
 
-void World::Claiming(Tool& tool) {
+void FleetModel::Claiming(Tool& tool) {
   std::vector<ClaimCommand> commands;
   tool.claim->Tick(now_, commands);
   const Holder holder{tool.plan.id, tool.who, tool.plan.why, 0, NameOf(tool)};
@@ -117,7 +117,7 @@
   }
 }
 
-void World::Release(Tool& tool, const std::string& name, Epoch epoch, bool close) {
+void FleetModel::Release(Tool& tool, const std::string& name, Epoch epoch, bool close) {
   Ask(
       tool, name,
       [epoch, close, name = NameOf(tool)](agent::Agent& agent) {
@@ -126,7 +126,7 @@
       [](const agent::Agent::Answer&) {});
 }
 
-void World::Changing(Tool& tool) {
+void FleetModel::Changing(Tool& tool) {
   std::vector<ChangeCommand> commands;
   // At last, what can't be undone either (its former generation was bad, too) is left as it is.
   if (calm_ ? tool.held_in_calm >= 3 : Chance(0.0008 * trouble_)) tool.change->Abort();
@@ -161,7 +161,7 @@
   if (tool.change->end()) Ended(tool, *tool.change->end());
 }
 
-void World::Ended(Tool& tool, ChangeEnd end) {
+void FleetModel::Ended(Tool& tool, ChangeEnd end) {
   const bool closed = end != ChangeEnd::kHeld;
   for (const Host& host : hosts_) Release(tool, host.name, tool.epoch, closed);
   tool.change.reset();
--- a/tests/rollout/histories_test.cpp
+++ b/tests/rollout/histories_test.cpp
@@ -8,7 +8,7 @@
 
 #include "gtest/gtest.h"
 #include "rollout/change.h"
-#include "rollout/changes_model.h"
+#include "rollout/fleet_history.h"
 
 namespace mothrack::rollout {
 namespace {
