--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::agent {
 namespace {
 
-constexpr const char* kNotOnDisk = "its disk takes nothing; mend that first";
+constexpr const char* kSaveFailedText = "its disk takes nothing; mend that first";
 
 }  // namespace
 
@@ -16,15 +16,15 @@
   for (const auto& [name, generation] : instances) {
     rollout::InstanceRecord record;
     record.generation = generation;
-    // What is on record counts: the file names only what an instance begins with.
+    // The record goes before the file, which names only the generation that an instance begins with.
     if (const auto it = stored.records.find(name); it != stored.records.end()) record = it->second;
-    kept_.emplace(name, Kept{rollout::Instance(record, limits), record});
+    instances_.emplace(name, SupervisedInstance{rollout::Instance(record, limits), record});
   }
 }
 
 std::vector<std::string> Agent::Names() const {
   std::vector<std::string> names;
-  for (const auto& [name, kept] : kept_) names.push_back(name);
+  for (const auto& [name, supervised] : instances_) names.push_back(name);
   return names;
 }
 
@@ -33,40 +33,30 @@
   return it == plans_.end() ? nullptr : &it->second;
 }
 
-bool Agent::behind() const {
-  for (const auto& [name, kept] : kept_) {
-    if (kept.instance.record() != kept.saved) return true;
-  }
-  return false;
-}
-
-Agent::Answer Agent::Highest(rollout::TimePoint now) const {
+Agent::Answer Agent::ReadLease(rollout::TimePoint now) const {
   Answer answer;
   answer.highest = lease_.state().highest;
   answer.holder = lease_.holder(now);
   return answer;
 }
 
-bool Agent::SaveLease(const rollout::Lessor& next, const rollout::Plan* opened, const Event& note,
+void Agent::SaveLease(const rollout::Lessor& next, const rollout::Plan* opened, const Event& note,
                       Answer& answer) {
-  if (!store_.SaveLease(next.state(), opened, note)) {
-    answer.refused = kNotOnDisk;
-    return false;
-  }
+  const std::optional<StoreError> error = store_.SaveLease(next.state(), opened, note);
+  if (error) return answer.Refuse(Refusal::kSaveFailed, kSaveFailedText);
   lease_ = next;
   if (opened != nullptr) plans_[opened->id] = *opened;
-  return true;
 }
 
 Agent::Answer Agent::Acquire(rollout::Epoch epoch, const rollout::Holder& holder, rollout::TimePoint now,
                              std::int64_t unix_ms) {
   rollout::Lessor next = lease_;
-  Answer answer = Highest(now);
+  Answer answer = ReadLease(now);
   answer.verdict = next.Acquire(epoch, holder, now);
   if (answer.verdict == rollout::Lessor::Verdict::kOpen) answer.holder = next.state().open;
   if (answer.verdict != rollout::Lessor::Verdict::kGranted) return answer;
   answer.open = next.state().open && next.state().open->change == holder.change;
-  // Asked again, it is not written again.
+  // A repeated request changes nothing and need not be written again.
   if (next.state() == lease_.state()) return answer;
   SaveLease(next, nullptr, {unix_ms, holder.change, "claimed by " + holder.who + ": " + holder.why}, answer);
   return answer;
@@ -74,9 +64,9 @@
 
 Agent::Answer Agent::Open(rollout::Epoch epoch, const rollout::Holder& holder, const rollout::Plan& plan,
                           rollout::TimePoint now, std::int64_t unix_ms) {
-  Answer answer = Highest(now);
+  Answer answer = ReadLease(now);
   if (plan.id != holder.change) {
-    answer.refused = "the plan is of another change than the lease";
+    answer.Refuse(Refusal::kPlanOfOtherChange, "the plan is of another change than the lease");
     return answer;
   }
   rollout::Lessor next = lease_;
@@ -84,7 +74,7 @@
   if (answer.verdict != rollout::Lessor::Verdict::kGranted) return answer;
   answer.open = true;
   if (next.state() == lease_.state() && plans_.contains(plan.id) && plans_.at(plan.id) == plan) {
-    lease_ = next;  // its time was renewed
+    lease_ = next;  // renewed, which is not durable state
     return answer;
   }
   SaveLease(next, &plan, {unix_ms, holder.change, "opened by " + holder.who}, answer);
@@ -92,7 +82,7 @@
 }
 
 Agent::Answer Agent::Renew(rollout::Epoch epoch, const std::string& claim_id, rollout::TimePoint now) {
-  Answer answer = Highest(now);
+  Answer answer = ReadLease(now);
   answer.verdict = lease_.Renew(epoch, claim_id, now);
   return answer;
 }
@@ -108,76 +98,84 @@
   return answer;
 }
 
-Agent::Answer Agent::Take(const std::string& instance, const rollout::Step& step, rollout::Epoch epoch,
-                          const std::string& claim_id, rollout::TimePoint now, std::int64_t unix_ms) {
+Agent::Answer Agent::AcceptStep(const std::string& instance, const rollout::Step& step, rollout::Epoch epoch,
+                                const std::string& claim_id, rollout::TimePoint now, std::int64_t unix_ms) {
   Answer answer = Renew(epoch, claim_id, now);
   if (answer.verdict != rollout::Lessor::Verdict::kGranted) return answer;
-  const auto it = kept_.find(instance);
-  if (it == kept_.end()) {
-    answer.refused = "there is no such instance";
+  const auto it = instances_.find(instance);
+  if (it == instances_.end()) {
+    answer.Refuse(Refusal::kUnknownInstance, "there is no such instance");
     return answer;
   }
-  // The lease is of one change; what comes under it for another is a mistake of whoever sends it.
+  // The lease is of one change: a step of another one is a fault of its sender.
   if (!lease_.state().open || lease_.state().open->change != step.change || step.epoch != epoch) {
-    answer.refused = "the step is of a change that is not open here";
+    answer.Refuse(Refusal::kStepOfOtherChange, "the step is of a change that is not open here");
     return answer;
   }
-  rollout::Instance next = it->second.instance;
+  SupervisedInstance& supervised = it->second;
+  rollout::Instance next = supervised.instance;
+  CheckStep(next, supervised.saved, step, answer);
+  if (answer.refusal == Refusal::kNone && next.record() != supervised.saved) {
+    const Event note{unix_ms, step.change, instance + ": taken " + step.token()};
+    const std::optional<StoreError> error = store_.SaveRecord(instance, next.record(), note);
+    if (error) {
+      answer.Refuse(Refusal::kSaveFailed, kSaveFailedText);
+    } else {
+      supervised = SupervisedInstance{next, next.record()};
+    }
+  }
+  answer.report = ReportOf(instance);
+  return answer;
+}
+
+void Agent::CheckStep(rollout::Instance& next, const rollout::InstanceRecord& saved,
+                      const rollout::Step& step, Answer& answer) const {
   switch (next.Accept(step)) {
-    case rollout::Instance::Verdict::kAccepted:
-      break;
     case rollout::Instance::Verdict::kBusy:
-      answer.refused = "busy with " + next.record().step.token();
-      break;
+      return answer.Refuse(Refusal::kBusy, "busy with " + next.record().step.token());
     case rollout::Instance::Verdict::kGenerationMismatch:
-      answer.refused = "it has " + next.record().generation + ", not " + step.from;
+      return answer.Refuse(Refusal::kGenerationMismatch,
+                           "it has " + next.record().generation + ", not " + step.from);
+    case rollout::Instance::Verdict::kStale:  // the report shows the undo that came before it
+    case rollout::Instance::Verdict::kAccepted:
       break;
-    case rollout::Instance::Verdict::kStale:
-      break;  // the report tells
   }
-  if (answer.refused.empty() && next.record() != it->second.saved &&
-      next.record().phase == rollout::Phase::kAccepted && !machine_.HasGeneration(next.record().generation)) {
-    answer.refused = "it has no configuration " + next.record().generation;
-  }
-  if (answer.refused.empty() && next.record() != it->second.saved) {
-    if (store_.SaveRecord(instance, next.record(),
-                          {unix_ms, step.change, instance + ": taken " + step.token()})) {
-      it->second = Kept{next, next.record()};
-    } else {
-      answer.refused = kNotOnDisk;
-    }
+  const rollout::InstanceRecord& record = next.record();
+  if (record != saved && record.phase == rollout::Phase::kAccepted &&
+      !machine_.HasGeneration(record.generation)) {
+    answer.Refuse(Refusal::kUnknownGeneration, "it has no configuration " + record.generation);
   }
-  answer.report = ReportOf(instance);
-  return answer;
 }
 
-void Agent::Live(rollout::TimePoint now, std::int64_t unix_ms) {
-  for (auto& [name, kept] : kept_) {
+void Agent::ReconcileInstances(rollout::TimePoint now, std::int64_t unix_ms) {
+  for (auto& [name, supervised] : instances_) {
     std::vector<rollout::Action> actions;
-    kept.instance.Reconcile(machine_.Inspect(name), now, actions);
-    const rollout::InstanceRecord& record = kept.instance.record();
-    if (record != kept.saved) {
-      const std::string end =
-          record.phase == rollout::Phase::kFailed ? " failed: " + record.failure_reason : " done";
-      if (store_.SaveRecord(name, record,
-                            {unix_ms, record.step.change, name + ": " + record.step.token() + end})) {
-        kept.saved = record;
-      }
-    }
-    for (const rollout::Action& action : actions) machine_.Do(name, action);
+    supervised.instance.Reconcile(machine_.Inspect(name), now, actions);
+    SaveStepEnd(name, supervised, unix_ms);
+    for (const rollout::Action& action : actions) machine_.Execute(name, action);
   }
 }
 
+void Agent::SaveStepEnd(const std::string& name, SupervisedInstance& supervised, std::int64_t unix_ms) {
+  const rollout::InstanceRecord& record = supervised.instance.record();
+  if (record == supervised.saved) return;
+  const std::string end =
+      record.phase == rollout::Phase::kFailed ? " failed: " + record.failure_reason : " done";
+  const Event note{unix_ms, record.step.change, name + ": " + record.step.token() + end};
+  const std::optional<StoreError> error = store_.SaveRecord(name, record, note);
+  if (!error) supervised.saved = record;
+}
+
 rollout::Report Agent::ReportOf(const std::string& instance) {
-  const Kept& kept = kept_.at(instance);
+  const SupervisedInstance& supervised = instances_.at(instance);
   const rollout::ProcessState seen = machine_.Inspect(instance);
   rollout::Report report;
-  report.step = kept.saved.step;
-  report.phase = kept.saved.phase;
-  report.failure_reason = kept.saved.failure_reason;
+  report.step = supervised.saved.step;
+  report.phase = supervised.saved.phase;
+  report.failure_reason = supervised.saved.failure_reason;
   report.running = seen.running;
   report.ready = seen.ready && !seen.draining;
-  report.held = kept.instance.held();
+  report.held = supervised.instance.held();
   report.generation = seen.generation;
   const RequestCounts counts = machine_.RequestsOf(instance);
   report.requests = counts.total;
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -4,6 +4,7 @@
 #include <functional>
 #include <utility>
 
+#include "agent/clock.h"
 #include "rollout/wire.h"
 
 namespace mothrack::agent {
@@ -17,7 +18,7 @@
 constexpr std::size_t kDefaultEvents = 50;
 constexpr std::size_t kLogEndBytes = std::size_t{16} * 1024;
 constexpr std::size_t kMaxLoggedName = 64;  // bytes of what a caller sent
-// HTTP status where the disk took nothing (RFC 4918).
+// HTTP status where nothing could be saved (RFC 4918, 11.5).
 constexpr unsigned kInsufficientStorage = 507;
 
 json ToJson(const Agent::Answer& answer) {
@@ -45,15 +46,6 @@
 
 }  // namespace
 
-rollout::TimePoint SteadyNow() {
-  return std::chrono::time_point_cast<rollout::Duration>(std::chrono::steady_clock::now());
-}
-
-std::int64_t UnixNow() {
-  return std::chrono::duration_cast<rollout::Duration>(std::chrono::system_clock::now().time_since_epoch())
-      .count();
-}
-
 AgentApi::AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent,
                    ProcessSupervisor& processes, Store& store, runtime::Logger& log)
     : file_(file),
@@ -72,7 +64,7 @@
 std::optional<Answer> AgentApi::Guard(const Call& call) {
   if (!rate_limiter_.Take(runtime::Now())) return admin::Fault(429, "too many requests; ask less often");
   if (file_.tokens.empty()) return std::nullopt;
-  // All are compared, so that the time does not tell which one it was.
+  // All are compared, so that the time taken does not reveal which one matched.
   std::optional<Role> role;
   for (const auto& [token, its] : file_.tokens) {
     if (admin::HasBearerToken(call, token)) role = its;
@@ -108,26 +100,26 @@
 }
 
 Answer AgentApi::Lease(const json& body) {
-  const auto ask = rollout::Member<std::string>(body, "ask");
+  const auto operation = rollout::Member<std::string>(body, "ask");
   const auto epoch = rollout::Member<std::uint64_t>(body, "epoch");
-  if (ask == "acquire") {
+  if (operation == "acquire") {
     const rollout::Holder holder = rollout::HolderFrom(rollout::Member<json>(body, "holder"));
     return {200, ToJson(agent_.Acquire(epoch, holder, SteadyNow(), UnixNow()))};
   }
-  if (ask == "open") {
+  if (operation == "open") {
     const rollout::Holder holder = rollout::HolderFrom(rollout::Member<json>(body, "holder"));
     const rollout::Plan plan = rollout::PlanFrom(rollout::Member<json>(body, "plan"));
     if (const auto fault = rollout::ValidatePlan(plan)) return admin::Fault(400, *fault);
     return {200, ToJson(agent_.Open(epoch, holder, plan, SteadyNow(), UnixNow()))};
   }
   const auto claim_id = rollout::Member<std::string>(body, "tool");
-  if (ask == "renew") return {200, ToJson(agent_.Renew(epoch, claim_id, SteadyNow()))};
-  if (ask != "release") {
-    return admin::Fault(400, "ask: '" + ask + "' is none of acquire, open, renew, release");
+  if (operation == "renew") return {200, ToJson(agent_.Renew(epoch, claim_id, SteadyNow()))};
+  if (operation != "release") {
+    return admin::Fault(400, "ask: '" + operation + "' is none of acquire, open, renew, release");
   }
   const bool close = rollout::Member<bool>(body, "close");
   const Agent::Answer answer = agent_.Release(epoch, claim_id, close, UnixNow());
-  if (!answer.refused.empty()) return admin::Fault(kInsufficientStorage, answer.refused);
+  if (answer.refusal == Refusal::kSaveFailed) return admin::Fault(kInsufficientStorage, answer.refused);
   return {200, ToJson(answer)};
 }
 
@@ -151,13 +143,14 @@
           {"GET", "/v1/log", with_query(&AgentApi::LogEnd)},
           {"POST", "/v1/lease", with_body(&AgentApi::Lease)},
           {"POST", "/v1/report", with_body(&AgentApi::Report)},
-          {"POST", "/v1/take", with_body(&AgentApi::TakeStep)},
+          {"POST", "/v1/take", with_body(&AgentApi::AcceptStep)},
           {"POST", "/v1/generation", with_body(&AgentApi::KeepGeneration)}};
 }
 
 Answer AgentApi::History(const std::string& query) const {
-  const std::size_t asked = std::strtoul(query.c_str(), nullptr, 10);
-  const std::size_t count = std::clamp<std::size_t>(asked == 0 ? kDefaultEvents : asked, 1, kMaxEvents);
+  const std::size_t requested = std::strtoul(query.c_str(), nullptr, 10);
+  const std::size_t count =
+      std::clamp<std::size_t>(requested == 0 ? kDefaultEvents : requested, 1, kMaxEvents);
   json events = json::array();
   for (const Event& event : store_.Events(count)) {
     events.push_back({{"at_unix_ms", event.at_unix_ms}, {"change", event.change}, {"line", event.line}});
@@ -198,16 +191,16 @@
   return {200, std::move(response)};
 }
 
-Answer AgentApi::TakeStep(const json& body) {
+Answer AgentApi::AcceptStep(const json& body) {
   const auto name = rollout::Member<std::string>(body, "instance");
   const Agent::Answer answer =
-      agent_.Take(name, rollout::StepFrom(rollout::Member<json>(body, "step")),
-                  rollout::Member<std::uint64_t>(body, "epoch"), rollout::Member<std::string>(body, "tool"),
-                  SteadyNow(), UnixNow());
+      agent_.AcceptStep(name, rollout::StepFrom(rollout::Member<json>(body, "step")),
+                        rollout::Member<std::uint64_t>(body, "epoch"),
+                        rollout::Member<std::string>(body, "tool"), SteadyNow(), UnixNow());
   if (!answer.refused.empty()) {
     log_.Line("agent: refused a step of " + name.substr(0, kMaxLoggedName) + ": " + answer.refused);
   }
-  if (on_step_taken_) on_step_taken_();
+  if (on_step_accepted_) on_step_accepted_();
   return {200, ToJson(answer)};
 }
 
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -1,17 +1,19 @@
 // The agent's admin API, JSON over HTTP (src/admin/server.h):
 //
-//   GET  /v1/agent                 viewer    what it is, its lease, its instances
-//   GET  /v1/history?MOST          viewer    what happened, the latest last
+//   GET  /v1/agent                 viewer    its name, hall and version, its lease, its instances
+//   GET  /v1/history?MOST          viewer    the latest MOST events (50, at most 500), the latest last
 //   GET  /v1/plan?CHANGE           viewer    the plan of a change that was opened here
-//   GET  /v1/generation?NAME       viewer    the files of a generation that is kept
+//   GET  /v1/generation?NAME       viewer    the files of a generation that is stored
 //   GET  /v1/log?INSTANCE          viewer    the end of an instance's log
 //   POST /v1/lease                 operator  {"ask": "acquire", "open", "renew" or "release", "epoch", ...}
 //   POST /v1/report                operator  {"epoch", "tool"}: renews the lease and reports all instances
 //   POST /v1/take                  operator  {"epoch", "tool", "instance", "step"}
 //   POST /v1/generation            operator  {"name", "files": {name: text}}
 //
-// On a Unix socket whoever may open it is an operator. Refused commands are logged. More than kPerSecond
-// calls a second are answered 429 unread. Called from the event loop only.
+// On a Unix socket everybody who may open it is an operator; on an address tokens have roles. A refused role
+// is answered 403, a body with a fault 400 without effect, a release that can't be saved 507, a generation
+// that is not stored 409, more than kPerSecond calls a second 429 unread. Refused commands are logged. Called
+// from the event loop only.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -29,17 +31,20 @@
 
 class AgentApi {
  public:
-  // Listens at once; throws std::runtime_error where it can't.
+  // Listens at once; throws std::runtime_error where it can't. All but `io` are referred to: they outlive it.
   AgentApi(boost::asio::io_context& io, const AgentFile& file, Agent& agent, ProcessSupervisor& processes,
            Store& store, runtime::Logger& log);
 
+  // The address that it listens on.
   std::string local() const { return server_.local(); }
   // Reported under "peers", where the agent has some.
   void ReportPeers(std::function<nlohmann::json()> peers) { peers_ = std::move(peers); }
-  // Called when a step was taken: Agent::Live() is due.
-  void OnStepTaken(std::function<void()> on_step_taken) { on_step_taken_ = std::move(on_step_taken); }
+  // Called after each step that was sent, accepted or not: Agent::ReconcileInstances() is due.
+  void OnStepAccepted(std::function<void()> on_step_accepted) {
+    on_step_accepted_ = std::move(on_step_accepted);
+  }
 
-  static constexpr double kPerSecond = 200;
+  static constexpr double kPerSecond = 200;  // calls, of all callers together
   static constexpr std::size_t kMaxConnections = 32;
   static constexpr std::size_t kMaxBodyBytes = std::size_t{1024} * 1024;
 
@@ -53,7 +58,7 @@
   admin::Answer LogEnd(const std::string& query) const;
   admin::Answer Lease(const nlohmann::json& body);
   admin::Answer Report(const nlohmann::json& body);
-  admin::Answer TakeStep(const nlohmann::json& body);
+  admin::Answer AcceptStep(const nlohmann::json& body);
   admin::Answer KeepGeneration(const nlohmann::json& body);
   nlohmann::json About() const;
 
@@ -65,14 +70,10 @@
   ProcessSupervisor& processes_;
   Store& store_;
   runtime::Logger& log_;
-  std::function<void()> on_step_taken_;
+  std::function<void()> on_step_accepted_;
   std::function<nlohmann::json()> peers_;
   runtime::RateLimiter rate_limiter_;
   admin::Server server_;  // last: it calls the rest
 };
 
-// Of the steady clock, and of the wall.
-rollout::TimePoint SteadyNow();
-std::int64_t UnixNow();
-
 }  // namespace mothrack::agent
--- a/src/agent/agent_list.cpp
+++ b/src/agent/agent_list.cpp
@@ -13,16 +13,16 @@
 
 }  // namespace
 
-std::vector<AgentPlace> LoadAgentsFile(const std::string& path) {
+std::vector<AgentEndpoint> LoadAgentsFile(const std::string& path) {
   const toml::table table = ParseToml(path);
   TomlSection file_section(path, "", table);
-  std::vector<AgentPlace> agents;
+  std::vector<AgentEndpoint> agents;
   std::set<std::string> names;
   for (TomlSection& section : file_section.Tables("agent")) {
-    AgentPlace agent;
+    AgentEndpoint agent;
     agent.name = section.Name("name");
     agent.hall = section.Name("hall");
-    agent.place = section.Address("place");
+    agent.address = section.Address("place");
     const std::string token = section.Text("token_file", "");
     if (!token.empty()) {
       RequirePrivateFile(section, "token_file", token);
--- a/src/agent/agent_list.h
+++ b/src/agent/agent_list.h
@@ -1,4 +1,5 @@
-// The list of agents (TOML) that a tool calls. A file with a fault is refused as a whole.
+// The list of agents (TOML) that a tool calls: deploy/agents.toml. A file with a fault is rejected
+// completely.
 #pragma once
 
 #include <string>
@@ -8,15 +9,15 @@
 
 namespace mothrack::agent {
 
-// One agent, as a tool calls it.
-struct AgentPlace {
+// One agent, as a tool reaches it.
+struct AgentEndpoint {
   std::string name;
-  std::string hall;
-  std::string place;
-  std::string token;  // empty: none is given
+  std::string hall;     // the data hall that its machine stands in
+  std::string address;  // "unix:/path" or a loopback address with its port; key `place`
+  std::string token;    // a bearer token; empty: none is sent
 };
 
-// Throws FileError.
-std::vector<AgentPlace> LoadAgentsFile(const std::string& path);
+// At most 256 agents, each name once. Throws FileError.
+std::vector<AgentEndpoint> LoadAgentsFile(const std::string& path);
 
 }  // namespace mothrack::agent
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -18,6 +18,7 @@
 
 #include "agent/agent_api.h"
 #include "agent/agent_file.h"
+#include "agent/clock.h"
 #include "agent/sqlite_store.h"
 #ifdef MOTHRACK_WITH_PEERS
 #include "gossip/link.h"
@@ -100,15 +101,15 @@
   boost::asio::steady_timer tick(io);
   const std::function<void()> live = [&] {
     processes.Poll(SteadyNow());
-    agent.Live(SteadyNow(), UnixNow());
-    tick.expires_after(processes.awaits_state_change() ? kSoon : Agent::kTick);
+    agent.ReconcileInstances(SteadyNow(), UnixNow());
+    tick.expires_after(processes.awaits_state_change() ? kSoon : Agent::kTickInterval);
     tick.async_wait([&](const boost::system::error_code& error) {
       if (!error) live();
     });
   };
   // At the next turn of the event loop: what tells may be in the midst of its work.
   processes.OnStateChange([&] { boost::asio::post(io, live); });
-  api.OnStepTaken([&] { boost::asio::post(io, live); });
+  api.OnStepAccepted([&] { boost::asio::post(io, live); });
   live();
   // Its instances run on: a later agent adopts them.
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
--- a/src/agent/child_process.cpp
+++ b/src/agent/child_process.cpp
@@ -50,6 +50,7 @@
 // As execve(2) takes them; valid as long as `texts` is.
 std::vector<char*> PointersTo(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
+  pointers.reserve(texts.size() + 1);
   for (std::string& text : texts) pointers.push_back(text.data());
   pointers.push_back(nullptr);
   return pointers;
@@ -84,7 +85,7 @@
   ::_exit(kExitNoExec);
 }
 
-// Reads until the end of the output; false where the time was over first.
+// Appends what `fd` gives to `output` until its end; false where `deadline` came first.
 bool ReadOutput(int fd, std::chrono::steady_clock::time_point deadline, std::string& output) {
   using std::chrono::milliseconds;
   while (true) {
@@ -116,8 +117,8 @@
   return ChildProcess{pid, UniqueFd(OpenPidFd(pid)), std::move(spec.token), std::move(spec.generation)};
 }
 
-// The lock says that a process lives; the file says which. The start time tells it from a later process with
-// the same number.
+// The lock shows that a process lives, the file which one. The start time distinguishes it from a later
+// process with the same number.
 std::optional<ChildProcess> FindRunning(const std::string& lock_path, const std::string& process_file_path) {
   if (!IsLockedByAnother(lock_path)) return std::nullopt;
   const json file = json::parse(ReadFile(process_file_path), nullptr, false);
--- a/src/agent/child_process.h
+++ b/src/agent/child_process.h
@@ -1,8 +1,8 @@
 // Processes that outlive the agent: started in a session of their own, found again after the agent's death,
 // identified by pidfd (pidfd_open(2)), so that a signal never reaches another process with the same number.
 //
-// Each holds the lock of its instance's directory for as long as it lives, whoever its parent is; the process
-// file beside it counts only while that lock is held.
+// Each holds the lock (flock(2)) of its instance's directory for as long as it lives, whoever its parent is;
+// the process file beside it counts only while that lock is held. Called from the agent's one thread.
 #pragma once
 
 #include <sys/types.h>
@@ -26,9 +26,11 @@
   std::string generation;  // that it was started with
 
   bool running() const { return pid != 0; }
+  // No effect where the process has ended.
   void Signal(int number) const;
 };
 
+// How a process is started.
 struct LaunchSpec {
   std::vector<std::string> arguments;    // the program's path first
   std::vector<std::string> environment;  // NAME=value; all that it gets
@@ -39,7 +41,7 @@
   std::string generation;
 };
 
-// Starts a process. Nothing where fork failed: errno tells. A child that can't take the lock, write its
+// Starts a process. Nothing where fork failed, with errno set. A child that can't take the lock, write its
 // process file or execute the program ends with kExitNoExec.
 std::optional<ChildProcess> Launch(LaunchSpec spec);
 
@@ -61,8 +63,8 @@
   static constexpr std::size_t kMaxOutputBytes = 2000;
 };
 
-// Runs a command with an empty environment and waits for its end, for `timeout_ms` at most; then it is
-// killed. Blocks the caller.
+// Runs a command with an empty environment and waits for its end, for `timeout_ms` milliseconds at most; then
+// it is killed. Blocks the caller. `arguments`: the program's absolute path first.
 CommandResult RunCommand(std::vector<std::string> arguments, int timeout_ms);
 
 }  // namespace mothrack::agent
--- a/src/agent/generation_store.cpp
+++ b/src/agent/generation_store.cpp
@@ -93,14 +93,14 @@
 std::optional<GenerationError> GenerationStore::Write(const std::string& generation,
                                                       const Files& files) const {
   const std::string target = DirectoryOf(generation);
-  // Under a name that is not valid first: a generation is there complete, or not.
+  // A name with a dot first is none of a generation: until the rename none is there.
   const std::string temporary = directory_ + "/." + generation;
   std::error_code error;
   fs::remove_all(temporary, error);
   fs::create_directories(temporary, error);
   if (error) return DiskError(temporary, error.message());
   for (const auto& [name, text] : files) {
-    const std::string path = temporary + '/' + name;
+    const std::string path = (fs::path(temporary) / name).string();
     if (!WriteFileDurably(path, text)) return DiskError(path, std::strerror(errno));
   }
   if (const std::string fault = check_(generation, temporary); !fault.empty()) {
@@ -111,8 +111,7 @@
   fs::rename(temporary, target, error);
   if (error) return DiskError(target, error.message());
   if (SyncDirectory(directory_)) return std::nullopt;
-  // Taken back, as far as that goes: who gets an error may ask again, and must not be answered that the
-  // generation is there.
+  // Best effort: a caller that gets an error repeats the request, which must not find the generation stored.
   const GenerationError sync_error = DiskError(directory_, std::strerror(errno));
   fs::rename(target, temporary, error);
   return sync_error;
--- a/src/agent/posix_io.h
+++ b/src/agent/posix_io.h
@@ -1,5 +1,5 @@
 // Small helpers over POSIX files: descriptors with an owner, durable writes, locks. Errors are left in errno,
-// so that ENOSPC, EDQUOT and EIO reach whoever reports them.
+// so that the caller can report ENOSPC, EDQUOT and EIO by their names. They block.
 #pragma once
 
 #include <sys/types.h>
@@ -37,10 +37,12 @@
 // Closes all descriptors from `first` on.
 void CloseFdsFrom(int first);
 
-// Writes a file so that after a crash it is complete under its name, or as it was before. False: errno tells.
+// Writes a file so that after a crash it is complete under its name, or as it was before. False: errno is
+// set.
 bool WriteFileDurably(const std::string& path, const std::string& text);
 
-// False: errno tells; what was made or renamed in the directory may be gone after a crash of the machine.
+// Makes what was created or renamed in a directory durable. False: errno is set, and that may be lost in a
+// crash of the machine.
 bool SyncDirectory(const std::string& path);
 
 // Empty where the file can't be read.
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -104,11 +104,12 @@
   instance.ForgetProcess();
 }
 
-// Of the process that runs now.
+// Notifies as soon as the process that runs now ends, rather than at the next tick.
 void ProcessSupervisor::WatchExit(const ManagedPointer& instance) {
-  const int copy = ::fcntl(instance->process.pid_fd.get(), F_DUPFD_CLOEXEC, 0);
-  if (copy < 0) return;  // the tick finds its end, later
-  instance->exit_watch = std::make_unique<boost::asio::posix::stream_descriptor>(io_, copy);
+  // The descriptor is closed with the watch, and the process needs its own for signals.
+  const int exit_fd = ::fcntl(instance->process.pid_fd.get(), F_DUPFD_CLOEXEC, 0);
+  if (exit_fd < 0) return;  // Poll() collects the exit at the next tick
+  instance->exit_watch = std::make_unique<boost::asio::posix::stream_descriptor>(io_, exit_fd);
   instance->exit_watch->async_wait(
       boost::asio::posix::stream_descriptor::wait_read,
       [this, weak = std::weak_ptr(instance), pid = instance->process.pid](const auto& error) {
@@ -140,7 +141,7 @@
   instance->next_poll_at =
       now + (instance->awaits_state_change ? limits_.poll_interval_awaited : limits_.poll_interval_settled);
   const std::string address = Substitute(instance->spec.admin_address, instance->Placeholders(""));
-  // `after=~` is behind all upstreams: their list is not wanted here.
+  // `after=~` sorts behind all upstreams, which leaves their list out of the answer.
   admin_client::SendRequest(io_, {address, {}, "GET", "/v1/status?after=~", {}}, limits_.poll_timeout,
                             [this, weak = std::weak_ptr(instance),
                              pid = instance->process.pid](const admin_client::Response& response) {
@@ -157,7 +158,7 @@
                                         const admin_client::Response& response) {
   const bool was_ready = std::exchange(instance.status.ready, false);
   instance.status.draining = false;
-  // Not listening yet: a poll costs the sidecar nothing, so it is repeated soon.
+  // Nothing listens yet, so a poll costs nothing: repeat it soon.
   if (!response.transport_error.empty() && instance.awaits_state_change) {
     instance.next_poll_at -= limits_.poll_interval_awaited - limits_.poll_interval_unreachable;
   }
@@ -171,17 +172,17 @@
 }
 
 rollout::ProcessState ProcessSupervisor::Inspect(const std::string& name) {
-  const ManagedInstance& instance = Of(name);
+  const ManagedInstance& instance = Get(name);
   const ChildProcess& process = instance.process;
-  // What holds the lock and is not known yet runs all the same: nothing may be started beside it.
+  // A process that holds the lock but has not written its file yet runs: no second one may be started.
   if (!process.running()) return {IsLockedByAnother(instance.PathOf("lock")), "", "", false, false};
   return {true, process.token, process.generation, instance.status.ready, instance.status.draining};
 }
 
-RequestCounts ProcessSupervisor::RequestsOf(const std::string& instance) { return Of(instance).requests; }
+RequestCounts ProcessSupervisor::RequestsOf(const std::string& instance) { return Get(instance).requests; }
 
-void ProcessSupervisor::Do(const std::string& name, const rollout::Action& action) {
-  ManagedInstance& instance = Of(name);
+void ProcessSupervisor::Execute(const std::string& name, const rollout::Action& action) {
+  ManagedInstance& instance = Get(name);
   switch (action.kind) {
     case rollout::Action::Kind::kStart:
       return Start(instance, action);
@@ -266,7 +267,7 @@
 }
 
 std::string ProcessSupervisor::LogTail(const std::string& instance, std::size_t bytes) const {
-  const std::string text = ReadFile(Of(instance).PathOf("log"));
+  const std::string text = ReadFile(Get(instance).PathOf("log"));
   return text.size() > bytes ? text.substr(text.size() - bytes) : text;
 }
 
@@ -277,6 +278,6 @@
   return false;
 }
 
-int ProcessSupervisor::pid(const std::string& instance) const { return Of(instance).process.pid; }
+int ProcessSupervisor::pid(const std::string& instance) const { return Get(instance).process.pid; }
 
 }  // namespace mothrack::agent
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -12,7 +12,7 @@
 // environment {instance}, {directory} (the instance's) and {generation} (a directory with the files) are
 // replaced.
 //
-// Called from the event loop only.
+// Called from the event loop only; starting a process and checking a generation block it.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -35,12 +35,13 @@
   std::string name;
   std::vector<std::string> command;                // the program's absolute path first
   std::map<std::string, std::string> environment;  // all that it gets
-  std::string admin_address;                       // of the sidecar's admin API; "unix:{directory}/door"
+  std::string admin_address;                       // of the sidecar's admin API; key `door`
   std::string generation;                          // that it begins with
 };
 
 class ProcessSupervisor : public Machine {
  public:
+  // Durations are in milliseconds.
   struct Limits {
     rollout::Duration check_timeout{5000};  // for the command that checks a generation
     // A longer log is moved aside, over the one that was moved before. Bytes.
@@ -53,30 +54,31 @@
     rollout::Duration poll_interval_unreachable{20};
   };
 
-  // Finds what runs. Throws std::runtime_error where the directory can't be used.
+  // Adopts the processes that run. Throws std::runtime_error where the directory can't be used.
   // `check`: a command that ends with 0 where a generation's files are good for an instance; empty: any are.
   ProcessSupervisor(boost::asio::io_context& io, std::string directory,
                     const std::vector<InstanceSpec>& specs, std::vector<std::string> check,
                     const Limits& limits, runtime::Logger& log);
-  // The processes go on without it.
+  // The processes go on running.
   ~ProcessSupervisor() override;
   ProcessSupervisor(const ProcessSupervisor&) = delete;
   ProcessSupervisor& operator=(const ProcessSupervisor&) = delete;
 
   // Called from the event loop when a process has ended or became ready or unready: Poll() and
-  // Agent::Live() are due. Between such calls a tick is enough.
+  // Agent::ReconcileInstances() are due. Between such calls a tick is enough.
   void OnStateChange(std::function<void()> on_state_change) { on_state_change_ = std::move(on_state_change); }
 
-  // Collects what has ended, polls admin APIs that are due, bounds logs. Call it before Agent::Live().
+  // Collects what has ended, polls admin APIs that are due, bounds logs. Call it before
+  // Agent::ReconcileInstances().
   void Poll(rollout::TimePoint now);
 
   rollout::ProcessState Inspect(const std::string& instance) override;
-  void Do(const std::string& instance, const rollout::Action& action) override;
+  void Execute(const std::string& instance, const rollout::Action& action) override;
   RequestCounts RequestsOf(const std::string& instance) override;
   bool HasGeneration(const std::string& generation) const override { return generations_.Has(generation); }
 
   GenerationStore& generations() { return generations_; }
-  // Of an instance's log, the last bytes.
+  // The last `bytes` of an instance's log.
   std::string LogTail(const std::string& instance, std::size_t bytes) const;
   // 0: none runs, or none is known yet.
   int pid(const std::string& instance) const;
@@ -87,7 +89,7 @@
   struct ManagedInstance;
   using ManagedPointer = std::shared_ptr<ManagedInstance>;
 
-  ManagedInstance& Of(const std::string& instance) const { return *instances_.at(instance); }
+  ManagedInstance& Get(const std::string& instance) const { return *instances_.at(instance); }
   void FindProcess(ManagedInstance& instance) const;
   void CollectExit(ManagedInstance& instance) const;
   void WatchExit(const ManagedPointer& instance);
@@ -96,10 +98,10 @@
   void NotifyStateChange() const;
   void Start(ManagedInstance& instance, const rollout::Action& action);
   void BoundLog(const ManagedInstance& instance) const;
-  // Writes a generation's files as the instance gets them; returns where they lie, empty: they can't be.
+  // Writes a generation's files as the instance gets them; returns their directory, empty: writing failed.
   static std::string RenderFiles(const ManagedInstance& instance, const std::string& generation,
                                  const std::string& from);
-  // Runs the operator's check; what is wrong with the files, empty: nothing.
+  // Runs the operator's check, see GenerationStore::Check.
   std::string CheckGeneration(const std::string& generation, const std::string& directory) const;
 
   boost::asio::io_context& io_;
--- a/src/agent/sidecar_status.h
+++ b/src/agent/sidecar_status.h
@@ -8,6 +8,7 @@
 
 namespace mothrack::agent {
 
+// Of one sidecar process; both false while it starts.
 struct SidecarStatus {
   bool ready = false;
   bool draining = false;
--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -15,8 +15,9 @@
 using storage::Statement;
 using storage::Transaction;
 
-// Another process that looks at the file (a backup, a person) may hold it so long.
-constexpr int kBusyMs = 500;
+// Another process that reads the file (a backup, a person) may lock it for so long before a save fails.
+constexpr int kBusyTimeoutMs = 500;
+constexpr mode_t kFileMode = 0600;
 
 constexpr const char* kSchema =
     "CREATE TABLE lease (one INTEGER PRIMARY KEY CHECK (one = 1), highest INTEGER NOT NULL, holder TEXT, "
@@ -26,15 +27,33 @@
     "CREATE TABLE event (number INTEGER PRIMARY KEY AUTOINCREMENT, at INTEGER NOT NULL, change TEXT, line "
     "TEXT);";
 
+// Why a file that SQLite can read is not used.
+class FileRejected : public std::runtime_error {
+ public:
+  FileRejected(StoreError::Cause cause, const std::string& what) : std::runtime_error(what), cause_(cause) {}
+  StoreError::Cause cause() const { return cause_; }
+
+ private:
+  StoreError::Cause cause_;
+};
+
+StoreError OpenError(const std::string& path, StoreError::Cause cause, const std::exception& e) {
+  return {cause,
+          path + ": " + e.what() + "; put a copy that is whole in its place, or move it away to begin anew"};
+}
+
 }  // namespace
 
 SqliteStore::SqliteStore(const std::string& path) : path_(path) {
   try {
     Open(path);
     Read();
-  } catch (const std::exception& e) {
-    fault_ =
-        path + ": " + e.what() + "; put a copy that is whole in its place, or move it away to begin anew";
+  } catch (const FileRejected& e) {
+    open_error_ = OpenError(path, e.cause(), e);
+  } catch (const std::runtime_error& e) {  // of SQLite
+    open_error_ = OpenError(path, StoreError::Cause::kUnreadable, e);
+  } catch (const std::exception& e) {  // a value that is not what rollout/wire.h writes
+    open_error_ = OpenError(path, StoreError::Cause::kDamaged, e);
   }
 }
 
@@ -42,8 +61,8 @@
 
 void SqliteStore::Open(const std::string& path) {
   db_ = std::make_unique<storage::Database>(path);
-  ::chmod(path.c_str(), 0600);
-  db_->WaitFor(kBusyMs);
+  ::chmod(path.c_str(), kFileMode);
+  db_->WaitFor(kBusyTimeoutMs);
   // Written ahead and synced before a commit returns; the rollback journal rather than WAL, as saves are few
   // and one file is easier to copy than three.
   db_->Run("PRAGMA journal_mode = DELETE");
@@ -52,16 +71,19 @@
   version.Step();
   const auto found = version.Number(0);
   if (found > kVersion) {
-    throw std::runtime_error("was written by a later version (" + std::to_string(found) +
-                             ", this one knows " + std::to_string(kVersion) + ")");
+    throw FileRejected(StoreError::Cause::kLaterVersion, "was written by a later version (" +
+                                                             std::to_string(found) + ", this one knows " +
+                                                             std::to_string(kVersion) + ")");
   }
   Statement check(*db_, "PRAGMA quick_check(1)");
-  if (!check.Step() || check.Text(0) != "ok") throw std::runtime_error("is damaged: " + check.Text(0));
+  if (!check.Step() || check.Text(0) != "ok") {
+    throw FileRejected(StoreError::Cause::kDamaged, "is damaged: " + check.Text(0));
+  }
   if (found == 0) {
-    Transaction whole(*db_);
+    Transaction transaction(*db_);
     db_->Run(kSchema);
     db_->Run(("PRAGMA user_version = " + std::to_string(kVersion)).c_str());
-    whole.Commit();
+    transaction.Commit();
   }
 }
 
@@ -79,28 +101,28 @@
   Statement plans(*db_, "SELECT id, json FROM plan");
   while (plans.Step()) read.plans[plans.Text(0)] = rollout::PlanFrom(json::parse(plans.Text(1)));
   if (read.lease.open && !read.plans.contains(read.lease.open->change)) {
-    throw std::runtime_error("has no plan of the open change " + read.lease.open->change);
+    throw FileRejected(StoreError::Cause::kDamaged,
+                       "has no plan of the open change " + read.lease.open->change);
   }
   stored_ = std::move(read);
 }
 
-bool SqliteStore::Save(const Event& note, const std::function<void()>& write) {
-  if (!fault_.empty()) return false;
+std::optional<StoreError> SqliteStore::Save(const Event& note, const std::function<void()>& write) {
+  if (open_error_) return open_error_;
   try {
-    Transaction whole(*db_);
+    Transaction transaction(*db_);
     write();
-    if (!note.line.empty()) Keep(note);
-    whole.Commit();
-    refused_.clear();
-    return true;
+    if (!note.line.empty()) InsertEvent(note);
+    transaction.Commit();
+    save_error_.reset();
   } catch (const std::exception& e) {
-    refused_ = path_ + ": " + e.what();
-    return false;
+    save_error_ = StoreError{StoreError::Cause::kSaveFailed, path_ + ": " + e.what()};
   }
+  return save_error_;
 }
 
-bool SqliteStore::SaveLease(const rollout::LeaseState& state, const rollout::Plan* opened,
-                            const Event& note) {
+std::optional<StoreError> SqliteStore::SaveLease(const rollout::LeaseState& state,
+                                                 const rollout::Plan* opened, const Event& note) {
   return Save(note, [&] {
     Statement lease(*db_, "INSERT OR REPLACE INTO lease VALUES (1, ?, ?, ?)");
     lease.Number(1, static_cast<std::int64_t>(state.highest));
@@ -112,29 +134,29 @@
         *db_, "INSERT OR REPLACE INTO plan VALUES (?, (SELECT COALESCE(MAX(number), 0) + 1 FROM plan), ?)");
     plan.Text(1, opened->id).Text(2, rollout::ToJson(*opened).dump()).Step();
     Statement old(*db_, "DELETE FROM plan WHERE number <= (SELECT MAX(number) FROM plan) - ?");
-    old.Number(1, kMostPlans).Step();
+    old.Number(1, kMaxPlans).Step();
   });
 }
 
-bool SqliteStore::SaveRecord(const std::string& instance, const rollout::InstanceRecord& record,
-                             const Event& note) {
+std::optional<StoreError> SqliteStore::SaveRecord(const std::string& instance,
+                                                  const rollout::InstanceRecord& record, const Event& note) {
   return Save(note, [&] {
     Statement save(*db_, "INSERT OR REPLACE INTO record VALUES (?, ?)");
     save.Text(1, instance).Text(2, rollout::ToJson(record).dump()).Step();
   });
 }
 
-void SqliteStore::Keep(const Event& event) {
+void SqliteStore::InsertEvent(const Event& event) {
   Statement save(*db_, "INSERT INTO event (at, change, line) VALUES (?, ?, ?)");
   save.Number(1, event.at_unix_ms).Text(2, event.change).Text(3, event.line).Step();
   Statement old(*db_, "DELETE FROM event WHERE number <= (SELECT MAX(number) FROM event) - ?");
-  old.Number(1, kMostEvents).Step();
+  old.Number(1, kMaxEvents).Step();
 }
 
 void SqliteStore::Note(const Event& event) {
-  const std::string before = refused_;
+  const bool failed_before = save_error_.has_value();
   Save(event, [] {});
-  if (!refused_.empty() && before.empty()) refused_.clear();  // a line that is lost stops no change
+  if (!failed_before) save_error_.reset();  // a lost line of the history is no reason to refuse changes
 }
 
 std::vector<Event> SqliteStore::Events(std::size_t most) const {
--- a/src/agent/toml_section.h
+++ b/src/agent/toml_section.h
@@ -20,12 +20,15 @@
 namespace mothrack::agent {
 
 // A table of a file, read key by key. Each fault names file, line and key, and how to mend it, as FileError.
-// Refers to the path and the table that it was made with.
+// Refers to the table that it was made with. Each reader throws FileError where the key's value is of another
+// type or out of bounds, or where the key is missing and there is no fallback.
 class TomlSection {
  public:
-  TomlSection(const std::string& path, std::string key, const toml::table& table)
-      : path_(path), key_(std::move(key)), table_(table) {}
+  // `path`: of the file, `key`: of the table in it, for messages; empty: the file itself.
+  TomlSection(std::string path, std::string key, const toml::table& table)
+      : path_(std::move(path)), key_(std::move(key)), table_(table) {}
 
+  // Throws FileError: "FILE:LINE: KEY: what".
   [[noreturn]] void Fault(const std::string& key, const std::string& what) const {
     const toml::node* node = key.empty() ? nullptr : table_.get(key);
     const auto line = (node != nullptr ? node->source() : table_.source()).begin.line;
@@ -43,7 +46,7 @@
   }
   // A name that may become part of a path.
   std::string Name(const std::string& key) {
-    const std::string name = Text(key);
+    std::string name = Text(key);
     if (!rollout::IsValidName(name))
       Fault(key, "takes letters, digits, '-', '_' and '.', at most 64, no dot first");
     return name;
@@ -52,6 +55,7 @@
                                  rollout::Duration max) {
     return rollout::Duration(Number(key, fallback.count(), min.count(), max.count()));
   }
+  // From `min` to `max`, both included.
   std::int64_t Number(const std::string& key, std::int64_t fallback, std::int64_t min, std::int64_t max) {
     const toml::node* node = Get(key);
     if (node == nullptr) return fallback;
@@ -61,6 +65,7 @@
     }
     return *value;
   }
+  // Empty where the key is missing; so are the next two.
   std::vector<std::string> Strings(const std::string& key) {
     std::vector<std::string> texts;
     const toml::node* node = Get(key);
@@ -106,7 +111,7 @@
     if (const std::string fault = admin_client::FaultOfAddress(address); !fault.empty()) Fault(key, fault);
     return address;
   }
-  // Call it once every known key was read.
+  // Throws FileError for a key that none of the above was called with. Call it last.
   void RejectUnknownKeys() const {
     for (const auto& [key, value] : table_) {
       if (!known_keys_.contains(std::string(key.str()))) {
--- a/src/ctl/command_change.cpp
+++ b/src/ctl/command_change.cpp
@@ -74,7 +74,7 @@
   const Options& options = session.options();
   unmatched = {options.only.begin(), options.only.end()};
   std::vector<rollout::Target> targets;
-  for (const agent::AgentPlace& agent : session.driver().agents()) {
+  for (const agent::AgentEndpoint& agent : session.driver().agents()) {
     for (const auto& [name, instance] : snapshot.agents.at(agent.name)["instances"].items()) {
       if (!options.only.empty() && unmatched.erase(agent.name + '/' + name) == 0) continue;
       const std::string from = instance.value("configured", "");
@@ -108,7 +108,8 @@
 // Line by line, against the generation that the first target has.
 void PrintFileDifferences(Session& session, const rollout::Plan& plan, const Files& files) {
   const rollout::Target& first = plan.targets.front();
-  const auto replies = session.driver().AskAll("GET", "/v1/generation?" + first.from, {}, {first.name.agent});
+  const auto replies =
+      session.driver().RequestAll("GET", "/v1/generation?" + first.from, {}, {first.name.agent});
   const json& reply = replies.at(first.name.agent).body;
   const json before = reply.is_object() ? reply.value("files", json::object()) : json::object();
   std::set<std::string> names;
@@ -139,7 +140,7 @@
   std::set<std::string> agents;
   for (const rollout::Target& target : plan.targets) agents.insert(target.name.agent);
   const json body = {{"name", generation}, {"files", files}};
-  for (const auto& [agent, reply] : session.driver().AskAll("POST", "/v1/generation", body, agents)) {
+  for (const auto& [agent, reply] : session.driver().RequestAll("POST", "/v1/generation", body, agents)) {
     if (reply.ok()) continue;
     std::string reason = agent;
     reason += " does not take " + generation + ": " + reply.ErrorText() + "; nothing has changed";
@@ -175,8 +176,8 @@
   }
   std::cout << plan.id << ": " << plan.targets.size() << " instances in " << rollout::Batches(plan).size()
             << " batches" << std::endl;
-  return PrintOutcome(session.driver().Carry(plan, rollout::Change::Direction::kForward, false, plan.who,
-                                             snapshot.ShortestLease()));
+  return PrintOutcome(session.driver().CarryOut(plan, rollout::Change::Direction::kForward, false, plan.who,
+                                                snapshot.ShortestLease()));
 }
 
 }  // namespace
--- a/src/ctl/command_explain.cpp
+++ b/src/ctl/command_explain.cpp
@@ -55,7 +55,7 @@
   if (found == snapshot.agents.end() || !found->second["instances"].contains(name))
     return Fail(kUsage, "there is no instance " + label + "; give AGENT/INSTANCE, see status");
   PrintInstance(label, found->second["instances"][name]);
-  const auto reply = session.driver().AskAll("GET", "/v1/log?" + name, {}, {agent}).at(agent);
+  const auto reply = session.driver().RequestAll("GET", "/v1/log?" + name, {}, {agent}).at(agent);
   PrintLogEnd(reply.ok() ? reply.body.value("log", "") : reply.ErrorText());
   return kDone;
 }
--- a/src/ctl/command_history.cpp
+++ b/src/ctl/command_history.cpp
@@ -15,7 +15,7 @@
   std::multimap<std::int64_t, std::vector<std::string>> rows_by_time;
   std::set<std::string> unreachable;
   const std::string target = "/v1/history?" + std::to_string(session.options().max_events);
-  for (const auto& [agent, reply] : session.driver().AskAll("GET", target, {})) {
+  for (const auto& [agent, reply] : session.driver().RequestAll("GET", target, {})) {
     if (!reply.ok()) unreachable.insert(agent);
     const json events = reply.body.is_object() ? reply.body.value("events", json::array()) : json::array();
     for (const json& event : events) {
--- a/src/ctl/command_resume.cpp
+++ b/src/ctl/command_resume.cpp
@@ -19,7 +19,7 @@
 OpenPlan FetchOpenPlan(Session& session, const FleetSnapshot& snapshot) {
   if (const auto agent = snapshot.AgentWithOpenChange()) {
     const std::string target = "/v1/plan?" + snapshot.OpenChange(*agent, "change");
-    const auto reply = session.driver().AskAll("GET", target, {}, {*agent}).at(*agent);
+    const auto reply = session.driver().RequestAll("GET", target, {}, {*agent}).at(*agent);
     if (reply.ok()) return {rollout::PlanFrom(reply.body)};
     return {std::nullopt, Fail(kRefused, *agent + ": " + reply.ErrorText())};
   }
@@ -36,7 +36,7 @@
   std::cout << plan->id << " by " << Plain(plan->who) << " (" << Plain(plan->why) << ") is "
             << (undo ? "undone" : "carried on") << std::endl;
   return PrintOutcome(
-      session.driver().Carry(*plan, direction, true, session.OperatorName(), snapshot.ShortestLease()));
+      session.driver().CarryOut(*plan, direction, true, session.OperatorName(), snapshot.ShortestLease()));
 }
 
 }  // namespace
--- a/src/ctl/command_status.cpp
+++ b/src/ctl/command_status.cpp
@@ -40,15 +40,15 @@
 
 class StatusTable {
  public:
-  void Add(const agent::AgentPlace& place, const FleetSnapshot& snapshot) {
-    if (const auto fault = snapshot.faults.find(place.name); fault != snapshot.faults.end()) {
-      rows_.push_back({place.hall, place.name, "", "NOT REACHED: " + fault->second});
+  void Add(const agent::AgentEndpoint& endpoint, const FleetSnapshot& snapshot) {
+    if (const auto fault = snapshot.faults.find(endpoint.name); fault != snapshot.faults.end()) {
+      rows_.push_back({endpoint.hall, endpoint.name, "", "NOT REACHED: " + fault->second});
       return;
     }
-    const json& agent = snapshot.agents.at(place.name);
-    for (const auto& [name, instance] : agent["instances"].items()) AddInstance(place, name, instance);
+    const json& agent = snapshot.agents.at(endpoint.name);
+    for (const auto& [name, instance] : agent["instances"].items()) AddInstance(endpoint, name, instance);
     if (const std::string fault = agent.value("fault", ""); !fault.empty())
-      notes_ += place.name + ": " + fault + '\n';
+      notes_ += endpoint.name + ": " + fault + '\n';
     if (agent.contains("open") && open_changes_.insert(agent["open"].value("change", "")).second)
       notes_ += OpenChangeNote(agent);
   }
@@ -61,12 +61,12 @@
   }
 
  private:
-  void AddInstance(const agent::AgentPlace& place, const std::string& name, const json& instance) {
+  void AddInstance(const agent::AgentEndpoint& endpoint, const std::string& name, const json& instance) {
     ++instances_;
     const std::string state = StateOf(instance);
     if (state == "ready") ++ready_;
     const std::string phase = instance.value("phase", "none");
-    rows_.push_back({place.hall, place.name, name, state, instance.value("generation", ""),
+    rows_.push_back({endpoint.hall, endpoint.name, name, state, instance.value("generation", ""),
                      std::to_string(instance.value("taken", std::uint64_t{0})),
                      std::to_string(instance.value("bad", std::uint64_t{0})),
                      phase == "none" ? "" : instance["step"].value("change", "") + ' ' + phase});
@@ -90,7 +90,7 @@
       std::cout << ToJson(snapshot).dump() << std::endl;
     } else {
       StatusTable table;
-      for (const agent::AgentPlace& place : session.driver().agents()) table.Add(place, snapshot);
+      for (const agent::AgentEndpoint& endpoint : session.driver().agents()) table.Add(endpoint, snapshot);
       std::cout << table.Text() << std::flush;
     }
     if (!session.options().watch) return snapshot.faults.empty() ? kDone : kUnreachable;
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -6,7 +6,7 @@
 #include <random>
 #include <utility>
 
-#include "agent/agent_api.h"
+#include "agent/clock.h"
 #include "rollout/wire.h"
 
 namespace mothrack::ctl {
@@ -14,7 +14,7 @@
 
 using nlohmann::json;
 
-// The event loop is run so long at most before the time is looked at again.
+// The event loop runs for so long at most before time-outs are checked again.
 constexpr rollout::Duration kLoopTurn{20};
 
 std::string RandomText() {
@@ -48,29 +48,29 @@
   }
 }
 
-Driver::Driver(boost::asio::io_context& io, std::vector<agent::AgentPlace> agents,
+Driver::Driver(boost::asio::io_context& io, std::vector<agent::AgentEndpoint> agents,
                std::function<void(const std::string&)> say)
     : io_(io), agents_(std::move(agents)), say_(std::move(say)) {}
 
-const agent::AgentPlace& Driver::Of(const std::string& agent) const {
+const agent::AgentEndpoint& Driver::EndpointOf(const std::string& agent) const {
   return *std::find_if(agents_.begin(), agents_.end(),
-                       [&](const agent::AgentPlace& a) { return a.name == agent; });
+                       [&](const agent::AgentEndpoint& a) { return a.name == agent; });
 }
 
 void Driver::RunEventLoop(rollout::Duration time) {
   io_.restart();
-  // Whatever came is acted on at once; the time is for when nothing comes.
+  // Whatever has arrived is handled at once; `time` only bounds the wait for the first event.
   if (io_.run_one_for(time) > 0) io_.poll();
 }
 
 void Driver::Send(const std::string& agent, const std::string& target, json body,
                   std::function<void(const admin_client::Response&)> on_response) {
-  const agent::AgentPlace& place = Of(agent);
+  const agent::AgentEndpoint& endpoint = EndpointOf(agent);
   admin_client::SendRequest(
-      io_, {place.place, place.token, "POST", target, std::move(body)}, kTimeout,
-      [this, agent, life = std::weak_ptr(life_),
+      io_, {endpoint.address, endpoint.token, "POST", target, std::move(body)}, kTimeout,
+      [this, agent, run_lifetime = std::weak_ptr(run_lifetime_),
        on_response = std::move(on_response)](const admin_client::Response& reply) {
-        if (life.expired()) return;
+        if (run_lifetime.expired()) return;
         try {
           on_response(reply);
         } catch (const std::invalid_argument& e) {
@@ -79,24 +79,26 @@
       });
 }
 
-std::map<std::string, admin_client::Response> Driver::AskAll(const std::string& method,
-                                                             const std::string& target,
-                                                             const std::optional<json>& body,
-                                                             const std::set<std::string>& only) {
-  // Filled by answers that come after this has returned, too: it lives as long as they may.
+std::map<std::string, admin_client::Response> Driver::RequestAll(const std::string& method,
+                                                                 const std::string& target,
+                                                                 const std::optional<json>& body,
+                                                                 const std::set<std::string>& only) {
+  // Shared with the handlers, which the event loop may destroy after this has returned.
   const auto replies = std::make_shared<std::map<std::string, admin_client::Response>>();
-  std::size_t asked = 0;
-  for (const agent::AgentPlace& agent : agents_) {
+  std::size_t requests_sent = 0;
+  for (const agent::AgentEndpoint& agent : agents_) {
     if (!only.empty() && !only.contains(agent.name)) continue;
-    ++asked;
+    ++requests_sent;
     admin_client::SendRequest(
-        io_, {agent.place, agent.token, method, target, body}, kTimeout,
+        io_, {agent.address, agent.token, method, target, body}, kTimeout,
         [replies, name = agent.name](admin_client::Response reply) { (*replies)[name] = std::move(reply); });
   }
-  while (replies->size() < asked) RunEventLoop(kLoopTurn);
+  while (replies->size() < requests_sent) RunEventLoop(kLoopTurn);
   return *replies;
 }
 
+void Driver::EndRun() { run_lifetime_ = std::make_shared<int>(); }
+
 rollout::Holder Driver::HolderOf(const rollout::Plan& plan, const std::string& who) {
   char host[64] = "";
   ::gethostname(host, sizeof host - 1);
@@ -105,22 +107,22 @@
   return {plan.id, who, plan.why, agent::UnixNow(), claim_id};
 }
 
-// One claim under way, with what its answers change. Answers that come after its end must not touch it: see
-// Driver::life_.
+// One claim under way, with what its answers change. It is a local of AcquireLease(): answers that come after
+// its end must not touch it, see Driver::run_lifetime_.
 struct Driver::ClaimRun {
   const rollout::Plan& plan;
   const rollout::Holder& holder;
   rollout::Claim claim;
   std::string agent_fault{};      // an agent answered with an error instead of a verdict
-  rollout::Epoch last_epoch = 0;  // the highest that was asked for
+  rollout::Epoch last_epoch = 0;  // the highest that was requested
 };
 
 Driver::Lease Driver::AcquireLease(const rollout::Plan& plan, const rollout::Holder& holder, bool resuming) {
   std::set<std::string> names;
-  for (const agent::AgentPlace& agent : agents_) names.insert(agent.name);
+  for (const agent::AgentEndpoint& agent : agents_) names.insert(agent.name);
   std::set<std::string> required;
   for (const rollout::Target& target : plan.targets) required.insert(target.name.agent);
-  life_ = std::make_shared<int>();
+  EndRun();
   ClaimRun run{plan, holder,
                rollout::Claim(holder.claim_id, names, required, resuming, kTimeout, agent::SteadyNow())};
   const rollout::Claim& claim = run.claim;
@@ -133,14 +135,14 @@
     }
     RunEventLoop(kLoopTurn);
   }
-  life_ = std::make_shared<int>();  // `run` goes
+  EndRun();
   if (claim.granted()) return {claim.granted()->epoch, claim.granted()->since, {}};
   Lease lease;
   lease.epoch = run.last_epoch;
   lease.refused = !run.agent_fault.empty() ? run.agent_fault
                   : interrupted_           ? "interrupted"
                                            : claim.rejection();
-  // What was granted on the way is released, wherever the claim itself did not come to that.
+  // The claim releases what it was granted when it is rejected, but not after an interrupt or a fault.
   if (lease.epoch > 0) Release(lease.epoch, holder.claim_id, false);
   return lease;
 }
@@ -161,11 +163,11 @@
 }
 
 void Driver::ReadEpoch(ClaimRun& run, const std::string& agent) {
-  const agent::AgentPlace& place = Of(agent);
+  const agent::AgentEndpoint& endpoint = EndpointOf(agent);
   admin_client::SendRequest(
-      io_, {place.place, place.token, "GET", "/v1/agent", {}}, kTimeout,
-      [&run, life = std::weak_ptr(life_), agent](const admin_client::Response& response) {
-        if (life.expired()) return;
+      io_, {endpoint.address, endpoint.token, "GET", "/v1/agent", {}}, kTimeout,
+      [&run, run_lifetime = std::weak_ptr(run_lifetime_), agent](const admin_client::Response& response) {
+        if (run_lifetime.expired()) return;
         if (response.ok()) {
           run.claim.OnHighestEpoch(agent, response.body.value("highest", rollout::Epoch{0}));
         } else if (response.transport_error.empty()) {
@@ -183,7 +185,7 @@
        [&run, command, claim_id = run.holder.claim_id](const admin_client::Response& response) {
          const auto answer = ParseLeaseAnswer(response);
          if (!answer) {
-           // Without any answer it is asked again.
+           // Where no answer came at all, the claim repeats the request.
            if (response.transport_error.empty())
              run.agent_fault = command.agent + ": " + response.ErrorText();
            return;
@@ -223,7 +225,7 @@
         case rollout::ChangeCommand::Kind::kReport:
           reports[command.name.agent].push_back({command.name, command.number});
           break;
-        case rollout::ChangeCommand::Kind::kTakeStep:
+        case rollout::ChangeCommand::Kind::kSendStep:
           SendStep(run, command, now);
           break;
       }
@@ -231,7 +233,7 @@
     for (const auto& [agent, requests] : reports) RequestReports(run, agent, requests, now);
     if (!change.end()) RunEventLoop(kLoopTurn);
   }
-  life_ = std::make_shared<int>();  // `run` goes
+  EndRun();
 }
 
 bool Driver::ConfirmLease(rollout::Change& change, const std::string& agent, const LeaseAnswer& answer,
@@ -277,20 +279,20 @@
 }
 
 std::set<std::string> Driver::Release(rollout::Epoch epoch, const std::string& claim_id, bool close) {
-  constexpr int kAttempts = 3;
+  constexpr int kAttempts = 3;  // each waits for kTimeout at most
   std::set<std::string> missing;
-  for (const agent::AgentPlace& agent : agents_) missing.insert(agent.name);
+  for (const agent::AgentEndpoint& agent : agents_) missing.insert(agent.name);
   for (int i = 0; i < kAttempts && !missing.empty(); ++i) {
     const json body = {{"ask", "release"}, {"epoch", epoch}, {"tool", claim_id}, {"close", close}};
-    for (const auto& [name, reply] : AskAll("POST", "/v1/lease", body, missing)) {
+    for (const auto& [name, reply] : RequestAll("POST", "/v1/lease", body, missing)) {
       if (reply.ok()) missing.erase(name);
     }
   }
   return missing;
 }
 
-Driver::Outcome Driver::Carry(const rollout::Plan& plan, rollout::Change::Direction direction, bool resuming,
-                              const std::string& who, rollout::Duration lease_time) {
+Driver::Outcome Driver::CarryOut(const rollout::Plan& plan, rollout::Change::Direction direction,
+                                 bool resuming, const std::string& who, rollout::Duration lease_time) {
   const rollout::Holder holder = HolderOf(plan, who);
   const Lease lease = AcquireLease(plan, holder, resuming);
   Outcome outcome;
--- a/src/ctl/fleet_snapshot.cpp
+++ b/src/ctl/fleet_snapshot.cpp
@@ -36,7 +36,7 @@
 
 FleetSnapshot TakeSnapshot(Driver& driver) {
   FleetSnapshot snapshot;
-  for (auto& [name, reply] : driver.AskAll("GET", "/v1/agent", {})) {
+  for (auto& [name, reply] : driver.RequestAll("GET", "/v1/agent", {})) {
     if (reply.ok() && reply.body.is_object() && reply.body.contains("instances")) {
       snapshot.agents[name] = reply.body;
     } else {
--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -115,7 +115,7 @@
                             std::vector<ChangeCommand>& commands) {
   progress_[target].last_poll_at = now;
   ChangeCommand command{kind, plan_.targets[target].name, {}, ++last_number_, {}};
-  if (kind == ChangeCommand::Kind::kTakeStep) {
+  if (kind == ChangeCommand::Kind::kSendStep) {
     progress_[target].command_sent = true;
     command.step = StepOf(target);
   }
@@ -327,7 +327,7 @@
   auto& last_command_at = progress_[target].last_command_at;
   if (last_command_at && now - *last_command_at < kRetryInterval) return;
   last_command_at = now;
-  SendToInstance(ChangeCommand::Kind::kTakeStep, target, now, commands);
+  SendToInstance(ChangeCommand::Kind::kSendStep, target, now, commands);
 }
 
 bool Change::PassGate(const std::vector<std::size_t>& targets, TimePoint now,
--- a/src/rollout/change.h
+++ b/src/rollout/change.h
@@ -36,7 +36,7 @@
 // What the change wants sent to an agent, or shown to the operator.
 struct ChangeCommand {
   enum class Kind {
-    kTakeStep,  // sends `step` to `name`'s agent, which answers with a report
+    kSendStep,  // sends `step` to `name`'s agent, which answers with a report
     kReport,    // polls `name`'s agent for a report
     kRenew,     // renews the lease of `name.agent`
     kSay,       // prints `line` for the operator
--- a/tests/agent/sqlite_store_test.cpp
+++ b/tests/agent/sqlite_store_test.cpp
@@ -1,5 +1,5 @@
-// What an agent keeps on disk, and a disk that is full, a file that is cut short, damaged, of another version
-// or held.
+// The agent's store on disk: what is restored from it, and what it does when the disk is full or its file is
+// truncated, damaged, of a later version or locked.
 #include "agent/sqlite_store.h"
 
 #include <signal.h>
@@ -11,16 +11,32 @@
 
 #include <filesystem>
 #include <fstream>
+#include <optional>
 #include <sstream>
 #include <string>
 
 #include "gtest/gtest.h"
 
-namespace mothrack::rollout {
+namespace mothrack::agent {
 namespace {
 
 namespace fs = std::filesystem;
 
+using rollout::Epoch;
+using rollout::Holder;
+using rollout::InstanceRecord;
+using rollout::LeaseState;
+using rollout::Phase;
+using rollout::Plan;
+using rollout::Policy;
+using rollout::StepKind;
+using Cause = StoreError::Cause;
+
+// Nothing where there is no error.
+std::optional<Cause> CauseOf(const std::optional<StoreError>& error) {
+  return error ? std::optional(error->cause) : std::nullopt;
+}
+
 class StoreTest : public ::testing::Test {
  protected:
   void SetUp() override {
@@ -65,20 +81,20 @@
 }
 
 // A file of many pages, with everything in it.
-void Fill(agent::SqliteStore& store) {
+void Fill(SqliteStore& store) {
   const Plan plan = PlanOf("c1");
-  ASSERT_TRUE(store.SaveLease(LeaseOf(3, "c1"), &plan, {1, "c1", "opened"}));
+  ASSERT_EQ(store.SaveLease(LeaseOf(3, "c1"), &plan, {1, "c1", "opened"}), std::nullopt);
   for (int i = 0; i < 60; ++i)
-    ASSERT_TRUE(store.SaveRecord("i" + std::to_string(i), RecordOf(i), {2, "c1", "taken"}));
+    ASSERT_EQ(store.SaveRecord("i" + std::to_string(i), RecordOf(i), {2, "c1", "taken"}), std::nullopt);
 }
 
-TEST_F(StoreTest, GivesBackWhatWasKept) {
+TEST_F(StoreTest, RestoresLeaseRecordsPlansAndEventsWhenReopened) {
   {
-    agent::SqliteStore store(path());
+    SqliteStore store(path());
     ASSERT_EQ(store.fault(), "");
     Fill(store);
   }
-  const agent::SqliteStore again(path());
+  const SqliteStore again(path());
   EXPECT_EQ(again.fault(), "");
   EXPECT_EQ(again.stored().lease, LeaseOf(3, "c1"));
   ASSERT_EQ(again.stored().records.size(), 60U);
@@ -90,44 +106,47 @@
   EXPECT_EQ(info.st_mode & 0777U, 0600U);
 }
 
-TEST_F(StoreTest, KeepsTheLatestPlansAndLinesOnly) {
-  agent::SqliteStore store(path());
-  for (int i = 0; i <= agent::SqliteStore::kMostPlans; ++i) {
+TEST_F(StoreTest, RetainsOnlyTheLatestPlans) {
+  SqliteStore store(path());
+  for (int i = 0; i <= SqliteStore::kMaxPlans; ++i) {
     const std::string id = "c" + std::to_string(i);
     const Plan plan = PlanOf(id);
-    ASSERT_TRUE(store.SaveLease(LeaseOf(static_cast<Epoch>(i), id), &plan, {}));
+    ASSERT_EQ(store.SaveLease(LeaseOf(static_cast<Epoch>(i), id), &plan, {}), std::nullopt);
   }
-  const agent::SqliteStore again(path());
-  EXPECT_EQ(again.stored().plans.size(), static_cast<std::size_t>(agent::SqliteStore::kMostPlans));
+  const SqliteStore again(path());
+  EXPECT_EQ(again.stored().plans.size(), static_cast<std::size_t>(SqliteStore::kMaxPlans));
   EXPECT_FALSE(again.stored().plans.contains("c0"));
 }
 
-// In a process of its own, whose files may not grow further: the system refuses as a full disk does. It exits
-// with how many saves were refused; what it says it kept, and nothing else, must be there afterwards.
-TEST_F(StoreTest, AFullDiskRefusesAWholeStepAndTakesTheNextOnceThereIsRoom) {
+// In a process of its own whose files may not grow further, so that writes fail as on a full disk. Only the
+// save that it reported as successful may be in the file afterwards.
+TEST_F(StoreTest, SaveOnFullDiskIsRolledBackAndSucceedsOnceThereIsSpace) {
   {
-    agent::SqliteStore store(path());
+    SqliteStore store(path());
     Fill(store);
   }
   const pid_t child = ::fork();
   if (child == 0) {
     ::signal(SIGXFSZ, SIG_IGN);
-    agent::SqliteStore store(path());
+    SqliteStore store(path());
     struct rlimit none {};
     ::getrlimit(RLIMIT_FSIZE, &none);
     struct rlimit full = none;
     full.rlim_cur = 4096;  // less than the file has: nothing can be written behind its first page
     ::setrlimit(RLIMIT_FSIZE, &full);
-    const bool refused = !store.SaveRecord("i3", RecordOf(100), {9, "c1", "lost"}) &&
-                         !store.fault().empty() && !store.SaveLease(LeaseOf(9, "c1"), nullptr, {});
+    const bool failed =
+        CauseOf(store.SaveRecord("i3", RecordOf(100), {9, "c1", "lost"})) == Cause::kSaveFailed &&
+        !store.fault().empty() &&
+        CauseOf(store.SaveLease(LeaseOf(9, "c1"), nullptr, {})) == Cause::kSaveFailed;
     ::setrlimit(RLIMIT_FSIZE, &none);
-    const bool again = store.SaveRecord("i4", RecordOf(101), {9, "c1", "kept"}) && store.fault().empty();
-    ::_exit(refused && again ? 0 : 1);
+    const bool recovered =
+        !store.SaveRecord("i4", RecordOf(101), {9, "c1", "kept"}).has_value() && store.fault().empty();
+    ::_exit(failed && recovered ? 0 : 1);
   }
   int status = 0;
   ASSERT_EQ(::waitpid(child, &status, 0), child);
   EXPECT_EQ(status, 0);
-  const agent::SqliteStore again(path());
+  const SqliteStore again(path());
   EXPECT_EQ(again.fault(), "");
   EXPECT_EQ(again.stored().lease.highest, 3U);
   EXPECT_EQ(again.stored().records.at("i3"), RecordOf(3));
@@ -135,61 +154,65 @@
   EXPECT_EQ(again.Events(1).at(0).line, "kept");
 }
 
-// Cut behind each page: it is said, or all that is told is as it was; never a part of it as if it were all.
-TEST_F(StoreTest, AFileCutShortAtAnyPageIsNotTakenForAWholeOne) {
+// Truncated after each page: the file must never be read as if the rest had not existed.
+TEST_F(StoreTest, TruncatedFileIsRejectedAndNotWrittenTo) {
   constexpr std::size_t kPage = 4096;
   {
-    agent::SqliteStore store(path());
+    SqliteStore store(path());
     Fill(store);
   }
-  const std::string whole = Bytes();
-  ASSERT_GT(whole.size(), 4 * kPage);
-  for (std::size_t cut = kPage; cut < whole.size(); cut += kPage) {
-    std::ofstream(path(), std::ios::binary | std::ios::trunc) << whole.substr(0, cut);
-    agent::SqliteStore store(path());
+  const std::string complete = Bytes();
+  ASSERT_GT(complete.size(), 4 * kPage);
+  for (std::size_t cut = kPage; cut < complete.size(); cut += kPage) {
+    std::ofstream(path(), std::ios::binary | std::ios::trunc) << complete.substr(0, cut);
+    SqliteStore store(path());
     EXPECT_NE(store.fault().find("state.sqlite: "), std::string::npos) << cut;
     EXPECT_NE(store.fault().find("move it away to begin anew"), std::string::npos) << cut;
     EXPECT_TRUE(store.stored().records.empty()) << cut;
-    EXPECT_FALSE(store.SaveRecord("i0", RecordOf(1), {})) << cut;
-    EXPECT_EQ(Bytes(), whole.substr(0, cut)) << "what somebody may still mend was written to";
+    ASSERT_TRUE(store.error()) << cut;
+    EXPECT_EQ(store.SaveRecord("i0", RecordOf(1), {}), store.error()) << cut;
+    EXPECT_NE(store.error()->cause, Cause::kSaveFailed) << cut;
+    EXPECT_EQ(Bytes(), complete.substr(0, cut)) << "the damaged file was written to";
   }
 }
 
-TEST_F(StoreTest, AFileOfALaterVersionIsLeftAlone) {
-  { agent::SqliteStore store(path()); }
+TEST_F(StoreTest, FileOfLaterVersionIsRejected) {
+  { SqliteStore store(path()); }
   Sql("PRAGMA user_version = 2");
-  agent::SqliteStore store(path());
+  SqliteStore store(path());
   EXPECT_NE(store.fault().find("later version (2, this one knows 1)"), std::string::npos) << store.fault();
-  EXPECT_FALSE(store.SaveLease(LeaseOf(1, "c1"), nullptr, {}));
+  EXPECT_EQ(CauseOf(store.SaveLease(LeaseOf(1, "c1"), nullptr, {})), Cause::kLaterVersion);
 }
 
-TEST_F(StoreTest, AnOpenChangeWithoutItsPlanAndARecordThatIsNoneAreFaults) {
+TEST_F(StoreTest, OpenChangeWithoutPlanAndUnparsableRecordAreDamage) {
   {
-    agent::SqliteStore store(path());
+    SqliteStore store(path());
     Fill(store);
   }
-  const std::string whole = Bytes();
+  const std::string complete = Bytes();
   Sql("DELETE FROM plan");
-  EXPECT_NE(agent::SqliteStore(path()).fault().find("no plan of the open change c1"), std::string::npos);
-  std::ofstream(path(), std::ios::binary | std::ios::trunc) << whole;
+  EXPECT_NE(SqliteStore(path()).fault().find("no plan of the open change c1"), std::string::npos);
+  EXPECT_EQ(CauseOf(SqliteStore(path()).error()), Cause::kDamaged);
+  std::ofstream(path(), std::ios::binary | std::ios::trunc) << complete;
   Sql("UPDATE record SET json = '{\"phase\": 7}' WHERE instance = 'i5'");
-  EXPECT_FALSE(agent::SqliteStore(path()).fault().empty());
+  EXPECT_FALSE(SqliteStore(path()).fault().empty());
+  EXPECT_EQ(CauseOf(SqliteStore(path()).error()), Cause::kDamaged);
 }
 
-// A backup that holds the file refuses this save, and the next is taken.
-TEST_F(StoreTest, AFileThatAnotherHoldsRefusesAndRecovers) {
-  agent::SqliteStore store(path());
+// As while a backup reads the file.
+TEST_F(StoreTest, SaveFailsWhileFileIsLockedAndSucceedsAfterwards) {
+  SqliteStore store(path());
   Fill(store);
   sqlite3* other = nullptr;
   ASSERT_EQ(sqlite3_open(path().c_str(), &other), SQLITE_OK);
   ASSERT_EQ(sqlite3_exec(other, "BEGIN EXCLUSIVE", nullptr, nullptr, nullptr), SQLITE_OK);
-  EXPECT_FALSE(store.SaveRecord("i1", RecordOf(50), {}));
+  EXPECT_EQ(CauseOf(store.SaveRecord("i1", RecordOf(50), {})), Cause::kSaveFailed);
   EXPECT_NE(store.fault().find("locked"), std::string::npos) << store.fault();
   ASSERT_EQ(sqlite3_exec(other, "COMMIT", nullptr, nullptr, nullptr), SQLITE_OK);
   sqlite3_close(other);
-  EXPECT_TRUE(store.SaveRecord("i1", RecordOf(51), {}));
+  EXPECT_EQ(store.SaveRecord("i1", RecordOf(51), {}), std::nullopt);
   EXPECT_EQ(store.fault(), "");
 }
 
 }  // namespace
-}  // namespace mothrack::rollout
+}  // namespace mothrack::agent
--- a/tests/rollout/change_test.cpp
+++ b/tests/rollout/change_test.cpp
@@ -1,4 +1,4 @@
-// One change from its first batch to its end, against agents that the test plays.
+// One change from its first batch to its end, against fake agents.
 #include "rollout/change.h"
 
 #include <chrono>
@@ -18,7 +18,7 @@
 using testing::At;
 using testing::TwoHallPlan;
 
-// Plays the agents of one change: what each instance tells is set by the test.
+// Fake agents of one change: the test sets what each instance reports.
 class Fleet {
  public:
   Fleet(const Plan& plan, Change::Direction direction = Change::Direction::kForward)
@@ -31,21 +31,22 @@
     }
   }
 
-  // Turns until the change has ended or `until`; steps end well at once, unless `on_step` does otherwise.
+  // Ticks until the change has ended or until `until` (ms); steps succeed at once unless `on_step` changes
+  // that.
   void Run(int until) {
     for (; now_ <= until && !change.end(); now_ += 100) {
       std::vector<ChangeCommand> commands;
       change.Tick(At(now_), commands);
       for (const ChangeCommand& c : commands) {
         if (c.kind == ChangeCommand::Kind::kSay) {
-          said += c.line + '\n';
+          messages += c.line + '\n';
           continue;
         }
-        if (silent.contains(c.name.agent)) continue;
+        if (unresponsive.contains(c.name.agent)) continue;
         change.OnLeaseRenewed(c.name.agent, At(now_));
         if (c.kind == ChangeCommand::Kind::kRenew) continue;
         Report& report = reports.at(c.name);
-        if (c.kind == ChangeCommand::Kind::kTakeStep && report.step != c.step) {
+        if (c.kind == ChangeCommand::Kind::kSendStep && report.step != c.step) {
           steps.push_back(c.name.agent + '/' + c.name.instance + (c.step.undo ? " undo" : ""));
           report.step = c.step;
           report.phase = Phase::kDone;
@@ -61,11 +62,11 @@
   const Plan plan_;
   Change change;
   std::map<InstanceName, Report> reports;
-  std::set<std::string> silent;
+  std::set<std::string> unresponsive;
   std::function<void(const InstanceName&, Report&)> on_step;
   std::function<void(const InstanceName&, Report&)> on_report;
   std::vector<std::string> steps;
-  std::string said;
+  std::string messages;
 
  private:
   int now_ = 0;
@@ -73,14 +74,14 @@
 
 using Names = std::vector<std::string>;
 
-TEST(Change, GoesThroughAllBatchesInOrder) {
+TEST(Change, RunsAllBatchesInOrder) {
   Fleet fleet(TwoHallPlan(2, 1));
   fleet.Run(60'000);
-  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted) << fleet.said;
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted) << fleet.messages;
   EXPECT_EQ(fleet.steps, (Names{"bole/i0", "bole/i1", "kality/i0", "kality/i1"}));
 }
 
-TEST(Change, FailedStepHoldsOrTurnsBack) {
+TEST(Change, FailedStepHoldsOrRollsBackByPolicy) {
   for (const OnFailure policy : {OnFailure::kHold, OnFailure::kRollBack}) {
     Plan plan = TwoHallPlan(3, 1);
     plan.policy.on_failure = policy;
@@ -104,7 +105,7 @@
   }
 }
 
-TEST(Change, GateStopsAtMoreFailuresThanBefore) {
+TEST(Change, GateHoldsWhenFailureShareExceedsBaseline) {
   Fleet fleet(TwoHallPlan(2, 1));
   fleet.on_report = [](const InstanceName&, Report& report) {
     report.requests += 100;
@@ -118,7 +119,7 @@
       << fleet.change.reason();
 }
 
-TEST(Change, DoesNotBeginWhileAnInstanceElsewhereIsDown) {
+TEST(Change, HeldWhenAnInstanceOutsideTheBatchStaysUnavailable) {
   Plan plan = TwoHallPlan(2, 1);
   plan.policy.step_timeout = milliseconds(3000);
   Fleet fleet(plan);
@@ -129,7 +130,7 @@
   EXPECT_EQ(fleet.steps, Names{});
 }
 
-TEST(Change, WaitsForOneThatIsDownForAMoment) {
+TEST(Change, WaitsForAnInstanceThatIsBrieflyUnavailable) {
   Fleet fleet(TwoHallPlan(2, 1));
   fleet.reports[{"kality", "i1"}].ready = false;
   fleet.Run(1000);
@@ -139,17 +140,17 @@
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted);
 }
 
-TEST(Change, HaltsWhenAnAgentIsOutOfReach) {
+TEST(Change, HeldWhenAnAgentIsUnreachable) {
   Fleet fleet(TwoHallPlan(2, 1));
-  fleet.on_step = [&](const InstanceName&, Report&) { fleet.silent.insert("kality"); };
+  fleet.on_step = [&](const InstanceName&, Report&) { fleet.unresponsive.insert("kality"); };
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
   EXPECT_EQ(fleet.change.reason(), "kality can't be reached; its instances finish what they have taken");
   EXPECT_EQ(fleet.steps, Names{"bole/i0"});
 }
 
-// Claiming forty agents one by one takes longer than an agent may be silent.
-TEST(Change, TimeWithoutAWordCountsFromItsStart) {
+// Claiming forty agents one by one takes longer than an agent may be silent for.
+TEST(Change, UnreachableTimeoutCountsFromTheFirstTick) {
   Change change(TwoHallPlan(1, 1), Change::Direction::kForward, 1, milliseconds(60'000), At(0));
   std::vector<ChangeCommand> commands;
   change.Tick(At(9000), commands);
@@ -160,7 +161,7 @@
   EXPECT_EQ(change.end(), ChangeEnd::kHeld);
 }
 
-TEST(Change, CommandsNothingOnceItIsFencedOrAborted) {
+TEST(Change, SendsNoStepAfterFencingOrAbort) {
   Fleet fenced(TwoHallPlan(2, 1));
   fenced.Run(200);
   const std::size_t before = fenced.steps.size();
@@ -177,7 +178,7 @@
   EXPECT_EQ(aborted.change.end(), ChangeEnd::kAborted);
 }
 
-TEST(Change, ResumedOneGoesOnWhereTheOtherStopped) {
+TEST(Change, ResumedChangeSkipsStepsThatAreDone) {
   Fleet fleet(TwoHallPlan(2, 1));
   for (const char* done : {"i0", "i1"}) {
     Report& report = fleet.reports[{"bole", done}];
@@ -190,7 +191,7 @@
   EXPECT_EQ(fleet.steps, (Names{"kality/i0", "kality/i1"}));
 }
 
-TEST(Change, ResumedOneTriesAFailedStepAgain) {
+TEST(Change, ResumedChangeRetriesAFailedStep) {
   Fleet fleet(TwoHallPlan(1, 1));
   Report& report = fleet.reports[{"bole", "i0"}];
   report.step = {"c1", StepKind::kRestart, false, "g2", 0};
@@ -198,12 +199,12 @@
   report.ready = false;
   fleet.on_step = [](const InstanceName&, Report& r) { r.ready = true; };
   fleet.Run(60'000);
-  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted) << fleet.said;
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted) << fleet.messages;
   EXPECT_EQ(fleet.steps, (Names{"bole/i0", "kality/i0"}));
 }
 
 // An earlier holder had come to the second hall, and what this one begins with fails.
-TEST(Change, ResumedOneThatTurnsBackUndoesWhatIsAhead) {
+TEST(Change, ResumedChangeRollsBackLaterBatchesToo) {
   Plan plan = TwoHallPlan(2, 1);
   plan.policy.on_failure = OnFailure::kRollBack;
   Fleet fleet(plan);
@@ -218,11 +219,11 @@
     report.phase = report.step.undo ? Phase::kDone : Phase::kFailed;
   };
   fleet.Run(120'000);
-  EXPECT_EQ(fleet.change.end(), ChangeEnd::kRolledBack) << fleet.said;
+  EXPECT_EQ(fleet.change.end(), ChangeEnd::kRolledBack) << fleet.messages;
   EXPECT_EQ(fleet.steps, (Names{"bole/i1", "bole/i1 undo", "kality/i0 undo", "bole/i0 undo"}));
 }
 
-TEST(Change, LateAndRepeatedNewsChangeNothing) {
+TEST(Change, OutdatedReportsAreIgnored) {
   Fleet fleet(TwoHallPlan(1, 1));
   Report old;
   fleet.Run(1000);
--- a/tests/rollout/claim_test.cpp
+++ b/tests/rollout/claim_test.cpp
@@ -22,116 +22,119 @@
 
 // Agents that answer a claim at once.
 struct Agents {
-  std::map<std::string, Lessor> books;
+  std::map<std::string, Lessor> lessors;
   Agents() {
     for (const char* name : {"a", "b", "c", "d"})
-      books.emplace(name, Lessor({}, milliseconds(10'000), At(0)));
+      lessors.emplace(name, Lessor({}, milliseconds(10'000), At(0)));
   }
   std::set<std::string> Names() const {
     std::set<std::string> names;
-    for (const auto& [name, book] : books) names.insert(name);
+    for (const auto& [name, lessor] : lessors) names.insert(name);
     return names;
   }
-  // One turn of the claim; those in `silent` say nothing.
-  void Turn(Claim& claim, const Holder& holder, TimePoint now, const std::set<std::string>& silent = {}) {
+  // One tick of the claim; agents in `unresponsive` do not answer.
+  void Tick(Claim& claim, const Holder& holder, TimePoint now,
+            const std::set<std::string>& unresponsive = {}) {
     std::vector<ClaimCommand> commands;
     claim.Tick(now, commands);
     for (const ClaimCommand& c : commands) {
-      if (silent.contains(c.agent)) continue;
-      Lessor& book = books.at(c.agent);
-      const auto in_the_way = book.holder(now);
+      if (unresponsive.contains(c.agent)) continue;
+      Lessor& lessor = lessors.at(c.agent);
+      const auto current_holder = lessor.holder(now);
       switch (c.kind) {
         case ClaimCommand::Kind::kReadEpoch:
-          claim.OnHighestEpoch(c.agent, book.state().highest);
+          claim.OnHighestEpoch(c.agent, lessor.state().highest);
           break;
         case ClaimCommand::Kind::kAcquire:
-          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, book.Acquire(c.epoch, holder, now),
-                              in_the_way, book.state().open && book.state().open->change == holder.change);
+          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, lessor.Acquire(c.epoch, holder, now),
+                              current_holder,
+                              lessor.state().open && lessor.state().open->change == holder.change);
           break;
         case ClaimCommand::Kind::kOpen:
-          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, book.Open(c.epoch, holder, now), in_the_way,
-                              true);
+          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, lessor.Open(c.epoch, holder, now),
+                              current_holder, true);
           break;
         case ClaimCommand::Kind::kRelease:
-          book.Release(c.epoch, holder.claim_id, false);
+          lessor.Release(c.epoch, holder.claim_id, false);
           break;
       }
     }
   }
 };
 
-TEST(Claim, TwoAtTheSameInstantAndOneGetsIt) {
+TEST(Claim, OneOfTwoConcurrentClaimsIsGranted) {
   Agents agents;
   const Holder ann = HolderNamed("ann", "c1");
   const Holder bob = HolderNamed("bob", "c2");
   Claim first("ann", agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
   Claim second("bob", agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
   for (int i = 0; i < 12; ++i) {
-    agents.Turn(first, ann, At(i));
-    agents.Turn(second, bob, At(i));
+    agents.Tick(first, ann, At(i));
+    agents.Tick(second, bob, At(i));
   }
   ASSERT_TRUE(first.granted());
   EXPECT_FALSE(second.granted());
   EXPECT_NE(second.rejection().find("the same instant"), std::string::npos) << second.rejection();
   Claim third("bob", agents.Names(), agents.Names(), false, milliseconds(1000), At(100));
-  for (int i = 0; i < 12; ++i) agents.Turn(third, bob, At(100 + i));
+  for (int i = 0; i < 12; ++i) agents.Tick(third, bob, At(100 + i));
   EXPECT_EQ(third.rejection(), "ann has the fleet for c1 (a test)");
-  for (const auto& [name, book] : agents.books) EXPECT_EQ(book.holder(At(200))->who, "ann") << name;
+  for (const auto& [name, lessor] : agents.lessors) EXPECT_EQ(lessor.holder(At(200))->who, "ann") << name;
 }
 
-TEST(Claim, NeedsAMajorityAndAllThatItTouches) {
-  const auto claim = [](const std::set<std::string>& needed, const std::set<std::string>& silent) {
+TEST(Claim, NeedsAMajorityAndAllRequiredAgents) {
+  const auto claim = [](const std::set<std::string>& needed, const std::set<std::string>& unresponsive) {
     Agents agents;
     Claim claim("ann", agents.Names(), needed, false, milliseconds(1000), At(0));
-    for (int i = 0; i < 100; ++i) agents.Turn(claim, HolderNamed("ann", "c1"), At(i * 100), silent);
+    for (int i = 0; i < 100; ++i) agents.Tick(claim, HolderNamed("ann", "c1"), At(i * 100), unresponsive);
     return claim.granted() ? "granted" : claim.rejection();
   };
   EXPECT_EQ(claim({"a"}, {"d"}), "granted");
   EXPECT_EQ(claim({"a", "d"}, {"d"}), "can't be reached: d");
-  EXPECT_EQ(claim({"a"}, {"c", "d"}), "can't be reached: c, d") << "two may have granted it to another";
+  EXPECT_EQ(claim({"a"}, {"c", "d"}), "can't be reached: c, d")
+      << "the other two may have granted it to another";
 }
 
-TEST(Claim, WhatWasClosedMeanwhileIsNotResumed) {
+TEST(Claim, ResumeOfAClosedChangeIsRejected) {
   Agents agents;
   const Holder ann = HolderNamed("ann", "c1");
   Claim closed("ann", agents.Names(), agents.Names(), true, milliseconds(1000), At(0));
-  for (int i = 0; i < 12; ++i) agents.Turn(closed, ann, At(i));
+  for (int i = 0; i < 12; ++i) agents.Tick(closed, ann, At(i));
   EXPECT_EQ(closed.rejection(), "the change has come to its end meanwhile");
-  Lessor& book = agents.books.at("c");
-  ASSERT_EQ(book.Acquire(9, ann, At(20)), Verdict::kGranted);
-  ASSERT_EQ(book.Open(9, ann, At(20)), Verdict::kGranted);
+  Lessor& lessor = agents.lessors.at("c");
+  ASSERT_EQ(lessor.Acquire(9, ann, At(20)), Verdict::kGranted);
+  ASSERT_EQ(lessor.Open(9, ann, At(20)), Verdict::kGranted);
   Claim open("ann", agents.Names(), agents.Names(), true, milliseconds(1000), At(20));
-  for (int i = 0; i < 12; ++i) agents.Turn(open, ann, At(20 + i));
+  for (int i = 0; i < 12; ++i) agents.Tick(open, ann, At(20 + i));
   EXPECT_TRUE(open.granted()) << open.rejection();
 }
 
-// History 98150: ann's first claim, for c1, was refused, and its question to "a" was still on its way. It
-// came when her second, for c4, had chosen the same epoch, and was taken for the second's: c1 was then open
-// at "a", c4 elsewhere, and neither could be closed.
-TEST(Claim, AnswersToAnEarlierClaimAreNotTakenForItsOwn) {
+// History 98150: ann's first claim, for c1, was rejected while its request to "a" was still under way. The
+// answer arrived when her second, for c4, had chosen the same epoch, and was matched to the second: c1 was
+// then open at "a", c4 elsewhere, and neither could be closed.
+TEST(Claim, AnswersToAnEarlierClaimAreIgnored) {
   Agents agents;
   const Holder first{"c1", "ann", "a test", 0, "ann.1"};
   const Holder second{"c4", "ann", "a test", 0, "ann.2"};
   Claim claim(second.claim_id, agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
-  agents.Turn(claim, second, At(0));                  // asks for the highest epoch
-  agents.Turn(claim, second, At(1), agents.Names());  // asks "a" for epoch 1, which takes its time
-  Lessor& a = agents.books.at("a");
+  agents.Tick(claim, second, At(0));                  // reads the highest epoch
+  agents.Tick(claim, second, At(1), agents.Names());  // requests epoch 1 of "a", whose answer is late
+  Lessor& a = agents.lessors.at("a");
   claim.OnLeaseAnswer(first.claim_id, "a", 1, a.Acquire(1, first, At(2)), std::nullopt, false);
-  for (int i = 0; i < 12; ++i) agents.Turn(claim, second, At(500 + i));
+  for (int i = 0; i < 12; ++i) agents.Tick(claim, second, At(500 + i));
   EXPECT_FALSE(claim.granted());
   EXPECT_NE(claim.rejection().find("the same instant"), std::string::npos) << claim.rejection();
-  for (const auto& [name, book] : agents.books) EXPECT_FALSE(book.state().open) << name;
-  EXPECT_EQ(agents.books.at("b").state().highest, 0U) << "it went on from an agent that it has not got";
+  for (const auto& [name, lessor] : agents.lessors) EXPECT_FALSE(lessor.state().open) << name;
+  EXPECT_EQ(agents.lessors.at("b").state().highest, 0U) << "it went on without the lease of the agent before";
 }
 
-TEST(Claim, GivesBackWhatItGotWhenItIsRefusedHalfway) {
+TEST(Claim, ReleasesGrantedLeasesWhenRejected) {
   Agents agents;
-  ASSERT_EQ(agents.books.at("c").Acquire(5, HolderNamed("bob", "c2"), At(0)), Verdict::kGranted);
+  ASSERT_EQ(agents.lessors.at("c").Acquire(5, HolderNamed("bob", "c2"), At(0)), Verdict::kGranted);
   Claim claim("ann", agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
-  for (int i = 0; i < 12; ++i) agents.Turn(claim, HolderNamed("ann", "c1"), At(i));
+  for (int i = 0; i < 12; ++i) agents.Tick(claim, HolderNamed("ann", "c1"), At(i));
   EXPECT_EQ(claim.rejection(), "bob has the fleet for c2 (a test)");
-  for (const char* name : {"a", "b", "d"}) EXPECT_FALSE(agents.books.at(name).holder(At(20))) << name;
-  EXPECT_EQ(agents.books.at("c").holder(At(20))->who, "bob");
+  for (const char* name : {"a", "b", "d"}) EXPECT_FALSE(agents.lessors.at(name).holder(At(20))) << name;
+  EXPECT_EQ(agents.lessors.at("c").holder(At(20))->who, "bob");
 }
 
 }  // namespace
--- a/tests/rollout/fleet_history.h
+++ b/tests/rollout/fleet_history.h
@@ -1,6 +1,6 @@
-// A fleet in one thread and in made-up time: the program's own agents (src/agent/agent.h) over made-up disks
-// and processes, its own claims and changes in made-up tools, and the messages between them. All of these
-// fail, at moments drawn from one seed or at one that a script names.
+// A fleet in one thread and in simulated time: the program's own agents (src/agent/agent.h) over fake stores
+// and processes, its own claims and changes in fake tools, and the messages between them. All of these fail,
+// at moments drawn from one seed or at one that a script names.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 struct History {
   std::string violation;  // of a rule, with the moment; empty: none
-  // How the last change ended, and what happened on the way: that the histories reach what they are meant to.
+  // How the last change ended, and what happened on the way: the sums show what the histories reach.
   std::string end;
   int changes = 0;
   int agent_deaths = 0;
--- a/tests/rollout/fleet_model_rules.cpp
+++ b/tests/rollout/fleet_model_rules.cpp
@@ -13,7 +13,7 @@
     const std::string& wanted = end == ChangeEnd::kCompleted ? target.to : target.from;
     if (record.phase == Phase::kAccepted)
       Violation(plan.id + " ended, and " + record.step.token() + " has not");
-    const bool had = taken_.contains({plan.id, target.name});
+    const bool had = accepted_steps_.contains({plan.id, target.name});
     if (end == ChangeEnd::kCompleted && !had) Violation(plan.id + " completed without a step");
     if (had && record.generation != wanted)
       Violation(plan.id + " ended with " + record.generation + ", not " + wanted);
@@ -37,8 +37,8 @@
       ++down;
     }
   }
-  if (halls.size() > 1) Violation("instances of both halls are down for a change: " + Told());
-  if (down > PolicyOf(false).max_unavailable) Violation("more are down than max_unavailable: " + Told());
+  if (halls.size() > 1) Violation("instances of both halls are down for a change: " + Describe());
+  if (down > PolicyOf(false).max_unavailable) Violation("more are down than max_unavailable: " + Describe());
 }
 
 bool FleetModel::Settled() {
--- a/tests/rollout/histories_test.cpp
+++ b/tests/rollout/histories_test.cpp
@@ -1,4 +1,4 @@
-// All decisions together, in histories drawn from seeds, and with deaths at each point of a script.
+// All decisions together, in histories drawn from seeds, and with a crash at each point of a script.
 #include <algorithm>
 #include <cstdint>
 #include <cstdlib>
@@ -13,13 +13,16 @@
 namespace mothrack::rollout {
 namespace {
 
-// HISTORIES sets how many, HISTORIES_FROM the first seed (1). Each must reach what it is meant to: see the
-// sums.
-TEST(Histories, KeepTheRulesAndComeToAnEnd) {
-  const char* set = std::getenv("HISTORIES");
-  const std::uint64_t count = set == nullptr ? 1000 : std::strtoull(set, nullptr, 10);
-  const char* from = std::getenv("HISTORIES_FROM");
-  const std::uint64_t begin = from == nullptr ? 1 : std::strtoull(from, nullptr, 10);
+std::uint64_t EnvironmentNumber(const char* name, std::uint64_t fallback) {
+  const char* text = std::getenv(name);
+  return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
+}
+
+// HISTORIES sets how many, HISTORIES_FROM the first seed (1). The sums show that all kinds of faults and ends
+// are reached.
+TEST(Histories, KeepTheInvariantsAndTerminate) {
+  const std::uint64_t count = EnvironmentNumber("HISTORIES", 1000);
+  const std::uint64_t begin = EnvironmentNumber("HISTORIES_FROM", 1);
   testing::History sums;
   std::map<std::string, int> ends;
   for (std::uint64_t seed = begin; seed < begin + count; ++seed) {
@@ -49,14 +52,14 @@
 
 constexpr std::uint64_t kScriptSeed = 7;
 
-// Agents' deaths before and after every durable step and every action of a change, one at a time. The
-// operator's tool lives on where it can, and a second one finishes what it leaves.
-TEST(CrashPoints, AnAgentThatDiesAtAnyOfThemLeavesAKnownState) {
+// An agent's crash before and after every durable step and every action of a change, one at a time. The first
+// operator's tool goes on where it can, and a second one finishes what it leaves.
+TEST(CrashPoints, AgentCrashAtAnyPointLeavesAKnownState) {
   const testing::History calm = testing::Play(kScriptSeed, testing::Script{});
   ASSERT_EQ(calm.violation, "");
   ASSERT_EQ(calm.end, "completed");
-  // Of eight instances: taken, stopped, started, done; of four agents: claimed, opened, closed. Each before
-  // and after.
+  // Of eight instances: accepted, stopped, started, done; of four agents: claimed, opened, closed. Each
+  // before and after.
   ASSERT_GE(calm.points, 2 * (8 * 4 + 4 * 3));
   std::map<std::string, int> ends;
   for (const Change::Direction then : {Change::Direction::kForward, Change::Direction::kUndo}) {
@@ -72,10 +75,9 @@
   EXPECT_GT(ends["rolled back"], 0);
 }
 
-// Two deaths: every eleventh pair here; CRASH_PAIRS=1 plays them all.
-TEST(CrashPoints, NeitherDoesASecondDeathOnTheWayBack) {
-  const char* set = std::getenv("CRASH_PAIRS");
-  const int stride = set == nullptr ? 11 : std::max(1, std::atoi(set));
+// Two crashes: every eleventh pair here; CRASH_PAIRS=1 plays them all.
+TEST(CrashPoints, TwoAgentCrashesLeaveAKnownState) {
+  const int stride = std::max(1, static_cast<int>(EnvironmentNumber("CRASH_PAIRS", 11)));
   const int points = testing::Play(kScriptSeed, testing::Script{}).points;
   int pair = 0;
   int both = 0;
@@ -91,7 +93,7 @@
   EXPECT_GT(both, pair / stride / 2);
 }
 
-TEST(CrashPoints, AToolThatDiesAfterAnyCommandIsFollowedByAnother) {
+TEST(CrashPoints, AnotherToolFinishesTheChangeAfterACrashAtAnyCommand) {
   const testing::History calm = testing::Play(kScriptSeed, testing::Script{});
   ASSERT_GT(calm.commands, 40);
   std::map<std::string, int> ends;
--- a/tests/rollout/instance_test.cpp
+++ b/tests/rollout/instance_test.cpp
@@ -1,4 +1,4 @@
-// What an agent does with one instance.
+// How an agent supervises one instance and carries a step to its end.
 #include "rollout/instance.h"
 
 #include <chrono>
@@ -69,8 +69,8 @@
   EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2"), 60), "");
 }
 
-// The agent dies after each durable step and before each action; what it sees then tells the rest.
-TEST(Instance, AgentThatDiedGoesOnFromWhatItSees) {
+// The agent dies after each durable step and before each action; what it finds then determines the rest.
+TEST(Instance, RestartedAgentContinuesTheStepFromTheProcessState) {
   Instance accepted(Running(), {});
   ASSERT_EQ(accepted.Accept(kRestart), Instance::Verdict::kAccepted);
   const InstanceRecord record = accepted.record();
@@ -81,26 +81,26 @@
   EXPECT_EQ(after(Process("", "g1")), "stop");
   ProcessState draining = Process("", "g1", false);
   draining.draining = true;
-  EXPECT_EQ(after(draining), "") << "it has been told";
+  EXPECT_EQ(after(draining), "") << "it drains already";
   EXPECT_EQ(after({}), "start g2 c1/do.0");
   EXPECT_EQ(after(Process("c1/do.0", "g2", false)), "") << "it has been started";
   EXPECT_EQ(after(Process("c1/do.0", "g2")), "c1/do.0 done");
 }
 
-TEST(Instance, OneThatIgnoresThePlannedStopIsKilledOnce) {
+TEST(Instance, ProcessThatIgnoresThePlannedStopIsKilledOnce) {
   InstanceLimits limits;
   limits.stop = milliseconds(1000);
   Instance instance(Running(), limits);
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
-  const ProcessState deaf = Process("", "g1");
-  EXPECT_EQ(Reconcile(instance, deaf, 0), "stop");
-  EXPECT_EQ(Reconcile(instance, deaf, 999), "");
-  EXPECT_EQ(Reconcile(instance, deaf, 1000), "kill; killed: it ignored the planned stop");
-  EXPECT_EQ(Reconcile(instance, deaf, 1100), "");
+  const ProcessState ignores_stop = Process("", "g1");
+  EXPECT_EQ(Reconcile(instance, ignores_stop, 0), "stop");
+  EXPECT_EQ(Reconcile(instance, ignores_stop, 999), "");
+  EXPECT_EQ(Reconcile(instance, ignores_stop, 1000), "kill; killed: it ignored the planned stop");
+  EXPECT_EQ(Reconcile(instance, ignores_stop, 1100), "");
   EXPECT_EQ(Reconcile(instance, {}, 1200), "start g2 c1/do.0");
 }
 
-TEST(Instance, StepWhoseProcessNeverGetsReadyOrEndsAtOnceHasFailed) {
+TEST(Instance, StepFailsWhenItsProcessDoesNotBecomeReadyOrKeepsExiting) {
   InstanceLimits limits;
   limits.ready = milliseconds(1000);
   Instance slow(Running(), limits);
@@ -129,9 +129,9 @@
   std::vector<int> starts;
   std::string held;
   for (int now = 10; now < 60'000; now += 10) {
-    const std::string told = Reconcile(instance, {}, now);
-    if (told.starts_with("start g1")) starts.push_back(now);
-    if (told.starts_with("crash loop")) held += told;
+    const std::string actions = Reconcile(instance, {}, now);
+    if (actions.starts_with("start g1")) starts.push_back(now);
+    if (actions.starts_with("crash loop")) held += actions;
   }
   ASSERT_EQ(starts.size(), 4U) << "the first end, and four more";
   for (std::size_t i = 2; i < starts.size(); ++i) {
@@ -143,14 +143,14 @@
   EXPECT_EQ(Reconcile(instance, {}, 60'000), "start g2 c1/do.0");
 }
 
-TEST(Instance, OneThatWasKilledOutsideIsStartedAgain) {
+TEST(Instance, KilledProcessIsRestarted) {
   Instance instance(Running(), {});
   Reconcile(instance, Process("", "g1"), 0);
   EXPECT_EQ(Reconcile(instance, {}, 10), "");
   EXPECT_EQ(Reconcile(instance, {}, 210), "start g1 ");
 }
 
-TEST(Instance, UndoTakesOverAndTheStepIsStaleThen) {
+TEST(Instance, UndoSupersedesTheStepAndMakesItStale) {
   const Step undo{"c1", StepKind::kRestart, true, "g1"};
   Instance halfway(Running(), {});
   ASSERT_EQ(halfway.Accept(kRestart), Instance::Verdict::kAccepted);
@@ -167,7 +167,7 @@
   EXPECT_EQ(untouched.Accept(kRestart), Instance::Verdict::kStale) << "it was still on its way";
 }
 
-TEST(Instance, FailedStepIsTakenAgainFromALaterHolderOnly) {
+TEST(Instance, FailedStepIsAcceptedAgainFromALaterHolderOnly) {
   InstanceLimits limits;
   limits.ready = milliseconds(1000);
   Instance instance(Running(), limits);
@@ -188,7 +188,7 @@
   EXPECT_EQ(Reconcile(instance, Process("c1/do.1", "g2"), 2300), "") << "it is done";
 }
 
-TEST(Instance, AnotherChangeWaitsForTheStep) {
+TEST(Instance, StepOfAnotherChangeIsBusyUntilTheFirstEnds) {
   Instance instance(Running(), {});
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(instance.Accept({"c2", StepKind::kRestart, false, "g3", 0, "g2"}), Instance::Verdict::kBusy);
@@ -196,7 +196,7 @@
   EXPECT_EQ(instance.record().generation, "g2");
 }
 
-TEST(Instance, StepFromAnotherStateIsNotTaken) {
+TEST(Instance, StepFromAnotherGenerationIsRefused) {
   Instance instance(Running(), {});
   Step step = kRestart;
   step.from = "g0";
@@ -205,7 +205,7 @@
   EXPECT_EQ(instance.record(), before);
 }
 
-TEST(Instance, StoppedOneStaysDown) {
+TEST(Instance, StoppedInstanceStaysDown) {
   Instance instance(Running(), {});
   ASSERT_EQ(instance.Accept({"c1", StepKind::kStop, false, "g1", 0, "g1"}), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(instance, Process("", "g1"), 0), "stop");
--- a/tests/rollout/plan_test.cpp
+++ b/tests/rollout/plan_test.cpp
@@ -13,14 +13,14 @@
 using testing::TwoHallPlan;
 
 TEST(Plan, CanaryFirstThenHallByHall) {
-  using Order = std::vector<std::vector<std::size_t>>;
-  EXPECT_EQ(Batches(TwoHallPlan(4, 2)), (Order{{0}, {1, 2}, {3}, {4, 5}, {6, 7}}));
+  using Batching = std::vector<std::vector<std::size_t>>;
+  EXPECT_EQ(Batches(TwoHallPlan(4, 2)), (Batching{{0}, {1, 2}, {3}, {4, 5}, {6, 7}}));
   Plan plan = TwoHallPlan(3, 8);
   plan.policy.canary = false;
-  EXPECT_EQ(Batches(plan), (Order{{0, 1, 2}, {3, 4, 5}}));
+  EXPECT_EQ(Batches(plan), (Batching{{0, 1, 2}, {3, 4, 5}}));
 }
 
-TEST(Plan, FaultsAreNamed) {
+TEST(Plan, ValidationNamesEachFault) {
   EXPECT_EQ(ValidatePlan(TwoHallPlan(2, 1)), std::nullopt);
   EXPECT_EQ(ValidatePlan(TwoHallPlan(0, 1)), "no instance is named; name at least one");
   EXPECT_EQ(ValidatePlan(TwoHallPlan(2, 0)),
