--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -1,7 +1,8 @@
-// mothrack-agent: looks after the sidecars of one machine, by its fleet file.
+// mothrack-agent: supervises the sidecars of one machine, by its agent file (src/agent/agent_file.h). One
+// thread: everything runs in one event loop. Exit code 1: the file has a fault, or something it names can't
+// be used.
 #include <fcntl.h>
 #include <sys/file.h>
-#include <unistd.h>
 
 #include <CLI/CLI.hpp>
 #include <boost/asio/io_context.hpp>
@@ -10,15 +11,16 @@
 #include <boost/asio/steady_timer.hpp>
 #include <csignal>
 #include <filesystem>
-#include <fstream>
-#include <functional>
 #include <iostream>
-#include <sstream>
+#include <map>
+#include <optional>
+#include <stdexcept>
 #include <string>
 
 #include "agent/agent_api.h"
 #include "agent/agent_file.h"
 #include "agent/clock.h"
+#include "agent/posix_io.h"
 #include "agent/sqlite_store.h"
 #ifdef MOTHRACK_WITH_PEERS
 #include "gossip/link.h"
@@ -27,91 +29,132 @@
 namespace mothrack::agent {
 namespace {
 
-// Two agents over one directory would each start what the other started.
-int LockDirectory(const std::string& directory) {
+// Two agents over one directory would each start what the other started. The lock lasts as long as the
+// result.
+UniqueFd LockDirectory(const std::string& directory) {
   std::filesystem::create_directories(directory);
   const std::string path = directory + "/agent.lock";
-  const int lock = ::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, 0600);
-  if (lock < 0) throw std::runtime_error(path + ": can't be opened");
-  if (::flock(lock, LOCK_EX | LOCK_NB) != 0) {
+  UniqueFd lock(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kPrivateMode));
+  if (!lock) throw std::runtime_error(path + ": can't be opened");
+  if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0) {
     throw std::runtime_error(directory + ": another agent has it; end that first, or give this one its own");
   }
   return lock;
 }
 
-// The generations that the file names are kept like those that a tool sends.
-void KeepNamed(const AgentFile& file, ProcessSupervisor& processes) {
+// Stores the generations that the file names, like those that a tool sends. Throws FileError.
+void StoreNamedGenerations(const AgentFile& file, ProcessSupervisor& processes) {
   for (const auto& [name, from] : file.generations) {
     if (processes.HasGeneration(name)) continue;
-    std::map<std::string, std::string> files;
+    GenerationStore::Files files;
     std::error_code error;
     for (std::filesystem::directory_iterator it(from, error), end; !error && it != end; it.increment(error)) {
-      std::ostringstream text;
-      text << std::ifstream(it->path(), std::ios::binary).rdbuf();
-      files[it->path().filename().string()] = text.str();
+      files[it->path().filename().string()] = ReadFile(it->path());
     }
-    if (error) throw FileError("generations." + name + ": " + from + ": " + error.message());
+    const std::string key = "generations." + name + ": ";
+    if (error) throw FileError(key + from + ": " + error.message());
     if (const auto rejection = processes.generations().Keep(name, files)) {
-      throw FileError("generations." + name + ": " + rejection->message);
+      throw FileError(key + rejection->message);
     }
   }
 }
 
-// While a door is awaited.
-constexpr rollout::Duration kSoon{20};
+std::map<std::string, std::string> FirstGenerations(const AgentFile& file) {
+  std::map<std::string, std::string> generations;
+  for (const InstanceSpec& spec : file.instances) generations[spec.name] = spec.generation;
+  return generations;
+}
+
+// Polls the processes and reconciles the instances: at each tick, and whenever something has changed.
+class SupervisionLoop {
+ public:
+  SupervisionLoop(boost::asio::io_context& io, ProcessSupervisor& processes, Agent& agent)
+      : io_(io), processes_(processes), agent_(agent), tick_(io) {}
+
+  void RunNow() {
+    processes_.Poll(SteadyNow());
+    agent_.ReconcileInstances(SteadyNow(), UnixNow());
+    tick_.expires_after(processes_.awaits_state_change() ? kTickWhileAwaiting : Agent::kTickInterval);
+    tick_.async_wait([this](const boost::system::error_code& error) {
+      if (!error) RunNow();
+    });
+  }
+  // At the next turn of the event loop: the caller may be in the middle of its own work.
+  void RunSoon() {
+    boost::asio::post(io_, [this] { RunNow(); });
+  }
+
+ private:
+  // While a process is about to become ready or to end.
+  static constexpr rollout::Duration kTickWhileAwaiting{20};
+
+  boost::asio::io_context& io_;
+  ProcessSupervisor& processes_;
+  Agent& agent_;
+  boost::asio::steady_timer tick_;
+};
+
+#ifdef MOTHRACK_WITH_PEERS
+// Gossip with the other processes of the machine's hall. SIGHUP makes it read its keys again, and nothing
+// else.
+class PeersRunner {
+ public:
+  PeersRunner(boost::asio::io_context& io, const gossip::Settings& settings, const std::string& name,
+              runtime::Logger& log)
+      : client_(io, settings, name, log), reload_signal_(io, SIGHUP) {
+    if (const auto local = client_.local()) std::cerr << name << ": peers on " << *local << std::endl;
+    ReloadKeysOnSignal();
+  }
+
+  nlohmann::json Report() const { return client_.Report(); }
+  // Tells the others that this process ends.
+  void Leave() { client_.Leave(); }
+
+ private:
+  void ReloadKeysOnSignal() {
+    reload_signal_.async_wait([this](const boost::system::error_code& error, int) {
+      if (error) return;
+      client_.ReloadKeys();
+      ReloadKeysOnSignal();
+    });
+  }
 
+  gossip::GossipClient client_;
+  boost::asio::signal_set reload_signal_;
+};
+#endif
+
+// Runs the agent until SIGTERM or SIGINT; its exit code. Throws what is wrong at the start.
 int Run(const std::string& path) {
   std::signal(SIGPIPE, SIG_IGN);
-  // A file at its limit is a disk that takes no more: what write() returns says so, to the store and to
-  // whoever asks. Its sidecars inherit that, or a line of their log would end them.
+  // A write beyond the limit of a file's size then fails with EFBIG, which the store reports as a failed
+  // save. The sidecars inherit that, as one line of their log too many would end them otherwise.
   std::signal(SIGXFSZ, SIG_IGN);
   const AgentFile file = LoadAgentFile(path);
-  const int lock = LockDirectory(file.directory);
+  const UniqueFd lock = LockDirectory(file.directory);
   boost::asio::io_context io(1);
   runtime::Logger log(file.name);
   SqliteStore store(file.directory + "/state.sqlite");
   if (!store.fault().empty()) log.Line(store.fault() + "; no change is taken until then");
   ProcessSupervisor processes(io, file.directory, file.instances, file.check, file.process_limits, log);
-  KeepNamed(file, processes);
-  std::map<std::string, std::string> instances;
-  for (const InstanceSpec& spec : file.instances) instances[spec.name] = spec.generation;
-  Agent agent(store, processes, store.stored(), instances, file.limits, file.lease_time, SteadyNow());
+  StoreNamedGenerations(file, processes);
+  Agent agent(store, processes, store.stored(), FirstGenerations(file), file.limits, file.lease_time,
+              SteadyNow());
   AgentApi api(io, file, agent, processes, store, log);
   std::cerr << file.name << ": agent on " << api.local() << std::endl;
 #ifdef MOTHRACK_WITH_PEERS
-  std::optional<gossip::GossipClient> peers;
-  boost::asio::signal_set rekey(io);
-  std::function<void()> rekey_on_signal;
+  std::optional<PeersRunner> peers;
   if (file.peers) {
     peers.emplace(io, *file.peers, file.name, log);
     api.ReportPeers([&] { return peers->Report(); });
-    if (const auto local = peers->local()) std::cerr << file.name << ": peers on " << *local << std::endl;
-    rekey.add(SIGHUP);  // reads the keys again, and nothing else
-    rekey_on_signal = [&] {
-      rekey.async_wait([&](const boost::system::error_code& error, int) {
-        if (error) return;
-        peers->ReloadKeys();
-        rekey_on_signal();
-      });
-    };
-    rekey_on_signal();
   }
 #endif
 
-  boost::asio::steady_timer tick(io);
-  const std::function<void()> live = [&] {
-    processes.Poll(SteadyNow());
-    agent.ReconcileInstances(SteadyNow(), UnixNow());
-    tick.expires_after(processes.awaits_state_change() ? kSoon : Agent::kTickInterval);
-    tick.async_wait([&](const boost::system::error_code& error) {
-      if (!error) live();
-    });
-  };
-  // At the next turn of the event loop: what tells may be in the midst of its work.
-  processes.OnStateChange([&] { boost::asio::post(io, live); });
-  api.OnStepAccepted([&] { boost::asio::post(io, live); });
-  live();
-  // Its instances run on: a later agent adopts them.
+  SupervisionLoop supervision(io, processes, agent);
+  processes.OnStateChange([&] { supervision.RunSoon(); });
+  api.OnStepAccepted([&] { supervision.RunSoon(); });
+  supervision.RunNow();
+  // The sidecars go on running: the next agent adopts them.
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
   stop.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
@@ -127,14 +170,11 @@
       log.Line(e.what());  // one caller's trouble must not end the others
     }
   }
-  ::close(lock);
   return 0;
 }
 
-}  // namespace
-}  // namespace mothrack::agent
-
-int main(int argc, char** argv) {
+// Parses the command line and does what it says; the exit code.
+int RunCommandLine(int argc, char** argv) {
   CLI::App app{
       "mothrack-agent: looks after the sidecars of one machine. It starts, stops and restarts them, adopts "
       "what runs\n"
@@ -149,9 +189,17 @@
   } catch (const CLI::ParseError& e) {
     return app.exit(e);
   }
+  if (!check) return Run(path);
+  LoadAgentFile(path);
+  return 0;
+}
+
+}  // namespace
+}  // namespace mothrack::agent
+
+int main(int argc, char** argv) {
   try {
-    if (check) return mothrack::agent::LoadAgentFile(path), 0;
-    return mothrack::agent::Run(path);
+    return mothrack::agent::RunCommandLine(argc, argv);
   } catch (const std::exception& e) {
     std::cerr << "mothrack-agent: " << e.what() << std::endl;
     return 1;
