--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -33,72 +33,39 @@
   rollout::Epoch highest = 0;
 };
 
-std::optional<Driver::LeaseAnswer> Driver::ParseLeaseAnswer(const admin_client::Response& response) {
-  if (!response.ok()) return std::nullopt;
-  try {
-    LeaseAnswer answer;
-    answer.verdict = rollout::VerdictFrom(rollout::Member<std::string>(response.body, "verdict"));
-    answer.refused = rollout::Member<std::string>(response.body, "refused");
-    answer.open = rollout::Member<bool>(response.body, "open");
-    answer.highest = rollout::Member<std::uint64_t>(response.body, "highest");
-    if (response.body.contains("holder")) answer.holder = rollout::HolderFrom(response.body["holder"]);
-    return answer;
-  } catch (const std::invalid_argument&) {
-    return std::nullopt;
-  }
-}
-
 Driver::Driver(boost::asio::io_context& io, std::vector<agent::AgentEndpoint> agents,
                std::function<void(const std::string&)> say)
     : io_(io), agents_(std::move(agents)), say_(std::move(say)) {}
 
-const agent::AgentEndpoint& Driver::EndpointOf(const std::string& agent) const {
-  return *std::find_if(agents_.begin(), agents_.end(),
-                       [&](const agent::AgentEndpoint& a) { return a.name == agent; });
-}
-
-void Driver::RunEventLoop(rollout::Duration time) {
-  io_.restart();
-  // Whatever has arrived is handled at once; `time` only bounds the wait for the first event.
-  if (io_.run_one_for(time) > 0) io_.poll();
-}
-
-void Driver::Send(const std::string& agent, const std::string& target, json body,
-                  std::function<void(const admin_client::Response&)> on_response) {
-  const agent::AgentEndpoint& endpoint = EndpointOf(agent);
-  admin_client::SendRequest(
-      io_, {endpoint.address, endpoint.token, "POST", target, std::move(body)}, kTimeout,
-      [this, agent, run_lifetime = std::weak_ptr(run_lifetime_),
-       on_response = std::move(on_response)](const admin_client::Response& reply) {
-        if (run_lifetime.expired()) return;
-        try {
-          on_response(reply);
-        } catch (const std::invalid_argument& e) {
-          say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
-        }
-      });
+Driver::Outcome Driver::CarryOut(const rollout::Plan& plan, rollout::Change::Direction direction,
+                                 bool resuming, const std::string& who, rollout::Duration lease_time) {
+  const rollout::Holder holder = HolderOf(plan, who);
+  const Lease lease = AcquireLease(plan, holder, resuming);
+  Outcome outcome;
+  outcome.refused = lease.refused;
+  if (!outcome.refused.empty()) return outcome;
+  rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
+  RunChange(change, lease.epoch, holder.claim_id);
+  outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
+  outcome.why = change.end() ? change.reason() : "interrupted; what was taken is finished by the agents";
+  if (!change.end()) say_(plan.id + " held: " + outcome.why);
+  const bool close = outcome.end != rollout::ChangeEnd::kHeld;
+  const auto missing = Release(lease.epoch, holder.claim_id, close);
+  if (close) outcome.left_open = missing;
+  return outcome;
 }
 
-std::map<std::string, admin_client::Response> Driver::RequestAll(const std::string& method,
-                                                                 const std::string& target,
-                                                                 const std::optional<json>& body,
-                                                                 const std::set<std::string>& only) {
-  // Shared with the handlers, which the event loop may destroy after this has returned.
-  const auto replies = std::make_shared<std::map<std::string, admin_client::Response>>();
-  std::size_t requests_sent = 0;
-  for (const agent::AgentEndpoint& agent : agents_) {
-    if (!only.empty() && !only.contains(agent.name)) continue;
-    ++requests_sent;
-    admin_client::SendRequest(
-        io_, {agent.address, agent.token, method, target, body}, kTimeout,
-        [replies, name = agent.name](admin_client::Response reply) { (*replies)[name] = std::move(reply); });
-  }
-  while (replies->size() < requests_sent) RunEventLoop(kLoopTurn);
-  return *replies;
+Driver::Outcome Driver::Close(const rollout::Plan& plan, const std::string& who) {
+  const rollout::Holder holder = HolderOf(plan, who);
+  const Lease lease = AcquireLease(plan, holder, true);
+  Outcome outcome;
+  outcome.refused = lease.refused;
+  if (!outcome.refused.empty()) return outcome;
+  outcome.end = rollout::ChangeEnd::kAborted;
+  outcome.left_open = Release(lease.epoch, holder.claim_id, true);
+  return outcome;
 }
 
-void Driver::EndRun() { run_lifetime_ = std::make_shared<int>(); }
-
 rollout::Holder Driver::HolderOf(const rollout::Plan& plan, const std::string& who) {
   char host[64] = "";
   ::gethostname(host, sizeof host - 1);
@@ -236,16 +203,6 @@
   EndRun();
 }
 
-bool Driver::ConfirmLease(rollout::Change& change, const std::string& agent, const LeaseAnswer& answer,
-                          rollout::TimePoint sent_at) {
-  if (answer.verdict != rollout::Lessor::Verdict::kGranted) {
-    change.OnFenced(agent, answer.holder ? answer.holder->who : "");
-    return false;
-  }
-  change.OnLeaseRenewed(agent, sent_at);
-  return true;
-}
-
 void Driver::SendStep(ChangeRun& run, const rollout::ChangeCommand& command, rollout::TimePoint now) {
   Send(command.name.agent, "/v1/take",
        {{"epoch", run.epoch},
@@ -278,6 +235,31 @@
        });
 }
 
+bool Driver::ConfirmLease(rollout::Change& change, const std::string& agent, const LeaseAnswer& answer,
+                          rollout::TimePoint sent_at) {
+  if (answer.verdict != rollout::Lessor::Verdict::kGranted) {
+    change.OnFenced(agent, answer.holder ? answer.holder->who : "");
+    return false;
+  }
+  change.OnLeaseRenewed(agent, sent_at);
+  return true;
+}
+
+std::optional<Driver::LeaseAnswer> Driver::ParseLeaseAnswer(const admin_client::Response& response) {
+  if (!response.ok()) return std::nullopt;
+  try {
+    LeaseAnswer answer;
+    answer.verdict = rollout::VerdictFrom(rollout::Member<std::string>(response.body, "verdict"));
+    answer.refused = rollout::Member<std::string>(response.body, "refused");
+    answer.open = rollout::Member<bool>(response.body, "open");
+    answer.highest = rollout::Member<std::uint64_t>(response.body, "highest");
+    if (response.body.contains("holder")) answer.holder = rollout::HolderFrom(response.body["holder"]);
+    return answer;
+  } catch (const std::invalid_argument&) {
+    return std::nullopt;
+  }
+}
+
 std::set<std::string> Driver::Release(rollout::Epoch epoch, const std::string& claim_id, bool close) {
   constexpr int kAttempts = 3;  // each waits for kTimeout at most
   std::set<std::string> missing;
@@ -291,33 +273,51 @@
   return missing;
 }
 
-Driver::Outcome Driver::CarryOut(const rollout::Plan& plan, rollout::Change::Direction direction,
-                                 bool resuming, const std::string& who, rollout::Duration lease_time) {
-  const rollout::Holder holder = HolderOf(plan, who);
-  const Lease lease = AcquireLease(plan, holder, resuming);
-  Outcome outcome;
-  outcome.refused = lease.refused;
-  if (!outcome.refused.empty()) return outcome;
-  rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
-  RunChange(change, lease.epoch, holder.claim_id);
-  outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
-  outcome.why = change.end() ? change.reason() : "interrupted; what was taken is finished by the agents";
-  if (!change.end()) say_(plan.id + " held: " + outcome.why);
-  const bool close = outcome.end != rollout::ChangeEnd::kHeld;
-  const auto missing = Release(lease.epoch, holder.claim_id, close);
-  if (close) outcome.left_open = missing;
-  return outcome;
+std::map<std::string, admin_client::Response> Driver::RequestAll(const std::string& method,
+                                                                 const std::string& target,
+                                                                 const std::optional<json>& body,
+                                                                 const std::set<std::string>& only) {
+  // Shared with the handlers, which the event loop may destroy after this has returned.
+  const auto replies = std::make_shared<std::map<std::string, admin_client::Response>>();
+  std::size_t requests_sent = 0;
+  for (const agent::AgentEndpoint& agent : agents_) {
+    if (!only.empty() && !only.contains(agent.name)) continue;
+    ++requests_sent;
+    admin_client::SendRequest(
+        io_, {agent.address, agent.token, method, target, body}, kTimeout,
+        [replies, name = agent.name](admin_client::Response reply) { (*replies)[name] = std::move(reply); });
+  }
+  while (replies->size() < requests_sent) RunEventLoop(kLoopTurn);
+  return *replies;
 }
 
-Driver::Outcome Driver::Close(const rollout::Plan& plan, const std::string& who) {
-  const rollout::Holder holder = HolderOf(plan, who);
-  const Lease lease = AcquireLease(plan, holder, true);
-  Outcome outcome;
-  outcome.refused = lease.refused;
-  if (!outcome.refused.empty()) return outcome;
-  outcome.end = rollout::ChangeEnd::kAborted;
-  outcome.left_open = Release(lease.epoch, holder.claim_id, true);
-  return outcome;
+const agent::AgentEndpoint& Driver::EndpointOf(const std::string& agent) const {
+  return *std::find_if(agents_.begin(), agents_.end(),
+                       [&](const agent::AgentEndpoint& a) { return a.name == agent; });
+}
+
+void Driver::Send(const std::string& agent, const std::string& target, json body,
+                  std::function<void(const admin_client::Response&)> on_response) {
+  const agent::AgentEndpoint& endpoint = EndpointOf(agent);
+  admin_client::SendRequest(
+      io_, {endpoint.address, endpoint.token, "POST", target, std::move(body)}, kTimeout,
+      [this, agent, run_lifetime = std::weak_ptr(run_lifetime_),
+       on_response = std::move(on_response)](const admin_client::Response& reply) {
+        if (run_lifetime.expired()) return;
+        try {
+          on_response(reply);
+        } catch (const std::invalid_argument& e) {
+          say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
+        }
+      });
 }
 
+void Driver::RunEventLoop(rollout::Duration time) {
+  io_.restart();
+  // Whatever has arrived is handled at once; `time` only bounds the wait for the first event.
+  if (io_.run_one_for(time) > 0) io_.poll();
+}
+
+void Driver::EndRun() { run_lifetime_ = std::make_shared<int>(); }
+
 }  // namespace mothrack::ctl
--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -111,125 +111,6 @@
   }
 }
 
-void Change::SendToInstance(ChangeCommand::Kind kind, std::size_t target, TimePoint now,
-                            std::vector<ChangeCommand>& commands) {
-  progress_[target].last_poll_at = now;
-  ChangeCommand command{kind, plan_.targets[target].name, {}, ++last_number_, {}};
-  if (kind == ChangeCommand::Kind::kSendStep) {
-    progress_[target].command_sent = true;
-    command.step = StepOf(target);
-  }
-  commands.push_back(std::move(command));
-}
-
-Step Change::StepOf(std::size_t target) const {
-  const Target& t = plan_.targets[target];
-  const bool undo = direction_ == Direction::kUndo;
-  // The undo of a stop is a start.
-  return {plan_.id, undo ? StepKind::kRestart : plan_.kind, undo, undo ? t.from : t.to, epoch_, t.from};
-}
-
-bool Change::StepAccepted(std::size_t target) const {
-  const auto& report = progress_[target].report;
-  if (!report || report->phase == Phase::kNone || report->step.change != plan_.id) return false;
-  const bool failed_before = report->phase == Phase::kFailed && report->step.epoch < epoch_;
-  return report->step.undo == (direction_ == Direction::kUndo) && !failed_before;
-}
-
-bool Change::MayNeedUndo(std::size_t target) const {
-  const Progress& progress = progress_[target];
-  return progress.command_sent || (progress.report && progress.report->phase != Phase::kNone &&
-                                   progress.report->step.change == plan_.id);
-}
-
-std::string Change::LabelOf(std::size_t target) const {
-  const InstanceName& name = plan_.targets[target].name;
-  return name.agent + '/' + name.instance;
-}
-
-void Change::Finish(ChangeEnd end, const std::string& reason, std::vector<ChangeCommand>& commands) {
-  end_ = end;
-  reason_ = reason;
-  constexpr const char* kNames[] = {"completed", "held", "rolled back", "aborted"};
-  const std::string name = kNames[static_cast<std::size_t>(end)];
-  commands.push_back(
-      {ChangeCommand::Kind::kSay, {}, {}, 0, plan_.id + ' ' + name + (reason.empty() ? "" : ": " + reason)});
-}
-
-void Change::HandleFailure(const std::string& reason, TimePoint now, std::vector<ChangeCommand>& commands) {
-  if (direction_ == Direction::kUndo) {
-    return Finish(ChangeEnd::kHeld,
-                  reason + (rollback_reason_.empty() ? "" : ", while undoing: " + rollback_reason_),
-                  commands);
-  }
-  if (plan_.policy.on_failure == OnFailure::kHold) return Finish(ChangeEnd::kHeld, reason, commands);
-  commands.push_back({ChangeCommand::Kind::kSay, {}, {}, 0, plan_.id + " turns back: " + reason});
-  rollback_reason_ = reason;
-  direction_ = Direction::kUndo;
-  // The failed batch first, as no other one may start before it is available again. Then all of them, also
-  // the later ones: an earlier holder may have come further than this one, which began at the first batch
-  // again.
-  const std::vector<std::size_t> current = batches_[batch_];
-  batches_.erase(batches_.begin() + static_cast<std::ptrdiff_t>(batch_));
-  batches_.push_back(current);
-  std::reverse(batches_.begin(), batches_.end());
-  for (Progress& progress : progress_) {
-    progress.baseline.reset();
-    progress.after_step.reset();
-    progress.last_command_at.reset();
-  }
-  EnterBatch(0, now);
-}
-
-void Change::EnterBatch(std::size_t batch, TimePoint now) {
-  batch_ = batch;
-  batch_entered_at_ = now;
-  batch_started_at_.reset();
-  healthy_since_.reset();
-  // Polls at once: the batch starts by reports that are newer than the end of the batch before it.
-  for (Progress& progress : progress_) progress.last_poll_at.reset();
-}
-
-std::string Change::BatchBlocker(const std::vector<std::size_t>& batch) const {
-  for (std::size_t i = 0; i < progress_.size(); ++i) {
-    if (std::find(batch.begin(), batch.end(), i) != batch.end()) continue;
-    const Progress& progress = progress_[i];
-    // An older report may be from before the last batch.
-    if (!progress.report || progress.polled_at < batch_entered_at_) return "no news of " + LabelOf(i);
-    const bool stopped_on_purpose = plan_.kind == StepKind::kStop && MayNeedUndo(i) &&
-                                    progress.report->phase == Phase::kDone && !progress.report->step.undo;
-    if (!stopped_on_purpose && !progress.report->available()) return LabelOf(i) + " is not available";
-  }
-  return {};
-}
-
-std::string Change::HealthFault(std::size_t target) const {
-  const Report& now = *progress_[target].report;
-  const Step step = StepOf(target);
-  if (step.kind == StepKind::kStop) return now.running ? LabelOf(target) + " runs again" : "";
-  if (!now.available()) return LabelOf(target) + " is not ready any more";
-  if (now.generation != step.generation) return LabelOf(target) + " runs with another generation";
-  return FailureShareFault(target);
-}
-
-std::string Change::FailureShareFault(std::size_t target) const {
-  const Progress& progress = progress_[target];
-  if (!progress.after_step || !progress.baseline) return {};
-  const Report& now = *progress.report;
-  const Report& baseline = *progress.baseline;
-  // The counters are of the process, so that a smaller one means another process.
-  if (now.requests < progress.after_step->requests) return LabelOf(target) + " ended while it was watched";
-  const std::uint64_t requests = now.requests - progress.after_step->requests;
-  const std::uint64_t failed_requests = now.failed_requests - progress.after_step->failed_requests;
-  const double failure_share = Share(failed_requests, requests);
-  const bool baseline_counts = baseline.requests >= plan_.policy.min_requests;
-  const double baseline_share = baseline_counts ? Share(baseline.failed_requests, baseline.requests) : 0;
-  if (requests < plan_.policy.min_requests) return {};
-  if (failure_share <= baseline_share + plan_.policy.max_failure_increase) return {};
-  return LabelOf(target) + " refuses or fails " + Percent(failure_share) + " of its requests, before " +
-         Percent(baseline_share);
-}
-
 void Change::AdvanceBatch(TimePoint now, std::vector<ChangeCommand>& commands) {
   while (true) {
     if (batch_ == batches_.size()) {
@@ -245,6 +126,15 @@
   }
 }
 
+void Change::EnterBatch(std::size_t batch, TimePoint now) {
+  batch_ = batch;
+  batch_entered_at_ = now;
+  batch_started_at_.reset();
+  healthy_since_.reset();
+  // Polls at once: the batch starts by reports that are newer than the end of the batch before it.
+  for (Progress& progress : progress_) progress.last_poll_at.reset();
+}
+
 std::vector<std::size_t> Change::BatchTargets() const {
   std::vector<std::size_t> targets = batches_[batch_];
   if (direction_ == Direction::kUndo) {
@@ -280,6 +170,19 @@
   return true;
 }
 
+std::string Change::BatchBlocker(const std::vector<std::size_t>& batch) const {
+  for (std::size_t i = 0; i < progress_.size(); ++i) {
+    if (std::find(batch.begin(), batch.end(), i) != batch.end()) continue;
+    const Progress& progress = progress_[i];
+    // An older report may be from before the last batch.
+    if (!progress.report || progress.polled_at < batch_entered_at_) return "no news of " + LabelOf(i);
+    const bool stopped_on_purpose = plan_.kind == StepKind::kStop && MayNeedUndo(i) &&
+                                    progress.report->phase == Phase::kDone && !progress.report->step.undo;
+    if (!stopped_on_purpose && !progress.report->available()) return LabelOf(i) + " is not available";
+  }
+  return {};
+}
+
 bool Change::CompleteSteps(const std::vector<std::size_t>& targets, TimePoint now,
                            std::vector<ChangeCommand>& commands) {
   bool all_steps_done = true;
@@ -323,6 +226,13 @@
   return StepState::kDone;
 }
 
+bool Change::StepAccepted(std::size_t target) const {
+  const auto& report = progress_[target].report;
+  if (!report || report->phase == Phase::kNone || report->step.change != plan_.id) return false;
+  const bool failed_before = report->phase == Phase::kFailed && report->step.epoch < epoch_;
+  return report->step.undo == (direction_ == Direction::kUndo) && !failed_before;
+}
+
 void Change::CommandStep(std::size_t target, TimePoint now, std::vector<ChangeCommand>& commands) {
   auto& last_command_at = progress_[target].last_command_at;
   if (last_command_at && now - *last_command_at < kRetryInterval) return;
@@ -343,4 +253,94 @@
   return ReportsAreFresh(targets, *healthy_since_ + watch_interval);
 }
 
+std::string Change::HealthFault(std::size_t target) const {
+  const Report& now = *progress_[target].report;
+  const Step step = StepOf(target);
+  if (step.kind == StepKind::kStop) return now.running ? LabelOf(target) + " runs again" : "";
+  if (!now.available()) return LabelOf(target) + " is not ready any more";
+  if (now.generation != step.generation) return LabelOf(target) + " runs with another generation";
+  return FailureShareFault(target);
+}
+
+std::string Change::FailureShareFault(std::size_t target) const {
+  const Progress& progress = progress_[target];
+  if (!progress.after_step || !progress.baseline) return {};
+  const Report& now = *progress.report;
+  const Report& baseline = *progress.baseline;
+  // The counters are of the process, so that a smaller one means another process.
+  if (now.requests < progress.after_step->requests) return LabelOf(target) + " ended while it was watched";
+  const std::uint64_t requests = now.requests - progress.after_step->requests;
+  const std::uint64_t failed_requests = now.failed_requests - progress.after_step->failed_requests;
+  const double failure_share = Share(failed_requests, requests);
+  const bool baseline_counts = baseline.requests >= plan_.policy.min_requests;
+  const double baseline_share = baseline_counts ? Share(baseline.failed_requests, baseline.requests) : 0;
+  if (requests < plan_.policy.min_requests) return {};
+  if (failure_share <= baseline_share + plan_.policy.max_failure_increase) return {};
+  return LabelOf(target) + " refuses or fails " + Percent(failure_share) + " of its requests, before " +
+         Percent(baseline_share);
+}
+
+void Change::HandleFailure(const std::string& reason, TimePoint now, std::vector<ChangeCommand>& commands) {
+  if (direction_ == Direction::kUndo) {
+    return Finish(ChangeEnd::kHeld,
+                  reason + (rollback_reason_.empty() ? "" : ", while undoing: " + rollback_reason_),
+                  commands);
+  }
+  if (plan_.policy.on_failure == OnFailure::kHold) return Finish(ChangeEnd::kHeld, reason, commands);
+  commands.push_back({ChangeCommand::Kind::kSay, {}, {}, 0, plan_.id + " turns back: " + reason});
+  rollback_reason_ = reason;
+  direction_ = Direction::kUndo;
+  // The failed batch first, as no other one may start before it is available again. Then all of them, also
+  // the later ones: an earlier holder may have come further than this one, which began at the first batch
+  // again.
+  const std::vector<std::size_t> current = batches_[batch_];
+  batches_.erase(batches_.begin() + static_cast<std::ptrdiff_t>(batch_));
+  batches_.push_back(current);
+  std::reverse(batches_.begin(), batches_.end());
+  for (Progress& progress : progress_) {
+    progress.baseline.reset();
+    progress.after_step.reset();
+    progress.last_command_at.reset();
+  }
+  EnterBatch(0, now);
+}
+
+void Change::Finish(ChangeEnd end, const std::string& reason, std::vector<ChangeCommand>& commands) {
+  end_ = end;
+  reason_ = reason;
+  constexpr const char* kNames[] = {"completed", "held", "rolled back", "aborted"};
+  const std::string name = kNames[static_cast<std::size_t>(end)];
+  commands.push_back(
+      {ChangeCommand::Kind::kSay, {}, {}, 0, plan_.id + ' ' + name + (reason.empty() ? "" : ": " + reason)});
+}
+
+void Change::SendToInstance(ChangeCommand::Kind kind, std::size_t target, TimePoint now,
+                            std::vector<ChangeCommand>& commands) {
+  progress_[target].last_poll_at = now;
+  ChangeCommand command{kind, plan_.targets[target].name, {}, ++last_number_, {}};
+  if (kind == ChangeCommand::Kind::kSendStep) {
+    progress_[target].command_sent = true;
+    command.step = StepOf(target);
+  }
+  commands.push_back(std::move(command));
+}
+
+Step Change::StepOf(std::size_t target) const {
+  const Target& t = plan_.targets[target];
+  const bool undo = direction_ == Direction::kUndo;
+  // The undo of a stop is a start.
+  return {plan_.id, undo ? StepKind::kRestart : plan_.kind, undo, undo ? t.from : t.to, epoch_, t.from};
+}
+
+bool Change::MayNeedUndo(std::size_t target) const {
+  const Progress& progress = progress_[target];
+  return progress.command_sent || (progress.report && progress.report->phase != Phase::kNone &&
+                                   progress.report->step.change == plan_.id);
+}
+
+std::string Change::LabelOf(std::size_t target) const {
+  const InstanceName& name = plan_.targets[target].name;
+  return name.agent + '/' + name.instance;
+}
+
 }  // namespace mothrack::rollout
