--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -205,7 +205,7 @@
   for (fs::directory_iterator it(from, error), end; !error && it != end; it.increment(error)) {
     const std::string name = it->path().filename().string();
     const std::string text = Substitute(ReadFile(it->path()), instance.Placeholders(to));
-    if (!WriteFileDurably(to + '/' + name, text)) return {};
+    if (!WriteFileDurably((fs::path(to) / name).string(), text)) return {};
   }
   return error ? std::string() : to;
 }
