--- /dev/null
+++ b/tests/agent/generation_store_test.cpp
@@ -0,0 +1,83 @@
+// Configuration generations on disk: stored completely or not at all, with the cause where they are not.
+#include "agent/generation_store.h"
+
+#include <unistd.h>
+
+#include <cstdio>
+#include <filesystem>
+#include <optional>
+#include <string>
+
+#include "gtest/gtest.h"
+
+namespace mothrack::agent {
+namespace {
+
+namespace fs = std::filesystem;
+using Cause = GenerationError::Cause;
+
+// Nothing where there is no error.
+std::optional<Cause> CauseOf(const std::optional<GenerationError>& error) {
+  return error ? std::optional(error->cause) : std::nullopt;
+}
+
+class GenerationStoreTest : public ::testing::Test {
+ protected:
+  void SetUp() override {
+    std::string pattern = (fs::temp_directory_path() / "generations.XXXXXX").string();
+    ASSERT_NE(::mkdtemp(pattern.data()), nullptr);
+    directory_ = pattern;
+    store_.emplace(directory_ + "/generations",
+                   [this](const std::string&, const std::string&) { return check_result_; });
+  }
+  void TearDown() override { fs::remove_all(directory_); }
+
+  std::string directory_;
+  std::string check_result_;
+  std::optional<GenerationStore> store_;
+};
+
+TEST_F(GenerationStoreTest, StoredGenerationIsImmutable) {
+  const GenerationStore::Files files = {{"mothrack.toml", "one"}};
+  EXPECT_EQ(CauseOf(store_->Keep("g1", files)), std::nullopt);
+  EXPECT_EQ(CauseOf(store_->Keep("g1", files)), std::nullopt) << "the same files again";
+  EXPECT_EQ(CauseOf(store_->Keep("g1", {{"mothrack.toml", "two"}})), Cause::kOtherFiles);
+  EXPECT_EQ(store_->FilesOf("g1"), files);
+}
+
+TEST_F(GenerationStoreTest, RejectionsNameTheirCauseAndStoreNothing) {
+  const GenerationStore::Files files = {{"mothrack.toml", "one"}};
+  EXPECT_EQ(CauseOf(store_->Keep("../g1", files)), Cause::kInvalidName);
+  EXPECT_EQ(CauseOf(store_->Keep("g1", {})), Cause::kInvalidFiles);
+  EXPECT_EQ(CauseOf(store_->Keep("g1", {{"../escape", "x"}})), Cause::kInvalidFiles);
+  const std::string too_long(GenerationStore::kMaxFileBytes + 1, 'x');
+  EXPECT_EQ(CauseOf(store_->Keep("g1", {{"mothrack.toml", too_long}})), Cause::kInvalidFiles);
+  check_result_ = "its check says: line 3";
+  const auto rejected = store_->Keep("g1", files);
+  EXPECT_EQ(CauseOf(rejected), Cause::kCheckFailed);
+  ASSERT_TRUE(rejected);
+  EXPECT_EQ(rejected->message, "g1: its check says: line 3");
+  EXPECT_TRUE(store_->Names().empty());
+}
+
+TEST_F(GenerationStoreTest, StoresNoMoreThanItsBound) {
+  for (std::size_t i = 0; i < GenerationStore::kMaxGenerations; ++i) {
+    ASSERT_EQ(CauseOf(store_->Keep("g" + std::to_string(i), {{"f", "x"}})), std::nullopt) << i;
+  }
+  EXPECT_EQ(CauseOf(store_->Keep("one-more", {{"f", "x"}})), Cause::kTooMany);
+}
+
+TEST_F(GenerationStoreTest, FailedWriteNamesThePath) {
+  fs::remove_all(directory_ + "/generations");
+  std::FILE* file = std::fopen((directory_ + "/generations").c_str(), "w");  // where a directory should be
+  ASSERT_NE(file, nullptr);
+  std::fclose(file);
+  const auto error = store_->Keep("g1", {{"f", "x"}});
+  EXPECT_EQ(CauseOf(error), Cause::kDiskWriteFailed);
+  ASSERT_TRUE(error);
+  EXPECT_NE(error->message.find(directory_ + "/generations"), std::string::npos) << error->message;
+  EXPECT_FALSE(store_->Has("g1"));
+}
+
+}  // namespace
+}  // namespace mothrack::agent
