--- a/tests/ctl/fleet_traffic_test.cpp
+++ b/tests/ctl/fleet_traffic_test.cpp
@@ -3,12 +3,11 @@
 #include <signal.h>
 
 #include <chrono>
-#include <cstdlib>
 #include <iostream>
 #include <random>
 #include <string>
-#include <thread>
 
+#include "ctl/fleet_test_support.h"
 #include "gtest/gtest.h"
 #include "standins/fleet.h"
 #include "standins/peers.h"
@@ -22,26 +21,18 @@
 constexpr int kAgents = 4;
 constexpr int kInstances = 10;
 
-int Set(const char* name, int otherwise) {
-  const char* text = std::getenv(name);
-  return text == nullptr ? otherwise : std::atoi(text);
+// Another operator finishes the open change; then all instances are brought to `generation`.
+void FinishChange(const Fleet& fleet, const std::string& generation, const std::vector<std::string>& apply) {
+  EXPECT_TRUE(ResumeUntilNoneIsOpen(fleet));
+  CtlResult result;
+  // Twice: an agent that was killed a moment ago may still be starting.
+  for (int i = 0; i < 2 && !fleet.AllReady(generation); ++i) result = fleet.Ctl(apply);
+  EXPECT_TRUE(fleet.AllReady(generation)) << result.out << fleet.Ctl({"status"}).out;
 }
 
-// Whoever comes next brings the open change to its end; then all are brought to `generation`.
-void Finish(const Fleet& fleet, const std::string& generation, const std::vector<std::string>& apply) {
-  EXPECT_TRUE(Eventually([&] {
-    const auto resumed = fleet.Ctl({"resume"});
-    return resumed.code == 0 || resumed.out.find("no change is open") != std::string::npos;
-  }));
-  CtlResult rest;
-  // Twice: an agent that was killed a moment ago may still be on its way.
-  for (int i = 0; i < 2 && !fleet.AllReady(generation); ++i) rest = fleet.Ctl(apply);
-  EXPECT_TRUE(fleet.AllReady(generation)) << rest.out << fleet.Ctl({"status"}).out;
-}
-
-TEST(FortySidecars, LoseNoRequestWhileTheyAreChangedAndAgentsAreKilled) {
-  const int begin = Set("FLEET_SEED", 1);
-  const int runs = Set("FLEET_RUNS", 3);
+TEST(FortySidecars, LoseNoRequestDuringARolloutWithAgentCrashes) {
+  const int begin = EnvironmentNumber("FLEET_SEED", 1);
+  const int runs = EnvironmentNumber("FLEET_RUNS", 3);
   for (int seed = begin; seed < begin + runs; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(static_cast<unsigned>(seed));
@@ -61,20 +52,14 @@
     const std::string to = seed % 2 == 0 ? "g1" : "g2";
     std::vector<std::string> apply = {"restart"};
     if (to == "g2") apply = {"apply", "g2", "--dir", fleet.Generation("g2")};
-    for (const char* word : {"--why", "a test", "--max-unavailable", "5", "--watch-ms", "100"})
-      apply.push_back(word);
+    for (const char* argument : {"--why", "a test", "--max-unavailable", "5", "--watch-ms", "100"})
+      apply.push_back(argument);
     const pid_t tool = fleet.StartCtl(apply);
-    for (int kills = 0; kills < 4; ++kills) {
-      std::this_thread::sleep_for(milliseconds(random() % 2500));
-      const int agent = static_cast<int>(random() % kAgents);
-      fleet.KillAgent(agent);
-      std::this_thread::sleep_for(milliseconds(random() % 1000));
-      fleet.StartAgent(agent);
-    }
+    CrashAgents(fleet, random, kAgents, 4);
     const bool killed = random() % 3 == 0;
     if (killed) ::kill(tool, SIGKILL);
     const int code = Fleet::WaitCtl(tool).code;
-    Finish(fleet, to, apply);
+    FinishChange(fleet, to, apply);
     const auto ends = traffic.Stop();
 
     using End = Traffic::End;
