--- a/tests/rollout/changes_world_rules.cpp
+++ b/tests/rollout/fleet_model_rules.cpp
@@ -1,26 +1,26 @@
-#include "rollout/changes_world.h"
+#include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
-const InstanceRecord& World::RecordOf(const InstanceName& name) const {
+const InstanceRecord& FleetModel::RecordOf(const InstanceName& name) const {
   return std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& h) { return h.name == name.agent; })
       ->disk.records.at(name.instance);
 }
 
-void World::CheckEnd(const Plan& plan, ChangeEnd end) {
+void FleetModel::CheckEnd(const Plan& plan, ChangeEnd end) {
   for (const Target& target : plan.targets) {
     const InstanceRecord& record = RecordOf(target.name);
     const std::string& wanted = end == ChangeEnd::kCompleted ? target.to : target.from;
     if (record.phase == Phase::kAccepted)
       Violation(plan.id + " ended, and " + record.step.token() + " has not");
-    const bool had = taken_.contains({plan.id, target.name});
+    const bool had = accepted_steps_.contains({plan.id, target.name});
     if (end == ChangeEnd::kCompleted && !had) Violation(plan.id + " completed without a step");
     if (had && record.generation != wanted)
       Violation(plan.id + " ended with " + record.generation + ", not " + wanted);
   }
 }
 
-void World::CheckHalls() {
+void FleetModel::CheckHalls() {
   std::set<std::string> halls;
   std::size_t down = 0;
   for (const Host& host : hosts_) {
@@ -37,11 +37,11 @@
       ++down;
     }
   }
-  if (halls.size() > 1) Violation("instances of both halls are down for a change: " + Told());
-  if (down > PolicyOf(false).max_unavailable) Violation("more are down than max_unavailable: " + Told());
+  if (halls.size() > 1) Violation("instances of both halls are down for a change: " + Describe());
+  if (down > PolicyOf(false).max_unavailable) Violation("more are down than max_unavailable: " + Describe());
 }
 
-bool World::Settled() {
+bool FleetModel::Settled() {
   for (const Host& host : hosts_) {
     if (!host.up) return false;
     for (const auto& [name, record] : host.disk.records) {
