--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -3,7 +3,7 @@
 // and acts through a Machine. Whatever it reports is durable first; a save that fails has had no effect.
 //
 // While the store fails it goes on supervising by the records that it has in memory, and accepts no step of
-// any change. Not thread-safe: called from the event loop only. docs/operators/fleet.md has the operators'
+// any change. Not thread-safe: called from the event loop only. docs/operators/rollouts.md has the operators'
 // side.
 #pragma once
 
--- a/src/rollout/instance.h
+++ b/src/rollout/instance.h
@@ -10,7 +10,7 @@
 //
 // A value without I/O, like Lessor: a copy accepts a step, its record is made durable, then the copy replaces
 // the original. What Reconcile() changes in the record is made durable as soon as the store allows; until
-// then the end of a step is not reported. Not thread-safe. docs/design/fleet.md has the reasons.
+// then the end of a step is not reported. Not thread-safe. docs/design/rollout.md has the reasons.
 #pragma once
 
 #include <deque>
