--- /dev/null
+++ b/tests/hot_restart/stored_fixture_test.cpp
@@ -0,0 +1,72 @@
+// The state and the file of bans as version 0.2.0 wrote them: the present one reads all of them, and writes
+// the same bytes.
+#include <gtest/gtest.h>
+
+#include <sstream>
+
+#include "hot_restart/state.h"
+#include "support/fixtures.h"
+
+namespace mothrack::hot_restart {
+namespace {
+
+using runtime::Duration;
+using runtime::TimePoint;
+
+const std::string kStates = MOTHRACK_FIXTURES "/state_lines.txt";
+const std::string kBans = MOTHRACK_FIXTURES "/bans.json";
+
+// What the fixtures were written with; the second one is of a process that never had a list.
+State FullState() {
+  State state;
+  state.bans = {"u-2", "u \"9\""};
+  state.ids = {"9b1f", "0001", "5c0f"};
+  state.quiescing = true;
+  state.sockets = 37;
+  state.starts = {{"u-1", 1'700'000'000'000, TimePoint(Duration(12'345'678))},
+                  {"u-2", 1'700'000'000'500, TimePoint(Duration(-5))}};
+  state.last_list = TimePoint(Duration(99'000'001));
+  return state;
+}
+
+State BareState() {
+  State state;
+  state.ids = {"a"};
+  return state;
+}
+
+void ExpectState(const State& read, const State& written) {
+  EXPECT_EQ(read.bans, written.bans);
+  EXPECT_EQ(read.ids, written.ids);
+  EXPECT_EQ(read.quiescing, written.quiescing);
+  EXPECT_EQ(read.sockets, written.sockets);
+  EXPECT_EQ(read.last_list, written.last_list);
+  ASSERT_EQ(read.starts.size(), written.starts.size());
+  for (std::size_t i = 0; i < read.starts.size(); ++i) {
+    EXPECT_EQ(read.starts[i].uid, written.starts[i].uid);
+    EXPECT_EQ(read.starts[i].boot_ms, written.starts[i].boot_ms);
+    EXPECT_EQ(read.starts[i].started, written.starts[i].started);
+  }
+}
+
+TEST(StoredFixture, AStateOfTheFormerVersionIsReadWholeAndWrittenWithTheSameBytes) {
+  std::istringstream lines(testing::ReadFixture(kStates));
+  for (const State& written : {FullState(), BareState()}) {
+    std::string line;
+    ASSERT_TRUE(std::getline(lines, line));
+    ExpectState(FromJson(nlohmann::json::parse(line)), written);
+    EXPECT_EQ(ToJson(written).dump(), line);
+  }
+  EXPECT_EQ(lines.peek(), std::istringstream::traits_type::eof());
+}
+
+TEST(StoredFixture, BansOfTheFormerVersionAreReadWholeAndWrittenWithTheSameBytes) {
+  runtime::Logger log("test");
+  EXPECT_EQ(ReadBans(kBans, log), FullState().bans);
+  const testing::ScratchFolder folder;
+  ASSERT_EQ(WriteBans(folder.File("bans"), FullState().bans), std::nullopt);
+  EXPECT_EQ(testing::ReadFixture(folder.File("bans")), testing::ReadFixture(kBans));
+}
+
+}  // namespace
+}  // namespace mothrack::hot_restart
--- /dev/null
+++ b/tests/support/fixtures.h
@@ -0,0 +1,142 @@
+// Fixtures: what version 0.2.0 of the programs (commit de65f91) wrote or sent, kept as files beside the tests
+// that compare the present version with them. They are recorded once and never made anew by a test.
+#pragma once
+
+#include <gtest/gtest.h>
+#include <unistd.h>
+
+#include <filesystem>
+#include <fstream>
+#include <map>
+#include <sstream>
+#include <stdexcept>
+#include <string>
+#include <string_view>
+#include <utility>
+#include <vector>
+
+namespace mothrack::testing {
+
+// A whole file's bytes. Throws std::runtime_error where it can't be read.
+inline std::string ReadFixture(const std::string& path) {
+  std::ifstream file(path, std::ios::binary);
+  if (!file) throw std::runtime_error(path + " can't be read");
+  std::ostringstream text;
+  text << file.rdbuf();
+  return text.str();
+}
+
+// Bytes as lower-case hex digits, and back; throws std::invalid_argument where a pair is no number.
+inline std::string ToHex(std::string_view bytes) {
+  constexpr std::string_view kDigits = "0123456789abcdef";
+  std::string hex;
+  for (const char c : bytes) {
+    const auto byte = static_cast<unsigned char>(c);
+    hex += kDigits[byte >> 4U];
+    hex += kDigits[byte & 15U];
+  }
+  return hex;
+}
+
+inline std::string FromHex(const std::string& hex) {
+  std::string bytes;
+  for (std::size_t at = 0; at + 1 < hex.size(); at += 2) {
+    bytes += static_cast<char>(std::stoi(hex.substr(at, 2), nullptr, 16));
+  }
+  return bytes;
+}
+
+// Lines of "name hex", in the file's order.
+inline std::vector<std::pair<std::string, std::string>> ReadHexLines(const std::string& path) {
+  std::vector<std::pair<std::string, std::string>> lines;
+  std::istringstream text(ReadFixture(path));
+  for (std::string name, hex; text >> name >> hex;) lines.emplace_back(name, FromHex(hex));
+  return lines;
+}
+
+// Text that a page can show: line ends are written out, and the line goes on below; what is not printable is
+// \xNN.
+inline std::string Escaped(std::string_view bytes) {
+  std::string text;
+  for (const char c : bytes) {
+    const auto byte = static_cast<unsigned char>(c);
+    if (c == '\r') {
+      text += "\\r";
+    } else if (c == '\n') {
+      text += "\\n\n";
+    } else if (c == '\\') {
+      text += "\\\\";
+    } else if (byte < ' ' || byte > '~') {
+      text += "\\x" + ToHex({&c, 1});
+    } else {
+      text += c;
+    }
+  }
+  return text;
+}
+
+// A fixture of many sections, each "=== NAME" and the lines below it. Every section has to be compared with
+// once, and nothing that it does not have: the destructor tells what was left.
+class Recorded {
+ public:
+  explicit Recorded(const std::string& path) {
+    std::istringstream text(ReadFixture(path));
+    std::string name;
+    for (std::string line; std::getline(text, line);) {
+      if (line.starts_with(kMark)) {
+        name = line.substr(kMark.size());
+        sections_[name];
+      } else {
+        sections_[name] += line + '\n';
+      }
+    }
+  }
+  ~Recorded() {
+    for (const auto& [name, text] : sections_) ADD_FAILURE() << "not compared: " << name;
+  }
+  Recorded(const Recorded&) = delete;
+  Recorded& operator=(const Recorded&) = delete;
+
+  // `text` without a line end at its end has one added, as in the file.
+  void Expect(const std::string& name, std::string text) {
+    if (!text.ends_with('\n')) text += '\n';
+    const auto section = sections_.extract(name);
+    ASSERT_FALSE(section.empty()) << "not recorded: " << name << '\n' << text;
+    EXPECT_EQ(text, section.mapped()) << name;
+  }
+
+ private:
+  static constexpr std::string_view kMark = "=== ";
+  std::map<std::string, std::string> sections_;
+};
+
+// A folder of the test's own, gone with it, readable by nobody else.
+class ScratchFolder {
+ public:
+  ScratchFolder() {
+    std::string pattern = (std::filesystem::temp_directory_path() / "fixture.XXXXXX").string();
+    if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
+    path_ = pattern;
+  }
+  ~ScratchFolder() {
+    std::error_code ignored;
+    std::filesystem::remove_all(path_, ignored);
+  }
+  ScratchFolder(const ScratchFolder&) = delete;
+  ScratchFolder& operator=(const ScratchFolder&) = delete;
+
+  std::string File(const std::string& name) const { return path_ + '/' + name; }
+  // A copy with mode 0600, as the fixture itself must not be written to.
+  std::string CopyOf(const std::string& fixture) const {
+    const std::string copy = File(std::filesystem::path(fixture).filename());
+    std::filesystem::copy_file(fixture, copy);
+    std::filesystem::permissions(copy,
+                                 std::filesystem::perms::owner_read | std::filesystem::perms::owner_write);
+    return copy;
+  }
+
+ private:
+  std::string path_;
+};
+
+}  // namespace mothrack::testing
