--- /dev/null
+++ b/tests/simulation/stored_fixture_test.cpp
@@ -0,0 +1,62 @@
+// The simulator's results as version 0.2.0 kept them: the present one reads all of them, and its runs of the
+// same scenario and seeds are kept as the same rows.
+#include <gtest/gtest.h>
+
+#include "simulation/results.h"
+#include "simulation/scenario.h"
+#include "support/fixtures.h"
+#include "support/sqlite_dump.h"
+
+namespace mothrack::simulation {
+namespace {
+
+const std::string kFixture = MOTHRACK_FIXTURES "/results.sqlite";
+const std::vector<std::string> kLabels = {"after", "before"};
+constexpr std::uint64_t kSeeds = 2;
+
+// The scenario is a copy of the time of the recording: its settings are part of what is kept.
+Scenario Played() { return LoadScenario(MOTHRACK_FIXTURES "/calm.toml", {"length_s=2", "fleet.sidecars=4"}); }
+
+// With the figures of each second for the last seed alone.
+nlohmann::json Play(const Scenario& scenario, std::uint64_t seed) {
+  SimulationRun run(scenario, seed);
+  const Outcome outcome = run.Run();
+  return ToJson(scenario, seed, outcome, run.figures(), seed == kSeeds);
+}
+
+TEST(StoredFixture, ResultsOfTheFormerVersionAreReadWhole) {
+  const testing::ScratchFolder folder;
+  const Results results(folder.CopyOf(kFixture));
+  EXPECT_EQ(results.Labels(), kLabels);
+  const Scenario scenario = Played();
+  for (const std::string& label : kLabels) {
+    const auto runs = results.Of(label);
+    ASSERT_EQ(runs.size(), kSeeds);
+    for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+      const RunKey key{label, "calm", HashOf(scenario), seed};
+      ASSERT_TRUE(results.Has(key)) << label << ' ' << seed;
+      const nlohmann::json& read = runs.at(key);
+      const nlohmann::json played = Play(scenario, seed);
+      EXPECT_EQ(read.size(), played.size());
+      for (const auto& [name, figure] : played.items()) EXPECT_EQ(read.at(name), figure) << name;
+    }
+  }
+}
+
+TEST(StoredFixture, ResultsAreKeptWithTheSchemaAndRowsOfTheFormerVersion) {
+  const testing::ScratchFolder folder;
+  const std::string path = folder.File("new.sqlite");
+  const Scenario scenario = Played();
+  {
+    Results results(path);
+    for (const std::string& label : kLabels) {
+      for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
+        results.Keep({label, "calm", HashOf(scenario), seed}, "0.2.0", "a machine", Play(scenario, seed));
+      }
+    }
+  }
+  EXPECT_EQ(testing::DumpSqlite(path), testing::DumpSqlite(folder.CopyOf(kFixture)));
+}
+
+}  // namespace
+}  // namespace mothrack::simulation
