--- a/tests/agent/stored_fixture_test.cpp
+++ b/tests/agent/stored_fixture_test.cpp
@@ -169,12 +169,14 @@
     SqliteStore store(path);
     const Plan first = FirstPlan();
     const Plan second = SecondPlan();
-    ASSERT_TRUE(store.SaveLease({3, kFormer, kFormer}, &first, {1'699'999'999'001, "c-1", "opened"}));
-    ASSERT_TRUE(store.SaveLease({7, kHolder, kOpener}, &second, {1'700'000'000'124, "c-2", "opened"}));
-    ASSERT_TRUE(store.SaveRecord("i0", Failed(), {1'700'000'001'000, "c-2", "i0 failed"}));
-    ASSERT_TRUE(store.SaveRecord("i1", Done(), {}));
-    ASSERT_TRUE(store.SaveRecord("i2", Accepted(), {1'700'000'002'000, "c-2", "i2 accepted"}));
-    ASSERT_TRUE(store.SaveRecord("i3", Fresh(), {}));
+    ASSERT_EQ(store.SaveLease({3, kFormer, kFormer}, &first, {1'699'999'999'001, "c-1", "opened"}),
+              std::nullopt);
+    ASSERT_EQ(store.SaveLease({7, kHolder, kOpener}, &second, {1'700'000'000'124, "c-2", "opened"}),
+              std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i0", Failed(), {1'700'000'001'000, "c-2", "i0 failed"}), std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i1", Done(), {}), std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i2", Accepted(), {1'700'000'002'000, "c-2", "i2 accepted"}), std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i3", Fresh(), {}), std::nullopt);
     store.Note({1'700'000'003'000, "", "started"});
   }
   EXPECT_EQ(testing::DumpSqlite(path), testing::DumpSqlite(folder.CopyOf(kFixture)));
