--- /dev/null
+++ b/src/simulation/command_compare.cpp
@@ -0,0 +1,79 @@
+// compare: the runs of two labels that have scenario, settings and seed in common, as paired differences.
+#include <cstdio>
+#include <stdexcept>
+
+#include "simulation/commands.h"
+#include "simulation/exit_code.h"
+#include "simulation/report.h"
+#include "simulation/results.h"
+#include "simulation/statistics.h"
+#include "simulation/text_file.h"
+
+namespace mothrack::simulation {
+namespace {
+
+using nlohmann::json;
+using Pairs = std::vector<std::pair<json, json>>;
+
+// By scenario; throws where the labels have no run in common.
+std::map<std::string, Pairs> PairedRuns(const Results& results, const std::string& a, const std::string& b) {
+  const auto of_a = results.Of(a);
+  const auto of_b = results.Of(b);
+  std::map<std::string, Pairs> pairs;
+  for (const auto& [key, run] : of_a) {
+    RunKey other = key;
+    other.label = b;
+    const auto it = of_b.find(other);
+    if (it != of_b.end()) pairs[key.scenario].emplace_back(run, it->second);
+  }
+  if (pairs.empty())
+    throw std::runtime_error("no run of '" + a + "' has one of '" + b + "' with the same scenario and seed");
+  return pairs;
+}
+
+// One figure over all pairs of a scenario; none where no run has it.
+std::optional<Row> CompareFigure(const std::string& scenario, const Figure& figure, const Pairs& runs) {
+  Row row{scenario, figure.name, figure.up, 0, 0, {}};
+  std::vector<double> differences;
+  for (const auto& [first, second] : runs) {
+    if (!first.contains(figure.name)) continue;
+    const double x = first.value(figure.name, 0.0);
+    const double y = second.value(figure.name, 0.0);
+    row.a += x / static_cast<double>(runs.size());
+    row.b += y / static_cast<double>(runs.size());
+    differences.push_back(y - x);
+  }
+  if (differences.empty()) return std::nullopt;
+  row.difference = Compare(differences);
+  return row;
+}
+
+void PrintRows(const std::string& a, const std::string& b, const std::vector<Row>& rows) {
+  std::printf("%-22s %-15s %5s %9s %9s %9s  95%% of such\n", "scenario", "figure", "pairs", a.c_str(),
+              b.c_str(), "less");
+  for (const Row& row : rows) {
+    const Difference& d = row.difference;
+    const char* mark = !d.tells() ? "" : row.up == (d.mean > 0) ? "better" : "WORSE";
+    std::printf("%-22s %-15s %5zu %9.4f %9.4f %9.4f  %.4f to %.4f  %s\n", row.scenario.c_str(),
+                row.figure.c_str(), d.pairs, row.a, row.b, d.mean, d.low, d.high, mark);
+  }
+}
+
+}  // namespace
+
+int CompareLabels(const Options& options) {
+  const std::string& a = options.first_label;
+  const std::string& b = options.second_label;
+  const Results results(options.db);
+  std::vector<Row> rows;
+  for (const auto& [scenario, runs] : PairedRuns(results, a, b)) {
+    for (const Figure& figure : ComparedFigures()) {
+      if (auto row = CompareFigure(scenario, figure, runs)) rows.push_back(std::move(*row));
+    }
+  }
+  PrintRows(a, b, rows);
+  if (!options.report.empty()) WriteFile(options.report, ComparisonPage(a, b, rows));
+  return kExpectationsMet;
+}
+
+}  // namespace mothrack::simulation
--- /dev/null
+++ b/src/simulation/command_search.cpp
@@ -0,0 +1,70 @@
+// search: scenarios mutated at random from given ones, each run once and judged.
+#include <algorithm>
+#include <cstdio>
+
+#include "simulation/commands.h"
+#include "simulation/exit_code.h"
+#include "simulation/results.h"
+#include "simulation/search.h"
+#include "simulation/sweep.h"
+#include "simulation/text_file.h"
+
+namespace mothrack::simulation {
+namespace {
+
+using nlohmann::json;
+
+// A fault that lasts longer than this behind its cause outlives it; judged only where the run goes on for
+// long enough. Seconds.
+constexpr double kOutlivesCause = 12;
+constexpr double kLeastRemaining = 17;
+
+// What is wrong with a run; empty: nothing. `run` is null where its process died.
+std::string FaultOf(const Scenario& scenario, const json& run) {
+  if (run.is_null()) return "its process died";
+  if (run.value("broken", 0) > 0) return "rule " + run["breaks"][0].value("rule", "");
+  if (!run.contains("took_s")) return {};
+  const double covered = run.value("covered_s", 0.0);
+  const double from = std::max(covered, scenario.FaultsEnd());
+  const double back = run.value("recovered", false) ? covered + run.value("took_s", 0.0) : scenario.length_s;
+  if (scenario.length_s - from < kLeastRemaining || back - from <= kOutlivesCause) return {};
+  return "trouble outlives its cause by " + std::to_string(static_cast<int>(back - from)) + " s";
+}
+
+std::vector<Job> MutatedJobs(const Options& options) {
+  std::vector<Scenario> library;
+  for (const std::string& path : options.scenarios) library.push_back(LoadScenario(path, options.changes));
+  Random random(options.seed);
+  std::vector<Job> jobs;
+  for (int i = 0; i < options.budget; ++i) {
+    Scenario scenario = Mutated(library[random.Below(library.size())], random);
+    scenario.name = "found-" + std::to_string(options.seed) + '-' + std::to_string(i);
+    jobs.push_back({scenario, random.Next() >> 12});
+  }
+  return jobs;
+}
+
+}  // namespace
+
+int SearchFaults(const Options& options) {
+  const std::vector<Job> jobs = MutatedJobs(options);
+  std::size_t found = 0;
+  PlayAll(jobs, options.jobs, [&](std::size_t job, const json& run) {
+    const auto& [scenario, seed] = jobs[job];
+    const std::string fault = FaultOf(scenario, run);
+    if (fault.empty()) return true;
+    ++found;
+    std::printf("%s seed %llu: %s\n", scenario.name.c_str(), static_cast<unsigned long long>(seed),
+                fault.c_str());
+    if (!options.found_directory.empty()) {
+      Scenario shown = scenario;
+      shown.about = fault + ", seed " + std::to_string(seed);
+      WriteFile(options.found_directory + '/' + shown.name + ".toml", ToToml(shown));
+    }
+    return true;
+  });
+  std::printf("%zu of %d show trouble\n", found, options.budget);
+  return found == 0 ? kExpectationsMet : kExpectationsMissed;
+}
+
+}  // namespace mothrack::simulation
