--- a/src/simulation/report.cpp
+++ b/src/simulation/report.cpp
@@ -3,7 +3,6 @@
 #include <algorithm>
 #include <array>
 #include <cmath>
-#include <functional>
 #include <map>
 #include <sstream>
 
@@ -12,13 +11,6 @@
 
 using nlohmann::json;
 
-constexpr double kWidth = 900;
-constexpr double kHeight = 220;
-constexpr double kLeft = 56;
-constexpr double kBottom = 28;
-constexpr double kTop = 10;
-constexpr double kRight = 8;
-
 // Colours that people who see few can tell apart, by Okabe and Ito.
 constexpr const char* kGreen = "#009e73";
 constexpr const char* kYellow = "#e69f00";
@@ -27,149 +19,6 @@
 constexpr const char* kBlue = "#0072b2";
 constexpr const char* kSky = "#56b4e9";
 
-std::string Escaped(const std::string& text) {
-  std::string out;
-  for (const char c : text) {
-    if (c == '<')
-      out += "&lt;";
-    else if (c == '>')
-      out += "&gt;";
-    else if (c == '&')
-      out += "&amp;";
-    else if (c == '"')
-      out += "&quot;";
-    else
-      out += c;
-  }
-  return out;
-}
-
-std::string Short(double value) {
-  std::ostringstream out;
-  out.precision(std::abs(value) >= 100 ? 0 : std::abs(value) >= 10 ? 1 : 3);
-  out << std::fixed << value;
-  std::string text = out.str();
-  if (text.find('.') != std::string::npos) {
-    while (text.back() == '0') text.pop_back();
-    if (text.back() == '.') text.pop_back();
-  }
-  return text;
-}
-
-struct Series {
-  std::string name;
-  const char* colour;
-  std::vector<double> values;  // one a second
-};
-
-class Chart {
- public:
-  Chart(std::string title, std::string unit, std::size_t seconds, std::vector<Band> bands)
-      : title_(std::move(title)), unit_(std::move(unit)), seconds_(seconds), bands_(std::move(bands)) {}
-
-  void Line(Series series) { lines_.push_back(std::move(series)); }
-  // One upon another, in the order of their adding.
-  void Stack(Series series) { stack_.push_back(std::move(series)); }
-
-  std::string Html() const {
-    std::ostringstream out;
-    double most = 0;
-    for (const Series& s : lines_) {
-      for (const double v : s.values) most = std::max(most, v);
-    }
-    for (std::size_t i = 0; i < seconds_; ++i) {
-      double sum = 0;
-      for (const Series& s : stack_) sum += s.values[i];
-      most = std::max(most, sum);
-    }
-    if (most <= 0) most = 1;
-    const double step = Step(most);
-    most = std::ceil(most / step) * step;
-    const auto x = [&](double second) {
-      return kLeft +
-             (kWidth - kLeft - kRight) * second / static_cast<double>(std::max<std::size_t>(1, seconds_));
-    };
-    const auto y = [&](double value) { return kTop + (kHeight - kTop - kBottom) * (1 - value / most); };
-    out << "<figure><figcaption>" << Escaped(title_) << " <span class=unit>" << Escaped(unit_)
-        << "</span></figcaption>\n<div class=wide>"
-        << "<svg viewBox=\"0 0 " << kWidth << ' ' << kHeight << "\" role=img aria-label=\"" << Escaped(title_)
-        << "\">\n";
-    for (const Band& band : bands_) {
-      out << "<rect class=band x=" << x(band.from_s) << " y=" << kTop
-          << " width=" << std::max(2.0, x(band.to_s) - x(band.from_s))
-          << " height=" << kHeight - kTop - kBottom << "><title>" << Escaped(band.name)
-          << "</title></rect>\n";
-    }
-    for (double v = 0; v <= most + step / 2; v += step) {
-      out << "<line class=grid x1=" << kLeft << " x2=" << kWidth - kRight << " y1=" << y(v) << " y2=" << y(v)
-          << " />"
-          << "<text x=" << kLeft - 6 << " y=" << y(v) + 4 << " text-anchor=end>" << Short(v) << "</text>\n";
-    }
-    const double tick = std::max(1.0, Step(static_cast<double>(seconds_)));
-    for (double s = 0; s <= static_cast<double>(seconds_); s += tick) {
-      out << "<text x=" << x(s) << " y=" << kHeight - 8 << " text-anchor=middle>" << Short(s) << "</text>\n";
-    }
-    std::vector<double> below(seconds_, 0);
-    for (const Series& s : stack_) {
-      out << "<path fill=\"" << s.colour << "\" d=\"M";
-      for (std::size_t i = 0; i < seconds_; ++i) {
-        const double top = y(below[i] + s.values[i]);
-        out << x(static_cast<double>(i)) << ',' << top << ' ' << x(static_cast<double>(i + 1)) << ',' << top
-            << ' ';
-      }
-      for (std::size_t i = seconds_; i-- > 0;) {
-        out << x(static_cast<double>(i + 1)) << ',' << y(below[i]) << ' ' << x(static_cast<double>(i)) << ','
-            << y(below[i]) << ' ';
-        below[i] += s.values[i];
-      }
-      out << "Z\" />\n";
-    }
-    for (const Series& s : lines_) {
-      out << "<polyline fill=none stroke=\"" << s.colour << "\" points=\"";
-      for (std::size_t i = 0; i < seconds_; ++i)
-        out << x(static_cast<double>(i) + 0.5) << ',' << y(s.values[i]) << ' ';
-      out << "\" />\n";
-    }
-    out << "</svg></div>\n<p class=legend>";
-    for (const auto* all : {&stack_, &lines_}) {
-      for (const Series& s : *all)
-        out << "<span><i style=\"background:" << s.colour << "\"></i>" << Escaped(s.name) << "</span> ";
-    }
-    if (!bands_.empty()) out << "<span><i class=bandkey></i>trouble</span>";
-    out << "</p>\n<details><summary>the same as a table</summary><div class=wide><table><tr><th>s</th>";
-    for (const auto* all : {&stack_, &lines_}) {
-      for (const Series& s : *all) out << "<th>" << Escaped(s.name) << "</th>";
-    }
-    out << "</tr>\n";
-    for (std::size_t i = 0; i < seconds_; ++i) {
-      out << "<tr><td>" << i << "</td>";
-      for (const auto* all : {&stack_, &lines_}) {
-        for (const Series& s : *all) out << "<td>" << Short(s.values[i]) << "</td>";
-      }
-      out << "</tr>\n";
-    }
-    out << "</table></div></details></figure>\n";
-    return out.str();
-  }
-
- private:
-  static double Step(double most) {
-    const double raw = most / 5;
-    const double ten = std::pow(10, std::floor(std::log10(raw)));
-    for (const double times : {1.0, 2.0, 5.0}) {
-      if (raw <= times * ten) return times * ten;
-    }
-    return 10 * ten;
-  }
-
-  const std::string title_;
-  const std::string unit_;
-  const std::size_t seconds_;
-  const std::vector<Band> bands_;
-  std::vector<Series> lines_;
-  std::vector<Series> stack_;
-};
-
 std::string Page(const std::string& title, const std::string& body) {
   return "<!doctype html>\n<html lang=en><head><meta charset=utf-8>"
          "<meta name=viewport content=\"width=device-width, initial-scale=1\"><title>" +
--- a/src/simulation/report.h
+++ b/src/simulation/report.h
@@ -6,16 +6,12 @@
 #include <string>
 #include <vector>
 
+#include "simulation/chart.h"
 #include "simulation/statistics.h"
 
 namespace mothrack::simulation {
 
 // Of one run, as results.h keeps it with its seconds. `faults`: as text, for the bands and the list.
-struct Band {
-  std::string name;
-  double from_s = 0;
-  double to_s = 0;
-};
 std::string RunPage(const nlohmann::json& run, const std::string& about, const std::vector<Band>& faults,
                     const std::vector<std::string>& verdicts);
 
