--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -144,107 +144,200 @@
   return f;
 }
 
-}  // namespace
+// The table `name` of the file; an absent one reads as one without keys.
+Table Subtable(Table& top, const char* name) {
+  const toml::node* node = top.Node(name);
+  if (node != nullptr && !node->is_table()) top.Fail(name, "give a table");
+  return {node == nullptr ? nullptr : node->as_table(), name};
+}
 
-const char* NameOf(FaultKind kind) { return kKinds.at(static_cast<std::size_t>(kind)); }
+std::vector<std::string> ReadZones(const Table& servers, const toml::node& node) {
+  if (!node.is_array()) servers.Fail("zones", "give a list of names");
+  std::vector<std::string> zones;
+  for (const toml::node& zone : *node.as_array()) {
+    if (!zone.is_string()) servers.Fail("zones", "give a list of names");
+    zones.emplace_back(zone.value_or(""));
+  }
+  if (zones.empty()) servers.Fail("zones", "give at least one");
+  return zones;
+}
 
-Scenario ParseScenario(const std::string& text, const std::string& path,
-                       const std::vector<std::string>& changes) {
-  toml::table root;
+void ReadFleet(Table& top, Scenario& s) {
+  Table fleet = Subtable(top, "fleet");
+  fleet.Count("sidecars", s.sidecars, 100'000);
+  fleet.Number("skew", s.skew, 0, 10);
+  fleet.Number("start_ms", s.start_ms, 0, 60'000);
+  fleet.Done();
+}
+
+void ReadServers(Table& top, Scenario& s) {
+  Table servers = Subtable(top, "servers");
+  servers.Count("count", s.servers, 100'000);
+  if (const toml::node* zones = servers.Node("zones")) s.zones = ReadZones(servers, *zones);
+  servers.Number("cores", s.cores, 1, 1024);
+  servers.Number("slowest", s.slowest, 0.01, 100);
+  servers.Number("fastest", s.fastest, 0.01, 100);
+  servers.Number("queue_per_core", s.queue_per_core, 0, 1e6);
+  servers.Number("thrash", s.thrash, 0, 10);
+  servers.Number("thrash_at", s.thrash_at, 0, 1e6);
+  servers.Number("cold_from", s.slow_start_initial_share, 0.01, 1);
+  servers.Number("cold_s", s.slow_start_s, 0, 600);
+  servers.Number("pause_every_s", s.pause_every_s, 0.1, 1e6);
+  servers.Number("pause_ms", s.pause_ms, 0, 60'000);
+  servers.Number("error_rate", s.error_rate, 0, 1);
+  servers.Number("drain_s", s.drain_s, 0, 600);
+  servers.Done();
+}
+
+void ReadNet(Table& top, Scenario& s) {
+  Table net = Subtable(top, "net");
+  net.Number("same_ms", s.same_ms, 0, 10'000);
+  net.Number("cross_ms", s.cross_ms, 0, 10'000);
+  net.Number("jitter", s.jitter, 0, 5);
+  net.Number("handshake_ms", s.handshake_ms, 0, 10'000);
+  net.Number("notice_from_s", s.notice_from_s, 0, 600);
+  net.Number("notice_to_s", s.notice_to_s, 0, 600);
+  if (s.notice_to_s < s.notice_from_s) net.Fail("notice_to_s", "give no less than notice_from_s");
+  net.Done();
+}
+
+void ReadLoad(Table& top, Scenario& s) {
+  Table load = Subtable(top, "load");
+  load.Number("use", s.use, 0, 100);
+  load.Number("wave", s.wave, 0, 1);
+  load.Number("wave_s", s.wave_s, 1, 36'000);
+  load.Number("retries", s.retries, 0, 100);
+  load.Number("backoff_ms", s.backoff_ms, 1, 60'000);
+  load.Done();
+}
+
+void ReadAllow(Table& top, Scenario& s) {
+  Table allow = Subtable(top, "allow");
+  allow.Count("max_attempts", s.max_attempts, 100);
+  allow.Flag("second_copies", s.hedging);
+  allow.Done();
+}
+
+void ReadMust(Table& top, Scenario& s) {
+  Table must = Subtable(top, "must");
+  double served = -1;
+  double recovers = -1;
+  must.Number("served_at_least", served, 0, 1);
+  must.Number("recovers_within_s", recovers, 0, 36'000);
+  must.Done();
+  if (served >= 0) s.served_at_least = served;
+  if (recovers >= 0) s.recovers_within_s = recovers;
+}
+
+// Hands each [[name]] of the file to `read`.
+template <typename Read>
+void ReadTables(Table& top, const char* name, Read read) {
+  const toml::node* node = top.Node(name);
+  if (node == nullptr) return;
+  const std::string mend = "write [[" + std::string(name) + "]]";
+  if (!node->is_array()) top.Fail(name, mend);
+  for (const toml::node& entry : *node->as_array()) {
+    if (!entry.is_table()) top.Fail(name, mend);
+    read(*entry.as_table());
+  }
+}
+
+toml::table ParseToml(const std::string& text, const std::string& path) {
   try {
-    root = toml::parse(text, path);
+    return toml::parse(text, path);
   } catch (const toml::parse_error& e) {
     std::ostringstream where;
     where << path << ":" << e.source().begin.line << ": " << e.description();
     throw ScenarioError(where.str());
   }
+}
+
+// Throws ScenarioError without the file's path.
+Scenario ReadScenario(const toml::table& root) {
+  Scenario s;
+  Table top(&root, "top");
+  top.Text("name", s.name);
+  top.Text("about", s.about);
+  top.Number("length_s", s.length_s, 1, 36'000);
+  ReadFleet(top, s);
+  ReadServers(top, s);
+  ReadNet(top, s);
+  ReadLoad(top, s);
+  ReadAllow(top, s);
+  ReadMust(top, s);
+  ReadTables(top, "class", [&](const toml::table& t) { s.classes.push_back(ReadClass(t)); });
+  ReadTables(top, "fault", [&](const toml::table& t) { s.faults.push_back(ReadFault(t, s)); });
+  top.Done();
+  if (s.name.empty()) top.Fail("name", "give one");
+  if (s.classes.empty()) top.Fail("class", "give at least one [[class]]");
+  double share = 0;
+  for (const ClassLoad& c : s.classes) share += c.share;
+  if (share <= 0) top.Fail("class", "give at least one a share");
+  return s;
+}
+
+toml::table ServersToToml(const Scenario& s) {
+  toml::array zones;
+  for (const std::string& zone : s.zones) zones.push_back(zone);
+  return toml::table{{"count", static_cast<std::int64_t>(s.servers)},
+                     {"zones", zones},
+                     {"cores", s.cores},
+                     {"slowest", s.slowest},
+                     {"fastest", s.fastest},
+                     {"queue_per_core", s.queue_per_core},
+                     {"thrash", s.thrash},
+                     {"thrash_at", s.thrash_at},
+                     {"cold_from", s.slow_start_initial_share},
+                     {"cold_s", s.slow_start_s},
+                     {"pause_every_s", s.pause_every_s},
+                     {"pause_ms", s.pause_ms},
+                     {"error_rate", s.error_rate},
+                     {"drain_s", s.drain_s}};
+}
+
+toml::table ExpectationsToToml(const Scenario& s) {
+  toml::table must;
+  if (s.served_at_least) must.insert("served_at_least", *s.served_at_least);
+  if (s.recovers_within_s) must.insert("recovers_within_s", *s.recovers_within_s);
+  return must;
+}
+
+toml::array ClassesToToml(const Scenario& s) {
+  toml::array classes;
+  for (const ClassLoad& c : s.classes) {
+    classes.push_back(toml::table{{"name", c.name},
+                                  {"share", c.share},
+                                  {"work_ms", c.work_ms},
+                                  {"work_cv", c.work_cv},
+                                  {"aim_ms", c.latency_objective_ms},
+                                  {"deadline_ms", c.deadline_ms},
+                                  {"worth", c.priority_weight},
+                                  {"effect", kEffects.at(static_cast<std::size_t>(c.effect))}});
+  }
+  return classes;
+}
+
+toml::array FaultsToToml(const Scenario& s) {
+  toml::array faults;
+  for (const Fault& f : s.faults) {
+    toml::table fault{
+        {"kind", NameOf(f.kind)}, {"at_s", f.at_s}, {"len_s", f.len_s}, {"part", f.part}, {"size", f.size}};
+    if (!f.zone.empty()) fault.insert("zone", f.zone);
+    faults.push_back(fault);
+  }
+  return faults;
+}
+
+}  // namespace
+
+const char* NameOf(FaultKind kind) { return kKinds.at(static_cast<std::size_t>(kind)); }
+
+Scenario ParseScenario(const std::string& text, const std::string& path,
+                       const std::vector<std::string>& changes) {
+  toml::table root = ParseToml(text, path);
   try {
     for (const std::string& change : changes) Lay(root, change);
-    Scenario s;
-    Table top(&root, "top");
-    top.Text("name", s.name);
-    top.Text("about", s.about);
-    top.Number("length_s", s.length_s, 1, 36'000);
-    const auto part = [&](const char* name) {
-      const toml::node* node = top.Node(name);
-      if (node != nullptr && !node->is_table()) top.Fail(name, "give a table");
-      return Table(node == nullptr ? nullptr : node->as_table(), name);
-    };
-    Table fleet = part("fleet");
-    fleet.Count("sidecars", s.sidecars, 100'000);
-    fleet.Number("skew", s.skew, 0, 10);
-    fleet.Number("start_ms", s.start_ms, 0, 60'000);
-    fleet.Done();
-    Table servers = part("servers");
-    servers.Count("count", s.servers, 100'000);
-    if (const toml::node* zones = servers.Node("zones")) {
-      s.zones.clear();
-      if (!zones->is_array()) servers.Fail("zones", "give a list of names");
-      for (const toml::node& zone : *zones->as_array()) {
-        if (!zone.is_string()) servers.Fail("zones", "give a list of names");
-        s.zones.emplace_back(zone.value_or(""));
-      }
-      if (s.zones.empty()) servers.Fail("zones", "give at least one");
-    }
-    servers.Number("cores", s.cores, 1, 1024);
-    servers.Number("slowest", s.slowest, 0.01, 100);
-    servers.Number("fastest", s.fastest, 0.01, 100);
-    servers.Number("queue_per_core", s.queue_per_core, 0, 1e6);
-    servers.Number("thrash", s.thrash, 0, 10);
-    servers.Number("thrash_at", s.thrash_at, 0, 1e6);
-    servers.Number("cold_from", s.slow_start_initial_share, 0.01, 1);
-    servers.Number("cold_s", s.slow_start_s, 0, 600);
-    servers.Number("pause_every_s", s.pause_every_s, 0.1, 1e6);
-    servers.Number("pause_ms", s.pause_ms, 0, 60'000);
-    servers.Number("error_rate", s.error_rate, 0, 1);
-    servers.Number("drain_s", s.drain_s, 0, 600);
-    servers.Done();
-    Table net = part("net");
-    net.Number("same_ms", s.same_ms, 0, 10'000);
-    net.Number("cross_ms", s.cross_ms, 0, 10'000);
-    net.Number("jitter", s.jitter, 0, 5);
-    net.Number("handshake_ms", s.handshake_ms, 0, 10'000);
-    net.Number("notice_from_s", s.notice_from_s, 0, 600);
-    net.Number("notice_to_s", s.notice_to_s, 0, 600);
-    if (s.notice_to_s < s.notice_from_s) net.Fail("notice_to_s", "give no less than notice_from_s");
-    net.Done();
-    Table load = part("load");
-    load.Number("use", s.use, 0, 100);
-    load.Number("wave", s.wave, 0, 1);
-    load.Number("wave_s", s.wave_s, 1, 36'000);
-    load.Number("retries", s.retries, 0, 100);
-    load.Number("backoff_ms", s.backoff_ms, 1, 60'000);
-    load.Done();
-    Table allow = part("allow");
-    allow.Count("max_attempts", s.max_attempts, 100);
-    allow.Flag("second_copies", s.hedging);
-    allow.Done();
-    Table must = part("must");
-    double served = -1;
-    double recovers = -1;
-    must.Number("served_at_least", served, 0, 1);
-    must.Number("recovers_within_s", recovers, 0, 36'000);
-    must.Done();
-    if (served >= 0) s.served_at_least = served;
-    if (recovers >= 0) s.recovers_within_s = recovers;
-    const auto tables = [&](const char* name, const auto& read) {
-      const toml::node* node = top.Node(name);
-      if (node == nullptr) return;
-      if (!node->is_array()) top.Fail(name, "write [[" + std::string(name) + "]]");
-      for (const toml::node& entry : *node->as_array()) {
-        if (!entry.is_table()) top.Fail(name, "write [[" + std::string(name) + "]]");
-        read(*entry.as_table());
-      }
-    };
-    tables("class", [&](const toml::table& t) { s.classes.push_back(ReadClass(t)); });
-    tables("fault", [&](const toml::table& t) { s.faults.push_back(ReadFault(t, s)); });
-    top.Done();
-    if (s.name.empty()) top.Fail("name", "give one");
-    if (s.classes.empty()) top.Fail("class", "give at least one [[class]]");
-    double share = 0;
-    for (const ClassLoad& c : s.classes) share += c.share;
-    if (share <= 0) top.Fail("class", "give at least one a share");
-    return s;
+    return ReadScenario(root);
   } catch (const ScenarioError& e) {
     throw ScenarioError(path + ": " + e.what());
   }
@@ -259,28 +352,13 @@
 }
 
 std::string ToToml(const Scenario& s) {
-  toml::array zones;
-  for (const std::string& zone : s.zones) zones.push_back(zone);
   toml::table root{{"name", s.name},
                    {"about", s.about},
                    {"length_s", s.length_s},
                    {"fleet", toml::table{{"sidecars", static_cast<std::int64_t>(s.sidecars)},
                                          {"skew", s.skew},
                                          {"start_ms", s.start_ms}}},
-                   {"servers", toml::table{{"count", static_cast<std::int64_t>(s.servers)},
-                                           {"zones", zones},
-                                           {"cores", s.cores},
-                                           {"slowest", s.slowest},
-                                           {"fastest", s.fastest},
-                                           {"queue_per_core", s.queue_per_core},
-                                           {"thrash", s.thrash},
-                                           {"thrash_at", s.thrash_at},
-                                           {"cold_from", s.slow_start_initial_share},
-                                           {"cold_s", s.slow_start_s},
-                                           {"pause_every_s", s.pause_every_s},
-                                           {"pause_ms", s.pause_ms},
-                                           {"error_rate", s.error_rate},
-                                           {"drain_s", s.drain_s}}},
+                   {"servers", ServersToToml(s)},
                    {"net", toml::table{{"same_ms", s.same_ms},
                                        {"cross_ms", s.cross_ms},
                                        {"jitter", s.jitter},
@@ -294,29 +372,10 @@
                                         {"backoff_ms", s.backoff_ms}}},
                    {"allow", toml::table{{"max_attempts", static_cast<std::int64_t>(s.max_attempts)},
                                          {"second_copies", s.hedging}}}};
-  toml::table must;
-  if (s.served_at_least) must.insert("served_at_least", *s.served_at_least);
-  if (s.recovers_within_s) must.insert("recovers_within_s", *s.recovers_within_s);
+  toml::table must = ExpectationsToToml(s);
   if (!must.empty()) root.insert("must", must);
-  toml::array classes;
-  for (const ClassLoad& c : s.classes) {
-    classes.push_back(toml::table{{"name", c.name},
-                                  {"share", c.share},
-                                  {"work_ms", c.work_ms},
-                                  {"work_cv", c.work_cv},
-                                  {"aim_ms", c.latency_objective_ms},
-                                  {"deadline_ms", c.deadline_ms},
-                                  {"worth", c.priority_weight},
-                                  {"effect", kEffects.at(static_cast<std::size_t>(c.effect))}});
-  }
-  root.insert("class", classes);
-  toml::array faults;
-  for (const Fault& f : s.faults) {
-    toml::table fault{
-        {"kind", NameOf(f.kind)}, {"at_s", f.at_s}, {"len_s", f.len_s}, {"part", f.part}, {"size", f.size}};
-    if (!f.zone.empty()) fault.insert("zone", f.zone);
-    faults.push_back(fault);
-  }
+  root.insert("class", ClassesToToml(s));
+  toml::array faults = FaultsToToml(s);
   if (!faults.empty()) root.insert("fault", faults);
   std::ostringstream text;
   text << root << '\n';
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -2,14 +2,15 @@
 
 #include <algorithm>
 #include <cmath>
+#include <utility>
 #include <vector>
 
 namespace mothrack::simulation {
 namespace {
 
-// Trouble that goes on so long behind its cause, with room enough, outlives it.
+// A fault whose effect lasts so long after its cause, with capacity enough, outlives it. Seconds.
 constexpr double kOutlives = 12;
-constexpr double kLeastLength = 10;
+constexpr double kLeastLength = 10;  // seconds, of a shrunk run
 
 double Moved(double value, Random& random, double least, double most) {
   return std::clamp(value * random.Between(0.6, 1.6), least, most);
@@ -28,6 +29,86 @@
   return f;
 }
 
+// Makes a scenario smaller by steps, each of which is kept only where the result still shows the fault.
+class Shrinker {
+ public:
+  Shrinker(Scenario scenario, const std::function<bool(const Scenario&)>& shows, int budget)
+      : scenario_(std::move(scenario)), shows_(shows), budget_(budget) {}
+
+  Scenario Shrink() {
+    bool smaller = true;
+    while (smaller && budget_ > 0) {
+      smaller = RemoveFaults();
+      smaller = RemoveClasses() || smaller;
+      smaller = ShrinkFleet() || smaller;
+      smaller = ShortenRun() || smaller;
+      smaller = SimplifyLoad() || smaller;
+    }
+    return std::move(scenario_);
+  }
+
+ private:
+  bool KeepIfShown(const Scenario& candidate) {
+    if (budget_-- <= 0 || !shows_(candidate)) return false;
+    scenario_ = candidate;
+    return true;
+  }
+  template <typename Change>
+  bool KeepChange(Change change) {
+    Scenario candidate = scenario_;
+    change(candidate);
+    return KeepIfShown(candidate);
+  }
+  bool RemoveFaults() {
+    bool smaller = false;
+    for (std::size_t i = 0; i < scenario_.faults.size();) {
+      const bool kept =
+          KeepChange([&](Scenario& s) { s.faults.erase(s.faults.begin() + static_cast<std::ptrdiff_t>(i)); });
+      if (!kept) ++i;
+      smaller = kept || smaller;
+    }
+    return smaller;
+  }
+  bool RemoveClasses() {
+    bool smaller = false;
+    for (std::size_t i = 0; scenario_.classes.size() > 1 && i < scenario_.classes.size();) {
+      const bool kept = KeepChange(
+          [&](Scenario& s) { s.classes.erase(s.classes.begin() + static_cast<std::ptrdiff_t>(i)); });
+      if (!kept) ++i;
+      smaller = kept || smaller;
+    }
+    return smaller;
+  }
+  bool ShrinkFleet() {
+    bool smaller = false;
+    if (scenario_.sidecars > 1) smaller = KeepChange([](Scenario& s) { s.sidecars /= 2; });
+    if (scenario_.servers > 2) {
+      smaller =
+          KeepChange([](Scenario& s) { s.servers = std::max<std::size_t>(2, s.servers / 2); }) || smaller;
+    }
+    return smaller;
+  }
+  bool ShortenRun() {
+    if (scenario_.length_s <= kLeastLength) return false;
+    return KeepChange([](Scenario& s) {
+      s.length_s = std::max(kLeastLength, std::floor(s.length_s / 2));
+      std::erase_if(s.faults, [&](const Fault& f) { return f.at_s > s.length_s; });
+      for (Fault& f : s.faults) f.len_s = std::min(f.len_s, s.length_s);
+    });
+  }
+  bool SimplifyLoad() {
+    bool smaller = false;
+    for (double Scenario::*const value : {&Scenario::wave, &Scenario::retries, &Scenario::skew}) {
+      if (scenario_.*value > 0) smaller = KeepChange([&](Scenario& s) { s.*value = 0; }) || smaller;
+    }
+    return smaller;
+  }
+
+  Scenario scenario_;
+  const std::function<bool(const Scenario&)>& shows_;
+  int budget_;  // runs left
+};
+
 }  // namespace
 
 std::string FindFault(const Scenario& scenario, const Outcome& outcome, const Figures& figures) {
@@ -35,7 +116,7 @@
   if (outcome.still_open > 0) return "requests without an answer";
   const auto recovery = figures.recovery();
   if (!recovery) return {};
-  // Judged only where the night goes on long enough behind both its faults and the room's return.
+  // Judged only where the run goes on long enough behind both its faults and the return of capacity.
   const double from = std::max(recovery->covered_s, scenario.FaultsEnd());
   if (scenario.length_s - from < kOutlives + 5) return {};
   const double over = recovery->recovered ? recovery->recovered_s - from : scenario.length_s - from;
@@ -71,44 +152,7 @@
 }
 
 Scenario Shrunk(Scenario scenario, const std::function<bool(const Scenario&)>& shows, int budget) {
-  bool smaller = true;
-  const auto keep = [&](const Scenario& candidate) {
-    if (budget-- <= 0 || !shows(candidate)) return false;
-    scenario = candidate;
-    return smaller = true;
-  };
-  while (smaller && budget > 0) {
-    smaller = false;
-    for (std::size_t i = 0; i < scenario.faults.size();) {
-      Scenario candidate = scenario;
-      candidate.faults.erase(candidate.faults.begin() + static_cast<std::ptrdiff_t>(i));
-      if (!keep(candidate)) ++i;
-    }
-    for (std::size_t i = 0; scenario.classes.size() > 1 && i < scenario.classes.size();) {
-      Scenario candidate = scenario;
-      candidate.classes.erase(candidate.classes.begin() + static_cast<std::ptrdiff_t>(i));
-      if (!keep(candidate)) ++i;
-    }
-    const auto halve = [&](auto&& change) {
-      Scenario candidate = scenario;
-      if (change(candidate)) keep(candidate);
-    };
-    halve([](Scenario& s) { return s.sidecars > 1 && (s.sidecars = s.sidecars / 2, true); });
-    halve([](Scenario& s) {
-      return s.servers > 2 && (s.servers = std::max<std::size_t>(2, s.servers / 2), true);
-    });
-    halve([](Scenario& s) {
-      if (s.length_s <= kLeastLength) return false;
-      s.length_s = std::max(kLeastLength, std::floor(s.length_s / 2));
-      std::erase_if(s.faults, [&](const Fault& f) { return f.at_s > s.length_s; });
-      for (Fault& f : s.faults) f.len_s = std::min(f.len_s, s.length_s);
-      return true;
-    });
-    halve([](Scenario& s) { return s.wave > 0 && (s.wave = 0, true); });
-    halve([](Scenario& s) { return s.retries > 0 && (s.retries = 0, true); });
-    halve([](Scenario& s) { return s.skew > 0 && (s.skew = 0, true); });
-  }
-  return scenario;
+  return Shrinker(std::move(scenario), shows, budget).Shrink();
 }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -6,6 +6,7 @@
 
 #include <cerrno>
 #include <map>
+#include <optional>
 #include <stdexcept>
 
 #include "simulation/results.h"
@@ -14,18 +15,21 @@
 namespace mothrack::simulation {
 namespace {
 
+// A process that plays one job and writes its result as JSON.
 struct Worker {
   std::size_t job = 0;
   pid_t pid = 0;
   std::string output;
 };
+using Workers = std::map<int, Worker>;  // by the descriptor that their output is read from
 
+// The worker's side: plays the job, writes its result to `to` and ends the process.
 [[noreturn]] void Work(const Job& job, int to) {
   int code = 1;
   try {
-    SimulationRun world(job.scenario, job.seed);
-    const Outcome outcome = world.Run();
-    const std::string text = ToJson(job.scenario, job.seed, outcome, world.figures(), false).dump();
+    SimulationRun simulated(job.scenario, job.seed);
+    const Outcome outcome = simulated.Run();
+    const std::string text = ToJson(job.scenario, job.seed, outcome, simulated.figures(), false).dump();
     std::size_t at = 0;
     while (at < text.size()) {
       const ssize_t wrote = ::write(to, text.data() + at, text.size() - at);
@@ -39,44 +43,63 @@
   ::_exit(code);
 }
 
+void StartWorker(const std::vector<Job>& jobs, std::size_t job, Workers& workers) {
+  int pipe[2];
+  if (::pipe(pipe) != 0) throw std::runtime_error("no pipe for a worker");
+  const pid_t pid = ::fork();
+  if (pid < 0) throw std::runtime_error("no process for a worker");
+  if (pid == 0) {
+    ::close(pipe[0]);
+    Work(jobs[job], pipe[1]);
+  }
+  ::close(pipe[1]);
+  workers[pipe[0]] = {job, pid, {}};
+}
+
+// The descriptors that have something to read, or whose worker has ended; waits for the first.
+std::vector<int> WaitForOutput(const Workers& workers) {
+  std::vector<pollfd> waits;
+  waits.reserve(workers.size());
+  for (const auto& [fd, worker] : workers) waits.push_back({fd, POLLIN, 0});
+  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR) throw std::runtime_error("poll");
+  std::vector<int> ready;
+  for (const pollfd& wait : waits) {
+    if (wait.revents != 0) ready.push_back(wait.fd);
+  }
+  return ready;
+}
+
+// Takes what the worker has written. Its result once it has ended, null where it died.
+std::optional<nlohmann::json> ReadOutput(int fd, Worker& worker) {
+  char buffer[4096];
+  const ssize_t got = ::read(fd, buffer, sizeof buffer);
+  if (got > 0) {
+    worker.output.append(buffer, static_cast<std::size_t>(got));
+    return std::nullopt;
+  }
+  int status = 0;
+  ::waitpid(worker.pid, &status, 0);
+  ::close(fd);
+  if (status != 0) return nlohmann::json();
+  auto run = nlohmann::json::parse(worker.output, nullptr, false);
+  return run.is_discarded() ? nlohmann::json() : run;
+}
+
 }  // namespace
 
 void PlayAll(const std::vector<Job>& jobs, std::size_t at_once,
              const std::function<bool(std::size_t, const nlohmann::json&)>& done) {
-  std::map<int, Worker> workers;  // by what they write to
+  Workers workers;
   std::size_t next = 0;
   bool going = true;
   while (!workers.empty() || (going && next < jobs.size())) {
-    while (going && next < jobs.size() && workers.size() < at_once) {
-      int pipe[2];
-      if (::pipe(pipe) != 0) throw std::runtime_error("no pipe for a worker");
-      const pid_t pid = ::fork();
-      if (pid < 0) throw std::runtime_error("no process for a worker");
-      if (pid == 0) {
-        ::close(pipe[0]);
-        Work(jobs[next], pipe[1]);
-      }
-      ::close(pipe[1]);
-      workers[pipe[0]] = {next++, pid, {}};
-    }
-    std::vector<pollfd> waits;
-    for (const auto& [fd, worker] : workers) waits.push_back({fd, POLLIN, 0});
-    if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR) throw std::runtime_error("poll");
-    for (const pollfd& wait : waits) {
-      if (wait.revents == 0) continue;
-      Worker& worker = workers[wait.fd];
-      char buffer[4096];
-      const ssize_t got = ::read(wait.fd, buffer, sizeof buffer);
-      if (got > 0) {
-        worker.output.append(buffer, static_cast<std::size_t>(got));
-        continue;
-      }
-      int status = 0;
-      ::waitpid(worker.pid, &status, 0);
-      ::close(wait.fd);
-      const auto run = status == 0 ? nlohmann::json::parse(worker.output, nullptr, false) : nlohmann::json();
-      going = done(worker.job, run.is_discarded() ? nlohmann::json() : run) && going;
-      workers.erase(wait.fd);
+    while (going && next < jobs.size() && workers.size() < at_once) StartWorker(jobs, next++, workers);
+    for (const int fd : WaitForOutput(workers)) {
+      Worker& worker = workers[fd];
+      const auto run = ReadOutput(fd, worker);
+      if (!run) continue;
+      going = done(worker.job, *run) && going;
+      workers.erase(fd);
     }
   }
 }
