--- a/src/simulation/exit_code.h
+++ b/src/simulation/exit_code.h
@@ -1,4 +1,4 @@
-// Exit codes of the simulator's program. Scripts rely on them: docs/operators/lab.md.
+// Exit codes of the simulator's program. Scripts rely on them: docs/operators/simulator.md.
 #pragma once
 
 namespace mothrack::simulation {
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,4 +1,4 @@
-// mothrack-lab: from a question to a table or a picture. docs/operators/lab.md.
+// mothrack-sim: from a question to a table or a picture. docs/operators/simulator.md.
 #include <exception>
 #include <iostream>
 #include <variant>
@@ -38,7 +38,7 @@
     if (const int* code = std::get_if<int>(&options)) return *code;
     return RunCommand(std::get<Options>(options));
   } catch (const std::exception& e) {
-    std::cerr << "mothrack-lab: " << e.what() << '\n';
+    std::cerr << "mothrack-sim: " << e.what() << '\n';
     return kUsage;
   }
 }
--- a/tests/simulation/lab_test.cpp
+++ b/tests/simulation/lab_test.cpp
@@ -337,7 +337,7 @@
 };
 
 pid_t StartLab(const std::vector<std::string>& arguments, const std::string& out) {
-  std::vector<std::string> command = {MOTHRACK_LAB_PROGRAM};
+  std::vector<std::string> command = {MOTHRACK_SIM_PROGRAM};
   command.insert(command.end(), arguments.begin(), arguments.end());
   const pid_t pid = ::fork();
   if (pid != 0) return pid;
