--- /dev/null
+++ b/tests/simulation/program_test.cpp
@@ -0,0 +1,145 @@
+// The program mothrack-sim: sweeps that continue, comparisons, exit codes, pages.
+#include <signal.h>
+#include <sys/wait.h>
+#include <unistd.h>
+
+#include <cstdlib>
+#include <filesystem>
+#include <fstream>
+#include <sstream>
+
+#include "gtest/gtest.h"
+#include "simulation/report.h"
+#include "simulation/simulation_support.h"
+#include "standins/peers.h"
+
+namespace mothrack::simulation {
+namespace {
+
+namespace fs = std::filesystem;
+
+// A temporary directory, removed with the object.
+class TemporaryDirectory {
+ public:
+  TemporaryDirectory() {
+    std::string pattern = (fs::temp_directory_path() / "simulation.XXXXXX").string();
+    if (::mkdtemp(pattern.data()) != nullptr) path_ = pattern;
+  }
+  ~TemporaryDirectory() { fs::remove_all(path_); }
+  std::string File(const std::string& name) const { return path_ + '/' + name; }
+
+ private:
+  std::string path_;
+};
+
+// Starts the program with its output in `out`; the child's process id.
+pid_t StartProgram(const std::vector<std::string>& arguments, const std::string& out) {
+  std::vector<std::string> command = {MOTHRACK_SIM_PROGRAM};
+  command.insert(command.end(), arguments.begin(), arguments.end());
+  const pid_t pid = ::fork();
+  if (pid != 0) return pid;
+  std::vector<char*> argv;
+  for (std::string& argument : command) argv.push_back(argument.data());
+  argv.push_back(nullptr);
+  if (std::freopen(out.c_str(), "w", stdout) == nullptr || std::freopen(out.c_str(), "a", stderr) == nullptr)
+    ::_exit(126);
+  ::execv(argv[0], argv.data());
+  ::_exit(127);
+}
+
+// Waits for the end of the process; its exit code, or 128 and its signal.
+int CodeOf(pid_t pid) {
+  int status = 0;
+  ::waitpid(pid, &status, 0);
+  return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
+}
+
+std::string ReadAll(const std::string& path) {
+  std::ostringstream text;
+  text << std::ifstream(path).rdbuf();
+  return text.str();
+}
+
+std::vector<std::string> SweepOf(const std::string& db) {
+  return {"sweep",   PathOf("calm"),
+          "--set",   "length_s=6",
+          "--set",   "fleet.sidecars=8",
+          "--vary",  "load.use=0.3,0.6",
+          "--seeds", "1..12",
+          "--jobs",  "2",
+          "--db",    db};
+}
+
+TEST(Program, ASweepKilledHalfwayGoesOnToTheSameTable) {
+  TemporaryDirectory directory;
+  ASSERT_EQ(CodeOf(StartProgram(SweepOf(directory.File("whole")), directory.File("whole.out"))), 0);
+  const pid_t pid = StartProgram(SweepOf(directory.File("cut")), directory.File("cut.out"));
+  ASSERT_TRUE(testing::Eventually([&] {
+    try {
+      return fs::exists(directory.File("cut")) && Results(directory.File("cut")).Of("now").size() >= 3;
+    } catch (const std::exception&) {
+      return false;
+    }
+  }));
+  ::kill(pid, SIGKILL);
+  CodeOf(pid);
+  ASSERT_EQ(CodeOf(StartProgram(SweepOf(directory.File("cut")), directory.File("cut.out"))), 0);
+  const std::string cut = ReadAll(directory.File("cut.out"));
+  EXPECT_NE(cut.find("runs are there already"), std::string::npos) << cut;
+  EXPECT_EQ(Results(directory.File("cut")).Of("now"), Results(directory.File("whole")).Of("now"));
+  EXPECT_EQ(Results(directory.File("whole")).Of("now").size(), 24U);
+}
+
+TEST(Program, ComparesTheSameSeedsAndDrawsAPage) {
+  TemporaryDirectory directory;
+  const std::string db = directory.File("db");
+  for (const char* label : {"a", "b"}) {
+    const std::string hedging = std::string("allow.second_copies=") + (*label == 'a' ? "true" : "false");
+    // Other settings make another hash, so the pair is made by hand: the label differs, the key does not.
+    Scenario scenario = LoadScenario(PathOf("calm"), {"length_s=6", "fleet.sidecars=8"});
+    const RunKey key{label, scenario.name, HashOf(scenario), 1};
+    Results results(db);
+    for (std::uint64_t seed = 1; seed <= 4; ++seed) {
+      Scenario played = LoadScenario(PathOf("calm"), {"length_s=6", "fleet.sidecars=8", hedging});
+      SimulationRun simulated(played, seed);
+      const Outcome outcome = simulated.Run();
+      RunKey of_seed = key;
+      of_seed.seed = seed;
+      results.Keep(of_seed, "x", "y", ToJson(played, seed, outcome, simulated.figures(), false));
+    }
+  }
+  ASSERT_EQ(CodeOf(StartProgram({"compare", "a", "b", "--db", db, "--report", directory.File("page.html")},
+                                directory.File("out"))),
+            0);
+  EXPECT_NE(ReadAll(directory.File("out")).find("attempts_a_try"), std::string::npos);
+  EXPECT_NE(ReadAll(directory.File("page.html")).find("<svg"), std::string::npos);
+  EXPECT_EQ(CodeOf(StartProgram({"compare", "a", "nobody", "--db", db}, directory.File("out"))), 1);
+}
+
+TEST(Program, TellsWhatDidNotHoldByItsExitCodeAndReplays) {
+  TemporaryDirectory directory;
+  const std::string out = directory.File("out");
+  const std::vector<std::string> small = {"--set", "length_s=8", "--set", "fleet.sidecars=8"};
+  auto with = [&](std::vector<std::string> arguments) {
+    arguments.insert(arguments.end(), small.begin(), small.end());
+    return arguments;
+  };
+  ASSERT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--report", directory.File("page.html")}), out)),
+            0)
+      << ReadAll(out);
+  const std::string text = ReadAll(out);
+  const auto at = text.find("digest ") + 7;
+  const std::string digest = text.substr(at, 16);
+  EXPECT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--expect", digest}), out)), 0) << ReadAll(out);
+  EXPECT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--expect", digest, "--seed", "2"}), out)), 2);
+  EXPECT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--plant", "resend"}), out)), 2);
+  EXPECT_NE(ReadAll(out).find("not held: rule twice"), std::string::npos);
+  EXPECT_EQ(CodeOf(StartProgram({"run", PathOf("calm"), "--set", "fleet.sidecars=none"}, out)), 1);
+  const std::string page = ReadAll(directory.File("page.html"));
+  for (const char* part : {"<figcaption>Room", "<table>", "held: the four rules"})
+    EXPECT_NE(page.find(part), std::string::npos) << part;
+  EXPECT_EQ(page.find("http://"), std::string::npos) << "a page fetches nothing";
+}
+
+}  // namespace
+}  // namespace mothrack::simulation
