--- a/src/simulation/chart.cpp
+++ b/src/simulation/chart.cpp
@@ -105,14 +105,18 @@
 
 std::string Chart::GridSvg(const Scale& scale) const {
   std::ostringstream out;
-  for (double v = 0; v <= scale.most + scale.step / 2; v += scale.step) {
+  const long lines = std::lround(scale.most / scale.step);
+  for (long i = 0; i <= lines; ++i) {
+    const double v = static_cast<double>(i) * scale.step;
     out << "<line class=grid x1=" << kLeft << " x2=" << kWidth - kRight << " y1=" << scale.Y(v)
         << " y2=" << scale.Y(v) << " />"
         << "<text x=" << kLeft - 6 << " y=" << scale.Y(v) + 4 << " text-anchor=end>" << Short(v)
         << "</text>\n";
   }
   const double tick = std::max(1.0, Step(static_cast<double>(seconds_)));
-  for (double s = 0; s <= static_cast<double>(seconds_); s += tick) {
+  const auto ticks = static_cast<long>(static_cast<double>(seconds_) / tick);
+  for (long i = 0; i <= ticks; ++i) {
+    const double s = static_cast<double>(i) * tick;
     out << "<text x=" << scale.X(s) << " y=" << kHeight - 8 << " text-anchor=middle>" << Short(s)
         << "</text>\n";
   }
--- a/src/simulation/report.cpp
+++ b/src/simulation/report.cpp
@@ -125,7 +125,11 @@
     for (const Picture::Part& part : picture.parts) {
       if (part.key == nullptr) break;
       Series series{part.name, part.colour, Of(seconds, part.key)};
-      picture.stacked ? chart.Stack(std::move(series)) : chart.Line(std::move(series));
+      if (picture.stacked) {
+        chart.Stack(std::move(series));
+      } else {
+        chart.Line(std::move(series));
+      }
     }
     body << chart.Html();
   }
@@ -154,7 +158,7 @@
     body << "<tr><td>" << Escaped(row.scenario) << "</td><td>" << Escaped(row.figure) << "</td><td>"
          << d.pairs << "</td><td>" << Short(row.a) << "</td><td>" << Short(row.b) << "</td><td class=\""
          << style << "\">" << Short(d.mean) << " (" << Short(d.low) << " to " << Short(d.high)
-         << ")</td><td><svg style=\"width:200px\" viewBox=\"0 0 200 16\">"
+         << R"()</td><td><svg style="width:200px" viewBox="0 0 200 16">)"
          << "<line class=grid x1=100 x2=100 y1=0 y2=16 /><line stroke=\""
          << (!d.tells() ? "#888"
              : better   ? kGreen
--- a/src/simulation/results.h
+++ b/src/simulation/results.h
@@ -20,6 +20,7 @@
   std::string scenario;
   std::string settings;  // hash of the scenario as it was played
   std::uint64_t seed = 0;
+  // NOLINTNEXTLINE(modernize-use-nullptr): false finding in the comparison that the compiler writes.
   auto operator<=>(const RunKey&) const = default;
 };
 
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -39,7 +39,7 @@
     value = *found;
   }
   void Count(const char* key, std::size_t& value, std::size_t most) {
-    double number = static_cast<double>(value);
+    auto number = static_cast<double>(value);
     Number(key, number, 1, static_cast<double>(most));
     if (number != std::floor(number)) Fail(key, "give a whole number");
     value = static_cast<std::size_t>(number);
--- a/src/simulation/simulation_clients.cpp
+++ b/src/simulation/simulation_clients.cpp
@@ -103,22 +103,23 @@
   };
   const auto id = sidecar.dispatcher->Submit(std::move(taken));
   if (!pending->impatient || !id) return;
-  // Leaves at a third of its aim, and comes again at once.
-  sim_.After(Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3),
-             [this, &sidecar, pending, request, id, client_attempts = pending->client_attempts,
-              incarnation = std::weak_ptr(sidecar.incarnation)] {
-               if (incarnation.expired() || !sidecar.pending_requests.contains(pending->client_request) ||
-                   pending->client_attempts != client_attempts)
-                 return;
-               if (pending->client_attempts >= pending->max_client_attempts) return;
-               SimulationEvent left;
-               left.kind = SimulationEvent::Kind::kClientLeft;
-               left.sidecar = sidecar.id;
-               left.request = request;
-               Record(left);
-               sidecar.dispatcher->OnClientDisconnected(*id);
-               SendRequest(sidecar, pending);
-             });
+  // Leaves at a third of its latency objective, and comes again at once.
+  const runtime::Duration patience = Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3);
+  const int client_attempts = pending->client_attempts;
+  sim_.After(patience, [this, &sidecar, request, id, client_attempts,
+                        incarnation = std::weak_ptr(sidecar.incarnation), pending = std::move(pending)] {
+    if (incarnation.expired() || !sidecar.pending_requests.contains(pending->client_request) ||
+        pending->client_attempts != client_attempts)
+      return;
+    if (pending->client_attempts >= pending->max_client_attempts) return;
+    SimulationEvent left;
+    left.kind = SimulationEvent::Kind::kClientLeft;
+    left.sidecar = sidecar.id;
+    left.request = request;
+    Record(left);
+    sidecar.dispatcher->OnClientDisconnected(*id);
+    SendRequest(sidecar, pending);
+  });
 }
 
 void SimulationRun::OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -4,6 +4,7 @@
 
 #include <algorithm>
 #include <numeric>
+#include <utility>
 
 #include "simulation/simulation_run_state.h"
 
@@ -56,12 +57,13 @@
       lost_(scenario.zones.size()),
       hash_(std::make_unique<Hash>()) {
   sim_.RunUntil(runtime::TimePoint(kEpoch));
+  // Servers are dealt to the zones in turn.
+  const auto place_in_zone = [&](std::size_t server) { return server / scenario_.zones.size(); };
   for (std::size_t i = 0; i < scenario_.servers; ++i) {
-    const double along =
-        scenario_.servers > 1
-            ? static_cast<double>(i / scenario_.zones.size()) /
-                  std::max(1.0, static_cast<double>((scenario_.servers - 1) / scenario_.zones.size()))
-            : 0;
+    const double along = scenario_.servers > 1
+                             ? static_cast<double>(place_in_zone(i)) /
+                                   std::max(1.0, static_cast<double>(place_in_zone(scenario_.servers - 1)))
+                             : 0;
     const double speed = scenario_.slowest + (scenario_.fastest - scenario_.slowest) * std::min(1.0, along);
     AddServer(i % scenario_.zones.size(), speed);
     warm_ += machines_.back().server->capacity();
@@ -280,8 +282,9 @@
                                     runtime::TimePoint most) {
   if (incarnation.expired()) return;
   if (sidecar.dispatcher->open() == 0 || sim_.now() >= most) return Stop(sidecar);
-  sim_.After(std::chrono::milliseconds(100),
-             [this, &sidecar, incarnation, most] { AwaitQuiescence(sidecar, incarnation, most); });
+  sim_.After(std::chrono::milliseconds(100), [this, &sidecar, incarnation = std::move(incarnation), most] {
+    AwaitQuiescence(sidecar, incarnation, most);
+  });
 }
 
 // Looks at the world as it is, as people would.
