--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -1,4 +1,4 @@
-// Breaks a rule on purpose.
+// Breaks a rule on purpose: `mothrack-sim run --plant`.
 #pragma once
 
 #include <cstdint>
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,5 +1,5 @@
-// The four rules, checked over what happens, whichever world tells it. Each break says when, whom it concerns
-// and what had gone before.
+// The four rules that every version keeps, checked over events alone, whatever reports them. Pure: no clock,
+// no I/O. Each breach says when, which request or server it concerns, and what had gone before. One thread.
 #pragma once
 
 #include <array>
@@ -14,30 +14,36 @@
 
 namespace mothrack::simulation {
 
+// kLost: a request without its one answer in time. kTwice: an unsafe request that may run twice. kDrain: an
+// attempt at a draining server. kSlowStart: a warming server sent more than it can do.
 enum class Rule { kLost, kTwice, kDrain, kSlowStart };
+// As results and pages have it.
 const char* NameOf(Rule rule);
 
+// A rule that was broken.
 struct Breach {
   Rule rule{};
   double at_s = 0;
   std::string what;
 };
 
+// Keeps what it needs of each open request, and of an ended one for 20 s, as an attempt may still run.
 class Rules {
  public:
   struct Limits {
     std::vector<bool> unsafe;          // by class
     runtime::Duration grace{50'000};   // beyond a request's time
-    runtime::Duration drain{550'000};  // after a leaving was told, with the grace of sockets
-    double overload_multiple = 4;      // of what a cold server can do
+    runtime::Duration drain{550'000};  // after the notice that a server drains, with the grace of sockets
+    double overload_multiple = 4;      // of what a warming server can do
     runtime::Duration overload_window{1'000'000};
     double slow_start_initial_share = 0.2;
     runtime::Duration slow_start_duration{15'000'000};
   };
   explicit Rules(Limits limits);
 
+  // In the order in which events happen.
   void Record(const SimulationEvent& h);
-  // The end of the world: what is still owed by then and late is lost.
+  // The end of the run: a request that is unanswered by then and past its deadline is lost.
   void End(runtime::TimePoint at);
 
   // The first of each rule, and how many there were.
@@ -61,7 +67,7 @@
   struct Server {
     runtime::TimePoint booted = runtime::TimePoint::min();
     double capacity = 0;                                     // warm, milliseconds of work a millisecond
-    std::deque<std::pair<runtime::TimePoint, double>> work;  // taken in within the window
+    std::deque<std::pair<runtime::TimePoint, double>> work;  // accepted within the window
     double sum = 0;
   };
 
@@ -77,7 +83,7 @@
   const Limits limits_;
   std::unordered_map<std::uint64_t, Open> open_;
   std::deque<std::pair<runtime::TimePoint, std::uint64_t>>
-      ended_;  // kept for a while: their copies may still run
+      ended_;  // retained for a while: their attempts may still run
   std::unordered_map<std::uint64_t, std::unordered_map<std::size_t, runtime::TimePoint>>
       leaving_;  // by sidecar and server
   std::vector<Server> servers_;
--- a/src/simulation/report.h
+++ b/src/simulation/report.h
@@ -11,11 +11,11 @@
 
 namespace mothrack::simulation {
 
-// Of one run, as results.h keeps it with its seconds. `faults`: as text, for the bands and the list.
+// Of one run, as ToJson of results.h gives it with its seconds; `faults` are drawn behind the curves.
 std::string RunPage(const nlohmann::json& run, const std::string& about, const std::vector<Band>& faults,
                     const std::vector<std::string>& verdicts);
 
-// Of two labels over the same scenarios and seeds.
+// One figure of one scenario, compared.
 struct Row {
   std::string scenario;
   std::string figure;
@@ -24,6 +24,7 @@
   double b = 0;
   Difference difference;  // of b less a
 };
+// Of two labels over the same scenarios and seeds.
 std::string ComparisonPage(const std::string& a, const std::string& b, const std::vector<Row>& rows);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/results.h
+++ b/src/simulation/results.h
@@ -1,6 +1,6 @@
-// What was played, kept in one SQLite file: by scenario, its settings, seed and the label of the build or
-// settings that are compared. A run that is there is not played again, so that a sweep which was cut short
-// goes on where it was.
+// The results of runs, stored in one SQLite file: by scenario, its settings, seed and the label of the build
+// or settings that are compared. A run that is stored is not made again, so that a sweep which was cut short
+// continues where it was.
 #pragma once
 
 #include <cstdint>
@@ -15,10 +15,11 @@
 
 namespace mothrack::simulation {
 
+// What identifies a stored run.
 struct RunKey {
   std::string label;
   std::string scenario;
-  std::string settings;  // hash of the scenario as it was played
+  std::string settings;  // hash of the scenario as it was run
   std::uint64_t seed = 0;
   // NOLINTNEXTLINE(modernize-use-nullptr): false finding in the comparison that the compiler writes.
   auto operator<=>(const RunKey&) const = default;
@@ -31,11 +32,13 @@
 };
 const std::vector<Figure>& ComparedFigures();
 
-// One run as it is kept and told.
+// One run as it is stored and shown.
 nlohmann::json ToJson(const Scenario& scenario, std::uint64_t seed, const Outcome& outcome,
                       const Figures& figures, bool with_seconds);
+// Of the scenario as a file, 16 hexadecimal digits.
 std::string HashOf(const Scenario& scenario);
 
+// The result database. One thread; other processes may use the file, and are waited for up to 5 s.
 class Results {
  public:
   // Throws std::runtime_error where the file can't be used.
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -1,5 +1,6 @@
-// What is played: a world, its load, the faults over time, and what must hold. Read from TOML; every fault of
-// a file names table, key and mend. Times are milliseconds or seconds, as the keys say; shares are of 1.
+// What a run simulates: a fleet, its load, the faults over time, and what is expected. Read from TOML; every
+// error of a file names table, key and remedy. Times are milliseconds or seconds, as the names say; shares
+// are of 1. The keys of a file are operators' settings: docs/operators/simulator.md.
 #pragma once
 
 #include <cstdint>
@@ -13,6 +14,7 @@
 
 namespace mothrack::simulation {
 
+// A scenario that can't be read: path, place, cause and remedy as text.
 class ScenarioError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -25,16 +27,17 @@
   kSlow,          // a share of the servers takes `size` times as long
   kErrors,        // a share of the servers answers `size` of its calls with an error
   kFlap,          // a share of the servers dies and is back after `size` seconds, again and again
-  kReplace,  // a share of the servers is replaced, one after the other over the time: told as leaving, then
-             // gone
-  kKill,     // a share of the sidecars is killed at once and started anew
-  kRestart,  // all sidecars have a planned restart, one after the other over the time
-  kBurst,    // `size` times the load
+  kReplace,      // a share of the servers is replaced, one after the other over the time: listed as draining,
+                 // then removed
+  kKill,         // a share of the sidecars is killed at once and started anew
+  kRestart,      // all sidecars have a planned restart, one after the other over the time
+  kBurst,        // `size` times the load
   kHotSidecars,  // `size` times the load of a share of the sidecars
-  kStale,        // discovery tells nothing
+  kStale,        // discovery sends no updates
   kImpatient,    // a share of the clients leaves early and comes again at once
 };
 
+// A fault: its kind, when and for how long, and what of the fleet it concerns.
 struct Fault {
   FaultKind kind{};
   double at_s = 0;
@@ -44,6 +47,7 @@
   std::string zone{};
 };
 
+// A request class and its share of the load.
 struct ClassLoad {
   std::string name{};
   double share = 1;
@@ -55,6 +59,7 @@
   balancer::Effect effect = balancer::Effect::kSafe;
 };
 
+// A scenario with the defaults of what its file leaves out.
 struct Scenario {
   std::string name{};
   std::string about{};
@@ -82,37 +87,38 @@
   double cross_ms = 2;
   double jitter = 0.25;
   double handshake_ms = 1.5;
-  // Discovery tells every sidecar by itself, this late, as drawn once for each.
+  // Discovery notifies each sidecar this late, as drawn once for each.
   double notice_from_s = 0.3;
   double notice_to_s = 1.5;
-  double drain_s = 6;  // from when a server is told as leaving until it ends
+  double drain_s = 6;  // from when a server is listed as draining until it ends
   // Load, as a share of what the warm servers can do.
   double use = 0.6;
   double wave = 0;  // its swing
   double wave_s = 30;
   std::vector<ClassLoad> classes;
-  // Clients: further tries, while their time lasts.
+  // Clients' retries, in the mean, while their deadline lasts.
   double retries = 1;
   double backoff_ms = 80;
   std::size_t max_attempts = 4;
   bool hedging = true;
   std::vector<Fault> faults;
-  // What must hold beside the rules.
+  // What is expected beside the rules.
   std::optional<double> served_at_least;
   std::optional<double> recovers_within_s;
 
-  // What the sidecars are told of it.
+  // The settings of the sidecar with this number.
   balancer::Settings SettingsOf(std::size_t self) const;
   // When the last fault is over, seconds.
   double FaultsEnd() const;
 };
 
-// `changes`: "table.key=value" each, laid over the file.
+// `changes`: "table.key=value" each, laid over the file. Throws ScenarioError.
 Scenario LoadScenario(const std::string& path, const std::vector<std::string>& changes = {});
 Scenario ParseScenario(const std::string& text, const std::string& path,
                        const std::vector<std::string>& changes = {});
 // As a file that gives the same scenario.
 std::string ToToml(const Scenario& scenario);
+// As scenario files have it.
 const char* NameOf(FaultKind kind);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/server.h
+++ b/src/simulation/server.h
@@ -1,5 +1,5 @@
-// A page server: cores that work through a bounded queue, slower when crowded, cold after its start, pausing
-// now and then.
+// A simulated page server: cores that work through a bounded queue, slower under overload, with a slow start
+// and occasional pauses. Scenario::queue_per_core bounds the queue.
 #pragma once
 
 #include <cstdint>
@@ -12,6 +12,7 @@
 
 namespace mothrack::simulation {
 
+// Holds references to simulator and scenario, which must outlive it.
 class Server {
  public:
   enum class End { kDone, kError, kReset };
@@ -24,12 +25,13 @@
 
   Server(Simulator& sim, const Scenario& scenario, Random random, double speed);
 
-  // False: turned away unseen, as it is full or drains.
+  // False: rejected without effect, as it is full or drains.
   bool Take(Job job);
-  // Nobody waits any more: what has not begun never will.
+  // The caller does not wait any more: a call that has not begun never will; one that has goes on.
   void Cancel(std::uint64_t id);
-  // Its process ends, with all it had.
+  // Its process ends; all calls that it has are reset.
   void Kill();
+  // It starts again, at the begin of its slow start.
   void Boot();
   void Drain() { draining_ = true; }
 
@@ -41,7 +43,7 @@
   double able() const { return up_ && !draining_ ? capacity() * slow_start_factor() / slowed_ : 0; }
   std::size_t in_flight() const { return queue_.size() + running_.size(); }
 
-  // Trouble.
+  // Faults: calls take `times` as long; a share of them, 0 to 1, ends with an error.
   void Slow(double times) { slowed_ = times; }
   void Fail(double share) { failing_ = share; }
 
--- a/src/simulation/simulated_transport.h
+++ b/src/simulation/simulated_transport.h
@@ -1,5 +1,6 @@
-// The transport of a made-up sidecar: what src/http/transport.h does on sockets, in made-up time over made-up
-// links. It keeps connections, opens new ones, and proves of each attempt no more than a socket would.
+// The transport of a simulated sidecar: what src/http/transport.h does on sockets, in simulated time over
+// simulated links. It reuses connections, opens new ones, and proves of each attempt no more than a socket
+// would.
 #pragma once
 
 #include <functional>
@@ -15,7 +16,7 @@
 
 namespace mothrack::simulation {
 
-// A request as the lab's clients make it.
+// A request as the simulated clients make it; `work` in milliseconds of a core of speed 1.
 struct ClientRequest : dispatch::Message {
   std::uint64_t request = 0;
   std::size_t cls = 0;
@@ -26,15 +27,17 @@
 class SimulatedNetwork {
  public:
   virtual ~SimulatedNetwork() = default;
-  // Of a sidecar in this zone to a server, or back.
+  // One way between a sidecar in this zone and a server; drawn anew by each call.
   virtual runtime::Duration Delay(std::size_t zone, std::size_t server) = 0;
-  // Does anything pass at all? Else there is silence.
+  // False where packets are dropped silently.
   virtual bool Passes(std::size_t zone, std::size_t server) const = 0;
   virtual Server& At(std::size_t server) = 0;
   virtual void Record(SimulationEvent h) = 0;
   virtual std::uint64_t NextJob() = 0;
 };
 
+// Holds references to simulator, network and scenario, which must outlive it; callbacks that are still
+// scheduled when it ends do nothing. One a start of a sidecar.
 class SimulatedTransport : public dispatch::Transport {
  public:
   SimulatedTransport(Simulator& sim, SimulatedNetwork& network, const Scenario& scenario,
@@ -96,7 +99,7 @@
   std::unordered_map<std::string, Pool> pools_;
   std::unordered_map<dispatch::ExchangeId, CallPtr> calls_;
   std::uint64_t connects_ = 0;
-  // What is on its way must not reach one that is gone.
+  // What is on its way must not reach a transport that has ended.
   std::shared_ptr<int> incarnation_ = std::make_shared<int>(0);
 };
 
--- a/src/simulation/simulation_event.h
+++ b/src/simulation/simulation_event.h
@@ -1,5 +1,5 @@
-// What is told of a world as it happens, made-up or real: the rules (src/simulation/invariants.h) and the
-// figures (src/simulation/figures.h) are written over these alone.
+// What happens in a run, as events: the rules (src/simulation/invariants.h) and the figures
+// (src/simulation/figures.h) are written over these alone.
 #pragma once
 
 #include <cstdint>
@@ -10,22 +10,25 @@
 
 namespace mothrack::simulation {
 
+// How a request ended for its client.
 enum class RequestOutcome { kServed, kRefused, kFailed };
 
+// Which members are set depends on the kind; the others are zero. Times count from the start of the run.
 struct SimulationEvent {
   enum class Kind {
     kAccepted,         // a sidecar has a request, which is to be answered by `until`
-    kAnswered,         // its answer: `ending`
-    kClientLeft,       // its client has left: nothing is owed any more
-    kSidecarKilled,    // the sidecar died with what it had taken
+    kAnswered,         // its answer: `request_outcome`
+    kClientLeft,       // its client has left: it needs no answer any more
+    kSidecarKilled,    // the sidecar died with the requests that it had accepted
     kAttemptSent,      // an attempt's first byte goes out to `server`
     kAttemptEnded,     // an attempt ended at the sidecar: `outcome`
-    kCallArrived,      // a server has taken a call in, of `work` milliseconds
+    kCallArrived,      // a server has accepted a call of `work` milliseconds
     kCallStarted,      // a server has begun it
-    kSidecarNotified,  // a sidecar was told of `server`: `leaving`, or not
-    kServerStarted,    // a server has started, cold; warm it does `work` milliseconds of it a millisecond
-    kRequested,        // a client wants something, for the first time: `request` is the wish
-    kResolved,         // the wish came to an end: `ending`, `late`
+    kSidecarNotified,  // a sidecar was notified of `server`: draining (`leaving`), or not
+    kServerStarted,    // a server has started, in slow start; warm it does `work` milliseconds of it a
+                       // millisecond
+    kRequested,        // a client request begins: `request` is its number
+    kResolved,         // the client request ended: `request_outcome`, `late`
   };
   Kind kind{};
   runtime::TimePoint at{};
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -20,16 +20,19 @@
 
 namespace mothrack::simulation {
 
+// What a run shows beside its figures.
 struct Outcome {
   std::uint64_t digest = 0;  // of everything that happened, in its order
   std::uint64_t recorded_events = 0;
   std::uint64_t events = 0;
-  std::uint64_t requests = 0;  // that sidecars took
+  std::uint64_t requests = 0;  // that sidecars accepted
   std::vector<Breach> breaches;
   std::size_t broken = 0;
-  std::size_t still_open = 0;  // requests whose time is over and that nobody answered: 0
+  std::size_t still_open =
+      0;  // requests past their deadline and without an answer; 0 where the program is right
 };
 
+// Builds the fleet from the scenario in its constructor; Run() is to be called once.
 class SimulationRun : private SimulatedNetwork {
  public:
   SimulationRun(const Scenario& scenario, std::uint64_t seed,
@@ -48,7 +51,7 @@
     balancer::UpstreamState state = balancer::UpstreamState::kServing;
     std::int64_t boot_ms = 0;
     std::optional<runtime::TimePoint> started;
-    bool unresponsive = false;  // its machine says nothing
+    bool unresponsive = false;  // drops all that it is sent
     double speed = 1;
   };
 
@@ -117,9 +120,9 @@
   bool stale_ = false;
   double burst_ = 1;
   double impatient_ = 0;
-  double rate_ = 0;  // wishes a second, over the fleet
-  double warm_ = 0;  // what all first servers can do, when warm
-  double work_ = 0;  // of a wish, in the mean
+  double rate_ = 0;  // client requests a second, over the fleet
+  double warm_ = 0;  // capacity of the first servers, when warm: milliseconds of work a millisecond
+  double work_ = 0;  // of a client request, in the mean: milliseconds
   std::uint64_t last_request_ = 0;
   std::uint64_t last_client_request_ = 0;
   std::uint64_t last_job_ = 0;
--- a/src/simulation/simulation_run_state.h
+++ b/src/simulation/simulation_run_state.h
@@ -15,7 +15,7 @@
 // Simulated time begins here: a time point of zero means "none" to the program.
 inline constexpr runtime::Duration kEpoch = std::chrono::seconds(1000);
 
-// What a client wants, over all of its attempts.
+// A client's request, over all of its attempts.
 struct SimulationRun::PendingClientRequest {
   std::uint64_t client_request = 0;
   std::size_t cls = 0;
@@ -27,6 +27,7 @@
   bool impatient = false;
 };
 
+// A sidecar over all of its starts.
 struct SimulationRun::Sidecar {
   std::size_t number = 0;
   std::uint64_t id = 0;  // of this start: number, and how often it was started above 32 bits
--- a/src/simulation/simulator.h
+++ b/src/simulation/simulator.h
@@ -1,5 +1,5 @@
-// Made-up time: events in the order of their moments, and of their making where these are equal. One thread,
-// no clock of the machine's: the same seed gives the same order.
+// Simulated time: events in the order of their times, and of their scheduling where these are equal. One
+// thread, no clock of the machine's: the same seed gives the same order.
 #pragma once
 
 #include <algorithm>
@@ -51,6 +51,7 @@
   std::uint64_t state_;
 };
 
+// The event queue. Unbounded: a run holds as many events as its calls and timers need.
 class Simulator {
  public:
   using Act = std::function<void()>;
@@ -64,7 +65,7 @@
   }
   void After(runtime::Duration wait, Act act) { At(now_ + wait, std::move(act)); }
 
-  // Plays all that is due until then, and what follows from it.
+  // Runs all that is due until then, and what follows from it; now() is `end` afterwards.
   void RunUntil(runtime::TimePoint end) {
     while (!heap_.empty() && heap_.front().at <= end) {
       std::pop_heap(heap_.begin(), heap_.end(), Later);
@@ -93,7 +94,7 @@
   std::uint64_t events_ = 0;
 };
 
-// For a dispatcher in made-up time.
+// The timer of a dispatcher in simulated time.
 class SimulatedTimer : public runtime::Timer {
  public:
   explicit SimulatedTimer(Simulator& sim) : sim_(sim) {}
--- a/src/simulation/statistics.h
+++ b/src/simulation/statistics.h
@@ -7,11 +7,13 @@
 
 namespace mothrack::simulation {
 
+// The differences of `pairs` pairs: their mean, and its interval.
 struct Difference {
   std::size_t pairs = 0;
   double mean = 0;
   double low = 0;  // of the interval that has the true mean in 95 of 100 such comparisons, by Student's t
   double high = 0;
+  // Is the interval clear of zero? Never for fewer than two pairs.
   bool tells() const { return pairs >= 2 && (low > 0 || high < 0); }
 };
 
