--- a/tests/agent/stored_fixture_test.cpp
+++ b/tests/agent/stored_fixture_test.cpp
@@ -91,31 +91,47 @@
   EXPECT_EQ(read->claim_id, written.claim_id);
 }
 
+void ExpectStep(const rollout::Step& read, const rollout::Step& written) {
+  EXPECT_EQ(read.change, written.change);
+  EXPECT_EQ(read.kind, written.kind);
+  EXPECT_EQ(read.undo, written.undo);
+  EXPECT_EQ(read.generation, written.generation);
+  EXPECT_EQ(read.epoch, written.epoch);
+  EXPECT_EQ(read.from, written.from);
+}
+
 void ExpectRecord(const InstanceRecord& read, const InstanceRecord& written) {
   EXPECT_EQ(read.wanted, written.wanted);
   EXPECT_EQ(read.generation, written.generation);
   EXPECT_EQ(read.token, written.token);
-  EXPECT_EQ(read.step.change, written.step.change);
-  EXPECT_EQ(read.step.kind, written.step.kind);
-  EXPECT_EQ(read.step.undo, written.step.undo);
-  EXPECT_EQ(read.step.generation, written.step.generation);
-  EXPECT_EQ(read.step.epoch, written.step.epoch);
-  EXPECT_EQ(read.step.from, written.step.from);
+  ExpectStep(read.step, written.step);
   EXPECT_EQ(read.phase, written.phase);
   EXPECT_EQ(read.failure_reason, written.failure_reason);
 }
 
+void ExpectTimes(const rollout::Policy& read, const rollout::Policy& written) {
+  EXPECT_EQ(read.step_timeout, written.step_timeout);
+  EXPECT_EQ(read.watch_interval, written.watch_interval);
+  EXPECT_EQ(read.unreachable_timeout, written.unreachable_timeout);
+}
+
 void ExpectPolicy(const rollout::Policy& read, const rollout::Policy& written) {
   EXPECT_EQ(read.max_unavailable, written.max_unavailable);
   EXPECT_EQ(read.canary, written.canary);
   EXPECT_EQ(read.on_failure, written.on_failure);
-  EXPECT_EQ(read.step_timeout, written.step_timeout);
-  EXPECT_EQ(read.watch_interval, written.watch_interval);
-  EXPECT_EQ(read.unreachable_timeout, written.unreachable_timeout);
+  ExpectTimes(read, written);
   EXPECT_EQ(read.max_failure_increase, written.max_failure_increase);
   EXPECT_EQ(read.min_requests, written.min_requests);
 }
 
+void ExpectTarget(const rollout::Target& read, const rollout::Target& written) {
+  EXPECT_EQ(read.name.agent, written.name.agent);
+  EXPECT_EQ(read.name.instance, written.name.instance);
+  EXPECT_EQ(read.hall, written.hall);
+  EXPECT_EQ(read.from, written.from);
+  EXPECT_EQ(read.to, written.to);
+}
+
 void ExpectPlan(const Plan& read, const Plan& written) {
   EXPECT_EQ(read.id, written.id);
   EXPECT_EQ(read.who, written.who);
@@ -123,11 +139,7 @@
   EXPECT_EQ(read.kind, written.kind);
   ASSERT_EQ(read.targets.size(), written.targets.size());
   for (std::size_t i = 0; i < read.targets.size(); ++i) {
-    EXPECT_EQ(read.targets[i].name.agent, written.targets[i].name.agent);
-    EXPECT_EQ(read.targets[i].name.instance, written.targets[i].name.instance);
-    EXPECT_EQ(read.targets[i].hall, written.targets[i].hall);
-    EXPECT_EQ(read.targets[i].from, written.targets[i].from);
-    EXPECT_EQ(read.targets[i].to, written.targets[i].to);
+    ExpectTarget(read.targets[i], written.targets[i]);
   }
   ExpectPolicy(read.policy, written.policy);
 }
@@ -148,6 +160,11 @@
   ASSERT_EQ(read.plans.size(), 2U);
   ExpectPlan(read.plans.at("c-1"), FirstPlan());
   ExpectPlan(read.plans.at("c-2"), SecondPlan());
+}
+
+TEST(StoredFixture, AnAgentsHistoryOfTheFormerVersionIsReadWhole) {
+  const testing::ScratchFolder folder;
+  const SqliteStore store(folder.CopyOf(kFixture));
   const auto events = store.Events(10);
   const std::vector<Event> written = {{1'699'999'999'001, "c-1", "opened"},
                                       {1'700'000'000'124, "c-2", "opened"},
--- a/tests/hot_restart/stored_fixture_test.cpp
+++ b/tests/hot_restart/stored_fixture_test.cpp
@@ -35,6 +35,12 @@
   return state;
 }
 
+void ExpectStart(const dispatch::ProcessStart& read, const dispatch::ProcessStart& written) {
+  EXPECT_EQ(read.uid, written.uid);
+  EXPECT_EQ(read.boot_ms, written.boot_ms);
+  EXPECT_EQ(read.started, written.started);
+}
+
 void ExpectState(const State& read, const State& written) {
   EXPECT_EQ(read.bans, written.bans);
   EXPECT_EQ(read.ids, written.ids);
@@ -43,9 +49,7 @@
   EXPECT_EQ(read.last_list, written.last_list);
   ASSERT_EQ(read.starts.size(), written.starts.size());
   for (std::size_t i = 0; i < read.starts.size(); ++i) {
-    EXPECT_EQ(read.starts[i].uid, written.starts[i].uid);
-    EXPECT_EQ(read.starts[i].boot_ms, written.starts[i].boot_ms);
-    EXPECT_EQ(read.starts[i].started, written.starts[i].started);
+    ExpectStart(read.starts[i], written.starts[i]);
   }
 }
 
