--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -450,7 +450,7 @@
   missed = missed || http_ratio > kMostHttp;
 
   mothrack::testing::StandinResolver resolver(mothrack::testing::StandinResolver::Echo());
-  resolver.KeepNothing();
+  resolver.StopRecording();
   const TextFile dns_file(".toml", DnsFile(resolver.port()));
   for (const bool tcp : {false, true}) {
     std::vector<Contestant> dns(3);
@@ -474,7 +474,7 @@
     missed = missed || (!tcp && ratio > kMostUdp);
   }
 
-  resolver.Play(mothrack::testing::StandinResolver::Silent());
+  resolver.SetScript(mothrack::testing::StandinResolver::Unresponsive());
   Process silent({program, "--config", dns_file.path()}, {}, 2);
   const std::uint16_t port = silent.PortBehind("dns on 127.0.0.1:");
   const long before = silent.PeakMemoryKb();
--- a/demo/demo.cpp
+++ b/demo/demo.cpp
@@ -102,7 +102,7 @@
     spec.id = i;
     const auto began = Clock::now();
     ++tally.asked;
-    const auto answer = tcp ? stream->Ask(MakeQuery(spec)) : udp.Ask(MakeQuery(spec));
+    const auto answer = tcp ? stream->Query(MakeQuery(spec)) : udp.Query(MakeQuery(spec));
     tally.Took(began);
     if (!answer) {
       ++tally.unanswered;
@@ -167,11 +167,11 @@
   std::this_thread::sleep_for(kSpell);
   count();
   pages[2]->Silence(true);
-  resolvers[2]->Play(StandinResolver::Silent());
+  resolvers[2]->SetScript(StandinResolver::Unresponsive());
   std::this_thread::sleep_for(kSpell);
   count();
   pages[2]->Silence(false);
-  resolvers[2]->Play(StandinResolver::Echo());
+  resolvers[2]->SetScript(StandinResolver::Echo());
   std::this_thread::sleep_for(kReturn);
   stop = true;
   for (auto& client : clients) client.join();
--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -206,7 +206,7 @@
       QuerySpec spec;
       spec.name = "a.org";
       spec.id = id++;
-      if (!client.Ask(MakeQuery(spec))) return false;
+      if (!client.Query(MakeQuery(spec))) return false;
     }
     const auto answer = admin.Get("/v1/status");
     if (!answer || answer->status != 200) return false;
--- a/tests/ctl/fleet_traffic_test.cpp
+++ b/tests/ctl/fleet_traffic_test.cpp
@@ -77,7 +77,7 @@
     Finish(fleet, to, apply);
     const auto ends = traffic.Stop();
 
-    using End = Traffic::End;
+    using End = Traffic::Outcome;
     const auto runs_of = ran.all();
     EXPECT_EQ(traffic.count(End::kLost), 0U);
     EXPECT_GT(traffic.count(End::kServed), 1000U);
@@ -91,8 +91,8 @@
     }
     std::cout << "seed " << seed << ": served " << traffic.count(End::kServed) << ", refused "
               << traffic.count(End::kRefused) << ", failed " << traffic.count(End::kFailed) << ", not taken "
-              << traffic.count(End::kNotTaken) << ", crossed " << traffic.count(End::kCrossed) << ", lost "
-              << traffic.count(End::kLost) << "; tool " << (killed ? "killed" : "ended with ")
+              << traffic.count(End::kNotAccepted) << ", crossed " << traffic.count(End::kIdleCloseRace)
+              << ", lost " << traffic.count(End::kLost) << "; tool " << (killed ? "killed" : "ended with ")
               << (killed ? "" : std::to_string(code)) << std::endl;
   }
 }
--- a/tests/discovery/discovery_process_test.cpp
+++ b/tests/discovery/discovery_process_test.cpp
@@ -89,7 +89,7 @@
     }
     ASSERT_TRUE(node->Listening());
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > 1; }));
-    discovery.Set(Discovery::Mood::kBreaks);
+    discovery.SetBehavior(Discovery::Behavior::kClosesConnection);
     ASSERT_TRUE(Eventually([&] { return node->log().find("discovery: ") != std::string::npos; }));
     std::vector<std::unique_ptr<Client>> clients;
     for (int i = 0; i < 2 * kLimit; ++i) {
@@ -99,9 +99,9 @@
     const int calls = discovery.calls();
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls + 2; })) << "its calls go on";
     ASSERT_LE(node->descriptors(), kLimit);
-    discovery.Tell(List({Target("u2", found.address())}));
+    discovery.Publish(List({Target("u2", found.address())}));
     const auto back = steady_clock::now();
-    discovery.Set(Discovery::Mood::kAnswers);
+    discovery.SetBehavior(Discovery::Behavior::kAnswers);
     ASSERT_TRUE(Eventually([&] { return node->log().find("discovery answers again") != std::string::npos; }));
     EXPECT_LE(steady_clock::now() - back, seconds(7)) << on_request;
     EXPECT_EQ(Count(node->log(), "Too many open files"), 0U) << node->log();
@@ -188,7 +188,7 @@
   Node node(With(discovery.address()));
   ASSERT_TRUE(node.Listening());
   ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
-  discovery.Set(Discovery::Mood::kSilent);
+  discovery.SetBehavior(Discovery::Behavior::kUnresponsive);
   ASSERT_TRUE(Eventually([&] { return node.log().find("discovery: ") != std::string::npos; }));
   json config = node.config();
   config["limits"]["sockets"] = "many";
@@ -198,8 +198,8 @@
   EXPECT_NE(node.log().find("configuration not taken: LB_CONFIG: limits.sockets"), std::string::npos)
       << node.log();
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
-  discovery.Tell(List({Target("u2", b.address())}));
-  discovery.Set(Discovery::Mood::kAnswers);
+  discovery.Publish(List({Target("u2", b.address())}));
+  discovery.SetBehavior(Discovery::Behavior::kAnswers);
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   EXPECT_EQ(Count(node.log(), "not taken"), 1U);
 }
@@ -219,7 +219,7 @@
       place = free.local_endpoint();
     }
     options.listen = "127.0.0.1:" + std::to_string(place.port());
-    options.held_log = true;
+    options.log_blocked = true;
     Node node(options);
     Wire wire(io);
     ASSERT_TRUE(Eventually([&] {
@@ -230,7 +230,7 @@
     }));
     ASSERT_TRUE(wire.Write(PostText("/submit/k", "t1", "x", 5000)));
     node.Signal(signal);
-    node.ReadLog();
+    node.UnblockLog();
     const auto response = wire.ReadResponse();
     ASSERT_TRUE(response) << signal;
     EXPECT_EQ(response->body(), "a /submit/k");
--- a/tests/dns/dns_forwarding_test.cpp
+++ b/tests/dns/dns_forwarding_test.cpp
@@ -28,11 +28,11 @@
   ASSERT_TRUE(node.DnsListening());
   const Octets query = MakeQuery(QueryFor("WwW.Example.org", 0x4711));
   DnsUdpClient udp(node.dns_port());
-  const auto datagram = udp.Ask(query);
+  const auto datagram = udp.Query(query);
   ASSERT_TRUE(datagram);
   EXPECT_EQ(*datagram, MakeAnswer(query));
   DnsTcpClient tcp(node.dns_port());
-  const auto message = tcp.Ask(query);
+  const auto message = tcp.Query(query);
   ASSERT_TRUE(message);
   EXPECT_EQ(*message, MakeAnswer(query));
   EXPECT_EQ(resolver.queries(), 2);
@@ -46,7 +46,7 @@
   DnsUdpClient client(node.dns_port());
   constexpr int kQueries = 300;
   for (int i = 0; i < kQueries; ++i)
-    ASSERT_TRUE(client.Ask(MakeQuery(QueryFor("n" + std::to_string(i) + ".org", 7))));
+    ASSERT_TRUE(client.Query(MakeQuery(QueryFor("n" + std::to_string(i) + ".org", 7))));
   std::set<std::uint16_t> ids;
   std::set<std::uint16_t> ports;
   std::set<int> steps;
@@ -111,7 +111,7 @@
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
   DnsUdpClient client(node.dns_port());
-  EXPECT_TRUE(client.Ask(MakeQuery({})));
+  EXPECT_TRUE(client.Query(MakeQuery({})));
   node.Signal(SIGTERM);
   EXPECT_EQ(node.Wait(), 0);
 }
@@ -141,7 +141,7 @@
     records = c.records;
     QuerySpec spec = QueryFor("big.org", ++id);
     spec.edns_size = c.asked;
-    const auto answer = client.Ask(MakeQuery(spec));
+    const auto answer = client.Query(MakeQuery(spec));
     ASSERT_TRUE(answer);
     EXPECT_EQ(IsTruncated(*answer), !c.whole) << c.asked;
     EXPECT_EQ(AnswersOf(*answer), c.whole ? c.records : 0) << c.asked;
@@ -151,7 +151,7 @@
   }
   // Over TCP it comes whole.
   DnsTcpClient tcp(node.dns_port());
-  const auto answer = tcp.Ask(MakeQuery(QueryFor("big.org", 99)));
+  const auto answer = tcp.Query(MakeQuery(QueryFor("big.org", 99)));
   ASSERT_TRUE(answer);
   EXPECT_EQ(AnswersOf(*answer), 80);
 }
@@ -167,7 +167,7 @@
   spec.edns_options = cookie;
   spec.edns_options.insert(spec.edns_options.end(), subnet.begin(), subnet.end());
   DnsUdpClient client(node.dns_port());
-  ASSERT_TRUE(client.Ask(MakeQuery(spec)));
+  ASSERT_TRUE(client.Query(MakeQuery(spec)));
   Octets sent = resolver.seen()[0].query;
   spec.edns_options = subnet;
   Octets expected = MakeQuery(spec);
@@ -184,7 +184,7 @@
   spec.edns_size = 1232;
   spec.edns_version = 1;
   DnsUdpClient client(node.dns_port());
-  const auto answer = client.Ask(MakeQuery(spec));
+  const auto answer = client.Query(MakeQuery(spec));
   ASSERT_TRUE(answer);
   EXPECT_EQ(RcodeOf(*answer), 0);
   EXPECT_EQ((*answer)[answer->size() - 6], 1) << "the upper bits of BADVERS";
@@ -201,7 +201,7 @@
   for (const std::uint8_t opcode : {1, 2, 3, 6, 15}) {
     QuerySpec spec;
     spec.opcode = opcode;
-    const auto answer = client.Ask(MakeQuery(spec));
+    const auto answer = client.Query(MakeQuery(spec));
     ASSERT_TRUE(answer) << int{opcode};
     EXPECT_EQ(RcodeOf(*answer), kNotImp) << int{opcode};
   }
@@ -210,7 +210,7 @@
     QuerySpec spec;
     spec.type = type;
     spec.edns_size = 1232;
-    const auto answer = tcp.Ask(MakeQuery(spec));
+    const auto answer = tcp.Query(MakeQuery(spec));
     ASSERT_TRUE(answer);
     EXPECT_EQ(RcodeOf(*answer), kRefused);
     EXPECT_EQ(ExtendedErrorOf(*answer), 21);
@@ -230,7 +230,7 @@
   QuerySpec spec;
   spec.edns_size = 1232;
   DnsUdpClient client(node.dns_port());
-  const auto answer = client.Ask(MakeQuery(spec));
+  const auto answer = client.Query(MakeQuery(spec));
   ASSERT_TRUE(answer);
   EXPECT_EQ(RcodeOf(*answer), kServFail);
   EXPECT_EQ(ExtendedErrorOf(*answer), 13);
@@ -252,7 +252,7 @@
   for (int i = 0; i < kQueries; ++i) {
     QuerySpec spec = QueryFor("bogus.org", static_cast<std::uint16_t>(i));
     spec.edns_size = 1232;
-    const auto answer = client.Ask(MakeQuery(spec));
+    const auto answer = client.Query(MakeQuery(spec));
     ASSERT_TRUE(answer);
     EXPECT_EQ(ExtendedErrorOf(*answer), 6);
   }
--- a/tests/dns/dns_hostile_input_test.cpp
+++ b/tests/dns/dns_hostile_input_test.cpp
@@ -58,7 +58,7 @@
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   const Octets query = MakeQuery(QueryFor("www.example.org"));
-  const auto answer = client.Ask(query);
+  const auto answer = client.Query(query);
   ASSERT_TRUE(answer);
   EXPECT_EQ(*answer, MakeAnswer(query));
   EXPECT_FALSE(client.Receive(kQuietPeriod));
@@ -252,7 +252,7 @@
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
-    const auto answer = client.Ask(MakeQuery(QueryFor("a.org", ++id)));
+    const auto answer = client.Query(MakeQuery(QueryFor("a.org", ++id)));
     EXPECT_TRUE(answer);
     return answer && AnswersOf(*answer) == 1 && turn_number > 3;
   }));
--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -27,7 +27,7 @@
 // ---- Bounds ----
 
 TEST(Bounds, OpenQueriesOfAClientAndOfAll) {
-  StandinResolver resolver(StandinResolver::Silent());
+  StandinResolver resolver(StandinResolver::Unresponsive());
   for (const char* bound : {"max_open_per_client = 5\n", "max_open_queries = 5\n"}) {
     Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), bound)));
     ASSERT_TRUE(node.DnsListening());
@@ -73,7 +73,7 @@
   DnsTcpClient half(node.dns_port());
   half.SendRaw({0, 40, 1});
   DnsTcpClient idle(node.dns_port());
-  ASSERT_TRUE(idle.Ask(MakeQuery({})));
+  ASSERT_TRUE(idle.Query(MakeQuery({})));
   EXPECT_TRUE(silent.ReadsEnd());
   EXPECT_TRUE(half.ReadsEnd());
   EXPECT_TRUE(idle.ReadsEnd());
@@ -87,7 +87,7 @@
   std::vector<std::unique_ptr<DnsTcpClient>> clients;
   for (std::uint16_t i = 0; i < 40; ++i) {
     clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
-    ASSERT_TRUE(clients.back()->Ask(MakeQuery(QueryFor("a.org", i)))) << i;
+    ASSERT_TRUE(clients.back()->Query(MakeQuery(QueryFor("a.org", i)))) << i;
   }
   EXPECT_LE(node.descriptors(), 40);
 }
@@ -110,8 +110,8 @@
   DnsUdpClient udp(node.dns_port());
   for (std::uint16_t i = 0; i < 150; ++i) {
     clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
-    ASSERT_TRUE(clients.back()->Ask(MakeQuery(QueryFor("a.org", i)))) << i;
-    const auto answer = udp.Ask(MakeQuery(QueryFor("a.org", i)));
+    ASSERT_TRUE(clients.back()->Query(MakeQuery(QueryFor("a.org", i)))) << i;
+    const auto answer = udp.Query(MakeQuery(QueryFor("a.org", i)));
     ASSERT_TRUE(answer) << i;
     EXPECT_EQ(AnswersOf(*answer), 1) << i;
     ASSERT_LE(node.descriptors(), 64) << i;
@@ -124,13 +124,13 @@
   {
     Node usual(options);
     ASSERT_TRUE(usual.DnsListening());
-    options.few_sockets = usual.descriptors() + 2;
+    options.socket_limit = usual.descriptors() + 2;
   }
   Node node(options);
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient udp(node.dns_port());
   for (std::uint16_t i = 0; i < 100; ++i) {
-    const auto answer = udp.Ask(MakeQuery(QueryFor("a.org", i)));
+    const auto answer = udp.Query(MakeQuery(QueryFor("a.org", i)));
     ASSERT_TRUE(answer) << i;
     EXPECT_EQ(RcodeOf(*answer), 0) << i;
   }
@@ -138,8 +138,8 @@
   std::vector<std::unique_ptr<DnsTcpClient>> clients;
   for (int i = 0; i < 5; ++i) clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
   clients.clear();
-  EXPECT_TRUE(udp.Ask(MakeUpdate("example.org", 1, "a")));
-  EXPECT_TRUE(udp.Ask(MakeQuery(QueryFor("a.org", 999))));
+  EXPECT_TRUE(udp.Query(MakeUpdate("example.org", 1, "a")));
+  EXPECT_TRUE(udp.Query(MakeQuery(QueryFor("a.org", 999))));
   EXPECT_TRUE(Eventually([&] { return node.log().find("Too many open files") != std::string::npos; }));
 }
 
@@ -148,7 +148,7 @@
   StandinResolver two(StandinResolver::Echo());
   Node::Options options =
       DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address())));
-  options.full_send = 3;
+  options.udp_send_interval = 3;
   Node node(options);
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -26,7 +26,7 @@
 // ---- Silence ----
 
 TEST(Silent, ResolverIsEjectedAndItsClientsAreServedByTheOthers) {
-  StandinResolver silent(StandinResolver::Silent());
+  StandinResolver silent(StandinResolver::Unresponsive());
   StandinResolver good(StandinResolver::Echo());
   StandinResolver better(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(
@@ -36,7 +36,7 @@
   std::uint16_t id = 0;
   const auto ask = [&] {
     const Octets query = MakeQuery(QueryFor("a.org", ++id));
-    const auto answer = client.Ask(query);
+    const auto answer = client.Query(query);
     return answer && *answer == MakeAnswer(query);
   };
   ASSERT_TRUE(Eventually([&] {
@@ -48,7 +48,7 @@
   // Only trials, whose clients do not depend on them.
   EXPECT_LE(silent.queries() - before, 4);
   // It is back: trials find out, long before its ejection ends.
-  silent.Play(StandinResolver::Echo());
+  silent.SetScript(StandinResolver::Echo());
   ASSERT_TRUE(Eventually([&] {
     EXPECT_TRUE(ask());
     return node.log().find("returned s") != std::string::npos;
@@ -59,8 +59,8 @@
 }
 
 TEST(Silent, AllOfThemIsToldAtTheDeadlineOnce) {
-  StandinResolver one(StandinResolver::Silent());
-  StandinResolver two(StandinResolver::Silent());
+  StandinResolver one(StandinResolver::Unresponsive());
+  StandinResolver two(StandinResolver::Unresponsive());
   const std::string classes =
       "[[dns.class]]\nname = \"query\"\nopcode = \"QUERY\"\naim_ms = 200\ndeadline_ms = 400\n";
   Node node(DnsOnlyOptions(
@@ -86,7 +86,7 @@
 }
 
 TEST(Silent, AllEjectedIsToldAtOnceAndTriedAgain) {
-  StandinResolver only(StandinResolver::Silent());
+  StandinResolver only(StandinResolver::Unresponsive());
   const std::string classes =
       "[[dns.class]]\nname = \"query\"\nopcode = \"QUERY\"\naim_ms = 50\ndeadline_ms = 100\n";
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", only.address()), classes)));
@@ -96,7 +96,7 @@
   const auto ask = [&] {
     QuerySpec spec = QueryFor("a.org", ++id);
     spec.edns_size = 1232;
-    const auto answer = client.Ask(MakeQuery(spec));
+    const auto answer = client.Query(MakeQuery(spec));
     return answer ? RcodeOf(*answer) * 100 + std::max(0, ExtendedErrorOf(*answer)) : -1;
   };
   ASSERT_TRUE(Eventually([&] {
@@ -106,7 +106,7 @@
   }));
   // No resolver to send it to: REFUSED, not ready.
   EXPECT_TRUE(Eventually([&] { return ask() == kRefused * 100 + 14; }));
-  only.Play(StandinResolver::Echo());
+  only.SetScript(StandinResolver::Echo());
   EXPECT_TRUE(Eventually([&] {
     std::this_thread::sleep_for(milliseconds(50));
     return ask() == 0;
@@ -124,7 +124,7 @@
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
     const Octets query = MakeQuery(QueryFor("a.org", ++id));
-    EXPECT_EQ(client.Ask(query), MakeAnswer(query));
+    EXPECT_EQ(client.Query(query), MakeAnswer(query));
     return node.log().find("ejected c") != std::string::npos;
   }));
 }
@@ -155,9 +155,9 @@
         // Over UDP, moved to TCP, and UPDATEs over TCP: both kinds of sockets are in use.
         ++asked;
         std::optional<Octets> answer;
-        if (id % 3 == 0) answer = udp.Ask(MakeQuery(QueryFor("a" + std::to_string(c) + ".org", id)));
-        if (id % 3 == 1) answer = udp.Ask(MakeQuery(QueryFor("t" + std::to_string(c) + ".org", id)));
-        if (id % 3 == 2) answer = tcp.Ask(MakeUpdate("z.org", id, "h" + std::to_string(c)));
+        if (id % 3 == 0) answer = udp.Query(MakeQuery(QueryFor("a" + std::to_string(c) + ".org", id)));
+        if (id % 3 == 1) answer = udp.Query(MakeQuery(QueryFor("t" + std::to_string(c) + ".org", id)));
+        if (id % 3 == 2) answer = tcp.Query(MakeUpdate("z.org", id, "h" + std::to_string(c)));
         if (answer && RcodeOf(*answer) == 0 && !IsTruncated(*answer)) ++answered;
       }
     });
@@ -185,7 +185,7 @@
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
-    EXPECT_TRUE(client.Ask(MakeQuery(QueryFor("a.org", ++id))));
+    EXPECT_TRUE(client.Query(MakeQuery(QueryFor("a.org", ++id))));
     return fresh.queries() > 3;
   }));
 }
@@ -199,7 +199,7 @@
   ASSERT_TRUE(Eventually([&] { return node.log().find("configuration not taken") != std::string::npos; }));
   EXPECT_NE(node.log().find("surprise"), std::string::npos);
   DnsUdpClient client(node.dns_port());
-  EXPECT_TRUE(client.Ask(MakeQuery({})));
+  EXPECT_TRUE(client.Query(MakeQuery({})));
   // What can't change under way is said.
   node.ReloadOperatorFile(OperatorFile(ResolverList().Add("r1", resolver.address()), "udp_ports = 3\n"));
   EXPECT_TRUE(Eventually([&] { return node.log().find("count from the next start") != std::string::npos; }));
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -30,7 +30,7 @@
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   for (std::uint16_t id = 0; id < 20; ++id) {
-    const auto answer = client.Ask(MakeQuery(QueryFor("a.org", id)));
+    const auto answer = client.Query(MakeQuery(QueryFor("a.org", id)));
     ASSERT_TRUE(answer);
     EXPECT_FALSE(IsTruncated(*answer));
     EXPECT_EQ(AnswersOf(*answer), 3);
@@ -66,7 +66,7 @@
     Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()))));
     ASSERT_TRUE(node.DnsListening());
     DnsUdpClient client(node.dns_port());
-    const auto answer = client.Ask(MakeQuery(QueryFor("a.org")));
+    const auto answer = client.Query(MakeQuery(QueryFor("a.org")));
     ASSERT_TRUE(answer);
     EXPECT_TRUE(move_done);
     EXPECT_EQ(AnswersOf(*answer), first_wins ? 1 : 5);
@@ -92,7 +92,7 @@
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   for (std::uint16_t id = 0; id < 8; ++id) {
-    const auto answer = client.Ask(MakeQuery(QueryFor("a.org", id)));
+    const auto answer = client.Query(MakeQuery(QueryFor("a.org", id)));
     ASSERT_TRUE(answer);
     EXPECT_FALSE(IsTruncated(*answer));
     EXPECT_EQ(AnswersOf(*answer), 1);
@@ -121,7 +121,7 @@
     Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), classes)));
     ASSERT_TRUE(node.DnsListening());
     DnsUdpClient client(node.dns_port());
-    const auto answer = client.Ask(MakeQuery(QueryFor("a.org")));
+    const auto answer = client.Query(MakeQuery(QueryFor("a.org")));
     ASSERT_TRUE(answer) << static_cast<int>(way);
     EXPECT_FALSE(client.Receive(kQuietPeriod)) << static_cast<int>(way);
     if (way == Way::kSilent) {
--- a/tests/dns/dns_update_test.cpp
+++ b/tests/dns/dns_update_test.cpp
@@ -28,14 +28,14 @@
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   const Octets update = MakeUpdate("example.org", 77, "host");
-  const auto answer = client.Ask(update);
+  const auto answer = client.Query(update);
   ASSERT_TRUE(answer);
   EXPECT_EQ(RcodeOf(*answer), 0);
   // Its answer was lost on the way: the same again gets the same, and nothing runs.
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Ask(update), answer);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Query(update), answer);
   EXPECT_EQ(resolver.queries(), 1);
   // Another one under the same id is another one.
-  ASSERT_TRUE(client.Ask(MakeUpdate("example.org", 77, "other")));
+  ASSERT_TRUE(client.Query(MakeUpdate("example.org", 77, "other")));
   EXPECT_EQ(resolver.queries(), 2);
 }
 
@@ -59,11 +59,11 @@
     std::optional<Octets> answer;
     if (way == Way::kReset) {
       DnsTcpClient client(node.dns_port());
-      answer = client.Ask(update);
+      answer = client.Query(update);
     } else {
       DnsUdpClient client(node.dns_port());
-      answer = client.Ask(update);
-      EXPECT_EQ(client.Ask(update), answer) << "no second run";
+      answer = client.Query(update);
+      EXPECT_EQ(client.Query(update), answer) << "no second run";
     }
     ASSERT_TRUE(answer) << static_cast<int>(way);
     EXPECT_EQ(RcodeOf(*answer), kServFail);
@@ -89,7 +89,7 @@
     for (std::uint16_t id = 0; id < 6; ++id) {
       const int before = good.queries();
       const Octets update = MakeUpdate("example.org", id, "host");
-      const auto answer = id % 2 == 0 ? udp.Ask(update) : tcp.Ask(update);
+      const auto answer = id % 2 == 0 ? udp.Query(update) : tcp.Query(update);
       ASSERT_TRUE(answer);
       EXPECT_EQ(RcodeOf(*answer), 0);
       EXPECT_EQ(good.queries(), before + 1);
@@ -104,12 +104,12 @@
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient udp(node.dns_port());
-  ASSERT_TRUE(udp.Ask(MakeUpdate("example.org", 1, "a")));
-  ASSERT_TRUE(udp.Ask(MakeUpdate("example.org", 2, "b")));
+  ASSERT_TRUE(udp.Query(MakeUpdate("example.org", 1, "a")));
+  ASSERT_TRUE(udp.Query(MakeUpdate("example.org", 2, "b")));
   EXPECT_EQ(resolver.udp_queries(), 2);
   EXPECT_NE(resolver.seen()[0].from_port, resolver.seen()[1].from_port);
   DnsTcpClient tcp(node.dns_port());
-  ASSERT_TRUE(tcp.Ask(MakeUpdate("example.org", 3, "c")));
+  ASSERT_TRUE(tcp.Query(MakeUpdate("example.org", 3, "c")));
   EXPECT_EQ(resolver.tcp_queries(), 1);
 }
 
@@ -130,7 +130,7 @@
   // The same id with another question is another query, and so is another client's.
   client.Send(MakeQuery(QueryFor("fast.org")));
   DnsUdpClient other(node.dns_port());
-  EXPECT_TRUE(other.Ask(query));
+  EXPECT_TRUE(other.Query(query));
   std::map<std::string, int> answers;
   while (const auto answer = client.Receive(milliseconds(600))) ++answers[NameOf(*answer)];
   EXPECT_EQ(answers["slow.org"], 1);
--- a/tests/gossip/hall_test.cpp
+++ b/tests/gossip/hall_test.cpp
@@ -1,7 +1,5 @@
 // The hall itself: what it starts runs, and what it judges by finds what is planted. Without peers, so that
 // this stands for a fleet that has none as well.
-#include "standins/hall.h"
-
 #include <signal.h>
 
 #include <chrono>
@@ -10,14 +8,15 @@
 #include <vector>
 
 #include "gtest/gtest.h"
+#include "standins/test_cluster.h"
 
 namespace mothrack::testing {
 namespace {
 
 using std::chrono::milliseconds;
 
-Hall::Options Alone() {
-  Hall::Options options;
+TestCluster::Options Alone() {
+  TestCluster::Options options;
   options.with_peers = false;
   return options;
 }
@@ -28,8 +27,8 @@
   return text;
 }
 
-TEST(Hall, SidecarsServeWhileOthersAreKilledStoppedAndStartedAnew) {
-  Hall hall(Alone());
+TEST(TestCluster, SidecarsServeWhileOthersAreKilledStoppedAndStartedAnew) {
+  TestCluster hall(Alone());
   EXPECT_EQ(hall.Names("bole-hall-0"), (std::vector<std::string>{"a0", "s0"}));
   EXPECT_EQ(hall.Names("agents"), (std::vector<std::string>{"a0", "a1", "a2"}));
   EXPECT_TRUE(hall.Peers("s1").is_null());
@@ -45,41 +44,41 @@
   hall.Start("bole-hall-0");
   EXPECT_TRUE(hall.Status("s0").is_object());
   std::this_thread::sleep_for(milliseconds(500));
-  const auto broken = hall.Judge();
+  const auto broken = hall.StopTrafficAndCheck();
   EXPECT_TRUE(broken.empty()) << Joined(broken);
-  EXPECT_GT(hall.count(Traffic::End::kServed), 200U);
-  EXPECT_GT(hall.count(Traffic::End::kNotTaken), 0U);
+  EXPECT_GT(hall.count(Traffic::Outcome::kServed), 200U);
+  EXPECT_GT(hall.count(Traffic::Outcome::kNotAccepted), 0U);
 }
 
-TEST(Hall, TrafficBreaksNoRuleWhileAZoneIsCutOffAndLinksAreBad) {
-  Hall hall(Alone());
+TEST(TestCluster, TrafficBreaksNoRuleWhileAZoneIsCutOffAndLinksAreBad) {
+  TestCluster hall(Alone());
   hall.BeginTraffic();
   std::this_thread::sleep_for(milliseconds(300));
-  hall.box().Partition({{"bole-hall"}});
+  hall.relay().Partition({{"bole-hall"}});
   std::this_thread::sleep_for(milliseconds(1500));
-  hall.box().Heal();
-  hall.box().Change("sidecars", "upstreams", [](auto& faults) { faults.delay = milliseconds(30); });
-  hall.box().Reset("sidecars", "upstreams");
+  hall.relay().Heal();
+  hall.relay().ChangeFaults("sidecars", "upstreams", [](auto& faults) { faults.delay = milliseconds(30); });
+  hall.relay().ResetConnections("sidecars", "upstreams");
   std::this_thread::sleep_for(milliseconds(700));
-  hall.TellState("adama-hall-u0", "leaving");
+  hall.SetUpstreamState("adama-hall-u0", "leaving");
   std::this_thread::sleep_for(milliseconds(1500));
-  const auto broken = hall.Judge();
-  EXPECT_TRUE(broken.empty()) << Joined(broken) << hall.box().Describe();
-  EXPECT_GT(hall.count(Traffic::End::kServed), 200U);
-  EXPECT_GT(hall.box().counts("sidecars", "upstreams").resets, 0U);
+  const auto broken = hall.StopTrafficAndCheck();
+  EXPECT_TRUE(broken.empty()) << Joined(broken) << hall.relay().Describe();
+  EXPECT_GT(hall.count(Traffic::Outcome::kServed), 200U);
+  EXPECT_GT(hall.relay().counts("sidecars", "upstreams").resets, 0U);
 }
 
 // What breaks the rules, caused on purpose: each of the four is found.
-TEST(Hall, JudgesByTheFourRules) {
-  Hall hall(Alone());
+TEST(TestCluster, JudgesByTheFourRules) {
+  TestCluster hall(Alone());
   hall.BeginTraffic();
   std::this_thread::sleep_for(milliseconds(500));
   // Discovery is not heard any more: what it says of an upstream reaches nobody, who therefore sends on
   // there.
-  hall.box().Cut("discovery", "sidecars");
-  hall.TellState("adama-hall-u0", "leaving");
+  hall.relay().Cut("discovery", "sidecars");
+  hall.SetUpstreamState("adama-hall-u0", "leaving");
   // Cold, by an upstream that can do next to nothing.
-  hall.Boot("kality-hall-u0", 0.01);
+  hall.AnnounceRestart("kality-hall-u0", 0.01);
   std::this_thread::sleep_for(milliseconds(2000));
   // Killed behind the hall's back: what was under way there is lost. Its client sends again once its stop is
   // over.
@@ -91,7 +90,7 @@
   const std::string upstream = hall.AddressOf("bole-hall-u1");
   Client again(static_cast<std::uint16_t>(std::stoi(upstream.substr(upstream.find(':') + 1))));
   EXPECT_TRUE(again.Post("/submit/s0-1", "s0-1", "s0-1"));
-  const std::string broken = Joined(hall.Judge());
+  const std::string broken = Joined(hall.StopTrafficAndCheck());
   EXPECT_NE(broken.find("rule drain"), std::string::npos) << broken;
   EXPECT_NE(broken.find("rule cold"), std::string::npos) << broken;
   EXPECT_NE(broken.find("was taken and never answered"), std::string::npos) << broken;
--- a/tests/gossip/peers_fleet_test.cpp
+++ b/tests/gossip/peers_fleet_test.cpp
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "gtest/gtest.h"
-#include "standins/hall.h"
+#include "standins/test_cluster.h"
 
 namespace mothrack::testing {
 namespace {
@@ -44,8 +44,8 @@
  protected:
   explicit Fleet(milliseconds probe = kProbe) : hall_(Of(probe)) {}
 
-  static Hall::Options Of(milliseconds probe) {
-    Hall::Options options;
+  static TestCluster::Options Of(milliseconds probe) {
+    TestCluster::Options options;
     options.probe = probe;
     options.seed = static_cast<std::uint64_t>(Set("FLEET_SEED", 1) + GetParam());
     return options;
@@ -53,25 +53,26 @@
 
   void SetUp() override {
     Reaches(
-        "all see all", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+        "all see all", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
     hall_.BeginTraffic();
   }
 
   void TearDown() override {
-    const auto broken = hall_.Judge();
+    const auto broken = hall_.StopTrafficAndCheck();
     EXPECT_TRUE(broken.empty()) << Joined(broken);
     // A client whose request went to a zone that is cut off waits for the whole of its time.
-    EXPECT_GT(hall_.count(Traffic::End::kServed), 20U);
-    std::cout << "traffic: served " << hall_.count(Traffic::End::kServed) << ", refused "
-              << hall_.count(Traffic::End::kRefused) << ", failed " << hall_.count(Traffic::End::kFailed)
-              << ", not taken " << hall_.count(Traffic::End::kNotTaken) << ", crossed "
-              << hall_.count(Traffic::End::kCrossed) << ", lost " << hall_.count(Traffic::End::kLost)
-              << std::endl;
+    EXPECT_GT(hall_.count(Traffic::Outcome::kServed), 20U);
+    std::cout << "traffic: served " << hall_.count(Traffic::Outcome::kServed) << ", refused "
+              << hall_.count(Traffic::Outcome::kRefused) << ", failed "
+              << hall_.count(Traffic::Outcome::kFailed) << ", not taken "
+              << hall_.count(Traffic::Outcome::kNotAccepted) << ", crossed "
+              << hall_.count(Traffic::Outcome::kIdleCloseRace) << ", lost "
+              << hall_.count(Traffic::Outcome::kLost) << std::endl;
     if (!HasFailure()) return;
     for (const std::string& name : hall_.Names()) {
       std::cout << name << ": " << hall_.Peers(name).dump() << '\n' << hall_.Log(name);
     }
-    std::cout << hall_.box().Describe();
+    std::cout << hall_.relay().Describe();
   }
 
   void Reaches(const std::string& what, const std::function<bool()>& condition, milliseconds within) {
@@ -89,7 +90,7 @@
   }
 
   bool OthersSee(const std::vector<std::string>& some, const std::string& state) const {
-    return hall_.See(Others(some), some, state);
+    return hall_.AllSee(Others(some), some, state);
   }
 
   std::uint64_t Count(const std::string& name, const std::string& what) const {
@@ -102,7 +103,7 @@
     return sum;
   }
 
-  Hall hall_;
+  TestCluster hall_;
 };
 
 TEST_P(Fleet, AllSeeAllWithTheirZonesAndRoles) {
@@ -119,8 +120,8 @@
     }
   }
   // Nobody but the box stood between them, and all went through it.
-  EXPECT_GT(hall_.box().counts("*", "*").delivered, 100U);
-  EXPECT_EQ(hall_.box().strangers(), 0U);
+  EXPECT_GT(hall_.relay().counts("*", "*").delivered, 100U);
+  EXPECT_EQ(hall_.relay().unknown_senders(), 0U);
   std::this_thread::sleep_for(milliseconds(1000));
   EXPECT_EQ(CountAll("died"), 0U);
 }
@@ -129,14 +130,14 @@
   const std::vector<std::string> machine = {"a0", "s0"};
   ASSERT_EQ(hall_.Names("bole-hall-0"), machine);
   // Its links end with it: a machine that drops sends no resets.
-  hall_.box().Partition({{"bole-hall-0"}});
+  hall_.relay().Partition({{"bole-hall-0"}});
   hall_.Kill("bole-hall-0");
   Reaches(
       "known as dead by all", [&] { return OthersSee(machine, "dead"); }, kDead);
-  hall_.box().Heal();
+  hall_.relay().Heal();
   hall_.Start("bole-hall-0");
   Reaches(
-      "back at all", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "back at all", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
 }
 
 TEST_P(Fleet, AMachineThatIsStoppedIsKnownAsDeadAndRefutesItWhenItGoesOn) {
@@ -146,14 +147,14 @@
       "known as dead by all", [&] { return OthersSee(machine, "dead"); }, kDead);
   hall_.Continue("kality-hall-0");
   Reaches(
-      "back at all", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "back at all", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
 }
 
 TEST_P(Fleet, AZoneThatIsCutOffIsKnownOnBothSidesAndHeals) {
   const std::vector<std::string> zone = {"a2", "s2", "s5"};
-  hall_.box().Partition({{"adama-hall"}});
+  hall_.relay().Partition({{"adama-hall"}});
   Reaches(
-      "both sides know", [&] { return OthersSee(zone, "dead") && hall_.See(zone, Others(zone), "dead"); },
+      "both sides know", [&] { return OthersSee(zone, "dead") && hall_.AllSee(zone, Others(zone), "dead"); },
       kDead + 2 * kProbe * kMembers);
   // Who is the one alone: it hears fewer than half of those that it knew.
   for (const std::string& name : hall_.Names()) {
@@ -162,10 +163,10 @@
     EXPECT_EQ(alone, std::ranges::find(zone, name) != zone.end())
         << name << ": " << peers.value("alive", 0) << " of " << peers.value("known", 0);
   }
-  EXPECT_TRUE(hall_.See("a2", "s5", "alive")) << "a zone that is cut off still knows itself";
-  hall_.box().Heal();
+  EXPECT_TRUE(hall_.AllSee("a2", "s5", "alive")) << "a zone that is cut off still knows itself";
+  hall_.relay().Heal();
   Reaches(
-      "healed", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "healed", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
 }
 
 // By the terms as they come: what is scaled down would ask of a busy machine what no network is to blame for.
@@ -177,15 +178,16 @@
 
 TEST_P(UsualFleet, LossAndDelayMakeNoFalseDeath) {
   // There and back; a probe's patience is as long.
-  hall_.box().Change("*", "*", [&](auto& faults) { faults.loss = 0.1, faults.delay = milliseconds(100); });
+  hall_.relay().ChangeFaults("*", "*",
+                             [&](auto& faults) { faults.loss = 0.1, faults.delay = milliseconds(100); });
   std::this_thread::sleep_for(kUsualProbe * 20);
   EXPECT_EQ(CountAll("died"), 0U);
   std::cout << "suspected " << CountAll("suspected") << ", refuted " << CountAll("refuted") << ", indirect "
             << CountAll("indirect") << std::endl;
-  EXPECT_GT(hall_.box().counts("*", "*").lost, 20U);
-  hall_.box().Clear();
+  EXPECT_GT(hall_.relay().counts("*", "*").lost, 20U);
+  hall_.relay().ClearFaults();
   Reaches(
-      "all see all", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "all see all", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
   EXPECT_EQ(CountAll("died"), 0U);
 }
 
@@ -195,7 +197,7 @@
       "known as dead", [&] { return OthersSee({"s5"}, "dead"); }, kDead);
   std::uint64_t before = 0;
   for (const std::string& name : Others({"s5"})) before += Count(name, "unheard");
-  hall_.SetKeys("s5", {Hall::Key(7)});
+  hall_.SetKeys("s5", {TestCluster::Key(7)});
   hall_.Start("s5");
   std::this_thread::sleep_for(kProbe * 10);
   EXPECT_TRUE(OthersSee({"s5"}, "dead"));
@@ -204,16 +206,17 @@
   for (const std::string& name : Others({"s5"})) after += Count(name, "unheard");
   EXPECT_GT(after, before);
   // With the right one it is heard without a start.
-  hall_.SetKeys("s5", {Hall::Key(0)});
+  hall_.SetKeys("s5", {TestCluster::Key(0)});
   hall_.Signal("s5", SIGHUP);
   Reaches(
-      "heard", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "heard", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
 }
 
 TEST_P(Fleet, KeysChangeUnderWay) {
   const auto unheard = CountAll("unheard");
-  const std::vector<std::vector<std::string>> steps = {
-      {Hall::Key(0), Hall::Key(1)}, {Hall::Key(1), Hall::Key(0)}, {Hall::Key(1)}};
+  const std::vector<std::vector<std::string>> steps = {{TestCluster::Key(0), TestCluster::Key(1)},
+                                                       {TestCluster::Key(1), TestCluster::Key(0)},
+                                                       {TestCluster::Key(1)}};
   for (const auto& keys : steps) {
     // One after the other, so that there is a time with both.
     for (const std::string& name : hall_.Names()) {
@@ -227,10 +230,10 @@
   EXPECT_EQ(CountAll("died"), 0U);
   EXPECT_EQ(CountAll("unheard"), unheard);
   Reaches(
-      "all see all", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "all see all", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
   // The old one is out of use.
   hall_.Kill("s5");
-  hall_.SetKeys("s5", {Hall::Key(0)});
+  hall_.SetKeys("s5", {TestCluster::Key(0)});
   hall_.Start("s5");
   Reaches(
       "counted", [&] { return CountAll("unheard") > unheard; }, kBack);
@@ -241,24 +244,24 @@
   hall_.Kill("*");
   hall_.Start("*");
   Reaches(
-      "all see all", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "all see all", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
   for (const std::string& name : hall_.Names()) {
     EXPECT_EQ(hall_.Peers(name).value("known", 0), kMembers) << name << " counts former processes as members";
   }
   std::this_thread::sleep_for(kProbe * 10);
-  EXPECT_TRUE(hall_.See("*", "*", "alive"));
+  EXPECT_TRUE(hall_.AllSee("*", "*", "alive"));
 }
 
 TEST_P(Fleet, AOneWayCutIsNoDeath) {
   const auto indirect = CountAll("indirect");
-  hall_.box().Cut("s0", "s1");
+  hall_.relay().Cut("s0", "s1");
   std::this_thread::sleep_for(kProbe * 40);
   EXPECT_EQ(CountAll("died"), 0U);
   EXPECT_GT(CountAll("indirect"), indirect);
-  EXPECT_GT(hall_.box().counts("s0", "s1").cut, 0U);
-  hall_.box().Join("s0", "s1");
+  EXPECT_GT(hall_.relay().counts("s0", "s1").cut, 0U);
+  hall_.relay().Restore("s0", "s1");
   Reaches(
-      "all see all", [&] { return hall_.See("*", "*", "alive"); }, kBack);
+      "all see all", [&] { return hall_.AllSee("*", "*", "alive"); }, kBack);
 }
 
 INSTANTIATE_TEST_SUITE_P(Runs, Fleet, ::testing::Range(0, Set("FLEET_RUNS", 1)));
--- a/tests/sidecar/client_limits_test.cpp
+++ b/tests/sidecar/client_limits_test.cpp
@@ -75,7 +75,7 @@
     Node usual(options);
     ASSERT_TRUE(usual.Listening());
     // The system allows less than the deployment said.
-    options.few_sockets = usual.descriptors() + 6;
+    options.socket_limit = usual.descriptors() + 6;
   }
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -100,7 +100,7 @@
 TEST(WakeUps, ClientsAreServedWhereTheSystemNeverNotifiesOfThem) {
   Upstream upstream(Upstream::Echo("u"));
   Node::Options options = With(List({Target("u1", upstream.address())}));
-  options.lost_wakes = true;
+  options.lost_wakeups = true;
   Node node(options);
   ASSERT_TRUE(node.Listening());
   std::vector<std::unique_ptr<Client>> clients;
--- a/tests/sidecar/membership_test.cpp
+++ b/tests/sidecar/membership_test.cpp
@@ -33,14 +33,14 @@
   Node node(options);
   ASSERT_TRUE(node.Listening());
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
-  discovery.Tell(List({Target("u2", b.address())}), true);  // u1 is missing: it is gone
+  discovery.Publish(List({Target("u2", b.address())}), true);  // u1 is missing: it is gone
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
-  discovery.Tell(List({Target("u2", c.address())}), false);  // moved
+  discovery.Publish(List({Target("u2", c.address())}), false);  // moved
   EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
   const std::size_t before = a.requests().size() + b.requests().size();
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
   EXPECT_EQ(a.requests().size() + b.requests().size(), before);
-  discovery.Tell(List({Target("u2", c.address(), "left"), Target("u1", a.address())}), false);
+  discovery.Publish(List({Target("u2", c.address(), "left"), Target("u1", a.address())}), false);
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
 }
 
@@ -63,7 +63,8 @@
   Client held(node.port());
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
   asked.Pass();
-  discovery.Tell(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}), false);
+  discovery.Publish(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}),
+                    false);
   ASSERT_TRUE(BecomesServedBy(node, "new /page/k"));
   const std::size_t before = leaving.requests().size();
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
@@ -88,7 +89,7 @@
   Client client(node.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", "x", 15000)));
   ASSERT_TRUE(Eventually([&] { return node.descriptors() >= idle + 2; }));  // the client and the attempt
-  discovery.Tell(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
+  discovery.Publish(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
   const auto response = client.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "new /submit/k");
@@ -97,7 +98,8 @@
 TEST(Membership, SurvivesABrokenUnresponsiveAndMalformedDiscovery) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
-  for (const auto mood : {Discovery::Mood::kBreaks, Discovery::Mood::kMalformed, Discovery::Mood::kSilent}) {
+  for (const auto behavior : {Discovery::Behavior::kClosesConnection, Discovery::Behavior::kMalformed,
+                              Discovery::Behavior::kUnresponsive}) {
     Discovery discovery(List({Target("u1", a.address())}));
     Node::Options options = With(nullptr);
     options.discovery = discovery.address();
@@ -105,11 +107,11 @@
     ASSERT_TRUE(node.Listening());
     ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
     const int calls = discovery.calls();
-    discovery.Set(mood);
+    discovery.SetBehavior(behavior);
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls + 1; }));
     EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));  // the old list stands
-    discovery.Tell(List({Target("u2", b.address())}));
-    discovery.Set(Discovery::Mood::kAnswers);
+    discovery.Publish(List({Target("u2", b.address())}));
+    discovery.SetBehavior(Discovery::Behavior::kAnswers);
     EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   }
 }
--- a/tests/sidecar/node_cases.h
+++ b/tests/sidecar/node_cases.h
@@ -43,7 +43,7 @@
 inline std::size_t BytesAcceptedUnread() {
   boost::asio::io_context io;
   tcp::acceptor acceptor(io, tcp::v4());
-  MakeNarrow(acceptor);
+  LimitReceiveBuffer(acceptor);
   acceptor.bind({boost::asio::ip::make_address_v4("127.0.0.1"), 0});
   acceptor.listen();
   tcp::socket socket(io);
--- a/tests/sidecar/reload_test.cpp
+++ b/tests/sidecar/reload_test.cpp
@@ -22,7 +22,7 @@
   Upstream b(Upstream::Echo("b"));
   Discovery first(List({Target("u1", a.address())}));
   for (int i = 0; i < 5; ++i)
-    first.Tell(List({Target("u1", a.address())}));  // a higher version than the next
+    first.Publish(List({Target("u1", a.address())}));  // a higher version than the next
   Discovery second(List({Target("u2", b.address())}));
   Node::Options options = With(nullptr);
   options.discovery = first.address();
@@ -31,12 +31,12 @@
   ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
   node.Reload(FollowingTo(node, second.address()));  // with a watch open
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
-  first.Set(Discovery::Mood::kBreaks);
+  first.SetBehavior(Discovery::Behavior::kClosesConnection);
   node.Reload(FollowingTo(node, first.address()));
   ASSERT_TRUE(Eventually([&] { return node.log().find("discovery: ") != std::string::npos; }));
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list stands
   for (int i = 0; i < 3; ++i) node.Reload(FollowingTo(node, second.address()));
-  second.Tell(List({Target("u1", a.address())}));
+  second.Publish(List({Target("u1", a.address())}));
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
   node.Signal(SIGTERM);
   node.Reload(FollowingTo(node, first.address()));  // in a drain
@@ -66,7 +66,7 @@
     node.Reload(text);
     EXPECT_TRUE(Eventually([&] { return faults() > before; })) << text;
   }
-  discovery.Tell(List({Target("u2", b.address())}));
+  discovery.Publish(List({Target("u2", b.address())}));
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
 }
 
--- a/tests/sidecar/service_test.cpp
+++ b/tests/sidecar/service_test.cpp
@@ -153,10 +153,11 @@
   EXPECT_EQ(Stats(ops)["cluster_size"], 2);
   // It leaves the list, returns, and starts anew elsewhere.
   Upstream again(Upstream::Echo("again"));
-  discovery.Tell(List({Target("ub", b.address())}));
+  discovery.Publish(List({Target("ub", b.address())}));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 1; }));
   EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", Named("ua"))), 200);
-  discovery.Tell(List({Target("ua", again.address(), "active", 1700000000000), Target("ub", b.address())}));
+  discovery.Publish(
+      List({Target("ua", again.address(), "active", 1700000000000), Target("ub", b.address())}));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 2; }));
   EXPECT_EQ(AnswerersOf(node, 8, "r"), Names{"b"});
   EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", Named("ua"))), 200);
--- a/tests/sidecar/system_faults_test.cpp
+++ b/tests/sidecar/system_faults_test.cpp
@@ -65,9 +65,9 @@
 
   bool Start() {
     if (!node.Listening()) return false;
-    traffic_ =
-        std::make_unique<Traffic>(std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
-                                  std::function<void(const Traffic::Ended&)>(), kRequestsOnAConnection);
+    traffic_ = std::make_unique<Traffic>(std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
+                                         std::function<void(const Traffic::CompletedRequest&)>(),
+                                         kRequestsOnAConnection);
     return Serves(50);
   }
 
@@ -87,24 +87,25 @@
   // Where operators ask: a Unix socket.
   std::string admin() const { return "unix:" + faults.path() + ".sock"; }
 
-  std::size_t served() const { return traffic_->count(Traffic::End::kServed); }
+  std::size_t served() const { return traffic_->count(Traffic::Outcome::kServed); }
 
   // Ends the traffic, and compares what clients were told with what ran. `stopped`: the sidecar has ended as
   // planned, and requests may have crossed its close.
   void ExpectNothingLostOrTwice(bool stopped = false) {
     const auto ends = traffic_->Stop();
-    EXPECT_EQ(traffic_->count(Traffic::End::kLost), 0U) << "requests without an answer\n" << node.log();
+    EXPECT_EQ(traffic_->count(Traffic::Outcome::kLost), 0U) << "requests without an answer\n" << node.log();
     if (!stopped) {
-      EXPECT_EQ(traffic_->count(Traffic::End::kCrossed), 0U) << "requests without an answer\n" << node.log();
+      EXPECT_EQ(traffic_->count(Traffic::Outcome::kIdleCloseRace), 0U) << "requests without an answer\n"
+                                                                       << node.log();
     }
     traffic_.reset();
     const auto ran = runs_.all();
     for (const auto& [id, times] : ran) EXPECT_EQ(times, 1) << id << " ran more than once";
     for (const auto& [id, end] : ends) {
-      if (end == Traffic::End::kServed) {
+      if (end == Traffic::Outcome::kServed) {
         EXPECT_TRUE(ran.contains(id)) << id << " was answered and never ran";
       }
-      if (end == Traffic::End::kRefused) {
+      if (end == Traffic::Outcome::kRefused) {
         EXPECT_FALSE(ran.contains(id)) << id << " was refused and ran";
       }
     }
@@ -253,7 +254,7 @@
   EXPECT_TRUE(service.Serves(1500)) << service.served() << " were served\n" << service.node.log();
   // Discovery's watch was written in pieces, too, and so is an operator's answer.
   const int calls = service.discovery.calls();
-  service.discovery.Tell(service.Targets());
+  service.discovery.Publish(service.Targets());
   EXPECT_TRUE(Eventually([&] { return service.discovery.calls() > calls + 2; }));
   const AdminClient operator_client(service.admin());
   for (int i = 0; i < 5; ++i) {
@@ -430,9 +431,9 @@
     const auto unix_time = std::chrono::system_clock::now().time_since_epoch() +
                            (stamped_by_stepped_clock ? step : std::chrono::microseconds::zero());
     const std::string uid = stamped_by_stepped_clock ? "stepped" : "steady";
-    service.discovery.Tell(List({Target(uid, fresh.address(), "active",
-                                        std::chrono::duration_cast<milliseconds>(unix_time).count())}),
-                           false);
+    service.discovery.Publish(List({Target(uid, fresh.address(), "active",
+                                           std::chrono::duration_cast<milliseconds>(unix_time).count())}),
+                              false);
     double slow_start_factor = -1;
     ASSERT_TRUE(Eventually([&] { return (slow_start_factor = WarmthOf(operator_client, uid)) >= 0; }))
         << service.node.log();
@@ -442,11 +443,11 @@
   ASSERT_TRUE(service.Serves(100)) << service.node.log();
 
   // An outage of discovery, a new configuration and a planned stop, each with a step in the middle.
-  service.discovery.Set(Discovery::Mood::kBreaks);
+  service.discovery.SetBehavior(Discovery::Behavior::kClosesConnection);
   ASSERT_TRUE(Eventually([&] { return service.node.log().find("discovery: ") != std::string::npos; }));
   service.faults.plan().wall_step_us = step.count();
   ASSERT_TRUE(service.Serves(100));
-  service.discovery.Set(Discovery::Mood::kAnswers);
+  service.discovery.SetBehavior(Discovery::Behavior::kAnswers);
   const int lists = service.discovery.lists();
   EXPECT_TRUE(Eventually([&] { return service.discovery.lists() > lists; })) << service.node.log();
   service.faults.plan().wall_step_us = 0;
--- a/tests/standins/admin_client.cpp
+++ b/tests/standins/admin_client.cpp
@@ -12,23 +12,23 @@
 namespace mothrack::testing {
 namespace {
 
-constexpr int kPatienceMs = 15000;
+constexpr int kTimeoutMs = 15000;
 
 }  // namespace
 
 int AdminClient::Connect() const {
   sockaddr_storage address{};
   socklen_t size = 0;
-  if (place_.rfind("unix:", 0) == 0) {
+  if (address_.rfind("unix:", 0) == 0) {
     auto& to = reinterpret_cast<sockaddr_un&>(address);
     to.sun_family = AF_UNIX;
-    std::strncpy(to.sun_path, place_.c_str() + 5, sizeof to.sun_path - 1);
+    std::strncpy(to.sun_path, address_.c_str() + 5, sizeof to.sun_path - 1);
     size = sizeof to;
   } else {
     auto& to = reinterpret_cast<sockaddr_in&>(address);
     to.sin_family = AF_INET;
     to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    to.sin_port = htons(static_cast<std::uint16_t>(std::stoi(place_.substr(place_.find(':') + 1))));
+    to.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address_.substr(address_.find(':') + 1))));
     size = sizeof to;
   }
   const int fd = ::socket(address.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0);
@@ -44,7 +44,7 @@
   if (::send(fd, bytes.data(), bytes.size(), MSG_NOSIGNAL) == static_cast<ssize_t>(bytes.size())) {
     char part[4096];
     pollfd ready{fd, POLLIN, 0};
-    while (::poll(&ready, 1, kPatienceMs) > 0) {
+    while (::poll(&ready, 1, kTimeoutMs) > 0) {
       const ssize_t got = ::recv(fd, part, sizeof part, 0);
       if (got <= 0) break;
       text.append(part, static_cast<std::size_t>(got));
@@ -65,7 +65,7 @@
              "\r\n\r\n" + body);
 }
 
-std::optional<AdminAnswer> AdminClient::Ask(const std::string& method, const std::string& target) const {
+std::optional<AdminAnswer> AdminClient::Request(const std::string& method, const std::string& target) const {
   std::string request = method + ' ' + target + " HTTP/1.1\r\nHost: door\r\n";
   if (!token_.empty()) request += "Authorization: Bearer " + token_ + "\r\n";
   if (method == "POST") request += "Content-Length: 0\r\n";
--- a/tests/standins/admin_client.h
+++ b/tests/standins/admin_client.h
@@ -17,12 +17,12 @@
 
 class AdminClient {
  public:
-  // `place` as the program announces it: "unix:/path" or "127.0.0.1:7080".
-  explicit AdminClient(std::string place, std::string token = "")
-      : place_(std::move(place)), token_(std::move(token)) {}
+  // `address` as the program announces it: "unix:/path" or "127.0.0.1:7080".
+  explicit AdminClient(std::string address, std::string token = "")
+      : address_(std::move(address)), token_(std::move(token)) {}
 
-  std::optional<AdminAnswer> Get(const std::string& target) const { return Ask("GET", target); }
-  std::optional<AdminAnswer> Post(const std::string& target) const { return Ask("POST", target); }
+  std::optional<AdminAnswer> Get(const std::string& target) const { return Request("GET", target); }
+  std::optional<AdminAnswer> Post(const std::string& target) const { return Request("POST", target); }
   std::optional<AdminAnswer> Put(const std::string& target, const std::string& body = "") const;
   // Sends `bytes` and reads until the door closes; nothing where it says nothing or does not close in time.
   std::optional<AdminAnswer> Raw(const std::string& bytes) const;
@@ -31,9 +31,9 @@
   int Connect() const;
 
  private:
-  std::optional<AdminAnswer> Ask(const std::string& method, const std::string& target) const;
+  std::optional<AdminAnswer> Request(const std::string& method, const std::string& target) const;
 
-  std::string place_;
+  std::string address_;
   std::string token_;
 };
 
--- a/tests/standins/dns_client.cpp
+++ b/tests/standins/dns_client.cpp
@@ -45,8 +45,8 @@
 
 void DnsUdpClient::Send(const Octets& query) { ::send(fd_, query.data(), query.size(), 0); }
 
-std::optional<Octets> DnsUdpClient::Receive(milliseconds patience) {
-  if (!Readable(fd_, steady_clock::now() + patience)) return std::nullopt;
+std::optional<Octets> DnsUdpClient::Receive(milliseconds timeout) {
+  if (!Readable(fd_, steady_clock::now() + timeout)) return std::nullopt;
   Octets answer(65536);
   const ssize_t size = ::recv(fd_, answer.data(), answer.size(), 0);
   if (size < 0) return std::nullopt;
@@ -93,8 +93,8 @@
   return true;
 }
 
-std::optional<Octets> DnsTcpClient::Receive(milliseconds patience) {
-  const auto until = steady_clock::now() + patience;
+std::optional<Octets> DnsTcpClient::Receive(milliseconds timeout) {
+  const auto until = steady_clock::now() + timeout;
   while (true) {
     if (read_.size() >= 2) {
       const std::size_t size = std::size_t{read_[0]} << 8 | read_[1];
@@ -108,8 +108,8 @@
   }
 }
 
-bool DnsTcpClient::ReadsEnd(milliseconds patience) {
-  const auto until = steady_clock::now() + patience;
+bool DnsTcpClient::ReadsEnd(milliseconds timeout) {
+  const auto until = steady_clock::now() + timeout;
   while (ReadMore(until)) {
   }
   return ended_ && read_.empty();
--- a/tests/standins/dns_client.h
+++ b/tests/standins/dns_client.h
@@ -1,5 +1,5 @@
 // Clients of a DNS server on a loopback port, as a test drives them: one over UDP, one over TCP. All waits
-// end after a patience far longer than an answer should take.
+// end after a timeout far longer than an answer should take.
 #pragma once
 
 #include <chrono>
@@ -10,7 +10,7 @@
 
 namespace mothrack::testing {
 
-constexpr std::chrono::milliseconds kDnsPatience{15000};
+constexpr std::chrono::milliseconds kDnsTimeout{15000};
 
 class DnsUdpClient {
  public:
@@ -21,8 +21,8 @@
 
   void Send(const Octets& query);
   // The next datagram; nothing where none comes in time.
-  std::optional<Octets> Receive(std::chrono::milliseconds patience = kDnsPatience);
-  std::optional<Octets> Ask(const Octets& query) {
+  std::optional<Octets> Receive(std::chrono::milliseconds timeout = kDnsTimeout);
+  std::optional<Octets> Query(const Octets& query) {
     Send(query);
     return Receive();
   }
@@ -43,13 +43,13 @@
   void SendRaw(const Octets& bytes);
   void EndSending();
   // The next message; nothing where none comes in time or the connection ends.
-  std::optional<Octets> Receive(std::chrono::milliseconds patience = kDnsPatience);
-  std::optional<Octets> Ask(const Octets& query) {
+  std::optional<Octets> Receive(std::chrono::milliseconds timeout = kDnsTimeout);
+  std::optional<Octets> Query(const Octets& query) {
     Send(query);
     return Receive();
   }
   // Waits for the other side's close; false where it never comes or something else does.
-  bool ReadsEnd(std::chrono::milliseconds patience = kDnsPatience);
+  bool ReadsEnd(std::chrono::milliseconds timeout = kDnsTimeout);
 
  private:
   bool ReadMore(std::chrono::steady_clock::time_point until);
--- a/tests/standins/link_box.cpp
+++ b/tests/standins/faulty_relay.cpp
@@ -1,4 +1,4 @@
-#include "standins/link_box.h"
+#include "standins/faulty_relay.h"
 
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -40,7 +40,7 @@
   socklen_t size = sizeof address;
   if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
       ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
-    throw std::runtime_error("the link box gets no socket");
+    throw std::runtime_error("the relay gets no socket");
   }
   port = ntohs(address.sin_port);
   return fd;
@@ -60,43 +60,43 @@
 
 }  // namespace
 
-LinkBox::Counts& LinkBox::Counts::operator+=(const Counts& other) {
-  came += other.came, delivered += other.delivered, bytes += other.bytes;
-  lost += other.lost, cut += other.cut, over_queue += other.over_queue, not_sent += other.not_sent;
-  repeated += other.repeated, reordered += other.reordered;
+FaultyRelay::Counts& FaultyRelay::Counts::operator+=(const Counts& other) {
+  received += other.received, delivered += other.delivered, bytes += other.bytes;
+  lost += other.lost, cut += other.cut, queue_full += other.queue_full, send_errors += other.send_errors;
+  duplicated += other.duplicated, reordered += other.reordered;
   connections += other.connections, resets += other.resets, tcp_bytes += other.tcp_bytes;
   return *this;
 }
 
-LinkBox::LinkBox(std::uint64_t seed) : seed_(seed), buffer_(kMostBuffer) {
+FaultyRelay::FaultyRelay(std::uint64_t seed) : seed_(seed), buffer_(kMostBuffer) {
   epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
   wake_ = ::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC);
   epoll_event event{EPOLLIN, {.fd = wake_}};
   if (epoll_ < 0 || wake_ < 0 || ::epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_, &event) != 0) {
-    throw std::runtime_error("the link box can't wait");
+    throw std::runtime_error("the relay can't wait");
   }
   thread_ = std::thread([this] { Loop(); });
 }
 
-LinkBox::~LinkBox() {
+FaultyRelay::~FaultyRelay() {
   stopping_ = true;
   Wake();
   thread_.join();
   while (!connections_.empty()) Close(connections_.begin()->first, false);
-  for (const auto& [fd, door] : doors_) ::close(fd);
-  for (const auto& [name, end] : ends_) {
+  for (const auto& [fd, entry] : tcp_ports_) ::close(fd);
+  for (const auto& [name, end] : endpoints_) {
     if (end->fd >= 0) ::close(end->fd);
   }
   ::close(wake_);
   ::close(epoll_);
 }
 
-std::uint16_t LinkBox::Add(const std::string& name, const std::vector<std::string>& groups,
-                           std::uint16_t udp_port) {
+std::uint16_t FaultyRelay::AddEndpoint(const std::string& name, const std::vector<std::string>& groups,
+                                       std::uint16_t udp_port) {
   const std::lock_guard lock(mutex_);
-  auto& end = ends_[name];
-  if (end != nullptr) throw std::logic_error("the link box has two ends " + name);
-  end = std::make_unique<End>(End{name, groups, udp_port, 0, -1, 0});
+  auto& end = endpoints_[name];
+  if (end != nullptr) throw std::logic_error("the relay has two ends " + name);
+  end = std::make_unique<Endpoint>(Endpoint{name, groups, udp_port, 0, -1, 0});
   if (udp_port == 0) return 0;
   end->fd = Socket(SOCK_DGRAM, end->advertised);
   ::setsockopt(end->fd, SOL_SOCKET, SO_RCVBUF, &kKernelBuffer, sizeof kKernelBuffer);
@@ -106,46 +106,47 @@
   return end->advertised;
 }
 
-void LinkBox::Move(const std::string& name, std::uint16_t udp_port) {
+void FaultyRelay::MoveEndpoint(const std::string& name, std::uint16_t udp_port) {
   const std::lock_guard lock(mutex_);
-  End& end = EndOf(name);
+  Endpoint& end = EndpointOf(name);
   by_real_.erase(end.real);
   end.real = udp_port;
   by_real_[udp_port] = &end;
 }
 
-std::uint16_t LinkBox::advertised(const std::string& name) const {
+std::uint16_t FaultyRelay::advertised_port(const std::string& name) const {
   const std::lock_guard lock(mutex_);
-  return ends_.at(name)->advertised;
+  return endpoints_.at(name)->advertised;
 }
 
-std::uint16_t LinkBox::Tcp(const std::string& from, const std::string& to, std::uint16_t real_port) {
+std::uint16_t FaultyRelay::AddTcpPort(const std::string& from, const std::string& to,
+                                      std::uint16_t real_port) {
   const std::lock_guard lock(mutex_);
-  End& a = EndOf(from);
-  End& b = EndOf(to);
+  Endpoint& a = EndpointOf(from);
+  Endpoint& b = EndpointOf(to);
   std::uint16_t port = 0;
   const int fd = Socket(SOCK_STREAM, port);
-  if (::listen(fd, SOMAXCONN) != 0) throw std::runtime_error("the link box can't listen");
-  doors_[fd] = {&LinkOf(a, b), &LinkOf(b, a), real_port};
+  if (::listen(fd, SOMAXCONN) != 0) throw std::runtime_error("the relay can't listen");
+  tcp_ports_[fd] = {&LinkOf(a, b), &LinkOf(b, a), real_port};
   epoll_event event{EPOLLIN, {.fd = fd}};
   ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
   return port;
 }
 
-bool LinkBox::Selects(const std::string& selector, const End& end) {
+bool FaultyRelay::Selects(const std::string& selector, const Endpoint& end) {
   return selector == "*" || selector == end.name ||
          std::ranges::find(end.groups, selector) != end.groups.end();
 }
 
-bool LinkBox::IsCut(const Link& link) { return link.faults.cut || link.from->side != link.to->side; }
+bool FaultyRelay::IsCut(const Link& link) { return link.faults.cut || link.from->side != link.to->side; }
 
-LinkBox::End& LinkBox::EndOf(const std::string& name) {
-  const auto it = ends_.find(name);
-  if (it == ends_.end()) throw std::logic_error("the link box has no end " + name);
+FaultyRelay::Endpoint& FaultyRelay::EndpointOf(const std::string& name) {
+  const auto it = endpoints_.find(name);
+  if (it == endpoints_.end()) throw std::logic_error("the relay has no end " + name);
   return *it->second;
 }
 
-LinkBox::Link& LinkBox::LinkOf(End& from, End& to) {
+FaultyRelay::Link& FaultyRelay::LinkOf(Endpoint& from, Endpoint& to) {
   auto& link = links_[{from.name, to.name}];
   if (link == nullptr) {
     link = std::make_unique<Link>();
@@ -156,39 +157,39 @@
   return *link;
 }
 
-void LinkBox::EachLink(const std::string& from, const std::string& to,
-                       const std::function<void(Link&)>& call) {
+void FaultyRelay::EachLink(const std::string& from, const std::string& to,
+                           const std::function<void(Link&)>& call) {
   bool any = false;
-  for (const auto& [a, from_end] : ends_) {
-    for (const auto& [b, to_end] : ends_) {
+  for (const auto& [a, from_end] : endpoints_) {
+    for (const auto& [b, to_end] : endpoints_) {
       if (a == b || !Selects(from, *from_end) || !Selects(to, *to_end)) continue;
       call(LinkOf(*from_end, *to_end));
       any = true;
     }
   }
   // A fault that is set nowhere would prove what it is meant to test.
-  if (!any) throw std::logic_error("the link box has no link from " + from + " to " + to);
+  if (!any) throw std::logic_error("the relay has no link from " + from + " to " + to);
 }
 
-void LinkBox::Change(const std::string& from, const std::string& to,
-                     const std::function<void(Faults&)>& change) {
+void FaultyRelay::ChangeFaults(const std::string& from, const std::string& to,
+                               const std::function<void(Faults&)>& change) {
   const std::lock_guard lock(mutex_);
   EachLink(from, to, [&](Link& link) { change(link.faults), link.changed = true; });
-  PlanAnew();
+  RescheduleQueued();
   Wake();
 }
 
-void LinkBox::Cut(const std::string& from, const std::string& to) {
-  Change(from, to, [](Faults& faults) { faults.cut = true; });
+void FaultyRelay::Cut(const std::string& from, const std::string& to) {
+  ChangeFaults(from, to, [](Faults& faults) { faults.cut = true; });
 }
 
-void LinkBox::Join(const std::string& from, const std::string& to) {
-  Change(from, to, [](Faults& faults) { faults.cut = false; });
+void FaultyRelay::Restore(const std::string& from, const std::string& to) {
+  ChangeFaults(from, to, [](Faults& faults) { faults.cut = false; });
 }
 
-void LinkBox::Partition(const std::vector<std::vector<std::string>>& sides) {
+void FaultyRelay::Partition(const std::vector<std::vector<std::string>>& sides) {
   const std::lock_guard lock(mutex_);
-  for (const auto& [name, end] : ends_) {
+  for (const auto& [name, end] : endpoints_) {
     end->side = 0;
     for (std::size_t i = 0; i < sides.size(); ++i) {
       for (const std::string& selector : sides[i]) {
@@ -196,20 +197,20 @@
       }
     }
   }
-  Wake();  // what is on the way is looked at when it is due
+  Wake();  // what is queued is looked at when it is due
 }
 
-void LinkBox::Heal() { Partition({}); }
+void FaultyRelay::Heal() { Partition({}); }
 
-void LinkBox::Clear() {
+void FaultyRelay::ClearFaults() {
   Heal();
   const std::lock_guard lock(mutex_);
   for (const auto& [pair, link] : links_) link->faults = {}, link->changed = true;
-  PlanAnew();
+  RescheduleQueued();
   Wake();
 }
 
-void LinkBox::Reset(const std::string& from, const std::string& to) {
+void FaultyRelay::ResetConnections(const std::string& from, const std::string& to) {
   const std::lock_guard lock(mutex_);
   std::vector<int> over;
   for (const auto& [fd, connection] : connections_) {
@@ -219,7 +220,7 @@
   for (const int fd : over) Close(fd, true);
 }
 
-LinkBox::Counts LinkBox::counts(const std::string& from, const std::string& to) const {
+FaultyRelay::Counts FaultyRelay::counts(const std::string& from, const std::string& to) const {
   const std::lock_guard lock(mutex_);
   Counts all;
   for (const auto& [pair, link] : links_) {
@@ -228,35 +229,35 @@
   return all;
 }
 
-std::uint64_t LinkBox::strangers() const {
+std::uint64_t FaultyRelay::unknown_senders() const {
   const std::lock_guard lock(mutex_);
-  return strangers_;
+  return unknown_senders_;
 }
 
-std::size_t LinkBox::waiting() const {
+std::size_t FaultyRelay::queued_bytes() const {
   const std::lock_guard lock(mutex_);
   std::size_t bytes = 0;
-  for (const auto& [pair, link] : links_) bytes += link->waiting;
+  for (const auto& [pair, link] : links_) bytes += link->queued_bytes;
   return bytes;
 }
 
-std::string LinkBox::Describe() const {
+std::string FaultyRelay::Describe() const {
   const std::lock_guard lock(mutex_);
   std::ostringstream text;
   for (const auto& [pair, link] : links_) {
     const Counts& c = link->counts;
-    if (c.lost + c.cut + c.over_queue + c.not_sent + c.repeated + c.reordered + c.resets == 0) continue;
-    text << pair.first << " > " << pair.second << ": " << c.came << " came, " << c.delivered
-         << " delivered; dropped " << c.lost << " by chance, " << c.cut << " by a cut, " << c.over_queue
-         << " for room, " << c.not_sent << " by the system; repeated " << c.repeated << ", reordered "
+    if (c.lost + c.cut + c.queue_full + c.send_errors + c.duplicated + c.reordered + c.resets == 0) continue;
+    text << pair.first << " > " << pair.second << ": " << c.received << " came, " << c.delivered
+         << " delivered; dropped " << c.lost << " by chance, " << c.cut << " by a cut, " << c.queue_full
+         << " for room, " << c.send_errors << " by the system; repeated " << c.duplicated << ", reordered "
          << c.reordered << "; TCP " << c.connections << " connections, " << c.resets << " reset\n";
   }
-  if (strangers_ > 0) text << strangers_ << " datagrams of strangers\n";
+  if (unknown_senders_ > 0) text << unknown_senders_ << " datagrams of strangers\n";
   return text.str();
 }
 
-LinkBox::Clock::time_point LinkBox::Plan(Link& link, Clock::time_point came, std::size_t size,
-                                         microseconds extra, bool ordered) {
+FaultyRelay::Clock::time_point FaultyRelay::Schedule(Link& link, Clock::time_point came, std::size_t size,
+                                                     microseconds extra, bool ordered) {
   Clock::time_point sent = came;
   if (link.faults.bytes_per_s > 0) {
     const double seconds = static_cast<double>(size) / static_cast<double>(link.faults.bytes_per_s);
@@ -268,8 +269,8 @@
   return due;
 }
 
-// What is on the way goes by the new settings, as if they had stood when it came.
-void LinkBox::PlanAnew() {
+// What is queued goes by the new settings, as if they had stood when it came.
+void FaultyRelay::RescheduleQueued() {
   std::vector<Datagram> all;
   for (auto it = datagrams_.begin(); it != datagrams_.end();) {
     if (!it->second.link->changed) {
@@ -284,27 +285,27 @@
   }
   std::ranges::stable_sort(all, {}, &Datagram::came);
   for (Datagram& datagram : all) {
-    const auto due = Plan(*datagram.link, datagram.came, datagram.bytes.size() + kHeaders, datagram.extra,
-                          datagram.ordered);
+    const auto due = Schedule(*datagram.link, datagram.came, datagram.bytes.size() + kHeaders, datagram.extra,
+                              datagram.ordered);
     datagrams_.emplace(due, std::move(datagram));
   }
   for (const auto& [fd, connection] : connections_) {
-    for (Way* way : {&connection->there, &connection->back}) {
-      if (!way->link->changed) continue;
-      for (Chunk& chunk : way->chunks) {
-        chunk.due = Plan(*way->link, chunk.came, chunk.bytes.size(), microseconds(0), true);
+    for (Direction* direction : {&connection->there, &connection->back}) {
+      if (!direction->link->changed) continue;
+      for (Chunk& chunk : direction->chunks) {
+        chunk.due = Schedule(*direction->link, chunk.came, chunk.bytes.size(), microseconds(0), true);
       }
     }
   }
   for (const auto& [pair, link] : links_) link->changed = false;
 }
 
-void LinkBox::Wake() {
+void FaultyRelay::Wake() {
   const std::uint64_t one = 1;
   [[maybe_unused]] const ssize_t written = ::write(wake_, &one, sizeof one);
 }
 
-int LinkBox::Patience() const {
+int FaultyRelay::PollTimeoutMs() const {
   Clock::time_point next = Clock::time_point::max();
   if (!datagrams_.empty()) next = datagrams_.begin()->first;
   for (const auto& [fd, connection] : connections_) {
@@ -312,9 +313,11 @@
       if (!IsCut(*connection->there.link)) next = std::min(next, connection->begin);
       continue;
     }
-    for (const Way* way : {&connection->there, &connection->back}) {
-      if (way->chunks.empty() || way->blocked || connection->connecting || IsCut(*way->link)) continue;
-      next = std::min(next, way->chunks.front().due);
+    for (const Direction* direction : {&connection->there, &connection->back}) {
+      if (direction->chunks.empty() || direction->blocked || connection->connecting ||
+          IsCut(*direction->link))
+        continue;
+      next = std::min(next, direction->chunks.front().due);
     }
   }
   if (next == Clock::time_point::max()) return -1;
@@ -322,16 +325,16 @@
   return static_cast<int>(std::clamp<std::int64_t>(left, 0, 1000));
 }
 
-void LinkBox::Loop() {
+void FaultyRelay::Loop() {
   std::vector<epoll_event> events(256);
   while (!stopping_) {
-    int patience = 0;
+    int timeout_ms = 0;
     {
       const std::lock_guard lock(mutex_);
-      patience = Patience();
+      timeout_ms = PollTimeoutMs();
     }
     // Whoever changes something between the two also wakes.
-    const int ready = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), patience);
+    const int ready = ::epoll_wait(epoll_, events.data(), static_cast<int>(events.size()), timeout_ms);
     const std::lock_guard lock(mutex_);
     const auto now = Clock::now();
     for (int i = 0; i < ready; ++i) {
@@ -340,21 +343,21 @@
         std::uint64_t count = 0;
         [[maybe_unused]] const ssize_t size = ::read(wake_, &count, sizeof count);
       } else if (const auto end = by_fd_.find(fd); end != by_fd_.end()) {
-        TakeDatagrams(*end->second);
-      } else if (doors_.contains(fd)) {
-        TakeConnections(fd);
+        ReceiveDatagrams(*end->second);
+      } else if (tcp_ports_.contains(fd)) {
+        AcceptConnections(fd);
       } else {
-        Serve(fd, events[static_cast<std::size_t>(i)].events, now);
+        HandleEvents(fd, events[static_cast<std::size_t>(i)].events, now);
       }
     }
     DeliverDatagrams(Clock::now());
     std::vector<int> clients;
     for (const auto& [fd, connection] : connections_) clients.push_back(fd);
-    for (const int fd : clients) Pump(*connections_.at(fd), Clock::now());
+    for (const int fd : clients) Advance(*connections_.at(fd), Clock::now());
   }
 }
 
-void LinkBox::TakeDatagrams(End& to) {
+void FaultyRelay::ReceiveDatagrams(Endpoint& to) {
   for (int i = 0; i < kMostAtOnce; ++i) {
     sockaddr_in from{};
     socklen_t size = sizeof from;
@@ -363,21 +366,21 @@
     if (got < 0) return;
     const auto sender = by_real_.find(ntohs(from.sin_port));
     if (sender == by_real_.end() || sender->second == &to) {
-      ++strangers_;
+      ++unknown_senders_;
       continue;
     }
-    TakeDatagram(LinkOf(*sender->second, to), std::string(buffer_.data(), static_cast<std::size_t>(got)),
-                 Clock::now());
+    EnqueueDatagram(LinkOf(*sender->second, to), std::string(buffer_.data(), static_cast<std::size_t>(got)),
+                    Clock::now());
   }
 }
 
-void LinkBox::TakeDatagram(Link& link, std::string bytes, Clock::time_point now) {
+void FaultyRelay::EnqueueDatagram(Link& link, std::string bytes, Clock::time_point now) {
   // Always the same draws, so that one fault more does not change what another one hits.
   const bool lost = Share(link.random) < link.faults.loss;
-  const bool repeated = Share(link.random) < link.faults.repeat;
+  const bool repeated = Share(link.random) < link.faults.duplicate;
   const bool reordered = Share(link.random) < link.faults.reorder;
   const double jitter = Share(link.random);
-  ++link.counts.came;
+  ++link.counts.received;
   if (IsCut(link)) {
     ++link.counts.cut;
     return;
@@ -388,26 +391,26 @@
   }
   microseconds extra(
       static_cast<std::int64_t>(jitter * static_cast<double>(microseconds(link.faults.jitter).count())));
-  if (reordered) extra += link.faults.held_back;
+  if (reordered) extra += link.faults.reorder_delay;
   link.counts.reordered += reordered ? 1 : 0;
   for (int copy = 0; copy < (repeated ? 2 : 1); ++copy) {
-    if (link.waiting + bytes.size() + kHeaders > link.faults.queue) {
-      ++link.counts.over_queue;
+    if (link.queued_bytes + bytes.size() + kHeaders > link.faults.queue_bytes) {
+      ++link.counts.queue_full;
       continue;
     }
-    link.counts.repeated += copy;
-    link.waiting += bytes.size() + kHeaders;
-    const auto due = Plan(link, now, bytes.size() + kHeaders, extra, !reordered);
+    link.counts.duplicated += copy;
+    link.queued_bytes += bytes.size() + kHeaders;
+    const auto due = Schedule(link, now, bytes.size() + kHeaders, extra, !reordered);
     datagrams_.emplace(due, Datagram{&link, now, extra, !reordered, bytes});
   }
 }
 
-void LinkBox::DeliverDatagrams(Clock::time_point now) {
+void FaultyRelay::DeliverDatagrams(Clock::time_point now) {
   while (!datagrams_.empty() && datagrams_.begin()->first <= now) {
     const Datagram datagram = std::move(datagrams_.begin()->second);
     datagrams_.erase(datagrams_.begin());
     Link& link = *datagram.link;
-    link.waiting -= datagram.bytes.size() + kHeaders;
+    link.queued_bytes -= datagram.bytes.size() + kHeaders;
     if (IsCut(link)) {
       ++link.counts.cut;
       continue;
@@ -416,7 +419,7 @@
     const ssize_t sent = ::sendto(link.from->fd, datagram.bytes.data(), datagram.bytes.size(), MSG_NOSIGNAL,
                                   reinterpret_cast<const sockaddr*>(&to), sizeof to);
     if (sent < 0) {
-      ++link.counts.not_sent;
+      ++link.counts.send_errors;
       continue;
     }
     ++link.counts.delivered;
@@ -424,23 +427,23 @@
   }
 }
 
-void LinkBox::TakeConnections(int listening) {
-  const AdminApi& door = doors_.at(listening);
+void FaultyRelay::AcceptConnections(int listening) {
+  const TcpPort& entry = tcp_ports_.at(listening);
   for (int fd = 0; (fd = ::accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC)) >= 0;) {
-    ++door.there->counts.connections;
+    ++entry.there->counts.connections;
     if (connections_.size() >= kMostConnections) {
       const linger now{1, 0};
       ::setsockopt(fd, SOL_SOCKET, SO_LINGER, &now, sizeof now);
       ::close(fd);
-      ++door.there->counts.resets;
+      ++entry.there->counts.resets;
       continue;
     }
     auto connection = std::make_unique<Connection>();
     connection->client = fd;
-    connection->real = door.real;
-    connection->begin = Clock::now() + door.there->faults.delay;
-    connection->there.link = door.there;
-    connection->back.link = door.back;
+    connection->real = entry.real;
+    connection->begin = Clock::now() + entry.there->faults.delay;
+    connection->there.link = entry.there;
+    connection->back.link = entry.back;
     connection->client_events = EPOLLIN;
     epoll_event event{EPOLLIN, {.fd = fd}};
     ::epoll_ctl(epoll_, EPOLL_CTL_ADD, fd, &event);
@@ -449,7 +452,7 @@
   }
 }
 
-void LinkBox::Begin(Connection& connection) {
+void FaultyRelay::ConnectToServer(Connection& connection) {
   connection.server = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   const sockaddr_in to = Loopback(connection.real);
   connection.connecting = true;
@@ -469,13 +472,13 @@
   sockets_[connection.server] = &connection;
 }
 
-void LinkBox::Serve(int fd, std::uint32_t events, Clock::time_point now) {
+void FaultyRelay::HandleEvents(int fd, std::uint32_t events, Clock::time_point now) {
   const auto it = sockets_.find(fd);
   if (it == sockets_.end()) return;  // closed a moment ago
   Connection& connection = *it->second;
   const bool by_client = fd == connection.client;
-  Way& out = by_client ? connection.there : connection.back;
-  Way& in = by_client ? connection.back : connection.there;
+  Direction& out = by_client ? connection.there : connection.back;
+  Direction& in = by_client ? connection.back : connection.there;
   if (!by_client && connection.connecting && (events & (EPOLLOUT | EPOLLERR | EPOLLHUP)) != 0) {
     int error = 0;
     socklen_t size = sizeof error;
@@ -487,7 +490,7 @@
     // A reset crosses a cut as little as bytes do: the far end learns nothing until it heals.
     if (!IsCut(*out.link)) return Close(connection.client, true);
     (by_client ? connection.client_reset : connection.server_reset) = true;
-    Drop(in);
+    DiscardChunks(in);
     out.ended = in.done = true;
   }
   if ((events & EPOLLERR) != 0 || ((events & EPOLLHUP) != 0 && out.ended)) {
@@ -501,63 +504,64 @@
   if ((events & (EPOLLIN | EPOLLHUP)) != 0 && !out.ended) Read(connection, out, fd, now);
 }
 
-void LinkBox::Read(Connection& connection, Way& way, int from, Clock::time_point now) {
-  Link& link = *way.link;
-  while (!way.ended && way.held < link.faults.queue) {
+void FaultyRelay::Read(Connection& connection, Direction& direction, int from, Clock::time_point now) {
+  Link& link = *direction.link;
+  while (!direction.ended && direction.held < link.faults.queue_bytes) {
     // A slow link passes on small pieces, or its rate would come in leaps.
     const std::size_t rate = link.faults.bytes_per_s;
     const std::size_t piece =
         rate == 0 ? buffer_.size() : std::clamp<std::size_t>(rate / 50, 256, buffer_.size());
-    const ssize_t got = ::recv(from, buffer_.data(), std::min(piece, link.faults.queue - way.held), 0);
+    const ssize_t got =
+        ::recv(from, buffer_.data(), std::min(piece, link.faults.queue_bytes - direction.held), 0);
     if (got < 0) {
       if (errno != EAGAIN && errno != EINTR) Close(connection.client, true);
       return;
     }
     Chunk chunk{now, {}, std::string(buffer_.data(), static_cast<std::size_t>(got)), got == 0};
-    chunk.due = Plan(link, now, chunk.bytes.size(), microseconds(0), true);
-    way.held += chunk.bytes.size();
-    link.waiting += chunk.bytes.size();
-    way.ended = chunk.end;
-    way.chunks.push_back(std::move(chunk));
+    chunk.due = Schedule(link, now, chunk.bytes.size(), microseconds(0), true);
+    direction.held += chunk.bytes.size();
+    link.queued_bytes += chunk.bytes.size();
+    direction.ended = chunk.end;
+    direction.chunks.push_back(std::move(chunk));
   }
 }
 
-bool LinkBox::Deliver(Connection& connection, Way& way, int to, Clock::time_point now) {
-  while (!way.chunks.empty() && way.chunks.front().due <= now && !way.blocked) {
-    Chunk& chunk = way.chunks.front();
+bool FaultyRelay::Deliver(Connection& connection, Direction& direction, int to, Clock::time_point now) {
+  while (!direction.chunks.empty() && direction.chunks.front().due <= now && !direction.blocked) {
+    Chunk& chunk = direction.chunks.front();
     if (chunk.end) {
       ::shutdown(to, SHUT_WR);
-      way.done = true;
-      way.chunks.pop_front();
+      direction.done = true;
+      direction.chunks.pop_front();
       continue;
     }
     const ssize_t sent = ::send(to, chunk.bytes.data(), chunk.bytes.size(), MSG_NOSIGNAL);
     if (sent < 0) {
       if (errno == EAGAIN || errno == EINTR) {
-        way.blocked = errno == EAGAIN;
+        direction.blocked = errno == EAGAIN;
         continue;
       }
       Close(connection.client, true);
       return false;
     }
     const auto size = static_cast<std::size_t>(sent);
-    way.held -= size;
-    way.link->waiting -= size;
-    way.link->counts.tcp_bytes += size;
+    direction.held -= size;
+    direction.link->queued_bytes -= size;
+    direction.link->counts.tcp_bytes += size;
     chunk.bytes.erase(0, size);
-    if (chunk.bytes.empty()) way.chunks.pop_front();
+    if (chunk.bytes.empty()) direction.chunks.pop_front();
   }
   return true;
 }
 
-void LinkBox::Pump(Connection& connection, Clock::time_point now) {
+void FaultyRelay::Advance(Connection& connection, Clock::time_point now) {
   const bool cut = IsCut(*connection.there.link);
-  if (connection.there.link->faults.refuse) return Close(connection.client, true);
+  if (connection.there.link->faults.reset_connections) return Close(connection.client, true);
   if (connection.server < 0) {
     if (!cut && connection.begin <= now) {
-      Begin(connection);
+      ConnectToServer(connection);
     } else {
-      Watch(connection);
+      UpdateInterest(connection);
     }
     return;
   }
@@ -576,15 +580,16 @@
       return Close(connection.client, false);
     }
   }
-  Watch(connection);
+  UpdateInterest(connection);
 }
 
 // Asks the system only for what can be used now; a side that waits for room is not read.
-void LinkBox::Watch(Connection& connection) {
-  const auto set = [&](int fd, std::uint32_t& had, const Way& out, const Way& in, bool connecting) {
+void FaultyRelay::UpdateInterest(Connection& connection) {
+  const auto set = [&](int fd, std::uint32_t& had, const Direction& out, const Direction& in,
+                       bool connecting) {
     if (fd < 0 || had == kOff) return;
     std::uint32_t want = 0;
-    if (!out.ended && out.held < out.link->faults.queue && !connecting) want |= EPOLLIN;
+    if (!out.ended && out.held < out.link->faults.queue_bytes && !connecting) want |= EPOLLIN;
     if (connecting || in.blocked) want |= EPOLLOUT;
     if (want == had) return;
     had = want;
@@ -595,18 +600,18 @@
   set(connection.server, connection.server_events, connection.back, connection.there, connection.connecting);
 }
 
-void LinkBox::Drop(Way& way) {
-  way.link->waiting -= way.held;
-  way.held = 0;
-  way.chunks.clear();
+void FaultyRelay::DiscardChunks(Direction& direction) {
+  direction.link->queued_bytes -= direction.held;
+  direction.held = 0;
+  direction.chunks.clear();
 }
 
-void LinkBox::Close(int client, bool reset) {
+void FaultyRelay::Close(int client, bool reset) {
   const auto it = connections_.find(client);
   if (it == connections_.end()) return;
   Connection& connection = *it->second;
   if (reset) ++connection.there.link->counts.resets;
-  Drop(connection.there), Drop(connection.back);
+  DiscardChunks(connection.there), DiscardChunks(connection.back);
   for (const int fd : {connection.client, connection.server}) {
     if (fd < 0) continue;
     const linger now{1, 0};
--- a/tests/standins/link_box.h
+++ b/tests/standins/faulty_relay.h
@@ -28,67 +28,69 @@
 
 namespace mothrack::testing {
 
-class LinkBox {
+class FaultyRelay {
  public:
   struct Faults {
-    double loss = 0;     // shares of the datagrams, each drawn for itself
-    double repeat = 0;   // sent on twice
-    double reorder = 0;  // held back, so that later ones overtake it; jitter alone keeps the order
-    std::chrono::milliseconds held_back{20};
+    double loss = 0;       // shares of the datagrams, each drawn for itself
+    double duplicate = 0;  // sent on twice
+    double reorder = 0;    // held back, so that later ones overtake it; jitter alone keeps the order
+    std::chrono::milliseconds reorder_delay{20};
     std::chrono::milliseconds delay{0};
     std::chrono::milliseconds jitter{0};  // on top of the delay, evenly from nothing to this
     std::size_t bytes_per_s = 0;          // 0: as fast as it goes
-    std::size_t queue = 256 * 1024;  // bytes on the way: datagrams beyond it are dropped, a TCP sender waits
-    bool cut = false;     // nothing passes, and nobody is told; TCP's bytes are held until it heals
-    bool refuse = false;  // TCP: connections are reset, those that come as well
+    std::size_t queue_bytes =
+        256 * 1024;    // bytes queued: datagrams beyond it are dropped, a TCP sender waits
+    bool cut = false;  // nothing passes, and nobody is told; TCP's bytes are held until it heals
+    bool reset_connections = false;  // TCP: connections are reset, those that come as well
   };
 
   // Of one ordered pair; datagrams, unless they say otherwise.
   struct Counts {
-    std::uint64_t came = 0, delivered = 0, bytes = 0;
-    std::uint64_t lost = 0, cut = 0, over_queue = 0,
-                  not_sent = 0;  // dropped: by chance, by a cut, for room, by the system
-    std::uint64_t repeated = 0, reordered = 0;
+    std::uint64_t received = 0, delivered = 0, bytes = 0;
+    std::uint64_t lost = 0, cut = 0, queue_full = 0,
+                  send_errors = 0;  // dropped: by chance, by a cut, for room, by the system
+    std::uint64_t duplicated = 0, reordered = 0;
     std::uint64_t connections = 0, resets = 0, tcp_bytes = 0;
     Counts& operator+=(const Counts& other);
   };
 
-  explicit LinkBox(std::uint64_t seed = 1);
-  ~LinkBox();
-  LinkBox(const LinkBox&) = delete;
-  LinkBox& operator=(const LinkBox&) = delete;
+  explicit FaultyRelay(std::uint64_t seed = 1);
+  ~FaultyRelay();
+  FaultyRelay(const FaultyRelay&) = delete;
+  FaultyRelay& operator=(const FaultyRelay&) = delete;
 
   // An end, and the groups that it is in; with `udp_port`, its real one on loopback. Returns the port to
   // advertise, 0 where it has no UDP.
-  std::uint16_t Add(const std::string& name, const std::vector<std::string>& groups,
-                    std::uint16_t udp_port = 0);
+  std::uint16_t AddEndpoint(const std::string& name, const std::vector<std::string>& groups,
+                            std::uint16_t udp_port = 0);
   // The end was started anew on another port; what it advertises stays.
-  void Move(const std::string& name, std::uint16_t udp_port);
-  std::uint16_t advertised(const std::string& name) const;
+  void MoveEndpoint(const std::string& name, std::uint16_t udp_port);
+  std::uint16_t advertised_port(const std::string& name) const;
   // The port by which `from` reaches `to`'s real TCP port. Several for one pair share its link.
-  std::uint16_t Tcp(const std::string& from, const std::string& to, std::uint16_t real_port);
+  std::uint16_t AddTcpPort(const std::string& from, const std::string& to, std::uint16_t real_port);
 
   // Changes the faults on every link from one selector to the other: a name, a group, or "*".
-  void Change(const std::string& from, const std::string& to, const std::function<void(Faults&)>& change);
-  void Cut(const std::string& from, const std::string& to);  // one way
-  void Join(const std::string& from, const std::string& to);
+  void ChangeFaults(const std::string& from, const std::string& to,
+                    const std::function<void(Faults&)>& change);
+  void Cut(const std::string& from, const std::string& to);  // one direction only
+  void Restore(const std::string& from, const std::string& to);
   // Ends of different sides don't hear one another, whatever else is set; who is in no side is a side of its
   // own with all others that are in none.
   void Partition(const std::vector<std::vector<std::string>>& sides);
-  void Heal();   // the partition; faults of links stay
-  void Clear();  // no fault anywhere
+  void Heal();         // the partition; faults of links stay
+  void ClearFaults();  // no fault anywhere
   // Ends the connections there are, each side by a reset.
-  void Reset(const std::string& from, const std::string& to);
+  void ResetConnections(const std::string& from, const std::string& to);
 
   Counts counts(const std::string& from = "*", const std::string& to = "*") const;
-  std::uint64_t strangers() const;  // datagrams from no end's address, which go nowhere
-  std::size_t waiting() const;      // bytes on the way now
+  std::uint64_t unknown_senders() const;  // datagrams from no end's address, which go nowhere
+  std::size_t queued_bytes() const;       // bytes queued now
   std::string Describe()
       const;  // the links on which anything was dropped, repeated or reordered, for a test's log
 
  private:
   using Clock = std::chrono::steady_clock;
-  struct End {
+  struct Endpoint {
     std::string name;
     std::vector<std::string> groups;
     std::uint16_t real = 0;
@@ -97,14 +99,14 @@
     std::size_t side = 0;
   };
   struct Link {
-    End* from = nullptr;
-    End* to = nullptr;
+    Endpoint* from = nullptr;
+    Endpoint* to = nullptr;
     Faults faults;
     std::mt19937_64 random;
-    Clock::time_point last_due;  // of what keeps its order
-    Clock::time_point free;      // when a slow link has passed on what it has
-    std::size_t waiting = 0;     // bytes
-    bool changed = false;        // its faults, since what is on the way was planned
+    Clock::time_point last_due;    // of what keeps its order
+    Clock::time_point free;        // when a slow link has passed on what it has
+    std::size_t queued_bytes = 0;  // bytes
+    bool changed = false;          // its faults, since what is queued was planned
     Counts counts;
   };
   struct Datagram {
@@ -119,7 +121,7 @@
     std::string bytes;
     bool end = false;  // the sender's
   };
-  struct Way {  // one direction of a connection
+  struct Direction {  // one direction of a connection
     Link* link = nullptr;
     std::deque<Chunk> chunks;
     std::size_t held = 0;  // bytes
@@ -133,56 +135,56 @@
     bool connecting = false;
     Clock::time_point begin;  // when the server is called
     std::uint16_t real = 0;
-    Way there, back;
+    Direction there, back;
     std::uint32_t client_events = 0, server_events = 0;  // that the system is asked for
     bool client_reset = false, server_reset = false;     // gone, and a cut keeps it from the other side
   };
-  struct AdminApi {
+  struct TcpPort {
     Link* there = nullptr;
     Link* back = nullptr;
     std::uint16_t real = 0;
   };
 
-  static bool Selects(const std::string& selector, const End& end);
+  static bool Selects(const std::string& selector, const Endpoint& end);
   static bool IsCut(const Link& link);
-  Link& LinkOf(End& from, End& to);
-  End& EndOf(const std::string& name);
+  Link& LinkOf(Endpoint& from, Endpoint& to);
+  Endpoint& EndpointOf(const std::string& name);
   void EachLink(const std::string& from, const std::string& to, const std::function<void(Link&)>& call);
   // When something of this size that came then is due at the far end.
-  Clock::time_point Plan(Link& link, Clock::time_point came, std::size_t size,
-                         std::chrono::microseconds extra, bool ordered);
-  void PlanAnew();
+  Clock::time_point Schedule(Link& link, Clock::time_point came, std::size_t size,
+                             std::chrono::microseconds extra, bool ordered);
+  void RescheduleQueued();
   void Wake();
 
   void Loop();
-  int Patience() const;  // milliseconds until something is due
-  void TakeDatagrams(End& to);
-  void TakeDatagram(Link& link, std::string bytes, Clock::time_point now);
+  int PollTimeoutMs() const;  // milliseconds until something is due
+  void ReceiveDatagrams(Endpoint& to);
+  void EnqueueDatagram(Link& link, std::string bytes, Clock::time_point now);
   void DeliverDatagrams(Clock::time_point now);
-  void TakeConnections(int listening);
-  void Serve(int fd, std::uint32_t events, Clock::time_point now);
-  void Begin(Connection& connection);
-  void Read(Connection& connection, Way& way, int from, Clock::time_point now);
-  bool Deliver(Connection& connection, Way& way, int to,
+  void AcceptConnections(int listening);
+  void HandleEvents(int fd, std::uint32_t events, Clock::time_point now);
+  void ConnectToServer(Connection& connection);
+  void Read(Connection& connection, Direction& direction, int from, Clock::time_point now);
+  bool Deliver(Connection& connection, Direction& direction, int to,
                Clock::time_point now);  // false: the connection is over
-  void Pump(Connection& connection, Clock::time_point now);
-  void Watch(Connection& connection);
-  static void Drop(Way& way);
+  void Advance(Connection& connection, Clock::time_point now);
+  void UpdateInterest(Connection& connection);
+  static void DiscardChunks(Direction& direction);
   void Close(int client, bool reset);
 
   const std::uint64_t seed_;
   int epoll_ = -1;
   int wake_ = -1;
   mutable std::mutex mutex_;
-  std::map<std::string, std::unique_ptr<End>> ends_;
-  std::unordered_map<std::uint16_t, End*> by_real_;
-  std::unordered_map<int, End*> by_fd_;
+  std::map<std::string, std::unique_ptr<Endpoint>> endpoints_;
+  std::unordered_map<std::uint16_t, Endpoint*> by_real_;
+  std::unordered_map<int, Endpoint*> by_fd_;
   std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>> links_;
   std::multimap<Clock::time_point, Datagram> datagrams_;
-  std::map<int, AdminApi> doors_;                           // by the listening socket
+  std::map<int, TcpPort> tcp_ports_;                        // by the listening socket
   std::map<int, std::unique_ptr<Connection>> connections_;  // by the client's socket
   std::unordered_map<int, Connection*> sockets_;            // either side's
-  std::uint64_t strangers_ = 0;
+  std::uint64_t unknown_senders_ = 0;
   std::vector<char> buffer_;
   std::atomic<bool> stopping_{false};
   std::thread thread_;
--- a/tests/standins/fleet.cpp
+++ b/tests/standins/fleet.cpp
@@ -71,7 +71,7 @@
   const auto sidecars =
       static_cast<std::size_t>(options_.agents) * static_cast<std::size_t>(options_.instances);
   const auto held = std::make_shared<Ports>();
-  held_ports_ = held;
+  reserved_ports_ = held;
   ports_ = options_.ports ? held->Take(sidecars) : std::vector<std::uint16_t>(sidecars, 0);
   std::string list;
   std::string viewers;
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -70,7 +70,7 @@
   std::string directory_;
   std::map<int, pid_t> agents_;
   std::vector<std::uint16_t> ports_;
-  std::shared_ptr<void> held_ports_;  // as long as this lives
+  std::shared_ptr<void> reserved_ports_;  // as long as this lives
 };
 
 }  // namespace mothrack::testing
--- a/tests/standins/full_send.cpp
+++ b/tests/standins/full_send_buffer.cpp
@@ -1,5 +1,6 @@
 // Loaded into a program by LD_PRELOAD: of the datagrams that it sends, the system takes only every
-// FULL_SEND-th at the first try; for the others its buffer is full. A loopback network itself never is.
+// UDP_SEND_INTERVAL-th at the first try; for the others its buffer is full. A loopback network itself never
+// is.
 #include <dlfcn.h>
 #include <sys/socket.h>
 
@@ -12,7 +13,7 @@
   int type = 0;
   socklen_t size = sizeof type;
   if (::getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &size) != 0 || type != SOCK_DGRAM) return false;
-  static const char* const setting = std::getenv("FULL_SEND");
+  static const char* const setting = std::getenv("UDP_SEND_INTERVAL");
   static const int every = setting == nullptr ? 1 : std::atoi(setting);
   static int count = 0;
   return ++count % every != 0;
--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -27,7 +27,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr auto kPatience = seconds(20);
+constexpr auto kTimeout = seconds(20);
 constexpr std::uint64_t kMostBody = 1 << 30;
 
 tcp::endpoint Loopback(std::uint16_t port) { return {boost::asio::ip::make_address_v4("127.0.0.1"), port}; }
@@ -35,7 +35,7 @@
 }  // namespace
 
 bool Eventually(const std::function<bool()>& condition) {
-  const auto end = std::chrono::steady_clock::now() + kPatience;
+  const auto end = std::chrono::steady_clock::now() + kTimeout;
   while (!condition()) {
     if (std::chrono::steady_clock::now() > end) return false;
     std::this_thread::sleep_for(milliseconds(5));
@@ -85,14 +85,14 @@
   socket.close(ignored);
 }
 
-void MakeNarrow(tcp::acceptor& acceptor) {
+void LimitReceiveBuffer(tcp::acceptor& acceptor) {
   const int segment = 536;
   ::setsockopt(acceptor.native_handle(), IPPROTO_TCP, TCP_MAXSEG, &segment, sizeof segment);
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(1024));
 }
 
-Peer::Peer(Script script, bool narrow) : acceptor_(io_, tcp::v4()), script_(std::move(script)) {
-  if (narrow) MakeNarrow(acceptor_);
+Peer::Peer(Script script, bool small_receive_buffer) : acceptor_(io_, tcp::v4()), script_(std::move(script)) {
+  if (small_receive_buffer) LimitReceiveBuffer(acceptor_);
   acceptor_.bind(Loopback(0));
   acceptor_.listen();
   port_ = acceptor_.local_endpoint().port();
@@ -205,7 +205,7 @@
   peer_.reset();
 }
 
-void Discovery::Tell(const json& targets, bool all) {
+void Discovery::Publish(const json& targets, bool all) {
   const std::lock_guard lock(mutex_);
   targets_ = targets;
   all_ = all;
@@ -213,9 +213,9 @@
   changed_.notify_all();
 }
 
-void Discovery::Set(Mood mood) {
+void Discovery::SetBehavior(Behavior behavior) {
   const std::lock_guard lock(mutex_);
-  mood_ = mood;
+  behavior_ = behavior;
   changed_.notify_all();
 }
 
@@ -227,15 +227,16 @@
     if (const auto at = target.find("index="); at != std::string::npos) {
       const int index = std::stoi(target.substr(at + 6));
       const auto wait = milliseconds(std::stoi(target.substr(target.find("wait=") + 5)));
-      const Mood before = mood_;
-      changed_.wait_for(lock, wait, [&] { return stopping_ || revision_ > index || mood_ != before; });
+      const Behavior before = behavior_;
+      changed_.wait_for(lock, wait, [&] { return stopping_ || revision_ > index || behavior_ != before; });
     } else {
       ++lists_;
     }
-    if (mood_ == Mood::kSilent) changed_.wait(lock, [&] { return stopping_ || mood_ != Mood::kSilent; });
-    if (stopping_ || mood_ == Mood::kBreaks) return;
+    if (behavior_ == Behavior::kUnresponsive)
+      changed_.wait(lock, [&] { return stopping_ || behavior_ != Behavior::kUnresponsive; });
+    if (stopping_ || behavior_ == Behavior::kClosesConnection) return;
     std::string body = json{{"rev", revision_}, {"all", all_}, {"targets", targets_}}.dump();
-    if (mood_ == Mood::kMalformed) body = R"({"rev":99,"all":true,"targets":[{"uid":7}]})";
+    if (behavior_ == Behavior::kMalformed) body = R"({"rev":99,"all":true,"targets":[{"uid":7}]})";
     lock.unlock();
     if (!wire.Answer(200, body)) return;
   }
@@ -279,12 +280,14 @@
     environment.push_back("FAULT_PLAN=" + options.fault_plan);
     // The sanitizers want to be loaded first; here the faults are.
     environment.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
-  } else if (options.full_send != 0 || options.few_sockets != 0 || options.lost_wakes) {
-    environment.push_back("LD_PRELOAD=" + std::string(options.full_send != 0     ? MOTHRACK_FULL_SEND
-                                                      : options.few_sockets != 0 ? MOTHRACK_FEW_SOCKETS
-                                                                                 : MOTHRACK_LOST_WAKES));
-    environment.push_back("FULL_SEND=" + std::to_string(options.full_send));
-    if (options.few_sockets != 0) environment.push_back("FEW_SOCKETS=" + std::to_string(options.few_sockets));
+  } else if (options.udp_send_interval != 0 || options.socket_limit != 0 || options.lost_wakeups) {
+    environment.push_back("LD_PRELOAD=" + std::string(options.udp_send_interval != 0
+                                                          ? MOTHRACK_FULL_SEND_BUFFER
+                                                      : options.socket_limit != 0 ? MOTHRACK_SOCKET_LIMIT
+                                                                                  : MOTHRACK_LOST_WAKEUPS));
+    environment.push_back("UDP_SEND_INTERVAL=" + std::to_string(options.udp_send_interval));
+    if (options.socket_limit != 0)
+      environment.push_back("SOCKET_LIMIT=" + std::to_string(options.socket_limit));
     // The sanitizers want to be loaded first; here the refusal is.
     environment.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
   }
@@ -323,7 +326,7 @@
 
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
-  if (options.held_log) {
+  if (options.log_blocked) {
     const int size = ::fcntl(ends[1], F_SETPIPE_SZ, 1);
     const std::string full(static_cast<std::size_t>(std::max(size, 1)), '\n');
     if (::write(ends[1], full.data(), full.size()) != size) throw std::runtime_error("pipe");
@@ -336,10 +339,10 @@
   }
   ::close(ends[1]);
   log_end_ = ends[0];
-  if (!options.held_log) ReadLog();
+  if (!options.log_blocked) UnblockLog();
 }
 
-void Node::ReadLog() {
+void Node::UnblockLog() {
   if (log_end_ < 0) return;
   reading_ = std::thread([this, from = std::exchange(log_end_, -1)] {
     char bytes[4096];
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -50,13 +50,13 @@
 };
 
 // Makes the system take little of a message that the other end does not read: small segments and buffer.
-void MakeNarrow(tcp::acceptor& acceptor);
+void LimitReceiveBuffer(tcp::acceptor& acceptor);
 
 // Listens on a free port and plays a script for each connection, each in a thread of its own.
 class Peer {
  public:
   using Script = std::function<void(Wire&, int number)>;
-  explicit Peer(Script script, bool narrow = false);
+  explicit Peer(Script script, bool small_receive_buffer = false);
   ~Peer();
   std::uint16_t port() const { return port_; }
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
@@ -123,11 +123,11 @@
 
 class Discovery {
  public:
-  enum class Mood { kAnswers, kSilent, kBreaks, kMalformed };
+  enum class Behavior { kAnswers, kUnresponsive, kClosesConnection, kMalformed };
   explicit Discovery(const json& targets);
   std::string address() const { return peer_->address(); }
-  void Tell(const json& targets, bool all = true);  // a new version
-  void Set(Mood mood);
+  void Publish(const json& targets, bool all = true);  // a new version
+  void SetBehavior(Behavior behavior);
   int calls() const { return calls_; }
   int lists() const { return lists_; }
 
@@ -139,7 +139,7 @@
   json targets_;
   bool all_ = true;
   int revision_ = 1;
-  Mood mood_ = Mood::kAnswers;
+  Behavior behavior_ = Behavior::kAnswers;
   bool stopping_ = false;
   std::atomic<int> calls_{0};
   std::atomic<int> lists_{0};
@@ -169,16 +169,16 @@
     bool platform = true;                    // the LB_* variables are set
     std::string operator_file;               // its text; empty: none is named
     std::vector<std::string> environment{};  // further NAME=VALUE
-    int full_send = 0;            // of its datagrams, the system takes only every so manieth at the first try
-    int few_sockets = 0;          // the system gives it no socket of this number or more
+    int udp_send_interval = 0;    // of its datagrams, the system takes only every so manieth at the first try
+    int socket_limit = 0;         // the system gives it no socket of this number or more
     std::string fault_plan = "";  // the file of a FaultPlan by which its system calls fail; empty: none
-    bool lost_wakes = false;      // the system never tells it of a client that waits
-    bool held_log = false;        // its log takes no byte until ReadLog(): it stops at its first line
+    bool lost_wakeups = false;    // the system never tells it of a client that waits
+    bool log_blocked = false;     // its log takes no byte until UnblockLog(): it stops at its first line
   };
   explicit Node(const Options& options);
   ~Node();
-  void ReadLog();    // of one whose log was held
-  bool Listening();  // waits until it is
+  void UnblockLog();  // of one whose log was held
+  bool Listening();   // waits until it is
   std::uint16_t port() const { return port_; }
   void Signal(int number);
   void Reload(const std::string& config_text);  // replaces the file and tells it
--- a/tests/standins/resolver.cpp
+++ b/tests/standins/resolver.cpp
@@ -82,7 +82,7 @@
   for (const int fd : {udp_, listening_, epoll_, wake_}) ::close(fd);
 }
 
-void StandinResolver::Play(Script script) {
+void StandinResolver::SetScript(Script script) {
   const std::lock_guard lock(mutex_);
   script_ = std::move(script);
 }
@@ -95,17 +95,17 @@
 void StandinResolver::Loop() {
   while (!stopping_) {
     int wait = 1000;
-    if (!later_.empty()) {
-      const auto left = later_.begin()->first - std::chrono::steady_clock::now();
+    if (!delayed_.empty()) {
+      const auto left = delayed_.begin()->first - std::chrono::steady_clock::now();
       wait = static_cast<int>(
           std::max<std::int64_t>(0, std::chrono::ceil<std::chrono::milliseconds>(left).count()));
     }
     epoll_event events[64];
     const int ready = ::epoll_wait(epoll_, events, 64, wait);
     const auto now = std::chrono::steady_clock::now();
-    while (!later_.empty() && later_.begin()->first <= now) {
-      const Later later = later_.begin()->second;
-      later_.erase(later_.begin());
+    while (!delayed_.empty() && delayed_.begin()->first <= now) {
+      const DelayedAnswer later = delayed_.begin()->second;
+      delayed_.erase(delayed_.begin());
       const auto it = open_.find(later.fd);
       const bool there = later.number < 0 || (it != open_.end() && it->second.number == later.number);
       if (there) SendNow(later.fd, later.peer, later.bytes);
@@ -113,22 +113,22 @@
     for (int i = 0; i < ready; ++i) {
       const int fd = events[i].data.fd;
       if (fd == udp_) {
-        TakeDatagrams();
+        ReceiveDatagrams();
       } else if (fd == listening_) {
-        const int taken = ::accept4(listening_, nullptr, nullptr, SOCK_CLOEXEC);
-        if (taken < 0) continue;
+        const int accepted = ::accept4(listening_, nullptr, nullptr, SOCK_CLOEXEC);
+        if (accepted < 0) continue;
         const int on = 1;
-        ::setsockopt(taken, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-        open_[taken].number = connections_++;
-        Watch(epoll_, taken);
+        ::setsockopt(accepted, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+        open_[accepted].number = connections_++;
+        Watch(epoll_, accepted);
       } else if (fd != wake_) {
-        TakeBytes(fd);
+        ReceiveBytes(fd);
       }
     }
   }
 }
 
-void StandinResolver::TakeDatagrams() {
+void StandinResolver::ReceiveDatagrams() {
   std::uint8_t bytes[65536];
   for (int i = 0; i < 256; ++i) {
     sockaddr_in from{};
@@ -146,7 +146,7 @@
   }
 }
 
-void StandinResolver::TakeBytes(int fd) {
+void StandinResolver::ReceiveBytes(int fd) {
   std::uint8_t bytes[65536];
   const ssize_t got = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
   if (got < 0 && (errno == EAGAIN || errno == EINTR)) return;
@@ -154,15 +154,15 @@
   Octets& read = open_[fd].read;
   read.insert(read.end(), bytes, bytes + got);
   while (open_.contains(fd) && open_[fd].read.size() >= 2) {
-    Octets& held = open_[fd].read;
-    const std::size_t size = std::size_t{held[0]} << 8 | held[1];
-    if (held.size() - 2 < size) return;
+    Octets& buffered = open_[fd].read;
+    const std::size_t size = std::size_t{buffered[0]} << 8 | buffered[1];
+    if (buffered.size() - 2 < size) return;
     Turn turn(*this);
     turn.fd_ = fd;
     turn.seen_.via = Via::kTcp;
     turn.seen_.connection = open_[fd].number;
-    turn.seen_.query.assign(held.begin() + 2, held.begin() + 2 + static_cast<std::ptrdiff_t>(size));
-    held.erase(held.begin(), held.begin() + 2 + static_cast<std::ptrdiff_t>(size));
+    turn.seen_.query.assign(buffered.begin() + 2, buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
+    buffered.erase(buffered.begin(), buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
     ++tcp_queries_;
     Handle(turn);
   }
@@ -174,7 +174,7 @@
   {
     const std::lock_guard lock(mutex_);
     turn.number_ = udp_queries_ + tcp_queries_ - 1;
-    if (keeps_) seen_.push_back(turn.seen_);
+    if (recording_) seen_.push_back(turn.seen_);
     script = script_;
   }
   script(turn);
@@ -212,8 +212,9 @@
 }
 
 void StandinResolver::Turn::SendAfter(std::chrono::milliseconds delay, const Octets& answer) {
-  owner_.later_.emplace(std::chrono::steady_clock::now() + delay,
-                        Later{fd_, seen_.connection, peer_, via() == Via::kTcp ? Framed(answer) : answer});
+  owner_.delayed_.emplace(
+      std::chrono::steady_clock::now() + delay,
+      DelayedAnswer{fd_, seen_.connection, peer_, via() == Via::kTcp ? Framed(answer) : answer});
 }
 
 }  // namespace mothrack::testing
--- a/tests/standins/resolver.h
+++ b/tests/standins/resolver.h
@@ -62,7 +62,7 @@
     return [](Turn& turn) { turn.Answer(); };
   }
   // Swallows all without a word.
-  static Script Silent() {
+  static Script Unresponsive() {
     return [](Turn&) {};
   }
 
@@ -72,7 +72,7 @@
 
   std::string address() const { return "127.0.0.1:" + std::to_string(port_); }
   std::uint16_t port() const { return port_; }
-  void Play(Script script);  // from now on
+  void SetScript(Script script);  // from now on
 
   std::vector<Seen> seen() const;
   int queries() const { return udp_queries_ + tcp_queries_; }
@@ -80,14 +80,14 @@
   int tcp_queries() const { return tcp_queries_; }
   int connections() const { return connections_; }
   // Does not keep what it sees from now on, for long runs.
-  void KeepNothing() { keeps_ = false; }
+  void StopRecording() { recording_ = false; }
 
  private:
   struct Connection {
     int number = 0;
     Octets read;
   };
-  struct Later {
+  struct DelayedAnswer {
     int fd = -1;
     int number = -1;  // of the connection
     std::vector<std::uint8_t> peer;
@@ -95,8 +95,8 @@
   };
 
   void Loop();
-  void TakeDatagrams();
-  void TakeBytes(int fd);
+  void ReceiveDatagrams();
+  void ReceiveBytes(int fd);
   void Handle(Turn& turn);
   void SendNow(int fd, const std::vector<std::uint8_t>& peer, const Octets& bytes);
   void CloseConnection(int fd);
@@ -109,12 +109,12 @@
   mutable std::mutex mutex_;
   Script script_;
   std::vector<Seen> seen_;
-  std::atomic<bool> keeps_{true};
+  std::atomic<bool> recording_{true};
   std::atomic<int> udp_queries_{0};
   std::atomic<int> tcp_queries_{0};
   std::atomic<int> connections_{0};
   std::map<int, Connection> open_;
-  std::multimap<std::chrono::steady_clock::time_point, Later> later_;
+  std::multimap<std::chrono::steady_clock::time_point, DelayedAnswer> delayed_;
   std::atomic<bool> stopping_{false};
   std::thread thread_;
 };
--- a/tests/standins/resolver_main.cpp
+++ b/tests/standins/resolver_main.cpp
@@ -43,9 +43,9 @@
   sigaddset(&end, SIGINT);
   sigprocmask(SIG_BLOCK, &end, nullptr);
   const bool silent = argc > 2 && std::string(argv[2]) == "silent";
-  StandinResolver resolver(silent ? StandinResolver::Silent() : Answer, true,
+  StandinResolver resolver(silent ? StandinResolver::Unresponsive() : Answer, true,
                            static_cast<std::uint16_t>(std::atoi(argv[1])));
-  resolver.KeepNothing();
+  resolver.StopRecording();
   std::cout << "port " << resolver.port() << std::endl;
   int number = 0;
   sigwait(&end, &number);
--- a/tests/standins/few_sockets.cpp
+++ b/tests/standins/socket_limit.cpp
@@ -1,4 +1,4 @@
-// Loaded into a program by LD_PRELOAD: the system gives no socket whose number is FEW_SOCKETS or more, as if
+// Loaded into a program by LD_PRELOAD: the system gives no socket whose number is SOCKET_LIMIT or more, as if
 // that were the limit of descriptors. Not a limit of the process itself: the undefined-behaviour sanitizer
 // opens pipes for its checks, and takes one that it can't have for an object that isn't there.
 #include <dlfcn.h>
@@ -13,7 +13,7 @@
 
 // Asked before anything happens: what is refused must not be accepted and closed.
 bool Refused() {
-  static const char* const setting = std::getenv("FEW_SOCKETS");
+  static const char* const setting = std::getenv("SOCKET_LIMIT");
   static const int limit = setting == nullptr ? INT_MAX : std::atoi(setting);
   for (int fd = 0; fd < limit; ++fd) {
     if (::fcntl(fd, F_GETFD) < 0) return false;  // the system gives the lowest that is free
--- a/tests/standins/hall.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -1,4 +1,4 @@
-#include "standins/hall.h"
+#include "standins/test_cluster.h"
 
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -27,10 +27,10 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr int kTries = 5;               // at ports, where one was taken meanwhile
+constexpr int kMaxPortAttempts = 5;     // at ports, where one was taken meanwhile
 constexpr milliseconds kTimeout{5000};  // of the clients' requests
 constexpr milliseconds kLag{100};       // between a death and what its client sees of it
-constexpr const char* kNobody =
+constexpr const char* kDiscoveryEndpoint =
     "discovery";  // in no zone: whatever is cut off, it stays with those that are not
 
 std::string ReadAll(const std::string& path) {
@@ -60,10 +60,10 @@
 }
 
 simulation::SimulationEvent At(simulation::SimulationEvent::Kind kind, Clock::time_point at) {
-  simulation::SimulationEvent happening;
-  happening.kind = kind;
-  happening.at = runtime::ToTimePoint(at);
-  return happening;
+  simulation::SimulationEvent event;
+  event.kind = kind;
+  event.at = runtime::ToTimePoint(at);
+  return event;
 }
 
 // "s3-17", as the clients name them, in one number.
@@ -79,9 +79,10 @@
 }  // namespace
 
 // Whole before anything is started, so that its destructor ends what was, whatever fails.
-Hall::Hall(const Options& options) : Hall(options, Made{}) { StartAll(Select("*")); }
+TestCluster::TestCluster(const Options& options) : TestCluster(options, Made{}) { StartAll(Select("*")); }
 
-Hall::Hall(const Options& options, Made) : options_(options), box_(std::make_unique<LinkBox>(options.seed)) {
+TestCluster::TestCluster(const Options& options, Made)
+    : options_(options), relay_(std::make_unique<FaultyRelay>(options.seed)) {
   std::string pattern = (fs::temp_directory_path() / "hall.XXXXXX").string();
   if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
   directory_ = pattern;
@@ -93,14 +94,14 @@
                        {"settings", Settings()}};
   std::ofstream(path("config.json")) << config.dump();
 
-  box_->Add(kNobody, {});
+  relay_->AddEndpoint(kDiscoveryEndpoint, {});
   for (const std::string& zone : options_.zones) {
     for (int i = 0; i < options_.upstreams; ++i) {
       const std::string name = zone + "-u" + std::to_string(i);
-      box_->Add(name, {zone, "upstreams"});
+      relay_->AddEndpoint(name, {zone, "upstreams"});
       const auto run = [this, server = upstreams_.size(), handler = ran_.Handler()](
                            Wire& wire, const Request& request, int number) {
-        Arrived(server, request);
+        OnRequestAtUpstream(server, request);
         handler(wire, request, number);
       };
       upstreams_.push_back({name, zone, "active", 0, std::make_unique<Upstream>(run)});
@@ -115,8 +116,8 @@
     process.machine = process.zone + '-' + std::to_string(number / zones);
     process.udp = FreePort();
     process.tcp = FreePort();
-    box_->Add(process.name, {process.zone, process.machine, process.agent ? "agents" : "sidecars"},
-              process.udp);
+    relay_->AddEndpoint(process.name, {process.zone, process.machine, process.agent ? "agents" : "sidecars"},
+                        process.udp);
     processes_[process.name] = std::move(process);
   };
   for (int i = 0; i < options_.sidecars; ++i) add("s", i);
@@ -124,16 +125,16 @@
   for (auto& [name, process] : processes_) {
     SetKeys(name, {Key(0)});
     if (process.agent) continue;
-    for (const Served& served : upstreams_) {
+    for (const UpstreamEntry& served : upstreams_) {
       const std::string address = served.upstream->address();
       const auto port = static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1)));
-      process.doors[served.name] = box_->Tcp(name, served.name, port);
+      process.relay_ports[served.name] = relay_->AddTcpPort(name, served.name, port);
     }
     process.discovery = std::make_unique<Discovery>(ListFor(process));
   }
 }
 
-Hall::~Hall() {
+TestCluster::~TestCluster() {
   Continue("*");
   traffic_.reset();
   Kill("*");
@@ -144,7 +145,7 @@
   fs::remove_all(directory_, ignored);
 }
 
-std::vector<Hall::Process*> Hall::Select(const std::string& selector) {
+std::vector<TestCluster::Process*> TestCluster::Select(const std::string& selector) {
   std::vector<Process*> selected;
   for (auto& [name, process] : processes_) {
     if (selector == "*" || selector == name || selector == process.machine || selector == process.zone ||
@@ -156,125 +157,126 @@
   return selected;
 }
 
-std::vector<std::string> Hall::Names(const std::string& selector) const {
+std::vector<std::string> TestCluster::Names(const std::string& selector) const {
   std::vector<std::string> names;
-  for (const Process* process : const_cast<Hall*>(this)->Select(selector)) names.push_back(process->name);
+  for (const Process* process : const_cast<TestCluster*>(this)->Select(selector))
+    names.push_back(process->name);
   return names;
 }
 
-const Hall::Process& Hall::At(const std::string& name) const {
+const TestCluster::Process& TestCluster::At(const std::string& name) const {
   const auto it = processes_.find(name);
   if (it == processes_.end()) throw std::logic_error("the hall has no process " + name);
   return it->second;
 }
 
-std::string Hall::MachineOf(const std::string& name) const { return At(name).machine; }
-pid_t Hall::pid(const std::string& name) const { return At(name).pid; }
-bool Hall::runs(const std::string& name) const { return At(name).pid > 0; }
+std::string TestCluster::MachineOf(const std::string& name) const { return At(name).machine; }
+pid_t TestCluster::pid(const std::string& name) const { return At(name).pid; }
+bool TestCluster::runs(const std::string& name) const { return At(name).pid > 0; }
 
-json Hall::ListFor(const Process& process) const {
+json TestCluster::ListFor(const Process& process) const {
   std::vector<json> targets;
-  for (const Served& served : upstreams_) {
+  for (const UpstreamEntry& served : upstreams_) {
     if (served.state == "gone") continue;
-    json target = Target(served.name, Loopback(process.doors.at(served.name)), served.state, served.boot_ms);
+    json target =
+        Target(served.name, Loopback(process.relay_ports.at(served.name)), served.state, served.boot_ms);
     target["az"] = served.zone;
     targets.push_back(std::move(target));
   }
   return List(targets);
 }
 
-void Hall::TellState(const std::string& upstream, const std::string& state) {
-  const auto it = std::ranges::find(upstreams_, upstream, &Served::name);
+void TestCluster::SetUpstreamState(const std::string& upstream, const std::string& state) {
+  const auto it = std::ranges::find(upstreams_, upstream, &UpstreamEntry::name);
   if (it == upstreams_.end()) throw std::logic_error("the hall has no upstream " + upstream);
   it->state = state;
   for (auto& [name, process] : processes_) {
     if (!process.discovery) continue;
-    process.discovery->Tell(ListFor(process));
-    if (process.pid > 0) Tell(process);
+    process.discovery->Publish(ListFor(process));
+    if (process.pid > 0) RecordNotified(process);
   }
 }
 
-std::string Hall::AddressOf(const std::string& upstream) const {
-  const auto it = std::ranges::find(upstreams_, upstream, &Served::name);
+std::string TestCluster::AddressOf(const std::string& upstream) const {
+  const auto it = std::ranges::find(upstreams_, upstream, &UpstreamEntry::name);
   if (it == upstreams_.end()) throw std::logic_error("the hall has no upstream " + upstream);
   return it->upstream->address();
 }
 
-void Hall::Boot(const std::string& upstream, double per_s) {
-  const auto it = std::ranges::find(upstreams_, upstream, &Served::name);
+void TestCluster::AnnounceRestart(const std::string& upstream, double per_s) {
+  const auto it = std::ranges::find(upstreams_, upstream, &UpstreamEntry::name);
   if (it == upstreams_.end()) throw std::logic_error("the hall has no upstream " + upstream);
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   it->boot_ms = std::chrono::duration_cast<milliseconds>(now).count();
   auto booted = testing::At(simulation::SimulationEvent::Kind::kServerStarted, Clock::now());
   booted.server = static_cast<std::size_t>(it - upstreams_.begin());
   booted.work = per_s / 1000;
-  Happened(booted);
-  TellState(upstream, "active");
+  Record(booted);
+  SetUpstreamState(upstream, "active");
 }
 
-void Hall::Happened(const simulation::SimulationEvent& happening) {
+void TestCluster::Record(const simulation::SimulationEvent& event) {
   const std::lock_guard lock(mutex_);
-  happened_.push_back(happening);
+  events_.push_back(event);
 }
 
 // An upstream's word: somebody has sent it, and it runs. Of the same request, later than its client's.
-void Hall::Arrived(std::size_t server, const Request& request) {
+void TestCluster::OnRequestAtUpstream(std::size_t server, const Request& request) {
   const std::string target(request.target());
   const auto number = NumberOf(std::string_view(target).substr(target.rfind('/') + 1));
   if (!number) return;
-  auto happening = testing::At(simulation::SimulationEvent::Kind::kAttemptSent, Clock::now());
-  happening.request = *number;
-  happening.sidecar = *number >> 32;
-  happening.server = server;
-  happening.work = 1;
+  auto event = testing::At(simulation::SimulationEvent::Kind::kAttemptSent, Clock::now());
+  event.request = *number;
+  event.sidecar = *number >> 32;
+  event.server = server;
+  event.work = 1;
   using Kind = simulation::SimulationEvent::Kind;
   for (const Kind kind : {Kind::kAttemptSent, Kind::kCallArrived, Kind::kCallStarted}) {
-    happening.kind = kind;
-    Happened(happening);
+    event.kind = kind;
+    Record(event);
   }
 }
 
 // A client's word. What was not taken by a sidecar is not among what the rules look at; the account looks at
 // it.
-void Hall::Ended(const Traffic::Ended& ended) {
-  using End = Traffic::End;
-  if (ended.how == End::kLost || ended.how == End::kCrossed) {
+void TestCluster::OnRequestCompleted(const Traffic::CompletedRequest& ended) {
+  using End = Traffic::Outcome;
+  if (ended.how == End::kLost || ended.how == End::kIdleCloseRace) {
     const std::lock_guard lock(mutex_);
-    gone_.push_back(ended);
+    unanswered_.push_back(ended);
   }
-  if (ended.how == End::kNotTaken || ended.how == End::kCrossed) return;
-  auto happening = testing::At(simulation::SimulationEvent::Kind::kAccepted, ended.begin);
-  happening.request =
-      static_cast<std::uint64_t>(ended.number) << 32 | static_cast<std::uint64_t>(ended.index);
-  happening.sidecar = ended.number;
-  happening.cls = ended.unsafe ? 1 : 0;
-  happening.until = happening.at + kTimeout;
-  Happened(happening);
+  if (ended.how == End::kNotAccepted || ended.how == End::kIdleCloseRace) return;
+  auto event = testing::At(simulation::SimulationEvent::Kind::kAccepted, ended.begin);
+  event.request = static_cast<std::uint64_t>(ended.number) << 32 | static_cast<std::uint64_t>(ended.index);
+  event.sidecar = ended.number;
+  event.cls = ended.unsafe ? 1 : 0;
+  event.until = event.at + kTimeout;
+  Record(event);
   if (ended.how == End::kLost) return;
-  happening.kind = simulation::SimulationEvent::Kind::kAnswered;
-  happening.at = testing::At(happening.kind, ended.end).at;
-  happening.request_outcome = ended.how == End::kServed    ? simulation::RequestOutcome::kServed
-                              : ended.how == End::kRefused ? simulation::RequestOutcome::kRefused
-                                                           : simulation::RequestOutcome::kFailed;
-  Happened(happening);
-}
-
-void Hall::Tell(const Process& sidecar) {
-  auto told = testing::At(simulation::SimulationEvent::Kind::kSidecarNotified, Clock::now());
-  told.sidecar = std::stoull(sidecar.name.substr(1));
-  for (told.server = 0; told.server < upstreams_.size(); ++told.server) {
-    told.leaving = upstreams_[told.server].state != "active";
-    Happened(told);
+  event.kind = simulation::SimulationEvent::Kind::kAnswered;
+  event.at = testing::At(event.kind, ended.end).at;
+  event.request_outcome = ended.how == End::kServed    ? simulation::RequestOutcome::kServed
+                          : ended.how == End::kRefused ? simulation::RequestOutcome::kRefused
+                                                       : simulation::RequestOutcome::kFailed;
+  Record(event);
+}
+
+void TestCluster::RecordNotified(const Process& sidecar) {
+  auto notified = testing::At(simulation::SimulationEvent::Kind::kSidecarNotified, Clock::now());
+  notified.sidecar = std::stoull(sidecar.name.substr(1));
+  for (notified.server = 0; notified.server < upstreams_.size(); ++notified.server) {
+    notified.leaving = upstreams_[notified.server].state != "active";
+    Record(notified);
   }
 }
 
-std::string Hall::Key(int number) {
+std::string TestCluster::Key(int number) {
   std::string key(62, '5');
   for (const int digit : {number / 16 % 16, number % 16}) key += "0123456789abcdef"[digit];
   return key;
 }
 
-void Hall::SetKeys(const std::string& selector, const std::vector<std::string>& keys) {
+void TestCluster::SetKeys(const std::string& selector, const std::vector<std::string>& keys) {
   for (const Process* process : Select(selector)) {
     const std::string file = path(process->name + ".keys");
     std::ofstream(file + ".new");
@@ -286,14 +288,14 @@
   }
 }
 
-void Hall::WriteFiles(const Process& process) const {
+void TestCluster::WriteFiles(const Process& process) const {
   const auto scaled = [&](int of_500) {
     return std::max<std::int64_t>(options_.probe.count() * of_500 / 500, 10);
   };
   std::ostringstream peers;
   peers << "[peers]\nlisten = \"" << Loopback(process.udp) << "\"\nadvertise = \""
-        << Loopback(box_->advertised(process.name)) << "\"\nzone = \"" << process.zone << "\"\nkey_file = \""
-        << path(process.name + ".keys") << "\"\nprobe_ms = " << options_.probe.count()
+        << Loopback(relay_->advertised_port(process.name)) << "\"\nzone = \"" << process.zone
+        << "\"\nkey_file = \"" << path(process.name + ".keys") << "\"\nprobe_ms = " << options_.probe.count()
         << "\nprobe_patience_ms = " << scaled(200)
         << "\ngossip_ms = " << std::max<std::int64_t>(scaled(100), 20)
         << "\ndigest_ms = " << std::max<std::int64_t>(scaled(1000), 100) << "\n";
@@ -305,7 +307,7 @@
   for (std::size_t i = 0; i < options_.zones.size(); ++i) {
     const std::string name = (options_.agents > 0 ? "a" : "s") + std::to_string(i);
     if (!processes_.contains(name) || name == process.name) continue;
-    peers << (first ? "" : ", ") << '"' << Loopback(box_->advertised(name)) << '"';
+    peers << (first ? "" : ", ") << '"' << Loopback(relay_->advertised_port(name)) << '"';
     first = false;
   }
   peers << "]\n" << options_.peers;
@@ -313,20 +315,20 @@
   const std::string section = options_.with_peers ? peers.str() : "";
   std::ofstream file(path(process.name + ".toml"));
   if (!process.agent) {
-    file << "name = \"" << process.name << "\"\n[admin]\nlisten = \"unix:" << path(process.name + ".door")
+    file << "name = \"" << process.name << "\"\n[admin]\nlisten = \"unix:" << path(process.name + ".sock")
          << "\"\n"
          << section << options_.operator_file;
     return;
   }
   // An agent has to have an instance; this one does nothing and ends by itself.
   file << "[agent]\nname = \"" << process.name << "\"\nhall = \"" << process.zone
-       << "\"\nlisten = \"unix:" << path(process.name + ".door") << "\"\ndirectory = \"" << path(process.name)
+       << "\"\nlisten = \"unix:" << path(process.name + ".sock") << "\"\ndirectory = \"" << path(process.name)
        << "\"\n[limits]\nfirst_pause_ms = 1000\n[generations]\ng1 = \"" << path("g1") << "\"\n"
        << "[[instance]]\nname = \"idle\"\ncommand = [\"/bin/sleep\", \"600\"]\ngeneration = \"g1\"\n"
        << section << options_.agent_file;
 }
 
-void Hall::Spawn(Process& process) {
+void TestCluster::Spawn(Process& process) {
   WriteFiles(process);
   std::vector<std::string> words = {process.agent ? MOTHRACK_AGENT : MOTHRACK_PROGRAM};
   if (!process.agent) words.push_back("--config");
@@ -340,8 +342,9 @@
     variables.push_back("LB_LISTEN=" + Loopback(process.tcp));
     const std::string discovery = process.discovery->address();
     const auto port = static_cast<std::uint16_t>(std::stoi(discovery.substr(discovery.find(':') + 1)));
-    if (!process.doors.contains(kNobody)) process.doors[kNobody] = box_->Tcp(process.name, kNobody, port);
-    variables.push_back("LB_DISCOVERY=" + Loopback(process.doors.at(kNobody)));
+    if (!process.relay_ports.contains(kDiscoveryEndpoint))
+      process.relay_ports[kDiscoveryEndpoint] = relay_->AddTcpPort(process.name, kDiscoveryEndpoint, port);
+    variables.push_back("LB_DISCOVERY=" + Loopback(process.relay_ports.at(kDiscoveryEndpoint)));
     variables.push_back("LB_CONFIG=" + path("config.json"));
   }
   std::vector<char*> argv;
@@ -365,10 +368,10 @@
     ::_exit(127);
   }
   ::close(fd);
-  if (!process.agent) Tell(process);
+  if (!process.agent) RecordNotified(process);
 }
 
-bool Hall::Up(Process& process) {
+bool TestCluster::WaitUntilListening(Process& process) {
   bool ended = false;
   const bool up = Eventually([&] {
     ended = ::waitpid(process.pid, nullptr, WNOHANG) == process.pid;
@@ -381,7 +384,7 @@
   return up && !ended;
 }
 
-void Hall::StartAll(const std::vector<Process*>& processes) {
+void TestCluster::StartAll(const std::vector<Process*>& processes) {
   std::vector<Process*> down;
   for (Process* process : processes) {
     if (process->pid > 0) continue;
@@ -391,15 +394,15 @@
   for (int i = 0; !down.empty(); ++i) {
     std::vector<Process*> again;
     for (Process* process : down) {
-      if (!Up(*process)) again.push_back(process);
+      if (!WaitUntilListening(*process)) again.push_back(process);
     }
     for (Process* process : again) {
       const std::string text = Log(process->name).substr(process->log_from);
-      if (i >= kTries || text.find("in use") == std::string::npos) {
+      if (i >= kMaxPortAttempts || text.find("in use") == std::string::npos) {
         throw std::runtime_error(process->name + " does not start: " + text);
       }
       process->udp = FreePort();
-      box_->Move(process->name, process->udp);
+      relay_->MoveEndpoint(process->name, process->udp);
       if (!traffic_) process->tcp = FreePort();
       Spawn(*process);
     }
@@ -407,15 +410,15 @@
   }
 }
 
-void Hall::Start(const std::string& selector) { StartAll(Select(selector)); }
+void TestCluster::Start(const std::string& selector) { StartAll(Select(selector)); }
 
-void Hall::Signal(const std::string& selector, int number) {
+void TestCluster::Signal(const std::string& selector, int number) {
   for (const Process* process : Select(selector)) {
     if (process->pid > 0) ::kill(process->pid, number);
   }
 }
 
-void Hall::Kill(const std::string& selector) {
+void TestCluster::Kill(const std::string& selector) {
   Signal(selector, SIGKILL);  // all of them before any is waited for: a machine drops at once
   for (Process* process : Select(selector)) {
     if (process->pid <= 0) continue;
@@ -425,15 +428,15 @@
     if (process->agent) continue;
     auto killed = testing::At(simulation::SimulationEvent::Kind::kSidecarKilled, process->kills.back());
     killed.sidecar = std::stoull(process->name.substr(1));
-    Happened(killed);
+    Record(killed);
   }
 }
 
-void Hall::Pause(const std::string& selector) { Signal(selector, SIGSTOP); }
-void Hall::Continue(const std::string& selector) { Signal(selector, SIGCONT); }
+void TestCluster::Pause(const std::string& selector) { Signal(selector, SIGSTOP); }
+void TestCluster::Continue(const std::string& selector) { Signal(selector, SIGCONT); }
 
 // It is its own master; its file says which it is, and its lock that it still runs.
-void Hall::EndInstance(const Process& agent) const {
+void TestCluster::EndInstance(const Process& agent) const {
   const std::string place = path(agent.name) + "/instances/idle";
   const auto file = json::parse(ReadAll(place + "/process.json"), nullptr, false);
   const int lock = ::open((place + "/lock").c_str(), O_RDWR | O_CLOEXEC);
@@ -443,37 +446,38 @@
   ::close(lock);
 }
 
-std::string Hall::Log(const std::string& name) const { return ReadAll(path(name + ".log")); }
+std::string TestCluster::Log(const std::string& name) const { return ReadAll(path(name + ".log")); }
 
-json Hall::Status(const std::string& name) const {
+json TestCluster::Status(const std::string& name) const {
   const Process& process = At(name);
   if (process.pid <= 0) return nullptr;
-  const AdminClient door("unix:" + path(name + ".door"));
-  const auto answer = door.Get(process.agent ? "/v1/agent" : "/v1/status");
+  const AdminClient admin("unix:" + path(name + ".sock"));
+  const auto answer = admin.Get(process.agent ? "/v1/agent" : "/v1/status");
   return answer && answer->status == 200 ? answer->body : json(nullptr);
 }
 
-json Hall::Peers(const std::string& name) const {
+json TestCluster::Peers(const std::string& name) const {
   const json status = Status(name);
   return status.is_object() && status.contains("peers") ? status["peers"] : json(nullptr);
 }
 
-std::string Hall::StateAt(const std::string& observer, const std::string& member) const {
+std::string TestCluster::StateAt(const std::string& observer, const std::string& member) const {
   const json peers = Peers(observer);
   if (!peers.is_object() || !peers.contains("members")) return "unknown";
-  for (const json& told : peers["members"]) {
-    if (told.value("name", "") == member) return told.value("state", "unknown");
+  for (const json& notified : peers["members"]) {
+    if (notified.value("name", "") == member) return notified.value("state", "unknown");
   }
   return "unknown";
 }
 
-bool Hall::See(const std::vector<std::string>& observers, const std::vector<std::string>& members,
-               const std::string& state) const {
+bool TestCluster::AllSee(const std::vector<std::string>& observers, const std::vector<std::string>& members,
+                         const std::string& state) const {
   for (const std::string& observer : observers) {
     const json peers = Peers(observer);
     if (!peers.is_object() || !peers.contains("members")) return false;
     std::map<std::string, std::string> states;
-    for (const json& told : peers["members"]) states[told.value("name", "")] = told.value("state", "");
+    for (const json& notified : peers["members"])
+      states[notified.value("name", "")] = notified.value("state", "");
     for (const std::string& member : members) {
       if (member != observer && states[member] != state) return false;
     }
@@ -481,22 +485,24 @@
   return true;
 }
 
-std::optional<milliseconds> Hall::Await(const std::function<bool()>& condition, milliseconds patience) const {
+std::optional<milliseconds> TestCluster::Await(const std::function<bool()>& condition,
+                                               milliseconds timeout) const {
   const auto begin = Clock::now();
   while (!condition()) {
-    if (Clock::now() - begin > patience) return std::nullopt;
+    if (Clock::now() - begin > timeout) return std::nullopt;
     std::this_thread::sleep_for(milliseconds(100));  // the doors answer so often and no more
   }
   return std::chrono::duration_cast<milliseconds>(Clock::now() - begin);
 }
 
-void Hall::BeginTraffic() {
+void TestCluster::BeginTraffic() {
   std::vector<std::uint16_t> ports;
   for (int i = 0; i < options_.sidecars; ++i) ports.push_back(At("s" + std::to_string(i)).tcp);
-  traffic_ = std::make_unique<Traffic>(ports, options_.every, [this](const auto& ended) { Ended(ended); });
+  traffic_ = std::make_unique<Traffic>(ports, options_.every,
+                                       [this](const auto& ended) { OnRequestCompleted(ended); });
 }
 
-std::vector<std::string> Hall::Judge(milliseconds drain) {
+std::vector<std::string> TestCluster::StopTrafficAndCheck(milliseconds drain) {
   if (!traffic_) return {"there was no traffic to judge"};
   Continue("*");  // whoever waits for a stopped one would wait on
   const auto ends = traffic_->Stop();
@@ -504,19 +510,19 @@
   std::vector<std::string> broken;
   std::map<std::string, bool> killed;
   // The clients have ended; upstreams may be at the last that was given up.
-  std::vector<simulation::SimulationEvent> happened;
+  std::vector<simulation::SimulationEvent> events;
   {
     const std::lock_guard lock(mutex_);
-    happened = happened_;
+    events = events_;
   }
-  for (const Traffic::Ended& gone : gone_) {
-    const Process& sidecar = At("s" + std::to_string(gone.number));
+  for (const Traffic::CompletedRequest& request : unanswered_) {
+    const Process& sidecar = At("s" + std::to_string(request.number));
     const bool under_way = std::ranges::any_of(
-        sidecar.kills, [&](auto at) { return at >= gone.begin - kLag && at <= gone.end + kLag; });
-    if (under_way) killed[gone.id] = true;
+        sidecar.kills, [&](auto at) { return at >= request.begin - kLag && at <= request.end + kLag; });
+    if (under_way) killed[request.id] = true;
     // A connection that was closed as the request came ends at once; one that ends later had taken it.
-    const bool taken = gone.how == Traffic::End::kLost || gone.end - gone.begin > kLag;
-    if (!under_way && taken) broken.push_back(gone.id + " was taken and never answered");
+    const bool taken = request.how == Traffic::Outcome::kLost || request.end - request.begin > kLag;
+    if (!under_way && taken) broken.push_back(request.id + " was taken and never answered");
   }
   for (const auto& [id, times] : ran) {
     if (times > 1) broken.push_back(id + " ran " + std::to_string(times) + " times");
@@ -525,8 +531,8 @@
   for (const auto& [id, end] : ends) {
     const bool has_run = ran.contains(id);
     // A failure makes no promise either way.
-    if (end == Traffic::End::kFailed || end == Traffic::End::kLost || killed[id]) continue;
-    if (has_run == (end == Traffic::End::kServed)) continue;
+    if (end == Traffic::Outcome::kFailed || end == Traffic::Outcome::kLost || killed[id]) continue;
+    if (has_run == (end == Traffic::Outcome::kServed)) continue;
     broken.push_back(id + (has_run ? " ran, and ended as " : " did not run, and ended as ") +
                      std::to_string(static_cast<int>(end)));
   }
@@ -535,8 +541,8 @@
   limits.grace = milliseconds(1000);  // one machine for all of them, clients included
   limits.drain = drain;
   simulation::Rules rules(limits);
-  std::ranges::stable_sort(happened, {}, &simulation::SimulationEvent::at);
-  for (const simulation::SimulationEvent& happening : happened) rules.Record(happening);
+  std::ranges::stable_sort(events, {}, &simulation::SimulationEvent::at);
+  for (const simulation::SimulationEvent& event : events) rules.Record(event);
   rules.End(testing::At({}, Clock::now() + kTimeout + limits.grace).at);
   for (const simulation::Breach& broke : rules.breaches()) {
     broken.push_back("rule " + std::string(NameOf(broke.rule)) + ": " + broke.what + " (" +
--- a/tests/standins/hall.h
+++ b/tests/standins/test_cluster.h
@@ -18,13 +18,13 @@
 
 #include "nlohmann/json.hpp"
 #include "simulation/invariants.h"
-#include "standins/link_box.h"
+#include "standins/faulty_relay.h"
 #include "standins/peers.h"
 #include "standins/traffic.h"
 
 namespace mothrack::testing {
 
-class Hall {
+class TestCluster {
  public:
   struct Options {
     std::vector<std::string> zones = {"bole-hall", "kality-hall", "adama-hall"};
@@ -40,12 +40,12 @@
     std::string agent_file = "";     // of agents
   };
   // All run and listen when it is made; what a process says that does not is thrown.
-  explicit Hall(const Options& options);
-  ~Hall();
-  Hall(const Hall&) = delete;
-  Hall& operator=(const Hall&) = delete;
+  explicit TestCluster(const Options& options);
+  ~TestCluster();
+  TestCluster(const TestCluster&) = delete;
+  TestCluster& operator=(const TestCluster&) = delete;
 
-  LinkBox& box() { return *box_; }
+  FaultyRelay& relay() { return *relay_; }
   std::vector<std::string> Names(const std::string& selector = "*") const;
   // The machine of zone "bole-hall" with number 0 is "bole-hall-0": an agent, where there is one, and its
   // sidecars.
@@ -70,27 +70,29 @@
   // How one sees another: "alive", "suspect", "dead", "left", "unknown".
   std::string StateAt(const std::string& observer, const std::string& member) const;
   // Whether all of these see all of those so, each but itself. Asks each once: doors answer only so often.
-  bool See(const std::vector<std::string>& observers, const std::vector<std::string>& members,
-           const std::string& state) const;
-  bool See(const std::string& observers, const std::string& members, const std::string& state) const {
-    return See(Names(observers), Names(members), state);
+  bool AllSee(const std::vector<std::string>& observers, const std::vector<std::string>& members,
+              const std::string& state) const;
+  bool AllSee(const std::string& observers, const std::string& members, const std::string& state) const {
+    return AllSee(Names(observers), Names(members), state);
   }
-  // How long it took until they did; nothing where they did not within `patience`.
+  // How long it took until they did; nothing where they did not within `timeout`.
   std::optional<std::chrono::milliseconds> Await(const std::function<bool()>& condition,
-                                                 std::chrono::milliseconds patience) const;
+                                                 std::chrono::milliseconds timeout) const;
 
-  // Traffic through all sidecars, from now on. Judge() ends it and tells what was broken: by the account (no
-  // request lost, nothing run twice, none that was refused run; only what was under way at a sidecar that was
-  // killed may be lost), and by the emulator's rules (src/simulation/invariants.h) over what happened.
+  // Traffic through all sidecars, from now on. StopTrafficAndCheck() ends it and tells what was broken: by
+  // the account (no request lost, nothing run twice, none that was refused run; only what was under way at a
+  // sidecar that was killed may be lost), and by the emulator's rules (src/simulation/invariants.h) over what
+  // happened.
   void BeginTraffic();
-  std::vector<std::string> Judge(std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
-  std::size_t count(Traffic::End end) const { return traffic_ ? traffic_->count(end) : 0; }
+  std::vector<std::string> StopTrafficAndCheck(
+      std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
+  std::size_t count(Traffic::Outcome end) const { return traffic_ ? traffic_->count(end) : 0; }
 
   // What discovery tells of an upstream: "active", "leaving"; "gone" takes it from the list.
-  void TellState(const std::string& upstream, const std::string& state);
+  void SetUpstreamState(const std::string& upstream, const std::string& state);
   std::string AddressOf(const std::string& upstream) const;  // its real one, past the box
   // It was started anew and is cold: warm it does so many requests a second.
-  void Boot(const std::string& upstream, double per_s);
+  void AnnounceRestart(const std::string& upstream, double per_s);
 
   std::string path(const std::string& name) const { return directory_ + '/' + name; }
   std::string Log(const std::string& name) const;
@@ -103,38 +105,38 @@
     pid_t pid = -1;
     std::size_t log_from = 0;  // where the log of this run begins
     std::unique_ptr<Discovery> discovery;
-    std::map<std::string, std::uint16_t> doors;  // by which it reaches the upstreams
+    std::map<std::string, std::uint16_t> relay_ports;  // by which it reaches the upstreams
     std::vector<std::chrono::steady_clock::time_point> kills;
   };
-  struct Served {
+  struct UpstreamEntry {
     std::string name, zone, state;
     std::int64_t boot_ms = 0;
     std::unique_ptr<Upstream> upstream;
   };
 
   struct Made {};
-  Hall(const Options& options, Made);
+  TestCluster(const Options& options, Made);
   std::vector<Process*> Select(const std::string& selector);
   const Process& At(const std::string& name) const;
   nlohmann::json ListFor(const Process& process) const;
   void WriteFiles(const Process& process) const;
   void Spawn(Process& process);
-  bool Up(Process& process);  // waits until it listens; false where it has ended
+  bool WaitUntilListening(Process& process);  // waits until it listens; false where it has ended
   void StartAll(const std::vector<Process*>& processes);
   void EndInstance(const Process& agent) const;
-  void Happened(const simulation::SimulationEvent& happening);
-  void Arrived(std::size_t server, const Request& request);
-  void Ended(const Traffic::Ended& ended);
-  void Tell(const Process& sidecar);  // that it is told of the upstreams now
+  void Record(const simulation::SimulationEvent& event);
+  void OnRequestAtUpstream(std::size_t server, const Request& request);
+  void OnRequestCompleted(const Traffic::CompletedRequest& ended);
+  void RecordNotified(const Process& sidecar);  // that it is notified of the upstreams now
 
   const Options options_;
   std::string directory_;
-  std::unique_ptr<LinkBox> box_;
+  std::unique_ptr<FaultyRelay> relay_;
   Runs ran_;
   std::mutex mutex_;
-  std::vector<simulation::SimulationEvent> happened_;
-  std::vector<Traffic::Ended> gone_;  // without an answer
-  std::vector<Served> upstreams_;
+  std::vector<simulation::SimulationEvent> events_;
+  std::vector<Traffic::CompletedRequest> unanswered_;  // without an answer
+  std::vector<UpstreamEntry> upstreams_;
   std::map<std::string, Process> processes_;
   std::unique_ptr<Traffic> traffic_;
 };
--- a/tests/standins/traffic.cpp
+++ b/tests/standins/traffic.cpp
@@ -35,8 +35,8 @@
 }
 
 Traffic::Traffic(const std::vector<std::uint16_t>& ports, std::chrono::milliseconds every,
-                 std::function<void(const Ended&)> told, int requests_on_a_connection)
-    : told_(std::move(told)), requests_on_a_connection_(requests_on_a_connection) {
+                 std::function<void(const CompletedRequest&)> on_completed, int requests_on_a_connection)
+    : on_completed_(std::move(on_completed)), requests_on_a_connection_(requests_on_a_connection) {
   for (std::size_t i = 0; i < ports.size(); ++i) {
     threads_.emplace_back([this, i, port = ports[i], every] { Send(i, port, every); });
   }
@@ -44,7 +44,7 @@
 
 Traffic::~Traffic() { Stop(); }
 
-std::map<std::string, Traffic::End> Traffic::Stop() {
+std::map<std::string, Traffic::Outcome> Traffic::Stop() {
   stopping_ = true;
   for (std::thread& thread : threads_) thread.join();
   threads_.clear();
@@ -58,33 +58,33 @@
     const std::string id = "s" + std::to_string(number) + "-" + std::to_string(i);
     const bool unsafe = i % 2 == 1;
     if (wire && Closed(*wire)) wire.reset();
-    const bool kept = wire != nullptr;
-    End end = End::kLost;
+    const bool reused = wire != nullptr;
+    Outcome end = Outcome::kLost;
     const auto begin = std::chrono::steady_clock::now();
     boost::system::error_code error;
-    if (!kept) {
+    if (!reused) {
       io = std::make_unique<boost::asio::io_context>();
       wire = std::make_unique<Wire>(*io);
       wire->socket.connect({boost::asio::ip::make_address_v4("127.0.0.1"), port}, error);
     }
     if (error) {
-      end = End::kNotTaken;
+      end = Outcome::kNotAccepted;
     } else {
       wire->Write(unsafe ? PostText("/submit/" + id, id, id) : GetText("/page/" + id, id));
       const auto response = wire->ReadResponse();
       if (!response) {
-        end = kept ? End::kCrossed : End::kLost;
+        end = reused ? Outcome::kIdleCloseRace : Outcome::kLost;
       } else {
-        end = response->result_int() == 200   ? End::kServed
-              : response->result_int() == 503 ? End::kRefused
-                                              : End::kFailed;
+        end = response->result_int() == 200   ? Outcome::kServed
+              : response->result_int() == 503 ? Outcome::kRefused
+                                              : Outcome::kFailed;
       }
       const bool enough = requests_on_a_connection_ > 0 && i % requests_on_a_connection_ == 0;
       if (!response || !response->keep_alive() || enough) error = boost::asio::error::eof;
     }
     if (error) wire.reset();
     ++counts_[static_cast<std::size_t>(end)];
-    if (told_) told_({number, i, id, unsafe, end, begin, std::chrono::steady_clock::now()});
+    if (on_completed_) on_completed_({number, i, id, unsafe, end, begin, std::chrono::steady_clock::now()});
     if (!unsafe) continue;
     const std::lock_guard lock(mutex_);
     unsafe_[id] = end;
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -1,6 +1,6 @@
 // Light traffic through many sidecars, as their applications send it: one thread a sidecar, its connection
-// kept while it stays open. It keeps account of how every request ended, to be compared with what ran at the
-// upstreams.
+// reused while it stays open. It keeps account of how every request ended, to be compared with what ran at
+// the upstreams.
 #pragma once
 
 #include <atomic>
@@ -31,45 +31,45 @@
 
 class Traffic {
  public:
-  enum class End {
+  enum class Outcome {
     kServed,
-    kRefused,   // 503
-    kFailed,    // another status
-    kNotTaken,  // no connection: the sidecar is down
-    kCrossed,   // written to a kept connection that the sidecar had closed meanwhile
-    kLost,      // taken, as far as a client can tell, and never answered
+    kRefused,        // 503
+    kFailed,         // another status
+    kNotAccepted,    // no connection: the sidecar is down
+    kIdleCloseRace,  // written to a reused connection that the sidecar had closed meanwhile
+    kLost,           // taken, as far as a client can tell, and never answered
   };
 
   // A request that has ended, whichever way: of which sidecar's client, its how manieth, and from when to
   // when.
-  struct Ended {
+  struct CompletedRequest {
     std::size_t number = 0;
     int index = 0;
     std::string id;
     bool unsafe = false;
-    End how{};
+    Outcome how{};
     std::chrono::steady_clock::time_point begin, end;
   };
 
-  // Begins at once; each sends so often. `told`: by the clients' threads. With `requests_on_a_connection` a
-  // client closes its connection after so many.
+  // Begins at once; each sends so often. `on_completed`: by the clients' threads. With
+  // `requests_on_a_connection` a client closes its connection after so many.
   Traffic(const std::vector<std::uint16_t>& ports, std::chrono::milliseconds every,
-          std::function<void(const Ended&)> told = {}, int requests_on_a_connection = 0);
+          std::function<void(const CompletedRequest&)> on_completed = {}, int requests_on_a_connection = 0);
   ~Traffic();
   // Ends it, and tells how the unsafe requests ended, by their ids.
-  std::map<std::string, End> Stop();
+  std::map<std::string, Outcome> Stop();
   // Of all requests, safe ones as well.
-  std::size_t count(End end) const { return counts_[static_cast<std::size_t>(end)]; }
+  std::size_t count(Outcome end) const { return counts_[static_cast<std::size_t>(end)]; }
 
  private:
   void Send(std::size_t number, std::uint16_t port, std::chrono::milliseconds every);
 
-  const std::function<void(const Ended&)> told_;
+  const std::function<void(const CompletedRequest&)> on_completed_;
   const int requests_on_a_connection_;
   std::atomic<bool> stopping_{false};
   std::atomic<std::size_t> counts_[6]{};
   std::mutex mutex_;
-  std::map<std::string, End> unsafe_;
+  std::map<std::string, Outcome> unsafe_;
   std::vector<std::thread> threads_;
 };
 
--- a/tests/support/link_box_test.cpp
+++ b/tests/support/faulty_relay_test.cpp
@@ -1,6 +1,6 @@
 // Each fault of the link box, by plain sockets: what a test over real processes concludes from it rests on
 // these.
-#include "standins/link_box.h"
+#include "standins/faulty_relay.h"
 
 #include <netinet/in.h>
 #include <poll.h>
@@ -24,9 +24,9 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kPatience(10'000);  // for what has to come
-constexpr std::size_t kHeaders = 28;       // of IP and UDP, which count on the way
-constexpr milliseconds kSilence(150);      // for what must not; a loopback takes far less
+constexpr milliseconds kTimeout(10'000);  // for what has to come
+constexpr std::size_t kHeaders = 28;      // of IP and UDP, which count on the way
+constexpr milliseconds kSilence(150);     // for what must not; a loopback takes far less
 
 sockaddr_in Loopback(std::uint16_t port) {
   sockaddr_in address{};
@@ -52,9 +52,9 @@
     ::getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
     return ntohs(address.sin_port);
   }
-  bool Ready(milliseconds patience) const {
+  bool Ready(milliseconds timeout) const {
     pollfd waiting{fd_, POLLIN, 0};
-    return ::poll(&waiting, 1, static_cast<int>(patience.count())) > 0;
+    return ::poll(&waiting, 1, static_cast<int>(timeout.count())) > 0;
   }
 
  private:
@@ -75,8 +75,8 @@
         ::sendto(fd(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to),
         static_cast<ssize_t>(bytes.size()));
   }
-  std::optional<std::string> Receive(milliseconds patience = kPatience) {
-    if (!Ready(patience)) return std::nullopt;
+  std::optional<std::string> Receive(milliseconds timeout = kTimeout) {
+    if (!Ready(timeout)) return std::nullopt;
     char bytes[65'536];
     sockaddr_in from{};
     socklen_t size = sizeof from;
@@ -107,7 +107,7 @@
 }
 
 Socket Accept(const Socket& listener) {
-  EXPECT_TRUE(listener.Ready(kPatience));
+  EXPECT_TRUE(listener.Ready(kTimeout));
   return Socket(::accept4(listener.fd(), nullptr, nullptr, SOCK_CLOEXEC));
 }
 
@@ -117,8 +117,8 @@
 }
 
 enum class Heard { kBytes, kSilence, kEnd, kReset };
-Heard Listen(const Socket& socket, milliseconds patience = kPatience, std::string* bytes = nullptr) {
-  if (!socket.Ready(patience)) return Heard::kSilence;
+Heard Listen(const Socket& socket, milliseconds timeout = kTimeout, std::string* bytes = nullptr) {
+  if (!socket.Ready(timeout)) return Heard::kSilence;
   char some[65'536];
   const ssize_t got = ::recv(socket.fd(), some, sizeof some, 0);
   if (got > 0 && bytes != nullptr) bytes->append(some, static_cast<std::size_t>(got));
@@ -128,15 +128,15 @@
 
 // Three ends in two halls.
 struct Three {
-  explicit Three(std::uint64_t seed = 1) : box(seed) {
-    box.Add("a", {"bole"}, a.port());
-    box.Add("b", {"bole"}, b.port());
-    box.Add("c", {"kality"}, c.port());
+  explicit Three(std::uint64_t seed = 1) : relay(seed) {
+    relay.AddEndpoint("a", {"bole"}, a.port());
+    relay.AddEndpoint("b", {"bole"}, b.port());
+    relay.AddEndpoint("c", {"kality"}, c.port());
   }
-  std::uint16_t at(const std::string& name) const { return box.advertised(name); }
+  std::uint16_t at(const std::string& name) const { return relay.advertised_port(name); }
 
   Udp a, b, c;
-  LinkBox box;
+  FaultyRelay relay;
 };
 
 // Which of so many datagrams from a to b come, sent slowly enough that nobody's buffer is full.
@@ -146,13 +146,13 @@
     t.a.Send(t.at("b"), std::to_string(i));
     if (i % 50 == 49) std::this_thread::sleep_for(milliseconds(1));
   }
-  while (t.box.counts("a", "b").came < static_cast<std::uint64_t>(count))
+  while (t.relay.counts("a", "b").received < static_cast<std::uint64_t>(count))
     std::this_thread::sleep_for(milliseconds(1));
   while (const auto got = t.b.Receive(kSilence)) come.push_back(std::stoi(*got));
   return come;
 }
 
-TEST(LinkBoxUdp, PassesAllInOrderAndAnAnswerToEitherAddressComesBack) {
+TEST(FaultyRelayUdp, PassesAllInOrderAndAnAnswerToEitherAddressComesBack) {
   Three t;
   const auto come = WhatComes(t, 1000);
   EXPECT_EQ(come.size(), 1000U);
@@ -162,19 +162,19 @@
   t.b.Send(t.b.from(), "answer");
   EXPECT_EQ(t.a.Receive(), "answer");
   EXPECT_EQ(t.a.from(), t.at("b"));
-  EXPECT_EQ(t.box.counts("a", "b").delivered, 1000U);
-  EXPECT_EQ(t.box.counts("b", "a").delivered, 1U);
-  EXPECT_EQ(t.box.waiting(), 0U);
+  EXPECT_EQ(t.relay.counts("a", "b").delivered, 1000U);
+  EXPECT_EQ(t.relay.counts("b", "a").delivered, 1U);
+  EXPECT_EQ(t.relay.queued_bytes(), 0U);
 }
 
-TEST(LinkBoxUdp, StrangersAreCountedAndGoNowhere) {
+TEST(FaultyRelayUdp, StrangersAreCountedAndGoNowhere) {
   Three t;
   Udp stranger;
   stranger.Send(t.at("a"), "let me in");
   EXPECT_FALSE(t.a.Receive(kSilence));
-  EXPECT_EQ(t.box.strangers(), 1U);
+  EXPECT_EQ(t.relay.unknown_senders(), 1U);
   // Until it is the address of an end that was started anew.
-  t.box.Move("b", stranger.port());
+  t.relay.MoveEndpoint("b", stranger.port());
   stranger.Send(t.at("a"), "b again");
   EXPECT_EQ(t.a.Receive(), "b again");
   EXPECT_EQ(t.a.from(), t.at("b"));
@@ -184,13 +184,13 @@
   EXPECT_FALSE(t.a.Receive(kSilence));
 }
 
-TEST(LinkBoxUdp, LosesItsShareTheSameOnesBySeed) {
+TEST(FaultyRelayUdp, LosesItsShareTheSameOnesBySeed) {
   const auto lose = [](std::uint64_t seed, double repeat) {
     Three t(seed);
-    t.box.Change("a", "b", [&](auto& faults) { faults.loss = 0.1, faults.repeat = repeat; });
+    t.relay.ChangeFaults("a", "b", [&](auto& faults) { faults.loss = 0.1, faults.duplicate = repeat; });
     auto come = WhatComes(t, 2000);
     come.erase(std::ranges::unique(come).begin(), come.end());
-    EXPECT_EQ(come.size() + t.box.counts("a", "b").lost, 2000U);
+    EXPECT_EQ(come.size() + t.relay.counts("a", "b").lost, 2000U);
     return come;
   };
   const auto once = lose(7, 0);
@@ -201,9 +201,9 @@
   EXPECT_NE(lose(8, 0), once);
 }
 
-TEST(LinkBoxUdp, EachLinkHasChancesOfItsOwn) {
+TEST(FaultyRelayUdp, EachLinkHasChancesOfItsOwn) {
   Three t;
-  t.box.Change("a", "*", [](auto& faults) { faults.loss = 0.5; });
+  t.relay.ChangeFaults("a", "*", [](auto& faults) { faults.loss = 0.5; });
   std::string to_b;
   std::string to_c;
   for (int i = 0; i < 100; ++i)
@@ -214,10 +214,10 @@
   EXPECT_NE(to_b, to_c);
 }
 
-TEST(LinkBoxUdp, DelaysByAtLeastSoMuchAndJitterKeepsTheOrder) {
+TEST(FaultyRelayUdp, DelaysByAtLeastSoMuchAndJitterKeepsTheOrder) {
   Three t;
-  t.box.Change("a", "b",
-               [](auto& faults) { faults.delay = milliseconds(100), faults.jitter = milliseconds(60); });
+  t.relay.ChangeFaults(
+      "a", "b", [](auto& faults) { faults.delay = milliseconds(100), faults.jitter = milliseconds(60); });
   const auto sent = Clock::now();
   for (int i = 0; i < 50; ++i) t.a.Send(t.at("b"), std::to_string(i));
   for (int i = 0; i < 50; ++i) {
@@ -232,33 +232,34 @@
   EXPECT_LT(Clock::now() - back, milliseconds(100));
 }
 
-TEST(LinkBoxUdp, SettingsHoldAtOnceForWhatIsOnTheWay) {
+TEST(FaultyRelayUdp, SettingsHoldAtOnceForWhatIsOnTheWay) {
   Three t;
-  t.box.Change("*", "*", [](auto& faults) { faults.delay = milliseconds(60'000); });
+  t.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(60'000); });
   t.a.Send(t.at("b"), "late");
   t.a.Send(t.at("c"), "cut off");
   EXPECT_FALSE(t.b.Receive(kSilence));
-  EXPECT_EQ(t.box.waiting(), 11U + 2 * kHeaders);
-  t.box.Cut("a", "c");
-  t.box.Change("*", "*", [](auto& faults) { faults.delay = milliseconds(0); });
+  EXPECT_EQ(t.relay.queued_bytes(), 11U + 2 * kHeaders);
+  t.relay.Cut("a", "c");
+  t.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(0); });
   EXPECT_EQ(t.b.Receive(), "late");
   EXPECT_FALSE(t.c.Receive(kSilence));
-  EXPECT_EQ(t.box.counts("a", "c").cut, 1U);
+  EXPECT_EQ(t.relay.counts("a", "c").cut, 1U);
 }
 
-TEST(LinkBoxUdp, RepeatsAndReorders) {
+TEST(FaultyRelayUdp, RepeatsAndReorders) {
   Three t(3);
-  t.box.Change("a", "b", [](auto& faults) { faults.repeat = 0.1; });
+  t.relay.ChangeFaults("a", "b", [](auto& faults) { faults.duplicate = 0.1; });
   auto come = WhatComes(t, 1000);
   EXPECT_NEAR(static_cast<double>(come.size()), 1100, 48);
-  EXPECT_EQ(come.size(), 1000 + t.box.counts("a", "b").repeated);
+  EXPECT_EQ(come.size(), 1000 + t.relay.counts("a", "b").duplicated);
   EXPECT_TRUE(std::ranges::is_sorted(come));
 
-  t.box.Change("a", "b",
-               [](auto& faults) { faults = {}, faults.reorder = 0.1, faults.held_back = milliseconds(30); });
+  t.relay.ChangeFaults("a", "b", [](auto& faults) {
+    faults = {}, faults.reorder = 0.1, faults.reorder_delay = milliseconds(30);
+  });
   come = WhatComes(t, 1000);
   ASSERT_EQ(come.size(), 1000U) << "reordering loses nothing";
-  EXPECT_NEAR(static_cast<double>(t.box.counts("a", "b").reordered), 100, 48);
+  EXPECT_NEAR(static_cast<double>(t.relay.counts("a", "b").reordered), 100, 48);
   int overtaken = 0;
   int highest = -1;
   for (const int number : come) {
@@ -266,52 +267,53 @@
     highest = std::max(highest, number);
   }
   EXPECT_GE(overtaken, 40);
-  EXPECT_LE(overtaken, static_cast<int>(t.box.counts("a", "b").reordered));
+  EXPECT_LE(overtaken, static_cast<int>(t.relay.counts("a", "b").reordered));
 }
 
-TEST(LinkBoxUdp, CutsOneWayOnly) {
+TEST(FaultyRelayUdp, CutsOneWayOnly) {
   Three t;
-  t.box.Cut("a", "b");
+  t.relay.Cut("a", "b");
   t.a.Send(t.at("b"), "there");
   t.b.Send(t.at("a"), "back");
   t.a.Send(t.at("c"), "another");
   EXPECT_EQ(t.a.Receive(), "back");
   EXPECT_EQ(t.c.Receive(), "another");
   EXPECT_FALSE(t.b.Receive(kSilence));
-  EXPECT_EQ(t.box.counts("a", "b").cut, 1U);
-  EXPECT_NE(t.box.Describe().find("a > b: 1 came, 0 delivered"), std::string::npos) << t.box.Describe();
-  t.box.Join("a", "b");
+  EXPECT_EQ(t.relay.counts("a", "b").cut, 1U);
+  EXPECT_NE(t.relay.Describe().find("a > b: 1 came, 0 delivered"), std::string::npos) << t.relay.Describe();
+  t.relay.Restore("a", "b");
   t.a.Send(t.at("b"), "joined");
   EXPECT_EQ(t.b.Receive(), "joined") << "what was cut is gone";
 }
 
-TEST(LinkBoxUdp, PartitionsByGroupAndHeals) {
+TEST(FaultyRelayUdp, PartitionsByGroupAndHeals) {
   Three t;
-  t.box.Partition({{"bole"}, {"kality"}});
+  t.relay.Partition({{"bole"}, {"kality"}});
   t.a.Send(t.at("b"), "same side");
   t.a.Send(t.at("c"), "other side");
   t.c.Send(t.at("b"), "other side");
   EXPECT_EQ(t.b.Receive(), "same side");
   EXPECT_FALSE(t.c.Receive(kSilence));
   EXPECT_FALSE(t.b.Receive(milliseconds(0)));
-  t.box.Heal();
+  t.relay.Heal();
   t.a.Send(t.at("c"), "healed");
   EXPECT_EQ(t.c.Receive(), "healed");
   // By one end's own name; the others, in no side, hear one another.
-  t.box.Partition({{"c"}});
+  t.relay.Partition({{"c"}});
   t.a.Send(t.at("c"), "alone");
   t.a.Send(t.at("b"), "not alone");
   EXPECT_EQ(t.b.Receive(), "not alone");
   EXPECT_FALSE(t.c.Receive(kSilence));
-  t.box.Clear();
+  t.relay.ClearFaults();
   t.a.Send(t.at("c"), "cleared");
   EXPECT_EQ(t.c.Receive(), "cleared");
-  EXPECT_THROW(t.box.Cut("bole", "nowhere"), std::logic_error);
+  EXPECT_THROW(t.relay.Cut("bole", "nowhere"), std::logic_error);
 }
 
-TEST(LinkBoxUdp, ASlowLinkKeepsItsRateAndItsQueueIsBounded) {
+TEST(FaultyRelayUdp, ASlowLinkKeepsItsRateAndItsQueueIsBounded) {
   Three t;
-  t.box.Change("a", "b", [](auto& faults) { faults.bytes_per_s = 100'000, faults.queue = 50'000; });
+  t.relay.ChangeFaults("a", "b",
+                       [](auto& faults) { faults.bytes_per_s = 100'000, faults.queue_bytes = 50'000; });
   const auto sent = Clock::now();
   const std::string kilobyte(1000 - kHeaders, 'x');
   for (int i = 0; i < 100; ++i) t.a.Send(t.at("b"), kilobyte);
@@ -323,115 +325,116 @@
   EXPECT_LT(took, milliseconds(2000));
   // A few more where the first went on before the last came.
   while (t.b.Receive(kSilence)) ++come;
-  const auto counts = t.box.counts("a", "b");
+  const auto counts = t.relay.counts("a", "b");
   EXPECT_EQ(static_cast<std::uint64_t>(come), counts.delivered);
-  EXPECT_EQ(counts.delivered + counts.over_queue, 100U);
-  EXPECT_GE(counts.over_queue, 20U);
-  EXPECT_EQ(t.box.waiting(), 0U);
+  EXPECT_EQ(counts.delivered + counts.queue_full, 100U);
+  EXPECT_GE(counts.queue_full, 20U);
+  EXPECT_EQ(t.relay.queued_bytes(), 0U);
 }
 
 // A client a, and a server behind it at b.
 struct Pair {
   Pair() {
-    box.Add("a", {"bole"});
-    box.Add("b", {"kality"});
-    port = box.Tcp("a", "b", listener.port());
+    relay.AddEndpoint("a", {"bole"});
+    relay.AddEndpoint("b", {"kality"});
+    port = relay.AddTcpPort("a", "b", listener.port());
   }
   Socket listener = Listener();
-  LinkBox box;
+  FaultyRelay relay;
   std::uint16_t port = 0;
 };
 
-TEST(LinkBoxTcp, PassesBytesAndEndsBothWays) {
+TEST(FaultyRelayTcp, PassesBytesAndEndsBothWays) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
   Write(client, "question");
   std::string heard;
-  EXPECT_EQ(Listen(server, kPatience, &heard), Heard::kBytes);
+  EXPECT_EQ(Listen(server, kTimeout, &heard), Heard::kBytes);
   EXPECT_EQ(heard, "question");
   ::shutdown(client.fd(), SHUT_WR);
   EXPECT_EQ(Listen(server), Heard::kEnd);
   Write(server, "answer");
-  EXPECT_EQ(Listen(client, kPatience, &heard), Heard::kBytes);
+  EXPECT_EQ(Listen(client, kTimeout, &heard), Heard::kBytes);
   EXPECT_EQ(heard, "questionanswer");
   ::shutdown(server.fd(), SHUT_WR);
   EXPECT_EQ(Listen(client), Heard::kEnd);
-  EXPECT_EQ(p.box.counts("a", "b").tcp_bytes, 8U);
-  EXPECT_EQ(p.box.counts("b", "a").tcp_bytes, 6U);
+  EXPECT_EQ(p.relay.counts("a", "b").tcp_bytes, 8U);
+  EXPECT_EQ(p.relay.counts("b", "a").tcp_bytes, 6U);
 }
 
-TEST(LinkBoxTcp, DelaysByAtLeastSoMuch) {
+TEST(FaultyRelayTcp, DelaysByAtLeastSoMuch) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
-  p.box.Change("a", "b", [](auto& faults) { faults.delay = milliseconds(120); });
+  p.relay.ChangeFaults("a", "b", [](auto& faults) { faults.delay = milliseconds(120); });
   const auto sent = Clock::now();
   Write(client, "question");
   EXPECT_EQ(Listen(server), Heard::kBytes);
   EXPECT_GE(Clock::now() - sent, milliseconds(120));
 }
 
-TEST(LinkBoxTcp, ACutHoldsBytesWithoutAWordAndTheyComeWhenItHeals) {
+TEST(FaultyRelayTcp, ACutHoldsBytesWithoutAWordAndTheyComeWhenItHeals) {
   Pair p;
   const Socket client = Connect(p.port);
   Socket server = Accept(p.listener);
-  p.box.Cut("bole", "kality");
+  p.relay.Cut("bole", "kality");
   Write(client, "held");
   EXPECT_EQ(Listen(server, kSilence), Heard::kSilence);
   Write(server, "back");  // one way only
   EXPECT_EQ(Listen(client), Heard::kBytes);
-  p.box.Join("bole", "kality");
+  p.relay.Restore("bole", "kality");
   std::string heard;
-  EXPECT_EQ(Listen(server, kPatience, &heard), Heard::kBytes);
+  EXPECT_EQ(Listen(server, kTimeout, &heard), Heard::kBytes);
   EXPECT_EQ(heard, "held");
 
   // Nor does a process that dies on one side reach the other, until then.
-  p.box.Partition({{"a"}, {"b"}});
+  p.relay.Partition({{"a"}, {"b"}});
   const Socket late = Connect(p.port);
   EXPECT_FALSE(p.listener.Ready(kSilence));
   const linger at_once{1, 0};
   ::setsockopt(server.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
   server.Close();
   EXPECT_EQ(Listen(client, kSilence), Heard::kSilence);
-  p.box.Heal();
+  p.relay.Heal();
   EXPECT_EQ(Listen(client), Heard::kReset);
   const Socket taken = Accept(p.listener);
   Write(late, "late");
   EXPECT_EQ(Listen(taken), Heard::kBytes);
 }
 
-TEST(LinkBoxTcp, AResetIsHeardByBothAndRefusedConnectionsAreToo) {
+TEST(FaultyRelayTcp, AResetIsHeardByBothAndRefusedConnectionsAreToo) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
   Write(client, "question");
   EXPECT_EQ(Listen(server), Heard::kBytes);
-  p.box.Reset("a", "b");
+  p.relay.ResetConnections("a", "b");
   EXPECT_EQ(Listen(client), Heard::kReset);
   EXPECT_EQ(Listen(server), Heard::kReset);
-  p.box.Change("a", "b", [](auto& faults) { faults.refuse = true; });
+  p.relay.ChangeFaults("a", "b", [](auto& faults) { faults.reset_connections = true; });
   EXPECT_EQ(Listen(Connect(p.port)), Heard::kReset);
   EXPECT_FALSE(p.listener.Ready(milliseconds(0)));
-  EXPECT_EQ(p.box.counts("a", "b").resets, 2U);
-  p.box.Clear();
-  // Nobody listens behind the box.
+  EXPECT_EQ(p.relay.counts("a", "b").resets, 2U);
+  p.relay.ClearFaults();
+  // Nobody listens behind the relay.
   p.listener.Close();
   EXPECT_EQ(Listen(Connect(p.port)), Heard::kReset);
 }
 
-TEST(LinkBoxTcp, ASlowLinkKeepsItsRateAndItsSenderWaits) {
+TEST(FaultyRelayTcp, ASlowLinkKeepsItsRateAndItsSenderWaits) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
-  p.box.Change("a", "b", [](auto& faults) { faults.bytes_per_s = 1'000'000, faults.queue = 20'000; });
+  p.relay.ChangeFaults("a", "b",
+                       [](auto& faults) { faults.bytes_per_s = 1'000'000, faults.queue_bytes = 20'000; });
   constexpr std::size_t kSize = 500'000;
   const auto begin = Clock::now();
   std::thread writing([&] { Write(client, std::string(kSize, 'x')); });
   std::string heard;
   std::size_t most = 0;
-  while (heard.size() < kSize && Listen(server, kPatience, &heard) == Heard::kBytes) {
-    most = std::max(most, p.box.waiting());
+  while (heard.size() < kSize && Listen(server, kTimeout, &heard) == Heard::kBytes) {
+    most = std::max(most, p.relay.queued_bytes());
   }
   writing.join();
   const auto took = Clock::now() - begin;
@@ -442,7 +445,7 @@
   EXPECT_GT(most, 0U);
 }
 
-TEST(LinkBoxTcp, ManyConnectionsAtOnceAndTheirClientsGone) {
+TEST(FaultyRelayTcp, ManyConnectionsAtOnceAndTheirClientsGone) {
   Pair p;
   std::vector<Socket> clients;
   std::vector<Socket> servers;
@@ -453,15 +456,15 @@
   }
   for (int i = 0; i < 64; ++i) {
     std::string heard;
-    EXPECT_EQ(Listen(servers[static_cast<std::size_t>(i)], kPatience, &heard), Heard::kBytes);
+    EXPECT_EQ(Listen(servers[static_cast<std::size_t>(i)], kTimeout, &heard), Heard::kBytes);
     EXPECT_EQ(heard, std::to_string(i));
   }
   clients.clear();
   for (const Socket& server : servers) EXPECT_EQ(Listen(server), Heard::kEnd);
   servers.clear();
-  const auto until = Clock::now() + kPatience;
-  while (p.box.waiting() > 0 && Clock::now() < until) std::this_thread::sleep_for(milliseconds(1));
-  EXPECT_EQ(p.box.counts("a", "b").connections, 64U);
+  const auto until = Clock::now() + kTimeout;
+  while (p.relay.queued_bytes() > 0 && Clock::now() < until) std::this_thread::sleep_for(milliseconds(1));
+  EXPECT_EQ(p.relay.counts("a", "b").connections, 64U);
 }
 
 }  // namespace
