--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -34,6 +34,7 @@
 
 #include "standins/dns_wire.h"
 #include "standins/resolver.h"
+#include "support/loopback.h"
 
 namespace {
 
@@ -46,19 +47,9 @@
 constexpr long kMostMemoryKb = 32 * 1024;
 constexpr int kOpenQueries = 10000;
 
-sockaddr_in Loopback(std::uint16_t port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(port);
-  return address;
-}
-
 int Connect(int type, std::uint16_t port) {
-  const int fd = ::socket(AF_INET, type | SOCK_CLOEXEC, 0);
-  const sockaddr_in to = Loopback(port);
-  if (::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0)
-    throw std::runtime_error("connect");
+  const int fd = mothrack::testing::ConnectLoopback(type, port);
+  if (fd < 0) throw std::runtime_error("connect");
   if (type == SOCK_STREAM) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
@@ -71,11 +62,8 @@
  public:
   HttpStandin() {
     listening_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    sockaddr_in address = Loopback(0);
-    socklen_t size = sizeof address;
-    ::bind(listening_, reinterpret_cast<sockaddr*>(&address), size);
-    ::getsockname(listening_, reinterpret_cast<sockaddr*>(&address), &size);
-    port_ = ntohs(address.sin_port);
+    if (!mothrack::testing::BindLoopback(listening_, 0)) throw std::runtime_error("bind");
+    port_ = mothrack::testing::LocalPort(listening_);
     ::listen(listening_, 512);
     thread_ = std::thread([this] { Loop(); });
   }
--- a/bench/floor.cpp
+++ b/bench/floor.cpp
@@ -19,28 +19,22 @@
 #include <string>
 #include <vector>
 
+#include "support/loopback.h"
+
 namespace {
 
-sockaddr_in Loopback(std::uint16_t port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(port);
-  return address;
-}
+using mothrack::testing::BindLoopback;
+using mothrack::testing::LocalPort;
+using mothrack::testing::LoopbackAddress;
 
 int Open(int type) { return ::socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0); }
 
 void Bind(int fd, std::uint16_t port) {
-  const sockaddr_in address = Loopback(port);
-  if (::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0) std::exit(1);
+  if (!BindLoopback(fd, port)) std::exit(1);
 }
 
 void PrintPort(int fd) {
-  sockaddr_in address{};
-  socklen_t size = sizeof address;
-  ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size);
-  std::printf("%d\n", ntohs(address.sin_port));
+  std::printf("%d\n", LocalPort(fd));
   std::fflush(stdout);
 }
 
@@ -61,7 +55,7 @@
   const int front = ::Open(SOCK_DGRAM);
   Bind(front, 0);
   const int upstream = ::Open(SOCK_DGRAM);
-  const sockaddr_in to = Loopback(upstream_port);
+  const sockaddr_in to = LoopbackAddress(upstream_port);
   ::connect(upstream, reinterpret_cast<const sockaddr*>(&to), sizeof to);
   const int epoll = ::epoll_create1(EPOLL_CLOEXEC);
   Watch(epoll, front);
@@ -117,7 +111,7 @@
         const int client = ::accept4(listening, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
         if (client < 0) continue;
         const int upstream = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        const sockaddr_in to = Loopback(upstream_port);
+        const sockaddr_in to = LoopbackAddress(upstream_port);
         ::connect(upstream, reinterpret_cast<const sockaddr*>(&to), sizeof to);
         ::fcntl(upstream, F_SETFL, O_NONBLOCK);
         const int on = 1;
--- a/tests/standins/admin_client.cpp
+++ b/tests/standins/admin_client.cpp
@@ -1,7 +1,5 @@
 #include "standins/admin_client.h"
 
-#include <arpa/inet.h>
-#include <netinet/in.h>
 #include <poll.h>
 #include <sys/socket.h>
 #include <sys/un.h>
@@ -9,6 +7,8 @@
 
 #include <cstring>
 
+#include "support/loopback.h"
+
 namespace mothrack::testing {
 namespace {
 
@@ -17,22 +17,15 @@
 }  // namespace
 
 int AdminClient::Connect() const {
-  sockaddr_storage address{};
-  socklen_t size = 0;
-  if (address_.rfind("unix:", 0) == 0) {
-    auto& to = reinterpret_cast<sockaddr_un&>(address);
-    to.sun_family = AF_UNIX;
-    std::strncpy(to.sun_path, address_.c_str() + 5, sizeof to.sun_path - 1);
-    size = sizeof to;
-  } else {
-    auto& to = reinterpret_cast<sockaddr_in&>(address);
-    to.sin_family = AF_INET;
-    to.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-    to.sin_port = htons(static_cast<std::uint16_t>(std::stoi(address_.substr(address_.find(':') + 1))));
-    size = sizeof to;
+  if (!address_.starts_with("unix:")) {
+    const int port = std::stoi(address_.substr(address_.find(':') + 1));
+    return ConnectLoopback(SOCK_STREAM, static_cast<std::uint16_t>(port));
   }
-  const int fd = ::socket(address.ss_family, SOCK_STREAM | SOCK_CLOEXEC, 0);
-  if (::connect(fd, reinterpret_cast<sockaddr*>(&address), size) == 0) return fd;
+  sockaddr_un to{};
+  to.sun_family = AF_UNIX;
+  std::strncpy(to.sun_path, address_.c_str() + 5, sizeof to.sun_path - 1);
+  const int fd = ::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0);
+  if (::connect(fd, reinterpret_cast<const sockaddr*>(&to), sizeof to) == 0) return fd;
   ::close(fd);
   return -1;
 }
--- a/tests/standins/dns_client.cpp
+++ b/tests/standins/dns_client.cpp
@@ -1,7 +1,5 @@
 #include "standins/dns_client.h"
 
-#include <arpa/inet.h>
-#include <netinet/in.h>
 #include <netinet/tcp.h>
 #include <poll.h>
 #include <sys/socket.h>
@@ -9,25 +7,14 @@
 
 #include <algorithm>
 
+#include "support/loopback.h"
+
 namespace mothrack::testing {
 namespace {
 
 using std::chrono::milliseconds;
 using std::chrono::steady_clock;
 
-int Connected(int type, std::uint16_t port) {
-  const int fd = ::socket(AF_INET, type | SOCK_CLOEXEC, 0);
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(port);
-  if (::connect(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) != 0) {
-    ::close(fd);
-    return -1;
-  }
-  return fd;
-}
-
 bool Readable(int fd, steady_clock::time_point until) {
   const auto left = std::chrono::ceil<milliseconds>(until - steady_clock::now()).count();
   pollfd ready{fd, POLLIN, 0};
@@ -36,7 +23,7 @@
 
 }  // namespace
 
-DnsUdpClient::DnsUdpClient(std::uint16_t port) : fd_(Connected(SOCK_DGRAM, port)) {
+DnsUdpClient::DnsUdpClient(std::uint16_t port) : fd_(ConnectLoopback(SOCK_DGRAM, port)) {
   const int buffer = 4 << 20;
   ::setsockopt(fd_, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
 }
@@ -54,7 +41,7 @@
   return answer;
 }
 
-DnsTcpClient::DnsTcpClient(std::uint16_t port) : fd_(Connected(SOCK_STREAM, port)) {
+DnsTcpClient::DnsTcpClient(std::uint16_t port) : fd_(ConnectLoopback(SOCK_STREAM, port)) {
   const int on = 1;
   ::setsockopt(fd_, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
--- a/tests/standins/faulty_relay.cpp
+++ b/tests/standins/faulty_relay.cpp
@@ -13,6 +13,8 @@
 #include <sstream>
 #include <stdexcept>
 
+#include "support/loopback.h"
+
 namespace mothrack::testing {
 namespace {
 
@@ -26,23 +28,11 @@
 constexpr int kMostAtOnce = 256;        // datagrams of one socket in one turn, so that none starves the rest
 constexpr int kKernelBuffer = 1 << 20;  // what the system may hold while the thread is not scheduled
 
-sockaddr_in Loopback(std::uint16_t port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(port);
-  return address;
-}
-
 int Socket(int type, std::uint16_t& port) {
   const int fd = ::socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  sockaddr_in address = Loopback(0);
-  socklen_t size = sizeof address;
-  if (fd < 0 || ::bind(fd, reinterpret_cast<sockaddr*>(&address), size) != 0 ||
-      ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
+  if (fd < 0 || !BindLoopback(fd, 0) || (port = LocalPort(fd)) == 0) {
     throw std::runtime_error("the relay gets no socket");
   }
-  port = ntohs(address.sin_port);
   return fd;
 }
 
@@ -415,7 +405,7 @@
       ++link.counts.cut;
       continue;
     }
-    const sockaddr_in to = Loopback(link.to->real);
+    const sockaddr_in to = LoopbackAddress(link.to->real);
     const ssize_t sent = ::sendto(link.from->fd, datagram.bytes.data(), datagram.bytes.size(), MSG_NOSIGNAL,
                                   reinterpret_cast<const sockaddr*>(&to), sizeof to);
     if (sent < 0) {
@@ -454,7 +444,7 @@
 
 void FaultyRelay::ConnectToServer(Connection& connection) {
   connection.server = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  const sockaddr_in to = Loopback(connection.real);
+  const sockaddr_in to = LoopbackAddress(connection.real);
   connection.connecting = true;
   if (connection.server < 0 ||
       (::connect(connection.server, reinterpret_cast<const sockaddr*>(&to), sizeof to) != 0 &&
--- a/tests/standins/resolver.cpp
+++ b/tests/standins/resolver.cpp
@@ -13,17 +13,11 @@
 #include <stdexcept>
 #include <utility>
 
+#include "support/loopback.h"
+
 namespace mothrack::testing {
 namespace {
 
-sockaddr_in Loopback(std::uint16_t port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(port);
-  return address;
-}
-
 void Watch(int epoll, int fd) {
   epoll_event event{};
   event.events = EPOLLIN;
@@ -46,15 +40,12 @@
   // A port that is free for both.
   for (int i = 0; i < 50; ++i) {
     udp_ = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    sockaddr_in address = Loopback(port);
-    socklen_t size = sizeof address;
-    if (::bind(udp_, reinterpret_cast<sockaddr*>(&address), size) != 0) throw std::runtime_error("bind UDP");
-    ::getsockname(udp_, reinterpret_cast<sockaddr*>(&address), &size);
-    port_ = ntohs(address.sin_port);
+    if (!BindLoopback(udp_, port)) throw std::runtime_error("bind UDP");
+    port_ = LocalPort(udp_);
     listening_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int on = 1;
     ::setsockopt(listening_, SOL_SOCKET, SO_REUSEADDR, &on, sizeof on);
-    if (::bind(listening_, reinterpret_cast<sockaddr*>(&address), size) == 0) break;
+    if (BindLoopback(listening_, port_)) break;
     ::close(udp_);
     ::close(listening_);
     udp_ = listening_ = -1;
--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -1,7 +1,6 @@
 #include "standins/test_cluster.h"
 
 #include <fcntl.h>
-#include <netinet/in.h>
 #include <signal.h>
 #include <sys/file.h>
 #include <sys/prctl.h>
@@ -19,6 +18,7 @@
 
 #include "runtime/clock.h"
 #include "standins/admin_client.h"
+#include "support/loopback.h"
 
 namespace mothrack::testing {
 namespace {
@@ -48,11 +48,7 @@
     bool free = true;
     for (const int type : {SOCK_STREAM, SOCK_DGRAM}) {
       const int fd = ::socket(AF_INET, type | SOCK_CLOEXEC, 0);
-      sockaddr_in address{};
-      address.sin_family = AF_INET;
-      address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-      address.sin_port = htons(next);
-      free = free && ::bind(fd, reinterpret_cast<sockaddr*>(&address), sizeof address) == 0;
+      free = free && BindLoopback(fd, next);
       ::close(fd);
     }
     if (free) return next;
@@ -153,7 +149,7 @@
       selected.push_back(&process);
     }
   }
-  if (selected.empty()) throw std::logic_error("the hall has nothing called " + selector);
+  if (selected.empty()) throw std::logic_error("the cluster has nothing called " + selector);
   return selected;
 }
 
@@ -166,7 +162,7 @@
 
 const TestCluster::Process& TestCluster::At(const std::string& name) const {
   const auto it = processes_.find(name);
-  if (it == processes_.end()) throw std::logic_error("the hall has no process " + name);
+  if (it == processes_.end()) throw std::logic_error("the cluster has no process " + name);
   return it->second;
 }
 
@@ -188,7 +184,7 @@
 
 void TestCluster::SetUpstreamState(const std::string& upstream, const std::string& state) {
   const auto it = std::ranges::find(upstreams_, upstream, &UpstreamEntry::name);
-  if (it == upstreams_.end()) throw std::logic_error("the hall has no upstream " + upstream);
+  if (it == upstreams_.end()) throw std::logic_error("the cluster has no upstream " + upstream);
   it->state = state;
   for (auto& [name, process] : processes_) {
     if (!process.discovery) continue;
@@ -199,13 +195,13 @@
 
 std::string TestCluster::AddressOf(const std::string& upstream) const {
   const auto it = std::ranges::find(upstreams_, upstream, &UpstreamEntry::name);
-  if (it == upstreams_.end()) throw std::logic_error("the hall has no upstream " + upstream);
+  if (it == upstreams_.end()) throw std::logic_error("the cluster has no upstream " + upstream);
   return it->upstream->address();
 }
 
 void TestCluster::AnnounceRestart(const std::string& upstream, double per_s) {
   const auto it = std::ranges::find(upstreams_, upstream, &UpstreamEntry::name);
-  if (it == upstreams_.end()) throw std::logic_error("the hall has no upstream " + upstream);
+  if (it == upstreams_.end()) throw std::logic_error("the cluster has no upstream " + upstream);
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   it->boot_ms = std::chrono::duration_cast<milliseconds>(now).count();
   auto booted = testing::At(simulation::SimulationEvent::Kind::kServerStarted, Clock::now());
--- a/tests/support/faulty_relay_test.cpp
+++ b/tests/support/faulty_relay_test.cpp
@@ -17,6 +17,7 @@
 #include <vector>
 
 #include "gtest/gtest.h"
+#include "support/loopback.h"
 
 namespace mothrack::testing {
 namespace {
@@ -28,14 +29,6 @@
 constexpr std::size_t kHeaders = 28;      // of IP and UDP, which count on the way
 constexpr milliseconds kSilence(150);     // for what must not; a loopback takes far less
 
-sockaddr_in Loopback(std::uint16_t port) {
-  sockaddr_in address{};
-  address.sin_family = AF_INET;
-  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  address.sin_port = htons(port);
-  return address;
-}
-
 class Socket {
  public:
   explicit Socket(int fd) : fd_(fd) {}
@@ -46,12 +39,7 @@
     if (fd_ >= 0) ::close(std::exchange(fd_, -1));
   }
   int fd() const { return fd_; }
-  std::uint16_t port() const {
-    sockaddr_in address{};
-    socklen_t size = sizeof address;
-    ::getsockname(fd_, reinterpret_cast<sockaddr*>(&address), &size);
-    return ntohs(address.sin_port);
-  }
+  std::uint16_t port() const { return LocalPort(fd_); }
   bool Ready(milliseconds timeout) const {
     pollfd waiting{fd_, POLLIN, 0};
     return ::poll(&waiting, 1, static_cast<int>(timeout.count())) > 0;
@@ -64,13 +52,12 @@
 class Udp : public Socket {
  public:
   Udp() : Socket(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0)) {
-    const sockaddr_in any = Loopback(0);
-    EXPECT_EQ(::bind(fd(), reinterpret_cast<const sockaddr*>(&any), sizeof any), 0);
+    EXPECT_TRUE(BindLoopback(fd(), 0));
     const int buffer = 1 << 21;
     ::setsockopt(fd(), SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
   }
   void Send(std::uint16_t port, const std::string& bytes) const {
-    const sockaddr_in to = Loopback(port);
+    const sockaddr_in to = LoopbackAddress(port);
     EXPECT_EQ(
         ::sendto(fd(), bytes.data(), bytes.size(), 0, reinterpret_cast<const sockaddr*>(&to), sizeof to),
         static_cast<ssize_t>(bytes.size()));
@@ -93,16 +80,14 @@
 
 Socket Listener() {
   Socket listener(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const sockaddr_in any = Loopback(0);
-  EXPECT_EQ(::bind(listener.fd(), reinterpret_cast<const sockaddr*>(&any), sizeof any), 0);
+  EXPECT_TRUE(BindLoopback(listener.fd(), 0));
   EXPECT_EQ(::listen(listener.fd(), 16), 0);
   return listener;
 }
 
 Socket Connect(std::uint16_t port) {
-  Socket socket(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
-  const sockaddr_in to = Loopback(port);
-  EXPECT_EQ(::connect(socket.fd(), reinterpret_cast<const sockaddr*>(&to), sizeof to), 0);
+  Socket socket(ConnectLoopback(SOCK_STREAM, port));
+  EXPECT_GE(socket.fd(), 0);
   return socket;
 }
 
