--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -93,11 +93,11 @@
       for (int i = 0; i < ready; ++i) {
         const int fd = events[i].data.fd;
         if (fd == listening_) {
-          const int taken = ::accept4(listening_, nullptr, nullptr, SOCK_CLOEXEC);
-          if (taken < 0) continue;
+          const int accepted = ::accept4(listening_, nullptr, nullptr, SOCK_CLOEXEC);
+          if (accepted < 0) continue;
           const int on = 1;
-          ::setsockopt(taken, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
-          watch(taken);
+          ::setsockopt(accepted, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
+          watch(accepted);
           continue;
         }
         const ssize_t got = ::recv(fd, bytes, sizeof bytes, MSG_DONTWAIT);
@@ -106,9 +106,10 @@
           ::close(fd);
           continue;
         }
-        std::string& held = read[fd];
-        held.append(bytes, static_cast<std::size_t>(got));
-        for (std::size_t end; (end = held.find("\r\n\r\n")) != std::string::npos; held.erase(0, end + 4)) {
+        std::string& buffered = read[fd];
+        buffered.append(bytes, static_cast<std::size_t>(got));
+        for (std::size_t end; (end = buffered.find("\r\n\r\n")) != std::string::npos;
+             buffered.erase(0, end + 4)) {
           ::send(fd, kAnswer.data(), kAnswer.size(), MSG_NOSIGNAL);
         }
       }
@@ -134,7 +135,7 @@
       ::dup2(ends[1], output);
       for (const auto& entry : environment) ::putenv(const_cast<char*>(entry.c_str()));
       std::vector<char*> arguments;
-      for (const auto& word : command) arguments.push_back(const_cast<char*>(word.c_str()));
+      for (const auto& argument : command) arguments.push_back(const_cast<char*>(argument.c_str()));
       arguments.push_back(nullptr);
       ::execv(arguments[0], arguments.data());
       ::_exit(127);
@@ -215,7 +216,7 @@
              const std::function<std::vector<int>(std::string&, int lane)>& take) {
   const int epoll = ::epoll_create1(EPOLL_CLOEXEC);
   std::vector<int> sockets;
-  std::vector<std::string> held(static_cast<std::size_t>(load.lanes));
+  std::vector<std::string> buffered(static_cast<std::size_t>(load.lanes));
   std::vector<Clock::time_point> sent(static_cast<std::size_t>(requests));
   for (int i = 0; i < load.lanes; ++i) {
     sockets.push_back(Connect(type, port));
@@ -244,7 +245,7 @@
       const int lane = events[i].data.fd;
       const ssize_t got = ::recv(sockets[static_cast<std::size_t>(lane)], bytes, sizeof bytes, MSG_DONTWAIT);
       if (got <= 0) continue;
-      std::string& buffer = held[static_cast<std::size_t>(lane)];
+      std::string& buffer = buffered[static_cast<std::size_t>(lane)];
       buffer.append(bytes, static_cast<std::size_t>(got));
       for (const int number : take(buffer, lane)) {
         const auto took = Clock::now() - sent[static_cast<std::size_t>(number)];
@@ -382,10 +383,10 @@
   int rounds = 5;
   bool check = false;
   for (int i = 3; i < argc; ++i) {
-    const std::string word = argv[i];
-    if (word == "--check") check = true;
-    if (word == "--requests" && i + 1 < argc) requests = std::atoi(argv[++i]);
-    if (word == "--rounds" && i + 1 < argc) rounds = std::atoi(argv[++i]);
+    const std::string option = argv[i];
+    if (option == "--check") check = true;
+    if (option == "--requests" && i + 1 < argc) requests = std::atoi(argv[++i]);
+    if (option == "--rounds" && i + 1 < argc) rounds = std::atoi(argv[++i]);
   }
   std::signal(SIGPIPE, SIG_IGN);
   bool missed = false;
@@ -463,9 +464,9 @@
   }
 
   resolver.SetScript(mothrack::testing::StandinResolver::Unresponsive());
-  Process silent({program, "--config", dns_file.path()}, {}, 2);
-  const std::uint16_t port = silent.PortBehind("dns on 127.0.0.1:");
-  const long before = silent.PeakMemoryKb();
+  Process unresponsive({program, "--config", dns_file.path()}, {}, 2);
+  const std::uint16_t port = unresponsive.PortBehind("dns on 127.0.0.1:");
+  const long before = unresponsive.PeakMemoryKb();
   const int fd = Connect(SOCK_DGRAM, port);
   const int seen = resolver.queries();
   for (int i = 0; i < kOpenQueries; ++i) {
@@ -474,9 +475,9 @@
     if (i % 100 == 99) std::this_thread::sleep_for(std::chrono::milliseconds(5));
   }
   std::this_thread::sleep_for(std::chrono::milliseconds(200));
-  std::printf("memory: %ld KB at the start, %ld KB with %d queries open\n", before, silent.PeakMemoryKb(),
-              std::min(kOpenQueries, resolver.queries() - seen));
-  missed = missed || silent.PeakMemoryKb() > kMostMemoryKb;
+  std::printf("memory: %ld KB at the start, %ld KB with %d queries open\n", before,
+              unresponsive.PeakMemoryKb(), std::min(kOpenQueries, resolver.queries() - seen));
+  missed = missed || unresponsive.PeakMemoryKb() > kMostMemoryKb;
   ::close(fd);
   if (missed)
     std::printf("an aim is missed: HTTP %.1f, DNS over UDP %.1f, memory %ld KB\n", kMostHttp, kMostUdp,
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -1,5 +1,10 @@
-// What a rolling restart of many sidecars costs beside the ideal, which is the batches' number times what one
-// planned restart takes by itself; and what seeing them costs. A ratio over its floor fails the run.
+// fleet_bench [roll|see|door]: costs of running a fleet, measured on real agents, sidecars and mothrackctl.
+// Without an argument all three parts run; a ratio above its stated bound makes the exit code 1.
+//   roll: a rolling restart of 40 sidecars: its time (s) as a ratio to the number of batches times the time
+//     of one planned stop; `status` of all (ms); an idle agent's CPU (ms a second and instance), memory (MB).
+//   see: `status` of 400 scripted instances (ms), an agent's memory (MB).
+//   door: the sidecar's admin API: CPU time of one status answer (us), and the ratio of the sidecar's CPU
+//     time with one status request a second to that without.
 #include <signal.h>
 #include <unistd.h>
 
@@ -57,27 +62,27 @@
   });
   if (!all) return std::fprintf(stderr, "the four hundred do not run\n"), false;
   const auto begin = Clock::now();
-  constexpr int kLooks = 10;
-  for (int i = 0; i < kLooks; ++i) {
+  constexpr int kPolls = 10;
+  for (int i = 0; i < kPolls; ++i) {
     if (fleet.Ctl({"status"}).code != 0) return false;
   }
   std::printf("status of %d scripted instances: %.1f ms; an agent of %d: %.1f MB\n", 4 * kEach,
-              Since(begin) / kLooks * 1000, kEach, MegabytesOf(fleet.AgentPid(0)));
+              Since(begin) / kPolls * 1000, kEach, MegabytesOf(fleet.AgentPid(0)));
   return true;
 }
 
-// What one answer of the sidecar's door costs it, against what requests cost it that come at a light rate,
-// one by one. Taken apart, as the two together differ from spell to spell by more than the door takes. Sixty
-// upstreams, as a page of the door then is long.
-bool AskTheDoor() {
+// CPU time of one status answer of the admin API against that of requests at a steady rate. The two are
+// measured separately, as the CPU time of one interval varies by more than an answer takes. Sixty upstreams
+// make the answer long. False where the median ratio is above the bound or a request is not answered.
+bool MeasureAdminApi() {
   constexpr double kMostRatio = 1.02;
-  // Requests a second: what a sidecar of many sees at most, and one that works. The floor is held against the
-  // latter.
+  // Requests a second: what a sidecar of many sees at most, and one that works. The bound applies to
+  // the latter.
   constexpr int kLightRate = 100;
   constexpr int kRate = 500;
-  constexpr int kPairs = 5;
-  constexpr int kLooks = 30;
-  constexpr auto kLookEvery = std::chrono::milliseconds(100);  // it answers 20 a second at most
+  constexpr int kRounds = 5;
+  constexpr int kPolls = 30;
+  constexpr auto kPollInterval = std::chrono::milliseconds(100);  // it answers 20 a second at most
   mothrack::testing::Upstream upstream([](mothrack::testing::Wire& wire, const mothrack::testing::Request&,
                                           int) { wire.Answer(200, "fine"); });
   std::vector<mothrack::testing::json> targets = {mothrack::testing::Target("u0", upstream.address())};
@@ -86,17 +91,17 @@
   }
   mothrack::testing::Node::Options options;
   options.known = mothrack::testing::List(targets);
-  const std::string socket = "/tmp/door-bench-" + std::to_string(::getpid());
+  const std::string socket = "/tmp/admin-bench-" + std::to_string(::getpid());
   options.operator_file = "[admin]\nlisten = \"unix:" + socket + "\"\n";
   mothrack::testing::Node node(options);
   if (!node.Listening()) return std::fprintf(stderr, "%s", node.log().c_str()), false;
   mothrack::testing::Client client(node.port());
-  const mothrack::testing::AdminClient door("unix:" + socket);
+  const mothrack::testing::AdminClient admin("unix:" + socket);
   int number = 0;
-  // A connection without a first request would be closed while the door is asked.
+  // A connection without a first request would be closed while the admin API is polled.
   bool answered = client.Get("/page/x", "first").has_value();
   // Processor time of the sidecar over as many turns, in seconds.
-  const auto spell = [&](int turns, Clock::duration every, const std::function<bool()>& act) {
+  const auto cpu_over = [&](int turns, Clock::duration every, const std::function<bool()>& act) {
     const double before = CpuOf(node.pid());
     auto at = Clock::now();
     for (int i = 0; i < turns; ++i) {
@@ -107,31 +112,31 @@
   };
   std::vector<double> ratios;
   std::vector<double> light;
-  double look = 0;
-  for (int i = 0; i < kPairs; ++i) {
-    const double idle = spell(kLooks, kLookEvery, [] { return true; });
-    const double looks = spell(kLooks, kLookEvery, [&] {
-      const auto told = door.Get("/v1/status");
-      return told && told->status == 200;
+  double answer_s = 0;
+  for (int i = 0; i < kRounds; ++i) {
+    const double idle = cpu_over(kPolls, kPollInterval, [] { return true; });
+    const double polling = cpu_over(kPolls, kPollInterval, [&] {
+      const auto response = admin.Get("/v1/status");
+      return response && response->status == 200;
     });
     const auto second = [&](int rate) {
-      return spell(rate, std::chrono::microseconds(1'000'000 / rate),
-                   [&] { return client.Get("/page/x", "d" + std::to_string(number++)).has_value(); });
+      return cpu_over(rate, std::chrono::microseconds(1'000'000 / rate),
+                      [&] { return client.Get("/page/x", "d" + std::to_string(number++)).has_value(); });
     };
-    look = std::max(0.0, looks - idle) / kLooks;
-    light.push_back(1 + look / second(kLightRate));
-    ratios.push_back(1 + look / second(kRate));
+    answer_s = std::max(0.0, polling - idle) / kPolls;
+    light.push_back(1 + answer_s / second(kLightRate));
+    ratios.push_back(1 + answer_s / second(kRate));
   }
-  if (!answered) return std::fprintf(stderr, "a request or the door was not answered\n"), false;
+  if (!answered) return std::fprintf(stderr, "a request or a status poll was not answered\n"), false;
   std::sort(ratios.begin(), ratios.end());
   std::sort(light.begin(), light.end());
   std::printf(
-      "the door, 60 upstreams: %.0f us an answer; asked once a second at %d requests a second: ratio %.3f "
-      "(%.3f to "
-      "%.3f; at most %.2f), at %d: %.3f\n",
-      look * 1e6, kRate, ratios[kPairs / 2], ratios.front(), ratios.back(), kMostRatio, kLightRate,
-      light[kPairs / 2]);
-  return ratios[kPairs / 2] <= kMostRatio;
+      "admin API, 60 upstreams: %.0f us an answer; polled once a second at %d requests a second: ratio %.3f "
+      "(%.3f to %.3f;"
+      " at most %.2f), at %d: %.3f\n",
+      answer_s * 1e6, kRate, ratios[kRounds / 2], ratios.front(), ratios.back(), kMostRatio, kLightRate,
+      light[kRounds / 2]);
+  return ratios[kRounds / 2] <= kMostRatio;
 }
 
 // What a rolling restart costs.
@@ -167,9 +172,9 @@
               kAgents * kInstances, kBatches, took, drain, ratio, kMostRatio);
 
   begin = Clock::now();
-  constexpr int kLooks = 10;
-  for (int i = 0; i < kLooks; ++i) fleet.Ctl({"status"});
-  std::printf("status of %d: %.1f ms\n", kAgents * kInstances, Since(begin) / kLooks * 1000);
+  constexpr int kPolls = 10;
+  for (int i = 0; i < kPolls; ++i) fleet.Ctl({"status"});
+  std::printf("status of %d: %.1f ms\n", kAgents * kInstances, Since(begin) / kPolls * 1000);
 
   const int agent = fleet.AgentPid(0);
   const double before = CpuOf(agent);
@@ -182,12 +187,11 @@
 
 }  // namespace
 
-// fleet_bench [roll|see|door]: all of them where none is named.
 int main(int argc, char** argv) {
   const std::string only = argc > 1 ? argv[1] : "";
   bool well = true;
   if (only.empty() || only == "roll") well = Roll() && well;
   if (only.empty() || only == "see") well = SeeFourHundred() && well;
-  if (only.empty() || only == "door") well = AskTheDoor() && well;
+  if (only.empty() || only == "door") well = MeasureAdminApi() && well;
   return well ? 0 : 1;
 }
--- a/bench/floor.cpp
+++ b/bench/floor.cpp
@@ -52,25 +52,25 @@
   };
   std::vector<Open> open(65536);
   std::uint16_t next = 0;
-  const int front = ::Open(SOCK_DGRAM);
-  Bind(front, 0);
+  const int frontend = ::Open(SOCK_DGRAM);
+  Bind(frontend, 0);
   const int upstream = ::Open(SOCK_DGRAM);
   const sockaddr_in to = LoopbackAddress(upstream_port);
   ::connect(upstream, reinterpret_cast<const sockaddr*>(&to), sizeof to);
   const int epoll = ::epoll_create1(EPOLL_CLOEXEC);
-  Watch(epoll, front);
+  Watch(epoll, frontend);
   Watch(epoll, upstream);
-  PrintPort(front);
+  PrintPort(frontend);
   std::array<std::uint8_t, 65536> bytes{};
   while (true) {
     epoll_event events[16];
     const int ready = ::epoll_wait(epoll, events, 16, -1);
     for (int i = 0; i < ready; ++i) {
-      const bool from_client = events[i].data.fd == front;
+      const bool from_client = events[i].data.fd == frontend;
       while (true) {
         sockaddr_in from{};
         socklen_t size = sizeof from;
-        const ssize_t got = from_client ? ::recvfrom(front, bytes.data(), bytes.size(), 0,
+        const ssize_t got = from_client ? ::recvfrom(frontend, bytes.data(), bytes.size(), 0,
                                                      reinterpret_cast<sockaddr*>(&from), &size)
                                         : ::recv(upstream, bytes.data(), bytes.size(), 0);
         if (got < 2) break;
@@ -84,7 +84,7 @@
           std::uint16_t id = 0;
           std::memcpy(&id, bytes.data(), 2);
           std::memcpy(bytes.data(), &open[id].id, 2);
-          ::sendto(front, bytes.data(), static_cast<std::size_t>(got), 0,
+          ::sendto(frontend, bytes.data(), static_cast<std::size_t>(got), 0,
                    reinterpret_cast<const sockaddr*>(&open[id].client), sizeof open[id].client);
         }
       }
--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -1,6 +1,7 @@
-// The emulator beside the world: two real sidecars between real sockets, six servers that work with three
-// cores each, and the same in made-up time. What they say of the same night must agree within the bounds
-// below, or the run fails.
+// lab_calibrate: the simulator against real processes. Two real sidecars over loopback sockets in front of
+// six servers of three cores each, and the same scenario in simulated time, at three loads. Printed for each
+// load: share of requests served, attempts a request, median and 99th percentile of the response time (ms).
+// Exit code 1 where the two differ by more than the bounds in main(). Takes about 20 s of wall time a load.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -49,14 +50,14 @@
   int free_;
 };
 
-struct Told {
+struct Measurement {
   double served = 0;
   double attempts = 0;
   double median = 0;
   double p99 = 0;
 };
 
-Scenario Night(double use) {
+Scenario CalibrationScenario(double use) {
   Scenario s;
   s.name = "calibration";
   s.length_s = kSeconds;
@@ -79,8 +80,8 @@
   return s;
 }
 
-Told Emulated(double use) {
-  const Scenario s = Night(use);
+Measurement Simulate(double use) {
+  const Scenario s = CalibrationScenario(use);
   SimulationRun world(s, 11);
   world.Run();
   const Second sum = world.figures().Sum();
@@ -89,7 +90,7 @@
           world.figures().p(0.5), world.figures().p(0.99)};
 }
 
-Told Real(double use) {
+Measurement MeasureReal(double use) {
   std::atomic<std::uint64_t> ran{0};
   std::vector<std::unique_ptr<Cores>> cores;
   std::vector<std::unique_ptr<testing::Upstream>> servers;
@@ -119,29 +120,29 @@
   std::vector<std::thread> threads;
   for (int i = 0; i < kSidecars; ++i) {
     threads.emplace_back([&, i] {
-      LoadConfig order;
-      order.port = nodes[static_cast<std::size_t>(i)]->port();
-      order.rate = use * can / kSidecars;
-      order.length_s = kSeconds;
-      order.timeout_ms = 2000;
-      order.poisson_seed = static_cast<std::uint64_t>(i + 1);
-      results[static_cast<std::size_t>(i)] = Load(order);
+      LoadConfig config;
+      config.port = nodes[static_cast<std::size_t>(i)]->port();
+      config.rate = use * can / kSidecars;
+      config.length_s = kSeconds;
+      config.timeout_ms = 2000;
+      config.poisson_seed = static_cast<std::uint64_t>(i + 1);
+      results[static_cast<std::size_t>(i)] = Load(config);
     });
   }
   for (std::thread& thread : threads) thread.join();
-  Told told;
+  Measurement measured;
   double due = 0;
   Times times = NewTimes();
   for (const LoadResult& r : results) {
-    told.served += static_cast<double>(r.served);
+    measured.served += static_cast<double>(r.served);
     due += static_cast<double>(r.due);
     times += r.from_due;
   }
-  told.served /= due;
-  told.attempts = static_cast<double>(ran) / due;
-  told.median = Quantile(times, 0.5);
-  told.p99 = Quantile(times, 0.99);
-  return told;
+  measured.served /= due;
+  measured.attempts = static_cast<double>(ran) / due;
+  measured.median = Quantile(times, 0.5);
+  measured.p99 = Quantile(times, 0.99);
+  return measured;
 }
 
 }  // namespace
@@ -155,20 +156,20 @@
   constexpr double kP99Off = 1.3;
   bool well = true;
   for (const double use : {0.3, 0.6, 0.8}) {
-    const Told made_up = Emulated(use);
-    const Told real = Real(use);
+    const Measurement simulated = Simulate(use);
+    const Measurement real = MeasureReal(use);
     const auto within = [](double a, double b, double times) {
       return a > 0 && b > 0 && std::max(a / b, b / a) <= times;
     };
-    const bool agree = std::abs(made_up.served - real.served) <= kServedOff &&
-                       std::abs(made_up.attempts - real.attempts) <= kAttemptsOff &&
-                       within(made_up.median, real.median, kMedianOff) &&
-                       within(made_up.p99, real.p99, kP99Off);
+    const bool agree = std::abs(simulated.served - real.served) <= kServedOff &&
+                       std::abs(simulated.attempts - real.attempts) <= kAttemptsOff &&
+                       within(simulated.median, real.median, kMedianOff) &&
+                       within(simulated.p99, real.p99, kP99Off);
     std::printf(
         "use %.1f: served %.4f made up, %.4f real; attempts a try %.3f, %.3f; median %.1f, %.1f ms; 99%% "
         "%.1f, %.1f ms%s\n",
-        use, made_up.served, real.served, made_up.attempts, real.attempts, made_up.median, real.median,
-        made_up.p99, real.p99, agree ? "" : "  APART");
+        use, simulated.served, real.served, simulated.attempts, real.attempts, simulated.median, real.median,
+        simulated.p99, real.p99, agree ? "" : "  APART");
     well = well && agree;
   }
   return well ? 0 : 1;
