--- a/tests/standins/faulty_relay.h
+++ b/tests/standins/faulty_relay.h
@@ -1,13 +1,16 @@
-// The network between the processes of one machine, as a test wants it: a relay on loopback through which
-// they reach one another, with faults by ordered pair of ends. Every end has names that select it (its own
-// and its groups'), and every fault is set from selector to selector, from that moment on.
+// A relay on loopback between the processes of a test, with faults for each ordered pair of endpoints: loss,
+// duplication, reordering, delay, bandwidth, cuts, resets. An endpoint is selected by its name, by one of its
+// groups or by "*"; a change of faults applies at once, to what is queued as well.
 //
-// UDP: the box has one socket for each end, and the end advertises that socket's address as its own. What
-// comes to the socket of B from A's real address goes on to B's real address *from the socket of A*: so B
-// answers through the box whether it answers to where the datagram came from or to the address that A says is
-// its own. TCP: a port for each ordered pair, relayed to a real address. The handshake is the system's, so a
-// connection through a cut link comes up, and nothing is heard on it; loss, repeats and reordering are not
-// for TCP, which hides them.
+// UDP: the relay has one socket for each endpoint, whose address the endpoint advertises as its own. What
+// arrives at the socket of B from A's real address is sent to B's real address *from the socket of A*, so B
+// reaches A through the relay whether it replies to the source address or to the advertised one.
+// TCP: one port for each ordered pair, relayed to a real port. The kernel does the handshake, so a connection
+// over a cut link is established, and no byte crosses it; loss, duplication and reordering do not apply.
+//
+// Threads: all public functions may be called from any thread; one thread of the relay does all I/O. Errors:
+// std::runtime_error where the system gives no socket, std::logic_error for an endpoint or link that does not
+// exist. Bounds: 4,096 connections at once (more are reset), Faults::queue_bytes on each link.
 #pragma once
 
 #include <atomic>
@@ -31,24 +34,24 @@
 class FaultyRelay {
  public:
   struct Faults {
-    double loss = 0;       // shares of the datagrams, each drawn for itself
-    double duplicate = 0;  // sent on twice
-    double reorder = 0;    // held back, so that later ones overtake it; jitter alone keeps the order
+    double loss = 0;       // shares of the datagrams, 0 to 1, each drawn independently
+    double duplicate = 0;  // delivered twice
+    double reorder = 0;    // delayed by reorder_delay and overtaken; jitter alone keeps the order
     std::chrono::milliseconds reorder_delay{20};
     std::chrono::milliseconds delay{0};
-    std::chrono::milliseconds jitter{0};  // on top of the delay, evenly from nothing to this
-    std::size_t bytes_per_s = 0;          // 0: as fast as it goes
+    std::chrono::milliseconds jitter{0};  // on top of the delay, uniform from 0 to this
+    std::size_t bytes_per_s = 0;          // 0: unlimited
     std::size_t queue_bytes =
-        256 * 1024;    // bytes queued: datagrams beyond it are dropped, a TCP sender waits
-    bool cut = false;  // nothing passes, and nobody is told; TCP's bytes are held until it heals
-    bool reset_connections = false;  // TCP: connections are reset, those that come as well
+        256 * 1024;                  // bytes queued: datagrams beyond it are dropped, a TCP sender waits
+    bool cut = false;                // datagrams are dropped silently; TCP bytes wait until it is restored
+    bool reset_connections = false;  // TCP: open and new connections are reset
   };
 
-  // Of one ordered pair; datagrams, unless they say otherwise.
+  // Of one ordered pair; datagrams, unless the name says otherwise.
   struct Counts {
     std::uint64_t received = 0, delivered = 0, bytes = 0;
     std::uint64_t lost = 0, cut = 0, queue_full = 0,
-                  send_errors = 0;  // dropped: by chance, by a cut, for room, by the system
+                  send_errors = 0;  // dropped: by loss, by a cut, by a full queue, by the system
     std::uint64_t duplicated = 0, reordered = 0;
     std::uint64_t connections = 0, resets = 0, tcp_bytes = 0;
     Counts& operator+=(const Counts& other);
@@ -59,11 +62,11 @@
   FaultyRelay(const FaultyRelay&) = delete;
   FaultyRelay& operator=(const FaultyRelay&) = delete;
 
-  // An end, and the groups that it is in; with `udp_port`, its real one on loopback. Returns the port to
-  // advertise, 0 where it has no UDP.
+  // Adds an endpoint and the groups that it is in; `udp_port`: its real port on loopback, 0 where it has no
+  // UDP. Returns the port to advertise, 0 likewise.
   std::uint16_t AddEndpoint(const std::string& name, const std::vector<std::string>& groups,
                             std::uint16_t udp_port = 0);
-  // The end was started anew on another port; what it advertises stays.
+  // The endpoint restarted on another port; the advertised one stays.
   void MoveEndpoint(const std::string& name, std::uint16_t udp_port);
   std::uint16_t advertised_port(const std::string& name) const;
   // The port by which `from` reaches `to`'s real TCP port. Several for one pair share its link.
@@ -74,16 +77,16 @@
                     const std::function<void(Faults&)>& change);
   void Cut(const std::string& from, const std::string& to);  // one direction only
   void Restore(const std::string& from, const std::string& to);
-  // Ends of different sides don't hear one another, whatever else is set; who is in no side is a side of its
-  // own with all others that are in none.
+  // Endpoints of different sides exchange nothing, whatever else is set; those in no side form one of their
+  // own.
   void Partition(const std::vector<std::vector<std::string>>& sides);
-  void Heal();         // the partition; faults of links stay
+  void Heal();         // ends the partition; faults of links stay
   void ClearFaults();  // no fault anywhere
-  // Ends the connections there are, each side by a reset.
+  // Resets both sides of the open connections.
   void ResetConnections(const std::string& from, const std::string& to);
 
   Counts counts(const std::string& from = "*", const std::string& to = "*") const;
-  std::uint64_t unknown_senders() const;  // datagrams from no end's address, which go nowhere
+  std::uint64_t unknown_senders() const;  // datagrams from no endpoint's address, dropped
   std::size_t queued_bytes() const;       // bytes queued now
   std::string Describe()
       const;  // the links on which anything was dropped, repeated or reordered, for a test's log
