--- a/tests/support/faulty_relay_test.cpp
+++ b/tests/support/faulty_relay_test.cpp
@@ -1,5 +1,4 @@
-// Each fault of the link box, by plain sockets: what a test over real processes concludes from it rests on
-// these.
+// Each fault of the relay, checked with plain sockets: tests over real processes rest on these.
 #include "standins/faulty_relay.h"
 
 #include <netinet/in.h>
@@ -25,9 +24,9 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kTimeout(10'000);  // for what has to come
+constexpr milliseconds kTimeout(10'000);  // for what must arrive
 constexpr std::size_t kHeaders = 28;      // of IP and UDP, which count on the way
-constexpr milliseconds kSilence(150);     // for what must not; a loopback takes far less
+constexpr milliseconds kQuietTime(150);   // for what must not arrive; a loopback takes far less
 
 class Socket {
  public:
@@ -101,19 +100,19 @@
             static_cast<ssize_t>(bytes.size()));
 }
 
-enum class Heard { kBytes, kSilence, kEnd, kReset };
-Heard Listen(const Socket& socket, milliseconds timeout = kTimeout, std::string* bytes = nullptr) {
-  if (!socket.Ready(timeout)) return Heard::kSilence;
+enum class ReadResult { kBytes, kTimedOut, kEnd, kReset };
+ReadResult ReadOnce(const Socket& socket, milliseconds timeout = kTimeout, std::string* bytes = nullptr) {
+  if (!socket.Ready(timeout)) return ReadResult::kTimedOut;
   char some[65'536];
   const ssize_t got = ::recv(socket.fd(), some, sizeof some, 0);
   if (got > 0 && bytes != nullptr) bytes->append(some, static_cast<std::size_t>(got));
-  if (got > 0) return Heard::kBytes;
-  return got == 0 ? Heard::kEnd : Heard::kReset;
+  if (got > 0) return ReadResult::kBytes;
+  return got == 0 ? ReadResult::kEnd : ReadResult::kReset;
 }
 
-// Three ends in two halls.
-struct Three {
-  explicit Three(std::uint64_t seed = 1) : relay(seed) {
+// Three UDP endpoints in two zones.
+struct ThreeEndpoints {
+  explicit ThreeEndpoints(std::uint64_t seed = 1) : relay(seed) {
     relay.AddEndpoint("a", {"bole"}, a.port());
     relay.AddEndpoint("b", {"bole"}, b.port());
     relay.AddEndpoint("c", {"kality"}, c.port());
@@ -124,24 +123,24 @@
   FaultyRelay relay;
 };
 
-// Which of so many datagrams from a to b come, sent slowly enough that nobody's buffer is full.
-std::vector<int> WhatComes(Three& t, int count) {
-  std::vector<int> come;
+// Sends `count` numbered datagrams from a to b, slowly enough that no buffer overflows; those that arrive.
+std::vector<int> SendAndCollect(ThreeEndpoints& t, int count) {
+  std::vector<int> received;
   for (int i = 0; i < count; ++i) {
     t.a.Send(t.at("b"), std::to_string(i));
     if (i % 50 == 49) std::this_thread::sleep_for(milliseconds(1));
   }
   while (t.relay.counts("a", "b").received < static_cast<std::uint64_t>(count))
     std::this_thread::sleep_for(milliseconds(1));
-  while (const auto got = t.b.Receive(kSilence)) come.push_back(std::stoi(*got));
-  return come;
+  while (const auto got = t.b.Receive(kQuietTime)) received.push_back(std::stoi(*got));
+  return received;
 }
 
-TEST(FaultyRelayUdp, PassesAllInOrderAndAnAnswerToEitherAddressComesBack) {
-  Three t;
-  const auto come = WhatComes(t, 1000);
-  EXPECT_EQ(come.size(), 1000U);
-  EXPECT_TRUE(std::ranges::is_sorted(come));
+TEST(FaultyRelayUdp, ForwardsInOrderAndRepliesReachTheSenderByEitherAddress) {
+  ThreeEndpoints t;
+  const auto received = SendAndCollect(t, 1000);
+  EXPECT_EQ(received.size(), 1000U);
+  EXPECT_TRUE(std::ranges::is_sorted(received));
   // Where it came from is where its sender says that it is.
   EXPECT_EQ(t.b.from(), t.at("a"));
   t.b.Send(t.b.from(), "answer");
@@ -152,11 +151,11 @@
   EXPECT_EQ(t.relay.queued_bytes(), 0U);
 }
 
-TEST(FaultyRelayUdp, StrangersAreCountedAndGoNowhere) {
-  Three t;
+TEST(FaultyRelayUdp, DatagramsOfUnknownSendersAreCountedAndDropped) {
+  ThreeEndpoints t;
   Udp stranger;
   stranger.Send(t.at("a"), "let me in");
-  EXPECT_FALSE(t.a.Receive(kSilence));
+  EXPECT_FALSE(t.a.Receive(kQuietTime));
   EXPECT_EQ(t.relay.unknown_senders(), 1U);
   // Until it is the address of an end that was started anew.
   t.relay.MoveEndpoint("b", stranger.port());
@@ -166,17 +165,17 @@
   t.a.Send(t.at("b"), "welcome");
   EXPECT_EQ(stranger.Receive(), "welcome");
   t.b.Send(t.at("a"), "the old one");
-  EXPECT_FALSE(t.a.Receive(kSilence));
+  EXPECT_FALSE(t.a.Receive(kQuietTime));
 }
 
-TEST(FaultyRelayUdp, LosesItsShareTheSameOnesBySeed) {
+TEST(FaultyRelayUdp, LossRateIsMetAndRepeatsWithTheSeed) {
   const auto lose = [](std::uint64_t seed, double repeat) {
-    Three t(seed);
+    ThreeEndpoints t(seed);
     t.relay.ChangeFaults("a", "b", [&](auto& faults) { faults.loss = 0.1, faults.duplicate = repeat; });
-    auto come = WhatComes(t, 2000);
-    come.erase(std::ranges::unique(come).begin(), come.end());
-    EXPECT_EQ(come.size() + t.relay.counts("a", "b").lost, 2000U);
-    return come;
+    auto received = SendAndCollect(t, 2000);
+    received.erase(std::ranges::unique(received).begin(), received.end());
+    EXPECT_EQ(received.size() + t.relay.counts("a", "b").lost, 2000U);
+    return received;
   };
   const auto once = lose(7, 0);
   // Five standard deviations of the 200 that are expected.
@@ -186,21 +185,21 @@
   EXPECT_NE(lose(8, 0), once);
 }
 
-TEST(FaultyRelayUdp, EachLinkHasChancesOfItsOwn) {
-  Three t;
+TEST(FaultyRelayUdp, EachLinkDrawsFromItsOwnRandomStream) {
+  ThreeEndpoints t;
   t.relay.ChangeFaults("a", "*", [](auto& faults) { faults.loss = 0.5; });
   std::string to_b;
   std::string to_c;
   for (int i = 0; i < 100; ++i)
     t.a.Send(t.at("b"), std::to_string(i)), t.a.Send(t.at("c"), std::to_string(i));
-  while (const auto got = t.b.Receive(kSilence)) to_b += *got + ' ';
-  while (const auto got = t.c.Receive(kSilence)) to_c += *got + ' ';
+  while (const auto got = t.b.Receive(kQuietTime)) to_b += *got + ' ';
+  while (const auto got = t.c.Receive(kQuietTime)) to_c += *got + ' ';
   EXPECT_FALSE(to_b.empty());
   EXPECT_NE(to_b, to_c);
 }
 
-TEST(FaultyRelayUdp, DelaysByAtLeastSoMuchAndJitterKeepsTheOrder) {
-  Three t;
+TEST(FaultyRelayUdp, DelayIsALowerBoundAndJitterDoesNotReorder) {
+  ThreeEndpoints t;
   t.relay.ChangeFaults(
       "a", "b", [](auto& faults) { faults.delay = milliseconds(100), faults.jitter = milliseconds(60); });
   const auto sent = Clock::now();
@@ -217,37 +216,37 @@
   EXPECT_LT(Clock::now() - back, milliseconds(100));
 }
 
-TEST(FaultyRelayUdp, SettingsHoldAtOnceForWhatIsOnTheWay) {
-  Three t;
+TEST(FaultyRelayUdp, ChangedFaultsApplyToQueuedDatagrams) {
+  ThreeEndpoints t;
   t.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(60'000); });
   t.a.Send(t.at("b"), "late");
   t.a.Send(t.at("c"), "cut off");
-  EXPECT_FALSE(t.b.Receive(kSilence));
+  EXPECT_FALSE(t.b.Receive(kQuietTime));
   EXPECT_EQ(t.relay.queued_bytes(), 11U + 2 * kHeaders);
   t.relay.Cut("a", "c");
   t.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(0); });
   EXPECT_EQ(t.b.Receive(), "late");
-  EXPECT_FALSE(t.c.Receive(kSilence));
+  EXPECT_FALSE(t.c.Receive(kQuietTime));
   EXPECT_EQ(t.relay.counts("a", "c").cut, 1U);
 }
 
-TEST(FaultyRelayUdp, RepeatsAndReorders) {
-  Three t(3);
+TEST(FaultyRelayUdp, DuplicatesAndReordersAtTheirRates) {
+  ThreeEndpoints t(3);
   t.relay.ChangeFaults("a", "b", [](auto& faults) { faults.duplicate = 0.1; });
-  auto come = WhatComes(t, 1000);
-  EXPECT_NEAR(static_cast<double>(come.size()), 1100, 48);
-  EXPECT_EQ(come.size(), 1000 + t.relay.counts("a", "b").duplicated);
-  EXPECT_TRUE(std::ranges::is_sorted(come));
+  auto received = SendAndCollect(t, 1000);
+  EXPECT_NEAR(static_cast<double>(received.size()), 1100, 48);
+  EXPECT_EQ(received.size(), 1000 + t.relay.counts("a", "b").duplicated);
+  EXPECT_TRUE(std::ranges::is_sorted(received));
 
   t.relay.ChangeFaults("a", "b", [](auto& faults) {
     faults = {}, faults.reorder = 0.1, faults.reorder_delay = milliseconds(30);
   });
-  come = WhatComes(t, 1000);
-  ASSERT_EQ(come.size(), 1000U) << "reordering loses nothing";
+  received = SendAndCollect(t, 1000);
+  ASSERT_EQ(received.size(), 1000U) << "reordering loses nothing";
   EXPECT_NEAR(static_cast<double>(t.relay.counts("a", "b").reordered), 100, 48);
   int overtaken = 0;
   int highest = -1;
-  for (const int number : come) {
+  for (const int number : received) {
     overtaken += number < highest ? 1 : 0;
     highest = std::max(highest, number);
   }
@@ -255,15 +254,15 @@
   EXPECT_LE(overtaken, static_cast<int>(t.relay.counts("a", "b").reordered));
 }
 
-TEST(FaultyRelayUdp, CutsOneWayOnly) {
-  Three t;
+TEST(FaultyRelayUdp, CutDropsOneDirectionOnly) {
+  ThreeEndpoints t;
   t.relay.Cut("a", "b");
   t.a.Send(t.at("b"), "there");
   t.b.Send(t.at("a"), "back");
   t.a.Send(t.at("c"), "another");
   EXPECT_EQ(t.a.Receive(), "back");
   EXPECT_EQ(t.c.Receive(), "another");
-  EXPECT_FALSE(t.b.Receive(kSilence));
+  EXPECT_FALSE(t.b.Receive(kQuietTime));
   EXPECT_EQ(t.relay.counts("a", "b").cut, 1U);
   EXPECT_NE(t.relay.Describe().find("a > b: 1 came, 0 delivered"), std::string::npos) << t.relay.Describe();
   t.relay.Restore("a", "b");
@@ -271,14 +270,14 @@
   EXPECT_EQ(t.b.Receive(), "joined") << "what was cut is gone";
 }
 
-TEST(FaultyRelayUdp, PartitionsByGroupAndHeals) {
-  Three t;
+TEST(FaultyRelayUdp, PartitionSeparatesGroupsUntilHealed) {
+  ThreeEndpoints t;
   t.relay.Partition({{"bole"}, {"kality"}});
   t.a.Send(t.at("b"), "same side");
   t.a.Send(t.at("c"), "other side");
   t.c.Send(t.at("b"), "other side");
   EXPECT_EQ(t.b.Receive(), "same side");
-  EXPECT_FALSE(t.c.Receive(kSilence));
+  EXPECT_FALSE(t.c.Receive(kQuietTime));
   EXPECT_FALSE(t.b.Receive(milliseconds(0)));
   t.relay.Heal();
   t.a.Send(t.at("c"), "healed");
@@ -288,30 +287,30 @@
   t.a.Send(t.at("c"), "alone");
   t.a.Send(t.at("b"), "not alone");
   EXPECT_EQ(t.b.Receive(), "not alone");
-  EXPECT_FALSE(t.c.Receive(kSilence));
+  EXPECT_FALSE(t.c.Receive(kQuietTime));
   t.relay.ClearFaults();
   t.a.Send(t.at("c"), "cleared");
   EXPECT_EQ(t.c.Receive(), "cleared");
   EXPECT_THROW(t.relay.Cut("bole", "nowhere"), std::logic_error);
 }
 
-TEST(FaultyRelayUdp, ASlowLinkKeepsItsRateAndItsQueueIsBounded) {
-  Three t;
+TEST(FaultyRelayUdp, BandwidthLimitIsMetAndTheQueueIsBounded) {
+  ThreeEndpoints t;
   t.relay.ChangeFaults("a", "b",
                        [](auto& faults) { faults.bytes_per_s = 100'000, faults.queue_bytes = 50'000; });
   const auto sent = Clock::now();
   const std::string kilobyte(1000 - kHeaders, 'x');
   for (int i = 0; i < 100; ++i) t.a.Send(t.at("b"), kilobyte);
-  int come = 0;
-  while (come < 50 && t.b.Receive()) ++come;
+  int received = 0;
+  while (received < 50 && t.b.Receive()) ++received;
   const auto took = Clock::now() - sent;
-  EXPECT_EQ(come, 50);
+  EXPECT_EQ(received, 50);
   EXPECT_GE(took, milliseconds(490));
   EXPECT_LT(took, milliseconds(2000));
   // A few more where the first went on before the last came.
-  while (t.b.Receive(kSilence)) ++come;
+  while (t.b.Receive(kQuietTime)) ++received;
   const auto counts = t.relay.counts("a", "b");
-  EXPECT_EQ(static_cast<std::uint64_t>(come), counts.delivered);
+  EXPECT_EQ(static_cast<std::uint64_t>(received), counts.delivered);
   EXPECT_EQ(counts.delivered + counts.queue_full, 100U);
   EXPECT_GE(counts.queue_full, 20U);
   EXPECT_EQ(t.relay.queued_bytes(), 0U);
@@ -329,85 +328,85 @@
   std::uint16_t port = 0;
 };
 
-TEST(FaultyRelayTcp, PassesBytesAndEndsBothWays) {
+TEST(FaultyRelayTcp, ForwardsBytesAndHalfClosesBothWays) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
   Write(client, "question");
-  std::string heard;
-  EXPECT_EQ(Listen(server, kTimeout, &heard), Heard::kBytes);
-  EXPECT_EQ(heard, "question");
+  std::string received;
+  EXPECT_EQ(ReadOnce(server, kTimeout, &received), ReadResult::kBytes);
+  EXPECT_EQ(received, "question");
   ::shutdown(client.fd(), SHUT_WR);
-  EXPECT_EQ(Listen(server), Heard::kEnd);
+  EXPECT_EQ(ReadOnce(server), ReadResult::kEnd);
   Write(server, "answer");
-  EXPECT_EQ(Listen(client, kTimeout, &heard), Heard::kBytes);
-  EXPECT_EQ(heard, "questionanswer");
+  EXPECT_EQ(ReadOnce(client, kTimeout, &received), ReadResult::kBytes);
+  EXPECT_EQ(received, "questionanswer");
   ::shutdown(server.fd(), SHUT_WR);
-  EXPECT_EQ(Listen(client), Heard::kEnd);
+  EXPECT_EQ(ReadOnce(client), ReadResult::kEnd);
   EXPECT_EQ(p.relay.counts("a", "b").tcp_bytes, 8U);
   EXPECT_EQ(p.relay.counts("b", "a").tcp_bytes, 6U);
 }
 
-TEST(FaultyRelayTcp, DelaysByAtLeastSoMuch) {
+TEST(FaultyRelayTcp, DelayIsALowerBound) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
   p.relay.ChangeFaults("a", "b", [](auto& faults) { faults.delay = milliseconds(120); });
   const auto sent = Clock::now();
   Write(client, "question");
-  EXPECT_EQ(Listen(server), Heard::kBytes);
+  EXPECT_EQ(ReadOnce(server), ReadResult::kBytes);
   EXPECT_GE(Clock::now() - sent, milliseconds(120));
 }
 
-TEST(FaultyRelayTcp, ACutHoldsBytesWithoutAWordAndTheyComeWhenItHeals) {
+TEST(FaultyRelayTcp, CutBuffersBytesAndResetsUntilHealed) {
   Pair p;
   const Socket client = Connect(p.port);
   Socket server = Accept(p.listener);
   p.relay.Cut("bole", "kality");
   Write(client, "held");
-  EXPECT_EQ(Listen(server, kSilence), Heard::kSilence);
+  EXPECT_EQ(ReadOnce(server, kQuietTime), ReadResult::kTimedOut);
   Write(server, "back");  // one way only
-  EXPECT_EQ(Listen(client), Heard::kBytes);
+  EXPECT_EQ(ReadOnce(client), ReadResult::kBytes);
   p.relay.Restore("bole", "kality");
-  std::string heard;
-  EXPECT_EQ(Listen(server, kTimeout, &heard), Heard::kBytes);
-  EXPECT_EQ(heard, "held");
+  std::string received;
+  EXPECT_EQ(ReadOnce(server, kTimeout, &received), ReadResult::kBytes);
+  EXPECT_EQ(received, "held");
 
   // Nor does a process that dies on one side reach the other, until then.
   p.relay.Partition({{"a"}, {"b"}});
   const Socket late = Connect(p.port);
-  EXPECT_FALSE(p.listener.Ready(kSilence));
+  EXPECT_FALSE(p.listener.Ready(kQuietTime));
   const linger at_once{1, 0};
   ::setsockopt(server.fd(), SOL_SOCKET, SO_LINGER, &at_once, sizeof at_once);
   server.Close();
-  EXPECT_EQ(Listen(client, kSilence), Heard::kSilence);
+  EXPECT_EQ(ReadOnce(client, kQuietTime), ReadResult::kTimedOut);
   p.relay.Heal();
-  EXPECT_EQ(Listen(client), Heard::kReset);
-  const Socket taken = Accept(p.listener);
+  EXPECT_EQ(ReadOnce(client), ReadResult::kReset);
+  const Socket accepted = Accept(p.listener);
   Write(late, "late");
-  EXPECT_EQ(Listen(taken), Heard::kBytes);
+  EXPECT_EQ(ReadOnce(accepted), ReadResult::kBytes);
 }
 
-TEST(FaultyRelayTcp, AResetIsHeardByBothAndRefusedConnectionsAreToo) {
+TEST(FaultyRelayTcp, ResetReachesBothSidesAndRefusalResetsNewConnections) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
   Write(client, "question");
-  EXPECT_EQ(Listen(server), Heard::kBytes);
+  EXPECT_EQ(ReadOnce(server), ReadResult::kBytes);
   p.relay.ResetConnections("a", "b");
-  EXPECT_EQ(Listen(client), Heard::kReset);
-  EXPECT_EQ(Listen(server), Heard::kReset);
+  EXPECT_EQ(ReadOnce(client), ReadResult::kReset);
+  EXPECT_EQ(ReadOnce(server), ReadResult::kReset);
   p.relay.ChangeFaults("a", "b", [](auto& faults) { faults.reset_connections = true; });
-  EXPECT_EQ(Listen(Connect(p.port)), Heard::kReset);
+  EXPECT_EQ(ReadOnce(Connect(p.port)), ReadResult::kReset);
   EXPECT_FALSE(p.listener.Ready(milliseconds(0)));
   EXPECT_EQ(p.relay.counts("a", "b").resets, 2U);
   p.relay.ClearFaults();
   // Nobody listens behind the relay.
   p.listener.Close();
-  EXPECT_EQ(Listen(Connect(p.port)), Heard::kReset);
+  EXPECT_EQ(ReadOnce(Connect(p.port)), ReadResult::kReset);
 }
 
-TEST(FaultyRelayTcp, ASlowLinkKeepsItsRateAndItsSenderWaits) {
+TEST(FaultyRelayTcp, BandwidthLimitIsMetByBackpressure) {
   Pair p;
   const Socket client = Connect(p.port);
   const Socket server = Accept(p.listener);
@@ -416,21 +415,21 @@
   constexpr std::size_t kSize = 500'000;
   const auto begin = Clock::now();
   std::thread writing([&] { Write(client, std::string(kSize, 'x')); });
-  std::string heard;
+  std::string received;
   std::size_t most = 0;
-  while (heard.size() < kSize && Listen(server, kTimeout, &heard) == Heard::kBytes) {
+  while (received.size() < kSize && ReadOnce(server, kTimeout, &received) == ReadResult::kBytes) {
     most = std::max(most, p.relay.queued_bytes());
   }
   writing.join();
   const auto took = Clock::now() - begin;
-  EXPECT_EQ(heard.size(), kSize);
+  EXPECT_EQ(received.size(), kSize);
   EXPECT_GE(took, milliseconds(480));
   EXPECT_LT(took, milliseconds(2000));
   EXPECT_LE(most, 20'000U);
   EXPECT_GT(most, 0U);
 }
 
-TEST(FaultyRelayTcp, ManyConnectionsAtOnceAndTheirClientsGone) {
+TEST(FaultyRelayTcp, ReleasesManyConnectionsWhoseClientsDisconnect) {
   Pair p;
   std::vector<Socket> clients;
   std::vector<Socket> servers;
@@ -440,12 +439,12 @@
     Write(clients.back(), std::to_string(i));
   }
   for (int i = 0; i < 64; ++i) {
-    std::string heard;
-    EXPECT_EQ(Listen(servers[static_cast<std::size_t>(i)], kTimeout, &heard), Heard::kBytes);
-    EXPECT_EQ(heard, std::to_string(i));
+    std::string received;
+    EXPECT_EQ(ReadOnce(servers[static_cast<std::size_t>(i)], kTimeout, &received), ReadResult::kBytes);
+    EXPECT_EQ(received, std::to_string(i));
   }
   clients.clear();
-  for (const Socket& server : servers) EXPECT_EQ(Listen(server), Heard::kEnd);
+  for (const Socket& server : servers) EXPECT_EQ(ReadOnce(server), ReadResult::kEnd);
   servers.clear();
   const auto until = Clock::now() + kTimeout;
   while (p.relay.queued_bytes() > 0 && Clock::now() < until) std::this_thread::sleep_for(milliseconds(1));
