--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -1,21 +1,14 @@
 #include "standins/peers.h"
 
-#include <fcntl.h>
 #include <netinet/tcp.h>
 #include <poll.h>
 #include <sys/socket.h>
-#include <sys/wait.h>
 #include <unistd.h>
 
 #include <boost/asio/write.hpp>
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/read.hpp>
 #include <chrono>
-#include <csignal>
-#include <cstdlib>
-#include <filesystem>
-#include <fstream>
-#include <map>
 #include <stdexcept>
 #include <utility>
 
@@ -259,171 +252,6 @@
             {"IdleClose", 15000000}}}};
 }
 
-Node::Node(const Options& options) {
-  static std::atomic<int> count{0};
-  config_path_ = std::filesystem::temp_directory_path() /
-                 ("mothrack-test-" + std::to_string(::getpid()) + "-" + std::to_string(count++) + ".json");
-  config_ = {{"name", "t1"},
-             {"listen", options.listen},
-             {"discovery", options.discovery},
-             {"seed", "8c1f30d27a5be964"},
-             {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", options.sockets}}},
-             {"settings", options.settings}};
-  if (!options.known.is_null()) config_["known"] = {{"rev", 0}, {"all", true}, {"targets", options.known}};
-  std::ofstream(config_path_) << (options.config_text.empty() ? config_.dump() : options.config_text);
-  operator_path_ = config_path_ + ".toml";
-  if (!options.operator_file.empty()) std::ofstream(operator_path_) << options.operator_file;
-
-  std::vector<std::string> environment = options.environment;
-  if (!options.fault_plan.empty()) {
-    environment.push_back("LD_PRELOAD=" MOTHRACK_FAULT_INJECTION);
-    environment.push_back("FAULT_PLAN=" + options.fault_plan);
-    // The sanitizers want to be loaded first; here the faults are.
-    environment.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
-  } else if (options.udp_send_interval != 0 || options.socket_limit != 0 || options.lost_wakeups) {
-    environment.push_back("LD_PRELOAD=" + std::string(options.udp_send_interval != 0
-                                                          ? MOTHRACK_FULL_SEND_BUFFER
-                                                      : options.socket_limit != 0 ? MOTHRACK_SOCKET_LIMIT
-                                                                                  : MOTHRACK_LOST_WAKEUPS));
-    environment.push_back("UDP_SEND_INTERVAL=" + std::to_string(options.udp_send_interval));
-    if (options.socket_limit != 0)
-      environment.push_back("SOCKET_LIMIT=" + std::to_string(options.socket_limit));
-    // The sanitizers want to be loaded first; here the refusal is.
-    environment.push_back("ASAN_OPTIONS=verify_asan_link_order=0");
-  }
-
-  // All of it before the fork: other threads of this process may hold the allocator's lock at that moment,
-  // and under the sanitizers a child that allocates then waits for ever.
-  std::map<std::string, std::string> variables;
-  for (char** entry = environ; *entry != nullptr; ++entry) {
-    const std::string text = *entry;
-    variables[text.substr(0, text.find('='))] = text;
-  }
-  for (const char* name : {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG", "LB_OPS", "TMPDIR"}) {
-    variables.erase(name);
-  }
-  const auto set = [&variables](const std::string& name, const std::string& value) {
-    variables[name] = name + '=' + value;
-  };
-  if (!options.ops.empty()) set("LB_OPS", options.ops);
-  if (!options.tmpdir.empty()) set("TMPDIR", options.tmpdir);
-  if (options.platform) {
-    set("LB_NAME", "t1");
-    set("LB_LISTEN", options.listen);
-    set("LB_DISCOVERY", options.discovery);
-    set("LB_CONFIG", config_path_);
-  }
-  for (const auto& name : options.unset) variables.erase(name);
-  for (const auto& entry : environment) variables[entry.substr(0, entry.find('='))] = entry;
-  std::vector<char*> envp;
-  for (auto& [name, entry] : variables) envp.push_back(entry.data());
-  envp.push_back(nullptr);
-  std::vector<std::string> words = {MOTHRACK_PROGRAM};
-  if (!options.operator_file.empty()) words.insert(words.end(), {"--config", operator_path_});
-  std::vector<char*> argv;
-  for (std::string& word : words) argv.push_back(word.data());
-  argv.push_back(nullptr);
-
-  int ends[2];
-  if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
-  if (options.log_blocked) {
-    const int size = ::fcntl(ends[1], F_SETPIPE_SZ, 1);
-    const std::string full(static_cast<std::size_t>(std::max(size, 1)), '\n');
-    if (::write(ends[1], full.data(), full.size()) != size) throw std::runtime_error("pipe");
-  }
-  pid_ = ::fork();
-  if (pid_ == 0) {
-    ::dup2(ends[1], 2);
-    ::execve(argv[0], argv.data(), envp.data());
-    ::_exit(127);
-  }
-  ::close(ends[1]);
-  log_end_ = ends[0];
-  if (!options.log_blocked) UnblockLog();
-}
-
-void Node::UnblockLog() {
-  if (log_end_ < 0) return;
-  reading_ = std::thread([this, from = std::exchange(log_end_, -1)] {
-    char bytes[4096];
-    ssize_t size = 0;
-    while ((size = ::read(from, bytes, sizeof bytes)) > 0) {
-      const std::lock_guard lock(mutex_);
-      log_.append(bytes, static_cast<std::size_t>(size));
-    }
-    ::close(from);
-  });
-}
-
-Node::~Node() {
-  if (!status_) {
-    ::kill(pid_, SIGKILL);
-    Wait();
-  }
-  if (log_end_ >= 0) ::close(log_end_);
-  if (reading_.joinable()) reading_.join();
-  std::filesystem::remove(config_path_);
-  std::filesystem::remove(operator_path_);
-}
-
-bool Node::Announced(const std::string& mark, std::uint16_t& port) {
-  return Eventually([&] {
-    const std::string text = log();
-    const auto at = text.find(mark);
-    if (at == std::string::npos || text.find('\n', at) == std::string::npos) return false;
-    port = static_cast<std::uint16_t>(std::stoi(text.substr(at + mark.size())));
-    return true;
-  });
-}
-
-bool Node::Listening() { return Announced("listening on 127.0.0.1:", port_); }
-
-bool Node::OpsListening() { return Announced("ops on 127.0.0.1:", ops_port_); }
-
-bool Node::DnsListening() { return Announced("dns on 127.0.0.1:", dns_port_); }
-
-void Node::WriteOperatorFile(const std::string& text) {
-  std::ofstream(operator_path_ + ".new") << text;
-  std::filesystem::rename(operator_path_ + ".new", operator_path_);
-}
-
-void Node::ReloadOperatorFile(const std::string& text) {
-  WriteOperatorFile(text);
-  Signal(SIGHUP);
-}
-
-void Node::Signal(int number) { ::kill(pid_, number); }
-
-void Node::Reload(const std::string& config_text) {
-  std::ofstream(config_path_ + ".new") << config_text;
-  std::filesystem::rename(config_path_ + ".new", config_path_);
-  Signal(SIGHUP);
-}
-
-int Node::Wait() {
-  if (!status_) {
-    int status = 0;
-    ::waitpid(pid_, &status, 0);
-    status_ = WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
-    if (reading_.joinable()) reading_.join();
-  }
-  return *status_;
-}
-
-std::string Node::log() const {
-  const std::lock_guard lock(mutex_);
-  return log_;
-}
-
-int Node::descriptors() const {
-  int count = 0;
-  for ([[maybe_unused]] const auto& entry :
-       std::filesystem::directory_iterator("/proc/" + std::to_string(pid_) + "/fd")) {
-    ++count;
-  }
-  return count;
-}
-
 Client::Client(std::uint16_t port) { wire.socket.connect(Loopback(port)); }
 
 std::optional<Response> Client::Get(const std::string& target, const std::string& id, int timeout_ms) {
