--- a/tests/standins/admin_client.h
+++ b/tests/standins/admin_client.h
@@ -1,4 +1,5 @@
-// Asks a sidecar's door as an operator's tool does, byte by byte as the test wants it.
+// A client of the admin API of a sidecar or an agent, over a Unix or a loopback socket. Each call opens its
+// own connection and blocks, 15 s at most for each read; any thread may call it.
 #pragma once
 
 #include <chrono>
@@ -24,10 +25,11 @@
   std::optional<AdminAnswer> Get(const std::string& target) const { return Request("GET", target); }
   std::optional<AdminAnswer> Post(const std::string& target) const { return Request("POST", target); }
   std::optional<AdminAnswer> Put(const std::string& target, const std::string& body = "") const;
-  // Sends `bytes` and reads until the door closes; nothing where it says nothing or does not close in time.
+  // Sends `bytes` and reads until the server closes; nullopt where the answer is not HTTP/1.1 or none
+  // arrives.
   std::optional<AdminAnswer> Raw(const std::string& bytes) const;
 
-  // A connection that is left to the caller to close; -1 where none is taken.
+  // A connection that the caller closes; -1 where it fails.
   int Connect() const;
 
  private:
--- a/tests/standins/faulty_relay.cpp
+++ b/tests/standins/faulty_relay.cpp
@@ -484,7 +484,7 @@
     out.ended = in.done = true;
   }
   if ((events & EPOLLERR) != 0 || ((events & EPOLLHUP) != 0 && out.ended)) {
-    // It would be told of again and again.
+    // It would be reported again and again.
     ::epoll_ctl(epoll_, EPOLL_CTL_DEL, fd, nullptr);
     (by_client ? connection.client_events : connection.server_events) = kOff;
     in.blocked = false;
@@ -556,7 +556,7 @@
     return;
   }
   if (!connection.connecting) {
-    // One side is gone by a reset, which a cut has held back.
+    // One side was reset, and a cut delayed the reset of the other.
     if (connection.client_reset && !cut) return Close(connection.client, true);
     if (connection.server_reset && !IsCut(*connection.back.link)) return Close(connection.client, true);
     if (!cut && !connection.there.done && !Deliver(connection, connection.there, connection.server, now))
--- a/tests/standins/lost_wakeups.cpp
+++ b/tests/standins/lost_wakeups.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// One thread registers and waits in the program under test; what lies beyond is told of as ever.
+// One thread registers and waits in the program under test; descriptors beyond are reported as usual.
 std::array<void*, 4096> registered{};
 
 bool Listens(const void* tag) {
@@ -38,10 +38,10 @@
 extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
   using Function = int (*)(int, epoll_event*, int, int);
   static const auto next = reinterpret_cast<Function>(::dlsym(RTLD_NEXT, "epoll_wait"));
-  const int told = next(epoll, events, most, timeout);
-  int kept = 0;
-  for (int i = 0; i < told; ++i) {
-    if (!Listens(events[i].data.ptr)) events[kept++] = events[i];
+  const int reported = next(epoll, events, most, timeout);
+  int passed = 0;
+  for (int i = 0; i < reported; ++i) {
+    if (!Listens(events[i].data.ptr)) events[passed++] = events[i];
   }
-  return told < 0 ? told : kept;
+  return reported < 0 ? reported : passed;
 }
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -169,15 +169,15 @@
     bool platform = true;                    // the LB_* variables are set
     std::string operator_file;               // its text; empty: none is named
     std::vector<std::string> environment{};  // further NAME=VALUE
-    int udp_send_interval = 0;    // of its datagrams, the system takes only every so manieth at the first try
-    int socket_limit = 0;         // the system gives it no socket of this number or more
+    int udp_send_interval = 0;    // the system accepts only every n-th datagram at the first try; 0: all
+    int socket_limit = 0;         // the system gives it no descriptor of this number or more; 0: no limit
     std::string fault_plan = "";  // the file of a FaultPlan by which its system calls fail; empty: none
-    bool lost_wakeups = false;    // the system never tells it of a client that waits
+    bool lost_wakeups = false;    // epoll never reports a client that waits at a listening socket
     bool log_blocked = false;     // its log takes no byte until UnblockLog(): it stops at its first line
   };
   explicit Node(const Options& options);
   ~Node();
-  void UnblockLog();  // of one whose log was held
+  void UnblockLog();  // reads the log from here on; for log_blocked
   bool Listening();   // waits until it is
   std::uint16_t port() const { return port_; }
   void Signal(int number);
--- a/tests/standins/resolver.h
+++ b/tests/standins/resolver.h
@@ -61,7 +61,7 @@
   static Script Echo() {
     return [](Turn& turn) { turn.Answer(); };
   }
-  // Swallows all without a word.
+  // Reads all queries and answers none.
   static Script Unresponsive() {
     return [](Turn&) {};
   }
@@ -79,7 +79,7 @@
   int udp_queries() const { return udp_queries_; }
   int tcp_queries() const { return tcp_queries_; }
   int connections() const { return connections_; }
-  // Does not keep what it sees from now on, for long runs.
+  // Queries are counted and no longer recorded, for long runs.
   void StopRecording() { recording_ = false; }
 
  private:
--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -372,7 +372,7 @@
   const bool up = Eventually([&] {
     ended = ::waitpid(process.pid, nullptr, WNOHANG) == process.pid;
     const std::string text = Log(process.name).substr(process.log_from);
-    // A sidecar's door is the last that it opens: until then a call there meets what the process before has
+    // A sidecar opens its admin API last: until then a call there meets what the process before has
     // left.
     return ended || text.find(process.agent ? "agent on " : "admin on ") != std::string::npos;
   });
@@ -486,7 +486,7 @@
   const auto begin = Clock::now();
   while (!condition()) {
     if (Clock::now() - begin > timeout) return std::nullopt;
-    std::this_thread::sleep_for(milliseconds(100));  // the doors answer so often and no more
+    std::this_thread::sleep_for(milliseconds(100));  // the rate limit of the admin API
   }
   return std::chrono::duration_cast<milliseconds>(Clock::now() - begin);
 }
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -1,6 +1,6 @@
-// A fleet over several places of this machine as a test runs it: real sidecars and agents that are peers,
-// upstreams and discovery by zone, clients with their account, and the link box between all of them. A
-// process is selected by its name, its machine, its zone, its kind ("sidecars", "agents") or "*". Every
+// A cluster of real processes over several zones of this machine: sidecars and agents that are gossip peers,
+// upstreams and discovery by zone, clients that record every outcome, and a FaultyRelay between all of them.
+// A process is selected by its name, its machine, its zone, its kind ("sidecars", "agents") or "*". Every
 // process that was started is ended with its object, by its pid.
 #pragma once
 
@@ -39,7 +39,7 @@
     std::string operator_file = "";  // further sections, of sidecars
     std::string agent_file = "";     // of agents
   };
-  // All run and listen when it is made; what a process says that does not is thrown.
+  // All processes listen when the constructor returns; std::runtime_error with the log of one that does not.
   explicit TestCluster(const Options& options);
   ~TestCluster();
   TestCluster(const TestCluster&) = delete;
@@ -64,34 +64,35 @@
   static std::string Key(int number);
   void SetKeys(const std::string& selector, const std::vector<std::string>& keys);
 
-  // What a process tells of its peers; null where it does not answer.
+  // A process's report of its peers; null where it does not answer.
   nlohmann::json Peers(const std::string& name) const;
   nlohmann::json Status(const std::string& name) const;  // all of it
   // How one sees another: "alive", "suspect", "dead", "left", "unknown".
   std::string StateAt(const std::string& observer, const std::string& member) const;
-  // Whether all of these see all of those so, each but itself. Asks each once: doors answer only so often.
+  // Whether all of these see all of those so, each but itself. Polls each once: the admin API limits its
+  // rate.
   bool AllSee(const std::vector<std::string>& observers, const std::vector<std::string>& members,
               const std::string& state) const;
   bool AllSee(const std::string& observers, const std::string& members, const std::string& state) const {
     return AllSee(Names(observers), Names(members), state);
   }
-  // How long it took until they did; nothing where they did not within `timeout`.
+  // Polls `condition` every 100 ms; the time until it held, nullopt where it did not within `timeout`.
   std::optional<std::chrono::milliseconds> Await(const std::function<bool()>& condition,
                                                  std::chrono::milliseconds timeout) const;
 
-  // Traffic through all sidecars, from now on. StopTrafficAndCheck() ends it and tells what was broken: by
-  // the account (no request lost, nothing run twice, none that was refused run; only what was under way at a
-  // sidecar that was killed may be lost), and by the emulator's rules (src/simulation/invariants.h) over what
-  // happened.
+  // Traffic through all sidecars, from now on. StopTrafficAndCheck() ends it and returns the violations: by
+  // the clients' records (no request lost, nothing run twice, none that was refused run; only what was under
+  // way at a sidecar that was killed may be lost), and by the simulator's rules (src/simulation/invariants.h)
+  // over what happened.
   void BeginTraffic();
   std::vector<std::string> StopTrafficAndCheck(
       std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
   std::size_t count(Traffic::Outcome end) const { return traffic_ ? traffic_->count(end) : 0; }
 
-  // What discovery tells of an upstream: "active", "leaving"; "gone" takes it from the list.
+  // What discovery reports of an upstream: "active", "leaving"; "gone" takes it from the list.
   void SetUpstreamState(const std::string& upstream, const std::string& state);
-  std::string AddressOf(const std::string& upstream) const;  // its real one, past the box
-  // It was started anew and is cold: warm it does so many requests a second.
+  std::string AddressOf(const std::string& upstream) const;  // its real one, not the relay's
+  // Discovery reports a restart: the upstream is in slow start, and does `per_s` requests a second after it.
   void AnnounceRestart(const std::string& upstream, double per_s);
 
   std::string path(const std::string& name) const { return directory_ + '/' + name; }
@@ -127,7 +128,7 @@
   void Record(const simulation::SimulationEvent& event);
   void OnRequestAtUpstream(std::size_t server, const Request& request);
   void OnRequestCompleted(const Traffic::CompletedRequest& ended);
-  void RecordNotified(const Process& sidecar);  // that it is notified of the upstreams now
+  void RecordNotified(const Process& sidecar);  // it knows the upstreams from now on
 
   const Options options_;
   std::string directory_;
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -1,5 +1,5 @@
 // Light traffic through many sidecars, as their applications send it: one thread a sidecar, its connection
-// reused while it stays open. It keeps account of how every request ended, to be compared with what ran at
+// reused while it stays open. It records how every request ended, to be compared with what ran at
 // the upstreams.
 #pragma once
 
@@ -36,7 +36,7 @@
     kRefused,        // 503
     kFailed,         // another status
     kNotAccepted,    // no connection: the sidecar is down
-    kIdleCloseRace,  // written to a reused connection that the sidecar had closed meanwhile
+    kIdleCloseRace,  // written to a reused connection that the sidecar closed meanwhile
     kLost,           // taken, as far as a client can tell, and never answered
   };
 
