--- a/fuzz/dns_message_fuzz.cpp
+++ b/fuzz/dns_message_fuzz.cpp
@@ -15,7 +15,7 @@
   if (!holds) std::abort();
 }
 
-void TryMessage(Bytes message) {
+void CheckMessage(Bytes message) {
   Layout layout;
   const ParseStatus reading = ParseMessage(message, layout);
   if (reading == ParseStatus::kNoHeader) return Require(message.size() < kHeaderSize);
@@ -46,19 +46,19 @@
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const Bytes input(data, size);
-  TryMessage(input);
-  // The same as a stream, in pieces whose size the first byte tells.
+  CheckMessage(input);
+  // The same as a stream, in pieces whose size the first byte sets.
   if (size == 0) return 0;
   const std::size_t piece = 1 + data[0];
   FrameReader frames;
-  std::size_t taken = 0;
+  std::size_t consumed = 0;
   for (std::size_t at = 1; at < size; at += piece) {
     frames.Append(input.subspan(at, std::min(piece, size - at)));
     while (const auto message = frames.Next()) {
-      taken += 2 + message->size();
-      TryMessage(*message);
+      consumed += 2 + message->size();
+      CheckMessage(*message);
     }
   }
-  Require(taken <= size - 1 && frames.empty() == (taken == size - 1));
+  Require(consumed <= size - 1 && frames.empty() == (consumed == size - 1));
   return 0;
 }
--- a/fuzz/fleet_wire_fuzz.cpp
+++ b/fuzz/fleet_wire_fuzz.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 
 template <typename T>
-void Try(const json& input, T (*read)(const json&)) {
+void CheckReader(const json& input, T (*read)(const json&)) {
   try {
     const T value = read(input);
     const json written = ToJson(value);
@@ -28,10 +28,10 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const json input = json::parse(data, data + size, nullptr, false);
   if (input.is_discarded()) return 0;
-  Try(input, HolderFrom);
-  Try(input, StepFrom);
-  Try(input, PlanFrom);
-  Try(input, ReportFrom);
-  Try(input, InstanceRecordFrom);
+  CheckReader(input, HolderFrom);
+  CheckReader(input, StepFrom);
+  CheckReader(input, PlanFrom);
+  CheckReader(input, ReportFrom);
+  CheckReader(input, InstanceRecordFrom);
   return 0;
 }
