--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -73,7 +73,7 @@
   DnsTcpClient half(node.dns_port());
   half.SendRaw({0, 40, 1});
   DnsTcpClient idle(node.dns_port());
-  ASSERT_TRUE(idle.Ask(MakeQuery({})));
+  ASSERT_TRUE(idle.Query(MakeQuery({})));
   EXPECT_TRUE(silent.ReadsEnd());
   EXPECT_TRUE(half.ReadsEnd());
   EXPECT_TRUE(idle.ReadsEnd());
@@ -87,7 +87,7 @@
   std::vector<std::unique_ptr<DnsTcpClient>> clients;
   for (std::uint16_t i = 0; i < 40; ++i) {
     clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
-    ASSERT_TRUE(clients.back()->Ask(MakeQuery(QueryFor("a.org", i)))) << i;
+    ASSERT_TRUE(clients.back()->Query(MakeQuery(QueryFor("a.org", i)))) << i;
   }
   EXPECT_LE(node.descriptors(), 40);
 }
@@ -110,8 +110,8 @@
   DnsUdpClient udp(node.dns_port());
   for (std::uint16_t i = 0; i < 150; ++i) {
     clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
-    ASSERT_TRUE(clients.back()->Ask(MakeQuery(QueryFor("a.org", i)))) << i;
-    const auto answer = udp.Ask(MakeQuery(QueryFor("a.org", i)));
+    ASSERT_TRUE(clients.back()->Query(MakeQuery(QueryFor("a.org", i)))) << i;
+    const auto answer = udp.Query(MakeQuery(QueryFor("a.org", i)));
     ASSERT_TRUE(answer) << i;
     EXPECT_EQ(AnswersOf(*answer), 1) << i;
     ASSERT_LE(node.descriptors(), 64) << i;
@@ -130,7 +130,7 @@
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient udp(node.dns_port());
   for (std::uint16_t i = 0; i < 100; ++i) {
-    const auto answer = udp.Ask(MakeQuery(QueryFor("a.org", i)));
+    const auto answer = udp.Query(MakeQuery(QueryFor("a.org", i)));
     ASSERT_TRUE(answer) << i;
     EXPECT_EQ(RcodeOf(*answer), 0) << i;
   }
@@ -138,8 +138,8 @@
   std::vector<std::unique_ptr<DnsTcpClient>> clients;
   for (int i = 0; i < 5; ++i) clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
   clients.clear();
-  EXPECT_TRUE(udp.Ask(MakeUpdate("example.org", 1, "a")));
-  EXPECT_TRUE(udp.Ask(MakeQuery(QueryFor("a.org", 999))));
+  EXPECT_TRUE(udp.Query(MakeUpdate("example.org", 1, "a")));
+  EXPECT_TRUE(udp.Query(MakeQuery(QueryFor("a.org", 999))));
   EXPECT_TRUE(Eventually([&] {
     return node.log().find(" warning accept_failed listener=dns cause=\"Too many open files\"\n") !=
            std::string::npos;
