--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -27,7 +27,7 @@
 // ---- Bounds ----
 
 TEST(Bounds, OpenQueriesOfAClientAndOfAll) {
-  StandinResolver resolver(StandinResolver::Silent());
+  StandinResolver resolver(StandinResolver::Unresponsive());
   for (const char* bound : {"max_open_per_client = 5\n", "max_open_queries = 5\n"}) {
     Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), bound)));
     ASSERT_TRUE(node.DnsListening());
@@ -124,7 +124,7 @@
   {
     Node usual(options);
     ASSERT_TRUE(usual.DnsListening());
-    options.few_sockets = usual.descriptors() + 2;
+    options.socket_limit = usual.descriptors() + 2;
   }
   Node node(options);
   ASSERT_TRUE(node.DnsListening());
@@ -151,7 +151,7 @@
   StandinResolver two(StandinResolver::Echo());
   Node::Options options =
       DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address())));
-  options.full_send = 3;
+  options.udp_send_interval = 3;
   Node node(options);
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
