--- a/tests/balancer/cold_fleet_test.cpp
+++ b/tests/balancer/cold_fleet_test.cpp
@@ -1,5 +1,6 @@
-// What a fleet of sidecars sends a cold upstream in sum, while each knows its own traffic only: modules over
-// simple upstreams in made-up time. docs/design/cold.md says what holds and why.
+// The aggregate load that a fleet of sidecars sends upstreams in slow start while each sidecar knows only its
+// own traffic: decision modules over simple upstreams in simulated time. docs/design/cold.md states the bound
+// and why.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -17,35 +18,35 @@
 
 constexpr Duration kStep = 5ms;
 constexpr Duration kAnswer = 20ms;
-constexpr double kComesAgain = 0.6;  // of the clients that are refused, after kBackOff
+constexpr double kRetryProbability = 0.6;  // of the clients that are refused, after kBackOff
 constexpr Duration kBackOff = 200ms;
 
-// What goes wrong while upstreams are cold, `trouble_at` after their start.
-enum class Trouble {
+// A fault injected while upstreams are in slow start, `fault_at` after their start.
+enum class Fault {
   kNone,
-  kWarmFull,     // warm ones say that they are full
-  kWarmErrors,   // warm ones answer half of their calls with an error, at once
-  kSurge,        // twice the calls
-  kCrowd,        // five times the calls
-  kAllReplaced,  // all sidecars are replaced at once, and their clients come with what they had kept back
+  kWarmUpstreamsFull,    // warm upstreams answer that they are full
+  kWarmUpstreamsFail,    // warm upstreams answer half of their requests with an error, at once
+  kDoubleLoad,           // twice the requests
+  kOverload,             // five times the requests
+  kAllSidecarsReplaced,  // all sidecars restart at once and their clients send their backlog
 };
 
 struct Case {
   const char* name;
   int sidecars;
   int upstreams;
-  int cold;    // of these, replaced at once
-  double use;  // the load that warm upstreams bear, of what they can
-  Trouble trouble;
-  Duration trouble_at;
-  Duration rest;        // of the play, after that
-  double least = 0;     // of their fair part by the list, that the cold ones are to be sent
-  double multiple = 4;  // the settings' rules from here on
+  int warming_up;  // of these upstreams, restarted at once
+  double use;      // utilisation of warm upstreams
+  Fault fault;
+  Duration fault_at;
+  Duration duration_after;  // of the simulation after the fault
+  double min_share = 0;     // least part of their fair share that warming upstreams get
+  double multiple = 4;      // from here on: rules of the settings
   double slow_start_initial_share = 0.13;
   Duration slow_start_duration = 24s;
   Duration window = 1s;
 
-  // A big fleet's play takes many seconds: one is enough there.
+  // A large fleet takes many seconds: one seed suffices there.
   std::vector<std::uint64_t> Seeds() const {
     return sidecars < 900 ? std::vector<std::uint64_t>{1, 2} : std::vector<std::uint64_t>{1};
   }
@@ -54,9 +55,9 @@
 
 double InSeconds(Duration d) { return std::chrono::duration<double>(d).count(); }
 
-class Fleet {
+class SimulatedFleet {
  public:
-  Fleet(const Case& c, std::uint64_t seed) : case_(c), settings_(DefaultSettings()), random_(seed) {
+  SimulatedFleet(const Case& c, std::uint64_t seed) : case_(c), settings_(DefaultSettings()), random_(seed) {
     settings_.rules.overload_multiple = c.multiple;
     settings_.rules.slow_start_initial_share = c.slow_start_initial_share;
     settings_.rules.slow_start_duration = c.slow_start_duration;
@@ -75,37 +76,37 @@
   }
 
   void Play() {
-    Run(10s);  // the rates are known
-    const std::size_t first = list_.size() - static_cast<std::size_t>(case_.cold);
+    Run(10s);  // until the request rates are known
+    const std::size_t first = list_.size() - static_cast<std::size_t>(case_.warming_up);
     for (std::size_t i = first; i < list_.size(); ++i) {
       list_[i].id.value += "n";
       list_[i].started = started_ = now_;
-      cold_[list_[i].id.value];
+      warming_up_[list_[i].id.value];
     }
     for (Sidecar& s : sidecars_) {
       s.world->Full(list_);
-      Look(s);
+      ApplyActions(s);
     }
-    Run(case_.trouble_at);
-    trouble_ = case_.trouble;
-    if (trouble_ == Trouble::kAllReplaced) {
+    Run(case_.fault_at);
+    fault_ = case_.fault;
+    if (fault_ == Fault::kAllSidecarsReplaced) {
       for (std::size_t i = 0; i < sidecars_.size(); ++i) {
         Start(i);
-        sidecars_[i].again.assign(static_cast<std::size_t>(1.5 * sidecars_[i].rate), now_ + kBackOff);
+        sidecars_[i].retries.assign(static_cast<std::size_t>(1.5 * sidecars_[i].rate), now_ + kBackOff);
       }
     }
-    Run(case_.rest);
+    Run(case_.duration_after);
   }
 
-  // The window that held the most against what is allowed and what is put down to chance.
+  // The window with the highest ratio of requests to the bound and its margin for chance.
   struct {
     double over = 0;
     std::size_t calls = 0;
     double allowed = 0;  // N
     Duration at{};       // after the start
   } worst;
-  // The calls to cold upstreams, over what they would get if they took part by their least warmth.
-  double PartSent() const { return sent_ / fair_; }
+  // Requests to warming upstreams over their fair share at the minimum slow start factor.
+  double SentShare() const { return sent_ / fair_; }
 
  private:
   struct Answer {
@@ -118,7 +119,7 @@
     std::unique_ptr<World> world;
     std::size_t seen = 0, refused = 0, failed = 0, cancelled = 0;
     std::vector<Answer> answers;
-    std::vector<TimePoint> again;
+    std::vector<TimePoint> retries;
   };
 
   double Uniform() { return static_cast<double>(random_() >> 11) * 0x1p-53; }
@@ -135,14 +136,15 @@
   void Run(Duration time) {
     for (const TimePoint end = now_ + time; now_ < end;) {
       now_ += kStep;
-      if (!cold_.empty()) fair_ += case_.cold * Share() * WarmthAt(now_) * InSeconds(kStep);
+      if (!warming_up_.empty())
+        fair_ += case_.warming_up * Share() * SlowStartFactorAt(now_) * InSeconds(kStep);
       for (Sidecar& s : sidecars_) Step(s);
     }
   }
 
   void Step(Sidecar& s) {
     s.world->Advance(now_ - s.world->now);
-    Look(s);
+    ApplyActions(s);
     for (std::size_t i = 0; i < s.answers.size();) {
       if (s.answers[i].at > now_) {
         ++i;
@@ -151,19 +153,19 @@
       const Answer answer = s.answers[i];
       s.answers.erase(s.answers.begin() + static_cast<std::ptrdiff_t>(i));
       s.world->Finish(answer.sent, answer.outcome);
-      Look(s);
+      ApplyActions(s);
     }
-    const int times = trouble_ == Trouble::kSurge ? 2 : trouble_ == Trouble::kCrowd ? 5 : 1;
+    const int times = fault_ == Fault::kDoubleLoad ? 2 : fault_ == Fault::kOverload ? 5 : 1;
     int arrivals = Uniform() < times * s.rate * InSeconds(kStep) ? 1 : 0;
-    arrivals += static_cast<int>(std::erase_if(s.again, [this](TimePoint at) { return at <= now_; }));
+    arrivals += static_cast<int>(std::erase_if(s.retries, [this](TimePoint at) { return at <= now_; }));
     for (; arrivals > 0; --arrivals) {
       s.world->Arrive(Uniform() < 0.5 ? kSafe : kUnsafe);
-      Look(s);
+      ApplyActions(s);
     }
   }
 
-  // What the module did since the last look reaches the upstreams.
-  void Look(Sidecar& s) {
+  // Delivers the actions of the module since the last call to the upstreams.
+  void ApplyActions(Sidecar& s) {
     World& w = *s.world;
     for (; s.cancelled < w.cancelled.size(); ++s.cancelled) {
       const auto [request, attempt] = w.cancelled[s.cancelled];
@@ -176,31 +178,31 @@
     for (; s.seen < w.sent.size(); ++s.seen) s.answers.push_back(Reach(w.sent[s.seen]));
     const std::size_t back = w.refused.size() - s.refused + w.failed.size() - s.failed;
     for (std::size_t i = 0; i < back; ++i) {
-      if (Uniform() < kComesAgain) s.again.push_back(now_ + kBackOff);
+      if (Uniform() < kRetryProbability) s.retries.push_back(now_ + kBackOff);
     }
     s.refused = w.refused.size();
     s.failed = w.failed.size();
   }
 
   Answer Reach(const Sent& sent) {
-    const auto cold = cold_.find(sent.upstream);
-    if (cold != cold_.end()) Count(cold->second);
-    // Nobody serves more than he can, whatever comes.
+    const auto warming_up = warming_up_.find(sent.upstream);
+    if (warming_up != warming_up_.end()) Count(warming_up->second);
+    // An upstream never serves above its capacity.
     std::deque<TimePoint>& served = served_[sent.upstream];
     while (!served.empty() && served.front() <= now_ - 1s) served.pop_front();
-    const double can = Share() / case_.use * (cold != cold_.end() ? WarmthAt(now_) : 1);
+    const double can = Share() / case_.use * (warming_up != warming_up_.end() ? SlowStartFactorAt(now_) : 1);
     if (static_cast<double>(served.size()) >= std::max(1.0, can)) return {now_ + kStep, sent, Outcome::kFull};
     served.push_back(now_);
-    if (cold != cold_.end()) return {now_ + kAnswer, sent, Outcome::kServed};
-    if (trouble_ == Trouble::kWarmFull) return {now_ + kStep, sent, Outcome::kFull};
-    if (trouble_ == Trouble::kWarmErrors && Uniform() < 0.5) return {now_ + kStep, sent, Outcome::kError};
+    if (warming_up != warming_up_.end()) return {now_ + kAnswer, sent, Outcome::kServed};
+    if (fault_ == Fault::kWarmUpstreamsFull) return {now_ + kStep, sent, Outcome::kFull};
+    if (fault_ == Fault::kWarmUpstreamsFail && Uniform() < 0.5) return {now_ + kStep, sent, Outcome::kError};
     return {now_ + kAnswer, sent, Outcome::kServed};
   }
 
-  // What a warm upstream usually bears, a second.
+  // Usual rate of a warm upstream, in requests per second.
   double Share() const { return all_rate_ / case_.upstreams; }
 
-  double WarmthAt(TimePoint at) const {
+  double SlowStartFactorAt(TimePoint at) const {
     const double age = InSeconds(at - started_) / InSeconds(case_.slow_start_duration);
     return std::clamp(case_.slow_start_initial_share + (1 - case_.slow_start_initial_share) * age,
                       case_.slow_start_initial_share, 1.0);
@@ -210,9 +212,9 @@
     ++sent_;
     arrived.push_back(now_);
     while (arrived.front() <= now_ - case_.window) arrived.pop_front();
-    // Present is what it could at the window's start: the strictest reading.
-    const double n =
-        case_.multiple * WarmthAt(now_ - case_.window) * Share() / case_.use * InSeconds(case_.window);
+    // The factor at the start of the window: the strictest reading.
+    const double n = case_.multiple * SlowStartFactorAt(now_ - case_.window) * Share() / case_.use *
+                     InSeconds(case_.window);
     const double over = static_cast<double>(arrived.size()) / (n + 2 * std::sqrt(n) + 2);
     if (over > worst.over) worst = {over, arrived.size(), n, now_ - started_};
   }
@@ -222,66 +224,68 @@
   std::mt19937_64 random_;
   std::vector<UpstreamInfo> list_;
   std::vector<Sidecar> sidecars_;
-  std::map<std::string, std::deque<TimePoint>> cold_;    // what came to each within the window
-  std::map<std::string, std::deque<TimePoint>> served_;  // by each within a second
+  std::map<std::string, std::deque<TimePoint>> warming_up_;  // arrivals at each within the window
+  std::map<std::string, std::deque<TimePoint>> served_;      // served by each within the last second
   double all_rate_ = 0;
   double sent_ = 0, fair_ = 0;
   TimePoint now_{1000s};
   TimePoint started_{};
-  Trouble trouble_ = Trouble::kNone;
+  Fault fault_ = Fault::kNone;
 };
 
-class ColdFleet : public ::testing::TestWithParam<Case> {};
+class SlowStartFleet : public ::testing::TestWithParam<Case> {};
 
-TEST_P(ColdFleet, IsSentNoMoreInAWindowThanTheSettingsAllowAndChance) {
+TEST_P(SlowStartFleet, GetsNoMoreInAWindowThanTheSettingsAndChanceAllow) {
   for (const std::uint64_t seed : GetParam().Seeds()) {
-    Fleet fleet(GetParam(), seed);
+    SimulatedFleet fleet(GetParam(), seed);
     fleet.Play();
     EXPECT_LE(fleet.worst.over, 1) << fleet.worst.calls << " calls where N is " << fleet.worst.allowed << ", "
                                    << InSeconds(fleet.worst.at) << " s after the start, seed " << seed;
-    EXPECT_GE(fleet.PartSent(), GetParam().least) << "cold upstreams are to be used, seed " << seed;
+    EXPECT_GE(fleet.SentShare(), GetParam().min_share) << "cold upstreams are to be used, seed " << seed;
     const std::string tag = "seed_" + std::to_string(seed);
     RecordProperty(tag + "_of_bound", std::to_string(fleet.worst.over));
-    RecordProperty(tag + "_sent", std::to_string(fleet.PartSent()));
+    RecordProperty(tag + "_sent", std::to_string(fleet.SentShare()));
     if (std::getenv("COLD_FIGURES") != nullptr) {
       std::printf("%s seed %d: %.2f of the bound, %.2f sent\n", GetParam().name, static_cast<int>(seed),
-                  fleet.worst.over, fleet.PartSent());
+                  fleet.worst.over, fleet.SentShare());
     }
   }
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Days, ColdFleet,
+    Days, SlowStartFleet,
     ::testing::Values(
-        // With 20, 30 and 300 sidecars, all of them know nothing and neither do the upstreams.
-        Case{"AllNew20", 20, 8, 8, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
-        Case{"AllNew30", 30, 10, 10, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
-        Case{"AllNew300", 300, 40, 40, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
-        Case{"AllNew300Over100", 300, 100, 100, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
-        Case{"AllNewLongWindow", 300, 40, 40, 0.75, Trouble::kAllReplaced, 5ms, 6s, 0.5, 2, 0.1, 20s, 3s},
-        Case{"AllNewHalfOfTheListCold", 300, 40, 20, 0.75, Trouble::kAllReplaced, 5ms, 5s, 0.5},
-        // Nothing else happens.
-        Case{"OneJoins", 300, 40, 1, 0.75, Trouble::kNone, 1s, 10s, 0.6},
-        Case{"HalfReplaced", 300, 40, 20, 0.75, Trouble::kNone, 1s, 10s, 1},
-        Case{"HalfReplaced30", 30, 10, 5, 0.5, Trouble::kNone, 1s, 10s, 1},
-        // The same in small fleets, whose sidecars each know most of the traffic, and in big ones, whose
-        // sidecars each call a few of a long list.
-        Case{"AllNew1", 1, 4, 4, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
-        Case{"AllNew2", 2, 6, 6, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
-        Case{"AllNew5", 5, 8, 8, 0.75, Trouble::kAllReplaced, 5ms, 5s, 1},
-        Case{"AllNew900Over400", 900, 400, 400, 0.75, Trouble::kAllReplaced, 5ms, 5s, 0.8},
-        Case{"OneJoins1", 1, 4, 1, 0.75, Trouble::kNone, 1s, 10s, 0.6},
-        Case{"OneJoins3", 3, 6, 1, 0.75, Trouble::kNone, 1s, 10s, 0.6},
-        Case{"OneJoins8", 8, 8, 1, 0.75, Trouble::kNone, 1s, 10s, 0.6},
-        Case{"OneJoins900Over400", 900, 400, 1, 0.75, Trouble::kNone, 1s, 10s, 0.6},
-        Case{"HalfReplaced900Over400", 900, 400, 200, 0.75, Trouble::kNone, 1s, 5s, 0.6},
-        Case{"HalfAndASurge900Over400", 900, 400, 200, 0.75, Trouble::kSurge, 4s, 3s},
-        // Calls are pushed onto the cold ones after each sidecar could save some of its budget.
-        Case{"FullAndAShortWindow", 30, 10, 1, 0.75, Trouble::kWarmFull, 8s, 3s, 0, 4, 0.13, 24s, 200ms},
-        Case{"HalfAndTheWarmFail", 300, 40, 20, 0.75, Trouble::kWarmErrors, 6s, 4s},
-        Case{"HalfAndASurge", 300, 40, 20, 0.75, Trouble::kSurge, 8s, 6s},
-        Case{"HalfAndACrowdToTheEnd", 300, 40, 20, 0.75, Trouble::kCrowd, 2s, 22s},
-        Case{"HalfAndACrowdToTheEnd30", 30, 10, 5, 0.75, Trouble::kCrowd, 2s, 22s}),
+        // All sidecars and all upstreams are new.
+        Case{"AllNew20", 20, 8, 8, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
+        Case{"AllNew30", 30, 10, 10, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
+        Case{"AllNew300", 300, 40, 40, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
+        Case{"AllNew300Over100", 300, 100, 100, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
+        Case{"AllNewLongWindow", 300, 40, 40, 0.75, Fault::kAllSidecarsReplaced, 5ms, 6s, 0.5, 2, 0.1, 20s,
+             3s},
+        Case{"AllNewHalfOfTheListCold", 300, 40, 20, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 0.5},
+        // No fault.
+        Case{"OneJoins", 300, 40, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
+        Case{"HalfReplaced", 300, 40, 20, 0.75, Fault::kNone, 1s, 10s, 1},
+        Case{"HalfReplaced30", 30, 10, 5, 0.5, Fault::kNone, 1s, 10s, 1},
+        // Small fleets, where each sidecar sees most of the traffic, and large ones, where each uses a
+        // subset.
+        Case{"AllNew1", 1, 4, 4, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
+        Case{"AllNew2", 2, 6, 6, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
+        Case{"AllNew5", 5, 8, 8, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
+        Case{"AllNew900Over400", 900, 400, 400, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 0.8},
+        Case{"OneJoins1", 1, 4, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
+        Case{"OneJoins3", 3, 6, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
+        Case{"OneJoins8", 8, 8, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
+        Case{"OneJoins900Over400", 900, 400, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
+        Case{"HalfReplaced900Over400", 900, 400, 200, 0.75, Fault::kNone, 1s, 5s, 0.6},
+        Case{"HalfAndASurge900Over400", 900, 400, 200, 0.75, Fault::kDoubleLoad, 4s, 3s},
+        // Load shifts to the warming upstreams after each sidecar has accumulated some budget.
+        Case{"FullAndAShortWindow", 30, 10, 1, 0.75, Fault::kWarmUpstreamsFull, 8s, 3s, 0, 4, 0.13, 24s,
+             200ms},
+        Case{"HalfAndTheWarmFail", 300, 40, 20, 0.75, Fault::kWarmUpstreamsFail, 6s, 4s},
+        Case{"HalfAndASurge", 300, 40, 20, 0.75, Fault::kDoubleLoad, 8s, 6s},
+        Case{"HalfAndACrowdToTheEnd", 300, 40, 20, 0.75, Fault::kOverload, 2s, 22s},
+        Case{"HalfAndACrowdToTheEnd30", 30, 10, 5, 0.75, Fault::kOverload, 2s, 22s}),
     [](const auto& row) { return std::string(row.param.name); });
 
 }  // namespace
--- a/tests/balancer/connection_model_test.cpp
+++ b/tests/balancer/connection_model_test.cpp
@@ -9,7 +9,7 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-TEST(ConnectionModel, AnIdleConnectionIsFoundUntilTheSidecarClosesIt) {
+TEST(ConnectionModel, AnIdleConnectionIsUsableUntilTheSidecarClosesIt) {
   Limits limits;
   const ConnectionModel model(limits);
   struct Case {
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(ConnectionModel, AConnectionFoundDroppedHalvesTheTrustInIdleOnes) {
+TEST(ConnectionModel, AConnectionFoundDroppedHalvesTheTrustedIdleAge) {
   const Limits limits;
   ConnectionModel model(limits);
   ConnectionRecord record;
@@ -36,7 +36,7 @@
   EXPECT_EQ(record.idle, 0);
 }
 
-TEST(ConnectionModel, ConnectingIsHardOnceHalfOfItFails) {
+TEST(ConnectionModel, ConnectingIsUnreliableOnceHalfOfItFails) {
   const Limits limits;
   ConnectionModel model(limits);
   ConnectionRecord record;
--- a/tests/balancer/fleet_test.cpp
+++ b/tests/balancer/fleet_test.cpp
@@ -1,4 +1,5 @@
-// Many sidecars with a trickle of calls each: what they do in sum, and what one can know from so few calls.
+// Many sidecars with a low request rate each: their aggregate behaviour, and what one can infer from few
+// requests.
 #include <algorithm>
 #include <memory>
 #include <set>
@@ -8,7 +9,7 @@
 namespace mothrack::balancer::testing {
 namespace {
 
-// `count` sidecars that share nothing but the list they are told.
+// `count` sidecars that share nothing but their endpoint list.
 std::vector<std::unique_ptr<World>> Fleet(int count, const Settings& settings = DefaultSettings()) {
   std::vector<std::unique_ptr<World>> fleet;
   for (int i = 0; i < count; ++i)
@@ -16,7 +17,7 @@
   return fleet;
 }
 
-TEST(RushAtStart, FirstCallsOfAFleetSpreadOverTheWholeList) {
+TEST(FleetStart, FirstRequestsSpreadOverTheWholeList) {
   std::map<std::string, int> spread;
   for (const auto& w : Fleet(500)) {
     w->List(20);
@@ -26,8 +27,9 @@
   for (const auto& [id, calls] : spread) EXPECT_LT(calls, 60) << id << ", 25 are its share";
 }
 
-// A trickle: a call served every second, after the first seconds in which the rate is not known yet.
-std::map<std::string, int> Trickle(World& w, int calls) {
+// One request served each second: the upstreams that served them. The rate is unknown during the first
+// seconds.
+std::map<std::string, int> ServeAtLowRate(World& w, int calls) {
   std::map<std::string, int> spread;
   for (int i = 0; i < calls; ++i) {
     w.Advance(1s);
@@ -36,16 +38,16 @@
   return spread;
 }
 
-TEST(ColdConnections, ATrickleKeepsToAFewUpstreams) {
+TEST(Subsetting, ALowRequestRateUsesFewUpstreams) {
   std::map<std::string, int> fleet;
-  for (std::size_t self = 0; self < 100; ++self) {
+  for (std::size_t sidecar_index = 0; sidecar_index < 100; ++sidecar_index) {
     Settings settings = DefaultSettings();
     settings.sidecar_count = 100;
-    settings.sidecar_index = self;
-    World w(settings, 100 + self);
+    settings.sidecar_index = sidecar_index;
+    World w(settings, 100 + sidecar_index);
     w.List(20);
-    Trickle(w, 4);
-    const std::map<std::string, int> own = Trickle(w, 20);
+    ServeAtLowRate(w, 4);
+    const std::map<std::string, int> own = ServeAtLowRate(w, 20);
     EXPECT_LE(own.size(), 6u);
     EXPECT_GE(own.size(), 3u);
     for (const auto& [id, calls] : own) fleet[id] += calls;
@@ -54,21 +56,21 @@
   for (const auto& [id, calls] : fleet) EXPECT_LT(calls, 200) << id << ", 100 are its share";
 }
 
-TEST(ColdConnections, AChangeOfTheListLeavesTheRestOfTheSubset) {
+TEST(Subsetting, AListChangeKeepsTheOtherMembersOfTheSubset) {
   World w;
   w.List(20);
-  Trickle(w, 5);
-  const std::map<std::string, int> before = Trickle(w, 20);
-  UpstreamInfo gone = Up(before.begin()->first, UpstreamState::kGone);
-  w.Change(gone);
-  const std::map<std::string, int> after = Trickle(w, 20);
-  int kept = 0;
-  for (const auto& [id, calls] : before) kept += static_cast<int>(after.count(id));
-  EXPECT_GE(kept, static_cast<int>(before.size()) - 2);
-  EXPECT_EQ(after.count(gone.id.value), 0u);
+  ServeAtLowRate(w, 5);
+  const std::map<std::string, int> before = ServeAtLowRate(w, 20);
+  UpstreamInfo removed = Up(before.begin()->first, UpstreamState::kGone);
+  w.Change(removed);
+  const std::map<std::string, int> after = ServeAtLowRate(w, 20);
+  int retained = 0;
+  for (const auto& [id, calls] : before) retained += static_cast<int>(after.count(id));
+  EXPECT_GE(retained, static_cast<int>(before.size()) - 2);
+  EXPECT_EQ(after.count(removed.id.value), 0u);
 }
 
-TEST(ColdConnections, WithCallsEnoughItIsTheWholeList) {
+TEST(Subsetting, AHighRequestRateUsesTheWholeList) {
   World w;
   w.List(20);
   for (int i = 0; i < 300; ++i) {
@@ -78,39 +80,39 @@
   EXPECT_EQ(w.Spread(200).size(), 20u);
 }
 
-// What a hundred sidecars with a trickle each may send a cold upstream is, in sum, a flow from its first
-// second on: a budget that is a fraction of a call for each must not make all of them wait until it is a
-// whole one.
-TEST(SlowStartOfAFleet, ATrickleFromEachAddsUpToTheBudgetFromTheFirstSecondOn) {
+// A hundred sidecars with a low rate each send an upstream in slow start a steady aggregate rate from its
+// first second: a budget of a fraction of a request each must not make all of them wait until it is a whole
+// one.
+TEST(FleetSlowStart, LowRatesAddUpToTheBudgetFromTheFirstSecond) {
   constexpr int kSidecars = 100, kUpstreams = 20, kSeconds = 4;
   const auto calls = [](World& w, Duration time) {
-    int cold = 0;
+    int to_new = 0;
     for (const TimePoint end = w.now + time; w.now < end;) {
       w.Advance(50ms);
-      cold += w.Serve(kUnsafe) == "z";  // some 16 a second
+      to_new += w.Serve(kUnsafe) == "z";  // some 16 a second
     }
-    return cold;
+    return to_new;
   };
   int sent = 0;
   for (const auto& w : Fleet(kSidecars)) {
     w->List(kUpstreams);
     calls(*w, 10s);
-    UpstreamInfo cold = Up("z");
-    cold.started = w->now;
-    w->Change(cold);
+    UpstreamInfo warming_up = Up("z");
+    warming_up.started = w->now;
+    w->Change(warming_up);
     sent += calls(*w, Duration(1s) * kSeconds);
   }
-  // Warm it would take a 21st of all; cold it can take a tenth to a quarter of that, and is owed no more.
-  // Where each waits for a whole call of its budget first, or its turn stands still meanwhile, it is sent a
-  // third of this.
+  // Warm, it would get a 21st of all requests; in slow start it may get a tenth to a quarter of that. If each
+  // sidecar waited for a budget of one whole request, or kept its turn meanwhile, it would get a third of
+  // this.
   const double share = kSidecars * 16.5 * kSeconds / (kUpstreams + 1);
   EXPECT_GT(sent, 0.045 * share);
   EXPECT_LT(sent, 0.45 * share);
 }
 
-// The list tells the least that a cold upstream can; its answers tell what it can.
-TEST(SlowStartOfAFleet, ColdUpstreamsThatAnswerLikeWarmOnesGetMoreThanTheirLeast) {
-  const auto cold_calls = [](Duration cold_time) {
+// The endpoint list states the minimum capacity of an upstream in slow start; its answers show the real one.
+TEST(FleetSlowStart, WarmingUpstreamsOfUsualLatencyGetMoreThanTheMinimum) {
+  const auto slow_start_requests = [](Duration warming_up_latency) {
     World w;
     w.List(6);
     for (int i = 0; i < 400; ++i) {
@@ -118,31 +120,30 @@
       w.Serve(kUnsafe);
     }
     for (const char* id : {"x", "y", "z"}) {
-      UpstreamInfo cold = Up(id);
-      cold.started = w.now - 2s;
-      w.Change(cold);
+      UpstreamInfo warming_up = Up(id);
+      warming_up.started = w.now - 2s;
+      w.Change(warming_up);
     }
-    int cold = 0;
+    int to_new = 0;
     for (int i = 0; i < 300; ++i) {
       w.Advance(15ms);
       const std::size_t before = w.sent.size();
       w.Arrive(kUnsafe);
       if (w.sent.size() == before) continue;
-      const bool to_cold = w.sent[before].upstream >= "x";
-      cold += to_cold;
-      w.now += to_cold ? cold_time : Duration(10ms);
+      const bool is_new = w.sent[before].upstream >= "x";
+      to_new += is_new;
+      w.now += is_new ? warming_up_latency : Duration(10ms);
       w.Finish(w.sent[before], Outcome::kServed);
     }
-    return cold;
+    return to_new;
   };
-  const int slow = cold_calls(40ms), fast = cold_calls(10ms);
+  const int slow = slow_start_requests(40ms), fast = slow_start_requests(10ms);
   EXPECT_GT(slow, 20);
   EXPECT_GT(fast, 1.25 * slow);
 }
 
-// Machines that are gone fill a sidecar's memory with failures to connect; those that replace them have no
-// connection.
-TEST(SlowStartOfAFleet, FailuresToConnectElsewhereKeepNobodyFromNewUpstreams) {
+// Removed machines leave a record of connect failures; the machines that replace them have no connection yet.
+TEST(FleetSlowStart, ConnectFailuresElsewhereDoNotDivertRequestsFromNewUpstreams) {
   World w;
   w.List(8);
   const auto serve = [&w](int calls) {
@@ -154,8 +155,8 @@
         const std::string id = w.sent[k].upstream;
         to_new += id >= "x";
         w.now += 5ms;
-        const bool gone = id >= "e" && id < "x";
-        w.Finish(w.sent[k], gone ? Outcome::kConnectFailed : Outcome::kServed);
+        const bool removed = id >= "e" && id < "x";
+        w.Finish(w.sent[k], removed ? Outcome::kConnectFailed : Outcome::kServed);
       }
       w.Advance(20ms);
     }
@@ -163,17 +164,17 @@
   };
   serve(100);
   for (const char* id : {"x", "y", "z"}) {
-    UpstreamInfo fresh = Up(id);
-    fresh.started = w.now - 4s;
-    w.Change(fresh);
+    UpstreamInfo added = Up(id);
+    added.started = w.now - 4s;
+    w.Change(added);
   }
   EXPECT_GT(serve(200), 12);
 }
 
-// Two halls of six; `calls` calls 20 ms apart, those to a silent hall time out. How many went to "there", and
-// how many were refused.
-struct Halls {
-  Halls() {
+// Two zones of six upstreams; `calls` requests 20 ms apart, those to an unresponsive zone time out. Returns
+// how many went to "there", and how many were rejected.
+struct TwoZones {
+  TwoZones() {
     std::vector<UpstreamInfo> list;
     for (char id = 'a'; id < 'm'; ++id) {
       list.push_back(Up(std::string(1, id)));
@@ -181,7 +182,7 @@
     }
     w.Full(list);
   }
-  std::pair<int, int> Call(int calls, bool silent, ClassId cls = kUnsafe) {
+  std::pair<int, int> Call(int calls, bool unresponsive, ClassId cls = kUnsafe) {
     int there = 0;
     const std::size_t refused = w.refused.size();
     for (int i = 0; i < calls; ++i) {
@@ -191,7 +192,7 @@
       for (std::size_t k = before; k < w.sent.size(); ++k) {
         const bool far = w.sent[k].upstream >= "g";
         there += far;
-        w.Finish(w.sent[k], far && silent ? Outcome::kTimeout : Outcome::kServed);
+        w.Finish(w.sent[k], far && unresponsive ? Outcome::kTimeout : Outcome::kServed);
       }
       w.Advance(10ms);
     }
@@ -200,41 +201,41 @@
   World w;
 };
 
-TEST(LostZone, IsPassedOverOnceThreeOfItSayNothingAndBackWithItsFirstAnswer) {
-  Halls halls;
-  EXPECT_GT(halls.Call(200, false).first, 80);
-  EXPECT_LE(halls.Call(100, true).first, 4) << "not each of the six, twice";
-  EXPECT_EQ(halls.Call(100, true).first, 0);
-  // Calls that may be repeated try it out, one in half a second at least.
-  const int trials = halls.Call(150, true, kSafe).first;
-  EXPECT_GE(trials, 1);
-  EXPECT_LE(trials, 8);
-  halls.Call(150, false, kSafe);
-  EXPECT_GT(halls.Call(200, false).first, 60);
+TEST(UnavailableZone, IsAvoidedAfterThreeUnresponsiveUpstreamsUntilItsFirstAnswer) {
+  TwoZones zones;
+  EXPECT_GT(zones.Call(200, false).first, 80);
+  EXPECT_LE(zones.Call(100, true).first, 4) << "not each of the six, twice";
+  EXPECT_EQ(zones.Call(100, true).first, 0);
+  // Safe requests probe it, at least one each half second.
+  const int probes = zones.Call(150, true, kSafe).first;
+  EXPECT_GE(probes, 1);
+  EXPECT_LE(probes, 8);
+  zones.Call(150, false, kSafe);
+  EXPECT_GT(zones.Call(200, false).first, 60);
 }
 
-TEST(LostZone, OneSilentUpstreamLosesNoZone) {
-  Halls halls;
-  halls.Call(200, false);
+TEST(UnavailableZone, IsNotInferredFromOneUnresponsiveUpstream) {
+  TwoZones zones;
+  zones.Call(200, false);
   for (int i = 0; i < 100; ++i) {
-    const std::size_t before = halls.w.sent.size();
-    halls.w.Arrive(kUnsafe);
-    halls.w.now += 10ms;
-    halls.w.Answer(before, "g", Outcome::kTimeout);
-    halls.w.Advance(10ms);
+    const std::size_t before = zones.w.sent.size();
+    zones.w.Arrive(kUnsafe);
+    zones.w.now += 10ms;
+    zones.w.Answer(before, "g", Outcome::kTimeout);
+    zones.w.Advance(10ms);
   }
-  EXPECT_GT(halls.Call(100, false).first, 25);
+  EXPECT_GT(zones.Call(100, false).first, 25);
 }
 
-TEST(LostZone, TheRestIsSparedBeforeItsAnswersAreLateAndServesAllOnceItCan) {
-  Halls halls;
-  EXPECT_EQ(halls.Call(400, false).second, 0);
-  EXPECT_GE(halls.Call(60, true).second, 1) << "half of it is gone, and nothing is late yet";
-  halls.Call(400, true);
-  EXPECT_LE(halls.Call(100, true).second, 2);
+TEST(UnavailableZone, LoadOnTheOtherZoneIsShedBeforeAnswersAreLateUntilItCopes) {
+  TwoZones zones;
+  EXPECT_EQ(zones.Call(400, false).second, 0);
+  EXPECT_GE(zones.Call(60, true).second, 1) << "half of it is gone, and nothing is late yet";
+  zones.Call(400, true);
+  EXPECT_LE(zones.Call(100, true).second, 2);
 }
 
-TEST(UnequalMachines, RegisteredSizesAreNotCountedTwice) {
+TEST(HeterogeneousUpstreams, RegisteredWeightsAreNotCountedTwice) {
   World w;
   std::vector<UpstreamInfo> list;
   for (const char id : {'a', 'b', 'c', 'd'}) {
@@ -255,7 +256,7 @@
   EXPECT_NEAR(calls["fast"], 2 * calls["slow"], 60) << "as their sizes say, though one answers twice as fast";
 }
 
-TEST(UnequalMachines, AnUpstreamNeverMetIsTakenForItsKind) {
+TEST(HeterogeneousUpstreams, ANewUpstreamStartsWithTheLatencyOfItsKind) {
   World w;
   std::vector<UpstreamInfo> list;
   for (const char id : {'a', 'b', 'c', 'd', 'e', 'f'}) {
@@ -271,7 +272,7 @@
     w.Finish(w.sent[before], Outcome::kServed);
   };
   for (int i = 0; i < 60; ++i) serve();
-  // Six more, three of each kind; none of them has answered anything yet.
+  // Six more, three of each kind; none has answered yet.
   for (const char id : {'u', 'v', 'w', 'x', 'y', 'z'}) {
     UpstreamInfo info = Up(std::string(1, id));
     info.kind = id < 'x' ? "slow" : "fast";
@@ -290,7 +291,7 @@
   EXPECT_GT(fast, 2 * slow);
 }
 
-// ---- Where upstreams tell their load when probed ----
+// ---- Load probes ----
 
 Settings Reporting() {
   Settings settings = DefaultSettings();
@@ -299,14 +300,14 @@
   return settings;
 }
 
-void Report(World& w, const std::string& id, double held, double rate = 0) {
+void Report(World& w, const std::string& id, double in_flight, double rate = 0) {
   LoadReport load;
-  load.in_flight = held;
+  load.in_flight = in_flight;
   load.rate = rate;
   w.Do(ProbeEnded{{id}, Outcome::kServed, 1ms, load});
 }
 
-TEST(OtherSidecarsQueues, TheLeastLoadedOfTheNextInTurnTakesTheCall) {
+TEST(LoadProbing, TheLeastLoadedCandidateGetsTheRequest) {
   World w(Reporting());
   w.List(6);
   for (int i = 0; i < 12; ++i) {
@@ -315,49 +316,49 @@
     w.Arrive(kUnsafe);
     ASSERT_EQ(w.probed.size(), 3u);
     ASSERT_EQ(w.sent.size(), before) << "waits for the reports";
-    const std::vector<std::string> asked = w.probed;
-    Report(w, asked[0], 9);
-    Report(w, asked[1], 2);
-    Report(w, asked[2], 5);
+    const std::vector<std::string> probed = w.probed;
+    Report(w, probed[0], 9);
+    Report(w, probed[1], 2);
+    Report(w, probed[2], 5);
     ASSERT_EQ(w.sent.size(), before + 1);
-    EXPECT_EQ(w.sent.back().upstream, asked[1]);
+    EXPECT_EQ(w.sent.back().upstream, probed[1]);
     w.now += 10ms;
     w.Finish(w.sent.back(), Outcome::kServed);
   }
 }
 
-TEST(OtherSidecarsQueues, ASilentProbeHoldsACallForAMomentAndIsAFailure) {
+TEST(LoadProbing, AnUnansweredProbeDelaysTheRequestBrieflyAndIsAFailure) {
   World w(Reporting());
   w.List(6);
   w.Arrive(kUnsafe);
-  const std::string silent = w.probed[0], well = w.probed[1];
-  Report(w, well, 50);
+  const std::string unresponsive = w.probed[0], answering = w.probed[1];
+  Report(w, answering, 50);
   EXPECT_TRUE(w.sent.empty());
   w.Advance(30ms);
   ASSERT_EQ(w.sent.size(), 1u) << "one attempt, no copy of a call that is not late";
-  EXPECT_EQ(w.sent.back().upstream, well) << "of those that answered";
+  EXPECT_EQ(w.sent.back().upstream, answering) << "of those that answered";
   w.Finish(w.sent.back(), Outcome::kServed);
-  for (int i = 0; i < 2; ++i) w.Do(ProbeEnded{{silent}, Outcome::kTimeout, 400ms, {}});
+  for (int i = 0; i < 2; ++i) w.Do(ProbeEnded{{unresponsive}, Outcome::kTimeout, 400ms, {}});
   w.probed.clear();
   for (int i = 0; i < 5; ++i) w.Arrive(kUnsafe);
-  EXPECT_EQ(std::count(w.probed.begin(), w.probed.end(), silent), 0) << "a suspect now";
+  EXPECT_EQ(std::count(w.probed.begin(), w.probed.end(), unresponsive), 0) << "a suspect now";
 }
 
-TEST(OtherSidecarsQueues, ACallThatEndsWhileItWaitsIsNotSent) {
+TEST(LoadProbing, ARequestThatEndsWhileItWaitsIsNotSent) {
   World w(Reporting());
   w.List(6);
-  const RequestId gone = w.Arrive(kUnsafe);
-  w.Do(ClientDisconnected{gone});
+  const RequestId cancelled = w.Arrive(kUnsafe);
+  w.Do(ClientDisconnected{cancelled});
   for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 1);
   w.Advance(3s);
   EXPECT_TRUE(w.sent.empty());
   EXPECT_TRUE(w.refused.empty());
 }
 
-TEST(JammedFleet, ACallIsRefusedWhereAllThatWereAskedHoldTooMuch) {
+TEST(OverloadedFleet, ARequestIsRejectedWhenAllProbedUpstreamsAreOverloaded) {
   World w(Reporting());
   w.List(6);
-  const RequestId late = w.Arrive(kUnsafe);  // its aim is 400 ms
+  const RequestId late = w.Arrive(kUnsafe);  // its latency objective is 400 ms
   for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 40, 50);
   EXPECT_TRUE(w.sent.empty());
   ASSERT_EQ(w.refused.size(), 1u);
@@ -365,19 +366,19 @@
   EXPECT_TRUE(w.Logged("refusing: overload, upstreams hold more than they can serve in time"));
   w.probed.clear();
   w.Arrive(kUnsafe);
-  const std::vector<std::string> asked = w.probed;
-  for (const std::string& id : asked) Report(w, id, id == asked[2] ? 10 : 40, 50);
+  const std::vector<std::string> probed = w.probed;
+  for (const std::string& id : probed) Report(w, id, id == probed[2] ? 10 : 40, 50);
   ASSERT_EQ(w.sent.size(), 1u);
-  EXPECT_EQ(w.sent.back().upstream, asked[2]);
+  EXPECT_EQ(w.sent.back().upstream, probed[2]);
 }
 
-TEST(JammedFleet, ACallThatMayNotBeRepeatedIsGivenUpAtItsAimUnderOverloadOnly) {
+TEST(OverloadedFleet, AnUnsafeRequestTimesOutAtItsLatencyObjectiveOnlyUnderOverload) {
   World w;
   w.List(4);
   w.Arrive(kUnsafe);
   EXPECT_EQ(w.sent.back().timeout, Duration(2s));
   w.Finish(w.sent.back(), Outcome::kServed);
-  for (int i = 0; i < 40; ++i) {  // answers past their aim of 400 ms
+  for (int i = 0; i < 40; ++i) {  // answers past their latency objective of 400 ms
     const std::size_t before = w.sent.size();
     w.Arrive(kUnsafe);
     w.Advance(500ms);
@@ -389,12 +390,12 @@
   EXPECT_EQ(w.sent.back().timeout, Duration(400ms));
 }
 
-TEST(SlowHandshakes, CallsKeepToConnectionsWhileConnectingFails) {
+TEST(ConnectFailures, RequestsPreferOpenConnectionsWhileConnectingFails) {
   World w;
   w.List(6);
   std::set<std::string> connected;
   for (int i = 0; i < 3; ++i) connected.insert(w.Serve(kUnsafe));
-  // Whoever else is called gets no connection.
+  // Connecting to any other upstream fails.
   for (int i = 0; i < 60; ++i) {
     const std::size_t before = w.sent.size();
     w.Arrive(kUnsafe);
@@ -410,7 +411,7 @@
   EXPECT_EQ(elsewhere, 0);
 }
 
-TEST(ConnectionsDroppedUnseen, IdleOnesAreClosedBeforeTheAgeAtWhichOneWasFoundDropped) {
+TEST(StaleIdleConnections, AreClosedBeforeTheAgeAtWhichOneWasFoundDropped) {
   World w;
   w.List(1);
   w.Serve(kUnsafe);
@@ -436,7 +437,7 @@
   EXPECT_TRUE(w.closed.empty()) << "trusted again with time";
 }
 
-TEST(ConnectionsDroppedUnseen, AResetInTheMiddleOfACallSaysNothingOfIdleOnes) {
+TEST(StaleIdleConnections, AreNotInferredFromAResetDuringARequest) {
   World w;
   w.List(1);
   w.Serve(kUnsafe);
--- a/tests/balancer/half_open_probes_test.cpp
+++ b/tests/balancer/half_open_probes_test.cpp
@@ -8,7 +8,7 @@
 
 constexpr TimePoint kNow{std::chrono::seconds(100)};
 
-TEST(HalfOpenProbes, EachFailedProbeDoublesTheDelayUpToTheMost) {
+TEST(HalfOpenProbes, EachFailedProbeDoublesTheDelayUpToTheMaximum) {
   HalfOpenRecord record;
   HalfOpenProbes::RecordEjection(record, kNow);
   EXPECT_FALSE(HalfOpenProbes::MayProbe(record, kNow));
--- a/tests/balancer/helpers.h
+++ b/tests/balancer/helpers.h
@@ -1,4 +1,4 @@
-// A small world around one balancer, for tests through handle().
+// One balancer with a clock, timers and a record of its actions, for tests through handle().
 #pragma once
 
 #include <chrono>
@@ -88,11 +88,11 @@
     for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
   }
 
-  RequestId Arrive(ClassId cls = kSafe, Duration patience = 2s) {
+  RequestId Arrive(ClassId cls = kSafe, Duration timeout = 2s) {
     RequestArrived e;
     e.request = RequestId{++last_request_};
     e.request_class = cls;
-    e.deadline = now + patience;
+    e.deadline = now + timeout;
     Do(e);
     return e.request;
   }
@@ -129,7 +129,7 @@
     return hits;
   }
 
-  // A request that is served at once: the upstream that took it, or "".
+  // A request that is served at once: the upstream that served it, or "".
   std::string Serve(ClassId cls = kSafe) {
     const std::size_t before = sent.size();
     Arrive(cls);
@@ -138,8 +138,8 @@
     return sent.size() == before ? "" : sent[before].upstream;
   }
 
-  // Calls each served, but those to `bad`, which end with `outcome`; until `bad` has had `failures`. Slow
-  // enough for trials, that are all an upstream under suspicion is sent.
+  // Requests that are served, except at `bad`, where they end with `outcome`, until `bad` has had `failures`.
+  // Slow enough for half-open probes, which are all that a suspect upstream gets.
   void FailRun(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
     for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
       const std::size_t before = sent.size();
--- a/tests/balancer/latency_model_test.cpp
+++ b/tests/balancer/latency_model_test.cpp
@@ -1,4 +1,4 @@
-// What is learnt from the times of answers.
+// What is learnt from answer times.
 #include "balancer/latency_model.h"
 
 #include "gtest/gtest.h"
@@ -24,11 +24,11 @@
   EXPECT_EQ(model.UsualTime(0), milliseconds(40));
 }
 
-TEST(LatencyModel, OnlySomeOutcomesTellOfSlowness) {
+TEST(LatencyModel, OnlySomeOutcomesCountAsSlowness) {
   struct Case {
     Outcome outcome;
     double objective_share;  // of the upstream's earlier answers
-    bool tells;
+    bool counts;
   };
   for (const Case& c : {Case{Outcome::kServed, 0, true}, Case{Outcome::kError, 1, false},
                         Case{Outcome::kConnectFailed, 1, false}, Case{Outcome::kTimeout, 0, false},
@@ -38,7 +38,7 @@
     LatencyRecord record;
     record.objective_share.value = c.objective_share;
     model.RecordAnswer(record, "k", {0, milliseconds(400), 1, c.outcome, milliseconds(200)});
-    EXPECT_EQ(model.Slowness(record, "k") > 1, c.tells) << static_cast<int>(c.outcome);
+    EXPECT_EQ(model.Slowness(record, "k") > 1, c.counts) << static_cast<int>(c.outcome);
   }
 }
 
--- a/tests/balancer/load_probes_test.cpp
+++ b/tests/balancer/load_probes_test.cpp
@@ -1,4 +1,4 @@
-// How many upstreams are asked for their load, and which answer is best.
+// How many upstreams are probed for their load, and which report is best.
 #include "balancer/load_probes.h"
 
 #include "gtest/gtest.h"
@@ -6,11 +6,11 @@
 namespace mothrack::balancer {
 namespace {
 
-TEST(LoadProbes, AsManyAreAskedAsThePriceAllows) {
+TEST(LoadProbes, UpstreamsPerRequestFollowThePriceOfAProbe) {
   struct Case {
     bool by_probe, may_probe;
     double price;
-    std::size_t asked;
+    std::size_t probed;
   };
   for (const Case& c : {Case{true, true, 0, 3}, Case{true, true, 0.005, 2}, Case{true, true, 0.1, 1},
                         Case{false, true, 0, 1}, Case{true, false, 0, 1}}) {
@@ -18,11 +18,11 @@
     settings.load_by_probe = c.by_probe;
     settings.limits.probes = c.may_probe;
     settings.prices.probe = c.price;
-    EXPECT_EQ(LoadProbes(settings).upstreams_per_request(), c.asked) << c.price;
+    EXPECT_EQ(LoadProbes(settings).upstreams_per_request(), c.probed) << c.price;
   }
 }
 
-TEST(LeastLoaded, TheOneWithTheLeastForWhatItCanDoIsBestAndNoneThatIsJammed) {
+TEST(LeastLoaded, PrefersTheLeastLoadForItsCapacityAndNoneThatIsOverloaded) {
   LeastLoaded least(std::chrono::milliseconds(400));
   least.Consider(0, {10, 20, 1, 1});  // serves 4 within half of the objective
   EXPECT_TRUE(least.any_jammed());
--- a/tests/balancer/load_shedder_test.cpp
+++ b/tests/balancer/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// When and what the load shedder refuses.
+// When and what the load shedder rejects.
 #include "balancer/load_shedder.h"
 
 #include "gtest/gtest.h"
--- a/tests/balancer/module_test.cpp
+++ b/tests/balancer/module_test.cpp
@@ -1,4 +1,5 @@
-// The mechanism: one small test for each thing that the design or a failure asks of it.
+// The decision module through its events: one small test for each requirement of the design or of a past
+// failure.
 #include <algorithm>
 #include <deque>
 #include <functional>
@@ -11,9 +12,9 @@
 namespace mothrack::balancer::testing {
 namespace {
 
-// ---- The design ----
+// ---- Ejection and rotation ----
 
-TEST(Ejection, FiveFailuresInARowEject) {
+TEST(Ejection, FiveConsecutiveFailuresEject) {
   for (const Outcome o : {Outcome::kError, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
     World w;
     w.List(4);
@@ -25,17 +26,17 @@
   }
 }
 
-TEST(Ejection, AServedAnswerClearsTheRun) {
+TEST(Ejection, ASuccessResetsTheFailureCount) {
   World w;
   w.List(4);
   w.FailRun("b", 4);
   w.Advance(2s);
-  w.Spread(40);  // a trial among them
+  w.Spread(40);  // a half-open probe among them
   w.FailRun("b", 4);
   EXPECT_FALSE(w.Logged("ejected"));
 }
 
-TEST(Ejection, ARefusalAsFullOrACallCalledOffLeavesTheRunAlone) {
+TEST(Ejection, FullAndCancelledAttemptsLeaveTheFailureCountUnchanged) {
   for (const Outcome o : {Outcome::kFull, Outcome::kCancelled, Outcome::kNotSent}) {
     World w;
     w.List(4);
@@ -47,7 +48,7 @@
   }
 }
 
-TEST(Ejection, RelapsesDoubleItUpToTheMostAndAQuietBaseTimeResetsIt) {
+TEST(Ejection, RepeatedEjectionsDoubleUpToTheMaximumAndABaseTimeWithoutOneResets) {
   World w;
   w.List(4);
   const auto eject_and_return = [&w] {
@@ -56,7 +57,7 @@
     EXPECT_FALSE(w.logs.empty());
     const std::string line = w.logs.empty() ? "" : w.logs.front();
     w.Advance(1500ms);
-    w.Spread(5);  // two trials among them
+    w.Spread(5);  // two half-open probes among them
     EXPECT_TRUE(w.Logged("returned b"));
     return line;
   };
@@ -73,25 +74,25 @@
   w.FailRun("b", 5);
   ASSERT_TRUE(w.Logged("ejected b"));
   UpstreamInfo b = Up("b");
-  b.started = w.now - 1h;  // new to this sidecar, warm by now
+  b.started = w.now - 1h;  // unknown to this sidecar, but past slow start
   w.Change(b);
   EXPECT_GT(w.Spread(40)["b"], 0);
 }
 
-// Guards against a list that only grows: what is gone is dropped, and an id that comes back inherits nothing.
-TEST(Ejection, OneThatWasGoneComesBackWithACleanRecord) {
+// A removed upstream is forgotten, so that records do not accumulate; a returning id inherits nothing.
+TEST(Ejection, ARemovedUpstreamReturnsWithACleanRecord) {
   World w;
   w.List(4);
   const std::size_t before = w.sent.size();
   w.Arrive(kUnsafe, 100s);
-  const Sent held = w.sent[before];
-  w.FailRun(held.upstream, 5);
-  ASSERT_TRUE(w.Logged("ejected " + held.upstream));
-  w.Change(Up(held.upstream, UpstreamState::kGone));
-  w.Change(Up(held.upstream));
-  EXPECT_GT(w.Spread(40)[held.upstream], 0);
-  w.Finish(held, Outcome::kServed);  // of the one before
-  EXPECT_GT(w.Spread(40)[held.upstream], 0);
+  const Sent in_flight = w.sent[before];
+  w.FailRun(in_flight.upstream, 5);
+  ASSERT_TRUE(w.Logged("ejected " + in_flight.upstream));
+  w.Change(Up(in_flight.upstream, UpstreamState::kGone));
+  w.Change(Up(in_flight.upstream));
+  EXPECT_GT(w.Spread(40)[in_flight.upstream], 0);
+  w.Finish(in_flight, Outcome::kServed);  // of the earlier process
+  EXPECT_GT(w.Spread(40)[in_flight.upstream], 0);
 }
 
 TEST(Rotation, EqualUpstreamsTakeEqualTurns) {
@@ -116,7 +117,7 @@
   EXPECT_LE(most, 4);
 }
 
-TEST(Rotation, ANewcomerBringsNoHoardOfCredit) {
+TEST(Rotation, ANewUpstreamStartsWithoutCredit) {
   World w;
   w.List(4);
   w.Spread(200);
@@ -128,12 +129,12 @@
   }
 }
 
-// ---- Where the design was extended: one test for each symptom ----
+// ---- Failure modes ----
 
 TEST(FleetWideTimeouts, DoNotEjectHealthyUpstreams) {
   World w;
   w.List(6);
-  // Half of all calls fail, everywhere alike: runs of five come by chance.
+  // Half of all requests fail everywhere: five consecutive failures happen by chance.
   std::uint64_t coin = 12345;
   int ejections = 0;
   for (int i = 0; i < 1500; ++i) {
@@ -149,7 +150,7 @@
   EXPECT_LE(ejections, 3);
 }
 
-TEST(EjectedUpstream, IsTriedByCopiesAndReturnsOnceItServes) {
+TEST(EjectedUpstream, IsProbedByHedgesAndReturnsOnceItAnswers) {
   World w;
   w.List(4);
   w.FailRun("b", 5);
@@ -166,7 +167,7 @@
   EXPECT_TRUE(w.Logged("returned b after it served on trial"));
 }
 
-TEST(EjectedUpstream, UnsafeCallsAreNoTrials) {
+TEST(EjectedUpstream, IsNotProbedByUnsafeRequests) {
   World w;
   w.List(4);
   w.FailRun("b", 5);
@@ -176,23 +177,23 @@
   EXPECT_EQ(w.sent.size(), before + 1);
 }
 
-TEST(EjectedUpstream, TrialsThatFailGrowRarer) {
+TEST(EjectedUpstream, IsProbedLessOftenAfterEachFailure) {
   World w;
   w.List(3);
   w.FailRun("b", 5);
-  int trials = 0;
+  int probes = 0;
   for (int i = 0; i < 300; ++i) {  // 30 s: after 1, 2, 4 and 8 s, then every 8
     const std::size_t before = w.sent.size();
     w.Arrive(kSafe);
     w.now += 10ms;
-    trials += w.Answer(before, "b", Outcome::kTimeout);
+    probes += w.Answer(before, "b", Outcome::kTimeout);
     w.Advance(90ms);
   }
-  EXPECT_GE(trials, 4);
-  EXPECT_LE(trials, 6);
+  EXPECT_GE(probes, 4);
+  EXPECT_LE(probes, 6);
 }
 
-TEST(EjectedUpstream, ServesAsTheLastResortRatherThanRefusingAll) {
+TEST(EjectedUpstream, IsUsedAsALastResortRatherThanRejectingAll) {
   World w;
   w.List(1);
   w.FailRun("a", 5);
@@ -201,7 +202,7 @@
   EXPECT_EQ(w.Serve(), "a");
 }
 
-TEST(AllEjected, RefusesWithARetryAfterAndSaysSo) {
+TEST(AllEjected, RejectsWithRetryAfterAndLogsIt) {
   World w;
   w.List(1);
   w.FailRun("a", 5);
@@ -215,29 +216,29 @@
   EXPECT_TRUE(w.Logged("returned a after its ejection"));
 }
 
-// Told the same, all refused clients would come back together. The operators' site allows 2 s, a deployment
-// of ours 200 ms.
-TEST(AllEjected, SpreadsWhenClientsComeBackWithinWhatTheSettingsAllow) {
+// With one value for all, rejected clients would retry together. One site allows 2 s, another deployment 200
+// ms.
+TEST(AllEjected, RetryAfterIsJitteredWithinItsSettings) {
   for (const auto longest : {20ms, 200ms, 1500ms, 2000ms, 20000ms}) {
     Settings settings = DefaultSettings();
     settings.limits.max_retry_after = longest;
     World w(settings);
     w.List(1);
     w.FailRun("a", 5);
-    std::set<Duration> told;
+    std::set<Duration> retry_afters;
     for (int i = 0; i < 40; ++i) {
       const std::size_t refused = w.refused.size();
       w.Arrive(kUnsafe);
       ASSERT_EQ(w.refused.size(), refused + 1);
       EXPECT_LE(w.last_retry_after, longest);
       EXPECT_GE(w.last_retry_after, std::min<Duration>(longest * 3 / 4, 1500ms));
-      told.insert(w.last_retry_after);
+      retry_afters.insert(w.last_retry_after);
     }
-    EXPECT_GT(told.size(), 8U) << longest / 1ms;
+    EXPECT_GT(retry_afters.size(), 8U) << longest / 1ms;
   }
 }
 
-TEST(HungUpstream, IsPassedOverBeforeFiveTimeouts) {
+TEST(UnresponsiveUpstream, IsAvoidedBeforeFiveTimeouts) {
   World w;
   w.List(4);
   w.Spread(100);  // about 10 ms each
@@ -249,13 +250,13 @@
       if (w.sent[k].upstream != "c") w.Finish(w.sent[k], Outcome::kServed);
     }
   }
-  int stuck = 0;
-  for (std::size_t k = w.sent.size() - 40; k < w.sent.size(); ++k) stuck += w.sent[k].upstream == "c";
-  EXPECT_LE(stuck, 2);
+  int unresponsive = 0;
+  for (std::size_t k = w.sent.size() - 40; k < w.sent.size(); ++k) unresponsive += w.sent[k].upstream == "c";
+  EXPECT_LE(unresponsive, 2);
   EXPECT_FALSE(w.Logged("ejected"));
 }
 
-TEST(ArrivingRequest, MakesNobodyLateBeforeItIsWhole) {
+TEST(ArrivingRequest, CountsNoLatencyBeforeItIsComplete) {
   World w;
   w.List(3);
   w.Spread(60);
@@ -269,7 +270,7 @@
   ASSERT_EQ(w.sent.size(), before + 1);
   const Sent call = w.sent[before];
   EXPECT_EQ(call.timeout, Duration(2s));
-  // Long past its time, if that had begun: its upstream takes its share and nobody gives the request up.
+  // No latency is counted yet: its upstream keeps its share and the request is not given up.
   const auto spread = w.Spread(60);
   EXPECT_GT(spread.at(call.upstream), 10);
   w.Advance(30s);
@@ -282,7 +283,7 @@
   EXPECT_EQ(w.failed.size(), 1U);  // unsafe, and it may have run
 }
 
-TEST(ArrivingRequest, GoesElsewhereWhereNothingRan) {
+TEST(ArrivingRequest, IsRetriedElsewhereWhenNothingRan) {
   World w;
   w.List(2);
   RequestArrived e;
@@ -296,13 +297,13 @@
   w.Finish(w.sent[0], Outcome::kFull);
   ASSERT_EQ(w.sent.size(), 2U);
   EXPECT_NE(w.sent[1].upstream, w.sent[0].upstream);
-  // Its body is held no more: whatever is tried, nothing has run.
+  // Its body is no longer buffered: further attempts prove that nothing has run.
   for (std::size_t i = 1; i < w.sent.size(); ++i) w.Finish(w.sent[i], Outcome::kNotSent);
   EXPECT_EQ(w.refused.size(), 1U);
   EXPECT_TRUE(w.failed.empty());
 }
 
-TEST(StartedAnswer, IsNoCallThatItsUpstreamHolds) {
+TEST(StartedAnswer, IsNotCountedInFlightAtItsUpstream) {
   World w;
   w.List(3);
   w.Spread(60);
@@ -318,7 +319,7 @@
   EXPECT_EQ(w.sent.size(), sent);  // the client has some of it
 }
 
-TEST(StartedAnswer, OutlivesTheCopiesThatAreCalledOff) {
+TEST(StartedAnswer, SurvivesTheCancelledHedges) {
   Settings settings = DefaultSettings();
   settings.limits.hedging = true;
   World w(settings);
@@ -329,18 +330,18 @@
   w.Advance(300ms);
   ASSERT_GE(w.sent.size(), before + 2);
   const Sent first = w.sent[before];
-  const Sent copy = w.sent[before + 1];
-  w.Do(AnswerStarted{id, copy.attempt});
+  const Sent hedge = w.sent[before + 1];
+  w.Do(AnswerStarted{id, hedge.attempt});
   const std::vector<std::pair<RequestId, AttemptId>> called_off = {{id, first.attempt}};
   EXPECT_EQ(w.cancelled, called_off);
   w.Finish(first, Outcome::kCancelled, true);
   EXPECT_EQ(w.cancelled, called_off);
-  // Its client leaves: then nobody wants it.
+  // Its client disconnects: the remaining attempt is cancelled.
   w.Do(ClientDisconnected{id});
   EXPECT_EQ(w.cancelled.size(), 2U);
 }
 
-TEST(SlowUpstream, TakesFewerCalls) {
+TEST(SlowUpstream, GetsFewerRequests) {
   World w;
   w.List(4);
   std::map<std::string, int> spread;
@@ -356,9 +357,9 @@
   EXPECT_GT(spread["d"], 0);
 }
 
-// Half of its calls are never answered, the others fast: it has room, and the others can't carry all of its
-// share.
-TEST(SwallowingUpstream, KeepsAShareByWhatItServes) {
+// Half of its requests are never answered, the others fast: it has headroom, and the others cannot serve its
+// whole share.
+TEST(UnreliableUpstream, KeepsAShareByItsSuccessRate) {
   World w;
   w.List(4);
   int at_b = 0;
@@ -375,7 +376,7 @@
   EXPECT_FALSE(w.Logged("refusing"));
 }
 
-TEST(FullUpstream, IsLeftAloneForAMoment) {
+TEST(FullUpstream, IsAvoidedBriefly) {
   World w;
   w.List(3);
   w.Spread(30);
@@ -390,7 +391,7 @@
   }
 }
 
-TEST(LateCall, GetsASecondCopyElsewhere) {
+TEST(LateRequest, IsHedgedToAnotherUpstream) {
   World w;
   w.List(4);
   w.Spread(100);
@@ -403,7 +404,7 @@
   EXPECT_EQ(w.cancelled.back().second, AttemptId{0}) << "the loser is called off";
 }
 
-TEST(RetryStorm, FurtherAttemptsAreBounded) {
+TEST(RetryBudget, BoundsFurtherAttempts) {
   World w;
   w.List(4);
   for (int i = 0; i < 500; ++i) {
@@ -415,17 +416,17 @@
   EXPECT_LE(w.sent.size(), 500u + 150u + 10u + 50u) << "first tries, three tenths, the burst, and trials";
 }
 
-// Unsafe calls, one each `gap`, whose attempts end `time` after they were sent, as `outcome` says.
+// Unsafe requests, one each `gap`, whose attempts end `time` after they were sent with `outcome`.
 struct Load {
-  // How many of them were taken.
+  // How many of them were admitted.
   std::size_t Run(
       int calls, Duration gap, Duration time,
       const std::function<Outcome(const Sent&)>& outcome = [](const Sent&) { return Outcome::kServed; }) {
-    std::size_t taken = 0;
+    std::size_t admitted = 0;
     for (int i = 0; i < calls; ++i) {
       const std::size_t before = w.sent.size();
       w.Arrive(kUnsafe);
-      taken += w.sent.size() - before;
+      admitted += w.sent.size() - before;
       for (std::size_t k = before; k < w.sent.size(); ++k) out.push_back(w.sent[k]);
       w.Advance(gap);
       while (!out.empty() && w.now - out.front().at >= time) {
@@ -434,20 +435,20 @@
         out.pop_front();
       }
     }
-    return taken;
+    return admitted;
   }
 
   World& w;
   std::deque<Sent> out{};
 };
 
-TEST(Overload, LateAnswersShedAShareOfTheCallsAndItGoesAgain) {
+TEST(Overload, LateAnswersShedAShareOfRequestsUntilAnswersAreInTimeAgain) {
   World w;
   w.List(4);
   Load load{w};
   const auto run = [&load](int calls, Duration time) { return load.Run(calls, 10ms, time); };
   EXPECT_EQ(run(300, 100ms), 300u);
-  run(300, 390ms);  // the aim is 400 ms
+  run(300, 390ms);  // the latency objective is 400 ms
   EXPECT_TRUE(w.Logged("refusing: overload"));
   EXPECT_LT(load.out.size(), 30u);
   run(600, 50ms);
@@ -455,20 +456,20 @@
   EXPECT_TRUE(w.Logged("taking calls again"));
 }
 
-// After a jam the warm upstreams are trusted with next to nothing, so the few calls that are let in go to
-// cold ones, of which lateness would not count: their being in time has to.
-TEST(Overload, EndsWhereWhatIsLetInGoesToColdUpstreams) {
+// After an overload the warm upstreams have almost no weight, so the few admitted requests go to upstreams in
+// slow start, whose late answers do not count; their timely ones must.
+TEST(Overload, EndsWhenAdmittedRequestsGoToWarmingUpstreams) {
   Settings s = DefaultSettings();
   s.rules = {.slow_start_initial_share = 0.5, .slow_start_duration = 1000s, .overload_multiple = 30};
   World w(s);
   std::vector<UpstreamInfo> list;
   for (const char* id : {"a", "b", "c", "d", "e", "f"}) {
     list.push_back(Up(id));
-    list.back().zone = id;  // so that none is taken for lost
+    list.back().zone = id;  // so that no zone becomes unavailable
   }
   w.Full(list);
   Load load{w};
-  int jam = 0;  // in one: of so many answers of a warm upstream one comes, late, the others not at all
+  int jam = 0;  // of so many answers of a warm upstream one comes, late; the others never
   std::map<std::string, int> answers;
   const auto run = [&](int calls) {
     return load.Run(calls, 50ms, jam > 0 ? 390ms : 50ms, [&](const Sent& sent) {
@@ -489,15 +490,15 @@
   run(10);
   const std::size_t first = w.sent.size();
   ASSERT_LT(run(100), 50u) << "most are refused";
-  const auto cold = std::count_if(w.sent.begin() + static_cast<std::ptrdiff_t>(first), w.sent.end(),
-                                  [](const Sent& sent) { return sent.upstream >= "x"; });
-  EXPECT_GT(2 * cold, static_cast<std::ptrdiff_t>(w.sent.size() - first))
+  const auto warming_up = std::count_if(w.sent.begin() + static_cast<std::ptrdiff_t>(first), w.sent.end(),
+                                        [](const Sent& sent) { return sent.upstream >= "x"; });
+  EXPECT_GT(2 * warming_up, static_cast<std::ptrdiff_t>(w.sent.size() - first))
       << "the warm ones are still avoided";
   run(40);
   EXPECT_EQ(run(40), 40u) << "7 s after the jam";
 }
 
-TEST(Aim, GrowsWithTheWorkOfACallAsFarAsItsDeadline) {
+TEST(LatencyObjective, GrowsWithTheWorkOfARequestUpToItsDeadline) {
   Settings s = DefaultSettings();
   s.classes[0].latency_objective_stretch = 2;
   s.limits.hedging = false;
@@ -509,7 +510,7 @@
     e.deadline = w.now + 2s;
     e.work = work;
     w.Do(e);
-    // Past the aim of 400 ms another attempt is worth nothing, unless it has grown.
+    // Past the latency objective of 400 ms there is no further attempt, unless the objective has grown.
     w.Advance(500ms);
     const Sent first = w.sent.front();
     w.Finish(first, Outcome::kConnectFailed);
@@ -521,7 +522,7 @@
       << "no call is worth waiting for beyond its deadline";
 }
 
-TEST(Discovery, ASubscriptionIsAskedForAndAskedAgainAfterAFailure) {
+TEST(Discovery, IsSubscribedToAndAgainAfterAFailure) {
   Settings s = DefaultSettings();
   s.membership_on_request = true;
   World w(s);
@@ -534,7 +535,7 @@
   EXPECT_GT(w.Spread(10)["a"], 0) << "the old list holds";
 }
 
-TEST(Settings, ThoseThatMakeNoSenseAreNamed) {
+TEST(Settings, InvalidValuesAreNamed) {
   const auto named = [](auto change, const std::string& name) {
     Settings s = DefaultSettings();
     change(s);
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Who is ejected, and for how long.
+// Which upstreams are ejected, and for how long.
 #include "balancer/outlier_detection.h"
 
 #include "gtest/gtest.h"
@@ -8,7 +8,7 @@
 
 using std::chrono::seconds;
 
-// Fails until it is ejected, beside another upstream; tells after how many failures.
+// Fails until it is ejected, beside another upstream: the number of failures.
 int FailUntilEjected(OutlierRecord& record, const OutlierRecord& other, TimePoint now) {
   OutlierDetector detector;
   for (int failures = 1; failures < 100; ++failures) {
@@ -20,7 +20,7 @@
   return 0;
 }
 
-TEST(OutlierDetector, TheRunThatEjectsIsAsRareAsFiveWhereATenthFails) {
+TEST(OutlierDetector, TheThresholdIsAsRareAsFiveFailuresWhereATenthFails) {
   struct Case {
     double calls, failures;  // of the other upstream
     int run;
@@ -33,7 +33,7 @@
   }
 }
 
-TEST(OutlierDetector, ARelapseDoublesTheEjectionUpToTheMost) {
+TEST(OutlierDetector, ARepeatedEjectionDoublesUpToTheMaximum) {
   OutlierRecord record;
   TimePoint now{seconds(1000)};
   for (const int ejection_s : {60, 120, 120}) {
@@ -46,7 +46,7 @@
   }
 }
 
-TEST(OutlierDetector, FailuresTakeFromTheWeightButTimeOutsOfAFastOneLess) {
+TEST(OutlierDetector, FailuresReduceTheWeightButTimeoutsOfAFastUpstreamLess) {
   OutlierRecord record;
   EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, false), 1);
   record.calls = 10;
--- a/tests/balancer/request_table_test.cpp
+++ b/tests/balancer/request_table_test.cpp
@@ -1,4 +1,4 @@
-// Requests and timers by their numbers.
+// Requests and timers by id.
 #include "balancer/request_table.h"
 
 #include "gtest/gtest.h"
@@ -6,7 +6,7 @@
 namespace mothrack::balancer {
 namespace {
 
-TEST(RequestTable, ARequestIsKnownUntilItHasEndedAndNothingOfItIsOut) {
+TEST(RequestTable, ARequestIsKnownUntilItAndItsAttemptsHaveEnded) {
   RequestTable table;
   Request* const request = table.Add(RequestId{7});
   EXPECT_EQ(table.Add(RequestId{7}), nullptr);
@@ -19,7 +19,7 @@
   EXPECT_EQ(table.Find(RequestId{7}), nullptr);
 }
 
-TEST(RequestTable, ATimerIsTakenOnce) {
+TEST(RequestTable, ATimerIsConsumedOnce) {
   RequestTable table;
   const std::uint64_t token = table.AddTimer(RequestId{7});
   EXPECT_NE(token, kTickToken);
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// What a class allows, and what is worth it.
+// Which retries the class of a request and the retry budget allow.
 #include "balancer/retry_policy.h"
 
 #include <memory>
@@ -67,7 +67,7 @@
   }
 }
 
-TEST(RetryPolicy, RetriesStopWhereTheBudgetIsSpentButAreFreeAfterAProofThatNothingRan) {
+TEST(RetryPolicy, RetriesStopWhenTheBudgetIsSpentUnlessNothingRan) {
   const Limits limits;
   RetryPolicy policy(limits);
   Sent sent = SentOnce(Effect::kSafe, KeyScope::kAll, Outcome::kError);
--- a/tests/balancer/round_robin_test.cpp
+++ b/tests/balancer/round_robin_test.cpp
@@ -1,4 +1,4 @@
-// Whose turn it is.
+// Smooth weighted round robin: turns and ranks of candidates.
 #include "balancer/round_robin.h"
 
 #include <string>
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -1,4 +1,4 @@
-// The four rules: directly, and by a seeded random stream of events whose actions are checked against them.
+// The four rules: each directly, and all under a seeded random stream of events.
 #include <algorithm>
 #include <deque>
 #include <random>
@@ -18,7 +18,7 @@
 
 // ---- No request is lost ----
 
-TEST(NoRequestIsLost, EmptyListRefuses) {
+TEST(NoRequestIsLost, EmptyListRejects) {
   World w;
   w.List(0);
   w.Arrive(kUnsafe);
@@ -103,7 +103,7 @@
   }
 }
 
-TEST(NoEffectTwice, KeyedStaysInsideItsGroup) {
+TEST(NoEffectTwice, KeyedStaysInsideItsKeyScope) {
   for (const bool by_zone : {true, false}) {
     World w;
     UpstreamInfo a = Up("a"), b = Up("b"), c = Up("c");
@@ -114,7 +114,7 @@
     w.Full({a, b, c});
     std::set<std::string> seen;
     for (int i = 0; i < 30; ++i) {
-      for (int k = 0; k < 20 + i % 3; ++k) w.Serve();  // earns retries, at changing turns
+      for (int k = 0; k < 20 + i % 3; ++k) w.Serve();  // earns retry budget, at varying turns
       const std::size_t before = w.sent.size();
       w.Arrive(by_zone ? kKeyedZone : kKeyedCell);
       const Sent first = w.sent[before];
@@ -146,7 +146,7 @@
   EXPECT_EQ(w.sent.size(), 1u);
 }
 
-TEST(NoEffectTwice, NoSecondCopyWhereTheDeploymentForbidsIt) {
+TEST(NoEffectTwice, NoHedgesWhereTheDeploymentForbidsThem) {
   Settings s = DefaultSettings();
   s.limits.hedging = false;
   World w(s);
@@ -158,9 +158,9 @@
   EXPECT_EQ(w.sent.size(), before + 1);
 }
 
-// ---- Drains are kept ----
+// ---- Draining upstreams get nothing new ----
 
-TEST(DrainsAreKept, NothingNewFromTheMomentItIsTold) {
+TEST(DrainingUpstream, GetsNoAttemptsOnceDrainIsAnnounced) {
   for (const UpstreamState state : {UpstreamState::kDraining, UpstreamState::kGone}) {
     World w;
     w.List(3);
@@ -169,7 +169,7 @@
   }
 }
 
-TEST(DrainsAreKept, MissingFromAFullListIsGone) {
+TEST(DrainingUpstream, MissingFromAFullListIsRemoved) {
   World w;
   w.List(3);
   w.Full({Up("a"), Up("c")});
@@ -178,7 +178,7 @@
   EXPECT_GT(w.Spread(30)["b"], 0);
 }
 
-TEST(DrainsAreKept, AFurtherAttemptDoesNotGoThereEither) {
+TEST(DrainingUpstream, GetsNoRetriesEither) {
   World w;
   w.List(2);
   w.Arrive(kSafe);
@@ -188,18 +188,18 @@
   for (const Sent& s : w.sent) EXPECT_NE(s.upstream, other);
 }
 
-// ---- A cold upstream is not pushed over ----
+// ---- Warming upstreams are not overloaded ----
 
-TEST(ColdUpstream, TakesLessThanItsShareAtFirstAndItsShareInTheEnd) {
+TEST(WarmingUpstream, GetsLessThanItsShareAtFirstAndItsShareInTheEnd) {
   World w;
   w.List(4);
   for (int i = 0; i < 2000; ++i) {
     w.Serve();
     w.Advance(10ms);
   }
-  UpstreamInfo cold = Up("cold");
-  cold.started = w.now;
-  w.Change(cold);
+  UpstreamInfo warming_up = Up("cold");
+  warming_up.started = w.now;
+  w.Change(warming_up);
   std::map<std::string, int> spread;
   for (int i = 0; i < 100; ++i) {
     ++spread[w.Serve()];
@@ -215,33 +215,34 @@
   EXPECT_GE(spread["cold"], 15);
 }
 
-TEST(ColdUpstream, TheBudgetHoldsWhenAllOthersAreGone) {
+TEST(WarmingUpstream, BudgetHoldsWhenAllOthersAreRemoved) {
   World w;
   w.List(4);
   for (int i = 0; i < 2000; ++i) {  // about 50 a second: 12.5 for each upstream
     w.Serve();
     w.Advance(10ms);
   }
-  UpstreamInfo cold = Up("cold");
-  cold.started = w.now;
-  w.Full({cold});
+  UpstreamInfo warming_up = Up("cold");
+  warming_up.started = w.now;
+  w.Full({warming_up});
   const std::size_t before = w.sent.size();
   const TimePoint start = w.now;
   while (w.now < start + 1s) {
     w.Serve();
     w.Advance(10ms);
   }
-  // It can take 10% of a warm one's load, twice that topples it: at most 2 x 0.1 x 12.5 in the second.
+  // Its capacity is 10% of a warm one's load and twice that overloads it: at most 2 x 0.1 x 12.5 in the
+  // second.
   EXPECT_LE(w.sent.size() - before, 3u);
 }
 
-TEST(ColdUpstream, ARestartedSidecarDoesNotRushToOne) {
+TEST(WarmingUpstream, IsNotOverloadedByARestartedSidecar) {
   World w;
-  UpstreamInfo cold = Up("cold");
-  cold.started = w.now - 1s;
+  UpstreamInfo warming_up = Up("cold");
+  warming_up.started = w.now - 1s;
   MembershipUpdate update;
   update.kind = MembershipUpdate::Kind::kRestored;
-  update.upstreams = {cold};
+  update.upstreams = {warming_up};
   w.Do(update);
   for (int i = 0; i < 50; ++i) w.Arrive(kSafe, 100ms);
   EXPECT_LE(w.sent.size(), 1u);
@@ -268,11 +269,11 @@
     TimePoint deadline;
     std::vector<std::pair<Sent, std::optional<Outcome>>> attempts;
     bool ended = false;
-    bool told = false;  // ended by an event, not by the balancer
   };
   std::map<RequestId, Open> requests;
   std::map<std::string, UpstreamInfo> upstreams;
-  std::map<std::string, std::deque<std::pair<TimePoint, double>>> cold_sends;  // when, and how warm
+  std::map<std::string, std::deque<std::pair<TimePoint, double>>>
+      slow_start_sends;  // time and slow start factor
 
   const auto check = [&]() {
     for (const Action& action : w.actions) {
@@ -332,7 +333,7 @@
       if (to.started && w.now - *to.started < s.rules.slow_start_duration) {
         const double age = static_cast<double>((w.now - *to.started) / 1us) /
                            static_cast<double>(s.rules.slow_start_duration / 1us);
-        cold_sends[to.id.value].emplace_back(
+        slow_start_sends[to.id.value].emplace_back(
             w.now, s.rules.slow_start_initial_share + (1 - s.rules.slow_start_initial_share) * age);
       }
     }
@@ -366,7 +367,7 @@
       w.Do(TimerFired{token});
       check();
     }
-    // What is still open must be inside its deadline by now: every timer up to this moment has fired.
+    // Every timer up to now has fired: open requests must be within their deadlines.
     for (auto it = requests.begin(); it != requests.end();) {
       Open& r = it->second;
       EXPECT_TRUE(r.ended || w.now <= r.deadline + s.rules.answer_grace) << "unanswered after its deadline";
@@ -381,7 +382,7 @@
       e.request_class = ClassId{below(5)};
       e.deadline = w.now + Duration(1 + below(2000000));
       if (!s.tenants.empty()) e.tenant = TenantId{below(2)};
-      requests[e.request] = Open{e.request_class, e.deadline, {}, false, false};
+      requests[e.request] = Open{e.request_class, e.deadline, {}, false};
       w.Do(e);
       check();
     } else if (roll < 93) {
@@ -410,10 +411,10 @@
     }
     if (HasFatalFailure()) return;
   }
-  // About 45 first tries a second, and seldom fewer than two of the six upstreams listed: one that is fully
-  // warm takes 22 a second at most, a cold one may be sent `overload_multiple` times its warm share of that,
-  // and a call or two for the bunching.
-  for (const auto& [id, sends] : cold_sends) {
+  // About 45 first attempts a second, and seldom fewer than two of the six upstreams listed: a warm one gets
+  // at most 22 a second, one in slow start `overload_multiple` times its factor of that, and one or two for
+  // bunching.
+  for (const auto& [id, sends] : slow_start_sends) {
     for (std::size_t i = 0; i < sends.size(); ++i) {
       std::size_t k = i;
       while (k + 1 < sends.size() && sends[k + 1].first - sends[i].first < s.rules.overload_window) ++k;
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -1,4 +1,4 @@
-// The ramp and the budget of a fresh upstream.
+// Slow start factor and budget of a new upstream.
 #include "balancer/slow_start.h"
 
 #include "gtest/gtest.h"
@@ -22,7 +22,7 @@
   EXPECT_EQ(slow_start.Factor(std::nullopt, TimePoint{}), 1);
 }
 
-TEST(SlowStart, TheBudgetIsRefilledWithWhatAWarmOneIsSentAndSpent) {
+TEST(SlowStart, TheBudgetIsRefilledByTheRateOfAWarmUpstreamAndSpent) {
   const Rules rules;
   SlowStart slow_start(rules);
   SlowStartTick tick{25, 25, seconds(10), 2, 2, 2};  // 100 requests a second
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_EQ(subset.Size(4, true, 100), 15);
 }
 
-TEST(Subset, ThoseThatAreOutAreMadeUpForByTheNextInOrder) {
+TEST(Subset, UnavailableMembersAreReplacedByTheNextRanked) {
   const Limits limits;
   Subset subset(limits);
   const double capacities[] = {1, 0, 0.5, 1, 1};
--- a/tests/balancer/upstream_set_test.cpp
+++ b/tests/balancer/upstream_set_test.cpp
@@ -1,4 +1,4 @@
-// Which upstreams there are.
+// The set of upstreams under updates of the endpoint list.
 #include "balancer/upstream_set.h"
 
 #include <optional>
@@ -17,7 +17,7 @@
   return info;
 }
 
-TEST(UpstreamSet, ANewStartTimeIsANewProcessAndAWholeListDropsTheRest) {
+TEST(UpstreamSet, ANewStartTimeIsANewProcessAndAFullListRemovesTheMissing) {
   UpstreamSet set(0);
   set.BeginUpdate(true);
   const UpstreamPtr a = set.Update(Info("a")).upstream;
@@ -36,7 +36,7 @@
   EXPECT_EQ(set.Find(UpstreamId{"b"}), nullptr);
 }
 
-TEST(UpstreamSet, SidecarsHaveOrdersOfTheirOwn) {
+TEST(UpstreamSet, SidecarsRankIndependently) {
   std::set<std::string> first;
   for (std::uint64_t seed = 0; seed < 20; ++seed) {
     UpstreamSet set(seed);
--- a/tests/balancer/zone_health_test.cpp
+++ b/tests/balancer/zone_health_test.cpp
@@ -16,7 +16,7 @@
   return health;
 }
 
-TEST(ZoneHealth, UnavailableOnceSeveralUpstreamsWereSilentSinceItsLastAnswer) {
+TEST(ZoneHealth, UnavailableOnceSeveralUpstreamsWereUnresponsiveSinceItsLastAnswer) {
   ZoneHealth health;
   health.RecordAnswer("z", kSent + seconds(1));
   for (const char* id : {"a", "b", "c"}) health.RecordSilence("z", UpstreamId{id}, kSent);
