--- a/tests/hash_ring/bounded_load_test.cpp
+++ b/tests/hash_ring/bounded_load_test.cpp
@@ -24,7 +24,7 @@
   std::shared_ptr<const Ring> ring;
   LoadBoundConfig config;
   std::unique_ptr<BoundedLoad> load;
-  std::vector<std::uint32_t> order;  // of kKey's owners
+  std::vector<std::uint32_t> ranked;  // of kKey's owners
   static constexpr std::uint64_t kKey = 42;
   explicit Fleet(int nodes, const LoadBoundConfig& with = {}) : config(with) {
     std::vector<Node> all;
@@ -34,18 +34,18 @@
     load->SetRing(ring);
     std::vector<Owner> owners;
     ring->Owners(kKey, nodes, owners);
-    for (const Owner& owner : owners) order.push_back(owner.node);
+    for (const Owner& owner : owners) ranked.push_back(owner.node);
   }
   // By place in the order: the first to be asked.
   std::string First(std::uint64_t request = 0) {
     std::vector<std::uint32_t> nodes;
     load->Pick(kKey, request, 3, nodes);
     if (nodes.empty()) return "none";
-    return "owner " + std::to_string(std::find(order.begin(), order.end(), nodes[0]) - order.begin() + 1);
+    return "owner " + std::to_string(std::find(ranked.begin(), ranked.end(), nodes[0]) - ranked.begin() + 1);
   }
   void Fill(std::size_t first, std::size_t end, std::uint32_t count) {
     for (std::size_t i = first; i < end; ++i) {
-      for (std::uint32_t k = 0; k < count; ++k) load->OnAttemptStarted(ring->nodes()[order[i]].uid);
+      for (std::uint32_t k = 0; k < count; ++k) load->OnAttemptStarted(ring->nodes()[ranked[i]].uid);
     }
   }
   // Another member tells of the key and of 10,000 requests in all; at 10 nodes the allowance is 500.
@@ -58,7 +58,7 @@
 
 TEST(Tables, RulesOfLoad) {
   const auto report = [](Fleet& fleet, std::uint32_t count, Duration age) {
-    fleet.load->OnReport("other", {{{fleet.ring->nodes()[fleet.order[0]].uid, count}}, 0, {}}, age, At(0));
+    fleet.load->OnReport("other", {{{fleet.ring->nodes()[fleet.ranked[0]].uid, count}}, 0, {}}, age, At(0));
   };
   const std::map<std::string, std::function<std::string()>> kCases = {
       {"room everywhere",
@@ -180,7 +180,7 @@
 
 // Three members, half of all requests for one key, some mixed capacities: told every 250 ms, a request takes
 // 200 ms.
-TEST(BoundedLoad, NoNodeIsAboveItsBoundAndAHotKeySpreadsAndComesBack) {
+TEST(BoundedLoad, NoNodeExceedsItsBoundAndAHotKeySpreadsAndReturns) {
   const auto ring = std::make_shared<const Ring>(1, Nodes(20));
   LoadBoundConfig config;
   BoundedLoad load(config, At(0));
--- a/tests/hash_ring/heavy_hitter_sketch_test.cpp
+++ b/tests/hash_ring/heavy_hitter_sketch_test.cpp
@@ -10,7 +10,7 @@
 namespace mothrack::hash_ring {
 namespace {
 
-TEST(BoundedLoad, TheSketchHasEveryKeyAboveItsShareAndNeverGuessesTooLow) {
+TEST(BoundedLoad, TheSketchHasEveryKeyAboveItsShareAndNeverUnderestimates) {
   HeavyHitterSketch sketch;
   std::mt19937_64 random(5);
   std::map<std::uint64_t, std::uint32_t> exact;
--- a/tests/hash_ring/histories_test.cpp
+++ b/tests/hash_ring/histories_test.cpp
@@ -161,7 +161,7 @@
   for (int seed = 0; seed < Count(60); ++seed) ASSERT_EQ(Play(seed, Fault::kNone), "") << seed;
 }
 
-TEST(Histories, FindPlantedFaults) {
+TEST(Histories, FindInjectedFaults) {
   for (const Fault fault : {Fault::kNoHysteresis, Fault::kNoGrace, Fault::kIgnoresCutOff, Fault::kOwnMeasure,
                             Fault::kAgesStandStill}) {
     std::map<std::string, int> found;
--- a/tests/hash_ring/ring_builder_test.cpp
+++ b/tests/hash_ring/ring_builder_test.cpp
@@ -120,7 +120,7 @@
                                    "last within, below", "first beyond, below", "halved"}));
 }
 
-TEST(RingBuilder, NoiseMovesNothingAndAllThatIsDueIsOneGeneration) {
+TEST(RingBuilder, NoiseMovesNothingAndDueChangesFormOneGeneration) {
   RingBuilder builder({}, At(0));
   std::mt19937 random(3);
   std::vector<NodeUpdate> nodes;
@@ -149,7 +149,7 @@
 }
 
 // It hears of the place before it hears of its reason.
-TEST(RingBuilder, AMemberThatDoesNotKnowWhyWaitsBeforeItWouldChangeBack) {
+TEST(RingBuilder, AMemberWithoutTheCauseWaitsBeforeReverting) {
   RingBuilder builder({}, At(0));
   std::int64_t now = 0;
   UpdateUntil(builder, {UpdateOf("n")}, false, now, 2000);
@@ -160,7 +160,7 @@
   EXPECT_EQ(builder.records()[0].level, 100);
 }
 
-TEST(RingBuilder, NodesInSlowStartJoinInStepsAndOneThatIsBackKeepsItsRecord) {
+TEST(RingBuilder, NodesInSlowStartJoinInStepsAndAReturningNodeKeepsItsRecord) {
   RingBuilder builder({}, At(0));
   std::vector<WeightShare> parts;
   for (std::int64_t now = 0; now <= 60'000; now += 100) {
--- a/tests/hash_ring/ring_test.cpp
+++ b/tests/hash_ring/ring_test.cpp
@@ -70,7 +70,7 @@
   EXPECT_EQ(ring.hash(), 13094407375005131512u);
 }
 
-TEST(Ring, OwnersDoNotDependOnTheOrderOfNodesAndAreSorted) {
+TEST(Ring, OwnersAreSortedAndIndependentOfTheNodeSequence) {
   auto nodes = Nodes(50);
   const Ring ring(1, nodes);
   std::shuffle(nodes.begin(), nodes.end(), std::mt19937(7));
@@ -89,7 +89,7 @@
 }
 
 // Within 1% of the ideal where a sample can tell: so many keys that 1% is at least two deviations.
-TEST(Ring, MovesWhatItMustAndNothingElse) {
+TEST(Ring, MovesOnlyTheKeysOfChangedNodes) {
   struct Case {
     int nodes, changed, keys;
   };
@@ -113,7 +113,7 @@
   }
 }
 
-TEST(Ring, ACapacityThatChangesByCMovesC) {
+TEST(Ring, ACapacityChangeMovesItsShareOfKeys) {
   for (const int half : {1, 50}) {
     auto nodes = Nodes(100);
     const Ring ring(1, nodes);
--- a/tests/zone_failover/decision_test.cpp
+++ b/tests/zone_failover/decision_test.cpp
@@ -16,7 +16,7 @@
 namespace mothrack::zone_failover {
 namespace {
 
-TEST(ZoneDecision, DoesNotDependOnTheOrderOfItsInput) {
+TEST(ZoneDecision, DoesNotDependOnTheSequenceOfItsInput) {
   std::mt19937_64 random(7);
   for (int i = 0; i < 300; ++i) {
     Fleet fleet;
@@ -44,7 +44,7 @@
   }
 }
 
-TEST(ZoneDecision, NewMemberStartsFromItsPeersOrCarefully) {
+TEST(ZoneDecision, NewMemberStartsFromItsPeersOrConservatively) {
   const ReportedState left{Phase::kDrained, 0, 1, 5, 8};
   const ZoneStates reported = InitialState(kNames, {ReportOf({"c1", "c"}, "-ww", 10, {left})}, At(0));
   EXPECT_EQ(reported.at("a").phase, Phase::kDrained);
@@ -58,7 +58,7 @@
   EXPECT_EQ(TrafficPlanFor(none, {}, Fleet().members, {}, At(2000), At(0)).zones.at(0).share, 1000);
 }
 
-TEST(ZoneDecision, SlowStartAllowanceIsSharedAndWhatOneDoesNotNeedIsLent) {
+TEST(ZoneDecision, SlowStartAllowanceIsSharedAndSpareAllowanceIsLent) {
   Fleet fleet;
   std::uint64_t sum = 0;
   ZoneStates state;
--- a/tests/zone_failover/histories_test.cpp
+++ b/tests/zone_failover/histories_test.cpp
@@ -142,7 +142,7 @@
   EXPECT_GT(all.isolated, 0);
 }
 
-TEST(ZoneHistories, FindEachPlantedFault) {
+TEST(ZoneHistories, FindEachInjectedFault) {
   const auto found = [](const std::function<void(FailoverConfig&)>& plant) {
     FailoverConfig config;
     plant(config);
--- a/tests/zone_failover/votes_test.cpp
+++ b/tests/zone_failover/votes_test.cpp
@@ -22,7 +22,7 @@
 std::map<std::string, int> ByZone(const std::string& cell) {
   std::map<std::string, int> members;
   std::istringstream in(cell);
-  for (std::string word; in >> word;) members[word.substr(0, 1)] = std::stoi(word.substr(1));
+  for (std::string token; in >> token;) members[token.substr(0, 1)] = std::stoi(token.substr(1));
   return members;
 }
 
