--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -22,7 +22,7 @@
   return {{"event_type", "Launch"}, {"I", instance}, {"Seed", 9}, {"Params", Params()}};
 }
 
-json Order(int instance, const char* handle) {
+json Request(int instance, const char* handle) {
   return {{"event_type", "Order"}, {"I", instance},    {"Handle", handle},         {"Work", nullptr},
           {"Billing", nullptr},    {"Update", false},  {"ClientDeadline", 900000}, {"IsRetry", false},
           {"Category", "page"},    {"Object", nullptr}};
@@ -45,8 +45,8 @@
   return {{"event_type", "Membership"}, {"I", instance}, {"How", "disk"}, {"Rev", 1}, {"RosterId", number}};
 }
 
-json Reply(Host& host, json news, std::int64_t clock = 1000) {
-  return json::parse(host.Reply(json{{"Clock", clock}, {"news", std::move(news)}}.dump())).at("cmds");
+json Reply(Host& host, json events, std::int64_t clock = 1000) {
+  return json::parse(host.Reply(json{{"Clock", clock}, {"news", std::move(events)}}.dump())).at("cmds");
 }
 
 // What the adapter says of a line that it cannot use; empty where it has no objection.
@@ -95,10 +95,10 @@
   EXPECT_EQ(host.Reply(R"({"Clock":8412250,"news":[]})"), R"({"cmds":[]})");
 }
 
-TEST(Wire, AnOrderIsForwardedToAListedUpstreamAndItsOutcomeIsRead) {
+TEST(Wire, ARequestIsForwardedToAListedUpstreamAndItsOutcomeIsRead) {
   Host host;
   const json cmds =
-      Reply(host, {Launch(3), Census(0, "10.0.0.1:80"), Membership(3, 0), Order(3, "00000000000000ff")});
+      Reply(host, {Launch(3), Census(0, "10.0.0.1:80"), Membership(3, 0), Request(3, "00000000000000ff")});
   const json forward = Only(cmds, "Forward");
   EXPECT_EQ(forward.at("I"), 3);
   EXPECT_EQ(forward.at("Handle"), "00000000000000ff");
@@ -118,11 +118,11 @@
   EXPECT_TRUE(Reply(host, {end}, 2000).empty());
 }
 
-TEST(Wire, ANumberedListIsResolvedInTheOrderOfTheEvents) {
+TEST(Wire, ANumberedListIsResolvedInEventSequence) {
   Host host;
   const json cmds =
-      Reply(host, {Launch(1), Census(0, "a:1"), Membership(1, 0), Order(1, "0000000000000001"), Launch(2),
-                   Census(0, "b:1"), Membership(2, 0), Order(2, "0000000000000002")});
+      Reply(host, {Launch(1), Census(0, "a:1"), Membership(1, 0), Request(1, "0000000000000001"), Launch(2),
+                   Census(0, "b:1"), Membership(2, 0), Request(2, "0000000000000002")});
   for (const json& cmd : cmds) {
     if (cmd.at("event_type") == "Forward") {
       EXPECT_EQ(cmd.at("Upstream"), cmd.at("I") == 1 ? "a:1" : "b:1");
@@ -133,7 +133,7 @@
 TEST(Wire, AHaltedInstanceIsForgotten) {
   Host host;
   Reply(host, {Launch(1), Census(0, "a:1"), Membership(1, 0)});
-  EXPECT_TRUE(Reply(host, {{{"event_type", "Halt"}, {"I", 1}}, Order(1, "0000000000000001")}).empty());
+  EXPECT_TRUE(Reply(host, {{{"event_type", "Halt"}, {"I", 1}}, Request(1, "0000000000000001")}).empty());
 }
 
 TEST(Wire, UnknownEventsAndFieldsAreSkipped) {
@@ -157,10 +157,10 @@
   Host host;
   Reply(host, {Launch(1), Census(0, "a:1"), Membership(1, 0)});
   for (const char* field : {"Handle", "ClientDeadline", "Category"}) {
-    json order = Order(1, "0000000000000001");
-    order[field] = "zz";
+    json request = Request(1, "0000000000000001");
+    request[field] = "zz";
     try {
-      Reply(host, {order});
+      Reply(host, {request});
       ADD_FAILURE() << field << " was taken";
     } catch (const Error& e) {
       EXPECT_NE(std::string(e.what()).find(field), std::string::npos) << e.what();
@@ -169,7 +169,7 @@
   }
 }
 
-TEST(Wire, SettingsThatMakeNoSenseAreReportedAsABugOfThatInstance) {
+TEST(Wire, InvalidSettingsAreReportedAsABugOfThatInstance) {
   Host host;
   json launch = Launch(4);
   launch["Params"]["Rules"]["ColdFrom"] = 1.5;
@@ -185,7 +185,7 @@
   params["Params"]["MembershipMode"] = "pushed";
   const json none = {{"event_type", "Census"}, {"RosterId", 0}, {"Items", json::array()}};
   json orders = {params, none, Membership(1, 0)};
-  orders.push_back(Order(1, "0000000000000001"));
+  orders.push_back(Request(1, "0000000000000001"));
   json cmds = Reply(host, orders);
   for (const json& cmd : Reply(host, {{{"event_type", "Ring"}, {"I", 1}, {"KeyBack", 1}}}, 2000000))
     cmds.push_back(cmd);
