--- a/tests/change_freeze/agent_permits_test.cpp
+++ b/tests/change_freeze/agent_permits_test.cpp
@@ -104,7 +104,7 @@
   }
 }
 
-TEST(FreezePermits, BreakGlassIsKeptUntilItIsReported) {
+TEST(FreezePermits, BreakGlassIsStoredUntilItIsReported) {
   AgentPermits book("a", {});
   EXPECT_EQ(book.BreakGlass({"c1", "ann", OperatorRole::kOperator, ""}, At(0)).code,
             StatusCode::kInvalidRequest);
--- a/tests/change_freeze/cluster_clients.cpp
+++ b/tests/change_freeze/cluster_clients.cpp
@@ -32,9 +32,9 @@
   }
   Machine& m = *machines_[static_cast<std::size_t>(UniformUpTo(static_cast<int>(machines_.size()) - 1))];
   if (m.up && now_ >= m.paused_until && Chance(0.001)) {
-    AgentPermits copy = *m.agent_permits;
-    if (copy.BreakGlass({"c9", "ann", OperatorRole::kOperator, "a test"}, Clock(m)).ok() &&
-        SavePermits(m, copy))
+    AgentPermits updated = *m.agent_permits;
+    if (updated.BreakGlass({"c9", "ann", OperatorRole::kOperator, "a test"}, Clock(m)).ok() &&
+        SavePermits(m, updated))
       ++history_.break_glass;
   }
 }
--- a/tests/change_freeze/cluster_faults.cpp
+++ b/tests/change_freeze/cluster_faults.cpp
@@ -90,7 +90,7 @@
   });
 }
 
-void SimulatedCluster::Crash(Machine& m, bool stale_copy) {
+void SimulatedCluster::Crash(Machine& m, bool stale_file) {
   ++history_.crashes;
   m.up = false;
   m.service.reset();
@@ -99,12 +99,13 @@
   // Only while the others' files are current: of three, two that rejoin at once wait for an operator
   // (docs/design/freeze.md).
   const bool others_current = OthersCurrent(m);
-  const bool stale = script_ != nullptr ? script_->stale_copy : Chance(0.3);
-  if (!(stale && others_current) && !stale_copy) return;
-  if (m.copies.size() < 2) return;
-  ++history_.stale_copies;
-  m.file = m.copies[m.copies.size() - 2 -
-                    (script_ != nullptr ? 0 : UniformUpTo(static_cast<int>(m.copies.size()) - 2))];
+  const bool stale = script_ != nullptr ? script_->stale_file : Chance(0.3);
+  if (!(stale && others_current) && !stale_file) return;
+  if (m.writes_of_file.size() < 2) return;
+  ++history_.stale_files;
+  m.file =
+      m.writes_of_file[m.writes_of_file.size() - 2 -
+                       (script_ != nullptr ? 0 : UniformUpTo(static_cast<int>(m.writes_of_file.size()) - 2))];
 }
 
 void SimulatedCluster::Start(Machine& m) {
--- a/tests/change_freeze/freeze_histories_test.cpp
+++ b/tests/change_freeze/freeze_histories_test.cpp
@@ -43,7 +43,7 @@
       {"deaths", &testing::History::crashes},
       {"torn writes", &testing::History::torn_writes},
       {"saves failed", &testing::History::saves_failed},
-      {"old copies", &testing::History::stale_copies},
+      {"old copies", &testing::History::stale_files},
       {"joined anew", &testing::History::rejoins},
       {"stops", &testing::History::pauses},
       {"coordinators stopped", &testing::History::leaders_paused},
@@ -72,11 +72,11 @@
   for (const int voters : {3, 5}) {
     const int crash_points = testing::RunHistory(7, voters, testing::Script{}).crash_points;
     ASSERT_GE(crash_points, 100);
-    for (const bool stale_copy : {false, true}) {
+    for (const bool stale_file : {false, true}) {
       for (int point = 0; point < crash_points; point += stride) {
-        const testing::History history = testing::RunHistory(7, voters, {point, -1, stale_copy});
+        const testing::History history = testing::RunHistory(7, voters, {point, -1, stale_file});
         ASSERT_EQ(history.violation, "")
-            << voters << " voters, point " << point << (stale_copy ? ", old copy" : "");
+            << voters << " voters, point " << point << (stale_file ? ", old copy" : "");
         ASSERT_EQ(history.crashes, 1);
       }
     }
--- a/tests/change_freeze/freeze_model.h
+++ b/tests/change_freeze/freeze_model.h
@@ -30,7 +30,7 @@
   int crashes = 0;
   int torn_writes = 0;
   int saves_failed = 0;
-  int stale_copies = 0;
+  int stale_files = 0;
   int rejoins = 0;
   int pauses = 0;  // of a whole machine, for longer than a lease
   int leaders_paused = 0;
@@ -48,7 +48,7 @@
 struct Script {
   int crash_at = -1;        // the number of a crash point, counted as History::crash_points
   int then_crash_at = -1;   // and of another one
-  bool stale_copy = false;  // the machine comes back with the copy of its file from two writes before
+  bool stale_file = false;  // the machine comes back with the copy of its file from two writes before
 };
 History RunHistory(std::uint64_t seed, int voters, const Script& script);
 
--- a/tests/change_freeze/simulated_cluster.cpp
+++ b/tests/change_freeze/simulated_cluster.cpp
@@ -64,7 +64,7 @@
     m.file.reset();
     throw Crashed();
   }
-  if (m.file) m.copies.push_back(*m.file);
+  if (m.file) m.writes_of_file.push_back(*m.file);
   m.file = record;
   CrashPoint();
   m.position = PositionOf(record);
@@ -102,7 +102,8 @@
 void SimulatedCluster::Send(const Machine& from, const Machine& to, std::function<void()> arrive) {
   if (from.partition != to.partition) return;
   if (!faults_stopped_ && Chance(0.05 * fault_rate_)) return;
-  for (int copies = !faults_stopped_ && Chance(0.04 * fault_rate_) ? 2 : 1; copies > 0; --copies) {
+  for (int deliveries = !faults_stopped_ && Chance(0.04 * fault_rate_) ? 2 : 1; deliveries > 0;
+       --deliveries) {
     int delay = 1 + UniformUpTo(120);
     if (!faults_stopped_ && Chance(0.04 * fault_rate_))
       delay = UniformUpTo(12'000);  // a message from long ago
@@ -139,12 +140,12 @@
   try {
     if (injected_fault_ == InjectedFault::kSentBeforeDurable ||
         injected_fault_ == InjectedFault::kWriteFailureIgnored) {
-      PermitService copy = *m.service;
+      PermitService updated = *m.service;
       std::vector<VoterMessage> early;
-      act(copy, early);
+      act(updated, early);
       if (injected_fault_ == InjectedFault::kSentBeforeDurable) send(early);
-      const bool saved = copy.record() == m.service->record() || Save(copy.record());
-      if (saved || injected_fault_ == InjectedFault::kWriteFailureIgnored) *m.service = copy;
+      const bool saved = updated.record() == m.service->record() || Save(updated.record());
+      if (saved || injected_fault_ == InjectedFault::kWriteFailureIgnored) *m.service = updated;
       if (injected_fault_ == InjectedFault::kWriteFailureIgnored) send(early);
     } else {
       ApplyDurably(*m.service, *this, Clock(m), act, out);
@@ -238,17 +239,17 @@
 
 void SimulatedCluster::OnConfirmation(Machine& m, const PermitConfirmation& confirmation,
                                       TimePoint request_sent) {
-  AgentPermits copy = *m.agent_permits;
-  if (!copy.OnConfirmation(confirmation, request_sent)) {
+  AgentPermits updated = *m.agent_permits;
+  if (!updated.OnConfirmation(confirmation, request_sent)) {
     ++history_.late_confirmations;
     if (injected_fault_ == InjectedFault::kStaleConfirmationAccepted)
       *m.agent_permits = AgentPermits(m.name, {}),
       m.agent_permits->OnConfirmation(confirmation, request_sent);
     return;
   }
-  if (copy.record() == m.agent_permits->record()) {
-    *m.agent_permits = copy;
-  } else if (!SavePermits(m, copy)) {
+  if (updated.record() == m.agent_permits->record()) {
+    *m.agent_permits = updated;
+  } else if (!SavePermits(m, updated)) {
     return;
   }
   m.highest_term = std::max(m.highest_term, confirmation.term);
@@ -272,9 +273,9 @@
            if (reported == 0) return;
            Send(other, m, [this, &m, reported, process] {
              if (m.process != process) return;
-             AgentPermits copy = *m.agent_permits;
-             copy.OnBreakGlassReported(reported);
-             if (!(copy.record() == m.agent_permits->record())) SavePermits(m, copy);
+             AgentPermits updated = *m.agent_permits;
+             updated.OnBreakGlassReported(reported);
+             if (!(updated.record() == m.agent_permits->record())) SavePermits(m, updated);
            });
          });
   }
--- a/tests/change_freeze/simulated_cluster.h
+++ b/tests/change_freeze/simulated_cluster.h
@@ -46,7 +46,7 @@
   // On disk.
   std::optional<VoterRecord> file;
   std::optional<RecordPosition> position;
-  std::vector<VoterRecord> copies;  // each earlier content of `file`
+  std::vector<VoterRecord> writes_of_file;  // each earlier content of `file`
   PermitRecord permit_record;
   // In the process.
   std::unique_ptr<PermitService> service;
@@ -116,7 +116,7 @@
   void InjectCombinedFault();
   void Pause(Machine& m);
   bool OthersCurrent(const Machine& m) const;
-  void Crash(Machine& m, bool stale_copy = false);
+  void Crash(Machine& m, bool stale_file = false);
   void Start(Machine& m);
   void StopFaults();
 
