--- a/tests/dispatch/dispatcher_histories_test.cpp
+++ b/tests/dispatch/dispatcher_histories_test.cpp
@@ -679,11 +679,11 @@
   std::cout << std::endl;
 }
 
-TEST(DispatcherHistories, EachAttemptDecidedHasItsEnd) { Keep(Rule::kAttemptEnds); }
+TEST(DispatcherHistories, EachAttemptEndsOnce) { Keep(Rule::kAttemptEnds); }
 
-TEST(DispatcherHistories, FinalsKnowWhetherTheirTimeIsOver) { Keep(Rule::kTime); }
+TEST(DispatcherHistories, FinalsStateWhetherTheirDeadlinePassed) { Keep(Rule::kTime); }
 
-TEST(DispatcherHistories, KeysStayWithWhoDropsTheirRepeats) { Keep(Rule::kKeyScope); }
+TEST(DispatcherHistories, KeysStayWithUpstreamsThatDeduplicateThem) { Keep(Rule::kKeyScope); }
 
 }  // namespace
 }  // namespace mothrack
--- a/tests/dispatch/dispatcher_test.cpp
+++ b/tests/dispatch/dispatcher_test.cpp
@@ -154,18 +154,18 @@
     ScriptedTransport carrier;
     dispatch::Dispatcher owner(io, settings, 1, carrier, log);
     owner.Apply(Members({"u1", "u2"}, balancer::MembershipUpdate::Kind::kRestored));
-    int told = 0;
+    int finals = 0;
     dispatch::NewRequest request;
     request.request_class = balancer::ClassId{0};
     request.deadline = runtime::Now() + milliseconds(5);
     request.message = std::make_shared<TextMessage>("m");
-    request.on_final = [&](dispatch::Final) { ++told; };
+    request.on_final = [&](dispatch::Final) { ++finals; };
     const auto id = owner.Submit(std::move(request));
     carrier.unsent.insert(carrier.Only());
     end(owner, carrier, *id);
     EXPECT_TRUE(carrier.out.empty());
     EXPECT_EQ(owner.open(), 0U);
-    return told;
+    return finals;
   };
   EXPECT_EQ(over("its client left", [](dispatch::Dispatcher& owner, ScriptedTransport&,
                                        balancer::RequestId id) { owner.OnClientDisconnected(id); }),
@@ -202,7 +202,7 @@
   EXPECT_EQ(transport.sent, 1);
 }
 
-TEST_F(DispatcherTest, OnlyTheLastAttemptsReplyIsHandedOn) {
+TEST_F(DispatcherTest, OnlyTheLastAttemptsReplyIsForwarded) {
   ASSERT_TRUE(Submit(0));
   transport.End(transport.Only(), Outcome::kError, "the first's");
   ASSERT_EQ(transport.out.size(), 1U) << "tried again";
@@ -222,7 +222,7 @@
   dispatcher.OnClientDisconnected(*id);  // no longer known
 }
 
-TEST_F(DispatcherTest, KeyIsRejectedWhileItsRequestIsOpenAndAWhileAfter) {
+TEST_F(DispatcherTest, KeyIsRejectedWhileItsRequestIsOpenAndForAWindowAfter) {
   ASSERT_TRUE(Submit(0, "k"));
   EXPECT_FALSE(Submit(0, "k"));
   transport.End(transport.Only(), Outcome::kServed, "answer");
@@ -250,7 +250,7 @@
   }
 }
 
-TEST_F(DispatcherTest, FullListMarksMissingUpstreamsAsGoneAtTheTransport) {
+TEST_F(DispatcherTest, FullListMarksMissingUpstreamsAsRemovedAtTheTransport) {
   dispatcher.Apply(Members({"u2", "u3"}));
   EXPECT_EQ(transport.locations.at("u1").state, balancer::UpstreamState::kGone);
   EXPECT_EQ(transport.locations.at("u3").state, balancer::UpstreamState::kServing);
@@ -266,10 +266,10 @@
 
 // Any order of arrivals, ends, departures and changes of the list: each request has at most one Final,
 // exactly one if its client stayed, and nothing is left behind.
-TEST_F(DispatcherTest, AnyOrderOfEventsLeavesOneFinalEach) {
+TEST_F(DispatcherTest, AnyEventSequenceLeavesOneFinalEach) {
   std::mt19937 random(7);
   std::map<int, int> finals_of;
-  std::set<int> gone;
+  std::set<int> disconnected;
   int requests = 0;
   std::vector<std::pair<int, balancer::RequestId>> open;
   const Outcome outcomes[] = {Outcome::kServed,        Outcome::kError, Outcome::kFull,   Outcome::kTimeout,
@@ -290,14 +290,14 @@
       transport.End(it->first, outcomes[random() % 7], "r");
     } else if (dice == 8 && !open.empty()) {
       const auto& [number, id] = open[random() % open.size()];
-      if (!finals_of.contains(number)) gone.insert(number);
+      if (!finals_of.contains(number)) disconnected.insert(number);
       dispatcher.OnClientDisconnected(id);
     } else if (step % 50 == 0) {
       dispatcher.Apply(step % 100 == 0 ? Members({"u1"}) : Members({"u1", "u2", "u3"}));
     }
   }
   while (!transport.out.empty()) transport.End(transport.out.begin()->first, Outcome::kServed, "r");
-  for (int i = 0; i < requests; ++i) ASSERT_EQ(finals_of[i], gone.contains(i) ? 0 : 1) << i;
+  for (int i = 0; i < requests; ++i) ASSERT_EQ(finals_of[i], disconnected.contains(i) ? 0 : 1) << i;
   EXPECT_EQ(dispatcher.open(), 0U);
 }
 
--- a/tests/dispatch/request_state_test.cpp
+++ b/tests/dispatch/request_state_test.cpp
@@ -47,7 +47,7 @@
   }
 }
 
-TEST(RequestState, TellsWhatTheStateMeans) {
+TEST(RequestState, PredicatesFollowTheState) {
   for (const Row& row : kRows) {
     EXPECT_EQ(AwaitsFinal(row.state), row.awaits_final) << static_cast<int>(row.state);
     EXPECT_EQ(IsArriving(row.state), row.arriving) << static_cast<int>(row.state);
--- a/tests/dispatch/start_times_test.cpp
+++ b/tests/dispatch/start_times_test.cpp
@@ -65,18 +65,18 @@
 
 class WallClockSteps : public ::testing::TestWithParam<Step> {};
 
-TEST_P(WallClockSteps, ANewProcessIsNeverTakenForOlderThanItIs) {
+TEST_P(WallClockSteps, ANewProcessIsNeverPlacedEarlierThanItStarted) {
   const auto [name, step, stamped_after, exact] = GetParam();
   dispatch::StartTimes times(At(kStart));
   dispatch::MembershipList first = One(Kind::kFull, "old", BootMs(runtime::TimePoint(seconds(10))));
   times.Place(first, At(kStart + seconds(1)));
   const runtime::TimePoint started = kStart + seconds(2);
-  const runtime::TimePoint told = started + milliseconds(200);
+  const runtime::TimePoint notified = started + milliseconds(200);
   const runtime::TimePoint placed = Placed(
       times, One(Kind::kChanges, "new", BootMs(started, stamped_after ? step : runtime::Duration::zero())),
-      At(told, step));
+      At(notified, step));
   EXPECT_GE(placed, started);
-  EXPECT_LE(placed, told);
+  EXPECT_LE(placed, notified);
   if (exact) {
     EXPECT_EQ(placed, started);
   }
@@ -108,13 +108,14 @@
 
 TEST(StartTimes, NoProcessStartedAfterTheListThatHasIt) {
   dispatch::StartTimes times(At(kStart));
-  const runtime::TimePoint told = kStart + seconds(1);
-  EXPECT_EQ(Placed(times, One(Kind::kFull, "new", BootMs(kStart, seconds(3600))), At(told)), told);
+  const runtime::TimePoint notified = kStart + seconds(1);
+  EXPECT_EQ(Placed(times, One(Kind::kFull, "new", BootMs(kStart, seconds(3600))), At(notified)), notified);
   dispatch::StartTimes restored(At(kStart));
-  EXPECT_EQ(Placed(restored, One(Kind::kRestored, "new", BootMs(kStart, seconds(3600))), At(told)), told);
+  EXPECT_EQ(Placed(restored, One(Kind::kRestored, "new", BootMs(kStart, seconds(3600))), At(notified)),
+            notified);
 }
 
-TEST(StartTimes, TheFirstListIsTakenAtItsWord) {
+TEST(StartTimes, StartTimesOfTheFirstListAreTrusted) {
   for (const Kind kind : {Kind::kRestored, Kind::kFull}) {
     dispatch::StartTimes times(At(kStart));
     const runtime::TimePoint started = kStart - seconds(500);
@@ -132,7 +133,7 @@
   EXPECT_EQ(Placed(times, One(Kind::kFull, "u", BootMs(started)), At(kStart + seconds(1))), started);
 }
 
-TEST(StartTimes, WhatWasPlacedKeepsItsTimeWhateverTheWallClockDoes) {
+TEST(StartTimes, APlacedTimeHoldsWhateverTheWallClockDoes) {
   dispatch::StartTimes times(At(kStart));
   const std::int64_t boot_ms = BootMs(kStart - seconds(5));
   const runtime::TimePoint placed = Placed(times, One(Kind::kFull, "u", boot_ms), At(kStart));
@@ -163,7 +164,7 @@
   EXPECT_EQ(Placed(times, One(Kind::kChanges, "u", BootMs(again)), At(kStart + seconds(2))), again);
 }
 
-TEST(StartTimes, WhatLeftIsRememberedInABoundedSpace) {
+TEST(StartTimes, RemovedProcessesAreRememberedInBoundedSpace) {
   dispatch::StartTimes times(At(kStart));
   const std::int64_t boot_ms = BootMs(kStart - seconds(5));
   for (std::size_t i = 0; i <= dispatch::StartTimes::kMaxDeparted; ++i) {
@@ -182,7 +183,7 @@
       kStart);
 }
 
-TEST(StartTimes, ASuccessorGoesOnWithWhatIsPlacedWhateverItsWallClockSays) {
+TEST(StartTimes, ASuccessorKeepsPlacedTimesWhateverItsWallClock) {
   dispatch::StartTimes times(At(kStart));
   const std::int64_t boot_ms = BootMs(kStart - seconds(5));
   Placed(times, One(Kind::kFull, "u", boot_ms), At(kStart));
