--- a/tests/balancer/helpers.h
+++ b/tests/balancer/helpers.h
@@ -4,6 +4,7 @@
 #include <chrono>
 #include <cstdint>
 #include <map>
+#include <memory>
 #include <string>
 #include <utility>
 #include <variant>
@@ -200,4 +201,12 @@
   std::map<RequestId, std::size_t> attempts_;
 };
 
+// `count` sidecars that share nothing but their endpoint list.
+inline std::vector<std::unique_ptr<World>> Fleet(int count, const Settings& settings = DefaultSettings()) {
+  std::vector<std::unique_ptr<World>> fleet;
+  for (int i = 0; i < count; ++i)
+    fleet.push_back(std::make_unique<World>(settings, 1000 + static_cast<std::uint64_t>(i)));
+  return fleet;
+}
+
 }  // namespace mothrack::balancer::testing
