--- a/tests/runtime/acceptor_test.cpp
+++ b/tests/runtime/acceptor_test.cpp
@@ -184,7 +184,7 @@
   std::vector<tcp::socket> clients;
 };
 
-TEST_F(AcceptorTest, AdmitsAClientThatComesBetweenTheLastRefusalAndTheWait) {
+TEST_F(AcceptorTest, AdmitsAClientThatConnectsBetweenTheLastEagainAndTheWait) {
   Settle();
   system_.after_refusal = [this] { Connect(); };
   Connect();
@@ -192,7 +192,7 @@
   EXPECT_EQ(acceptor->missed_wakeups(), 0U);
 }
 
-TEST_F(AcceptorTest, APollFindsAClientOfWhichTheEventLoopDidNotTell) {
+TEST_F(AcceptorTest, APollFindsAClientThatTheEventLoopDidNotReport) {
   Settle();
   system_.lost_wakes = 1;
   Connect();
@@ -209,7 +209,7 @@
   EXPECT_EQ(acceptor->missed_wakeups(), 1U);
 }
 
-TEST_F(AcceptorTest, APollLeavesToTheEventLoopWhatThatIsAboutToTell) {
+TEST_F(AcceptorTest, APollLeavesToTheEventLoopWhatItIsAboutToReport) {
   Settle();
   Connect();
   acceptor->PollForMissedClients();
@@ -218,7 +218,7 @@
   EXPECT_EQ(acceptor->missed_wakeups(), 0U);
 }
 
-TEST_F(AcceptorTest, APollFindsNobodyWhereNobodyWaits) {
+TEST_F(AcceptorTest, APollOfAnEmptyQueueFindsNothing) {
   Settle();
   for (int i = 0; i < 10; ++i) acceptor->PollForMissedClients();
   Settle();
@@ -227,7 +227,7 @@
 }
 
 // With every wake-up lost, looks alone serve all, also those that found no room at first.
-TEST_F(AcceptorTest, LooksServeAllWhereEveryWakeUpIsLost) {
+TEST_F(AcceptorTest, PollsServeAllClientsWhereEveryWakeUpIsLost) {
   Settle();
   system_.lost_wakes = 1 << 30;
   capacity = 0;
@@ -245,7 +245,7 @@
   }
 }
 
-TEST_F(AcceptorTest, AClientThatLeftAheadOfItsTurnBlocksNobody) {
+TEST_F(AcceptorTest, AClientThatDisconnectedInTheQueueBlocksNobody) {
   Settle();
   system_.fails = 1;
   system_.error = ECONNABORTED;
@@ -274,7 +274,7 @@
 }
 
 // A lack that is over at the next call closes nobody's connection; one that lasts does.
-TEST_F(AcceptorTest, OnlyALackThatLastsEvictsOthers) {
+TEST_F(AcceptorTest, OnlyALastingLackOfDescriptorsEvictsOthers) {
   for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS}) {
     const std::size_t before = admitted.size();
     Settle();
@@ -300,7 +300,7 @@
   EXPECT_EQ(system_.interrupts, 0);
 }
 
-TEST_F(AcceptorTest, AcceptIsNotRetriedWithoutAnEndWhereItOnlyFails) {
+TEST_F(AcceptorTest, AcceptIsNotRetriedForeverWhereItAlwaysFails) {
   Settle();
   system_.fails = 1000;
   system_.error = ECONNABORTED;
@@ -309,7 +309,7 @@
   EXPECT_EQ(system_.fails, 0);
 }
 
-TEST_F(AcceptorTest, AdmitsOnceThereAreDescriptorsAgainAndNoFurtherClientComes) {
+TEST_F(AcceptorTest, AdmitsOnceDescriptorsAreFreeWithoutAFurtherClient) {
   for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS, ENETDOWN}) {
     const std::size_t before = admitted.size();
     Settle();
@@ -321,7 +321,7 @@
   }
 }
 
-TEST_F(AcceptorTest, WhoWaitedDuringAPauseIsAdmittedAfterIt) {
+TEST_F(AcceptorTest, ClientsQueuedDuringAPauseAreAdmittedAfterIt) {
   Settle();
   acceptor->Pause();
   Connect();
@@ -333,7 +333,7 @@
   EXPECT_TRUE(Admits(1));
 }
 
-TEST_F(AcceptorTest, ResumedAtOnceItWaitsOnce) {
+TEST_F(AcceptorTest, ResumedAtOnceRegistersOneWait) {
   for (int i = 0; i < 50; ++i) {
     acceptor->Pause();
     acceptor->Resume();
@@ -355,7 +355,7 @@
   EXPECT_EQ(refusals, 1);
 }
 
-TEST_F(AcceptorTest, PausedWhileThereIsNoDescriptorItAdmitsAfterBoth) {
+TEST_F(AcceptorTest, PausedWithoutDescriptorsItAdmitsAfterBoth) {
   Settle();
   system_.fails = 1;
   system_.error = EMFILE;
@@ -366,7 +366,7 @@
   EXPECT_TRUE(Admits(1));
 }
 
-TEST_F(AcceptorTest, WhoWaitsWhenItClosesIsAdmittedAlsoBehindOneThatLeft) {
+TEST_F(AcceptorTest, ClientsQueuedAtCloseAreAdmittedEvenBehindADisconnectedOne) {
   Settle();
   Connect();
   Connect();
@@ -390,7 +390,7 @@
 }
 
 // The process has as many descriptors as it may: those that wait are kept waiting until others have ended.
-TEST_F(AcceptorTest, WhoWaitsWhenItClosesWithoutADescriptorIsNotReset) {
+TEST_F(AcceptorTest, ClientsQueuedAtCloseWithoutADescriptorAreNotReset) {
   Settle();
   Connect();
   ASSERT_TRUE(Admits(1));
@@ -410,7 +410,7 @@
   for (tcp::socket& client : clients) EXPECT_TRUE(IsOpen(client));
 }
 
-TEST_F(AcceptorTest, WhoWaitsWhenItClosesWithoutCapacityIsAdmittedOnceThereIsSome) {
+TEST_F(AcceptorTest, ClientsQueuedAtCloseWithoutCapacityAreAdmittedOnceThereIsSome) {
   Settle();
   Connect();
   ASSERT_TRUE(Admits(1));
@@ -429,7 +429,7 @@
   EXPECT_TRUE(IsOpen(clients[2]));
 }
 
-TEST_F(AcceptorTest, HandlersThatWerePutOffDoNotTouchADestroyedAcceptor) {
+TEST_F(AcceptorTest, DeferredHandlersDoNotTouchADestroyedAcceptor) {
   Settle();
   system_.lost_wakes = 1;
   Connect();
@@ -442,7 +442,7 @@
 }
 
 // One client after the other, each alone with an acceptor that has nothing else to do.
-TEST_F(AcceptorTest, TenThousandLoneClientsInARow) {
+TEST_F(AcceptorTest, TenThousandSingleClientsInSequence) {
   constexpr std::size_t kClients = 10000;
   for (std::size_t i = 0; i < kClients; ++i) {
     Connect();
--- a/tests/runtime/stream_test.cpp
+++ b/tests/runtime/stream_test.cpp
@@ -10,7 +10,7 @@
 namespace mothrack {
 namespace {
 
-TEST(Stream, HoldsNoMoreThanItsWindowAndTellsBothSides) {
+TEST(Stream, BuffersNoMoreThanItsWindowAndNotifiesBothSides) {
   runtime::ByteBudget budget(64 * 1024);
   runtime::Stream stream(budget, 0);
   int capacity_events = 0;
@@ -59,7 +59,7 @@
   EXPECT_FALSE(stream.BeginConsuming());
 }
 
-TEST(Stream, WhatNobodyWantsIsDroppedAsItComes) {
+TEST(Stream, UnwantedDataIsDroppedOnArrival) {
   runtime::ByteBudget budget(1024 * 1024);
   runtime::Stream stream(budget, 1000);
   ASSERT_TRUE(stream.BeginConsuming());
--- a/tests/runtime/timer_queue_test.cpp
+++ b/tests/runtime/timer_queue_test.cpp
@@ -15,7 +15,7 @@
 
 using std::chrono::milliseconds;
 
-TEST(TimerQueue, FireInOrderAndGoOnAfterAnException) {
+TEST(TimerQueue, FireByDeadlineAndContinueAfterAnException) {
   boost::asio::io_context io;
   std::vector<std::uint64_t> fired;
   runtime::TimerQueue timers(io, [&](std::uint64_t token) {
