--- /dev/null
+++ b/tests/runtime/acceptor_close_test.cpp
@@ -0,0 +1,83 @@
+// Closing the acceptor while clients wait in its queue.
+#include <boost/asio/ip/tcp.hpp>
+#include <cerrno>
+
+#include "runtime/acceptor_fixture.h"
+
+namespace mothrack {
+namespace {
+
+TEST_F(AcceptorTest, AnInterruptedPollOfTheQueueIsRepeatedAheadOfTheClose) {
+  Settle();
+  Connect();
+  system_.interrupts = 3;
+  EXPECT_TRUE(acceptor->Close());
+  EXPECT_EQ(admitted.size(), 1U);
+  EXPECT_EQ(system_.interrupts, 0);
+}
+
+// Reads nothing, and the connection stands.
+bool IsOpen(tcp::socket& client) {
+  char byte = 0;
+  boost::system::error_code error;
+  client.non_blocking(true);
+  client.read_some(boost::asio::buffer(&byte, 1), error);
+  return error == boost::asio::error::would_block;
+}
+
+TEST_F(AcceptorTest, ClientsQueuedAtCloseAreAdmittedEvenBehindADisconnectedOne) {
+  Settle();
+  Connect();
+  Connect();
+  Connect();
+  system_.fails = 1;
+  system_.error = ECONNABORTED;
+  system_.takes = true;
+  EXPECT_TRUE(acceptor->Close());
+  EXPECT_EQ(admitted.size(), 2U);
+  EXPECT_EQ(system_.blocked, 0);
+  EXPECT_FALSE(acceptor->is_open());
+}
+
+// The process has as many descriptors as it may: those that wait are kept waiting until others have ended.
+TEST_F(AcceptorTest, ClientsQueuedAtCloseWithoutADescriptorAreNotReset) {
+  Settle();
+  Connect();
+  ASSERT_TRUE(Admits(1));
+  Connect();
+  Connect();
+  system_.descriptors = 3;  // the standard streams have these
+  EXPECT_FALSE(acceptor->Close());
+  Settle();
+  EXPECT_FALSE(acceptor->Close());
+  EXPECT_TRUE(acceptor->is_open());
+  EXPECT_EQ(admitted.size(), 1U);
+  for (tcp::socket& client : clients) EXPECT_TRUE(IsOpen(client));
+  // There are some again.
+  system_.descriptors = RLIM_INFINITY;
+  EXPECT_TRUE(acceptor->Close());
+  EXPECT_EQ(admitted.size(), 3U);
+  for (tcp::socket& client : clients) EXPECT_TRUE(IsOpen(client));
+}
+
+TEST_F(AcceptorTest, ClientsQueuedAtCloseWithoutCapacityAreAdmittedOnceThereIsSome) {
+  Settle();
+  Connect();
+  ASSERT_TRUE(Admits(1));
+  Connect();
+  Connect();
+  capacity = 0;
+  EXPECT_FALSE(acceptor->Close());
+  EXPECT_EQ(admitted.size(), 1U);
+  capacity = 1;
+  EXPECT_FALSE(acceptor->Close());
+  EXPECT_EQ(admitted.size(), 2U);
+  EXPECT_TRUE(IsOpen(clients[2]));
+  capacity = 1;
+  EXPECT_TRUE(acceptor->Close());
+  EXPECT_EQ(admitted.size(), 3U);
+  EXPECT_TRUE(IsOpen(clients[2]));
+}
+
+}  // namespace
+}  // namespace mothrack
