--- a/tests/http/listener_test.cpp
+++ b/tests/http/listener_test.cpp
@@ -349,7 +349,7 @@
   return cuts;
 }
 
-TEST_F(ListenerTest, ARequestSplitInTwoAtAnyByteArrivesWholeAndOnce) {
+TEST_F(ListenerTest, ARequestSplitAtAnyByteArrivesCompleteAndOnce) {
   for (const Kind& kind : Kinds()) {
     for (const std::size_t cut : Cuts(kind)) {
       SCOPED_TRACE(kind.name + (" at " + std::to_string(cut)));
@@ -369,7 +369,7 @@
   }
 }
 
-TEST_F(ListenerTest, ARequestCutOffAtAnyByteIsNeverHandedOnWhole) {
+TEST_F(ListenerTest, ARequestTruncatedAtAnyByteIsNeverForwarded) {
   for (const Kind& kind : Kinds()) {
     for (const Way way : {Way::kClose, Way::kReset}) {
       for (const std::size_t cut : Cuts(kind)) {
@@ -417,7 +417,7 @@
 INSTANTIATE_TEST_SUITE_P(Listener, ConnectionEnd, ::testing::Bool(),
                          [](const auto& info) { return info.param ? "Drained" : "Rested"; });
 
-TEST_P(ConnectionEnd, WhatCameBeforeTheCheckIsServedAndAnsweredWithClose) {
+TEST_P(ConnectionEnd, RequestsBeforeTheEndAreServedAndAnsweredWithClose) {
   Client& client = Served();
   Send(client, Get("/second"));
   Begin();
@@ -426,7 +426,7 @@
   EXPECT_TRUE(Ends(client));
 }
 
-TEST_P(ConnectionEnd, WhatCrossesTheEndIsNotReadAndMeetsNoReset) {
+TEST_P(ConnectionEnd, RequestsThatCrossTheEndAreNeitherReadNorReset) {
   for (Hook System::*const moment : {&System::before_end, &System::after_end}) {
     SCOPED_TRACE(moment == &System::before_end ? "before the end" : "after it");
     Client& client = Served();
@@ -452,7 +452,7 @@
   }
 }
 
-TEST_P(ConnectionEnd, AClientThatRestsClosesAndAnotherThatStaysIsClosed) {
+TEST_P(ConnectionEnd, IdleClientsAreClosed) {
   Client& closes = Served();
   Client& stays = Served();
   Begin();
@@ -487,7 +487,7 @@
   }
 }
 
-TEST_P(ConnectionEnd, WhatFollowsTheLastAnswerIsNotHandedOn) {
+TEST_P(ConnectionEnd, RequestsAfterTheLastAnswerAreNotForwarded) {
   answers = false;
   Client& ahead = Connect();
   Send(ahead, Get("/held") + Get("/ahead"));
@@ -540,7 +540,7 @@
   EXPECT_EQ(ended, 1);
 }
 
-TEST_F(ListenerTest, ADrainThatASweepCrossesEndsOnce) {
+TEST_F(ListenerTest, ADrainDuringASweepEndsOnce) {
   listener->PauseAccepting();
   // The sweep is due, and the signal is handled ahead of it.
   boost::asio::steady_timer signal(io, std::chrono::steady_clock::time_point());
@@ -553,7 +553,7 @@
 // ---- Overdue, and yet there ----
 
 // The sidecar had no time: what came meanwhile is read before anybody is judged by the clock.
-TEST_F(ListenerTest, ARequestThatCameBeforeItsConnectionIsFoundOverdueIsServed) {
+TEST_F(ListenerTest, ARequestReceivedBeforeTheIdleTimeoutFiresIsServed) {
   const std::string request = Get("/p");
   for (const std::size_t before : {std::size_t{0}, std::size_t{1}, request.size() - 1}) {
     SCOPED_TRACE(before);
@@ -568,7 +568,7 @@
   }
 }
 
-TEST_F(ListenerTest, WhoTricklesIsNotExcusedTwice) {
+TEST_F(ListenerTest, ATricklingClientGetsNoSecondExtension) {
   Client& client = Connect();
   Send(client, "GET /p HTTP/1.1\r\nX: ");
   Settle();
@@ -580,7 +580,7 @@
   EXPECT_TRUE(Ends(client));
 }
 
-TEST_F(ListenerTest, ALastAnswerIsNotResetByWhatComesAsTheWaitForItsCloseEnds) {
+TEST_F(ListenerTest, ALastAnswerIsNotResetByDataAtTheEndOfTheLingeringClose) {
   more_of_answer = 200000;
   Client& client = Connect(true);
   Send(client, Get("/last", "Connection: close\r\n"));
@@ -607,7 +607,7 @@
   }
 };
 
-TEST_F(Eviction, ARequestWhoseRemainderIsUnreadIsNotEvicted) {
+TEST_F(Eviction, ARequestWithUnreadDataIsNotEvicted) {
   Hold();
   const std::string request = Post("Content-Length: 5\r\n", "abcde");
   Client& half = Connect();
@@ -624,7 +624,7 @@
   EXPECT_TRUE(Receives(next, "answer /next"));
 }
 
-TEST_F(Eviction, ALastAnswerIsNotResetByWhatWaitsBehindIt) {
+TEST_F(Eviction, ALastAnswerIsNotResetByPipelinedData) {
   Hold();
   more_of_answer = 200000;
   Client& last = Connect(true);
@@ -643,7 +643,7 @@
 }
 
 // All are busy when the listener would close: whoever waits in its queue is let in as soon as there is room.
-TEST_F(Eviction, ADrainDoesNotCloseOverThoseThatWait) {
+TEST_F(Eviction, ADrainAwaitsQueuedClients) {
   Hold();
   Hold();
   Client& waits = Dial();
@@ -665,7 +665,7 @@
   EXPECT_EQ(ended, 1);
 }
 
-TEST_F(Eviction, ADrainGivesUpThoseThatWaitWhereNothingElseEnds) {
+TEST_F(Eviction, ADrainAbandonsQueuedClientsWhereNoConnectionEnds) {
   Hold();
   Hold();
   Client& waits = Dial();
@@ -702,7 +702,7 @@
   };
 }
 
-TEST_F(ListenerTest, WhoLeavesIsFoundWithinATenthOfASecondWhateverItSentAhead) {
+TEST_F(ListenerTest, ADisconnectIsDetectedWithin100MsDespitePipelinedData) {
   answers = takes = false;
   for (const Departure& departure : Departures()) {
     for (const Way way : {Way::kClose, Way::kReset}) {
@@ -729,7 +729,7 @@
 }
 
 // The sidecar had no time for either: what it reads first is the request.
-TEST_F(ListenerTest, ARequestWhoseClientLeftWhileItWaitedIsNotHandedOn) {
+TEST_F(ListenerTest, AQueuedRequestOfADisconnectedClientIsNotForwarded) {
   for (const std::string& sent : {Get("/p"), Get("/p") + Followers(5000), PostOfLength(5, 5)}) {
     for (const Way way : {Way::kClose, Way::kReset}) {
       Client& client = Connect();
@@ -742,7 +742,7 @@
 }
 
 // Else a client that has left would get them sent on, one after the other. Its own answer arrives whole.
-TEST_F(ListenerTest, FollowersOfAFloodAreNotHandedOn) {
+TEST_F(ListenerTest, RequestsAfterAFloodAreNotForwarded) {
   more_of_answer = 200000;
   for (const std::size_t size : {100000, 280000}) {
     answers = false;
@@ -763,7 +763,7 @@
 
 // ---- Bounds ----
 
-TEST_F(ListenerTest, AFloodBehindARequestIsReadToABoundWithoutASpinAndKeepsNobodyWaiting) {
+TEST_F(ListenerTest, APipelinedFloodIsReadToABoundWithoutBusyLoopOrStarvation) {
   answers = false;
   Client& client = Connect();
   const std::string sent = Get("/p") + Followers(64 << 20);
@@ -787,7 +787,7 @@
 }
 
 // After a last answer so much is dropped at most. Others get their turn between any two reads.
-TEST_F(ListenerTest, AFloodBehindALastAnswerEndsInAResetAndOthersAreServedInBetween) {
+TEST_F(ListenerTest, AFloodBehindALastAnswerIsResetWhileOthersAreServed) {
   Client& client = Connect();
   Client& other = Connect();
   Send(client, Get("/p", "Connection: close\r\n"));
@@ -805,7 +805,7 @@
   EXPECT_EQ(handed.size(), 2U);
 }
 
-TEST_F(ListenerTest, AnUploadThatNobodyTakesIsReadToItsWindowWithoutASpin) {
+TEST_F(ListenerTest, AnUnconsumedUploadIsReadToItsWindowWithoutBusyLoop) {
   takes = false;
   Client& client = Connect();
   const std::string sent = PostOfLength(8 << 20, 8 << 20);
--- a/tests/http/transport_test.cpp
+++ b/tests/http/transport_test.cpp
@@ -134,7 +134,7 @@
 };
 
 // Seen: a copy whose connection came up 50 ms after its request had been answered was written then, and ran.
-TEST_F(TransportTest, WhatIsAbandonedWhileItConnectsIsNeverWrittenAndItsConnectionIsPooled) {
+TEST_F(TransportTest, AnAttemptAbandonedWhileConnectingIsNotSentAndItsConnectionIsPooled) {
   Late late(io);
   Serving("u1", late.address());
   Send(dispatch::ExchangeId{1}, "u1", "/page/abandoned");
@@ -156,7 +156,7 @@
   EXPECT_EQ(transport.counts().opened, 1U);
 }
 
-TEST_F(TransportTest, WhatIsAbandonedAndThenCancelledOrDrainedEndsOnce) {
+TEST_F(TransportTest, AnAbandonedAttemptThatIsCancelledOrDrainedEndsOnce) {
   for (const bool drained : {false, true}) {
     Late late(io);
     ended.clear();
@@ -182,7 +182,7 @@
 }
 
 // The loop had no time meanwhile: both wait for it in one turn, and what is handled first decides for both.
-TEST_F(TransportTest, AConnectionThatIsUpAndATimeOutInOneTurnEndTheAttemptOnce) {
+TEST_F(TransportTest, AConnectAndATimeoutInOneLoopTurnEndTheAttemptOnce) {
   for (int i = 0; i < 20; ++i) {
     tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
     const std::string uid = "u" + std::to_string(i);
@@ -208,7 +208,7 @@
 }
 
 // Its upstream reads nothing: the system has taken some of it, and not all.
-TEST_F(TransportTest, WhatIsAbandonedHalfWrittenNeverArrivesWhole) {
+TEST_F(TransportTest, AnAttemptAbandonedHalfWrittenNeverArrivesComplete) {
   tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   Serving("u1", "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
   const std::size_t size = 16 << 20;
@@ -227,7 +227,7 @@
 
 // The system took all of it, and its upstream's has room for some only: reading on later must not find the
 // rest.
-TEST_F(TransportTest, WhatIsGivenUpBeforeItIsDeliveredNeverArrivesWhole) {
+TEST_F(TransportTest, AnAttemptCancelledBeforeDeliveryNeverArrivesComplete) {
   tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
   Serving("u1", "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
@@ -244,7 +244,7 @@
 }
 
 // An answer that does not tell its length: what comes of it, and whether another attempt can still be made.
-TEST_F(TransportTest, AnAnswerWithoutALengthIsBufferedForAsLongAsItMayBe) {
+TEST_F(TransportTest, AnAnswerWithoutALengthIsBufferedUpToItsBound) {
   constexpr std::size_t kKilo = 1024;
   enum class Then { kEnds, kStops, kBreaks, kGoesOn };
   struct Row {
@@ -321,7 +321,7 @@
   }
 }
 
-TEST_F(TransportTest, WhatIsWrittenGoesOnWhenItIsAbandoned) {
+TEST_F(TransportTest, AWrittenAttemptContinuesWhenItIsAbandoned) {
   Late late(io);
   late.Open();
   Serving("u1", late.address());
