--- a/tests/gossip/core_bounds_test.cpp
+++ b/tests/gossip/core_bounds_test.cpp
@@ -60,7 +60,7 @@
 }
 
 // The same news in any order: the same is held.
-TEST(Merge, OrderDoesNotMatter) {
+TEST(Merge, IsCommutative) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Random random(seed);
     std::vector<Message> all;
@@ -78,17 +78,17 @@
     all.push_back(From("helper"));
     all.back().updates = {MakeMember("m", 51, 0)};
     std::string first;
-    for (int order = 0; order < 6; ++order) {
+    for (int permutation = 0; permutation < 6; ++permutation) {
       SingleNode node;
       random.Shuffle(all);
       for (const auto& message : all) node.Receive(message);
-      const auto held = node.core.Find("m")->update;
+      const auto stored = node.core.Find("m")->update;
       std::string text =
-          std::to_string(held.boot_id.boot_number) + '/' + std::to_string(static_cast<int>(held.state));
+          std::to_string(stored.boot_id.boot_number) + '/' + std::to_string(static_cast<int>(stored.state));
       // Of one that left nothing but that it did counts.
-      if (held.state != MemberState::kLeft) text += '/' + std::to_string(held.incarnation);
+      if (stored.state != MemberState::kLeft) text += '/' + std::to_string(stored.incarnation);
       for (const auto& view : node.core.Values("k", At(0))) text += '/' + view.value->bytes;
-      if (order == 0) first = text;
+      if (permutation == 0) first = text;
       ASSERT_EQ(text, first) << "seed " << seed;
     }
   }
--- a/tests/gossip/core_histories_test.cpp
+++ b/tests/gossip/core_histories_test.cpp
@@ -24,8 +24,8 @@
   kAgesForgotten,
   kNoRefuting,
   kNeverDead,
-  kLivesAlike,
-  kAcksEaten,
+  kBootIdsAlike,
+  kAcksLost,
   kInjectedFaults
 };
 
@@ -71,25 +71,25 @@
     for (Value& value : message.values) {
       if (fault == kVersionsReversed) value.version = 1000 - value.version;
       if (fault == kAgesForgotten) value.age = Duration(0);
-      if (fault == kLivesAlike) value.owner.boot_number = 7;
+      if (fault == kBootIdsAlike) value.owner.boot_number = 7;
     }
     std::vector<MembershipUpdate*> all{&message.sender, &message.subject};
     for (MembershipUpdate& update : message.updates) all.push_back(&update);
     for (MembershipUpdate* update : all) {
       if (fault == kNoRefuting) update->incarnation = 0;
-      if (fault == kLivesAlike) update->boot_id.boot_number = 7;
+      if (fault == kBootIdsAlike) update->boot_id.boot_number = 7;
     }
-    return fault != kAcksEaten || message.kind != MessageKind::kAck;
+    return fault != kAcksLost || message.kind != MessageKind::kAck;
   };
   scenario.links = {static_cast<int>(random.Below(11)), static_cast<int>(random.Below(6)), 1,
                     static_cast<int>(random.Below(calm ? 200 : 100))};
   for (auto& node : scenario.nodes) node.rate = random.Below(4) == 0 ? 1.05 : 1;
   // Those that started before their clocks were set are started again by them.
   scenario.StartAll();
-  std::size_t word = 0;
+  std::size_t last_value = 0;
   const auto put_value = [&](std::size_t i) {
     if (!scenario.Up(i)) return;
-    const std::string bytes = Numbered("w", ++word);
+    const std::string bytes = Numbered("w", ++last_value);
     put[bytes] = scenario.now;
     scenario.PutValue(i, bytes);
   };
@@ -99,7 +99,7 @@
     ++history.starts;
     const bool back = random.Below(3) == 0;
     if (back) ++history.clocks_back;
-    scenario.words.erase(scenario.nodes[i].name);
+    scenario.published.erase(scenario.nodes[i].name);
     std::erase_if(seen, [&](const auto& it) { return it.first.first == i; });
     scenario.Start(i, back ? 1000 + random.Below(1000) : ++boot_number);
   };
@@ -149,7 +149,7 @@
       start(i);
     }
   }
-  if (lost < n) scenario.words.erase(scenario.nodes[lost].name);
+  if (lost < n) scenario.published.erase(scenario.nodes[lost].name);
   scenario.Run(1000);
   for (std::size_t i = 0; i < n; ++i) put_value(i);
   scenario.RunUntilAgreed(45'000);
@@ -159,7 +159,7 @@
 }
 
 // HISTORIES sets how many, HISTORIES_FROM the first seed (1).
-TEST(Histories, AgreeAfterAllTrouble) {
+TEST(Histories, ConvergeAfterAllFaults) {
   const char* set = std::getenv("HISTORIES");
   const std::uint64_t count = set == nullptr ? 1000 : std::strtoull(set, nullptr, 10);
   const char* from = std::getenv("HISTORIES_FROM");
--- a/tests/gossip/core_scenarios_test.cpp
+++ b/tests/gossip/core_scenarios_test.cpp
@@ -10,7 +10,7 @@
 namespace mothrack::gossip {
 namespace {
 
-TEST(Scenarios, NobodyDiesOfLossDelayAndRepeats) {
+TEST(Scenarios, LossDelayAndDuplicatesCauseNoFalseDeath) {
   Scenario scenario(30);
   scenario.links = {10, 5, 150, 100};
   for (std::size_t i = 0; i < 30; i += 3) scenario.nodes[i].rate = 1.05;
@@ -22,13 +22,13 @@
   EXPECT_LT(scenario.RunUntilAgreed(30'000), 30'000) << scenario.Disagreement();
 }
 
-TEST(Scenarios, ADeadOneIsKnownAndComesBackByALaterLife) {
+TEST(Scenarios, ADeadMemberIsDetectedAndReturnsAsALaterIncarnation) {
   Scenario scenario(20);
   scenario.Run(10'000);
   scenario.PutValue(3, "former", 60'000);
   scenario.Run(3000);
   scenario.Kill(3);
-  scenario.words.clear();
+  scenario.published.clear();
   EXPECT_LT(scenario.RunUntilAgreed(15'000), 8000) << scenario.Disagreement();
   EXPECT_EQ(scenario.nodes[0].core->known(), 20u);
   EXPECT_EQ(scenario.nodes[0].core->alive(), 19u);
@@ -37,7 +37,7 @@
   EXPECT_GT(scenario.nodes[3].core->self().boot_id.boot_number, 1'000'000u);
 }
 
-TEST(Scenarios, OneThatWasStoppedWakesWithItsOldState) {
+TEST(Scenarios, AStoppedMemberResumesWithItsOldState) {
   Scenario scenario(20);
   scenario.Run(10'000);
   scenario.Kill(4);  // suspected, it may be, when the other stops
@@ -54,7 +54,7 @@
   EXPECT_TRUE(scenario.deaths.empty()) << "it buried " << scenario.deaths.begin()->first;
 }
 
-TEST(Scenarios, HalvesFindTogether) {
+TEST(Scenarios, HealedPartitionsMerge) {
   Scenario scenario(40);
   scenario.Run(10'000);
   for (std::size_t i = 0; i < 20; ++i) scenario.nodes[i].group = 1;
@@ -69,7 +69,7 @@
   EXPECT_TRUE(scenario.deaths.empty()) << "the living were buried at the reunion";
 }
 
-TEST(Scenarios, AllStartAnewAtOnce) {
+TEST(Scenarios, AllMembersRestartAtOnce) {
   Scenario scenario(60);
   scenario.Run(10'000);
   for (std::size_t i = 0; i < 60; ++i) scenario.Kill(i);
@@ -79,7 +79,7 @@
   EXPECT_TRUE(scenario.deaths.empty());
 }
 
-TEST(Scenarios, LeavingIsHeardAtOnceAndFinal) {
+TEST(Scenarios, LeavingSpreadsAtOnceAndIsFinal) {
   Scenario scenario(20);
   scenario.Run(10'000);
   scenario.Leave(5);
@@ -89,7 +89,7 @@
   EXPECT_EQ(scenario.nodes[0].core->known(), 19u);
 }
 
-TEST(Scenarios, TimeThatItDidNotRunIsNobodysFault) {
+TEST(Scenarios, ItsOwnPauseConfirmsNoSuspicion) {
   SingleNode node(NoProbes());
   node.ReceiveUpdate(MakeMember("m", 50, 5, MemberState::kSuspect));
   node.now += 10'000'000;
--- a/tests/gossip/core_tables_test.cpp
+++ b/tests/gossip/core_tables_test.cpp
@@ -61,7 +61,7 @@
 }
 
 // Where nothing is held there is nothing to be earlier or later than.
-bool SameOfNothing(const Row& one) {
+bool IsReachable(const Row& one) {
   return one.at("held") != "nothing" ||
          (one.at("life") == "same" && (!one.contains("version") || one.at("version") == "same") &&
           (!one.contains("incarnation") || one.at("incarnation") == "same"));
@@ -75,21 +75,21 @@
        {"incarnation", {"lower", "same", "higher"}},
        {"news", kStates},
        {"by", {"gossip", "records"}}},
-      SameOfNothing, [](const Row& one, const Row& row) {
+      IsReachable, [](const Row& one, const Row& row) {
         SingleNode node(NoProbes());
         const bool self = one.at("held") == "self", nothing = one.at("held") == "nothing";
-        const MembershipUpdate held = MakeMember(self ? "self" : "m", 50, 5, StateOf(one.at("held")));
-        if (!self && !nothing) node.ReceiveUpdate(held);
+        const MembershipUpdate stored = MakeMember(self ? "self" : "m", 50, 5, StateOf(one.at("held")));
+        if (!self && !nothing) node.ReceiveUpdate(stored);
         node.Run(600);
         const auto number = [](const std::string& word, std::uint64_t of) {
           return word == "former" || word == "lower" ? of - 1 : word == "same" ? of : of + 1;
         };
-        const MembershipUpdate update = MakeMember(held.boot_id.name, number(one.at("life"), 50),
+        const MembershipUpdate update = MakeMember(stored.boot_id.name, number(one.at("life"), 50),
                                                    number(one.at("incarnation"), 5), StateOf(one.at("news")));
         node.ReceiveUpdate(update, one.at("by") == "gossip" ? MessageKind::kGossip : MessageKind::kRecords);
         const MembershipUpdate after = self ? node.core.self() : node.core.Find("m")->update;
         EXPECT_EQ(after.state,
-                  row.at("held then") == "as before" ? held.state : StateOf(row.at("held then")));
+                  row.at("held then") == "as before" ? stored.state : StateOf(row.at("held then")));
         if (self) {
           const std::string did = after.boot_id.boot_number > 50   ? "born again"
                                   : after.incarnation == 5         ? "nothing"
@@ -112,11 +112,11 @@
        {"life", {"former", "same", "later"}},
        {"version", {"lower", "same", "higher"}},
        {"age", {"younger", "older", "over"}}},
-      SameOfNothing, [](const Row& one, const Row& row) {
+      IsReachable, [](const Row& one, const Row& row) {
         SingleNode node(NoProbes());
         node.ReceiveUpdate(MakeMember("m"));
-        const Value held = MakeValue(50, 5, 500, one.at("held") == "lapsed" ? 800 : 5000, "held");
-        if (one.at("held") != "nothing") node.ReceiveValue(held);
+        const Value stored = MakeValue(50, 5, 500, one.at("held") == "lapsed" ? 800 : 5000, "held");
+        if (one.at("held") != "nothing") node.ReceiveValue(stored);
         node.Run(600);  // the held one's age: 1100
         const auto number = [](const std::string& word, std::uint64_t of) {
           return word == "former" || word == "lower" ? of - 1 : word == "same" ? of : of + 1;
@@ -167,26 +167,26 @@
         // Some health to lose: twice it had to refute.
         for (std::uint64_t i = 0; i < 2; ++i)
           node.ReceiveUpdate(MakeMember("self", 50, 5 + i, MemberState::kSuspect));
-        std::string asked;
+        std::string probed;
         std::uint64_t sequence = 0;
         Texts others;
         const auto run = [&] {
           for (const Datagram& sent : node.Run(50)) {
-            if (sent.message.kind == MessageKind::kPing && asked.empty()) {
-              asked = sent.address.substr(0, sent.address.find(':'));
+            if (sent.message.kind == MessageKind::kPing && probed.empty()) {
+              probed = sent.address.substr(0, sent.address.find(':'));
               sequence = sent.message.sequence;
             }
             if (sent.message.kind == MessageKind::kPingRequest)
               others.push_back(sent.address.substr(0, sent.address.find(':')));
           }
         };
-        while (asked.empty()) run();
+        while (probed.empty()) run();
         const auto answer = [&](const std::string& by, MessageKind kind) {
           Message message = From(by, kind);
           message.sequence = sequence;
           node.Receive(message);
         };
-        if (what == "acked") answer(asked, MessageKind::kAck);
+        if (what == "acked") answer(probed, MessageKind::kAck);
         if (what == "had to refute") node.ReceiveUpdate(MakeMember("self", 50, 7, MemberState::kDead));
         if (what == "was stopped") {
           node.now += 60'000;
@@ -205,7 +205,7 @@
           }
         }
         EXPECT_EQ(node.core.health() - 2, std::stoi(row.at("health")));
-        EXPECT_EQ(node.core.Find(asked)->update.state,
+        EXPECT_EQ(node.core.Find(probed)->update.state,
                   row.at("the one asked") == "suspect" ? MemberState::kSuspect : MemberState::kAlive);
       });
 }
--- a/tests/gossip/scenario.h
+++ b/tests/gossip/scenario.h
@@ -39,21 +39,21 @@
       if (live != up)
         return nodes[i].name + " believes in " + std::to_string(live.size()) + " of " +
                std::to_string(up.size());
-      std::map<std::string, std::string> said;
+      std::map<std::string, std::string> held_values;
       for (const auto& view : nodes[i].core->Values("k", LocalNow(i)))
-        said[view.value->owner.name] = view.value->bytes;
-      for (const auto& [name, word] : words) {
-        if (said[name] != word)
-          return nodes[i].name + " holds of " + name + " '" + said[name] + "', not " + word;
+        held_values[view.value->owner.name] = view.value->bytes;
+      for (const auto& [name, value] : published) {
+        if (held_values[name] != value)
+          return nodes[i].name + " holds of " + name + " '" + held_values[name] + "', not " + value;
       }
-      if (said.size() != words.size()) return nodes[i].name + " holds values that nobody put";
+      if (held_values.size() != published.size()) return nodes[i].name + " holds values that nobody put";
     }
     return violation;
   }
   void PutValue(std::size_t i, const std::string& bytes, int ttl = 600'000) {
     if (!Up(i)) return;
     Put(i, "k", bytes, ttl);
-    words[nodes[i].name] = bytes;
+    published[nodes[i].name] = bytes;
   }
   // Until nothing differs; how long that took.
   std::int64_t RunUntilAgreed(std::int64_t most) {
@@ -62,7 +62,7 @@
     return now - from;
   }
   std::map<std::string, int> deaths;
-  std::map<std::string, std::string> words;
+  std::map<std::string, std::string> published;
 };
 
 }  // namespace mothrack::gossip
--- a/tests/gossip/simulated_network.h
+++ b/tests/gossip/simulated_network.h
@@ -44,9 +44,9 @@
     double rate = 1;                // of its clock
     std::int64_t tick = 0;          // when it is called next
     std::deque<std::int64_t> sent;  // within the last second
-    std::deque<std::pair<std::shared_ptr<Message>, std::string>> waiting;
+    std::deque<std::pair<std::shared_ptr<Message>, std::string>> receive_buffer;
     std::uint64_t datagrams = 0, bytes = 0;
-    std::size_t most_in_a_second = 0;
+    std::size_t max_per_second = 0;
   };
   using OnChange = std::function<void(std::size_t node, const gossip::Change&)>;
 
@@ -67,13 +67,13 @@
   // A process of it starts, `born` by its clock's word.
   void Start(std::size_t i, std::uint64_t boot_number) {
     Node& node = nodes[i];
-    gossip::MembershipUpdate self{
+    gossip::MembershipUpdate local{
         {node.name, boot_number},      0, gossip::MemberState::kAlive, gossip::Role::kSidecar, node.address,
         i % 2 == 0 ? "north" : "south"};
-    node.core = std::make_unique<Core>(self, config_, random.Next(), LocalNow(i));
+    node.core = std::make_unique<Core>(local, config_, random.Next(), LocalNow(i));
     node.core->SetSeeds({nodes[0].address, nodes[nodes.size() / 2].address});
     node.stopped = false;
-    node.waiting.clear();
+    node.receive_buffer.clear();
     node.sent.clear();
     node.tick = kNever;
     Schedule(i);
@@ -87,7 +87,7 @@
     Node& node = nodes[i];
     if (!node.core || !node.stopped) return;
     node.stopped = false;
-    for (const auto& [message, from] : std::exchange(node.waiting, {})) Receive(i, *message, from);
+    for (const auto& [message, from] : std::exchange(node.receive_buffer, {})) Receive(i, *message, from);
     node.tick = kNever;
     Schedule(i);
   }
@@ -123,7 +123,8 @@
       if (!node.core || nodes[event.from].group != node.group) continue;
       if (node.stopped) {
         // A socket's buffer is bounded.
-        if (node.waiting.size() < 200) node.waiting.emplace_back(event.message, nodes[event.from].address);
+        if (node.receive_buffer.size() < 200)
+          node.receive_buffer.emplace_back(event.message, nodes[event.from].address);
       } else {
         Receive(event.node, *event.message, nodes[event.from].address);
       }
@@ -152,18 +153,20 @@
   static constexpr std::int64_t kNever = std::int64_t{1} << 60;
   struct Event {
     std::int64_t at;
-    std::uint64_t order;
+    std::uint64_t sequence;
     std::size_t node, from;
     std::shared_ptr<Message> message;  // none: a tick
-    bool operator<(const Event& other) const { return std::tie(at, order) > std::tie(other.at, other.order); }
+    bool operator<(const Event& other) const {
+      return std::tie(at, sequence) > std::tie(other.at, other.sequence);
+    }
   };
 
   void Receive(std::size_t i, const Message& message, const std::string& from) {
     gossip::CoreOutput out;
     if (tamper) {
-      Message copy = message;
-      if (!tamper(copy, i)) return;
-      nodes[i].core->Receive(copy, from, LocalNow(i), out);
+      Message tampered = message;
+      if (!tamper(tampered, i)) return;
+      nodes[i].core->Receive(tampered, from, LocalNow(i), out);
     } else {
       nodes[i].core->Receive(message, from, LocalNow(i), out);
     }
@@ -180,7 +183,7 @@
         now, node.rate == 1 ? local : static_cast<std::int64_t>(static_cast<double>(local) / node.rate) + 1);
     if (at >= node.tick) return;
     node.tick = at;
-    events_.push({at, ++order_, i, i, nullptr});
+    events_.push({at, ++last_sequence_, i, i, nullptr});
   }
 
   void Dispatch(std::size_t i, gossip::CoreOutput& out) {
@@ -197,7 +200,7 @@
       const auto local = LocalNow(i).time_since_epoch().count();
       while (!node.sent.empty() && node.sent.front() <= local - 1000) node.sent.pop_front();
       node.sent.push_back(local);
-      node.most_in_a_second = std::max(node.most_in_a_second, node.sent.size());
+      node.max_per_second = std::max(node.max_per_second, node.sent.size());
       if (node.sent.size() > config_.datagrams_per_s)
         RecordViolation(node.name + " sent more than a second allows");
       const auto to = by_address_.find(datagram.address);
@@ -208,7 +211,7 @@
         if (Chance(links.loss)) continue;
         const auto delay =
             links.delay + static_cast<int>(random.Below(static_cast<std::size_t>(links.jitter) + 1));
-        events_.push({now + delay, ++order_, to->second, i, message});
+        events_.push({now + delay, ++last_sequence_, to->second, i, message});
       }
     }
   }
@@ -220,7 +223,7 @@
 
   std::unordered_map<std::string, std::size_t> by_address_;
   std::priority_queue<Event> events_;
-  std::uint64_t order_ = 0;
+  std::uint64_t last_sequence_ = 0;
 };
 
 }  // namespace mothrack::testing
--- a/tests/gossip/single_node.h
+++ b/tests/gossip/single_node.h
@@ -37,8 +37,8 @@
   value.bytes = bytes;
   return value;
 }
-inline std::string Numbered(const std::string& word, std::size_t number) {
-  return word + std::to_string(number);
+inline std::string Numbered(const std::string& prefix, std::size_t number) {
+  return prefix + std::to_string(number);
 }
 inline MemberState StateOf(const std::string& name) {
   return static_cast<MemberState>(std::find(kStates.begin(), kStates.end(), name) - kStates.begin() + 1);
--- a/tests/gossip/wire_test.cpp
+++ b/tests/gossip/wire_test.cpp
@@ -27,7 +27,7 @@
   return error.fault;
 }
 
-TEST(PeersWire, RandomMessagesComeBackTheSameAndWithinTheSizesThatTheCorePacksBy) {
+TEST(PeersWire, RandomMessagesRoundTripWithinTheirSizeBounds) {
   MessageGenerator draw(30);
   for (int i = 0; i < 20'000; ++i) {
     const Message message = draw.RandomMessage();
@@ -40,7 +40,7 @@
   }
 }
 
-TEST(PeersWire, TheLargestOfEachPartIsWithinItsSize) {
+TEST(PeersWire, TheLargestPartsAreWithinTheirSizeBounds) {
   Message bare;
   bare.sender.boot_id = {std::string(kMaxNameSize, 'n'), kMaxCounter};
   bare.sender.incarnation = kMaxCounter;
@@ -64,7 +64,7 @@
 }
 
 // A cut may fall between two parts, and the rest is a message; it is never another one's words.
-TEST(PeersWire, EveryCutIsRefusedOrIsTheBeginningOfWhatWasSaid) {
+TEST(PeersWire, EveryTruncationIsRejectedOrDecodesToAPrefix) {
   MessageGenerator draw(31);
   for (int i = 0; i < 50; ++i) {
     const Message message = draw.RandomMessage();
@@ -77,7 +77,7 @@
   }
 }
 
-TEST(PeersWire, ALaterMinorVersionIsReadAndALaterMajorIsCountedApart) {
+TEST(PeersWire, ALaterMinorVersionIsReadAndALaterMajorIsCountedSeparately) {
   Message message;
   message.sender = Ann();
   message.updates = {Ann()};
@@ -103,7 +103,7 @@
   EXPECT_EQ(FaultOf(""), DecodeFault::kMalformed);
 }
 
-TEST(PeersWire, WhatExceedsABoundIsNotRead) {
+TEST(PeersWire, MessagesBeyondABoundAreRejected) {
   const auto largest = std::string(kMaxNameSize, 'n');
   const std::vector<std::pair<const char*, std::function<void(pb::Datagram&)>>> rows = {
       {"kind 0", [](auto& d) { d.set_kind(0); }},
@@ -164,7 +164,7 @@
   return MakeKey(bytes.data());
 }
 
-TEST(PeersSeal, TakesNoMoreThanTheCoreLeavesItAndNothingLonger) {
+TEST(PeersSeal, StaysWithinItsReservedSizeAndRejectsLongerDatagrams) {
   Seal a({KeyOf(1)}), b({KeyOf(1)});
   const std::string full(kMaxPayloadSize, 'p');
   const auto sealed = a.Close(full);
@@ -175,7 +175,7 @@
   EXPECT_EQ(b.Open(std::string(kMaxDatagramSize + 1, 'x')).verdict, SealVerdict::kNoDatagram);
 }
 
-TEST(PeersSeal, NoCutAndNoFlippedBitIsHeard) {
+TEST(PeersSeal, TruncatedAndCorruptedDatagramsAreRejected) {
   Message message;
   message.sender = Ann();
   Seal a({KeyOf(1)}), b({KeyOf(1), KeyOf(2)});
@@ -194,7 +194,7 @@
   EXPECT_EQ(b.Open(sealed).verdict, SealVerdict::kAccepted);
 }
 
-TEST(PeersSeal, KeysChangeInThreeStepsAndAllHearEachOtherThroughout) {
+TEST(PeersSeal, KeysAreRotatedInThreeStepsWithoutLosingMessages) {
   const Key old = KeyOf(1), young = KeyOf(2);
   const std::vector<KeyRing> steps = {{old}, {old, young}, {young, old}, {young}};
   for (std::size_t i = 0; i < steps.size(); ++i) {
@@ -225,7 +225,7 @@
   EXPECT_THROW(running.Use({}), std::invalid_argument);
 }
 
-TEST(PeersSeal, WhatComesAgainIsHeardOnce) {
+TEST(PeersSeal, ReplayedDatagramsAreAcceptedOnce) {
   Seal a({KeyOf(1)}), b({KeyOf(1)}), again({KeyOf(1)});
   std::vector<std::string> sent;
   for (int i = 0; i < 100; ++i) sent.push_back(*a.Close("x"));
@@ -241,7 +241,7 @@
       << "the next process of a member begins anew";
 }
 
-TEST(PeersSeal, TheWindowForgetsTheStreamThatWasSilentForLongest) {
+TEST(PeersSeal, TheReplayWindowEvictsTheStreamIdleForLongest) {
   ReplayWindow window(3);
   for (const std::uint64_t stream : {1, 2, 3, 1})
     EXPECT_TRUE(window.Accept(stream, stream == 1 ? window.streams() + 1 : 5));
@@ -255,7 +255,7 @@
 }
 
 // Against a window that remembers all.
-TEST(PeersSeal, TheWindowTakesNothingTwiceInWhateverOrder) {
+TEST(PeersSeal, TheReplayWindowAcceptsNothingTwiceInAnySequence) {
   MessageGenerator draw(32);
   ReplayWindow window;
   std::vector<bool> taken(4000);
@@ -291,7 +291,7 @@
   const std::string other_ = "ff" + hex_.substr(2);
 };
 
-TEST_F(PeersKeys, OneOrTwoAreTakenInTheirOrder) {
+TEST_F(PeersKeys, OneOrTwoAreReadInFileOrder) {
   Put("# of the cluster\n\n  " + hex_ + " \r\n\t" + other_);
   const KeyRing two = Load(path_);
   ASSERT_EQ(two.size(), 2u);
@@ -303,7 +303,7 @@
   EXPECT_NE(two[0].id, two[1].id);
 }
 
-TEST_F(PeersKeys, EachFaultIsNamedWithItsLineAndItsMend) {
+TEST_F(PeersKeys, EachFaultIsNamedWithItsLineAndRemedy) {
   const std::vector<std::pair<std::string, std::string>> rows = {
       {hex_.substr(1) + "\n",
        ":1: a key of 63 characters, where 64 hex or 44 base64 are wanted; write 32 random bytes"},
@@ -324,7 +324,7 @@
   }
 }
 
-TEST_F(PeersKeys, AFileThatOthersMayUseIsRefused) {
+TEST_F(PeersKeys, AFileAccessibleToOthersIsRejected) {
   for (const mode_t mode : {0644, 0640, 0604, 0620, 0700}) {
     Put(hex_, mode);
     EXPECT_EQ(Fault(), path_ + ": others may use it; chmod 0600 it, and change the keys if they were read")
