--- a/tests/dns/dns_forwarding_test.cpp
+++ b/tests/dns/dns_forwarding_test.cpp
@@ -22,7 +22,7 @@
 
 // ---- Passing on ----
 
-TEST(Dns, PassesAnswersOnUnchangedOverUdpAndTcp) {
+TEST(Dns, ForwardsAnswersUnchangedOverUdpAndTcp) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
@@ -97,7 +97,7 @@
   EXPECT_TRUE(client.ReadsEnd());
 }
 
-TEST(Dns, HttpAndDnsRunBesideEachOther) {
+TEST(Dns, HttpAndDnsRunSideBySide) {
   StandinResolver resolver(StandinResolver::Echo());
   Upstream upstream(Upstream::Echo("u"));
   Node::Options options;
@@ -131,7 +131,7 @@
   DnsUdpClient client(node.dns_port());
   // 40 records take 684 bytes and more: too much for one that speaks no EDNS, or takes 600 bytes.
   const struct {
-    int asked;
+    int client_edns_size;
     int records;
     bool whole;
   } cases[] = {{-1, 40, false}, {600, 40, false}, {100, 20, true},  {100, 40, false},
@@ -140,14 +140,15 @@
   for (const auto& c : cases) {
     records = c.records;
     QuerySpec spec = QueryFor("big.org", ++id);
-    spec.edns_size = c.asked;
+    spec.edns_size = c.client_edns_size;
     const auto answer = client.Ask(MakeQuery(spec));
     ASSERT_TRUE(answer);
-    EXPECT_EQ(IsTruncated(*answer), !c.whole) << c.asked;
-    EXPECT_EQ(AnswersOf(*answer), c.whole ? c.records : 0) << c.asked;
+    EXPECT_EQ(IsTruncated(*answer), !c.whole) << c.client_edns_size;
+    EXPECT_EQ(AnswersOf(*answer), c.whole ? c.records : 0) << c.client_edns_size;
     EXPECT_EQ(QuestionOf(*answer), QuestionOf(MakeQuery(spec)));
-    EXPECT_EQ(EdnsSizeOf(*answer), c.asked < 0 ? -1 : 1232) << c.asked;
-    EXPECT_EQ(EdnsSizeOf(resolver.seen().back().query), c.asked < 0 ? -1 : 1232) << c.asked;
+    EXPECT_EQ(EdnsSizeOf(*answer), c.client_edns_size < 0 ? -1 : 1232) << c.client_edns_size;
+    EXPECT_EQ(EdnsSizeOf(resolver.seen().back().query), c.client_edns_size < 0 ? -1 : 1232)
+        << c.client_edns_size;
   }
   // Over TCP it comes whole.
   DnsTcpClient tcp(node.dns_port());
@@ -156,7 +157,7 @@
   EXPECT_EQ(AnswersOf(*answer), 80);
 }
 
-TEST(Edns, OptionsOfOneHopStayBehind) {
+TEST(Edns, HopByHopOptionsAreNotForwarded) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
@@ -176,7 +177,7 @@
   EXPECT_EQ(sent, expected);
 }
 
-TEST(Edns, UnknownVersionIsToldSo) {
+TEST(Edns, UnknownVersionIsAnsweredBadVers) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
@@ -193,7 +194,7 @@
 
 // ---- What is not passed on ----
 
-TEST(Dns, UnknownOpcodesAndTransfersAreTurnedAway) {
+TEST(Dns, UnknownOpcodesAndTransfersAreRejected) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
@@ -218,7 +219,7 @@
   EXPECT_EQ(resolver.queries(), 0);
 }
 
-TEST(Dns, ResolversOwnFailureIsPassedOn) {
+TEST(Dns, ResolversOwnFailureIsForwarded) {
   AnswerSpec failed;
   failed.rcode = kServFail;
   failed.edns_size = 1232;
--- a/tests/dns/dns_hostile_input_test.cpp
+++ b/tests/dns/dns_hostile_input_test.cpp
@@ -69,7 +69,7 @@
   EXPECT_EQ(resolver.queries(), 1);
 }
 
-TEST(Forged, AnswerFromAnotherPortIsNone) {
+TEST(Forged, AnswersFromAnotherPortAreIgnored) {
   std::unique_ptr<StandinResolver> resolver;
   // A second socket sends what would be right, to the very port that asked.
   resolver = std::make_unique<StandinResolver>(
@@ -189,7 +189,7 @@
   }
 }
 
-TEST(HostileBytes, FramesOfEverySizeAndPieceAreTaken) {
+TEST(HostileBytes, FramesOfEverySizeAndSegmentationAreAccepted) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -64,22 +64,22 @@
   EXPECT_EQ(ids.size(), std::size_t{kQueries});
 }
 
-TEST(Bounds, TcpClientsThatSayNothingOrHalfOfItGo) {
+TEST(Bounds, IdleAndStalledTcpClientsAreDisconnected) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()),
                                         "tcp_first_byte_ms = 300\ntcp_idle_ms = 600\n")));
   ASSERT_TRUE(node.DnsListening());
-  DnsTcpClient silent(node.dns_port());
+  DnsTcpClient no_query(node.dns_port());
   DnsTcpClient half(node.dns_port());
   half.SendRaw({0, 40, 1});
   DnsTcpClient idle(node.dns_port());
   ASSERT_TRUE(idle.Ask(MakeQuery({})));
-  EXPECT_TRUE(silent.ReadsEnd());
+  EXPECT_TRUE(no_query.ReadsEnd());
   EXPECT_TRUE(half.ReadsEnd());
   EXPECT_TRUE(idle.ReadsEnd());
 }
 
-TEST(Bounds, MoreTcpClientsThanAllowedTakeTheIdleOnesPlace) {
+TEST(Bounds, TcpClientsBeyondTheLimitEvictIdleOnes) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(
       DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()), "max_tcp_clients = 4\n")));
@@ -143,7 +143,7 @@
   EXPECT_TRUE(Eventually([&] { return node.log().find("Too many open files") != std::string::npos; }));
 }
 
-TEST(DnsBuffers, FullOnesDelayAnswersAndLoseNone) {
+TEST(DnsBuffers, FullOnesDelayAnswersButLoseNone) {
   StandinResolver one(StandinResolver::Echo());
   StandinResolver two(StandinResolver::Echo());
   Node::Options options =
@@ -166,7 +166,7 @@
 
 // ---- Planned stop ----
 
-TEST(DnsStop, AnswersWhatWasTakenAndEnds) {
+TEST(DnsStop, AnswersAcceptedQueriesAndEnds) {
   StandinResolver resolver([](Turn& turn) { turn.SendAfter(milliseconds(1200), MakeAnswer(turn.query())); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
@@ -197,13 +197,13 @@
 
 // ---- Starting ----
 
-TEST(DnsStart, TakenAddressAndEmptyFileAreNamed) {
-  StandinResolver taken(StandinResolver::Echo());
-  Node::Options options = DnsOnlyOptions("[dns]\nlisten = [\"" + taken.address() +
+TEST(DnsStart, AddressInUseAndEmptyFileAreNamed) {
+  StandinResolver occupied(StandinResolver::Echo());
+  Node::Options options = DnsOnlyOptions("[dns]\nlisten = [\"" + occupied.address() +
                                          "\"]\n[[dns.resolver]]\nuid = \"r\"\nendpoint = \"127.0.0.1:1\"\n");
   Node busy(options);
   EXPECT_EQ(busy.Wait(), 1);
-  EXPECT_NE(busy.log().find(taken.address()), std::string::npos) << busy.log();
+  EXPECT_NE(busy.log().find(occupied.address()), std::string::npos) << busy.log();
   Node empty(DnsOnlyOptions("name = \"x\"\n"));
   EXPECT_EQ(empty.Wait(), 1);
   EXPECT_NE(empty.log().find("nothing to start"), std::string::npos) << empty.log();
--- a/tests/dns/dns_message_test.cpp
+++ b/tests/dns/dns_message_test.cpp
@@ -15,7 +15,7 @@
 using testing::MakeQuery;
 using testing::QuerySpec;
 
-ClientQuery AskedBy(const Buffer& query, std::size_t max_response_size = kMaxUdpWithoutEdns) {
+ClientQuery QueryOf(const Buffer& query, std::size_t max_response_size = kMaxUdpWithoutEdns) {
   Layout layout;
   EXPECT_EQ(ParseMessage(query, layout), ParseStatus::kOk);
   ClientQuery client_query{layout.id, layout.flags};
@@ -71,7 +71,7 @@
   answer.extended_error = 22;
   const Buffer query = MakeQuery(spec);
   const Buffer good = MakeAnswer(query, answer);
-  const ClientQuery client_query = AskedBy(query, 600);
+  const ClientQuery client_query = QueryOf(query, 600);
   std::mt19937 random(11);
   for (int i = 0; i < 200000; ++i) {
     Buffer bytes = good;
@@ -130,7 +130,7 @@
   }
 }
 
-TEST(Message, SignedOnesAreNotTouched) {
+TEST(Message, SignedOnesAreNotModified) {
   QuerySpec spec;
   spec.edns_size = 4000;
   spec.edns_options = {0, 10, 0, 8, 1, 2, 3, 4, 5, 6, 7, 8};
@@ -154,7 +154,7 @@
   const Buffer query = MakeQuery(spec);
   Layout layout;
   ASSERT_EQ(ParseMessage(query, layout), ParseStatus::kOk);
-  const Buffer answer = MakeResponse(AskedBy(query), Question(query, layout), kServFail,
+  const Buffer answer = MakeResponse(QueryOf(query), Question(query, layout), kServFail,
                                      ExtendedErrorInfo{kNoReachableAuthority, std::string(500, 'x')}, 1232);
   Layout read;
   ASSERT_EQ(ParseMessage(answer, read), ParseStatus::kOk);
@@ -163,7 +163,7 @@
   EXPECT_LE(answer.size(), kMaxUdpWithoutEdns);
   EXPECT_EQ(testing::QuestionOf(answer), testing::QuestionOf(query));
   // Whoever speaks no EDNS gets none.
-  const Buffer plain = MakeResponse(AskedBy(MakeQuery({})), {}, kBadVers, ExtendedErrorInfo{}, 1232);
+  const Buffer plain = MakeResponse(QueryOf(MakeQuery({})), {}, kBadVers, ExtendedErrorInfo{}, 1232);
   ASSERT_EQ(ParseMessage(plain, read), ParseStatus::kOk);
   EXPECT_FALSE(read.edns);
 }
@@ -175,7 +175,7 @@
   const Buffer answer = MakeAnswer(query, spec);
   Layout layout;
   ASSERT_EQ(ParseMessage(answer, layout), ParseStatus::kOk);
-  const Buffer out = ToClientResponse(answer, layout, AskedBy(query), 1232);
+  const Buffer out = ToClientResponse(answer, layout, QueryOf(query), 1232);
   EXPECT_EQ(out, MakeAnswer(query));
 }
 
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -25,40 +25,40 @@
 
 // ---- Silence ----
 
-TEST(Silent, ResolverIsEjectedAndItsClientsAreServedByTheOthers) {
-  StandinResolver silent(StandinResolver::Silent());
+TEST(UnresponsiveResolvers, ResolverIsEjectedAndItsClientsAreServedByTheOthers) {
+  StandinResolver unresponsive(StandinResolver::Silent());
   StandinResolver good(StandinResolver::Echo());
   StandinResolver better(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(
-      ResolverList().Add("s", silent.address()).Add("g", good.address()).Add("b", better.address()))));
+      ResolverList().Add("s", unresponsive.address()).Add("g", good.address()).Add("b", better.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
-  const auto ask = [&] {
+  const auto send_query = [&] {
     const Octets query = MakeQuery(QueryFor("a.org", ++id));
     const auto answer = client.Ask(query);
     return answer && *answer == MakeAnswer(query);
   };
   ASSERT_TRUE(Eventually([&] {
-    EXPECT_TRUE(ask());
+    EXPECT_TRUE(send_query());
     return node.log().find("ejected s") != std::string::npos;
   }));
-  const int before = silent.queries();
-  for (int i = 0; i < 200; ++i) ASSERT_TRUE(ask());
+  const int before = unresponsive.queries();
+  for (int i = 0; i < 200; ++i) ASSERT_TRUE(send_query());
   // Only trials, whose clients do not depend on them.
-  EXPECT_LE(silent.queries() - before, 4);
+  EXPECT_LE(unresponsive.queries() - before, 4);
   // It is back: trials find out, long before its ejection ends.
-  silent.Play(StandinResolver::Echo());
+  unresponsive.Play(StandinResolver::Echo());
   ASSERT_TRUE(Eventually([&] {
-    EXPECT_TRUE(ask());
+    EXPECT_TRUE(send_query());
     return node.log().find("returned s") != std::string::npos;
   }));
-  const int returned = silent.queries();
-  for (int i = 0; i < 60; ++i) ASSERT_TRUE(ask());
-  EXPECT_GT(silent.queries(), returned);
+  const int returned = unresponsive.queries();
+  for (int i = 0; i < 60; ++i) ASSERT_TRUE(send_query());
+  EXPECT_GT(unresponsive.queries(), returned);
 }
 
-TEST(Silent, AllOfThemIsToldAtTheDeadlineOnce) {
+TEST(UnresponsiveResolvers, AllOfThemAreAnsweredOnceAtTheDeadline) {
   StandinResolver one(StandinResolver::Silent());
   StandinResolver two(StandinResolver::Silent());
   const std::string classes =
@@ -85,7 +85,7 @@
   EXPECT_FALSE(client.Receive(kQuietPeriod));
 }
 
-TEST(Silent, AllEjectedIsToldAtOnceAndTriedAgain) {
+TEST(UnresponsiveResolvers, AllEjectedIsAnsweredAtOnceAndProbedAgain) {
   StandinResolver only(StandinResolver::Silent());
   const std::string classes =
       "[[dns.class]]\nname = \"query\"\nopcode = \"QUERY\"\naim_ms = 50\ndeadline_ms = 100\n";
@@ -93,29 +93,29 @@
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
-  const auto ask = [&] {
+  const auto send_query = [&] {
     QuerySpec spec = QueryFor("a.org", ++id);
     spec.edns_size = 1232;
     const auto answer = client.Ask(MakeQuery(spec));
     return answer ? RcodeOf(*answer) * 100 + std::max(0, ExtendedErrorOf(*answer)) : -1;
   };
   ASSERT_TRUE(Eventually([&] {
-    const int told = ask();
-    EXPECT_TRUE(told == kServFail * 100 + 22 || told == kRefused * 100 + 14) << told;
+    const int answer_code = send_query();
+    EXPECT_TRUE(answer_code == kServFail * 100 + 22 || answer_code == kRefused * 100 + 14) << answer_code;
     return node.log().find("ejected r1") != std::string::npos;
   }));
   // No resolver to send it to: REFUSED, not ready.
-  EXPECT_TRUE(Eventually([&] { return ask() == kRefused * 100 + 14; }));
+  EXPECT_TRUE(Eventually([&] { return send_query() == kRefused * 100 + 14; }));
   only.Play(StandinResolver::Echo());
   EXPECT_TRUE(Eventually([&] {
     std::this_thread::sleep_for(milliseconds(50));
-    return ask() == 0;
+    return send_query() == 0;
   }));
 }
 
 // ---- Closed ports ----
 
-TEST(Closed, PortIsToldByTheSystemAndTheQueryGoesElsewhere) {
+TEST(Closed, PortIsReportedByTheSystemAndTheQueryIsRetriedElsewhere) {
   StandinResolver good(StandinResolver::Echo());
   Refusing closed;  // nobody listens there, over UDP neither
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("c", closed.address()).Add("g", good.address()))));
@@ -170,23 +170,23 @@
   node.ReloadOperatorFile(
       OperatorFile(ResolverList().Add("l", leaving.address(), "leaving").Add("s", staying.address())));
   ASSERT_TRUE(Eventually([&] { return node.log().find("read again") != std::string::npos; }));
-  const auto told = std::chrono::steady_clock::now();
-  std::this_thread::sleep_until(told + milliseconds(1200));
+  const auto notified = std::chrono::steady_clock::now();
+  std::this_thread::sleep_until(notified + milliseconds(1200));
   stop = true;
   for (auto& client : clients) client.join();
   for (int i = 0; i < 2; ++i) EXPECT_TRUE(slow.Receive());
   EXPECT_EQ(asked, answered);
   for (const auto& seen : leaving.seen()) {
-    EXPECT_LT(seen.at, told + milliseconds(500)) << NameOf(seen.query);
+    EXPECT_LT(seen.at, notified + milliseconds(500)) << NameOf(seen.query);
   }
   // Dropped altogether, and a new one enters.
-  StandinResolver fresh(script);
-  node.ReloadOperatorFile(OperatorFile(ResolverList().Add("s", staying.address()).Add("f", fresh.address())));
+  StandinResolver added(script);
+  node.ReloadOperatorFile(OperatorFile(ResolverList().Add("s", staying.address()).Add("f", added.address())));
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
     EXPECT_TRUE(client.Ask(MakeQuery(QueryFor("a.org", ++id))));
-    return fresh.queries() > 3;
+    return added.queries() > 3;
   }));
 }
 
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -19,7 +19,7 @@
 using Turn = StandinResolver::Turn;
 using Via = StandinResolver::Via;
 
-TEST(Truncated, MovesToTcpAtTheSameResolver) {
+TEST(Truncation, IsRetriedOverTcpAtTheSameResolver) {
   StandinResolver resolver([](Turn& turn) {
     AnswerSpec spec;
     spec.truncated = turn.via() == Via::kUdp;
@@ -42,7 +42,7 @@
 
 // The first attempt is out and silent; its copy is truncated at the other resolver and moves to TCP there.
 // Whichever answers first, the client gets one answer and no second.
-TEST(Truncated, PartwayThroughARetryWithAnEarlierAttemptStillOut) {
+TEST(Truncation, PartwayThroughARetryWithAnEarlierAttemptStillOut) {
   for (const bool first_wins : {false, true}) {
     SharedQueryCount query_count;
     std::atomic<bool> move_done{false};
@@ -79,7 +79,7 @@
   }
 }
 
-TEST(Truncated, TcpRefusedIsTriedElsewhere) {
+TEST(Truncation, TcpRefusedIsTriedElsewhere) {
   const Script truncating = [](Turn& turn) {
     AnswerSpec spec;
     spec.truncated = true;
@@ -101,12 +101,12 @@
 }
 
 // Where TCP comes to nothing at the only resolver, the client is told what is known: truncated.
-TEST(Truncated, WithoutTcpTheTruncatedAnswerIsPassedOn) {
-  enum class Way { kRefused, kSilent, kCut, kTruncatedAgain };
-  for (const Way way : {Way::kRefused, Way::kSilent, Way::kCut, Way::kTruncatedAgain}) {
+TEST(Truncation, WithoutTcpTheTruncatedAnswerIsForwarded) {
+  enum class Way { kRefused, kUnresponsive, kCut, kTruncatedAgain };
+  for (const Way way : {Way::kRefused, Way::kUnresponsive, Way::kCut, Way::kTruncatedAgain}) {
     StandinResolver resolver(
         [way](Turn& turn) {
-          if (turn.via() == Via::kTcp && way == Way::kSilent) return;
+          if (turn.via() == Via::kTcp && way == Way::kUnresponsive) return;
           if (turn.via() == Via::kTcp && way == Way::kCut) {
             turn.SendRaw({0, 40, 1, 2, 3});
             return turn.Reset();
@@ -124,7 +124,7 @@
     const auto answer = client.Ask(MakeQuery(QueryFor("a.org")));
     ASSERT_TRUE(answer) << static_cast<int>(way);
     EXPECT_FALSE(client.Receive(kQuietPeriod)) << static_cast<int>(way);
-    if (way == Way::kSilent) {
+    if (way == Way::kUnresponsive) {
       // At its deadline nothing has ended yet: the attempt is still out.
       EXPECT_EQ(RcodeOf(*answer), kServFail);
     } else {
--- a/tests/dns/dns_update_test.cpp
+++ b/tests/dns/dns_update_test.cpp
@@ -40,8 +40,8 @@
 }
 
 TEST(Update, IsNotSentAgainWhenItMayHaveRun) {
-  enum class Way { kSilent, kReset, kTruncated };
-  for (const Way way : {Way::kSilent, Way::kReset, Way::kTruncated}) {
+  enum class Way { kUnresponsive, kReset, kTruncated };
+  for (const Way way : {Way::kUnresponsive, Way::kReset, Way::kTruncated}) {
     const Script script = [way](Turn& turn) {
       AnswerSpec spec;
       spec.truncated = true;
@@ -72,7 +72,7 @@
   }
 }
 
-TEST(Update, ThatWasRefusedUnseenIsSentAgain) {
+TEST(Update, IsRetriedIfRefusedBeforeItWasSeen) {
   // By a closed port, over UDP and TCP; by REFUSED, which is said before anything is done.
   StandinResolver good(StandinResolver::Echo());
   StandinResolver refusing([](Turn& turn) {
@@ -99,7 +99,7 @@
 }
 
 // Each has a socket of its own: an error that another datagram caused says nothing of it.
-TEST(Update, TakesTheClientsWay) {
+TEST(Update, UsesTheTransportOfTheClient) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
