--- a/tests/dns/dns_forwarding_test.cpp
+++ b/tests/dns/dns_forwarding_test.cpp
@@ -239,7 +239,7 @@
   EXPECT_GE(two.queries(), 1);
 }
 
-// A name whose signatures are broken is so at every resolver: nobody else is asked, nobody is ejected for it.
+// A name with broken signatures fails at every resolver: no retry, no ejection.
 TEST(Dns, FailureOfTheNameIsNoFailureOfTheResolver) {
   AnswerSpec bogus;
   bogus.rcode = kServFail;
@@ -257,7 +257,7 @@
     ASSERT_TRUE(answer);
     EXPECT_EQ(ExtendedErrorOf(*answer), 6);
   }
-  // One each; a machine that is slow for a moment may add a second copy of a few, never a retry of each.
+  // One attempt each; on a slow machine a few may be hedged, but not each retried.
   EXPECT_LE(one.queries() + two.queries(), kQueries + kQueries / 2);
   EXPECT_EQ(node.log().find("ejected"), std::string::npos);
 }
--- a/tests/dns/dns_helpers.h
+++ b/tests/dns/dns_helpers.h
@@ -17,7 +17,7 @@
 inline constexpr int kServFail = 2;
 inline constexpr int kNotImp = 4;
 inline constexpr int kRefused = 5;
-// Long enough for what must not come to have come on a busy machine, short enough to wait for often.
+// How long a test waits for what must not come: longer than any delay of a loaded machine.
 inline constexpr std::chrono::milliseconds kQuietPeriod{150};
 
 struct ResolverList {
@@ -49,7 +49,7 @@
   return spec;
 }
 
-// A counter of the program's account, which it logs when it is told to read its file again.
+// A counter of the statistics that the program logs on a reload.
 inline long ReadCounter(Node& node, const std::string& file, const std::string& name) {
   const std::size_t before = node.log().size();
   node.ReloadOperatorFile(file);
@@ -64,7 +64,7 @@
   return std::stol(node.log().substr(at + mark.size()));
 }
 
-// The scripts of one test share this: which query is the first of all, at whichever resolver.
+// Shared by the scripts of one test: which query is the first of all, at any resolver.
 struct SharedQueryCount {
   std::atomic<int> queries{0};
 };
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -1,5 +1,5 @@
-// The real program between scripted resolvers and DNS clients. Resolvers that do not answer, are closed,
-// leave, or change with the configuration.
+// The real program between scripted resolvers and DNS clients: resolvers that are unresponsive, closed,
+// draining, or changed by the configuration.
 #include <algorithm>
 #include <atomic>
 #include <chrono>
@@ -45,9 +45,9 @@
   }));
   const int before = unresponsive.queries();
   for (int i = 0; i < 200; ++i) ASSERT_TRUE(send_query());
-  // Only trials, whose clients do not depend on them.
+  // Only half-open probes, on which no client depends.
   EXPECT_LE(unresponsive.queries() - before, 4);
-  // It is back: trials find out, long before its ejection ends.
+  // It answers again: half-open probes detect that long before its ejection ends.
   unresponsive.Play(StandinResolver::Echo());
   ASSERT_TRUE(Eventually([&] {
     EXPECT_TRUE(send_query());
@@ -163,7 +163,7 @@
     });
   }
   ASSERT_TRUE(Eventually([&] { return leaving.udp_queries() > 20 && leaving.tcp_queries() > 20; }));
-  // One that is under way at the leaving one finishes there.
+  // An attempt in flight at the draining resolver finishes there.
   DnsUdpClient slow(node.dns_port());
   for (std::uint16_t id = 0; id < 2; ++id) slow.Send(MakeQuery(QueryFor("slow.org", id)));
   ASSERT_TRUE(Eventually([&] { return leaving.queries() > 40; }));
@@ -179,7 +179,7 @@
   for (const auto& seen : leaving.seen()) {
     EXPECT_LT(seen.at, notified + milliseconds(500)) << NameOf(seen.query);
   }
-  // Dropped altogether, and a new one enters.
+  // It is removed, and a new one is added.
   StandinResolver added(script);
   node.ReloadOperatorFile(OperatorFile(ResolverList().Add("s", staying.address()).Add("f", added.address())));
   DnsUdpClient client(node.dns_port());
@@ -200,7 +200,7 @@
   EXPECT_NE(node.log().find("surprise"), std::string::npos);
   DnsUdpClient client(node.dns_port());
   EXPECT_TRUE(client.Ask(MakeQuery({})));
-  // What can't change under way is said.
+  // Settings that need a restart are logged.
   node.ReloadOperatorFile(OperatorFile(ResolverList().Add("r1", resolver.address()), "udp_ports = 3\n"));
   EXPECT_TRUE(Eventually([&] { return node.log().find("count from the next start") != std::string::npos; }));
 }
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -40,7 +40,7 @@
   EXPECT_EQ(resolver.connections(), 1) << "pooled";
 }
 
-// The first attempt is out and silent; its copy is truncated at the other resolver and moves to TCP there.
+// The first attempt is unanswered; its hedge is truncated at the other resolver and retried over TCP there.
 // Whichever answers first, the client gets one answer and no second.
 TEST(Truncation, PartwayThroughARetryWithAnEarlierAttemptStillOut) {
   for (const bool first_wins : {false, true}) {
@@ -53,7 +53,7 @@
         spec.records = 5;
         turn.SendAfter(milliseconds(first_wins ? 1500 : 0), MakeAnswer(turn.query(), spec));
       } else if (query_count.queries++ == 0) {
-        // Later than the copy, which goes out at 750 ms.
+        // Later than the hedge, which is sent at 750 ms.
         turn.SendAfter(milliseconds(first_wins ? 1000 : 1500), MakeAnswer(turn.query()));
       } else {
         AnswerSpec spec;
@@ -73,7 +73,7 @@
     EXPECT_FALSE(client.Receive(milliseconds(1200))) << "a second answer";
     EXPECT_EQ(one.udp_queries() + two.udp_queries(), 2);
     EXPECT_EQ(one.tcp_queries() + two.tcp_queries(), 1);
-    // The move stayed at the resolver that truncated.
+    // The TCP attempt went to the resolver that truncated.
     StandinResolver& truncating = one.tcp_queries() == 1 ? one : two;
     EXPECT_EQ(truncating.udp_queries(), 1);
   }
@@ -100,7 +100,7 @@
   EXPECT_GE(refusing.udp_queries(), 1);
 }
 
-// Where TCP comes to nothing at the only resolver, the client is told what is known: truncated.
+// If TCP fails at the only resolver, the client gets the truncated answer.
 TEST(Truncation, WithoutTcpTheTruncatedAnswerIsForwarded) {
   enum class Way { kRefused, kUnresponsive, kCut, kTruncatedAgain };
   for (const Way way : {Way::kRefused, Way::kUnresponsive, Way::kCut, Way::kTruncatedAgain}) {
--- a/tests/dns/dns_update_test.cpp
+++ b/tests/dns/dns_update_test.cpp
@@ -31,10 +31,10 @@
   const auto answer = client.Ask(update);
   ASSERT_TRUE(answer);
   EXPECT_EQ(RcodeOf(*answer), 0);
-  // Its answer was lost on the way: the same again gets the same, and nothing runs.
+  // Its answer was lost: a retransmission gets the same answer, and nothing runs.
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Ask(update), answer);
   EXPECT_EQ(resolver.queries(), 1);
-  // Another one under the same id is another one.
+  // Another UPDATE under the same id is a new one.
   ASSERT_TRUE(client.Ask(MakeUpdate("example.org", 77, "other")));
   EXPECT_EQ(resolver.queries(), 2);
 }
@@ -73,7 +73,7 @@
 }
 
 TEST(Update, IsRetriedIfRefusedBeforeItWasSeen) {
-  // By a closed port, over UDP and TCP; by REFUSED, which is said before anything is done.
+  // By a closed port, over UDP and TCP; by REFUSED, which is answered before anything runs.
   StandinResolver good(StandinResolver::Echo());
   StandinResolver refusing([](Turn& turn) {
     AnswerSpec spec;
@@ -98,7 +98,7 @@
   EXPECT_GE(refusing.queries(), 1);
 }
 
-// Each has a socket of its own: an error that another datagram caused says nothing of it.
+// Each has a socket of its own, so that an error of another datagram is not taken for its own.
 TEST(Update, UsesTheTransportOfTheClient) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
