--- a/tests/admin/admin_test.cpp
+++ b/tests/admin/admin_test.cpp
@@ -254,16 +254,16 @@
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->status, 409);
   EXPECT_NE(refused->body["error"].get<std::string>().find("sorckets"), std::string::npos) << refused->body;
-  const auto kept = admin.Get("/v1/status");
-  ASSERT_TRUE(kept);
-  EXPECT_EQ(kept->body["configuration"]["generation"], 1);
-  EXPECT_EQ(kept->body["configuration"]["hash"], before->body["configuration"]["hash"]);
-  EXPECT_EQ(kept->body["configuration"]["refused"]["error"], refused->body["error"]);
+  const auto unchanged = admin.Get("/v1/status");
+  ASSERT_TRUE(unchanged);
+  EXPECT_EQ(unchanged->body["configuration"]["generation"], 1);
+  EXPECT_EQ(unchanged->body["configuration"]["hash"], before->body["configuration"]["hash"]);
+  EXPECT_EQ(unchanged->body["configuration"]["refused"]["error"], refused->body["error"]);
 
   node.WriteOperatorFile(Resolvers(2) + admin_section);
-  const auto taken = admin.Post("/v1/reload");
-  ASSERT_TRUE(taken);
-  EXPECT_EQ(taken->status, 200);
+  const auto accepted = admin.Post("/v1/reload");
+  ASSERT_TRUE(accepted);
+  EXPECT_EQ(accepted->status, 200);
   const auto after = admin.Get("/v1/status");
   ASSERT_TRUE(after);
   EXPECT_EQ(after->body["configuration"]["generation"], 2);
@@ -281,9 +281,9 @@
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->status, 202);
   // It takes queries for some tenths of a second more, so the API is still there.
-  const auto told = admin.Get("/v1/status");
-  ASSERT_TRUE(told);
-  EXPECT_EQ(told->body["state"], "draining");
+  const auto draining = admin.Get("/v1/status");
+  ASSERT_TRUE(draining);
+  EXPECT_EQ(draining->body["state"], "draining");
   EXPECT_EQ(node.Wait(), 0);
   EXPECT_FALSE(fs::exists(place.socket()));
 }
@@ -333,14 +333,14 @@
   Node node(Dns(Resolvers(1) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(node), place.address());
   const AdminClient admin(place.address());
-  const int silent = admin.Connect();
-  ASSERT_GE(silent, 0);
+  const int idle = admin.Connect();
+  ASSERT_GE(idle, 0);
   const int half = admin.Connect();
   ASSERT_EQ(::send(half, "GET /v1/st", 10, MSG_NOSIGNAL), 10);
   const auto answer = admin.Get("/v1/status");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->status, 200);
-  ::close(silent);
+  ::close(idle);
   ::close(half);
 }
 
