--- /dev/null
+++ b/tests/admin/admin_fixture.h
@@ -0,0 +1,87 @@
+// What tests of the admin API share: a directory for its socket and token, and operator files.
+#pragma once
+
+#include <sys/stat.h>
+#include <unistd.h>
+
+#include <atomic>
+#include <filesystem>
+#include <fstream>
+#include <string>
+
+#include "standins/peers.h"
+
+namespace mothrack::testing {
+
+namespace fs = std::filesystem;
+
+// A temporary directory, removed with the object.
+class Place {
+ public:
+  Place() {
+    static std::atomic<int> count{0};
+    path_ = fs::temp_directory_path() /
+            ("mothrack-admin-" + std::to_string(::getpid()) + "-" + std::to_string(count++));
+    fs::create_directory(path_);
+  }
+  ~Place() { fs::remove_all(path_); }
+  std::string File(const std::string& name) const { return path_ / name; }
+  std::string socket() const { return File("admin.sock"); }
+  std::string address() const { return "unix:" + socket(); }
+  std::string Token(const std::string& token, mode_t mode = 0600) const {
+    std::ofstream(File("token")) << token << '\n';
+    ::chmod(File("token").c_str(), mode);
+    return File("token");
+  }
+
+ private:
+  fs::path path_;
+};
+
+inline std::string At(const std::string& listen, const std::string& more = "") {
+  return "[admin]\nlisten = \"" + listen + "\"\n" + more;
+}
+
+inline std::string Resolvers(int count, const std::string& endpoint = "") {
+  std::string text = "[dns]\nlisten = [\"127.0.0.1:0\"]\n";
+  for (int i = 0; i < count; ++i) {
+    const std::string place = endpoint.empty() ? "127.0.0.1:" + std::to_string(1000 + i) : endpoint;
+    text += "[[dns.resolver]]\nuid = \"r " + std::to_string(i) + "\"\nendpoint = \"" + place + "\"\n";
+  }
+  return text;
+}
+
+inline Node::Options Http(const std::string& file, const json& known) {
+  Node::Options options;
+  options.known = known;
+  options.operator_file = file;
+  return options;
+}
+
+inline Node::Options Dns(const std::string& file) {
+  Node::Options options;
+  options.platform = false;
+  options.operator_file = file;
+  return options;
+}
+
+// The address of the admin API as the program logs it; empty if it logs none.
+inline std::string AdminAddressOf(Node& node) {
+  const std::string mark = "admin on ";
+  std::string place;
+  Eventually([&] {
+    const std::string log = node.log();
+    const auto at = log.find(mark);
+    const auto end = at == std::string::npos ? at : log.find('\n', at);
+    if (end == std::string::npos) return false;
+    place = log.substr(at + mark.size(), end - at - mark.size());
+    return true;
+  });
+  return place;
+}
+
+inline bool Logs(Node& node, const std::string& text) {
+  return Eventually([&] { return node.log().find(text) != std::string::npos; });
+}
+
+}  // namespace mothrack::testing
