--- a/tests/sidecar/client_limits_test.cpp
+++ b/tests/sidecar/client_limits_test.cpp
@@ -57,15 +57,15 @@
   options.sockets = 64;
   Node node(options);
   ASSERT_TRUE(node.Listening());
-  std::vector<std::unique_ptr<Client>> silent;
-  for (int i = 0; i < 100; ++i) silent.push_back(std::make_unique<Client>(node.port()));
+  std::vector<std::unique_ptr<Client>> idle;
+  for (int i = 0; i < 100; ++i) idle.push_back(std::make_unique<Client>(node.port()));
   for (int i = 0; i < 5; ++i) {
     Client usual(node.port());
     const auto response = usual.Get("/page/k", "v" + std::to_string(i));
     ASSERT_TRUE(response) << i;
     EXPECT_EQ(response->result_int(), 200U);
   }
-  for (const auto& client : silent) EXPECT_TRUE(client->wire.ReadsEnd());
+  for (const auto& client : idle) EXPECT_TRUE(client->wire.ReadsEnd());
 }
 
 TEST(Descriptors, RunningOutOfThemIsSurvived) {
--- a/tests/sidecar/client_requests_test.cpp
+++ b/tests/sidecar/client_requests_test.cpp
@@ -19,9 +19,9 @@
 
 TEST(Application, ThatDisconnectsEndsItsAttempt) {
   std::promise<bool> ended;
-  Gate asked;
+  Gate requested;
   Upstream upstream([&](Wire& wire, const Request&, int) {
-    asked.Open();
+    requested.Open();
     ended.set_value(wire.ReadsEnd());
   });
   Node node(With(List({Target("u1", upstream.address())})));
@@ -29,7 +29,7 @@
   {
     Client client(node.port());
     ASSERT_TRUE(client.Send(GetText("/page/k", "a1", 15000)));
-    asked.Pass();
+    requested.Pass();
   }
   EXPECT_TRUE(ended.get_future().get());
 }
@@ -166,7 +166,7 @@
 TEST(Application, IdleAndStalledClientsAreDisconnected) {
   Node node(With(json::array()));
   ASSERT_TRUE(node.Listening());
-  Client silent(node.port());
+  Client idle(node.port());
   Client half(node.port());
   ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
   Client body(node.port());
@@ -177,7 +177,7 @@
   std::thread feeding([&] {
     while (!ended && trickling.Send("a")) std::this_thread::sleep_for(milliseconds(20));
   });
-  EXPECT_TRUE(silent.wire.ReadsEnd());
+  EXPECT_TRUE(idle.wire.ReadsEnd());
   for (Client* client : {&half, &body, &trickling}) {
     const auto response = client->Read();
     EXPECT_EQ(response ? response->result_int() : 0, 408U);
@@ -200,10 +200,10 @@
 }
 
 TEST(Application, DuplicateOfARequestInFlightIsRejected) {
-  Gate asked;
+  Gate requested;
   Gate go;
   Upstream upstream([&](Wire& wire, const Request&, int) {
-    asked.Open();
+    requested.Open();
     go.Pass();
     wire.Answer(200, "x");
   });
@@ -211,7 +211,7 @@
   ASSERT_TRUE(node.Listening());
   Client first(node.port());
   ASSERT_TRUE(first.Send(PostText("/submit/k", "same", "x", 15000)));
-  asked.Pass();
+  requested.Pass();
   Client second(node.port());
   const auto refused = second.Post("/submit/k", "same", "x");
   ASSERT_TRUE(refused);
--- a/tests/sidecar/membership_test.cpp
+++ b/tests/sidecar/membership_test.cpp
@@ -60,8 +60,8 @@
   options.discovery = discovery.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
-  Client held(node.port());
-  ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
+  Client in_flight(node.port());
+  ASSERT_TRUE(in_flight.Send(PostText("/submit/held", "h1", "x", 15000)));
   asked.Pass();
   discovery.Tell(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}), false);
   ASSERT_TRUE(BecomesServedBy(node, "new /page/k"));
@@ -69,7 +69,7 @@
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
   EXPECT_EQ(leaving.requests().size(), before);
   go.Open();  // what it had is finished
-  const auto response = held.Read();
+  const auto response = in_flight.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "old");
 }
--- a/tests/sidecar/node_cases.h
+++ b/tests/sidecar/node_cases.h
@@ -51,9 +51,9 @@
   socket.non_blocking(true);
   boost::system::error_code error;
   const std::string bytes(65536, 'x');
-  std::size_t taken = 0;
-  while (!error && taken < bytes.size()) taken += socket.write_some(boost::asio::buffer(bytes), error);
-  return taken;
+  std::size_t written = 0;
+  while (!error && written < bytes.size()) written += socket.write_some(boost::asio::buffer(bytes), error);
+  return written;
 }
 
 // Sends requests until one is answered with this body.
--- a/tests/sidecar/outcome_test.cpp
+++ b/tests/sidecar/outcome_test.cpp
@@ -169,8 +169,8 @@
 
 // Bytes that come while a connection is idle must never be read as the next answer, whole or in part.
 TEST(Spoilt, BytesBehindAnAnswerReachNoOtherRequest) {
-  const std::string copy = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
-  for (const std::string& stray : {copy, copy.substr(0, 20), std::string("noise")}) {
+  const std::string complete = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
+  for (const std::string& stray : {complete, complete.substr(0, 20), std::string("noise")}) {
     for (const bool later : {false, true}) {
       Gate answered;
       Gate strayed;
--- a/tests/sidecar/service_test.cpp
+++ b/tests/sidecar/service_test.cpp
@@ -73,8 +73,8 @@
   Client client(node.port());
   EXPECT_EQ(client.Post("/submit/ok", "c", "x")->result_int(), 200U);
   EXPECT_EQ(client.Post("/submit/bad", "b", "x")->result_int(), 502U);
-  Client held(node.port());
-  ASSERT_TRUE(held.Send(GetText("/page/held", "d")));
+  Client in_flight(node.port());
+  ASSERT_TRUE(in_flight.Send(GetText("/page/held", "d")));
   // Written whole counts at once, not when the attempt ends.
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["transactions"]["page"]["sends"] == 1; }));
   EXPECT_EQ(client.Post("/submit/full", "a", "x")->result_int(), 503U);
@@ -86,7 +86,7 @@
   EXPECT_EQ(submit["sends"], upstream.requests().size() - 1);
   EXPECT_EQ(stats["current"], 1);
   go.set_value();
-  EXPECT_EQ(held.Read()->result_int(), 200U);
+  EXPECT_EQ(in_flight.Read()->result_int(), 200U);
   EXPECT_EQ(Stats(ops)["current"], 0);
 }
 
@@ -94,16 +94,16 @@
   Node node(Served(List({})));
   ASSERT_TRUE(node.OpsListening());
   const AdminClient ops(node.ops());
-  std::vector<int> held;
+  std::vector<int> half_sent;
   for (int i = 0; i < 60; ++i) {
-    held.push_back(ops.Connect());
-    ASSERT_GE(held.back(), 0);
-    ASSERT_EQ(::write(held.back(), "GET /ops/st", 11), 11);
+    half_sent.push_back(ops.Connect());
+    ASSERT_GE(half_sent.back(), 0);
+    ASSERT_EQ(::write(half_sent.back(), "GET /ops/st", 11), 11);
     if (i % 10 == 9) {
       EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 200);
     }
   }
-  for (const int fd : held) ::close(fd);
+  for (const int fd : half_sent) ::close(fd);
 }
 
 TEST(OperatorApi, UnknownCallsAreRejected) {
@@ -220,7 +220,7 @@
   const AdminClient ops(node.ops());
   Client idle(node.port());
   ASSERT_TRUE(idle.Get("/page/x", "a"));
-  Client fresh(node.port());
+  Client new_client(node.port());
   Client half(node.port());
   const std::string text = PostText("/submit/k", "h", "hello");
   ASSERT_TRUE(half.Send(text.substr(0, 40)));
@@ -233,7 +233,7 @@
   EXPECT_EQ(Up(node), 503U);
   EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 503);
   EXPECT_TRUE(idle.wire.ReadsEnd());
-  EXPECT_TRUE(fresh.wire.ReadsEnd());
+  EXPECT_TRUE(new_client.wire.ReadsEnd());
   ASSERT_TRUE(half.Send(text.substr(40)));
   auto response = half.Read();
   ASSERT_TRUE(response);
@@ -250,11 +250,11 @@
     EXPECT_EQ(StatusOf(ops.Put("/ops/drain/stop")), 200);
     EXPECT_EQ(Up(node), 200U);
     EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 200);
-    Client kept(node.port());
-    ASSERT_TRUE(kept.Get("/page/x", "k" + std::to_string(2 * i)));
-    EXPECT_TRUE(kept.Get("/page/x", "k" + std::to_string(2 * i + 1)));
+    Client keep_alive(node.port());
+    ASSERT_TRUE(keep_alive.Get("/page/x", "k" + std::to_string(2 * i)));
+    EXPECT_TRUE(keep_alive.Get("/page/x", "k" + std::to_string(2 * i + 1)));
     EXPECT_EQ(StatusOf(ops.Put("/ops/drain/start")), 200);
-    EXPECT_TRUE(kept.wire.ReadsEnd());
+    EXPECT_TRUE(keep_alive.wire.ReadsEnd());
   }
   node.Signal(SIGTERM);
   EXPECT_EQ(node.Wait(), 0);
--- a/tests/sidecar/start_stop_test.cpp
+++ b/tests/sidecar/start_stop_test.cpp
@@ -48,7 +48,7 @@
   ASSERT_TRUE(node.Listening());
   Client half(node.port());
   ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
-  Client silent(node.port());
+  Client idle(node.port());
   node.Signal(SIGTERM);
   EXPECT_EQ(node.Wait(), 0);  // long before the test runner's limit
 }
--- a/tests/sidecar/upgrade_test.cpp
+++ b/tests/sidecar/upgrade_test.cpp
@@ -156,23 +156,23 @@
   for (const auto& [id, times] : runs) EXPECT_EQ(times, 1) << id;
 }
 
-TEST(Upgrade, BansHoldAtBothProcessesWhicheverWasAsked) {
+TEST(Upgrade, BansHoldAtBothProcessesWhicheverReceivedThem) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   const SharedDirectory shared;
   const auto options = In(shared, List({Target("ua", a.address()), Target("ub", b.address())}));
   Node old(options);
   ASSERT_TRUE(Ready(old));
-  Client kept(old.port());
-  ASSERT_TRUE(kept.Get("/page/x", "k0"));
+  Client keep_alive(old.port());
+  ASSERT_TRUE(keep_alive.Get("/page/x", "k0"));
   EXPECT_EQ(Put(old, "/ops/upstreams/down", "ua"), 200);
-  Node fresh(options);
-  ASSERT_TRUE(Ready(fresh));
+  Node successor(options);
+  ASSERT_TRUE(Ready(successor));
   const auto by = [](Client& client, const std::string& id) {
     const auto response = client.Get("/page/x", id);
     return response ? response->body().substr(0, 1) : "none";
   };
-  Client late(fresh.port());
+  Client late(successor.port());
   for (int i = 0; i < 6; ++i) EXPECT_EQ(by(late, "l" + std::to_string(i)), "b");
   // While both run: back at the old one, then the other out at the new one.
   EXPECT_EQ(Put(old, "/ops/upstreams/up", "ua"), 200);
@@ -180,10 +180,10 @@
     const auto stats = AdminClient(node.ops()).Get("/ops/stats");
     return stats ? stats->body["cluster_unhealthy"] : json();
   };
-  ASSERT_TRUE(Eventually([&] { return banned(fresh) == 0; }));
-  EXPECT_EQ(Put(fresh, "/ops/upstreams/down", "ub"), 200);
+  ASSERT_TRUE(Eventually([&] { return banned(successor) == 0; }));
+  EXPECT_EQ(Put(successor, "/ops/upstreams/down", "ub"), 200);
   ASSERT_TRUE(Eventually([&] { return banned(old) == 1; }));
-  for (int i = 0; i < 6; ++i) EXPECT_EQ(by(kept, "k" + std::to_string(i + 1)), "a");
+  for (int i = 0; i < 6; ++i) EXPECT_EQ(by(keep_alive, "k" + std::to_string(i + 1)), "a");
   for (int i = 0; i < 6; ++i) EXPECT_EQ(by(late, "m" + std::to_string(i)), "a");
 }
 
@@ -201,12 +201,12 @@
   Client first(old.port());
   ASSERT_TRUE(first.Send(PostText("/submit/k", "early", "x")));
   ASSERT_TRUE(Eventually([&] { return upstream.requests().size() == 1; }));
-  Node fresh(options);
-  ASSERT_TRUE(Ready(fresh));
-  Client again(fresh.port());
-  const auto copy = again.Post("/submit/k", "early", "x");
-  ASSERT_TRUE(copy);
-  EXPECT_EQ(copy->result_int(), 400U);
+  Node successor(options);
+  ASSERT_TRUE(Ready(successor));
+  Client again(successor.port());
+  const auto duplicate = again.Post("/submit/k", "early", "x");
+  ASSERT_TRUE(duplicate);
+  EXPECT_EQ(duplicate->result_int(), 400U);
   old.Signal(SIGTERM);
   go.set_value();
   EXPECT_EQ(first.Read()->result_int(), 200U);
@@ -222,11 +222,11 @@
   auto old = std::make_unique<Node>(options);
   ASSERT_TRUE(Ready(*old));
   EXPECT_EQ(Put(*old, "/ops/upstreams/down", "ua"), 200);
-  Node fresh(options);
-  ASSERT_TRUE(Ready(fresh));
+  Node successor(options);
+  ASSERT_TRUE(Ready(successor));
   old->Signal(SIGKILL);
   old->Wait();
-  Client client(fresh.port());
+  Client client(successor.port());
   for (int i = 0; i < 4; ++i) EXPECT_EQ(client.Get("/page/x", "i" + std::to_string(i))->body(), "b /page/x");
 }
 
@@ -300,16 +300,16 @@
   Node old(options);
   ASSERT_TRUE(Ready(old));
   EXPECT_EQ(Put(old, "/ops/drain/start"), 200);
-  Node fresh(options);
-  ASSERT_TRUE(fresh.OpsListening());
+  Node successor(options);
+  ASSERT_TRUE(successor.OpsListening());
   const auto ready = [&](Node& node) {
     const auto answer = AdminClient(node.ops()).Get("/ops/readiness");
     return answer ? answer->status : 0;
   };
   ASSERT_TRUE(Eventually([&] { return old.log().find("a successor takes clients") != std::string::npos; }));
-  EXPECT_EQ(ready(fresh), 503);
-  EXPECT_EQ(Put(fresh, "/ops/drain/stop"), 200);
-  EXPECT_EQ(ready(fresh), 200);
+  EXPECT_EQ(ready(successor), 503);
+  EXPECT_EQ(Put(successor, "/ops/drain/stop"), 200);
+  EXPECT_EQ(ready(successor), 200);
   EXPECT_TRUE(Eventually([&] { return ready(old) == 200; }));
 }
 
