--- a/tests/sidecar/client_limits_test.cpp
+++ b/tests/sidecar/client_limits_test.cpp
@@ -1,5 +1,4 @@
-// The real program between scripted peers: bounds on descriptors, and clients of which the system tells
-// nothing.
+// The real program between scripted peers: bounds on descriptors, and clients whose wake-ups are lost.
 
 #include <chrono>
 #include <memory>
@@ -22,7 +21,7 @@
   options.sockets = 64;
   Node node(options);
   ASSERT_TRUE(node.Listening());
-  // More clients than there are descriptors; each asks once and stays.
+  // More clients than descriptors; each sends one request and stays connected.
   std::vector<std::unique_ptr<Client>> clients;
   for (int i = 0; i < 150; ++i) {
     clients.push_back(std::make_unique<Client>(node.port()));
@@ -33,7 +32,7 @@
   }
 }
 
-// Guards against making room for a client that is not there at the cost of the last one that came.
+// No connection may be evicted for a client that has already disconnected.
 TEST(Descriptors, LastOneThatFitsIsServedThoughItTakesAMoment) {
   Upstream upstream(Upstream::Echo("u"));
   Node::Options options = With(List({Target("u1", upstream.address())}));
@@ -50,7 +49,7 @@
   }
 }
 
-// Many clients connect and say nothing: usual clients are served all the same.
+// Many clients connect and send nothing: other clients are still served.
 TEST(Descriptors, IdleClientsKeepNobodyOut) {
   Upstream upstream(Upstream::Echo("u"));
   Node::Options options = With(List({Target("u1", upstream.address())}));
@@ -74,7 +73,7 @@
   {
     Node usual(options);
     ASSERT_TRUE(usual.Listening());
-    // The system allows less than the deployment said.
+    // The process limit is below the configured one.
     options.few_sockets = usual.descriptors() + 6;
   }
   Node node(options);
@@ -96,7 +95,7 @@
   return count;
 }
 
-// A class's deadline is 5 s here: a client of which the system says nothing is found well within it.
+// The deadline of a class is 5 s here: a client whose wake-up is lost is found well within it.
 TEST(WakeUps, ClientsAreServedWhereTheSystemNeverNotifiesOfThem) {
   Upstream upstream(Upstream::Echo("u"));
   Node::Options options = With(List({Target("u1", upstream.address())}));
@@ -113,7 +112,7 @@
   EXPECT_EQ(Count(node.log(), "the system did not tell"), 1U);
 }
 
-// Nothing else happens at the sidecar, and no client comes behind the one that waits.
+// The sidecar is otherwise idle, and no further client connects.
 TEST(WakeUps, LoneClientsOneAfterTheOther) {
   Node node(With(List({})));
   ASSERT_TRUE(node.Listening());
--- a/tests/sidecar/client_requests_test.cpp
+++ b/tests/sidecar/client_requests_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: requests that are rejected, clients that stall or leave.
+// The real program between scripted peers: requests that are rejected, clients that stall or disconnect.
 
 #include <atomic>
 #include <chrono>
@@ -81,8 +81,8 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-// Sends these bytes on a connection of its own; the status it is answered with, 0 where it is closed without
-// one. What is behind the answer is the end of the connection.
+// Sends these bytes on a connection of its own. Returns the status of the answer, 0 if the connection is
+// closed without one; the connection must end after the answer.
 unsigned StatusAndClose(Node& node, const std::string& bytes) {
   Client client(node.port());
   client.Send(bytes);
@@ -91,8 +91,8 @@
   return response ? response->result_int() : 0;
 }
 
-// Guards against a request hidden in another's body, and one that is repeated against its class: each of
-// these is turned away, and what follows on its connection is not looked at.
+// Request smuggling, and retries against the class of a request: each of these is rejected, and nothing that
+// follows on its connection is read.
 TEST(Application, RequestsThatMustNotPassEndTheirConnection) {
   Upstream upstream(Upstream::Echo("u"));
   Node node(With(List({Target("u1", upstream.address())})));
@@ -162,7 +162,7 @@
   EXPECT_TRUE(upstream.requests().empty());
 }
 
-// The deployment's limit is 3 s from connecting, whatever trickles in the meantime.
+// The limit is 3 s from connecting, however the bytes trickle in.
 TEST(Application, IdleAndStalledClientsAreDisconnected) {
   Node node(With(json::array()));
   ASSERT_TRUE(node.Listening());
--- a/tests/sidecar/membership_test.cpp
+++ b/tests/sidecar/membership_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: it follows what discovery tells, and outlives its faults.
+// The real program between scripted peers: it follows discovery and survives its faults.
 
 #include <atomic>
 #include <chrono>
@@ -33,7 +33,7 @@
   Node node(options);
   ASSERT_TRUE(node.Listening());
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
-  discovery.Tell(List({Target("u2", b.address())}), true);  // u1 is missing: it is gone
+  discovery.Tell(List({Target("u2", b.address())}), true);  // u1 is missing: it is removed
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   discovery.Tell(List({Target("u2", c.address())}), false);  // moved
   EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
@@ -68,7 +68,7 @@
   const std::size_t before = leaving.requests().size();
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
   EXPECT_EQ(leaving.requests().size(), before);
-  go.Open();  // what it had is finished
+  go.Open();  // requests in flight finish
   const auto response = in_flight.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "old");
@@ -107,7 +107,7 @@
     const int calls = discovery.calls();
     discovery.Set(mood);
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls + 1; }));
-    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));  // the old list stands
+    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));  // the old list holds
     discovery.Tell(List({Target("u2", b.address())}));
     discovery.Set(Discovery::Mood::kAnswers);
     EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
@@ -149,8 +149,7 @@
   EXPECT_EQ(agent.requests().front().target(), "/discovery/hosts");
 }
 
-// A service that all sidecars ask: one that has started anew holds a list, and a call that failed leaves it
-// standing.
+// A discovery service shared by all sidecars: a restarted sidecar holds a list, and a failed call keeps it.
 TEST(Membership, SharedServiceIsPolledForChangesAlsoAfterAFailure) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
--- a/tests/sidecar/node_cases.h
+++ b/tests/sidecar/node_cases.h
@@ -1,5 +1,4 @@
-// What the tests of the real program share: nodes between scripted upstreams, and what is often asked of
-// them.
+// Shared by tests of the real program: nodes between scripted upstreams, and common checks.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +9,7 @@
 
 namespace mothrack::testing {
 
-// Holds a script up until the test lets it go on.
+// Blocks a script until the test opens it.
 class Gate {
  public:
   void Open() { promise_.set_value(); }
--- a/tests/sidecar/outcome_test.cpp
+++ b/tests/sidecar/outcome_test.cpp
@@ -1,5 +1,5 @@
-// The real program between scripted peers: what a client is told for each way an attempt can end, and for
-// answers that are none.
+// The real program between scripted peers: the answer of a client for each outcome of an attempt, and for
+// invalid answers.
 
 #include <string>
 
@@ -153,7 +153,7 @@
   EXPECT_EQ(StatusForBytes("HTTP/1.1 101 Switching Protocols\r\n\r\n"), 502U);
 }
 
-// Guards against an answer that is none: the request can't have been read.
+// An answer before the request was written cannot be an answer to it.
 TEST(Spoilt, AnswerBeforeTheLastByteWasWrittenIsNone) {
   if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system takes a whole message that nobody reads";
   Gate end;
@@ -167,7 +167,7 @@
   end.Open();
 }
 
-// Bytes that come while a connection is idle must never be read as the next answer, whole or in part.
+// Bytes received on an idle connection must never be read as the next answer, or as a part of it.
 TEST(Spoilt, BytesBehindAnAnswerReachNoOtherRequest) {
   const std::string complete = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
   for (const std::string& stray : {complete, complete.substr(0, 20), std::string("noise")}) {
--- a/tests/sidecar/reload_test.cpp
+++ b/tests/sidecar/reload_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: SIGHUP reads the configuration again.
+// The real program between scripted peers: SIGHUP reloads the configuration.
 
 #include <csignal>
 #include <string>
@@ -16,7 +16,8 @@
   return config.dump();
 }
 
-// Guards against ending on SIGHUP, and against a version or a pause that belonged to the old address.
+// SIGHUP must not end the process, and neither version nor back-off of the old address may apply to the new
+// one.
 TEST(Reload, FollowsTheNewDiscoveryEachTime) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
@@ -34,7 +35,7 @@
   first.Set(Discovery::Mood::kBreaks);
   node.Reload(FollowingTo(node, first.address()));
   ASSERT_TRUE(Eventually([&] { return node.log().find("discovery: ") != std::string::npos; }));
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list stands
+  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list holds
   for (int i = 0; i < 3; ++i) node.Reload(FollowingTo(node, second.address()));
   second.Tell(List({Target("u1", a.address())}));
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
@@ -70,7 +71,7 @@
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
 }
 
-// The file can be replaced under a running process, its environment can't: after a restart it counts too.
+// The file of a running process can be replaced, its environment cannot: that applies after a restart.
 TEST(Reload, FileCountsBeforeTheEnvironment) {
   Upstream a(Upstream::Echo("a"));
   Discovery discovery(List({Target("u1", a.address())}));
--- a/tests/sidecar/service_test.cpp
+++ b/tests/sidecar/service_test.cpp
@@ -1,5 +1,4 @@
-// The sidecar in the hands of people: what they call, what it tells, upstreams taken out by hand, emptying
-// it.
+// The operator API of the sidecar: readiness, statistics, bans and manual drain.
 
 #include <unistd.h>
 
@@ -75,7 +74,7 @@
   EXPECT_EQ(client.Post("/submit/bad", "b", "x")->result_int(), 502U);
   Client in_flight(node.port());
   ASSERT_TRUE(in_flight.Send(GetText("/page/held", "d")));
-  // Written whole counts at once, not when the attempt ends.
+  // An attempt counts as sent once it is written, not when it ends.
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["transactions"]["page"]["sends"] == 1; }));
   EXPECT_EQ(client.Post("/submit/full", "a", "x")->result_int(), 503U);
   const json stats = Stats(ops);
@@ -120,7 +119,7 @@
 
 // ---- Taking an upstream out by hand ----
 
-// Sends so many requests in turn, and tells which upstreams answered.
+// Sends so many requests in sequence and returns which upstreams answered.
 std::set<std::string> AnswerersOf(Node& node, int requests, const std::string& prefix) {
   Client client(node.port());
   std::set<std::string> names;
@@ -151,7 +150,7 @@
   EXPECT_EQ(AnswerersOf(node, 8, "q"), Names{"b"});
   EXPECT_EQ(Stats(ops)["cluster_unhealthy"], 1);
   EXPECT_EQ(Stats(ops)["cluster_size"], 2);
-  // It leaves the list, returns, and starts anew elsewhere.
+  // It leaves the list, returns, and restarts at another address.
   Upstream again(Upstream::Echo("again"));
   discovery.Tell(List({Target("ub", b.address())}));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 1; }));
@@ -160,7 +159,7 @@
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 2; }));
   EXPECT_EQ(AnswerersOf(node, 8, "r"), Names{"b"});
   EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", Named("ua"))), 200);
-  // It is new to the list, and so it is cold: its turn comes, and nobody else's.
+  // It is new to the list and in slow start: it is chosen in its turn.
   Names back;
   int tries = 0;
   EXPECT_TRUE(Eventually([&] {
--- a/tests/sidecar/upgrade_test.cpp
+++ b/tests/sidecar/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// One process of the sidecar following another under load.
+// Hot restart: a successor process takes over from its predecessor under load.
 
 #include <unistd.h>
 
@@ -66,8 +66,8 @@
   return answer ? answer->status : 0;
 }
 
-// A client as the platform's: it keeps its connection, and where one is closed before any of an answer came,
-// it sends the request once more, under its id, on another.
+// A client like those of the platform: it keeps its connection, and if that is closed before any byte of an
+// answer, it retries the request once, under its id, on another.
 class LoadingClient {
  public:
   LoadingClient(std::uint16_t port, std::string name)
@@ -279,7 +279,7 @@
     for (int i = 0; i < 4; ++i)
       EXPECT_EQ(client.Get("/page/x", "i" + std::to_string(i))->body(), "b /page/x");
   }
-  // Cut short, or of a later version: told, and ignored whole.
+  // Truncated, or of a later version: logged, and ignored as a whole.
   const std::string file = shared.Bans();
   ASSERT_FALSE(file.empty());
   for (const char* text : {"{\"version\":1,\"ba", "{\"version\":2,\"bans\":[\"ua\"]}"}) {
