--- a/tests/sidecar/sites_test.cpp
+++ b/tests/sidecar/sites_test.cpp
@@ -1,5 +1,5 @@
-// The deployments in deploy/sites/: what each tells a sidecar is read as it stands, and no figure of another
-// deployment stands in for one that is spoilt or lost.
+// The deployments in deploy/sites/: their configuration is read as written, and no value of another
+// deployment replaces a damaged or missing one.
 #include <toml++/toml.h>
 #include <unistd.h>
 
@@ -125,7 +125,7 @@
   EXPECT_EQ(Load(ReadJson(PathOf("parcels", "config.json"))).memory, std::size_t{48} << 20);
 }
 
-// Two files tell of one deployment: the bench's and the sidecar's.
+// Each deployment has two files: that of the benchmark and that of the sidecar.
 TEST_P(Site, ConfigurationIsTheSitesOwn) {
   const toml::table file = toml::parse_file(PathOf(site(), site() + ".toml"));
   const auto settings = Load(config()).settings;
@@ -159,19 +159,19 @@
 TEST_P(Site, NamesOnTheSocketsAreTheSidecars) {
   const json real = ReadJson(PathOf(site(), "real.json"));
   const auto list = [](const json& names) {
-    const auto word = [&names](const char* pointer) { return names.at(Pointer(pointer)).get<std::string>(); };
+    const auto text = [&names](const char* pointer) { return names.at(Pointer(pointer)).get<std::string>(); };
     json targets = json::array();
     for (const char* state : {"/states/ready", "/states/draining"}) {
-      targets.push_back({{word("/f/id"), state},
-                         {word("/f/addr"), "127.0.0.1:9100"},
-                         {word("/f/zone"), "z"},
-                         {word("/f/kind"), "k"},
-                         {word("/f/cell"), 4},
-                         {word("/f/state"), word(state)},
-                         {word("/f/weight"), 2.5},
-                         {word("/f/started"), 0}});
+      targets.push_back({{text("/f/id"), state},
+                         {text("/f/addr"), "127.0.0.1:9100"},
+                         {text("/f/zone"), "z"},
+                         {text("/f/kind"), "k"},
+                         {text("/f/cell"), 4},
+                         {text("/f/state"), text(state)},
+                         {text("/f/weight"), 2.5},
+                         {text("/f/started"), 0}});
     }
-    return json{{word("/f/version"), 7}, {word("/f/full"), true}, {word("/f/list"), targets}};
+    return json{{text("/f/version"), 7}, {text("/f/full"), true}, {text("/f/list"), targets}};
   };
   const auto read = discovery::ParseList(list(real));
   ASSERT_EQ(read.update.upstreams.size(), 2U);
@@ -198,15 +198,15 @@
   }
 }
 
-// What may stand in a field: anything else is damage.
-enum class Takes { kText, kWord, kFlag, kTime, kLongTime, kCount, kPart, kPositive, kNumber, kList };
+// Valid content of a field: anything else is damage.
+enum class Takes { kText, kEnum, kFlag, kTime, kLongTime, kCount, kPart, kPositive, kNumber, kList };
 
 std::vector<json> Damages(Takes takes) {
   const double too_much = 1e18;
   switch (takes) {
     case Takes::kText:
       return {7, true, json::array()};
-    case Takes::kWord:
+    case Takes::kEnum:
       return {7, "", "sometimes", json::object()};
     case Takes::kFlag:
       return {0, "true", json::array()};
@@ -234,7 +234,7 @@
   bool may_lack = false;
 } kFields[] = {
     {"/settings/Classes/1/Name", Takes::kText},
-    {"/settings/Classes/1/Effect", Takes::kWord},
+    {"/settings/Classes/1/Effect", Takes::kEnum},
     {"/settings/Classes/1/Aim", Takes::kLongTime},
     {"/settings/Classes/2/HardLimit", Takes::kLongTime},
     {"/settings/Classes/1/Worth", Takes::kNumber},
@@ -242,8 +242,8 @@
     {"/settings/Classes/1/Stream", Takes::kFlag},
     {"/settings/Classes/1/Window", Takes::kTime, true},
     {"/settings/Classes/2/Window", Takes::kLongTime},  // the keyed one, at both
-    {"/settings/Classes/2/KeyScope", Takes::kWord},
-    {"/settings/MembershipMode", Takes::kWord},
+    {"/settings/Classes/2/KeyScope", Takes::kEnum},
+    {"/settings/MembershipMode", Takes::kEnum},
     {"/settings/PeersTotal", Takes::kCount},
     {"/settings/Me", Takes::kCount},
     {"/settings/Zone", Takes::kText, true},
@@ -315,7 +315,7 @@
   expect(damaged, "/settings/Classes/1/Name", "twice");
 }
 
-// Fields that only one of the two has a use for.
+// Fields that only one of the deployments uses.
 TEST(Sites, FieldsOfOneSiteAreNamedToo) {
   json asked = ReadJson(PathOf("parcels", "config.json"));
   asked["settings"]["Rules"].erase("MustAskIn");
@@ -333,7 +333,7 @@
   EXPECT_TRUE(Names(ErrorOf(tenants), "settings.Tenants[1].Share"));
 }
 
-// Deployments add figures, and a whole number may be written as a decimal.
+// Deployments add fields, and an integer may be written as a decimal.
 TEST_P(Site, WhatIsUnknownOrWrittenOtherwiseIsAccepted) {
   json file = config();
   file["settings"]["New"] = {{"Figure", 3}};
