--- a/tests/http/bulk_test.cpp
+++ b/tests/http/bulk_test.cpp
@@ -80,7 +80,7 @@
 
 // ---- Answers ----
 
-TEST(BulkAnswer, OfEachFramingComesWhole) {
+TEST(BulkAnswer, OfEachFramingArrivesComplete) {
   const std::string body = Pattern(3 * kMegabyte);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     const std::string head = "HTTP/1.1 200 OK\r\n";
@@ -108,7 +108,7 @@
   EXPECT_EQ(page["sends"], 3);
 }
 
-TEST(BulkAnswer, CutInTheMiddleIsSeenAsCutAndCountsAsFailed) {
+TEST(BulkAnswer, TruncatedIsForwardedAsTruncatedAndCountsAsFailed) {
   const std::string body = Pattern(300 * 1024);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     const bool chunked = request.target() == "/page/chunked";
@@ -168,7 +168,7 @@
 
 // ---- Uploads ----
 
-TEST(BulkUpload, OfEachFramingComesWholeAndOnce) {
+TEST(BulkUpload, OfEachFramingArrivesCompleteAndOnce) {
   const std::string body = Pattern(3 * kMegabyte);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     wire.Answer(200, request.body() == body ? "same" : "other");
@@ -194,7 +194,7 @@
   EXPECT_EQ(upstream.requests().size(), 3U);
 }
 
-TEST(BulkUpload, ASlowOneHasItsTimeFromTheLastByteOn) {
+TEST(BulkUpload, ASlowOneHasItsDeadlineFromTheLastByte) {
   Upstream upstream(Upstream::Echo("u"));
   Node node(Served(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
@@ -210,7 +210,7 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-TEST(BulkUpload, IsRetriedOnAnotherWhereNothingRanAndAllIsStillBuffered) {
+TEST(BulkUpload, IsRetriedElsewhereIfNothingRanAndAllIsBuffered) {
   Upstream upstream(Upstream::Echo("u"));
   Refusing refusing;
   Upstream full([](Wire& wire, const Request&, int) { wire.Answer(503, "x", "X-Not-Processed: 1\r\n"); });
@@ -228,7 +228,7 @@
   EXPECT_EQ(upstream.requests().size(), 6U);
 }
 
-TEST(BulkUpload, RefusedBeforeItsEndTheAnswerArrivesWhole) {
+TEST(BulkUpload, RejectedBeforeItsEndTheAnswerArrivesComplete) {
   // Nobody takes it: told while the client still sends, and no reset overtakes the answer.
   Node node(Served(List({})));
   ASSERT_TRUE(node.Listening());
@@ -244,7 +244,7 @@
   EXPECT_FALSE(response->keep_alive());
 }
 
-TEST(BulkUpload, AClientThatBreaksOffLeavesNothingBehind) {
+TEST(BulkUpload, AClientThatDisconnectsLeavesNothingBehind) {
   std::atomic<bool> ended{false};
   Peer peer([&](Wire& wire, int) {
     if (wire.ReadsEnd()) ended = true;
@@ -264,7 +264,7 @@
   EXPECT_EQ(stats->body["current"], 0);
 }
 
-TEST(BulkUpload, AHeadOfTwoSecondsIsUsual) {
+TEST(BulkUpload, AHeadThatTakesTwoSecondsIsServed) {
   Upstream upstream(Upstream::Echo("u"));
   Node node(Served(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
