--- a/tests/sidecar/system_faults_test.cpp
+++ b/tests/sidecar/system_faults_test.cpp
@@ -33,7 +33,7 @@
 constexpr std::size_t kClients = 6;
 // Of clients, and of upstreams: so that connections are made all the time.
 constexpr int kRequestsOnAConnection = 3;
-constexpr auto kTrouble = milliseconds(200);
+constexpr auto kFaultDuration = milliseconds(200);
 // The bound is a second; the rest is for a machine that is busy with other tests and sanitizers.
 constexpr auto kRecovery = seconds(1) + milliseconds(500);
 
@@ -144,17 +144,17 @@
 
 // ---- Every call, every documented error ----
 
-struct Trouble {
+struct FaultCase {
   const char* name;
   SystemCall call;
   int error;  // 0: it moves one byte only
   bool outgoing_only = false;
 };
-std::ostream& operator<<(std::ostream& out, const Trouble& trouble) { return out << trouble.name; }
+std::ostream& operator<<(std::ostream& out, const FaultCase& fault_case) { return out << fault_case.name; }
 
 // What happens to a client's own connection ends it, and with it what is owed there: the errors of broken
 // connections are played at the side of upstreams and discovery.
-const Trouble kTroubles[] = {
+const FaultCase kFaultCases[] = {
     {"AcceptInterrupted", SystemCall::kAccept, EINTR},
     {"AcceptAborted", SystemCall::kAccept, ECONNABORTED},
     {"AcceptNetUnreachable", SystemCall::kAccept, ENETUNREACH},
@@ -189,17 +189,17 @@
     {"ReceiveHostUnreachable", SystemCall::kReceive, EHOSTUNREACH, true},
 };
 
-class SystemFaults : public ::testing::TestWithParam<Trouble> {};
+class SystemFaults : public ::testing::TestWithParam<FaultCase> {};
 
 // Once at single uses of the call (each of its first 200 where SYSTEM_FAULTS=whole), then at one in three for
 // a while.
 TEST_P(SystemFaults, LoseNothingAndItServesAgain) {
-  const Trouble& trouble = GetParam();
+  const FaultCase& fault_case = GetParam();
   Service service;
   ASSERT_TRUE(service.Start()) << service.node.log();
-  CallFaults& faults = service.faults.plan().Of(trouble.call);
-  faults.error = trouble.error;
-  faults.outgoing_only = trouble.outgoing_only;
+  CallFaults& faults = service.faults.plan().Of(fault_case.call);
+  faults.error = fault_case.error;
+  faults.outgoing_only = fault_case.outgoing_only;
 
   const char* setting = std::getenv("SYSTEM_FAULTS");
   const bool whole = setting != nullptr && std::strcmp(setting, "whole") == 0;
@@ -214,7 +214,7 @@
   faults.skip = 0;
   faults.every = 3;
   faults.remaining = -1;
-  std::this_thread::sleep_for(kTrouble);
+  std::this_thread::sleep_for(kFaultDuration);
   faults.remaining = 0;
   const auto over = steady_clock::now();
   ASSERT_TRUE(service.Serves(20 * kClients)) << service.node.log();
@@ -223,7 +223,7 @@
   service.ExpectNothingLostOrTwice();
 }
 
-INSTANTIATE_TEST_SUITE_P(Calls, SystemFaults, ::testing::ValuesIn(kTroubles),
+INSTANTIATE_TEST_SUITE_P(Calls, SystemFaults, ::testing::ValuesIn(kFaultCases),
                          [](const auto& row) { return std::string(row.param.name); });
 
 // That this machine has no port left says nothing of the upstreams.
@@ -396,7 +396,7 @@
 
 // ---- A wall clock that steps ----
 
-double WarmthOf(const AdminClient& operator_client, const std::string& uid) {
+double SlowStartFactorOf(const AdminClient& operator_client, const std::string& uid) {
   const auto answer = operator_client.Get("/v1/status");
   if (!answer || answer->status != 200) return -1;
   for (const json& pool : answer->body.at("pools")) {
@@ -416,26 +416,27 @@
   Service service;
   ASSERT_TRUE(service.Start()) << service.node.log();
   const AdminClient operator_client(service.admin());
-  ASSERT_TRUE(Eventually([&] { return WarmthOf(operator_client, "u1") == 1; }));
+  ASSERT_TRUE(Eventually([&] { return SlowStartFactorOf(operator_client, "u1") == 1; }));
   service.faults.plan().wall_step_us = step.count();
   ASSERT_TRUE(service.Serves(100)) << service.node.log();
   // -1 is no answer: asked again. Any other warmth is one.
   double placed = -1;
-  ASSERT_TRUE(Eventually([&] { return (placed = WarmthOf(operator_client, "u1")) >= 0; }))
+  ASSERT_TRUE(Eventually([&] { return (placed = SlowStartFactorOf(operator_client, "u1")) >= 0; }))
       << service.node.log();
   EXPECT_EQ(placed, 1) << "what has been placed keeps its time";
 
-  Upstream fresh(service.Handler());
+  Upstream new_upstream(service.Handler());
   for (const bool stamped_by_stepped_clock : {true, false}) {
     const auto unix_time = std::chrono::system_clock::now().time_since_epoch() +
                            (stamped_by_stepped_clock ? step : std::chrono::microseconds::zero());
     const std::string uid = stamped_by_stepped_clock ? "stepped" : "steady";
-    service.discovery.Tell(List({Target(uid, fresh.address(), "active",
+    service.discovery.Tell(List({Target(uid, new_upstream.address(), "active",
                                         std::chrono::duration_cast<milliseconds>(unix_time).count())}),
                            false);
     double slow_start_factor = -1;
-    ASSERT_TRUE(Eventually([&] { return (slow_start_factor = WarmthOf(operator_client, uid)) >= 0; }))
-        << service.node.log();
+    ASSERT_TRUE(Eventually([&] {
+      return (slow_start_factor = SlowStartFactorOf(operator_client, uid)) >= 0;
+    })) << service.node.log();
     EXPECT_LT(slow_start_factor, 0.5) << uid;
   }
   service.faults.plan().wall_step_us = 0;
