--- /dev/null
+++ b/tests/sidecar/faulty_service.h
@@ -0,0 +1,118 @@
+// A sidecar whose system calls fail as a test plans, between upstreams, discovery and clients that keep
+// account.
+#pragma once
+
+#include <chrono>
+#include <csignal>
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <memory>
+#include <string>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "standins/peers.h"
+#include "standins/traffic.h"
+#include "support/fault_plan.h"
+
+namespace mothrack::testing {
+
+using std::chrono::milliseconds;
+using std::chrono::seconds;
+using std::chrono::steady_clock;
+
+inline constexpr std::size_t kClients = 6;
+// Of clients and upstreams, so that connections are made all the time.
+inline constexpr int kRequestsOnAConnection = 3;
+
+// A sidecar between two upstreams, its discovery and clients that keep account.
+class Service {
+ public:
+  explicit Service(std::vector<std::string> environment = {})
+      : first_(Handler()), second_(Handler()), discovery(Targets()), node(Options(environment)) {}
+  ~Service() {
+    // Clients that wait for a missing answer would block the end of this test.
+    if (traffic_) node.Signal(SIGKILL);
+  }
+
+  bool Start() {
+    if (!node.Listening()) return false;
+    traffic_ =
+        std::make_unique<Traffic>(std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
+                                  std::function<void(const Traffic::Ended&)>(), kRequestsOnAConnection);
+    return Serves(50);
+  }
+
+  // Whether so many further requests are served before the timeout of Eventually.
+  bool Serves(std::size_t count) {
+    const std::size_t before = served();
+    return Eventually([&] { return served() >= before + count; });
+  }
+
+  Upstream::Handler Handler() {
+    return [this](Wire& wire, const Request& request, int number) {
+      if (request.method() == boost::beast::http::verb::post) runs_.Note(request.body());
+      wire.Answer(200, "fine", number % kRequestsOnAConnection == 0 ? "Connection: close\r\n" : "");
+    };
+  }
+
+  // The Unix socket of the admin API.
+  std::string admin() const { return "unix:" + faults.path() + ".sock"; }
+
+  std::size_t served() const { return traffic_->count(Traffic::End::kServed); }
+
+  // Ends the traffic, and compares what clients were told with what ran. `stopped`: the sidecar has ended as
+  // planned, and requests may have crossed its close.
+  void ExpectNothingLostOrTwice(bool stopped = false) {
+    const auto ends = traffic_->Stop();
+    EXPECT_EQ(traffic_->count(Traffic::End::kLost), 0U) << "requests without an answer\n" << node.log();
+    if (!stopped) {
+      EXPECT_EQ(traffic_->count(Traffic::End::kCrossed), 0U) << "requests without an answer\n" << node.log();
+    }
+    traffic_.reset();
+    const auto ran = runs_.all();
+    for (const auto& [id, times] : ran) EXPECT_EQ(times, 1) << id << " ran more than once";
+    for (const auto& [id, end] : ends) {
+      if (end == Traffic::End::kServed) {
+        EXPECT_TRUE(ran.contains(id)) << id << " was answered and never ran";
+      }
+      if (end == Traffic::End::kRefused) {
+        EXPECT_FALSE(ran.contains(id)) << id << " was refused and ran";
+      }
+    }
+  }
+
+  json Targets(std::int64_t boot_ms = 1) const {
+    return List({Target("u1", first_.address(), "active", boot_ms),
+                 Target("u2", second_.address(), "active", boot_ms)});
+  }
+
+ private:
+  Node::Options Options(const std::vector<std::string>& environment) const {
+    Node::Options options;
+    options.discovery = discovery.address();
+    options.operator_file = "[admin]\nlisten = \"" + admin() + "\"\n";
+    options.fault_plan = faults.path();
+    options.environment = environment;
+    options.settings["Rules"] = {
+        {"GraceToAnswer", 20'000}, {"MustAskIn", 10'000'000}, {"StopSendingWithin", 500'000},
+        {"ColdFrom", 0.1},         {"Cold", 60'000'000},      {"FallMultiple", 2.0},
+        {"Fall", 1'000'000}};
+    return options;
+  }
+
+  Runs runs_;
+  Upstream first_;
+  Upstream second_;
+
+ public:
+  FaultPlanFile faults;
+  Discovery discovery;
+  Node node;
+
+ private:
+  std::unique_ptr<Traffic> traffic_;
+};
+
+}  // namespace mothrack::testing
--- /dev/null
+++ b/tests/sidecar/short_transfers_test.cpp
@@ -0,0 +1,70 @@
+// Short writes and reads all the time.
+#include <string>
+
+#include "gtest/gtest.h"
+#include "sidecar/faulty_service.h"
+#include "standins/admin_client.h"
+
+namespace mothrack::testing {
+namespace {
+
+// Half of the writes move one byte: answers, requests and discovery calls still complete.
+TEST(ShortTransfers, EveryWriterGoesOn) {
+  Service service;
+  CallFaults& faults = service.faults.plan().Of(SystemCall::kSend);
+  faults.every = 2;
+  faults.remaining = -1;
+  ASSERT_TRUE(service.Start()) << service.node.log();
+  EXPECT_TRUE(service.Serves(1500)) << service.served() << " were served\n" << service.node.log();
+  // The watch of discovery is written in pieces too, and so are answers of the admin API.
+  const int calls = service.discovery.calls();
+  service.discovery.Tell(service.Targets());
+  EXPECT_TRUE(Eventually([&] { return service.discovery.calls() > calls + 2; }));
+  const AdminClient operator_client(service.admin());
+  for (int i = 0; i < 5; ++i) {
+    const auto answer = operator_client.Get("/v1/status");
+    ASSERT_TRUE(answer);
+    EXPECT_EQ(answer->status, 200);
+    EXPECT_TRUE(answer->body.contains("pools"));
+  }
+  EXPECT_GT(faults.hits, 1000U);
+  service.ExpectNothingLostOrTwice();
+}
+
+TEST(ShortTransfers, EveryReaderGoesOn) {
+  Service service;
+  CallFaults& faults = service.faults.plan().Of(SystemCall::kReceive);
+  faults.every = 2;
+  faults.remaining = -1;
+  ASSERT_TRUE(service.Start()) << service.node.log();
+  EXPECT_TRUE(service.Serves(500)) << service.node.log();
+  service.ExpectNothingLostOrTwice();
+}
+
+// A body that is streamed in both directions.
+TEST(ShortTransfers, LongBodiesArriveWhole) {
+  const std::string body(3'000'000, 'b');
+  FaultPlanFile faults;
+  Upstream upstream([&](Wire& wire, const Request& request, int) { wire.Answer(200, request.body()); });
+  Discovery discovery(List({Target("u1", upstream.address())}));
+  Node::Options options;
+  options.discovery = discovery.address();
+  options.fault_plan = faults.path();
+  Node node(options);
+  ASSERT_TRUE(node.Listening());
+  for (const SystemCall call : {SystemCall::kSend, SystemCall::kReceive}) {
+    CallFaults& plan = faults.plan().Of(call);
+    plan.every = 2;
+    plan.remaining = -1;
+    Client client(node.port());
+    const auto response =
+        client.Post("/submit/k", "long" + std::to_string(static_cast<int>(call)), body, 20000);
+    ASSERT_TRUE(response) << node.log();
+    EXPECT_EQ(response->result_int(), 200U);
+    EXPECT_TRUE(response->body() == body) << response->body().size();
+    plan.remaining = 0;
+  }
+}
+
+}  // namespace
+}  // namespace mothrack::testing
--- /dev/null
+++ b/tests/sidecar/stop_deadline_test.cpp
@@ -0,0 +1,55 @@
+// A planned stop ahead of the SIGKILL that follows.
+#include <algorithm>
+#include <chrono>
+#include <csignal>
+#include <memory>
+#include <string>
+#include <thread>
+#include <vector>
+
+#include "gtest/gtest.h"
+#include "standins/peers.h"
+
+namespace mothrack::testing {
+namespace {
+
+using std::chrono::milliseconds;
+using std::chrono::steady_clock;
+
+// With short deadlines SIGKILL may follow 0.8 s after SIGTERM; idle clients and new connections do not delay
+// the stop.
+TEST(PlannedStop, IsOverBeforeTheEarliestSigkill) {
+  constexpr auto kDeadline = milliseconds(100);
+  constexpr auto kEarliestKill = kDeadline + milliseconds(700);
+  // One try in time suffices: load of the machine delays some, while a systematic wait delays all.
+  constexpr int kTries = 12;
+  auto quickest = milliseconds::max();
+  for (int tries = 0; tries < kTries && quickest >= kEarliestKill; ++tries) {
+    Upstream upstream(Upstream::Echo("u"));
+    Node::Options options;
+    options.known = List({Target("u1", upstream.address())});
+    for (json& known : options.settings["Classes"]) {
+      known["Aim"] = 50'000;
+      known["HardLimit"] = std::chrono::microseconds(kDeadline).count();
+    }
+    Node node(options);
+    ASSERT_TRUE(node.Listening());
+    std::vector<std::unique_ptr<Client>> clients;
+    for (int i = 0; i < 10; ++i) {
+      clients.push_back(std::make_unique<Client>(node.port()));
+      ASSERT_TRUE(clients.back()->Get("/page/k", "i" + std::to_string(i), 100));
+    }
+    const auto notified = steady_clock::now();
+    node.Signal(SIGTERM);
+    while (steady_clock::now() < notified + milliseconds(400)) {
+      clients.push_back(std::make_unique<Client>(node.port()));
+      std::this_thread::sleep_for(milliseconds(20));
+    }
+    EXPECT_EQ(node.Wait(), 0);
+    quickest = std::min(quickest, std::chrono::duration_cast<milliseconds>(steady_clock::now() - notified));
+  }
+  EXPECT_LT(quickest, kEarliestKill);
+}
+
+}  // namespace
+}  // namespace mothrack::testing
