--- a/tests/gossip/task_test.cpp
+++ b/tests/gossip/task_test.cpp
@@ -84,21 +84,21 @@
              Task::TurnHook turn_hook = {})
       : task(FastSettings(place, std::move(seeds), keys), name, std::move(turn_hook)) {}
   const MembershipSnapshot* Latest() {
-    while (auto picture = task.snapshots().TryPop()) latest_ = *picture;
+    while (auto snapshot = task.snapshots().TryPop()) latest_ = *snapshot;
     return latest_.get();
   }
   bool HasState(const std::string& name, gossip::MemberState state) {
-    const MembershipSnapshot* picture = Latest();
-    if (picture == nullptr) return false;
-    for (const MemberView& member : picture->members) {
+    const MembershipSnapshot* snapshot = Latest();
+    if (snapshot == nullptr) return false;
+    for (const MemberView& member : snapshot->members) {
       if (member.update.boot_id.name == name) return member.update.state == state;
     }
     return false;
   }
   Duration Age() {
-    const MembershipSnapshot* picture = Latest();
-    if (picture == nullptr) return Duration(-1);
-    return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()) - picture->created_at;
+    const MembershipSnapshot* snapshot = Latest();
+    if (snapshot == nullptr) return Duration(-1);
+    return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()) - snapshot->created_at;
   }
   Task task;
 
@@ -110,11 +110,11 @@
   BoundedQueue<int> queue(3);
   for (int i = 0; i < 10; ++i) queue.Push(i);
   EXPECT_EQ(queue.dropped(), 7U);
-  for (const int kept : {7, 8, 9}) EXPECT_EQ(queue.TryPop(), kept);
+  for (const int retained : {7, 8, 9}) EXPECT_EQ(queue.TryPop(), retained);
   EXPECT_FALSE(queue.TryPop());
 }
 
-TEST(BoundedQueue, TellsTheSystemOnceUntilTheOtherSideIsAwake) {
+TEST(BoundedQueue, SignalsOnceUntilTheReceiverWakes) {
   BoundedQueue<int> queue(8);
   const auto readable = [&] {
     pollfd awaited{queue.descriptor(), POLLIN, 0};
@@ -132,12 +132,12 @@
 }
 
 // The taker sleeps whenever it finds nothing; it is told of every last message.
-TEST(BoundedQueue, LosesNoWakeBetweenTwoThreads) {
+TEST(BoundedQueue, LosesNoWakeUpBetweenTwoThreads) {
   constexpr int kMessages = 200'000;
   BoundedQueue<int> queue(64);
-  int taken = 0, last = -1;
-  bool in_order = true, missed = false;
-  std::thread taker([&] {
+  int received = 0, last = -1;
+  bool is_ordered = true, missed = false;
+  std::thread receiver([&] {
     while (last != kMessages - 1) {
       pollfd awaited{queue.descriptor(), POLLIN, 0};
       if (::poll(&awaited, 1, 5000) == 0) {
@@ -146,9 +146,9 @@
       }
       queue.ClearSignal();
       while (const auto message = queue.TryPop()) {
-        in_order = in_order && *message > last;
+        is_ordered = is_ordered && *message > last;
         last = *message;
-        ++taken;
+        ++received;
       }
     }
   });
@@ -156,13 +156,13 @@
     queue.Push(i);
     if (i % 1000 == 0) std::this_thread::sleep_for(50us);  // so that it falls asleep in between
   }
-  taker.join();
+  receiver.join();
   EXPECT_FALSE(missed);
-  EXPECT_TRUE(in_order);
-  EXPECT_EQ(taken + static_cast<int>(queue.dropped()), kMessages);
+  EXPECT_TRUE(is_ordered);
+  EXPECT_EQ(received + static_cast<int>(queue.dropped()), kMessages);
 }
 
-TEST(Task, TwoFindEachOtherAndValuesPass) {
+TEST(Task, TwoMembersDiscoverEachOtherAndExchangeValues) {
   const TemporaryDirectory place;
   TaskClient a(place, "a");
   TaskClient b(place, "b", {a.task.local()});
@@ -171,9 +171,9 @@
   }));
   a.task.Post(PutValueCommand{"load", "7", Duration(60'000)});
   EXPECT_TRUE(Eventually([&] {
-    const MembershipSnapshot* picture = b.Latest();
-    return !picture->values.empty() && picture->values[0].owner.name == "a" &&
-           picture->values[0].bytes == "7";
+    const MembershipSnapshot* snapshot = b.Latest();
+    return !snapshot->values.empty() && snapshot->values[0].owner.name == "a" &&
+           snapshot->values[0].bytes == "7";
   }));
   a.task.Post(LeaveCommand{});
   EXPECT_TRUE(a.task.Stop());
@@ -181,7 +181,7 @@
       << "what was said before the stop is done";
 }
 
-TEST(Task, OneThatEndsWithoutAWordIsDead) {
+TEST(Task, AMemberThatStopsWithoutLeavingIsDead) {
   const TemporaryDirectory place;
   TaskClient a(place, "a");
   auto b = std::make_unique<TaskClient>(place, "b", std::vector{a.task.local()});
@@ -190,7 +190,7 @@
   EXPECT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kDead); }));
 }
 
-TEST(Task, ThatIsStuckLetsTheLoopGoOnAndIsLeftBehind) {
+TEST(Task, AStuckTaskNeitherBlocksTheLoopNorTheStop) {
   const TemporaryDirectory place;
   const auto stuck = std::make_shared<std::atomic<bool>>(false);
   TaskClient a(place, "a", {}, "keys", [stuck] {
@@ -211,7 +211,7 @@
   *stuck = false;
 }
 
-TEST(Task, ThatDiesIsCountedAndTheLoopGoesOn) {
+TEST(Task, AFailedTaskIsCountedAndTheLoopContinues) {
   const TemporaryDirectory place;
   std::atomic<int> turns{0};
   TaskClient a(place, "a", {}, "keys", [&] {
@@ -222,7 +222,7 @@
   EXPECT_TRUE(a.task.Stop());
 }
 
-TEST(Task, WithAnotherKeyIsNotHeardUntilTheKeysAreReadAgain) {
+TEST(Task, DatagramsOfAnotherKeyAreRejectedUntilKeysAreReloaded) {
   const TemporaryDirectory place;
   place.Keys("others", {'b'});
   TaskClient a(place, "a");
@@ -239,7 +239,7 @@
   EXPECT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kAlive); }));
 }
 
-TEST(Task, CountsWhatIsNoDatagram) {
+TEST(Task, InvalidDatagramsAreCounted) {
   const TemporaryDirectory place;
   TaskClient a(place, "a");
   boost::asio::io_context io;
@@ -250,7 +250,7 @@
   EXPECT_TRUE(Eventually([&] { return a.Latest() != nullptr && a.Latest()->unauthenticated == 6; }));
 }
 
-TEST(Task, SaysWhatStandsAgainstItsStart) {
+TEST(Task, StartErrorsNameTheCause) {
   const TemporaryDirectory place;
   TaskClient a(place, "a");
   const auto error = [](const Settings& settings, const std::string& name) {
@@ -270,7 +270,7 @@
 }
 
 // Both files say the same by the same rules.
-TEST(Settings, ErrorsNameThePlaceAndTheMend) {
+TEST(Settings, ErrorsNamePlaceAndRemedy) {
   const TemporaryDirectory place;
   const std::string listen = "listen = \"127.0.0.1:7600\"\n", zone = "zone = \"hall\"\n";
   const std::string keys = "key_file = \"" + place.File("keys") + "\"\n";
@@ -326,7 +326,7 @@
   }
 }
 
-TEST(Settings, EffectiveOnesReadAsTheSame) {
+TEST(Settings, EffectiveSettingsRoundTrip) {
   const TemporaryDirectory place;
   const auto file = sidecar::LoadOperatorFile(place.Write(
       "file.toml",
@@ -347,9 +347,10 @@
  public:
   Sidecar(const TemporaryDirectory& place, const std::string& name, const std::string& upstream, int port,
           int seed)
-      : node_(Options(place, name, upstream, port, seed)), door_("unix:" + place.File(name + ".sock")) {}
+      : node_(Options(place, name, upstream, port, seed)),
+        admin_address_("unix:" + place.File(name + ".sock")) {}
   json Peers() const {
-    const auto answer = mothrack::testing::AdminClient(door_).Get("/v1/status");
+    const auto answer = mothrack::testing::AdminClient(admin_address_).Get("/v1/status");
     return answer && answer->body.contains("peers") ? answer->body["peers"] : json();
   }
   std::string StateOf(const std::string& name) const {
@@ -377,7 +378,7 @@
   }
 
   mothrack::testing::Node node_;
-  const std::string door_;
+  const std::string admin_address_;
 };
 
 // Ports that were free a moment ago.
@@ -387,7 +388,7 @@
   return socket.local_endpoint().port();
 }
 
-TEST(Programs, GoOnWhileAPeerIsStoppedAndComesBack) {
+TEST(Programs, ContinueWhileAPeerIsStoppedAndResumed) {
   const TemporaryDirectory place;
   mothrack::testing::Upstream upstream(mothrack::testing::Upstream::Echo("u"));
   const int a_port = FreePort(), b_port = FreePort();
@@ -396,12 +397,12 @@
   ASSERT_TRUE(a.node().Listening() && b.node().Listening());
   ASSERT_TRUE(Eventually([&] { return a.StateOf("b") == "alive" && b.StateOf("a") == "alive"; }))
       << a.node().log();
-  const json told = a.Peers();
-  EXPECT_EQ(told["task"], "runs");
-  EXPECT_EQ(told["self"]["name"], "a");
-  EXPECT_EQ(told["alive"], 2);
-  EXPECT_LT(told["age_ms"], 5000);
-  EXPECT_EQ(told["more"], 0);
+  const json peers = a.Peers();
+  EXPECT_EQ(peers["task"], "runs");
+  EXPECT_EQ(peers["self"]["name"], "a");
+  EXPECT_EQ(peers["alive"], 2);
+  EXPECT_LT(peers["age_ms"], 5000);
+  EXPECT_EQ(peers["more"], 0);
 
   ::kill(b.node().pid(), SIGSTOP);
   EXPECT_TRUE(Eventually([&] { return a.StateOf("b") == "dead"; }));
@@ -418,7 +419,7 @@
   EXPECT_TRUE(Eventually([&] { return a.StateOf("b") == "left"; }));
 }
 
-TEST(Programs, WithoutTheSectionHaveNoThreadAndNoSocket) {
+TEST(Programs, HaveNoExtraThreadWithoutTheSection) {
   mothrack::testing::Upstream upstream(mothrack::testing::Upstream::Echo("u"));
   mothrack::testing::Node::Options options;
   options.known = mothrack::testing::List({mothrack::testing::Target("u1", upstream.address())});
@@ -430,7 +431,7 @@
   EXPECT_EQ(threads, 1);
 }
 
-TEST(Programs, WhoseAddressIsTakenSayIt) {
+TEST(Programs, AddressInUseIsLogged) {
   const TemporaryDirectory place;
   TaskClient a(place, "a");
   Sidecar b(place, "b", "127.0.0.1:9", a.task.local().port(), 7601);
@@ -439,7 +440,7 @@
       << b.node().log();
 }
 
-TEST(Programs, AnAgentIsAMemberAsWell) {
+TEST(Programs, AnAgentIsAMember) {
   const TemporaryDirectory place;
   TaskClient a(place, "a");
   const std::string file = place.Write(
