--- a/tests/balancer/helpers.h
+++ b/tests/balancer/helpers.h
@@ -1,9 +1,10 @@
-// A small world around one balancer, for tests through handle().
+// One balancer with a clock, timers and a record of its actions, for tests through handle().
 #pragma once
 
 #include <chrono>
 #include <cstdint>
 #include <map>
+#include <memory>
 #include <string>
 #include <utility>
 #include <variant>
@@ -88,11 +89,11 @@
     for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
   }
 
-  RequestId Arrive(ClassId cls = kSafe, Duration patience = 2s) {
+  RequestId Arrive(ClassId cls = kSafe, Duration timeout = 2s) {
     RequestArrived e;
     e.request = RequestId{++last_request_};
     e.request_class = cls;
-    e.deadline = now + patience;
+    e.deadline = now + timeout;
     Do(e);
     return e.request;
   }
@@ -129,7 +130,7 @@
     return hits;
   }
 
-  // A request that is served at once: the upstream that took it, or "".
+  // A request that is served at once: the upstream that served it, or "".
   std::string Serve(ClassId cls = kSafe) {
     const std::size_t before = sent.size();
     Arrive(cls);
@@ -138,8 +139,8 @@
     return sent.size() == before ? "" : sent[before].upstream;
   }
 
-  // Calls each served, but those to `bad`, which end with `outcome`; until `bad` has had `failures`. Slow
-  // enough for trials, that are all an upstream under suspicion is sent.
+  // Requests that are served, except at `bad`, where they end with `outcome`, until `bad` has had `failures`.
+  // Slow enough for half-open probes, which are all that a suspect upstream gets.
   void FailRun(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
     for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
       const std::size_t before = sent.size();
@@ -200,4 +201,12 @@
   std::map<RequestId, std::size_t> attempts_;
 };
 
+// `count` sidecars that share nothing but their endpoint list.
+inline std::vector<std::unique_ptr<World>> Fleet(int count, const Settings& settings = DefaultSettings()) {
+  std::vector<std::unique_ptr<World>> fleet;
+  for (int i = 0; i < count; ++i)
+    fleet.push_back(std::make_unique<World>(settings, 1000 + static_cast<std::uint64_t>(i)));
+  return fleet;
+}
+
 }  // namespace mothrack::balancer::testing
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -19,7 +19,7 @@
 using Turn = StandinResolver::Turn;
 using Via = StandinResolver::Via;
 
-TEST(Truncated, MovesToTcpAtTheSameResolver) {
+TEST(Truncation, IsRetriedOverTcpAtTheSameResolver) {
   StandinResolver resolver([](Turn& turn) {
     AnswerSpec spec;
     spec.truncated = turn.via() == Via::kUdp;
@@ -40,9 +40,9 @@
   EXPECT_EQ(resolver.connections(), 1) << "pooled";
 }
 
-// The first attempt is out and silent; its copy is truncated at the other resolver and moves to TCP there.
+// The first attempt is unanswered; its hedge is truncated at the other resolver and retried over TCP there.
 // Whichever answers first, the client gets one answer and no second.
-TEST(Truncated, PartwayThroughARetryWithAnEarlierAttemptStillOut) {
+TEST(Truncation, PartwayThroughARetryWithAnEarlierAttemptStillOut) {
   for (const bool first_wins : {false, true}) {
     SharedQueryCount query_count;
     std::atomic<bool> move_done{false};
@@ -53,7 +53,7 @@
         spec.records = 5;
         turn.SendAfter(milliseconds(first_wins ? 1500 : 0), MakeAnswer(turn.query(), spec));
       } else if (query_count.queries++ == 0) {
-        // Later than the copy, which goes out at 750 ms.
+        // Later than the hedge, which is sent at 750 ms.
         turn.SendAfter(milliseconds(first_wins ? 1000 : 1500), MakeAnswer(turn.query()));
       } else {
         AnswerSpec spec;
@@ -73,13 +73,13 @@
     EXPECT_FALSE(client.Receive(milliseconds(1200))) << "a second answer";
     EXPECT_EQ(one.udp_queries() + two.udp_queries(), 2);
     EXPECT_EQ(one.tcp_queries() + two.tcp_queries(), 1);
-    // The move stayed at the resolver that truncated.
+    // The TCP attempt went to the resolver that truncated.
     StandinResolver& truncating = one.tcp_queries() == 1 ? one : two;
     EXPECT_EQ(truncating.udp_queries(), 1);
   }
 }
 
-TEST(Truncated, TcpRefusedIsTriedElsewhere) {
+TEST(Truncation, TcpRefusedIsTriedElsewhere) {
   const Script truncating = [](Turn& turn) {
     AnswerSpec spec;
     spec.truncated = true;
@@ -100,13 +100,13 @@
   EXPECT_GE(refusing.udp_queries(), 1);
 }
 
-// Where TCP comes to nothing at the only resolver, the client is told what is known: truncated.
-TEST(Truncated, WithoutTcpTheTruncatedAnswerIsPassedOn) {
-  enum class Way { kRefused, kSilent, kCut, kTruncatedAgain };
-  for (const Way way : {Way::kRefused, Way::kSilent, Way::kCut, Way::kTruncatedAgain}) {
+// If TCP fails at the only resolver, the client gets the truncated answer.
+TEST(Truncation, WithoutTcpTheTruncatedAnswerIsForwarded) {
+  enum class Way { kRefused, kUnresponsive, kCut, kTruncatedAgain };
+  for (const Way way : {Way::kRefused, Way::kUnresponsive, Way::kCut, Way::kTruncatedAgain}) {
     StandinResolver resolver(
         [way](Turn& turn) {
-          if (turn.via() == Via::kTcp && way == Way::kSilent) return;
+          if (turn.via() == Via::kTcp && way == Way::kUnresponsive) return;
           if (turn.via() == Via::kTcp && way == Way::kCut) {
             turn.SendRaw({0, 40, 1, 2, 3});
             return turn.Reset();
@@ -124,7 +124,7 @@
     const auto answer = client.Query(MakeQuery(QueryFor("a.org")));
     ASSERT_TRUE(answer) << static_cast<int>(way);
     EXPECT_FALSE(client.Receive(kQuietPeriod)) << static_cast<int>(way);
-    if (way == Way::kSilent) {
+    if (way == Way::kUnresponsive) {
       // At its deadline nothing has ended yet: the attempt is still out.
       EXPECT_EQ(RcodeOf(*answer), kServFail);
     } else {
--- a/tests/dns/dns_update_test.cpp
+++ b/tests/dns/dns_update_test.cpp
@@ -31,17 +31,17 @@
   const auto answer = client.Query(update);
   ASSERT_TRUE(answer);
   EXPECT_EQ(RcodeOf(*answer), 0);
-  // Its answer was lost on the way: the same again gets the same, and nothing runs.
+  // Its answer was lost: a retransmission gets the same answer, and nothing runs.
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Query(update), answer);
   EXPECT_EQ(resolver.queries(), 1);
-  // Another one under the same id is another one.
+  // Another UPDATE under the same id is a new one.
   ASSERT_TRUE(client.Query(MakeUpdate("example.org", 77, "other")));
   EXPECT_EQ(resolver.queries(), 2);
 }
 
 TEST(Update, IsNotSentAgainWhenItMayHaveRun) {
-  enum class Way { kSilent, kReset, kTruncated };
-  for (const Way way : {Way::kSilent, Way::kReset, Way::kTruncated}) {
+  enum class Way { kUnresponsive, kReset, kTruncated };
+  for (const Way way : {Way::kUnresponsive, Way::kReset, Way::kTruncated}) {
     const Script script = [way](Turn& turn) {
       AnswerSpec spec;
       spec.truncated = true;
@@ -72,8 +72,8 @@
   }
 }
 
-TEST(Update, ThatWasRefusedUnseenIsSentAgain) {
-  // By a closed port, over UDP and TCP; by REFUSED, which is said before anything is done.
+TEST(Update, IsRetriedIfRefusedBeforeItWasSeen) {
+  // By a closed port, over UDP and TCP; by REFUSED, which is answered before anything runs.
   StandinResolver good(StandinResolver::Echo());
   StandinResolver refusing([](Turn& turn) {
     AnswerSpec spec;
@@ -98,8 +98,8 @@
   EXPECT_GE(refusing.queries(), 1);
 }
 
-// Each has a socket of its own: an error that another datagram caused says nothing of it.
-TEST(Update, TakesTheClientsWay) {
+// Each has a socket of its own, so that an error of another datagram is not taken for its own.
+TEST(Update, UsesTheTransportOfTheClient) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
--- a/tests/dns/recorded_messages_test.cpp
+++ b/tests/dns/recorded_messages_test.cpp
@@ -73,8 +73,8 @@
       {"SERVFAIL of the resolver", MakeQuery(QueryFor("a.org")), Answering(failing)},
       {"SERVFAIL that is explained", WithEdns(), Answering(explained)},
       {"REFUSED by the resolver", MakeQuery(QueryFor("a.org")), Answering({.rcode = kRefused, .records = 0})},
-      {"no answer", MakeQuery(QueryFor("a.org")), StandinResolver::Silent()},
-      {"no answer with EDNS", WithEdns(), StandinResolver::Silent()},
+      {"no answer", MakeQuery(QueryFor("a.org")), StandinResolver::Unresponsive()},
+      {"no answer with EDNS", WithEdns(), StandinResolver::Unresponsive()},
       {"truncated, then whole over TCP", MakeQuery(QueryFor("a.org")), Answering(truncated, {.records = 3})},
       {"truncated, and no TCP", MakeQuery(QueryFor("a.org")), Answering(truncated), false},
       {"longer than a datagram", MakeQuery(QueryFor("a.org")), Answering(truncated, long_answer)},
@@ -96,9 +96,9 @@
   ASSERT_TRUE(node.DnsListening());
   std::optional<Octets> told;
   if (by_tcp) {
-    told = DnsTcpClient(node.dns_port()).Ask(row.query);
+    told = DnsTcpClient(node.dns_port()).Query(row.query);
   } else {
-    told = DnsUdpClient(node.dns_port()).Ask(row.query);
+    told = DnsUdpClient(node.dns_port()).Query(row.query);
   }
   ASSERT_TRUE(told) << name;
   std::string sent;
--- a/tests/sidecar/client_requests_test.cpp
+++ b/tests/sidecar/client_requests_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: requests that are rejected, clients that stall or leave.
+// The real program between scripted peers: requests that are rejected, clients that stall or disconnect.
 
 #include <atomic>
 #include <chrono>
@@ -19,9 +19,9 @@
 
 TEST(Application, ThatDisconnectsEndsItsAttempt) {
   std::promise<bool> ended;
-  Gate asked;
+  Gate requested;
   Upstream upstream([&](Wire& wire, const Request&, int) {
-    asked.Open();
+    requested.Open();
     ended.set_value(wire.ReadsEnd());
   });
   Node node(With(List({Target("u1", upstream.address())})));
@@ -29,7 +29,7 @@
   {
     Client client(node.port());
     ASSERT_TRUE(client.Send(GetText("/page/k", "a1", 15000)));
-    asked.Pass();
+    requested.Pass();
   }
   EXPECT_TRUE(ended.get_future().get());
 }
@@ -81,8 +81,8 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-// Sends these bytes on a connection of its own; the status it is answered with, 0 where it is closed without
-// one. What is behind the answer is the end of the connection.
+// Sends these bytes on a connection of its own. Returns the status of the answer, 0 if the connection is
+// closed without one; the connection must end after the answer.
 unsigned StatusAndClose(Node& node, const std::string& bytes) {
   Client client(node.port());
   client.Send(bytes);
@@ -91,8 +91,8 @@
   return response ? response->result_int() : 0;
 }
 
-// Guards against a request hidden in another's body, and one that is repeated against its class: each of
-// these is turned away, and what follows on its connection is not looked at.
+// Request smuggling, and retries against the class of a request: each of these is rejected, and nothing that
+// follows on its connection is read.
 TEST(Application, RequestsThatMustNotPassEndTheirConnection) {
   Upstream upstream(Upstream::Echo("u"));
   Node node(With(List({Target("u1", upstream.address())})));
@@ -162,11 +162,11 @@
   EXPECT_TRUE(upstream.requests().empty());
 }
 
-// The deployment's limit is 3 s from connecting, whatever trickles in the meantime.
+// The limit is 3 s from connecting, however the bytes trickle in.
 TEST(Application, IdleAndStalledClientsAreDisconnected) {
   Node node(With(json::array()));
   ASSERT_TRUE(node.Listening());
-  Client silent(node.port());
+  Client idle(node.port());
   Client half(node.port());
   ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
   Client body(node.port());
@@ -177,7 +177,7 @@
   std::thread feeding([&] {
     while (!ended && trickling.Send("a")) std::this_thread::sleep_for(milliseconds(20));
   });
-  EXPECT_TRUE(silent.wire.ReadsEnd());
+  EXPECT_TRUE(idle.wire.ReadsEnd());
   for (Client* client : {&half, &body, &trickling}) {
     const auto response = client->Read();
     EXPECT_EQ(response ? response->result_int() : 0, 408U);
@@ -200,10 +200,10 @@
 }
 
 TEST(Application, DuplicateOfARequestInFlightIsRejected) {
-  Gate asked;
+  Gate requested;
   Gate go;
   Upstream upstream([&](Wire& wire, const Request&, int) {
-    asked.Open();
+    requested.Open();
     go.Pass();
     wire.Answer(200, "x");
   });
@@ -211,7 +211,7 @@
   ASSERT_TRUE(node.Listening());
   Client first(node.port());
   ASSERT_TRUE(first.Send(PostText("/submit/k", "same", "x", 15000)));
-  asked.Pass();
+  requested.Pass();
   Client second(node.port());
   const auto refused = second.Post("/submit/k", "same", "x");
   ASSERT_TRUE(refused);
--- a/tests/sidecar/node_cases.h
+++ b/tests/sidecar/node_cases.h
@@ -1,5 +1,4 @@
-// What the tests of the real program share: nodes between scripted upstreams, and what is often asked of
-// them.
+// Shared by tests of the real program: nodes between scripted upstreams, and common checks.
 #pragma once
 
 #include <cstddef>
@@ -10,7 +9,7 @@
 
 namespace mothrack::testing {
 
-// Holds a script up until the test lets it go on.
+// Blocks a script until the test opens it.
 class Gate {
  public:
   void Open() { promise_.set_value(); }
@@ -51,9 +50,9 @@
   socket.non_blocking(true);
   boost::system::error_code error;
   const std::string bytes(65536, 'x');
-  std::size_t taken = 0;
-  while (!error && taken < bytes.size()) taken += socket.write_some(boost::asio::buffer(bytes), error);
-  return taken;
+  std::size_t written = 0;
+  while (!error && written < bytes.size()) written += socket.write_some(boost::asio::buffer(bytes), error);
+  return written;
 }
 
 // Sends requests until one is answered with this body.
--- a/tests/sidecar/service_test.cpp
+++ b/tests/sidecar/service_test.cpp
@@ -1,5 +1,4 @@
-// The sidecar in the hands of people: what they call, what it tells, upstreams taken out by hand, emptying
-// it.
+// The operator API of the sidecar: readiness, statistics, bans and manual drain.
 
 #include <unistd.h>
 
@@ -73,9 +72,9 @@
   Client client(node.port());
   EXPECT_EQ(client.Post("/submit/ok", "c", "x")->result_int(), 200U);
   EXPECT_EQ(client.Post("/submit/bad", "b", "x")->result_int(), 502U);
-  Client held(node.port());
-  ASSERT_TRUE(held.Send(GetText("/page/held", "d")));
-  // Written whole counts at once, not when the attempt ends.
+  Client in_flight(node.port());
+  ASSERT_TRUE(in_flight.Send(GetText("/page/held", "d")));
+  // An attempt counts as sent once it is written, not when it ends.
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["transactions"]["page"]["sends"] == 1; }));
   EXPECT_EQ(client.Post("/submit/full", "a", "x")->result_int(), 503U);
   const json stats = Stats(ops);
@@ -86,7 +85,7 @@
   EXPECT_EQ(submit["sends"], upstream.requests().size() - 1);
   EXPECT_EQ(stats["current"], 1);
   go.set_value();
-  EXPECT_EQ(held.Read()->result_int(), 200U);
+  EXPECT_EQ(in_flight.Read()->result_int(), 200U);
   EXPECT_EQ(Stats(ops)["current"], 0);
 }
 
@@ -94,16 +93,16 @@
   Node node(Served(List({})));
   ASSERT_TRUE(node.OpsListening());
   const AdminClient ops(node.ops());
-  std::vector<int> held;
+  std::vector<int> half_sent;
   for (int i = 0; i < 60; ++i) {
-    held.push_back(ops.Connect());
-    ASSERT_GE(held.back(), 0);
-    ASSERT_EQ(::write(held.back(), "GET /ops/st", 11), 11);
+    half_sent.push_back(ops.Connect());
+    ASSERT_GE(half_sent.back(), 0);
+    ASSERT_EQ(::write(half_sent.back(), "GET /ops/st", 11), 11);
     if (i % 10 == 9) {
       EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 200);
     }
   }
-  for (const int fd : held) ::close(fd);
+  for (const int fd : half_sent) ::close(fd);
 }
 
 TEST(OperatorApi, UnknownCallsAreRejected) {
@@ -120,7 +119,7 @@
 
 // ---- Taking an upstream out by hand ----
 
-// Sends so many requests in turn, and tells which upstreams answered.
+// Sends so many requests in sequence and returns which upstreams answered.
 std::set<std::string> AnswerersOf(Node& node, int requests, const std::string& prefix) {
   Client client(node.port());
   std::set<std::string> names;
@@ -151,7 +150,7 @@
   EXPECT_EQ(AnswerersOf(node, 8, "q"), Names{"b"});
   EXPECT_EQ(Stats(ops)["cluster_unhealthy"], 1);
   EXPECT_EQ(Stats(ops)["cluster_size"], 2);
-  // It leaves the list, returns, and starts anew elsewhere.
+  // It leaves the list, returns, and restarts at another address.
   Upstream again(Upstream::Echo("again"));
   discovery.Publish(List({Target("ub", b.address())}));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 1; }));
@@ -161,7 +160,7 @@
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 2; }));
   EXPECT_EQ(AnswerersOf(node, 8, "r"), Names{"b"});
   EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", Named("ua"))), 200);
-  // It is new to the list, and so it is cold: its turn comes, and nobody else's.
+  // It is new to the list and in slow start: it is chosen in its turn.
   Names back;
   int tries = 0;
   EXPECT_TRUE(Eventually([&] {
@@ -221,7 +220,7 @@
   const AdminClient ops(node.ops());
   Client idle(node.port());
   ASSERT_TRUE(idle.Get("/page/x", "a"));
-  Client fresh(node.port());
+  Client new_client(node.port());
   Client half(node.port());
   const std::string text = PostText("/submit/k", "h", "hello");
   ASSERT_TRUE(half.Send(text.substr(0, 40)));
@@ -234,7 +233,7 @@
   EXPECT_EQ(Up(node), 503U);
   EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 503);
   EXPECT_TRUE(idle.wire.ReadsEnd());
-  EXPECT_TRUE(fresh.wire.ReadsEnd());
+  EXPECT_TRUE(new_client.wire.ReadsEnd());
   ASSERT_TRUE(half.Send(text.substr(40)));
   auto response = half.Read();
   ASSERT_TRUE(response);
@@ -251,11 +250,11 @@
     EXPECT_EQ(StatusOf(ops.Put("/ops/drain/stop")), 200);
     EXPECT_EQ(Up(node), 200U);
     EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 200);
-    Client kept(node.port());
-    ASSERT_TRUE(kept.Get("/page/x", "k" + std::to_string(2 * i)));
-    EXPECT_TRUE(kept.Get("/page/x", "k" + std::to_string(2 * i + 1)));
+    Client keep_alive(node.port());
+    ASSERT_TRUE(keep_alive.Get("/page/x", "k" + std::to_string(2 * i)));
+    EXPECT_TRUE(keep_alive.Get("/page/x", "k" + std::to_string(2 * i + 1)));
     EXPECT_EQ(StatusOf(ops.Put("/ops/drain/start")), 200);
-    EXPECT_TRUE(kept.wire.ReadsEnd());
+    EXPECT_TRUE(keep_alive.wire.ReadsEnd());
   }
   node.Signal(SIGTERM);
   EXPECT_EQ(node.Wait(), 0);
