--- a/src/storage/sqlite.h
+++ b/src/storage/sqlite.h
@@ -1,5 +1,8 @@
-// SQLite as the project's packages use it: what fails throws std::runtime_error with SQLite's own words, and
-// everything is closed with its object. Who includes this links SQLite; the sidecar does not.
+// RAII wrappers of SQLite's C interface (https://www.sqlite.org/cintro.html) for the agent's store and the
+// simulator's results. The sidecar does not link it.
+//
+// Every failure is a DatabaseError with SQLite's own message. An object is used on one thread, and statements
+// and transactions must not outlive their database.
 #pragma once
 
 #include <sqlite3.h>
@@ -10,43 +13,51 @@
 
 namespace mothrack::storage {
 
+class DatabaseError : public std::runtime_error {
+ public:
+  using std::runtime_error::runtime_error;
+};
+
+// A connection to one database file, closed on destruction.
 class Database {
  public:
-  // Made where it is not there.
+  // Opens the file for reading and writing, and creates it if it does not exist.
   explicit Database(const std::string& path) {
     if (sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr) == SQLITE_OK)
       return;
     const std::string why = db_ == nullptr ? "no memory" : sqlite3_errmsg(db_);
     sqlite3_close(db_);
-    throw std::runtime_error(why);
+    throw DatabaseError(why);
   }
   ~Database() { sqlite3_close(db_); }
   Database(const Database&) = delete;
   Database& operator=(const Database&) = delete;
 
   sqlite3* get() const { return db_; }
-  // Another process that looks at the file may hold it so long, in milliseconds.
+  // How long to wait for a lock of another process before an operation fails, in milliseconds.
   void WaitFor(int ms) { sqlite3_busy_timeout(db_, ms); }
+  // Executes one or more statements without parameters or results.
   void Run(const char* sql) {
     if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
-      throw std::runtime_error(sqlite3_errmsg(db_));
+      throw DatabaseError(sqlite3_errmsg(db_));
   }
 
  private:
   sqlite3* db_ = nullptr;
 };
 
+// A prepared statement: bind parameters, then Step() row by row.
 class Statement {
  public:
   Statement(const Database& db, const char* sql) : db_(db.get()) {
     if (sqlite3_prepare_v2(db_, sql, -1, &statement_, nullptr) != SQLITE_OK)
-      throw std::runtime_error(sqlite3_errmsg(db_));
+      throw DatabaseError(sqlite3_errmsg(db_));
   }
   ~Statement() { sqlite3_finalize(statement_); }
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  // Parameters count from 1, columns from 0.
+  // Bind a parameter; the first one is 1. The text is copied.
   Statement& Text(int at, const std::string& text) {
     sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
     return *this;
@@ -55,12 +66,13 @@
     sqlite3_bind_int64(statement_, at, number);
     return *this;
   }
-  // Is there a row?
+  // Executes up to the next row; false if there is none.
   bool Step() {
     const int result = sqlite3_step(statement_);
-    if (result != SQLITE_ROW && result != SQLITE_DONE) throw std::runtime_error(sqlite3_errmsg(db_));
+    if (result != SQLITE_ROW && result != SQLITE_DONE) throw DatabaseError(sqlite3_errmsg(db_));
     return result == SQLITE_ROW;
   }
+  // A column of the present row; the first one is 0. A null is an empty text or 0.
   std::string Text(int column) const {
     const auto* text = reinterpret_cast<const char*>(sqlite3_column_text(statement_, column));
     if (text == nullptr) return {};
@@ -74,7 +86,7 @@
   sqlite3_stmt* statement_ = nullptr;
 };
 
-// Undone where it is not committed.
+// A write transaction, rolled back on destruction unless it was committed.
 class Transaction {
  public:
   explicit Transaction(Database& db) : db_(db) { db_.Run("BEGIN IMMEDIATE"); }
