--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -55,8 +55,8 @@
     if (!status.is_object()) return false;
     for (const auto& [name, agent] : status["agents"].items()) {
       if (!agent.contains("instances")) return false;
-      for (const auto& [instance, told] : agent["instances"].items())
-        running += told.value("running", false) ? 1 : 0;
+      for (const auto& [instance, notified] : agent["instances"].items())
+        running += notified.value("running", false) ? 1 : 0;
     }
     return running == 4 * kEach;
   });
--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -96,7 +96,7 @@
               At(received, 0.5), At(received, 1), share * 100, At(known, 0.5), At(known, 1), At(ages, 0.5),
               At(ages, 0.99), seen * 100);
   std::fflush(stdout);
-  // A bad night: one datagram in ten lost.
+  // A bad network: one datagram in ten is lost.
   net.Start(dead, 1'000'000'000);
   net.Run(10'000);
   killed = -1;
--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -52,7 +52,7 @@
     into.push_back(static_cast<double>(r.sent_to_lost));
     shed_calls.push_back(1.0 * r.shed_calls / r.calls);
     lost.push_back(1.0 * r.failed / r.calls);
-    cold.push_back(r.max_cold_load);
+    cold.push_back(r.max_slow_start_load);
     allowance_used.push_back(r.max_allowance_used);
     full.push_back(r.fully_back_ms);
     false_drains += r.false_drains;
@@ -104,26 +104,26 @@
 }
 
 // Nothing is lost: no zone may be drained.
-std::vector<Scenario> NightScenarios() {
+std::vector<Scenario> FaultFreeScenarios() {
   Scenario calm{"calm"};
   Scenario overloaded{"overloaded"};
   overloaded.utilization = 1.1;
   Scenario much_overloaded{"much overloaded"};
   much_overloaded.utilization = 1.6;
-  std::vector<Scenario> nights{calm, overloaded, much_overloaded};
-  for (Scenario& night : nights) night.length_ms = 20'000;
-  return nights;
+  std::vector<Scenario> runs{calm, overloaded, much_overloaded};
+  for (Scenario& scenario : runs) scenario.length_ms = 20'000;
+  return runs;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  const int nights = argc > 1 ? std::atoi(argv[1]) : 20;
+  const int runs = argc > 1 ? std::atoi(argv[1]) : 20;
   const int only_members = argc > 2 ? std::atoi(argv[2]) : 0;
   const std::string only_name = argc > 3 ? argv[3] : "";
   for (const int members : {60, 300}) {
     if (only_members != 0 && only_members != members) continue;
-    const int seeds = std::min(nights, members == 60 ? 20 : 5);
+    const int seeds = std::min(runs, members == 60 ? 20 : 5);
     for (Scenario scenario : LossScenarios(members)) {
       if (!only_name.empty() && only_name != scenario.name) continue;
       for (const bool fleet_decides : {false, true}) {
@@ -132,8 +132,8 @@
       }
     }
   }
-  const bool run_nights =
+  const bool run_fault_free =
       (only_members == 0 || only_members == 60) && (only_name.empty() || only_name == "nights");
-  if (!run_nights) return 0;
-  for (const Scenario& night : NightScenarios()) Report(night, nights);
+  if (!run_fault_free) return 0;
+  for (const Scenario& scenario : FaultFreeScenarios()) Report(scenario, runs);
 }
--- a/bench/zones_simulation.cpp
+++ b/bench/zones_simulation.cpp
@@ -18,7 +18,7 @@
 // Latency objective, mean service time, time-out of a connect.
 constexpr int kObjectiveMs = 400, kServiceMs = 60, kConnectMs = 250;
 // A zone that is back: its capacity at first, the time until it is whole, and the load it falls over at.
-constexpr double kColdShare = 0.1, kColdTimeMs = 20'000, kOverloadMultiple = 2;
+constexpr double kInitialShare = 0.1, kSlowStartMs = 20'000, kOverloadMultiple = 2;
 // Unanswered attempts in a row after which a member passes a zone over by itself.
 constexpr int kUnresponsiveRun = 3;
 
@@ -48,7 +48,7 @@
     m.latest_sequence.assign(scenario_.members, 0);
     for (int z = 0; z < kZones; ++z) {
       m.observer->SetUpstreams(zones_[z], kUpstreams, At(0));
-      m.cold_budget[z] = Uniform() - 1;
+      m.slow_start_budget[z] = Uniform() - 1;
     }
   }
   if (scenario_.false_reporters > 0) members_[0].rate *= scenario_.false_reporter_rate;
@@ -84,7 +84,7 @@
   if (zone != 0 || scenario_.partitioned || scenario_.back_at < 0 || now_ < scenario_.back_at) return 1;
   const int since =
       scenario_.lost_again >= 0 && now_ >= scenario_.back_again ? scenario_.back_again : scenario_.back_at;
-  return std::min(1.0, kColdShare + (1 - kColdShare) * (now_ - since) / kColdTimeMs);
+  return std::min(1.0, kInitialShare + (1 - kInitialShare) * (now_ - since) / kSlowStartMs);
 }
 
 void ZoneSimulation::Step() {
@@ -144,8 +144,9 @@
     if (Uniform() < calls) Call(i);
   }
   for (int z = 0; z < kZones; ++z) {
-    const double allowance = ColdAllowance(m, z);
-    m.cold_budget[z] = std::min(m.cold_budget[z] + allowance * kTickMs / 1000, std::max(1.0, allowance / 2));
+    const double allowance = SlowStartBudget(m, z);
+    m.slow_start_budget[z] =
+        std::min(m.slow_start_budget[z] + allowance * kTickMs / 1000, std::max(1.0, allowance / 2));
     m.probe_budget[z] = std::min(1.0, m.probe_budget[z] + ProbeRate(m, z) * kTickMs / 1000);
   }
 }
@@ -157,8 +158,8 @@
   return nullptr;
 }
 
-double ZoneSimulation::ColdAllowance(const Member& m, int z) const {
-  const double w = SlowStartFactor(z) / kColdShare;
+double ZoneSimulation::SlowStartBudget(const Member& m, int z) const {
+  const double w = SlowStartFactor(z) / kInitialShare;
   const ZoneShare* s = ShareOf(m, z);
   if (!scenario_.fleet_decides || s == nullptr)
     return kOverloadMultiple * 0.75 * SlowStartFactor(z) * m.rate / kZones;
@@ -191,7 +192,7 @@
     const ZoneShare* s = ShareOf(m, z);
     weight[z] = scenario_.fleet_decides && s != nullptr ? s->share / 1000.0 : 1;
     if (m.unanswered_run[z] >= kUnresponsiveRun) weight[z] = 0;
-    if (SlowStartFactor(z) < 1 && m.cold_budget[z] < 1) weight[z] = 0;
+    if (SlowStartFactor(z) < 1 && m.slow_start_budget[z] < 1) weight[z] = 0;
     sum += weight[z];
   }
   if (sum <= 0) {
@@ -201,7 +202,7 @@
   double at = Uniform() * sum;
   int zone = 0;
   while (zone < kZones - 1 && at >= weight[zone]) at -= weight[zone++];
-  if (SlowStartFactor(zone) < 1) m.cold_budget[zone] -= 1;
+  if (SlowStartFactor(zone) < 1) m.slow_start_budget[zone] -= 1;
   if (zone == 0 && IsLost(0) && scenario_.lost_share >= 1 && !IsPartitioned(m.zone, 1) &&
       (scenario_.lost_again < 0 || now_ < scenario_.back_at))
     m.last_sent = now_;
@@ -219,7 +220,7 @@
     e.outcome = Outcome::kNoResponse;
     after = Uniform() < 0.3 ? kConnectMs : kObjectiveMs;
   } else {
-    if (zone == 0 && SlowStartFactor(0) < 1) ++cold_sent_;
+    if (zone == 0 && SlowStartFactor(0) < 1) ++slow_start_sent_;
     const double wait = queue_[zone] / (capacity_ * SlowStartFactor(zone)) * 1000;
     if (wait > kObjectiveMs * (1 + Uniform())) {
       e.outcome = Outcome::kRejected;
@@ -338,16 +339,16 @@
     was_out_[z] = out[z] > 0;
   }
   // What the zone got within a second against what it falls over at.
-  window_.push_back(cold_sent_);
-  cold_sent_ = 0;
+  window_.push_back(slow_start_sent_);
+  slow_start_sent_ = 0;
   if (window_.size() > 10) window_.pop_front();
   long in_second = 0;
   for (const long c : window_) in_second += c;
   if (scenario_.back_at >= 0 && now_ >= scenario_.back_at + 1000 && SlowStartFactor(0) < 1) {
-    result_.max_cold_load =
-        std::max(result_.max_cold_load, in_second / (kOverloadMultiple * SlowStartFactor(0) * capacity_));
+    result_.max_slow_start_load = std::max(result_.max_slow_start_load,
+                                           in_second / (kOverloadMultiple * SlowStartFactor(0) * capacity_));
     double allowed = 0;
-    for (const Member& m : members_) allowed += ColdAllowance(m, 0);
+    for (const Member& m : members_) allowed += SlowStartBudget(m, 0);
     if (allowed > 0) result_.max_allowance_used = std::max(result_.max_allowance_used, in_second / allowed);
   }
   const int back = scenario_.back_again >= 0 ? scenario_.back_again : scenario_.back_at;
--- a/bench/zones_simulation.h
+++ b/bench/zones_simulation.h
@@ -44,9 +44,9 @@
   double median_last_sent_ms = 0;  // the same of the median member
   double disagreed_ms = 0;  // in which not all members that hear each other had the same phase and step
   long sent_to_lost = 0, answered = 0, shed_calls = 0, failed = 0, calls = 0;
-  double max_cold_load = 0;       // in any second, of the load that the cold zone falls over at
-  double max_allowance_used = 0;  // in any second, of what all members may send to the cold zone
-  double fully_back_ms = -1;      // from the return until all members use all of it
+  double max_slow_start_load = 0;  // in any second, of the load that the cold zone falls over at
+  double max_allowance_used = 0;   // in any second, of what all members may send to the cold zone
+  double fully_back_ms = -1;       // from the return until all members use all of it
   int false_drains = 0, drains = 0;
   long reported = 0, bytes = 0;  // evidence that was sent, once a report
 };
@@ -71,7 +71,7 @@
     std::vector<int> sent_at;  // when each of `reports` was sent
     std::vector<std::uint64_t> latest_sequence;
     // Calls that it may send to a cold zone, and probes, by now.
-    double cold_budget[kZones] = {};
+    double slow_start_budget[kZones] = {};
     double probe_budget[kZones] = {};
     int unanswered_run[kZones] = {};
     double shed = 0;     // share of calls that its own late answers make it shed
@@ -107,7 +107,7 @@
   void RunMember(int i);
   const ZoneShare* ShareOf(const Member& m, int zone) const;
   // Alone a member allows itself its own part of the whole, with the balancer's safety factor.
-  double ColdAllowance(const Member& m, int z) const;
+  double SlowStartBudget(const Member& m, int z) const;
   double ProbeRate(const Member& m, int z) const;
   void Call(int i);
   void Send(int i, int zone);
@@ -127,7 +127,7 @@
   std::vector<std::vector<Message>> messages_;
   MemberList member_lists_[3];
   std::deque<long> window_;
-  long cold_sent_ = 0;
+  long slow_start_sent_ = 0;
   bool was_out_[kZones] = {};
   int now_ = 0;
   Result result_;
--- a/src/simulation/load_generator.cpp
+++ b/src/simulation/load_generator.cpp
@@ -51,21 +51,21 @@
 class Loader {
  public:
   explicit Loader(const LoadConfig& config)
-      : order_(config), timer_(io_), to_(boost::asio::ip::make_address(config.host), config.port) {
+      : config_(config), timer_(io_), to_(boost::asio::ip::make_address(config.host), config.port) {
     if (!to_.address().is_loopback())
       throw std::invalid_argument(config.host + ": load goes to loopback addresses only");
   }
 
   LoadResult Run() {
     begin_ = Clock::now();
-    most_ = static_cast<std::uint64_t>(order_.rate * order_.length_s);
+    most_ = static_cast<std::uint64_t>(config_.rate * config_.length_s);
     Tick();
     io_.run();
     result_.seconds = std::chrono::duration<double>(Clock::now() - begin_).count();
     return std::move(result_);
   }
 
-  const LoadConfig& config() const { return order_; }
+  const LoadConfig& config() const { return config_; }
   const tcp::endpoint& to() const { return to_; }
 
   void Ended(const std::shared_ptr<Line>& line, Clock::time_point due, Clock::time_point sent,
@@ -85,7 +85,7 @@
   Clock::time_point DueAt(std::uint64_t number) {
     while (due_s_.size() <= number) {
       const double before = due_s_.empty() ? 0 : due_s_.back();
-      const double gap = order_.poisson_seed == 0 ? 1 / order_.rate : random_.Exponential(1 / order_.rate);
+      const double gap = config_.poisson_seed == 0 ? 1 / config_.rate : random_.Exponential(1 / config_.rate);
       due_s_.push_back(due_s_.empty() ? 0 : before + gap);
     }
     return begin_ +
@@ -103,7 +103,7 @@
   void Next() {
     while (!waiting_.empty()) {
       if (idle_.empty()) {
-        if (lines_ >= order_.connections) return;
+        if (lines_ >= config_.connections) return;
         ++lines_;
         idle_.push_back(std::make_shared<Line>(*this, io_));
       }
@@ -115,13 +115,13 @@
     }
   }
 
-  const LoadConfig order_;
+  const LoadConfig config_;
   boost::asio::io_context io_;
   boost::asio::steady_timer timer_;
   const tcp::endpoint to_;
   Clock::time_point begin_;
   std::uint64_t most_ = 0;
-  Random random_{order_.poisson_seed};
+  Random random_{config_.poisson_seed};
   std::vector<double> due_s_;
   std::size_t lines_ = 0;
   std::vector<std::shared_ptr<Line>> idle_;
--- a/src/simulation/simulated_transport.cpp
+++ b/src/simulation/simulated_transport.cpp
@@ -109,8 +109,8 @@
                                               : Outcome::kReset);
   };
   h.kind = SimulationEvent::Kind::kCallArrived;
-  const bool taken = server.Take(std::move(job));
-  if (!taken) return Answer(call, Outcome::kFull);
+  const bool accepted = server.Take(std::move(job));
+  if (!accepted) return Answer(call, Outcome::kFull);
   network_link_.Record(h);
 }
 
--- a/src/simulation/simulation_clients.cpp
+++ b/src/simulation/simulation_clients.cpp
@@ -87,27 +87,28 @@
   client_request->request = request;
   client_request->cls = pending->cls;
   client_request->work = pending->work;
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kAccepted;
-  h.sidecar = sidecar.id;
-  h.request = request;
-  h.cls = pending->cls;
-  h.until = pending->until;
-  Record(h);
-  dispatch::NewRequest taken;
-  taken.request_class = balancer::ClassId{pending->cls};
-  taken.deadline = pending->until;
-  taken.message = client_request;
-  taken.on_final = [this, &sidecar, pending, request](dispatch::Final final) {
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kAccepted;
+  event.sidecar = sidecar.id;
+  event.request = request;
+  event.cls = pending->cls;
+  event.until = pending->until;
+  Record(event);
+  dispatch::NewRequest new_request;
+  new_request.request_class = balancer::ClassId{pending->cls};
+  new_request.deadline = pending->until;
+  new_request.message = client_request;
+  new_request.on_final = [this, &sidecar, pending, request](dispatch::Final final) {
     OnFinalAnswer(sidecar, pending, request, final);
   };
-  const auto id = sidecar.dispatcher->Submit(std::move(taken));
+  const auto id = sidecar.dispatcher->Submit(std::move(new_request));
   if (!pending->impatient || !id) return;
   // Leaves at a third of its latency objective, and comes again at once.
-  const runtime::Duration patience = Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3);
+  const runtime::Duration leaves_after =
+      Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3);
   const int client_attempts = pending->client_attempts;
-  sim_.After(patience, [this, &sidecar, request, id, client_attempts,
-                        incarnation = std::weak_ptr(sidecar.incarnation), pending = std::move(pending)] {
+  sim_.After(leaves_after, [this, &sidecar, request, id, client_attempts,
+                            incarnation = std::weak_ptr(sidecar.incarnation), pending = std::move(pending)] {
     if (incarnation.expired() || !sidecar.pending_requests.contains(pending->client_request) ||
         pending->client_attempts != client_attempts)
       return;
@@ -125,22 +126,22 @@
 void SimulationRun::OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
                                   std::uint64_t request, const dispatch::Final& final) {
   if (injected_fault_ == InjectedFault::kDroppedAnswer && request % kDroppedAnswerEvery == 0) return;
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kAnswered;
-  h.sidecar = sidecar.id;
-  h.request = request;
-  h.cls = pending->cls;
-  h.request_outcome = RequestOutcomeOf(final);
-  Record(h);
-  const bool again = h.request_outcome != RequestOutcome::kServed &&
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kAnswered;
+  event.sidecar = sidecar.id;
+  event.request = request;
+  event.cls = pending->cls;
+  event.request_outcome = RequestOutcomeOf(final);
+  Record(event);
+  const bool again = event.request_outcome != RequestOutcome::kServed &&
                      pending->client_attempts < pending->max_client_attempts &&
-                     (h.request_outcome == RequestOutcome::kRefused ||
+                     (event.request_outcome == RequestOutcome::kRefused ||
                       scenario_.classes[pending->cls].effect == balancer::Effect::kSafe);
   runtime::Duration wait =
       Milliseconds(scenario_.backoff_ms * (0.5 + sidecar.random.Uniform()) * pending->client_attempts);
   wait = std::max(wait, final.retry_after);
   if (!again || sim_.now() + wait >= pending->until) {
-    Close(*pending, h.request_outcome);
+    Close(*pending, event.request_outcome);
     sidecar.pending_requests.erase(pending->client_request);
     return;
   }
@@ -150,14 +151,14 @@
 }
 
 void SimulationRun::Close(const PendingClientRequest& pending, RequestOutcome request_outcome) {
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kResolved;
-  h.request = pending.client_request;
-  h.cls = pending.cls;
-  h.request_outcome = request_outcome;
-  h.late =
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kResolved;
+  event.request = pending.client_request;
+  event.cls = pending.cls;
+  event.request_outcome = request_outcome;
+  event.late =
       sim_.now() > pending.requested_at + Milliseconds(scenario_.classes[pending.cls].latency_objective_ms);
-  Record(h);
+  Record(event);
 }
 
 }  // namespace mothrack::simulation
