--- a/src/http/upstream_exchange.cpp
+++ b/src/http/upstream_exchange.cpp
@@ -92,7 +92,8 @@
       connection_(std::move(connection)),
       request_(std::move(request)),
       hooks_(std::move(hooks)),
-      writer_(connection_->socket(), *this),
+      writer_(
+          std::make_unique<RequestWriter>(connection_->socket(), static_cast<RequestWriter::Owner&>(*this))),
       timer_(io) {}
 
 void UpstreamExchange::Start() {
@@ -126,7 +127,7 @@
   ReadHeader();
   // Tell the upstream the time that remains after connecting.
   const runtime::Duration left = arriving_ ? request_.timeout : runtime::Duration(deadline_ - runtime::Now());
-  writer_.Start(*request_.message, std::chrono::duration_cast<milliseconds>(left));
+  writer_->Start(*request_.message, std::chrono::duration_cast<milliseconds>(left));
 }
 
 void UpstreamExchange::OnWriteEnded(bool written, error_code error) {
@@ -321,7 +322,7 @@
   if (phase_ == Phase::kEnded || pending_end_) return;
   if (connection_->connected()) connection_->DiscardUnsent();
   Close();
-  if (writer_.pending()) {
+  if (writer_->pending()) {
     pending_end_ = cause;
     return;
   }
@@ -358,13 +359,13 @@
 
 // From here on another attempt may consume the request body.
 void UpstreamExchange::ReleaseRequestBody() {
-  writer_.StopBody();
+  writer_->StopBody();
   if (request_.message->coming) request_.message->coming.stream->StopConsuming();
 }
 
 // Discards all state of this exchange so that the next one starts clean.
 void UpstreamExchange::ReleaseConnection() {
-  writer_.Clear();
+  writer_->Clear();
   request_.message.reset();
   parser_.reset();
   connection_->BeginIdle();
--- a/src/http/upstream_exchange.h
+++ b/src/http/upstream_exchange.h
@@ -90,7 +90,7 @@
   void OnSocketFull() override;
   void OnBodyWritten() override;
   void OnBodyFailed() override { End(Cause::kBroken); }
-  std::shared_ptr<RequestWriter> shared_writer() override { return {shared_from_this(), &writer_}; }
+  std::shared_ptr<RequestWriter> shared_writer() override { return {shared_from_this(), writer_.get()}; }
   void SetWritten();
 
   // Reading
@@ -123,7 +123,9 @@
   const std::shared_ptr<UpstreamConnection> connection_;
   Request request_;
   dispatch::ExchangeHooks hooks_;
-  RequestWriter writer_;
+  // Never null. A separate object, so that both fit the size classes that the allocator caches (1,032 bytes
+  // in glibc).
+  const std::unique_ptr<RequestWriter> writer_;
   boost::asio::steady_timer timer_;
   std::optional<beast_http::response_parser<IncrementalBody>> parser_;
   std::shared_ptr<runtime::Stream> response_stream_;  // of a response that is being streamed
