--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -27,9 +27,7 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
-constexpr int kMaxPortAttempts = 5;     // at ports, where one was taken meanwhile
-constexpr milliseconds kTimeout{5000};  // of the clients' requests
-constexpr milliseconds kLag{100};       // between a death and what its client sees of it
+constexpr int kMaxPortAttempts = 5;  // at ports, where one was taken meanwhile
 constexpr const char* kDiscoveryEndpoint =
     "discovery";  // in no zone: whatever is cut off, it stays with those that are not
 
@@ -55,21 +53,6 @@
   }
 }
 
-simulation::SimulationEvent At(simulation::SimulationEvent::Kind kind, Clock::time_point at) {
-  simulation::SimulationEvent event;
-  event.kind = kind;
-  event.at = runtime::ToTimePoint(at);
-  return event;
-}
-
-// "s3-17", as the clients name them, in one number.
-std::optional<std::uint64_t> NumberOf(std::string_view id) {
-  const auto dash = id.find('-');
-  if (!id.starts_with('s') || dash == std::string_view::npos) return std::nullopt;
-  return std::stoull(std::string(id.substr(1, dash - 1))) << 32 |
-         std::stoull(std::string(id.substr(dash + 1)));
-}
-
 std::string Loopback(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
 }  // namespace
@@ -97,7 +80,8 @@
       relay_->AddEndpoint(name, {zone, "upstreams"});
       const auto run = [this, server = upstreams_.size(), handler = ran_.Handler()](
                            Wire& wire, const Request& request, int number) {
-        OnRequestAtUpstream(server, request);
+        const std::string target(request.target());
+        record_.RequestStarted(server, std::string_view(target).substr(target.rfind('/') + 1), Clock::now());
         handler(wire, request, number);
       };
       upstreams_.push_back({name, zone, "active", 0, std::make_unique<Upstream>(run)});
@@ -106,6 +90,7 @@
   const auto add = [&](const std::string& kind, int number) {
     Process process;
     process.agent = kind == "a";
+    process.number = static_cast<std::size_t>(number);
     process.name = kind + std::to_string(number);
     const auto zones = static_cast<int>(options_.zones.size());
     process.zone = options_.zones[static_cast<std::size_t>(number % zones)];
@@ -204,66 +189,14 @@
   if (it == upstreams_.end()) throw std::logic_error("the cluster has no upstream " + upstream);
   const auto now = std::chrono::system_clock::now().time_since_epoch();
   it->boot_ms = std::chrono::duration_cast<milliseconds>(now).count();
-  auto booted = testing::At(simulation::SimulationEvent::Kind::kServerStarted, Clock::now());
-  booted.server = static_cast<std::size_t>(it - upstreams_.begin());
-  booted.work = per_s / 1000;
-  Record(booted);
+  record_.UpstreamRestarted(static_cast<std::size_t>(it - upstreams_.begin()), per_s, Clock::now());
   SetUpstreamState(upstream, "active");
 }
 
-void TestCluster::Record(const simulation::SimulationEvent& event) {
-  const std::lock_guard lock(mutex_);
-  events_.push_back(event);
-}
-
-// An upstream's word: somebody has sent it, and it runs. Of the same request, later than its client's.
-void TestCluster::OnRequestAtUpstream(std::size_t server, const Request& request) {
-  const std::string target(request.target());
-  const auto number = NumberOf(std::string_view(target).substr(target.rfind('/') + 1));
-  if (!number) return;
-  auto event = testing::At(simulation::SimulationEvent::Kind::kAttemptSent, Clock::now());
-  event.request = *number;
-  event.sidecar = *number >> 32;
-  event.server = server;
-  event.work = 1;
-  using Kind = simulation::SimulationEvent::Kind;
-  for (const Kind kind : {Kind::kAttemptSent, Kind::kCallArrived, Kind::kCallStarted}) {
-    event.kind = kind;
-    Record(event);
-  }
-}
-
-// A client's word. What was not taken by a sidecar is not among what the rules look at; the account looks at
-// it.
-void TestCluster::OnRequestCompleted(const Traffic::CompletedRequest& ended) {
-  using End = Traffic::Outcome;
-  if (ended.how == End::kLost || ended.how == End::kIdleCloseRace) {
-    const std::lock_guard lock(mutex_);
-    unanswered_.push_back(ended);
-  }
-  if (ended.how == End::kNotAccepted || ended.how == End::kIdleCloseRace) return;
-  auto event = testing::At(simulation::SimulationEvent::Kind::kAccepted, ended.begin);
-  event.request = static_cast<std::uint64_t>(ended.number) << 32 | static_cast<std::uint64_t>(ended.index);
-  event.sidecar = ended.number;
-  event.cls = ended.unsafe ? 1 : 0;
-  event.until = event.at + kTimeout;
-  Record(event);
-  if (ended.how == End::kLost) return;
-  event.kind = simulation::SimulationEvent::Kind::kAnswered;
-  event.at = testing::At(event.kind, ended.end).at;
-  event.request_outcome = ended.how == End::kServed    ? simulation::RequestOutcome::kServed
-                          : ended.how == End::kRefused ? simulation::RequestOutcome::kRefused
-                                                       : simulation::RequestOutcome::kFailed;
-  Record(event);
-}
-
 void TestCluster::RecordNotified(const Process& sidecar) {
-  auto notified = testing::At(simulation::SimulationEvent::Kind::kSidecarNotified, Clock::now());
-  notified.sidecar = std::stoull(sidecar.name.substr(1));
-  for (notified.server = 0; notified.server < upstreams_.size(); ++notified.server) {
-    notified.leaving = upstreams_[notified.server].state != "active";
-    Record(notified);
-  }
+  std::vector<bool> draining;
+  for (const UpstreamEntry& upstream : upstreams_) draining.push_back(upstream.state != "active");
+  record_.SidecarNotified(sidecar.number, draining, Clock::now());
 }
 
 std::string TestCluster::Key(int number) {
@@ -420,11 +353,7 @@
     if (process->pid <= 0) continue;
     ::waitpid(process->pid, nullptr, 0);
     process->pid = -1;
-    process->kills.push_back(Clock::now());
-    if (process->agent) continue;
-    auto killed = testing::At(simulation::SimulationEvent::Kind::kSidecarKilled, process->kills.back());
-    killed.sidecar = std::stoull(process->name.substr(1));
-    Record(killed);
+    if (!process->agent) record_.SidecarKilled(process->number, Clock::now());
   }
 }
 
@@ -495,56 +424,14 @@
   std::vector<std::uint16_t> ports;
   for (int i = 0; i < options_.sidecars; ++i) ports.push_back(At("s" + std::to_string(i)).tcp);
   traffic_ = std::make_unique<Traffic>(ports, options_.every,
-                                       [this](const auto& ended) { OnRequestCompleted(ended); });
+                                       [this](const auto& ended) { record_.RequestCompleted(ended); });
 }
 
 std::vector<std::string> TestCluster::StopTrafficAndCheck(milliseconds drain) {
   if (!traffic_) return {"there was no traffic to judge"};
   Continue("*");  // whoever waits for a stopped one would wait on
-  const auto ends = traffic_->Stop();
-  const auto ran = ran_.all();
-  std::vector<std::string> broken;
-  std::map<std::string, bool> killed;
-  // The clients have ended; upstreams may be at the last that was given up.
-  std::vector<simulation::SimulationEvent> events;
-  {
-    const std::lock_guard lock(mutex_);
-    events = events_;
-  }
-  for (const Traffic::CompletedRequest& request : unanswered_) {
-    const Process& sidecar = At("s" + std::to_string(request.number));
-    const bool under_way = std::ranges::any_of(
-        sidecar.kills, [&](auto at) { return at >= request.begin - kLag && at <= request.end + kLag; });
-    if (under_way) killed[request.id] = true;
-    // A connection that was closed as the request came ends at once; one that ends later had taken it.
-    const bool taken = request.how == Traffic::Outcome::kLost || request.end - request.begin > kLag;
-    if (!under_way && taken) broken.push_back(request.id + " was taken and never answered");
-  }
-  for (const auto& [id, times] : ran) {
-    if (times > 1) broken.push_back(id + " ran " + std::to_string(times) + " times");
-    if (!ends.contains(id)) broken.push_back(id + " ran and nobody sent it");
-  }
-  for (const auto& [id, end] : ends) {
-    const bool has_run = ran.contains(id);
-    // A failure makes no promise either way.
-    if (end == Traffic::Outcome::kFailed || end == Traffic::Outcome::kLost || killed[id]) continue;
-    if (has_run == (end == Traffic::Outcome::kServed)) continue;
-    broken.push_back(id + (has_run ? " ran, and ended as " : " did not run, and ended as ") +
-                     std::to_string(static_cast<int>(end)));
-  }
-  simulation::Rules::Limits limits;
-  limits.unsafe = {false, true};
-  limits.grace = milliseconds(1000);  // one machine for all of them, clients included
-  limits.drain = drain;
-  simulation::Rules rules(limits);
-  std::ranges::stable_sort(events, {}, &simulation::SimulationEvent::at);
-  for (const simulation::SimulationEvent& event : events) rules.Record(event);
-  rules.End(testing::At({}, Clock::now() + kTimeout + limits.grace).at);
-  for (const simulation::Breach& broke : rules.breaches()) {
-    broken.push_back("rule " + std::string(NameOf(broke.rule)) + ": " + broke.what + " (" +
-                     std::to_string(rules.count(broke.rule)) + " times)");
-  }
-  return broken;
+  const auto unsafe = traffic_->Stop();
+  return record_.Violations(unsafe, ran_.all(), drain);
 }
 
 }  // namespace mothrack::testing
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -11,16 +11,15 @@
 #include <functional>
 #include <map>
 #include <memory>
-#include <mutex>
 #include <optional>
 #include <string>
 #include <vector>
 
 #include "nlohmann/json.hpp"
-#include "simulation/invariants.h"
 #include "standins/faulty_relay.h"
 #include "standins/peers.h"
 #include "standins/traffic.h"
+#include "standins/traffic_record.h"
 
 namespace mothrack::testing {
 
@@ -102,12 +101,12 @@
   struct Process {
     std::string name, zone, machine;
     bool agent = false;
+    std::size_t number = 0;  // among those of its kind
     std::uint16_t udp = 0, tcp = 0;
     pid_t pid = -1;
     std::size_t log_from = 0;  // where the log of this run begins
     std::unique_ptr<Discovery> discovery;
     std::map<std::string, std::uint16_t> relay_ports;  // by which it reaches the upstreams
-    std::vector<std::chrono::steady_clock::time_point> kills;
   };
   struct UpstreamEntry {
     std::string name, zone, state;
@@ -125,18 +124,13 @@
   bool WaitUntilListening(Process& process);  // waits until it listens; false where it has ended
   void StartAll(const std::vector<Process*>& processes);
   void EndInstance(const Process& agent) const;
-  void Record(const simulation::SimulationEvent& event);
-  void OnRequestAtUpstream(std::size_t server, const Request& request);
-  void OnRequestCompleted(const Traffic::CompletedRequest& ended);
   void RecordNotified(const Process& sidecar);  // it knows the upstreams from now on
 
   const Options options_;
   std::string directory_;
   std::unique_ptr<FaultyRelay> relay_;
   Runs ran_;
-  std::mutex mutex_;
-  std::vector<simulation::SimulationEvent> events_;
-  std::vector<Traffic::CompletedRequest> unanswered_;  // without an answer
+  TrafficRecord record_;
   std::vector<UpstreamEntry> upstreams_;
   std::map<std::string, Process> processes_;
   std::unique_ptr<Traffic> traffic_;
--- /dev/null
+++ b/tests/standins/traffic_record.cpp
@@ -0,0 +1,188 @@
+#include "standins/traffic_record.h"
+
+#include <algorithm>
+#include <cstdint>
+#include <optional>
+#include <set>
+
+#include "runtime/clock.h"
+#include "simulation/invariants.h"
+
+namespace mothrack::testing {
+namespace {
+
+using simulation::SimulationEvent;
+using std::chrono::milliseconds;
+using Outcome = Traffic::Outcome;
+
+// Between a death and what its client sees of it.
+constexpr milliseconds kDeathNoticeDelay{100};
+// One machine for all processes of the cluster, clients included.
+constexpr milliseconds kAnswerGrace{1000};
+constexpr int kSidecarShift = 32;  // a request's number: its sidecar above, its index below
+
+SimulationEvent EventAt(SimulationEvent::Kind kind, TrafficRecord::TimePoint at) {
+  SimulationEvent event;
+  event.kind = kind;
+  event.at = runtime::ToTimePoint(at);
+  return event;
+}
+
+// "s3-17", as the clients name them, in one number.
+std::optional<std::uint64_t> NumberOf(std::string_view id) {
+  const auto dash = id.find('-');
+  if (!id.starts_with('s') || dash == std::string_view::npos) return std::nullopt;
+  return std::stoull(std::string(id.substr(1, dash - 1))) << kSidecarShift |
+         std::stoull(std::string(id.substr(dash + 1)));
+}
+
+bool HasAnswer(Outcome how) {
+  return how == Outcome::kServed || how == Outcome::kRefused || how == Outcome::kFailed;
+}
+
+simulation::RequestOutcome OutcomeOf(Outcome how) {
+  if (how == Outcome::kServed) return simulation::RequestOutcome::kServed;
+  if (how == Outcome::kRefused) return simulation::RequestOutcome::kRefused;
+  return simulation::RequestOutcome::kFailed;
+}
+
+}  // namespace
+
+void TrafficRecord::RequestCompleted(const Traffic::CompletedRequest& request) {
+  const std::lock_guard lock(mutex_);
+  completed_.push_back(request);
+}
+
+void TrafficRecord::RequestStarted(std::size_t upstream, std::string_view id, TimePoint at) {
+  const auto number = NumberOf(id);
+  if (!number) return;
+  const std::lock_guard lock(mutex_);
+  using Kind = SimulationEvent::Kind;
+  for (const Kind kind : {Kind::kAttemptSent, Kind::kCallArrived, Kind::kCallStarted}) {
+    SimulationEvent event = EventAt(kind, at);
+    event.request = *number;
+    event.sidecar = *number >> kSidecarShift;
+    event.server = upstream;
+    event.work = 1;
+    events_.push_back(event);
+  }
+}
+
+void TrafficRecord::SidecarKilled(std::size_t sidecar, TimePoint at) {
+  SimulationEvent event = EventAt(SimulationEvent::Kind::kSidecarKilled, at);
+  event.sidecar = sidecar;
+  const std::lock_guard lock(mutex_);
+  events_.push_back(event);
+  kills_[sidecar].push_back(at);
+}
+
+void TrafficRecord::SidecarNotified(std::size_t sidecar, const std::vector<bool>& draining, TimePoint at) {
+  SimulationEvent event = EventAt(SimulationEvent::Kind::kSidecarNotified, at);
+  event.sidecar = sidecar;
+  const std::lock_guard lock(mutex_);
+  for (event.server = 0; event.server < draining.size(); ++event.server) {
+    event.leaving = draining[event.server];
+    events_.push_back(event);
+  }
+}
+
+void TrafficRecord::UpstreamRestarted(std::size_t upstream, double requests_per_second, TimePoint at) {
+  SimulationEvent event = EventAt(SimulationEvent::Kind::kServerStarted, at);
+  event.server = upstream;
+  event.work = requests_per_second / 1000;
+  const std::lock_guard lock(mutex_);
+  events_.push_back(event);
+}
+
+bool TrafficRecord::KilledMeanwhile(const Traffic::CompletedRequest& request) const {
+  const auto kills = kills_.find(request.number);
+  if (kills == kills_.end()) return false;
+  return std::ranges::any_of(kills->second, [&](TimePoint at) {
+    return at >= request.begin - kDeathNoticeDelay && at <= request.end + kDeathNoticeDelay;
+  });
+}
+
+// The clients' requests, then what upstreams and sidecars reported at the same time: an answer comes before
+// the kill of its sidecar. What no sidecar accepted is left out.
+std::vector<SimulationEvent> TrafficRecord::EventsInOrder() const {
+  std::vector<SimulationEvent> events;
+  for (const Traffic::CompletedRequest& request : completed_) {
+    const bool answered = HasAnswer(request.how);
+    if (!answered && request.how != Outcome::kLost) continue;
+    SimulationEvent event = EventAt(SimulationEvent::Kind::kAccepted, request.begin);
+    event.request = static_cast<std::uint64_t>(request.number) << kSidecarShift |
+                    static_cast<std::uint64_t>(request.index);
+    event.sidecar = request.number;
+    event.cls = request.unsafe ? 1 : 0;
+    event.until = runtime::ToTimePoint(request.begin + kRequestTimeout);
+    events.push_back(event);
+    if (!answered) continue;
+    event.kind = SimulationEvent::Kind::kAnswered;
+    event.at = runtime::ToTimePoint(request.end);
+    event.request_outcome = OutcomeOf(request.how);
+    events.push_back(event);
+  }
+  events.insert(events.end(), events_.begin(), events_.end());
+  std::ranges::stable_sort(events, {}, &SimulationEvent::at);
+  return events;
+}
+
+void TrafficRecord::AddLostRequests(std::vector<std::string>& violations) const {
+  for (const Traffic::CompletedRequest& request : completed_) {
+    if (request.how != Outcome::kLost && request.how != Outcome::kIdleCloseRace) continue;
+    // A connection that was closed as the request came ends at once; one that ends later had accepted it.
+    const bool accepted = request.how == Outcome::kLost || request.end - request.begin > kDeathNoticeDelay;
+    if (accepted && !KilledMeanwhile(request)) {
+      violations.push_back(request.id + " was taken and never answered");
+    }
+  }
+}
+
+void TrafficRecord::AddWrongRuns(const std::map<std::string, Outcome>& unsafe,
+                                 const std::map<std::string, int>& runs,
+                                 std::vector<std::string>& violations) const {
+  for (const auto& [id, times] : runs) {
+    if (times > 1) violations.push_back(id + " ran " + std::to_string(times) + " times");
+    if (!unsafe.contains(id)) violations.push_back(id + " ran and nobody sent it");
+  }
+  std::set<std::string> killed;
+  for (const Traffic::CompletedRequest& request : completed_) {
+    const bool unanswered = request.how == Outcome::kLost || request.how == Outcome::kIdleCloseRace;
+    if (unanswered && KilledMeanwhile(request)) killed.insert(request.id);
+  }
+  for (const auto& [id, how] : unsafe) {
+    // A failure makes no promise either way.
+    if (how == Outcome::kFailed || how == Outcome::kLost || killed.contains(id)) continue;
+    const bool has_run = runs.contains(id);
+    if (has_run == (how == Outcome::kServed)) continue;
+    violations.push_back(id + (has_run ? " ran, and ended as " : " did not run, and ended as ") +
+                         std::to_string(static_cast<int>(how)));
+  }
+}
+
+void TrafficRecord::AddBreaches(milliseconds drain, std::vector<std::string>& violations) const {
+  simulation::Rules::Limits limits;
+  limits.unsafe = {false, true};
+  limits.grace = kAnswerGrace;
+  limits.drain = drain;
+  simulation::Rules rules(limits);
+  for (const SimulationEvent& event : EventsInOrder()) rules.Record(event);
+  rules.End(runtime::TimePoint::max());  // the traffic has ended: what has no answer by now gets none
+  for (const simulation::Breach& breach : rules.breaches()) {
+    violations.push_back("rule " + std::string(NameOf(breach.rule)) + ": " + breach.what + " (" +
+                         std::to_string(rules.count(breach.rule)) + " times)");
+  }
+}
+
+std::vector<std::string> TrafficRecord::Violations(const std::map<std::string, Outcome>& unsafe,
+                                                   const std::map<std::string, int>& runs,
+                                                   milliseconds drain) const {
+  const std::lock_guard lock(mutex_);
+  std::vector<std::string> violations;
+  AddLostRequests(violations);
+  AddWrongRuns(unsafe, runs, violations);
+  AddBreaches(drain, violations);
+  return violations;
+}
+
+}  // namespace mothrack::testing
--- /dev/null
+++ b/tests/standins/traffic_record.h
@@ -0,0 +1,59 @@
+// What clients, upstreams and sidecars of a test cluster reported, and which violations of the rules are in
+// it: a request lost, an effect twice, a request sent to an upstream that drains. Reports come from several
+// threads in any order; they are judged once, when the traffic has ended.
+#pragma once
+
+#include <chrono>
+#include <cstddef>
+#include <map>
+#include <mutex>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "simulation/simulation_event.h"
+#include "standins/traffic.h"
+
+namespace mothrack::testing {
+
+class TrafficRecord {
+ public:
+  using TimePoint = std::chrono::steady_clock::time_point;
+
+  // How long a client of the cluster waits for its answer.
+  static constexpr std::chrono::milliseconds kRequestTimeout{5000};
+
+  // By the clients' threads: a request has ended.
+  void RequestCompleted(const Traffic::CompletedRequest& request);
+  // By the upstreams' threads: the request with this id, as Traffic forms it, runs at an upstream. Other ids
+  // are passed over.
+  void RequestStarted(std::size_t upstream, std::string_view id, TimePoint at);
+  // The process of a sidecar was seen to be gone: whatever it sent, it sent before `at`.
+  void SidecarKilled(std::size_t sidecar, TimePoint at);
+  // A sidecar is notified of all upstreams; `draining` has an entry for each of them.
+  void SidecarNotified(std::size_t sidecar, const std::vector<bool>& draining, TimePoint at);
+  // An upstream is in slow start from `at`, and does so many requests a second once it is warm.
+  void UpstreamRestarted(std::size_t upstream, double requests_per_second, TimePoint at);
+
+  // All violations, a line each. `unsafe`: how the unsafe requests ended for their clients; `runs`: how often
+  // each of them ran; `drain`: from the notice that an upstream drains to the last request that it may get.
+  // After the traffic has ended.
+  std::vector<std::string> Violations(const std::map<std::string, Traffic::Outcome>& unsafe,
+                                      const std::map<std::string, int>& runs,
+                                      std::chrono::milliseconds drain) const;
+
+ private:
+  bool KilledMeanwhile(const Traffic::CompletedRequest& request) const;
+  std::vector<simulation::SimulationEvent> EventsInOrder() const;
+  void AddLostRequests(std::vector<std::string>& violations) const;
+  void AddWrongRuns(const std::map<std::string, Traffic::Outcome>& unsafe,
+                    const std::map<std::string, int>& runs, std::vector<std::string>& violations) const;
+  void AddBreaches(std::chrono::milliseconds drain, std::vector<std::string>& violations) const;
+
+  mutable std::mutex mutex_;
+  std::vector<simulation::SimulationEvent> events_;  // of upstreams and sidecars
+  std::vector<Traffic::CompletedRequest> completed_;
+  std::map<std::size_t, std::vector<TimePoint>> kills_;  // by sidecar, in order
+};
+
+}  // namespace mothrack::testing
