--- a/tests/standins/traffic.cpp
+++ b/tests/standins/traffic.cpp
@@ -61,11 +61,13 @@
     const bool reused = wire != nullptr;
     Outcome end = Outcome::kLost;
     const auto begin = std::chrono::steady_clock::now();
+    auto connected = begin;
     boost::system::error_code error;
     if (!reused) {
       io = std::make_unique<boost::asio::io_context>();
       wire = std::make_unique<Wire>(*io);
       wire->socket.connect({boost::asio::ip::make_address_v4("127.0.0.1"), port}, error);
+      if (!error) connected = std::chrono::steady_clock::now();
     }
     if (error) {
       end = Outcome::kNotAccepted;
@@ -84,7 +86,9 @@
     }
     if (error) wire.reset();
     ++counts_[static_cast<std::size_t>(end)];
-    if (on_completed_) on_completed_({number, i, id, unsafe, end, begin, std::chrono::steady_clock::now()});
+    if (on_completed_) {
+      on_completed_({number, i, id, unsafe, end, begin, connected, std::chrono::steady_clock::now()});
+    }
     if (!unsafe) continue;
     const std::lock_guard lock(mutex_);
     unsafe_[id] = end;
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -41,14 +41,14 @@
   };
 
   // A request that has ended, whichever way: of which sidecar's client, its how manieth, and from when to
-  // when.
+  // when. `connected`: its connection stood by then, or `begin` where it never did.
   struct CompletedRequest {
     std::size_t number = 0;
     int index = 0;
     std::string id;
     bool unsafe = false;
     Outcome how{};
-    std::chrono::steady_clock::time_point begin, end;
+    std::chrono::steady_clock::time_point begin, connected, end;
   };
 
   // Begins at once; each sends so often. `on_completed`: by the clients' threads. With
--- a/tests/standins/traffic_record.cpp
+++ b/tests/standins/traffic_record.cpp
@@ -102,6 +102,16 @@
   });
 }
 
+// A connection belongs to one process. If that was killed before its client had read the answer, the answer
+// was sent before the kill, however late the client came to read it.
+TrafficRecord::TimePoint TrafficRecord::AnsweredAt(const Traffic::CompletedRequest& request) const {
+  const auto kills = kills_.find(request.number);
+  if (kills == kills_.end()) return request.end;
+  const auto first_kill = std::ranges::lower_bound(kills->second, request.connected);
+  if (first_kill == kills->second.end() || *first_kill > request.end) return request.end;
+  return *first_kill;
+}
+
 // The clients' requests, then what upstreams and sidecars reported at the same time: an answer comes before
 // the kill of its sidecar. What no sidecar accepted is left out.
 std::vector<SimulationEvent> TrafficRecord::EventsInOrder() const {
@@ -109,7 +119,9 @@
   for (const Traffic::CompletedRequest& request : completed_) {
     const bool answered = HasAnswer(request.how);
     if (!answered && request.how != Outcome::kLost) continue;
-    SimulationEvent event = EventAt(SimulationEvent::Kind::kAccepted, request.begin);
+    // Which process would have had to answer a lost one is not known: the first that may have accepted it.
+    SimulationEvent event =
+        EventAt(SimulationEvent::Kind::kAccepted, answered ? request.connected : request.begin);
     event.request = static_cast<std::uint64_t>(request.number) << kSidecarShift |
                     static_cast<std::uint64_t>(request.index);
     event.sidecar = request.number;
@@ -118,7 +130,7 @@
     events.push_back(event);
     if (!answered) continue;
     event.kind = SimulationEvent::Kind::kAnswered;
-    event.at = runtime::ToTimePoint(request.end);
+    event.at = runtime::ToTimePoint(AnsweredAt(request));
     event.request_outcome = OutcomeOf(request.how);
     events.push_back(event);
   }
--- a/tests/standins/traffic_record.h
+++ b/tests/standins/traffic_record.h
@@ -44,6 +44,7 @@
 
  private:
   bool KilledMeanwhile(const Traffic::CompletedRequest& request) const;
+  TimePoint AnsweredAt(const Traffic::CompletedRequest& request) const;
   std::vector<simulation::SimulationEvent> EventsInOrder() const;
   void AddLostRequests(std::vector<std::string>& violations) const;
   void AddWrongRuns(const std::map<std::string, Traffic::Outcome>& unsafe,
--- a/tests/support/traffic_record_test.cpp
+++ b/tests/support/traffic_record_test.cpp
@@ -35,8 +35,8 @@
 
   void Complete(const Sent& sent) {
     const bool unsafe = sent.index % 2 == 1;
-    record_.RequestCompleted(
-        {kSidecar, sent.index, Id(sent.index), unsafe, sent.how, After(sent.begin_ms), After(sent.end_ms)});
+    record_.RequestCompleted({kSidecar, sent.index, Id(sent.index), unsafe, sent.how, After(sent.begin_ms),
+                              After(sent.connected_ms), After(sent.end_ms)});
     if (unsafe) unsafe_[Id(sent.index)] = sent.how;
   }
   void Run(int index, int at_ms) {
@@ -50,6 +50,25 @@
   std::map<std::string, int> runs_;
 };
 
+TEST_F(TrafficRecordTest, AnAnswerThatIsReadAfterItsSidecarWasKilledIsTheOnlyOne) {
+  Complete({0, Outcome::kRefused, 0, 1, 20});
+  record_.SidecarKilled(kSidecar, After(10));
+  EXPECT_EQ(Violations(), std::vector<std::string>{});
+}
+
+TEST_F(TrafficRecordTest, AnAnswerThatIsReadAsItsSidecarIsKilledIsTheOnlyOne) {
+  Complete({0, Outcome::kServed, 0, 1, 10});
+  record_.SidecarKilled(kSidecar, After(10));
+  EXPECT_EQ(Violations(), std::vector<std::string>{});
+}
+
+TEST_F(TrafficRecordTest, AnAnswerOfTheNextProcessIsTheOnlyOne) {
+  Complete({1, Outcome::kServed, 0, 30, 50});
+  Run(1, 40);
+  record_.SidecarKilled(kSidecar, After(10));
+  EXPECT_EQ(Violations(), std::vector<std::string>{});
+}
+
 TEST_F(TrafficRecordTest, ARequestWithoutAnAnswerIsLostUnlessItsSidecarWasKilled) {
   Complete({0, Outcome::kLost, 0, 1, 20});
   const std::vector<std::string> lost = {
@@ -84,6 +103,14 @@
   EXPECT_EQ(Violations().front(), "s1-1 ran 2 times");
 }
 
+TEST_F(TrafficRecordTest, ARefusedRequestThatRanIsAViolationAlsoWhereItsSidecarWasKilled) {
+  Complete({1, Outcome::kRefused, 0, 1, 20});
+  Run(1, 5);
+  record_.SidecarKilled(kSidecar, After(10));
+  EXPECT_EQ(Violations().size(), 2U);
+  EXPECT_EQ(Violations().front(), "s1-1 ran, and ended as 1");
+}
+
 TEST_F(TrafficRecordTest, ARequestToAnUpstreamThatDrainsIsAViolation) {
   record_.SidecarNotified(kSidecar, {true}, After(0));
   Complete({0, Outcome::kServed, 1051, 1051, 1060});
