--- a/src/http/transport.cpp
+++ b/src/http/transport.cpp
@@ -19,8 +19,7 @@
 
 HttpTransport::HttpTransport(boost::asio::io_context& io, const balancer::Limits& limits, bool load_by_probe,
                              runtime::Descriptors& descriptors, runtime::ByteBudget& budget)
-    : io_(io),
-      connect_timeout_(limits.connect_timeout),
+    : connect_timeout_(limits.connect_timeout),
       probe_target_(load_by_probe ? kLoadTarget : kAliveTarget),
       budget_(budget),
       pools_(io, limits.idle_close, descriptors, counters_) {}
@@ -55,7 +54,7 @@
   if (!connection) return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   UpstreamExchange::Owner& owner = *this;
   const auto exchange = std::make_shared<UpstreamExchange>(
-      owner, io_, budget_, std::move(connection),
+      owner, budget_, std::move(connection),
       UpstreamExchange::Request{id, std::move(http_message), connect_timeout_, timeout}, std::move(hooks));
   exchanges_.emplace(id, exchange);
   exchange->Start();
--- a/src/http/transport.h
+++ b/src/http/transport.h
@@ -55,7 +55,6 @@
   // Ends the exchanges to this pool's upstream that have not begun to write.
   void EndUnsent(const std::shared_ptr<UpstreamPool>& pool);
 
-  boost::asio::io_context& io_;
   const runtime::Duration connect_timeout_;
   const std::string probe_target_;
   runtime::ByteBudget& budget_;
--- a/src/http/upstream_connection.cpp
+++ b/src/http/upstream_connection.cpp
@@ -23,7 +23,8 @@
     : counters_(counters),
       pool_(pool),
       slot_(std::in_place, descriptors, runtime::Descriptors::Side::kUpstream),
-      socket_(io) {
+      socket_(io),
+      timer_(io) {
   buffer_.max_size(kMaxReadAhead);
 }
 
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -7,6 +7,7 @@
 
 #include <boost/asio/io_context.hpp>
 #include <boost/asio/ip/tcp.hpp>
+#include <boost/asio/steady_timer.hpp>
 #include <boost/beast/core/flat_buffer.hpp>
 #include <boost/system/error_code.hpp>
 #include <cstdint>
@@ -73,6 +74,9 @@
   boost::asio::ip::tcp::socket& socket() { return socket_; }
   // Bytes that were read and not parsed; at most kMaxReadAhead.
   boost::beast::flat_buffer& buffer() { return buffer_; }
+  // The timer of the exchange that uses the connection. Kept here, so that it is not constructed and
+  // destroyed for each exchange.
+  boost::asio::steady_timer& timer() { return timer_; }
 
  private:
   void Watch();
@@ -82,6 +86,7 @@
   std::optional<runtime::Descriptors::Slot> slot_;
   boost::asio::ip::tcp::socket socket_;
   boost::beast::flat_buffer buffer_;
+  boost::asio::steady_timer timer_;
   bool connected_ = false;
   bool closed_ = false;
   std::uint64_t use_ = 0;  // number of exchanges: a watch set before the latest one is void
--- a/src/http/upstream_exchange.cpp
+++ b/src/http/upstream_exchange.cpp
@@ -84,7 +84,7 @@
 
 }  // namespace
 
-UpstreamExchange::UpstreamExchange(Owner& owner, boost::asio::io_context& io, runtime::ByteBudget& budget,
+UpstreamExchange::UpstreamExchange(Owner& owner, runtime::ByteBudget& budget,
                                    std::shared_ptr<UpstreamConnection> connection, Request request,
                                    dispatch::ExchangeHooks hooks)
     : owner_(owner),
@@ -94,7 +94,7 @@
       hooks_(std::move(hooks)),
       writer_(
           std::make_unique<RequestWriter>(connection_->socket(), static_cast<RequestWriter::Owner&>(*this))),
-      timer_(io) {}
+      timer_(connection_->timer()) {}
 
 void UpstreamExchange::Start() {
   sent_at_ = runtime::Now();
--- a/src/http/upstream_exchange.h
+++ b/src/http/upstream_exchange.h
@@ -9,7 +9,6 @@
 // from those that may have run.
 #pragma once
 
-#include <boost/asio/io_context.hpp>
 #include <boost/asio/steady_timer.hpp>
 #include <boost/beast/http/parser.hpp>
 #include <boost/system/error_code.hpp>
@@ -49,9 +48,8 @@
     runtime::Duration timeout{};
   };
 
-  UpstreamExchange(Owner& owner, boost::asio::io_context& io, runtime::ByteBudget& budget,
-                   std::shared_ptr<UpstreamConnection> connection, Request request,
-                   dispatch::ExchangeHooks hooks);
+  UpstreamExchange(Owner& owner, runtime::ByteBudget& budget, std::shared_ptr<UpstreamConnection> connection,
+                   Request request, dispatch::ExchangeHooks hooks);
 
   // Must be called once, after a shared_ptr owns the exchange.
   void Start();
@@ -126,7 +124,7 @@
   // Never null. A separate object, so that both fit the size classes that the allocator caches (1,032 bytes
   // in glibc).
   const std::unique_ptr<RequestWriter> writer_;
-  boost::asio::steady_timer timer_;
+  boost::asio::steady_timer& timer_;  // of the connection
   std::optional<beast_http::response_parser<IncrementalBody>> parser_;
   std::shared_ptr<runtime::Stream> response_stream_;  // of a response that is being streamed
   Phase phase_ = Phase::kEnded;
