--- /dev/null
+++ b/tests/standins/relay_connections.h
@@ -0,0 +1,90 @@
+// The TCP side of a FaultyRelay: a listening port for each ordered pair, and the connections that came to it.
+// Bounds: 4,096 connections at once (more are reset), Faults::queue_bytes for each direction of one. Not
+// thread-safe: FaultyRelay holds its mutex around every call.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <string>
+#include <unordered_map>
+#include <vector>
+
+#include "standins/relay_io.h"
+#include "standins/relay_stream.h"
+
+namespace mothrack::testing::relay {
+
+class ConnectionRelay {
+ public:
+  // The poller must outlive the object.
+  explicit ConnectionRelay(const Poller& poller) : poller_(poller) {}
+  ~ConnectionRelay();
+  ConnectionRelay(const ConnectionRelay&) = delete;
+  ConnectionRelay& operator=(const ConnectionRelay&) = delete;
+
+  // Listens on a port for connections to `real_port`, whose bytes cross the two links; the port.
+  std::uint16_t Listen(Link& forward, Link& backward, std::uint16_t real_port);
+
+  bool OwnsListener(int fd) const { return listeners_.contains(fd); }
+  void Accept(int listener);
+  // What the poller tells of either socket of a connection; nothing where it is closed already.
+  void HandleEvents(int fd, std::uint32_t events, Clock::time_point now);
+  // Connects, delivers and closes whatever is due now.
+  void Advance();
+  // When Advance has something to do next; time_point::max() where it waits for events alone.
+  Clock::time_point NextDue() const;
+  // Schedules what is queued on links whose faults changed, as if the new ones had held when it came.
+  void Reschedule();
+  // Resets both sides of the connections whose forward link the two selectors mean.
+  void Reset(const std::string& from, const std::string& to);
+
+ private:
+  struct Listener {
+    Link* forward = nullptr;
+    Link* backward = nullptr;
+    std::uint16_t real_port = 0;
+  };
+  // One of the two sockets of a connection, with the streams from and to it.
+  struct Side {
+    Side(Stream& from, Stream& to) : outgoing(from), incoming(to) {}
+    Stream& outgoing;
+    Stream& incoming;
+    int fd = -1;
+    std::uint32_t events = 0;  // that the poller is asked for
+    bool watched = true;       // false: gone, the poller is asked for nothing any more
+    bool was_reset = false;    // and a cut keeps it from the other side
+  };
+  struct Connection {
+    explicit Connection(const Listener& listener)
+        : forward(*listener.forward), backward(*listener.backward), real_port(listener.real_port) {}
+    Stream forward, backward;
+    Side client{forward, backward};
+    Side server{backward, forward};
+    std::uint16_t real_port = 0;
+    Clock::time_point connect_at;
+    bool connecting = false;
+  };
+
+  void Add(int client, const Listener& listener);
+  void Connect(Connection& connection);
+  static bool FinishConnecting(Connection& connection);
+  void StopWatching(Side& side) const;
+  void Advance(Connection& connection, Clock::time_point now);
+  // What an established connection has to exchange now; false: the connection is closed.
+  bool Exchange(Connection& connection, Clock::time_point now);
+  static Clock::time_point NextDueOf(const Connection& connection);
+  // Asks the poller only for what can be used now; a side whose stream has no room is not read.
+  void UpdateInterest(Connection& connection) const;
+  void UpdateInterest(Side& side, bool connecting) const;
+  void Close(int client, bool reset);
+
+  const Poller& poller_;
+  std::map<int, Listener> listeners_;                       // by the listening socket
+  std::map<int, std::unique_ptr<Connection>> connections_;  // by the client's socket
+  std::unordered_map<int, Connection*> by_socket_;          // of either side
+  std::vector<char> buffer_ = std::vector<char>(kReadBytes);
+};
+
+}  // namespace mothrack::testing::relay
--- /dev/null
+++ b/tests/standins/relay_stream.h
@@ -0,0 +1,66 @@
+// One direction of a TCP connection through a FaultyRelay: the bytes that were read from its sender and are
+// delivered to its receiver when they are due. Bounds: Faults::queue_bytes for each direction. Not
+// thread-safe: FaultyRelay holds its mutex around every call.
+#pragma once
+
+#include <cstddef>
+#include <deque>
+#include <string>
+#include <vector>
+
+#include "standins/relay_link.h"
+
+namespace mothrack::testing::relay {
+
+class Stream {
+ public:
+  // Whether the connection goes on after a call of the system.
+  enum class IoResult { kContinue, kFailed };
+
+  // The link must outlive the stream; its queued bytes are kept up to date.
+  explicit Stream(Link& link) : link_(link) {}
+  ~Stream() { Discard(); }
+  Stream(const Stream&) = delete;
+  Stream& operator=(const Stream&) = delete;
+
+  Link& link() const { return link_; }
+  bool ended() const { return ended_; }      // nothing more comes from the sender
+  bool done() const { return done_; }        // and the receiver has, or needs, nothing more
+  bool blocked() const { return blocked_; }  // the receiver takes no more for now
+  bool HasRoom() const { return queued_bytes_ < link_.faults.queue_bytes; }
+  // When the next bytes can be delivered; time_point::max() where none can.
+  Clock::time_point NextDue() const;
+
+  // Reads what the sender's socket has, as far as there is room, by way of `buffer`.
+  IoResult Receive(int from, std::vector<char>& buffer, Clock::time_point now);
+  // Writes what is due to the receiver's socket.
+  IoResult Deliver(int to, Clock::time_point now);
+  void Unblock() { blocked_ = false; }
+  // The sender is gone; what came from it is still delivered.
+  void End() { ended_ = true; }
+  // The receiver is gone, and what is queued with it.
+  void Abandon();
+  // Schedules what is queued as if the link's present faults had held when it came.
+  void Reschedule();
+
+ private:
+  struct Chunk {
+    Clock::time_point came, due;
+    std::string bytes;
+    bool end = false;  // of what the sender has to say; no bytes then
+  };
+
+  std::size_t ReadSize(std::size_t buffer_size) const;
+  void Enqueue(Chunk chunk);
+  void RemoveDelivered(std::size_t size);
+  void Discard();
+
+  Link& link_;
+  std::deque<Chunk> chunks_;
+  std::size_t queued_bytes_ = 0;
+  bool ended_ = false;
+  bool done_ = false;
+  bool blocked_ = false;
+};
+
+}  // namespace mothrack::testing::relay
--- /dev/null
+++ b/tests/standins/relay_topology.h
@@ -0,0 +1,50 @@
+// The endpoints of a FaultyRelay and the links between them: by name, by selector, and the sides of a
+// partition. Errors: std::logic_error for an endpoint or link that does not exist. Not thread-safe:
+// FaultyRelay holds its mutex around every call.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "standins/relay_link.h"
+
+namespace mothrack::testing::relay {
+
+class Topology {
+ public:
+  // By the names of the two endpoints. A link is made when it is first needed, and stays.
+  using Links = std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>>;
+
+  explicit Topology(std::uint64_t seed) : seed_(seed) {}
+
+  // Endpoints and links stay where they are as long as the topology lives.
+  Endpoint& AddEndpoint(const std::string& name, const std::vector<std::string>& groups,
+                        std::uint16_t udp_port);
+  Endpoint& EndpointOf(const std::string& name);
+  std::uint16_t AdvertisedPort(const std::string& name) const;
+  Link& LinkOf(const Endpoint& from, const Endpoint& to);
+  const Links& links() const { return links_; }
+
+  // The link of every pair that the two selectors mean; an error where they mean none, as a fault that is set
+  // nowhere would let every test pass.
+  void ForEachLink(const std::string& from, const std::string& to, const std::function<void(Link&)>& call);
+  // Endpoints in no side form one of their own.
+  void Partition(const std::vector<std::vector<std::string>>& sides);
+
+  // Of the links that the two selectors mean.
+  Counts CountsOf(const std::string& from, const std::string& to) const;
+  std::size_t QueuedBytes() const;
+
+ private:
+  const std::uint64_t seed_;
+  std::map<std::string, std::unique_ptr<Endpoint>> endpoints_;
+  Links links_;
+};
+
+}  // namespace mothrack::testing::relay
