--- a/tests/admin/recorded_answers_test.cpp
+++ b/tests/admin/recorded_answers_test.cpp
@@ -56,7 +56,7 @@
          "\r\n\r\n" + body;
 }
 
-std::string AdminSection(const ScratchFolder& folder) {
+std::string AdminSection(const FixtureDirectory& folder) {
   return "[admin]\nlisten = \"unix:" + folder.File("admin.sock") + "\"\n";
 }
 
@@ -68,7 +68,7 @@
 // failed.
 TEST(RecordedAdmin, AnswersAreThoseOfTheFormerVersion) {
   Recorded recorded(MOTHRACK_FIXTURES "/admin_answers.txt");
-  const ScratchFolder folder;
+  const FixtureDirectory folder;
   const std::string file = AdminSection(folder) +
                            "[dns]\nlisten = [\"127.0.0.1:0\"]\n[[dns.resolver]]\nuid = \"r 1\"\nendpoint = "
                            "\"127.0.0.1:9\"\n";
@@ -110,7 +110,7 @@
 
 TEST(RecordedAdmin, AnAnswerWithoutTheTokenIsThatOfTheFormerVersion) {
   Recorded recorded(MOTHRACK_FIXTURES "/admin_token_answers.txt");
-  const ScratchFolder folder;
+  const FixtureDirectory folder;
   const std::string token = "5f1c0a7e9b3d48265f1c0a7e9b3d4826";
   const std::string token_file = folder.File("token");
   std::ofstream(token_file) << token << '\n';
--- a/tests/agent/generation_store_test.cpp
+++ b/tests/agent/generation_store_test.cpp
@@ -1,14 +1,13 @@
 // Configuration generations on disk: stored completely or not at all, with the cause where they are not.
 #include "agent/generation_store.h"
 
-#include <unistd.h>
-
 #include <cstdio>
 #include <filesystem>
 #include <optional>
 #include <string>
 
 #include "gtest/gtest.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::agent {
 namespace {
@@ -24,15 +23,11 @@
 class GenerationStoreTest : public ::testing::Test {
  protected:
   void SetUp() override {
-    std::string pattern = (fs::temp_directory_path() / "generations.XXXXXX").string();
-    ASSERT_NE(::mkdtemp(pattern.data()), nullptr);
-    directory_ = pattern;
-    store_.emplace(directory_ + "/generations",
+    store_.emplace(directory_.File("generations"),
                    [this](const std::string&, const std::string&) { return check_result_; });
   }
-  void TearDown() override { fs::remove_all(directory_); }
 
-  std::string directory_;
+  const testing::TemporaryDirectory directory_{"generations"};
   std::string check_result_;
   std::optional<GenerationStore> store_;
 };
@@ -68,14 +63,14 @@
 }
 
 TEST_F(GenerationStoreTest, FailedWriteNamesThePath) {
-  fs::remove_all(directory_ + "/generations");
-  std::FILE* file = std::fopen((directory_ + "/generations").c_str(), "w");  // where a directory should be
+  fs::remove_all(directory_.File("generations"));
+  std::FILE* file = std::fopen(directory_.File("generations").c_str(), "w");  // where a directory should be
   ASSERT_NE(file, nullptr);
   std::fclose(file);
   const auto error = store_->Keep("g1", {{"f", "x"}});
   EXPECT_EQ(CauseOf(error), Cause::kDiskWriteFailed);
   ASSERT_TRUE(error);
-  EXPECT_NE(error->message.find(directory_ + "/generations"), std::string::npos) << error->message;
+  EXPECT_NE(error->message.find(directory_.File("generations")), std::string::npos) << error->message;
   EXPECT_FALSE(store_->Has("g1"));
 }
 
--- a/tests/agent/sqlite_store_test.cpp
+++ b/tests/agent/sqlite_store_test.cpp
@@ -9,19 +9,17 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include <filesystem>
 #include <fstream>
 #include <optional>
 #include <sstream>
 #include <string>
 
 #include "gtest/gtest.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::agent {
 namespace {
 
-namespace fs = std::filesystem;
-
 using rollout::Epoch;
 using rollout::Holder;
 using rollout::InstanceRecord;
@@ -39,13 +37,7 @@
 
 class StoreTest : public ::testing::Test {
  protected:
-  void SetUp() override {
-    std::string pattern = (fs::temp_directory_path() / "store.XXXXXX").string();
-    ASSERT_NE(::mkdtemp(pattern.data()), nullptr);
-    directory_ = pattern;
-  }
-  void TearDown() override { fs::remove_all(directory_); }
-  std::string path() const { return directory_ + "/state.sqlite"; }
+  std::string path() const { return directory_.File("state.sqlite"); }
   void Sql(const std::string& sql) const {
     sqlite3* db = nullptr;
     ASSERT_EQ(sqlite3_open(path().c_str(), &db), SQLITE_OK);
@@ -58,7 +50,7 @@
     return text.str();
   }
 
-  std::string directory_;
+  const testing::TemporaryDirectory directory_{"store"};
 };
 
 Plan PlanOf(const std::string& id) {
--- a/tests/agent/stored_fixture_test.cpp
+++ b/tests/agent/stored_fixture_test.cpp
@@ -145,7 +145,7 @@
 }
 
 TEST(StoredFixture, AnAgentsStoreOfTheFormerVersionIsReadWhole) {
-  const testing::ScratchFolder folder;
+  const testing::FixtureDirectory folder;
   const SqliteStore store(folder.CopyOf(kFixture));
   ASSERT_EQ(store.fault(), "");
   const Stored& read = store.stored();
@@ -163,7 +163,7 @@
 }
 
 TEST(StoredFixture, AnAgentsHistoryOfTheFormerVersionIsReadWhole) {
-  const testing::ScratchFolder folder;
+  const testing::FixtureDirectory folder;
   const SqliteStore store(folder.CopyOf(kFixture));
   const auto events = store.Events(10);
   const std::vector<Event> written = {{1'699'999'999'001, "c-1", "opened"},
@@ -180,7 +180,7 @@
 }
 
 TEST(StoredFixture, AnAgentsStoreIsWrittenWithTheSchemaAndRowsOfTheFormerVersion) {
-  const testing::ScratchFolder folder;
+  const testing::FixtureDirectory folder;
   const std::string path = folder.File("new.sqlite");
   {
     SqliteStore store(path);
--- a/tests/gossip/programs_test.cpp
+++ b/tests/gossip/programs_test.cpp
@@ -6,6 +6,7 @@
 #include <boost/asio/ip/udp.hpp>
 #include <chrono>
 #include <csignal>
+#include <filesystem>
 #include <string>
 
 #include "gossip/task_fixture.h"
@@ -21,7 +22,7 @@
 // A real sidecar: HTTP by environment variables, peers and the admin API by the operator file.
 class Sidecar {
  public:
-  Sidecar(const TemporaryDirectory& place, const std::string& name, const std::string& upstream, int port,
+  Sidecar(const TaskDirectory& place, const std::string& name, const std::string& upstream, int port,
           int seed)
       : node_(Options(place, name, upstream, port, seed)),
         admin_address_("unix:" + place.File(name + ".sock")) {}
@@ -40,7 +41,7 @@
   mothrack::testing::Node& node() { return node_; }
 
  private:
-  static mothrack::testing::Node::Options Options(const TemporaryDirectory& place, const std::string& name,
+  static mothrack::testing::Node::Options Options(const TaskDirectory& place, const std::string& name,
                                                   const std::string& upstream, int port, int seed) {
     mothrack::testing::Node::Options options;
     options.known = mothrack::testing::List({mothrack::testing::Target("u1", upstream)});
@@ -65,7 +66,7 @@
 }
 
 TEST(Programs, ContinueWhileAPeerIsStoppedAndResumed) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   mothrack::testing::Upstream upstream(mothrack::testing::Upstream::Echo("u"));
   const int a_port = FreePort(), b_port = FreePort();
   Sidecar a(place, "a", upstream.address(), a_port, b_port);
@@ -102,13 +103,14 @@
   mothrack::testing::Node node(options);
   ASSERT_TRUE(node.Listening());
   int threads = 0;
-  for (const auto& entry : fs::directory_iterator("/proc/" + std::to_string(node.pid()) + "/task"))
+  for (const auto& entry :
+       std::filesystem::directory_iterator("/proc/" + std::to_string(node.pid()) + "/task"))
     threads += entry.exists();
   EXPECT_EQ(threads, 1);
 }
 
 TEST(Programs, AddressInUseIsLogged) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   TaskClient a(place, "a");
   Sidecar b(place, "b", "127.0.0.1:9", a.task.local().port(), 7601);
   EXPECT_EQ(b.node().Wait(), 1);
@@ -117,7 +119,7 @@
 }
 
 TEST(Programs, AnAgentIsAMember) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   TaskClient a(place, "a");
   const std::string file = place.Write(
       "agent.toml",
--- a/tests/gossip/recorded_datagrams_test.cpp
+++ b/tests/gossip/recorded_datagrams_test.cpp
@@ -72,7 +72,7 @@
 }
 
 KeyRing Keys() {
-  const testing::ScratchFolder folder;
+  const testing::FixtureDirectory folder;
   return Load(folder.CopyOf(kFolder + "/keys.txt"));
 }
 
--- a/tests/gossip/settings_test.cpp
+++ b/tests/gossip/settings_test.cpp
@@ -12,7 +12,7 @@
 
 // Both files follow the same rules.
 TEST(Settings, ErrorsNamePlaceAndRemedy) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   const std::string listen = "listen = \"127.0.0.1:7600\"\n", zone = "zone = \"hall\"\n";
   const std::string keys = "key_file = \"" + place.File("keys") + "\"\n";
   const std::string good = listen + zone + keys;  // lines 2 to 4
@@ -68,7 +68,7 @@
 }
 
 TEST(Settings, EffectiveSettingsRoundTrip) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   const auto file = sidecar::LoadOperatorFile(place.Write(
       "file.toml",
       "[peers]\nlisten = \"127.0.0.1:7600\"\nadvertise = \"127.0.0.1:7700\"\nzone = \"hall\"\nkey_file = \"" +
--- a/tests/gossip/task_fixture.h
+++ b/tests/gossip/task_fixture.h
@@ -2,11 +2,8 @@
 #pragma once
 
 #include <sys/stat.h>
-#include <unistd.h>
 
-#include <atomic>
 #include <chrono>
-#include <filesystem>
 #include <fstream>
 #include <string>
 #include <utility>
@@ -14,24 +11,17 @@
 
 #include "gossip/task.h"
 #include "standins/peers.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::gossip {
 
-namespace fs = std::filesystem;
 using mothrack::testing::Eventually;
 
-// A temporary directory, removed with the object.
-class TemporaryDirectory {
+// A directory for the task's files, with a file "keys" in it.
+class TaskDirectory : public mothrack::testing::TemporaryDirectory {
  public:
-  TemporaryDirectory() {
-    static std::atomic<int> count{0};
-    path_ = fs::temp_directory_path() /
-            ("peers-task-" + std::to_string(::getpid()) + '-' + std::to_string(count++));
-    fs::create_directory(path_);
-    Keys("keys", {'a'});
-  }
-  ~TemporaryDirectory() { fs::remove_all(path_); }
-  std::string File(const std::string& name) const { return path_ / name; }
+  TaskDirectory() : TemporaryDirectory("gossip-task") { Keys("keys", {'a'}); }
+  // A file of mode 0600; its path.
   std::string Write(const std::string& name, const std::string& text) const {
     std::ofstream(File(name)) << text;
     ::chmod(File(name).c_str(), 0600);
@@ -44,12 +34,9 @@
       text += "0123456789abcdef0123456789abcdef0123456789abcdef" + std::string(16, c) + '\n';
     return Write(name, text);
   }
-
- private:
-  fs::path path_;
 };
 
-inline Settings FastSettings(const TemporaryDirectory& place, std::vector<runtime::Endpoint> seeds = {},
+inline Settings FastSettings(const TaskDirectory& place, std::vector<runtime::Endpoint> seeds = {},
                              const std::string& keys = "keys") {
   Settings settings;
   settings.listen = *runtime::ParseEndpoint("127.0.0.1:0");
@@ -66,9 +53,8 @@
 // The event loop side of the task, without an event loop.
 class TaskClient {
  public:
-  TaskClient(const TemporaryDirectory& place, const std::string& name,
-             std::vector<runtime::Endpoint> seeds = {}, const std::string& keys = "keys",
-             Task::TurnHook turn_hook = {})
+  TaskClient(const TaskDirectory& place, const std::string& name, std::vector<runtime::Endpoint> seeds = {},
+             const std::string& keys = "keys", Task::TurnHook turn_hook = {})
       : task(FastSettings(place, std::move(seeds), keys), name, std::move(turn_hook)) {}
   const MembershipSnapshot* Latest() {
     while (auto snapshot = task.snapshots().TryPop()) latest_ = *snapshot;
--- a/tests/gossip/task_test.cpp
+++ b/tests/gossip/task_test.cpp
@@ -21,7 +21,7 @@
 using namespace std::chrono_literals;
 
 TEST(Task, TwoMembersDiscoverEachOtherAndExchangeValues) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   TaskClient a(place, "a");
   TaskClient b(place, "b", {a.task.local()});
   EXPECT_TRUE(Eventually([&] {
@@ -40,7 +40,7 @@
 }
 
 TEST(Task, AMemberThatStopsWithoutLeavingIsDead) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   TaskClient a(place, "a");
   auto b = std::make_unique<TaskClient>(place, "b", std::vector{a.task.local()});
   ASSERT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kAlive); }));
@@ -49,7 +49,7 @@
 }
 
 TEST(Task, AStuckTaskNeitherBlocksTheLoopNorTheStop) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   const auto stuck = std::make_shared<std::atomic<bool>>(false);
   TaskClient a(place, "a", {}, "keys", [stuck] {
     while (*stuck) std::this_thread::sleep_for(1ms);
@@ -70,7 +70,7 @@
 }
 
 TEST(Task, AFailedTaskIsCountedAndTheLoopContinues) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   std::atomic<int> turns{0};
   TaskClient a(place, "a", {}, "keys", [&] {
     if (++turns == 5) throw std::runtime_error("planted");
@@ -81,7 +81,7 @@
 }
 
 TEST(Task, DatagramsOfAnotherKeyAreRejectedUntilKeysAreReloaded) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   place.Keys("others", {'b'});
   TaskClient a(place, "a");
   TaskClient b(place, "b", {a.task.local()}, "others");
@@ -98,7 +98,7 @@
 }
 
 TEST(Task, InvalidDatagramsAreCounted) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   TaskClient a(place, "a");
   boost::asio::io_context io;
   boost::asio::ip::udp::socket stranger(io, boost::asio::ip::udp::v4());
@@ -109,7 +109,7 @@
 }
 
 TEST(Task, StartErrorsNameTheCause) {
-  const TemporaryDirectory place;
+  const TaskDirectory place;
   TaskClient a(place, "a");
   const auto error = [](const Settings& settings, const std::string& name) {
     try {
--- a/tests/hot_restart/stored_fixture_test.cpp
+++ b/tests/hot_restart/stored_fixture_test.cpp
@@ -67,7 +67,7 @@
 TEST(StoredFixture, BansOfTheFormerVersionAreReadWholeAndWrittenWithTheSameBytes) {
   runtime::Logger log("test");
   EXPECT_EQ(ReadBans(kBans, log), FullState().bans);
-  const testing::ScratchFolder folder;
+  const testing::FixtureDirectory folder;
   ASSERT_EQ(WriteBans(folder.File("bans"), FullState().bans), std::nullopt);
   EXPECT_EQ(testing::ReadFixture(folder.File("bans")), testing::ReadFixture(kBans));
 }
--- a/tests/sidecar/ban_storage_test.cpp
+++ b/tests/sidecar/ban_storage_test.cpp
@@ -1,34 +1,17 @@
 // Bans outlive a disk that fails for a while.
 #include <cerrno>
 #include <csignal>
-#include <filesystem>
-#include <stdexcept>
 #include <string>
 
 #include "gtest/gtest.h"
 #include "standins/admin_client.h"
 #include "standins/peers.h"
 #include "support/fault_plan.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::testing {
 namespace {
 
-class ScratchDirectory {
- public:
-  ScratchDirectory() {
-    std::string pattern = "/tmp/mothrack-scratch-XXXXXX";
-    if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("no directory");
-    path_ = pattern;
-  }
-  ~ScratchDirectory() { std::filesystem::remove_all(path_); }
-  ScratchDirectory(const ScratchDirectory&) = delete;
-  ScratchDirectory& operator=(const ScratchDirectory&) = delete;
-  const std::string& path() const { return path_; }
-
- private:
-  std::string path_;
-};
-
 // A ban that the operator API has confirmed holds for the next process too, even if the disk failed at that
 // moment.
 TEST(Bans, OutliveADiskThatFailsForAWhile) {
@@ -38,7 +21,7 @@
   } faults_of_disks[] = {
       {SystemCall::kWrite, ENOSPC}, {SystemCall::kSync, EIO}, {SystemCall::kRename, ENOSPC}};
   for (const auto& fault : faults_of_disks) {
-    const ScratchDirectory directory;
+    const TemporaryDirectory directory;
     FaultPlanFile plan;
     Upstream first(Upstream::Echo("first"));
     Upstream second(Upstream::Echo("second"));
@@ -46,7 +29,7 @@
     options.known = List({Target("u1", first.address()), Target("u2", second.address())});
     options.ops = "127.0.0.1:0";
     options.tmpdir = directory.path();
-    const std::string admin_address = "unix:" + directory.path() + "/admin.sock";
+    const std::string admin_address = "unix:" + directory.File("admin.sock");
     options.operator_file = "[admin]\nlisten = \"" + admin_address + "\"\n";
     options.fault_plan = plan.path();
     {
--- a/tests/simulation/program_test.cpp
+++ b/tests/simulation/program_test.cpp
@@ -12,26 +12,13 @@
 #include "simulation/report.h"
 #include "simulation/simulation_support.h"
 #include "standins/peers.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::simulation {
 namespace {
 
 namespace fs = std::filesystem;
 
-// A temporary directory, removed with the object.
-class TemporaryDirectory {
- public:
-  TemporaryDirectory() {
-    std::string pattern = (fs::temp_directory_path() / "simulation.XXXXXX").string();
-    if (::mkdtemp(pattern.data()) != nullptr) path_ = pattern;
-  }
-  ~TemporaryDirectory() { fs::remove_all(path_); }
-  std::string File(const std::string& name) const { return path_ + '/' + name; }
-
- private:
-  std::string path_;
-};
-
 // Starts the program with its output in `out`; the child's process id.
 pid_t StartProgram(const std::vector<std::string>& arguments, const std::string& out) {
   std::vector<std::string> command = {MOTHRACK_SIM_PROGRAM};
@@ -71,7 +58,7 @@
 }
 
 TEST(Program, ASweepKilledHalfwayGoesOnToTheSameTable) {
-  TemporaryDirectory directory;
+  const testing::TemporaryDirectory directory("simulation");
   ASSERT_EQ(CodeOf(StartProgram(SweepOf(directory.File("whole")), directory.File("whole.out"))), 0);
   const pid_t pid = StartProgram(SweepOf(directory.File("cut")), directory.File("cut.out"));
   ASSERT_TRUE(testing::Eventually([&] {
@@ -91,7 +78,7 @@
 }
 
 TEST(Program, ComparesTheSameSeedsAndDrawsAPage) {
-  TemporaryDirectory directory;
+  const testing::TemporaryDirectory directory("simulation");
   const std::string db = directory.File("db");
   for (const char* label : {"a", "b"}) {
     const std::string hedging = std::string("allow.second_copies=") + (*label == 'a' ? "true" : "false");
@@ -117,7 +104,7 @@
 }
 
 TEST(Program, TellsWhatDidNotHoldByItsExitCodeAndReplays) {
-  TemporaryDirectory directory;
+  const testing::TemporaryDirectory directory("simulation");
   const std::string out = directory.File("out");
   const std::vector<std::string> small = {"--set", "length_s=8", "--set", "fleet.sidecars=8"};
   auto with = [&](std::vector<std::string> arguments) {
--- a/tests/simulation/stored_fixture_test.cpp
+++ b/tests/simulation/stored_fixture_test.cpp
@@ -25,7 +25,7 @@
 }
 
 TEST(StoredFixture, ResultsOfTheFormerVersionAreReadWhole) {
-  const testing::ScratchFolder folder;
+  const testing::FixtureDirectory folder;
   const Results results(folder.CopyOf(kFixture));
   EXPECT_EQ(results.Labels(), kLabels);
   const Scenario scenario = Played();
@@ -44,7 +44,7 @@
 }
 
 TEST(StoredFixture, ResultsAreKeptWithTheSchemaAndRowsOfTheFormerVersion) {
-  const testing::ScratchFolder folder;
+  const testing::FixtureDirectory folder;
   const std::string path = folder.File("new.sqlite");
   const Scenario scenario = Played();
   {
--- a/tests/standins/fleet.cpp
+++ b/tests/standins/fleet.cpp
@@ -8,11 +8,9 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
-#include <cstdlib>
 #include <filesystem>
 #include <fstream>
 #include <sstream>
-#include <stdexcept>
 
 #include "standins/peers.h"
 
@@ -64,9 +62,6 @@
 }  // namespace
 
 Fleet::Fleet(const Options& options) : options_(options) {
-  std::string pattern = (fs::temp_directory_path() / "fleet.XXXXXX").string();
-  if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
-  directory_ = pattern;
   Generation("g1");
   const auto sidecars =
       static_cast<std::size_t>(options_.agents) * static_cast<std::size_t>(options_.instances);
@@ -126,8 +121,6 @@
       ::close(lock);
     }
   }
-  std::error_code ignored;
-  fs::remove_all(directory_, ignored);
 }
 
 std::string Fleet::DirectoryOf(int agent, int instance) const {
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -12,6 +12,7 @@
 #include <vector>
 
 #include "nlohmann/json.hpp"
+#include "support/temporary_directory.h"
 
 namespace mothrack::testing {
 
@@ -54,7 +55,7 @@
 
   // A generation's files, with a remark in them; `fault`: such that the check refuses it.
   std::string Generation(const std::string& remark, bool fault = false) const;
-  std::string path(const std::string& name) const { return directory_ + '/' + name; }
+  std::string path(const std::string& name) const { return directory_.File(name); }
   // Where the sidecars listen, agent by agent.
   const std::vector<std::uint16_t>& ports() const { return ports_; }
   std::string DirectoryOf(int agent, int instance) const;
@@ -67,7 +68,7 @@
               std::optional<std::uint64_t> file_bytes = std::nullopt) const;
 
   const Options options_;
-  std::string directory_;
+  const TemporaryDirectory directory_{"fleet"};
   std::map<int, pid_t> agents_;
   std::vector<std::uint16_t> ports_;
   std::shared_ptr<void> reserved_ports_;  // as long as this lives
--- a/tests/support/fixtures.h
+++ b/tests/support/fixtures.h
@@ -3,7 +3,6 @@
 #pragma once
 
 #include <gtest/gtest.h>
-#include <unistd.h>
 
 #include <filesystem>
 #include <fstream>
@@ -15,6 +14,8 @@
 #include <utility>
 #include <vector>
 
+#include "support/temporary_directory.h"
+
 namespace mothrack::testing {
 
 // A whole file's bytes. Throws std::runtime_error where it can't be read.
@@ -110,22 +111,11 @@
   std::map<std::string, std::string> sections_;
 };
 
-// A folder of the test's own, gone with it, readable by nobody else.
-class ScratchFolder {
+// A directory of a test that compares with fixtures.
+class FixtureDirectory : public TemporaryDirectory {
  public:
-  ScratchFolder() {
-    std::string pattern = (std::filesystem::temp_directory_path() / "fixture.XXXXXX").string();
-    if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
-    path_ = pattern;
-  }
-  ~ScratchFolder() {
-    std::error_code ignored;
-    std::filesystem::remove_all(path_, ignored);
-  }
-  ScratchFolder(const ScratchFolder&) = delete;
-  ScratchFolder& operator=(const ScratchFolder&) = delete;
+  FixtureDirectory() : TemporaryDirectory("fixture") {}
 
-  std::string File(const std::string& name) const { return path_ + '/' + name; }
   // A copy with mode 0600, as the fixture itself must not be written to.
   std::string CopyOf(const std::string& fixture) const {
     const std::string copy = File(std::filesystem::path(fixture).filename());
@@ -134,9 +124,6 @@
                                  std::filesystem::perms::owner_read | std::filesystem::perms::owner_write);
     return copy;
   }
-
- private:
-  std::string path_;
 };
 
 }  // namespace mothrack::testing
