--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -12,6 +12,7 @@
 #include <algorithm>
 #include <filesystem>
 #include <fstream>
+#include <ranges>
 #include <sstream>
 #include <stdexcept>
 #include <thread>
@@ -27,6 +28,7 @@
 using std::chrono::milliseconds;
 using Clock = std::chrono::steady_clock;
 
+constexpr int kMaxPrintedLines = 10;
 constexpr int kMaxPortAttempts = 5;  // at ports, where one was taken meanwhile
 constexpr const char* kDiscoveryEndpoint =
     "discovery";  // in no zone: whatever is cut off, it stays with those that are not
@@ -57,14 +59,17 @@
 
 }  // namespace
 
+std::string FirstLines(const std::vector<std::string>& lines) {
+  std::string text;
+  for (const std::string& line : lines | std::views::take(kMaxPrintedLines)) text += line + '\n';
+  return text;
+}
+
 // Whole before anything is started, so that its destructor ends what was, whatever fails.
 TestCluster::TestCluster(const Options& options) : TestCluster(options, Made{}) { StartAll(Select("*")); }
 
 TestCluster::TestCluster(const Options& options, Made)
     : options_(options), relay_(std::make_unique<FaultyRelay>(options.seed)) {
-  std::string pattern = (fs::temp_directory_path() / "hall.XXXXXX").string();
-  if (::mkdtemp(pattern.data()) == nullptr) throw std::runtime_error("mkdtemp");
-  directory_ = pattern;
   fs::create_directories(path("g1"));
   std::ofstream(path("g1") + "/nothing") << "an agent has to have a generation\n";
   const json config = {{"name", "n"},
@@ -122,8 +127,6 @@
   for (const auto& [name, process] : processes_) {
     if (process.agent) EndInstance(process);
   }
-  std::error_code ignored;
-  fs::remove_all(directory_, ignored);
 }
 
 std::vector<TestCluster::Process*> TestCluster::Select(const std::string& selector) {
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -20,9 +20,13 @@
 #include "standins/peers.h"
 #include "standins/traffic.h"
 #include "standins/traffic_record.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::testing {
 
+// The first lines of a list, each ended, to be printed beside a failure.
+std::string FirstLines(const std::vector<std::string>& lines);
+
 class TestCluster {
  public:
   struct Options {
@@ -94,7 +98,7 @@
   // Discovery reports a restart: the upstream is in slow start, and does `per_s` requests a second after it.
   void AnnounceRestart(const std::string& upstream, double per_s);
 
-  std::string path(const std::string& name) const { return directory_ + '/' + name; }
+  std::string path(const std::string& name) const { return directory_.File(name); }
   std::string Log(const std::string& name) const;
 
  private:
@@ -127,7 +131,7 @@
   void RecordNotified(const Process& sidecar);  // it knows the upstreams from now on
 
   const Options options_;
-  std::string directory_;
+  const TemporaryDirectory directory_{"cluster"};
   std::unique_ptr<FaultyRelay> relay_;
   Runs ran_;
   TrafficRecord record_;
