--- a/tests/standins/faulty_relay.h
+++ b/tests/standins/faulty_relay.h
@@ -36,8 +36,8 @@
 
 class FaultyRelay {
  public:
-  using Faults = relay::Faults;
-  using Counts = relay::Counts;
+  using Faults = relay::Faults;  // of one link; the defaults are none
+  using Counts = relay::Counts;  // of one link, or the sum of several
 
   explicit FaultyRelay(std::uint64_t seed = 1);
   ~FaultyRelay();
