--- a/tests/admin/admin_access_test.cpp
+++ b/tests/admin/admin_access_test.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 TEST(AdminApi, AddressNeedsTheTokenAndNeverShowsIt) {
-  const Place place;
+  const AdminDirectory place;
   const std::string token = "5f1c0a7e9b3d48265f1c0a7e9b3d4826";
   Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + place.Token(token) + "\"\n")));
   const std::string address = AdminAddressOf(node);
@@ -39,7 +39,7 @@
 }
 
 TEST(AdminApi, IdleConnectionsDoNotBlockIt) {
-  const Place place;
+  const AdminDirectory place;
   Node node(Dns(Resolvers(1) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(node), place.address());
   const AdminClient admin(place.address());
@@ -55,7 +55,7 @@
 }
 
 TEST(AdminApi, PollingTooOftenIsRejectedUnlookedAt) {
-  const Place place;
+  const AdminDirectory place;
   Node node(Dns(Resolvers(1) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(node), place.address());
   const AdminClient admin(place.address());
@@ -74,7 +74,7 @@
 }
 
 TEST(AdminApi, ReplacesAStaleSocketButNothingElse) {
-  const Place place;
+  const AdminDirectory place;
   const std::string file = Resolvers(1) + At(place.address());
   {
     Node killed(Dns(file));
@@ -100,7 +100,7 @@
 }
 
 TEST(AdminSettings, TokenFileMustBeGoodAndPrivate) {
-  const Place place;
+  const AdminDirectory place;
   const auto error_of = [&](const std::string& token_file) {
     Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + token_file + "\"\n")));
     EXPECT_EQ(node.Wait(), 1);
--- a/tests/admin/admin_commands_test.cpp
+++ b/tests/admin/admin_commands_test.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 TEST(AdminApi, ReloadAppliesAGoodFileAndNamesTheFaultOfABadOne) {
-  const Place place;
+  const AdminDirectory place;
   const std::string admin_section = At(place.address());
   Node node(Dns(Resolvers(1) + admin_section));
   ASSERT_EQ(AdminAddressOf(node), place.address());  // opens behind DNS
@@ -43,7 +43,7 @@
 }
 
 TEST(AdminApi, DrainIsThePlannedStopAndIsReportedMeanwhile) {
-  const Place place;
+  const AdminDirectory place;
   Node node(Dns(Resolvers(1) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(node), place.address());  // opens behind DNS
   const AdminClient admin(place.address());
@@ -59,7 +59,7 @@
 }
 
 TEST(AdminApi, UnknownCommandsAreRejectedAndLogged) {
-  const Place place;
+  const AdminDirectory place;
   Node node(Dns(Resolvers(1) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(node), place.address());
   const AdminClient admin(place.address());
--- a/tests/admin/admin_fixture.h
+++ b/tests/admin/admin_fixture.h
@@ -2,30 +2,22 @@
 #pragma once
 
 #include <sys/stat.h>
-#include <unistd.h>
 
-#include <atomic>
 #include <filesystem>
 #include <fstream>
 #include <string>
 
 #include "standins/peers.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::testing {
 
 namespace fs = std::filesystem;
 
-// A temporary directory, removed with the object.
-class Place {
+// A directory for the API's socket and token.
+class AdminDirectory : public TemporaryDirectory {
  public:
-  Place() {
-    static std::atomic<int> count{0};
-    path_ = fs::temp_directory_path() /
-            ("mothrack-admin-" + std::to_string(::getpid()) + "-" + std::to_string(count++));
-    fs::create_directory(path_);
-  }
-  ~Place() { fs::remove_all(path_); }
-  std::string File(const std::string& name) const { return path_ / name; }
+  AdminDirectory() : TemporaryDirectory("admin") {}
   std::string socket() const { return File("admin.sock"); }
   std::string address() const { return "unix:" + socket(); }
   std::string Token(const std::string& token, mode_t mode = 0600) const {
@@ -33,9 +25,6 @@
     ::chmod(File("token").c_str(), mode);
     return File("token");
   }
-
- private:
-  fs::path path_;
 };
 
 inline std::string At(const std::string& listen, const std::string& more = "") {
--- a/tests/admin/admin_status_test.cpp
+++ b/tests/admin/admin_status_test.cpp
@@ -19,7 +19,7 @@
 namespace {
 
 TEST(AdminApi, ReportsTheProcessTheConfigurationAndTheUpstreams) {
-  const Place place;
+  const AdminDirectory place;
   Upstream upstream(Upstream::Echo("u"));
   Node node(Http(At(place.address()),
                  List({Target("u1", upstream.address()), Target("u2", "127.0.0.1:9", "leaving")})));
@@ -66,7 +66,7 @@
   Node node(Dns(Resolvers(1)));
   ASSERT_TRUE(node.DnsListening());
   const int without = node.descriptors();
-  const Place place;
+  const AdminDirectory place;
   Node with(Dns(Resolvers(1) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(with), place.address());
   EXPECT_EQ(with.descriptors(), without + 1);
@@ -74,7 +74,7 @@
 }
 
 TEST(AdminApi, CountsRequestsInFlightRejectedFailedAndDisconnected) {
-  const Place place;
+  const AdminDirectory place;
   std::atomic<bool> answers{false};
   Upstream upstream([&](Wire& wire, const Request&, int) {
     Eventually([&] { return answers.load(); });
@@ -111,7 +111,7 @@
 }
 
 TEST(AdminApi, ReportsWhichUpstreamIsEjectedUntilWhenAndWhy) {
-  const Place place;
+  const AdminDirectory place;
   StandinResolver dead([](StandinResolver::Turn& turn) {
     AnswerSpec spec;
     spec.rcode = 2;
@@ -144,7 +144,7 @@
 }
 
 TEST(AdminApi, PagesThroughManyUpstreams) {
-  const Place place;
+  const AdminDirectory place;
   Node node(Dns(Resolvers(250) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(node), place.address());
   const AdminClient admin(place.address());
--- a/tests/discovery/discovery_process_test.cpp
+++ b/tests/discovery/discovery_process_test.cpp
@@ -6,7 +6,6 @@
 #include <chrono>
 #include <csignal>
 #include <cstddef>
-#include <filesystem>
 #include <future>
 #include <memory>
 #include <string>
@@ -14,6 +13,7 @@
 
 #include "gtest/gtest.h"
 #include "standins/peers.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::testing {
 namespace {
@@ -251,15 +251,13 @@
     wire.ReadsEnd();
   });
   Upstream turning([](Wire& wire, const Request&, int) { wire.Answer(503, "overbooked"); });
-  const auto directory =
-      std::filesystem::temp_directory_path() / ("mothrack-ready-" + std::to_string(::getpid()));
-  std::filesystem::create_directory(directory);
+  const TemporaryDirectory directory("ready");
   for (const std::string& discovery :
        {hole.address(), refusing.address(), dripping.address(), turning.address()}) {
     for (const bool on_request : {false, true}) {
       for (const json& known : {json(nullptr), List({Target("u1", hole.address())})}) {
         Node::Options options = With(discovery, known, on_request);
-        options.tmpdir = directory;
+        options.tmpdir = directory.path();
         for (int start = 0; start < 2; ++start) {
           const auto begun = steady_clock::now();
           Node node(options);
@@ -276,7 +274,6 @@
       }
     }
   }
-  std::filesystem::remove_all(directory);
 }
 
 }  // namespace
--- a/tests/sidecar/upgrade_test.cpp
+++ b/tests/sidecar/upgrade_test.cpp
@@ -18,30 +18,22 @@
 #include "gtest/gtest.h"
 #include "standins/admin_client.h"
 #include "standins/peers.h"
+#include "support/temporary_directory.h"
 
 namespace mothrack::testing {
 namespace {
 
-// What two processes share.
-class SharedDirectory {
+// The state directory that two processes share.
+class SharedDirectory : public TemporaryDirectory {
  public:
-  SharedDirectory() {
-    static std::atomic<int> count{0};
-    path_ = std::filesystem::temp_directory_path() /
-            ("mothrack-shared-" + std::to_string(::getpid()) + "-" + std::to_string(count++));
-    std::filesystem::create_directory(path_);
-  }
-  ~SharedDirectory() { std::filesystem::remove_all(path_); }
-  std::string path() const { return path_; }
+  SharedDirectory() : TemporaryDirectory("shared") {}
+  // The file with the bans; empty where there is none.
   std::string Bans() const {
-    for (const auto& entry : std::filesystem::directory_iterator(path_)) {
+    for (const auto& entry : std::filesystem::directory_iterator(path())) {
       if (entry.path().extension() == ".bans") return entry.path();
     }
     return {};
   }
-
- private:
-  std::filesystem::path path_;
 };
 
 Node::Options In(const SharedDirectory& shared, const json& known) {
--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -29,7 +29,8 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int kMaxPrintedLines = 10;
-constexpr int kMaxPortAttempts = 5;  // at ports, where one was taken meanwhile
+constexpr int kMaxPortAttempts = 5;         // at ports, where one was taken meanwhile
+constexpr milliseconds kDefaultProbe{500};  // of [peers]; the other defaults there go with it
 constexpr const char* kDiscoveryEndpoint =
     "discovery";  // in no zone: whatever is cut off, it stays with those that are not
 
@@ -55,6 +56,40 @@
   }
 }
 
+// Of "host:port".
+std::uint16_t PortOf(const std::string& address) {
+  return static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1)));
+}
+
+// As execve(2) takes them, with a null pointer behind the last; valid while `texts` is.
+std::vector<char*> PointersTo(std::vector<std::string>& texts) {
+  std::vector<char*> pointers;
+  for (std::string& text : texts) pointers.push_back(text.data());
+  pointers.push_back(nullptr);
+  return pointers;
+}
+
+// A child process whose output is appended to `log`. It is killed with the process that started it.
+pid_t StartProcess(std::vector<std::string> command, std::vector<std::string> environment,
+                   const std::string& log) {
+  // All that allocates comes before the fork: another thread may hold the allocator's lock.
+  const std::vector<char*> argv = PointersTo(command);
+  const std::vector<char*> envp = PointersTo(environment);
+  const int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
+  const pid_t parent = ::getpid();
+  const pid_t child = ::fork();
+  if (child == 0) {
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);
+    if (::getppid() != parent) ::_exit(126);
+    ::dup2(fd, 1);
+    ::dup2(fd, 2);
+    ::execve(argv[0], argv.data(), envp.data());
+    ::_exit(127);
+  }
+  ::close(fd);
+  return child;
+}
+
 std::string Loopback(std::uint16_t port) { return "127.0.0.1:" + std::to_string(port); }
 
 }  // namespace
@@ -70,6 +105,20 @@
 
 TestCluster::TestCluster(const Options& options, Made)
     : options_(options), relay_(std::make_unique<FaultyRelay>(options.seed)) {
+  WriteSharedFiles();
+  relay_->AddEndpoint(kDiscoveryEndpoint, {});
+  for (const std::string& zone : options_.zones) {
+    for (int i = 0; i < options_.upstreams; ++i) AddUpstream(zone, zone + "-u" + std::to_string(i));
+  }
+  for (int i = 0; i < options_.sidecars; ++i) AddProcess(false, i);
+  for (int i = 0; i < options_.agents; ++i) AddProcess(true, i);
+  for (auto& [name, process] : processes_) {
+    SetKeys(name, {Key(0)});
+    if (!process.agent) ConnectThroughRelay(process);
+  }
+}
+
+void TestCluster::WriteSharedFiles() const {
   fs::create_directories(path("g1"));
   std::ofstream(path("g1") + "/nothing") << "an agent has to have a generation\n";
   const json config = {{"name", "n"},
@@ -77,47 +126,43 @@
                        {"limits", {{"cores", 1.0}, {"memory_mb", 64}, {"sockets", 256}}},
                        {"settings", Settings()}};
   std::ofstream(path("config.json")) << config.dump();
+}
 
-  relay_->AddEndpoint(kDiscoveryEndpoint, {});
-  for (const std::string& zone : options_.zones) {
-    for (int i = 0; i < options_.upstreams; ++i) {
-      const std::string name = zone + "-u" + std::to_string(i);
-      relay_->AddEndpoint(name, {zone, "upstreams"});
-      const auto run = [this, server = upstreams_.size(), handler = ran_.Handler()](
-                           Wire& wire, const Request& request, int number) {
-        const std::string target(request.target());
-        record_.RequestStarted(server, std::string_view(target).substr(target.rfind('/') + 1), Clock::now());
-        handler(wire, request, number);
-      };
-      upstreams_.push_back({name, zone, "active", 0, std::make_unique<Upstream>(run)});
-    }
-  }
-  const auto add = [&](const std::string& kind, int number) {
-    Process process;
-    process.agent = kind == "a";
-    process.number = static_cast<std::size_t>(number);
-    process.name = kind + std::to_string(number);
-    const auto zones = static_cast<int>(options_.zones.size());
-    process.zone = options_.zones[static_cast<std::size_t>(number % zones)];
-    process.machine = process.zone + '-' + std::to_string(number / zones);
-    process.udp = FreePort();
-    process.tcp = FreePort();
-    relay_->AddEndpoint(process.name, {process.zone, process.machine, process.agent ? "agents" : "sidecars"},
-                        process.udp);
-    processes_[process.name] = std::move(process);
+void TestCluster::AddUpstream(const std::string& zone, const std::string& name) {
+  relay_->AddEndpoint(name, {zone, "upstreams"});
+  const auto run = [this, server = upstreams_.size(), handler = ran_.Handler()](
+                       Wire& wire, const Request& request, int number) {
+    const std::string target(request.target());
+    record_.RequestStarted(server, std::string_view(target).substr(target.rfind('/') + 1), Clock::now());
+    handler(wire, request, number);
   };
-  for (int i = 0; i < options_.sidecars; ++i) add("s", i);
-  for (int i = 0; i < options_.agents; ++i) add("a", i);
-  for (auto& [name, process] : processes_) {
-    SetKeys(name, {Key(0)});
-    if (process.agent) continue;
-    for (const UpstreamEntry& served : upstreams_) {
-      const std::string address = served.upstream->address();
-      const auto port = static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1)));
-      process.relay_ports[served.name] = relay_->AddTcpPort(name, served.name, port);
-    }
-    process.discovery = std::make_unique<Discovery>(ListFor(process));
+  upstreams_.push_back({name, zone, "active", 0, std::make_unique<Upstream>(run)});
+}
+
+void TestCluster::AddProcess(bool agent, int number) {
+  const auto zones = static_cast<int>(options_.zones.size());
+  Process process;
+  process.agent = agent;
+  process.number = static_cast<std::size_t>(number);
+  process.name = (agent ? "a" : "s") + std::to_string(number);
+  process.zone = options_.zones[static_cast<std::size_t>(number % zones)];
+  process.machine = process.zone + '-' + std::to_string(number / zones);
+  process.udp = FreePort();
+  process.tcp = FreePort();
+  relay_->AddEndpoint(process.name, {process.zone, process.machine, agent ? "agents" : "sidecars"},
+                      process.udp);
+  processes_[process.name] = std::move(process);
+}
+
+// A sidecar reaches upstreams and discovery by ports of the relay.
+void TestCluster::ConnectThroughRelay(Process& sidecar) {
+  for (const UpstreamEntry& entry : upstreams_) {
+    sidecar.relay_ports[entry.name] =
+        relay_->AddTcpPort(sidecar.name, entry.name, PortOf(entry.upstream->address()));
   }
+  sidecar.discovery = std::make_unique<Discovery>(ListFor(sidecar));
+  sidecar.relay_ports[kDiscoveryEndpoint] =
+      relay_->AddTcpPort(sidecar.name, kDiscoveryEndpoint, PortOf(sidecar.discovery->address()));
 }
 
 TestCluster::~TestCluster() {
@@ -220,9 +265,10 @@
   }
 }
 
-void TestCluster::WriteFiles(const Process& process) const {
-  const auto scaled = [&](int of_500) {
-    return std::max<std::int64_t>(options_.probe.count() * of_500 / 500, 10);
+// The section [peers], with intervals scaled to the probe interval of the options.
+std::string TestCluster::PeersSection(const Process& process) const {
+  const auto scaled = [&](int of_default) {
+    return std::max<std::int64_t>(options_.probe.count() * of_default / kDefaultProbe.count(), 10);
   };
   std::ostringstream peers;
   peers << "[peers]\nlisten = \"" << Loopback(process.udp) << "\"\nadvertise = \""
@@ -232,8 +278,8 @@
         << "\ngossip_ms = " << std::max<std::int64_t>(scaled(100), 20)
         << "\ndigest_ms = " << std::max<std::int64_t>(scaled(1000), 100) << "\n";
   // The bound on datagrams is by second, and rounds are shorter.
-  peers << "datagrams_per_s = " << std::min<std::int64_t>(40 * 500 / options_.probe.count(), 1000)
-        << "\nseeds = [";
+  peers << "datagrams_per_s = "
+        << std::min<std::int64_t>(40 * kDefaultProbe.count() / options_.probe.count(), 1000) << "\nseeds = [";
   // One of each zone, so that every part of a fleet that was cut finds back.
   bool first = true;
   for (std::size_t i = 0; i < options_.zones.size(); ++i) {
@@ -243,13 +289,16 @@
     first = false;
   }
   peers << "]\n" << options_.peers;
+  return peers.str();
+}
 
-  const std::string section = options_.with_peers ? peers.str() : "";
+void TestCluster::WriteFile(const Process& process) const {
+  const std::string peers = options_.with_peers ? PeersSection(process) : "";
   std::ofstream file(path(process.name + ".toml"));
   if (!process.agent) {
     file << "name = \"" << process.name << "\"\n[admin]\nlisten = \"unix:" << path(process.name + ".sock")
          << "\"\n"
-         << section << options_.operator_file;
+         << peers << options_.operator_file;
     return;
   }
   // An agent has to have an instance; this one does nothing and ends by itself.
@@ -257,49 +306,34 @@
        << "\"\nlisten = \"unix:" << path(process.name + ".sock") << "\"\ndirectory = \"" << path(process.name)
        << "\"\n[limits]\nfirst_pause_ms = 1000\n[generations]\ng1 = \"" << path("g1") << "\"\n"
        << "[[instance]]\nname = \"idle\"\ncommand = [\"/bin/sleep\", \"600\"]\ngeneration = \"g1\"\n"
-       << section << options_.agent_file;
+       << peers << options_.agent_file;
 }
 
-void TestCluster::Spawn(Process& process) {
-  WriteFiles(process);
-  std::vector<std::string> words = {process.agent ? MOTHRACK_AGENT : MOTHRACK_PROGRAM};
-  if (!process.agent) words.push_back("--config");
-  words.push_back(path(process.name + ".toml"));
+std::vector<std::string> TestCluster::CommandOf(const Process& process) const {
+  const std::string file = path(process.name + ".toml");
+  if (process.agent) return {MOTHRACK_AGENT, file};
+  return {MOTHRACK_PROGRAM, "--config", file};
+}
+
+// The test's own environment but for the platform's variables, which each sidecar gets for itself.
+std::vector<std::string> TestCluster::EnvironmentOf(const Process& process) const {
   std::vector<std::string> variables;
   for (char** entry = environ; *entry != nullptr; ++entry) {
-    if (std::string_view(*entry).substr(0, 3) != "LB_") variables.emplace_back(*entry);
-  }
-  if (!process.agent) {
-    variables.push_back("LB_NAME=" + process.name);
-    variables.push_back("LB_LISTEN=" + Loopback(process.tcp));
-    const std::string discovery = process.discovery->address();
-    const auto port = static_cast<std::uint16_t>(std::stoi(discovery.substr(discovery.find(':') + 1)));
-    if (!process.relay_ports.contains(kDiscoveryEndpoint))
-      process.relay_ports[kDiscoveryEndpoint] = relay_->AddTcpPort(process.name, kDiscoveryEndpoint, port);
-    variables.push_back("LB_DISCOVERY=" + Loopback(process.relay_ports.at(kDiscoveryEndpoint)));
-    variables.push_back("LB_CONFIG=" + path("config.json"));
+    if (!std::string_view(*entry).starts_with("LB_")) variables.emplace_back(*entry);
   }
-  std::vector<char*> argv;
-  std::vector<char*> envp;
-  for (std::string& word : words) argv.push_back(word.data());
-  for (std::string& variable : variables) envp.push_back(variable.data());
-  argv.push_back(nullptr);
-  envp.push_back(nullptr);
+  if (process.agent) return variables;
+  variables.push_back("LB_NAME=" + process.name);
+  variables.push_back("LB_LISTEN=" + Loopback(process.tcp));
+  variables.push_back("LB_DISCOVERY=" + Loopback(process.relay_ports.at(kDiscoveryEndpoint)));
+  variables.push_back("LB_CONFIG=" + path("config.json"));
+  return variables;
+}
+
+void TestCluster::Spawn(Process& process) {
+  WriteFile(process);
   const std::string log = path(process.name + ".log");
   process.log_from = ReadAll(log).size();
-  const int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
-  const pid_t parent = ::getpid();
-  process.pid = ::fork();
-  if (process.pid == 0) {
-    // A test that is killed takes its fleet with it.
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);
-    if (::getppid() != parent) ::_exit(126);
-    ::dup2(fd, 1);
-    ::dup2(fd, 2);
-    ::execve(argv[0], argv.data(), envp.data());
-    ::_exit(127);
-  }
-  ::close(fd);
+  process.pid = StartProcess(CommandOf(process), EnvironmentOf(process), log);
   if (!process.agent) RecordNotified(process);
 }
 
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -123,7 +123,14 @@
   std::vector<Process*> Select(const std::string& selector);
   const Process& At(const std::string& name) const;
   nlohmann::json ListFor(const Process& process) const;
-  void WriteFiles(const Process& process) const;
+  void WriteSharedFiles() const;
+  void AddUpstream(const std::string& zone, const std::string& name);
+  void AddProcess(bool agent, int number);
+  void ConnectThroughRelay(Process& sidecar);
+  std::string PeersSection(const Process& process) const;
+  void WriteFile(const Process& process) const;  // its configuration
+  std::vector<std::string> CommandOf(const Process& process) const;
+  std::vector<std::string> EnvironmentOf(const Process& process) const;
   void Spawn(Process& process);
   bool WaitUntilListening(Process& process);  // waits until it listens; false where it has ended
   void StartAll(const std::vector<Process*>& processes);
