--- a/src/agent/generation_store.cpp
+++ b/src/agent/generation_store.cpp
@@ -103,9 +103,9 @@
     const std::string path = (fs::path(temporary) / name).string();
     if (!WriteFileDurably(path, text)) return DiskError(path, std::strerror(errno));
   }
-  if (const std::string fault = check_(generation, temporary); !fault.empty()) {
+  if (const auto check_error = check_(generation, temporary)) {
     fs::remove_all(temporary, error);
-    return GenerationError{Cause::kCheckFailed, generation + ": " + fault};
+    return GenerationError{Cause::kCheckFailed, check_error->Message()};
   }
   if (!SyncDirectory(temporary)) return DiskError(temporary, std::strerror(errno));
   fs::rename(temporary, target, error);
--- a/src/agent/generation_store.h
+++ b/src/agent/generation_store.h
@@ -10,6 +10,8 @@
 #include <string>
 #include <vector>
 
+#include "agent/generation_check.h"
+
 namespace mothrack::agent {
 
 // Why a generation was not stored.
@@ -19,7 +21,7 @@
     kInvalidFiles,    // none, too many, too long, or one with an invalid name
     kOtherFiles,      // there is a generation of this name with other files
     kTooMany,         // kMaxGenerations are stored
-    kCheckFailed,     // the operator's check rejects the files
+    kCheckFailed,     // the files did not pass the operator's check
     kDiskWriteFailed  // ENOSPC, EDQUOT, EIO, ...; the message has errno's text. Nothing is stored
   };
   Cause cause = Cause::kInvalidName;
@@ -30,9 +32,9 @@
  public:
   // File name to text.
   using Files = std::map<std::string, std::string>;
-  // Checks the files of a generation in a directory; returns what is wrong with them, for the operator.
-  // Empty: nothing.
-  using Check = std::function<std::string(const std::string& generation, const std::string& directory)>;
+  // Checks the files of a generation in a directory. Nothing: they are good.
+  using Check =
+      std::function<std::optional<CheckError>(const std::string& generation, const std::string& directory)>;
 
   static constexpr std::size_t kMaxGenerations = 32;
   static constexpr std::size_t kMaxFiles = 32;  // of a generation
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -12,6 +12,7 @@
 
 #include "agent/child_process.h"
 #include "agent/posix_io.h"
+#include "agent/rendered_files.h"
 #include "agent/sidecar_status.h"
 
 namespace mothrack::agent {
@@ -43,6 +44,10 @@
   rollout::TimePoint next_log_check_at{};
 
   std::string PathOf(const char* name) const { return directory + '/' + name; }
+  // Where a generation's files are as the instance gets them.
+  std::string FilesDirectory(const std::string& generation) const {
+    return PathOf("files") + '/' + generation;
+  }
   // What is replaced in its command, environment and files, where a generation's files lie in `files`.
   std::map<std::string, std::string> Placeholders(const std::string& files) const {
     return {{"instance", spec.name}, {"directory", directory}, {"generation", files}};
@@ -199,49 +204,33 @@
   }
 }
 
-std::string ProcessSupervisor::RenderFiles(const ManagedInstance& instance, const std::string& generation,
-                                           const std::string& from) {
-  const std::string to = instance.PathOf("files") + '/' + generation;
-  std::error_code error;
-  fs::create_directories(to, error);
-  for (fs::directory_iterator it(from, error), end; !error && it != end; it.increment(error)) {
-    const std::string name = it->path().filename().string();
-    const std::string text = Substitute(ReadFile(it->path()), instance.Placeholders(to));
-    if (!WriteFileDurably((fs::path(to) / name).string(), text)) return {};
-  }
-  return error ? std::string() : to;
-}
-
-std::string ProcessSupervisor::CheckGeneration(const std::string& generation,
-                                               const std::string& directory) const {
-  if (check_.empty() || instances_.empty()) return {};
+std::optional<CheckError> ProcessSupervisor::CheckGeneration(const std::string& generation,
+                                                             const std::string& directory) const {
+  if (check_.empty() || instances_.empty()) return std::nullopt;
   const ManagedInstance& instance = *instances_.begin()->second;
-  const std::string files = RenderFiles(instance, ".check-" + generation, directory);
-  if (files.empty()) return "can't be checked: its files can't be written";
-  const CommandResult result = RunCommand(SubstituteAll(check_, instance.Placeholders(files)),
-                                          static_cast<int>(limits_.check_timeout.count()));
-  if (result.outcome == CommandResult::Outcome::kNotStarted) {
-    return std::string("can't be checked: ") + std::strerror(result.error);
+  const std::string files = instance.FilesDirectory(".check-" + generation);
+  const auto placeholders = instance.Placeholders(files);
+  if (RenderFiles(generation, directory, files, placeholders)) {
+    return CheckError{CheckError::Cause::kFilesNotWritten, generation};
+  }
+  const CommandResult result =
+      RunCommand(SubstituteAll(check_, placeholders), static_cast<int>(limits_.check_timeout.count()));
+  if (result.outcome != CommandResult::Outcome::kNotStarted) {
+    std::error_code ignored;
+    fs::remove_all(files, ignored);
   }
-  std::error_code ignored;
-  fs::remove_all(files, ignored);
-  if (result.outcome == CommandResult::Outcome::kTimedOut) return "its check did not end in time";
-  if (result.outcome == CommandResult::Outcome::kSucceeded) return {};
-  return "its check says: " + (result.output.empty()
-                                   ? "nothing, and failed"
-                                   : result.output.substr(0, CommandResult::kMaxOutputBytes));
+  return CheckErrorFrom(generation, result);
 }
 
 void ProcessSupervisor::Start(ManagedInstance& instance, const rollout::Action& action) {
   if (instance.process.running()) return;
   const std::string& name = instance.spec.name;
-  const std::string files =
-      RenderFiles(instance, action.generation, generations_.DirectoryOf(action.generation));
-  if (files.empty()) {
-    return log_.Error("process_not_started",
-                      {{"instance", name}, {"cause", "no files of " + action.generation}});
-  }
+  const std::string files = instance.FilesDirectory(action.generation);
   const auto placeholders = instance.Placeholders(files);
+  if (const auto error =
+          RenderFiles(action.generation, generations_.DirectoryOf(action.generation), files, placeholders)) {
+    return log_.Error("process_not_started", {{"instance", name}, {"cause", error->Message()}});
+  }
   LaunchSpec launch;
   launch.arguments = SubstituteAll(instance.spec.command, placeholders);
   for (const auto& [variable, value] : instance.spec.environment) {
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -20,6 +20,7 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -98,11 +99,9 @@
   void NotifyStateChange() const;
   void Start(ManagedInstance& instance, const rollout::Action& action);
   void BoundLog(const ManagedInstance& instance) const;
-  // Writes a generation's files as the instance gets them; returns their directory, empty: writing failed.
-  static std::string RenderFiles(const ManagedInstance& instance, const std::string& generation,
-                                 const std::string& from);
   // Runs the operator's check, see GenerationStore::Check.
-  std::string CheckGeneration(const std::string& generation, const std::string& directory) const;
+  std::optional<CheckError> CheckGeneration(const std::string& generation,
+                                            const std::string& directory) const;
 
   boost::asio::io_context& io_;
   const std::string directory_;
--- a/src/ctl/command_resume.cpp
+++ b/src/ctl/command_resume.cpp
@@ -49,7 +49,7 @@
   const auto [plan, code] = FetchOpenPlan(session, TakeSnapshot(session.driver()));
   if (!plan) return code;
   const auto outcome = session.driver().Close(*plan, session.OperatorName());
-  if (!outcome.refused.empty()) return Fail(kRefused, outcome.refused);
+  if (outcome.refused) return Fail(kRefused, outcome.refused->Message());
   std::cout << plan->id << " closed as it stands; no step is undone" << std::endl;
   return PrintLeftOpen(outcome) ? kUnreachable : kDone;
 }
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -43,12 +43,12 @@
   const Lease lease = AcquireLease(plan, holder, resuming);
   Outcome outcome;
   outcome.refused = lease.refused;
-  if (!outcome.refused.empty()) return outcome;
+  if (outcome.refused) return outcome;
   rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
   RunChange(change, lease.epoch, holder.claim_id);
   outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
-  outcome.why = change.end() ? change.reason() : "interrupted; what was taken is finished by the agents";
-  if (!change.end()) say_(plan.id + " held: " + outcome.why);
+  // A change that has ended said so itself, with its reason.
+  if (!change.end()) say_(plan.id + " held: interrupted; what was taken is finished by the agents");
   const bool close = outcome.end != rollout::ChangeEnd::kHeld;
   const auto missing = Release(lease.epoch, holder.claim_id, close);
   if (close) outcome.left_open = missing;
@@ -60,7 +60,7 @@
   const Lease lease = AcquireLease(plan, holder, true);
   Outcome outcome;
   outcome.refused = lease.refused;
-  if (!outcome.refused.empty()) return outcome;
+  if (outcome.refused) return outcome;
   outcome.end = rollout::ChangeEnd::kAborted;
   outcome.left_open = Release(lease.epoch, holder.claim_id, true);
   return outcome;
@@ -80,8 +80,8 @@
   const rollout::Plan& plan;
   const rollout::Holder& holder;
   rollout::Claim claim;
-  std::string agent_fault{};      // an agent answered with an error instead of a verdict
-  rollout::Epoch last_epoch = 0;  // the highest that was requested
+  std::optional<ClaimError> agent_error{};  // what an agent answered instead of a verdict
+  rollout::Epoch last_epoch = 0;            // the highest that was requested
 };
 
 Driver::Lease Driver::AcquireLease(const rollout::Plan& plan, const rollout::Holder& holder, bool resuming) {
@@ -93,7 +93,7 @@
   ClaimRun run{plan, holder,
                rollout::Claim(holder.claim_id, names, required, resuming, kTimeout, agent::SteadyNow())};
   const rollout::Claim& claim = run.claim;
-  while (!claim.granted() && claim.rejection().empty() && !interrupted_ && run.agent_fault.empty()) {
+  while (!claim.granted() && claim.rejection().empty() && !interrupted_ && !run.agent_error) {
     std::vector<rollout::ClaimCommand> commands;
     run.claim.Tick(agent::SteadyNow(), commands);
     for (const rollout::ClaimCommand& command : commands) {
@@ -106,10 +106,15 @@
   if (claim.granted()) return {claim.granted()->epoch, claim.granted()->since, {}};
   Lease lease;
   lease.epoch = run.last_epoch;
-  lease.refused = !run.agent_fault.empty() ? run.agent_fault
-                  : interrupted_           ? "interrupted"
-                                           : claim.rejection();
-  // The claim releases what it was granted when it is rejected, but not after an interrupt or a fault.
+  if (run.agent_error) {
+    lease.refused = std::move(run.agent_error);
+  } else if (interrupted_) {
+    lease.refused = ClaimError{ClaimError::Cause::kInterrupted};
+  } else {
+    lease.refused = ClaimError{ClaimError::Cause::kRejected, {}, claim.rejection()};
+  }
+  // The claim releases what it was granted when it is rejected, but not after an interrupt or an agent's
+  // error.
   if (lease.epoch > 0) Release(lease.epoch, holder.claim_id, false);
   return lease;
 }
@@ -138,7 +143,7 @@
         if (response.ok()) {
           run.claim.OnHighestEpoch(agent, response.body.value("highest", rollout::Epoch{0}));
         } else if (response.transport_error.empty()) {
-          run.agent_fault = agent + ": " + response.ErrorText();
+          run.agent_error = ClaimError{ClaimError::Cause::kAgentError, agent, response.ErrorText()};
         }
       });
 }
@@ -148,22 +153,24 @@
   json body = {
       {"ask", opens ? "open" : "acquire"}, {"epoch", command.epoch}, {"holder", rollout::ToJson(run.holder)}};
   if (opens) body["plan"] = rollout::ToJson(run.plan);
-  Send(command.agent, "/v1/lease", std::move(body),
-       [&run, command, claim_id = run.holder.claim_id](const admin_client::Response& response) {
-         const auto answer = ParseLeaseAnswer(response);
-         if (!answer) {
-           // Where no answer came at all, the claim repeats the request.
-           if (response.transport_error.empty())
-             run.agent_fault = command.agent + ": " + response.ErrorText();
-           return;
-         }
-         if (!answer->refused.empty()) {
-           run.agent_fault = command.agent + ": " + answer->refused;
-           return;
-         }
-         run.claim.OnLeaseAnswer(claim_id, command.agent, command.epoch, answer->verdict, answer->holder,
-                                 answer->open);
-       });
+  Send(
+      command.agent, "/v1/lease", std::move(body),
+      [&run, command, claim_id = run.holder.claim_id](const admin_client::Response& response) {
+        const auto answer = ParseLeaseAnswer(response);
+        if (!answer) {
+          // Where no answer came at all, the claim repeats the request.
+          if (response.transport_error.empty()) {
+            run.agent_error = ClaimError{ClaimError::Cause::kAgentError, command.agent, response.ErrorText()};
+          }
+          return;
+        }
+        if (!answer->refused.empty()) {
+          run.agent_error = ClaimError{ClaimError::Cause::kAgentRefused, command.agent, answer->refused};
+          return;
+        }
+        run.claim.OnLeaseAnswer(claim_id, command.agent, command.epoch, answer->verdict, answer->holder,
+                                answer->open);
+      });
 }
 
 // A change under way, and the lease that its commands are sent with.
--- a/src/ctl/driver.h
+++ b/src/ctl/driver.h
@@ -7,12 +7,14 @@
 #include <functional>
 #include <map>
 #include <memory>
+#include <optional>
 #include <set>
 #include <string>
 #include <vector>
 
 #include "admin_client/admin_client.h"
 #include "agent/agent_list.h"
+#include "ctl/claim_error.h"
 #include "rollout/change.h"
 #include "rollout/claim.h"
 #include "rollout/plan.h"
@@ -29,9 +31,8 @@
          std::function<void(const std::string&)> say);
 
   struct Outcome {
-    std::string refused;  // why no step was sent, for the operator; empty: the change was begun
+    std::optional<ClaimError> refused;  // why no step was sent; nothing: the change was begun
     rollout::ChangeEnd end = rollout::ChangeEnd::kHeld;
-    std::string why;                  // of `end`; empty where all went well
     std::set<std::string> left_open;  // agents that could not be reached to close the change
   };
   // Claims the lease, opens the change, and carries it out until it ends or is interrupted. `resuming`: it
@@ -55,9 +56,9 @@
  private:
   // What a claim came to.
   struct Lease {
-    rollout::Epoch epoch = 0;  // its fencing token
-    rollout::TimePoint since;  // no agent granted it earlier
-    std::string refused;       // why it was not granted; empty: it was
+    rollout::Epoch epoch = 0;           // its fencing token
+    rollout::TimePoint since;           // no agent granted it earlier
+    std::optional<ClaimError> refused;  // why it was not granted; nothing: it was
   };
   struct ClaimRun;
   struct ChangeRun;
--- a/tests/agent/generation_store_test.cpp
+++ b/tests/agent/generation_store_test.cpp
@@ -28,12 +28,12 @@
     ASSERT_NE(::mkdtemp(pattern.data()), nullptr);
     directory_ = pattern;
     store_.emplace(directory_ + "/generations",
-                   [this](const std::string&, const std::string&) { return check_result_; });
+                   [this](const std::string&, const std::string&) { return check_error_; });
   }
   void TearDown() override { fs::remove_all(directory_); }
 
   std::string directory_;
-  std::string check_result_;
+  std::optional<CheckError> check_error_;
   std::optional<GenerationStore> store_;
 };
 
@@ -52,7 +52,7 @@
   EXPECT_EQ(CauseOf(store_->Keep("g1", {{"../escape", "x"}})), Cause::kInvalidFiles);
   const std::string too_long(GenerationStore::kMaxFileBytes + 1, 'x');
   EXPECT_EQ(CauseOf(store_->Keep("g1", {{"mothrack.toml", too_long}})), Cause::kInvalidFiles);
-  check_result_ = "its check says: line 3";
+  check_error_ = CheckError{CheckError::Cause::kRejected, "g1", "line 3"};
   const auto rejected = store_->Keep("g1", files);
   EXPECT_EQ(CauseOf(rejected), Cause::kCheckFailed);
   ASSERT_TRUE(rejected);
