--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -20,6 +20,7 @@
 #include "agent/agent_api.h"
 #include "agent/agent_file.h"
 #include "agent/clock.h"
+#include "agent/directory_files.h"
 #include "agent/posix_io.h"
 #include "agent/sqlite_store.h"
 #ifdef MOTHRACK_WITH_PEERS
@@ -46,11 +47,7 @@
 void StoreNamedGenerations(const AgentFile& file, ProcessSupervisor& processes) {
   for (const auto& [name, from] : file.generations) {
     if (processes.HasGeneration(name)) continue;
-    GenerationStore::Files files;
-    std::error_code error;
-    for (std::filesystem::directory_iterator it(from, error), end; !error && it != end; it.increment(error)) {
-      files[it->path().filename().string()] = ReadFile(it->path());
-    }
+    const auto [files, error] = ReadDirectory(from, DirectoryEntries::kAll);
     const std::string key = "generations." + name + ": ";
     if (error) throw FileError(key + from + ": " + error.message());
     if (const auto rejection = processes.generations().Keep(name, files)) {
--- a/src/agent/generation_store.cpp
+++ b/src/agent/generation_store.cpp
@@ -7,6 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "agent/directory_files.h"
 #include "agent/posix_io.h"
 #include "rollout/wire.h"
 
@@ -44,14 +45,8 @@
 }
 
 GenerationStore::Files GenerationStore::FilesOf(const std::string& generation) const {
-  Files files;
-  if (!Has(generation)) return files;
-  std::error_code error;
-  for (fs::directory_iterator it(DirectoryOf(generation), error), end; !error && it != end;
-       it.increment(error)) {
-    files[it->path().filename().string()] = ReadFile(it->path());
-  }
-  return files;
+  if (!Has(generation)) return {};
+  return ReadDirectory(DirectoryOf(generation), DirectoryEntries::kAll).files;
 }
 
 std::optional<GenerationError> GenerationStore::Validate(const std::string& generation,
--- a/src/agent/rendered_files.cpp
+++ b/src/agent/rendered_files.cpp
@@ -3,6 +3,7 @@
 #include <cerrno>
 #include <filesystem>
 
+#include "agent/directory_files.h"
 #include "agent/posix_io.h"
 
 namespace mothrack::agent {
@@ -15,16 +16,18 @@
                                        const std::string& to,
                                        const std::map<std::string, std::string>& placeholders) {
   using Cause = RenderError::Cause;
-  std::error_code error;
-  fs::create_directories(to, error);  // where that fails, so does writing the first file
-  for (fs::directory_iterator it(from, error), end; !error && it != end; it.increment(error)) {
-    const std::string path = (fs::path(to) / it->path().filename()).string();
-    if (!WriteFileDurably(path, Substitute(ReadFile(it->path()), placeholders))) {
+  std::error_code ignored;
+  fs::create_directories(to, ignored);  // where that fails, so does writing the first file
+  // Where the directory can't be read to its end, what was read is rendered all the same.
+  const DirectoryFiles read = ReadDirectory(from, DirectoryEntries::kAll);
+  for (const auto& [name, text] : read.files) {
+    const std::string path = (fs::path(to) / name).string();
+    if (!WriteFileDurably(path, Substitute(text, placeholders))) {
       const std::error_code write_error(errno, std::generic_category());
       return RenderError{Cause::kWriteFailed, generation, path, write_error};
     }
   }
-  if (error) return RenderError{Cause::kUnreadable, generation, from, error};
+  if (read.error) return RenderError{Cause::kUnreadable, generation, from, read.error};
   return std::nullopt;
 }
 
--- a/src/ctl/command_change.cpp
+++ b/src/ctl/command_change.cpp
@@ -1,14 +1,13 @@
 // mothrackctl plan, apply, restart, drain: the plan of a new change, shown or carried out.
 #include <ctime>
-#include <filesystem>
-#include <fstream>
 #include <iostream>
 #include <map>
 #include <random>
 #include <set>
-#include <sstream>
+#include <utility>
 
 #include "agent/agent_list.h"
+#include "agent/directory_files.h"
 #include "ctl/fleet_snapshot.h"
 #include "ctl/session.h"
 #include "ctl/show.h"
@@ -43,18 +42,10 @@
 }
 
 Files ReadFilesIn(const std::string& directory) {
-  Files files;
-  std::error_code error;
-  for (std::filesystem::directory_iterator it(directory, error), end; !error && it != end;
-       it.increment(error)) {
-    if (!it->is_regular_file()) continue;
-    std::ostringstream text;
-    text << std::ifstream(it->path(), std::ios::binary).rdbuf();
-    files[it->path().filename().string()] = text.str();
-  }
-  if (error || files.empty())
-    throw agent::FileError(directory + ": " + (error ? error.message() : "holds no file"));
-  return files;
+  agent::DirectoryFiles read = agent::ReadDirectory(directory, agent::DirectoryEntries::kRegularFiles);
+  if (read.error) throw agent::FileError(directory + ": " + read.error.message());
+  if (read.files.empty()) throw agent::FileError(directory + ": holds no file");
+  return std::move(read.files);
 }
 
 rollout::Policy PolicyFrom(const Options& options) {
--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -4,6 +4,7 @@
 #include <sys/wait.h>
 #include <unistd.h>
 
+#include <filesystem>
 #include <fstream>
 #include <random>
 #include <string>
@@ -89,6 +90,22 @@
   EXPECT_EQ(Count(fleet.AgentLog(0), " info process_started instance=n0 pid="), 1U);
 }
 
+TEST(Agent, NamesTheDirectoryThatItsFilesAreMissingFrom) {
+  Fleet fleet({1, 1, "", "", false});
+  ASSERT_TRUE(fleet.AllReady("g1"));
+  std::filesystem::remove_all(fleet.path("a0") + "/generations/g1");
+  ::kill(fleet.Pid(0, 0), SIGKILL);
+  EXPECT_TRUE(Eventually([&] {
+    return Count(fleet.AgentLog(0), R"( error process_not_started instance=n0 cause="no files of g1")") > 0;
+  })) << fleet.AgentLog(0);
+  fleet.KillAgent(0);
+  std::filesystem::remove_all(fleet.path("g1"));
+  EXPECT_EQ(fleet.StartAgentAgain(0), 1);
+  const std::string text =
+      "mothrack-agent: generations.g1: " + fleet.path("g1") + ": No such file or directory\n";
+  EXPECT_NE(fleet.AgentLog(0).find(text), std::string::npos) << fleet.AgentLog(0);
+}
+
 TEST(Agent, SupervisesOnWithADamagedStoreAndRefusesChanges) {
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
@@ -162,6 +179,19 @@
   EXPECT_EQ(fleet.Ctl({"abort"}).code, 2) << "nothing is open any more";
 }
 
+TEST(Ctl, DirectoryWithoutFilesIsNamed) {
+  Fleet fleet({1, 1, "", "", false});
+  ASSERT_TRUE(fleet.AllReady("g1"));
+  const std::string directory = fleet.path("g2");
+  const auto missing = fleet.Ctl(Quick({"apply", "g2", "--dir", directory, "--why", "a test"}));
+  EXPECT_EQ(missing.code, 1);
+  EXPECT_EQ(missing.out, "mothrackctl: " + directory + ": No such file or directory\n");
+  std::filesystem::create_directories(directory + "/subdirectory");
+  const auto empty = fleet.Ctl(Quick({"apply", "g2", "--dir", directory, "--why", "a test"}));
+  EXPECT_EQ(empty.code, 1);
+  EXPECT_EQ(empty.out, "mothrackctl: " + directory + ": holds no file\n");
+}
+
 TEST(Ctl, SecondOperatorIsRefusedWithHolderAndReason) {
   Fleet fleet({2, 2, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
