--- a/src/agent/generation_store.cpp
+++ b/src/agent/generation_store.cpp
@@ -7,6 +7,7 @@
 #include <stdexcept>
 #include <utility>
 
+#include "agent/directory_files.h"
 #include "agent/posix_io.h"
 #include "rollout/wire.h"
 
@@ -44,14 +45,8 @@
 }
 
 GenerationStore::Files GenerationStore::FilesOf(const std::string& generation) const {
-  Files files;
-  if (!Has(generation)) return files;
-  std::error_code error;
-  for (fs::directory_iterator it(DirectoryOf(generation), error), end; !error && it != end;
-       it.increment(error)) {
-    files[it->path().filename().string()] = ReadFile(it->path());
-  }
-  return files;
+  if (!Has(generation)) return {};
+  return ReadDirectory(DirectoryOf(generation), DirectoryEntries::kAll).files;
 }
 
 std::optional<GenerationError> GenerationStore::Validate(const std::string& generation,
@@ -103,9 +98,9 @@
     const std::string path = (fs::path(temporary) / name).string();
     if (!WriteFileDurably(path, text)) return DiskError(path, std::strerror(errno));
   }
-  if (const std::string fault = check_(generation, temporary); !fault.empty()) {
+  if (const auto check_error = check_(generation, temporary)) {
     fs::remove_all(temporary, error);
-    return GenerationError{Cause::kCheckFailed, generation + ": " + fault};
+    return GenerationError{Cause::kCheckFailed, check_error->Message()};
   }
   if (!SyncDirectory(temporary)) return DiskError(temporary, std::strerror(errno));
   fs::rename(temporary, target, error);
