--- /dev/null
+++ b/bench/bench_options.h
@@ -0,0 +1,23 @@
+// Command line of mothrack_bench.
+#pragma once
+
+#include <optional>
+#include <string>
+
+namespace mothrack::bench {
+
+inline constexpr const char* kUsage =
+    "usage: mothrack_bench PROGRAM FLOOR [--requests N] [--rounds N] [--check]\n";
+
+struct BenchOptions {
+  std::string program;   // path of the sidecar
+  std::string floor;     // path of bench_floor
+  int requests = 50000;  // per contestant and round
+  int rounds = 5;        // of each comparison
+  bool check = false;    // exit with 1 where a target is missed
+};
+
+// Returns nothing where PROGRAM or FLOOR is missing. Unknown options are ignored.
+std::optional<BenchOptions> ParseOptions(int argc, char** argv);
+
+}  // namespace mothrack::bench
