--- a/demo/demo.cpp
+++ b/demo/demo.cpp
@@ -4,7 +4,7 @@
 #include <atomic>
 #include <chrono>
 #include <csignal>
-#include <iomanip>
+#include <cstddef>
 #include <iostream>
 #include <map>
 #include <memory>
@@ -12,153 +12,138 @@
 #include <thread>
 #include <vector>
 
-#include "standins/dns_client.h"
+#include "clients.h"
+#include "page_server.h"
+#include "report.h"
 #include "standins/peers.h"
 #include "standins/resolver.h"
 
+namespace mothrack::demo {
 namespace {
 
-using namespace mothrack::testing;
 using std::chrono::milliseconds;
-using Clock = std::chrono::steady_clock;
+using testing::Node;
+using testing::StandinResolver;
 
+constexpr int kServers = 3;  // of each kind
 constexpr milliseconds kPhase{2500};
 // A half-open probe of one that does not respond takes its class's deadline, and the next one comes 1 s
 // later.
 constexpr milliseconds kReturn{6000};
-constexpr milliseconds kEach{8};  // a client's pause between requests
 
-// A page server that answers, or accepts requests and does not respond.
-class PageServer {
+// The page servers and resolvers behind the sidecar. The last of each kind is the one that fails.
+class Servers {
  public:
-  explicit PageServer(const std::string& name)
-      : upstream_([this, name](Wire& wire, const Request&, int) {
-          while (unresponsive_ && !ended_) std::this_thread::sleep_for(milliseconds(10));
-          wire.Answer(200, name + '\n');
-        }) {}
-  ~PageServer() { ended_ = true; }
-  void SetUnresponsive(bool unresponsive) { unresponsive_ = unresponsive; }
-  std::string address() const { return upstream_.address(); }
-  std::size_t requests() const { return upstream_.requests().size(); }
-  std::vector<Request> seen() const { return upstream_.requests(); }
+  Servers() {
+    for (int i = 1; i <= kServers; ++i) {
+      pages_.push_back(std::make_unique<PageServer>(PageName(i)));
+      resolvers_.push_back(std::make_unique<StandinResolver>(StandinResolver::Echo()));
+    }
+  }
 
- private:
-  std::atomic<bool> unresponsive_{false};
-  std::atomic<bool> ended_{false};
-  Upstream upstream_;
-};
+  testing::json Targets() const {
+    std::vector<testing::json> targets;
+    for (int i = 1; i <= kServers; ++i) {
+      targets.push_back(testing::Target(PageName(i), pages_[Index(i)]->address()));
+    }
+    return testing::List(targets);
+  }
 
-struct RequestCounters {
-  int sent = 0;
-  int served = 0;
-  int refused = 0;
-  int failed = 0;
-  int unanswered = 0;
-  double slowest_ms = 0;
-
-  void RecordLatency(Clock::time_point began) {
-    slowest_ms =
-        std::max(slowest_ms, std::chrono::duration<double, std::milli>(Clock::now() - began).count());
+  std::string OperatorFile() const {
+    std::string file = "[dns]\nlisten = [\"127.0.0.1:0\"]\n";
+    for (int i = 1; i <= kServers; ++i) {
+      file += "[[dns.resolver]]\nuid = \"" + ResolverName(i) + "\"\nendpoint = \"" +
+              resolvers_[Index(i)]->address() + "\"\n";
+    }
+    return file;
   }
-};
 
-void Print(const std::string& name, const RequestCounters& t) {
-  std::cout << "  " << std::left << std::setw(26) << name << std::right << std::setw(6) << t.sent << " asked"
-            << std::setw(7) << t.served << " served" << std::setw(5) << t.refused << " refused"
-            << std::setw(5) << t.failed << " failed" << std::setw(5) << t.unanswered
-            << " unanswered   slowest " << std::fixed << std::setprecision(0) << t.slowest_ms << " ms\n";
-}
+  void SilenceLast() {
+    pages_.back()->SetUnresponsive(true);
+    resolvers_.back()->SetScript(StandinResolver::Unresponsive());
+  }
 
-RequestCounters SendHttp(std::uint16_t port, const std::atomic<bool>& stop, bool submit) {
-  RequestCounters counters;
-  auto client = std::make_unique<Client>(port);
-  for (int i = 0; !stop; ++i) {
-    const std::string id = (submit ? "s" : "p") + std::to_string(i);
-    const auto began = Clock::now();
-    ++counters.sent;
-    const auto response = submit
-                              ? client->Post("/submit/station-" + std::to_string(i % 50), id, "tally", 1500)
-                              : client->Get("/page/station-" + std::to_string(i % 50), id, 1500);
-    counters.RecordLatency(began);
-    if (!response) {
-      ++counters.unanswered;
-      client = std::make_unique<Client>(port);
-    } else {
-      ++(response->result_int() == 200   ? counters.served
-         : response->result_int() == 503 ? counters.refused
-                                         : counters.failed);
-    }
-    std::this_thread::sleep_for(kEach);
+  void RestoreLast() {
+    pages_.back()->SetUnresponsive(false);
+    resolvers_.back()->SetScript(StandinResolver::Echo());
   }
-  return counters;
-}
 
-RequestCounters SendDns(std::uint16_t port, const std::atomic<bool>& stop, bool tcp) {
-  RequestCounters counters;
-  DnsUdpClient udp(port);
-  auto stream = std::make_unique<DnsTcpClient>(port);
-  for (std::uint16_t i = 0; !stop; ++i) {
-    QuerySpec spec;
-    spec.name = "tally-intake-" + std::to_string(i % 50) + ".example.org";
-    spec.id = i;
-    const auto began = Clock::now();
-    ++counters.sent;
-    const auto answer = tcp ? stream->Query(MakeQuery(spec)) : udp.Query(MakeQuery(spec));
-    counters.RecordLatency(began);
-    if (!answer) {
-      ++counters.unanswered;
-      stream = std::make_unique<DnsTcpClient>(port);
-    } else {
-      ++(RcodeOf(*answer) == 0   ? counters.served
-         : RcodeOf(*answer) == 5 ? counters.refused
-                                 : counters.failed);
-    }
-    std::this_thread::sleep_for(kEach);
+  // A row for each server, pages first, without counts.
+  std::vector<ServerRow> Rows() const {
+    std::vector<ServerRow> rows;
+    for (int i = 1; i <= kServers; ++i) rows.push_back({PageName(i)});
+    for (int i = 1; i <= kServers; ++i) rows.push_back({ResolverName(i)});
+    return rows;
   }
-  return counters;
-}
 
-void PrintServer(const std::string& name, std::size_t before, std::size_t during, std::size_t after) {
-  std::cout << "  " << std::left << std::setw(26) << name << std::right << std::setw(6) << before
-            << std::setw(10) << during << std::setw(10) << after << '\n';
-}
+  // Stores the requests received up to now in the field `when` of each row of Rows().
+  void CountInto(std::vector<ServerRow>& rows, std::size_t ServerRow::*when) const {
+    auto row = rows.begin();
+    for (const auto& page : pages_) (*row++).*when = page->requests().size();
+    for (const auto& resolver : resolvers_) (*row++).*when = static_cast<std::size_t>(resolver->queries());
+  }
 
-// Unsafe requests that ran more than once, over all servers.
-int CountRepeatedSubmissions(const std::vector<std::unique_ptr<PageServer>>& pages) {
-  // Rule two: an unsafe request runs once at most, whichever servers it met.
-  std::map<std::string, int> runs;
-  for (const auto& page : pages) {
-    for (const auto& request : page->seen()) {
-      if (request.method_string() == "POST") ++runs[std::string(request["X-Request-ID"])];
+  // Unsafe requests that ran more than once, over all page servers: one must run once at most, whichever
+  // servers it met.
+  int CountRepeatedSubmissions() const {
+    std::map<std::string, int> runs;
+    for (const auto& page : pages_) {
+      for (const auto& request : page->requests()) {
+        if (request.method_string() == "POST") ++runs[std::string(request["X-Request-ID"])];
+      }
     }
+    int repeated = 0;
+    for (const auto& [id, times] : runs) repeated += times > 1;
+    return repeated;
   }
-  int twice = 0;
-  for (const auto& [id, times] : runs) twice += times > 1;
-  return twice;
-}
 
-}  // namespace
+ private:
+  static std::size_t Index(int number) { return static_cast<std::size_t>(number - 1); }
+  static std::string PageName(int number) { return "page-" + std::to_string(number); }
+  static std::string ResolverName(int number) { return "resolver-" + std::to_string(number); }
 
-int main() {
-  std::signal(SIGPIPE, SIG_IGN);
-  std::vector<std::unique_ptr<PageServer>> pages;
-  std::vector<std::unique_ptr<StandinResolver>> resolvers;
-  std::vector<json> targets;
-  std::string file = "[dns]\nlisten = [\"127.0.0.1:0\"]\n";
-  for (int i = 1; i <= 3; ++i) {
-    pages.push_back(std::make_unique<PageServer>("page-" + std::to_string(i)));
-    targets.push_back(Target("page-" + std::to_string(i), pages.back()->address()));
-    resolvers.push_back(std::make_unique<StandinResolver>(StandinResolver::Echo()));
-    file += "[[dns.resolver]]\nuid = \"resolver-" + std::to_string(i) + "\"\nendpoint = \"" +
-            resolvers.back()->address() + "\"\n";
-  }
-  Discovery discovery(List(targets));
+  std::vector<std::unique_ptr<PageServer>> pages_;
+  std::vector<std::unique_ptr<StandinResolver>> resolvers_;
+};
+
+// Sends requests of all kinds through `node` while the last servers are well, silent and back.
+ClientTotals PlayPhases(const Node& node, Servers& servers, std::vector<ServerRow>& rows) {
+  std::atomic<bool> stop{false};
+  ClientTotals totals;
+  std::vector<std::thread> clients;
+  clients.emplace_back([&] { totals.page = SendHttp(node.port(), stop, HttpRequestKind::kPage); });
+  clients.emplace_back([&] { totals.submit = SendHttp(node.port(), stop, HttpRequestKind::kSubmit); });
+  clients.emplace_back([&] { totals.udp = SendDns(node.dns_port(), stop, DnsProtocol::kUdp); });
+  clients.emplace_back([&] { totals.tcp = SendDns(node.dns_port(), stop, DnsProtocol::kTcp); });
+
+  std::this_thread::sleep_for(kPhase);
+  servers.CountInto(rows, &ServerRow::when_well);
+  servers.SilenceLast();
+  std::this_thread::sleep_for(kPhase);
+  servers.CountInto(rows, &ServerRow::when_silent);
+  servers.RestoreLast();
+  std::this_thread::sleep_for(kReturn);
+
+  stop = true;
+  for (auto& client : clients) client.join();
+  servers.CountInto(rows, &ServerRow::when_back);
+  return totals;
+}
+
+Node::Options SidecarOptions(const Servers& servers, const testing::Discovery& discovery) {
   Node::Options options;
   options.discovery = discovery.address();
   options.settings["Limits"]["SecondCopies"] = true;
-  options.known = List(targets);
-  options.operator_file = file;
-  Node node(options);
+  options.known = servers.Targets();
+  options.operator_file = servers.OperatorFile();
+  return options;
+}
+
+// Returns the exit code.
+int Run() {
+  Servers servers;
+  const testing::Discovery discovery(servers.Targets());
+  Node node(SidecarOptions(servers, discovery));
   if (!node.Listening() || !node.DnsListening()) {
     std::cerr << "the sidecar did not start:\n" << node.log();
     return 1;
@@ -167,49 +152,25 @@
             << ", DNS on port " << node.dns_port() << ".\nFor " << kPhase.count() / 1000.0
             << " s all is well; then page-3 and resolver-3 go silent; then they are back.\n\n";
 
-  std::atomic<bool> stop{false};
-  RequestCounters get, post, udp, tcp;
-  std::vector<std::thread> clients;
-  clients.emplace_back([&] { get = SendHttp(node.port(), stop, false); });
-  clients.emplace_back([&] { post = SendHttp(node.port(), stop, true); });
-  clients.emplace_back([&] { udp = SendDns(node.dns_port(), stop, false); });
-  clients.emplace_back([&] { tcp = SendDns(node.dns_port(), stop, true); });
-  std::vector<std::vector<std::size_t>> counts;
-  const auto count = [&] {
-    std::vector<std::size_t> now;
-    for (const auto& page : pages) now.push_back(page->requests());
-    for (const auto& resolver : resolvers) now.push_back(static_cast<std::size_t>(resolver->queries()));
-    counts.push_back(now);
-  };
-  std::this_thread::sleep_for(kPhase);
-  count();
-  pages[2]->SetUnresponsive(true);
-  resolvers[2]->SetScript(StandinResolver::Unresponsive());
-  std::this_thread::sleep_for(kPhase);
-  count();
-  pages[2]->SetUnresponsive(false);
-  resolvers[2]->SetScript(StandinResolver::Echo());
-  std::this_thread::sleep_for(kReturn);
-  stop = true;
-  for (auto& client : clients) client.join();
-  count();
-
-  std::cout << "What the clients got\n";
-  Print("pages (GET, safe)", get);
-  Print("tally sheets (POST, unsafe)", post);
-  Print("names over UDP", udp);
-  Print("names over TCP", tcp);
-  std::cout << "\nWhat was sent to                all well    silent    back\n";
-  for (std::size_t i = 0; i < 6; ++i) {
-    const std::string name = (i < 3 ? "page-" : "resolver-") + std::to_string(i % 3 + 1);
-    PrintServer(name, counts[0][i], counts[1][i] - counts[0][i], counts[2][i] - counts[1][i]);
-  }
-  const int twice = CountRepeatedSubmissions(pages);
-  const int lost = get.unanswered + post.unanswered + udp.unanswered + tcp.unanswered;
-  std::cout << "\nRequests without an answer: " << lost << ". Tally sheets that ran twice: " << twice
+  std::vector<ServerRow> rows = servers.Rows();
+  const ClientTotals totals = PlayPhases(node, servers, rows);
+  PrintClients(totals);
+  PrintServers(rows);
+  const int repeated = servers.CountRepeatedSubmissions();
+  const int lost = totals.unanswered();
+  std::cout << "\nRequests without an answer: " << lost << ". Tally sheets that ran twice: " << repeated
             << ".\n";
+
   node.Signal(SIGTERM);
   const int code = node.Wait();
   std::cout << "The sidecar's log:\n" << node.log() << "It ended with " << code << ".\n";
-  return lost == 0 && twice == 0 && code == 0 ? 0 : 1;
+  return lost == 0 && repeated == 0 && code == 0 ? 0 : 1;
+}
+
+}  // namespace
+}  // namespace mothrack::demo
+
+int main() {
+  std::signal(SIGPIPE, SIG_IGN);
+  return mothrack::demo::Run();
 }
--- /dev/null
+++ b/demo/report.h
@@ -0,0 +1,34 @@
+// The account that the demo prints at its end.
+#pragma once
+
+#include <cstddef>
+#include <string>
+#include <vector>
+
+#include "clients.h"
+
+namespace mothrack::demo {
+
+// What the clients of each kind got.
+struct ClientTotals {
+  RequestCounters page;
+  RequestCounters submit;
+  RequestCounters udp;
+  RequestCounters tcp;
+
+  int unanswered() const { return page.unanswered + submit.unanswered + udp.unanswered + tcp.unanswered; }
+};
+
+// Requests that one server had received by the end of each phase.
+struct ServerRow {
+  std::string name;
+  std::size_t when_well = 0;
+  std::size_t when_silent = 0;
+  std::size_t when_back = 0;
+};
+
+// Both print to standard output.
+void PrintClients(const ClientTotals& totals);
+void PrintServers(const std::vector<ServerRow>& rows);
+
+}  // namespace mothrack::demo
