--- a/tests/balancer/action_digest_test.cpp
+++ b/tests/balancer/action_digest_test.cpp
@@ -47,14 +47,14 @@
       world_.Advance(Duration(Below(60'000)));
       Step();
     }
-    for (const Sent& sent : world_.sent) {
+    for (const SentAttempt& sent : world_.sent) {
       digest.Add(static_cast<std::uint64_t>(sent.request));
       digest.Add(static_cast<std::uint64_t>(sent.attempt));
       digest.Add(sent.upstream);
       digest.Add(sent.timeout);
       digest.Add(sent.at.time_since_epoch());
     }
-    for (const RequestId id : world_.refused) digest.Add(static_cast<std::uint64_t>(id));
+    for (const RequestId id : world_.rejected) digest.Add(static_cast<std::uint64_t>(id));
     for (const RequestId id : world_.failed) digest.Add(static_cast<std::uint64_t>(id));
     for (const auto& [request, attempt] : world_.cancelled) {
       digest.Add(static_cast<std::uint64_t>(request));
@@ -86,14 +86,14 @@
     std::vector<UpstreamInfo> list;
     const std::uint64_t count = 2 + Below(12);
     for (std::uint64_t i = 0; i < count; ++i) {
-      UpstreamInfo info = Up("u" + std::to_string(Below(16)),
-                             Below(8) == 0 ? UpstreamState::kDraining : UpstreamState::kServing);
+      UpstreamInfo info = MakeUpstream("u" + std::to_string(Below(16)),
+                                       Below(8) == 0 ? UpstreamState::kDraining : UpstreamState::kServing);
       info.zone = "z" + std::to_string(i % 3);
       info.weight = 1 + static_cast<double>(Below(3));
       if (Below(2) == 0) info.started = world_.now - std::chrono::seconds(Below(40));
       list.push_back(std::move(info));
     }
-    world_.Full(std::move(list));
+    world_.ReplaceList(std::move(list));
   }
 
   void Step() {
@@ -117,13 +117,13 @@
     const std::size_t chosen = out[Below(out.size())];
     ended_.resize(std::max(ended_.size(), chosen + 1));
     ended_[chosen] = true;
-    const Sent sent = world_.sent[chosen];
+    const SentAttempt sent = world_.sent[chosen];
     const Outcome outcome = Below(3) > 0 ? Outcome::kServed : static_cast<Outcome>(Below(8));
-    world_.Finish(sent, outcome);
+    world_.EndAttempt(sent, outcome);
   }
 
   std::mt19937_64 random_;
-  World world_;
+  TestSidecar world_;
   std::vector<bool> ended_;
 };
 
--- a/tests/balancer/attempts_test.cpp
+++ b/tests/balancer/attempts_test.cpp
@@ -10,26 +10,26 @@
 namespace {
 
 TEST(ArrivingRequest, CountsNoLatencyBeforeItIsComplete) {
-  World w;
-  w.List(3);
-  w.Spread(60);
+  TestSidecar w;
+  w.ListUpstreams(3);
+  w.CountServed(60);
   RequestArrived e;
   e.request = RequestId{1000000};
   e.request_class = kUnsafe;
   e.deadline = w.now + 2s;
   e.arriving = true;
   const std::size_t before = w.sent.size();
-  w.Do(e);
+  w.Handle(e);
   ASSERT_EQ(w.sent.size(), before + 1);
-  const Sent call = w.sent[before];
+  const SentAttempt call = w.sent[before];
   EXPECT_EQ(call.timeout, Duration(2s));
   // No latency is counted yet: its upstream keeps its share and the request is not given up.
-  const auto spread = w.Spread(60);
+  const auto spread = w.CountServed(60);
   EXPECT_GT(spread.at(call.upstream), 10);
   w.Advance(30s);
-  EXPECT_GT(w.Spread(60)[call.upstream], 10);
-  EXPECT_TRUE(w.failed.empty() && w.refused.empty());
-  w.Do(RequestComplete{e.request, w.now + 2s});
+  EXPECT_GT(w.CountServed(60)[call.upstream], 10);
+  EXPECT_TRUE(w.failed.empty() && w.rejected.empty());
+  w.Handle(RequestComplete{e.request, w.now + 2s});
   w.Advance(1900ms);
   EXPECT_TRUE(w.failed.empty());
   w.Advance(200ms);
@@ -37,84 +37,84 @@
 }
 
 TEST(ArrivingRequest, IsRetriedElsewhereWhenNothingRan) {
-  World w;
-  w.List(2);
+  TestSidecar w;
+  w.ListUpstreams(2);
   RequestArrived e;
   e.request = RequestId{1000000};
   e.request_class = kUnsafe;
   e.deadline = w.now + 2s;
   e.arriving = true;
-  w.Do(e);
+  w.Handle(e);
   ASSERT_EQ(w.sent.size(), 1U);
   w.Advance(5s);
-  w.Finish(w.sent[0], Outcome::kFull);
+  w.EndAttempt(w.sent[0], Outcome::kFull);
   ASSERT_EQ(w.sent.size(), 2U);
   EXPECT_NE(w.sent[1].upstream, w.sent[0].upstream);
   // Its body is no longer buffered: further attempts prove that nothing has run.
-  for (std::size_t i = 1; i < w.sent.size(); ++i) w.Finish(w.sent[i], Outcome::kNotSent);
-  EXPECT_EQ(w.refused.size(), 1U);
+  for (std::size_t i = 1; i < w.sent.size(); ++i) w.EndAttempt(w.sent[i], Outcome::kNotSent);
+  EXPECT_EQ(w.rejected.size(), 1U);
   EXPECT_TRUE(w.failed.empty());
 }
 
 TEST(StartedAnswer, IsNotCountedInFlightAtItsUpstream) {
-  World w;
-  w.List(3);
-  w.Spread(60);
+  TestSidecar w;
+  w.ListUpstreams(3);
+  w.CountServed(60);
   const std::size_t before = w.sent.size();
   w.Arrive(kSafe);
-  const Sent call = w.sent[before];
+  const SentAttempt call = w.sent[before];
   w.now += 10ms;
-  w.Do(AnswerStarted{call.request, call.attempt});
+  w.Handle(AnswerStarted{call.request, call.attempt});
   w.Advance(30s);  // the body still comes
-  EXPECT_GT(w.Spread(60)[call.upstream], 10);
+  EXPECT_GT(w.CountServed(60)[call.upstream], 10);
   const std::size_t sent = w.sent.size();
-  w.Finish(call, Outcome::kReset, true);
+  w.EndAttempt(call, Outcome::kReset, true);
   EXPECT_EQ(w.sent.size(), sent);  // the client has some of it
 }
 
 TEST(StartedAnswer, SurvivesTheCancelledHedges) {
   Settings settings = DefaultSettings();
   settings.limits.hedging = true;
-  World w(settings);
-  w.List(3);
-  w.Spread(60);
+  TestSidecar w(settings);
+  w.ListUpstreams(3);
+  w.CountServed(60);
   const std::size_t before = w.sent.size();
   const RequestId id = w.Arrive(kSafe);
   w.Advance(300ms);
   ASSERT_GE(w.sent.size(), before + 2);
-  const Sent first = w.sent[before];
-  const Sent hedge = w.sent[before + 1];
-  w.Do(AnswerStarted{id, hedge.attempt});
+  const SentAttempt first = w.sent[before];
+  const SentAttempt hedge = w.sent[before + 1];
+  w.Handle(AnswerStarted{id, hedge.attempt});
   const std::vector<std::pair<RequestId, AttemptId>> called_off = {{id, first.attempt}};
   EXPECT_EQ(w.cancelled, called_off);
-  w.Finish(first, Outcome::kCancelled, true);
+  w.EndAttempt(first, Outcome::kCancelled, true);
   EXPECT_EQ(w.cancelled, called_off);
   // Its client disconnects: the remaining attempt is cancelled.
-  w.Do(ClientDisconnected{id});
+  w.Handle(ClientDisconnected{id});
   EXPECT_EQ(w.cancelled.size(), 2U);
 }
 
 TEST(LateRequest, IsHedgedToAnotherUpstream) {
-  World w;
-  w.List(4);
-  w.Spread(100);
+  TestSidecar w;
+  w.ListUpstreams(4);
+  w.CountServed(100);
   const std::size_t before = w.sent.size();
   w.Arrive(kSafe);
   w.Advance(100ms);
   ASSERT_EQ(w.sent.size(), before + 2);
   EXPECT_NE(w.sent[before].upstream, w.sent[before + 1].upstream);
-  w.Finish(w.sent[before + 1], Outcome::kServed);
+  w.EndAttempt(w.sent[before + 1], Outcome::kServed);
   EXPECT_EQ(w.cancelled.back().second, AttemptId{0}) << "the loser is called off";
 }
 
 TEST(RetryBudget, BoundsFurtherAttempts) {
-  World w;
-  w.List(4);
+  TestSidecar w;
+  w.ListUpstreams(4);
   for (int i = 0; i < 500; ++i) {
     const std::size_t before = w.sent.size();
     w.Arrive(kSafe);
     w.now += 10ms;
-    for (std::size_t k = before; k < w.sent.size(); ++k) w.Finish(w.sent[k], Outcome::kError);
+    for (std::size_t k = before; k < w.sent.size(); ++k) w.EndAttempt(w.sent[k], Outcome::kError);
   }
   EXPECT_LE(w.sent.size(), 500u + 150u + 10u + 50u) << "first tries, three tenths, the burst, and trials";
 }
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -12,14 +12,14 @@
 TEST(Discovery, IsSubscribedToAndAgainAfterAFailure) {
   Settings s = DefaultSettings();
   s.membership_on_request = true;
-  World w(s);
-  w.List(2);
+  TestSidecar w(s);
+  w.ListUpstreams(2);
   EXPECT_EQ(w.subscribed, 1);
-  w.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
+  w.Handle(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
   EXPECT_EQ(w.subscribed, 1) << "not at once";
   w.Advance(s.rules.poll_within / 5 + 250ms);  // as src/discovery/news.cpp counts on
   EXPECT_EQ(w.subscribed, 2);
-  EXPECT_GT(w.Spread(10)["a"], 0) << "the old list holds";
+  EXPECT_GT(w.CountServed(10)["a"], 0) << "the old list holds";
 }
 
 TEST(Settings, InvalidValuesAreNamed) {
@@ -46,12 +46,12 @@
 }
 
 TEST(Determinism, SameEventsSameActions) {
-  World a, b;
-  for (World* w : {&a, &b}) {
-    w->List(5);
-    w->Spread(50);
-    w->FailRun("c", 5);
-    w->Spread(50);
+  TestSidecar a, b;
+  for (TestSidecar* w : {&a, &b}) {
+    w->ListUpstreams(5);
+    w->CountServed(50);
+    w->FailInARow("c", 5);
+    w->CountServed(50);
     w->Advance(3s);
   }
   ASSERT_EQ(a.sent.size(), b.sent.size());
--- a/tests/balancer/connections_test.cpp
+++ b/tests/balancer/connections_test.cpp
@@ -11,8 +11,8 @@
 namespace {
 
 TEST(ConnectFailures, RequestsPreferOpenConnectionsWhileConnectingFails) {
-  World w;
-  w.List(6);
+  TestSidecar w;
+  w.ListUpstreams(6);
   std::set<std::string> connected;
   for (int i = 0; i < 3; ++i) connected.insert(w.Serve(kUnsafe));
   // Connecting to any other upstream fails.
@@ -22,7 +22,7 @@
     for (std::size_t k = before; k < w.sent.size(); ++k) {
       w.now += 5ms;
       const bool has = connected.count(w.sent[k].upstream) > 0;
-      w.Finish(w.sent[k], has ? Outcome::kServed : Outcome::kConnectFailed);
+      w.EndAttempt(w.sent[k], has ? Outcome::kServed : Outcome::kConnectFailed);
     }
     w.Advance(20ms);
   }
@@ -32,8 +32,8 @@
 }
 
 TEST(StaleIdleConnections, AreClosedBeforeTheAgeAtWhichOneWasFoundDropped) {
-  World w;
-  w.List(1);
+  TestSidecar w;
+  w.ListUpstreams(1);
   w.Serve(kUnsafe);
   w.Advance(2s);
   EXPECT_EQ(w.Serve(kUnsafe), "a");
@@ -41,7 +41,7 @@
   w.Advance(2s);
   w.Arrive(kUnsafe);
   w.now += 1ms;
-  w.Finish(w.sent.back(), Outcome::kReset);
+  w.EndAttempt(w.sent.back(), Outcome::kReset);
   w.Serve(kUnsafe);
   w.Advance(1500ms);
   w.Serve(kUnsafe);
@@ -58,13 +58,13 @@
 }
 
 TEST(StaleIdleConnections, AreNotInferredFromAResetDuringARequest) {
-  World w;
-  w.List(1);
+  TestSidecar w;
+  w.ListUpstreams(1);
   w.Serve(kUnsafe);
   w.Advance(2s);
   w.Arrive(kUnsafe);
   w.now += 200ms;
-  w.Finish(w.sent.back(), Outcome::kReset);
+  w.EndAttempt(w.sent.back(), Outcome::kReset);
   w.Serve(kUnsafe);
   w.Advance(1500ms);
   w.Serve(kUnsafe);
--- a/tests/balancer/ejection_test.cpp
+++ b/tests/balancer/ejection_test.cpp
@@ -13,49 +13,49 @@
 
 TEST(Ejection, FiveConsecutiveFailuresEject) {
   for (const Outcome o : {Outcome::kError, Outcome::kTimeout, Outcome::kConnectFailed, Outcome::kReset}) {
-    World w;
-    w.List(4);
-    w.FailRun("b", 4, o);
-    EXPECT_FALSE(w.Logged("ejected b")) << static_cast<int>(o);
-    w.FailRun("b", 1, o);
-    EXPECT_TRUE(w.Logged("ejected b")) << static_cast<int>(o);
-    EXPECT_EQ(w.Spread(40)["b"], 0);
+    TestSidecar w;
+    w.ListUpstreams(4);
+    w.FailInARow("b", 4, o);
+    EXPECT_FALSE(w.HasLogged("ejected b")) << static_cast<int>(o);
+    w.FailInARow("b", 1, o);
+    EXPECT_TRUE(w.HasLogged("ejected b")) << static_cast<int>(o);
+    EXPECT_EQ(w.CountServed(40)["b"], 0);
   }
 }
 
 TEST(Ejection, ASuccessResetsTheFailureCount) {
-  World w;
-  w.List(4);
-  w.FailRun("b", 4);
+  TestSidecar w;
+  w.ListUpstreams(4);
+  w.FailInARow("b", 4);
   w.Advance(2s);
-  w.Spread(40);  // a half-open probe among them
-  w.FailRun("b", 4);
-  EXPECT_FALSE(w.Logged("ejected"));
+  w.CountServed(40);  // a half-open probe among them
+  w.FailInARow("b", 4);
+  EXPECT_FALSE(w.HasLogged("ejected"));
 }
 
 TEST(Ejection, FullAndCancelledAttemptsLeaveTheFailureCountUnchanged) {
   for (const Outcome o : {Outcome::kFull, Outcome::kCancelled, Outcome::kNotSent}) {
-    World w;
-    w.List(4);
-    w.FailRun("b", 4);
-    w.FailRun("b", 3, o);
-    EXPECT_FALSE(w.Logged("ejected"));
-    w.FailRun("b", 1);
-    EXPECT_TRUE(w.Logged("ejected b"));
+    TestSidecar w;
+    w.ListUpstreams(4);
+    w.FailInARow("b", 4);
+    w.FailInARow("b", 3, o);
+    EXPECT_FALSE(w.HasLogged("ejected"));
+    w.FailInARow("b", 1);
+    EXPECT_TRUE(w.HasLogged("ejected b"));
   }
 }
 
 TEST(Ejection, RepeatedEjectionsDoubleUpToTheMaximumAndABaseTimeWithoutOneResets) {
-  World w;
-  w.List(4);
+  TestSidecar w;
+  w.ListUpstreams(4);
   const auto eject_and_return = [&w] {
     w.logs.clear();
-    w.FailRun("b", 5);
+    w.FailInARow("b", 5);
     EXPECT_FALSE(w.logs.empty());
     const std::string line = w.logs.empty() ? "" : w.logs.front();
     w.Advance(1500ms);
-    w.Spread(5);  // two half-open probes among them
-    EXPECT_TRUE(w.Logged("returned b"));
+    w.CountServed(5);  // two half-open probes among them
+    EXPECT_TRUE(w.HasLogged("returned b"));
     return line;
   };
   EXPECT_NE(eject_and_return().find("ejected b for 60000 ms"), std::string::npos);
@@ -66,35 +66,35 @@
 }
 
 TEST(Ejection, ARestartedProcessHasACleanRecord) {
-  World w;
-  w.List(4);
-  w.FailRun("b", 5);
-  ASSERT_TRUE(w.Logged("ejected b"));
-  UpstreamInfo b = Up("b");
+  TestSidecar w;
+  w.ListUpstreams(4);
+  w.FailInARow("b", 5);
+  ASSERT_TRUE(w.HasLogged("ejected b"));
+  UpstreamInfo b = MakeUpstream("b");
   b.started = w.now - 1h;  // unknown to this sidecar, but past slow start
-  w.Change(b);
-  EXPECT_GT(w.Spread(40)["b"], 0);
+  w.ChangeUpstream(b);
+  EXPECT_GT(w.CountServed(40)["b"], 0);
 }
 
 // A removed upstream is forgotten, so that records do not accumulate; a returning id inherits nothing.
 TEST(Ejection, ARemovedUpstreamReturnsWithACleanRecord) {
-  World w;
-  w.List(4);
+  TestSidecar w;
+  w.ListUpstreams(4);
   const std::size_t before = w.sent.size();
   w.Arrive(kUnsafe, 100s);
-  const Sent in_flight = w.sent[before];
-  w.FailRun(in_flight.upstream, 5);
-  ASSERT_TRUE(w.Logged("ejected " + in_flight.upstream));
-  w.Change(Up(in_flight.upstream, UpstreamState::kGone));
-  w.Change(Up(in_flight.upstream));
-  EXPECT_GT(w.Spread(40)[in_flight.upstream], 0);
-  w.Finish(in_flight, Outcome::kServed);  // of the earlier process
-  EXPECT_GT(w.Spread(40)[in_flight.upstream], 0);
+  const SentAttempt in_flight = w.sent[before];
+  w.FailInARow(in_flight.upstream, 5);
+  ASSERT_TRUE(w.HasLogged("ejected " + in_flight.upstream));
+  w.ChangeUpstream(MakeUpstream(in_flight.upstream, UpstreamState::kGone));
+  w.ChangeUpstream(MakeUpstream(in_flight.upstream));
+  EXPECT_GT(w.CountServed(40)[in_flight.upstream], 0);
+  w.EndAttempt(in_flight, Outcome::kServed);  // of the earlier process
+  EXPECT_GT(w.CountServed(40)[in_flight.upstream], 0);
 }
 
 TEST(FleetWideTimeouts, DoNotEjectHealthyUpstreams) {
-  World w;
-  w.List(6);
+  TestSidecar w;
+  w.ListUpstreams(6);
   // Half of all requests fail everywhere: five consecutive failures happen by chance.
   std::uint64_t coin = 12345;
   int ejections = 0;
@@ -104,7 +104,7 @@
     w.now += 20ms;
     coin = coin * 6364136223846793005u + 1442695040888963407u;
     for (std::size_t k = before; k < w.sent.size(); ++k) {
-      w.Finish(w.sent[k], (coin >> 40) % 2 == 0 ? Outcome::kTimeout : Outcome::kServed, true);
+      w.EndAttempt(w.sent[k], (coin >> 40) % 2 == 0 ? Outcome::kTimeout : Outcome::kServed, true);
     }
   }
   for (const std::string& line : w.logs) ejections += line.find("ejected ") == 0;
@@ -112,10 +112,10 @@
 }
 
 TEST(EjectedUpstream, IsProbedByHedgesAndReturnsOnceItAnswers) {
-  World w;
-  w.List(4);
-  w.FailRun("b", 5);
-  ASSERT_TRUE(w.Logged("ejected b"));
+  TestSidecar w;
+  w.ListUpstreams(4);
+  w.FailInARow("b", 5);
+  ASSERT_TRUE(w.HasLogged("ejected b"));
   w.Advance(1500ms);
   const std::size_t before = w.sent.size();
   w.Arrive(kSafe);
@@ -123,15 +123,15 @@
   EXPECT_NE(w.sent[before].upstream, "b");
   EXPECT_EQ(w.sent[before + 1].upstream, "b");
   w.now += 10ms;
-  w.Answer(before);
+  w.EndAttempts(before);
   w.Serve();
-  EXPECT_TRUE(w.Logged("returned b after it served on trial"));
+  EXPECT_TRUE(w.HasLogged("returned b after it served on trial"));
 }
 
 TEST(EjectedUpstream, IsNotProbedByUnsafeRequests) {
-  World w;
-  w.List(4);
-  w.FailRun("b", 5);
+  TestSidecar w;
+  w.ListUpstreams(4);
+  w.FailInARow("b", 5);
   w.Advance(1500ms);
   const std::size_t before = w.sent.size();
   w.Arrive(kUnsafe);
@@ -139,15 +139,15 @@
 }
 
 TEST(EjectedUpstream, IsProbedLessOftenAfterEachFailure) {
-  World w;
-  w.List(3);
-  w.FailRun("b", 5);
+  TestSidecar w;
+  w.ListUpstreams(3);
+  w.FailInARow("b", 5);
   int probes = 0;
   for (int i = 0; i < 300; ++i) {  // 30 s: after 1, 2, 4 and 8 s, then every 8
     const std::size_t before = w.sent.size();
     w.Arrive(kSafe);
     w.now += 10ms;
-    probes += w.Answer(before, "b", Outcome::kTimeout);
+    probes += w.EndAttempts(before, "b", Outcome::kTimeout);
     w.Advance(90ms);
   }
   EXPECT_GE(probes, 4);
@@ -155,26 +155,26 @@
 }
 
 TEST(EjectedUpstream, IsUsedAsALastResortRatherThanRejectingAll) {
-  World w;
-  w.List(1);
-  w.FailRun("a", 5);
-  ASSERT_TRUE(w.Logged("ejected a"));
+  TestSidecar w;
+  w.ListUpstreams(1);
+  w.FailInARow("a", 5);
+  ASSERT_TRUE(w.HasLogged("ejected a"));
   w.Advance(1500ms);
   EXPECT_EQ(w.Serve(), "a");
 }
 
 TEST(AllEjected, RejectsWithRetryAfterAndLogsIt) {
-  World w;
-  w.List(1);
-  w.FailRun("a", 5);
-  const std::size_t refused = w.refused.size();
+  TestSidecar w;
+  w.ListUpstreams(1);
+  w.FailInARow("a", 5);
+  const std::size_t rejected_before = w.rejected.size();
   w.Arrive(kUnsafe);
-  EXPECT_EQ(w.refused.size(), refused + 1);
+  EXPECT_EQ(w.rejected.size(), rejected_before + 1);
   EXPECT_GT(w.last_retry_after, 0ms);
-  EXPECT_TRUE(w.Logged("refusing: no upstream can take a call"));
+  EXPECT_TRUE(w.HasLogged("refusing: no upstream can take a call"));
   w.Advance(70s);
-  EXPECT_TRUE(w.Logged("taking calls again"));
-  EXPECT_TRUE(w.Logged("returned a after its ejection"));
+  EXPECT_TRUE(w.HasLogged("taking calls again"));
+  EXPECT_TRUE(w.HasLogged("returned a after its ejection"));
 }
 
 // With one value for all, rejected clients would retry together. One site allows 2 s, another deployment 200
@@ -183,14 +183,14 @@
   for (const auto longest : {20ms, 200ms, 1500ms, 2000ms, 20000ms}) {
     Settings settings = DefaultSettings();
     settings.limits.max_retry_after = longest;
-    World w(settings);
-    w.List(1);
-    w.FailRun("a", 5);
+    TestSidecar w(settings);
+    w.ListUpstreams(1);
+    w.FailInARow("a", 5);
     std::set<Duration> retry_afters;
     for (int i = 0; i < 40; ++i) {
-      const std::size_t refused = w.refused.size();
+      const std::size_t rejected_before = w.rejected.size();
       w.Arrive(kUnsafe);
-      ASSERT_EQ(w.refused.size(), refused + 1);
+      ASSERT_EQ(w.rejected.size(), rejected_before + 1);
       EXPECT_LE(w.last_retry_after, longest);
       EXPECT_GE(w.last_retry_after, std::min<Duration>(longest * 3 / 4, 1500ms));
       retry_afters.insert(w.last_retry_after);
--- a/tests/balancer/fleet_slow_start_test.cpp
+++ b/tests/balancer/fleet_slow_start_test.cpp
@@ -13,7 +13,7 @@
 // one.
 TEST(FleetSlowStart, LowRatesAddUpToTheBudgetFromTheFirstSecond) {
   constexpr int kSidecars = 100, kUpstreams = 20, kSeconds = 4;
-  const auto calls = [](World& w, Duration time) {
+  const auto calls = [](TestSidecar& w, Duration time) {
     int to_new = 0;
     for (const TimePoint end = w.now + time; w.now < end;) {
       w.Advance(50ms);
@@ -22,12 +22,12 @@
     return to_new;
   };
   int sent = 0;
-  for (const auto& w : Fleet(kSidecars)) {
-    w->List(kUpstreams);
+  for (const auto& w : MakeSidecars(kSidecars)) {
+    w->ListUpstreams(kUpstreams);
     calls(*w, 10s);
-    UpstreamInfo warming_up = Up("z");
+    UpstreamInfo warming_up = MakeUpstream("z");
     warming_up.started = w->now;
-    w->Change(warming_up);
+    w->ChangeUpstream(warming_up);
     sent += calls(*w, Duration(1s) * kSeconds);
   }
   // Warm, it would get a 21st of all requests; in slow start it may get a tenth to a quarter of that. If each
@@ -41,16 +41,16 @@
 // The endpoint list states the minimum capacity of an upstream in slow start; its answers show the real one.
 TEST(FleetSlowStart, WarmingUpstreamsOfUsualLatencyGetMoreThanTheMinimum) {
   const auto slow_start_requests = [](Duration warming_up_latency) {
-    World w;
-    w.List(6);
+    TestSidecar w;
+    w.ListUpstreams(6);
     for (int i = 0; i < 400; ++i) {
       w.Advance(15ms);
       w.Serve(kUnsafe);
     }
     for (const char* id : {"x", "y", "z"}) {
-      UpstreamInfo warming_up = Up(id);
+      UpstreamInfo warming_up = MakeUpstream(id);
       warming_up.started = w.now - 2s;
-      w.Change(warming_up);
+      w.ChangeUpstream(warming_up);
     }
     int to_new = 0;
     for (int i = 0; i < 300; ++i) {
@@ -61,7 +61,7 @@
       const bool is_new = w.sent[before].upstream >= "x";
       to_new += is_new;
       w.now += is_new ? warming_up_latency : Duration(10ms);
-      w.Finish(w.sent[before], Outcome::kServed);
+      w.EndAttempt(w.sent[before], Outcome::kServed);
     }
     return to_new;
   };
@@ -72,8 +72,8 @@
 
 // Removed machines leave a record of connect failures; the machines that replace them have no connection yet.
 TEST(FleetSlowStart, ConnectFailuresElsewhereDoNotDivertRequestsFromNewUpstreams) {
-  World w;
-  w.List(8);
+  TestSidecar w;
+  w.ListUpstreams(8);
   const auto serve = [&w](int calls) {
     int to_new = 0;
     for (int i = 0; i < calls; ++i) {
@@ -84,7 +84,7 @@
         to_new += id >= "x";
         w.now += 5ms;
         const bool removed = id >= "e" && id < "x";
-        w.Finish(w.sent[k], removed ? Outcome::kConnectFailed : Outcome::kServed);
+        w.EndAttempt(w.sent[k], removed ? Outcome::kConnectFailed : Outcome::kServed);
       }
       w.Advance(20ms);
     }
@@ -92,9 +92,9 @@
   };
   serve(100);
   for (const char* id : {"x", "y", "z"}) {
-    UpstreamInfo added = Up(id);
+    UpstreamInfo added = MakeUpstream(id);
     added.started = w.now - 4s;
-    w.Change(added);
+    w.ChangeUpstream(added);
   }
   EXPECT_GT(serve(200), 12);
 }
--- a/tests/balancer/helpers.h
+++ b/tests/balancer/helpers.h
@@ -17,7 +17,7 @@
 
 using namespace std::chrono_literals;
 
-inline RequestClass Class(std::string name, Effect effect) {
+inline RequestClass MakeClass(std::string name, Effect effect) {
   RequestClass c;
   c.name = std::move(name);
   c.latency_objective = 400ms;
@@ -35,9 +35,9 @@
 
 inline Settings DefaultSettings() {
   Settings s;
-  s.classes = {Class("safe", Effect::kSafe), Class("unsafe", Effect::kUnsafe),
-               Class("keyed-all", Effect::kKeyed), Class("keyed-zone", Effect::kKeyed),
-               Class("keyed-cell", Effect::kKeyed)};
+  s.classes = {MakeClass("safe", Effect::kSafe), MakeClass("unsafe", Effect::kUnsafe),
+               MakeClass("keyed-all", Effect::kKeyed), MakeClass("keyed-zone", Effect::kKeyed),
+               MakeClass("keyed-cell", Effect::kKeyed)};
   s.classes[3].key_scope = KeyScope::kZone;
   s.classes[4].key_scope = KeyScope::kCell;
   s.zone = "here";
@@ -46,7 +46,7 @@
   return s;
 }
 
-inline UpstreamInfo Up(std::string id, UpstreamState state = UpstreamState::kServing) {
+inline UpstreamInfo MakeUpstream(std::string id, UpstreamState state = UpstreamState::kServing) {
   UpstreamInfo info;
   info.id.value = std::move(id);
   info.zone = "here";
@@ -54,7 +54,7 @@
   return info;
 }
 
-struct Sent {
+struct SentAttempt {
   RequestId request{};
   AttemptId attempt{};
   std::string upstream;
@@ -62,44 +62,44 @@
   TimePoint at;
 };
 
-class World {
+class TestSidecar {
  public:
-  explicit World(Settings settings = DefaultSettings(), std::uint64_t seed = 7)
+  explicit TestSidecar(Settings settings = DefaultSettings(), std::uint64_t seed = 7)
       : balancer_(std::move(settings), seed) {}
 
   // Upstreams "a", "b", ... up to `count`.
-  void List(int count) {
+  void ListUpstreams(int count) {
     MembershipUpdate update;
     update.kind = MembershipUpdate::Kind::kRestored;
     for (int i = 0; i < count; ++i)
-      update.upstreams.push_back(Up(std::string(1, static_cast<char>('a' + i))));
-    Do(update);
+      update.upstreams.push_back(MakeUpstream(std::string(1, static_cast<char>('a' + i))));
+    Handle(update);
   }
-  void Full(std::vector<UpstreamInfo> list) {
-    Do(MembershipUpdate{MembershipUpdate::Kind::kFull, std::move(list)});
+  void ReplaceList(std::vector<UpstreamInfo> list) {
+    Handle(MembershipUpdate{MembershipUpdate::Kind::kFull, std::move(list)});
   }
-  void Change(UpstreamInfo info) {
-    Do(MembershipUpdate{MembershipUpdate::Kind::kChanges, {std::move(info)}});
+  void ChangeUpstream(UpstreamInfo info) {
+    Handle(MembershipUpdate{MembershipUpdate::Kind::kChanges, {std::move(info)}});
   }
 
   // Hands over one event; everything it caused is in `actions` (this event's only) and in the records below.
-  void Do(const Event& event) {
+  void Handle(const Event& event) {
     actions.clear();
     balancer_.handle(now, event, actions);
     for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
   }
 
-  RequestId Arrive(ClassId cls = kSafe, Duration timeout = 2s) {
+  RequestId Arrive(ClassId request_class = kSafe, Duration timeout = 2s) {
     RequestArrived e;
     e.request = RequestId{++last_request_};
-    e.request_class = cls;
+    e.request_class = request_class;
     e.deadline = now + timeout;
-    Do(e);
+    Handle(e);
     return e.request;
   }
 
-  void Finish(const Sent& sent, Outcome outcome, bool finished = false) {
-    Do(AttemptEnded{
+  void EndAttempt(const SentAttempt& sent, Outcome outcome, bool finished = false) {
+    Handle(AttemptEnded{
         sent.request, sent.attempt, outcome, now - sent.at, finished || outcome == Outcome::kServed, {}});
   }
 
@@ -110,56 +110,56 @@
       now = std::max(now, timers.begin()->first);
       const std::uint64_t token = timers.begin()->second;
       timers.erase(timers.begin());
-      Do(TimerFired{token});
+      Handle(TimerFired{token});
     }
     now = end;
   }
 
   // Ends every attempt sent from number `from` on: with `outcome` at `bad`, served elsewhere. How many hit
   // `bad`.
-  int Answer(std::size_t from, const std::string& bad = "", Outcome outcome = Outcome::kServed) {
+  int EndAttempts(std::size_t from, const std::string& bad = "", Outcome outcome = Outcome::kServed) {
     int hits = 0;
     bool served = false;
     for (std::size_t i = from; i < sent.size(); ++i) {
-      const Sent attempt = sent[i];
+      const SentAttempt attempt = sent[i];
       const bool hit = attempt.upstream == bad;
       hits += hit;
-      Finish(attempt, hit ? outcome : Outcome::kServed, served);
+      EndAttempt(attempt, hit ? outcome : Outcome::kServed, served);
       served = served || !hit || outcome == Outcome::kServed;
     }
     return hits;
   }
 
   // A request that is served at once: the upstream that served it, or "".
-  std::string Serve(ClassId cls = kSafe) {
+  std::string Serve(ClassId request_class = kSafe) {
     const std::size_t before = sent.size();
-    Arrive(cls);
+    Arrive(request_class);
     now += 10ms;
-    Answer(before);
+    EndAttempts(before);
     return sent.size() == before ? "" : sent[before].upstream;
   }
 
   // Requests that are served, except at `bad`, where they end with `outcome`, until `bad` has had `failures`.
   // Slow enough for half-open probes, which are all that a suspect upstream gets.
-  void FailRun(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
+  void FailInARow(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
     for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
       const std::size_t before = sent.size();
       Arrive(kSafe);
       now += 10ms;
-      failures -= Answer(before, bad, outcome);
+      failures -= EndAttempts(before, bad, outcome);
       if (failures > 0) Advance(100ms);
     }
     EXPECT_LE(failures, 0) << bad << " took too few calls";
   }
 
   // How often each upstream is picked in `calls` served calls.
-  std::map<std::string, int> Spread(int calls, ClassId cls = kSafe) {
+  std::map<std::string, int> CountServed(int calls, ClassId request_class = kSafe) {
     std::map<std::string, int> spread;
-    for (int i = 0; i < calls; ++i) ++spread[Serve(cls)];
+    for (int i = 0; i < calls; ++i) ++spread[Serve(request_class)];
     return spread;
   }
 
-  bool Logged(const std::string& part) const {
+  bool HasLogged(const std::string& part) const {
     for (const std::string& line : logs) {
       if (line.find(part) != std::string::npos) return true;
     }
@@ -168,8 +168,8 @@
 
   TimePoint now{1000s};
   std::vector<Action> actions;
-  std::vector<Sent> sent;
-  std::vector<RequestId> refused;
+  std::vector<SentAttempt> sent;
+  std::vector<RequestId> rejected;
   std::vector<RequestId> failed;
   std::vector<std::pair<RequestId, AttemptId>> cancelled;
   std::vector<std::string> logs;
@@ -186,7 +186,7 @@
   }
   void Record(const CancelAttempt& a) { cancelled.emplace_back(a.request, a.attempt); }
   void Record(const Reject& a) {
-    refused.push_back(a.request);
+    rejected.push_back(a.request);
     last_retry_after = a.retry_after;
   }
   void Record(const Fail& a) { failed.push_back(a.request); }
@@ -202,10 +202,11 @@
 };
 
 // `count` sidecars that share nothing but their endpoint list.
-inline std::vector<std::unique_ptr<World>> Fleet(int count, const Settings& settings = DefaultSettings()) {
-  std::vector<std::unique_ptr<World>> fleet;
+inline std::vector<std::unique_ptr<TestSidecar>> MakeSidecars(int count,
+                                                              const Settings& settings = DefaultSettings()) {
+  std::vector<std::unique_ptr<TestSidecar>> fleet;
   for (int i = 0; i < count; ++i)
-    fleet.push_back(std::make_unique<World>(settings, 1000 + static_cast<std::uint64_t>(i)));
+    fleet.push_back(std::make_unique<TestSidecar>(settings, 1000 + static_cast<std::uint64_t>(i)));
   return fleet;
 }
 
--- a/tests/balancer/load_probing_test.cpp
+++ b/tests/balancer/load_probing_test.cpp
@@ -17,16 +17,16 @@
   return settings;
 }
 
-void Report(World& w, const std::string& id, double in_flight, double rate = 0) {
+void Report(TestSidecar& w, const std::string& id, double in_flight, double rate = 0) {
   LoadReport load;
   load.in_flight = in_flight;
   load.rate = rate;
-  w.Do(ProbeEnded{{id}, Outcome::kServed, 1ms, load});
+  w.Handle(ProbeEnded{{id}, Outcome::kServed, 1ms, load});
 }
 
 TEST(LoadProbing, TheLeastLoadedCandidateGetsTheRequest) {
-  World w(Reporting());
-  w.List(6);
+  TestSidecar w(Reporting());
+  w.ListUpstreams(6);
   for (int i = 0; i < 12; ++i) {
     w.probed.clear();
     const std::size_t before = w.sent.size();
@@ -40,13 +40,13 @@
     ASSERT_EQ(w.sent.size(), before + 1);
     EXPECT_EQ(w.sent.back().upstream, probed[1]);
     w.now += 10ms;
-    w.Finish(w.sent.back(), Outcome::kServed);
+    w.EndAttempt(w.sent.back(), Outcome::kServed);
   }
 }
 
 TEST(LoadProbing, AnUnansweredProbeDelaysTheRequestBrieflyAndIsAFailure) {
-  World w(Reporting());
-  w.List(6);
+  TestSidecar w(Reporting());
+  w.ListUpstreams(6);
   w.Arrive(kUnsafe);
   const std::string unresponsive = w.probed[0], answering = w.probed[1];
   Report(w, answering, 50);
@@ -54,33 +54,33 @@
   w.Advance(30ms);
   ASSERT_EQ(w.sent.size(), 1u) << "one attempt, no copy of a call that is not late";
   EXPECT_EQ(w.sent.back().upstream, answering) << "of those that answered";
-  w.Finish(w.sent.back(), Outcome::kServed);
-  for (int i = 0; i < 2; ++i) w.Do(ProbeEnded{{unresponsive}, Outcome::kTimeout, 400ms, {}});
+  w.EndAttempt(w.sent.back(), Outcome::kServed);
+  for (int i = 0; i < 2; ++i) w.Handle(ProbeEnded{{unresponsive}, Outcome::kTimeout, 400ms, {}});
   w.probed.clear();
   for (int i = 0; i < 5; ++i) w.Arrive(kUnsafe);
   EXPECT_EQ(std::count(w.probed.begin(), w.probed.end(), unresponsive), 0) << "a suspect now";
 }
 
 TEST(LoadProbing, ARequestThatEndsWhileItWaitsIsNotSent) {
-  World w(Reporting());
-  w.List(6);
+  TestSidecar w(Reporting());
+  w.ListUpstreams(6);
   const RequestId cancelled = w.Arrive(kUnsafe);
-  w.Do(ClientDisconnected{cancelled});
+  w.Handle(ClientDisconnected{cancelled});
   for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 1);
   w.Advance(3s);
   EXPECT_TRUE(w.sent.empty());
-  EXPECT_TRUE(w.refused.empty());
+  EXPECT_TRUE(w.rejected.empty());
 }
 
 TEST(OverloadedFleet, ARequestIsRejectedWhenAllProbedUpstreamsAreOverloaded) {
-  World w(Reporting());
-  w.List(6);
+  TestSidecar w(Reporting());
+  w.ListUpstreams(6);
   const RequestId late = w.Arrive(kUnsafe);  // its latency objective is 400 ms
   for (const std::string& id : std::vector<std::string>(w.probed)) Report(w, id, 40, 50);
   EXPECT_TRUE(w.sent.empty());
-  ASSERT_EQ(w.refused.size(), 1u);
-  EXPECT_EQ(w.refused.back(), late);
-  EXPECT_TRUE(w.Logged("refusing: overload, upstreams hold more than they can serve in time"));
+  ASSERT_EQ(w.rejected.size(), 1u);
+  EXPECT_EQ(w.rejected.back(), late);
+  EXPECT_TRUE(w.HasLogged("refusing: overload, upstreams hold more than they can serve in time"));
   w.probed.clear();
   w.Arrive(kUnsafe);
   const std::vector<std::string> probed = w.probed;
--- a/tests/balancer/random_events_test.cpp
+++ b/tests/balancer/random_events_test.cpp
@@ -32,12 +32,12 @@
   s.limits.max_attempts = 1 + below(5);
   s.classes[2].key_window = Duration(100000 + below(2000000));
   if (below(2) == 0) s.tenants = {{"t", 0.5, 50}, {"u", 0.5, 50}};
-  World w(s, GetParam());
+  TestSidecar w(s, GetParam());
 
   struct Open {
     ClassId cls{};
     TimePoint deadline;
-    std::vector<std::pair<Sent, std::optional<Outcome>>> attempts;
+    std::vector<std::pair<SentAttempt, std::optional<Outcome>>> attempts;
     bool ended = false;
   };
   std::map<RequestId, Open> requests;
@@ -99,7 +99,8 @@
       const UpstreamInfo& to = upstreams.at(send->upstream.value);
       EXPECT_EQ(to.state, UpstreamState::kServing);
       r.attempts.emplace_back(
-          Sent{id, AttemptId{r.attempts.size()}, send->upstream.value, send->timeout, w.now}, std::nullopt);
+          SentAttempt{id, AttemptId{r.attempts.size()}, send->upstream.value, send->timeout, w.now},
+          std::nullopt);
       if (to.started && w.now - *to.started < s.rules.slow_start_duration) {
         const double age = static_cast<double>((w.now - *to.started) / 1us) /
                            static_cast<double>(s.rules.slow_start_duration / 1us);
@@ -111,30 +112,30 @@
   const auto change = [&](const std::string& id, bool restart) {
     UpstreamInfo& info = upstreams[id];
     if (info.id.value.empty()) {
-      info = Up(id);
+      info = MakeUpstream(id);
       info.zone = below(2) == 0 ? "here" : "there";
       info.cell = static_cast<std::int64_t>(below(3));
     }
     info.state = below(3) == 0 ? UpstreamState::kDraining : UpstreamState::kServing;
     if (below(6) == 0) info.state = UpstreamState::kGone;
     if (restart) info.started = w.now;
-    w.Change(info);
+    w.ChangeUpstream(info);
     check();
   };
 
-  w.Full({});
+  w.ReplaceList({});
   for (char c = 'a'; c < 'g'; ++c) {
-    UpstreamInfo info = Up(std::string(1, c));
+    UpstreamInfo info = MakeUpstream(std::string(1, c));
     info.zone = below(2) == 0 ? "here" : "there";
     upstreams[info.id.value] = info;
-    w.Change(info);
+    w.ChangeUpstream(info);
   }
   for (int step = 0; step < 12000; ++step) {
     w.now += Duration(below(20000));
     while (!w.timers.empty() && w.timers.begin()->first <= w.now) {
       const std::uint64_t token = w.timers.begin()->second;
       w.timers.erase(w.timers.begin());
-      w.Do(TimerFired{token});
+      w.Handle(TimerFired{token});
       check();
     }
     // Every timer up to now has fired: open requests must be within their deadlines.
@@ -153,7 +154,7 @@
       e.deadline = w.now + Duration(1 + below(2000000));
       if (!s.tenants.empty()) e.tenant = TenantId{below(2)};
       requests[e.request] = Open{e.request_class, e.deadline, {}, false};
-      w.Do(e);
+      w.Handle(e);
       check();
     } else if (roll < 93) {
       if (requests.empty()) continue;
@@ -165,7 +166,7 @@
         const Outcome o = below(10) < 6 ? Outcome::kServed : static_cast<Outcome>(1 + below(7));
         outcome = o;
         if (o == Outcome::kServed) r.ended = true;
-        w.Do(AttemptEnded{sent.request, sent.attempt, o, w.now - sent.at, r.ended, {}});
+        w.Handle(AttemptEnded{sent.request, sent.attempt, o, w.now - sent.at, r.ended, {}});
         check();
         break;
       }
@@ -174,7 +175,7 @@
       auto it = requests.begin();
       std::advance(it, below(requests.size()));
       it->second.ended = true;
-      w.Do(ClientDisconnected{it->first});
+      w.Handle(ClientDisconnected{it->first});
       check();
     } else if (roll < 97) {
       change(std::string(1, static_cast<char>('a' + below(6))), below(3) == 0);
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -64,7 +64,7 @@
     settings_.rules.overload_window = c.window;
     settings_.sidecar_count = static_cast<std::size_t>(c.sidecars);
     for (int i = 0; i < c.upstreams; ++i) {
-      list_.push_back(Up("u" + std::to_string(i)));
+      list_.push_back(MakeUpstream("u" + std::to_string(i)));
       list_.back().started = TimePoint(1s);
     }
     sidecars_.resize(static_cast<std::size_t>(c.sidecars));
@@ -84,7 +84,7 @@
       warming_up_[list_[i].id.value];
     }
     for (Sidecar& s : sidecars_) {
-      s.world->Full(list_);
+      s.world->ReplaceList(list_);
       ApplyActions(s);
     }
     Run(case_.fault_at);
@@ -111,13 +111,13 @@
  private:
   struct Answer {
     TimePoint at;
-    Sent sent;
+    SentAttempt sent;
     Outcome outcome;
   };
   struct Sidecar {
     double rate = 0;
-    std::unique_ptr<World> world;
-    std::size_t seen = 0, refused = 0, failed = 0, cancelled = 0;
+    std::unique_ptr<TestSidecar> world;
+    std::size_t seen = 0, rejected = 0, failed = 0, cancelled = 0;
     std::vector<Answer> answers;
     std::vector<TimePoint> retries;
   };
@@ -128,9 +128,9 @@
     Sidecar& s = sidecars_[i];
     Settings settings = settings_;
     settings.sidecar_index = i;
-    s = Sidecar{s.rate, std::make_unique<World>(settings, random_()), 0, 0, 0, 0, {}, {}};
+    s = Sidecar{s.rate, std::make_unique<TestSidecar>(settings, random_()), 0, 0, 0, 0, {}, {}};
     s.world->now = now_;
-    s.world->Full(list_);
+    s.world->ReplaceList(list_);
   }
 
   void Run(Duration time) {
@@ -152,7 +152,7 @@
       }
       const Answer answer = s.answers[i];
       s.answers.erase(s.answers.begin() + static_cast<std::ptrdiff_t>(i));
-      s.world->Finish(answer.sent, answer.outcome);
+      s.world->EndAttempt(answer.sent, answer.outcome);
       ApplyActions(s);
     }
     const int times = fault_ == Fault::kDoubleLoad ? 2 : fault_ == Fault::kOverload ? 5 : 1;
@@ -166,7 +166,7 @@
 
   // Delivers the actions of the module since the last call to the upstreams.
   void ApplyActions(Sidecar& s) {
-    World& w = *s.world;
+    TestSidecar& w = *s.world;
     for (; s.cancelled < w.cancelled.size(); ++s.cancelled) {
       const auto [request, attempt] = w.cancelled[s.cancelled];
       for (Answer& a : s.answers) {
@@ -176,15 +176,15 @@
       }
     }
     for (; s.seen < w.sent.size(); ++s.seen) s.answers.push_back(Reach(w.sent[s.seen]));
-    const std::size_t back = w.refused.size() - s.refused + w.failed.size() - s.failed;
+    const std::size_t back = w.rejected.size() - s.rejected + w.failed.size() - s.failed;
     for (std::size_t i = 0; i < back; ++i) {
       if (Uniform() < kRetryProbability) s.retries.push_back(now_ + kBackOff);
     }
-    s.refused = w.refused.size();
+    s.rejected = w.rejected.size();
     s.failed = w.failed.size();
   }
 
-  Answer Reach(const Sent& sent) {
+  Answer Reach(const SentAttempt& sent) {
     const auto warming_up = warming_up_.find(sent.upstream);
     if (warming_up != warming_up_.end()) Count(warming_up->second);
     // An upstream never serves above its capacity.
--- a/tests/balancer/subsetting_test.cpp
+++ b/tests/balancer/subsetting_test.cpp
@@ -11,8 +11,8 @@
 
 TEST(FleetStart, FirstRequestsSpreadOverTheWholeList) {
   std::map<std::string, int> spread;
-  for (const auto& w : Fleet(500)) {
-    w->List(20);
+  for (const auto& w : MakeSidecars(500)) {
+    w->ListUpstreams(20);
     ++spread[w->Serve()];
   }
   EXPECT_EQ(spread.size(), 20u);
@@ -21,7 +21,7 @@
 
 // One request served each second: the upstreams that served them. The rate is unknown during the first
 // seconds.
-std::map<std::string, int> ServeAtLowRate(World& w, int calls) {
+std::map<std::string, int> ServeAtLowRate(TestSidecar& w, int calls) {
   std::map<std::string, int> spread;
   for (int i = 0; i < calls; ++i) {
     w.Advance(1s);
@@ -36,8 +36,8 @@
     Settings settings = DefaultSettings();
     settings.sidecar_count = 100;
     settings.sidecar_index = sidecar_index;
-    World w(settings, 100 + sidecar_index);
-    w.List(20);
+    TestSidecar w(settings, 100 + sidecar_index);
+    w.ListUpstreams(20);
     ServeAtLowRate(w, 4);
     const std::map<std::string, int> own = ServeAtLowRate(w, 20);
     EXPECT_LE(own.size(), 6u);
@@ -49,12 +49,12 @@
 }
 
 TEST(Subsetting, AListChangeKeepsTheOtherMembersOfTheSubset) {
-  World w;
-  w.List(20);
+  TestSidecar w;
+  w.ListUpstreams(20);
   ServeAtLowRate(w, 5);
   const std::map<std::string, int> before = ServeAtLowRate(w, 20);
-  UpstreamInfo removed = Up(before.begin()->first, UpstreamState::kGone);
-  w.Change(removed);
+  UpstreamInfo removed = MakeUpstream(before.begin()->first, UpstreamState::kGone);
+  w.ChangeUpstream(removed);
   const std::map<std::string, int> after = ServeAtLowRate(w, 20);
   int retained = 0;
   for (const auto& [id, calls] : before) retained += static_cast<int>(after.count(id));
@@ -63,13 +63,13 @@
 }
 
 TEST(Subsetting, AHighRequestRateUsesTheWholeList) {
-  World w;
-  w.List(20);
+  TestSidecar w;
+  w.ListUpstreams(20);
   for (int i = 0; i < 300; ++i) {
     w.Advance(10ms);
     w.Serve();
   }
-  EXPECT_EQ(w.Spread(200).size(), 20u);
+  EXPECT_EQ(w.CountServed(200).size(), 20u);
 }
 
 }  // namespace
--- a/tests/balancer/unavailable_zone_test.cpp
+++ b/tests/balancer/unavailable_zone_test.cpp
@@ -16,14 +16,14 @@
   TwoZones() {
     std::vector<UpstreamInfo> list;
     for (char id = 'a'; id < 'm'; ++id) {
-      list.push_back(Up(std::string(1, id)));
+      list.push_back(MakeUpstream(std::string(1, id)));
       list.back().zone = id < 'g' ? "here" : "there";
     }
-    w.Full(list);
+    w.ReplaceList(list);
   }
   std::pair<int, int> Call(int calls, bool unresponsive, ClassId cls = kUnsafe) {
     int there = 0;
-    const std::size_t refused = w.refused.size();
+    const std::size_t rejected_before = w.rejected.size();
     for (int i = 0; i < calls; ++i) {
       const std::size_t before = w.sent.size();
       w.Arrive(cls);
@@ -31,13 +31,13 @@
       for (std::size_t k = before; k < w.sent.size(); ++k) {
         const bool far = w.sent[k].upstream >= "g";
         there += far;
-        w.Finish(w.sent[k], far && unresponsive ? Outcome::kTimeout : Outcome::kServed);
+        w.EndAttempt(w.sent[k], far && unresponsive ? Outcome::kTimeout : Outcome::kServed);
       }
       w.Advance(10ms);
     }
-    return {there, static_cast<int>(w.refused.size() - refused)};
+    return {there, static_cast<int>(w.rejected.size() - rejected_before)};
   }
-  World w;
+  TestSidecar w;
 };
 
 TEST(UnavailableZone, IsAvoidedAfterThreeUnresponsiveUpstreamsUntilItsFirstAnswer) {
@@ -60,7 +60,7 @@
     const std::size_t before = zones.w.sent.size();
     zones.w.Arrive(kUnsafe);
     zones.w.now += 10ms;
-    zones.w.Answer(before, "g", Outcome::kTimeout);
+    zones.w.EndAttempts(before, "g", Outcome::kTimeout);
     zones.w.Advance(10ms);
   }
   EXPECT_GT(zones.Call(100, false).first, 25);
--- a/tests/discovery/endpoint_staleness_test.cpp
+++ b/tests/discovery/endpoint_staleness_test.cpp
@@ -133,13 +133,13 @@
       balancer::Settings settings = balancer::testing::DefaultSettings();
       settings.membership_on_request = true;
       settings.rules.poll_within = seconds(poll_within);
-      balancer::testing::World world(settings, seed);
-      world.List(1);
-      world.Do(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
-      const auto failed = world.now;
-      while (world.subscribed == 1 && world.now - failed < seconds(5)) world.Advance(milliseconds(10));
-      EXPECT_LE(world.now - failed, seconds(2)) << poll_within << " s, seed " << seed;
-      EXPECT_GE(world.now - failed, milliseconds(100)) << poll_within << " s, seed " << seed;
+      balancer::testing::TestSidecar sidecar(settings, seed);
+      sidecar.ListUpstreams(1);
+      sidecar.Handle(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
+      const auto failed = sidecar.now;
+      while (sidecar.subscribed == 1 && sidecar.now - failed < seconds(5)) sidecar.Advance(milliseconds(10));
+      EXPECT_LE(sidecar.now - failed, seconds(2)) << poll_within << " s, seed " << seed;
+      EXPECT_GE(sidecar.now - failed, milliseconds(100)) << poll_within << " s, seed " << seed;
     }
   }
 }
