--- a/src/balancer/arithmetic.h
+++ b/src/balancer/arithmetic.h
@@ -9,10 +9,10 @@
 
 namespace mothrack::balancer {
 
-inline double Seconds(Duration d) { return static_cast<double>(d.count()) / 1e6; }
+inline double Seconds(Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
 // Rounded towards zero to whole microseconds.
-inline Duration Scaled(Duration d, double factor) {
-  return Duration(static_cast<Duration::rep>(static_cast<double>(d.count()) * factor));
+inline Duration Scaled(Duration duration, double factor) {
+  return Duration(static_cast<Duration::rep>(static_cast<double>(duration.count()) * factor));
 }
 
 // Spreads ids evenly, differently for each `seed`; the same on every platform (FNV-1a with splitmix64's
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -74,8 +74,8 @@
     SetTickTimer();
     fleet_.RecordTick(request_handler_.shedder().weights());
     request_handler_.RecordTick();
-    request_handler_.EndRefusing();
-    fleet_.ReturnThoseDue();
+    request_handler_.LogEndOfRejections();
+    fleet_.EndExpiredEjections();
     if (subscribe_at_ && context_.now >= *subscribe_at_) {
       subscribe_at_.reset();
       context_.Emit(Subscribe{});
--- a/src/balancer/connection_model.cpp
+++ b/src/balancer/connection_model.cpp
@@ -29,12 +29,12 @@
   if (outcome == Outcome::kReset && !use.connects && immediate)
     trusted_idle_ = std::max(kMinTrustedIdle, std::min(trusted_idle_, use.idle_for / 2));
   if (!use.connects || (outcome != Outcome::kServed && outcome != Outcome::kConnectFailed)) return;
-  const double over = Seconds(elapsed) / Seconds(usual_time) - 1;
-  difficulty_.Add(outcome == Outcome::kServed ? std::clamp(over, 0.0, 1.0) : 1, kConnectingMemory);
+  const double excess = Seconds(elapsed) / Seconds(usual_time) - 1;
+  difficulty_.Add(outcome == Outcome::kServed ? std::clamp(excess, 0.0, 1.0) : 1, kConnectingMemory);
 }
 
 void ConnectionModel::RecordTick() {
-  difficulty_.value *= 1 - Seconds(kTickInterval) / Seconds(kConnectingFadeTime);
+  difficulty_.value *= 1 - Seconds(kTickInterval) / Seconds(kConnectingDecayTime);
   trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustGrowth), limits_.idle_close);
 }
 
--- a/src/balancer/connection_model.h
+++ b/src/balancer/connection_model.h
@@ -22,7 +22,7 @@
 // Memory of the difficulty, in attempts that open a connection, ...
 inline constexpr double kConnectingMemory = 20;
 // ... and its decay time: failed connections to machines that are gone say nothing about others.
-inline constexpr Duration kConnectingFadeTime = std::chrono::seconds(2);
+inline constexpr Duration kConnectingDecayTime = std::chrono::seconds(2);
 
 // The idle connections of this sidecar to an upstream, as estimated.
 struct ConnectionRecord {
--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -40,77 +40,80 @@
   MarkSubset();
   // Only once the whole list is known: with credit drawn from a partial sum, the first upstreams of the list
   // would come first at every sidecar, and the whole fleet would send its first requests to the same few.
-  for (const UpstreamPtr& u : entering) EnterRotation(*u);
+  for (const UpstreamPtr& upstream : entering) EnterRotation(*upstream);
 }
 
 void Fleet::UpdateUpstream(const UpstreamInfo& info, std::vector<UpstreamPtr>& entering) {
-  const auto [u, new_process, enters] = upstreams_.Update(info);
+  const auto [upstream, new_process, enters] = upstreams_.Update(info);
   if (new_process && info.started) zone_health_.RecordNewProcess(info.zone);
   if (new_process)
-    slow_start_.RecordEntry(u->slow_start, BudgetBasis(*u), context_.random.Uniform(), context_.now);
-  if (enters) entering.push_back(u);
+    slow_start_.RecordEntry(upstream->slow_start, BudgetInput(*upstream), context_.random.Uniform(),
+                            context_.now);
+  if (enters) entering.push_back(upstream);
 }
 
 void Fleet::MarkSubset() {
   subset_members_.clear();
-  for (const UpstreamPtr& u : upstreams_.ranked()) {
-    const bool serving = u->info.state == UpstreamState::kServing;
-    const bool takes_place = serving && !u->outlier.ejected && !IsSuspect(*u);
-    subset_members_.push_back(
-        {&u->subset, serving ? u->info.weight : 0, takes_place ? SlowStartFactor(*u) : 0});
+  for (const UpstreamPtr& upstream : upstreams_.ranked()) {
+    const bool serving = upstream->info.state == UpstreamState::kServing;
+    const bool takes_place = serving && !upstream->outlier.ejected && !IsSuspect(*upstream);
+    subset_members_.push_back({&upstream->subset, serving ? upstream->info.weight : 0,
+                               takes_place ? SlowStartFactor(*upstream) : 0});
   }
   subset_.Mark(subset_members_, SubsetSize(), request_rate_.IsKnown(context_.now),
                upstreams_.ServingWeight());
 }
 
-void Fleet::EnterRotation(Upstream& u) {
-  SmoothWeightedRoundRobin::Enter(u.rotation, context_.random.Uniform(), upstreams_.ServingWeight());
+void Fleet::EnterRotation(Upstream& upstream) {
+  SmoothWeightedRoundRobin::Enter(upstream.rotation, context_.random.Uniform(), upstreams_.ServingWeight());
 }
 
 void Fleet::RecordTick(const FleetWeights& weights) {
   slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(context_.now),
-                          weights.telling, weights.serving, upstreams_.ServingWeight()});
+                          weights.healthy_past_slow_start, weights.serving, upstreams_.ServingWeight()});
   request_rate_.RecordTick(context_.now, slow_start_.RateMemorySeconds());
-  subset_.RecordTick(slow_start_.FadingPerTick());
+  subset_.RecordTick(slow_start_.DecayPerTick());
   MarkSubset();
   connections_.RecordTick();
 }
 
 // ---- Attempts and their outcomes ----
 
-ConnectionUse Fleet::RecordSent(Upstream& u, bool half_open_probe, bool in_flight) {
-  ++u.in_flight.sent;
-  if (SlowStartFactor(u) < 1) {
-    SlowStart::Spend(u.slow_start);
+ConnectionUse Fleet::RecordSent(Upstream& upstream, bool half_open_probe, bool in_flight) {
+  ++upstream.in_flight.sent;
+  if (SlowStartFactor(upstream) < 1) {
+    SlowStart::Spend(upstream.slow_start);
     ++context_.counts.slow_start;
   }
-  if (in_flight) RecordInFlight(u);
+  if (in_flight) RecordInFlight(upstream);
   if (half_open_probe) {
-    HalfOpenProbes::RecordSent(u.half_open);
+    HalfOpenProbes::RecordSent(upstream.half_open);
     const double delays = kMinZoneProbeDelays + context_.random.Uniform();
-    zone_health_.RecordProbe(u.info.zone, context_.now + Scaled(kFirstProbeDelay, delays));
+    zone_health_.RecordProbe(upstream.info.zone, context_.now + Scaled(kFirstProbeDelay, delays));
   }
-  if (connections_.DropStale(u.connection, context_.now)) context_.Emit(CloseIdle{u.info.id});
-  const ConnectionUse use = connections_.Use(u.connection, u.in_flight.attempts, context_.now);
+  if (connections_.DropStale(upstream.connection, context_.now)) context_.Emit(CloseIdle{upstream.info.id});
+  const ConnectionUse use = connections_.Use(upstream.connection, upstream.in_flight.attempts, context_.now);
   context_.counts.connects += use.connects;
   return use;
 }
 
-void Fleet::RecordOutcome(const Request& r, const Attempt& attempt, Duration elapsed) {
+void Fleet::RecordOutcome(const Request& request, const Attempt& attempt, Duration elapsed) {
   const Outcome outcome = *attempt.outcome;
-  Upstream& u = *attempt.upstream;
-  connections_.RecordOutcome(u.connection, attempt.connection, outcome, elapsed,
-                             latency_.UsualTime(r.class_index), context_.now);
-  if (!attempt.started) RecordAnswerTime(r, attempt, outcome, elapsed);
+  Upstream& upstream = *attempt.upstream;
+  connections_.RecordOutcome(upstream.connection, attempt.connection, outcome, elapsed,
+                             latency_.UsualTime(request.class_index), context_.now);
+  if (!attempt.started) RecordAnswerTime(request, attempt, outcome, elapsed);
   RecordZoneOutcome(attempt, outcome);
-  RecordHealth(u, attempt, outcome);
+  RecordHealth(upstream, attempt, outcome);
   if (outcome == Outcome::kServed) request_rate_.RecordServed();
 }
 
-void Fleet::RecordAnswerTime(const Request& r, const Attempt& attempt, Outcome outcome, Duration elapsed) {
-  Upstream& u = *attempt.upstream;
-  latency_.RecordAnswer(u.latency, u.info.kind,
-                        {r.class_index, r.latency_objective, SlowStartFactor(u), outcome, elapsed});
+void Fleet::RecordAnswerTime(const Request& request, const Attempt& attempt, Outcome outcome,
+                             Duration elapsed) {
+  Upstream& upstream = *attempt.upstream;
+  latency_.RecordAnswer(
+      upstream.latency, upstream.info.kind,
+      {request.class_index, request.latency_objective, SlowStartFactor(upstream), outcome, elapsed});
 }
 
 void Fleet::RecordZoneOutcome(const Attempt& attempt, Outcome outcome) {
@@ -118,31 +121,32 @@
   if (IsAnswer(outcome)) {
     zone_health_.RecordAnswer(info.zone, context_.now);
   } else if (outcome == Outcome::kTimeout || outcome == Outcome::kConnectFailed) {
-    zone_health_.RecordSilence(info.zone, info.id, attempt.sent);
+    zone_health_.RecordUnanswered(info.zone, info.id, attempt.sent);
   }
 }
 
-void Fleet::RecordSilence(const Request& r) {
-  for (const Attempt& a : r.attempts) {
-    if (a.IsUnanswered()) zone_health_.RecordSilence(a.upstream->info.zone, a.upstream->info.id, a.sent);
+void Fleet::RecordUnanswered(const Request& request) {
+  for (const Attempt& attempt : request.attempts) {
+    if (attempt.IsUnanswered())
+      zone_health_.RecordUnanswered(attempt.upstream->info.zone, attempt.upstream->info.id, attempt.sent);
   }
 }
 
-void Fleet::RecordHealth(Upstream& u, const Attempt& attempt, Outcome outcome) {
-  if (IsFailure(outcome) && outcome != Outcome::kError) ++u.in_flight.unanswered;
-  if (u.info.state == UpstreamState::kGone) return;  // its health no longer matters
+void Fleet::RecordHealth(Upstream& upstream, const Attempt& attempt, Outcome outcome) {
+  if (IsFailure(outcome) && outcome != Outcome::kError) ++upstream.in_flight.unanswered;
+  if (upstream.info.state == UpstreamState::kGone) return;  // its health no longer matters
   if (attempt.half_open_probe &&
-      HalfOpenProbes::RecordOutcome(u.half_open, u.outlier.ejected, outcome, context_.now))
-    Return(u, "after it served on trial");
+      HalfOpenProbes::RecordOutcome(upstream.half_open, upstream.outlier.ejected, outcome, context_.now))
+    ReturnToRotation(upstream, "after it served on trial");
   if (outcome != Outcome::kConnectFailed && outcome != Outcome::kTimeout && outcome != Outcome::kCancelled)
-    u.in_flight.waiting_since = context_.now;
+    upstream.in_flight.waiting_since = context_.now;
   if (outcome == Outcome::kFull) {
     const double times = kMinFullTimes + context_.random.Uniform();
-    u.in_flight.full_until = context_.now + Scaled(latency_.UsualTime(), times);
+    upstream.in_flight.full_until = context_.now + Scaled(latency_.UsualTime(), times);
   }
   if (outcome != Outcome::kServed && !IsFailure(outcome)) return;
-  if (const auto ejection = outliers_.RecordOutcome(u.outlier, outcome, context_.now))
-    RecordEjection(u, *ejection);
+  if (const auto ejection = outliers_.RecordOutcome(upstream.outlier, outcome, context_.now))
+    RecordEjection(upstream, *ejection);
   outliers_.ClearSums();
   for (const UpstreamPtr& other : upstreams_.ranked()) {
     if (other->info.state == UpstreamState::kServing) outliers_.AddToSums(other->outlier);
@@ -152,130 +156,136 @@
 // A hedge was served before an earlier attempt whose upstream is unresponsive: that counts as a time-out.
 // Without it hedges would hide upstreams that drop attempts from outlier detection. Attempts that were in
 // flight at the same time count once.
-void Fleet::RecordOvertaken(const Request& r, const Attempt& winner) {
-  for (const Attempt& a : r.attempts) {
-    Upstream& u = *a.upstream;
-    if (!a.IsUnanswered() || a.half_open_probe) continue;
-    if (a.sent >= winner.sent || a.sent < u.outlier.overtaken_at) continue;
-    if (u.info.state != UpstreamState::kServing) continue;
-    if (const auto ejection = outliers_.RecordOvertaken(u.outlier, context_.now))
-      RecordEjection(u, *ejection);
+void Fleet::RecordOvertaken(const Request& request, const Attempt& winner) {
+  for (const Attempt& attempt : request.attempts) {
+    Upstream& upstream = *attempt.upstream;
+    if (!attempt.IsUnanswered() || attempt.half_open_probe) continue;
+    if (attempt.sent >= winner.sent || attempt.sent < upstream.outlier.overtaken_at) continue;
+    if (upstream.info.state != UpstreamState::kServing) continue;
+    if (const auto ejection = outliers_.RecordOvertaken(upstream.outlier, context_.now))
+      RecordEjection(upstream, *ejection);
   }
 }
 
 // ---- Ejection ----
 
-void Fleet::RecordEjection(Upstream& u, const Ejection& ejection) {
-  HalfOpenProbes::RecordEjection(u.half_open, context_.now);
+void Fleet::RecordEjection(Upstream& upstream, const Ejection& ejection) {
+  HalfOpenProbes::RecordEjection(upstream.half_open, context_.now);
   ++context_.counts.ejected;
-  context_.EmitLog("ejected " + u.info.id.value + " for " +
+  context_.EmitLog("ejected " + upstream.info.id.value + " for " +
                    std::to_string(duration_cast<milliseconds>(ejection.duration).count()) + " ms after " +
                    std::to_string(ejection.failures_in_a_row) + " failures in a row");
 }
 
-void Fleet::ReturnThoseDue() {
-  for (const UpstreamPtr& u : upstreams_.ranked()) ReturnIfEjectionOver(*u);
+void Fleet::EndExpiredEjections() {
+  for (const UpstreamPtr& upstream : upstreams_.ranked()) EndEjectionIfExpired(*upstream);
 }
 
-void Fleet::ReturnIfEjectionOver(Upstream& u) {
-  if (OutlierDetector::IsOver(u.outlier, context_.now)) Return(u, "after its ejection");
+void Fleet::EndEjectionIfExpired(Upstream& upstream) {
+  if (OutlierDetector::IsEjectionExpired(upstream.outlier, context_.now))
+    ReturnToRotation(upstream, "after its ejection");
 }
 
-void Fleet::Return(Upstream& u, const char* why) {
-  OutlierDetector::RecordReturn(u.outlier, context_.now);
+void Fleet::ReturnToRotation(Upstream& upstream, const char* why) {
+  OutlierDetector::RecordReturn(upstream.outlier, context_.now);
   ++context_.counts.returned;
-  EnterRotation(u);
-  context_.EmitLog("returned " + u.info.id.value + " " + why);
+  EnterRotation(upstream);
+  context_.EmitLog("returned " + upstream.info.id.value + " " + why);
 }
 
 // ---- Standing and choice ----
 
 // Whether it may get a request, apart from its slow start budget.
-bool Fleet::IsAvailable(Upstream& u, bool half_open_probe) {
-  if (u.info.state != UpstreamState::kServing) return false;
-  ReturnIfEjectionOver(u);
-  if (!half_open_probe) return !u.outlier.ejected;
-  if (!zone_health_.MayProbe(u.info.zone, context_.now)) return false;
-  return HalfOpenProbes::MayProbe(u.half_open, context_.now) && (u.outlier.ejected || IsSuspect(u));
+bool Fleet::IsAvailable(Upstream& upstream, bool half_open_probe) {
+  if (upstream.info.state != UpstreamState::kServing) return false;
+  EndEjectionIfExpired(upstream);
+  if (!half_open_probe) return !upstream.outlier.ejected;
+  if (!zone_health_.MayProbe(upstream.info.zone, context_.now)) return false;
+  return HalfOpenProbes::MayProbe(upstream.half_open, context_.now) &&
+         (upstream.outlier.ejected || IsSuspect(upstream));
 }
 
-bool Fleet::HasSlowStartBudget(Upstream& u) const {
-  return slow_start_.HasBudget(u.slow_start, BudgetBasis(u), context_.now);
+bool Fleet::HasSlowStartBudget(Upstream& upstream) const {
+  return slow_start_.HasBudget(upstream.slow_start, BudgetInput(upstream), context_.now);
 }
 
 // Whether it has no usable connection while connecting is hard. Not for one in slow start, whose connection
 // table is empty.
-bool Fleet::MustConnect(const Upstream& u) const {
-  return connections_.IsConnectingHard() && SlowStartFactor(u) >= 1 &&
-         !connections_.HasConnection(u.connection, u.in_flight.attempts, context_.now);
+bool Fleet::MustConnect(const Upstream& upstream) const {
+  return connections_.IsConnectingHard() && SlowStartFactor(upstream) >= 1 &&
+         !connections_.HasConnection(upstream.connection, upstream.in_flight.attempts, context_.now);
 }
 
-bool Fleet::IsSuspect(const Upstream& u) const {
-  if (outliers_.IsSuspect(u.outlier) || zone_health_.IsUnavailable(u.info.zone)) return true;
+bool Fleet::IsSuspect(const Upstream& upstream) const {
+  if (outliers_.IsSuspect(upstream.outlier) || zone_health_.IsUnavailable(upstream.info.zone)) return true;
   // Most have nothing in flight, and the rest need not be computed.
-  return u.in_flight.attempts > 0 &&
-         u.in_flight.IsUnresponsive(context_.now, latency_.UsualTime(), Slowness(u), SlowStartFactor(u));
+  return upstream.in_flight.attempts > 0 &&
+         upstream.in_flight.IsUnresponsive(context_.now, latency_.UsualTime(), Slowness(upstream),
+                                           SlowStartFactor(upstream));
 }
 
 // Whether late answers of the upstream are a sign of overload, rather than its own fault.
-bool Fleet::IsTelling(const Upstream& u) const {
-  return !u.outlier.ejected && SlowStartFactor(u) >= 1 && !IsSuspect(u);
+bool Fleet::IsHealthyPastSlowStart(const Upstream& upstream) const {
+  return !upstream.outlier.ejected && SlowStartFactor(upstream) >= 1 && !IsSuspect(upstream);
 }
 
 // The listed weight, scaled by slow start, observed slowness and failures.
-double Fleet::RotationWeight(const Upstream& u) const {
-  const double of_kind = latency_.KindSlowness(u.info.kind);
-  const double own = LatencyModel::Slowness(u.latency, of_kind);
-  const double slowness = upstreams_.has_sizes() ? own / of_kind : own;
-  return u.info.weight * LikelyFactor(u) / slowness *
-         OutlierDetector::SuccessFactor(u.outlier, LatencyModel::IsLoaded(u.latency));
+double Fleet::RotationWeight(const Upstream& upstream) const {
+  const double kind_slowness = latency_.KindSlowness(upstream.info.kind);
+  const double upstream_slowness = LatencyModel::Slowness(upstream.latency, kind_slowness);
+  const double slowness = upstreams_.has_weights() ? upstream_slowness / kind_slowness : upstream_slowness;
+  return upstream.info.weight * EstimatedFactor(upstream) / slowness *
+         OutlierDetector::SuccessFactor(upstream.outlier, LatencyModel::IsLoaded(upstream.latency));
 }
 
 // Upstreams of the subset that are ejected, suspect or already tried are replaced by the next ones in order.
 // Upstreams that have just rejected an attempt as full are left out.
-UpstreamPtr Fleet::Choose(const Request& r, const RetryPolicy& retries, bool only_good) {
+UpstreamPtr Fleet::Choose(const Request& request, const RetryPolicy& retries, bool only_untried_healthy) {
   round_robin_.Clear();
   double places_left = SubsetSize();
   const std::vector<UpstreamPtr>& ranked = upstreams_.ranked();
   for (std::size_t i = 0; i < ranked.size() && places_left > 0; ++i) {
-    Upstream& u = *ranked[i];
-    if (!IsAvailable(u, false) || context_.now < u.in_flight.full_until) continue;
-    if (!retries.MaySend(r, u.info, context_.now)) continue;
-    const bool suspect = IsSuspect(u);
-    if (!HasSlowStartBudget(u)) {
-      if (!suspect) round_robin_.AddWaiting(u.rotation, RotationWeight(u));
+    Upstream& upstream = *ranked[i];
+    if (!IsAvailable(upstream, false) || context_.now < upstream.in_flight.full_until) continue;
+    if (!retries.MaySend(request, upstream.info, context_.now)) continue;
+    const bool suspect = IsSuspect(upstream);
+    if (!HasSlowStartBudget(upstream)) {
+      if (!suspect) round_robin_.AddWaiting(upstream.rotation, RotationWeight(upstream));
       continue;
     }
-    const bool tried = r.HasTried(u);
-    round_robin_.Add(
-        {&u.rotation, i, RotationWeight(u), u.in_flight.attempts, tried, suspect, MustConnect(u)});
+    const bool tried = request.HasTried(upstream);
+    round_robin_.Add({&upstream.rotation, i, RotationWeight(upstream), upstream.in_flight.attempts, tried,
+                      suspect, MustConnect(upstream)});
     if (!suspect && !tried)
-      places_left -= SlowStartFactor(u);  // one in slow start takes only part of a place
+      places_left -= SlowStartFactor(upstream);  // one in slow start takes only part of a place
   }
-  const auto chosen = round_robin_.Choose(only_good);
+  const auto chosen = round_robin_.Choose(only_untried_healthy);
   return chosen ? ranked[*chosen] : nullptr;
 }
 
 ProbedLoad Fleet::LoadOf(const ProbedUpstream& probed) const {
-  const Upstream& u = *probed.upstream;
-  return {*probed.in_flight, probed.served_per_s, Slowness(u), u.info.weight * SlowStartFactor(u)};
+  const Upstream& upstream = *probed.upstream;
+  return {*probed.in_flight, probed.served_per_s, Slowness(upstream),
+          upstream.info.weight * SlowStartFactor(upstream)};
 }
 
-TimelyOutcome Fleet::LatenessOf(const Request& r, const Attempt& attempt, Outcome outcome,
+TimelyOutcome Fleet::LatenessOf(const Request& request, const Attempt& attempt, Outcome outcome,
                                 Duration elapsed) const {
-  const Upstream& u = *attempt.upstream;
-  const bool late = LoadShedder::IsLate(outcome, elapsed, r.latency_objective);
-  return {outcome, elapsed, r.latency_objective, LatencyModel::IsLoaded(u.latency), late && IsTelling(u)};
+  const Upstream& upstream = *attempt.upstream;
+  const bool late = LoadShedder::IsLate(outcome, elapsed, request.latency_objective);
+  return {outcome, elapsed, request.latency_objective, LatencyModel::IsLoaded(upstream.latency),
+          late && IsHealthyPastSlowStart(upstream)};
 }
 
 FleetWeights Fleet::SumWeights() const {
   FleetWeights weights;
-  for (const UpstreamPtr& u : upstreams_.ranked()) {
-    if (u->info.state != UpstreamState::kServing) continue;
-    weights.serving += u->info.weight;
+  for (const UpstreamPtr& upstream : upstreams_.ranked()) {
+    if (upstream->info.state != UpstreamState::kServing) continue;
+    weights.serving += upstream->info.weight;
     ++weights.upstreams;
-    if (IsTelling(*u)) weights.telling += u->info.weight;
-    if (!u->outlier.ejected && !IsSuspect(*u)) weights.able += u->info.weight * LikelyFactor(*u);
+    if (IsHealthyPastSlowStart(*upstream)) weights.healthy_past_slow_start += upstream->info.weight;
+    if (!upstream->outlier.ejected && !IsSuspect(*upstream))
+      weights.usable += upstream->info.weight * EstimatedFactor(*upstream);
   }
   return weights;
 }
@@ -283,17 +293,17 @@
 std::vector<UpstreamView> Fleet::Views(TimePoint now) const {
   std::vector<UpstreamView> views;
   views.reserve(upstreams_.ranked().size());
-  for (const UpstreamPtr& u : upstreams_.ranked()) {
+  for (const UpstreamPtr& upstream : upstreams_.ranked()) {
     UpstreamView& view = views.emplace_back();
-    view.id = u->info.id;
-    view.state = u->info.state;
-    view.in_flight = u->in_flight.attempts;
-    view.slow_start_factor = slow_start_.Factor(u->info.started, now);
-    if (u->outlier.ejected) view.ejected_until = u->outlier.ejected_until;
-    view.ejected_after = u->outlier.ejected_after;
-    view.sent = u->in_flight.sent;
-    view.unanswered = u->in_flight.unanswered;
-    view.idle = u->connection.idle;
+    view.id = upstream->info.id;
+    view.state = upstream->info.state;
+    view.in_flight = upstream->in_flight.attempts;
+    view.slow_start_factor = slow_start_.Factor(upstream->info.started, now);
+    if (upstream->outlier.ejected) view.ejected_until = upstream->outlier.ejected_until;
+    view.ejected_after = upstream->outlier.ejected_after;
+    view.sent = upstream->in_flight.sent;
+    view.unanswered = upstream->in_flight.unanswered;
+    view.idle = upstream->connection.idle;
   }
   std::sort(views.begin(), views.end(), [](const auto& a, const auto& b) { return a.id < b.id; });
   return views;
--- a/src/balancer/fleet.h
+++ b/src/balancer/fleet.h
@@ -56,13 +56,13 @@
   // The attempt `winner`, a hedge, was served before other attempts of the request.
   void RecordOvertaken(const Request& request, const Attempt& winner);
   // The request is late, and its attempts are unanswered.
-  void RecordSilence(const Request& request);
+  void RecordUnanswered(const Request& request);
   void RecordUnansweredProbe(Upstream& upstream) const {
     OutlierDetector::RecordUnansweredProbe(upstream.outlier);
   }
   // `weights`: as of the last tick.
   void RecordTick(const FleetWeights& weights);
-  void ReturnThoseDue();
+  void EndExpiredEjections();
 
   // ---- Queries ----
 
@@ -77,7 +77,7 @@
   }
   // The next upstream by round robin; null if none can take the request. `only_good`: none that was tried or
   // is suspect.
-  UpstreamPtr Choose(const Request& request, const RetryPolicy& retries, bool only_good = false);
+  UpstreamPtr Choose(const Request& request, const RetryPolicy& retries, bool only_untried_healthy = false);
   ProbedLoad LoadOf(const ProbedUpstream& probed) const;
   TimelyOutcome LatenessOf(const Request& request, const Attempt& attempt, Outcome outcome,
                            Duration elapsed) const;
@@ -101,22 +101,22 @@
   void RecordZoneOutcome(const Attempt& attempt, Outcome outcome);
   void RecordHealth(Upstream& upstream, const Attempt& attempt, Outcome outcome);
   void RecordEjection(Upstream& upstream, const Ejection& ejection);
-  void ReturnIfEjectionOver(Upstream& upstream);
-  void Return(Upstream& upstream, const char* why);
+  void EndEjectionIfExpired(Upstream& upstream);
+  void ReturnToRotation(Upstream& upstream, const char* why);
 
   bool IsAvailable(Upstream& upstream, bool half_open_probe);
   bool HasSlowStartBudget(Upstream& upstream) const;
   bool MustConnect(const Upstream& upstream) const;
   bool IsSuspect(const Upstream& upstream) const;
-  bool IsTelling(const Upstream& upstream) const;
+  bool IsHealthyPastSlowStart(const Upstream& upstream) const;
   double Slowness(const Upstream& upstream) const {
     return latency_.Slowness(upstream.latency, upstream.info.kind);
   }
-  double LikelyFactor(const Upstream& upstream) const {
-    return latency_.LikelyFactor(SlowStartFactor(upstream));
+  double EstimatedFactor(const Upstream& upstream) const {
+    return latency_.EstimatedFactor(SlowStartFactor(upstream));
   }
   double RotationWeight(const Upstream& upstream) const;
-  SlowStartUpstream BudgetBasis(const Upstream& upstream) const {
+  SlowStartUpstream BudgetInput(const Upstream& upstream) const {
     return {SlowStartFactor(upstream), upstream.info.weight, upstream.subset.in_subset, subset_.share()};
   }
 
--- a/src/balancer/half_open_probes.cpp
+++ b/src/balancer/half_open_probes.cpp
@@ -13,7 +13,7 @@
 }
 
 bool HalfOpenProbes::RecordOutcome(HalfOpenRecord& record, bool ejected, Outcome outcome, TimePoint now) {
-  record.under_way = false;
+  record.in_flight = false;
   record.next_probe = now;
   if (outcome == Outcome::kServed) return ejected && ++record.served >= kProbesToReturn;
   if (IsFailure(outcome)) {
--- a/src/balancer/half_open_probes.h
+++ b/src/balancer/half_open_probes.h
@@ -20,16 +20,16 @@
   TimePoint next_probe;
   Duration delay{};        // before the next probe
   int served = 0;          // consecutive successful probes since the ejection
-  bool under_way = false;  // a probe is in flight: one at a time
+  bool in_flight = false;  // a probe is in flight: one at a time
 };
 
 class HalfOpenProbes {
  public:
   static bool MayProbe(const HalfOpenRecord& record, TimePoint now) {
-    return !record.under_way && now >= record.next_probe;
+    return !record.in_flight && now >= record.next_probe;
   }
   static void RecordEjection(HalfOpenRecord& record, TimePoint now);
-  static void RecordSent(HalfOpenRecord& record) { record.under_way = true; }
+  static void RecordSent(HalfOpenRecord& record) { record.in_flight = true; }
   // A probe ended. Returns whether the upstream's ejection ends by that.
   static bool RecordOutcome(HalfOpenRecord& record, bool ejected, Outcome outcome, TimePoint now);
 };
--- a/src/balancer/latency_model.h
+++ b/src/balancer/latency_model.h
@@ -81,7 +81,7 @@
 
   // Estimated share of its capacity that an upstream in slow start has: the guaranteed minimum,
   // `slow_start_factor`, scaled up by how much faster upstreams in slow start answer than that implies.
-  double LikelyFactor(double slow_start_factor) const {
+  double EstimatedFactor(double slow_start_factor) const {
     if (slow_start_factor >= 1 || slow_start_times_.samples < kKindPrior) return slow_start_factor;
     return std::clamp(slow_start_factor / slow_start_times_.value, slow_start_factor, 1.0);
   }
--- a/src/balancer/load_probes.h
+++ b/src/balancer/load_probes.h
@@ -14,7 +14,7 @@
 namespace mothrack::balancer {
 
 // Share of the service's value that may be spent on probes, ...
-inline constexpr double kProbeSpend = 0.01;
+inline constexpr double kProbeCostShare = 0.01;
 // ... and the most probes per request.
 inline constexpr double kMaxProbesPerRequest = 3;
 // Lower bound on the price of probes, to divide by.
@@ -23,7 +23,7 @@
 inline constexpr double kProbeWaitShare = 0.1;
 // An upstream is jammed if its queue takes longer than this share of the request's latency objective; service
 // times vary about twofold.
-inline constexpr double kJammedShare = 0.5;
+inline constexpr double kOverloadedQueueShare = 0.5;
 
 // An upstream's load report, and its estimated capacity.
 struct ProbedLoad {
@@ -42,13 +42,13 @@
   // The index with the least load per capacity; absent if all considered ones are jammed, or there was none.
   std::optional<std::size_t> best() const { return best_; }
   // At least one was jammed: a request there would be late and add to its queue.
-  bool any_jammed() const { return any_jammed_; }
+  bool any_overloaded() const { return any_overloaded_; }
 
  private:
   Duration latency_objective_;
   std::optional<std::size_t> best_;
-  double least_ = 0;
-  bool any_jammed_ = false;
+  double least_load_ = 0;
+  bool any_overloaded_ = false;
 };
 
 class LoadProbes {
@@ -62,7 +62,7 @@
 
   void RecordSent(RequestId request) { waiting_.push_back(request); }
   // The request no longer waits: its upstream is chosen, or it has ended.
-  void RecordDone(RequestId request) { std::erase(waiting_, request); }
+  void StopWaiting(RequestId request) { std::erase(waiting_, request); }
   // Requests that wait for reports, in the order of their probes.
   const std::vector<RequestId>& waiting() const { return waiting_; }
 
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -8,20 +8,20 @@
 namespace mothrack::balancer {
 
 double LoadShedder::AdmittedShare(std::size_t class_index, const std::vector<Duration>& usual_times) const {
-  double all = 0, before = 0, floor = 0;
-  const double mine = PriorityForTime(class_index, usual_times);
-  for (std::size_t c = 0; c < classes_.size(); ++c) {
-    all += demand_[c];
-    floor += demand_[c] * kClassFloor;
-    if (c == class_index || PriorityForTime(c, usual_times) > mine) continue;
-    before += demand_[c];
+  double total_demand = 0, lower_demand = 0, total_floor = 0;
+  const double own_priority = PriorityForTime(class_index, usual_times);
+  for (std::size_t other_class = 0; other_class < classes_.size(); ++other_class) {
+    total_demand += demand_[other_class];
+    total_floor += demand_[other_class] * kClassFloor;
+    if (other_class == class_index || PriorityForTime(other_class, usual_times) > own_priority) continue;
+    lower_demand += demand_[other_class];
   }
-  const double cut_before = before * (1 - kClassFloor);
-  const double own = demand_[class_index];
-  const double cut = shed_ * all;
+  const double lower_cut = lower_demand * (1 - kClassFloor);
+  const double own_demand = demand_[class_index];
+  const double cut = shed_ * total_demand;
   // All classes are at their floor: the rest is cut from each alike.
-  if (cut > all - floor) return kClassFloor * (all - cut) / floor;
-  return 1 - std::clamp((cut - cut_before) / own, 0.0, 1 - kClassFloor);
+  if (cut > total_demand - total_floor) return kClassFloor * (total_demand - cut) / total_floor;
+  return 1 - std::clamp((cut - lower_cut) / own_demand, 0.0, 1 - kClassFloor);
 }
 
 double LoadShedder::PriorityForTime(std::size_t class_index, const std::vector<Duration>& usual_times) const {
@@ -36,43 +36,45 @@
   // A late answer of an upstream that is ejected, suspect or in slow start is its own fault, unless most
   // upstreams are such. Answers in time always count: if the few admitted requests all go to upstreams in
   // slow start, nothing else shows that the overload is over.
-  if (late && !end.telling && 4 * weights_.telling > weights_.serving) return;
-  const double step = 1 / std::max(kShedSample, usual_rate * Seconds(kShedTime));
+  if (late && !end.healthy_past_slow_start && 4 * weights_.healthy_past_slow_start > weights_.serving) return;
+  const double step = 1 / std::max(kShedOutcomes, usual_rate * Seconds(kShedTime));
   // With no more in flight than usual, load is not the cause (for example the whole fleet is slow), and
   // rejecting more would not help.
-  if (late && mean_in_flight_ < usual_in_flight_ * weights_.able) return;
+  if (late && mean_in_flight_ < usual_in_flight_ * weights_.usable) return;
   late_share_ += ((late ? 1 : 0) - late_share_) / kLateMemory;
-  const double ease = 1 + kShedEase * std::max(0.0, 1 - late_share_ / kTooManyLate);
-  shed_ += late ? step : -step * ease * kTooManyLate / (1 - kTooManyLate);
+  const double fall_factor = 1 + kShedFallFactor * std::max(0.0, 1 - late_share_ / kTooManyLate);
+  shed_ += late ? step : -step * fall_factor * kTooManyLate / (1 - kTooManyLate);
   shed_ = std::clamp(shed_, 0.0, kMaxShed);
 }
 
 void LoadShedder::RecordTick(const FleetWeights& weights) {
   weights_ = weights;
-  const double able = weights_.able;
+  const double usable = weights_.usable;
   // React to a sudden loss of capacity before late answers show it, when queues are already full.
-  able_before_ = std::max(able, able_before_ * (1 - Seconds(kTickInterval) / Seconds(kLossMemory)));
-  const double lost = able_before_ - able;
-  if (lost > able_before_ * kGreatLoss && lost * weights_.upstreams >= kMinUpstreamsLost * weights_.serving) {
-    shed_ = std::max(shed_, std::min(kMaxShed, 1 - kHeadroom * able / able_before_));
-    able_before_ = able;
+  max_usable_ = std::max(usable, max_usable_ * (1 - Seconds(kTickInterval) / Seconds(kLossMemory)));
+  const double lost = max_usable_ - usable;
+  if (lost > max_usable_ * kSuddenLossShare &&
+      lost * weights_.upstreams >= kMinUpstreamsLost * weights_.serving) {
+    shed_ = std::max(shed_, std::min(kMaxShed, 1 - kHeadroom * usable / max_usable_));
+    max_usable_ = usable;
   }
   mean_in_flight_ += (in_flight_ - mean_in_flight_) * Seconds(kTickInterval) / Seconds(kShedTime);
   const bool in_time = shed_ <= 0 && late_share_ <= kTooManyLate / 2;
-  if (in_time && able > 0) usual_in_flight_ += (in_flight_ / able - usual_in_flight_) / kUsualInFlightMemory;
+  if (in_time && usable > 0)
+    usual_in_flight_ += (in_flight_ / usable - usual_in_flight_) / kUsualInFlightMemory;
   // Decays by itself, as few outcomes are left to lower it once most requests are rejected.
-  shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kTickInterval) / kShedSample);
+  shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kTickInterval) / kShedOutcomes);
   for (double& work : demand_) work *= 1 - Seconds(kTickInterval) / Seconds(kDemandMemory);
 }
 
-bool LoadShedder::RecordRefusal(TimePoint now) {
-  refused_at_ = now;
-  return !std::exchange(refusing_, true);
+bool LoadShedder::RecordRejection(TimePoint now) {
+  last_rejection_ = now;
+  return !std::exchange(rejecting_, true);
 }
 
-bool LoadShedder::RefusingEnded(TimePoint now) {
-  if (!refusing_ || now - refused_at_ <= kRefusalInterval) return false;
-  refusing_ = false;
+bool LoadShedder::RejectionsEnded(TimePoint now) {
+  if (!rejecting_ || now - last_rejection_ <= kRejectionInterval) return false;
+  rejecting_ = false;
   return true;
 }
 
--- a/src/balancer/load_shedder.h
+++ b/src/balancer/load_shedder.h
@@ -25,15 +25,15 @@
 // The rejected share moves over its whole range in about this time, ...
 inline constexpr Duration kShedTime = std::chrono::milliseconds(1000);
 // ... or in this many outcomes if these take longer, ...
-inline constexpr double kShedSample = 40;
+inline constexpr double kShedOutcomes = 40;
 // ... and falls up to this many times faster while hardly any answer is late.
-inline constexpr double kShedEase = 5;
+inline constexpr double kShedFallFactor = 5;
 // Upper bound of the rejected share: the remaining requests show when the overload is over.
 inline constexpr double kMaxShed = 0.9;
 // From this share on the sidecar counts as shedding, and hedges and retries are restricted.
-inline constexpr double kShedding = 0.1;
+inline constexpr double kSheddingShare = 0.1;
 // A sudden loss of this share of the usable weight, ...
-inline constexpr double kGreatLoss = 0.3;
+inline constexpr double kSuddenLossShare = 0.3;
 // ... that is also at least this many upstreams (one of three that fails is no sign of overload), ...
 inline constexpr double kMinUpstreamsLost = 4;
 // ... sets the rejected share at once, assuming that the rest can serve this many times its former load. The
@@ -49,14 +49,15 @@
 // Memory, in ticks, of the usual number of attempts in flight.
 inline constexpr double kUsualInFlightMemory = 50;
 // An interval of rejections is over once nothing was rejected for this long.
-inline constexpr Duration kRefusalInterval = std::chrono::seconds(2);
+inline constexpr Duration kRejectionInterval = std::chrono::seconds(2);
 
 // Sums of listed weights over the upstreams that the list has as serving.
 struct FleetWeights {
   double serving = 0;
-  double able = 0;     // neither ejected nor suspect, scaled by the estimated slow start factor
-  double telling = 0;  // whose late answers are a sign of load: not ejected, suspect or in slow start
-  int upstreams = 0;   // number of serving ones
+  double usable = 0;  // neither ejected nor suspect, scaled by the estimated slow start factor
+  double healthy_past_slow_start =
+      0;              // whose late answers are a sign of load: not ejected, suspect or in slow start
+  int upstreams = 0;  // number of serving ones
 };
 
 // The end of an attempt, reduced to what its lateness depends on.
@@ -64,8 +65,8 @@
   Outcome outcome = Outcome::kServed;
   Duration elapsed{};
   Duration latency_objective{};
-  bool loaded = false;   // its upstream answers slowly (LatencyModel::IsLoaded)
-  bool telling = false;  // only if late: its upstream is healthy and past slow start
+  bool loaded = false;                   // its upstream answers slowly (LatencyModel::IsLoaded)
+  bool healthy_past_slow_start = false;  // only if late: its upstream is healthy and past slow start
 };
 
 class LoadShedder {
@@ -79,8 +80,8 @@
   }
   // Share of the class's requests that is admitted, from 0 to 1. `usual_times`: by class.
   double AdmittedShare(std::size_t class_index, const std::vector<Duration>& usual_times) const;
-  bool RefusesAny() const { return shed_ > 0; }
-  bool IsShedding() const { return shed_ > kShedding; }
+  bool RejectsAny() const { return shed_ > 0; }
+  bool IsShedding() const { return shed_ > kSheddingShare; }
   double shed() const { return shed_; }            // share of the requested work that is rejected
   double in_flight() const { return in_flight_; }  // attempts
   const FleetWeights& weights() const { return weights_; }
@@ -95,9 +96,9 @@
   void RecordTick(const FleetWeights& weights);
 
   // A request is rejected. Returns whether an interval of rejections begins with it.
-  bool RecordRefusal(TimePoint now);
+  bool RecordRejection(TimePoint now);
   // Returns whether an interval of rejections has just ended.
-  bool RefusingEnded(TimePoint now);
+  bool RejectionsEnded(TimePoint now);
 
  private:
   double PriorityForTime(std::size_t class_index, const std::vector<Duration>& usual_times) const;
@@ -110,9 +111,9 @@
   double mean_in_flight_ = 0;   // moving average over about kShedTime
   double usual_in_flight_ = 0;  // per unit of usable weight, while answers are in time
   FleetWeights weights_;        // at the last tick
-  double able_before_ = 0;      // maximum of the usable weight, slowly decaying
-  bool refusing_ = false;
-  TimePoint refused_at_;
+  double max_usable_ = 0;       // maximum of the usable weight, slowly decaying
+  bool rejecting_ = false;
+  TimePoint last_rejection_;
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -7,10 +7,10 @@
 
 double OutlierDetector::SuccessFactor(const OutlierRecord& record, bool loaded) {
   const double calls = std::max(record.calls, static_cast<double>(kFailuresToEject));
-  const double swallowed = loaded ? 0 : record.timeouts / calls;
-  const double failing = record.failures / calls - swallowed;
-  const double good = failing == 0 ? 1 : std::pow(1 - failing, kSuccessPower);
-  return std::max(kMinSuccessFactor, good * (1 - swallowed));
+  const double timeout_share = loaded ? 0 : record.timeouts / calls;
+  const double failure_share = record.failures / calls - timeout_share;
+  const double success_factor = failure_share == 0 ? 1 : std::pow(1 - failure_share, kSuccessPower);
+  return std::max(kMinSuccessFactor, success_factor * (1 - timeout_share));
 }
 
 std::optional<Ejection> OutlierDetector::RecordOutcome(OutlierRecord& record, Outcome outcome,
@@ -51,9 +51,9 @@
 std::optional<Ejection> OutlierDetector::EjectAfterLongRun(OutlierRecord& record, TimePoint now) const {
   const int run = record.failure_run;
   if (record.ejected || run < RunAsRareAs(kFailuresToEject, record)) return std::nullopt;
-  const bool relapse = record.ejected_at && now - record.ejected_until < kBaseEjection;
+  const bool repeated = record.ejected_at && now - record.ejected_until < kBaseEjection;
   record.ejection_time =
-      relapse ? std::min(record.ejection_time * kEjectionMultiplier, kMaxEjection) : kBaseEjection;
+      repeated ? std::min(record.ejection_time * kEjectionMultiplier, kMaxEjection) : kBaseEjection;
   record.ejected = true;
   record.ejected_at = now;
   record.ejected_after = run;
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -56,7 +56,7 @@
 
 class OutlierDetector {
  public:
-  static bool IsOver(const OutlierRecord& record, TimePoint now) {
+  static bool IsEjectionExpired(const OutlierRecord& record, TimePoint now) {
     return record.ejected && now >= record.ejected_until;
   }
 
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -48,34 +48,36 @@
   Duration time_allowed{};             // while arriving: the time it will have once complete
   bool streaming = false;              // a streamed answer to the client has begun
 
-  bool AnyOut() const {
-    return std::any_of(attempts.begin(), attempts.end(), [](const Attempt& a) { return !a.outcome; });
+  bool HasPendingAttempt() const {
+    return std::any_of(attempts.begin(), attempts.end(),
+                       [](const Attempt& attempt) { return !attempt.outcome; });
   }
   // None of the upstreams with a pending attempt of it has answered anything since that was sent.
   bool IsUnanswered() const {
     return std::all_of(attempts.begin(), attempts.end(),
-                       [](const Attempt& a) { return a.outcome || a.IsUnanswered(); });
+                       [](const Attempt& attempt) { return attempt.outcome || attempt.IsUnanswered(); });
   }
   // Null if there is no such attempt.
   Attempt* FindAttempt(AttemptId id) {
-    const auto i = static_cast<std::size_t>(id);
-    return i < attempts.size() ? &attempts[i] : nullptr;
+    const auto index = static_cast<std::size_t>(id);
+    return index < attempts.size() ? &attempts[index] : nullptr;
   }
   // The load probe of an upstream, which need not be one of this request's, ended with this report.
-  void RecordLoad(const Upstream& u, const LoadReport& load) {
-    for (ProbedUpstream& p : probed) {
-      if (p.upstream.get() != &u) continue;
-      p.answered = true;
-      p.in_flight = load.in_flight;
-      p.served_per_s = load.rate.value_or(0);
+  void RecordLoad(const Upstream& upstream, const LoadReport& load) {
+    for (ProbedUpstream& probe : probed) {
+      if (probe.upstream.get() != &upstream) continue;
+      probe.answered = true;
+      probe.in_flight = load.in_flight;
+      probe.served_per_s = load.rate.value_or(0);
     }
   }
-  bool HasAllLoads() const {
-    return std::all_of(probed.begin(), probed.end(), [](const ProbedUpstream& p) { return p.answered; });
+  bool HasAllLoadReports() const {
+    return std::all_of(probed.begin(), probed.end(),
+                       [](const ProbedUpstream& probe) { return probe.answered; });
   }
   // It was sent to this upstream, or waits for its load report.
-  bool HasTried(const Upstream& u) const {
-    const auto same = [&u](const auto& a) { return a.upstream.get() == &u; };
+  bool HasTried(const Upstream& upstream) const {
+    const auto same = [&upstream](const auto& attempt) { return attempt.upstream.get() == &upstream; };
     return std::any_of(attempts.begin(), attempts.end(), same) ||
            std::any_of(probed.begin(), probed.end(), same);
   }
--- a/src/balancer/request_handler.cpp
+++ b/src/balancer/request_handler.cpp
@@ -17,211 +17,216 @@
 
 // ---- Events ----
 
-void RequestHandler::Handle(const RequestArrived& e) {
-  const auto class_index = static_cast<std::size_t>(e.request_class);
+void RequestHandler::Handle(const RequestArrived& event) {
+  const auto class_index = static_cast<std::size_t>(event.request_class);
   if (class_index >= context_.settings.classes.size()) return;
-  Request* const added = requests_.Add(e.request);
+  Request* const added = requests_.Add(event.request);
   if (added == nullptr) return;
-  Request& r = *added;
+  Request& request = *added;
   const RequestClass& request_class = context_.settings.classes[class_index];
-  r.request_class = &request_class;
-  r.class_index = class_index;
-  const Duration stretch = Scaled(e.work.value_or(Duration::zero()), request_class.latency_objective_stretch);
-  r.latency_objective = std::min(request_class.latency_objective + stretch,
-                                 std::max(request_class.latency_objective, request_class.deadline));
-  r.arrived = context_.now;
-  r.deadline = e.arriving ? TimePoint::max() : e.deadline;
-  r.arriving = e.arriving;
-  r.time_allowed = std::max(e.deadline - context_.now, Duration(1));
+  request.request_class = &request_class;
+  request.class_index = class_index;
+  const Duration stretch =
+      Scaled(event.work.value_or(Duration::zero()), request_class.latency_objective_stretch);
+  request.latency_objective = std::min(request_class.latency_objective + stretch,
+                                       std::max(request_class.latency_objective, request_class.deadline));
+  request.arrived = context_.now;
+  request.deadline = event.arriving ? TimePoint::max() : event.deadline;
+  request.arriving = event.arriving;
+  request.time_allowed = std::max(event.deadline - context_.now, Duration(1));
   fleet_.RecordArrival();
   retries_.budget().RecordRequest();
-  if (!e.arriving) SetRequestTimer(r, r.deadline);
-  Advance(r);
-  ScheduleHedge(r);
+  if (!event.arriving) SetRequestTimer(request, request.deadline);
+  Advance(request);
+  ScheduleHedge(request);
 }
 
 // Attempts may have started while the body was being received, but no upstream can be late before it is
 // complete.
-void RequestHandler::Handle(const RequestComplete& e) {
-  Request* const r = requests_.Find(e.request);
-  if (r == nullptr || !std::exchange(r->arriving, false)) return;
-  r->arrived = context_.now;
-  r->deadline = e.deadline;
-  SetRequestTimer(*r, r->deadline);
-  for (Attempt& a : r->attempts) {
-    if (a.outcome || a.started) continue;
-    a.sent = context_.now;
-    RecordInFlight(a);
+void RequestHandler::Handle(const RequestComplete& event) {
+  Request* const request = requests_.Find(event.request);
+  if (request == nullptr || !std::exchange(request->arriving, false)) return;
+  request->arrived = context_.now;
+  request->deadline = event.deadline;
+  SetRequestTimer(*request, request->deadline);
+  for (Attempt& attempt : request->attempts) {
+    if (attempt.outcome || attempt.started) continue;
+    attempt.sent = context_.now;
+    RecordInFlight(attempt);
   }
-  ScheduleHedge(*r);
+  ScheduleHedge(*request);
 }
 
-void RequestHandler::Handle(const AnswerStarted& e) {
-  Request* const r = requests_.Find(e.request);
-  Attempt* const attempt = r == nullptr || r->ended ? nullptr : r->FindAttempt(e.attempt);
-  if (attempt == nullptr || attempt->outcome || r->streaming) return;
-  r->streaming = attempt->started = true;
+void RequestHandler::Handle(const AnswerStarted& event) {
+  Request* const request = requests_.Find(event.request);
+  Attempt* const attempt =
+      request == nullptr || request->ended ? nullptr : request->FindAttempt(event.attempt);
+  if (attempt == nullptr || attempt->outcome || request->streaming) return;
+  request->streaming = attempt->started = true;
   RecordReleased(*attempt);
   fleet_.RecordAnswerStarted(*attempt);
   const Duration elapsed = context_.now - attempt->sent;
-  RecordLateness(*r, *attempt, Outcome::kServed, elapsed);
-  fleet_.RecordAnswerTime(*r, *attempt, Outcome::kServed, elapsed);
-  for (std::size_t i = 0; i < r->attempts.size(); ++i) {
-    if (i != static_cast<std::size_t>(e.attempt)) Cancel(*r, i);
+  RecordLateness(*request, *attempt, Outcome::kServed, elapsed);
+  fleet_.RecordAnswerTime(*request, *attempt, Outcome::kServed, elapsed);
+  for (std::size_t i = 0; i < request->attempts.size(); ++i) {
+    if (i != static_cast<std::size_t>(event.attempt)) Cancel(*request, i);
   }
 }
 
-void RequestHandler::Handle(const AttemptEnded& e) {
-  Request* const r = requests_.Find(e.request);
-  Attempt* const attempt = r == nullptr ? nullptr : r->FindAttempt(e.attempt);
+void RequestHandler::Handle(const AttemptEnded& event) {
+  Request* const request = requests_.Find(event.request);
+  Attempt* const attempt = request == nullptr ? nullptr : request->FindAttempt(event.attempt);
   if (attempt == nullptr || attempt->outcome) return;
-  attempt->outcome = e.outcome;
-  ++context_.counts.ended[static_cast<std::size_t>(e.outcome)];
+  attempt->outcome = event.outcome;
+  ++context_.counts.ended[static_cast<std::size_t>(event.outcome)];
   RecordReleased(*attempt);
-  if (!attempt->started) RecordLateness(*r, *attempt, e.outcome, e.elapsed);
-  fleet_.RecordOutcome(*r, *attempt, e.elapsed);
-  if (r->streaming && !attempt->started) {
+  if (!attempt->started) RecordLateness(*request, *attempt, event.outcome, event.elapsed);
+  fleet_.RecordOutcome(*request, *attempt, event.elapsed);
+  if (request->streaming && !attempt->started) {
     // An attempt that was cancelled for the one whose answer is being streamed.
-  } else if (e.finished) {
-    if (e.outcome == Outcome::kServed) fleet_.RecordOvertaken(*r, *attempt);
-    End(*r);
-  } else if (r->streaming) {
-    Finish(*r);  // the stream broke, and the sidecar still needs a final answer
+  } else if (event.finished) {
+    if (event.outcome == Outcome::kServed) fleet_.RecordOvertaken(*request, *attempt);
+    End(*request);
+  } else if (request->streaming) {
+    Finish(*request);  // the stream broke, and the sidecar still needs a final answer
   } else {
-    Advance(*r);
+    Advance(*request);
   }
-  requests_.ForgetIfDone(e.request);
+  requests_.RemoveIfEnded(event.request);
 }
 
-void RequestHandler::Handle(const ClientDisconnected& e) {
-  Request* const r = requests_.Find(e.request);
-  if (r == nullptr) return;
-  End(*r);
-  requests_.ForgetIfDone(e.request);
+void RequestHandler::Handle(const ClientDisconnected& event) {
+  Request* const request = requests_.Find(event.request);
+  if (request == nullptr) return;
+  End(*request);
+  requests_.RemoveIfEnded(event.request);
 }
 
-void RequestHandler::Handle(const ProbeEnded& e) {
-  const UpstreamPtr upstream = fleet_.Find(e.upstream);
+void RequestHandler::Handle(const ProbeEnded& event) {
+  const UpstreamPtr upstream = fleet_.Find(event.upstream);
   if (!upstream) return;
-  if (e.outcome == Outcome::kConnectFailed || e.outcome == Outcome::kTimeout)
+  if (event.outcome == Outcome::kConnectFailed || event.outcome == Outcome::kTimeout)
     fleet_.RecordUnansweredProbe(*upstream);
   const std::vector<RequestId> waiting = probes_.waiting();  // a copy: ChooseByLoad() removes entries
   for (const RequestId id : waiting) {
-    Request* const r = requests_.Find(id);
-    if (r == nullptr) continue;
-    r->RecordLoad(*upstream, e.load);
-    if (r->HasAllLoads()) ChooseByLoad(*r);
+    Request* const request = requests_.Find(id);
+    if (request == nullptr) continue;
+    request->RecordLoad(*upstream, event.load);
+    if (request->HasAllLoadReports()) ChooseByLoad(*request);
   }
 }
 
 void RequestHandler::HandleTimer(std::uint64_t token) {
   const std::optional<RequestId> id = requests_.TakeTimer(token);
-  Request* const r = id ? requests_.Find(*id) : nullptr;
-  if (r == nullptr) return;
-  if (context_.now < r->deadline) {
-    if (r->probed.empty()) return Hedge(*r);
-    return ChooseByLoad(*r);
+  Request* const request = id ? requests_.Find(*id) : nullptr;
+  if (request == nullptr) return;
+  if (context_.now < request->deadline) {
+    if (request->probed.empty()) return Hedge(*request);
+    return ChooseByLoad(*request);
   }
-  if (!r->streaming) Finish(*r);
-  requests_.ForgetIfDone(*id);
+  if (!request->streaming) Finish(*request);
+  requests_.RemoveIfEnded(*id);
 }
 
 // ---- Attempts ----
 
 // Makes another attempt if that helps and is allowed, else gives the final answer. Does nothing while an
 // attempt is in flight.
-void RequestHandler::Advance(Request& r) {
-  if (r.ended || r.streaming || r.AnyOut() || !r.probed.empty()) return;
-  const bool first = r.attempts.empty();
-  if (first && !IsAdmitted(r)) {
-    RecordRefusal("overload, answers come late");
+void RequestHandler::Advance(Request& request) {
+  if (request.ended || request.streaming || request.HasPendingAttempt() || !request.probed.empty()) return;
+  const bool first = request.attempts.empty();
+  if (first && !IsAdmitted(request)) {
+    RecordRejection("overload, answers come late");
     ++context_.counts.overload;
-    return Finish(r);
+    return Finish(request);
   }
-  if (retries_.TakeRetry(r, context_.now) && SendOrProbe(r)) {
-    if (first) SendHalfOpenProbe(r);
+  if (retries_.TakeRetry(request, context_.now) && SendOrProbe(request)) {
+    if (first) SendHalfOpenProbe(request);
     return;
   }
-  if (first && SendHalfOpenProbe(r)) return;
-  if (first) RecordRefusal("no upstream can take a call");
+  if (first && SendHalfOpenProbe(request)) return;
+  if (first) RecordRejection("no upstream can take a call");
   ++(first ? context_.counts.no_upstream : context_.counts.given_up);
-  Finish(r);
+  Finish(request);
 }
 
-bool RequestHandler::IsAdmitted(const Request& r) {
-  shedder_.RecordDemand(r.class_index, fleet_.latency().UsualTime(r.class_index));
-  if (!shedder_.RefusesAny()) return true;
+bool RequestHandler::IsAdmitted(const Request& request) {
+  shedder_.RecordDemand(request.class_index, fleet_.latency().UsualTime(request.class_index));
+  if (!shedder_.RejectsAny()) return true;
   fleet_.latency().GetUsualTimes(usual_times_);
-  return context_.random.Uniform() < shedder_.AdmittedShare(r.class_index, usual_times_);
+  return context_.random.Uniform() < shedder_.AdmittedShare(request.class_index, usual_times_);
 }
 
 // Sends the request to the next upstream, or first probes the load of the next few. False if there is none.
-bool RequestHandler::SendOrProbe(Request& r) {
-  const UpstreamPtr first = fleet_.Choose(r, retries_);
+bool RequestHandler::SendOrProbe(Request& request) {
+  const UpstreamPtr first = fleet_.Choose(request, retries_);
   if (!first) return false;
-  r.probed = {{first}};
-  while (r.probed.size() < probes_.upstreams_per_request()) {
-    const UpstreamPtr next = fleet_.Choose(r, retries_);
-    if (!next || r.HasTried(*next)) break;  // no further upstream
-    r.probed.push_back({next});
+  request.probed = {{first}};
+  while (request.probed.size() < probes_.upstreams_per_request()) {
+    const UpstreamPtr next = fleet_.Choose(request, retries_);
+    if (!next || request.HasTried(*next)) break;  // no further upstream
+    request.probed.push_back({next});
   }
-  if (r.probed.size() == 1) {
-    r.probed.clear();
-    SendTo(r, first, Reason::kRequest);
+  if (request.probed.size() == 1) {
+    request.probed.clear();
+    SendTo(request, first, Reason::kRequest);
     return true;
   }
-  for (const ProbedUpstream& probed : r.probed) context_.Emit(SendProbe{probed.upstream->info.id});
-  probes_.RecordSent(r.id);
-  SetRequestTimer(r, context_.now + probes_.Wait());
+  for (const ProbedUpstream& probed : request.probed) context_.Emit(SendProbe{probed.upstream->info.id});
+  probes_.RecordSent(request.id);
+  SetRequestTimer(request, context_.now + probes_.Wait());
   return true;
 }
 
 // Sends the request to the probed upstream with the least load per capacity.
-void RequestHandler::ChooseByLoad(Request& r) {
-  const std::vector<ProbedUpstream> probed = std::exchange(r.probed, {});
-  probes_.RecordDone(r.id);
-  if (r.ended || r.streaming) return;
-  LeastLoaded least_loaded(r.latency_objective);
+void RequestHandler::ChooseByLoad(Request& request) {
+  const std::vector<ProbedUpstream> probed = std::exchange(request.probed, {});
+  probes_.StopWaiting(request.id);
+  if (request.ended || request.streaming) return;
+  LeastLoaded least_loaded(request.latency_objective);
   for (std::size_t i = 0; i < probed.size(); ++i) {
-    Upstream& u = *probed[i].upstream;
-    if (!probed[i].in_flight || !fleet_.MayTake(u) || !retries_.MaySend(r, u.info, context_.now)) continue;
+    Upstream& upstream = *probed[i].upstream;
+    if (!probed[i].in_flight || !fleet_.MayTake(upstream) ||
+        !retries_.MaySend(request, upstream.info, context_.now))
+      continue;
     least_loaded.Consider(i, fleet_.LoadOf(probed[i]));
   }
   UpstreamPtr chosen;
   if (const auto best = least_loaded.best()) {
     chosen = probed[*best].upstream;
-  } else if (least_loaded.any_jammed()) {
-    RecordRefusal("overload, upstreams hold more than they can serve in time");
+  } else if (least_loaded.any_overloaded()) {
+    RecordRejection("overload, upstreams hold more than they can serve in time");
   } else {
-    chosen = fleet_.Choose(r, retries_);
+    chosen = fleet_.Choose(request, retries_);
   }
-  if (chosen) return SendTo(r, chosen, Reason::kRequest);
-  if (!r.AnyOut()) Finish(r);
+  if (chosen) return SendTo(request, chosen, Reason::kRequest);
+  if (!request.HasPendingAttempt()) Finish(request);
 }
 
-void RequestHandler::SendTo(Request& r, const UpstreamPtr& upstream, Reason reason) {
+void RequestHandler::SendTo(Request& request, const UpstreamPtr& upstream, Reason reason) {
   const bool half_open_probe = reason == Reason::kHalfOpenProbe;
   ++(half_open_probe            ? context_.counts.half_open_probes
      : reason == Reason::kHedge ? context_.counts.hedges
-     : r.attempts.empty()       ? context_.counts.first
+     : request.attempts.empty() ? context_.counts.first
                                 : context_.counts.retries);
-  const bool in_flight = !r.arriving;
+  const bool in_flight = !request.arriving;
   if (in_flight) shedder_.RecordSent();
   const ConnectionUse use = fleet_.RecordSent(*upstream, half_open_probe, in_flight);
-  r.attempts.push_back({upstream, context_.now, half_open_probe, use, in_flight});
-  const Duration timeout = retries_.Timeout(r, shedder_.IsShedding(), context_.now);
-  context_.Emit(SendAttempt{r.id, upstream->info.id, timeout});
+  request.attempts.push_back({upstream, context_.now, half_open_probe, use, in_flight});
+  const Duration timeout = retries_.Timeout(request, shedder_.IsShedding(), context_.now);
+  context_.Emit(SendAttempt{request.id, upstream->info.id, timeout});
 }
 
 // A hedge of a request that may be repeated tests an ejected or suspect upstream. The client does not depend
 // on it, so a failure costs no request. If no other upstream is left, the request itself is the probe:
 // rejecting all requests while some upstream could serve is the worst outcome.
-bool RequestHandler::SendHalfOpenProbe(Request& r) {
-  if (!retries_.MayProbe(r)) return false;
-  for (const UpstreamPtr& u : fleet_.ranked()) {
-    if (r.HasTried(*u)) continue;
-    if (!fleet_.MayTake(*u, true) || !retries_.MaySend(r, u->info, context_.now)) continue;
-    SendTo(r, u, Reason::kHalfOpenProbe);
+bool RequestHandler::SendHalfOpenProbe(Request& request) {
+  if (!retries_.MayProbe(request)) return false;
+  for (const UpstreamPtr& upstream : fleet_.ranked()) {
+    if (request.HasTried(*upstream)) continue;
+    if (!fleet_.MayTake(*upstream, true) || !retries_.MaySend(request, upstream->info, context_.now))
+      continue;
+    SendTo(request, upstream, Reason::kHalfOpenProbe);
     return true;
   }
   return false;
@@ -229,81 +234,84 @@
 
 // Hedges a request that is late compared to its class, against hangs and pauses. Never to an upstream that is
 // no better.
-void RequestHandler::Hedge(Request& r) {
-  if (r.ended || r.streaming || !r.AnyOut()) return;
-  if (context_.now < r.late_at) return;
-  fleet_.RecordSilence(r);
+void RequestHandler::Hedge(Request& request) {
+  if (request.ended || request.streaming || !request.HasPendingAttempt()) return;
+  if (context_.now < request.late_at) return;
+  fleet_.RecordUnanswered(request);
   const bool affordable = !shedder_.IsShedding() && retries_.budget().Allows();
-  const UpstreamPtr chosen = affordable ? fleet_.Choose(r, retries_, true) : nullptr;
+  const UpstreamPtr chosen = affordable ? fleet_.Choose(request, retries_, true) : nullptr;
   if (!chosen) {
     // Not affordable now, or no better upstream: check again when it has waited twice as long.
-    r.late_at = context_.now + (context_.now - r.arrived);
-    if (r.IsUnanswered() && r.late_at < r.deadline) SetRequestTimer(r, r.late_at);
+    request.late_at = context_.now + (context_.now - request.arrived);
+    if (request.IsUnanswered() && request.late_at < request.deadline)
+      SetRequestTimer(request, request.late_at);
     return;
   }
   retries_.budget().Spend();
-  SendTo(r, chosen, Reason::kHedge);
+  SendTo(request, chosen, Reason::kHedge);
 }
 
-void RequestHandler::ScheduleHedge(Request& r) {
-  r.late_at = RetryPolicy::LateAt(r, fleet_.latency().UsualTime(r.class_index), context_.now);
-  if (!r.ended && retries_.MayHedge(r) && r.late_at < r.deadline) SetRequestTimer(r, r.late_at);
+void RequestHandler::ScheduleHedge(Request& request) {
+  request.late_at =
+      RetryPolicy::LateAt(request, fleet_.latency().UsualTime(request.class_index), context_.now);
+  if (!request.ended && retries_.MayHedge(request) && request.late_at < request.deadline)
+    SetRequestTimer(request, request.late_at);
 }
 
-void RequestHandler::SetRequestTimer(const Request& r, TimePoint at) {
-  context_.Emit(SetTimer{at, requests_.AddTimer(r.id)});
+void RequestHandler::SetRequestTimer(const Request& request, TimePoint at) {
+  context_.Emit(SetTimer{at, requests_.AddTimer(request.id)});
 }
 
-void RequestHandler::RecordInFlight(Attempt& a) {
-  a.in_flight = true;
-  fleet_.RecordInFlight(*a.upstream);
+void RequestHandler::RecordInFlight(Attempt& attempt) {
+  attempt.in_flight = true;
+  fleet_.RecordInFlight(*attempt.upstream);
   shedder_.RecordSent();
 }
 
-void RequestHandler::RecordReleased(Attempt& a) {
-  if (!std::exchange(a.in_flight, false)) return;
-  fleet_.RecordReleased(*a.upstream);
+void RequestHandler::RecordReleased(Attempt& attempt) {
+  if (!std::exchange(attempt.in_flight, false)) return;
+  fleet_.RecordReleased(*attempt.upstream);
   shedder_.RecordReleased();
 }
 
-void RequestHandler::RecordLateness(const Request& r, const Attempt& attempt, Outcome outcome,
+void RequestHandler::RecordLateness(const Request& request, const Attempt& attempt, Outcome outcome,
                                     Duration elapsed) {
-  shedder_.RecordOutcome(fleet_.LatenessOf(r, attempt, outcome, elapsed), fleet_.usual_rate());
+  shedder_.RecordOutcome(fleet_.LatenessOf(request, attempt, outcome, elapsed), fleet_.usual_rate());
 }
 
 // ---- Rejection and the final answer ----
 
-void RequestHandler::RecordRefusal(const std::string& why) {
-  if (shedder_.RecordRefusal(context_.now)) context_.EmitLog("refusing: " + why);
+void RequestHandler::RecordRejection(const std::string& why) {
+  if (shedder_.RecordRejection(context_.now)) context_.EmitLog("refusing: " + why);
 }
 
-void RequestHandler::EndRefusing() {
-  if (shedder_.RefusingEnded(context_.now)) context_.EmitLog("taking calls again");
+void RequestHandler::LogEndOfRejections() {
+  if (shedder_.RejectionsEnded(context_.now)) context_.EmitLog("taking calls again");
 }
 
 // Gives the final answer if no attempt was served: Reject if the request had no effect or repeating it is
 // harmless, else Fail.
-void RequestHandler::Finish(Request& r) {
-  if (r.ended) return;
-  if (RetryPolicy::MayReject(r)) {
-    context_.Emit(Reject{r.id, retries_.RetryAfter(context_.random.Uniform())});
+void RequestHandler::Finish(Request& request) {
+  if (request.ended) return;
+  if (RetryPolicy::MayReject(request)) {
+    context_.Emit(Reject{request.id, retries_.RetryAfter(context_.random.Uniform())});
   } else {
-    context_.Emit(Fail{r.id});
+    context_.Emit(Fail{request.id});
   }
-  End(r);
+  End(request);
 }
 
 // No further attempt is made; those in flight are cancelled.
-void RequestHandler::End(Request& r) {
-  r.ended = true;
-  probes_.RecordDone(r.id);
-  for (std::size_t i = 0; i < r.attempts.size(); ++i) Cancel(r, i);
+void RequestHandler::End(Request& request) {
+  request.ended = true;
+  probes_.StopWaiting(request.id);
+  for (std::size_t i = 0; i < request.attempts.size(); ++i) Cancel(request, i);
 }
 
-void RequestHandler::Cancel(const Request& r, std::size_t attempt) {
-  if (r.attempts[attempt].outcome || !context_.settings.limits.cancel) return;
-  if (r.attempts[attempt].half_open_probe) return;  // its outcome is still wanted
-  context_.Emit(CancelAttempt{r.id, AttemptId{attempt}});
+void RequestHandler::Cancel(const Request& request, std::size_t attempt) {
+  if (request.attempts[attempt].outcome || !context_.settings.limits.cancel) return;
+  if (request.attempts[attempt].half_open_probe) return;  // its outcome is still wanted
+  context_.Emit(CancelAttempt{request.id, AttemptId{attempt}});
 }
 
 }  // namespace mothrack::balancer
--- a/src/balancer/request_handler.h
+++ b/src/balancer/request_handler.h
@@ -33,7 +33,7 @@
   void HandleTimer(std::uint64_t token);
   void RecordTick() { shedder_.RecordTick(fleet_.SumWeights()); }
   // Logs the end of an interval of rejections.
-  void EndRefusing();
+  void LogEndOfRejections();
 
   const LoadShedder& shedder() const { return shedder_; }
 
@@ -42,7 +42,7 @@
 
   void Advance(Request& request);
   bool IsAdmitted(const Request& request);
-  void RecordRefusal(const std::string& why);
+  void RecordRejection(const std::string& why);
   bool SendOrProbe(Request& request);
   void ChooseByLoad(Request& request);
   void SendTo(Request& request, const UpstreamPtr& upstream, Reason reason);
--- a/src/balancer/request_table.h
+++ b/src/balancer/request_table.h
@@ -28,9 +28,10 @@
     return found == requests_.end() ? nullptr : &found->second;
   }
   // Removes the request if it has its final answer and all of its attempts have ended.
-  void ForgetIfDone(RequestId id) {
+  void RemoveIfEnded(RequestId id) {
     const auto found = requests_.find(id);
-    if (found != requests_.end() && found->second.ended && !found->second.AnyOut()) requests_.erase(found);
+    if (found != requests_.end() && found->second.ended && !found->second.HasPendingAttempt())
+      requests_.erase(found);
   }
 
   // A new timer token that maps to the request.
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -4,56 +4,61 @@
 
 namespace mothrack::balancer {
 
-bool RetryPolicy::MaySendAgain(const Request& r, const UpstreamInfo& upstream, TimePoint now) const {
-  for (const Attempt& a : r.attempts) {
-    if (a.outcome && ProvesNotRun(*a.outcome)) continue;
-    if (!a.outcome && !limits_.hedging) return false;
-    if (r.request_class->effect == Effect::kUnsafe) return false;
-    if (r.request_class->effect != Effect::kKeyed) continue;
+bool RetryPolicy::MaySendAgain(const Request& request, const UpstreamInfo& upstream, TimePoint now) const {
+  for (const Attempt& attempt : request.attempts) {
+    if (attempt.outcome && ProvesNotRun(*attempt.outcome)) continue;
+    if (!attempt.outcome && !limits_.hedging) return false;
+    if (request.request_class->effect == Effect::kUnsafe) return false;
+    if (request.request_class->effect != Effect::kKeyed) continue;
     // Repeats are dropped only by upstreams that share the key, and only while they remember it. Half of the
     // window is reserved for the retry's own delivery.
-    if (now - a.sent >= r.request_class->key_window / 2) return false;
-    const UpstreamInfo& first = a.upstream->info;
-    if (r.request_class->key_scope == KeyScope::kZone && first.zone != upstream.zone) return false;
-    if (r.request_class->key_scope == KeyScope::kCell && first.cell != upstream.cell) return false;
+    if (now - attempt.sent >= request.request_class->key_window / 2) return false;
+    const UpstreamInfo& first_upstream = attempt.upstream->info;
+    if (request.request_class->key_scope == KeyScope::kZone && first_upstream.zone != upstream.zone)
+      return false;
+    if (request.request_class->key_scope == KeyScope::kCell && first_upstream.cell != upstream.cell)
+      return false;
   }
   return true;
 }
 
-bool RetryPolicy::MayReject(const Request& r) {
-  if (r.request_class->effect == Effect::kSafe) return true;
-  if (r.request_class->effect == Effect::kKeyed && r.request_class->key_scope == KeyScope::kAll) return true;
-  return std::all_of(r.attempts.begin(), r.attempts.end(),
-                     [](const Attempt& a) { return a.outcome && ProvesNotRun(*a.outcome); });
+bool RetryPolicy::MayReject(const Request& request) {
+  if (request.request_class->effect == Effect::kSafe) return true;
+  if (request.request_class->effect == Effect::kKeyed && request.request_class->key_scope == KeyScope::kAll)
+    return true;
+  return std::all_of(request.attempts.begin(), request.attempts.end(), [](const Attempt& attempt) {
+    return attempt.outcome && ProvesNotRun(*attempt.outcome);
+  });
 }
 
-Duration RetryPolicy::Timeout(const Request& r, bool shedding, TimePoint now) const {
-  if (r.arriving) return r.time_allowed;
-  const Duration left = r.deadline - now;
+Duration RetryPolicy::Timeout(const Request& request, bool shedding, TimePoint now) const {
+  if (request.arriving) return request.time_allowed;
+  const Duration left = request.deadline - now;
   // An attempt that may be repeated is given up at the latency objective: another upstream may be faster, and
   // a later answer may be worth nothing. If late answers keep some weight, a hedge achieves the same without
   // losing the first attempt.
-  if (r.request_class->late_priority_weight > 0 && limits_.hedging) return left;
-  const TimePoint latency_objective = r.arrived + r.latency_objective;
+  if (request.request_class->late_priority_weight > 0 && limits_.hedging) return left;
+  const TimePoint latency_objective = request.arrived + request.latency_objective;
   // Under overload this applies to unsafe requests too: past the objective the answer is worth nothing and
   // only delays others.
-  const bool give_up =
-      r.request_class->effect != Effect::kUnsafe || (r.request_class->late_priority_weight <= 0 && shedding);
+  const bool give_up = request.request_class->effect != Effect::kUnsafe ||
+                       (request.request_class->late_priority_weight <= 0 && shedding);
   if (give_up && now < latency_objective) return std::min(left, Duration(latency_objective - now));
   return left;
 }
 
-TimePoint RetryPolicy::LateAt(const Request& r, Duration usual_time, TimePoint now) {
-  return r.arriving ? TimePoint::max() : now + Scaled(usual_time, kLateTimes);
+TimePoint RetryPolicy::LateAt(const Request& request, Duration usual_time, TimePoint now) {
+  return request.arriving ? TimePoint::max() : now + Scaled(usual_time, kLateTimes);
 }
 
-bool RetryPolicy::TakeRetry(const Request& r, TimePoint now) {
-  if (r.attempts.empty()) return true;
+bool RetryPolicy::TakeRetry(const Request& request, TimePoint now) {
+  if (request.attempts.empty()) return true;
   // No retry if the answer would come too late to be worth anything.
-  if (r.request_class->late_priority_weight <= 0 && !r.arriving && now >= r.arrived + r.latency_objective)
+  if (request.request_class->late_priority_weight <= 0 && !request.arriving &&
+      now >= request.arrived + request.latency_objective)
     return false;
-  const auto& last = r.attempts.back().outcome;
-  if (last && ProvesNotRun(*last) && r.attempts.size() <= kFreeRetries) return true;
+  const auto& last = request.attempts.back().outcome;
+  if (last && ProvesNotRun(*last) && request.attempts.size() <= kFreeRetries) return true;
   if (!budget_.Allows()) return false;
   budget_.Spend();
   return true;
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -42,32 +42,32 @@
 
   // Whether the request may be sent to this upstream, for the first time or again. Checked before every
   // attempt.
-  bool MaySend(const Request& r, const UpstreamInfo& upstream, TimePoint now) const {
-    if (r.ended || r.streaming || now >= r.deadline) return false;
-    if (r.attempts.size() >= limits_.max_attempts) return false;
-    return r.attempts.empty() || MaySendAgain(r, upstream, now);
+  bool MaySend(const Request& request, const UpstreamInfo& upstream, TimePoint now) const {
+    if (request.ended || request.streaming || now >= request.deadline) return false;
+    if (request.attempts.size() >= limits_.max_attempts) return false;
+    return request.attempts.empty() || MaySendAgain(request, upstream, now);
   }
 
   // Whether the request's class allows a second attempt while the first is in flight.
-  bool MayHedge(const Request& r) const {
-    return limits_.hedging && r.request_class->effect != Effect::kUnsafe;
+  bool MayHedge(const Request& request) const {
+    return limits_.hedging && request.request_class->effect != Effect::kUnsafe;
   }
   // Whether a hedge of the request, or the request itself, may be a half-open probe.
-  bool MayProbe(const Request& r) const {
-    return (limits_.hedging || r.attempts.empty()) && r.request_class->effect != Effect::kUnsafe;
+  bool MayProbe(const Request& request) const {
+    return (limits_.hedging || request.attempts.empty()) && request.request_class->effect != Effect::kUnsafe;
   }
 
   // Whether Reject would be correct: the request had no effect, or repeating it is harmless.
-  static bool MayReject(const Request& r);
+  static bool MayReject(const Request& request);
 
   // Time-out of an attempt that is sent now; positive. `shedding`: the fleet is overloaded.
-  Duration Timeout(const Request& r, bool shedding, TimePoint now) const;
+  Duration Timeout(const Request& request, bool shedding, TimePoint now) const;
 
   // When an unanswered request becomes late compared to its class; never while its body is being received.
-  static TimePoint LateAt(const Request& r, Duration usual_time, TimePoint now);
+  static TimePoint LateAt(const Request& request, Duration usual_time, TimePoint now);
 
   // Whether one more attempt is worth it; takes a token unless the attempt is free.
-  bool TakeRetry(const Request& r, TimePoint now);
+  bool TakeRetry(const Request& request, TimePoint now);
 
   // Retry-After of a rejected request, randomized (`uniform`, from [0, 1)) so that clients do not return all
   // at once. Zero if the settings allow none.
@@ -76,7 +76,7 @@
   RetryBudget& budget() { return budget_; }
 
  private:
-  bool MaySendAgain(const Request& r, const UpstreamInfo& upstream, TimePoint now) const;
+  bool MaySendAgain(const Request& request, const UpstreamInfo& upstream, TimePoint now) const;
 
   const Limits& limits_;
   RetryBudget budget_;
--- a/src/balancer/round_robin.cpp
+++ b/src/balancer/round_robin.cpp
@@ -6,10 +6,10 @@
 namespace {
 
 // Rank of a candidate: lower is better.
-constexpr int kCrowded = 1;
-constexpr int kSuspect = 2;
-constexpr int kTried = 3;  // added to the others
-constexpr int kWorst = kTried + kSuspect;
+constexpr int kCrowdedRank = 1;
+constexpr int kSuspectRank = 2;
+constexpr int kTriedRank = 3;  // added to the others
+constexpr int kWorstRank = kTriedRank + kSuspectRank;
 
 void Gain(RotationRecord& record, double weight, double sum) {
   // Bounds the credit of an upstream that was no candidate for a while, as the sum has changed since.
@@ -32,8 +32,8 @@
   in_flight_ += candidate.in_flight;
 }
 
-std::optional<std::size_t> SmoothWeightedRoundRobin::Choose(bool only_good) {
-  KeepBest(only_good);
+std::optional<std::size_t> SmoothWeightedRoundRobin::Choose(bool only_untried_healthy) {
+  KeepBest(only_untried_healthy);
   if (best_.empty()) return std::nullopt;
   double sum = 0;
   for (const Candidate* candidate : best_) sum += candidate->weight;
@@ -53,19 +53,19 @@
   return candidate.in_flight + 1 > kCrowdedSlack + 0.5 + share || candidate.must_connect;
 }
 
-void SmoothWeightedRoundRobin::KeepBest(bool only_good) {
+void SmoothWeightedRoundRobin::KeepBest(bool only_untried_healthy) {
   best_.clear();
-  int best_standing = only_good ? kCrowded : kWorst + 1;
+  int best_rank = only_untried_healthy ? kCrowdedRank : kWorstRank + 1;
   for (const Candidate& candidate : candidates_) {
-    int standing = candidate.tried ? kTried : 0;
+    int rank = candidate.tried ? kTriedRank : 0;
     if (candidate.suspect) {
-      standing += kSuspect;
+      rank += kSuspectRank;
     } else if (IsCrowded(candidate)) {
-      standing += kCrowded;
+      rank += kCrowdedRank;
     }
-    if (standing > best_standing) continue;
-    if (standing < best_standing) best_.clear();
-    best_standing = standing;
+    if (rank > best_rank) continue;
+    if (rank < best_rank) best_.clear();
+    best_rank = rank;
     best_.push_back(&candidate);
   }
 }
--- a/src/balancer/round_robin.h
+++ b/src/balancer/round_robin.h
@@ -44,7 +44,7 @@
   void AddWaiting(RotationRecord& record, double weight) { waiting_.push_back({&record, weight}); }
   // Prefers upstreams not yet tried, among them healthy ones, then crowded, then suspect ones. `only_good`:
   // none that was tried or is suspect. Returns the candidate's index; absent if there is none.
-  std::optional<std::size_t> Choose(bool only_good);
+  std::optional<std::size_t> Choose(bool only_untried_healthy);
 
  private:
   struct Waiting {
@@ -53,7 +53,7 @@
   };
 
   bool IsCrowded(const Candidate& candidate) const;
-  void KeepBest(bool only_good);
+  void KeepBest(bool only_untried_healthy);
 
   // State of one choice; members only to reuse their memory.
   std::vector<Candidate> candidates_;
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -15,15 +15,17 @@
 
 void Settings::Validate() const {
   Require(!classes.empty(), "classes");
-  for (const RequestClass& c : classes) {
-    Require(c.latency_objective > Duration::zero(), "classes.aim");
-    Require(c.deadline > Duration::zero(), "classes.deadline");
-    Require(c.effect != Effect::kKeyed || c.key_window > Duration::zero(), "classes.key_window");
-    Require(c.priority_weight >= 0, "classes.worth");
-    Require(c.late_priority_weight >= 0 && c.late_priority_weight <= 1, "classes.late_worth");
-    Require(c.latency_objective_stretch >= 0, "classes.aim_stretch");
+  for (const RequestClass& request_class : classes) {
+    Require(request_class.latency_objective > Duration::zero(), "classes.aim");
+    Require(request_class.deadline > Duration::zero(), "classes.deadline");
+    Require(request_class.effect != Effect::kKeyed || request_class.key_window > Duration::zero(),
+            "classes.key_window");
+    Require(request_class.priority_weight >= 0, "classes.worth");
+    Require(request_class.late_priority_weight >= 0 && request_class.late_priority_weight <= 1,
+            "classes.late_worth");
+    Require(request_class.latency_objective_stretch >= 0, "classes.aim_stretch");
   }
-  for (const Tenant& t : tenants) Require(t.share >= 0 && t.quota_per_s >= 0, "tenants");
+  for (const Tenant& tenant : tenants) Require(tenant.share >= 0 && tenant.quota_per_s >= 0, "tenants");
   Require(sidecar_count > 0, "balancers");
   Require(limits.max_attempts > 0, "limits.max_attempts");
   Require(limits.connect_timeout > Duration::zero(), "limits.connect_timeout");
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -10,7 +10,7 @@
   record.refilled = now;
 }
 
-double SlowStart::FadingPerTick() const {
+double SlowStart::DecayPerTick() const {
   return 1 - Seconds(kTickInterval) / (2 * Seconds(rules_.slow_start_duration));
 }
 
@@ -24,14 +24,15 @@
   const double most = RateMemorySeconds();
   const double age = Seconds(tick.age);
   const double two_windows = 2 * Seconds(rules_.overload_window);
-  const double cautious = std::min(1.0, interval / std::min(std::max(age, two_windows), most));
-  requests_per_s_ += (static_cast<double>(tick.arrivals) / interval - requests_per_s_) * cautious;
-  served_per_s_ += (static_cast<double>(tick.served) / interval - served_per_s_) * cautious;
-  most_served_per_s_ = std::max(served_per_s_, most_served_per_s_ * FadingPerTick());
-  const bool learnt = age >= two_windows;
-  served_by_warm_ =
-      served_by_warm_ || (learnt && tick.warm_weight > 0 && 2 * tick.warm_weight >= tick.serving_weight);
-  usual_weight_ = std::max(tick.listed_weight, usual_weight_ * FadingPerTick());
+  const double smoothing = std::min(1.0, interval / std::min(std::max(age, two_windows), most));
+  requests_per_s_ += (static_cast<double>(tick.arrivals) / interval - requests_per_s_) * smoothing;
+  served_per_s_ += (static_cast<double>(tick.served) / interval - served_per_s_) * smoothing;
+  most_served_per_s_ = std::max(served_per_s_, most_served_per_s_ * DecayPerTick());
+  const bool rate_known = age >= two_windows;
+  enough_past_slow_start_ =
+      enough_past_slow_start_ || (rate_known && tick.healthy_past_slow_start_weight > 0 &&
+                                  2 * tick.healthy_past_slow_start_weight >= tick.serving_weight);
+  usual_weight_ = std::max(tick.listed_weight, usual_weight_ * DecayPerTick());
 }
 
 double SlowStart::Refill(SlowStartRecord& record, const SlowStartUpstream& upstream, TimePoint now) const {
@@ -48,7 +49,7 @@
   // Requests that are not served are no load that the other upstreams carry, beyond the most that was served
   // while enough of them were past slow start.
   const double countable_per_s =
-      served_by_warm_ ? std::min(requests_per_s_ / 2, most_served_per_s_) : requests_per_s_ / 2;
+      enough_past_slow_start_ ? std::min(requests_per_s_ / 2, most_served_per_s_) : requests_per_s_ / 2;
   const double usual = std::max(served_per_s_, countable_per_s) * ShareOfRequests(upstream);
   return rules_.overload_multiple * kSlowStartSafety * upstream.factor * usual;
 }
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -40,10 +40,10 @@
 struct SlowStartTick {
   std::uint64_t arrivals = 0;
   std::uint64_t served = 0;
-  Duration age{};             // since this sidecar's start
-  double warm_weight = 0;     // at the last tick: of healthy upstreams past slow start
-  double serving_weight = 0;  // at the last tick: of all serving upstreams
-  double listed_weight = 0;   // now: of all serving upstreams
+  Duration age{};                             // since this sidecar's start
+  double healthy_past_slow_start_weight = 0;  // at the last tick: of healthy upstreams past slow start
+  double serving_weight = 0;                  // at the last tick: of all serving upstreams
+  double listed_weight = 0;                   // now: of all serving upstreams
 };
 
 class SlowStart {
@@ -72,7 +72,7 @@
   void RecordTick(const SlowStartTick& tick);
 
   // Factor per tick for slowly decaying values, which halve in about the slow start duration.
-  double FadingPerTick() const;
+  double DecayPerTick() const;
   // Time constant of the usual request rate, in seconds.
   double RateMemorySeconds() const { return Seconds(rules_.slow_start_duration) / 2; }
 
@@ -82,11 +82,11 @@
   double ShareOfRequests(const SlowStartUpstream& upstream) const;
 
   const Rules& rules_;
-  double requests_per_s_ = 0;     // requests per second, averaged from zero
-  double served_per_s_ = 0;       // served answers per second, likewise
-  double most_served_per_s_ = 0;  // maximum of served_per_s_, slowly decaying
-  double usual_weight_ = 0;       // maximum of the listed weight, slowly decaying
-  bool served_by_warm_ = false;   // half of the upstreams were past slow start for long enough
+  double requests_per_s_ = 0;            // requests per second, averaged from zero
+  double served_per_s_ = 0;              // served answers per second, likewise
+  double most_served_per_s_ = 0;         // maximum of served_per_s_, slowly decaying
+  double usual_weight_ = 0;              // maximum of the listed weight, slowly decaying
+  bool enough_past_slow_start_ = false;  // half of the upstreams were past slow start for long enough
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -49,7 +49,7 @@
   // Marks the upstreams that first attempts may be sent to. `listed_weight`: of all serving upstreams.
   void Mark(const std::vector<SubsetMember>& ranked, double size, bool rate_known, double listed_weight);
   // `fading`: decay factor of the share per tick.
-  void RecordTick(double fading) { share_ *= fading; }
+  void RecordTick(double decay) { share_ *= decay; }
 
  private:
   const Limits& limits_;
--- a/src/balancer/upstream_set.cpp
+++ b/src/balancer/upstream_set.cpp
@@ -8,30 +8,30 @@
 
 namespace mothrack::balancer {
 
-void UpstreamSet::BeginUpdate(bool whole_list) {
-  for (const UpstreamPtr& u : ranked_) u->listed = !whole_list;
+void UpstreamSet::BeginUpdate(bool full_list) {
+  for (const UpstreamPtr& upstream : ranked_) upstream->listed = !full_list;
 }
 
-UpstreamSet::Change UpstreamSet::Update(const UpstreamInfo& info) {
-  UpstreamPtr& u = by_id_[info.id.value];
-  const bool was_serving = u && u->info.state == UpstreamState::kServing;
+UpstreamSet::UpdateResult UpstreamSet::Update(const UpstreamInfo& info) {
+  UpstreamPtr& upstream = by_id_[info.id.value];
+  const bool was_serving = upstream && upstream->info.state == UpstreamState::kServing;
   // A different start time is a new process: failures and ejection belong to the former one.
-  const bool new_process = !u || (info.started && info.started != u->info.started);
+  const bool new_process = !upstream || (info.started && info.started != upstream->info.started);
   if (new_process) {
-    if (u) u->info.state = UpstreamState::kGone;
-    u = std::make_shared<Upstream>();
-    u->rank = Hash(info.id.value, seed_);
+    if (upstream) upstream->info.state = UpstreamState::kGone;
+    upstream = std::make_shared<Upstream>();
+    upstream->rank = Hash(info.id.value, seed_);
   }
   // An entry that says "gone" may lack zone and cell, which decide where its requests may be repeated.
-  const UpstreamInfo place = u->info;
-  u->info = info;
+  const UpstreamInfo previous = upstream->info;
+  upstream->info = info;
   if (!new_process && info.state == UpstreamState::kGone) {
-    u->info.zone = place.zone;
-    u->info.cell = place.cell;
+    upstream->info.zone = previous.zone;
+    upstream->info.cell = previous.cell;
   }
-  u->listed = true;
-  if (!(u->info.weight > 0)) u->info.weight = 1;
-  return {u, new_process, new_process || !was_serving};
+  upstream->listed = true;
+  if (!(upstream->info.weight > 0)) upstream->info.weight = 1;
+  return {upstream, new_process, new_process || !was_serving};
 }
 
 // Drops the upstreams that are gone.
@@ -42,8 +42,9 @@
     return state == UpstreamState::kGone;
   });
   ranked_.clear();
-  for (const auto& [id, u] : by_id_) ranked_.push_back(u);
-  has_sizes_ = std::any_of(ranked_.begin(), ranked_.end(), [](const auto& u) { return u->info.weight != 1; });
+  for (const auto& [id, upstream] : by_id_) ranked_.push_back(upstream);
+  has_weights_ = std::any_of(ranked_.begin(), ranked_.end(),
+                             [](const auto& upstream) { return upstream->info.weight != 1; });
   std::sort(ranked_.begin(), ranked_.end(), [](const UpstreamPtr& a, const UpstreamPtr& b) {
     return std::tie(a->rank, a->info.id) < std::tie(b->rank, b->info.id);
   });
@@ -55,13 +56,14 @@
 }
 
 bool UpstreamSet::HasZone(const std::string& zone) const {
-  return std::any_of(ranked_.begin(), ranked_.end(), [&](const auto& u) { return u->info.zone == zone; });
+  return std::any_of(ranked_.begin(), ranked_.end(),
+                     [&](const auto& upstream) { return upstream->info.zone == zone; });
 }
 
 double UpstreamSet::ServingWeight() const {
   double sum = 0;
-  for (const UpstreamPtr& u : ranked_) {
-    if (u->info.state == UpstreamState::kServing) sum += u->info.weight;
+  for (const UpstreamPtr& upstream : ranked_) {
+    if (upstream->info.state == UpstreamState::kServing) sum += upstream->info.weight;
   }
   return sum;
 }
--- a/src/balancer/upstream_set.h
+++ b/src/balancer/upstream_set.h
@@ -18,7 +18,7 @@
 class UpstreamSet {
  public:
   // The result of processing one entry of a list.
-  struct Change {
+  struct UpdateResult {
     UpstreamPtr upstream;
     bool new_process = false;  // its record was created
     bool enters = false;       // it was not serving before
@@ -29,8 +29,8 @@
 
   // An update: BeginUpdate(), Update() per entry, FinishUpdate(). Upstreams missing from a whole list are
   // gone.
-  void BeginUpdate(bool whole_list);
-  Change Update(const UpstreamInfo& info);
+  void BeginUpdate(bool full_list);
+  UpdateResult Update(const UpstreamInfo& info);
   void FinishUpdate();
 
   // The upstreams that are not gone, in this sidecar's order.
@@ -40,13 +40,13 @@
   bool HasZone(const std::string& zone) const;
   double ServingWeight() const;
   // The list has weights other than 1. They already reflect the kind of machine, which must not count twice.
-  bool has_sizes() const { return has_sizes_; }
+  bool has_weights() const { return has_weights_; }
 
  private:
   std::uint64_t seed_;
   std::unordered_map<std::string, UpstreamPtr> by_id_;  // those that are not gone; walked only to sort them
   std::vector<UpstreamPtr> ranked_;
-  bool has_sizes_ = false;
+  bool has_weights_ = false;
 };
 
 }  // namespace mothrack::balancer
--- a/src/balancer/zone_health.cpp
+++ b/src/balancer/zone_health.cpp
@@ -11,7 +11,7 @@
   zone.answered = now;
 }
 
-void ZoneHealth::RecordSilence(const std::string& zone_name, const UpstreamId& upstream, TimePoint sent) {
+void ZoneHealth::RecordUnanswered(const std::string& zone_name, const UpstreamId& upstream, TimePoint sent) {
   Zone& zone = zones_[zone_name];
   if (sent < zone.answered || zone.IsUnavailable()) return;
   zone.unresponsive.insert(upstream.value);
--- a/src/balancer/zone_health.h
+++ b/src/balancer/zone_health.h
@@ -34,7 +34,7 @@
   // An upstream of the zone answered.
   void RecordAnswer(const std::string& zone, TimePoint now);
   // An attempt was not answered; it counts only if it was sent after the zone's last answer.
-  void RecordSilence(const std::string& zone, const UpstreamId& upstream, TimePoint sent);
+  void RecordUnanswered(const std::string& zone, const UpstreamId& upstream, TimePoint sent);
   // A probe was sent; the next one may not be sent before `next_probe`.
   void RecordProbe(const std::string& zone, TimePoint next_probe);
   // A new process started in the zone: the upstreams that did not answer are forgotten.
--- a/tests/balancer/load_probes_test.cpp
+++ b/tests/balancer/load_probes_test.cpp
@@ -25,7 +25,7 @@
 TEST(LeastLoaded, PrefersTheLeastLoadForItsCapacityAndNoneThatIsOverloaded) {
   LeastLoaded least(std::chrono::milliseconds(400));
   least.Consider(0, {10, 20, 1, 1});  // serves 4 within half of the objective
-  EXPECT_TRUE(least.any_jammed());
+  EXPECT_TRUE(least.any_overloaded());
   EXPECT_FALSE(least.best());
   least.Consider(1, {3, 0, 1, 1});
   least.Consider(2, {5, 0, 1, 2});
--- a/tests/balancer/load_shedder_test.cpp
+++ b/tests/balancer/load_shedder_test.cpp
@@ -14,7 +14,7 @@
   struct Case {
     Outcome outcome;
     int elapsed_ms;
-    bool loaded, telling, raises;
+    bool loaded, healthy_past_slow_start, raises;
   };
   for (const Case& c :
        {Case{Outcome::kServed, 100, false, true, false}, Case{Outcome::kServed, 350, false, true, true},
@@ -24,7 +24,8 @@
     const std::vector<RequestClass> classes(1);
     LoadShedder shedder(classes);
     shedder.RecordTick(kFleet);
-    shedder.RecordOutcome({c.outcome, milliseconds(c.elapsed_ms), milliseconds(400), c.loaded, c.telling}, 1);
+    shedder.RecordOutcome(
+        {c.outcome, milliseconds(c.elapsed_ms), milliseconds(400), c.loaded, c.healthy_past_slow_start}, 1);
     EXPECT_EQ(shedder.shed() > 0, c.raises) << static_cast<int>(c.outcome) << ' ' << c.elapsed_ms;
   }
 }
@@ -52,10 +53,10 @@
 TEST(LoadShedder, RefusingBeginsOnceAndEndsAfterItsInterval) {
   const std::vector<RequestClass> classes(1);
   LoadShedder shedder(classes);
-  EXPECT_TRUE(shedder.RecordRefusal(TimePoint{}));
-  EXPECT_FALSE(shedder.RecordRefusal(TimePoint{}));
-  EXPECT_FALSE(shedder.RefusingEnded(TimePoint{} + kRefusalInterval));
-  EXPECT_TRUE(shedder.RefusingEnded(TimePoint{} + kRefusalInterval + Duration(1)));
+  EXPECT_TRUE(shedder.RecordRejection(TimePoint{}));
+  EXPECT_FALSE(shedder.RecordRejection(TimePoint{}));
+  EXPECT_FALSE(shedder.RejectionsEnded(TimePoint{} + kRejectionInterval));
+  EXPECT_TRUE(shedder.RejectionsEnded(TimePoint{} + kRejectionInterval + Duration(1)));
 }
 
 }  // namespace
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -39,9 +39,9 @@
   for (const int ejection_s : {60, 120, 120}) {
     EXPECT_EQ(FailUntilEjected(record, {}, now), kFailuresToEject);
     EXPECT_EQ(record.ejection_time, seconds(ejection_s));
-    EXPECT_FALSE(OutlierDetector::IsOver(record, now));
+    EXPECT_FALSE(OutlierDetector::IsEjectionExpired(record, now));
     now = record.ejected_until;
-    EXPECT_TRUE(OutlierDetector::IsOver(record, now));
+    EXPECT_TRUE(OutlierDetector::IsEjectionExpired(record, now));
     OutlierDetector::RecordReturn(record, now);
   }
 }
--- a/tests/balancer/request_table_test.cpp
+++ b/tests/balancer/request_table_test.cpp
@@ -12,10 +12,10 @@
   EXPECT_EQ(table.Add(RequestId{7}), nullptr);
   request->ended = true;
   request->attempts.resize(1);
-  table.ForgetIfDone(RequestId{7});
+  table.RemoveIfEnded(RequestId{7});
   EXPECT_EQ(table.Find(RequestId{7}), request);
   request->attempts[0].outcome = Outcome::kServed;
-  table.ForgetIfDone(RequestId{7});
+  table.RemoveIfEnded(RequestId{7});
   EXPECT_EQ(table.Find(RequestId{7}), nullptr);
 }
 
--- a/tests/balancer/round_robin_test.cpp
+++ b/tests/balancer/round_robin_test.cpp
@@ -25,7 +25,7 @@
   struct Case {
     Candidate first, second;
     int chosen;  // of the two; -1: none
-    bool only_good;
+    bool only_untried_healthy;
   };
   const Candidate good{nullptr, 0, 1}, crowded{nullptr, 0, 1, 9};
   const Candidate suspect{nullptr, 0, 1, 0, false, true}, tried{nullptr, 0, 1, 0, true};
@@ -42,7 +42,7 @@
     round_robin.Clear();
     round_robin.Add(first);
     round_robin.Add(second);
-    const auto chosen = round_robin.Choose(c.only_good);
+    const auto chosen = round_robin.Choose(c.only_untried_healthy);
     EXPECT_EQ(chosen ? static_cast<int>(*chosen) : -1, c.chosen);
   }
 }
--- a/tests/balancer/zone_health_test.cpp
+++ b/tests/balancer/zone_health_test.cpp
@@ -12,18 +12,18 @@
 
 ZoneHealth Lost() {
   ZoneHealth health;
-  for (const char* id : {"a", "b", "c"}) health.RecordSilence("z", UpstreamId{id}, kSent);
+  for (const char* id : {"a", "b", "c"}) health.RecordUnanswered("z", UpstreamId{id}, kSent);
   return health;
 }
 
 TEST(ZoneHealth, UnavailableOnceSeveralUpstreamsWereUnresponsiveSinceItsLastAnswer) {
   ZoneHealth health;
   health.RecordAnswer("z", kSent + seconds(1));
-  for (const char* id : {"a", "b", "c"}) health.RecordSilence("z", UpstreamId{id}, kSent);
+  for (const char* id : {"a", "b", "c"}) health.RecordUnanswered("z", UpstreamId{id}, kSent);
   EXPECT_FALSE(health.IsUnavailable("z"));  // all sent before the answer
-  for (const char* id : {"a", "a", "b"}) health.RecordSilence("z", UpstreamId{id}, kSent + seconds(2));
+  for (const char* id : {"a", "a", "b"}) health.RecordUnanswered("z", UpstreamId{id}, kSent + seconds(2));
   EXPECT_FALSE(health.IsUnavailable("z"));
-  health.RecordSilence("z", UpstreamId{"c"}, kSent + seconds(2));
+  health.RecordUnanswered("z", UpstreamId{"c"}, kSent + seconds(2));
   EXPECT_TRUE(health.IsUnavailable("z"));
   EXPECT_FALSE(health.IsUnavailable("y"));
 }
