--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -1,8 +1,8 @@
 // Routes each event to Fleet and RequestHandler, in a fixed order.
 //
-// The interface is src/balancer/balancer.h; docs/ARCHITECTURE.md lists the components. Fleet holds the state
-// of the upstreams and chooses among them; RequestHandler decides what to do with each request. Each of their
-// components answers one kind of question and does not know the others.
+// Fleet holds the state of the upstreams and chooses among them; RequestHandler decides what to do with each
+// request. Each of their components makes one kind of decision and does not depend on the others.
+// docs/ARCHITECTURE.md lists the components.
 #include "balancer/balancer.h"
 
 #include <algorithm>
@@ -19,11 +19,12 @@
 namespace mothrack::balancer {
 namespace {
 
-// After a failed membership call the next one follows within a fifth of `poll_within`, or of this if shorter.
-// A change counts as announced 6 s after it could have been polled; the failed call and the next take up to 2
-// s each, and the tick takes the rest.
+// A failed membership call is followed by the next one within a fifth of `poll_within`, or of this if
+// shorter. A change counts as announced 6 s after it could have been polled. Of these the failed call and the
+// next one take up to 2 s each, and the delay and the tick take the rest.
 constexpr Duration kMaxPollInterval = std::chrono::milliseconds(8750);
-// The delay is this share at least and up to twice that, randomly, so that sidecars do not poll in step.
+// The delay is a random share of that interval, from this to twice this, so that sidecars do not poll in
+// step.
 constexpr double kResubscribeShare = 0.1;
 
 }  // namespace
@@ -63,7 +64,7 @@
   void Route(const MembershipUpdate& update) {
     if (update.kind != MembershipUpdate::Kind::kFailed) return fleet_.UpdateMembership(update);
     if (!context_.settings.membership_on_request) return;
-    // An immediate retry would add to the load that may have made it fail.
+    // An immediate retry would add to the load that may have caused the failure.
     const Duration interval = std::min(context_.settings.rules.poll_within, kMaxPollInterval);
     const double share = kResubscribeShare + kResubscribeShare * context_.random.Uniform();
     subscribe_at_ = context_.now + Scaled(interval, share);
@@ -94,7 +95,7 @@
   Fleet fleet_;
   RequestHandler request_handler_;
   bool running_ = false;
-  std::optional<TimePoint> subscribe_at_;  // after a failed call for membership
+  std::optional<TimePoint> subscribe_at_;  // set after a failed membership call
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/balancer/balancer.h
+++ b/src/balancer/balancer.h
@@ -37,8 +37,8 @@
 struct UpstreamView {
   UpstreamId id;
   UpstreamState state = UpstreamState::kServing;
-  int in_flight = 0;             // attempts
-  double slow_start_factor = 1;  // estimated present share of its capacity; below 1 it is in slow start
+  int in_flight = 0;                         // attempts
+  double slow_start_factor = 1;              // guaranteed share of its capacity; below 1 it is in slow start
   std::optional<TimePoint> ejected_until{};  // absent if it is not ejected
   int ejected_after = 0;                     // consecutive failures that caused the last ejection
   std::uint64_t sent = 0;                    // attempts, since this process of the upstream became known
@@ -46,14 +46,14 @@
   int idle = 0;                              // idle connections, by the balancer's own count
 };
 
-// Counters since the start and present estimates, for the admin API and logs. No decision uses them.
+// Counters since the start and current estimates, for the admin API and logs. No decision uses them.
 struct Counts {
   // Attempts by reason, and ended attempts indexed by Outcome.
   std::uint64_t first = 0, retries = 0, hedges = 0, half_open_probes = 0;
   std::array<std::uint64_t, kOutcomes> ended{};
   std::uint64_t connects = 0;    // attempts that had to open a connection
   std::uint64_t slow_start = 0;  // attempts sent to upstreams in slow start
-  // Rejected and failed requests by reason: overload, no usable upstream, given up after attempts.
+  // Rejected and failed requests by reason: overload, no usable upstream, no retry after failed attempts.
   std::uint64_t overload = 0, no_upstream = 0, given_up = 0;
   std::uint64_t ejected = 0, returned = 0;
   double in_flight = 0, shed = 0;  // attempts in flight; share of the requested work that is shed
@@ -72,7 +72,7 @@
   // not be re-entered.
   void handle(TimePoint now, const Event& event, std::vector<Action>& actions);
 
-  // All upstreams that are not gone, by id.
+  // All upstreams that have not been removed, sorted by id.
   std::vector<UpstreamView> upstreams(TimePoint now) const;
   Counts counts() const;
 
--- a/src/balancer/connection_model.h
+++ b/src/balancer/connection_model.h
@@ -10,18 +10,19 @@
 
 namespace mothrack::balancer {
 
-// An idle connection is reused up to half the age at which one was found closed, at least this, ...
+// Minimum idle time up to which a connection is reused. The limit is otherwise half the idle time at which a
+// connection was found closed.
 inline constexpr Duration kMinTrustedIdle = std::chrono::milliseconds(100);
-// ... and the limit grows by this factor each tick (it doubles in about ten seconds).
+// Factor by which that limit grows each tick; it doubles in about ten seconds.
 inline constexpr double kTrustGrowth = 1.02;
 // A reset within this share of the connect time-out means that the connection was already closed.
 inline constexpr double kImmediateShare = 0.1;
-// Connecting is hard above this difficulty: about half of the attempts that open a connection take twice
-// their usual time or fail.
+// Difficulty of connecting above which connecting counts as hard: about half of the attempts that open a
+// connection take twice their usual time or fail.
 inline constexpr double kHardToConnect = 0.5;
-// Memory of the difficulty, in attempts that open a connection, ...
+// Memory of the difficulty, in attempts that open a connection.
 inline constexpr double kConnectingMemory = 20;
-// ... and its decay time: failed connections to machines that are gone say nothing about others.
+// Decay time of the difficulty: failed connections to removed machines say nothing about other machines.
 inline constexpr Duration kConnectingDecayTime = std::chrono::seconds(2);
 
 // The idle connections of this sidecar to an upstream, as estimated.
@@ -52,14 +53,14 @@
   bool DropStale(ConnectionRecord& record, TimePoint now) const;
   // An attempt is being sent.
   ConnectionUse Use(ConnectionRecord& record, int in_flight, TimePoint now) const;
-  // `usual_time`: of an answer to its class.
+  // An attempt has ended. `usual_time`: of answers to its class.
   void RecordOutcome(ConnectionRecord& record, const ConnectionUse& use, Outcome outcome, Duration elapsed,
                      Duration usual_time, TimePoint now);
   void RecordTick();
 
  private:
   const Limits& limits_;
-  Mean difficulty_;        // of connecting, 0 to 1; 1 if it fails or adds a whole answer time
+  Mean difficulty_;        // of connecting, 0 to 1; 1 if it fails or the answer takes twice its usual time
   Duration trusted_idle_;  // connections that were idle for longer are closed, not reused
 };
 
--- a/src/balancer/context.h
+++ b/src/balancer/context.h
@@ -1,5 +1,5 @@
-// What all decisions about one event share: settings, the event's time, random numbers, counters, and the
-// list of resulting actions.
+// The context that all decisions about one event share: settings, the event's time, random numbers, counters
+// and the list of resulting actions.
 #pragma once
 
 #include <cstdint>
@@ -22,12 +22,12 @@
   }
   void EndEvent() { actions_ = nullptr; }
 
-  // Appends an action. Only between BeginEvent() and EndEvent().
+  // Appends an action. May be called only between BeginEvent() and EndEvent().
   template <typename T>
   void Emit(T action) {
     actions_->emplace_back(std::move(action));
   }
-  // One line for the log.
+  // Appends a Log action with one line of text.
   void EmitLog(std::string text) { Emit(Log{std::move(text)}); }
 
   const Settings settings;
--- a/src/balancer/events.h
+++ b/src/balancer/events.h
@@ -21,15 +21,15 @@
   std::int64_t cell = 0;
   UpstreamState state = UpstreamState::kServing;
   double weight = 1;  // registered capacity, relative; 1 if none is registered
-  std::optional<TimePoint>
-      started{};  // start of its process; absent: long ago. A different time is a different process
+  // Start of its process; absent if that was long ago. A different time means a different process.
+  std::optional<TimePoint> started{};
 };
 
 struct MembershipUpdate {
   enum class Kind {
     kChanges,   // `upstreams` has only the entries that changed
-    kFull,      // `upstreams` is the complete list: an upstream that is missing is gone
-    kRestored,  // the complete list as last seen, possibly stale
+    kFull,      // `upstreams` is the complete list: an upstream missing from it has been removed
+    kRestored,  // the complete list as this sidecar last had it, possibly stale
     kFailed,    // a Subscribe failed or a subscription ended: the last list stays in force
   };
   Kind kind = Kind::kFull;
@@ -40,11 +40,11 @@
   RequestId request{};
   ClassId request_class{};
   std::optional<TenantId> tenant{};
-  TimePoint deadline{};            // when the client gives up
+  TimePoint deadline{};            // when the client stops waiting
   std::optional<Duration> work{};  // expected service time, if known
   bool client_retry = false;       // the client marked it as a retry of its own
-  // The body is still being received: the time allowed, now the time until `deadline`, counts from
-  // RequestComplete on. Attempts may start earlier.
+  // The body is still being received. The time until `deadline` then starts to count only at RequestComplete,
+  // but attempts may start earlier.
   bool arriving = false;
 };
 
@@ -77,8 +77,9 @@
   std::optional<double> rate;  // requests served per second
 };
 
-// A streamed answer has begun. From now on the request has no deadline and can't be retried. Whether it was
-// served in time is decided by this moment; a later break is still recorded as a failure of the upstream.
+// A streamed answer has begun. From then on the request has no deadline and can't be retried. The time of
+// this event decides whether it was served in time; a later break is still recorded as a failure of the
+// upstream.
 struct AnswerStarted {
   RequestId request{};
   AttemptId attempt{};
@@ -93,7 +94,7 @@
   LoadReport load;
 };
 
-// The client closed its connection: the request needs no final answer any more.
+// The client closed its connection, so the request no longer needs a final answer.
 struct ClientDisconnected {
   RequestId request{};
 };
--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-// An upstream that rejected an attempt as full gets nothing for this many usual answer times, plus up to one
-// more at random: it needs about one answer time to have capacity again.
+// An upstream that rejected an attempt as full gets nothing for this many usual answer times plus up to one
+// more at random, since it needs about one answer time to have capacity again.
 constexpr double kMinFullTimes = 0.5;
-// Half-open probes of an unavailable zone are this many kFirstProbeDelay apart, plus up to one more at
+// Half-open probes of an unavailable zone are this many times kFirstProbeDelay apart, plus up to one more at
 // random, so that sidecars do not probe in step.
 constexpr double kMinZoneProbeDelays = 0.5;
 
@@ -38,8 +38,9 @@
   upstreams_.FinishUpdate();
   zone_health_.KeepOnly([this](const std::string& zone) { return upstreams_.HasZone(zone); });
   MarkSubset();
-  // Only once the whole list is known: with credit drawn from a partial sum, the first upstreams of the list
-  // would come first at every sidecar, and the whole fleet would send its first requests to the same few.
+  // Done only once the complete list is known: with credit drawn from a partial sum, the first upstreams of
+  // the list would come first at every sidecar, and all sidecars would send their first requests to the same
+  // few.
   for (const UpstreamPtr& upstream : entering) EnterRotation(*upstream);
 }
 
@@ -153,8 +154,8 @@
   }
 }
 
-// A hedge was served before an earlier attempt whose upstream is unresponsive: that counts as a time-out.
-// Without it hedges would hide upstreams that drop attempts from outlier detection. Attempts that were in
+// Counts an earlier attempt whose upstream is unresponsive as a time-out when a hedge was served before it.
+// Otherwise hedges would hide upstreams that drop attempts from outlier detection. Attempts that were in
 // flight at the same time count once.
 void Fleet::RecordOvertaken(const Request& request, const Attempt& winner) {
   for (const Attempt& attempt : request.attempts) {
@@ -193,9 +194,9 @@
   context_.EmitLog("returned " + upstream.info.id.value + " " + why);
 }
 
-// ---- Standing and choice ----
+// ---- Availability and choice ----
 
-// Whether it may get a request, apart from its slow start budget.
+// Whether the upstream may get a request, apart from its slow start budget.
 bool Fleet::IsAvailable(Upstream& upstream, bool half_open_probe) {
   if (upstream.info.state != UpstreamState::kServing) return false;
   EndEjectionIfExpired(upstream);
@@ -209,8 +210,8 @@
   return slow_start_.HasBudget(upstream.slow_start, BudgetInput(upstream), context_.now);
 }
 
-// Whether it has no usable connection while connecting is hard. Not for one in slow start, whose connection
-// table is empty.
+// Whether the upstream has no usable connection while connecting is hard. False for an upstream in slow
+// start, whose connection table is empty.
 bool Fleet::MustConnect(const Upstream& upstream) const {
   return connections_.IsConnectingHard() && SlowStartFactor(upstream) >= 1 &&
          !connections_.HasConnection(upstream.connection, upstream.in_flight.attempts, context_.now);
@@ -218,13 +219,13 @@
 
 bool Fleet::IsSuspect(const Upstream& upstream) const {
   if (outliers_.IsSuspect(upstream.outlier) || zone_health_.IsUnavailable(upstream.info.zone)) return true;
-  // Most have nothing in flight, and the rest need not be computed.
+  // Most upstreams have nothing in flight, so the rest need not be computed.
   return upstream.in_flight.attempts > 0 &&
          upstream.in_flight.IsUnresponsive(context_.now, latency_.UsualTime(), Slowness(upstream),
                                            SlowStartFactor(upstream));
 }
 
-// Whether late answers of the upstream are a sign of overload, rather than its own fault.
+// Whether late answers of the upstream are a sign of overload rather than its own fault.
 bool Fleet::IsHealthyPastSlowStart(const Upstream& upstream) const {
   return !upstream.outlier.ejected && SlowStartFactor(upstream) >= 1 && !IsSuspect(upstream);
 }
@@ -239,7 +240,7 @@
 }
 
 // Upstreams of the subset that are ejected, suspect or already tried are replaced by the next ones in order.
-// Upstreams that have just rejected an attempt as full are left out.
+// Upstreams that have just rejected an attempt as full are excluded.
 UpstreamPtr Fleet::Choose(const Request& request, const RetryPolicy& retries, bool only_untried_healthy) {
   round_robin_.Clear();
   double places_left = SubsetSize();
@@ -269,7 +270,7 @@
           upstream.info.weight * SlowStartFactor(upstream)};
 }
 
-TimelyOutcome Fleet::LatenessOf(const Request& request, const Attempt& attempt, Outcome outcome,
+LatenessInput Fleet::LatenessOf(const Request& request, const Attempt& attempt, Outcome outcome,
                                 Duration elapsed) const {
   const Upstream& upstream = *attempt.upstream;
   const bool late = LoadShedder::IsLate(outcome, elapsed, request.latency_objective);
--- a/src/balancer/fleet.h
+++ b/src/balancer/fleet.h
@@ -42,8 +42,8 @@
   void RecordArrival() { request_rate_.RecordArrival(); }
   // An attempt is being sent. Returns how it gets its connection, and closes idle ones that are too old.
   ConnectionUse RecordSent(Upstream& upstream, bool half_open_probe, bool in_flight);
-  // Counts the attempt as in flight: from when the upstream has the whole request until its answer begins,
-  // the time in which it can be late.
+  // Counts the attempt as in flight: from when the upstream has the complete request until its answer begins,
+  // the time during which it can be late.
   void RecordInFlight(Upstream& upstream) const { upstream.in_flight.Begin(context_.now); }
   void RecordReleased(Upstream& upstream) const { upstream.in_flight.End(); }
   // A streamed answer has begun: the upstream is responsive. RecordAnswerTime() records the time.
@@ -55,31 +55,31 @@
   void RecordOutcome(const Request& request, const Attempt& attempt, Duration elapsed);
   // The attempt `winner`, a hedge, was served before other attempts of the request.
   void RecordOvertaken(const Request& request, const Attempt& winner);
-  // The request is late, and its attempts are unanswered.
+  // The request is late: records the upstreams of its unanswered attempts as not answering.
   void RecordUnanswered(const Request& request);
   void RecordUnansweredProbe(Upstream& upstream) const {
     OutlierDetector::RecordUnansweredProbe(upstream.outlier);
   }
-  // `weights`: as of the last tick.
+  // `weights`: those of the last tick.
   void RecordTick(const FleetWeights& weights);
   void EndExpiredEjections();
 
   // ---- Queries ----
 
-  // Null if there is none with this id.
+  // The upstream with this id; null if there is none.
   UpstreamPtr Find(const UpstreamId& id) const { return upstreams_.Find(id); }
-  // The upstreams that are not gone, in this sidecar's order.
+  // The upstreams that have not been removed, in this sidecar's order.
   const std::vector<UpstreamPtr>& ranked() const { return upstreams_.ranked(); }
-  // Whether the upstream may get a request. Checked before every attempt. An ejected one gets half-open
+  // Whether the upstream may get a request; checked before every attempt. An ejected upstream gets half-open
   // probes only.
   bool MayTake(Upstream& upstream, bool half_open_probe = false) {
     return IsAvailable(upstream, half_open_probe) && HasSlowStartBudget(upstream);
   }
-  // The next upstream by round robin; null if none can take the request. `only_good`: none that was tried or
-  // is suspect.
+  // The next upstream by round robin; null if none can take the request. `only_untried_healthy`: excludes
+  // upstreams that were tried or are suspect.
   UpstreamPtr Choose(const Request& request, const RetryPolicy& retries, bool only_untried_healthy = false);
   ProbedLoad LoadOf(const ProbedUpstream& probed) const;
-  TimelyOutcome LatenessOf(const Request& request, const Attempt& attempt, Outcome outcome,
+  LatenessInput LatenessOf(const Request& request, const Attempt& attempt, Outcome outcome,
                            Duration elapsed) const;
   FleetWeights SumWeights() const;
   const LatencyModel& latency() const { return latency_; }
--- a/src/balancer/half_open_probes.h
+++ b/src/balancer/half_open_probes.h
@@ -9,18 +9,18 @@
 
 namespace mothrack::balancer {
 
-// Delay before the first probe; it doubles after each failed one, up to the cap.
+// Delay before the first probe, which doubles after each failed one up to kMaxProbeDelay.
 inline constexpr Duration kFirstProbeDelay = std::chrono::milliseconds(1000);
 inline constexpr Duration kMaxProbeDelay = std::chrono::milliseconds(8000);
-// Consecutive successful probes that end an ejection: one may be luck if an upstream fails only some
-// attempts.
+// Consecutive successful probes that end an ejection. One is not enough, since an upstream that fails only
+// some attempts may serve it by chance.
 inline constexpr int kProbesToReturn = 2;
 
 struct HalfOpenRecord {
   TimePoint next_probe;
   Duration delay{};        // before the next probe
   int served = 0;          // consecutive successful probes since the ejection
-  bool in_flight = false;  // a probe is in flight: one at a time
+  bool in_flight = false;  // whether a probe is in flight; there is at most one
 };
 
 class HalfOpenProbes {
@@ -30,7 +30,7 @@
   }
   static void RecordEjection(HalfOpenRecord& record, TimePoint now);
   static void RecordSent(HalfOpenRecord& record) { record.in_flight = true; }
-  // A probe ended. Returns whether the upstream's ejection ends by that.
+  // A probe ended. Returns whether that ends the upstream's ejection.
   static bool RecordOutcome(HalfOpenRecord& record, bool ejected, Outcome outcome, TimePoint now);
 };
 
--- a/src/balancer/in_flight.h
+++ b/src/balancer/in_flight.h
@@ -1,8 +1,8 @@
 // The attempts of this sidecar that an upstream has in flight, and since when it has not answered.
 //
-// Guards against hung processes, dead machines and network partitions, which show only as time passing: such
-// an upstream is avoided, while others are usable, before its consecutive failures suffice for ejection. One
-// answer clears it.
+// Guards against hung processes, dead machines and network partitions, whose only sign is that answers are
+// missing. While others are usable, such an upstream is avoided before its consecutive failures suffice for
+// ejection. One answer ends that.
 #pragma once
 
 #include <cstdint>
@@ -19,9 +19,9 @@
 
 struct InFlightRecord {
   int attempts = 0;         // in flight
-  TimePoint waiting_since;  // while attempts > 0: since when none was answered
-  TimePoint full_until;     // it rejected an attempt as full: nothing is sent before this time
-  // For UpstreamView only, since this process became known.
+  TimePoint waiting_since;  // while attempts > 0: since when none of them has been answered
+  TimePoint full_until;     // after it rejected an attempt as full: nothing is sent before this time
+  // Counters since this process became known, for UpstreamView only.
   std::uint64_t sent = 0;
   std::uint64_t unanswered = 0;
 
--- a/src/balancer/latency_model.cpp
+++ b/src/balancer/latency_model.cpp
@@ -14,12 +14,12 @@
   const Outcome outcome = answer.outcome;
   if (ProvesNotRun(outcome) || outcome == Outcome::kError || outcome == Outcome::kReset) return;
   const auto elapsed_us = static_cast<double>(answer.elapsed.count());
-  // Slow start is temporary and must not count as slowness of the upstream.
-  const double past_slow_start_time = elapsed_us * answer.slow_start_factor;
+  // The time expected after slow start, which is temporary and must not count as slowness of the upstream.
+  const double time_after_slow_start = elapsed_us * answer.slow_start_factor;
   const double usual_us = static_cast<double>(UsualTime(answer.class_index).count());
-  const double ratio = std::min(past_slow_start_time / usual_us, 2 * kMaxSlowness);
+  const double ratio = std::min(time_after_slow_start / usual_us, 2 * kMaxSlowness);
   const double slowness = Slowness(record, kind);
-  // An unanswered attempt is a lower bound on the time, unless the upstream answers others fast.
+  // The time of an unanswered attempt is a lower bound, unless the upstream answers others fast.
   if (outcome != Outcome::kServed && (ratio < slowness || !IsLoaded(record))) return;
   if (answer.slow_start_factor < 1)
     slow_start_times_.Add(std::max(ratio / slowness, 1 / kMaxSlowness), kSlowStartTimesMemory);
--- a/src/balancer/load_probes.h
+++ b/src/balancer/load_probes.h
@@ -1,4 +1,5 @@
-// Load probes: how many upstreams are asked for their load before a request is sent, and which one to choose.
+// Load probes: how many upstreams are probed for their load before a request is sent, and which one is
+// chosen.
 //
 // Guards against queues of other sidecars' requests, which this sidecar can't observe itself. The best of a
 // few random choices is close to the best of all (Mitzenmacher, "The power of two choices in randomized load
@@ -13,16 +14,16 @@
 
 namespace mothrack::balancer {
 
-// Share of the service's value that may be spent on probes, ...
+// Share of the service's value that may be spent on probes.
 inline constexpr double kProbeCostShare = 0.01;
-// ... and the most probes per request.
+// The maximum number of probes per request.
 inline constexpr double kMaxProbesPerRequest = 3;
-// Lower bound on the price of probes, to divide by.
+// Lower bound on the price of probes, which is a divisor.
 inline constexpr double kMinProbePrice = 1e-9;
 // How long a request waits for the reports, as a share of the connect time-out.
 inline constexpr double kProbeWaitShare = 0.1;
-// An upstream is jammed if its queue takes longer than this share of the request's latency objective; service
-// times vary about twofold.
+// An upstream is overloaded if its queue takes longer than this share of the request's latency objective. The
+// rest is reserve, since service times vary about twofold.
 inline constexpr double kOverloadedQueueShare = 0.5;
 
 // An upstream's load report, and its estimated capacity.
@@ -39,9 +40,9 @@
   explicit LeastLoaded(Duration latency_objective) : latency_objective_(latency_objective) {}
 
   void Consider(std::size_t index, const ProbedLoad& load);
-  // The index with the least load per capacity; absent if all considered ones are jammed, or there was none.
+  // The index with the least load per capacity; absent if none was considered or all of them are overloaded.
   std::optional<std::size_t> best() const { return best_; }
-  // At least one was jammed: a request there would be late and add to its queue.
+  // Whether at least one is overloaded: a request there would be late and add to its queue.
   bool any_overloaded() const { return any_overloaded_; }
 
  private:
@@ -55,7 +56,7 @@
  public:
   explicit LoadProbes(const Settings& settings);
 
-  // Upstreams to probe per request; 1: send to the first choice without a probe.
+  // The number of upstreams to probe per request; 1: requests go to the first choice without a probe.
   std::size_t upstreams_per_request() const { return upstreams_per_request_; }
   // How long a request waits for the reports.
   Duration Wait() const;
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -19,7 +19,7 @@
   const double lower_cut = lower_demand * (1 - kClassFloor);
   const double own_demand = demand_[class_index];
   const double cut = shed_ * total_demand;
-  // All classes are at their floor: the rest is cut from each alike.
+  // All classes are at their floor: the rest is cut from each in proportion.
   if (cut > total_demand - total_floor) return kClassFloor * (total_demand - cut) / total_floor;
   return 1 - std::clamp((cut - lower_cut) / own_demand, 0.0, 1 - kClassFloor);
 }
@@ -28,17 +28,18 @@
   return classes_[class_index].priority_weight / static_cast<double>(usual_times[class_index].count());
 }
 
-void LoadShedder::RecordOutcome(const TimelyOutcome& end, double usual_rate) {
-  const Outcome outcome = end.outcome;
+void LoadShedder::RecordOutcome(const LatenessInput& attempt, double usual_rate) {
+  const Outcome outcome = attempt.outcome;
   if (outcome != Outcome::kServed && outcome != Outcome::kTimeout && outcome != Outcome::kFull) return;
-  if (outcome == Outcome::kTimeout && !end.loaded) return;
-  const bool late = IsLate(outcome, end.elapsed, end.latency_objective);
-  // A late answer of an upstream that is ejected, suspect or in slow start is its own fault, unless most
-  // upstreams are such. Answers in time always count: if the few admitted requests all go to upstreams in
-  // slow start, nothing else shows that the overload is over.
-  if (late && !end.healthy_past_slow_start && 4 * weights_.healthy_past_slow_start > weights_.serving) return;
+  if (outcome == Outcome::kTimeout && !attempt.loaded) return;
+  const bool late = IsLate(outcome, attempt.elapsed, attempt.latency_objective);
+  // A late answer of an upstream that is ejected, suspect or in slow start is its own fault, unless at least
+  // three quarters of the weight are such upstreams. Answers in time always count: if the few admitted
+  // requests all go to upstreams in slow start, nothing else shows that the overload is over.
+  if (late && !attempt.healthy_past_slow_start && 4 * weights_.healthy_past_slow_start > weights_.serving)
+    return;
   const double step = 1 / std::max(kShedOutcomes, usual_rate * Seconds(kShedTime));
-  // With no more in flight than usual, load is not the cause (for example the whole fleet is slow), and
+  // With no more in flight than usual, load is not the cause (for example all upstreams are slow), and
   // rejecting more would not help.
   if (late && mean_in_flight_ < usual_in_flight_ * weights_.usable) return;
   late_share_ += ((late ? 1 : 0) - late_share_) / kLateMemory;
@@ -62,7 +63,7 @@
   const bool in_time = shed_ <= 0 && late_share_ <= kTooManyLate / 2;
   if (in_time && usable > 0)
     usual_in_flight_ += (in_flight_ / usable - usual_in_flight_) / kUsualInFlightMemory;
-  // Decays by itself, as few outcomes are left to lower it once most requests are rejected.
+  // Decays on each tick, since few outcomes are left to lower it once most requests are rejected.
   shed_ = std::max(0.0, shed_ - kTooManyLate * Seconds(kTickInterval) / kShedOutcomes);
   for (double& work : demand_) work *= 1 - Seconds(kTickInterval) / Seconds(kDemandMemory);
 }
--- a/src/balancer/load_shedder.h
+++ b/src/balancer/load_shedder.h
@@ -22,24 +22,24 @@
 inline constexpr double kTooManyLate = 0.2;
 // Memory, in answers, of the share of late ones.
 inline constexpr double kLateMemory = 10;
-// The rejected share moves over its whole range in about this time, ...
+// The rejected share moves over its range in about this time, or in kShedOutcomes outcomes if these take
+// longer.
 inline constexpr Duration kShedTime = std::chrono::milliseconds(1000);
-// ... or in this many outcomes if these take longer, ...
 inline constexpr double kShedOutcomes = 40;
-// ... and falls up to this many times faster while hardly any answer is late.
+// The rejected share falls up to this many times faster while hardly any answer is late.
 inline constexpr double kShedFallFactor = 5;
 // Upper bound of the rejected share: the remaining requests show when the overload is over.
 inline constexpr double kMaxShed = 0.9;
-// From this share on the sidecar counts as shedding, and hedges and retries are restricted.
+// The rejected share above which the sidecar counts as shedding, and hedges and retries are restricted.
 inline constexpr double kSheddingShare = 0.1;
-// A sudden loss of this share of the usable weight, ...
+// A sudden loss of more than this share of the usable weight that is also at least kMinUpstreamsLost
+// upstreams sets the rejected share at once, before answers are late. The outcomes then correct it.
 inline constexpr double kSuddenLossShare = 0.3;
-// ... that is also at least this many upstreams (one of three that fails is no sign of overload), ...
+// The minimum of upstreams lost: one of three that fails is no sign of overload.
 inline constexpr double kMinUpstreamsLost = 4;
-// ... sets the rejected share at once, assuming that the rest can serve this many times its former load. The
-// outcomes then correct it.
+// After such a loss the remaining upstreams are assumed to serve this many times their former load.
 inline constexpr double kHeadroom = 1.1;
-// Decay time of the maximum usable weight, against which a loss is measured.
+// Decay time of the maximum usable weight, to which the usable weight is compared to detect a loss.
 inline constexpr Duration kLossMemory = std::chrono::seconds(20);
 // Classes with the least priority weight per unit of service time are rejected first, but each class keeps at
 // least this share of its requests while others still have more.
@@ -51,22 +51,22 @@
 // An interval of rejections is over once nothing was rejected for this long.
 inline constexpr Duration kRejectionInterval = std::chrono::seconds(2);
 
-// Sums of listed weights over the upstreams that the list has as serving.
+// Sums of listed weights over the upstreams that the endpoint list states as serving.
 struct FleetWeights {
   double serving = 0;
   double usable = 0;  // neither ejected nor suspect, scaled by the estimated slow start factor
-  double healthy_past_slow_start =
-      0;              // whose late answers are a sign of load: not ejected, suspect or in slow start
+  // Not ejected, suspect or in slow start, so that late answers are a sign of load.
+  double healthy_past_slow_start = 0;
   int upstreams = 0;  // number of serving ones
 };
 
 // The end of an attempt, reduced to what its lateness depends on.
-struct TimelyOutcome {
+struct LatenessInput {
   Outcome outcome = Outcome::kServed;
   Duration elapsed{};
   Duration latency_objective{};
   bool loaded = false;                   // its upstream answers slowly (LatencyModel::IsLoaded)
-  bool healthy_past_slow_start = false;  // only if late: its upstream is healthy and past slow start
+  bool healthy_past_slow_start = false;  // of its upstream; determined only for a late outcome
 };
 
 class LoadShedder {
@@ -78,7 +78,7 @@
   void RecordDemand(std::size_t class_index, Duration usual_time) {
     demand_[class_index] += static_cast<double>(usual_time.count());
   }
-  // Share of the class's requests that is admitted, from 0 to 1. `usual_times`: by class.
+  // The share of the class's requests that is admitted, from 0 to 1. `usual_times`: by class.
   double AdmittedShare(std::size_t class_index, const std::vector<Duration>& usual_times) const;
   bool RejectsAny() const { return shed_ > 0; }
   bool IsShedding() const { return shed_ > kSheddingShare; }
@@ -92,7 +92,7 @@
   void RecordSent() { ++in_flight_; }
   void RecordReleased() { --in_flight_; }
   // `usual_rate`: requests a second.
-  void RecordOutcome(const TimelyOutcome& outcome, double usual_rate);
+  void RecordOutcome(const LatenessInput& attempt, double usual_rate);
   void RecordTick(const FleetWeights& weights);
 
   // A request is rejected. Returns whether an interval of rejections begins with it.
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -12,17 +12,17 @@
 
 namespace mothrack::balancer {
 
-// From the design page: consecutive failures that eject, duration of the first ejection, factor for each
-// further one, and the cap.
+// Consecutive failures that eject while few attempts at the other upstreams fail.
 inline constexpr int kFailuresToEject = 5;
+// Duration of the first ejection, factor for each repeated one, and the maximum.
 inline constexpr Duration kBaseEjection = std::chrono::seconds(60);
 inline constexpr int kEjectionMultiplier = 2;
 inline constexpr Duration kMaxEjection = std::chrono::seconds(120);
 // Consecutive failures that make an upstream suspect; a suspect is avoided while others are usable. The
 // number is small because one sidecar of a big fleet sends an upstream only one request every few seconds.
 inline constexpr int kFailuresToSuspect = 2;
-// Share of failed attempts at which kFailuresToEject in a row are still rare. If more of the attempts at the
-// other upstreams fail, the run has to be long enough to be equally rare.
+// The share of failed attempts at which kFailuresToEject failures in a row are still rare. If more of the
+// attempts at the other upstreams fail, the run of failures has to be long enough to be equally rare.
 inline constexpr double kOrdinaryFailureShare = 0.1;
 // Upper bound on the others' failure share: if all attempts failed, no run would be rare enough.
 inline constexpr double kMaxFailureShare = 0.95;
@@ -37,15 +37,15 @@
 struct OutlierRecord {
   int failure_run = 0;  // consecutive failures
   bool ejected = false;
-  TimePoint ejected_until;              // or, once it has returned, the time of the return
+  TimePoint ejected_until;              // once it has returned: the time of the return
   Duration ejection_time{};             // duration of the last ejection
   std::optional<TimePoint> ejected_at;  // start of the last ejection
-  int ejected_after = 0;                // consecutive failures that caused it
+  int ejected_after = 0;                // consecutive failures that caused that ejection
   TimePoint overtaken_at;               // last time that a hedge elsewhere was served before an attempt here
-  // Its recent attempts, exponentially decayed.
+  // Exponentially decayed counts of its recent attempts.
   double calls = 0;
   double failures = 0;
-  double timeouts = 0;  // of these
+  double timeouts = 0;  // the failures that were time-outs
 };
 
 // An ejection that has just begun.
@@ -60,22 +60,22 @@
     return record.ejected && now >= record.ejected_until;
   }
 
-  // Whether its consecutive failures make it suspect. The first comparison settles it for most upstreams.
+  // Whether its consecutive failures make it suspect. The first comparison suffices for most upstreams.
   bool IsSuspect(const OutlierRecord& record) const {
     return record.failure_run >= kFailuresToSuspect &&
            record.failure_run >= RunAsRareAs(kFailuresToSuspect, record);
   }
 
-  // Factor for an upstream's weight by its failures, from kMinSuccessFactor to 1. `loaded`: its answers are
-  // slow. Time-outs beside fast answers reduce the weight only in proportion: they attract no requests, and
-  // the other attempts are served.
+  // The factor by which failures reduce an upstream's weight, from kMinSuccessFactor to 1. `loaded`: its
+  // answers are slow. If its answers are fast, time-outs reduce the weight only in proportion: they attract
+  // no requests, and the other attempts are served.
   static double SuccessFactor(const OutlierRecord& record, bool loaded);
 
   // An attempt was served or failed. Returns the ejection if this causes one.
   std::optional<Ejection> RecordOutcome(OutlierRecord& record, Outcome outcome, TimePoint now);
   // A hedge was served before an attempt still in flight here, which counts as a time-out.
   std::optional<Ejection> RecordOvertaken(OutlierRecord& record, TimePoint now);
-  // An unanswered load probe adds to the consecutive failures but does not eject by itself.
+  // An unanswered load probe adds to the consecutive failures but never ejects.
   static void RecordUnansweredProbe(OutlierRecord& record) { ++record.failure_run; }
   static void RecordReturn(OutlierRecord& record, TimePoint now);
 
--- a/src/balancer/random.h
+++ b/src/balancer/random.h
@@ -11,7 +11,8 @@
  public:
   explicit Random(std::uint64_t seed) : engine_(seed) {}
 
-  // From [0, 1). Raw engine output: the standard's distributions differ between libraries.
+  // A number from [0, 1). It is made of raw engine output, since the standard's distributions differ between
+  // libraries.
   double Uniform() { return static_cast<double>(engine_() >> 11) * 0x1p-53; }
 
  private:
--- a/src/balancer/request.h
+++ b/src/balancer/request.h
@@ -21,7 +21,7 @@
   bool started = false;              // its answer has begun
   std::optional<Outcome> outcome{};  // absent while the attempt has not ended
 
-  // Not ended, and its upstream has answered no attempt at all since this one was sent.
+  // Whether it has not ended and its upstream has answered no attempt at all since this one was sent.
   bool IsUnanswered() const { return !outcome && upstream->in_flight.waiting_since <= sent; }
 };
 
@@ -40,9 +40,9 @@
   Duration latency_objective{};  // an answer within it has its full priority weight
   TimePoint arrived;
   TimePoint deadline;
-  TimePoint late_at;  // when it becomes late compared to the usual time of its class
+  TimePoint late_at;  // when it becomes late compared to the usual answer time of its class
   std::vector<Attempt> attempts;
-  std::vector<ProbedUpstream> probed;  // while it waits for their load reports
+  std::vector<ProbedUpstream> probed;  // the upstreams whose load reports it waits for
   bool ended = false;                  // it has its final answer: no further attempt is made
   bool arriving = false;               // its body is still being received
   Duration time_allowed{};             // while arriving: the time it will have once complete
@@ -52,7 +52,8 @@
     return std::any_of(attempts.begin(), attempts.end(),
                        [](const Attempt& attempt) { return !attempt.outcome; });
   }
-  // None of the upstreams with a pending attempt of it has answered anything since that was sent.
+  // Whether no upstream with a pending attempt of this request has answered anything since the attempt was
+  // sent.
   bool IsUnanswered() const {
     return std::all_of(attempts.begin(), attempts.end(),
                        [](const Attempt& attempt) { return attempt.outcome || attempt.IsUnanswered(); });
@@ -62,7 +63,8 @@
     const auto index = static_cast<std::size_t>(id);
     return index < attempts.size() ? &attempts[index] : nullptr;
   }
-  // The load probe of an upstream, which need not be one of this request's, ended with this report.
+  // Records the report with which a load probe of the upstream ended. No effect if this request does not wait
+  // for it.
   void RecordLoad(const Upstream& upstream, const LoadReport& load) {
     for (ProbedUpstream& probe : probed) {
       if (probe.upstream.get() != &upstream) continue;
@@ -75,9 +77,9 @@
     return std::all_of(probed.begin(), probed.end(),
                        [](const ProbedUpstream& probe) { return probe.answered; });
   }
-  // It was sent to this upstream, or waits for its load report.
+  // Whether it was sent to this upstream or waits for its load report.
   bool HasTried(const Upstream& upstream) const {
-    const auto same = [&upstream](const auto& attempt) { return attempt.upstream.get() == &upstream; };
+    const auto same = [&upstream](const auto& entry) { return entry.upstream.get() == &upstream; };
     return std::any_of(attempts.begin(), attempts.end(), same) ||
            std::any_of(probed.begin(), probed.end(), same);
   }
--- a/src/balancer/request_handler.cpp
+++ b/src/balancer/request_handler.cpp
@@ -157,7 +157,8 @@
   return context_.random.Uniform() < shedder_.AdmittedShare(request.class_index, usual_times_);
 }
 
-// Sends the request to the next upstream, or first probes the load of the next few. False if there is none.
+// Sends the request to the next upstream, or first probes the load of the next few. Returns false if there is
+// none.
 bool RequestHandler::SendOrProbe(Request& request) {
   const UpstreamPtr first = fleet_.Choose(request, retries_);
   if (!first) return false;
@@ -217,9 +218,9 @@
   context_.Emit(SendAttempt{request.id, upstream->info.id, timeout});
 }
 
-// A hedge of a request that may be repeated tests an ejected or suspect upstream. The client does not depend
-// on it, so a failure costs no request. If no other upstream is left, the request itself is the probe:
-// rejecting all requests while some upstream could serve is the worst outcome.
+// Tests an ejected or suspect upstream by a hedge of a request that may be repeated. The client does not
+// depend on the hedge, so a failure costs no request. If no other upstream is left, the request itself is the
+// probe: rejecting all requests while some upstream could serve is the worst outcome.
 bool RequestHandler::SendHalfOpenProbe(Request& request) {
   if (!retries_.MayProbe(request)) return false;
   for (const UpstreamPtr& upstream : fleet_.ranked()) {
@@ -232,8 +233,8 @@
   return false;
 }
 
-// Hedges a request that is late compared to its class, against hangs and pauses. Never to an upstream that is
-// no better.
+// Hedges a request that is late compared to its class, in case its upstream hangs or pauses. A hedge is never
+// sent to an upstream that was tried or is suspect.
 void RequestHandler::Hedge(Request& request) {
   if (request.ended || request.streaming || !request.HasPendingAttempt()) return;
   if (context_.now < request.late_at) return;
@@ -241,7 +242,8 @@
   const bool affordable = !shedder_.IsShedding() && retries_.budget().Allows();
   const UpstreamPtr chosen = affordable ? fleet_.Choose(request, retries_, true) : nullptr;
   if (!chosen) {
-    // Not affordable now, or no better upstream: check again when it has waited twice as long.
+    // Not affordable now, or no healthy upstream is left: check again when the request has waited twice as
+    // long.
     request.late_at = context_.now + (context_.now - request.arrived);
     if (request.IsUnanswered() && request.late_at < request.deadline)
       SetRequestTimer(request, request.late_at);
@@ -310,7 +312,7 @@
 
 void RequestHandler::Cancel(const Request& request, std::size_t attempt) {
   if (request.attempts[attempt].outcome || !context_.settings.limits.cancel) return;
-  if (request.attempts[attempt].half_open_probe) return;  // its outcome is still wanted
+  if (request.attempts[attempt].half_open_probe) return;  // its outcome is still needed
   context_.Emit(CancelAttempt{request.id, AttemptId{attempt}});
 }
 
--- a/src/balancer/request_handler.h
+++ b/src/balancer/request_handler.h
@@ -23,7 +23,7 @@
  public:
   RequestHandler(Context& context, Fleet& fleet);
 
-  // The events of a request, as balancer.h has them.
+  // The events of a request, as events.h defines them.
   void Handle(const RequestArrived& event);
   void Handle(const RequestComplete& event);
   void Handle(const AnswerStarted& event);
--- a/src/balancer/request_rate.h
+++ b/src/balancer/request_rate.h
@@ -1,4 +1,4 @@
-// Request rate: the usual number of requests per second at this sidecar, including clients' retries.
+// Request rate: the usual number of requests per second at this sidecar, including retries by clients.
 //
 // It changes slowly, so that a burst does not raise the slow start budgets and the subset that depend on it.
 #pragma once
@@ -9,7 +9,7 @@
 
 namespace mothrack::balancer {
 
-// The rate counts as known after this time.
+// The rate counts as known this long after the start.
 inline constexpr Duration kRateKnownAfter = std::chrono::seconds(2);
 
 class RequestRate {
@@ -23,8 +23,8 @@
 
   double usual() const { return usual_; }  // requests a second
   bool IsKnown(TimePoint now) const { return Age(now) >= kRateKnownAfter && usual_ > 0; }
-  Duration Age(TimePoint now) const { return now - started_; }  // since the start
-  // Since the last tick.
+  Duration Age(TimePoint now) const { return now - started_; }  // time since the start
+  // Numbers since the last tick.
   std::uint64_t arrivals() const { return arrivals_; }
   std::uint64_t served() const { return served_; }
 
--- a/src/balancer/request_table.h
+++ b/src/balancer/request_table.h
@@ -10,12 +10,12 @@
 
 namespace mothrack::balancer {
 
-// The token of the tick; those of requests' timers count from 1.
+// The timer token of the tick. Tokens of requests' timers count from 1.
 inline constexpr std::uint64_t kTickToken = 0;
 
 class RequestTable {
  public:
-  // Null if the id is already known. Pointers stay valid until ForgetIfDone() removes the request.
+  // Null if the id is already known. Pointers stay valid until RemoveIfEnded() removes the request.
   Request* Add(RequestId id) {
     const auto [entry, is_new] = requests_.try_emplace(id);
     if (!is_new) return nullptr;
@@ -34,12 +34,13 @@
       requests_.erase(found);
   }
 
-  // A new timer token that maps to the request.
+  // Returns a new timer token that maps to the request.
   std::uint64_t AddTimer(RequestId id) {
     timers_.emplace(++last_token_, id);
     return last_token_;
   }
-  // The request of a fired timer, which may have been removed since; absent if the token is unknown.
+  // Removes a fired timer and returns its request, which may no longer be in the table; absent if the token
+  // is unknown.
   std::optional<RequestId> TakeTimer(std::uint64_t token) {
     const auto found = timers_.find(token);
     if (found == timers_.end()) return std::nullopt;
@@ -49,8 +50,9 @@
   }
 
  private:
-  std::unordered_map<RequestId, Request> requests_;      // looked up, never walked
-  std::unordered_map<std::uint64_t, RequestId> timers_;  // looked up, never walked
+  // Never iterated: their order differs between libraries, and decisions must be deterministic.
+  std::unordered_map<RequestId, Request> requests_;
+  std::unordered_map<std::uint64_t, RequestId> timers_;  // by token
   std::uint64_t last_token_ = kTickToken;
 };
 
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -13,11 +13,9 @@
     // Repeats are dropped only by upstreams that share the key, and only while they remember it. Half of the
     // window is reserved for the retry's own delivery.
     if (now - attempt.sent >= request.request_class->key_window / 2) return false;
-    const UpstreamInfo& first_upstream = attempt.upstream->info;
-    if (request.request_class->key_scope == KeyScope::kZone && first_upstream.zone != upstream.zone)
-      return false;
-    if (request.request_class->key_scope == KeyScope::kCell && first_upstream.cell != upstream.cell)
-      return false;
+    const UpstreamInfo& earlier = attempt.upstream->info;
+    if (request.request_class->key_scope == KeyScope::kZone && earlier.zone != upstream.zone) return false;
+    if (request.request_class->key_scope == KeyScope::kCell && earlier.cell != upstream.cell) return false;
   }
   return true;
 }
@@ -34,16 +32,17 @@
 Duration RetryPolicy::Timeout(const Request& request, bool shedding, TimePoint now) const {
   if (request.arriving) return request.time_allowed;
   const Duration left = request.deadline - now;
-  // An attempt that may be repeated is given up at the latency objective: another upstream may be faster, and
-  // a later answer may be worth nothing. If late answers keep some weight, a hedge achieves the same without
-  // losing the first attempt.
+  // An attempt that may be repeated times out at the latency objective: another upstream may be faster, and a
+  // later answer may have no priority weight left. If late answers keep some weight, a hedge achieves the
+  // same without losing the first attempt.
   if (request.request_class->late_priority_weight > 0 && limits_.hedging) return left;
   const TimePoint latency_objective = request.arrived + request.latency_objective;
-  // Under overload this applies to unsafe requests too: past the objective the answer is worth nothing and
-  // only delays others.
-  const bool give_up = request.request_class->effect != Effect::kUnsafe ||
-                       (request.request_class->late_priority_weight <= 0 && shedding);
-  if (give_up && now < latency_objective) return std::min(left, Duration(latency_objective - now));
+  // Under overload this applies to unsafe requests too: past the objective the answer has no weight and only
+  // delays others.
+  const bool time_out_at_objective = request.request_class->effect != Effect::kUnsafe ||
+                                     (request.request_class->late_priority_weight <= 0 && shedding);
+  if (time_out_at_objective && now < latency_objective)
+    return std::min(left, Duration(latency_objective - now));
   return left;
 }
 
@@ -53,7 +52,7 @@
 
 bool RetryPolicy::TakeRetry(const Request& request, TimePoint now) {
   if (request.attempts.empty()) return true;
-  // No retry if the answer would come too late to be worth anything.
+  // No retry if a late answer has no weight and the latency objective has passed.
   if (request.request_class->late_priority_weight <= 0 && !request.arriving &&
       now >= request.arrived + request.latency_objective)
     return false;
@@ -66,8 +65,8 @@
 
 Duration RetryPolicy::RetryAfter(double uniform) const {
   if (!limits_.retry_after) return Duration::zero();
-  const Duration most = limits_.max_retry_after;
-  return std::min(Scaled(std::min(kRetryAfter, most * 3 / 4), 1 + uniform), most);
+  const Duration max_retry_after = limits_.max_retry_after;
+  return std::min(Scaled(std::min(kRetryAfter, max_retry_after * 3 / 4), 1 + uniform), max_retry_after);
 }
 
 }  // namespace mothrack::balancer
--- a/src/balancer/retry_policy.h
+++ b/src/balancer/retry_policy.h
@@ -1,4 +1,4 @@
-// Retry policy: whether a request may be sent again, with which time-out, and whether that is worth it.
+// Retry policy: whether a request may be sent again, with which time-out, and whether that is useful.
 //
 // Guards against duplicate effects (the class's Effect, key scope and window say what may be repeated, as RFC
 // 9110, section 9.2.2, does for idempotent methods) and against retry storms (a retry budget limits retries
@@ -13,12 +13,12 @@
 
 namespace mothrack::balancer {
 
-// Retries and hedges per request that the budget grants on average, ...
+// Retries and hedges per request that the budget grants on average.
 inline constexpr double kRetryShare = 0.3;
-// ... and the most that it accumulates.
+// The most retries and hedges that the budget accumulates.
 inline constexpr double kRetryBurst = 3;
-// Retries after a proof that the upstream ran nothing are free of the budget up to this many per request.
-// Each may open a connection, which a fully loaded fleet can't afford without bound.
+// Up to this many retries of a request take nothing from the budget if the upstream is proved not to have run
+// it. The number is bounded since each may open a connection, which a fully loaded fleet can't afford.
 inline constexpr std::size_t kFreeRetries = 2;
 // A request that takes this many usual times of its class is hedged, if allowed.
 inline constexpr double kLateTimes = 3;
@@ -33,7 +33,7 @@
   void Spend() { tokens_ -= 1; }
 
  private:
-  double tokens_ = kRetryBurst;  // attempts
+  double tokens_ = kRetryBurst;  // one per attempt
 };
 
 class RetryPolicy {
@@ -66,11 +66,11 @@
   // When an unanswered request becomes late compared to its class; never while its body is being received.
   static TimePoint LateAt(const Request& request, Duration usual_time, TimePoint now);
 
-  // Whether one more attempt is worth it; takes a token unless the attempt is free.
+  // Whether one more attempt is useful and within the budget. Takes a token unless the attempt is free.
   bool TakeRetry(const Request& request, TimePoint now);
 
-  // Retry-After of a rejected request, randomized (`uniform`, from [0, 1)) so that clients do not return all
-  // at once. Zero if the settings allow none.
+  // The Retry-After time of a rejected request, randomized by `uniform` (from [0, 1)) so that clients do not
+  // all return at once. Zero if the settings allow none.
   Duration RetryAfter(double uniform) const;
 
   RetryBudget& budget() { return budget_; }
--- a/src/balancer/round_robin.cpp
+++ b/src/balancer/round_robin.cpp
@@ -8,11 +8,11 @@
 // Rank of a candidate: lower is better.
 constexpr int kCrowdedRank = 1;
 constexpr int kSuspectRank = 2;
-constexpr int kTriedRank = 3;  // added to the others
+constexpr int kTriedRank = 3;  // added to the rank of a tried candidate
 constexpr int kWorstRank = kTriedRank + kSuspectRank;
 
 void Gain(RotationRecord& record, double weight, double sum) {
-  // Bounds the credit of an upstream that was no candidate for a while, as the sum has changed since.
+  // Bounds the credit that an upstream kept while it was no candidate, since the sum may have changed.
   record.credit = std::clamp(record.credit, -sum, sum) + weight;
 }
 
--- a/src/balancer/round_robin.h
+++ b/src/balancer/round_robin.h
@@ -1,8 +1,9 @@
 // Smooth weighted round robin: chooses among the upstreams that may take a request.
 //
-// The algorithm is nginx's (upstream_round_robin: each candidate gains its weight as credit, the one with the
-// most credit is chosen and pays the sum). It spreads consecutive requests evenly. Upstreams that were
-// already tried for the request, are suspect or overloaded are chosen only if no better one is left.
+// The algorithm is nginx's (upstream_round_robin): each candidate gains its weight as credit, and the one
+// with the most credit is chosen and pays the sum of all weights. Consecutive requests are so spread evenly.
+// Upstreams that were already tried for the request, are suspect or are crowded are chosen only if no better
+// one is left.
 #pragma once
 
 #include <cstddef>
@@ -40,10 +41,11 @@
   // One choice: Clear(), Add() the candidates in order, then Choose().
   void Clear();
   void Add(const Candidate& candidate);
-  // An upstream without slow start budget: it can't be chosen but gains credit.
+  // Adds an upstream without slow start budget, which can't be chosen but gains credit.
   void AddWaiting(RotationRecord& record, double weight) { waiting_.push_back({&record, weight}); }
-  // Prefers upstreams not yet tried, among them healthy ones, then crowded, then suspect ones. `only_good`:
-  // none that was tried or is suspect. Returns the candidate's index; absent if there is none.
+  // Prefers upstreams not yet tried; among these healthy ones, then crowded ones, then suspect ones.
+  // `only_untried_healthy` excludes those that were tried or are suspect. Returns the candidate's index;
+  // absent if there is none.
   std::optional<std::size_t> Choose(bool only_untried_healthy);
 
  private:
--- a/src/balancer/settings.cpp
+++ b/src/balancer/settings.cpp
@@ -1,4 +1,4 @@
-// Validation of the settings. The keys in the errors are those of the settings' JSON.
+// Validation of the settings. The errors name the keys of the settings' JSON.
 #include <stdexcept>
 #include <string>
 
@@ -7,8 +7,8 @@
 namespace mothrack::balancer {
 namespace {
 
-void Require(bool sound, const char* setting) {
-  if (!sound) throw std::invalid_argument(std::string("kestrellb: bad setting ") + setting);
+void Require(bool valid, const char* setting) {
+  if (!valid) throw std::invalid_argument(std::string("invalid balancer setting: ") + setting);
 }
 
 }  // namespace
--- a/src/balancer/settings.h
+++ b/src/balancer/settings.h
@@ -1,5 +1,5 @@
-// The settings of a deployment, as its sidecars get them at start. The defaults are not tuned for any
-// deployment.
+// The settings of a deployment, as its sidecars get them at start. The defaults are general: they are not
+// adapted to any deployment.
 #pragma once
 
 #include <chrono>
@@ -17,7 +17,8 @@
   kKeyed,   // carries an idempotency key: may be retried within RequestClass::key_scope and key_window
   kUnsafe,  // may be retried or rejected only if every earlier attempt is known not to have run
 };
-// Which upstreams share the idempotency keys that they have seen, and so drop each other's repeats.
+// Which upstreams share the idempotency keys that they have seen, and so drop repeats of each other's
+// requests.
 enum class KeyScope { kAll, kZone, kCell };
 
 struct RequestClass {
@@ -47,17 +48,18 @@
   bool retry_after = true;       // clients are given Reject::retry_after
   Duration max_retry_after = std::chrono::seconds(2);
   Duration connect_timeout = std::chrono::milliseconds(250);
-  Duration idle_close =
-      std::chrono::seconds(15);  // the sidecar closes connections that were idle for this long
-  std::size_t streams = 1;       // concurrent attempts per connection
+  // The sidecar closes connections that were idle for this long.
+  Duration idle_close = std::chrono::seconds(15);
+  std::size_t streams = 1;  // concurrent attempts per connection
 };
 
 struct Rules {
-  Duration answer_grace =
-      std::chrono::milliseconds(20);  // a final answer up to this long after the deadline still counts
-  Duration poll_within = std::chrono::seconds(10);  // with membership_on_request: poll at least this often
+  // A final answer up to this long after the deadline still counts.
+  Duration answer_grace = std::chrono::milliseconds(20);
+  // With membership_on_request: the longest time between two polls.
+  Duration poll_within = std::chrono::seconds(10);
   // No attempt may start at a draining upstream later than this after discovery announced the drain. The
-  // balancer stops at once, so the whole window is available for delivering the endpoint list to it.
+  // balancer stops at once, so all of this time is available for delivering the endpoint list to it.
   Duration drain_within = std::chrono::milliseconds(500);
   // Slow start: a new process of an upstream has `slow_start_initial_share` of its capacity at first and all
   // of it after `slow_start_duration`. Meanwhile all sidecars together must not send it more than
@@ -68,7 +70,7 @@
   Duration overload_window = std::chrono::seconds(1);
 };
 
-// Costs of decisions, each as a fraction of the value of the whole service.
+// Costs of decisions, each as a fraction of the value of the service.
 struct Prices {
   double cross_zone = 0;  // if every request crosses zones once
   double handshake = 0;   // if every request opens a connection
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -15,16 +15,15 @@
 }
 
 // The rates and the weight change slowly, so that neither a burst nor the loss of half of the list raises the
-// budgets. A restart of the whole fleet must not raise them either: it is met at once by all requests that
-// waited, and if each sidecar took its first tick for its usual rate, the budgets would add up to more than
-// an upstream in slow start can serve. Hence the averages start from zero, over at least two overload
-// windows.
+// budgets. A restart of all sidecars must not raise them either: all requests that waited then arrive at
+// once, and if each sidecar took its first tick for its usual rate, the budgets would add up to more than an
+// upstream in slow start can serve. Hence the averages start from zero, over at least two overload windows.
 void SlowStart::RecordTick(const SlowStartTick& tick) {
   const double interval = Seconds(kTickInterval);
-  const double most = RateMemorySeconds();
+  const double memory = RateMemorySeconds();
   const double age = Seconds(tick.age);
   const double two_windows = 2 * Seconds(rules_.overload_window);
-  const double smoothing = std::min(1.0, interval / std::min(std::max(age, two_windows), most));
+  const double smoothing = std::min(1.0, interval / std::min(std::max(age, two_windows), memory));
   requests_per_s_ += (static_cast<double>(tick.arrivals) / interval - requests_per_s_) * smoothing;
   served_per_s_ += (static_cast<double>(tick.served) / interval - served_per_s_) * smoothing;
   most_served_per_s_ = std::max(served_per_s_, most_served_per_s_ * DecayPerTick());
@@ -37,8 +36,8 @@
 
 double SlowStart::Refill(SlowStartRecord& record, const SlowStartUpstream& upstream, TimePoint now) const {
   const double rate = Rate(upstream);
-  const double most = std::max(1.0, rate * Seconds(rules_.overload_window) / 2);
-  record.budget = std::min(most, record.budget + rate * Seconds(now - record.refilled));
+  const double max_budget = std::max(1.0, rate * Seconds(rules_.overload_window) / 2);
+  record.budget = std::min(max_budget, record.budget + rate * Seconds(now - record.refilled));
   record.refilled = now;
   return record.budget;
 }
@@ -46,8 +45,8 @@
 // Attempts per second that this sidecar may send to the upstream, derived from what it usually sends to an
 // upstream of the same weight past slow start.
 double SlowStart::Rate(const SlowStartUpstream& upstream) const {
-  // Requests that are not served are no load that the other upstreams carry, beyond the most that was served
-  // while enough of them were past slow start.
+  // Requests that are not served are not load that the other upstreams carry. So they do not count beyond the
+  // maximum that was served, once enough upstreams have been past slow start.
   const double countable_per_s =
       enough_past_slow_start_ ? std::min(requests_per_s_ / 2, most_served_per_s_) : requests_per_s_ / 2;
   const double usual = std::max(served_per_s_, countable_per_s) * ShareOfRequests(upstream);
@@ -55,9 +54,9 @@
 }
 
 // The share of this sidecar's requests that an upstream of this weight past slow start would usually get. In
-// a big fleet each sidecar calls a few upstreams of a long list, so those that call this one have to use the
-// part of all others as well. A sidecar with the upstream in its subset sends it its share of the subset;
-// averaged over the fleet these shares add up to its share of the list.
+// a big fleet each sidecar calls a few upstreams of a long list, so the sidecars that call this one have to
+// use the share of all others as well. A sidecar with the upstream in its subset sends it its share of the
+// subset; averaged over the fleet these shares add up to its share of the list.
 double SlowStart::ShareOfRequests(const SlowStartUpstream& upstream) const {
   const double of_list = upstream.weight / std::max(usual_weight_, upstream.weight);
   if (upstream.subset_share <= 0) return of_list;
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -14,9 +14,9 @@
 
 namespace mothrack::balancer {
 
-// Safety margin: share of the load that would overload an upstream in slow start. That load is estimated from
-// what its peers carry, which may be 1.3 times their capacity, and attempts arrive in bursts; on the other
-// hand the ramp is the guaranteed minimum of its capacity.
+// Safety margin: the budget is this share of the load that would overload an upstream in slow start. That
+// load is estimated from what its peers carry, which may be 1.3 times their capacity, and attempts arrive in
+// bursts. On the other hand, the ramp is only the guaranteed minimum of its capacity.
 inline constexpr double kSlowStartSafety = 0.75;
 // Share of the budget for sidecars that do not have the upstream in their subset, which send it the requests
 // that their own subset could not serve. The rest is for the sidecars that have it in their subset.
@@ -24,11 +24,11 @@
 
 // The budget of one upstream.
 struct SlowStartRecord {
-  double budget = 0;  // attempts that may still be sent
-  TimePoint refilled;
+  double budget = 0;   // attempts that may still be sent
+  TimePoint refilled;  // when it was last refilled
 };
 
-// What an upstream's budget depends on.
+// The properties of an upstream on which its budget depends.
 struct SlowStartUpstream {
   double factor = 1;  // SlowStart::Factor()
   double weight = 1;  // listed
@@ -36,7 +36,7 @@
   double subset_share = 0;  // the subset's share of the listed weight; 0 if unknown
 };
 
-// What happened since the last tick, and the state of the fleet.
+// The requests since the last tick, and the state of the fleet.
 struct SlowStartTick {
   std::uint64_t arrivals = 0;
   std::uint64_t served = 0;
@@ -66,12 +66,13 @@
   static void Spend(SlowStartRecord& record) { record.budget -= 1; }
   // A new process was announced. All sidecars learn of it at the same time and must not all send to it at
   // once, so each starts with a random debt (`uniform`, from [0, 1)). The debt is bounded by the rate, so
-  // that the fleet as a whole uses the upstream from the first second on.
+  // that the sidecars together use the upstream from the first second on.
   void RecordEntry(SlowStartRecord& record, const SlowStartUpstream& upstream, double uniform,
                    TimePoint now) const;
   void RecordTick(const SlowStartTick& tick);
 
-  // Factor per tick for slowly decaying values, which halve in about the slow start duration.
+  // The factor per tick for slowly decaying values, which halve in somewhat more than the slow start
+  // duration.
   double DecayPerTick() const;
   // Time constant of the usual request rate, in seconds.
   double RateMemorySeconds() const { return Seconds(rules_.slow_start_duration) / 2; }
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -1,9 +1,9 @@
 // Subset: the number of listed upstreams over which this sidecar spreads its requests.
 //
-// With little traffic over many upstreams no connection would be reused: every request would open one, fill
-// the upstreams' connection tables, and its outcome would say nothing about the next. With much traffic the
-// subset is the whole list. The order is UpstreamSet's rendezvous hashing, similar to gRPC's deterministic
-// subsetting.
+// If little traffic were spread over many upstreams, no connection would be reused: every request would open
+// one and fill the upstreams' connection tables, and its outcome would say nothing about the next. With much
+// traffic the subset is the complete list. The order is that of UpstreamSet (rendezvous hashing), similar to
+// gRPC's deterministic subsetting.
 #pragma once
 
 #include <algorithm>
@@ -16,9 +16,9 @@
 namespace mothrack::balancer {
 
 // The subset is sized so that each of its upstreams gets about one request in this share of the idle
-// connection time-out, ...
+// connection time-out.
 inline constexpr double kRequestIntervalShare = 0.25;
-// ... and has at least this many upstreams.
+// Minimum number of upstreams in the subset.
 inline constexpr double kMinSubset = 3;
 
 struct SubsetRecord {
@@ -28,8 +28,9 @@
 // A listed upstream, in rank order.
 struct SubsetMember {
   SubsetRecord* record = nullptr;
-  double weight = 0;    // listed; 0 if it does not serve
-  double capacity = 0;  // the part of a place it takes: its slow start factor; 0 if ejected or suspect
+  double weight = 0;  // listed; 0 if it does not serve
+  // The part of a place in the subset that it takes: its slow start factor; 0 if ejected or suspect.
+  double capacity = 0;
 };
 
 class Subset {
@@ -43,12 +44,12 @@
   }
 
   // The subset's share of the listed weight, a slowly decaying maximum; 0 until the rate is known, since the
-  // whole list, which is used until then, must not count as a subset.
+  // complete list, which is used until then, must not count as a subset.
   double share() const { return share_; }
 
   // Marks the upstreams that first attempts may be sent to. `listed_weight`: of all serving upstreams.
   void Mark(const std::vector<SubsetMember>& ranked, double size, bool rate_known, double listed_weight);
-  // `fading`: decay factor of the share per tick.
+  // `decay`: factor of the share per tick.
   void RecordTick(double decay) { share_ *= decay; }
 
  private:
--- a/src/balancer/tick.h
+++ b/src/balancer/tick.h
@@ -5,7 +5,7 @@
 
 namespace mothrack::balancer {
 
-// Nothing done on a tick is urgent: decisions compare with the event's time themselves.
+// Nothing done on a tick is urgent, since each decision compares its times with the event's time.
 inline constexpr Duration kTickInterval = std::chrono::milliseconds(250);
 
 }  // namespace mothrack::balancer
--- a/src/balancer/upstream.h
+++ b/src/balancer/upstream.h
@@ -16,12 +16,12 @@
 
 namespace mothrack::balancer {
 
-// One process of an upstream. A different start time, or a return after it was gone, makes a new record,
-// since outcomes at the former process say nothing about the new one.
+// One process of an upstream. A different start time, or a return after a removal, makes a new record, since
+// outcomes at the former process say nothing about the new one.
 struct Upstream {
   UpstreamInfo info;
   std::uint64_t rank = 0;  // position in this sidecar's order, a hash
-  bool listed = true;      // present in the list that is being processed
+  bool listed = true;      // present in the endpoint list that is being processed
   SubsetRecord subset;
   OutlierRecord outlier;
   HalfOpenRecord half_open;
@@ -32,6 +32,7 @@
   SlowStartRecord slow_start;
 };
 
-using UpstreamPtr = std::shared_ptr<Upstream>;  // one that is gone lives on while attempts refer to it
+// Shared, since the record of a removed upstream must outlive the attempts at it.
+using UpstreamPtr = std::shared_ptr<Upstream>;
 
 }  // namespace mothrack::balancer
--- a/src/balancer/upstream_set.cpp
+++ b/src/balancer/upstream_set.cpp
@@ -22,7 +22,7 @@
     upstream = std::make_shared<Upstream>();
     upstream->rank = Hash(info.id.value, seed_);
   }
-  // An entry that says "gone" may lack zone and cell, which decide where its requests may be repeated.
+  // An entry with the state kGone may lack zone and cell, which decide where its requests may be repeated.
   const UpstreamInfo previous = upstream->info;
   upstream->info = info;
   if (!new_process && info.state == UpstreamState::kGone) {
@@ -34,7 +34,7 @@
   return {upstream, new_process, new_process || !was_serving};
 }
 
-// Drops the upstreams that are gone.
+// Removes the upstreams with the state kGone.
 void UpstreamSet::FinishUpdate() {
   std::erase_if(by_id_, [](const auto& entry) {
     UpstreamState& state = entry.second->info.state;
--- a/src/balancer/upstream_set.h
+++ b/src/balancer/upstream_set.h
@@ -27,24 +27,25 @@
   // `seed` determines this sidecar's order.
   explicit UpstreamSet(std::uint64_t seed) : seed_(seed) {}
 
-  // An update: BeginUpdate(), Update() per entry, FinishUpdate(). Upstreams missing from a whole list are
-  // gone.
+  // An update of the list: BeginUpdate(), Update() for each entry, FinishUpdate(). Upstreams missing from a
+  // full list are removed.
   void BeginUpdate(bool full_list);
   UpdateResult Update(const UpstreamInfo& info);
   void FinishUpdate();
 
-  // The upstreams that are not gone, in this sidecar's order.
+  // The upstreams that have not been removed, in this sidecar's order.
   const std::vector<UpstreamPtr>& ranked() const { return ranked_; }
-  // Null if there is none with this id.
+  // The upstream with this id; null if there is none.
   UpstreamPtr Find(const UpstreamId& id) const;
   bool HasZone(const std::string& zone) const;
   double ServingWeight() const;
-  // The list has weights other than 1. They already reflect the kind of machine, which must not count twice.
+  // Whether the list has weights other than 1. These reflect the kind of machine, which must not count twice.
   bool has_weights() const { return has_weights_; }
 
  private:
   std::uint64_t seed_;
-  std::unordered_map<std::string, UpstreamPtr> by_id_;  // those that are not gone; walked only to sort them
+  // Its order differs between libraries, so no decision may depend on it.
+  std::unordered_map<std::string, UpstreamPtr> by_id_;
   std::vector<UpstreamPtr> ranked_;
   bool has_weights_ = false;
 };
--- a/src/balancer/zone_health.h
+++ b/src/balancer/zone_health.h
@@ -14,12 +14,12 @@
 
 namespace mothrack::balancer {
 
-// Unresponsive upstreams, without an answer from their zone since, that make the zone unavailable.
+// A zone is unavailable once this many of its upstreams are unresponsive and none of it has answered since.
 inline constexpr std::size_t kUnresponsiveToLoseZone = 3;
 
 class ZoneHealth {
  public:
-  // Called for every upstream on every request, and nearly always false: hence the early return.
+  // Returns early since it is called for every upstream on every request and is nearly always false.
   bool IsUnavailable(const std::string& zone) const {
     if (unavailable_zones_ == 0) return false;
     const auto it = zones_.find(zone);
@@ -50,8 +50,8 @@
   struct Zone {
     bool IsUnavailable() const { return unresponsive.size() >= kUnresponsiveToLoseZone; }
 
-    std::set<std::string>
-        unresponsive;    // ids of upstreams that did not answer an attempt sent since `answered`
+    // Ids of the upstreams that did not answer an attempt sent since `answered`.
+    std::set<std::string> unresponsive;
     TimePoint answered;  // the last answer from the zone
     TimePoint next_probe;
   };
