--- a/tests/balancer/connection_model_test.cpp
+++ b/tests/balancer/connection_model_test.cpp
@@ -1,4 +1,4 @@
-// When an idle connection is used, trusted and closed.
+// ConnectionModel: when an idle connection is reused or closed, and when connecting is hard.
 #include "balancer/connection_model.h"
 
 #include "gtest/gtest.h"
@@ -17,10 +17,11 @@
     Duration age;
     bool found;
   };
-  for (const Case& c : {Case{0, seconds(0), false}, Case{1, seconds(0), true}, Case{1, seconds(14), true},
-                        Case{1, limits.idle_close, false}}) {
-    const ConnectionRecord record{c.idle, TimePoint{}};
-    EXPECT_EQ(model.HasConnection(record, 0, TimePoint{} + c.age), c.found) << c.idle << ' ' << c.age.count();
+  for (const Case& test : {Case{0, seconds(0), false}, Case{1, seconds(0), true}, Case{1, seconds(14), true},
+                           Case{1, limits.idle_close, false}}) {
+    const ConnectionRecord record{test.idle, TimePoint{}};
+    EXPECT_EQ(model.HasConnection(record, 0, TimePoint{} + test.age), test.found)
+        << test.idle << ' ' << test.age.count();
   }
 }
 
--- a/tests/balancer/fleet_slow_start_test.cpp
+++ b/tests/balancer/fleet_slow_start_test.cpp
@@ -9,59 +9,59 @@
 namespace {
 
 // A hundred sidecars with a low rate each send an upstream in slow start a steady aggregate rate from its
-// first second: a budget of a fraction of a request each must not make all of them wait until it is a whole
-// one.
+// first second on: although the budget of each is a fraction of a request, they must not all wait until it
+// reaches one request.
 TEST(FleetSlowStart, LowRatesAddUpToTheBudgetFromTheFirstSecond) {
   constexpr int kSidecars = 100, kUpstreams = 20, kSeconds = 4;
-  const auto calls = [](TestSidecar& w, Duration time) {
+  const auto calls = [](TestSidecar& sidecar, Duration time) {
     int to_new = 0;
-    for (const TimePoint end = w.now + time; w.now < end;) {
-      w.Advance(50ms);
-      to_new += w.Serve(kUnsafe) == "z";  // some 16 a second
+    for (const TimePoint end = sidecar.now + time; sidecar.now < end;) {
+      sidecar.Advance(50ms);
+      to_new += sidecar.Serve(kUnsafe) == "z";  // about 16 a second
     }
     return to_new;
   };
   int sent = 0;
-  for (const auto& w : MakeSidecars(kSidecars)) {
-    w->ListUpstreams(kUpstreams);
-    calls(*w, 10s);
-    UpstreamInfo warming_up = MakeUpstream("z");
-    warming_up.started = w->now;
-    w->ChangeUpstream(warming_up);
-    sent += calls(*w, Duration(1s) * kSeconds);
+  for (const auto& sidecar : MakeSidecars(kSidecars)) {
+    sidecar->ListUpstreams(kUpstreams);
+    calls(*sidecar, 10s);
+    UpstreamInfo in_slow_start = MakeUpstream("z");
+    in_slow_start.started = sidecar->now;
+    sidecar->ChangeUpstream(in_slow_start);
+    sent += calls(*sidecar, Duration(1s) * kSeconds);
   }
-  // Warm, it would get a 21st of all requests; in slow start it may get a tenth to a quarter of that. If each
-  // sidecar waited for a budget of one whole request, or kept its turn meanwhile, it would get a third of
-  // this.
+  // Past slow start it would get a 21st of all requests; in slow start it may get a tenth to a quarter of
+  // that. If each sidecar waited for a budget of one request, or kept its turn meanwhile, it would get a
+  // third of this.
   const double share = kSidecars * 16.5 * kSeconds / (kUpstreams + 1);
   EXPECT_GT(sent, 0.045 * share);
   EXPECT_LT(sent, 0.45 * share);
 }
 
 // The endpoint list states the minimum capacity of an upstream in slow start; its answers show the real one.
-TEST(FleetSlowStart, WarmingUpstreamsOfUsualLatencyGetMoreThanTheMinimum) {
-  const auto slow_start_requests = [](Duration warming_up_latency) {
-    TestSidecar w;
-    w.ListUpstreams(6);
+TEST(FleetSlowStart, UpstreamsOfUsualLatencyGetMoreThanTheMinimum) {
+  const auto slow_start_requests = [](Duration slow_start_latency) {
+    TestSidecar sidecar;
+    sidecar.ListUpstreams(6);
     for (int i = 0; i < 400; ++i) {
-      w.Advance(15ms);
-      w.Serve(kUnsafe);
+      sidecar.Advance(15ms);
+      sidecar.Serve(kUnsafe);
     }
     for (const char* id : {"x", "y", "z"}) {
-      UpstreamInfo warming_up = MakeUpstream(id);
-      warming_up.started = w.now - 2s;
-      w.ChangeUpstream(warming_up);
+      UpstreamInfo in_slow_start = MakeUpstream(id);
+      in_slow_start.started = sidecar.now - 2s;
+      sidecar.ChangeUpstream(in_slow_start);
     }
     int to_new = 0;
     for (int i = 0; i < 300; ++i) {
-      w.Advance(15ms);
-      const std::size_t before = w.sent.size();
-      w.Arrive(kUnsafe);
-      if (w.sent.size() == before) continue;
-      const bool is_new = w.sent[before].upstream >= "x";
+      sidecar.Advance(15ms);
+      const std::size_t before = sidecar.sent.size();
+      sidecar.Arrive(kUnsafe);
+      if (sidecar.sent.size() == before) continue;
+      const bool is_new = sidecar.sent[before].upstream >= "x";
       to_new += is_new;
-      w.now += is_new ? warming_up_latency : Duration(10ms);
-      w.EndAttempt(w.sent[before], Outcome::kServed);
+      sidecar.now += is_new ? slow_start_latency : Duration(10ms);
+      sidecar.EndAttempt(sidecar.sent[before], Outcome::kServed);
     }
     return to_new;
   };
@@ -72,29 +72,29 @@
 
 // Removed machines leave a record of connect failures; the machines that replace them have no connection yet.
 TEST(FleetSlowStart, ConnectFailuresElsewhereDoNotDivertRequestsFromNewUpstreams) {
-  TestSidecar w;
-  w.ListUpstreams(8);
-  const auto serve = [&w](int calls) {
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(8);
+  const auto serve = [&sidecar](int calls) {
     int to_new = 0;
     for (int i = 0; i < calls; ++i) {
-      const std::size_t before = w.sent.size();
-      w.Arrive(kUnsafe);
-      for (std::size_t k = before; k < w.sent.size(); ++k) {
-        const std::string id = w.sent[k].upstream;
+      const std::size_t before = sidecar.sent.size();
+      sidecar.Arrive(kUnsafe);
+      for (std::size_t k = before; k < sidecar.sent.size(); ++k) {
+        const std::string id = sidecar.sent[k].upstream;
         to_new += id >= "x";
-        w.now += 5ms;
+        sidecar.now += 5ms;
         const bool removed = id >= "e" && id < "x";
-        w.EndAttempt(w.sent[k], removed ? Outcome::kConnectFailed : Outcome::kServed);
+        sidecar.EndAttempt(sidecar.sent[k], removed ? Outcome::kConnectFailed : Outcome::kServed);
       }
-      w.Advance(20ms);
+      sidecar.Advance(20ms);
     }
     return to_new;
   };
   serve(100);
   for (const char* id : {"x", "y", "z"}) {
     UpstreamInfo added = MakeUpstream(id);
-    added.started = w.now - 4s;
-    w.ChangeUpstream(added);
+    added.started = sidecar.now - 4s;
+    sidecar.ChangeUpstream(added);
   }
   EXPECT_GT(serve(200), 12);
 }
--- a/tests/balancer/half_open_probes_test.cpp
+++ b/tests/balancer/half_open_probes_test.cpp
@@ -1,4 +1,4 @@
-// When an ejected upstream is probed, and when it may return.
+// HalfOpenProbes: when an ejected upstream is probed, and when it returns.
 #include "balancer/half_open_probes.h"
 
 #include "gtest/gtest.h"
--- a/tests/balancer/helpers.h
+++ b/tests/balancer/helpers.h
@@ -1,4 +1,4 @@
-// One balancer with a clock, timers and a record of its actions, for tests through handle().
+// Test helpers: a balancer with a clock, timers and a record of its actions, driven through handle().
 #pragma once
 
 #include <chrono>
@@ -18,13 +18,13 @@
 using namespace std::chrono_literals;
 
 inline RequestClass MakeClass(std::string name, Effect effect) {
-  RequestClass c;
-  c.name = std::move(name);
-  c.latency_objective = 400ms;
-  c.deadline = 2s;
-  c.effect = effect;
-  c.key_window = 5s;
-  return c;
+  RequestClass request_class;
+  request_class.name = std::move(name);
+  request_class.latency_objective = 400ms;
+  request_class.deadline = 2s;
+  request_class.effect = effect;
+  request_class.key_window = 5s;
+  return request_class;
 }
 
 inline constexpr ClassId kSafe{0};
@@ -34,16 +34,16 @@
 inline constexpr ClassId kKeyedCell{4};
 
 inline Settings DefaultSettings() {
-  Settings s;
-  s.classes = {MakeClass("safe", Effect::kSafe), MakeClass("unsafe", Effect::kUnsafe),
-               MakeClass("keyed-all", Effect::kKeyed), MakeClass("keyed-zone", Effect::kKeyed),
-               MakeClass("keyed-cell", Effect::kKeyed)};
-  s.classes[3].key_scope = KeyScope::kZone;
-  s.classes[4].key_scope = KeyScope::kCell;
-  s.zone = "here";
-  s.limits.max_attempts = 4;
-  s.limits.hedging = true;
-  return s;
+  Settings settings;
+  settings.classes = {MakeClass("safe", Effect::kSafe), MakeClass("unsafe", Effect::kUnsafe),
+                      MakeClass("keyed-all", Effect::kKeyed), MakeClass("keyed-zone", Effect::kKeyed),
+                      MakeClass("keyed-cell", Effect::kKeyed)};
+  settings.classes[3].key_scope = KeyScope::kZone;
+  settings.classes[4].key_scope = KeyScope::kCell;
+  settings.zone = "here";
+  settings.limits.max_attempts = 4;
+  settings.limits.hedging = true;
+  return settings;
 }
 
 inline UpstreamInfo MakeUpstream(std::string id, UpstreamState state = UpstreamState::kServing) {
@@ -62,12 +62,13 @@
   TimePoint at;
 };
 
+// Stands for the sidecar: passes events to a balancer and records the resulting actions.
 class TestSidecar {
  public:
   explicit TestSidecar(Settings settings = DefaultSettings(), std::uint64_t seed = 7)
       : balancer_(std::move(settings), seed) {}
 
-  // Upstreams "a", "b", ... up to `count`.
+  // Passes a list of `count` upstreams: "a", "b", ...
   void ListUpstreams(int count) {
     MembershipUpdate update;
     update.kind = MembershipUpdate::Kind::kRestored;
@@ -82,20 +83,22 @@
     Handle(MembershipUpdate{MembershipUpdate::Kind::kChanges, {std::move(info)}});
   }
 
-  // Hands over one event; everything it caused is in `actions` (this event's only) and in the records below.
+  // Passes one event. The actions that it caused replace those in `actions` and are added to the records
+  // below.
   void Handle(const Event& event) {
     actions.clear();
     balancer_.handle(now, event, actions);
-    for (const Action& action : actions) std::visit([this](const auto& a) { Record(a); }, action);
+    for (const Action& action : actions)
+      std::visit([this](const auto& alternative) { Record(alternative); }, action);
   }
 
   RequestId Arrive(ClassId request_class = kSafe, Duration timeout = 2s) {
-    RequestArrived e;
-    e.request = RequestId{++last_request_};
-    e.request_class = request_class;
-    e.deadline = now + timeout;
-    Handle(e);
-    return e.request;
+    RequestArrived arrival;
+    arrival.request = RequestId{++last_request_};
+    arrival.request_class = request_class;
+    arrival.deadline = now + timeout;
+    Handle(arrival);
+    return arrival.request;
   }
 
   void EndAttempt(const SentAttempt& sent, Outcome outcome, bool finished = false) {
@@ -103,7 +106,7 @@
         sent.request, sent.attempt, outcome, now - sent.at, finished || outcome == Outcome::kServed, {}});
   }
 
-  // Moves the clock on and fires the timers that come due on the way, in order.
+  // Advances the clock and fires the timers that become due meanwhile, in order.
   void Advance(Duration by) {
     const TimePoint end = now + by;
     while (!timers.empty() && timers.begin()->first <= end) {
@@ -115,8 +118,8 @@
     now = end;
   }
 
-  // Ends every attempt sent from number `from` on: with `outcome` at `bad`, served elsewhere. How many hit
-  // `bad`.
+  // Ends every attempt from index `from` on: with `outcome` at the upstream `bad`, served elsewhere. Returns
+  // the number of attempts at `bad`.
   int EndAttempts(std::size_t from, const std::string& bad = "", Outcome outcome = Outcome::kServed) {
     int hits = 0;
     bool served = false;
@@ -130,7 +133,7 @@
     return hits;
   }
 
-  // A request that is served at once: the upstream that served it, or "".
+  // Sends a request whose attempts are served after 10 ms. Returns the upstream of the first one, or "".
   std::string Serve(ClassId request_class = kSafe) {
     const std::size_t before = sent.size();
     Arrive(request_class);
@@ -139,8 +142,8 @@
     return sent.size() == before ? "" : sent[before].upstream;
   }
 
-  // Requests that are served, except at `bad`, where they end with `outcome`, until `bad` has had `failures`.
-  // Slow enough for half-open probes, which are all that a suspect upstream gets.
+  // Sends requests that are served except at `bad`, where they end with `outcome`, until that has happened
+  // `failures` times. They are slow enough for half-open probes, which are all that a suspect upstream gets.
   void FailInARow(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
     for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
       const std::size_t before = sent.size();
@@ -149,10 +152,10 @@
       failures -= EndAttempts(before, bad, outcome);
       if (failures > 0) Advance(100ms);
     }
-    EXPECT_LE(failures, 0) << bad << " took too few calls";
+    EXPECT_LE(failures, 0) << bad << " got too few requests";
   }
 
-  // How often each upstream is picked in `calls` served calls.
+  // Sends `calls` requests that are served. Returns the number of them by upstream.
   std::map<std::string, int> CountServed(int calls, ClassId request_class = kSafe) {
     std::map<std::string, int> spread;
     for (int i = 0; i < calls; ++i) ++spread[Serve(request_class)];
@@ -180,34 +183,35 @@
   std::multimap<TimePoint, std::uint64_t> timers;
 
  private:
-  void Record(const SendAttempt& a) {
-    EXPECT_GT(a.timeout, Duration::zero());
-    sent.push_back({a.request, AttemptId{attempts_[a.request]++}, a.upstream.value, a.timeout, now});
+  void Record(const SendAttempt& action) {
+    EXPECT_GT(action.timeout, Duration::zero());
+    sent.push_back(
+        {action.request, AttemptId{attempts_[action.request]++}, action.upstream.value, action.timeout, now});
   }
-  void Record(const CancelAttempt& a) { cancelled.emplace_back(a.request, a.attempt); }
-  void Record(const Reject& a) {
-    rejected.push_back(a.request);
-    last_retry_after = a.retry_after;
+  void Record(const CancelAttempt& action) { cancelled.emplace_back(action.request, action.attempt); }
+  void Record(const Reject& action) {
+    rejected.push_back(action.request);
+    last_retry_after = action.retry_after;
   }
-  void Record(const Fail& a) { failed.push_back(a.request); }
-  void Record(const SetTimer& a) { timers.emplace(a.at, a.token); }
-  void Record(const SendProbe& a) { probed.push_back(a.upstream.value); }
-  void Record(const CloseIdle& a) { closed.push_back(a.upstream.value); }
+  void Record(const Fail& action) { failed.push_back(action.request); }
+  void Record(const SetTimer& action) { timers.emplace(action.at, action.token); }
+  void Record(const SendProbe& action) { probed.push_back(action.upstream.value); }
+  void Record(const CloseIdle& action) { closed.push_back(action.upstream.value); }
   void Record(const Subscribe&) { ++subscribed; }
-  void Record(const Log& a) { logs.push_back(a.text); }
+  void Record(const Log& action) { logs.push_back(action.text); }
 
   Balancer balancer_;
   std::uint64_t last_request_ = 0;
   std::map<RequestId, std::size_t> attempts_;
 };
 
-// `count` sidecars that share nothing but their endpoint list.
+// `count` sidecars that share no state.
 inline std::vector<std::unique_ptr<TestSidecar>> MakeSidecars(int count,
                                                               const Settings& settings = DefaultSettings()) {
-  std::vector<std::unique_ptr<TestSidecar>> fleet;
+  std::vector<std::unique_ptr<TestSidecar>> sidecars;
   for (int i = 0; i < count; ++i)
-    fleet.push_back(std::make_unique<TestSidecar>(settings, 1000 + static_cast<std::uint64_t>(i)));
-  return fleet;
+    sidecars.push_back(std::make_unique<TestSidecar>(settings, 1000 + static_cast<std::uint64_t>(i)));
+  return sidecars;
 }
 
 }  // namespace mothrack::balancer::testing
--- a/tests/balancer/in_flight_test.cpp
+++ b/tests/balancer/in_flight_test.cpp
@@ -1,4 +1,4 @@
-// When an upstream that holds attempts is unresponsive.
+// InFlightRecord: when an upstream with attempts in flight is unresponsive.
 #include "balancer/in_flight.h"
 
 #include "gtest/gtest.h"
@@ -14,13 +14,14 @@
     double slowness, slow_start_factor;
     bool unresponsive;
   };
-  for (const Case& c : {Case{0, 9000, 1, 1, false}, Case{1, 300, 1, 1, false}, Case{1, 301, 1, 1, true},
-                        Case{1, 301, 2, 1, false}, Case{1, 601, 2, 1, true}, Case{1, 601, 1, 0.25, false}}) {
+  for (const Case& test :
+       {Case{0, 9000, 1, 1, false}, Case{1, 300, 1, 1, false}, Case{1, 301, 1, 1, true},
+        Case{1, 301, 2, 1, false}, Case{1, 601, 2, 1, true}, Case{1, 601, 1, 0.25, false}}) {
     InFlightRecord record;
-    for (int i = 0; i < c.attempts; ++i) record.Begin(TimePoint{});
-    const TimePoint now{std::chrono::milliseconds(c.waited_ms)};
-    EXPECT_EQ(record.IsUnresponsive(now, usual, c.slowness, c.slow_start_factor), c.unresponsive)
-        << c.waited_ms;
+    for (int i = 0; i < test.attempts; ++i) record.Begin(TimePoint{});
+    const TimePoint now{std::chrono::milliseconds(test.waited_ms)};
+    EXPECT_EQ(record.IsUnresponsive(now, usual, test.slowness, test.slow_start_factor), test.unresponsive)
+        << test.waited_ms;
   }
 }
 
--- a/tests/balancer/latency_model_test.cpp
+++ b/tests/balancer/latency_model_test.cpp
@@ -1,4 +1,4 @@
-// What is learnt from answer times.
+// LatencyModel: usual times and slowness, as estimated from answer times.
 #include "balancer/latency_model.h"
 
 #include "gtest/gtest.h"
@@ -30,15 +30,15 @@
     double objective_share;  // of the upstream's earlier answers
     bool counts;
   };
-  for (const Case& c : {Case{Outcome::kServed, 0, true}, Case{Outcome::kError, 1, false},
-                        Case{Outcome::kConnectFailed, 1, false}, Case{Outcome::kTimeout, 0, false},
-                        Case{Outcome::kTimeout, 1, true}}) {
+  for (const Case& test : {Case{Outcome::kServed, 0, true}, Case{Outcome::kError, 1, false},
+                           Case{Outcome::kConnectFailed, 1, false}, Case{Outcome::kTimeout, 0, false},
+                           Case{Outcome::kTimeout, 1, true}}) {
     const Settings settings = OneClass();
     LatencyModel model(settings);
     LatencyRecord record;
-    record.objective_share.value = c.objective_share;
-    model.RecordAnswer(record, "k", {0, milliseconds(400), 1, c.outcome, milliseconds(200)});
-    EXPECT_EQ(model.Slowness(record, "k") > 1, c.counts) << static_cast<int>(c.outcome);
+    record.objective_share.value = test.objective_share;
+    model.RecordAnswer(record, "k", {0, milliseconds(400), 1, test.outcome, milliseconds(200)});
+    EXPECT_EQ(model.Slowness(record, "k") > 1, test.counts) << static_cast<int>(test.outcome);
   }
 }
 
--- a/tests/balancer/load_probes_test.cpp
+++ b/tests/balancer/load_probes_test.cpp
@@ -1,4 +1,4 @@
-// How many upstreams are probed for their load, and which report is best.
+// LoadProbes and LeastLoaded: how many upstreams are probed for their load, and which one is chosen.
 #include "balancer/load_probes.h"
 
 #include "gtest/gtest.h"
@@ -12,13 +12,13 @@
     double price;
     std::size_t probed;
   };
-  for (const Case& c : {Case{true, true, 0, 3}, Case{true, true, 0.005, 2}, Case{true, true, 0.1, 1},
-                        Case{false, true, 0, 1}, Case{true, false, 0, 1}}) {
+  for (const Case& test : {Case{true, true, 0, 3}, Case{true, true, 0.005, 2}, Case{true, true, 0.1, 1},
+                           Case{false, true, 0, 1}, Case{true, false, 0, 1}}) {
     Settings settings;
-    settings.load_by_probe = c.by_probe;
-    settings.limits.probes = c.may_probe;
-    settings.prices.probe = c.price;
-    EXPECT_EQ(LoadProbes(settings).upstreams_per_request(), c.probed) << c.price;
+    settings.load_by_probe = test.by_probe;
+    settings.limits.probes = test.may_probe;
+    settings.prices.probe = test.price;
+    EXPECT_EQ(LoadProbes(settings).upstreams_per_request(), test.probed) << test.price;
   }
 }
 
--- a/tests/balancer/load_shedder_test.cpp
+++ b/tests/balancer/load_shedder_test.cpp
@@ -1,4 +1,4 @@
-// When and what the load shedder rejects.
+// LoadShedder: when it rejects requests, and of which classes.
 #include "balancer/load_shedder.h"
 
 #include "gtest/gtest.h"
@@ -10,13 +10,13 @@
 
 constexpr FleetWeights kFleet{10, 10, 10, 10};
 
-TEST(LoadShedder, OnlyLateOutcomesOfTellingUpstreamsRaiseTheShareRefused) {
+TEST(LoadShedder, OnlyLateOutcomesOfHealthyUpstreamsRaiseTheRejectedShare) {
   struct Case {
     Outcome outcome;
     int elapsed_ms;
     bool loaded, healthy_past_slow_start, raises;
   };
-  for (const Case& c :
+  for (const Case& test :
        {Case{Outcome::kServed, 100, false, true, false}, Case{Outcome::kServed, 350, false, true, true},
         Case{Outcome::kServed, 350, false, false, false}, Case{Outcome::kFull, 1, false, true, true},
         Case{Outcome::kTimeout, 400, false, true, false}, Case{Outcome::kTimeout, 400, true, true, true},
@@ -24,13 +24,14 @@
     const std::vector<RequestClass> classes(1);
     LoadShedder shedder(classes);
     shedder.RecordTick(kFleet);
-    shedder.RecordOutcome(
-        {c.outcome, milliseconds(c.elapsed_ms), milliseconds(400), c.loaded, c.healthy_past_slow_start}, 1);
-    EXPECT_EQ(shedder.shed() > 0, c.raises) << static_cast<int>(c.outcome) << ' ' << c.elapsed_ms;
+    shedder.RecordOutcome({test.outcome, milliseconds(test.elapsed_ms), milliseconds(400), test.loaded,
+                           test.healthy_past_slow_start},
+                          1);
+    EXPECT_EQ(shedder.shed() > 0, test.raises) << static_cast<int>(test.outcome) << ' ' << test.elapsed_ms;
   }
 }
 
-TEST(LoadShedder, TheLossOfHalfTheFleetIsMetAtOnce) {
+TEST(LoadShedder, TheLossOfHalfOfTheUpstreamsRaisesTheRejectedShareAtOnce) {
   const std::vector<RequestClass> classes(1);
   LoadShedder shedder(classes);
   shedder.RecordTick(kFleet);
@@ -38,19 +39,20 @@
   EXPECT_NEAR(shedder.shed(), 0.45, 0.01);
 }
 
-TEST(LoadShedder, TheClassWithTheLeastPriorityIsRefusedFirstDownToItsFloor) {
+TEST(LoadShedder, TheClassWithTheLeastPriorityIsRejectedFirstDownToItsFloor) {
   std::vector<RequestClass> classes(2);
   classes[1].priority_weight = 0.1;
   LoadShedder shedder(classes);
   const std::vector<Duration> usual_times(2, milliseconds(100));
-  for (std::size_t c = 0; c < 2; ++c) shedder.RecordDemand(c, usual_times[c]);
+  for (std::size_t class_index = 0; class_index < 2; ++class_index)
+    shedder.RecordDemand(class_index, usual_times[class_index]);
   shedder.RecordTick(kFleet);
   shedder.RecordTick({10, 5, 5, 10});
   EXPECT_DOUBLE_EQ(shedder.AdmittedShare(1, usual_times), kClassFloor);
   EXPECT_GT(shedder.AdmittedShare(0, usual_times), 0.8);
 }
 
-TEST(LoadShedder, RefusingBeginsOnceAndEndsAfterItsInterval) {
+TEST(LoadShedder, AnIntervalOfRejectionsBeginsOnceAndEndsAfterItsTime) {
   const std::vector<RequestClass> classes(1);
   LoadShedder shedder(classes);
   EXPECT_TRUE(shedder.RecordRejection(TimePoint{}));
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Which upstreams are ejected, and for how long.
+// OutlierDetector: after how many failures an upstream is ejected, and for how long.
 #include "balancer/outlier_detection.h"
 
 #include "gtest/gtest.h"
@@ -8,7 +8,8 @@
 
 using std::chrono::seconds;
 
-// Fails until it is ejected, beside another upstream: the number of failures.
+// Records failures of an upstream until it is ejected, while there is one `other` upstream. Returns their
+// number.
 int FailUntilEjected(OutlierRecord& record, const OutlierRecord& other, TimePoint now) {
   OutlierDetector detector;
   for (int failures = 1; failures < 100; ++failures) {
@@ -25,11 +26,11 @@
     double calls, failures;  // of the other upstream
     int run;
   };
-  for (const Case& c : {Case{0, 0, 5}, Case{100, 5, 5}, Case{100, 50, 17}}) {
+  for (const Case& test : {Case{0, 0, 5}, Case{100, 5, 5}, Case{100, 50, 17}}) {
     OutlierRecord record, other;
-    other.calls = c.calls;
-    other.failures = c.failures;
-    EXPECT_EQ(FailUntilEjected(record, other, TimePoint{}), c.run) << c.failures;
+    other.calls = test.calls;
+    other.failures = test.failures;
+    EXPECT_EQ(FailUntilEjected(record, other, TimePoint{}), test.run) << test.failures;
   }
 }
 
--- a/tests/balancer/overload_test.cpp
+++ b/tests/balancer/overload_test.cpp
@@ -15,9 +15,9 @@
 namespace mothrack::balancer::testing {
 namespace {
 
-// Unsafe requests, one each `gap`, whose attempts end `time` after they were sent with `outcome`.
+// A load of unsafe requests, one each `gap`, whose attempts end with `outcome` when `time` has passed.
 struct Load {
-  // How many of them were admitted.
+  // Returns the number of requests that were admitted.
   std::size_t Run(
       int calls, Duration gap, Duration time,
       const std::function<Outcome(const SentAttempt&)>& outcome = [](const SentAttempt&) {
@@ -25,56 +25,58 @@
       }) {
     std::size_t admitted = 0;
     for (int i = 0; i < calls; ++i) {
-      const std::size_t before = w.sent.size();
-      w.Arrive(kUnsafe);
-      admitted += w.sent.size() - before;
-      for (std::size_t k = before; k < w.sent.size(); ++k) out.push_back(w.sent[k]);
-      w.Advance(gap);
-      while (!out.empty() && w.now - out.front().at >= time) {
+      const std::size_t before = sidecar.sent.size();
+      sidecar.Arrive(kUnsafe);
+      admitted += sidecar.sent.size() - before;
+      for (std::size_t k = before; k < sidecar.sent.size(); ++k) out.push_back(sidecar.sent[k]);
+      sidecar.Advance(gap);
+      while (!out.empty() && sidecar.now - out.front().at >= time) {
         const Outcome end = outcome(out.front());
-        w.EndAttempt(out.front(), end, end != Outcome::kServed);
+        sidecar.EndAttempt(out.front(), end, end != Outcome::kServed);
         out.pop_front();
       }
     }
     return admitted;
   }
 
-  TestSidecar& w;
+  TestSidecar& sidecar;
   std::deque<SentAttempt> out{};
 };
 
 TEST(Overload, LateAnswersShedAShareOfRequestsUntilAnswersAreInTimeAgain) {
-  TestSidecar w;
-  w.ListUpstreams(4);
-  Load load{w};
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(4);
+  Load load{sidecar};
   const auto run = [&load](int calls, Duration time) { return load.Run(calls, 10ms, time); };
   EXPECT_EQ(run(300, 100ms), 300u);
   run(300, 390ms);  // the latency objective is 400 ms
-  EXPECT_TRUE(w.HasLogged("refusing: overload"));
+  EXPECT_TRUE(sidecar.HasLogged("refusing: overload"));
   EXPECT_LT(load.out.size(), 30u);
   run(600, 50ms);
   EXPECT_EQ(run(100, 50ms), 100u);
-  EXPECT_TRUE(w.HasLogged("taking calls again"));
+  EXPECT_TRUE(sidecar.HasLogged("taking calls again"));
 }
 
-// After an overload the warm upstreams have almost no weight, so the few admitted requests go to upstreams in
-// slow start, whose late answers do not count; their timely ones must.
-TEST(Overload, EndsWhenAdmittedRequestsGoToWarmingUpstreams) {
-  Settings s = DefaultSettings();
-  s.rules = {.slow_start_initial_share = 0.5, .slow_start_duration = 1000s, .overload_multiple = 30};
-  TestSidecar w(s);
+// After an overload the upstreams past slow start have almost no weight, so the few admitted requests go to
+// upstreams in slow start. Their late answers do not count, but their answers in time must.
+TEST(Overload, EndsWhenAdmittedRequestsGoToUpstreamsInSlowStart) {
+  Settings settings = DefaultSettings();
+  settings.rules = {.slow_start_initial_share = 0.5, .slow_start_duration = 1000s, .overload_multiple = 30};
+  TestSidecar sidecar(settings);
   std::vector<UpstreamInfo> list;
   for (const char* id : {"a", "b", "c", "d", "e", "f"}) {
     list.push_back(MakeUpstream(id));
     list.back().zone = id;  // so that no zone becomes unavailable
   }
-  w.ReplaceList(list);
-  Load load{w};
-  int jam = 0;  // of so many answers of a warm upstream one comes, late; the others never
+  sidecar.ReplaceList(list);
+  Load load{sidecar};
+  // While positive: an upstream past slow start answers one of so many requests, late, and the others never.
+  int requests_per_answer = 0;
   std::map<std::string, int> answers;
   const auto run = [&](int calls) {
-    return load.Run(calls, 50ms, jam > 0 ? 390ms : 50ms, [&](const SentAttempt& sent) {
-      const bool times_out = jam > 0 && sent.upstream < "x" && ++answers[sent.upstream] % jam != 0;
+    return load.Run(calls, 50ms, requests_per_answer > 0 ? 390ms : 50ms, [&](const SentAttempt& sent) {
+      const bool times_out = requests_per_answer > 0 && sent.upstream < "x" &&
+                             ++answers[sent.upstream] % requests_per_answer != 0;
       return times_out ? Outcome::kTimeout : Outcome::kServed;
     });
   };
@@ -82,63 +84,63 @@
   for (const char* id : {"x", "y"}) {
     list.push_back(MakeUpstream(id));
     list.back().zone = id;
-    list.back().started = w.now;
+    list.back().started = sidecar.now;
   }
-  w.ReplaceList(list);
-  for (jam = 2; jam < 5; ++jam) run(200);
-  jam = 0;
-  ASSERT_TRUE(w.HasLogged("refusing: overload"));
+  sidecar.ReplaceList(list);
+  for (requests_per_answer = 2; requests_per_answer < 5; ++requests_per_answer) run(200);
+  requests_per_answer = 0;
+  ASSERT_TRUE(sidecar.HasLogged("refusing: overload"));
   run(10);
-  const std::size_t first = w.sent.size();
-  ASSERT_LT(run(100), 50u) << "most are refused";
-  const auto warming_up = std::count_if(w.sent.begin() + static_cast<std::ptrdiff_t>(first), w.sent.end(),
-                                        [](const SentAttempt& sent) { return sent.upstream >= "x"; });
-  EXPECT_GT(2 * warming_up, static_cast<std::ptrdiff_t>(w.sent.size() - first))
-      << "the warm ones are still avoided";
+  const std::size_t first = sidecar.sent.size();
+  ASSERT_LT(run(100), 50u) << "most are rejected";
+  const auto in_slow_start =
+      std::count_if(sidecar.sent.begin() + static_cast<std::ptrdiff_t>(first), sidecar.sent.end(),
+                    [](const SentAttempt& sent) { return sent.upstream >= "x"; });
+  EXPECT_GT(2 * in_slow_start, static_cast<std::ptrdiff_t>(sidecar.sent.size() - first))
+      << "those past slow start are still avoided";
   run(40);
-  EXPECT_EQ(run(40), 40u) << "7 s after the jam";
+  EXPECT_EQ(run(40), 40u) << "7 s after the overload";
 }
 
 TEST(LatencyObjective, GrowsWithTheWorkOfARequestUpToItsDeadline) {
-  Settings s = DefaultSettings();
-  s.classes[0].latency_objective_stretch = 2;
-  s.limits.hedging = false;
+  Settings settings = DefaultSettings();
+  settings.classes[0].latency_objective_stretch = 2;
+  settings.limits.hedging = false;
   const auto timeout = [&](std::optional<Duration> work) {
-    TestSidecar w(s);
-    w.ListUpstreams(4);
-    RequestArrived e;
-    e.request = RequestId{1};
-    e.deadline = w.now + 2s;
-    e.work = work;
-    w.Handle(e);
+    TestSidecar sidecar(settings);
+    sidecar.ListUpstreams(4);
+    RequestArrived arrival;
+    arrival.request = RequestId{1};
+    arrival.deadline = sidecar.now + 2s;
+    arrival.work = work;
+    sidecar.Handle(arrival);
     // Past the latency objective of 400 ms there is no further attempt, unless the objective has grown.
-    w.Advance(500ms);
-    const SentAttempt first = w.sent.front();
-    w.EndAttempt(first, Outcome::kConnectFailed);
-    return std::pair(first.timeout, w.rejected.empty());
+    sidecar.Advance(500ms);
+    const SentAttempt first = sidecar.sent.front();
+    sidecar.EndAttempt(first, Outcome::kConnectFailed);
+    return std::pair(first.timeout, sidecar.rejected.empty());
   };
   EXPECT_EQ(timeout(std::nullopt), std::pair(Duration(400ms), false));
   EXPECT_EQ(timeout(100ms), std::pair(Duration(600ms), true));
-  EXPECT_EQ(timeout(10s), std::pair(Duration(2s), true))
-      << "no call is worth waiting for beyond its deadline";
+  EXPECT_EQ(timeout(10s), std::pair(Duration(2s), true)) << "an answer after the deadline has no value";
 }
 
 TEST(OverloadedFleet, AnUnsafeRequestTimesOutAtItsLatencyObjectiveOnlyUnderOverload) {
-  TestSidecar w;
-  w.ListUpstreams(4);
-  w.Arrive(kUnsafe);
-  EXPECT_EQ(w.sent.back().timeout, Duration(2s));
-  w.EndAttempt(w.sent.back(), Outcome::kServed);
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(4);
+  sidecar.Arrive(kUnsafe);
+  EXPECT_EQ(sidecar.sent.back().timeout, Duration(2s));
+  sidecar.EndAttempt(sidecar.sent.back(), Outcome::kServed);
   for (int i = 0; i < 40; ++i) {  // answers past their latency objective of 400 ms
-    const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
-    w.Advance(500ms);
-    if (w.sent.size() > before) w.EndAttempt(w.sent[before], Outcome::kServed);
+    const std::size_t before = sidecar.sent.size();
+    sidecar.Arrive(kUnsafe);
+    sidecar.Advance(500ms);
+    if (sidecar.sent.size() > before) sidecar.EndAttempt(sidecar.sent[before], Outcome::kServed);
   }
-  const std::size_t before = w.sent.size();
-  for (int i = 0; i < 10 && w.sent.size() == before; ++i) w.Arrive(kUnsafe);
-  ASSERT_GT(w.sent.size(), before);
-  EXPECT_EQ(w.sent.back().timeout, Duration(400ms));
+  const std::size_t before = sidecar.sent.size();
+  for (int i = 0; i < 10 && sidecar.sent.size() == before; ++i) sidecar.Arrive(kUnsafe);
+  ASSERT_GT(sidecar.sent.size(), before);
+  EXPECT_EQ(sidecar.sent.back().timeout, Duration(400ms));
 }
 
 }  // namespace
--- a/tests/balancer/random_events_test.cpp
+++ b/tests/balancer/random_events_test.cpp
@@ -1,4 +1,5 @@
-// The four rules under a seeded random stream of events: every action is checked against them.
+// Random events: every action is checked against the rules of retries, draining, slow start and final
+// answers.
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
@@ -16,68 +17,68 @@
 namespace mothrack::balancer::testing {
 namespace {
 
-bool ProvesNotRun(Outcome o) {
-  return o == Outcome::kFull || o == Outcome::kConnectFailed || o == Outcome::kNotSent;
+bool ProvesNotRun(Outcome outcome) {
+  return outcome == Outcome::kFull || outcome == Outcome::kConnectFailed || outcome == Outcome::kNotSent;
 }
 
-class Stream : public ::testing::TestWithParam<std::uint64_t> {};
+class RandomEvents : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(Stream, KeepsTheRules) {
+TEST_P(RandomEvents, KeepsTheRules) {
   std::mt19937_64 random(GetParam());
   const auto below = [&random](std::uint64_t n) { return random() % n; };
-  Settings s = DefaultSettings();
-  s.limits.hedging = below(2) == 0;
-  s.limits.probes = below(2) == 0;
-  s.limits.cancel = below(4) != 0;
-  s.limits.max_attempts = 1 + below(5);
-  s.classes[2].key_window = Duration(100000 + below(2000000));
-  if (below(2) == 0) s.tenants = {{"t", 0.5, 50}, {"u", 0.5, 50}};
-  TestSidecar w(s, GetParam());
+  Settings settings = DefaultSettings();
+  settings.limits.hedging = below(2) == 0;
+  settings.limits.probes = below(2) == 0;
+  settings.limits.cancel = below(4) != 0;
+  settings.limits.max_attempts = 1 + below(5);
+  settings.classes[2].key_window = Duration(100000 + below(2000000));
+  if (below(2) == 0) settings.tenants = {{"t", 0.5, 50}, {"u", 0.5, 50}};
+  TestSidecar sidecar(settings, GetParam());
 
-  struct Open {
-    ClassId cls{};
+  struct OpenRequest {
+    ClassId request_class{};
     TimePoint deadline;
     std::vector<std::pair<SentAttempt, std::optional<Outcome>>> attempts;
     bool ended = false;
   };
-  std::map<RequestId, Open> requests;
+  std::map<RequestId, OpenRequest> requests;
   std::map<std::string, UpstreamInfo> upstreams;
   std::map<std::string, std::deque<std::pair<TimePoint, double>>>
       slow_start_sends;  // time and slow start factor
 
   const auto check = [&]() {
-    for (const Action& action : w.actions) {
+    for (const Action& action : sidecar.actions) {
       if (const auto* probe = std::get_if<SendProbe>(&action)) {
-        EXPECT_TRUE(s.limits.probes);
+        EXPECT_TRUE(settings.limits.probes);
         EXPECT_EQ(upstreams.at(probe->upstream.value).state, UpstreamState::kServing);
       }
       if (std::holds_alternative<CancelAttempt>(action)) {
-        EXPECT_TRUE(s.limits.cancel);
+        EXPECT_TRUE(settings.limits.cancel);
       }
       const auto* send = std::get_if<SendAttempt>(&action);
-      const auto* refuse = std::get_if<Reject>(&action);
+      const auto* reject = std::get_if<Reject>(&action);
       const auto* fail = std::get_if<Fail>(&action);
-      if (send == nullptr && refuse == nullptr && fail == nullptr) continue;
+      if (send == nullptr && reject == nullptr && fail == nullptr) continue;
       const RequestId id = send != nullptr     ? send->request
-                           : refuse != nullptr ? refuse->request
+                           : reject != nullptr ? reject->request
                                                : fail->request;
       ASSERT_TRUE(requests.contains(id));
-      Open& r = requests.at(id);
-      ASSERT_FALSE(r.ended) << "an action after the end";
-      const Effect effect = s.classes[static_cast<std::size_t>(r.cls)].effect;
-      const KeyScope scope = s.classes[static_cast<std::size_t>(r.cls)].key_scope;
-      const Duration window = s.classes[static_cast<std::size_t>(r.cls)].key_window;
+      OpenRequest& request = requests.at(id);
+      ASSERT_FALSE(request.ended) << "an action after the final answer";
+      const Effect effect = settings.classes[static_cast<std::size_t>(request.request_class)].effect;
+      const KeyScope scope = settings.classes[static_cast<std::size_t>(request.request_class)].key_scope;
+      const Duration window = settings.classes[static_cast<std::size_t>(request.request_class)].key_window;
       bool may_have_run = false;
-      for (const auto& [sent, outcome] : r.attempts) {
+      for (const auto& [sent, outcome] : request.attempts) {
         if (outcome && ProvesNotRun(*outcome)) continue;
         may_have_run = true;
         if (send == nullptr) continue;
         if (!outcome) {
-          EXPECT_TRUE(s.limits.hedging);
+          EXPECT_TRUE(settings.limits.hedging);
         }
         EXPECT_NE(effect, Effect::kUnsafe);
         if (effect != Effect::kKeyed) continue;
-        EXPECT_LE(w.now - sent.at, window);
+        EXPECT_LE(sidecar.now - sent.at, window);
         const UpstreamInfo& from = upstreams.at(sent.upstream);
         const UpstreamInfo& to = upstreams.at(send->upstream.value);
         if (scope == KeyScope::kZone) {
@@ -87,25 +88,26 @@
           EXPECT_EQ(from.cell, to.cell);
         }
       }
-      if (refuse != nullptr && may_have_run) {
+      if (reject != nullptr && may_have_run) {
         EXPECT_TRUE(effect == Effect::kSafe || (effect == Effect::kKeyed && scope == KeyScope::kAll));
       }
       if (send == nullptr) {
-        r.ended = true;
+        request.ended = true;
         continue;
       }
-      EXPECT_LT(w.now, r.deadline);
-      EXPECT_LT(r.attempts.size(), s.limits.max_attempts);
+      EXPECT_LT(sidecar.now, request.deadline);
+      EXPECT_LT(request.attempts.size(), settings.limits.max_attempts);
       const UpstreamInfo& to = upstreams.at(send->upstream.value);
       EXPECT_EQ(to.state, UpstreamState::kServing);
-      r.attempts.emplace_back(
-          SentAttempt{id, AttemptId{r.attempts.size()}, send->upstream.value, send->timeout, w.now},
-          std::nullopt);
-      if (to.started && w.now - *to.started < s.rules.slow_start_duration) {
-        const double age = static_cast<double>((w.now - *to.started) / 1us) /
-                           static_cast<double>(s.rules.slow_start_duration / 1us);
+      request.attempts.emplace_back(SentAttempt{id, AttemptId{request.attempts.size()}, send->upstream.value,
+                                                send->timeout, sidecar.now},
+                                    std::nullopt);
+      if (to.started && sidecar.now - *to.started < settings.rules.slow_start_duration) {
+        const double age = static_cast<double>((sidecar.now - *to.started) / 1us) /
+                           static_cast<double>(settings.rules.slow_start_duration / 1us);
         slow_start_sends[to.id.value].emplace_back(
-            w.now, s.rules.slow_start_initial_share + (1 - s.rules.slow_start_initial_share) * age);
+            sidecar.now,
+            settings.rules.slow_start_initial_share + (1 - settings.rules.slow_start_initial_share) * age);
       }
     }
   };
@@ -118,55 +120,57 @@
     }
     info.state = below(3) == 0 ? UpstreamState::kDraining : UpstreamState::kServing;
     if (below(6) == 0) info.state = UpstreamState::kGone;
-    if (restart) info.started = w.now;
-    w.ChangeUpstream(info);
+    if (restart) info.started = sidecar.now;
+    sidecar.ChangeUpstream(info);
     check();
   };
 
-  w.ReplaceList({});
+  sidecar.ReplaceList({});
   for (char c = 'a'; c < 'g'; ++c) {
     UpstreamInfo info = MakeUpstream(std::string(1, c));
     info.zone = below(2) == 0 ? "here" : "there";
     upstreams[info.id.value] = info;
-    w.ChangeUpstream(info);
+    sidecar.ChangeUpstream(info);
   }
   for (int step = 0; step < 12000; ++step) {
-    w.now += Duration(below(20000));
-    while (!w.timers.empty() && w.timers.begin()->first <= w.now) {
-      const std::uint64_t token = w.timers.begin()->second;
-      w.timers.erase(w.timers.begin());
-      w.Handle(TimerFired{token});
+    sidecar.now += Duration(below(20000));
+    while (!sidecar.timers.empty() && sidecar.timers.begin()->first <= sidecar.now) {
+      const std::uint64_t token = sidecar.timers.begin()->second;
+      sidecar.timers.erase(sidecar.timers.begin());
+      sidecar.Handle(TimerFired{token});
       check();
     }
     // Every timer up to now has fired: open requests must be within their deadlines.
     for (auto it = requests.begin(); it != requests.end();) {
-      Open& r = it->second;
-      EXPECT_TRUE(r.ended || w.now <= r.deadline + s.rules.answer_grace) << "unanswered after its deadline";
-      const bool settled = std::all_of(r.attempts.begin(), r.attempts.end(),
+      OpenRequest& request = it->second;
+      EXPECT_TRUE(request.ended || sidecar.now <= request.deadline + settings.rules.answer_grace)
+          << "unanswered after its deadline";
+      const bool settled = std::all_of(request.attempts.begin(), request.attempts.end(),
                                        [](const auto& a) { return a.second.has_value(); });
-      it = r.ended && settled ? requests.erase(it) : std::next(it);
+      it = request.ended && settled ? requests.erase(it) : std::next(it);
     }
     const auto roll = below(100);
     if (roll < 45) {
-      RequestArrived e;
-      e.request = RequestId{1000000u + static_cast<std::uint64_t>(step)};
-      e.request_class = ClassId{below(5)};
-      e.deadline = w.now + Duration(1 + below(2000000));
-      if (!s.tenants.empty()) e.tenant = TenantId{below(2)};
-      requests[e.request] = Open{e.request_class, e.deadline, {}, false};
-      w.Handle(e);
+      RequestArrived arrival;
+      arrival.request = RequestId{1000000u + static_cast<std::uint64_t>(step)};
+      arrival.request_class = ClassId{below(5)};
+      arrival.deadline = sidecar.now + Duration(1 + below(2000000));
+      if (!settings.tenants.empty()) arrival.tenant = TenantId{below(2)};
+      requests[arrival.request] = OpenRequest{arrival.request_class, arrival.deadline, {}, false};
+      sidecar.Handle(arrival);
       check();
     } else if (roll < 93) {
       if (requests.empty()) continue;
       auto it = requests.begin();
       std::advance(it, below(requests.size()));
-      Open& r = it->second;
-      for (auto& [sent, outcome] : r.attempts) {
+      OpenRequest& request = it->second;
+      for (auto& [sent, outcome] : request.attempts) {
         if (outcome) continue;
-        const Outcome o = below(10) < 6 ? Outcome::kServed : static_cast<Outcome>(1 + below(7));
-        outcome = o;
-        if (o == Outcome::kServed) r.ended = true;
-        w.Handle(AttemptEnded{sent.request, sent.attempt, o, w.now - sent.at, r.ended, {}});
+        const Outcome drawn = below(10) < 6 ? Outcome::kServed : static_cast<Outcome>(1 + below(7));
+        outcome = drawn;
+        if (drawn == Outcome::kServed) request.ended = true;
+        sidecar.Handle(
+            AttemptEnded{sent.request, sent.attempt, drawn, sidecar.now - sent.at, request.ended, {}});
         check();
         break;
       }
@@ -175,28 +179,30 @@
       auto it = requests.begin();
       std::advance(it, below(requests.size()));
       it->second.ended = true;
-      w.Handle(ClientDisconnected{it->first});
+      sidecar.Handle(ClientDisconnected{it->first});
       check();
     } else if (roll < 97) {
       change(std::string(1, static_cast<char>('a' + below(6))), below(3) == 0);
     }
     if (HasFatalFailure()) return;
   }
-  // About 45 first attempts a second, and seldom fewer than two of the six upstreams listed: a warm one gets
-  // at most 22 a second, one in slow start `overload_multiple` times its factor of that, and one or two for
-  // bunching.
+  // There are about 45 first attempts a second, and seldom fewer than two of the six upstreams are listed. So
+  // an upstream past slow start gets at most 22 a second, and one in slow start that times
+  // `overload_multiple` and its slow start factor, plus two since attempts arrive unevenly.
   for (const auto& [id, sends] : slow_start_sends) {
     for (std::size_t i = 0; i < sends.size(); ++i) {
       std::size_t k = i;
-      while (k + 1 < sends.size() && sends[k + 1].first - sends[i].first < s.rules.overload_window) ++k;
-      EXPECT_LE(static_cast<double>(k - i + 1), 2 + s.rules.overload_multiple * sends[k].second * 22) << id;
+      while (k + 1 < sends.size() && sends[k + 1].first - sends[i].first < settings.rules.overload_window)
+        ++k;
+      EXPECT_LE(static_cast<double>(k - i + 1), 2 + settings.rules.overload_multiple * sends[k].second * 22)
+          << id;
     }
   }
-  w.Advance(5s);
+  sidecar.Advance(5s);
   check();
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, Stream, ::testing::Range<std::uint64_t>(1, 25));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomEvents, ::testing::Range<std::uint64_t>(1, 25));
 
 }  // namespace
 }  // namespace mothrack::balancer::testing
--- a/tests/balancer/request_rate_test.cpp
+++ b/tests/balancer/request_rate_test.cpp
@@ -1,4 +1,4 @@
-// The usual rate, and when it is known.
+// RequestRate: the usual rate, and when it is known.
 #include "balancer/request_rate.h"
 
 #include "balancer/tick.h"
--- a/tests/balancer/request_table_test.cpp
+++ b/tests/balancer/request_table_test.cpp
@@ -1,4 +1,4 @@
-// Requests and timers by id.
+// RequestTable: requests by id and timers by token.
 #include "balancer/request_table.h"
 
 #include "gtest/gtest.h"
--- a/tests/balancer/retry_policy_test.cpp
+++ b/tests/balancer/retry_policy_test.cpp
@@ -1,4 +1,4 @@
-// Which retries the class of a request and the retry budget allow.
+// RetryPolicy: which retries the class of a request and the retry budget allow.
 #include "balancer/retry_policy.h"
 
 #include <memory>
@@ -12,25 +12,25 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-struct Sent {
+struct RequestWithAttempt {
   RequestClass request_class;
   Request request;
 };
 
 // A request with one attempt, sent at time zero to an upstream of zone "a", cell 1.
-Sent SentOnce(Effect effect, KeyScope scope, std::optional<Outcome> outcome) {
-  Sent sent;
-  sent.request_class.effect = effect;
-  sent.request_class.key_scope = scope;
-  sent.request_class.key_window = seconds(4);
-  sent.request.deadline = TimePoint{seconds(30)};
-  sent.request.latency_objective = milliseconds(400);
+RequestWithAttempt MakeRequest(Effect effect, KeyScope scope, std::optional<Outcome> outcome) {
+  RequestWithAttempt tested;
+  tested.request_class.effect = effect;
+  tested.request_class.key_scope = scope;
+  tested.request_class.key_window = seconds(4);
+  tested.request.deadline = TimePoint{seconds(30)};
+  tested.request.latency_objective = milliseconds(400);
   const auto upstream = std::make_shared<Upstream>();
   upstream->info.zone = "a";
   upstream->info.cell = 1;
-  sent.request.attempts.push_back({upstream, TimePoint{}});
-  sent.request.attempts[0].outcome = outcome;
-  return sent;
+  tested.request.attempts.push_back({upstream, TimePoint{}});
+  tested.request.attempts[0].outcome = outcome;
+  return tested;
 }
 
 TEST(RetryPolicy, ARequestIsRepeatedOnlyAsItsClassAllows) {
@@ -57,26 +57,27 @@
                         {kSafe, kAll, kError, "b", 30, false}};
   const Limits limits;
   const RetryPolicy policy(limits);
-  for (const Case& c : cases) {
-    Sent sent = SentOnce(c.effect, c.scope, c.outcome);
-    sent.request.request_class = &sent.request_class;
+  for (const Case& test : cases) {
+    RequestWithAttempt tested = MakeRequest(test.effect, test.scope, test.outcome);
+    tested.request.request_class = &tested.request_class;
     UpstreamInfo next;
-    next.zone = c.zone;
+    next.zone = test.zone;
     next.cell = 2;
-    EXPECT_EQ(policy.MaySend(sent.request, next, TimePoint{seconds(c.at_s)}), c.may_send) << &c - cases;
+    EXPECT_EQ(policy.MaySend(tested.request, next, TimePoint{seconds(test.at_s)}), test.may_send)
+        << &test - cases;
   }
 }
 
 TEST(RetryPolicy, RetriesStopWhenTheBudgetIsSpentUnlessNothingRan) {
   const Limits limits;
   RetryPolicy policy(limits);
-  Sent sent = SentOnce(Effect::kSafe, KeyScope::kAll, Outcome::kError);
-  sent.request.request_class = &sent.request_class;
+  RequestWithAttempt tested = MakeRequest(Effect::kSafe, KeyScope::kAll, Outcome::kError);
+  tested.request.request_class = &tested.request_class;
   for (const bool allowed : {true, true, true, false})
-    EXPECT_EQ(policy.TakeRetry(sent.request, TimePoint{}), allowed);
-  sent.request.attempts[0].outcome = Outcome::kFull;
-  EXPECT_TRUE(policy.TakeRetry(sent.request, TimePoint{}));
-  EXPECT_FALSE(policy.TakeRetry(sent.request, TimePoint{milliseconds(400)}));
+    EXPECT_EQ(policy.TakeRetry(tested.request, TimePoint{}), allowed);
+  tested.request.attempts[0].outcome = Outcome::kFull;
+  EXPECT_TRUE(policy.TakeRetry(tested.request, TimePoint{}));
+  EXPECT_FALSE(policy.TakeRetry(tested.request, TimePoint{milliseconds(400)}));
 }
 
 }  // namespace
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -15,19 +15,19 @@
     int age_s;
     double factor;
   };
-  for (const Case& c : {Case{-1, 0.1}, Case{0, 0.1}, Case{10, 0.55}, Case{20, 1}, Case{99, 1}}) {
+  for (const Case& test : {Case{-1, 0.1}, Case{0, 0.1}, Case{10, 0.55}, Case{20, 1}, Case{99, 1}}) {
     const TimePoint started{seconds(100)};
-    EXPECT_DOUBLE_EQ(slow_start.Factor(started, started + seconds(c.age_s)), c.factor) << c.age_s;
+    EXPECT_DOUBLE_EQ(slow_start.Factor(started, started + seconds(test.age_s)), test.factor) << test.age_s;
   }
   EXPECT_EQ(slow_start.Factor(std::nullopt, TimePoint{}), 1);
 }
 
-TEST(SlowStart, TheBudgetIsRefilledByTheRateOfAWarmUpstreamAndSpent) {
+TEST(SlowStart, TheBudgetIsRefilledByTheRateOfAnUpstreamPastSlowStartAndSpent) {
   const Rules rules;
   SlowStart slow_start(rules);
   SlowStartTick tick{25, 25, seconds(10), 2, 2, 2};  // 100 requests a second
   for (int i = 0; i < 400; ++i) slow_start.RecordTick(tick);
-  const SlowStartUpstream upstream{0.1, 1, false, 0};  // of two alike, 50 a second when warm
+  const SlowStartUpstream upstream{0.1, 1, false, 0};  // of two alike, 50 a second past slow start
   SlowStartRecord record;
   const TimePoint now{seconds(100)};
   slow_start.RecordEntry(record, upstream, 0.5, now);
--- a/tests/balancer/subset_test.cpp
+++ b/tests/balancer/subset_test.cpp
@@ -1,4 +1,4 @@
-// Over how many upstreams requests are spread.
+// Subset: over how many upstreams requests are spread, and which ones.
 #include "balancer/subset.h"
 
 #include <string>
--- a/tests/balancer/subsetting_test.cpp
+++ b/tests/balancer/subsetting_test.cpp
@@ -1,4 +1,4 @@
-// Over how many upstreams a sidecar spreads its requests, by its request rate.
+// Subsetting: the number of upstreams over which a sidecar spreads its requests follows its request rate.
 #include <chrono>
 #include <cstddef>
 #include <map>
@@ -11,21 +11,21 @@
 
 TEST(FleetStart, FirstRequestsSpreadOverTheWholeList) {
   std::map<std::string, int> spread;
-  for (const auto& w : MakeSidecars(500)) {
-    w->ListUpstreams(20);
-    ++spread[w->Serve()];
+  for (const auto& sidecar : MakeSidecars(500)) {
+    sidecar->ListUpstreams(20);
+    ++spread[sidecar->Serve()];
   }
   EXPECT_EQ(spread.size(), 20u);
   for (const auto& [id, calls] : spread) EXPECT_LT(calls, 60) << id << ", 25 are its share";
 }
 
-// One request served each second: the upstreams that served them. The rate is unknown during the first
-// seconds.
-std::map<std::string, int> ServeAtLowRate(TestSidecar& w, int calls) {
+// Sends one request each second. Returns the number of requests by upstream. The request rate is unknown
+// during the first seconds.
+std::map<std::string, int> ServeAtLowRate(TestSidecar& sidecar, int calls) {
   std::map<std::string, int> spread;
   for (int i = 0; i < calls; ++i) {
-    w.Advance(1s);
-    ++spread[w.Serve()];
+    sidecar.Advance(1s);
+    ++spread[sidecar.Serve()];
   }
   return spread;
 }
@@ -36,10 +36,10 @@
     Settings settings = DefaultSettings();
     settings.sidecar_count = 100;
     settings.sidecar_index = sidecar_index;
-    TestSidecar w(settings, 100 + sidecar_index);
-    w.ListUpstreams(20);
-    ServeAtLowRate(w, 4);
-    const std::map<std::string, int> own = ServeAtLowRate(w, 20);
+    TestSidecar sidecar(settings, 100 + sidecar_index);
+    sidecar.ListUpstreams(20);
+    ServeAtLowRate(sidecar, 4);
+    const std::map<std::string, int> own = ServeAtLowRate(sidecar, 20);
     EXPECT_LE(own.size(), 6u);
     EXPECT_GE(own.size(), 3u);
     for (const auto& [id, calls] : own) fleet[id] += calls;
@@ -49,13 +49,13 @@
 }
 
 TEST(Subsetting, AListChangeKeepsTheOtherMembersOfTheSubset) {
-  TestSidecar w;
-  w.ListUpstreams(20);
-  ServeAtLowRate(w, 5);
-  const std::map<std::string, int> before = ServeAtLowRate(w, 20);
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(20);
+  ServeAtLowRate(sidecar, 5);
+  const std::map<std::string, int> before = ServeAtLowRate(sidecar, 20);
   UpstreamInfo removed = MakeUpstream(before.begin()->first, UpstreamState::kGone);
-  w.ChangeUpstream(removed);
-  const std::map<std::string, int> after = ServeAtLowRate(w, 20);
+  sidecar.ChangeUpstream(removed);
+  const std::map<std::string, int> after = ServeAtLowRate(sidecar, 20);
   int retained = 0;
   for (const auto& [id, calls] : before) retained += static_cast<int>(after.count(id));
   EXPECT_GE(retained, static_cast<int>(before.size()) - 2);
@@ -63,13 +63,13 @@
 }
 
 TEST(Subsetting, AHighRequestRateUsesTheWholeList) {
-  TestSidecar w;
-  w.ListUpstreams(20);
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(20);
   for (int i = 0; i < 300; ++i) {
-    w.Advance(10ms);
-    w.Serve();
+    sidecar.Advance(10ms);
+    sidecar.Serve();
   }
-  EXPECT_EQ(w.CountServed(200).size(), 20u);
+  EXPECT_EQ(sidecar.CountServed(200).size(), 20u);
 }
 
 }  // namespace
--- a/tests/balancer/unavailable_zone_test.cpp
+++ b/tests/balancer/unavailable_zone_test.cpp
@@ -10,8 +10,7 @@
 namespace mothrack::balancer::testing {
 namespace {
 
-// Two zones of six upstreams; `calls` requests 20 ms apart, those to an unresponsive zone time out. Returns
-// how many went to "there", and how many were rejected.
+// Two zones, "here" and "there", of six upstreams each.
 struct TwoZones {
   TwoZones() {
     std::vector<UpstreamInfo> list;
@@ -19,59 +18,62 @@
       list.push_back(MakeUpstream(std::string(1, id)));
       list.back().zone = id < 'g' ? "here" : "there";
     }
-    w.ReplaceList(list);
+    sidecar.ReplaceList(list);
   }
-  std::pair<int, int> Call(int calls, bool unresponsive, ClassId cls = kUnsafe) {
+  // Sends `calls` requests 20 ms apart; those to "there" time out if it is `unresponsive`. Returns the number
+  // of attempts to "there" and of rejected requests.
+  std::pair<int, int> SendRequests(int calls, bool unresponsive, ClassId request_class = kUnsafe) {
     int there = 0;
-    const std::size_t rejected_before = w.rejected.size();
+    const std::size_t rejected_before = sidecar.rejected.size();
     for (int i = 0; i < calls; ++i) {
-      const std::size_t before = w.sent.size();
-      w.Arrive(cls);
-      w.now += 10ms;
-      for (std::size_t k = before; k < w.sent.size(); ++k) {
-        const bool far = w.sent[k].upstream >= "g";
-        there += far;
-        w.EndAttempt(w.sent[k], far && unresponsive ? Outcome::kTimeout : Outcome::kServed);
+      const std::size_t before = sidecar.sent.size();
+      sidecar.Arrive(request_class);
+      sidecar.now += 10ms;
+      for (std::size_t k = before; k < sidecar.sent.size(); ++k) {
+        const bool to_there = sidecar.sent[k].upstream >= "g";
+        there += to_there;
+        sidecar.EndAttempt(sidecar.sent[k], to_there && unresponsive ? Outcome::kTimeout : Outcome::kServed);
       }
-      w.Advance(10ms);
+      sidecar.Advance(10ms);
     }
-    return {there, static_cast<int>(w.rejected.size() - rejected_before)};
+    return {there, static_cast<int>(sidecar.rejected.size() - rejected_before)};
   }
-  TestSidecar w;
+  TestSidecar sidecar;
 };
 
 TEST(UnavailableZone, IsAvoidedAfterThreeUnresponsiveUpstreamsUntilItsFirstAnswer) {
   TwoZones zones;
-  EXPECT_GT(zones.Call(200, false).first, 80);
-  EXPECT_LE(zones.Call(100, true).first, 4) << "not each of the six, twice";
-  EXPECT_EQ(zones.Call(100, true).first, 0);
+  EXPECT_GT(zones.SendRequests(200, false).first, 80);
+  EXPECT_LE(zones.SendRequests(100, true).first, 4) << "not two at each of the six upstreams";
+  EXPECT_EQ(zones.SendRequests(100, true).first, 0);
   // Safe requests probe it, at least one each half second.
-  const int probes = zones.Call(150, true, kSafe).first;
+  const int probes = zones.SendRequests(150, true, kSafe).first;
   EXPECT_GE(probes, 1);
   EXPECT_LE(probes, 8);
-  zones.Call(150, false, kSafe);
-  EXPECT_GT(zones.Call(200, false).first, 60);
+  zones.SendRequests(150, false, kSafe);
+  EXPECT_GT(zones.SendRequests(200, false).first, 60);
 }
 
 TEST(UnavailableZone, IsNotInferredFromOneUnresponsiveUpstream) {
   TwoZones zones;
-  zones.Call(200, false);
+  zones.SendRequests(200, false);
   for (int i = 0; i < 100; ++i) {
-    const std::size_t before = zones.w.sent.size();
-    zones.w.Arrive(kUnsafe);
-    zones.w.now += 10ms;
-    zones.w.EndAttempts(before, "g", Outcome::kTimeout);
-    zones.w.Advance(10ms);
+    const std::size_t before = zones.sidecar.sent.size();
+    zones.sidecar.Arrive(kUnsafe);
+    zones.sidecar.now += 10ms;
+    zones.sidecar.EndAttempts(before, "g", Outcome::kTimeout);
+    zones.sidecar.Advance(10ms);
   }
-  EXPECT_GT(zones.Call(100, false).first, 25);
+  EXPECT_GT(zones.SendRequests(100, false).first, 25);
 }
 
 TEST(UnavailableZone, LoadOnTheOtherZoneIsShedBeforeAnswersAreLateUntilItCopes) {
   TwoZones zones;
-  EXPECT_EQ(zones.Call(400, false).second, 0);
-  EXPECT_GE(zones.Call(60, true).second, 1) << "half of it is gone, and nothing is late yet";
-  zones.Call(400, true);
-  EXPECT_LE(zones.Call(100, true).second, 2);
+  EXPECT_EQ(zones.SendRequests(400, false).second, 0);
+  EXPECT_GE(zones.SendRequests(60, true).second, 1)
+      << "half of the capacity is lost, and no answer is late yet";
+  zones.SendRequests(400, true);
+  EXPECT_LE(zones.SendRequests(100, true).second, 2);
 }
 
 }  // namespace
--- a/tests/balancer/upstream_set_test.cpp
+++ b/tests/balancer/upstream_set_test.cpp
@@ -1,4 +1,4 @@
-// The set of upstreams under updates of the endpoint list.
+// UpstreamSet: updates of the endpoint list, and the order of the upstreams.
 #include "balancer/upstream_set.h"
 
 #include <optional>
--- a/tests/balancer/zone_health_test.cpp
+++ b/tests/balancer/zone_health_test.cpp
@@ -1,4 +1,4 @@
-// When a zone is unavailable, and probed.
+// ZoneHealth: when a zone is unavailable, and when it is probed.
 #include "balancer/zone_health.h"
 
 #include "gtest/gtest.h"
@@ -10,7 +10,7 @@
 
 constexpr TimePoint kSent{seconds(10)};
 
-ZoneHealth Lost() {
+ZoneHealth WithUnavailableZone() {
   ZoneHealth health;
   for (const char* id : {"a", "b", "c"}) health.RecordUnanswered("z", UpstreamId{id}, kSent);
   return health;
@@ -29,7 +29,8 @@
 }
 
 TEST(ZoneHealth, AnAnswerANewProcessOrLeavingTheListEndsIt) {
-  ZoneHealth answered = Lost(), restarted = Lost(), unlisted = Lost();
+  ZoneHealth answered = WithUnavailableZone(), restarted = WithUnavailableZone(),
+             unlisted = WithUnavailableZone();
   answered.RecordAnswer("z", kSent);
   EXPECT_FALSE(answered.IsUnavailable("z"));
   restarted.RecordNewProcess("z");
@@ -39,7 +40,7 @@
 }
 
 TEST(ZoneHealth, AnUnavailableZoneIsProbedOneAtATime) {
-  ZoneHealth health = Lost();
+  ZoneHealth health = WithUnavailableZone();
   EXPECT_TRUE(health.MayProbe("z", kSent));
   health.RecordProbe("z", kSent + seconds(1));
   EXPECT_FALSE(health.MayProbe("z", kSent));
