--- a/src/balancer/outlier_detection.cpp
+++ b/src/balancer/outlier_detection.cpp
@@ -6,9 +6,9 @@
 namespace mothrack::balancer {
 
 double OutlierDetector::SuccessFactor(const OutlierRecord& record, bool loaded) {
-  const double calls = std::max(record.calls, static_cast<double>(kFailuresToEject));
-  const double timeout_share = loaded ? 0 : record.timeouts / calls;
-  const double failure_share = record.failures / calls - timeout_share;
+  const double attempts = std::max(record.attempts, static_cast<double>(kFailuresToEject));
+  const double timeout_share = loaded ? 0 : record.timeouts / attempts;
+  const double failure_share = record.failures / attempts - timeout_share;
   const double success_factor = failure_share == 0 ? 1 : std::pow(1 - failure_share, kSuccessPower);
   return std::max(kMinSuccessFactor, success_factor * (1 - timeout_share));
 }
@@ -16,7 +16,7 @@
 std::optional<Ejection> OutlierDetector::RecordOutcome(OutlierRecord& record, Outcome outcome,
                                                        TimePoint now) {
   const bool served = outcome == Outcome::kServed;
-  record.calls += 1 - record.calls / kOutcomeMemory;
+  record.attempts += 1 - record.attempts / kOutcomeMemory;
   record.failures += (served ? 0 : 1) - record.failures / kOutcomeMemory;
   record.timeouts += (outcome == Outcome::kTimeout ? 1 : 0) - record.timeouts / kOutcomeMemory;
   record.failure_run = served ? 0 : record.failure_run + 1;
@@ -35,9 +35,9 @@
 }
 
 double OutlierDetector::PeersFailureShare(const OutlierRecord& record) const {
-  const double calls = all_calls_ - (record.ejected ? 0 : record.calls);
+  const double attempts = all_attempts_ - (record.ejected ? 0 : record.attempts);
   const double failures = all_failures_ - (record.ejected ? 0 : record.failures);
-  return calls < 1 ? 0 : std::clamp(failures / calls, 0.0, kMaxFailureShare);
+  return attempts < 1 ? 0 : std::clamp(failures / attempts, 0.0, kMaxFailureShare);
 }
 
 // The length of a run of failures that is as rare, at the other upstreams' failure share, as `run` is at
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -43,7 +43,7 @@
   int ejected_after = 0;                // consecutive failures that caused that ejection
   TimePoint overtaken_at;               // last time that a hedge elsewhere was served before an attempt here
   // Exponentially decayed counts of its recent attempts.
-  double calls = 0;
+  double attempts = 0;
   double failures = 0;
   double timeouts = 0;  // the failures that were time-outs
 };
@@ -80,10 +80,10 @@
   static void RecordReturn(OutlierRecord& record, TimePoint now);
 
   // Recomputes the sums over the serving upstreams after an outcome: clear, then add each record.
-  void ClearSums() { all_calls_ = all_failures_ = 0; }
+  void ClearSums() { all_attempts_ = all_failures_ = 0; }
   void AddToSums(const OutlierRecord& record) {
     if (record.ejected) return;
-    all_calls_ += record.calls;
+    all_attempts_ += record.attempts;
     all_failures_ += record.failures;
   }
 
@@ -92,7 +92,7 @@
   int RunAsRareAs(int run, const OutlierRecord& record) const;
   std::optional<Ejection> EjectAfterLongRun(OutlierRecord& record, TimePoint now) const;
 
-  double all_calls_ = 0;  // sums over the serving upstreams that are not ejected
+  double all_attempts_ = 0;  // sums over the serving upstreams that are not ejected
   double all_failures_ = 0;
 };
 
--- a/tests/balancer/attempts_test.cpp
+++ b/tests/balancer/attempts_test.cpp
@@ -21,13 +21,13 @@
   const std::size_t before = sidecar.sent.size();
   sidecar.Handle(arrival);
   ASSERT_EQ(sidecar.sent.size(), before + 1);
-  const SentAttempt call = sidecar.sent[before];
-  EXPECT_EQ(call.timeout, Duration(2s));
+  const SentAttempt attempt = sidecar.sent[before];
+  EXPECT_EQ(attempt.timeout, Duration(2s));
   // No latency is counted yet: its upstream keeps its share, and the request gets no final answer.
   const auto spread = sidecar.CountServed(60);
-  EXPECT_GT(spread.at(call.upstream), 10);
+  EXPECT_GT(spread.at(attempt.upstream), 10);
   sidecar.Advance(30s);
-  EXPECT_GT(sidecar.CountServed(60)[call.upstream], 10);
+  EXPECT_GT(sidecar.CountServed(60)[attempt.upstream], 10);
   EXPECT_TRUE(sidecar.failed.empty() && sidecar.rejected.empty());
   sidecar.Handle(RequestComplete{arrival.request, sidecar.now + 2s});
   sidecar.Advance(1900ms);
@@ -63,13 +63,13 @@
   sidecar.CountServed(60);
   const std::size_t before = sidecar.sent.size();
   sidecar.Arrive(kSafe);
-  const SentAttempt call = sidecar.sent[before];
+  const SentAttempt attempt = sidecar.sent[before];
   sidecar.now += 10ms;
-  sidecar.Handle(AnswerStarted{call.request, call.attempt});
+  sidecar.Handle(AnswerStarted{attempt.request, attempt.attempt});
   sidecar.Advance(30s);  // the body is still being sent
-  EXPECT_GT(sidecar.CountServed(60)[call.upstream], 10);
+  EXPECT_GT(sidecar.CountServed(60)[attempt.upstream], 10);
   const std::size_t sent = sidecar.sent.size();
-  sidecar.EndAttempt(call, Outcome::kReset, true);
+  sidecar.EndAttempt(attempt, Outcome::kReset, true);
   EXPECT_EQ(sidecar.sent.size(), sent);  // the client has already received a part of the answer
 }
 
--- a/tests/balancer/fleet_slow_start_test.cpp
+++ b/tests/balancer/fleet_slow_start_test.cpp
@@ -13,7 +13,7 @@
 // reaches one request.
 TEST(FleetSlowStart, LowRatesAddUpToTheBudgetFromTheFirstSecond) {
   constexpr int kSidecars = 100, kUpstreams = 20, kSeconds = 4;
-  const auto calls = [](TestSidecar& sidecar, Duration time) {
+  const auto send_requests = [](TestSidecar& sidecar, Duration time) {
     int to_new = 0;
     for (const TimePoint end = sidecar.now + time; sidecar.now < end;) {
       sidecar.Advance(50ms);
@@ -24,11 +24,11 @@
   int sent = 0;
   for (const auto& sidecar : MakeSidecars(kSidecars)) {
     sidecar->ListUpstreams(kUpstreams);
-    calls(*sidecar, 10s);
+    send_requests(*sidecar, 10s);
     UpstreamInfo in_slow_start = MakeUpstream("z");
     in_slow_start.started = sidecar->now;
     sidecar->ChangeUpstream(in_slow_start);
-    sent += calls(*sidecar, Duration(1s) * kSeconds);
+    sent += send_requests(*sidecar, Duration(1s) * kSeconds);
   }
   // Past slow start it would get a 21st of all requests; in slow start it may get a tenth to a quarter of
   // that. If each sidecar waited for a budget of one request, or kept its turn meanwhile, it would get a
@@ -74,9 +74,9 @@
 TEST(FleetSlowStart, ConnectFailuresElsewhereDoNotDivertRequestsFromNewUpstreams) {
   TestSidecar sidecar;
   sidecar.ListUpstreams(8);
-  const auto serve = [&sidecar](int calls) {
+  const auto serve = [&sidecar](int requests) {
     int to_new = 0;
-    for (int i = 0; i < calls; ++i) {
+    for (int i = 0; i < requests; ++i) {
       const std::size_t before = sidecar.sent.size();
       sidecar.Arrive(kUnsafe);
       for (std::size_t k = before; k < sidecar.sent.size(); ++k) {
--- a/tests/balancer/helpers.h
+++ b/tests/balancer/helpers.h
@@ -155,10 +155,10 @@
     EXPECT_LE(failures, 0) << bad << " got too few requests";
   }
 
-  // Sends `calls` requests that are served. Returns the number of them by upstream.
-  std::map<std::string, int> CountServed(int calls, ClassId request_class = kSafe) {
+  // Sends `requests` requests that are served. Returns the number of them by upstream.
+  std::map<std::string, int> CountServed(int requests, ClassId request_class = kSafe) {
     std::map<std::string, int> spread;
-    for (int i = 0; i < calls; ++i) ++spread[Serve(request_class)];
+    for (int i = 0; i < requests; ++i) ++spread[Serve(request_class)];
     return spread;
   }
 
--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -23,12 +23,12 @@
 
 TEST(OutlierDetector, TheThresholdIsAsRareAsFiveFailuresWhereATenthFails) {
   struct Case {
-    double calls, failures;  // of the other upstream
+    double attempts, failures;  // of the other upstream
     int run;
   };
   for (const Case& test : {Case{0, 0, 5}, Case{100, 5, 5}, Case{100, 50, 17}}) {
     OutlierRecord record, other;
-    other.calls = test.calls;
+    other.attempts = test.attempts;
     other.failures = test.failures;
     EXPECT_EQ(FailUntilEjected(record, other, TimePoint{}), test.run) << test.failures;
   }
@@ -50,7 +50,7 @@
 TEST(OutlierDetector, FailuresReduceTheWeightButTimeoutsOfAFastUpstreamLess) {
   OutlierRecord record;
   EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, false), 1);
-  record.calls = 10;
+  record.attempts = 10;
   record.failures = record.timeouts = 5;
   EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, false), 0.5);
   EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, true), 0.125);
--- a/tests/balancer/overload_test.cpp
+++ b/tests/balancer/overload_test.cpp
@@ -19,12 +19,12 @@
 struct Load {
   // Returns the number of requests that were admitted.
   std::size_t Run(
-      int calls, Duration gap, Duration time,
+      int requests, Duration gap, Duration time,
       const std::function<Outcome(const SentAttempt&)>& outcome = [](const SentAttempt&) {
         return Outcome::kServed;
       }) {
     std::size_t admitted = 0;
-    for (int i = 0; i < calls; ++i) {
+    for (int i = 0; i < requests; ++i) {
       const std::size_t before = sidecar.sent.size();
       sidecar.Arrive(kUnsafe);
       admitted += sidecar.sent.size() - before;
@@ -47,7 +47,7 @@
   TestSidecar sidecar;
   sidecar.ListUpstreams(4);
   Load load{sidecar};
-  const auto run = [&load](int calls, Duration time) { return load.Run(calls, 10ms, time); };
+  const auto run = [&load](int requests, Duration time) { return load.Run(requests, 10ms, time); };
   EXPECT_EQ(run(300, 100ms), 300u);
   run(300, 390ms);  // the latency objective is 400 ms
   EXPECT_TRUE(sidecar.HasLogged("refusing: overload"));
@@ -73,8 +73,8 @@
   // While positive: an upstream past slow start answers one of so many requests, late, and the others never.
   int requests_per_answer = 0;
   std::map<std::string, int> answers;
-  const auto run = [&](int calls) {
-    return load.Run(calls, 50ms, requests_per_answer > 0 ? 390ms : 50ms, [&](const SentAttempt& sent) {
+  const auto run = [&](int requests) {
+    return load.Run(requests, 50ms, requests_per_answer > 0 ? 390ms : 50ms, [&](const SentAttempt& sent) {
       const bool times_out = requests_per_answer > 0 && sent.upstream < "x" &&
                              ++answers[sent.upstream] % requests_per_answer != 0;
       return times_out ? Outcome::kTimeout : Outcome::kServed;
--- a/tests/balancer/rotation_test.cpp
+++ b/tests/balancer/rotation_test.cpp
@@ -14,7 +14,7 @@
 TEST(Rotation, EqualUpstreamsTakeEqualTurns) {
   TestSidecar sidecar;
   sidecar.ListUpstreams(4);
-  for (const auto& [id, calls] : sidecar.CountServed(400)) EXPECT_NEAR(calls, 100, 3) << id;
+  for (const auto& [id, requests] : sidecar.CountServed(400)) EXPECT_NEAR(requests, 100, 3) << id;
 }
 
 TEST(Rotation, TurnsFollowTheWeightsSmoothly) {
@@ -22,14 +22,14 @@
   UpstreamInfo heavy = MakeUpstream("heavy");
   heavy.weight = 3;
   sidecar.ReplaceList({heavy, MakeUpstream("a")});
-  int in_a_row = 0, most = 0, calls = 0;
+  int in_a_row = 0, most = 0, requests = 0;
   for (int i = 0; i < 400; ++i) {
     const bool hit = sidecar.Serve() == "heavy";
-    calls += hit;
+    requests += hit;
     in_a_row = hit ? in_a_row + 1 : 0;
     most = std::max(most, in_a_row);
   }
-  EXPECT_NEAR(calls, 300, 6);
+  EXPECT_NEAR(requests, 300, 6);
   EXPECT_LE(most, 4);
 }
 
@@ -71,10 +71,10 @@
   for (int i = 0; i < 600; ++i) {
     const std::size_t before = sidecar.sent.size();
     sidecar.Arrive(kUnsafe);
-    const SentAttempt call = sidecar.sent[before];
-    sidecar.now += call.upstream == "d" ? 40ms : 10ms;
-    sidecar.EndAttempt(call, Outcome::kServed);
-    if (i >= 200) ++spread[call.upstream];
+    const SentAttempt attempt = sidecar.sent[before];
+    sidecar.now += attempt.upstream == "d" ? 40ms : 10ms;
+    sidecar.EndAttempt(attempt, Outcome::kServed);
+    if (i >= 200) ++spread[attempt.upstream];
   }
   EXPECT_LT(spread["d"], spread["a"] * 2 / 3);
   EXPECT_GT(spread["d"], 0);
@@ -123,16 +123,16 @@
     list.back().weight = id < 'c' ? 1 : 2;
   }
   sidecar.ReplaceList(list);
-  std::map<std::string, int> calls;
+  std::map<std::string, int> requests;
   for (int i = 0; i < 600; ++i) {
     const std::size_t before = sidecar.sent.size();
     sidecar.Arrive(kUnsafe);
     const bool slow = sidecar.sent[before].upstream < "c";
-    if (i >= 200) ++calls[slow ? "slow" : "fast"];
+    if (i >= 200) ++requests[slow ? "slow" : "fast"];
     sidecar.now += slow ? 40ms : 20ms;
     sidecar.EndAttempt(sidecar.sent[before], Outcome::kServed);
   }
-  EXPECT_NEAR(calls["fast"], 2 * calls["slow"], 60)
+  EXPECT_NEAR(requests["fast"], 2 * requests["slow"], 60)
       << "by their weights only, although one kind answers twice as fast";
 }
 
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -102,7 +102,7 @@
   // The window with the highest ratio of requests to the bound and its margin for chance.
   struct {
     double ratio = 0;
-    std::size_t calls = 0;
+    std::size_t requests = 0;
     double allowed = 0;  // the bound without the margin
     Duration at{};       // after the start
   } worst;
@@ -247,7 +247,7 @@
   for (const std::uint64_t seed : GetParam().Seeds()) {
     SimulatedFleet fleet(GetParam(), seed);
     fleet.Simulate();
-    EXPECT_LE(fleet.worst.ratio, 1) << fleet.worst.calls << " requests where the bound is "
+    EXPECT_LE(fleet.worst.ratio, 1) << fleet.worst.requests << " requests where the bound is "
                                     << fleet.worst.allowed << ", " << InSeconds(fleet.worst.at)
                                     << " s after the start, seed " << seed;
     EXPECT_GE(fleet.SentShare(), GetParam().min_share)
--- a/tests/balancer/subsetting_test.cpp
+++ b/tests/balancer/subsetting_test.cpp
@@ -16,14 +16,14 @@
     ++spread[sidecar->Serve()];
   }
   EXPECT_EQ(spread.size(), 20u);
-  for (const auto& [id, calls] : spread) EXPECT_LT(calls, 60) << id << ", 25 are its share";
+  for (const auto& [id, requests] : spread) EXPECT_LT(requests, 60) << id << ", 25 are its share";
 }
 
 // Sends one request each second. Returns the number of requests by upstream. The request rate is unknown
 // during the first seconds.
-std::map<std::string, int> ServeAtLowRate(TestSidecar& sidecar, int calls) {
+std::map<std::string, int> ServeAtLowRate(TestSidecar& sidecar, int requests) {
   std::map<std::string, int> spread;
-  for (int i = 0; i < calls; ++i) {
+  for (int i = 0; i < requests; ++i) {
     sidecar.Advance(1s);
     ++spread[sidecar.Serve()];
   }
@@ -42,10 +42,10 @@
     const std::map<std::string, int> own = ServeAtLowRate(sidecar, 20);
     EXPECT_LE(own.size(), 6u);
     EXPECT_GE(own.size(), 3u);
-    for (const auto& [id, calls] : own) fleet[id] += calls;
+    for (const auto& [id, requests] : own) fleet[id] += requests;
   }
   ASSERT_EQ(fleet.size(), 20u);
-  for (const auto& [id, calls] : fleet) EXPECT_LT(calls, 200) << id << ", 100 are its share";
+  for (const auto& [id, requests] : fleet) EXPECT_LT(requests, 200) << id << ", 100 are its share";
 }
 
 TEST(Subsetting, AListChangeKeepsTheOtherMembersOfTheSubset) {
@@ -57,7 +57,7 @@
   sidecar.ChangeUpstream(removed);
   const std::map<std::string, int> after = ServeAtLowRate(sidecar, 20);
   int retained = 0;
-  for (const auto& [id, calls] : before) retained += static_cast<int>(after.count(id));
+  for (const auto& [id, requests] : before) retained += static_cast<int>(after.count(id));
   EXPECT_GE(retained, static_cast<int>(before.size()) - 2);
   EXPECT_EQ(after.count(removed.id.value), 0u);
 }
--- a/tests/balancer/unavailable_zone_test.cpp
+++ b/tests/balancer/unavailable_zone_test.cpp
@@ -20,12 +20,12 @@
     }
     sidecar.ReplaceList(list);
   }
-  // Sends `calls` requests 20 ms apart; those to "there" time out if it is `unresponsive`. Returns the number
-  // of attempts to "there" and of rejected requests.
-  std::pair<int, int> SendRequests(int calls, bool unresponsive, ClassId request_class = kUnsafe) {
+  // Sends `requests` requests 20 ms apart; those to "there" time out if it is `unresponsive`. Returns the
+  // number of attempts to "there" and of rejected requests.
+  std::pair<int, int> SendRequests(int requests, bool unresponsive, ClassId request_class = kUnsafe) {
     int there = 0;
     const std::size_t rejected_before = sidecar.rejected.size();
-    for (int i = 0; i < calls; ++i) {
+    for (int i = 0; i < requests; ++i) {
       const std::size_t before = sidecar.sent.size();
       sidecar.Arrive(request_class);
       sidecar.now += 10ms;
