--- a/tests/balancer/overload_test.cpp
+++ b/tests/balancer/overload_test.cpp
@@ -15,8 +15,8 @@
 namespace mothrack::balancer::testing {
 namespace {
 
-// A load of unsafe requests, one each `gap`, whose attempts end with `outcome` when `time` has passed.
-struct Load {
+// Sends unsafe requests, one each `gap`, whose attempts end with `outcome` when `time` has passed.
+struct LoadGenerator {
   // Returns the number of requests that were admitted.
   std::size_t Run(
       int requests, Duration gap, Duration time,
@@ -28,30 +28,30 @@
       const std::size_t before = sidecar.sent.size();
       sidecar.Arrive(kUnsafe);
       admitted += sidecar.sent.size() - before;
-      for (std::size_t k = before; k < sidecar.sent.size(); ++k) out.push_back(sidecar.sent[k]);
+      for (std::size_t k = before; k < sidecar.sent.size(); ++k) pending.push_back(sidecar.sent[k]);
       sidecar.Advance(gap);
-      while (!out.empty() && sidecar.now - out.front().at >= time) {
-        const Outcome end = outcome(out.front());
-        sidecar.EndAttempt(out.front(), end, end != Outcome::kServed);
-        out.pop_front();
+      while (!pending.empty() && sidecar.now - pending.front().at >= time) {
+        const Outcome end = outcome(pending.front());
+        sidecar.EndAttempt(pending.front(), end, end != Outcome::kServed);
+        pending.pop_front();
       }
     }
     return admitted;
   }
 
   TestSidecar& sidecar;
-  std::deque<SentAttempt> out{};
+  std::deque<SentAttempt> pending{};
 };
 
 TEST(Overload, LateAnswersShedAShareOfRequestsUntilAnswersAreInTimeAgain) {
   TestSidecar sidecar;
   sidecar.ListUpstreams(4);
-  Load load{sidecar};
+  LoadGenerator load{sidecar};
   const auto run = [&load](int requests, Duration time) { return load.Run(requests, 10ms, time); };
   EXPECT_EQ(run(300, 100ms), 300u);
   run(300, 390ms);  // the latency objective is 400 ms
   EXPECT_TRUE(sidecar.HasLogged("refusing: overload"));
-  EXPECT_LT(load.out.size(), 30u);
+  EXPECT_LT(load.pending.size(), 30u);
   run(600, 50ms);
   EXPECT_EQ(run(100, 50ms), 100u);
   EXPECT_TRUE(sidecar.HasLogged("taking calls again"));
@@ -69,7 +69,7 @@
     list.back().zone = id;  // so that no zone becomes unavailable
   }
   sidecar.ReplaceList(list);
-  Load load{sidecar};
+  LoadGenerator load{sidecar};
   // While positive: an upstream past slow start answers one of so many requests, late, and the others never.
   int requests_per_answer = 0;
   std::map<std::string, int> answers;
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -191,7 +191,7 @@
 
   Answer AnswerOf(const SentAttempt& sent) {
     const auto in_slow_start = in_slow_start_.find(sent.upstream);
-    if (in_slow_start != in_slow_start_.end()) Count(in_slow_start->second);
+    if (in_slow_start != in_slow_start_.end()) RecordArrival(in_slow_start->second);
     // An upstream never serves above its capacity.
     std::deque<TimePoint>& served = served_[sent.upstream];
     while (!served.empty() && served.front() <= now_ - 1s) served.pop_front();
@@ -216,7 +216,7 @@
                       case_.slow_start_initial_share, 1.0);
   }
 
-  void Count(std::deque<TimePoint>& arrived) {
+  void RecordArrival(std::deque<TimePoint>& arrived) {
     ++sent_;
     arrived.push_back(now_);
     while (arrived.front() <= now_ - case_.window) arrived.pop_front();
