--- a/tests/balancer/outlier_detection_test.cpp
+++ b/tests/balancer/outlier_detection_test.cpp
@@ -1,4 +1,4 @@
-// Which upstreams are ejected, and for how long.
+// OutlierDetector: after how many failures an upstream is ejected, and for how long.
 #include "balancer/outlier_detection.h"
 
 #include "gtest/gtest.h"
@@ -8,7 +8,8 @@
 
 using std::chrono::seconds;
 
-// Fails until it is ejected, beside another upstream: the number of failures.
+// Records failures of an upstream until it is ejected, while there is one `other` upstream. Returns their
+// number.
 int FailUntilEjected(OutlierRecord& record, const OutlierRecord& other, TimePoint now) {
   OutlierDetector detector;
   for (int failures = 1; failures < 100; ++failures) {
@@ -22,14 +23,14 @@
 
 TEST(OutlierDetector, TheThresholdIsAsRareAsFiveFailuresWhereATenthFails) {
   struct Case {
-    double calls, failures;  // of the other upstream
+    double attempts, failures;  // of the other upstream
     int run;
   };
-  for (const Case& c : {Case{0, 0, 5}, Case{100, 5, 5}, Case{100, 50, 17}}) {
+  for (const Case& test : {Case{0, 0, 5}, Case{100, 5, 5}, Case{100, 50, 17}}) {
     OutlierRecord record, other;
-    other.calls = c.calls;
-    other.failures = c.failures;
-    EXPECT_EQ(FailUntilEjected(record, other, TimePoint{}), c.run) << c.failures;
+    other.attempts = test.attempts;
+    other.failures = test.failures;
+    EXPECT_EQ(FailUntilEjected(record, other, TimePoint{}), test.run) << test.failures;
   }
 }
 
@@ -39,9 +40,9 @@
   for (const int ejection_s : {60, 120, 120}) {
     EXPECT_EQ(FailUntilEjected(record, {}, now), kFailuresToEject);
     EXPECT_EQ(record.ejection_time, seconds(ejection_s));
-    EXPECT_FALSE(OutlierDetector::IsOver(record, now));
+    EXPECT_FALSE(OutlierDetector::IsEjectionExpired(record, now));
     now = record.ejected_until;
-    EXPECT_TRUE(OutlierDetector::IsOver(record, now));
+    EXPECT_TRUE(OutlierDetector::IsEjectionExpired(record, now));
     OutlierDetector::RecordReturn(record, now);
   }
 }
@@ -49,7 +50,7 @@
 TEST(OutlierDetector, FailuresReduceTheWeightButTimeoutsOfAFastUpstreamLess) {
   OutlierRecord record;
   EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, false), 1);
-  record.calls = 10;
+  record.attempts = 10;
   record.failures = record.timeouts = 5;
   EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, false), 0.5);
   EXPECT_DOUBLE_EQ(OutlierDetector::SuccessFactor(record, true), 0.125);
--- a/tests/balancer/rotation_test.cpp
+++ b/tests/balancer/rotation_test.cpp
@@ -1,4 +1,4 @@
-// How requests are spread: by weight, latency, success rate and state of the upstreams.
+// The rotation: requests are spread by weight, latency, success rate and state of the upstreams.
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
@@ -12,159 +12,161 @@
 namespace {
 
 TEST(Rotation, EqualUpstreamsTakeEqualTurns) {
-  World w;
-  w.List(4);
-  for (const auto& [id, calls] : w.Spread(400)) EXPECT_NEAR(calls, 100, 3) << id;
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(4);
+  for (const auto& [id, requests] : sidecar.CountServed(400)) EXPECT_NEAR(requests, 100, 3) << id;
 }
 
 TEST(Rotation, TurnsFollowTheWeightsSmoothly) {
-  World w;
-  UpstreamInfo heavy = Up("heavy");
+  TestSidecar sidecar;
+  UpstreamInfo heavy = MakeUpstream("heavy");
   heavy.weight = 3;
-  w.Full({heavy, Up("a")});
-  int in_a_row = 0, most = 0, calls = 0;
+  sidecar.ReplaceList({heavy, MakeUpstream("a")});
+  int in_a_row = 0, most = 0, requests = 0;
   for (int i = 0; i < 400; ++i) {
-    const bool hit = w.Serve() == "heavy";
-    calls += hit;
+    const bool hit = sidecar.Serve() == "heavy";
+    requests += hit;
     in_a_row = hit ? in_a_row + 1 : 0;
     most = std::max(most, in_a_row);
   }
-  EXPECT_NEAR(calls, 300, 6);
+  EXPECT_NEAR(requests, 300, 6);
   EXPECT_LE(most, 4);
 }
 
 TEST(Rotation, ANewUpstreamStartsWithoutCredit) {
-  World w;
-  w.List(4);
-  w.Spread(200);
-  w.Change(Up("z"));
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(4);
+  sidecar.CountServed(200);
+  sidecar.ChangeUpstream(MakeUpstream("z"));
   int in_a_row = 0;
   for (int i = 0; i < 20; ++i) {
-    in_a_row = w.Serve() == "z" ? in_a_row + 1 : 0;
+    in_a_row = sidecar.Serve() == "z" ? in_a_row + 1 : 0;
     EXPECT_LE(in_a_row, 1);
   }
 }
 
 TEST(UnresponsiveUpstream, IsAvoidedBeforeFiveTimeouts) {
-  World w;
-  w.List(4);
-  w.Spread(100);  // about 10 ms each
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(4);
+  sidecar.CountServed(100);  // about 10 ms each
   for (int i = 0; i < 40; ++i) {
-    const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
-    w.now += 10ms;
-    for (std::size_t k = before; k < w.sent.size(); ++k) {
-      if (w.sent[k].upstream != "c") w.Finish(w.sent[k], Outcome::kServed);
+    const std::size_t before = sidecar.sent.size();
+    sidecar.Arrive(kUnsafe);
+    sidecar.now += 10ms;
+    for (std::size_t k = before; k < sidecar.sent.size(); ++k) {
+      if (sidecar.sent[k].upstream != "c") sidecar.EndAttempt(sidecar.sent[k], Outcome::kServed);
     }
   }
   int unresponsive = 0;
-  for (std::size_t k = w.sent.size() - 40; k < w.sent.size(); ++k) unresponsive += w.sent[k].upstream == "c";
+  for (std::size_t k = sidecar.sent.size() - 40; k < sidecar.sent.size(); ++k)
+    unresponsive += sidecar.sent[k].upstream == "c";
   EXPECT_LE(unresponsive, 2);
-  EXPECT_FALSE(w.Logged("ejected"));
+  EXPECT_FALSE(sidecar.HasLogged("ejected"));
 }
 
 TEST(SlowUpstream, GetsFewerRequests) {
-  World w;
-  w.List(4);
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(4);
   std::map<std::string, int> spread;
   for (int i = 0; i < 600; ++i) {
-    const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
-    const Sent call = w.sent[before];
-    w.now += call.upstream == "d" ? 40ms : 10ms;
-    w.Finish(call, Outcome::kServed);
-    if (i >= 200) ++spread[call.upstream];
+    const std::size_t before = sidecar.sent.size();
+    sidecar.Arrive(kUnsafe);
+    const SentAttempt attempt = sidecar.sent[before];
+    sidecar.now += attempt.upstream == "d" ? 40ms : 10ms;
+    sidecar.EndAttempt(attempt, Outcome::kServed);
+    if (i >= 200) ++spread[attempt.upstream];
   }
   EXPECT_LT(spread["d"], spread["a"] * 2 / 3);
   EXPECT_GT(spread["d"], 0);
 }
 
-// Half of its requests are never answered, the others fast: it has headroom, and the others cannot serve its
-// whole share.
+// An upstream answers half of its requests fast and the others never. It has capacity left, and the other
+// upstreams cannot serve all of its share.
 TEST(UnreliableUpstream, KeepsAShareByItsSuccessRate) {
-  World w;
-  w.List(4);
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(4);
   int at_b = 0;
   for (int i = 0; i < 400; ++i) {
-    const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
-    w.now += 10ms;
-    ASSERT_EQ(w.sent.size(), before + 1);
-    const bool b = w.sent[before].upstream == "b";
-    w.Finish(w.sent[before], b && ++at_b % 2 == 0 ? Outcome::kTimeout : Outcome::kServed);
+    const std::size_t before = sidecar.sent.size();
+    sidecar.Arrive(kUnsafe);
+    sidecar.now += 10ms;
+    ASSERT_EQ(sidecar.sent.size(), before + 1);
+    const bool b = sidecar.sent[before].upstream == "b";
+    sidecar.EndAttempt(sidecar.sent[before], b && ++at_b % 2 == 0 ? Outcome::kTimeout : Outcome::kServed);
   }
   EXPECT_GT(at_b, 400 / 12);
   EXPECT_LT(at_b, 400 / 5);
-  EXPECT_FALSE(w.Logged("refusing"));
+  EXPECT_FALSE(sidecar.HasLogged("refusing"));
 }
 
 TEST(FullUpstream, IsAvoidedBriefly) {
-  World w;
-  w.List(3);
-  w.Spread(30);
-  const std::size_t before = w.sent.size();
-  w.Arrive(kUnsafe);
-  const std::string full = w.sent[before].upstream;
-  w.Finish(w.sent[before], Outcome::kFull);
-  w.Answer(before + 1);
+  TestSidecar sidecar;
+  sidecar.ListUpstreams(3);
+  sidecar.CountServed(30);
+  const std::size_t before = sidecar.sent.size();
+  sidecar.Arrive(kUnsafe);
+  const std::string full = sidecar.sent[before].upstream;
+  sidecar.EndAttempt(sidecar.sent[before], Outcome::kFull);
+  sidecar.EndAttempts(before + 1);
   for (int i = 0; i < 6; ++i) {
-    w.Arrive(kUnsafe);
-    EXPECT_NE(w.sent.back().upstream, full);
+    sidecar.Arrive(kUnsafe);
+    EXPECT_NE(sidecar.sent.back().upstream, full);
   }
 }
 
 TEST(HeterogeneousUpstreams, RegisteredWeightsAreNotCountedTwice) {
-  World w;
+  TestSidecar sidecar;
   std::vector<UpstreamInfo> list;
   for (const char id : {'a', 'b', 'c', 'd'}) {
-    list.push_back(Up(std::string(1, id)));
+    list.push_back(MakeUpstream(std::string(1, id)));
     list.back().kind = id < 'c' ? "slow" : "fast";
     list.back().weight = id < 'c' ? 1 : 2;
   }
-  w.Full(list);
-  std::map<std::string, int> calls;
+  sidecar.ReplaceList(list);
+  std::map<std::string, int> requests;
   for (int i = 0; i < 600; ++i) {
-    const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
-    const bool slow = w.sent[before].upstream < "c";
-    if (i >= 200) ++calls[slow ? "slow" : "fast"];
-    w.now += slow ? 40ms : 20ms;
-    w.Finish(w.sent[before], Outcome::kServed);
+    const std::size_t before = sidecar.sent.size();
+    sidecar.Arrive(kUnsafe);
+    const bool slow = sidecar.sent[before].upstream < "c";
+    if (i >= 200) ++requests[slow ? "slow" : "fast"];
+    sidecar.now += slow ? 40ms : 20ms;
+    sidecar.EndAttempt(sidecar.sent[before], Outcome::kServed);
   }
-  EXPECT_NEAR(calls["fast"], 2 * calls["slow"], 60) << "as their sizes say, though one answers twice as fast";
+  EXPECT_NEAR(requests["fast"], 2 * requests["slow"], 60)
+      << "by their weights only, although one kind answers twice as fast";
 }
 
 TEST(HeterogeneousUpstreams, ANewUpstreamStartsWithTheLatencyOfItsKind) {
-  World w;
+  TestSidecar sidecar;
   std::vector<UpstreamInfo> list;
   for (const char id : {'a', 'b', 'c', 'd', 'e', 'f'}) {
-    list.push_back(Up(std::string(1, id)));
+    list.push_back(MakeUpstream(std::string(1, id)));
     list.back().kind = id < 'd' ? "slow" : "fast";
   }
-  w.Full(list);
-  const auto serve = [&w] {
-    const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
-    const bool slow = w.sent[before].upstream < "d";
-    w.now += slow ? 60ms : 20ms;
-    w.Finish(w.sent[before], Outcome::kServed);
+  sidecar.ReplaceList(list);
+  const auto serve = [&sidecar] {
+    const std::size_t before = sidecar.sent.size();
+    sidecar.Arrive(kUnsafe);
+    const bool slow = sidecar.sent[before].upstream < "d";
+    sidecar.now += slow ? 60ms : 20ms;
+    sidecar.EndAttempt(sidecar.sent[before], Outcome::kServed);
   };
   for (int i = 0; i < 60; ++i) serve();
   // Six more, three of each kind; none has answered yet.
   for (const char id : {'u', 'v', 'w', 'x', 'y', 'z'}) {
-    UpstreamInfo info = Up(std::string(1, id));
+    UpstreamInfo info = MakeUpstream(std::string(1, id));
     info.kind = id < 'x' ? "slow" : "fast";
-    w.Change(info);
+    sidecar.ChangeUpstream(info);
   }
   int fast = 0, slow = 0;
   for (int i = 0; i < 200; ++i) {
-    const std::size_t before = w.sent.size();
-    w.Arrive(kUnsafe);
-    const std::string& id = w.sent[before].upstream;
+    const std::size_t before = sidecar.sent.size();
+    sidecar.Arrive(kUnsafe);
+    const std::string& id = sidecar.sent[before].upstream;
     fast += id >= "x";
     slow += id >= "u" && id < "x";
-    w.now += 1ms;
-    w.Finish(w.sent[before], Outcome::kCancelled);  // teaches nothing
+    sidecar.now += 1ms;
+    sidecar.EndAttempt(sidecar.sent[before], Outcome::kCancelled);  // says nothing about its latency
   }
   EXPECT_GT(fast, 2 * slow);
 }
