--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -13,8 +13,9 @@
 using balancer::Outcome;
 using balancer::RequestId;
 
-// Clients do not reuse keys, so a key is needed only against a duplicate that was sent before the answer
-// arrived: for at least this time, and as long as a request may take or upstreams recognize its repeats.
+// Clients do not reuse keys, so a key is needed only to detect a duplicate that was sent before the answer
+// arrived. It is kept for at least this time, and for as long as a request may take or upstreams recognize a
+// duplicate.
 constexpr runtime::Duration kMinKeyRetention = std::chrono::seconds(5);
 constexpr std::size_t kMaxEndedKeys = 8192;
 
@@ -35,9 +36,10 @@
 
 runtime::Duration Dispatcher::KeyRetention(const balancer::Settings& settings) {
   runtime::Duration longest = kMinKeyRetention;
-  for (const auto& known : settings.classes) {
-    longest = std::max(longest, known.deadline);
-    if (known.effect == balancer::Effect::kKeyed) longest = std::max(longest, known.key_window);
+  for (const auto& request_class : settings.classes) {
+    longest = std::max(longest, request_class.deadline);
+    if (request_class.effect == balancer::Effect::kKeyed)
+      longest = std::max(longest, request_class.key_window);
   }
   return longest;
 }
@@ -166,12 +168,12 @@
   return true;
 }
 
-// From now on the client gets this attempt's answer; the module cancels the other attempts.
+// The client gets this attempt's answer; the module cancels the other attempts.
 void Dispatcher::OnAnswerStarted(RequestId id, AttemptId attempt, std::unique_ptr<Reply> reply) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
   PendingRequest& pending = it->second;
-  // The request has its outcome already.
+  // The request already has its outcome, so it needs no other answer.
   if (!Advance(pending, RequestEvent::kAnswerStarted)) {
     return transport_.Cancel(pending.attempts[static_cast<std::size_t>(attempt)]);
   }
@@ -244,8 +246,8 @@
   EraseIfDone(id);
 }
 
-// Called after the module's own cancellations. What is left are half-open probes, whose outcome the module
-// wants, and all attempts if the settings do not allow cancelling.
+// Called after the module's own cancellations. The attempts that are left are half-open probes, whose outcome
+// the module needs, and all attempts if the settings do not allow cancelling.
 void Dispatcher::AbandonUnsentAttempts(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end() || it->second.attempts_in_flight == 0) return;
@@ -254,8 +256,8 @@
   for (const ExchangeId attempt : attempts) transport_.Abandon(attempt);
 }
 
-// Deferred while events are queued: the module may still send attempts for the request, and each needs its
-// end.
+// Deferred while events are queued: the module may still send attempts for the request, and is owed the
+// end of each.
 void Dispatcher::EraseIfDone(RequestId id) {
   if (delivering_) return possibly_done_.push_back(id);
   const auto it = requests_.find(id);
@@ -273,8 +275,8 @@
   pending.attempts.push_back(exchange);
   ++pending.attempts_in_flight;
   ExchangeHooks hooks;
-  hooks.on_written = [this, cls = pending.request_class, tenant = pending.tenant] {
-    request_counters_.CountSent(cls, tenant);
+  hooks.on_written = [this, request_class = pending.request_class, tenant = pending.tenant] {
+    request_counters_.CountSent(request_class, tenant);
   };
   hooks.on_started = [this, id = action.request, attempt](std::unique_ptr<Reply> reply) {
     OnAnswerStarted(id, attempt, std::move(reply));
@@ -282,7 +284,7 @@
   hooks.on_end = [this, id = action.request, attempt](ExchangeResult result) {
     OnAttemptEnded(id, attempt, std::move(result));
   };
-  // The client disconnected or has its answer: no further attempt is sent.
+  // The client disconnected or has its answer, so no further attempt is sent.
   if (!AwaitsFinal(pending.state))
     return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   transport_.Send(exchange, action.upstream.value, pending.message, action.timeout, std::move(hooks));
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,7 +1,7 @@
-// Drives one Balancer for one pool of upstreams: owns its clock, timers and request table, passes it events
-// and executes its actions in order. Independent of the protocol: see exchange.h for the front ends and
-// transports, request_state.h for the states of a request. No other class calls the module, sends an attempt
-// or ends a request.
+// Drives one Balancer, the decision module ("the module" below), for one pool of upstreams: owns its clock,
+// timers and request table, passes it events and executes its actions in order. Independent of the protocol:
+// see exchange.h for the front ends and transports, request_state.h for the states of a request. No other
+// class calls the module, sends an attempt or ends a request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -32,26 +32,28 @@
 // ExchangeHooks, Transport) may call it again; the module is never re-entered.
 class Dispatcher {
  public:
-  // Subscribes to the endpoint list, if the settings say that membership is sent on request.
+  // Called when the module subscribes to the endpoint list, which it does if the settings have
+  // `membership_on_request`.
   using OnSubscribe = std::function<void()>;
 
-  // `transport` and `log` must outlive it. `seed`: for the module's random number generator. The list that a
-  // former process had must be applied first, by Apply() with kRestored.
+  // `transport` and `log` must outlive this object. `seed`: for the module's random number generator. The
+  // list of a previous process must be applied first, by Apply() with kRestored.
   Dispatcher(boost::asio::io_context& io, const balancer::Settings& settings, std::uint64_t seed,
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr)
       : Dispatcher(std::make_unique<runtime::EventLoopTimer>(io), settings, seed, transport, log,
                    std::move(on_subscribe)) {}
-  // With another clock and timer, for example of a simulation. The timer must not fire after destruction.
+  // The same with another clock and timer, for example those of a simulation. The timer must not fire once
+  // this object is destroyed.
   Dispatcher(std::unique_ptr<runtime::Timer> timer, const balancer::Settings& settings, std::uint64_t seed,
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr);
 
-  // Accepts a request. Returns nothing, and gives no Final, if its key is among RecentKeys().
+  // Accepts a request. Returns nothing, and gives no final answer, if its key is among RecentKeys().
   std::optional<balancer::RequestId> Submit(NewRequest request);
   // The body of a request that was submitted with `arriving` is complete; its deadline counts from now on.
   // Ids that are unknown, or not arriving, are ignored.
   void OnRequestComplete(balancer::RequestId id, runtime::TimePoint deadline);
-  // The client disconnected: the request gets no Final any more. Ids that are unknown, or were answered
-  // completely, are ignored.
+  // The client disconnected: the request gets no final answer any more. Ids that are unknown, or were
+  // answered completely, are ignored.
   void OnClientDisconnected(balancer::RequestId id);
 
   // The endpoint list from discovery, or changes to it.
@@ -61,7 +63,7 @@
   // An operator's ban of an upstream, regardless of the list, and its end; false if it was never listed.
   bool Ban(const std::string& uid);
   bool Unban(const std::string& uid);
-  // The bans of a former process.
+  // Restores the bans of a previous process.
   void RestoreBans(const std::set<std::string>& bans);
 
   // How long the key of an ended request is remembered.
@@ -74,12 +76,12 @@
   void SetKeyObserver(std::function<void(const std::string&)> on_key) { on_key_ = std::move(on_key); }
 
   const balancer::Settings& settings() const { return settings_; }
-  // Number of requests that wait for their Final or have attempts that have not ended.
+  // Number of requests that wait for their final answer or have attempts that have not ended.
   std::size_t open() const { return requests_.size(); }
   // Number of requests with a complete body and no outcome yet.
   std::size_t in_flight() const { return in_flight_; }
 
-  // For the admin API and logs.
+  // Views and counters for the admin API and logs.
   std::vector<balancer::UpstreamView> upstreams() const { return balancer_.upstreams(Now()); }
   balancer::Counts counts() const { return balancer_.counts(); }
   const RequestCounters& request_counters() const { return request_counters_; }
@@ -96,16 +98,16 @@
     balancer::AttemptId winner{};        // the attempt whose answer is being streamed, if any
     OnFinal on_final;                    // called at most once, while AwaitsFinal(state)
     std::vector<ExchangeId> attempts;    // by AttemptId
-    std::size_t attempts_in_flight = 0;  // that have not ended
+    std::size_t attempts_in_flight = 0;  // number of attempts that have not ended
     std::optional<balancer::Outcome> last_outcome;
     std::unique_ptr<Reply> last_reply;
   };
 
-  // Queues an event if the module or a front end is on the stack, so that handle() is never re-entered; else
-  // processes it now.
-  template <typename E>
-  void Deliver(E&& event) {
-    events_.emplace_back(std::forward<E>(event));
+  // Queues an event if the module or a front end is on the stack, so that Balancer::handle() is never
+  // re-entered. Otherwise processes it now.
+  template <typename Event>
+  void Deliver(Event&& event) {
+    events_.emplace_back(std::forward<Event>(event));
     if (!delivering_) ProcessEvents();
   }
   runtime::TimePoint Now() const { return timers_.Now(); }
@@ -114,13 +116,14 @@
   void OnAnswerStarted(balancer::RequestId id, balancer::AttemptId attempt, std::unique_ptr<Reply> reply);
   void OnAttemptEnded(balancer::RequestId id, balancer::AttemptId attempt, ExchangeResult result);
   void GiveFinal(balancer::RequestId id, FinalAnswer final);
-  // The request needs no answer any more: attempts that are not yet completely written must not be.
+  // Called when the request needs no answer any more. Stops attempts whose message is not yet completely
+  // written.
   void AbandonUnsentAttempts(balancer::RequestId id);
   void EraseIfDone(balancer::RequestId id);
   // Moves the request to its next state and updates in_flight_; false, without effect, if the event does not
   // apply.
   bool Advance(PendingRequest& pending, RequestEvent event);
-  // As Advance(), for an event that ends the request; counts the outcome.
+  // Like Advance(), for an event that ends the request. Also counts the outcome.
   bool Finish(PendingRequest& pending, RequestEvent event, RequestCounters::Outcome outcome);
 
   void Execute(const balancer::SendAttempt& action);
--- a/src/dispatch/exchange.h
+++ b/src/dispatch/exchange.h
@@ -1,8 +1,8 @@
 // The interface between the dispatcher and a protocol. A *front end* accepts requests from clients and
-// submits them; each gets exactly one Final, unless its client disconnects first. A *transport* carries
-// attempts and load probes to upstreams; each ends with exactly one call of its on_end. Messages are opaque
-// to the dispatcher: the transport reads what the front end of the same protocol made, and the front end
-// reads the transport's replies. All calls are made on the thread of the event loop.
+// submits them; each gets exactly one final answer, unless its client disconnects first. A *transport*
+// carries attempts and load probes to upstreams; each ends with exactly one call of its on_end. Messages are
+// opaque to the dispatcher: the transport reads what the front end of the same protocol made, and the front
+// end reads the transport's replies. All calls are made on the thread of the event loop.
 #pragma once
 
 #include <cstddef>
@@ -33,15 +33,15 @@
 // The final answer to a request, given to its front end once.
 struct FinalAnswer {
   enum class Kind {
-    kServed,    // `reply` is the answer
+    kServed,    // `reply` is the upstream's answer
     kRejected,  // the request had no effect, or repeating it is harmless
     kFailed,    // the request may have taken effect
   };
   Kind kind = Kind::kFailed;
-  // If not served: the reply to the last attempt, if it is worth passing on to the client.
+  // If served: the answer. Otherwise the last attempt's reply, if there is one to pass on to the client.
   std::unique_ptr<Reply> reply;
   bool streaming = false;           // the body of `reply` is still arriving; the client may still disconnect
-  runtime::Duration retry_after{};  // of a rejection, for Retry-After; zero: none
+  runtime::Duration retry_after{};  // for the Retry-After of a rejection; zero: none
   bool late = false;                // the request's deadline has passed
   std::size_t attempts = 0;         // so far; some may still be in flight
   std::optional<balancer::Outcome> last;  // outcome of the attempt that ended last; absent if none has
@@ -71,7 +71,7 @@
   balancer::Outcome outcome = balancer::Outcome::kServed;
   runtime::Duration elapsed{};
   balancer::LoadReport load{};
-  // If served, or if the upstream's answer is worth passing on to the client.
+  // Set if served, or if the upstream's answer may be passed on to the client.
   std::unique_ptr<Reply> reply;
 };
 
@@ -89,15 +89,15 @@
   using OnEnd = std::function<void(ExchangeResult)>;
   virtual ~Transport() = default;
 
-  // The present location of an upstream. If it drains, is gone, moved or restarted, attempts that are not yet
-  // being written are not sent and end as kNotSent.
+  // The current location of an upstream. If the upstream drains, moved, restarted or was removed, attempts
+  // that are not yet being written are not sent and end as kNotSent.
   virtual void Apply(const std::string& uid, const Location& location) = 0;
   // Calls on_end exactly once, also if nothing could be sent, possibly before returning. `timeout` counts
-  // from now, or for a message that is still arriving from its last byte, and covers the attempt until its
-  // answer has started. Never resends a message by itself.
+  // from now, or from the last byte of a message that is still arriving, and covers the attempt until its
+  // answer has started. The transport does not retry.
   virtual void Send(ExchangeId id, const std::string& uid, std::shared_ptr<const Message> message,
                     runtime::Duration timeout, ExchangeHooks hooks) = 0;
-  // Sends a load probe: a request of the transport's own for the upstream's load report.
+  // Sends a load probe: a request that the transport itself makes for the upstream's load report.
   virtual void Probe(ExchangeId id, const std::string& uid, OnEnd on_end) = 0;
   // Stops waiting for the answer; on_end is still called. Unknown ids are ignored.
   virtual void Cancel(ExchangeId id) = 0;
--- a/src/dispatch/membership.h
+++ b/src/dispatch/membership.h
@@ -17,11 +17,11 @@
   std::int64_t boot_ms = 0;  // Unix milliseconds when its process started; 0: unknown
 };
 
-// A complete list, or the changes since the one before, for both the module and the transport.
+// A complete list, or the changes since the previous one, for both the balancer and the transport.
 struct MembershipList {
   std::uint64_t revision = 0;  // assigned by discovery
   balancer::MembershipUpdate update;
-  std::map<std::string, Location> locations;  // by uid, of the same upstreams
+  std::map<std::string, Location> locations;  // by uid, of the upstreams in `update`
 };
 
 }  // namespace mothrack::dispatch
--- a/src/dispatch/request_counters.h
+++ b/src/dispatch/request_counters.h
@@ -45,24 +45,26 @@
     }
   }
 
-  // `cls` is one of the settings' classes.
-  void CountAccepted(balancer::ClassId cls, std::optional<balancer::TenantId> tenant) {
-    ++RowOf(cls, tenant).accepted;
+  // `request_class` is one of the settings' classes.
+  void CountAccepted(balancer::ClassId request_class, std::optional<balancer::TenantId> tenant) {
+    ++RowOf(request_class, tenant).accepted;
   }
-  void CountSent(balancer::ClassId cls, std::optional<balancer::TenantId> tenant) {
-    ++RowOf(cls, tenant).sent;
+  void CountSent(balancer::ClassId request_class, std::optional<balancer::TenantId> tenant) {
+    ++RowOf(request_class, tenant).sent;
   }
-  void CountOutcome(balancer::ClassId cls, std::optional<balancer::TenantId> tenant, Outcome outcome) {
-    ++RowOf(cls, tenant).ended[static_cast<std::size_t>(outcome)];
+  void CountOutcome(balancer::ClassId request_class, std::optional<balancer::TenantId> tenant,
+                    Outcome outcome) {
+    ++RowOf(request_class, tenant).ended[static_cast<std::size_t>(outcome)];
   }
 
   // Sorted by class, then tenant (no tenant first); includes rows without counts.
   const std::vector<Row>& rows() const { return rows_; }
 
  private:
-  Row& RowOf(balancer::ClassId cls, std::optional<balancer::TenantId> tenant) {
+  Row& RowOf(balancer::ClassId request_class, std::optional<balancer::TenantId> tenant) {
     const std::size_t column = tenant ? static_cast<std::size_t>(*tenant) + 1 : 0;
-    return rows_[static_cast<std::size_t>(cls) * (tenants_ + 1) + (column <= tenants_ ? column : 0)];
+    return rows_[static_cast<std::size_t>(request_class) * (tenants_ + 1) +
+                 (column <= tenants_ ? column : 0)];
   }
 
   std::size_t tenants_;
--- a/src/dispatch/request_state.h
+++ b/src/dispatch/request_state.h
@@ -1,14 +1,14 @@
 // The states of a request in the dispatcher, as a state machine without I/O. The state combines two facts:
-// whether the request's body is still arriving from the client, and whether its answer is due, streaming or
-// over.
+// whether the request's body is still arriving from the client, and whether its answer is awaited, streaming
+// or ended.
 //
 //                     body still arriving            body complete
-//   answer due        kArriving                      kInFlight
+//   answer awaited    kArriving                      kInFlight
 //   answer streaming  kStreamingWhileArriving        kStreaming
-//   over              kEndedWhileArriving            kEnded
+//   ended             kEndedWhileArriving            kEnded
 //
 // kBodyComplete moves to the right, every other event downwards; request_state.cpp has the transition table.
-// An event without a row for the state does not apply and is ignored. A request that is over stays in the
+// An event without a row for the state does not apply and is ignored. A request that has ended stays in the
 // dispatcher's table until its last attempt has ended.
 #pragma once
 
@@ -18,9 +18,9 @@
 
 enum class RequestState {
   kArriving,                // accepted, its body is still arriving; its deadline does not count yet
-  kInFlight,                // its body is complete, its Final is due
+  kInFlight,                // its body is complete, its final answer is awaited
   kStreamingWhileArriving,  // an upstream's answer is streaming before the body is complete
-  kStreaming,               // its Final was given, the answer's body is still streaming
+  kStreaming,               // its final answer was given, the answer's body is still streaming
   kEndedWhileArriving,      // it has its outcome, the client may still be sending
   kEnded,                   // it has its outcome
 };
@@ -36,7 +36,7 @@
 // The next state; nothing if `event` does not apply to `state`.
 std::optional<RequestState> NextState(RequestState state, RequestEvent event);
 
-// Whether the request still needs its Final.
+// Whether the request still needs its final answer.
 constexpr bool AwaitsFinal(RequestState state) {
   return state == RequestState::kArriving || state == RequestState::kInFlight;
 }
@@ -50,7 +50,7 @@
   return state == RequestState::kStreamingWhileArriving || state == RequestState::kStreaming;
 }
 
-// Whether it counts as in flight in reports: body complete, no outcome yet.
+// Whether the request counts as in flight in reports: body complete, no outcome yet.
 constexpr bool IsInFlight(RequestState state) {
   return state == RequestState::kInFlight || state == RequestState::kStreaming;
 }
--- a/src/dispatch/start_times.h
+++ b/src/dispatch/start_times.h
@@ -4,14 +4,12 @@
 // Discovery gives the start of a process as Unix time (`boot_ms`). The module needs a TimePoint that is the
 // same in every list, since a different start time means a different process, and that is not too early,
 // since slow start depends on the age. The wall clock may be stepped at any time. Therefore:
-//   * A process keeps the time that it was given first, also while it is not listed.
-//   * A new process started no later than the list that has it, and no earlier than the list before, which
-//   did not
-//     have it.
+//   * A process keeps its first estimate, also while it is not listed.
+//   * A new process started no later than the first list that contains it was received, and no earlier than
+//     the previous list, which does not contain it.
 //   * Within these bounds the wall clock decides. If it was stepped between the two lists, it is unknown
-//   which
-//     setting `boot_ms` refers to, and the later start counts: a process assumed too young serves less for a
-//     while, one assumed too old may be overloaded.
+//     which setting `boot_ms` refers to, and the later start counts: a process assumed too young gets fewer
+//     requests during its slow start, one assumed too old may be overloaded.
 #pragma once
 
 #include <cstddef>
@@ -41,36 +39,39 @@
   explicit StartTimes(const runtime::ClockReading& at_start) : last_reading_(at_start) {}
 
   // Sets `started` of each upstream with a known boot_ms. `reading`: the clocks when the list was received;
-  // lists must be passed in that order. A restored list may be older than the program and sets no bound.
+  // lists must be passed in that order. A restored list may be older than the program and is no lower bound
+  // for later ones.
   void SetStartTimes(MembershipList& list, const runtime::ClockReading& reading);
 
   // The start times that another process of this sidecar on the same machine has determined, and when it
   // received its last list. To be called before the first SetStartTimes().
-  void Import(const std::vector<ProcessStart>& placed, std::optional<runtime::TimePoint> last_list);
+  void Import(const std::vector<ProcessStart>& processes, std::optional<runtime::TimePoint> last_list);
   // The start times of the listed processes.
   std::vector<ProcessStart> Export() const;
   // When the last list was received; absent before the first.
   std::optional<runtime::TimePoint> last_list() const { return last_list_; }
 
-  // Bound on remembered processes that are no longer listed; the oldest are dropped first.
-  static constexpr std::size_t kMaxDeparted = 4096;
+  // Maximum number of remembered processes that are no longer listed; the oldest are dropped first.
+  static constexpr std::size_t kMaxRemoved = 4096;
 
  private:
-  struct PlacedProcess {
+  struct KnownProcess {
     std::int64_t boot_ms = 0;
     runtime::TimePoint started;
   };
 
-  runtime::TimePoint Estimate(std::int64_t boot_ms, const runtime::ClockReading& reading, bool bounded) const;
-  const PlacedProcess* Find(const std::string& uid, std::int64_t boot_ms) const;
-  void MarkDeparted(const std::string& uid);
-  void MarkDepartedAllBut(const MembershipList& list);
+  // The start of a new process. `after_last_list`: it is not in the last list, so it started after that.
+  runtime::TimePoint Estimate(std::int64_t boot_ms, const runtime::ClockReading& reading,
+                              bool after_last_list) const;
+  const KnownProcess* Find(const std::string& uid, std::int64_t boot_ms) const;
+  void MarkRemoved(const std::string& uid);
+  void MarkRemovedAllBut(const MembershipList& list);
 
-  std::map<std::string, PlacedProcess> listed_;
-  std::map<std::string, PlacedProcess> departed_;
-  std::deque<std::string> departed_in_order_;
+  std::map<std::string, KnownProcess> listed_;   // by uid
+  std::map<std::string, KnownProcess> removed_;  // by uid, no longer listed
+  std::deque<std::string> removed_in_order_;     // uids, oldest first
   runtime::ClockReading last_reading_;
-  // When the present list was received; absent before the first.
+  // When the last list was received, not counting a restored one; absent before the first.
   std::optional<runtime::TimePoint> last_list_;
 };
 
--- a/src/dispatch/upstream_overrides.cpp
+++ b/src/dispatch/upstream_overrides.cpp
@@ -8,7 +8,7 @@
 using balancer::MembershipUpdate;
 using balancer::UpstreamState;
 
-// Bound on remembered ids, which would otherwise accumulate as machines are replaced.
+// Maximum number of remembered uids, which would otherwise accumulate as machines are replaced.
 constexpr std::size_t kMaxRemembered = 16384;
 
 }  // namespace
@@ -60,9 +60,9 @@
   for (const std::string& uid : bans) {
     RememberListed(uid);
     bans_.insert(uid);
-    MembershipList one = ChangeOf(uid);
-    changes.locations.merge(one.locations);
-    for (auto& info : one.update.upstreams) changes.update.upstreams.push_back(std::move(info));
+    MembershipList change = ChangeOf(uid);
+    changes.locations.merge(change.locations);
+    for (auto& info : change.update.upstreams) changes.update.upstreams.push_back(std::move(info));
   }
   return changes;
 }
--- a/src/dispatch/upstream_overrides.h
+++ b/src/dispatch/upstream_overrides.h
@@ -1,5 +1,5 @@
 // Operators' bans on top of the endpoint list from discovery. Both are kept separately: a ban holds, whatever
-// the list says, until it is lifted, and then the list at that time applies. A banned upstream drains: it
+// the list says, until it is lifted. From then on the current list applies. A banned upstream drains: it
 // gets no new attempts.
 #pragma once
 
@@ -17,18 +17,18 @@
 // Not thread-safe; called by the event loop only. The caller applies the returned lists.
 class UpstreamOverrides {
  public:
-  // A list from discovery. Returns it with the bans applied; for a full list, missing upstreams are added as
-  // gone.
+  // Returns a list from discovery with the bans applied. If it is a full list, upstreams that are missing
+  // from it are added as kGone.
   MembershipList Apply(MembershipList list);
 
-  // Returns the resulting change of the list, which may be empty; absent if the upstream was never listed.
-  // Idempotent.
+  // Bans an upstream, or lifts its ban; idempotent. Returns the resulting change of the list, which may be
+  // empty, or nothing if the upstream was never listed.
   std::optional<MembershipList> Ban(const std::string& uid);
   std::optional<MembershipList> Unban(const std::string& uid);
   // Adds the bans of another process, also of upstreams that were never listed here.
   MembershipList Restore(const std::set<std::string>& bans);
 
-  // Number of upstreams in the present list, banned or not.
+  // Number of upstreams in the current list, banned or not.
   std::size_t listed() const { return listed_.size(); }
   bool IsListed(const std::string& uid) const { return listed_.contains(uid); }
   const std::set<std::string>& bans() const { return bans_; }
@@ -43,10 +43,10 @@
   void ApplyBan(const std::string& uid, Entry& entry) const;
   MembershipList ChangeOf(const std::string& uid) const;
 
-  std::map<std::string, Entry> listed_;  // as from discovery, without those that are gone
+  std::map<std::string, Entry> listed_;  // by uid; as discovery gave them, without removed ones
   std::set<std::string> bans_;
-  // Ids that were ever listed, and in which order; the oldest are dropped first, except listed and banned
-  // ones.
+  // Uids that were ever listed, and the order in which they were first seen. The oldest are dropped first,
+  // except listed and banned ones.
   std::set<std::string> remembered_;
   std::deque<std::string> remembered_in_order_;
 };
--- a/tests/dispatch/start_times_test.cpp
+++ b/tests/dispatch/start_times_test.cpp
@@ -167,7 +167,7 @@
 TEST(StartTimes, RemovedProcessesAreRememberedInBoundedSpace) {
   dispatch::StartTimes times(At(kStart));
   const std::int64_t boot_ms = BootMs(kStart - seconds(5));
-  for (std::size_t i = 0; i <= dispatch::StartTimes::kMaxDeparted; ++i) {
+  for (std::size_t i = 0; i <= dispatch::StartTimes::kMaxRemoved; ++i) {
     dispatch::MembershipList list = One(Kind::kFull, "u" + std::to_string(i), boot_ms);
     times.SetStartTimes(list, At(kStart));
   }
@@ -178,7 +178,7 @@
   // later.
   EXPECT_EQ(Placed(times, One(Kind::kChanges, "u0", boot_ms), At(kStart + seconds(2))), kStart + seconds(1));
   EXPECT_EQ(
-      Placed(times, One(Kind::kChanges, "u" + std::to_string(dispatch::StartTimes::kMaxDeparted), boot_ms),
+      Placed(times, One(Kind::kChanges, "u" + std::to_string(dispatch::StartTimes::kMaxRemoved), boot_ms),
              At(kStart + seconds(2))),
       kStart);
 }
