--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
 // simulator_adapter: speaks the simulator's protocol on standard input and output, one JSON object per line.
-// Each input line gets one reply line. Exits with 1 at a line that is no valid batch.
+// Each input line gets one reply line. Exits with status 1 at a line that is not a valid batch.
 #include <iostream>
 #include <string>
 
@@ -12,8 +12,8 @@
   while (std::getline(std::cin, line)) {
     try {
       std::cout << host.Reply(line) << '\n' << std::flush;
-    } catch (const mothrack::simulator_adapter::Error& e) {
-      std::cerr << "simulator_adapter: " << e.what() << std::endl;
+    } catch (const mothrack::simulator_adapter::ProtocolError& error) {
+      std::cerr << "simulator_adapter: " << error.what() << std::endl;
       return 1;
     }
   }
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -14,29 +14,30 @@
 namespace mothrack::simulator_adapter {
 
 // A line that is not a batch, or lacks a required field. The text names the field or the event.
-class Error : public std::runtime_error {
+class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 // Reads the settings of one instance from `Params` of a `Launch` event. Missing settings keep their defaults.
-// Throws Error.
+// Throws ProtocolError.
 balancer::Settings ParseSettings(const nlohmann::json& params);
 
 // The balancer instances of one process. They share only the numbered upstream lists, which are inputs.
 class Host {
  public:
-  // Handles one batch and returns the reply without a line end. Throws Error.
+  // Handles one batch and returns the reply without a line end. Throws ProtocolError.
   std::string Reply(const std::string& line);
 
  private:
   struct Instance {
     balancer::Settings settings;
     balancer::Balancer balancer;
-    std::map<std::string, std::size_t> classes;
-    std::map<std::string, std::size_t> tenants;
+    std::map<std::string, std::size_t> class_numbers;   // by name; the index in the settings
+    std::map<std::string, std::size_t> tenant_numbers;  // the same for tenants
   };
 
+  // Handles one event of a batch and appends the resulting actions to `cmds`.
   void HandleEvent(const nlohmann::json& item, balancer::TimePoint now, nlohmann::json& cmds);
   // `item`: a Launch event of this instance.
   void Launch(std::int64_t number, const nlohmann::json& item);
@@ -44,8 +45,8 @@
                           const Instance& instance) const;
   balancer::MembershipUpdate ToMembership(const nlohmann::json& item) const;
 
-  std::map<std::int64_t, Instance> instances_;
-  std::map<std::int64_t, std::vector<balancer::UpstreamInfo>> upstream_lists_;
+  std::map<std::int64_t, Instance> instances_;                                  // by instance number
+  std::map<std::int64_t, std::vector<balancer::UpstreamInfo>> upstream_lists_;  // by list number
   std::vector<balancer::Action> actions_;
 };
 
