--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -64,7 +64,7 @@
     if (error || number != timer_number_) return;
     // Keep only one late call: a later one would be answered even later.
     if (!late_call_) late_call_ = std::exchange(call_, nullptr);
-    Fail({FailedCall::Kind::kTimeout, "no list in time"});
+    Fail({FailedCall::Kind::kTimeout, "no full list within the timeout"});
   });
 }
 
@@ -113,12 +113,12 @@
   // Keep the connection that answered first.
   if (&call == late_call_.get()) std::swap(call_, late_call_);
   if (late_call_) std::exchange(late_call_, nullptr)->Drop();
-  // The revision is older than the known one, so another source is counting, and the changes in between are
-  // unknown.
+  // An older revision than the known one comes from a source that numbers its lists anew, so the changes in
+  // between are unknown.
   if (revision_ && list.revision < *revision_ && list.update.kind == MembershipUpdate::Kind::kChanges) {
     revision_.reset();
-    return Fail(
-        {FailedCall::Kind::kOutdated, "version " + std::to_string(list.revision) + " after a later one"});
+    return Fail({FailedCall::Kind::kOutdated,
+                 "revision " + std::to_string(list.revision) + " is older than the one held"});
   }
   Accept(std::move(list));
 }
@@ -143,9 +143,9 @@
   Fail(error);
 }
 
-// After a failure the old list stays in use. With a shared service its revision is kept too, so that the next
+// The old list stays in use after a failure. With a shared service its revision is kept too, so that the next
 // call requests only the changes since then, which costs the service least. A local agent may have restarted
-// and count anew, so its full list is polled, which costs it nothing.
+// and number its lists anew, so its full list is polled, which costs it nothing.
 void Discovery::Fail(const CallError& error) {
   if (call_) std::exchange(call_, nullptr)->Drop();
   ++counts_.failed;
--- a/src/discovery/discovery.h
+++ b/src/discovery/discovery.h
@@ -1,5 +1,5 @@
-// The client of the endpoint list's source. Polls the source, watches it for changes, and polls again after
-// failures as PollPolicy specifies. Design and bounds: docs/design/endpoint_staleness.md.
+// The client of the source of the endpoint list. Polls the source, watches it for changes, and polls again
+// after failures as PollPolicy specifies. Design and bounds: docs/design/endpoint_staleness.md.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -65,7 +65,7 @@
   CallKind NextCallKind() const;
   // Schedules the next call in `delay` and replaces the current setting of the timer.
   void ScheduleCall(runtime::Duration delay);
-  // For a full list: counts the pending call as failed after `timeout` but keeps it open for a late answer.
+  // Limits a call for a full list: counts it as failed after `timeout`, but keeps it open for a late answer.
   void ScheduleListTimeout(runtime::Duration timeout);
   void DropCalls();
   double Jitter() { return std::uniform_real_distribution<>()(random_); }
@@ -82,7 +82,7 @@
   runtime::Logger& log_;
   const OnList on_list_;
   boost::asio::steady_timer timer_;  // next call, or timeout of a full list
-  std::uint64_t timer_number_ = 0;   // voids handlers of earlier settings of the timer
+  std::uint64_t timer_number_ = 0;   // invalidates the handlers of earlier settings of the timer
   std::shared_ptr<ListCall> call_;
   // The first call for a full list that timed out. Its answer is still accepted if it arrives before those of
   // later calls.
--- a/src/discovery/endpoint_list.cpp
+++ b/src/discovery/endpoint_list.cpp
@@ -39,13 +39,13 @@
   return info;
 }
 
-// An upstream that is gone needs no endpoint.
+// Throws MalformedList. An upstream in the state "left" needs no endpoint.
 dispatch::Location ParseLocation(const json& target, const UpstreamInfo& info) {
   dispatch::Location location;
   location.state = info.state;
   location.boot_ms = target.value("boot_ms", std::int64_t{0});
-  if (location.boot_ms < 0 || location.boot_ms > kMaxBootMs) throw MalformedList("bad boot_ms");
-  if (!(info.weight >= 0 && info.weight <= kMaxWeight)) throw MalformedList("bad capacity_hint");
+  if (location.boot_ms < 0 || location.boot_ms > kMaxBootMs) throw MalformedList("boot_ms is out of range");
+  if (!(info.weight >= 0 && info.weight <= kMaxWeight)) throw MalformedList("capacity_hint is out of range");
   const auto text = target.value("endpoint", "");
   if (const auto endpoint = runtime::ParseEndpoint(text)) {
     location.endpoint = *endpoint;
@@ -61,13 +61,13 @@
   list.update.kind =
       body.at("all").get<bool>() ? MembershipUpdate::Kind::kFull : MembershipUpdate::Kind::kChanges;
   const json& targets = body.at("targets");
-  if (!targets.is_array()) throw MalformedList("targets is no array");
+  if (!targets.is_array()) throw MalformedList("targets is not an array");
   std::map<std::string, std::size_t> index_by_id;
   for (const json& target : targets) {
     UpstreamInfo info = ParseInfo(target);
     list.locations[info.id.value] = ParseLocation(target, info);
-    const auto [entry, first] = index_by_id.try_emplace(info.id.value, list.update.upstreams.size());
-    if (first) list.update.upstreams.emplace_back();
+    const auto [entry, inserted] = index_by_id.try_emplace(info.id.value, list.update.upstreams.size());
+    if (inserted) list.update.upstreams.emplace_back();
     list.update.upstreams[entry->second] = std::move(info);
   }
   return list;
--- a/src/discovery/endpoint_list.h
+++ b/src/discovery/endpoint_list.h
@@ -10,7 +10,7 @@
 
 namespace mothrack::discovery {
 
-// What is wrong with a list, for the log.
+// Thrown for a list that cannot be used. The text says what is wrong with it, for the log.
 class MalformedList : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/discovery/endpoint_staleness.cpp
+++ b/src/discovery/endpoint_staleness.cpp
@@ -11,7 +11,7 @@
 
 // Limits of the drain time. Below the minimum, a watch would be sent more than thirty times a second, which
 // costs one hundredth of a core, and an agent that only waits for its core would time out. A shorter drain is
-// kept as well as the minimum allows. Above the maximum nothing more is gained.
+// kept only as far as this minimum allows. Above the maximum nothing more is gained.
 constexpr Duration kMinDrain = milliseconds(100);
 constexpr Duration kMaxDrain = milliseconds(2000);
 
@@ -35,7 +35,7 @@
 // Whatever happened to earlier calls, a change counts as notified this long after the source had it and was
 // reachable.
 constexpr Duration kNotifiedAfterOutage = seconds(6);
-// On request: the service itself fails a call after this time. A client that gives up earlier adds to its
+// On request: the service itself fails a call after this time. A client that times out earlier adds to its
 // load.
 constexpr Duration kServiceTimeout = seconds(2);
 // This value keeps the bound: the call that is pending when the service recovers may be lost, and the next
@@ -43,10 +43,10 @@
 constexpr Duration kMaxRetryInterval = kNotifiedAfterOutage - kServiceTimeout;
 // A change during a watch counts as notified this long after the end of the watch's wait. The service can
 // handle one call in five seconds from each sidecar; with watches of 4 s an overloaded service answered
-// nobody.
+// none of them.
 constexpr Duration kNotifiedAfterWatch = kServiceTimeout;
 constexpr Duration kServiceWatchWait = seconds(5);
-// From the second consecutive fault on, the minimum time between the starts of two calls.
+// The minimum time between the starts of two calls, from the second consecutive fault on.
 constexpr Duration kMinFaultInterval = seconds(3);
 static_assert(kMinFaultInterval < kMaxRetryInterval);
 // Longer than the service's own timeout, so that its answer is received. The time that remains until
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -24,12 +24,15 @@
 // The ways in which a change of the list can be missed. Each names the moment from which the staleness is
 // counted.
 enum class StalenessCase {
-  // A watch got no answer. Push: from when the agent has the change; on request: from the start of the watch.
+  // A watch got no answer. Push: counted from when the agent has the change; on request: from the start of
+  // the
+  // watch.
   kWatchTimeout,
   kListTimeout,     // a call without a wait got no answer; counted in the same way
-  kAfterOutage,     // after any number of failed calls. From when the source has the change and is reachable
-  kAddressChanged,  // SIGHUP named another source. From the signal
-  kNewProcess,      // from the start of the process
+  kAfterOutage,     // after any number of failed calls; counted from when the source has the change and is
+                    // reachable
+  kAddressChanged,  // SIGHUP named another source; counted from the signal
+  kNewProcess,      // a process started; counted from its start
 };
 
 // A call that returned no list.
@@ -55,12 +58,14 @@
   balancer::Duration watch_timeout{};  // a watch fails this long after the end of its wait
   balancer::Duration list_timeout{};   // a call without a wait fails after this time
   balancer::Duration retry_timeout{};  // the same, from the first failure until the next answer
-  // Push: the answer to a full list that timed out is still accepted until then.
+  // Push: the answer to a call for a full list that timed out is still accepted until this time after the
+  // start of the call.
   balancer::Duration late_list_timeout{};
   balancer::Duration fault_backoff{};  // minimum time from a fault to the next call
   // On request: maximum time from the start of a failed call to the start of the next one.
   balancer::Duration max_retry_interval{};
-  // On request: minimum of that time from the second consecutive fault on.
+  // On request: minimum time from the start of a failed call to the start of the next one, from the second
+  // consecutive fault on.
   balancer::Duration min_fault_interval{};
   balancer::Duration answer_time{};  // time that an answer may take until it has been applied
 
--- a/src/discovery/list_call.h
+++ b/src/discovery/list_call.h
@@ -19,14 +19,14 @@
 
 namespace mothrack::discovery {
 
-// Why a call returned no list.
+// The reason why a call returned no list.
 struct CallError {
   FailedCall::Kind kind = FailedCall::Kind::kFault;
   std::string cause;  // for the log
 };
 
 // Used on the thread of the event loop only. Held by shared_ptr, because it keeps itself alive while a call
-// is pending. Bound: a body of 4 MiB. Errors are reported as CallError; nothing throws.
+// is pending. A body of more than 4 MiB is an error. Errors are reported as CallError; nothing throws.
 class ListCall : public std::enable_shared_from_this<ListCall> {
  public:
   // Notified exactly once of each call, unless the call was dropped. May call Start() or Drop() from the
