--- a/src/hot_restart/client.cpp
+++ b/src/hot_restart/client.cpp
@@ -37,12 +37,12 @@
   return true;
 }
 
-// Waits until the descriptor is readable (data or the end of the stream). Returns false if that takes until
-// `until`.
-bool Readable(int descriptor, std::chrono::steady_clock::time_point until) {
+// Waits until the descriptor is readable (data or the end of the stream). Returns false if it is not by
+// `deadline`.
+bool WaitUntilReadable(int descriptor, std::chrono::steady_clock::time_point deadline) {
   while (true) {
     const auto left =
-        std::chrono::duration_cast<std::chrono::milliseconds>(until - std::chrono::steady_clock::now());
+        std::chrono::duration_cast<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
     if (left.count() <= 0) return false;
     pollfd ready{descriptor, POLLIN, 0};
     const int events = ::poll(&ready, 1, static_cast<int>(left.count()));
@@ -51,19 +51,19 @@
   }
 }
 
-// One attempt: returns the reply line, or nothing if the connection ended or took too long. `listening`
-// receives the passed socket, `remainder` the bytes after the line.
-std::optional<json> FetchState(Protocol::socket& socket, std::chrono::steady_clock::time_point until,
+// Requests the takeover once. Returns the reply line, or nothing if the connection ended or took too long.
+// `listening` receives the passed socket, `remainder` the bytes after the line.
+std::optional<json> FetchState(Protocol::socket& socket, std::chrono::steady_clock::time_point deadline,
                                int& listening, std::string& remainder) {
   const std::string request = json{{kTakeOverKey, kVersion}}.dump() + '\n';
   if (!SendAll(socket.native_handle(), request)) return std::nullopt;
   std::string text;
-  while (text.size() < kLongestLine) {
-    if (!Readable(socket.native_handle(), until)) return std::nullopt;
-    std::array<char, kReadSize> part;
-    const ssize_t got = Receive(socket.native_handle(), part.data(), part.size(), listening);
-    if (got <= 0) return std::nullopt;
-    text.append(part.data(), static_cast<std::size_t>(got));
+  while (text.size() < kMaxLineSize) {
+    if (!WaitUntilReadable(socket.native_handle(), deadline)) return std::nullopt;
+    std::array<char, kReadSize> buffer;
+    const ssize_t received = Receive(socket.native_handle(), buffer.data(), buffer.size(), listening);
+    if (received <= 0) return std::nullopt;
+    text.append(buffer.data(), static_cast<std::size_t>(received));
     while (!text.empty() && text.front() == kSocketMarker) text.erase(0, 1);
     if (const auto end = text.find('\n'); end != std::string::npos) {
       json line = json::parse(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(end), nullptr, false);
@@ -79,7 +79,7 @@
 
 std::optional<InheritedState> TakeOver(boost::asio::io_context& io, const std::string& path,
                                        runtime::Duration timeout, runtime::Logger& log) {
-  const auto until = std::chrono::steady_clock::now() + timeout;
+  const auto deadline = std::chrono::steady_clock::now() + timeout;
   while (true) {
     Protocol::socket socket(io);
     error_code error;
@@ -87,22 +87,22 @@
     if (error) return std::nullopt;  // no process is serving
     InheritedState inherited;
     std::string remainder;
-    const auto answer = FetchState(socket, until, inherited.listening, remainder);
+    const auto answer = FetchState(socket, deadline, inherited.listening, remainder);
     const bool busy = answer && answer->contains(kBusyKey);
-    std::string fault = busy ? "another successor gets ready" : "it did not answer";
+    std::string cause = busy ? "another successor is starting" : "it did not answer";
     if (answer && !busy) {
       try {
         inherited.state = FromJson(*answer);
-        if (!IsListening(inherited.listening)) throw std::runtime_error("it gave no listening socket");
+        if (!IsListening(inherited.listening)) throw std::runtime_error("it passed no listening socket");
         inherited.link = std::make_shared<Link>(std::move(socket), std::move(remainder));
         return inherited;
       } catch (const std::exception& e) {
-        fault = e.what();
+        cause = e.what();
       }
     }
     if (inherited.listening >= 0) ::close(inherited.listening);
-    if (!busy || std::chrono::steady_clock::now() + kRetryInterval > until) {
-      log.Stated("handover: nothing taken over from the process that serves: " + fault);
+    if (!busy || std::chrono::steady_clock::now() + kRetryInterval > deadline) {
+      log.Stated("handover: took over nothing from the serving process: " + cause);
       return std::nullopt;
     }
     std::this_thread::sleep_for(kRetryInterval);
--- a/src/hot_restart/client.h
+++ b/src/hot_restart/client.h
@@ -14,7 +14,7 @@
 
 namespace mothrack::hot_restart {
 
-// What the serving process handed over.
+// The state, the socket and the link that the serving process handed over.
 struct InheritedState {
   State state;
   int listening = -1;          // the listening socket for clients; the caller must close it
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -25,8 +25,8 @@
 
 void Link::Send(const nlohmann::json& line) {
   pending_ += line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + '\n';
-  // The other process does not read.
-  if (pending_.size() > 2 * kLongestLine) return Disconnect();
+  // The other process does not read what was sent.
+  if (pending_.size() > 2 * kMaxLineSize) return Disconnect();
   if (writing_.empty()) Write();
 }
 
@@ -38,14 +38,14 @@
 }
 
 void Link::Read() {
-  const std::size_t had = received_.size();
-  received_.resize(had + kReadSize);
-  socket_.async_read_some(boost::asio::buffer(received_.data() + had, kReadSize),
-                          [self = shared_from_this(), had](error_code error, std::size_t size) {
-                            self->received_.resize(had + (error ? 0 : size));
+  const std::size_t previous_size = received_.size();
+  received_.resize(previous_size + kReadSize);
+  socket_.async_read_some(boost::asio::buffer(received_.data() + previous_size, kReadSize),
+                          [self = shared_from_this(), previous_size](error_code error, std::size_t size) {
+                            self->received_.resize(previous_size + (error ? 0 : size));
                             if (!self->on_line_) return;
                             if (error) return self->Disconnect();
-                            if (self->DeliverLines(had)) self->Read();
+                            if (self->DeliverLines(previous_size)) self->Read();
                           });
 }
 
@@ -65,7 +65,7 @@
     if (!on_line_) return false;
   }
   received_.erase(0, begin);
-  if (received_.size() > kLongestLine) Disconnect();
+  if (received_.size() > kMaxLineSize) Disconnect();
   return on_line_ != nullptr;
 }
 
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/link.h
@@ -13,23 +13,23 @@
 
 namespace mothrack::hot_restart {
 
-// Maximum line length in bytes. Longer than a state with all remembered ids.
-inline constexpr std::size_t kLongestLine = std::size_t{4} * 1024 * 1024;
+// Maximum line size in bytes. Larger than a state with the maximum number of remembered request ids.
+inline constexpr std::size_t kMaxLineSize = std::size_t{4} * 1024 * 1024;
 
 // Used on the thread of the event loop only. Held by shared_ptr and kept alive by its pending operations.
-// Buffers at most twice kLongestLine bytes for sending; a link that exceeds a bound is closed.
+// Buffers at most twice kMaxLineSize bytes for sending; a link that exceeds a bound is closed.
 class Link : public std::enable_shared_from_this<Link> {
  public:
   using Socket = boost::asio::local::stream_protocol::socket;
   using OnLine = std::function<void(const nlohmann::json&)>;
   using OnEnd = std::function<void()>;
 
-  // `received`: bytes that were received already and are not parsed yet.
+  // `received`: bytes that were already received and are not parsed yet.
   explicit Link(Socket socket, std::string received = {})
       : socket_(std::move(socket)), write_stream_(socket_), received_(std::move(received)) {}
 
   // Starts reading. Must be called once. `on_end` is called once, when the other process has exited, has sent
-  // something other than a JSON object, or does not read. Nothing is called after Close().
+  // something other than a JSON object, or does not read. Neither handler is called after Close().
   void Start(OnLine on_line, OnEnd on_end);
   // Replaces the handlers.
   void SetHandlers(OnLine on_line, OnEnd on_end);
--- a/src/hot_restart/messages.h
+++ b/src/hot_restart/messages.h
@@ -1,5 +1,5 @@
 // The notifications between two processes of one sidecar while both run, and their form on the link (link.h):
-// one JSON object per line. A process ignores unknown keys, so that a later program may add some.
+// one JSON object per line. A process ignores unknown keys, so that later versions may add some.
 #pragma once
 
 #include <cstddef>
@@ -11,13 +11,13 @@
 
 // Keys of the lines that control the hot restart itself.
 inline constexpr const char* kTakeOverKey = "takeover";  // the successor's request; the value is its kVersion
-inline constexpr const char* kBusyKey = "busy";          // another successor is starting: ask again later
+inline constexpr const char* kBusyKey = "busy";          // the reply while another successor is starting
 inline constexpr const char* kReadyKey = "ready";        // the successor accepts clients
 
 // A change in one process that applies to the other too. Usually only one member is set.
 struct Update {
   std::optional<std::string> ban{};         // uid of an upstream, never empty
-  std::optional<std::string> unban{};       // the same
+  std::optional<std::string> unban{};       // uid of an upstream, never empty
   std::optional<std::string> request_id{};  // of a request that must not be accepted again, never empty
   std::optional<bool> quiesce{};            // true: accept no new clients; false: accept them again
   std::optional<std::size_t> sockets{};     // descriptors that the predecessor still uses
--- a/src/hot_restart/server.cpp
+++ b/src/hot_restart/server.cpp
@@ -18,7 +18,7 @@
 
 // Delay before the next accept after a failed one.
 constexpr auto kRetryInterval = std::chrono::milliseconds(50);
-// Small, because successors start one after the other.
+// The listen backlog. Small, because successors start one after the other.
 constexpr int kBacklog = 8;
 
 }  // namespace
@@ -69,8 +69,8 @@
   const std::string temporary = path_ + '.' + std::to_string(::getpid());
   ::unlink(temporary.c_str());
   acceptor_.open();
-  // By default Asio hides ECONNABORTED and waits for the next connection. So if a successor disconnected
-  // while in the backlog, those behind it would stay unnoticed until another one connects.
+  // By default Asio hides ECONNABORTED and waits for the next connection. If a successor disconnected while
+  // in the backlog, those behind it would then not be accepted until another one connects.
   acceptor_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
   const mode_t before = ::umask(0177);
   error_code error;
@@ -94,7 +94,7 @@
     // Descriptors or memory ran out for a moment. Retry, because a successor must be able to find this
     // process.
     if (error) return AcceptLater();
-    // A real successor sends its request at once.
+    // A real successor sends its request at once, so an earlier connection without one is closed.
     if (candidate_) std::exchange(candidate_, nullptr)->Close();
     candidate_ = std::make_shared<Link>(std::move(socket));
     candidate_->Start([this, link = candidate_.get()](
@@ -115,7 +115,7 @@
   if (link == successor_) {
     if (!line.contains(kReadyKey)) return handler_.OnUpdate(ParseUpdate(line));
     if (std::exchange(successor_ready_, true)) return;
-    log_.Stated("handover: a successor takes clients");
+    log_.Stated("handover: a successor accepts clients");
     return handler_.OnSuccessorReady();
   }
   if (!line.contains(kTakeOverKey)) return link->Close();
@@ -135,7 +135,7 @@
       [this, raw = link.get()](const json& line) { OnCandidateMessage(raw->shared_from_this(), line); },
       [this] {
         successor_.reset();
-        log_.Stated("handover: the successor is gone");
+        log_.Stated("handover: the successor exited");
         // The path belonged to the successor.
         if (std::exchange(successor_ready_, false)) ListenOrLog();
         handler_.OnSuccessorExited();
--- a/src/hot_restart/server.h
+++ b/src/hot_restart/server.h
@@ -1,9 +1,9 @@
-// Hot restart: the serving process (the predecessor) and its successor run side by side for a while. The
-// successor finds the serving process through a Unix socket in a shared directory. It receives the listening
-// socket itself (SCM_RIGHTS, unix(7)), so that no connection in the listen backlog is lost when either
-// process exits, and the state that must survive the restart (state.h). From then on each process notifies
-// the other of changes until one of them exits. This file has the side of the serving process; client.h has
-// the successor's first step.
+// Hot restart: the serving process (the predecessor) and its successor run side by side until one of them
+// exits. The successor finds the serving process through a Unix socket in a shared directory. It receives the
+// listening socket itself (SCM_RIGHTS, unix(7)), so that no connection in the listen backlog is lost when
+// either process exits, and the state that must survive the restart (state.h). From then on each process
+// notifies the other of changes. This file has the side of the serving process; client.h has the successor's
+// first step.
 //
 // Lines, in either direction (link.h): {"takeover":1} requests the takeover; the reply is the state, or
 // {"busy":true} while another successor is starting; {"ready":true} says that the successor accepts clients.
@@ -27,7 +27,7 @@
 // the thread of the event loop only.
 class HotRestartServer {
  public:
-  // The serving process. Called on the event loop.
+  // Implemented by the serving process. Called on the thread of the event loop.
   class Handler {
    public:
     // The current state, for a successor.
@@ -36,7 +36,7 @@
     virtual int ListeningSocket() = 0;
     // The successor accepts clients from now on.
     virtual void OnSuccessorReady() = 0;
-    // The successor exited, ready or not: this process is alone again.
+    // The successor exited, whether it was ready or not.
     virtual void OnSuccessorExited() = 0;
     virtual void OnPredecessorExited() = 0;
     // An update from the other process.
@@ -46,16 +46,16 @@
     ~Handler() = default;
   };
 
-  // `path`: of the Unix socket. `predecessor`: null unless this process took over. `handler` and `log` must
-  // outlive this object.
+  // `path`: the file name of the Unix socket. `predecessor`: the link to it; null unless this process took
+  // over. `handler` and `log` must outlive this object.
   HotRestartServer(boost::asio::io_context& io, std::string path, std::shared_ptr<Link> predecessor,
                    Handler& handler, runtime::Logger& log);
   ~HotRestartServer();
   HotRestartServer(const HotRestartServer&) = delete;
   HotRestartServer& operator=(const HotRestartServer&) = delete;
 
-  // This process accepts clients now: notifies its predecessor and takes over the path, so that the next
-  // successor finds this process. A failure to listen there is logged.
+  // Called when this process accepts clients. Notifies its predecessor and takes over the path, so that the
+  // next successor finds this process. A failure to listen there is logged.
   void AnnounceReady();
   // Notifies the predecessor and the successor, if there are any.
   void Notify(const Update& update);
--- a/src/hot_restart/socket_passing.cpp
+++ b/src/hot_restart/socket_passing.cpp
@@ -10,7 +10,7 @@
 namespace mothrack::hot_restart {
 namespace {
 
-union Control {
+union ControlBuffer {
   cmsghdr align;
   std::array<char, CMSG_SPACE(sizeof(int))> bytes;
 };
@@ -19,10 +19,10 @@
 
 bool SendSocket(int to, int socket) {
   char byte = kSocketMarker;
-  iovec part{&byte, 1};
-  Control control{};
+  iovec buffer{&byte, 1};
+  ControlBuffer control{};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &buffer;
   message.msg_iovlen = 1;
   message.msg_control = control.bytes.data();
   message.msg_controllen = control.bytes.size();
@@ -39,24 +39,24 @@
 }
 
 ssize_t Receive(int from, char* bytes, std::size_t size, int& socket) {
-  iovec part{bytes, size};
-  Control control{};
+  iovec buffer{bytes, size};
+  ControlBuffer control{};
   msghdr message{};
-  message.msg_iov = &part;
+  message.msg_iov = &buffer;
   message.msg_iovlen = 1;
   message.msg_control = control.bytes.data();
   message.msg_controllen = control.bytes.size();
-  ssize_t got = 0;
+  ssize_t received = 0;
   do {
-    got = ::recvmsg(from, &message, MSG_CMSG_CLOEXEC);
-  } while (got < 0 && errno == EINTR);
-  for (cmsghdr* header = got > 0 ? CMSG_FIRSTHDR(&message) : nullptr; header != nullptr;
+    received = ::recvmsg(from, &message, MSG_CMSG_CLOEXEC);
+  } while (received < 0 && errno == EINTR);
+  for (cmsghdr* header = received > 0 ? CMSG_FIRSTHDR(&message) : nullptr; header != nullptr;
        header = CMSG_NXTHDR(&message, header)) {
     if (header->cmsg_level != SOL_SOCKET || header->cmsg_type != SCM_RIGHTS) continue;
     if (socket >= 0) ::close(socket);
     std::memcpy(&socket, CMSG_DATA(header), sizeof socket);
   }
-  return got;
+  return received;
 }
 
 bool IsListening(int socket) {
--- a/src/hot_restart/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -17,11 +17,12 @@
 using nlohmann::json;
 
 void CheckVersion(const json& object) {
-  if (!object.is_object()) throw std::runtime_error("cut short, or no JSON object");
+  if (!object.is_object()) throw std::runtime_error("truncated, or not a JSON object");
   const auto version = object.find("version");
-  if (version == object.end() || !version->is_number_integer()) throw std::runtime_error("it has no version");
+  if (version == object.end() || !version->is_number_integer())
+    throw std::runtime_error("the version is missing");
   if (*version != kVersion) {
-    throw std::runtime_error("it has version " + version->dump() + ", this program reads " +
+    throw std::runtime_error("it has version " + version->dump() + ", but this program reads version " +
                              std::to_string(kVersion));
   }
 }
@@ -30,17 +31,17 @@
 bool WriteAndSync(const std::string& file, std::string_view text) {
   const int descriptor = ::open(file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, S_IRUSR | S_IWUSR);
   if (descriptor < 0) return false;
-  bool good = true;
-  while (good && !text.empty()) {
+  bool success = true;
+  while (success && !text.empty()) {
     const ssize_t written = ::write(descriptor, text.data(), text.size());
-    good = written > 0 || (written < 0 && errno == EINTR);
+    success = written > 0 || (written < 0 && errno == EINTR);
     if (written > 0) text.remove_prefix(static_cast<std::size_t>(written));
   }
-  good = good && ::fsync(descriptor) == 0;
+  success = success && ::fsync(descriptor) == 0;
   const int error = errno;
   ::close(descriptor);
   errno = error;
-  return good;
+  return success;
 }
 
 // Syncs the file's directory. Returns false and sets errno if a rename in it may not survive a crash of the
@@ -50,11 +51,11 @@
   const std::string directory = slash == std::string::npos ? "." : file.substr(0, slash + 1);
   const int descriptor = ::open(directory.c_str(), O_RDONLY | O_DIRECTORY | O_CLOEXEC);
   if (descriptor < 0) return false;
-  const bool good = ::fsync(descriptor) == 0;
+  const bool success = ::fsync(descriptor) == 0;
   const int error = errno;
   ::close(descriptor);
   errno = error;
-  return good;
+  return success;
 }
 
 }  // namespace
@@ -103,9 +104,9 @@
       SyncDirectoryOf(file)) {
     return std::nullopt;
   }
-  std::string fault = file + ": " + std::strerror(errno);
+  std::string error_text = file + ": " + std::strerror(errno);
   ::unlink(temporary.c_str());
-  return fault;
+  return error_text;
 }
 
 std::set<std::string> ReadBans(const std::string& file, runtime::Logger& log) {
--- a/src/hot_restart/state.h
+++ b/src/hot_restart/state.h
@@ -1,5 +1,5 @@
-// The state that a successor takes over, as versioned JSON, and the file in which bans survive a process that
-// can no longer be asked.
+// The state that a successor takes over, as versioned JSON, and the file that keeps the bans for a process
+// that starts when its predecessor no longer runs.
 #pragma once
 
 #include <cstddef>
@@ -14,18 +14,18 @@
 
 namespace mothrack::hot_restart {
 
-// Raised with each change that an earlier program would misinterpret. A state of another version is ignored
-// as a whole.
+// The version of the JSON, raised with each change that an earlier program would misinterpret. A state of
+// another version is ignored completely.
 inline constexpr int kVersion = 1;
 
-// What must survive the change of processes.
+// The state that must survive the change of processes.
 struct State {
-  std::set<std::string> bans;            // uids of upstreams that an operator took out
+  std::set<std::string> bans;            // uids of upstreams that an operator banned
   std::vector<std::string> request_ids;  // of requests that must not be accepted again
-  bool quiescing = false;                // an operator's command: accept no new clients
-  std::size_t sockets = 0;               // descriptors that the serving process keeps
+  bool quiescing = false;                // an operator's command to accept no new clients is in force
+  std::size_t sockets = 0;               // number of descriptors that the serving process still uses
   // When the upstreams' processes started, on this machine's steady clock, and when the last list was read.
-  // Optional: absent in the state of an earlier program.
+  // Both are absent in the state of an earlier program.
   std::vector<dispatch::ProcessStart> starts;
   std::optional<runtime::TimePoint> last_list;
 };
@@ -38,7 +38,7 @@
 // disk has written it.
 std::optional<std::string> WriteBans(const std::string& file, const std::set<std::string>& bans);
 // Returns an empty set if there is no such file. A file that is unreadable, truncated or of another version
-// is logged and ignored as a whole.
+// is logged and ignored completely.
 std::set<std::string> ReadBans(const std::string& file, runtime::Logger& log);
 
 }  // namespace mothrack::hot_restart
