--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -25,12 +25,11 @@
 // counted.
 enum class StalenessCase {
   // A watch got no answer. Push: counted from when the agent has the change; on request: from the start of
-  // the
-  // watch.
+  // the watch.
   kWatchTimeout,
-  kListTimeout,     // a call without a wait got no answer; counted in the same way
-  kAfterOutage,     // after any number of failed calls; counted from when the source has the change and is
-                    // reachable
+  kListTimeout,  // a call without a wait got no answer; counted in the same way
+  // Any number of calls failed. Counted from when the source has the change and is reachable.
+  kAfterOutage,
   kAddressChanged,  // SIGHUP named another source; counted from the signal
   kNewProcess,      // a process started; counted from its start
 };
