--- a/tests/dispatch/dispatcher_test.cpp
+++ b/tests/dispatch/dispatcher_test.cpp
@@ -1,5 +1,5 @@
-// The dispatcher between a front end and a transport that are both scripts: one Final a request, one end an
-// attempt, whatever they do and in whichever order.
+// The dispatcher between a scripted front end and a scripted transport: each request gets one final answer
+// and each attempt ends once, whatever the two do and in whichever order.
 #include "dispatch/dispatcher.h"
 
 #include <algorithm>
@@ -31,10 +31,10 @@
   std::string text;
 };
 
-// Keeps what it is asked to carry until the test ends it.
+// Keeps each attempt until the test ends it.
 class ScriptedTransport : public dispatch::Transport {
  public:
-  struct Out {
+  struct Attempt {
     std::string uid;
     std::shared_ptr<const dispatch::Message> message;
     dispatch::ExchangeHooks hooks;
@@ -46,36 +46,37 @@
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
             runtime::Duration, dispatch::ExchangeHooks hooks) override {
     ++sent;
-    if (at_once)
-      return hooks.on_end({*at_once, runtime::Duration(1), {}, std::make_unique<TextReply>("at once")});
-    out.emplace(id, Out{uid, std::move(message), std::move(hooks)});
+    if (immediate_outcome)
+      return hooks.on_end(
+          {*immediate_outcome, runtime::Duration(1), {}, std::make_unique<TextReply>("at once")});
+    in_flight.emplace(id, Attempt{uid, std::move(message), std::move(hooks)});
   }
   void Probe(dispatch::ExchangeId, const std::string&, OnEnd on_end) override {
     on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
   }
   void Cancel(dispatch::ExchangeId id) override {
-    if (out.contains(id)) End(id, Outcome::kCancelled);
+    if (in_flight.contains(id)) End(id, Outcome::kCancelled);
   }
-  // Only what has not begun: `unsent`.
+  // Ends only attempts that have not begun, which are in `unsent`.
   void Abandon(dispatch::ExchangeId id) override {
-    if (out.contains(id) && unsent.contains(id)) End(id, Outcome::kNotSent);
+    if (in_flight.contains(id) && unsent.contains(id)) End(id, Outcome::kNotSent);
   }
   void CloseIdle(const std::string&) override {}
 
   void End(dispatch::ExchangeId id, Outcome outcome, const std::string& reply = "") {
-    auto on_end = std::move(out.at(id).hooks.on_end);
-    out.erase(id);
+    auto on_end = std::move(in_flight.at(id).hooks.on_end);
+    in_flight.erase(id);
     on_end({outcome, milliseconds(1), {}, reply.empty() ? nullptr : std::make_unique<TextReply>(reply)});
   }
-  dispatch::ExchangeId Only() const {
-    EXPECT_EQ(out.size(), 1U);
-    return out.begin()->first;
+  dispatch::ExchangeId OnlyAttempt() const {
+    EXPECT_EQ(in_flight.size(), 1U);
+    return in_flight.begin()->first;
   }
 
   std::map<std::string, dispatch::Location> locations;
-  std::map<dispatch::ExchangeId, Out> out;
+  std::map<dispatch::ExchangeId, Attempt> in_flight;
   std::set<dispatch::ExchangeId> unsent;
-  std::optional<Outcome> at_once;
+  std::optional<Outcome> immediate_outcome;  // if set, attempts end with it within Send()
   int sent = 0;
 };
 
@@ -137,65 +138,67 @@
 
 TEST_F(DispatcherTest, ServedRequestHasOneFinalWithItsReply) {
   ASSERT_TRUE(Submit(0));
-  transport.End(transport.Only(), Outcome::kServed, "answer");
+  transport.End(transport.OnlyAttempt(), Outcome::kServed, "answer");
   ASSERT_EQ(finals.size(), 1U);
   EXPECT_EQ(finals[0].kind, dispatch::FinalAnswer::Kind::kServed);
   EXPECT_EQ(TextOf(finals[0]), "answer");
   EXPECT_EQ(dispatcher.open(), 0U);
 }
 
-// Its two copies may be out at once, and the one that has not begun when the request is over must never
-// begin.
+// A request and its hedge may be in flight together. An attempt that has not begun when the request ends must
+// never begin.
 TEST_F(DispatcherTest, AttemptThatHasNotBegunEndsWithItsRequest) {
   balancer::Settings settings = TestSettings();
-  settings.limits.cancel = false;  // so that the module calls nothing off
-  const auto over = [&](const char* how, auto end) {
-    SCOPED_TRACE(how);
-    ScriptedTransport carrier;
-    dispatch::Dispatcher owner(io, settings, 1, carrier, log);
-    owner.Apply(Members({"u1", "u2"}, balancer::MembershipUpdate::Kind::kRestored));
+  settings.limits.cancel = false;  // so that the module cancels no attempt
+  const auto finals_after = [&](const char* reason, auto end_request) {
+    SCOPED_TRACE(reason);
+    ScriptedTransport transport;
+    dispatch::Dispatcher dispatcher(io, settings, 1, transport, log);
+    dispatcher.Apply(Members({"u1", "u2"}, balancer::MembershipUpdate::Kind::kRestored));
     int finals = 0;
     dispatch::NewRequest request;
     request.request_class = balancer::ClassId{0};
     request.deadline = runtime::Now() + milliseconds(5);
     request.message = std::make_shared<TextMessage>("m");
     request.on_final = [&](dispatch::FinalAnswer) { ++finals; };
-    const auto id = owner.Submit(std::move(request));
-    carrier.unsent.insert(carrier.Only());
-    end(owner, carrier, *id);
-    EXPECT_TRUE(carrier.out.empty());
-    EXPECT_EQ(owner.open(), 0U);
+    const auto id = dispatcher.Submit(std::move(request));
+    transport.unsent.insert(transport.OnlyAttempt());
+    end_request(dispatcher, transport, *id);
+    EXPECT_TRUE(transport.in_flight.empty());
+    EXPECT_EQ(dispatcher.open(), 0U);
     return finals;
   };
-  EXPECT_EQ(over("its client left", [](dispatch::Dispatcher& owner, ScriptedTransport&,
-                                       balancer::RequestId id) { owner.OnClientDisconnected(id); }),
+  EXPECT_EQ(finals_after("its client disconnected",
+                         [](dispatch::Dispatcher& dispatcher, ScriptedTransport&, balancer::RequestId id) {
+                           dispatcher.OnClientDisconnected(id);
+                         }),
             0);
-  EXPECT_EQ(over("its time is over",
-                 [this](dispatch::Dispatcher&, ScriptedTransport& carrier, balancer::RequestId) {
-                   while (!carrier.out.empty() && io.run_one() > 0) {
-                   }
-                 }),
+  EXPECT_EQ(finals_after("its deadline passed",
+                         [this](dispatch::Dispatcher&, ScriptedTransport& transport, balancer::RequestId) {
+                           while (!transport.in_flight.empty() && io.run_one() > 0) {
+                           }
+                         }),
             1);
 }
 
 TEST_F(DispatcherTest, TransportMayEndAttemptsBeforeSendReturns) {
-  transport.at_once = Outcome::kConnectFailed;
+  transport.immediate_outcome = Outcome::kConnectFailed;
   ASSERT_TRUE(Submit(1));
   ASSERT_EQ(finals.size(), 1U);
   EXPECT_EQ(finals[0].kind, dispatch::FinalAnswer::Kind::kRejected);
   EXPECT_EQ(finals[0].last, Outcome::kConnectFailed);
   EXPECT_EQ(finals[0].attempts, static_cast<std::size_t>(transport.sent));
   EXPECT_GT(transport.sent, 1);
-  transport.at_once = Outcome::kServed;
+  transport.immediate_outcome = Outcome::kServed;
   ASSERT_TRUE(Submit(1));
   ASSERT_EQ(finals.size(), 2U);
   EXPECT_EQ(TextOf(finals[1]), "at once");
   EXPECT_EQ(dispatcher.open(), 0U);
 }
 
-TEST_F(DispatcherTest, UnsafeRequestThatMayHaveRunFailsWithWhatItGot) {
+TEST_F(DispatcherTest, UnsafeRequestThatMayHaveRunFailsWithTheLastReply) {
   ASSERT_TRUE(Submit(1));
-  transport.End(transport.Only(), Outcome::kError, "its own failure");
+  transport.End(transport.OnlyAttempt(), Outcome::kError, "its own failure");
   ASSERT_EQ(finals.size(), 1U);
   EXPECT_EQ(finals[0].kind, dispatch::FinalAnswer::Kind::kFailed);
   EXPECT_EQ(TextOf(finals[0]), "its own failure");
@@ -204,9 +207,9 @@
 
 TEST_F(DispatcherTest, OnlyTheLastAttemptsReplyIsForwarded) {
   ASSERT_TRUE(Submit(0));
-  transport.End(transport.Only(), Outcome::kError, "the first's");
-  ASSERT_EQ(transport.out.size(), 1U) << "tried again";
-  while (!transport.out.empty()) transport.End(transport.out.begin()->first, Outcome::kReset);
+  transport.End(transport.OnlyAttempt(), Outcome::kError, "the first's");
+  ASSERT_EQ(transport.in_flight.size(), 1U) << "no retry";
+  while (!transport.in_flight.empty()) transport.End(transport.in_flight.begin()->first, Outcome::kReset);
   ASSERT_EQ(finals.size(), 1U);
   EXPECT_FALSE(finals[0].reply);
   EXPECT_EQ(finals[0].last, Outcome::kReset);
@@ -214,39 +217,40 @@
 
 TEST_F(DispatcherTest, ClientThatDisconnectedGetsNothingAndItsAttemptIsCancelled) {
   const auto id = Submit(0);
-  ASSERT_EQ(transport.out.size(), 1U);
+  ASSERT_EQ(transport.in_flight.size(), 1U);
   dispatcher.OnClientDisconnected(*id);
-  EXPECT_TRUE(transport.out.empty());
+  EXPECT_TRUE(transport.in_flight.empty());
   EXPECT_TRUE(finals.empty());
   EXPECT_EQ(dispatcher.open(), 0U);
-  dispatcher.OnClientDisconnected(*id);  // no longer known
+  dispatcher.OnClientDisconnected(*id);  // the id is no longer known
 }
 
-TEST_F(DispatcherTest, KeyIsRejectedWhileItsRequestIsOpenAndForAWindowAfter) {
+TEST_F(DispatcherTest, KeyIsRejectedWhileItsRequestIsOpenAndForTheRetentionAfter) {
   ASSERT_TRUE(Submit(0, "k"));
   EXPECT_FALSE(Submit(0, "k"));
-  transport.End(transport.Only(), Outcome::kServed, "answer");
+  transport.End(transport.OnlyAttempt(), Outcome::kServed, "answer");
   EXPECT_FALSE(Submit(0, "k"));
   EXPECT_TRUE(Submit(0, "other"));
   EXPECT_EQ(finals.size(), 1U);
 }
 
-// As long as its class lets it be under way, or upstreams tell its repeats apart; whatever another deployment
-// has.
+// A key is kept for the longest deadline of a class, for the longest key window of a keyed class, and for at
+// least 5 s.
 TEST_F(DispatcherTest, KeysAreKnownForAsLongAsTheSettingsSay) {
   struct Case {
     int deadline_s, window_s;
     balancer::Effect effect;
-    int known_s;
+    int retention_s;
   };
-  for (const Case& c : {Case{1, 0, balancer::Effect::kSafe, 5}, Case{12, 0, balancer::Effect::kUnsafe, 12},
-                        Case{1, 20, balancer::Effect::kKeyed, 20}, Case{1, 20, balancer::Effect::kSafe, 5}}) {
+  for (const Case& row :
+       {Case{1, 0, balancer::Effect::kSafe, 5}, Case{12, 0, balancer::Effect::kUnsafe, 12},
+        Case{1, 20, balancer::Effect::kKeyed, 20}, Case{1, 20, balancer::Effect::kSafe, 5}}) {
     balancer::Settings settings = TestSettings();
     settings.classes.resize(1);
-    settings.classes[0].deadline = std::chrono::seconds(c.deadline_s);
-    settings.classes[0].key_window = std::chrono::seconds(c.window_s);
-    settings.classes[0].effect = c.effect;
-    EXPECT_EQ(dispatch::Dispatcher::KeyRetention(settings), std::chrono::seconds(c.known_s));
+    settings.classes[0].deadline = std::chrono::seconds(row.deadline_s);
+    settings.classes[0].key_window = std::chrono::seconds(row.window_s);
+    settings.classes[0].effect = row.effect;
+    EXPECT_EQ(dispatch::Dispatcher::KeyRetention(settings), std::chrono::seconds(row.retention_s));
   }
 }
 
@@ -261,11 +265,11 @@
   while (finals.empty()) io.run_one();
   EXPECT_TRUE(finals[0].late);
   EXPECT_EQ(finals[0].attempts, 1U);
-  EXPECT_TRUE(transport.out.empty()) << "called off";
+  EXPECT_TRUE(transport.in_flight.empty()) << "not cancelled";
 }
 
-// Any order of arrivals, ends, departures and changes of the list: each request has at most one Final,
-// exactly one if its client stayed, and nothing is left behind.
+// In any order of arrivals, ends of attempts, disconnects and changes of the list, each request gets at most
+// one final answer, exactly one if its client stays, and no request is left.
 TEST_F(DispatcherTest, AnyEventSequenceLeavesOneFinalEach) {
   std::mt19937 random(7);
   std::map<int, int> finals_of;
@@ -284,9 +288,9 @@
       request.message = std::make_shared<TextMessage>("m");
       request.on_final = [&finals_of, number](dispatch::FinalAnswer) { ++finals_of[number]; };
       open.emplace_back(number, *dispatcher.Submit(std::move(request)));
-    } else if (dice < 8 && !transport.out.empty()) {
-      auto it = transport.out.begin();
-      std::advance(it, static_cast<long>(random() % transport.out.size()));
+    } else if (dice < 8 && !transport.in_flight.empty()) {
+      auto it = transport.in_flight.begin();
+      std::advance(it, static_cast<long>(random() % transport.in_flight.size()));
       transport.End(it->first, outcomes[random() % 7], "r");
     } else if (dice == 8 && !open.empty()) {
       const auto& [number, id] = open[random() % open.size()];
@@ -296,12 +300,13 @@
       dispatcher.Apply(step % 100 == 0 ? Members({"u1"}) : Members({"u1", "u2", "u3"}));
     }
   }
-  while (!transport.out.empty()) transport.End(transport.out.begin()->first, Outcome::kServed, "r");
+  while (!transport.in_flight.empty())
+    transport.End(transport.in_flight.begin()->first, Outcome::kServed, "r");
   for (int i = 0; i < requests; ++i) ASSERT_EQ(finals_of[i], disconnected.contains(i) ? 0 : 1) << i;
   EXPECT_EQ(dispatcher.open(), 0U);
 }
 
-// ---- The smaller parts ----
+// ---- RecentRequestIds ----
 
 TEST(RecentRequestIds, ForgetsByAgeAndNumber) {
   dispatch::RecentRequestIds ids(milliseconds(100), 3);
@@ -315,11 +320,11 @@
     EXPECT_TRUE(ids.Insert(name, start));
     ids.OnRequestEnded(name, start);
   }
-  EXPECT_TRUE(ids.Insert("b", start)) << "the oldest of more than three";
+  EXPECT_TRUE(ids.Insert("b", start)) << "the oldest of more than three was not dropped";
   EXPECT_FALSE(ids.Insert("e", start));
 }
 
-// ---- What people say over what discovery says ----
+// ---- UpstreamOverrides ----
 
 dispatch::MembershipList Listed(MembershipUpdate::Kind kind, const std::vector<std::string>& uids) {
   dispatch::MembershipList list;
@@ -333,7 +338,7 @@
   return list;
 }
 
-TEST(UpstreamOverrides, ABanHoldsOverEveryListAndLeavesTheListStandingWhenLifted) {
+TEST(UpstreamOverrides, ABanHoldsOverEveryListAndTheListAppliesOnceItIsLifted) {
   using balancer::UpstreamState;
   dispatch::UpstreamOverrides overrides;
   EXPECT_FALSE(overrides.Ban("a"));
@@ -341,16 +346,16 @@
   auto change = overrides.Ban("a");
   ASSERT_TRUE(change);
   EXPECT_EQ(change->locations.at("a").state, UpstreamState::kDraining);
-  // Left out by a whole list it is gone; it is banned still when it is back.
+  // A full list without the upstream removes it. It is still banned when it is listed again.
   EXPECT_EQ(overrides.Apply(Listed(MembershipUpdate::Kind::kFull, {"b"})).locations.at("a").state,
             UpstreamState::kGone);
   EXPECT_EQ(overrides.listed(), 1U);
   change = overrides.Ban("a");
   ASSERT_TRUE(change);
   EXPECT_TRUE(change->update.upstreams.empty());
-  const auto back = overrides.Apply(Listed(MembershipUpdate::Kind::kChanges, {"a"}));
-  EXPECT_EQ(back.locations.at("a").state, UpstreamState::kDraining);
-  EXPECT_EQ(back.update.upstreams.at(0).state, UpstreamState::kDraining);
+  const auto relisted = overrides.Apply(Listed(MembershipUpdate::Kind::kChanges, {"a"}));
+  EXPECT_EQ(relisted.locations.at("a").state, UpstreamState::kDraining);
+  EXPECT_EQ(relisted.update.upstreams.at(0).state, UpstreamState::kDraining);
   change = overrides.Unban("a");
   ASSERT_TRUE(change);
   EXPECT_EQ(change->update.upstreams.at(0).state, UpstreamState::kServing);
--- a/tests/dispatch/request_state_test.cpp
+++ b/tests/dispatch/request_state_test.cpp
@@ -1,4 +1,4 @@
-// Plays each event in each state of a request against the table of the expected states.
+// Checks the next state for each state of a request and each event against a table.
 #include "dispatch/request_state.h"
 
 #include "gtest/gtest.h"
@@ -38,7 +38,7 @@
     {kEnded, {kIgnored, kIgnored, kIgnored, kIgnored, kIgnored}, false, false, false, false},
 };
 
-TEST(RequestState, EachEventLeadsWhereTheTableSays) {
+TEST(RequestState, EachEventLeadsToTheExpectedState) {
   for (const Row& row : kRows) {
     for (std::size_t i = 0; i < std::size(kEvents); ++i) {
       EXPECT_EQ(NextState(row.state, kEvents[i]), row.next[i])
