--- a/tests/discovery/discovery_fixture.h
+++ b/tests/discovery/discovery_fixture.h
@@ -1,5 +1,5 @@
-// What tests of the discovery loop share: a scripted source of endpoint lists, and the loop run in this
-// thread.
+// Shared by tests of the discovery loop: a scripted source of endpoint lists, and the loop under test, run in
+// the test's thread.
 #pragma once
 
 #include <algorithm>
@@ -29,14 +29,14 @@
 using testing::Target;
 using testing::Wire;
 
-inline discovery::StalenessRules Rules(bool on_request, runtime::Duration drain) {
+inline discovery::StalenessRules MakeRules(bool on_request, runtime::Duration drain) {
   return {on_request, drain, seconds(10)};
 }
 
-// Where in a call the source stops to answer.
-enum class StopPoint { kBeforeItIsRead, kBeforeTheHead, kInTheHead, kInTheBody };
-inline constexpr StopPoint kStopPoints[] = {StopPoint::kBeforeItIsRead, StopPoint::kBeforeTheHead,
-                                            StopPoint::kInTheHead, StopPoint::kInTheBody};
+// The point in a call at which the source stops answering.
+enum class StopPoint { kBeforeRead, kBeforeHeader, kInHeader, kInBody };
+inline constexpr StopPoint kStopPoints[] = {StopPoint::kBeforeRead, StopPoint::kBeforeHeader,
+                                            StopPoint::kInHeader, StopPoint::kInBody};
 
 inline std::string OkResponse(const std::string& body) {
   return "HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body;
@@ -47,14 +47,14 @@
       2);
 }
 
-// A source of lists of one upstream, at a revision that the test sets. It holds watches until their wait is
-// over or there is a newer revision; of the next calls it leaves some unanswered, or answers them with a
-// text.
+// A source of lists with one upstream, at a revision that the test sets. It holds watches until their wait is
+// over or there is a newer revision. The test can make it leave a number of calls unanswered, or answer them
+// with a given text.
 class Source {
  public:
-  struct Seen {
+  struct Call {
     std::string target;
-    runtime::TimePoint at;
+    runtime::TimePoint received;
   };
   Source() : peer_([this](Wire& wire, int) { Serve(wire); }) {}
 
@@ -66,24 +66,25 @@
   }
   void AnswerWith(std::string text, int calls) {
     const std::lock_guard lock(mutex_);
-    text_ = std::move(text);
+    scripted_text_ = std::move(text);
     scripted_left_ = calls;
   }
-  // Before the first call.
+  // Delays the answers to calls for a full list. Must be called before the first call.
   void DelayLists(runtime::Duration delay) { list_delay_ = delay; }
   void Publish(int revision) { revision_ = revision; }
   int unanswered() const { return unanswered_; }
-  std::vector<Seen> seen() const {
+  std::vector<Call> calls() const {
     const std::lock_guard lock(mutex_);
-    return seen_;
+    return calls_;
   }
 
  private:
   enum class Reply { kAnswer, kNoAnswer, kScripted };
 
-  Reply Next(const std::string& target) {
+  // Records a call and returns how to answer it.
+  Reply NextReply(const std::string& target) {
     const std::lock_guard lock(mutex_);
-    seen_.push_back({target, runtime::Now()});
+    calls_.push_back({target, runtime::Now()});
     if (unanswered_left_ > 0) return --unanswered_left_, Reply::kNoAnswer;
     if (scripted_left_ > 0) return --scripted_left_, Reply::kScripted;
     return Reply::kAnswer;
@@ -92,10 +93,10 @@
   void Serve(Wire& wire) {
     while (const auto request = wire.ReadRequest()) {
       const std::string target(request->target());
-      const Reply reply = Next(target);
+      const Reply reply = NextReply(target);
       if (reply == Reply::kNoAnswer) return LeaveUnanswered(wire);
       if (reply == Reply::kScripted) {
-        wire.Write(text_);
+        wire.Write(scripted_text_);
         return;
       }
       if (const auto at = target.find("index="); at != std::string::npos) {
@@ -104,7 +105,7 @@
         while (revision_ <= index && runtime::Now() < until) std::this_thread::sleep_for(milliseconds(2));
       }
       const std::string list = OkResponse(ListText(revision_));
-      // A full list says what was so when it was begun: the worst case.
+      // In the worst case a full list has the state at the start of the call, so the delay comes after.
       if (target.find("index=") == std::string::npos) std::this_thread::sleep_for(list_delay_);
       if (!wire.Write(list)) return;
     }
@@ -112,17 +113,17 @@
 
   void LeaveUnanswered(Wire& wire) {
     const std::string text = OkResponse(ListText(revision_));
-    const std::size_t head = text.find("\r\n\r\n") + 4;
-    if (stop_point_ == StopPoint::kInTheHead) wire.Write(text.substr(0, head / 2));
-    if (stop_point_ == StopPoint::kInTheBody) wire.Write(text.substr(0, head + 10));
+    const std::size_t header_size = text.find("\r\n\r\n") + 4;
+    if (stop_point_ == StopPoint::kInHeader) wire.Write(text.substr(0, header_size / 2));
+    if (stop_point_ == StopPoint::kInBody) wire.Write(text.substr(0, header_size + 10));
     ++unanswered_;
     wire.ReadsEnd();
   }
 
   mutable std::mutex mutex_;
-  std::vector<Seen> seen_;
-  StopPoint stop_point_ = StopPoint::kBeforeTheHead;
-  std::string text_;
+  std::vector<Call> calls_;
+  StopPoint stop_point_ = StopPoint::kBeforeHeader;
+  std::string scripted_text_;
   runtime::Duration list_delay_{};
   int unanswered_left_ = 0;
   int scripted_left_ = 0;
@@ -131,7 +132,7 @@
   Peer peer_;
 };
 
-// The loop under test, run in this thread.
+// The loop under test, run in the test's thread.
 class LoopUnderTest {
  public:
   LoopUnderTest(const discovery::PollPolicy& policy, const runtime::Endpoint& endpoint)
@@ -140,7 +141,8 @@
           ++lists;
         }) {}
 
-  bool Until(const std::function<bool()>& condition, runtime::Duration timeout = seconds(20)) {
+  // Runs the loop until `condition` is true. Returns false after `timeout`.
+  bool RunUntil(const std::function<bool()>& condition, runtime::Duration timeout = seconds(20)) {
     const runtime::TimePoint end = runtime::Now() + timeout;
     while (!condition()) {
       if (runtime::Now() > end) return false;
@@ -149,11 +151,11 @@
     }
     return true;
   }
-  void For(runtime::Duration time) {
-    Until([] { return false; }, time);
+  void RunFor(runtime::Duration time) {
+    RunUntil([] { return false; }, time);
   }
   int LogLines() const {
-    const std::string text = text_.str();
+    const std::string text = log_text_.str();
     return static_cast<int>(std::count(text.begin(), text.end(), '\n'));
   }
 
@@ -163,19 +165,20 @@
 
  private:
   dispatch::StartTimes start_times_{runtime::ReadClocks()};
-  std::ostringstream text_;
-  runtime::Logger log_{"test", text_};
+  std::ostringstream log_text_;
+  runtime::Logger log_{"test", log_text_};
 
  public:
   discovery::Discovery discovery;
 };
 
-// Beyond the bound, for a machine that is busy with other tests and sanitizers.
+// Added to each bound, for a machine that is busy with other tests or sanitizers.
 inline constexpr runtime::Duration kSlack = milliseconds(300);
 inline constexpr runtime::Duration kDrain = milliseconds(500);
 
+// The policy for a shared service, with short times.
 inline discovery::PollPolicy ShortOnRequestPolicy() {
-  discovery::PollPolicy policy = discovery::PollPolicy::For(Rules(true, kDrain));
+  discovery::PollPolicy policy = discovery::PollPolicy::For(MakeRules(true, kDrain));
   policy.watch_wait = milliseconds(300);
   policy.watch_timeout = milliseconds(100);
   policy.list_timeout = policy.retry_timeout = milliseconds(300);
@@ -186,14 +189,17 @@
   return policy;
 }
 
-// From call `from` on the intervals between calls are those that the policy has for a run of failures.
-inline void ExpectRetryIntervals(const discovery::PollPolicy& policy, const std::vector<Source::Seen>& seen,
+// Expects that the intervals between calls, from call `from` on, are those of the policy for consecutive
+// failures.
+inline void ExpectRetryIntervals(const discovery::PollPolicy& policy, const std::vector<Source::Call>& calls,
                                  std::size_t from) {
-  for (std::size_t i = from; i < seen.size(); ++i) {
-    const runtime::Duration gap = seen[i].at - seen[i - 1].at;
-    EXPECT_GE(gap, policy.retry_timeout - milliseconds(50)) << i;  // the source notes the time a little late
-    EXPECT_LE(gap, policy.max_retry_interval + kSlack) << i;
-    EXPECT_EQ(seen[i].target, "/discovery/hosts?index=1&wait=1") << i;  // of the held revision, and no watch
+  for (std::size_t i = from; i < calls.size(); ++i) {
+    const runtime::Duration interval = calls[i].received - calls[i - 1].received;
+    EXPECT_GE(interval, policy.retry_timeout - milliseconds(50))
+        << i;  // the source records the time a little late
+    EXPECT_LE(interval, policy.max_retry_interval + kSlack) << i;
+    // Requests the changes since the known revision, without a watch.
+    EXPECT_EQ(calls[i].target, "/discovery/hosts?index=1&wait=1") << i;
   }
 }
 
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -1,4 +1,5 @@
-// The discovery loop against scripted sources that reject calls, answer late or wrong, or move.
+// The discovery loop against scripted sources that reject calls, answer late or wrongly, or change their
+// address.
 #include <chrono>
 #include <cstddef>
 #include <cstdint>
@@ -15,31 +16,32 @@
     Source source;
     LoopUnderTest loop(policy, source.endpoint());
     loop.discovery.Start();
-    ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
+    ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 2; }));
     source.AnswerWith(text, 1000);
-    ASSERT_TRUE(loop.Until([&] { return loop.discovery.counts().failed >= 1; }));
-    const std::size_t rejected = source.seen().size();
-    const runtime::TimePoint at = runtime::Now();
-    ASSERT_TRUE(loop.Until([&] { return source.seen().size() >= rejected + 4; }));
-    EXPECT_GE(source.seen()[rejected].at - at, policy.fault_backoff - milliseconds(10)) << text;
-    EXPECT_LE(source.seen()[rejected].at - at, policy.max_retry_interval + kSlack) << text;
-    ExpectRetryIntervals(policy, source.seen(), rejected + 1);
+    ASSERT_TRUE(loop.RunUntil([&] { return loop.discovery.counts().failed >= 1; }));
+    const std::size_t rejected = source.calls().size();
+    const runtime::TimePoint failed_at = runtime::Now();
+    ASSERT_TRUE(loop.RunUntil([&] { return source.calls().size() >= rejected + 4; }));
+    EXPECT_GE(source.calls()[rejected].received - failed_at, policy.fault_backoff - milliseconds(10)) << text;
+    EXPECT_LE(source.calls()[rejected].received - failed_at, policy.max_retry_interval + kSlack) << text;
+    ExpectRetryIntervals(policy, source.calls(), rejected + 1);
     EXPECT_EQ(loop.LogLines(), 1);
   }
 }
 
-// All processes of a fleet may have started together: their watches would time out together, and late.
+// All processes of a fleet may start at the same time. If their first calls were watches, these would time
+// out together, and late.
 TEST(DiscoveryLoop, FirstCallOfAProcessThatHoldsAListIsNoWatch) {
   Source source;
   LoopUnderTest loop(ShortOnRequestPolicy(), source.endpoint());
   loop.discovery.SetKnownRevision(1);
   loop.discovery.Start();
-  ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
-  EXPECT_EQ(source.seen()[0].target, "/discovery/hosts?index=1&wait=1");
-  EXPECT_EQ(source.seen()[1].target, "/discovery/hosts?index=1&wait=300");
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 2; }));
+  EXPECT_EQ(source.calls()[0].target, "/discovery/hosts?index=1&wait=1");
+  EXPECT_EQ(source.calls()[1].target, "/discovery/hosts?index=1&wait=300");
 }
 
-// In the turn of the first move its call is out; and during the backoff after a failure.
+// The address changes twice, while a call is pending or during the backoff after a failure.
 TEST(DiscoveryLoop, TwoAddressChangesInOneTurnFollowTheLastOnly) {
   for (const bool on_request : {false, true}) {
     for (const bool outage : {false, true}) {
@@ -48,68 +50,70 @@
       Source third;
       third.Publish(3);
       if (outage) first.AnswerWith("", 1000);
-      LoopUnderTest loop(discovery::PollPolicy::For(Rules(on_request, kDrain)), first.endpoint());
+      LoopUnderTest loop(discovery::PollPolicy::For(MakeRules(on_request, kDrain)), first.endpoint());
       loop.discovery.Start();
-      ASSERT_TRUE(loop.Until([&] { return outage ? loop.discovery.counts().failed > 0 : loop.lists > 0; }));
+      ASSERT_TRUE(
+          loop.RunUntil([&] { return outage ? loop.discovery.counts().failed > 0 : loop.lists > 0; }));
       loop.discovery.SetEndpoint(second.endpoint());
       loop.discovery.SetEndpoint(third.endpoint());
-      const std::size_t before = first.seen().size();
-      ASSERT_TRUE(loop.Until([&] { return loop.revision == 3; }));
-      loop.For(milliseconds(300));
-      EXPECT_EQ(first.seen().size(), before) << on_request << outage;
-      EXPECT_EQ(second.seen().size(), 0U) << on_request << outage;
+      const std::size_t before = first.calls().size();
+      ASSERT_TRUE(loop.RunUntil([&] { return loop.revision == 3; }));
+      loop.RunFor(milliseconds(300));
+      EXPECT_EQ(first.calls().size(), before) << on_request << outage;
+      EXPECT_EQ(second.calls().size(), 0U) << on_request << outage;
     }
   }
 }
 
-// A full list takes the agent longer than the timeout of the first call, or of any, each time; and so does
-// the next list after a watch without an answer.
+// An agent that takes longer for each full list than the timeout of the first call, or than that of any call.
+// The same holds for the list after an unanswered watch.
 TEST(DiscoveryLoop, ListOfASlowAgentIsAcceptedInTime) {
   for (const int delay_ms : {200, 500, 2000}) {
     for (const int drain_ms : {100, 500}) {
       Source source;
       source.DelayLists(milliseconds(delay_ms));
-      LoopUnderTest loop(discovery::PollPolicy::For(Rules(false, milliseconds(drain_ms))), source.endpoint());
+      LoopUnderTest loop(discovery::PollPolicy::For(MakeRules(false, milliseconds(drain_ms))),
+                         source.endpoint());
       const runtime::TimePoint started = runtime::Now();
       loop.discovery.Start();
-      ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; })) << delay_ms << ' ' << drain_ms;
+      ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 1; })) << delay_ms << ' ' << drain_ms;
       EXPECT_LE(runtime::Now() - started, milliseconds(delay_ms + 2 * drain_ms) + kSlack)
           << delay_ms << ' ' << drain_ms;
       EXPECT_GT(loop.discovery.counts().failed, 0U);
-      source.StopAnswering(StopPoint::kBeforeTheHead, 1);
-      ASSERT_TRUE(loop.Until([&] { return source.unanswered() == 1; }));
-      // The next list is begun, and says nothing of what comes now.
-      const std::size_t calls = source.seen().size();
-      ASSERT_TRUE(loop.Until([&] { return source.seen().size() > calls; }));
+      source.StopAnswering(StopPoint::kBeforeHeader, 1);
+      ASSERT_TRUE(loop.RunUntil([&] { return source.unanswered() == 1; }));
+      // The next list has been begun, so it does not contain the change that is published now.
+      const std::size_t calls = source.calls().size();
+      ASSERT_TRUE(loop.RunUntil([&] { return source.calls().size() > calls; }));
       source.Publish(2);
       const runtime::TimePoint published = runtime::Now();
-      ASSERT_TRUE(loop.Until([&] { return loop.revision == 2; })) << delay_ms << ' ' << drain_ms;
+      ASSERT_TRUE(loop.RunUntil([&] { return loop.revision == 2; })) << delay_ms << ' ' << drain_ms;
       EXPECT_LE(runtime::Now() - published, seconds(6) + kSlack) << delay_ms << ' ' << drain_ms;
     }
   }
 }
 
-// Two calls are out: the one that timed out is answered first, its connection is used from then on, and the
-// other is dropped.
+// Two calls are pending. The one that timed out is answered first; its connection is used from then on, and
+// the other one is dropped.
 TEST(DiscoveryLoop, AnswerToATimedOutCallIsAcceptedAndItsConnectionReused) {
-  const discovery::PollPolicy policy = discovery::PollPolicy::For(Rules(false, kDrain));
+  const discovery::PollPolicy policy = discovery::PollPolicy::For(MakeRules(false, kDrain));
   const runtime::Duration delay = policy.list_timeout + policy.retry_timeout * 5 / 6;
   Source source;
   source.DelayLists(delay);
   LoopUnderTest loop(policy, source.endpoint());
   const runtime::TimePoint started = runtime::Now();
   loop.discovery.Start();
-  ASSERT_TRUE(loop.Until([&] { return loop.lists >= 3; }));
-  // The one beside it would have been a list more, between two watches.
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 3; }));
+  // Had the other call been answered too, there would be one more list between two watches.
   EXPECT_GE(runtime::Now() - started, delay + 2 * policy.watch_wait - milliseconds(20));
   EXPECT_EQ(loop.LogLines(), 2);
-  for (std::size_t i = 3; i < source.seen().size(); ++i) {
-    EXPECT_NE(source.seen()[i].target.find("wait="), std::string::npos) << i;  // only watches from then on
+  for (std::size_t i = 3; i < source.calls().size(); ++i) {
+    EXPECT_NE(source.calls()[i].target.find("wait="), std::string::npos) << i;  // only watches from then on
   }
 }
 
 TEST(DiscoveryLoop, UnresponsiveOrBrokenAgentIsNotPolledInABusyLoop) {
-  const discovery::PollPolicy policy = discovery::PollPolicy::For(Rules(false, kDrain));
+  const discovery::PollPolicy policy = discovery::PollPolicy::For(MakeRules(false, kDrain));
   const runtime::Duration time = seconds(2);
   testing::BlackHole hole;
   testing::Refusing refusing;
@@ -118,10 +122,10 @@
   Source broken;
   broken.AnswerWith("", 100000);
   Source unresponsive;
-  unresponsive.StopAnswering(StopPoint::kBeforeTheHead, 100000);
+  unresponsive.StopAnswering(StopPoint::kBeforeHeader, 100000);
   struct Row {
     runtime::Endpoint endpoint;
-    runtime::Duration first, each;  // time of the first call with its backoff, and of each further one
+    runtime::Duration first, each;  // duration of the first call with its backoff, and of each later one
   };
   for (const Row& row :
        {Row{*runtime::ParseEndpoint(hole.address()), policy.list_timeout, policy.retry_timeout},
@@ -131,7 +135,7 @@
         Row{unresponsive.endpoint(), policy.list_timeout, policy.retry_timeout}}) {
     LoopUnderTest loop(policy, row.endpoint);
     loop.discovery.Start();
-    loop.For(time);
+    loop.RunFor(time);
     EXPECT_LE(loop.discovery.counts().calls, static_cast<std::uint64_t>((time - row.first) / row.each) + 2);
     EXPECT_GE(loop.discovery.counts().calls, static_cast<std::uint64_t>(time / row.each) / 2);
     EXPECT_EQ(loop.LogLines(), 1);
@@ -145,13 +149,13 @@
   };
   Source source;
   source.Publish(5);
-  LoopUnderTest loop(discovery::PollPolicy::For(Rules(false, kDrain)), source.endpoint());
+  LoopUnderTest loop(discovery::PollPolicy::For(MakeRules(false, kDrain)), source.endpoint());
   loop.discovery.Start();
-  ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 1; }));
   source.AnswerWith(changes(4), 1);
-  ASSERT_TRUE(loop.Until([&] { return loop.discovery.counts().failed == 1; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.discovery.counts().failed == 1; }));
   EXPECT_EQ(loop.revision, 5);
-  ASSERT_TRUE(loop.Until([&] { return loop.discovery.counts().full_lists == 2; }, seconds(5)));
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.discovery.counts().full_lists == 2; }, seconds(5)));
   EXPECT_EQ(loop.discovery.counts().change_lists, 0U);
   EXPECT_EQ(loop.discovery.counts().full_list_calls, 2U);
 }
--- a/tests/discovery/endpoint_list_test.cpp
+++ b/tests/discovery/endpoint_list_test.cpp
@@ -1,4 +1,4 @@
-// How an endpoint list is read.
+// Parsing of endpoint lists.
 #include <chrono>
 
 #include "discovery/discovery.h"
@@ -12,13 +12,13 @@
 using nlohmann::json;
 using testing::Target;
 
-dispatch::MembershipList Parsed(const json& targets) {
+dispatch::MembershipList ParseTargets(const json& targets) {
   return discovery::ParseList(json{{"rev", 1}, {"all", true}, {"targets", targets}});
 }
 
 TEST(EndpointList, LastEntryOfAnIdCountsOnce) {
-  const auto list = Parsed({Target("u1", "127.0.0.1:1", "active", 5), Target("u2", "127.0.0.1:2"),
-                            Target("u1", "127.0.0.1:3", "leaving", 9)});
+  const auto list = ParseTargets({Target("u1", "127.0.0.1:1", "active", 5), Target("u2", "127.0.0.1:2"),
+                                  Target("u1", "127.0.0.1:3", "leaving", 9)});
   ASSERT_EQ(list.update.upstreams.size(), 2U);
   EXPECT_EQ(list.update.upstreams[0].id.value, "u1");
   EXPECT_EQ(list.update.upstreams[0].state, UpstreamState::kDraining);
--- a/tests/discovery/endpoint_staleness_test.cpp
+++ b/tests/discovery/endpoint_staleness_test.cpp
@@ -1,5 +1,5 @@
-// The bound on the list's staleness as a table of cases, and the load of a service that comes back, both of
-// the pure rule: no sockets, no clock.
+// The bound on the staleness of the endpoint list in each case, and the load on a service that recovers. Both
+// are computed from the pure functions, without sockets or a clock.
 #include "discovery/endpoint_staleness.h"
 
 #include <gtest/gtest.h>
@@ -27,8 +27,8 @@
 
 // ---- The bound ----
 
-discovery::StalenessRules Rules(bool on_request, runtime::Duration drain,
-                                runtime::Duration poll_within = seconds(10)) {
+discovery::StalenessRules MakeRules(bool on_request, runtime::Duration drain,
+                                    runtime::Duration poll_within = seconds(10)) {
   return {on_request, drain, poll_within};
 }
 
@@ -42,7 +42,7 @@
   for (const bool on_request : {false, true}) {
     for (const int drain : {100, 150, 250, 400, 500, 750, 1000, 2000, 60000}) {
       for (const int poll_within : {1, 2, 5, 10, 30, 600}) {
-        all.push_back(Rules(on_request, milliseconds(drain), seconds(poll_within)));
+        all.push_back(MakeRules(on_request, milliseconds(drain), seconds(poll_within)));
       }
     }
   }
@@ -62,25 +62,26 @@
       EXPECT_LE(discovery::WorstCaseStaleness(policy, staleness_case),
                 discovery::StalenessBound(rules, staleness_case) - discovery::SchedulingMargin(rules))
           << Describe(rules) << ", case " << static_cast<int>(staleness_case);
-      // The operators' terms, whatever the settings: 6 s, and for a call that may wait 2 s after that wait.
+      // The operators' limit at any settings: 6 s, and for a watch at a service 2 s after the end of its
+      // wait.
       const bool waits = rules.on_request && staleness_case == discovery::StalenessCase::kWatchTimeout;
       EXPECT_LE(discovery::StalenessBound(rules, staleness_case),
                 (waits ? policy.watch_wait + seconds(2) : runtime::Duration(seconds(6))) +
                     std::min<runtime::Duration>(rules.drain_within, seconds(2)));
-      // A watch that timed out is a failed call like others: notified within 6 s wherever the service takes 1
-      // s for the next one.
+      // A watch that timed out counts as a failed call: if the service answers the next call within 1 s, the
+      // sidecar is notified within 6 s.
       EXPECT_LE(policy.watch_wait + policy.watch_timeout + seconds(1),
                 seconds(6) + std::min<runtime::Duration>(rules.drain_within, seconds(2)));
     }
-    // What the service bears: a call in 5 s from each sidecar.
+    // The service can handle one call in 5 s from each sidecar.
     EXPECT_GE(policy.watch_wait, rules.on_request ? seconds(5) : seconds(0));
     EXPECT_GE(discovery::SchedulingMargin(rules),
               std::min<runtime::Duration>(rules.drain_within, seconds(2)) / 4);
   }
 }
 
-// Counted from the moment from which on the failed call can't bring the change any more, although the source
-// has it and is reachable.
+// The staleness is counted from the moment after which the failed call can't deliver the change any more,
+// although the source has it and is reachable.
 TEST(StalenessBoundTest, HoldsAfterAnyFailedCall) {
   using Kind = discovery::FailedCall::Kind;
   for (const discovery::StalenessRules& rules : AllRules()) {
@@ -104,13 +105,13 @@
               << Describe(rules) << consecutive_failures;
           for (int tenth = 0; tenth <= 10; ++tenth) {
             const runtime::Duration elapsed = timeout * tenth / 10;
-            const runtime::Duration since =
-                watch ? runtime::Duration::zero() : elapsed;  // a watch brings changes until it breaks
-            EXPECT_LE(since + backoff(Kind::kFault, elapsed) + policy.answer_time, bound)
+            // A watch delivers changes until it breaks.
+            const runtime::Duration stale_before_failure = watch ? runtime::Duration::zero() : elapsed;
+            EXPECT_LE(stale_before_failure + backoff(Kind::kFault, elapsed) + policy.answer_time, bound)
                 << Describe(rules) << consecutive_failures;
             EXPECT_LE(backoff(Kind::kOutdated, elapsed), policy.fault_backoff)
                 << Describe(rules) << consecutive_failures;
-            // The source isn't hammered.
+            // The source isn't polled in a busy loop.
             EXPECT_GE(backoff(Kind::kFault, elapsed),
                       std::min<runtime::Duration>(policy.fault_backoff, milliseconds(25)));
             const runtime::Duration min_interval =
@@ -125,8 +126,8 @@
   }
 }
 
-// The module's own polls, where it is embedded without the discovery loop: the failed call and the next one
-// take up to the service's 2 s each.
+// The module polls by itself if it is embedded without the discovery loop. The failed call and the next one
+// take up to the service's timeout of 2 s each.
 TEST(StalenessBoundTest, HoldsInTheModuleAtAnySetting) {
   for (const int poll_within : {1, 5, 10, 30, 600}) {
     for (int seed = 1; seed <= 20; ++seed) {
@@ -145,11 +146,11 @@
 }
 
 TEST(StalenessBoundTest, WatchesAfterACommonChangeEndAtDifferentTimes) {
-  const discovery::PollPolicy on_request = discovery::PollPolicy::For(Rules(true, milliseconds(500)));
+  const discovery::PollPolicy on_request = discovery::PollPolicy::For(MakeRules(true, milliseconds(500)));
   EXPECT_EQ(on_request.WatchWaitAfter(true, 0), milliseconds(2500));
   EXPECT_EQ(on_request.WatchWaitAfter(true, 0.5), milliseconds(3750));
   EXPECT_EQ(on_request.WatchWaitAfter(false, 0), on_request.watch_wait);
-  const discovery::PollPolicy pushed = discovery::PollPolicy::For(Rules(false, milliseconds(500)));
+  const discovery::PollPolicy pushed = discovery::PollPolicy::For(MakeRules(false, milliseconds(500)));
   EXPECT_EQ(pushed.WatchWaitAfter(true, 0), pushed.watch_wait);
 }
 
@@ -170,7 +171,7 @@
                       {true, discovery::StalenessCase::kAddressChanged, 6500, 6000},
                       {true, discovery::StalenessCase::kNewProcess, 6500, 6000}};
   for (const Row& row : rows) {
-    const discovery::StalenessRules rules = Rules(row.on_request, milliseconds(500));
+    const discovery::StalenessRules rules = MakeRules(row.on_request, milliseconds(500));
     const int number = static_cast<int>(row.staleness_case);
     EXPECT_EQ(discovery::StalenessBound(rules, row.staleness_case), milliseconds(row.allowed_ms))
         << row.on_request << number;
@@ -182,10 +183,11 @@
 
 TEST(StalenessBoundTest, DrainIsClampedToItsRange) {
   for (const int drain : {0, 1, 50, 100}) {
-    EXPECT_EQ(discovery::PollPolicy::For(Rules(false, milliseconds(drain))).watch_wait, milliseconds(40));
+    EXPECT_EQ(discovery::PollPolicy::For(MakeRules(false, milliseconds(drain))).watch_wait, milliseconds(40));
   }
-  EXPECT_EQ(discovery::PollPolicy::For(Rules(false, milliseconds(150))).watch_wait, milliseconds(60));
-  EXPECT_EQ(discovery::PollPolicy::For(Rules(false, std::chrono::hours(1))).watch_wait, milliseconds(800));
+  EXPECT_EQ(discovery::PollPolicy::For(MakeRules(false, milliseconds(150))).watch_wait, milliseconds(60));
+  EXPECT_EQ(discovery::PollPolicy::For(MakeRules(false, std::chrono::hours(1))).watch_wait,
+            milliseconds(800));
 }
 
 TEST(StalenessBoundTest, RulesComeFromTheSettings) {
@@ -201,25 +203,26 @@
   EXPECT_EQ(rules.poll_within, seconds(7));
 }
 
-// ---- The service's load when it comes back ----
+// ---- The load on a service that recovers ----
 
-// The calls of 300 sidecars to the service in simulated time: it is away from 0 on for `away`, failing calls
-// as `fault` says.
+// The calls of 300 sidecars to a service in simulated time. From time 0 the service has an outage of length
+// `outage`, in which calls fail with `fault`.
 class Fleet {
  public:
-  enum class Before { kWatching, kWatchingInStep, kJustStarted };
+  // The state of the sidecars when the outage begins. In step: their watches end at about the same time.
+  enum class InitialState { kWatching, kWatchingInStep, kJustStarted };
   static constexpr int kSidecars = 300;
 
-  // `capacity_per_second`: calls that it answers once it is back; it rejects the others.
-  Fleet(discovery::FailedCall::Kind fault, Before before, runtime::Duration away,
+  // `capacity_per_second`: the calls that the recovered service answers; it rejects the others.
+  Fleet(discovery::FailedCall::Kind fault, InitialState initial_state, runtime::Duration outage,
         int capacity_per_second = kSidecars * 1000)
-      : policy_(discovery::PollPolicy::For(Rules(true, milliseconds(500)))),
+      : policy_(discovery::PollPolicy::For(MakeRules(true, milliseconds(500)))),
         fault_(fault),
-        before_(before),
-        away_(away) {
-    std::vector<std::pair<runtime::Duration, int>> due;  // start of the next call, sidecar
+        initial_state_(initial_state),
+        outage_(outage) {
+    std::vector<std::pair<runtime::Duration, int>> due;  // heap of: start of the next call, sidecar
     for (int i = 0; i < kSidecars; ++i) due.emplace_back(FirstCall(i), i);
-    failures_.assign(kSidecars, before == Before::kJustStarted ? 0 : 1);
+    failures_.assign(kSidecars, initial_state == InitialState::kJustStarted ? 0 : 1);
     const auto later = std::greater<>();
     std::make_heap(due.begin(), due.end(), later);
     std::vector<runtime::Duration> accepted;
@@ -228,18 +231,18 @@
       const auto [at, sidecar] = due.back();
       due.pop_back();
       starts_.push_back(at);
-      const bool back = at >= away_;
-      if (back) all_called_ = std::max(all_called_, at - away_);
-      const auto same_second = [from = at - seconds(1)](runtime::Duration time) { return time > from; };
-      if (back &&
+      const bool recovered = at >= outage_;
+      if (recovered) all_called_ = std::max(all_called_, at - outage_);
+      const auto in_last_second = [from = at - seconds(1)](runtime::Duration time) { return time > from; };
+      if (recovered &&
           std::count_if(accepted.rbegin(),
                         accepted.rbegin() + std::min<std::size_t>(accepted.size(), capacity_per_second),
-                        same_second) < capacity_per_second) {
+                        in_last_second) < capacity_per_second) {
         accepted.push_back(at);
-        all_answered_ = at - away_;
+        all_answered_ = at - outage_;
         continue;
       }
-      const bool timed_out = !back && fault_ == discovery::FailedCall::Kind::kTimeout;
+      const bool timed_out = !recovered && fault_ == discovery::FailedCall::Kind::kTimeout;
       const runtime::Duration elapsed = timed_out ? policy_.retry_timeout : runtime::Duration::zero();
       const auto kind =
           timed_out ? discovery::FailedCall::Kind::kTimeout : discovery::FailedCall::Kind::kFault;
@@ -249,9 +252,11 @@
     }
   }
 
-  runtime::Duration all_called() const { return all_called_; }      // from the return until each had called
-  runtime::Duration all_answered() const { return all_answered_; }  // and until each was answered
-  // The most calls in any second, from this time on.
+  // The time from the recovery until each sidecar had called.
+  runtime::Duration all_called() const { return all_called_; }
+  // The time from the recovery until each sidecar was answered.
+  runtime::Duration all_answered() const { return all_answered_; }
+  // The maximum number of calls in any second that begins at `from` or later.
   int BusiestSecond(runtime::Duration from) const {
     int busiest = 0;
     auto begin = std::lower_bound(starts_.begin(), starts_.end(), from);
@@ -266,19 +271,19 @@
   double Draw() { return std::uniform_real_distribution<>()(random_); }
 
   runtime::Duration FirstCall(int sidecar) {
-    if (before_ == Before::kJustStarted) return runtime::Duration::zero();
+    if (initial_state_ == InitialState::kJustStarted) return runtime::Duration::zero();
     if (fault_ == discovery::FailedCall::Kind::kFault)
       return policy_.BackoffAfter({fault_, true, 1, seconds(1)}, Draw());
-    if (before_ == Before::kWatchingInStep)
+    if (initial_state_ == InitialState::kWatchingInStep)
       return policy_.WatchWaitAfter(true, Draw()) + policy_.watch_timeout;
-    // Watches were begun at different moments.
+    // The watches were begun at different moments.
     return (policy_.watch_wait * (sidecar + 1)) / kSidecars + policy_.watch_timeout;
   }
 
   const discovery::PollPolicy policy_;
   const discovery::FailedCall::Kind fault_;
-  const Before before_;
-  const runtime::Duration away_;
+  const InitialState initial_state_;
+  const runtime::Duration outage_;
   std::mt19937_64 random_{7};
   std::vector<int> failures_;
   std::vector<runtime::Duration> starts_;
@@ -287,42 +292,44 @@
 };
 
 TEST(ServiceRecovery, CausesNoStormAndReachesEachSidecarInTime) {
-  using Before = Fleet::Before;
+  using InitialState = Fleet::InitialState;
   struct Row {
     discovery::FailedCall::Kind fault;
-    Before before;
-    int busiest;  // calls in the worst second from the return on
+    InitialState initial_state;
+    int busiest;  // maximum calls in a second after the recovery
   };
-  // 75 are the least where each calls within 4 s: twice that. Those that timed out together have 1.5 s to
-  // spread over, which is 200 and what chance adds.
-  const Row rows[] = {{discovery::FailedCall::Kind::kFault, Before::kWatching, 150},
-                      {discovery::FailedCall::Kind::kTimeout, Before::kWatching, 150},
-                      {discovery::FailedCall::Kind::kTimeout, Before::kWatchingInStep, 225},
-                      {discovery::FailedCall::Kind::kFault, Before::kJustStarted, 150},
-                      {discovery::FailedCall::Kind::kTimeout, Before::kJustStarted, 225}};
+  // If each of 300 sidecars calls within 4 s, at least 75 call in some second; twice that is allowed.
+  // Sidecars whose calls timed out together spread over 1.5 s, which is 200 in a second, plus random
+  // variation.
+  const Row rows[] = {{discovery::FailedCall::Kind::kFault, InitialState::kWatching, 150},
+                      {discovery::FailedCall::Kind::kTimeout, InitialState::kWatching, 150},
+                      {discovery::FailedCall::Kind::kTimeout, InitialState::kWatchingInStep, 225},
+                      {discovery::FailedCall::Kind::kFault, InitialState::kJustStarted, 150},
+                      {discovery::FailedCall::Kind::kTimeout, InitialState::kJustStarted, 225}};
   for (const Row& row : rows) {
-    for (const int away_ms : {100, 700, 1500, 3000, 8000, 30000, 300000}) {
-      const Fleet fleet(row.fault, row.before, milliseconds(away_ms));
+    for (const int outage_ms : {100, 700, 1500, 3000, 8000, 30000, 300000}) {
+      const Fleet fleet(row.fault, row.initial_state, milliseconds(outage_ms));
       const std::string text = std::to_string(static_cast<int>(row.fault)) +
-                               std::to_string(static_cast<int>(row.before)) + ", away " +
-                               std::to_string(away_ms) +
-                               " ms: " + std::to_string(fleet.BusiestSecond(milliseconds(away_ms)));
-      EXPECT_LE(fleet.BusiestSecond(milliseconds(away_ms)), row.busiest) << text;
-      // A watch without an answer is out for all of its wait and its timeout.
-      const bool watches =
-          row.fault == discovery::FailedCall::Kind::kTimeout && row.before != Before::kJustStarted;
+                               std::to_string(static_cast<int>(row.initial_state)) + ", outage of " +
+                               std::to_string(outage_ms) +
+                               " ms: " + std::to_string(fleet.BusiestSecond(milliseconds(outage_ms)));
+      EXPECT_LE(fleet.BusiestSecond(milliseconds(outage_ms)), row.busiest) << text;
+      // An unanswered watch is pending for its whole wait and timeout.
+      const bool watches = row.fault == discovery::FailedCall::Kind::kTimeout &&
+                           row.initial_state != InitialState::kJustStarted;
       EXPECT_LE(fleet.all_called(), watches ? milliseconds(5375) : milliseconds(4000)) << text;
     }
   }
 }
 
-// The least that a service takes is a call from each in 8 s; it rejects the others at once.
-TEST(ServiceRecovery, OfAnOverbookedServiceCausesNoStorm) {
+// The service has the smallest allowed capacity, a call from each sidecar in 8 s, and rejects other calls at
+// once.
+TEST(ServiceRecovery, OfAnOverloadedServiceCausesNoStorm) {
   for (const auto fault : {discovery::FailedCall::Kind::kFault, discovery::FailedCall::Kind::kTimeout}) {
-    for (const int away_ms : {700, 8000, 30000}) {
-      const Fleet fleet(fault, Fleet::Before::kWatching, milliseconds(away_ms), Fleet::kSidecars / 8);
-      EXPECT_LE(fleet.BusiestSecond(milliseconds(away_ms)), 150) << away_ms;
-      EXPECT_LE(fleet.all_answered(), seconds(15)) << away_ms;
+    for (const int outage_ms : {700, 8000, 30000}) {
+      const Fleet fleet(fault, Fleet::InitialState::kWatching, milliseconds(outage_ms), Fleet::kSidecars / 8);
+      EXPECT_LE(fleet.BusiestSecond(milliseconds(outage_ms)), 150) << outage_ms;
+      EXPECT_LE(fleet.all_answered(), seconds(15)) << outage_ms;
     }
   }
 }
--- a/tests/discovery/unanswered_call_test.cpp
+++ b/tests/discovery/unanswered_call_test.cpp
@@ -1,4 +1,4 @@
-// The discovery loop where its source leaves calls unanswered: the staleness bound holds.
+// The staleness bound holds when the source of the endpoint list leaves calls unanswered.
 #include <cstddef>
 #include <string>
 
@@ -9,19 +9,19 @@
 
 class UnansweredCall : public ::testing::TestWithParam<StopPoint> {};
 
-// The change comes just after the last unanswered call has begun: the worst case.
+// The worst case: the list changes just after the last unanswered call has begun.
 TEST_P(UnansweredCall, ToAnAgentKeepsTheBoundForTheNextChange) {
-  const discovery::StalenessRules rules = Rules(false, kDrain);
+  const discovery::StalenessRules rules = MakeRules(false, kDrain);
   for (const int calls : {1, 2, 3}) {
     Source source;
     LoopUnderTest loop(discovery::PollPolicy::For(rules), source.endpoint());
     loop.discovery.Start();
-    ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));  // a watch has been over
+    ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 2; }));  // a watch has ended
     source.StopAnswering(GetParam(), calls);
-    ASSERT_TRUE(loop.Until([&] { return source.unanswered() == calls; }));
+    ASSERT_TRUE(loop.RunUntil([&] { return source.unanswered() == calls; }));
     const runtime::TimePoint published = runtime::Now();
     source.Publish(2);
-    ASSERT_TRUE(loop.Until([&] { return loop.revision == 2; }));
+    ASSERT_TRUE(loop.RunUntil([&] { return loop.revision == 2; }));
     const discovery::StalenessCase staleness_case =
         calls == 1 ? discovery::StalenessCase::kWatchTimeout : discovery::StalenessCase::kAfterOutage;
     EXPECT_LE(runtime::Now() - published, discovery::StalenessBound(rules, staleness_case) + kSlack) << calls;
@@ -30,7 +30,7 @@
 }
 
 TEST_P(UnansweredCall, ToANewAgentOrOfANewProcessKeepsTheBound) {
-  const discovery::StalenessRules rules = Rules(false, kDrain);
+  const discovery::StalenessRules rules = MakeRules(false, kDrain);
   for (const bool address_changed : {false, true}) {
     Source first;
     Source source;
@@ -39,12 +39,12 @@
                        address_changed ? first.endpoint() : source.endpoint());
     loop.discovery.Start();
     if (address_changed) {
-      ASSERT_TRUE(loop.Until([&] { return loop.lists >= 1; }));
+      ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 1; }));
       loop.discovery.SetEndpoint(source.endpoint());
     }
     source.Publish(7);
     const runtime::TimePoint published = runtime::Now();
-    ASSERT_TRUE(loop.Until([&] { return loop.revision == 7; }));
+    ASSERT_TRUE(loop.RunUntil([&] { return loop.revision == 7; }));
     EXPECT_LE(runtime::Now() - published, kDrain + kSlack) << address_changed;
   }
 }
@@ -54,18 +54,18 @@
   Source source;
   LoopUnderTest loop(policy, source.endpoint());
   loop.discovery.Start();
-  ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 2; }));
   source.StopAnswering(GetParam(), 1);
-  ASSERT_TRUE(loop.Until([&] { return source.unanswered() == 1; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return source.unanswered() == 1; }));
   const runtime::TimePoint started = runtime::Now();
   source.Publish(2);
-  ASSERT_TRUE(loop.Until([&] { return loop.revision == 2; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.revision == 2; }));
   EXPECT_LE(runtime::Now() - started,
             discovery::WorstCaseStaleness(policy, discovery::StalenessCase::kWatchTimeout) + kSlack);
-  for (const auto& call : source.seen()) {
-    if (call.at > started) {
-      EXPECT_NE(call.target.find("?index=1&wait=1"), std::string::npos)
-          << call.target;  // of the held revision
+  for (const auto& call : source.calls()) {
+    if (call.received > started) {
+      // Requests the changes since the known revision.
+      EXPECT_NE(call.target.find("?index=1&wait=1"), std::string::npos) << call.target;
       break;
     }
   }
@@ -76,17 +76,17 @@
   Source source;
   LoopUnderTest loop(policy, source.endpoint());
   loop.discovery.Start();
-  ASSERT_TRUE(loop.Until([&] { return loop.lists >= 2; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.lists >= 2; }));
   source.StopAnswering(GetParam(), 1000);
-  ASSERT_TRUE(loop.Until([&] { return source.unanswered() == 1; }));
-  const std::size_t watch = source.seen().size() - 1;
-  ASSERT_TRUE(loop.Until([&] { return source.unanswered() == 6; }));
-  ExpectRetryIntervals(policy, source.seen(), watch + 2);
+  ASSERT_TRUE(loop.RunUntil([&] { return source.unanswered() == 1; }));
+  const std::size_t watch = source.calls().size() - 1;
+  ASSERT_TRUE(loop.RunUntil([&] { return source.unanswered() == 6; }));
+  ExpectRetryIntervals(policy, source.calls(), watch + 2);
   source.StopAnswering(GetParam(), 0);
   source.Publish(2);
-  const runtime::TimePoint back = runtime::Now();
-  ASSERT_TRUE(loop.Until([&] { return loop.revision == 2; }));
-  EXPECT_LE(runtime::Now() - back,
+  const runtime::TimePoint published = runtime::Now();
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.revision == 2; }));
+  EXPECT_LE(runtime::Now() - published,
             discovery::WorstCaseStaleness(policy, discovery::StalenessCase::kAfterOutage) + kSlack);
   EXPECT_EQ(loop.LogLines(), 2);
 }
@@ -98,7 +98,7 @@
   LoopUnderTest loop(policy, source.endpoint());
   loop.discovery.Start();
   const runtime::TimePoint started = runtime::Now();
-  ASSERT_TRUE(loop.Until([&] { return loop.revision == 1; }));
+  ASSERT_TRUE(loop.RunUntil([&] { return loop.revision == 1; }));
   EXPECT_LE(runtime::Now() - started,
             discovery::WorstCaseStaleness(policy, discovery::StalenessCase::kListTimeout) + kSlack);
   EXPECT_EQ(loop.discovery.counts().full_list_calls, 2U);
