--- a/tests/hot_restart/stored_fixture_test.cpp
+++ b/tests/hot_restart/stored_fixture_test.cpp
@@ -1,5 +1,5 @@
-// The state and the file of bans as version 0.2.0 wrote them: the present one reads all of them, and writes
-// the same bytes.
+// The state and the file of bans as version 0.2.0 wrote them. The current version reads them completely and
+// writes the same bytes.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -13,10 +13,10 @@
 using runtime::Duration;
 using runtime::TimePoint;
 
-const std::string kStates = MOTHRACK_FIXTURES "/state_lines.txt";
-const std::string kBans = MOTHRACK_FIXTURES "/bans.json";
+const std::string kStateFile = MOTHRACK_FIXTURES "/state_lines.txt";
+const std::string kBansFile = MOTHRACK_FIXTURES "/bans.json";
 
-// What the fixtures were written with; the second one is of a process that never had a list.
+// The states that the fixtures were written from. The second one is of a process that never received a list.
 State FullState() {
   State state;
   state.bans = {"u-2", "u \"9\""};
@@ -29,7 +29,7 @@
   return state;
 }
 
-State BareState() {
+State StateWithoutList() {
   State state;
   state.request_ids = {"a"};
   return state;
@@ -53,9 +53,9 @@
   }
 }
 
-TEST(StoredFixture, AStateOfTheFormerVersionIsReadWholeAndWrittenWithTheSameBytes) {
-  std::istringstream lines(testing::ReadFixture(kStates));
-  for (const State& written : {FullState(), BareState()}) {
+TEST(StoredFixture, AStateOfAnEarlierVersionIsReadCompletelyAndWrittenWithTheSameBytes) {
+  std::istringstream lines(testing::ReadFixture(kStateFile));
+  for (const State& written : {FullState(), StateWithoutList()}) {
     std::string line;
     ASSERT_TRUE(std::getline(lines, line));
     ExpectState(FromJson(nlohmann::json::parse(line)), written);
@@ -64,12 +64,12 @@
   EXPECT_EQ(lines.peek(), std::istringstream::traits_type::eof());
 }
 
-TEST(StoredFixture, BansOfTheFormerVersionAreReadWholeAndWrittenWithTheSameBytes) {
+TEST(StoredFixture, BansOfAnEarlierVersionAreReadCompletelyAndWrittenWithTheSameBytes) {
   runtime::Logger log("test");
-  EXPECT_EQ(ReadBans(kBans, log), FullState().bans);
-  const testing::FixtureDirectory folder;
-  ASSERT_EQ(WriteBans(folder.File("bans"), FullState().bans), std::nullopt);
-  EXPECT_EQ(testing::ReadFixture(folder.File("bans")), testing::ReadFixture(kBans));
+  EXPECT_EQ(ReadBans(kBansFile, log), FullState().bans);
+  const testing::FixtureDirectory directory;
+  ASSERT_EQ(WriteBans(directory.File("bans"), FullState().bans), std::nullopt);
+  EXPECT_EQ(testing::ReadFixture(directory.File("bans")), testing::ReadFixture(kBansFile));
 }
 
 }  // namespace
--- a/tests/simulator_adapter/adapter_process.sh
+++ b/tests/simulator_adapter/adapter_process.sh
@@ -1,12 +1,12 @@
 #!/bin/sh
-# How the adapter's process answers good, bad and ended input: adapter_process.sh PROGRAM
+# Tests the adapter's process with valid input, invalid input and the end of input: adapter_process.sh PROGRAM
 set -eu
 program=$1
 
 reply=$(printf '{"Clock":5,"news":[]}\n' | "$program")
 [ "$reply" = '{"cmds":[]}' ] || { echo "unexpected reply: $reply"; exit 1; }
 
-# must_reject NAME LINE: exit status 1 and one line on standard error that has NAME in it.
+# must_reject NAME LINE: the program must exit with status 1 and print one line on standard error that contains NAME.
 must_reject() {
   status=0
   error=$(printf '%s\n' "$2" | "$program" 2>&1 >/dev/null) || status=$?
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,4 +1,4 @@
-// The adapter: JSON to events, actions to JSON, and what it says of lines that are no batch.
+// The adapter: JSON to events, actions to JSON, and its errors for lines that are not a batch.
 #include "simulator_adapter/wire.h"
 
 #include "gtest/gtest.h"
@@ -49,22 +49,23 @@
   return json::parse(host.Reply(json{{"Clock", clock}, {"news", std::move(events)}}.dump())).at("cmds");
 }
 
-// What the adapter says of a line that it cannot use; empty where it has no objection.
-std::string Objection(const std::string& line) {
+// The adapter's error for a line; empty if it accepts the line.
+std::string ErrorFor(const std::string& line) {
   Host host;
   try {
     host.Reply(line);
-  } catch (const Error& e) {
-    return e.what();
+  } catch (const ProtocolError& error) {
+    return error.what();
   }
   return "";
 }
 
-std::string ObjectionTo(json item) {
-  return Objection(json{{"Clock", 1}, {"news", {std::move(item)}}}.dump());
+std::string ErrorForEvent(json item) {
+  return ErrorFor(json{{"Clock", 1}, {"news", {std::move(item)}}}.dump());
 }
 
-json Only(const json& cmds, const char* type) {
+// The last command of this type; null if there is none.
+json CommandOfType(const json& cmds, const char* type) {
   json found;
   for (const json& cmd : cmds) {
     if (cmd.at("event_type") == type) found = cmd;
@@ -73,21 +74,21 @@
 }
 
 TEST(Wire, ReadsTheSettings) {
-  const balancer::Settings s = ParseSettings(Params());
-  ASSERT_EQ(s.classes.size(), 1u);
-  EXPECT_EQ(s.classes[0].latency_objective, balancer::Duration(400000));
-  EXPECT_EQ(s.classes[0].deadline, balancer::Duration(1000000));
-  EXPECT_EQ(s.classes[0].effect, balancer::Effect::kSafe);
-  EXPECT_DOUBLE_EQ(s.classes[0].late_priority_weight, 0.25);
-  ASSERT_EQ(s.tenants.size(), 1u);
-  EXPECT_DOUBLE_EQ(s.tenants[0].quota_per_s, 12.5);
-  EXPECT_EQ(s.limits.max_attempts, 6u);
-  EXPECT_FALSE(s.limits.cancel);
-  EXPECT_EQ(s.rules.overload_window, balancer::Duration(1500000));
-  EXPECT_DOUBLE_EQ(s.rules.slow_start_initial_share, 0.13);
-  EXPECT_DOUBLE_EQ(s.prices.cross_zone, 0.03);
-  EXPECT_TRUE(s.membership_on_request);
-  EXPECT_EQ(s.sidecar_count, 3u);
+  const balancer::Settings settings = ParseSettings(Params());
+  ASSERT_EQ(settings.classes.size(), 1u);
+  EXPECT_EQ(settings.classes[0].latency_objective, balancer::Duration(400000));
+  EXPECT_EQ(settings.classes[0].deadline, balancer::Duration(1000000));
+  EXPECT_EQ(settings.classes[0].effect, balancer::Effect::kSafe);
+  EXPECT_DOUBLE_EQ(settings.classes[0].late_priority_weight, 0.25);
+  ASSERT_EQ(settings.tenants.size(), 1u);
+  EXPECT_DOUBLE_EQ(settings.tenants[0].quota_per_s, 12.5);
+  EXPECT_EQ(settings.limits.max_attempts, 6u);
+  EXPECT_FALSE(settings.limits.cancel);
+  EXPECT_EQ(settings.rules.overload_window, balancer::Duration(1500000));
+  EXPECT_DOUBLE_EQ(settings.rules.slow_start_initial_share, 0.13);
+  EXPECT_DOUBLE_EQ(settings.prices.cross_zone, 0.03);
+  EXPECT_TRUE(settings.membership_on_request);
+  EXPECT_EQ(settings.sidecar_count, 3u);
 }
 
 TEST(Wire, AnEmptyBatchHasAnEmptyReply) {
@@ -99,13 +100,13 @@
   Host host;
   const json cmds =
       Reply(host, {Launch(3), Census(0, "10.0.0.1:80"), Membership(3, 0), Request(3, "00000000000000ff")});
-  const json forward = Only(cmds, "Forward");
+  const json forward = CommandOfType(cmds, "Forward");
   EXPECT_EQ(forward.at("I"), 3);
   EXPECT_EQ(forward.at("Handle"), "00000000000000ff");
   EXPECT_EQ(forward.at("Upstream"), "10.0.0.1:80");
   EXPECT_GT(forward.at("Patience").get<int>(), 0);
-  EXPECT_EQ(Only(cmds, "Track").at("Active"), true);
-  EXPECT_GT(Only(cmds, "Sleep").at("When").get<int>(), 1000);
+  EXPECT_EQ(CommandOfType(cmds, "Track").at("Active"), true);
+  EXPECT_GT(CommandOfType(cmds, "Sleep").at("When").get<int>(), 1000);
   const json end = {{"event_type", "Finished"},
                     {"I", 3},
                     {"Handle", "00000000000000ff"},
@@ -130,30 +131,30 @@
   }
 }
 
-TEST(Wire, AHaltedInstanceIsForgotten) {
+TEST(Wire, AHaltedInstanceIsRemoved) {
   Host host;
   Reply(host, {Launch(1), Census(0, "a:1"), Membership(1, 0)});
   EXPECT_TRUE(Reply(host, {{{"event_type", "Halt"}, {"I", 1}}, Request(1, "0000000000000001")}).empty());
 }
 
 TEST(Wire, UnknownEventsAndFieldsAreSkipped) {
-  EXPECT_EQ(ObjectionTo({{"event_type", "Novelty"}, {"I", 1}}), "");
-  EXPECT_EQ(Objection(R"({"Clock":1,"news":[],"more":true})"), "");
+  EXPECT_EQ(ErrorForEvent({{"event_type", "Novelty"}, {"I", 1}}), "");
+  EXPECT_EQ(ErrorFor(R"({"Clock":1,"news":[],"more":true})"), "");
 }
 
-TEST(Wire, ABadLineIsNamed) {
-  EXPECT_NE(Objection("x").find("batch"), std::string::npos);
-  EXPECT_NE(Objection(R"({"news":[]})").find("Clock"), std::string::npos);
-  EXPECT_NE(Objection(R"({"Clock":1})").find("news"), std::string::npos);
-  EXPECT_NE(Objection(R"({"Clock":1,"news":{}})").find("news"), std::string::npos);
-  EXPECT_NE(ObjectionTo(7).find("event_type"), std::string::npos);
-  EXPECT_NE(ObjectionTo({{"event_type", "Order"}}).find("I"), std::string::npos);
+TEST(Wire, TheErrorForABadLineNamesTheField) {
+  EXPECT_NE(ErrorFor("x").find("batch"), std::string::npos);
+  EXPECT_NE(ErrorFor(R"({"news":[]})").find("Clock"), std::string::npos);
+  EXPECT_NE(ErrorFor(R"({"Clock":1})").find("news"), std::string::npos);
+  EXPECT_NE(ErrorFor(R"({"Clock":1,"news":{}})").find("news"), std::string::npos);
+  EXPECT_NE(ErrorForEvent(7).find("event_type"), std::string::npos);
+  EXPECT_NE(ErrorForEvent({{"event_type", "Order"}}).find("I"), std::string::npos);
   json launch = Launch(1);
   launch["Params"].erase("Classes");
-  EXPECT_NE(ObjectionTo(launch).find("Classes"), std::string::npos);
+  EXPECT_NE(ErrorForEvent(launch).find("Classes"), std::string::npos);
 }
 
-TEST(Wire, ABadFieldOfAnEventIsNamedWithItsEvent) {
+TEST(Wire, TheErrorForABadFieldNamesTheFieldAndItsEvent) {
   Host host;
   Reply(host, {Launch(1), Census(0, "a:1"), Membership(1, 0)});
   for (const char* field : {"Handle", "ClientDeadline", "Category"}) {
@@ -161,10 +162,10 @@
     request[field] = "zz";
     try {
       Reply(host, {request});
-      ADD_FAILURE() << field << " was taken";
-    } catch (const Error& e) {
-      EXPECT_NE(std::string(e.what()).find(field), std::string::npos) << e.what();
-      EXPECT_NE(std::string(e.what()).find("Order"), std::string::npos) << e.what();
+      ADD_FAILURE() << field << " was accepted";
+    } catch (const ProtocolError& error) {
+      EXPECT_NE(std::string(error.what()).find(field), std::string::npos) << error.what();
+      EXPECT_NE(std::string(error.what()).find("Order"), std::string::npos) << error.what();
     }
   }
 }
@@ -173,27 +174,27 @@
   Host host;
   json launch = Launch(4);
   launch["Params"]["Rules"]["ColdFrom"] = 1.5;
-  const json bug = Only(Reply(host, {launch}), "Bug");
+  const json bug = CommandOfType(Reply(host, {launch}), "Bug");
   ASSERT_TRUE(bug.is_object());
   EXPECT_EQ(bug.at("I"), 4);
   EXPECT_NE(bug.at("ReasonText").get<std::string>().find("cold_from"), std::string::npos);
 }
 
-TEST(Wire, EveryActionHasItsForm) {
+TEST(Wire, ActionsAreWrittenWithTheirFields) {
   Host host;
-  json params = Launch(1);
-  params["Params"]["MembershipMode"] = "pushed";
-  const json none = {{"event_type", "Census"}, {"RosterId", 0}, {"Items", json::array()}};
-  json orders = {params, none, Membership(1, 0)};
-  orders.push_back(Request(1, "0000000000000001"));
-  json cmds = Reply(host, orders);
+  json launch = Launch(1);
+  launch["Params"]["MembershipMode"] = "pushed";
+  const json empty_census = {{"event_type", "Census"}, {"RosterId", 0}, {"Items", json::array()}};
+  json events = {launch, empty_census, Membership(1, 0)};
+  events.push_back(Request(1, "0000000000000001"));
+  json cmds = Reply(host, events);
   for (const json& cmd : Reply(host, {{{"event_type", "Ring"}, {"I", 1}, {"KeyBack", 1}}}, 2000000))
     cmds.push_back(cmd);
-  const json deny = Only(cmds, "Deny");
+  const json deny = CommandOfType(cmds, "Deny");
   ASSERT_TRUE(deny.is_object());
   EXPECT_EQ(deny.at("Handle"), "0000000000000001");
   EXPECT_GE(deny.at("Pause").get<int>(), 0);
-  EXPECT_TRUE(Only(cmds, "JournalLine").at("ReasonText").is_string());
+  EXPECT_TRUE(CommandOfType(cmds, "JournalLine").at("ReasonText").is_string());
 }
 
 }  // namespace
