--- a/src/dispatch/start_times.h
+++ b/src/dispatch/start_times.h
@@ -1,7 +1,7 @@
 // Maps the start times of upstreams' processes to the program's steady clock. Pure: no I/O, clock readings
 // are parameters.
 //
-// Discovery gives the start of a process as Unix time (`boot_ms`). The module needs a TimePoint that is the
+// Discovery gives the start of a process as Unix time (`boot_ms`). The balancer needs a TimePoint that is the
 // same in every list, since a different start time means a different process, and that is not too early,
 // since slow start depends on the age. The wall clock may be stepped at any time. Therefore:
 //   * A process keeps its first estimate, also while it is not listed.
--- a/tests/discovery/discovery_process_test.cpp
+++ b/tests/discovery/discovery_process_test.cpp
@@ -118,14 +118,14 @@
 // ---- Reload of the configuration ----
 
 TEST(Reload, DuringAnOutageSwitchesToTheNewAddressAtOnce) {
-  Upstream a(Upstream::Echo("a"));
-  Upstream b(Upstream::Echo("b"));
+  Upstream upstream_a(Upstream::Echo("a"));
+  Upstream upstream_b(Upstream::Echo("b"));
   BlackHole black_hole;
   Refusing refusing;
   for (const bool on_request : {false, true}) {
     for (const std::string& old_address : {black_hole.address(), refusing.address()}) {
-      Discovery next(List({Target("u2", b.address())}));
-      Node node(MakeOptions(old_address, List({Target("u1", a.address())}), on_request));
+      Discovery next(List({Target("u2", upstream_b.address())}));
+      Node node(MakeOptions(old_address, List({Target("u1", upstream_a.address())}), on_request));
       ASSERT_TRUE(node.Listening());
       ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
       const auto reloaded = steady_clock::now();
@@ -139,11 +139,11 @@
 // The program is stopped meanwhile, so that both signals are pending when it continues (the system may merge
 // them).
 TEST(Reload, TwiceInOneTurnTheLastOneCounts) {
-  Upstream a(Upstream::Echo("a"));
-  Upstream b(Upstream::Echo("b"));
-  Discovery first(List({Target("u1", a.address())}));
-  Discovery second(List({Target("u1", a.address())}));
-  Discovery third(List({Target("u2", b.address())}));
+  Upstream upstream_a(Upstream::Echo("a"));
+  Upstream upstream_b(Upstream::Echo("b"));
+  Discovery first(List({Target("u1", upstream_a.address())}));
+  Discovery second(List({Target("u1", upstream_a.address())}));
+  Discovery third(List({Target("u2", upstream_b.address())}));
   Node node(MakeOptions(first.address()));
   ASSERT_TRUE(node.Listening());
   ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
@@ -189,9 +189,9 @@
 }
 
 TEST(Reload, OfABrokenFileDuringAnOutageIsOneErrorAndTheOldAddressIsKept) {
-  Upstream a(Upstream::Echo("a"));
-  Upstream b(Upstream::Echo("b"));
-  Discovery discovery(List({Target("u1", a.address())}));
+  Upstream upstream_a(Upstream::Echo("a"));
+  Upstream upstream_b(Upstream::Echo("b"));
+  Discovery discovery(List({Target("u1", upstream_a.address())}));
   Node node(MakeOptions(discovery.address()));
   ASSERT_TRUE(node.Listening());
   ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
@@ -206,7 +206,7 @@
             std::string::npos)
       << node.log();
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
-  discovery.Publish(List({Target("u2", b.address())}));
+  discovery.Publish(List({Target("u2", upstream_b.address())}));
   discovery.SetBehavior(Discovery::Behavior::kAnswers);
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   EXPECT_EQ(CountOccurrences(node.log(), "configuration_not_taken"), 1U);
@@ -218,9 +218,9 @@
 // connects and the signal arrives. The connection that the system has accepted is served, and the planned
 // stop follows.
 TEST(Start, ASignalDuringTheStartLeavesPendingConnectionsServed) {
-  Upstream a(Upstream::Echo("a"));
+  Upstream upstream_a(Upstream::Echo("a"));
   for (const int signal : {SIGTERM, SIGINT}) {
-    Node::Options options = MakeOptions("127.0.0.1:1", List({Target("u1", a.address())}));
+    Node::Options options = MakeOptions("127.0.0.1:1", List({Target("u1", upstream_a.address())}));
     boost::asio::io_context io;
     tcp::endpoint listen_address;
     {
--- a/tests/discovery/endpoint_staleness_test.cpp
+++ b/tests/discovery/endpoint_staleness_test.cpp
@@ -126,8 +126,8 @@
   }
 }
 
-// The module polls by itself if it is embedded without the discovery loop. The failed call and the next one
-// take up to the service's timeout of 2 s each.
+// The balancer polls on its own if it is embedded without the discovery loop. The failed call and the next
+// one take up to the service's timeout of 2 s each.
 TEST(StalenessBoundTest, HoldsInTheModuleAtAnySetting) {
   for (const int poll_within : {1, 5, 10, 30, 600}) {
     for (int seed = 1; seed <= 20; ++seed) {
--- a/tests/dispatch/dispatcher_test.cpp
+++ b/tests/dispatch/dispatcher_test.cpp
@@ -115,10 +115,10 @@
     dispatcher.Apply(Members({"u1", "u2"}, balancer::MembershipUpdate::Kind::kRestored));
   }
 
-  std::optional<balancer::RequestId> Submit(std::size_t cls, const std::string& key = "",
+  std::optional<balancer::RequestId> Submit(std::size_t class_number, const std::string& key = "",
                                             runtime::Duration wait = std::chrono::seconds(50)) {
     dispatch::NewRequest request;
-    request.request_class = balancer::ClassId{cls};
+    request.request_class = balancer::ClassId{class_number};
     request.deadline = runtime::Now() + wait;
     request.key = key;
     request.message = std::make_shared<TextMessage>("m");
