--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -44,14 +44,14 @@
   std::vector<std::int64_t> known, received;
   int false_deaths = 0;
   net.on_change = [&](std::size_t i, const Change& change) {
-    if (change.what == Change::What::kMember && change.member.state == MemberState::kDead) {
+    if (change.kind == Change::Kind::kMember && change.member.state == MemberState::kDead) {
       if (killed >= 0 && change.member.boot_id.name == net.nodes[dead].name) {
         known.push_back(net.now - killed);
       } else {
         ++false_deaths;
       }
     }
-    if (change.what == Change::What::kValue && change.value.key == "one")
+    if (change.kind == Change::Kind::kValue && change.value.key == "one")
       received.push_back(net.now - changed);
     (void)i;
   };
--- a/bench/peers_wire.cpp
+++ b/bench/peers_wire.cpp
@@ -111,7 +111,7 @@
       part.updates.push_back(Member(i));
     }
     ++datagrams;
-    size += Encode(part).size() + kSealHead + kSealTag;
+    size += Encode(part).size() + kSealHeaderSize + kSealTagSize;
   }
   std::printf("news of 300 members: %zu datagrams, %zu bytes\n", datagrams, size);
   return g_sink == 0;
--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -53,7 +53,7 @@
 }
 
 #ifdef MOTHRACK_WITH_PEERS
-class PeersSection : public gossip::Source {
+class PeersSection : public gossip::SettingsSource {
  public:
   explicit PeersSection(TomlSection& section) : section_(section) {}
   std::optional<std::string> Text(const char* key) override {
--- a/src/gossip/core_output.h
+++ b/src/gossip/core_output.h
@@ -18,7 +18,7 @@
 
 // A change that users of the membership react to.
 struct Change {
-  enum class What { kMember, kValue, kValueExpired, kLocalBootRaised } what = What::kMember;
+  enum class Kind { kMember, kValue, kValueExpired, kLocalBootRaised } kind = Kind::kMember;
   MembershipUpdate member;  // for kLocalBootRaised: this process, whose boot number had to be raised
   Value value;              // for kValue and kValueExpired (then `bytes` is empty)
 };
@@ -28,12 +28,12 @@
   std::vector<Datagram> datagrams;
   std::vector<Change> changes;
 
-  void AddChange(Change::What what, const MembershipUpdate& member) {
-    changes.emplace_back().what = what;
+  void AddChange(Change::Kind kind, const MembershipUpdate& member) {
+    changes.emplace_back().kind = kind;
     changes.back().member = member;
   }
-  void AddChange(Change::What what, const Value& value) {
-    changes.emplace_back().what = what;
+  void AddChange(Change::Kind kind, const Value& value) {
+    changes.emplace_back().kind = kind;
     changes.back().value = value;
   }
 };
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -8,17 +8,17 @@
 
 void FailureDetector::RunRounds(TimePoint now, CoreOutput& out) {
   const auto next_step = [&] { return probes_.Next(now, context_.membership, context_.random); };
-  for (Step step = next_step(); step.what != Step::What::kNone; step = next_step()) {
-    switch (step.what) {
-      case Step::What::kNone:
+  for (Step step = next_step(); step.action != Step::Action::kNone; step = next_step()) {
+    switch (step.action) {
+      case Step::Action::kNone:
         break;
-      case Step::What::kPing:
+      case Step::Action::kPing:
         Ping(step, now, out);
         break;
-      case Step::What::kPingIndirectly:
+      case Step::Action::kPingIndirectly:
         RequestIndirectPings(step, now, out);
         break;
-      case Step::What::kRoundOver:
+      case Step::Action::kRoundOver:
         FinishRound(step, now, out);
         break;
     }
--- a/src/gossip/link.cpp
+++ b/src/gossip/link.cpp
@@ -72,7 +72,7 @@
 
 std::optional<std::string> GossipClient::local() const {
   if (!task_) return std::nullopt;
-  return Text(task_->local());
+  return ToText(task_->local());
 }
 
 void GossipClient::Await() {
--- a/src/gossip/probe_scheduler.cpp
+++ b/src/gossip/probe_scheduler.cpp
@@ -35,11 +35,11 @@
     step.incarnation = round_->incarnation;
     if (!round_->asked_helpers && now >= round_->ack_deadline && now < round_->end) {
       round_->asked_helpers = true;
-      step.what = Step::What::kPingIndirectly;
+      step.action = Step::Action::kPingIndirectly;
       return step;
     }
     if (now < round_->end) return step;
-    step.what = Step::What::kRoundOver;
+    step.action = Step::Action::kRoundOver;
     step.outcome = !any_helper_       ? Outcome::kNoHelper
                    : helpers_.empty() ? Outcome::kAllNacked
                                       : Outcome::kNackMissed;
@@ -73,7 +73,7 @@
                  now + config_.probe_timeout * (health_ + 1),
                  now + interval,
                  false};
-  step = {Step::What::kPing,          update.boot_id.name, round_->sequence,
+  step = {Step::Action::kPing,        update.boot_id.name, round_->sequence,
           update.boot_id.boot_number, update.incarnation,  Outcome::kAcked};
   return step;
 }
--- a/src/gossip/probe_scheduler.h
+++ b/src/gossip/probe_scheduler.h
@@ -49,7 +49,7 @@
   };
   // A step of the probe round for the caller to carry out.
   struct Step {
-    enum class What { kNone, kPing, kPingIndirectly, kRoundOver } what = What::kNone;
+    enum class Action { kNone, kPing, kPingIndirectly, kRoundOver } action = Action::kNone;
     std::string name;
     std::uint64_t sequence = 0, boot_number = 0, incarnation = 0;  // of the ping, and of the probed member
     Outcome outcome = Outcome::kAcked;                             // for kRoundOver
--- a/src/gossip/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kIdAt = 2, kStreamAt = 6, kCountAt = 14;
 constexpr std::uint64_t kWindow = 64;
 
-using Tag = std::array<std::uint8_t, kSealTag>;
+using Tag = std::array<std::uint8_t, kSealTagSize>;
 
 const std::uint8_t* Bytes(std::string_view text) {
   return reinterpret_cast<const std::uint8_t*>(text.data());
@@ -79,7 +79,7 @@
 std::optional<std::string> Seal::Close(std::string_view payload) {
   if (payload.size() > kMaxPayloadSize) return std::nullopt;
   std::string datagram;
-  datagram.reserve(kSealHead + payload.size() + kSealTag);
+  datagram.reserve(kSealHeaderSize + payload.size() + kSealTagSize);
   datagram += kMagic;
   datagram.append(ring_.front().id.begin(), ring_.front().id.end());
   AddNumber(datagram, stream_);
@@ -91,7 +91,7 @@
 }
 
 Seal::Opened Seal::Verify(std::string_view datagram) {
-  if (datagram.size() < kSealHead + kSealTag || datagram.size() > kMaxDatagramSize ||
+  if (datagram.size() < kSealHeaderSize + kSealTagSize || datagram.size() > kMaxDatagramSize ||
       !datagram.starts_with(kMagic)) {
     return {SealVerdict::kNoDatagram, {}};
   }
@@ -99,16 +99,16 @@
     return std::equal(one.id.begin(), one.id.end(), Bytes(datagram) + kIdAt);
   });
   if (key == ring_.end()) return {SealVerdict::kUnknownKey, {}};
-  const std::string_view covered = datagram.substr(0, datagram.size() - kSealTag);
+  const std::string_view covered = datagram.substr(0, datagram.size() - kSealTagSize);
   // Constant-time comparison: the time must not reveal how much of a guess was right.
-  if (sodium_memcmp(TagOf(*key, covered).data(), datagram.data() + covered.size(), kSealTag) != 0) {
+  if (sodium_memcmp(TagOf(*key, covered).data(), datagram.data() + covered.size(), kSealTagSize) != 0) {
     return {SealVerdict::kForged, {}};
   }
   // Only after the check, because a forged datagram must not move the replay window.
   const std::uint64_t stream = NumberAt(datagram, kStreamAt);
   if (stream == stream_ || !window_.Accept(stream, NumberAt(datagram, kCountAt)))
     return {SealVerdict::kReplayed, {}};
-  return {SealVerdict::kAccepted, covered.substr(kSealHead)};
+  return {SealVerdict::kAccepted, covered.substr(kSealHeaderSize)};
 }
 
 Seal::Opened Seal::Open(std::string_view datagram) {
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -20,9 +20,9 @@
 
 namespace mothrack::gossip {
 
-constexpr std::size_t kSealHead = 22;
-constexpr std::size_t kSealTag = 16;
-static_assert(kSealHead + kSealTag <= kMaxSealSize);
+constexpr std::size_t kSealHeaderSize = 22;
+constexpr std::size_t kSealTagSize = 16;
+static_assert(kSealHeaderSize + kSealTagSize <= kMaxSealSize);
 constexpr std::size_t kMaxPayloadSize = kMaxDatagramSize - kMaxSealSize;
 
 // Tracks which numbers of each stream were received: the highest one, and one bit for each of the 64 numbers
--- a/src/gossip/settings.cpp
+++ b/src/gossip/settings.cpp
@@ -16,8 +16,8 @@
 std::string Quoted(const std::string& text) { return '"' + text + '"'; }
 
 // Parses an address that others send to, or that this member listens on.
-runtime::Endpoint ReadAddress(Source& source, const std::string& key, std::optional<std::size_t> element,
-                              const std::string& text, bool any_port) {
+runtime::Endpoint ReadAddress(SettingsSource& source, const std::string& key,
+                              std::optional<std::size_t> element, const std::string& text, bool any_port) {
   const auto endpoint = runtime::ParseEndpoint(text);
   if (!endpoint) {
     source.Fail(key, element, Quoted(text) + " is no address and port; write it as \"127.0.0.1:7600\"");
@@ -52,7 +52,7 @@
     {"fanout", &ProtocolConfig::fanout, 1, 16},
     {"datagrams_per_s", &ProtocolConfig::datagrams_per_s, 10, 1000}};
 
-Settings ReadSettings(Source& source, Role role, const std::string& zone) {
+Settings ReadSettings(SettingsSource& source, Role role, const std::string& zone) {
   Settings settings;
   settings.role = role;
   const auto needed = [&](const char* key, const char* example) {
@@ -92,11 +92,11 @@
   }
   for (const DurationSetting& time : kDurationSettings) {
     if (const auto value = source.Number(time.key, time.least, time.most))
-      settings.protocol.*time.at = Duration(*value);
+      settings.protocol.*time.field = Duration(*value);
   }
   for (const CountSetting& count : kCountSettings) {
     if (const auto value = source.Number(count.key, count.least, count.most)) {
-      settings.protocol.*count.at = static_cast<std::size_t>(*value);
+      settings.protocol.*count.field = static_cast<std::size_t>(*value);
     }
   }
   if (settings.protocol.probe_timeout >= settings.protocol.probe_interval) {
@@ -106,7 +106,7 @@
   return settings;
 }
 
-std::string Text(const runtime::Endpoint& endpoint) {
+std::string ToText(const runtime::Endpoint& endpoint) {
   std::ostringstream text;
   text << endpoint;
   return text.str();
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -1,5 +1,5 @@
 // The section [peers] of a sidecar's or an agent's settings file. Both are read by the same rules, through
-// different implementations of Source.
+// different implementations of SettingsSource.
 #pragma once
 
 #include <cstdint>
@@ -27,9 +27,9 @@
 
 // One section of a file. The readers return nothing if the key is absent and throw on an invalid value.
 // Fail() throws an error that names the location of the key or of the element of its list.
-class Source {
+class SettingsSource {
  public:
-  virtual ~Source() = default;
+  virtual ~SettingsSource() = default;
   virtual std::optional<std::string> Text(const char* key) = 0;
   virtual std::optional<std::int64_t> Number(const char* key, std::int64_t least, std::int64_t most) = 0;
   virtual std::optional<std::vector<std::string>> Texts(const char* key) = 0;
@@ -39,23 +39,23 @@
 
 // Reads and checks all settings. `zone` is the default if the section names none; if empty, the section must
 // name one. Also reads the key file to report its errors.
-Settings ReadSettings(Source& source, Role role, const std::string& zone);
+Settings ReadSettings(SettingsSource& source, Role role, const std::string& zone);
 
 // The numeric settings by their names in the file, with their bounds; also used to print them all.
 struct DurationSetting {
   const char* key;
-  Duration ProtocolConfig::*at;
+  Duration ProtocolConfig::*field;
   std::int64_t least, most;
 };
 struct CountSetting {
   const char* key;
-  std::size_t ProtocolConfig::*at;
+  std::size_t ProtocolConfig::*field;
   std::int64_t least, most;
 };
 extern const std::vector<DurationSetting> kDurationSettings;
 extern const std::vector<CountSetting> kCountSettings;
 
 // "ip:port", in the form that members disseminate.
-std::string Text(const runtime::Endpoint& endpoint);
+std::string ToText(const runtime::Endpoint& endpoint);
 
 }  // namespace mothrack::gossip
--- a/src/gossip/task_worker.cpp
+++ b/src/gossip/task_worker.cpp
@@ -61,7 +61,7 @@
   MembershipUpdate self;
   self.boot_id = {name, UnixMicroseconds()};
   self.role = settings.role;
-  self.address = Text(settings.advertise.value_or(local));
+  self.address = ToText(settings.advertise.value_or(local));
   self.zone = settings.zone;
   return self;
 }
@@ -76,7 +76,7 @@
       seal_(LoadKeys(settings.key_file)),
       core_(LocalMember(settings, name, socket_.local()), settings.protocol, RandomSeed(), SteadyNow()) {
   std::vector<std::string> seeds;
-  for (const runtime::Endpoint& seed : settings.seeds) seeds.push_back(Text(seed));
+  for (const runtime::Endpoint& seed : settings.seeds) seeds.push_back(ToText(seed));
   core_.SetSeeds(std::move(seeds));
 }
 
@@ -186,7 +186,7 @@
     ++undecodable_;
     return;
   }
-  core_.Receive(*message, Text(from), now, output_);
+  core_.Receive(*message, ToText(from), now, output_);
 }
 
 void TaskWorker::FlushOutput() {
@@ -211,19 +211,19 @@
 }
 
 void TaskWorker::OnChange(const Change& change) {
-  switch (change.what) {
-    case Change::What::kMember:
+  switch (change.kind) {
+    case Change::Kind::kMember:
       if (change.member.state == MemberState::kDead)
         log_.Warn("peer_dead", {{"peer", change.member.boot_id.name}});
       if (change.member.state == MemberState::kLeft)
         log_.Info("peer_left", {{"peer", change.member.boot_id.name}});
       break;
-    case Change::What::kValue:
+    case Change::Kind::kValue:
       publisher_.RememberKey(change.value.key);
       break;
-    case Change::What::kValueExpired:
+    case Change::Kind::kValueExpired:
       break;
-    case Change::What::kLocalBootRaised:
+    case Change::Kind::kLocalBootRaised:
       log_.Warn("peers_boot_raised");
       break;
   }
--- a/src/gossip/udp_socket.cpp
+++ b/src/gossip/udp_socket.cpp
@@ -28,7 +28,7 @@
   if (::bind(fd_, address.data(), static_cast<socklen_t>(address.size())) != 0) {
     const int error = errno;
     ::close(fd_);
-    throw TaskError("peers.listen: " + Text(listen) + ": " + ErrorText(error) +
+    throw TaskError("peers.listen: " + ToText(listen) + ": " + ErrorText(error) +
                     "; free the address, or name another");
   }
 }
--- a/src/gossip/update_merger.cpp
+++ b/src/gossip/update_merger.cpp
@@ -45,7 +45,7 @@
   // A refutation of a suspicion that was never seen here is no change for users of the membership.
   MembershipUpdate comparable = member;
   if (result.before) comparable.incarnation = result.before->incarnation;
-  if (!result.before || comparable != *result.before) out.AddChange(Change::What::kMember, member);
+  if (!result.before || comparable != *result.before) out.AddChange(Change::Kind::kMember, member);
 }
 
 void UpdateMerger::OnMemberChanged(const MembershipUpdate& member,
@@ -86,7 +86,7 @@
     case ValueStore::MergeOutcome::kApplied:
       ++context_.counts.values_applied;
       context_.updates.Add(value.owner.name, value.key, now - value.age);
-      out.AddChange(Change::What::kValue, value);
+      out.AddChange(Change::Kind::kValue, value);
       break;
     case ValueStore::MergeOutcome::kAged:
     case ValueStore::MergeOutcome::kStale:
@@ -143,7 +143,7 @@
       if (!stored.expired) context_.updates.Add(self.boot_id.name, key, now);
     }
   }
-  out.AddChange(Change::What::kLocalBootRaised, self);
+  out.AddChange(Change::Kind::kLocalBootRaised, self);
   return true;
 }
 
@@ -186,7 +186,7 @@
   ++context_.counts.expired;
   context_.updates.Drop(value.owner.name, value.key);
   value.bytes.clear();
-  out.AddChange(Change::What::kValueExpired, value);
+  out.AddChange(Change::Kind::kValueExpired, value);
 }
 
 }  // namespace mothrack::gossip
--- a/src/sidecar/peers_section.cpp
+++ b/src/sidecar/peers_section.cpp
@@ -10,7 +10,7 @@
 namespace mothrack::sidecar {
 namespace {
 
-class TomlSource : public gossip::Source {
+class TomlSource : public gossip::SettingsSource {
  public:
   explicit TomlSource(TomlTable& table) : table_(table) {}
   std::optional<std::string> Text(const char* key) override { return table_.Text(key); }
@@ -53,9 +53,9 @@
   for (const runtime::Endpoint& seed : peers.seeds) seeds.push_back(ToText(seed));
   table.insert("seeds", seeds);
   for (const auto& time : gossip::kDurationSettings)
-    table.insert(time.key, (peers.protocol.*time.at).count());
+    table.insert(time.key, (peers.protocol.*time.field).count());
   for (const auto& count : gossip::kCountSettings) {
-    table.insert(count.key, static_cast<std::int64_t>(peers.protocol.*count.at));
+    table.insert(count.key, static_cast<std::int64_t>(peers.protocol.*count.field));
   }
   return table;
 }
--- a/tests/gossip/core_histories_test.cpp
+++ b/tests/gossip/core_histories_test.cpp
@@ -52,7 +52,7 @@
   scenario.on_change = [&](std::size_t i, const Change& change) {
     deaths(i, change);
     const Value& value = change.value;
-    if (change.what == Change::What::kMember) {
+    if (change.kind == Change::Kind::kMember) {
       MembershipUpdate& before = seen[{i, change.member.boot_id.name}];
       if (change.member.boot_id.boot_number < before.boot_id.boot_number) violated("a former life came back");
       if (change.member.boot_id == before.boot_id && before.state == MemberState::kLeft)
@@ -60,7 +60,7 @@
       before = change.member;
       if (calm && change.member.state == MemberState::kDead)
         violated(change.member.boot_id.name + " died of nothing");
-    } else if (change.what == Change::What::kValue && put.contains(value.bytes)) {
+    } else if (change.kind == Change::Kind::kValue && put.contains(value.bytes)) {
       const std::int64_t age = scenario.now - put[value.bytes];
       // Clocks of 5%, milliseconds rounded; and below, by what it was on the wires.
       if (value.age.count() > age + age / 19 + 20) violated("an age above what is true");
--- a/tests/gossip/programs_test.cpp
+++ b/tests/gossip/programs_test.cpp
@@ -126,7 +126,7 @@
       "[agent]\nname = \"agent-1\"\nhall = \"hall\"\nlisten = \"unix:" + place.File("agent.sock") +
           "\"\ndirectory = \"" + place.File("state") + "\"\n[[instance]]\nname = \"i\"\n" +
           "command = [\"/bin/sleep\", \"0\"]\ngeneration = \"g\"\n[peers]\nlisten = \"127.0.0.1:0\"\n" +
-          "key_file = \"" + place.File("keys") + "\"\nseeds = [\"" + Text(a.task.local()) + "\"]\n");
+          "key_file = \"" + place.File("keys") + "\"\nseeds = [\"" + ToText(a.task.local()) + "\"]\n");
   const pid_t pid = ::fork();
   if (pid == 0) {
     ::execl(MOTHRACK_AGENT, MOTHRACK_AGENT, file.c_str(), nullptr);
--- a/tests/gossip/recorded_datagrams_test.cpp
+++ b/tests/gossip/recorded_datagrams_test.cpp
@@ -119,7 +119,7 @@
     ASSERT_TRUE(now);
     ASSERT_EQ(now->size(), datagram.size());
     EXPECT_EQ(ToHex(now->substr(0, kStreamAt)), ToHex(datagram.substr(0, kStreamAt))) << key;
-    const std::size_t covered = datagram.size() - kSealTag;
+    const std::size_t covered = datagram.size() - kSealTagSize;
     EXPECT_EQ(ToHex(now->substr(kCountAt, covered - kCountAt)),
               ToHex(datagram.substr(kCountAt, covered - kCountAt)))
         << key;
--- a/tests/gossip/scenario.h
+++ b/tests/gossip/scenario.h
@@ -19,7 +19,7 @@
       : SimulatedNetwork(seed, config) {
     Add(count);
     on_change = [this](std::size_t, const Change& change) {
-      if (change.what == Change::What::kMember && change.member.state == MemberState::kDead)
+      if (change.kind == Change::Kind::kMember && change.member.state == MemberState::kDead)
         ++deaths[change.member.boot_id.name];
     };
     StartAll();
--- a/tests/gossip/settings_test.cpp
+++ b/tests/gossip/settings_test.cpp
@@ -79,8 +79,8 @@
   ASSERT_TRUE(again.peers);
   EXPECT_EQ(again.peers->protocol.probe_interval, Duration(300));
   EXPECT_EQ(again.peers->protocol.gossip_interval, ProtocolConfig().gossip_interval);
-  EXPECT_EQ(Text(*again.peers->advertise), "127.0.0.1:7700");
-  EXPECT_EQ(Text(again.peers->seeds.at(0)), "[::1]:7601");
+  EXPECT_EQ(ToText(*again.peers->advertise), "127.0.0.1:7700");
+  EXPECT_EQ(ToText(again.peers->seeds.at(0)), "[::1]:7601");
 }
 
 }  // namespace
