--- a/src/gossip/anti_entropy.cpp
+++ b/src/gossip/anti_entropy.cpp
@@ -8,20 +8,21 @@
 
 using StoredValues = std::map<std::string, ValueStore::StoredValue>;
 
-// What the sender of a digest lacks of one member.
+// The update and values of one member that the sender of a digest lacks.
 struct Difference {
   bool update_is_later = false;
-  const StoredValues* values = nullptr;  // null: none, or the sender has the same or those of a later boot
-  std::size_t size = 0;                  // maximum encoded size in bytes
+  const StoredValues* values =
+      nullptr;           // null if the sender lacks none: it has the same, or those of a later boot
+  std::size_t size = 0;  // maximum encoded size in bytes
 };
 
 bool UpdateIsLater(const MembershipUpdate& update, const DigestEntry* entry) {
   if (entry == nullptr) return true;
-  MembershipUpdate theirs;
-  theirs.boot_id = entry->boot_id;
-  theirs.incarnation = entry->incarnation;
-  theirs.state = entry->state;
-  return ResolveState(&theirs, update, UpdateOrigin::kGossip).has_value();
+  MembershipUpdate known_to_sender;
+  known_to_sender.boot_id = entry->boot_id;
+  known_to_sender.incarnation = entry->incarnation;
+  known_to_sender.state = entry->state;
+  return ResolveState(&known_to_sender, update, UpdateOrigin::kGossip).has_value();
 }
 
 bool ValuesDiffer(const BootId& owner, const DigestEntry* entry, const ValueStore& values) {
@@ -76,8 +77,8 @@
     const auto entry = entries.find(it->first);
     const Difference difference =
         DifferenceOf(update, entry == entries.end() ? nullptr : entry->second, values);
-    // A member that does not fit starts the next range. One that is too large for any datagram is sent in
-    // part.
+    // A member that does not fit starts the next range. A member that is too large for any datagram is sent
+    // in part.
     if (difference.size > capacity && count > 0) {
       records.range_to = it->first;
       break;
--- a/src/gossip/anti_entropy.h
+++ b/src/gossip/anti_entropy.h
@@ -1,8 +1,8 @@
-// Repairs what gossip has lost: one member sends a digest of a range of names, and the other answers with its
-// later updates and values in that range. Pure: no I/O, clock or thread.
+// Repairs updates that gossip has lost: one member sends a digest of a range of names, and the other answers
+// with its later updates and values in that range. Pure: no I/O, clock or thread.
 //
-// Successive ranges cover all names in turn. So the cost of a whole round grows with the fleet, but the cost
-// per second does not. Source: docs/design/gossip.md; push-pull exchange of memberlist.
+// Successive ranges cover all names in turn. The cost of a round over all names grows with the fleet, but the
+// cost per second does not. Source: docs/design/gossip.md; push-pull exchange of memberlist.
 #pragma once
 
 #include <cstddef>
@@ -17,11 +17,12 @@
 
 class AntiEntropy {
  public:
-  // Fills in the next range of names, with as many entries as fit into `capacity` bytes.
+  // Fills in the digest of the next range of names, with as many entries as fit into `capacity` bytes.
   void FillDigest(Message& digest, std::size_t capacity, TimePoint now, const Membership& membership,
                   const ValueStore& values);
-  // Fills in the updates and values that are later here, in the order of names, until `capacity` bytes are
-  // used; range_to then says where it stopped. Returns the number of updates and values.
+  // Fills in the updates and values that are later than the digest's, in the order of names, until `capacity`
+  // bytes are used. If that ends the records early, `range_to` becomes the first name that is missing.
+  // Returns the number of updates and values.
   std::size_t FillRecords(const Message& digest, Message& records, std::size_t capacity, TimePoint now,
                           const Membership& membership, const ValueStore& values);
   // Handles the answer to the latest digest: the next range begins where the answer ended. Returns false for
--- a/src/gossip/anti_entropy_exchange.cpp
+++ b/src/gossip/anti_entropy_exchange.cpp
@@ -39,7 +39,7 @@
       ++context_.counts.rejected;
       return;
     }
-    MergeDeath(entry, now, out);
+    MergeReportedDeath(entry, now, out);
   }
   Message records = sender_.Make(MessageKind::kRecords);
   // The range ends of the answer are those of the digest or names of members known here.
@@ -49,7 +49,7 @@
   sender_.Send(from, std::move(records), TrafficClass::kDissemination, now, out);
 }
 
-void AntiEntropyExchange::MergeDeath(const DigestEntry& entry, TimePoint now, CoreOutput& out) {
+void AntiEntropyExchange::MergeReportedDeath(const DigestEntry& entry, TimePoint now, CoreOutput& out) {
   const auto* member = context_.membership.Find(entry.boot_id.name);
   if (member == nullptr) return;
   MembershipUpdate update = member->update;
--- a/src/gossip/anti_entropy_exchange.h
+++ b/src/gossip/anti_entropy_exchange.h
@@ -24,15 +24,16 @@
   // Sends a digest to one random member if one is due.
   void SendDigestIfDue(TimePoint now, CoreOutput& out);
   void SendDigest(const std::string& address, TimePoint now, CoreOutput& out);
-  // Answers with what is later here. A digest with an invalid entry is rejected.
+  // Answers with the updates and values that are later than the digest's. Rejects a digest with an invalid
+  // entry.
   void OnDigest(const Message& digest, const std::string& from, TimePoint now, CoreOutput& out);
   // Handles records whose updates and values have been merged already.
   void OnRecords(const Message& records, const std::string& from, TimePoint now, CoreOutput& out);
 
  private:
-  // Handles an entry whose sender considers the member dead: lets the member refute it, so that one digest
-  // heals both sides of a partition.
-  void MergeDeath(const DigestEntry& entry, TimePoint now, CoreOutput& out);
+  // Merges a death that an entry reports, or answers an entry about this member, so that the member can
+  // refute it. One digest thus heals both sides of a partition.
+  void MergeReportedDeath(const DigestEntry& entry, TimePoint now, CoreOutput& out);
 
   ProtocolContext& context_;
   MessageSender& sender_;
--- a/src/gossip/bounded_queue.h
+++ b/src/gossip/bounded_queue.h
@@ -15,8 +15,8 @@
 
 namespace mothrack::gossip {
 
-// One thread pushes and one pops. Lock-free; neither ever waits. A push into a full queue drops and counts
-// the oldest element.
+// One thread pushes and one pops. Lock-free: neither thread ever waits. A push into a full queue drops and
+// counts the oldest element.
 template <typename T>
 class BoundedQueue {
  public:
@@ -44,8 +44,8 @@
     Signal();
   }
 
-  // Wakes the receiver without an element. Makes a system call only if there was none since the receiver's
-  // ClearSignal().
+  // Wakes the receiver without an element. Makes a system call only if no signal was sent since the
+  // receiver's last ClearSignal().
   void Signal() {
     if (signalled_.exchange(true)) return;
     const std::uint64_t one = 1;
@@ -57,7 +57,7 @@
   // not after it, so that an element pushed in between is either popped or wakes the receiver.
   void ClearSignal() {
     std::uint64_t count = 0;
-    [[maybe_unused]] const auto got = ::read(event_fd_, &count, sizeof count);
+    [[maybe_unused]] const auto size_read = ::read(event_fd_, &count, sizeof count);
     signalled_.exchange(false);
   }
   // Returns the oldest element, or nothing if the queue is empty.
--- a/src/gossip/core.cpp
+++ b/src/gossip/core.cpp
@@ -143,8 +143,8 @@
   // A gossip round that waited for an update may be overdue already.
   void Reschedule(TimePoint now) { due_ = std::max(now, next()); }
 
-  // Detects that this process did not run, or was called late, by more than a probe interval. Whatever is due
-  // now became due while nothing could be received, so no member is judged by it.
+  // Detects that this process was paused, or was called late, by more than a probe interval. Timers that are
+  // due now expired while nothing could be received, so no member is declared suspect or dead by them.
   void DetectPause(TimePoint now) {
     if (now <= due_ || now - due_ <= context_.config.probe_interval) return;
     context_.membership.ExtendSuspicions(now - due_);
@@ -155,9 +155,9 @@
     merger_.IgnoreValuesUntil(now + context_.config.gossip_interval);
   }
 
-  // Tells a superseded process why it is ignored, so that a process whose clock went back raises its boot
-  // number. The reply to an ack is a message that is never answered; otherwise the two would reply to each
-  // other forever.
+  // Sends a superseded process the update that supersedes it, so that a process whose clock went back raises
+  // its boot number. The reply to an ack is a message that is never answered; otherwise the two would reply
+  // to each other forever.
   void ReplySuperseded(const Message& message, const MembershipUpdate& later, const std::string& from,
                        TimePoint now, CoreOutput& out) {
     const bool ping = message.kind == MessageKind::kPing;
@@ -192,7 +192,7 @@
       case MessageKind::kRecords:
         return anti_entropy_.OnRecords(message, from, now, out);
       case MessageKind::kLeave:
-        return;  // its sender was merged as one that has left
+        return;  // its sender has already been merged as left
     }
   }
 
@@ -206,7 +206,7 @@
   AntiEntropyExchange anti_entropy_;
   Rejoin rejoin_;
   bool left_ = false;
-  TimePoint due_;  // when Tick() was due next
+  TimePoint due_;  // when Tick() is due, as of the last call
 };
 
 Core::Core(MembershipUpdate self, const ProtocolConfig& config, std::uint64_t seed, TimePoint now)
--- a/src/gossip/core.h
+++ b/src/gossip/core.h
@@ -18,7 +18,7 @@
 
 namespace mothrack::gossip {
 
-// What is known of another member, for reports and decisions.
+// The state of another member, for reports and decisions.
 struct MemberView {
   MembershipUpdate update;
   TimePoint since;  // when it entered its state, as seen here
@@ -42,25 +42,27 @@
   void SetSeeds(std::vector<std::string> addresses);
   // Handles an authenticated and decoded datagram. `from`: the sender's address.
   void Receive(const Message& message, const std::string& from, TimePoint now, CoreOutput& out);
-  // Runs what is due. Must be called at next() at the latest; an earlier call does no harm.
+  // Runs all timers that are due. Must be called at next() at the latest; an earlier call does no harm.
   void Tick(TimePoint now, CoreOutput& out);
   // When Tick() must be called next; TimePoint::max() after Leave().
   TimePoint next() const;
   // Publishes a value of this member. Returns false if it exceeds a bound of types.h or this member has left.
   bool Put(const std::string& key, const std::string& bytes, Duration ttl, TimePoint now);
-  // Notifies some members and takes no further part.
+  // Notifies some members of the leave. Afterwards all calls that would change or send anything have no
+  // effect.
   void Leave(TimePoint now, CoreOutput& out);
 
   const MembershipUpdate& self() const;
-  // Lifeguard's local health score: 0 is healthy. At 8 this member receives so little that it must doubt its
-  // own judgement.
+  // Lifeguard's local health score: 0 is healthy. At 8, the maximum, this member receives so little that its
+  // suspicions of others are unreliable.
   int health() const;
-  std::size_t alive() const;  // including itself and suspected members
-  // Live members, itself included, and those that died within the last `dead_retention`; not those that left.
+  std::size_t alive() const;  // this member, alive and suspected members
+  // Live members, this one included, and members that died within the last `dead_retention`; not members that
+  // left.
   std::size_t known() const;
-  std::vector<MemberView> members() const;  // by name, without itself
+  std::vector<MemberView> members() const;  // ordered by name, without this member
   std::optional<MemberView> Find(const std::string& name) const;
-  // Unexpired values of live and suspected owners, itself included; by owner's name.
+  // Unexpired values of alive and suspected owners, this member included; ordered by the owner's name.
   std::vector<ValueView> Values(const std::string& key, TimePoint now) const;
   const Counts& counts() const;
 
--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -69,7 +69,7 @@
   if (update.state != MemberState::kSuspect) return;
   merger_.ApplyMember(update, UpdateOrigin::kGossip, now, out);
   context_.membership.ReportSuspect(step.name, step.incarnation, context_.self.boot_id.name);
-  // Also if the suspicion was already known, because it is now first-hand.
+  // Disseminate it even if the suspicion was already known, because it is now first-hand.
   context_.updates.Add(step.name, "", now);
 }
 
--- a/src/gossip/failure_detector.h
+++ b/src/gossip/failure_detector.h
@@ -21,9 +21,9 @@
                   UpdateMerger& merger)
       : context_(context), sender_(sender), probes_(probes), merger_(merger) {}
 
-  // Runs the steps of the probe round that are due: its ping, its indirect pings, its end.
+  // Runs the steps of the probe round that are due: the ping, the indirect pings, the end of the round.
   void RunRounds(TimePoint now, CoreOutput& out);
-  // Declares members dead whose suspicion nobody refuted in time.
+  // Declares members dead whose suspicion was not refuted in time.
   void DeclareExpiredDead(TimePoint now, CoreOutput& out);
   // Sends nacks to members that requested an indirect ping whose target did not answer in time.
   void SendOverdueNacks(TimePoint now, CoreOutput& out);
--- a/src/gossip/gossip_rounds.h
+++ b/src/gossip/gossip_rounds.h
@@ -19,11 +19,13 @@
 
   // Sends at most `fanout` datagrams, once every `gossip_interval`, while updates are queued.
   void RunIfDue(TimePoint now, CoreOutput& out);
-  // TimePoint::max() while no update is queued or no other member is live.
+  // When RunIfDue() must be called next; TimePoint::max() while no update is queued or no other member is
+  // live.
   TimePoint next() const;
 
  private:
-  // Returns in turn the suspected members from which this member itself got no ack; null if there is none.
+  // Returns the next of the suspected members from which this member itself got no ack, in turn; null if
+  // there is none.
   const Membership::Member* NextFirstHandSuspect();
 
   ProtocolContext& context_;
--- a/src/gossip/keys.cpp
+++ b/src/gossip/keys.cpp
@@ -18,57 +18,61 @@
 constexpr std::size_t kMaxKeyFileSize = 4096;  // bytes; two keys and a page of comments
 constexpr std::size_t kHexSize = 2 * kKeySize;
 constexpr std::size_t kBase64Size = 44;  // length of 32 bytes in base64, with padding
-constexpr const char* kMend = "; write 32 random bytes as 64 hex digits (openssl rand -hex 32)";
+constexpr const char* kExpectedKeyFormat = "; write 32 random bytes as 64 hex digits (openssl rand -hex 32)";
 
 // Separates the derived keys from each other and from any other use of the same key.
-constexpr char kContext[crypto_kdf_CONTEXTBYTES + 1] = "mothpeer";
+constexpr char kDerivationContext[crypto_kdf_CONTEXTBYTES + 1] = "mothpeer";
 enum Purpose : std::uint64_t { kSealPurpose = 1, kIdPurpose = 2 };
 
-void NeedSodium() {
+void InitializeSodium() {
   if (sodium_init() < 0)
     throw std::runtime_error("libsodium cannot be used on this machine: no source of randomness");
 }
 
-// The content of the file, zeroed however Load() ends.
-struct Content {
+// The content of the file, zeroed however LoadKeys() ends.
+struct KeyFileContent {
   std::array<char, kMaxKeyFileSize + 1> bytes;
   std::size_t size = 0;
-  ~Content() { sodium_memzero(bytes.data(), bytes.size()); }
+  ~KeyFileContent() { sodium_memzero(bytes.data(), bytes.size()); }
 };
 
-struct File {
+// Closes the descriptor, if it is valid, at the end of its scope.
+struct FileDescriptor {
   int fd;
-  ~File() {
+  ~FileDescriptor() {
     if (fd >= 0) ::close(fd);
   }
 };
 
-void ReadAll(const std::string& path, Content& content) {
+void ReadKeyFile(const std::string& path, KeyFileContent& content) {
   // Non-blocking, so that a FIFO of that name cannot block the task.
-  const File file{::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK)};
-  const auto fault = [&](const std::string& cause) { throw KeyFileError(path, std::nullopt, cause); };
+  const FileDescriptor file{::open(path.c_str(), O_RDONLY | O_CLOEXEC | O_NONBLOCK)};
+  const auto fail = [&](const std::string& cause) { throw KeyFileError(path, std::nullopt, cause); };
   if (file.fd < 0)
-    fault(std::string("cannot be opened: ") + std::strerror(errno) + "; make it with mode 0600");
+    fail(std::string("cannot be opened: ") + std::strerror(errno) + "; create it with mode 0600");
   // Check the opened file, not the path: they may differ by now.
-  struct stat about {};
-  if (::fstat(file.fd, &about) != 0)
-    fault(std::string("cannot be asked for its owner: ") + std::strerror(errno));
-  if (!S_ISREG(about.st_mode)) fault("is no regular file; give the path of one");
-  if (about.st_uid != ::geteuid()) {
-    fault("belongs to user " + std::to_string(about.st_uid) + "; chown it to " + std::to_string(::geteuid()) +
-          ", who runs this");
+  struct stat status {};
+  if (::fstat(file.fd, &status) != 0)
+    fail(std::string("its owner and mode cannot be read: ") + std::strerror(errno));
+  if (!S_ISREG(status.st_mode)) fail("is not a regular file; give the path of one");
+  if (status.st_uid != ::geteuid()) {
+    fail("belongs to user " + std::to_string(status.st_uid) + "; chown it to user " +
+         std::to_string(::geteuid()) + ", who runs this program");
   }
-  if ((about.st_mode & 0177) != 0)
-    fault("others may use it; chmod 0600 it, and change the keys if they were read");
+  if ((status.st_mode & 0177) != 0)
+    fail(
+        "its mode allows more than reading and writing by its owner; chmod it to 0600, and replace the keys "
+        "if others "
+        "may have read them");
   while (content.size < content.bytes.size()) {
-    const auto got =
+    const auto size_read =
         ::read(file.fd, content.bytes.data() + content.size, content.bytes.size() - content.size);
-    if (got < 0 && errno == EINTR) continue;
-    if (got < 0) fault(std::string("cannot be read: ") + std::strerror(errno));
-    if (got == 0) return;
-    content.size += static_cast<std::size_t>(got);
+    if (size_read < 0 && errno == EINTR) continue;
+    if (size_read < 0) fail(std::string("cannot be read: ") + std::strerror(errno));
+    if (size_read == 0) return;
+    content.size += static_cast<std::size_t>(size_read);
   }
-  fault("is longer than 4096 bytes; keep one or two keys in it and short comments");
+  fail("is longer than 4096 bytes; keep one or two keys in it and short comments");
 }
 
 std::string_view Trim(std::string_view line) {
@@ -78,36 +82,36 @@
   return line.substr(first, line.find_last_not_of(kBlanks) - first + 1);
 }
 
-// Returns what is wrong with the text, or nothing.
-std::optional<std::string> Decode(std::string_view text, Secret& key) {
+// Decodes a key. Returns an error text if it is invalid.
+std::optional<std::string> DecodeKey(std::string_view text, Secret& key) {
   const bool base64 = text.size() == kBase64Size && text.back() == '=';
   if (!base64 && text.size() != kHexSize) {
-    return std::string("a key of ") + std::to_string(text.size()) +
-           " characters, where 64 hex or 44 base64 are wanted";
+    return std::string("the key has ") + std::to_string(text.size()) +
+           " characters instead of 64 hex or 44 base64 characters";
   }
   std::size_t size = 0;
-  const bool read =
+  const bool is_decoded =
       base64 ? sodium_base642bin(key.data(), kKeySize, text.data(), text.size(), nullptr, &size, nullptr,
                                  sodium_base64_VARIANT_ORIGINAL) == 0
              : sodium_hex2bin(key.data(), kKeySize, text.data(), text.size(), nullptr, &size, nullptr) == 0;
-  if (!read || size != kKeySize) return base64 ? "the key is not base64" : "the key is not hex";
+  if (!is_decoded || size != kKeySize) return base64 ? "the key is not base64" : "the key is not hex";
   if (std::all_of(key.data(), key.data() + kKeySize, [&](auto byte) { return byte == *key.data(); })) {
-    return "the key is one byte over and over";  // a placeholder that was never replaced
+    return "the key repeats a single byte";  // for example a placeholder that was never replaced
   }
   return std::nullopt;
 }
 
-std::string PlaceOf(const std::string& path, std::optional<std::size_t> line) {
+std::string LocationOf(const std::string& path, std::optional<std::size_t> line) {
   return line ? path + ':' + std::to_string(*line) : path;
 }
 
 }  // namespace
 
 KeyFileError::KeyFileError(const std::string& path, std::optional<std::size_t> line, const std::string& cause)
-    : std::runtime_error(PlaceOf(path, line) + ": " + cause), line_(line) {}
+    : std::runtime_error(LocationOf(path, line) + ": " + cause), line_(line) {}
 
 Secret::Secret() {
-  NeedSodium();
+  InitializeSodium();
   bytes_.reset(static_cast<std::uint8_t*>(sodium_malloc(kKeySize)));
   if (!bytes_) throw std::bad_alloc();
 }
@@ -115,21 +119,21 @@
 void Secret::Free::operator()(std::uint8_t* bytes) const { sodium_free(bytes); }
 
 Key MakeKey(const std::uint8_t* bytes) {
-  NeedSodium();
+  InitializeSodium();
   Key key;
   auto seal = std::make_shared<Secret>();
-  crypto_kdf_derive_from_key(seal->data(), kKeySize, kSealPurpose, kContext, bytes);
+  crypto_kdf_derive_from_key(seal->data(), kKeySize, kSealPurpose, kDerivationContext, bytes);
   std::array<std::uint8_t, crypto_kdf_BYTES_MIN> id;
-  crypto_kdf_derive_from_key(id.data(), id.size(), kIdPurpose, kContext, bytes);
+  crypto_kdf_derive_from_key(id.data(), id.size(), kIdPurpose, kDerivationContext, bytes);
   std::copy_n(id.begin(), key.id.size(), key.id.begin());
   key.seal = std::move(seal);
   return key;
 }
 
-KeyRing Load(const std::string& path) {
-  NeedSodium();
-  Content content;
-  ReadAll(path, content);
+KeyRing LoadKeys(const std::string& path) {
+  InitializeSodium();
+  KeyFileContent content;
+  ReadKeyFile(path, content);
   KeyRing ring;
   std::vector<std::size_t> lines;  // of the ring's keys
   std::string_view rest(content.bytes.data(), content.size);
@@ -138,19 +142,20 @@
     const std::string_view text = Trim(rest.substr(0, end));
     rest.remove_prefix(std::min(end + 1, rest.size()));
     if (text.empty() || text.front() == '#') continue;
-    const auto fault = [&](const std::string& cause) { throw KeyFileError(path, number, cause); };
-    if (ring.size() == kMaxRingKeys) fault("a third key; take out one that nobody seals with any more");
+    const auto fail = [&](const std::string& cause) { throw KeyFileError(path, number, cause); };
+    if (ring.size() == kMaxRingKeys) fail("a third key; remove one that no member seals with any more");
     Secret bytes;
-    if (const auto wrong = Decode(text, bytes)) fault(*wrong + kMend);
+    if (const auto error = DecodeKey(text, bytes)) fail(*error + kExpectedKeyFormat);
     ring.push_back(MakeKey(bytes.data()));
     lines.push_back(number);
     // Compare the ids: this also rejects two different keys whose ids coincide, one of which would never be
     // used.
     if (ring.size() == 2 && ring[0].id == ring[1].id) {
-      fault("the same key as in line " + std::to_string(lines[0]) + "; take out one of the two");
+      fail("the same key as in line " + std::to_string(lines[0]) + "; remove one of the two");
     }
   }
-  if (ring.empty()) throw KeyFileError(path, std::nullopt, std::string("holds no key") + kMend);
+  if (ring.empty())
+    throw KeyFileError(path, std::nullopt, std::string("contains no key") + kExpectedKeyFormat);
   return ring;
 }
 
--- a/src/gossip/keys.h
+++ b/src/gossip/keys.h
@@ -1,7 +1,7 @@
-// The cluster's keys, from a file that nobody else may read. The file has one key per line, 32 random bytes
-// as hex or base64. Datagrams are sealed with the first key, and both are accepted. To rotate without an
-// interruption: add the new key as the second one on all members, then make it the first on all, then remove
-// the old one from all (docs/design/gossip_wire.md).
+// The cluster's keys, read from a file that only its owner may access. The file has one key per line, 32
+// random bytes as hex or base64. Datagrams are sealed with the first key, and both are accepted. To rotate
+// without an interruption: add the new key as the second one on all members, then make it the first on all,
+// then remove the old one from all (docs/design/gossip_wire.md).
 #pragma once
 
 #include <array>
@@ -15,13 +15,13 @@
 
 namespace mothrack::gossip {
 
-constexpr std::size_t kKeySize = 32;  // bytes of a BLAKE2b key
-constexpr std::size_t kMaxRingKeys = 2;
+constexpr std::size_t kKeySize = 32;     // bytes of a BLAKE2b key
+constexpr std::size_t kMaxRingKeys = 2;  // the current key, and the next or previous one
 
-// An error in the key file. what() has the location, the problem and its fix, but never the key.
+// An error in the key file. what() names the location, the problem and its fix, but never contains the key.
 class KeyFileError : public std::runtime_error {
  public:
-  // `line` counts from 1; absent if the error concerns the whole file.
+  // `line` counts from 1; absent if the error does not concern a single line.
   KeyFileError(const std::string& path, std::optional<std::size_t> line, const std::string& cause);
   const std::optional<std::size_t>& line() const { return line_; }
 
@@ -44,7 +44,7 @@
   std::unique_ptr<std::uint8_t, Free> bytes_;
 };
 
-// What is derived from one key of the file: an identifier that reveals nothing about it, and the bytes used
+// The data derived from one key of the file: an identifier that reveals nothing about it, and the bytes used
 // for sealing.
 struct Key {
   using Id = std::array<std::uint8_t, 4>;
@@ -58,8 +58,8 @@
 // Derives a Key from the 32 bytes of a key in the file.
 Key MakeKey(const std::uint8_t* bytes);
 
-// Throws KeyFileError. The caller keeps its current ring until this one is complete, so an invalid file
-// changes nothing.
-KeyRing Load(const std::string& path);
+// Reads the key file. Throws KeyFileError. An invalid file has no effect if the caller replaces its ring only
+// by the returned one.
+KeyRing LoadKeys(const std::string& path);
 
 }  // namespace mothrack::gossip
--- a/src/gossip/link.cpp
+++ b/src/gossip/link.cpp
@@ -14,9 +14,11 @@
 
 TimePoint SteadyNow() { return std::chrono::time_point_cast<Duration>(std::chrono::steady_clock::now()); }
 
-constexpr std::array<const char*, 5> kStates = {"", "alive", "suspect", "dead", "left"};
+constexpr std::array<const char*, 5> kStateNames = {"", "alive", "suspect", "dead", "left"};
 
-const char* NameOf(MemberState state) { return kStates[static_cast<std::size_t>(state) % kStates.size()]; }
+const char* NameOf(MemberState state) {
+  return kStateNames[static_cast<std::size_t>(state) % kStateNames.size()];
+}
 const char* NameOf(Role role) { return role == Role::kAgent ? "agent" : "sidecar"; }
 
 json ToJson(const MembershipUpdate& update) {
@@ -30,25 +32,25 @@
   return report;
 }
 
-json ToJson(const Counts& c) {
-  return {{"sent", c.sent},
-          {"heard", c.received},
-          {"over_rate", c.rate_limited},
-          {"probes", c.probes},
-          {"probes_failed", c.probes_failed},
-          {"indirect", c.indirect_probes},
-          {"refuted", c.refuted},
-          {"suspected", c.suspected},
-          {"died", c.died},
-          {"returned", c.returned},
-          {"news_taken", c.updates_applied},
-          {"news_old", c.updates_stale},
-          {"values_taken", c.values_applied},
-          {"values_old", c.values_stale},
-          {"lapsed", c.expired},
-          {"not_taken", c.rejected},
-          {"digests", c.digests},
-          {"records", c.records}};
+json ToJson(const Counts& counts) {
+  return {{"sent", counts.sent},
+          {"heard", counts.received},
+          {"over_rate", counts.rate_limited},
+          {"probes", counts.probes},
+          {"probes_failed", counts.probes_failed},
+          {"indirect", counts.indirect_probes},
+          {"refuted", counts.refuted},
+          {"suspected", counts.suspected},
+          {"died", counts.died},
+          {"returned", counts.returned},
+          {"news_taken", counts.updates_applied},
+          {"news_old", counts.updates_stale},
+          {"values_taken", counts.values_applied},
+          {"values_old", counts.values_stale},
+          {"lapsed", counts.expired},
+          {"not_taken", counts.rejected},
+          {"digests", counts.digests},
+          {"records", counts.records}};
 }
 
 }  // namespace
@@ -58,11 +60,11 @@
     : signal_(io) {
   try {
     task_ = std::make_unique<Task>(settings, name, std::move(turn_hook));
-    // Because the event loop closes its descriptor.
+    // A duplicate, because the stream descriptor closes the one that it owns.
     const int signal = ::dup(task_->snapshots().descriptor());
-    if (signal < 0) throw ResourceError("no descriptor for the loop");
+    if (signal < 0) throw ResourceError("cannot duplicate an eventfd for the event loop");
     signal_.assign(signal);
-    Await();
+    AwaitSnapshot();
   } catch (const ResourceError& e) {
     task_.reset();
     refusal_ = e.what();
@@ -75,20 +77,20 @@
   return ToText(task_->local());
 }
 
-void GossipClient::Await() {
+void GossipClient::AwaitSnapshot() {
   signal_.async_wait(boost::asio::posix::descriptor_base::wait_read,
                      [this](const boost::system::error_code& error) {
                        if (error) return;
                        auto& snapshots = task_->snapshots();
                        snapshots.ClearSignal();
-                       // Only the latest snapshot counts. The queue never holds more than
+                       // Keep only the latest snapshot. The queue never holds more than
                        // kMaxPendingSnapshots.
                        for (std::size_t i = 0; i < kMaxPendingSnapshots; ++i) {
                          auto snapshot = snapshots.TryPop();
                          if (!snapshot) break;
                          latest_ = std::move(*snapshot);
                        }
-                       Await();
+                       AwaitSnapshot();
                      });
 }
 
@@ -97,8 +99,8 @@
   return std::max(SteadyNow() - latest_->created_at, Duration(0));
 }
 
-void GossipClient::Post(TaskCommand message) {
-  if (task_) task_->Post(std::move(message));
+void GossipClient::Post(TaskCommand command) {
+  if (task_) task_->Post(std::move(command));
 }
 
 json GossipClient::Report() const {
@@ -115,16 +117,16 @@
   report["health"] = snapshot.health;
   report["alive"] = snapshot.alive;
   report["known"] = snapshot.known;
-  std::array<std::size_t, kStates.size()> by_state{};
+  std::array<std::size_t, kStateNames.size()> by_state{};
   for (const MemberView& member : snapshot.members) ++by_state[static_cast<std::size_t>(member.update.state)];
   json states = json::object();
-  for (std::size_t i = 1; i < kStates.size(); ++i) states[kStates[i]] = by_state[i];
+  for (std::size_t i = 1; i < kStateNames.size(); ++i) states[kStateNames[i]] = by_state[i];
   report["states"] = std::move(states);
   // List unhealthy members first, because they are what an operator looks for.
   std::vector<const MemberView*> listed;
   for (const MemberView& member : snapshot.members) listed.push_back(&member);
   std::stable_partition(listed.begin(), listed.end(),
-                        [](const auto* m) { return m->update.state != MemberState::kAlive; });
+                        [](const auto* member) { return member->update.state != MemberState::kAlive; });
   json members = json::array();
   const TimePoint now = SteadyNow();
   for (std::size_t i = 0; i < listed.size() && i < kMaxReportedMembers; ++i) {
--- a/src/gossip/link.h
+++ b/src/gossip/link.h
@@ -1,5 +1,5 @@
-// The event loop's side of the gossip task: keeps the latest snapshot and its age, and reports it. Used on
-// the thread of the given event loop. Never waits, whatever happens to the task.
+// The gossip task as the event loop uses it: sends commands to it, keeps its latest snapshot and reports it.
+// Used on the thread of the given event loop. Never waits, whatever happens to the task.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -18,7 +18,8 @@
 // Owned by the sidecar or agent.
 class GossipClient {
  public:
-  // Descriptors of the task, plus a duplicate of one eventfd for the event loop.
+  // Number of descriptors that are always open: those of the task, plus a duplicate of one eventfd for the
+  // event loop.
   static constexpr std::size_t kFixedDescriptors = Task::kFixedDescriptors + 1;
 
   // Starts the task. Throws TaskError. If the kernel refuses a resource, logs this once and continues without
@@ -26,12 +27,12 @@
   GossipClient(boost::asio::io_context& io, const Settings& settings, const std::string& name,
                runtime::Logger& log, Task::TurnHook turn_hook = {});
 
-  std::optional<std::string> local() const;  // absent without gossip
+  std::optional<std::string> local() const;  // the bound address; absent without gossip
   const MembershipSnapshotPtr& latest() const { return latest_; }
   std::optional<Duration> age() const;  // of the latest snapshot
   // Sends a command to the task; has no effect without gossip.
-  void Post(TaskCommand message);
-  // The task sends the leave messages as soon as it runs; nothing is awaited.
+  void Post(TaskCommand command);
+  // Returns at once; the task sends the leave messages when it next runs.
   void Leave() { Post(LeaveCommand{}); }
   void ReloadKeys() { Post(ReloadKeysCommand{}); }
 
@@ -41,10 +42,10 @@
   static constexpr std::size_t kMaxReportedMembers = 300;
 
  private:
-  void Await();
+  void AwaitSnapshot();
 
   std::unique_ptr<Task> task_;
-  std::string refusal_;
+  std::string refusal_;  // why the kernel refused a resource; empty if it did not
   MembershipSnapshotPtr latest_;
   boost::asio::posix::stream_descriptor signal_;
 };
--- a/src/gossip/membership.cpp
+++ b/src/gossip/membership.cpp
@@ -6,22 +6,22 @@
 namespace mothrack::gossip {
 namespace {
 
-bool Live(MemberState state) { return state == MemberState::kAlive || state == MemberState::kSuspect; }
+bool IsLive(MemberState state) { return state == MemberState::kAlive || state == MemberState::kSuspect; }
 
 }  // namespace
 
 std::optional<MemberState> ResolveState(const MembershipUpdate* current, const MembershipUpdate& update,
-                                        UpdateOrigin by) {
+                                        UpdateOrigin origin) {
   if (current == nullptr) return update.state;
   if (update.boot_id.boot_number != current->boot_id.boot_number) {
     if (update.boot_id.boot_number < current->boot_id.boot_number) return std::nullopt;
     return update.state;
   }
-  // A leave is final: no incarnation supersedes it.
+  // A leave is final: no incarnation of the same boot supersedes it.
   if (current->state == MemberState::kLeft) return std::nullopt;
   if (update.state == MemberState::kLeft) return MemberState::kLeft;
   MembershipUpdate effective = update;
-  if (update.state == MemberState::kDead && by == UpdateOrigin::kAntiEntropy && Live(current->state))
+  if (update.state == MemberState::kDead && origin == UpdateOrigin::kAntiEntropy && IsLive(current->state))
     effective.state = MemberState::kSuspect;
   if (!Supersedes(effective, *current)) return std::nullopt;
   return effective.state;
@@ -55,11 +55,12 @@
   members_[local_name_] = {local, now, true, now, now, {}};
 }
 
-Membership::ApplyResult Membership::Apply(const MembershipUpdate& update, UpdateOrigin by, TimePoint now) {
+Membership::ApplyResult Membership::Apply(const MembershipUpdate& update, UpdateOrigin origin,
+                                          TimePoint now) {
   auto it = members_.find(update.boot_id.name);
-  const auto state = ResolveState(it == members_.end() ? nullptr : &it->second.update, update, by);
+  const auto state = ResolveState(it == members_.end() ? nullptr : &it->second.update, update, origin);
   if (!state) return {};
-  ApplyResult applied;
+  ApplyResult result;
   if (it == members_.end()) {
     if (members_.size() >= kMaxMembers) {
       if (departed_.empty()) return {false, true, std::nullopt};
@@ -68,24 +69,24 @@
     }
     it = members_.try_emplace(update.boot_id.name).first;
   } else {
-    applied.before = it->second.update;
+    result.before = it->second.update;
     Unindex(it->first, it->second);
   }
   Member& member = it->second;
   member.update = update;
   member.update.state = *state;
-  if (!applied.before || applied.before->state != *state) member.since = now;
-  member.was_live = member.was_live || Live(*state);
+  if (!result.before || result.before->state != *state) member.since = now;
+  member.was_live = member.was_live || IsLive(*state);
   member.suspected_at = now;
   member.reporters.clear();
   Index(it->first, member);
   if (*state == MemberState::kSuspect) RescheduleSuspicion(it->first, member);
-  applied.applied = true;
-  return applied;
+  result.applied = true;
+  return result;
 }
 
 void Membership::Index(const std::string& name, const Member& member) {
-  if (!Live(member.update.state)) {
+  if (!IsLive(member.update.state)) {
     departed_.emplace(member.since, name);
     return;
   }
@@ -94,7 +95,7 @@
 }
 
 void Membership::Unindex(const std::string& name, const Member& member) {
-  if (!Live(member.update.state)) {
+  if (!IsLive(member.update.state)) {
     departed_.erase({member.since, name});
     return;
   }
@@ -122,15 +123,17 @@
 }
 
 Duration Membership::SuspicionTimeout(const Member& member) const {
-  const double least = config_.suspicion_multiplier *
-                       std::log10(std::max<double>(10, static_cast<double>(live_.size() + 1))) *
-                       static_cast<double>(config_.probe_interval.count());
-  const double longest = least * std::max(1.0, config_.max_suspicion_multiplier);
-  const auto wanted = static_cast<double>(std::min(kMaxConfirmations, live_.empty() ? 0 : live_.size() - 1));
-  if (wanted < 1) return Duration(std::llround(least));  // no other member could confirm
-  const double had = member.reporters.empty() ? 0 : static_cast<double>(member.reporters.size() - 1);
-  return Duration(
-      std::llround(std::max(least, longest - (longest - least) * std::log(had + 1) / std::log(wanted + 1))));
+  const double min_ms = config_.suspicion_multiplier *
+                        std::log10(std::max<double>(10, static_cast<double>(live_.size() + 1))) *
+                        static_cast<double>(config_.probe_interval.count());
+  const double max_ms = min_ms * std::max(1.0, config_.max_suspicion_multiplier);
+  const auto max_confirmations =
+      static_cast<double>(std::min(kMaxConfirmations, live_.empty() ? 0 : live_.size() - 1));
+  if (max_confirmations < 1) return Duration(std::llround(min_ms));  // no other member could confirm
+  const double confirmations =
+      member.reporters.empty() ? 0 : static_cast<double>(member.reporters.size() - 1);
+  return Duration(std::llround(std::max(
+      min_ms, max_ms - (max_ms - min_ms) * std::log(confirmations + 1) / std::log(max_confirmations + 1))));
 }
 
 void Membership::ExtendSuspicions(Duration gap) {
@@ -144,8 +147,8 @@
 
 std::vector<std::string> Membership::ExpiredSuspicions(TimePoint now) const {
   std::vector<std::string> names;
-  for (const auto& [at, name] : suspects_) {
-    if (now < at) break;
+  for (const auto& [ends, name] : suspects_) {
+    if (now < ends) break;
     names.push_back(name);
   }
   return names;
@@ -176,7 +179,7 @@
 }
 
 bool Membership::ShouldDisseminate(const Member& member, TimePoint now) const {
-  return Live(member.update.state) || now < member.since + config_.dead_retention / 2;
+  return IsLive(member.update.state) || now < member.since + config_.dead_retention / 2;
 }
 
 const Membership::Member* Membership::Find(const std::string& name) const {
--- a/src/gossip/membership_snapshot.h
+++ b/src/gossip/membership_snapshot.h
@@ -1,4 +1,5 @@
-// What the gossip task publishes to the event loop's thread. Immutable once published.
+// A copy of the membership that the gossip task publishes to the event loop's thread. Immutable once
+// published.
 #pragma once
 
 #include <cstddef>
@@ -10,13 +11,13 @@
 
 namespace mothrack::gossip {
 
-// The whole membership. Created after changes, at most ten times a second, and once a second without changes.
-// The reader keeps the latest one and derives its age from `created_at`.
+// All members and values, with counters. Created after changes, at most ten times a second, and once a second
+// without changes. The reader keeps the latest one and derives its age from `created_at`.
 struct MembershipSnapshot {
   TimePoint created_at;  // on this machine's steady clock, which both threads read
   MembershipUpdate self;
-  int health = 0;  // Core::health()
-  std::size_t alive = 0, known = 0;
+  int health = 0;                    // Core::health()
+  std::size_t alive = 0, known = 0;  // Core::alive(), Core::known()
   std::vector<MemberView> members;
   std::vector<Value> values;  // their ages are as of `created_at`
   Counts counts;
@@ -28,8 +29,8 @@
 };
 using MembershipSnapshotPtr = std::shared_ptr<const MembershipSnapshot>;
 
-// Only the latest snapshot counts. A second place ensures that the task does not drop the one that the event
-// loop is about to pop.
+// The reader uses only the latest snapshot. With a capacity of two, the task does not drop the one that the
+// event loop is about to pop.
 constexpr std::size_t kMaxPendingSnapshots = 2;
 
 }  // namespace mothrack::gossip
--- a/src/gossip/message.cpp
+++ b/src/gossip/message.cpp
@@ -5,13 +5,14 @@
 namespace mothrack::gossip {
 namespace {
 
-// Maximum sizes of encoded fields: tag and length of a text; tag and longest varint; a number below 128, with
-// room to spare.
-constexpr std::size_t kText = 3;
-constexpr std::size_t kNumber = 11;
-constexpr std::size_t kSmall = 3;
+// Maximum sizes in bytes of parts of an encoded message.
+constexpr std::size_t kTextOverhead = 3;  // tag and length of a text
+constexpr std::size_t kNumberSize = 11;   // tag and the longest varint
+constexpr std::size_t kEnumSize = 3;      // tag and a number below 128; one byte more than needed
 
-std::size_t SizeOf(const BootId& boot_id) { return kText + boot_id.name.size() + kNumber; }
+std::size_t MaxEncodedSize(const BootId& boot_id) {
+  return kTextOverhead + boot_id.name.size() + kNumberSize;
+}
 
 }  // namespace
 
@@ -20,22 +21,23 @@
          std::tuple(current.boot_id.boot_number, current.incarnation, current.state);
 }
 
-std::size_t MaxEncodedSize(const DigestEntry& line) {
-  return kText + SizeOf(line.boot_id) + 2 * kNumber + kSmall;
+std::size_t MaxEncodedSize(const DigestEntry& entry) {
+  return kTextOverhead + MaxEncodedSize(entry.boot_id) + 2 * kNumberSize + kEnumSize;
 }
 
 std::size_t MaxEncodedSize(const MembershipUpdate& update) {
-  return kText + SizeOf(update.boot_id) + kNumber + 2 * kSmall + kText + update.address.size() + kText +
-         update.zone.size();
+  return kTextOverhead + MaxEncodedSize(update.boot_id) + kNumberSize + 2 * kEnumSize + kTextOverhead +
+         update.address.size() + kTextOverhead + update.zone.size();
 }
 
 std::size_t MaxEncodedSize(const Value& value) {
-  return kText + SizeOf(value.owner) + kText + value.key.size() + 3 * kNumber + kText + value.bytes.size();
+  return kTextOverhead + MaxEncodedSize(value.owner) + kTextOverhead + value.key.size() + 3 * kNumberSize +
+         kTextOverhead + value.bytes.size();
 }
 
 std::size_t MaxEncodedSize(const Message& message) {
-  return 2 * kSmall + kNumber + MaxEncodedSize(message.sender) + MaxEncodedSize(message.subject) + kText +
-         message.range_from.size() + kText + message.range_to.size();
+  return 2 * kEnumSize + kNumberSize + MaxEncodedSize(message.sender) + MaxEncodedSize(message.subject) +
+         kTextOverhead + message.range_from.size() + kTextOverhead + message.range_to.size();
 }
 
 }  // namespace mothrack::gossip
--- a/src/gossip/message.h
+++ b/src/gossip/message.h
@@ -17,11 +17,11 @@
   kNack = 4,
   kGossip = 5,   // updates only
   kDigest = 6,   // the sender's knowledge of names in [range_from, range_to)
-  kRecords = 7,  // the answer: what the answering member has later, as much as fits
+  kRecords = 7,  // the answer to a digest: the later updates and values known to its sender, as many as fit
   kLeave = 8,    // the sender leaves
 };
 
-// The version of one member and of its values that the sender of a digest knows.
+// The state of one member, and a hash of its values, as known to the sender of a digest.
 struct DigestEntry {
   BootId boot_id;
   std::uint64_t incarnation = 0;
@@ -30,7 +30,7 @@
   bool operator==(const DigestEntry&) const = default;
 };
 
-// One message. Members that its kind does not use are empty.
+// One message. Fields that its kind does not use are empty.
 struct Message {
   MessageKind kind = MessageKind::kGossip;
   MembershipUpdate sender;     // the sender's own latest state
@@ -38,7 +38,7 @@
   // For kPingRequest: the member to ping. For kPing: the pinged member's state as the sender knows it
   // (Lifeguard's buddy system). For kGossip: a member that the sender suspects because it got no ack itself.
   MembershipUpdate subject;
-  std::string range_from, range_to;  // for kDigest and kRecords; empty range_to: to the end of all names
+  std::string range_from, range_to;  // for kDigest and kRecords; an empty range_to is the end of all names
   std::vector<DigestEntry> digest;
   std::vector<MembershipUpdate> updates;
   std::vector<Value> values;
@@ -47,7 +47,7 @@
 
 // Upper bounds of the encoded size in bytes. The core packs datagrams by them, and a test checks them.
 std::size_t MaxEncodedSize(const Message& message);  // without digest, updates and values
-std::size_t MaxEncodedSize(const DigestEntry& line);
+std::size_t MaxEncodedSize(const DigestEntry& entry);
 std::size_t MaxEncodedSize(const MembershipUpdate& update);
 std::size_t MaxEncodedSize(const Value& value);
 constexpr std::size_t kMaxSealSize = 64;  // maximum part of kMaxDatagramSize that the seal uses
--- a/src/gossip/message_sender.cpp
+++ b/src/gossip/message_sender.cpp
@@ -8,7 +8,7 @@
 
 // Tokens of the burst that are reserved for probes and acks.
 constexpr std::int64_t kTokensReservedForProbes = 3;
-// Minimum capacity in bytes for which queued updates are searched.
+// Minimum capacity in bytes at which the queue is searched for updates that fit.
 constexpr std::size_t kMinPiggybackCapacity = 64;
 
 }  // namespace
@@ -42,8 +42,8 @@
     return false;
   }
   ++context_.counts.sent;
-  const bool filled = message.kind == MessageKind::kDigest || message.kind == MessageKind::kRecords;
-  if (!filled) {
+  const bool is_full = message.kind == MessageKind::kDigest || message.kind == MessageKind::kRecords;
+  if (!is_full) {
     const std::size_t capacity = CapacityOf(message);
     if (capacity >= kMinPiggybackCapacity) {
       context_.updates.Fill(message, capacity, MaxSends(), now, context_.membership, context_.values);
--- a/src/gossip/message_sender.h
+++ b/src/gossip/message_sender.h
@@ -20,18 +20,18 @@
  public:
   MessageSender(ProtocolContext& context, TimePoint now);
 
-  // A new message of this member, with its own latest state as the sender.
+  // Returns a new message whose sender is this member in its latest state.
   Message Make(MessageKind kind) const;
-  // Bytes left in the datagram for digest entries, updates and values.
+  // The number of bytes left in the datagram for digest entries, updates and values.
   static std::size_t CapacityOf(const Message& message);
-  // Fills up the message with queued updates, except kDigest and kRecords, and appends it to `out`. Returns
+  // Appends the message to `out`, filled up with queued updates unless it is kDigest or kRecords. Returns
   // false if the rate limit forbids it; the message is then counted and dropped.
   bool Send(const std::string& address, Message&& message, TrafficClass traffic_class, TimePoint now,
             CoreOutput& out);
 
  private:
-  // How often each update is sent: often enough that all but one member in thousands receive it, whatever the
-  // fleet's size.
+  // The number of times that each update is sent: enough that all but one member in thousands receive it,
+  // whatever the fleet's size.
   std::size_t MaxSends() const;
 
   ProtocolContext& context_;
--- a/src/gossip/probe_scheduler.cpp
+++ b/src/gossip/probe_scheduler.cpp
@@ -8,7 +8,7 @@
   switch (outcome) {
     case Outcome::kAcked:
       return {-1, false};
-    // If half the fleet is lost, the other half must not be probed more slowly.
+    // The score stays: if half the fleet is lost, the other half must not be probed more slowly.
     case Outcome::kAllNacked:
       return {0, true};
     case Outcome::kNackMissed:
@@ -33,8 +33,8 @@
     step.sequence = round_->sequence;
     step.boot_number = round_->boot_number;
     step.incarnation = round_->incarnation;
-    if (!round_->asked_helpers && now >= round_->ack_deadline && now < round_->end) {
-      round_->asked_helpers = true;
+    if (!round_->helpers_requested && now >= round_->ack_deadline && now < round_->end) {
+      round_->helpers_requested = true;
       step.action = Step::Action::kPingIndirectly;
       return step;
     }
@@ -81,8 +81,9 @@
 void ProbeScheduler::AddMember(const std::string& name, Random& random) {
   // Insert at a random position in the rest of this pass, so that a new member is not first or last
   // everywhere.
-  const std::size_t left = ring_.size() - ring_position_;
-  ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(ring_position_ + random.Below(left + 1)), name);
+  const std::size_t remaining = ring_.size() - ring_position_;
+  ring_.insert(ring_.begin() + static_cast<std::ptrdiff_t>(ring_position_ + random.Below(remaining + 1)),
+               name);
 }
 
 bool ProbeScheduler::OnAck(const std::string& by, std::uint64_t sequence) {
@@ -132,7 +133,7 @@
 
 TimePoint ProbeScheduler::next() const {
   TimePoint next = next_round_;
-  if (round_) next = round_->asked_helpers ? round_->end : std::min(round_->ack_deadline, round_->end);
+  if (round_) next = round_->helpers_requested ? round_->end : std::min(round_->ack_deadline, round_->end);
   if (!relayed_probes_.empty()) next = std::min(next, relayed_probes_.begin()->second.until);
   return next;
 }
--- a/src/gossip/probe_scheduler.h
+++ b/src/gossip/probe_scheduler.h
@@ -1,7 +1,7 @@
 // Decides which member is probed next and what a missing ack means. There is one round at a time: a ping,
-// then `indirect_probes` other members are asked to ping, then the round ends. The less a member receives,
-// the higher its health score, the longer it waits and the less often it probes. Pure: no I/O, clock or
-// thread.
+// then requests to `indirect_probes` other members to ping the same member, then the end of the round. A
+// member that receives few answers gets a higher health score, and then waits longer and probes less often.
+// Pure: no I/O, clock or thread.
 //
 // Source: SWIM, sections 3.1 and 4.3 (round-robin probing over a shuffled list); Lifeguard, section IV.A
 // (local health multiplier); the table "Rules of probes" in docs/design/gossip.md.
@@ -19,17 +19,18 @@
 
 // Lifeguard's bound of the local health multiplier. 0 is healthy.
 constexpr int kMaxHealthScore = 8;
-// Maximum number of relayed probes in flight; more would be a flood.
+// Maximum number of relayed probes in flight, so that a flood of requests causes neither unbounded memory nor
+// an unbounded number of pings.
 constexpr std::size_t kMaxRelayedProbes = 256;
 
 // How a round ended, or other evidence of this member's own health.
 enum class Outcome {
   kAcked,       // by the probed member, or by a helper on its behalf, within the round
   kAllNacked,   // no ack, but a nack from every helper: this member receives well
-  kNackMissed,  // no ack, and at least one helper sent nothing at all
+  kNackMissed,  // no ack, and at least one helper sent neither ack nor nack
   kNoHelper,    // no ack, and there was no helper
   kRefuted,     // this member had to refute its own suspicion or death
-  kPaused,      // this process did not run for a while
+  kPaused,      // this process was paused for longer than a probe interval
 };
 // The consequences of an outcome.
 struct OutcomeEffect {
@@ -43,9 +44,9 @@
   // A ping on behalf of another member.
   struct RelayedProbe {
     std::string subject;         // the member to ping
-    std::string address;         // of the requesting member
-    std::uint64_t sequence = 0;  // of its request
-    TimePoint until;             // then a nack is sent
+    std::string address;         // address of the requesting member
+    std::uint64_t sequence = 0;  // sequence number of its request
+    TimePoint until;             // when a nack is sent unless the subject has acked
   };
   // A step of the probe round for the caller to carry out.
   struct Step {
@@ -59,10 +60,10 @@
 
   // The next step that is due. Must be called until it returns kNone.
   Step Next(TimePoint now, const Membership& membership, Random& random);
-  // The members that were asked to ping in this round.
-  void SetHelpers(const std::vector<std::string>& others) {
-    helpers_.insert(others.begin(), others.end());
-    any_helper_ = !others.empty();
+  // Sets the helpers: the members that were requested to ping the probed member in this round.
+  void SetHelpers(const std::vector<std::string>& helpers) {
+    helpers_.insert(helpers.begin(), helpers.end());
+    any_helper_ = !helpers.empty();
   }
   // Adds a new live member to the current pass over the list.
   void AddMember(const std::string& name, Random& random);
@@ -72,32 +73,34 @@
 
   // Returns the sequence number of the ping, or nothing if kMaxRelayedProbes are in flight.
   std::optional<std::uint64_t> StartRelayed(RelayedProbe probe);
+  // Returns and removes the relayed probe that this ack answers, or nothing if there is none.
   std::optional<RelayedProbe> FinishRelayed(const std::string& by, std::uint64_t sequence);
+  // Returns and removes the relayed probes whose `until` has passed.
   std::vector<RelayedProbe> TakeOverdueRelayed(TimePoint now);
 
   void RecordOutcome(Outcome outcome);
-  // This process did not run: the open round and relayed probes are dropped without a verdict.
+  // Handles a pause of this process: drops the open round and the relayed probes without an outcome.
   void Restart(TimePoint now);
   std::uint64_t NewSequence() { return ++sequence_; }
   int health() const { return health_; }
-  TimePoint next() const;
+  TimePoint next() const;  // when a step or the nack of a relayed probe is due
 
  private:
   struct Round {
     std::string name;
     std::uint64_t sequence = 0, boot_number = 0, incarnation = 0;
     TimePoint ack_deadline, end;
-    bool asked_helpers = false;
+    bool helpers_requested = false;
   };
   const ProtocolConfig config_;
-  std::vector<std::string> ring_;
+  std::vector<std::string> ring_;  // the names in the shuffled order of this pass
   std::size_t ring_position_ = 0;
   std::optional<Round> round_;
-  std::set<std::string> helpers_;  // of the round, without those that sent kNack
+  std::set<std::string> helpers_;  // helpers of the round that have not sent kNack
   bool any_helper_ = false;
   TimePoint next_round_;
   std::uint64_t sequence_ = 0;
-  // Ordered by their ends as well, because all have the same timeout.
+  // By sequence number, which is also the order of their ends, because all have the same timeout.
   std::map<std::uint64_t, RelayedProbe> relayed_probes_;
   int health_ = 0;
 };
--- a/src/gossip/protocol_config.h
+++ b/src/gossip/protocol_config.h
@@ -15,7 +15,7 @@
 // interval and timeout by up to 9, so that an unhealthy member suspects others more slowly.
 struct ProtocolConfig {
   Duration probe_interval{500};
-  // Time to wait for the direct ack. Then `indirect_probes` other members are asked until the round ends.
+  // Time to wait for the direct ack. Then `indirect_probes` other members ping it until the round ends.
   // Must be below `probe_interval`.
   Duration probe_timeout{200};
   std::size_t indirect_probes = 3;
@@ -26,7 +26,7 @@
   Duration gossip_interval{100};
   std::size_t fanout = 2;            // datagrams per gossip round; none if no update is queued
   double retransmit_multiplier = 4;  // each update is sent this x log10(members + 1) times, rounded up
-  Duration digest_interval{1000};    // between digests: one range of names to one member
+  Duration digest_interval{1000};    // between two digests; each covers one range of names
   std::size_t datagrams_per_s = 40;  // all sent datagrams including acks, whatever the fleet's size
   Duration dead_retention{300'000};  // how long dead and departed members are remembered
 };
--- a/src/gossip/protocol_context.h
+++ b/src/gossip/protocol_context.h
@@ -25,7 +25,7 @@
   bool IsSelf(const BootId& boot_id) const { return boot_id.name == self.boot_id.name; }
   // Whether no other member is alive or suspected.
   bool alone() const { return membership.live().empty(); }
-  // Random phase in [0, interval]: members that start together must not act together.
+  // A random phase in [0, interval], so that members that start together do not act together.
   Duration RandomPhase(Duration interval) {
     return Duration(random.Below(static_cast<std::size_t>(interval.count()) + 1));
   }
--- a/src/gossip/rejoin.cpp
+++ b/src/gossip/rejoin.cpp
@@ -5,8 +5,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Number of probe intervals between two attempts of a member that is not alone. The attempts then cost at
-// most one datagram in ten, and two halves find each other within seconds.
+// Number of probe intervals between two attempts while other members are live. The attempts then cost at most
+// one datagram in ten, and two halves of a fleet find each other within seconds.
 constexpr int kIntervalsBetweenAttempts = 10;
 
 }  // namespace
--- a/src/gossip/rejoin.h
+++ b/src/gossip/rejoin.h
@@ -1,7 +1,8 @@
 // Joins the fleet through seeds, and finds the other side again after a partition: pings seeds and members
 // considered dead. Pure: no I/O, clock or thread.
 //
-// Source: docs/design/gossip.md. SWIM has no rule for two halves that have declared each other dead.
+// Source: docs/design/gossip.md. SWIM does not cover two halves of a fleet that have declared each other
+// dead.
 #pragma once
 
 #include <string>
@@ -27,17 +28,17 @@
 
   // Sets the seeds, without this member's own address.
   void SetSeeds(std::vector<std::string> addresses);
-  // While alone, pings all seeds and one dead member every `probe_interval`. Afterwards pings one of them,
-  // with a digest, ten times less often.
+  // While no other member is live, pings all seeds and one dead member every `probe_interval`. Otherwise
+  // pings one of the candidates ten times less often, and sends it a digest.
   void RunIfDue(TimePoint now, CoreOutput& out);
   TimePoint next() const { return attempt_at_; }
 
  private:
-  // An address and the member known there; null if it is only a seed.
+  // An address and the member known there; the member is null for a seed.
   using Target = std::pair<std::string, const MembershipUpdate*>;
 
-  // Seeds that are not the address of a live member, then dead members. While alone, only one dead member,
-  // drawn at random.
+  // Returns the seeds that are not the address of a live member, then the dead members. While no other member
+  // is live, it includes only one dead member, drawn at random.
   std::vector<Target> Candidates();
 
   ProtocolContext& context_;
--- a/src/gossip/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -10,9 +10,9 @@
 namespace {
 
 constexpr std::string_view kMagic =
-    "\xb7m";  // no text begins like this, so stray traffic is recognized at once
-constexpr std::size_t kIdAt = 2, kStreamAt = 6, kCountAt = 14;
-constexpr std::uint64_t kWindow = 64;
+    "\xb7m";  // no UTF-8 text begins with these bytes, so stray traffic is rejected early
+constexpr std::size_t kKeyIdOffset = 2, kStreamOffset = 6, kCountOffset = 14;
+constexpr std::uint64_t kWindowSize = 64;
 
 using Tag = std::array<std::uint8_t, kSealTagSize>;
 
@@ -20,7 +20,7 @@
   return reinterpret_cast<const std::uint8_t*>(text.data());
 }
 
-void AddNumber(std::string& to, std::uint64_t number) {
+void AppendNumber(std::string& to, std::uint64_t number) {
   for (int shift = 56; shift >= 0; shift -= 8) to.push_back(static_cast<char>(number >> shift));
 }
 
@@ -30,7 +30,7 @@
   return number;
 }
 
-// The tag covers head and payload in one pass, which is why it is last.
+// The tag covers header and payload. It is last, so that one pass over contiguous bytes computes it.
 Tag TagOf(const Key& key, std::string_view covered) {
   Tag tag;
   crypto_generichash(tag.data(), tag.size(), Bytes(covered), covered.size(), key.seal->data(), kKeySize);
@@ -52,13 +52,13 @@
   }
   Stream& known = *found->second;
   if (count > known.latest) {
-    const std::uint64_t on = count - known.latest;
-    known.received = (on < kWindow ? known.received << on : 0) | 1;
+    const std::uint64_t ahead = count - known.latest;
+    known.received = (ahead < kWindowSize ? known.received << ahead : 0) | 1;
     known.latest = count;
   } else {
-    const std::uint64_t back = known.latest - count;
-    if (back >= kWindow) return false;
-    const std::uint64_t bit = std::uint64_t{1} << back;
+    const std::uint64_t behind = known.latest - count;
+    if (behind >= kWindowSize) return false;
+    const std::uint64_t bit = std::uint64_t{1} << behind;
     if ((known.received & bit) != 0) return false;
     known.received |= bit;
   }
@@ -67,12 +67,13 @@
 }
 
 Seal::Seal(KeyRing ring) {
-  Use(std::move(ring));
+  ReplaceKeys(std::move(ring));
   randombytes_buf(&stream_, sizeof stream_);
 }
 
-void Seal::Use(KeyRing ring) {
-  if (ring.empty() || ring.size() > kMaxRingKeys) throw std::invalid_argument("a ring has one or two keys");
+void Seal::ReplaceKeys(KeyRing ring) {
+  if (ring.empty() || ring.size() > kMaxRingKeys)
+    throw std::invalid_argument("a key ring must have one or two keys");
   ring_ = std::move(ring);
 }
 
@@ -82,8 +83,8 @@
   datagram.reserve(kSealHeaderSize + payload.size() + kSealTagSize);
   datagram += kMagic;
   datagram.append(ring_.front().id.begin(), ring_.front().id.end());
-  AddNumber(datagram, stream_);
-  AddNumber(datagram, ++count_);
+  AppendNumber(datagram, stream_);
+  AppendNumber(datagram, ++count_);
   datagram += payload;
   const Tag tag = TagOf(ring_.front(), datagram);
   datagram.append(tag.begin(), tag.end());
@@ -93,10 +94,10 @@
 Seal::Opened Seal::Verify(std::string_view datagram) {
   if (datagram.size() < kSealHeaderSize + kSealTagSize || datagram.size() > kMaxDatagramSize ||
       !datagram.starts_with(kMagic)) {
-    return {SealVerdict::kNoDatagram, {}};
+    return {SealVerdict::kMalformed, {}};
   }
-  const auto key = std::find_if(ring_.begin(), ring_.end(), [&](const Key& one) {
-    return std::equal(one.id.begin(), one.id.end(), Bytes(datagram) + kIdAt);
+  const auto key = std::find_if(ring_.begin(), ring_.end(), [&](const Key& candidate) {
+    return std::equal(candidate.id.begin(), candidate.id.end(), Bytes(datagram) + kKeyIdOffset);
   });
   if (key == ring_.end()) return {SealVerdict::kUnknownKey, {}};
   const std::string_view covered = datagram.substr(0, datagram.size() - kSealTagSize);
@@ -105,8 +106,8 @@
     return {SealVerdict::kForged, {}};
   }
   // Only after the check, because a forged datagram must not move the replay window.
-  const std::uint64_t stream = NumberAt(datagram, kStreamAt);
-  if (stream == stream_ || !window_.Accept(stream, NumberAt(datagram, kCountAt)))
+  const std::uint64_t stream = NumberAt(datagram, kStreamOffset);
+  if (stream == stream_ || !window_.Accept(stream, NumberAt(datagram, kCountOffset)))
     return {SealVerdict::kReplayed, {}};
   return {SealVerdict::kAccepted, covered.substr(kSealHeaderSize)};
 }
@@ -117,8 +118,8 @@
     case SealVerdict::kAccepted:
       ++counts_.received;
       break;
-    case SealVerdict::kNoDatagram:
-      ++counts_.no_datagram;
+    case SealVerdict::kMalformed:
+      ++counts_.malformed;
       break;
     case SealVerdict::kUnknownKey:
       ++counts_.unknown_key;
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -20,18 +20,18 @@
 
 namespace mothrack::gossip {
 
-constexpr std::size_t kSealHeaderSize = 22;
-constexpr std::size_t kSealTagSize = 16;
+constexpr std::size_t kSealHeaderSize = 22;  // bytes before the payload
+constexpr std::size_t kSealTagSize = 16;     // bytes after the payload
 static_assert(kSealHeaderSize + kSealTagSize <= kMaxSealSize);
 constexpr std::size_t kMaxPayloadSize = kMaxDatagramSize - kMaxSealSize;
 
 // Tracks which numbers of each stream were received: the highest one, and one bit for each of the 64 numbers
 // up to it (the window of RFC 4303, section 3.4.3). An older datagram counts as received. At 40 datagrams a
-// second it is 1.6 s late: no probe waits that long, and updates are sent again.
+// second, such a datagram is more than 1.6 s late: no probe waits that long, and updates are sent repeatedly.
 class ReplayWindow {
  public:
-  // Bounded to `max_streams`, by default one per member. Beyond it the stream that has been idle longest is
-  // forgotten.
+  // Tracks at most `max_streams` streams, by default one per member. Beyond that, the stream that has been
+  // idle for longest is evicted.
   explicit ReplayWindow(std::size_t max_streams = kMaxMembers) : max_streams_(max_streams) {}
   // Returns false if the number was, or may have been, received before.
   bool Accept(std::uint64_t stream, std::uint64_t count);
@@ -39,7 +39,8 @@
 
  private:
   struct Stream {
-    std::uint64_t id = 0, latest = 0, received = 0;  // bit n of `received` stands for latest - n
+    std::uint64_t id = 0, latest = 0;
+    std::uint64_t received = 0;  // bit n: whether number `latest` - n was received
   };
   std::size_t max_streams_;
   std::list<Stream> streams_;  // most recently received first
@@ -49,29 +50,30 @@
 // Result of opening a datagram.
 enum class SealVerdict : std::uint8_t {
   kAccepted,
-  kNoDatagram,  // too short, too long, or not of this protocol
+  kMalformed,   // too short, too long, or not of this protocol
   kUnknownKey,  // sealed with a key that is not in the ring: rejected without hashing
   kForged,      // the tag does not match the key
-  kReplayed,    // received before, too old to tell, or sent by this process itself
+  kReplayed,    // received before, older than the replay window, or sent by this process itself
 };
 
-// Number of datagrams by verdict, since the start of the process.
+// Number of datagrams by verdict, since the Seal was created. `received`: accepted datagrams.
 struct SealCounts {
-  std::uint64_t received = 0, no_datagram = 0, unknown_key = 0, forged = 0, replayed = 0;
+  std::uint64_t received = 0, malformed = 0, unknown_key = 0, forged = 0, replayed = 0;
 };
 
 // Seals and opens datagrams for one process. Used on one thread.
 class Seal {
  public:
   explicit Seal(KeyRing ring);
-  // Replaces the key ring; the count and the replay window are kept.
-  void Use(KeyRing ring);
+  // Replaces the key ring; the count and the replay window are kept. Throws std::invalid_argument unless the
+  // ring has one or two keys.
+  void ReplaceKeys(KeyRing ring);
 
   // Seals a payload. Returns nothing if it is longer than kMaxPayloadSize.
   std::optional<std::string> Close(std::string_view payload);
 
   struct Opened {
-    SealVerdict verdict = SealVerdict::kNoDatagram;
+    SealVerdict verdict = SealVerdict::kMalformed;
     std::string_view payload;  // for kAccepted; points into the datagram
   };
   // Verifies a datagram and counts the verdict.
--- a/src/gossip/settings.h
+++ b/src/gossip/settings.h
@@ -1,5 +1,5 @@
-// The section [peers] of a sidecar's or an agent's settings file. Both are read by the same rules, through
-// different implementations of SettingsSource.
+// The section [peers] of a sidecar's or an agent's settings file. Both files follow the same rules and are
+// read through different implementations of SettingsSource.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 // The settings of one member.
 struct Settings {
   runtime::Endpoint listen;                    // UDP; port 0: the kernel chooses one
-  std::optional<runtime::Endpoint> advertise;  // the address that others send to; absent: `listen`
+  std::optional<runtime::Endpoint> advertise;  // the address that other members send to; default: `listen`
   std::string zone;                            // the zone that the machine is in
   Role role = Role::kSidecar;
   std::string key_file;
@@ -37,9 +37,9 @@
                                  const std::string& what) = 0;
 };
 
-// Reads and checks all settings. `zone` is the default if the section names none; if empty, the section must
-// name one. Also reads the key file to report its errors.
-Settings ReadSettings(SettingsSource& source, Role role, const std::string& zone);
+// Reads and validates all settings. `default_zone` is used if the section has no zone; if it is empty, the
+// section must have one. Also reads the key file, in order to report its errors.
+Settings ReadSettings(SettingsSource& source, Role role, const std::string& default_zone);
 
 // The numeric settings by their names in the file, with their bounds; also used to print them all.
 struct DurationSetting {
--- a/src/gossip/snapshot_publisher.h
+++ b/src/gossip/snapshot_publisher.h
@@ -12,9 +12,9 @@
 
 class SnapshotPublisher {
  public:
-  // Something that a snapshot shows has changed since the last one.
+  // To be called when something that snapshots contain has changed.
   void MarkChanged() { changed_ = true; }
-  // Values with this key are included in snapshots as long as there are any.
+  // Includes values with this key in snapshots until a snapshot finds none.
   void RememberKey(const std::string& key);
 
   // When the next snapshot is due.
--- a/src/gossip/task.cpp
+++ b/src/gossip/task.cpp
@@ -41,7 +41,7 @@
     end.set_value();
   });
 } catch (const std::system_error& e) {
-  throw ResourceError(std::string("no thread or eventfd: ") + e.what());
+  throw ResourceError(std::string("cannot create a thread or an eventfd: ") + e.what());
 }
 
 Task::~Task() { Stop(); }
--- a/src/gossip/task.h
+++ b/src/gossip/task.h
@@ -24,12 +24,13 @@
 // Must always be used from the same thread. Only Stop() waits, for kStopTimeout at most.
 class Task {
  public:
-  // Descriptors that are always open: the socket and the eventfds of the two queues.
+  // Number of descriptors that are always open: the socket and the eventfds of the two queues.
   static constexpr std::size_t kFixedDescriptors = 3;
-  // A healthy thread ends its turn within microseconds. One that is stuck in a system call is detached.
+  // How long Stop() waits for the thread. A healthy thread ends its turn within microseconds; one that is
+  // stuck in a system call is detached.
   static constexpr std::chrono::milliseconds kStopTimeout{200};
 
-  // For tests: called at the start of each turn, on the task's thread.
+  // A function that tests pass; called at the start of each turn, on the task's thread.
   using TurnHook = std::function<void()>;
 
   // Starts at once. `name` is the member's name and the prefix of its log lines. Throws TaskError and
@@ -42,7 +43,7 @@
   // Sends a command; never waits. If the queue is full, the oldest command is dropped.
   void Post(TaskCommand command);
   void ReloadKeys() { Post(ReloadKeysCommand{}); }
-  // Where the task publishes its snapshots.
+  // The queue to which the task publishes its snapshots.
   BoundedQueue<MembershipSnapshotPtr>& snapshots();
 
   // Stops the thread after it has run the commands posted before, unless it is stuck. Returns false if it had
@@ -51,11 +52,11 @@
 
   runtime::Endpoint local() const;
   std::uint64_t failures() const;  // 1 once an exception has ended the thread
-  std::uint64_t dropped() const;   // commands and snapshots
+  std::uint64_t dropped() const;   // commands and snapshots dropped by a full queue
 
  private:
   std::shared_ptr<TaskWorker> worker_;  // shared with the thread, so that a detached one keeps what it uses
-  std::future<void> ended_;
+  std::future<void> ended_;             // ready when the thread no longer uses the worker
   std::thread thread_;
 };
 
--- a/src/gossip/task_command.h
+++ b/src/gossip/task_command.h
@@ -21,8 +21,9 @@
 struct ReloadKeysCommand {};
 using TaskCommand = std::variant<PutValueCommand, LeaveCommand, ReloadKeysCommand>;
 
-// Four times the number of values of one owner. A later put of a key replaces an earlier one, so a task that
-// is further behind loses nothing that still matters, provided that the event loop repeats its puts.
+// Four times the number of values of one owner. A later PutValueCommand of a key replaces an
+// earlier one, so a task that is further behind loses only outdated values, provided that the event loop
+// repeats its commands.
 constexpr std::size_t kMaxPendingCommands = 4 * kMaxKeysPerOwner;
 
 }  // namespace mothrack::gossip
--- a/src/gossip/task_error.h
+++ b/src/gossip/task_error.h
@@ -1,4 +1,4 @@
-// Why a gossip task does not start.
+// The errors with which the start of a gossip task fails.
 #pragma once
 
 #include <stdexcept>
--- a/src/gossip/task_worker.cpp
+++ b/src/gossip/task_worker.cpp
@@ -20,9 +20,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Maximum number of datagrams received in one turn. Even with the longest messages this takes a healthy
-// machine well under 10 ms; then commands and timers run. So a flood delays the task's own probes by no more
-// than that.
+// Maximum number of datagrams received in one turn. Even with the longest messages they take less than 10 ms
+// on a healthy machine, so that a flood does not delay commands and timers by more than that.
 constexpr int kMaxReadsPerTurn = 64;
 // Pause after a failed read, so that a broken socket does not cause a busy loop.
 constexpr Duration kReadPause{100};
@@ -42,9 +41,9 @@
                                         .count());
 }
 
-KeyRing LoadKeys(const std::string& path) {
+KeyRing LoadConfiguredKeys(const std::string& path) {
   try {
-    return Load(path);
+    return LoadKeys(path);
   } catch (const std::exception& e) {
     throw TaskError(std::string("peers.key_file: ") + e.what());
   }
@@ -54,9 +53,9 @@
                              const runtime::Endpoint& local) {
   if (!IsValidName(name)) {
     throw TaskError("peers: " + name.substr(0, kMaxNameSize) +
-                    " can be no member's name; make it letters, digits, '-', "
+                    " is not a valid member name; use letters, digits, '-', "
                     "'_' and '.', at most " +
-                    std::to_string(kMaxNameSize) + ", no dot first");
+                    std::to_string(kMaxNameSize) + ", not starting with a dot");
   }
   MembershipUpdate self;
   self.boot_id = {name, UnixMicroseconds()};
@@ -73,7 +72,7 @@
       turn_hook_(std::move(turn_hook)),
       socket_(settings.listen),
       log_(name),
-      seal_(LoadKeys(settings.key_file)),
+      seal_(LoadConfiguredKeys(settings.key_file)),
       core_(LocalMember(settings, name, socket_.local()), settings.protocol, RandomSeed(), SteadyNow()) {
   std::vector<std::string> seeds;
   for (const runtime::Endpoint& seed : settings.seeds) seeds.push_back(ToText(seed));
@@ -83,7 +82,7 @@
 void TaskWorker::Run() noexcept {
   try {
     while (!stop_) RunTurn();
-    // Run the commands posted before the stop, so that the others learn of a leave at once.
+    // Run the commands posted before the stop, so that the other members learn of a leave at once.
     RunCommands(SteadyNow());
     FlushOutput();
   } catch (const std::exception& e) {
@@ -118,7 +117,7 @@
 void TaskWorker::Wait() {
   const TimePoint now = SteadyNow();
   const TimePoint due = std::min({core_.next(), publisher_.due(), now + kMaxSleep});
-  // At least 1 ms, so that the thread never spins, whatever the core says is due.
+  // At least 1 ms, so that the thread never spins, even if the core is always due.
   const auto wait_ms = std::clamp<std::int64_t>((due - now).count(), 1, kMaxSleep.count());
   const int socket = now >= reading_paused_until_ ? socket_.fd() : -1;
   std::array<pollfd, 2> awaited{{{commands_.descriptor(), POLLIN, 0}, {socket, POLLIN, 0}}};
@@ -130,7 +129,7 @@
   for (std::size_t i = 0; i < kMaxPendingCommands; ++i) {
     const auto command = commands_.TryPop();
     if (!command) return;
-    std::visit([&](const auto& one) { Run(one, now); }, *command);
+    std::visit([&](const auto& value) { Run(value, now); }, *command);
   }
   commands_.Signal();  // there may be more, and their signal was cleared
 }
@@ -150,15 +149,15 @@
 
 void TaskWorker::Run(const ReloadKeysCommand&, TimePoint) {
   try {
-    seal_.Use(Load(settings_.key_file));
-    log_.Stated("peers: " + settings_.key_file + " read again");
+    seal_.ReplaceKeys(LoadKeys(settings_.key_file));
+    log_.Stated("peers: keys reloaded from " + settings_.key_file);
   } catch (const std::exception& e) {
     log_.Error("peers_keys_kept", {{"cause", e.what()}});
   }
 }
 
 void TaskWorker::ReceiveDatagrams(TimePoint now) {
-  std::array<char, kMaxDatagramSize + 1> buffer;  // one more byte reveals a datagram that is too long
+  std::array<char, kMaxDatagramSize + 1> buffer;  // one more byte, to detect a datagram that is too long
   for (int i = 0; i < kMaxReadsPerTurn; ++i) {
     const UdpSocket::Received received = socket_.Receive(buffer);
     switch (received.status) {
@@ -170,14 +169,15 @@
       case IoStatus::kWouldBlock:
         return;
       case IoStatus::kFailed:
-        log_.SystemRefuses("read", received.error);
+        log_.LogSystemError("read", received.error);
         reading_paused_until_ = now + kReadPause;
         return;
     }
   }
 }
 
-// The seal is checked first: a sender without a key costs a hash and a counter, but no memory.
+// Verifies the seal before decoding, so that a sender without a key costs at most a hash and a counter, but
+// no memory.
 void TaskWorker::ReceiveDatagram(std::string_view datagram, const runtime::Endpoint& from, TimePoint now) {
   const Seal::Opened opened = seal_.Open(datagram);
   if (opened.verdict != SealVerdict::kAccepted) return;
@@ -207,7 +207,7 @@
   const UdpSocket::Sent sent = socket_.Send(*sealed, *to);
   if (sent.status == IoStatus::kDone) return;
   ++send_failures_;
-  if (sent.status != IoStatus::kWouldBlock) log_.SystemRefuses("send", sent.error);
+  if (sent.status != IoStatus::kWouldBlock) log_.LogSystemError("send", sent.error);
 }
 
 void TaskWorker::OnChange(const Change& change) {
@@ -233,7 +233,7 @@
   auto snapshot = std::make_shared<MembershipSnapshot>(publisher_.Make(core_, now));
   snapshot->dropped = dropped();
   const SealCounts& sealed = seal_.counts();
-  snapshot->unauthenticated = sealed.no_datagram + sealed.unknown_key + sealed.forged;
+  snapshot->unauthenticated = sealed.malformed + sealed.unknown_key + sealed.forged;
   snapshot->undecodable = undecodable_;
   snapshot->replayed = sealed.replayed;
   snapshot->send_failures = send_failures_;
--- a/src/gossip/task_worker.h
+++ b/src/gossip/task_worker.h
@@ -20,7 +20,8 @@
 
 namespace mothrack::gossip {
 
-// Created and queried by the event loop's thread, run by the task's thread. What both may use is marked.
+// Created and queried by the event loop's thread, run by the task's thread. Members that both may use are
+// marked.
 class TaskWorker {
  public:
   using TurnHook = std::function<void()>;
@@ -70,8 +71,8 @@
   Core core_;
   CoreOutput output_;
   SnapshotPublisher publisher_;
-  TimePoint reading_paused_until_{};
-  std::uint64_t undecodable_ = 0, send_failures_ = 0;
+  TimePoint reading_paused_until_{};                   // after a failed read
+  std::uint64_t undecodable_ = 0, send_failures_ = 0;  // see MembershipSnapshot
 };
 
 }  // namespace mothrack::gossip
--- a/src/gossip/types.h
+++ b/src/gossip/types.h
@@ -1,4 +1,4 @@
-// The types that all of gossip shares: members, their states, the values that they publish, and their bounds.
+// The types shared by all of gossip: members, their states, the values that they publish, and their bounds.
 // Plain values. A TimePoint belongs to one machine's steady clock and is never compared with another
 // machine's.
 #pragma once
@@ -24,8 +24,8 @@
 // Bytes in the UDP payload including the seal; small enough to avoid IP fragmentation.
 constexpr std::size_t kMaxDatagramSize = 1200;
 constexpr Duration kMaxValueTtl{600'000};  // maximum time to live that an owner may state
-// Bound of boot numbers, incarnations and versions. A greater number is invalid, because a member that must
-// exceed a received number needs room to do so.
+// Upper bound of boot numbers, incarnations and versions. A greater number is rejected, because a member must
+// always be able to exceed a number that it received.
 constexpr std::uint64_t kMaxCounter = std::uint64_t{1} << 62;
 
 // The kind of process. The numbers are sent to other members.
@@ -43,12 +43,12 @@
 enum class MemberState : std::uint8_t {
   kAlive = 1,
   kSuspect = 2,  // a probe got no ack; the member may refute with a higher incarnation
-  kDead = 3,     // nobody refuted in time
+  kDead = 3,     // the suspicion was not refuted in time
   kLeft = 4,     // the member itself announced it
 };
 
-// The state of a member, as stored and as disseminated. Of two updates every member keeps the later one by
-// Supersedes().
+// The state of a member, as stored and as disseminated. Of two updates, each member keeps the one that
+// Supersedes() the other.
 struct MembershipUpdate {
   BootId boot_id;
   std::uint64_t incarnation = 0;  // raised only by the member itself, to refute
@@ -59,8 +59,8 @@
   bool operator==(const MembershipUpdate&) const = default;
 };
 
-// Order of updates: the later boot, then the higher incarnation, then the later state (alive, suspect, dead,
-// left).
+// Whether `update` replaces `current`: the later boot wins, then the higher incarnation, then the later state
+// (alive, suspect, dead, left).
 bool Supersedes(const MembershipUpdate& update, const MembershipUpdate& current);
 
 // A small value with an owner. The owner's latest version wins, in whatever order versions arrive. It expires
@@ -70,7 +70,8 @@
   BootId owner;
   std::string key;
   std::uint64_t version = 0;  // raised by its owner with each change
-  // Time since its owner put it, as far as the sender knows. Never too low, except for the time on the wire.
+  // Time since its owner published it, as far as the sender knows. Never too low, except for the time on the
+  // wire.
   Duration age{0};
   Duration ttl{0};
   std::string bytes;
--- a/src/gossip/udp_socket.cpp
+++ b/src/gossip/udp_socket.cpp
@@ -23,7 +23,7 @@
 
 UdpSocket::UdpSocket(const runtime::Endpoint& listen)
     : fd_(::socket(listen.protocol().family(), SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)) {
-  if (fd_ < 0) throw ResourceError("no socket: " + ErrorText(errno));
+  if (fd_ < 0) throw ResourceError("cannot create a socket: " + ErrorText(errno));
   const Udp::endpoint address(listen.address(), listen.port());
   if (::bind(fd_, address.data(), static_cast<socklen_t>(address.size())) != 0) {
     const int error = errno;
--- a/src/gossip/update_merger.cpp
+++ b/src/gossip/update_merger.cpp
@@ -42,7 +42,7 @@
   for (Value& value : context_.values.AdvanceBoot(member.boot_id, false))
     ReportExpired(std::move(value), out);
   context_.updates.Add(name, "", now);
-  // A refutation of a suspicion that was never seen here is no change for users of the membership.
+  // A refutation of a suspicion that was never seen here is not a change for users of the membership.
   MembershipUpdate comparable = member;
   if (result.before) comparable.incarnation = result.before->incarnation;
   if (!result.before || comparable != *result.before) out.AddChange(Change::Kind::kMember, member);
@@ -71,9 +71,10 @@
   }
   const auto* owner = context_.membership.Find(value.owner.name);
   // An expired value of an unknown owner is not stored, because nothing would ever remove it.
-  const bool unforgettable = owner == nullptr && value.age >= value.ttl;
-  const bool of_former_boot = owner != nullptr && value.owner.boot_number < owner->update.boot_id.boot_number;
-  if (unforgettable || of_former_boot || now < values_ignored_until_) {
+  const bool would_be_kept_forever = owner == nullptr && value.age >= value.ttl;
+  const bool of_earlier_boot =
+      owner != nullptr && value.owner.boot_number < owner->update.boot_id.boot_number;
+  if (would_be_kept_forever || of_earlier_boot || now < values_ignored_until_) {
     ++context_.counts.values_stale;
     return;
   }
--- a/src/gossip/update_queue.cpp
+++ b/src/gossip/update_queue.cpp
@@ -5,8 +5,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// After this many updates that did not fit, the search ends: one datagram is not worth a walk through the
-// whole queue.
+// The search ends after this number of updates that do not fit, so that filling a datagram does not scan a
+// long queue to its end.
 constexpr int kMaxMisfits = 8;
 
 }  // namespace
--- a/src/gossip/update_queue.h
+++ b/src/gossip/update_queue.h
@@ -17,23 +17,24 @@
 
 class UpdateQueue {
  public:
-  // Queues an update and resets its number of sends. `key` is empty for the member itself. `changed_at`: when
-  // the change happened, on this member's clock.
+  // Queues an update and resets its number of sends. `key` is empty for the member itself. `changed_at` is
+  // the time of the change by this member's clock.
   void Add(const std::string& name, const std::string& key, TimePoint changed_at);
   void Drop(const std::string& name, const std::string& key);
-  // Appends what fits into `capacity` bytes. Each update is sent at most `max_sends` times in total.
+  // Appends the queued updates and values that fit into `capacity` bytes. Each is sent at most `max_sends`
+  // times in total.
   void Fill(Message& message, std::size_t capacity, std::size_t max_sends, TimePoint now,
             const Membership& membership, const ValueStore& values);
   bool empty() const { return entries_.empty(); }
   std::size_t size() const { return entries_.size(); }
 
  private:
-  using Id = std::pair<std::string, std::string>;
+  using Id = std::pair<std::string, std::string>;  // member's name; key, empty for the member itself
   struct Entry {
     std::size_t sends = 0;
     TimePoint changed_at;
   };
-  // Whether it is a value; sends; negated time of the change; id.
+  // Lowest first: whether it is a value; number of sends; negated time of the change; id.
   using Priority = std::tuple<bool, std::size_t, TimePoint::rep, Id>;
   static Priority PriorityOf(const Id& id, const Entry& entry) {
     return {!id.second.empty(), entry.sends, -entry.changed_at.time_since_epoch().count(), id};
--- a/src/gossip/value_store.cpp
+++ b/src/gossip/value_store.cpp
@@ -40,7 +40,7 @@
   if (!owner.keys.contains(value.key) && owner.keys.size() >= kMaxKeysPerOwner)
     return {MergeOutcome::kFull, {}};
   StoredValue& stored = owner.keys[value.key];
-  const bool over = value.age >= value.ttl;
+  const bool expired_on_arrival = value.age >= value.ttl;
   if (value.version < stored.value.version) return result;
   if (value.version == stored.value.version) {
     if (stored.expired || value.age <= stored.AgeAt(now)) return result;
@@ -50,14 +50,14 @@
     result.outcome = MergeOutcome::kAged;
     return result;
   }
-  if (over && stored.value.version > 0 && !stored.expired) {
+  if (expired_on_arrival && stored.value.version > 0 && !stored.expired) {
     Value expired = stored.value;
     expired.bytes.clear();
     result.expired.push_back(std::move(expired));
   }
   Set(owner, stored, value, now);
-  if (over) MarkExpired(stored);
-  result.outcome = over ? MergeOutcome::kAppliedExpired : MergeOutcome::kApplied;
+  if (expired_on_arrival) MarkExpired(stored);
+  result.outcome = expired_on_arrival ? MergeOutcome::kAppliedExpired : MergeOutcome::kApplied;
   return result;
 }
 
@@ -130,16 +130,16 @@
 }
 
 void ValueStore::Set(Owner& owner, StoredValue& stored, const Value& value, TimePoint now) {
-  const bool queued = stored.value.version > 0 && !stored.expired;
+  const bool has_entry = stored.value.version > 0 && !stored.expired;
   owner.hash += gossip::HashOf(value.key, value.version) - gossip::HashOf(value.key, stored.value.version);
   stored.value = value;
   stored.received_at = now;
   stored.expired = false;
-  if (!queued) stored.due = TimePoint::max();
+  if (!has_entry) stored.due = TimePoint::max();
   Reschedule(stored, now);
 }
 
-// Moves a queued entry only if its time is too late or has passed.
+// Moves an existing entry only if its time is too late or has passed.
 void ValueStore::Reschedule(StoredValue& stored, TimePoint now) {
   const TimePoint due = stored.received_at + (stored.value.ttl - stored.value.age);
   if (stored.due <= due && stored.due > now) return;
--- a/src/gossip/value_store.h
+++ b/src/gossip/value_store.h
@@ -23,30 +23,31 @@
   struct StoredValue {
     Value value;  // `age` as of `received_at`
     TimePoint received_at;
-    TimePoint due;         // when the expiry is checked next; unused once expired
+    TimePoint due;         // time of its entry in `due_`; unused once expired
     bool expired = false;  // stored without bytes; the version is kept, so that no old copy returns
     Duration AgeAt(TimePoint now) const { return value.age + (now - received_at); }
   };
-  // What became of a received value.
+  // How a received value was merged.
   enum class MergeOutcome {
     kApplied,         // must be disseminated
-    kAged,            // same version with a greater age: the age is stored, but not disseminated
+    kAged,            // the same version with a greater age: the age is stored, but not disseminated
     kStale,           // from an earlier boot, or the same or an earlier version
     kAppliedExpired,  // a later version that has expired: it is remembered, and the value it replaces expires
     kFull,            // too many keys or owners
   };
   struct MergeResult {
     MergeOutcome outcome = MergeOutcome::kStale;
-    std::vector<Value> expired;  // by this merge: replaced by an expired version, or from an earlier boot
+    // Values that this merge expired: replaced by an expired version, or from an earlier boot.
+    std::vector<Value> expired;
   };
 
   MergeResult Merge(const Value& value, TimePoint now);
-  // Stores the owner's own value with a version above all earlier ones. Returns false if there are too many
+  // Stores a value of this member with a version above all earlier ones. Returns false if there are too many
   // keys.
   bool Put(const BootId& owner, const std::string& key, const std::string& bytes, Duration ttl,
            TimePoint now);
-  // `value` has a later version of an own value than was ever put: raises the own version above it. Returns
-  // false if there is nothing to raise.
+  // Handles a received version of this member's own value that is later than the stored one: raises the
+  // stored version above it. Returns false if there is nothing to raise.
   bool RefuteVersion(const Value& value);
   // Applies a later boot of an owner. `keep_values`: its values pass to the new boot; otherwise they expire
   // and are returned.
@@ -58,16 +59,18 @@
   const StoredValue* Find(const std::string& owner, const std::string& key) const;
   // The value with its age as of `now`, in the form in which it is sent.
   static Value WithCurrentAge(const StoredValue& stored, TimePoint now);
+  // The values of this boot by their keys; null if none are stored.
   const std::map<std::string, StoredValue>* ValuesOf(const BootId& owner) const;
-  std::uint64_t BootNumberOf(const std::string& owner) const;  // the boot whose values are stored; 0: none
+  std::uint64_t BootNumberOf(const std::string& owner) const;  // of the stored values; 0 if there are none
   bool AllExpired(const std::string& owner) const;
-  std::uint64_t HashOf(const BootId& owner) const;  // 0: none
-  TimePoint next() const;
+  // A hash of the keys and versions of an owner's values; 0 if none are stored for this boot.
+  std::uint64_t HashOf(const BootId& owner) const;
+  TimePoint next() const;  // when ExpireDue() must be called next
 
  private:
   struct Owner {
     std::uint64_t boot_number = 0;
-    std::uint64_t hash = 0;  // a sum, so that it does not depend on the order of arrival
+    std::uint64_t hash = 0;  // a sum over the values, so that it does not depend on the order of arrival
     std::map<std::string, StoredValue> keys;
   };
   void Set(Owner& owner, StoredValue& stored, const Value& value, TimePoint now);
@@ -75,8 +78,8 @@
   void MarkExpired(StoredValue& stored);
 
   std::map<std::string, Owner> owners_;
-  // Each unexpired value once, at or before its expiry. A renewed value is rescheduled only when its entry is
-  // due, so that a new version costs nothing here.
+  // One entry (time, owner, key) for each unexpired value, at or before its expiry. A renewed value is
+  // rescheduled only when its entry is due, so that a new version does not change the set.
   std::set<std::tuple<TimePoint, std::string, std::string>> due_;
 };
 
--- a/src/gossip/wire.cpp
+++ b/src/gossip/wire.cpp
@@ -10,7 +10,7 @@
 
 constexpr char kVersionTag = 0x08;  // field 1, a varint
 
-bool LetterOrDigit(char c) {
+bool IsLetterOrDigit(char c) {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9');
 }
 
@@ -28,7 +28,7 @@
   return std::nullopt;
 }
 
-void Put(const MembershipUpdate& update, pb::Member& to) {
+void EncodeMember(const MembershipUpdate& update, pb::Member& to) {
   to.set_name(update.boot_id.name);
   to.set_boot_number(update.boot_id.boot_number);
   to.set_incarnation(update.incarnation);
@@ -42,43 +42,43 @@
 class Decoder {
  public:
   bool Decode(const pb::Datagram& from, Message& to) {
-    if (!Enum(from.kind(), MessageKind::kLeave, to.kind, "kind is none")) return false;
-    if (!Require(from.has_sender(), "nobody is named as the sender") || !Decode(from.sender(), to.sender))
+    if (!DecodeEnum(from.kind(), MessageKind::kLeave, to.kind, "the kind is unknown")) return false;
+    if (!Require(from.has_sender(), "the sender is missing") || !Decode(from.sender(), to.sender))
       return false;
     to.sequence = from.sequence();
     if (from.has_subject() && !Decode(from.subject(), to.subject)) return false;
-    if (!Require(to.kind != MessageKind::kPingRequest || from.has_subject(),
-                 "a ping for another names no other"))
+    if (!Require(to.kind != MessageKind::kPingRequest || from.has_subject(), "a ping request has no subject"))
+      return false;
+    if (!DecodeRangeEnd(from.range_from(), to.range_from) || !DecodeRangeEnd(from.range_to(), to.range_to))
       return false;
-    if (!Range(from.range_from(), to.range_from) || !Range(from.range_to(), to.range_to)) return false;
     return DecodeAll(from.digest(), to.digest) && DecodeAll(from.updates(), to.updates) &&
            DecodeAll(from.values(), to.values);
   }
   std::string_view cause() const { return cause_; }
 
  private:
-  bool Require(bool good, std::string_view otherwise) {
-    if (!good) cause_ = otherwise;
-    return good;
+  bool Require(bool is_valid, std::string_view cause) {
+    if (!is_valid) cause_ = cause;
+    return is_valid;
   }
-  bool Counter(std::uint64_t from, std::uint64_t& to) {
+  bool DecodeCounter(std::uint64_t from, std::uint64_t& to) {
     to = from;
-    return Require(from <= kMaxCounter, "a life, incarnation or version is above 2^62");
+    return Require(from <= kMaxCounter, "a boot number, incarnation or version is above 2^62");
   }
-  template <typename E>
-  bool Enum(std::uint64_t from, E last, E& to, std::string_view otherwise) {
-    to = static_cast<E>(from);
-    return Require(from >= 1 && from <= static_cast<std::uint64_t>(last), otherwise);
+  template <typename EnumType>
+  bool DecodeEnum(std::uint64_t from, EnumType last, EnumType& to, std::string_view cause) {
+    to = static_cast<EnumType>(from);
+    return Require(from >= 1 && from <= static_cast<std::uint64_t>(last), cause);
   }
   bool DecodeBootId(const std::string& name, std::uint64_t boot_number, BootId& to) {
     to.name = name;
     return Require(IsValidName(name),
-                   "a name takes letters, digits, '-', '_' and '.', at most 64, no dot first") &&
-           Counter(boot_number, to.boot_number);
+                   "a name must be letters, digits, '-', '_' and '.', at most 64, not starting with a dot") &&
+           DecodeCounter(boot_number, to.boot_number);
   }
-  bool Time(std::uint64_t ms, Duration& to) {
+  bool DecodeTime(std::uint64_t ms, Duration& to) {
     if (!Require(ms <= static_cast<std::uint64_t>(kMaxValueTtl.count()),
-                 "an age or a life is above ten minutes")) {
+                 "an age or a time to live is above ten minutes")) {
       return false;
     }
     to = Duration(static_cast<Duration::rep>(ms));
@@ -86,42 +86,43 @@
   }
   // A range end is only compared with names. It may be one byte longer than a name, so that a range can begin
   // directly after one.
-  bool Range(const std::string& from, std::string& to) {
+  bool DecodeRangeEnd(const std::string& from, std::string& to) {
     to = from;
-    return Require(from.size() <= kMaxNameSize + 1, "a range's end is longer than a name");
+    return Require(from.size() <= kMaxNameSize + 1, "a range end is longer than a name and one byte");
   }
 
   bool Decode(const pb::Member& from, MembershipUpdate& to) {
     to.address = from.address();
     to.zone = from.zone();
     return DecodeBootId(from.name(), from.boot_number(), to.boot_id) &&
-           Counter(from.incarnation(), to.incarnation) &&
-           Enum(from.state(), MemberState::kLeft, to.state, "state is none") &&
-           Enum(from.role(), Role::kAgent, to.role, "role is none") &&
-           Require(IsValidAddress(to.address), "an address is no ip:port of at most 48 bytes") &&
+           DecodeCounter(from.incarnation(), to.incarnation) &&
+           DecodeEnum(from.state(), MemberState::kLeft, to.state, "the state is unknown") &&
+           DecodeEnum(from.role(), Role::kAgent, to.role, "the role is unknown") &&
+           Require(IsValidAddress(to.address), "an address is not an ip:port of at most 48 bytes") &&
            Require(to.zone.empty() || IsValidName(to.zone),
-                   "a zone is no name");  // empty: not configured
+                   "a zone is not a valid name");  // empty: not configured
   }
   bool Decode(const pb::DigestEntry& from, DigestEntry& to) {
     to.values_hash = from.values_hash();
     return DecodeBootId(from.name(), from.boot_number(), to.boot_id) &&
-           Counter(from.incarnation(), to.incarnation) &&
-           Enum(from.state(), MemberState::kLeft, to.state, "state is none");
+           DecodeCounter(from.incarnation(), to.incarnation) &&
+           DecodeEnum(from.state(), MemberState::kLeft, to.state, "the state is unknown");
   }
   bool Decode(const pb::Value& from, Value& to) {
     to.key = from.key();
     to.bytes = from.bytes();
-    return DecodeBootId(from.owner(), from.boot_number(), to.owner) && Counter(from.version(), to.version) &&
-           Time(from.age_ms(), to.age) && Time(from.ttl_ms(), to.ttl) &&
-           Require(IsValidKey(to.key), "a key takes 1 to 24 printable characters without blanks") &&
+    return DecodeBootId(from.owner(), from.boot_number(), to.owner) &&
+           DecodeCounter(from.version(), to.version) && DecodeTime(from.age_ms(), to.age) &&
+           DecodeTime(from.ttl_ms(), to.ttl) &&
+           Require(IsValidKey(to.key), "a key must be 1 to 24 printable characters without blanks") &&
            Require(to.bytes.size() <= kMaxValueSize, "a value is longer than 256 bytes");
   }
   // The number of parts is bounded by the size of the datagram.
   template <typename Parts, typename T>
   bool DecodeAll(const Parts& from, std::vector<T>& to) {
     to.resize(static_cast<std::size_t>(from.size()));
-    std::size_t at = 0;
-    return std::all_of(from.begin(), from.end(), [&](const auto& part) { return Decode(part, to[at++]); });
+    std::size_t index = 0;
+    return std::all_of(from.begin(), from.end(), [&](const auto& part) { return Decode(part, to[index++]); });
   }
 
   std::string_view cause_;
@@ -132,17 +133,17 @@
 bool IsValidName(std::string_view name) {
   return !name.empty() && name.size() <= kMaxNameSize && name.front() != '.' &&
          std::all_of(name.begin(), name.end(),
-                     [](char c) { return LetterOrDigit(c) || c == '-' || c == '_' || c == '.'; });
+                     [](char c) { return IsLetterOrDigit(c) || c == '-' || c == '_' || c == '.'; });
 }
 
 bool IsValidAddress(std::string_view address) {
-  const auto good = [](char c) {
+  const auto is_valid = [](char c) {
     return (c >= '0' && c <= '9') || (c >= 'a' && c <= 'f') || (c >= 'A' && c <= 'F') || c == '.' ||
            c == ':' || c == '[' || c == ']';
   };
   const auto colon = address.rfind(':');
   return address.size() <= kMaxAddressSize && colon != std::string_view::npos && colon > 0 &&
-         colon + 1 < address.size() && std::all_of(address.begin(), address.end(), good) &&
+         colon + 1 < address.size() && std::all_of(address.begin(), address.end(), is_valid) &&
          std::all_of(address.begin() + static_cast<std::ptrdiff_t>(colon) + 1, address.end(),
                      [](char c) { return c >= '0' && c <= '9'; });
 }
@@ -156,20 +157,20 @@
   pb::Datagram to;
   to.set_version(kVersion);
   to.set_kind(static_cast<std::uint64_t>(message.kind));
-  Put(message.sender, *to.mutable_sender());
+  EncodeMember(message.sender, *to.mutable_sender());
   to.set_sequence(message.sequence);
-  if (!message.subject.boot_id.name.empty()) Put(message.subject, *to.mutable_subject());
+  if (!message.subject.boot_id.name.empty()) EncodeMember(message.subject, *to.mutable_subject());
   to.set_range_from(message.range_from);
   to.set_range_to(message.range_to);
-  for (const DigestEntry& line : message.digest) {
+  for (const DigestEntry& entry : message.digest) {
     pb::DigestEntry& part = *to.add_digest();
-    part.set_name(line.boot_id.name);
-    part.set_boot_number(line.boot_id.boot_number);
-    part.set_incarnation(line.incarnation);
-    part.set_state(static_cast<std::uint64_t>(line.state));
-    part.set_values_hash(line.values_hash);
+    part.set_name(entry.boot_id.name);
+    part.set_boot_number(entry.boot_id.boot_number);
+    part.set_incarnation(entry.incarnation);
+    part.set_state(static_cast<std::uint64_t>(entry.state));
+    part.set_values_hash(entry.values_hash);
   }
-  for (const MembershipUpdate& update : message.updates) Put(update, *to.add_updates());
+  for (const MembershipUpdate& update : message.updates) EncodeMember(update, *to.add_updates());
   for (const Value& value : message.values) {
     pb::Value& part = *to.add_values();
     part.set_owner(value.owner.name);
@@ -189,19 +190,19 @@
     return std::nullopt;
   };
   if (error != nullptr) *error = {};
-  if (bytes.size() > kMaxDatagramSize) return reject(DecodeFault::kBounds, "longer than a datagram");
+  if (bytes.size() > kMaxDatagramSize) return reject(DecodeFault::kOutOfBounds, "is longer than a datagram");
   const auto version = VersionOf(bytes);
   if (!version) return reject(DecodeFault::kMalformed, "does not begin with a version");
-  if (*version > kVersion) return reject(DecodeFault::kLater, "of a later version");
+  if (*version > kVersion) return reject(DecodeFault::kLaterVersion, "is of a later version");
   pb::Datagram from;
   if (!from.ParseFromArray(bytes.data(), static_cast<int>(bytes.size()))) {
-    return reject(DecodeFault::kMalformed, "cut or garbled");
+    return reject(DecodeFault::kMalformed, "is truncated or corrupted");
   }
   // If there are two version fields, the parser keeps the second one. Version 0 does not exist.
-  if (from.version() != kVersion) return reject(DecodeFault::kBounds, "of no version");
+  if (from.version() != kVersion) return reject(DecodeFault::kOutOfBounds, "is of an unknown version");
   Decoder decoder;
   std::optional<Message> message(std::in_place);
-  if (!decoder.Decode(from, *message)) return reject(DecodeFault::kBounds, decoder.cause());
+  if (!decoder.Decode(from, *message)) return reject(DecodeFault::kOutOfBounds, decoder.cause());
   return message;
 }
 
--- a/src/gossip/wire.h
+++ b/src/gossip/wire.h
@@ -18,9 +18,9 @@
 // Why a datagram was rejected.
 enum class DecodeFault : std::uint8_t {
   kNone,
-  kLater,      // a later version: not the sender's error; counted separately during an upgrade
-  kMalformed,  // truncated, or not a message of this protocol
-  kBounds,     // well-formed, but a value is beyond the bounds of types.h
+  kLaterVersion,  // of a later version, as during an upgrade; not an error of the sender
+  kMalformed,     // truncated, or not a message of this protocol
+  kOutOfBounds,   // well-formed, but a value is beyond the bounds of types.h
 };
 
 // The reason of a rejection.
@@ -31,10 +31,10 @@
 
 // The rule of names in the fleet: letters, digits, '-', '_' and '.', at most 64, not starting with a dot.
 bool IsValidName(std::string_view name);
-// "ip:port" of digits, hex digits, '.', ':', '[' and ']', at most 48. Only the socket can tell whether the
-// address is usable.
+// The rule of addresses: "ip:port" of digits, hex digits, '.', ':', '[' and ']', at most 48. Whether the
+// address can be used shows only when a datagram is sent to it.
 bool IsValidAddress(std::string_view address);
-// Printable ASCII without blanks, 1 to 24 characters.
+// The rule of keys: printable ASCII without blanks, 1 to 24 characters.
 bool IsValidKey(std::string_view key);
 
 // Encodes a message that is within the bounds. The result is never longer than the sum of MaxEncodedSize() of
--- a/tests/gossip/programs_test.cpp
+++ b/tests/gossip/programs_test.cpp
@@ -1,4 +1,4 @@
-// Real sidecars and agents that are members.
+// Tests of real sidecars and agents that are members.
 #include <sys/wait.h>
 #include <unistd.h>
 
@@ -19,13 +19,14 @@
 
 using nlohmann::json;
 
-// A real sidecar: HTTP by environment variables, peers and the admin API by the operator file.
+// A real sidecar. Its HTTP settings are in environment variables, those of peers and the admin API in the
+// operator file.
 class Sidecar {
  public:
-  Sidecar(const TaskDirectory& place, const std::string& name, const std::string& upstream, int port,
+  Sidecar(const TaskDirectory& directory, const std::string& name, const std::string& upstream, int port,
           int seed)
-      : node_(Options(place, name, upstream, port, seed)),
-        admin_address_("unix:" + place.File(name + ".sock")) {}
+      : node_(Options(directory, name, upstream, port, seed)),
+        admin_address_("unix:" + directory.File(name + ".sock")) {}
   json Peers() const {
     const auto answer = mothrack::testing::AdminClient(admin_address_).Get("/v1/status");
     return answer && answer->body.contains("peers") ? answer->body["peers"] : json();
@@ -41,14 +42,14 @@
   mothrack::testing::Node& node() { return node_; }
 
  private:
-  static mothrack::testing::Node::Options Options(const TaskDirectory& place, const std::string& name,
+  static mothrack::testing::Node::Options Options(const TaskDirectory& directory, const std::string& name,
                                                   const std::string& upstream, int port, int seed) {
     mothrack::testing::Node::Options options;
     options.known = mothrack::testing::List({mothrack::testing::Target("u1", upstream)});
     options.environment = {"LB_NAME=" + name};
-    options.operator_file = "[admin]\nlisten = \"unix:" + place.File(name + ".sock") +
+    options.operator_file = "[admin]\nlisten = \"unix:" + directory.File(name + ".sock") +
                             "\"\n[peers]\nlisten = \"127.0.0.1:" + std::to_string(port) +
-                            "\"\nzone = \"hall\"\nkey_file = \"" + place.File("keys") +
+                            "\"\nzone = \"hall\"\nkey_file = \"" + directory.File("keys") +
                             "\"\nseeds = [\"127.0.0.1:" + std::to_string(seed) +
                             "\"]\nprobe_ms = 100\nprobe_patience_ms = 40\ngossip_ms = 20\n";
     return options;
@@ -58,7 +59,7 @@
   const std::string admin_address_;
 };
 
-// Ports that were free a moment ago.
+// Returns a port that was free when the function was called.
 int FreePort() {
   boost::asio::io_context io;
   boost::asio::ip::udp::socket socket(io, {boost::asio::ip::make_address("127.0.0.1"), 0});
@@ -66,11 +67,11 @@
 }
 
 TEST(Programs, ContinueWhileAPeerIsStoppedAndResumed) {
-  const TaskDirectory place;
+  const TaskDirectory directory;
   mothrack::testing::Upstream upstream(mothrack::testing::Upstream::Echo("u"));
   const int a_port = FreePort(), b_port = FreePort();
-  Sidecar a(place, "a", upstream.address(), a_port, b_port);
-  Sidecar b(place, "b", upstream.address(), b_port, a_port);
+  Sidecar a(directory, "a", upstream.address(), a_port, b_port);
+  Sidecar b(directory, "b", upstream.address(), b_port, a_port);
   ASSERT_TRUE(a.node().Listening() && b.node().Listening());
   ASSERT_TRUE(Eventually([&] { return a.StateOf("b") == "alive" && b.StateOf("a") == "alive"; }))
       << a.node().log();
@@ -87,9 +88,9 @@
   for (int i = 0; i < 20; ++i) ASSERT_TRUE(client.Get("/page/k", "v" + std::to_string(i)));
   ::kill(b.node().pid(), SIGCONT);
   EXPECT_TRUE(Eventually([&] { return a.StateOf("b") == "alive"; }));
-  // A planned stop is announced; SIGHUP reloads the keys.
+  // SIGHUP reloads the keys. A planned stop is announced to the other members.
   a.node().Signal(SIGHUP);
-  EXPECT_TRUE(Eventually([&] { return a.node().log().find("keys read again") != std::string::npos; }))
+  EXPECT_TRUE(Eventually([&] { return a.node().log().find("keys reloaded from") != std::string::npos; }))
       << a.node().log();
   b.node().Signal(SIGTERM);
   EXPECT_EQ(b.node().Wait(), 0);
@@ -110,23 +111,23 @@
 }
 
 TEST(Programs, AddressInUseIsLogged) {
-  const TaskDirectory place;
-  TaskClient a(place, "a");
-  Sidecar b(place, "b", "127.0.0.1:9", a.task.local().port(), 7601);
+  const TaskDirectory directory;
+  TaskClient a(directory, "a");
+  Sidecar b(directory, "b", "127.0.0.1:9", a.task.local().port(), 7601);
   EXPECT_EQ(b.node().Wait(), 1);
   EXPECT_NE(b.node().log().find("Address already in use; free the address"), std::string::npos)
       << b.node().log();
 }
 
 TEST(Programs, AnAgentIsAMember) {
-  const TaskDirectory place;
-  TaskClient a(place, "a");
-  const std::string file = place.Write(
+  const TaskDirectory directory;
+  TaskClient a(directory, "a");
+  const std::string file = directory.Write(
       "agent.toml",
-      "[agent]\nname = \"agent-1\"\nhall = \"hall\"\nlisten = \"unix:" + place.File("agent.sock") +
-          "\"\ndirectory = \"" + place.File("state") + "\"\n[[instance]]\nname = \"i\"\n" +
+      "[agent]\nname = \"agent-1\"\nhall = \"hall\"\nlisten = \"unix:" + directory.File("agent.sock") +
+          "\"\ndirectory = \"" + directory.File("state") + "\"\n[[instance]]\nname = \"i\"\n" +
           "command = [\"/bin/sleep\", \"0\"]\ngeneration = \"g\"\n[peers]\nlisten = \"127.0.0.1:0\"\n" +
-          "key_file = \"" + place.File("keys") + "\"\nseeds = [\"" + ToText(a.task.local()) + "\"]\n");
+          "key_file = \"" + directory.File("keys") + "\"\nseeds = [\"" + ToText(a.task.local()) + "\"]\n");
   const pid_t pid = ::fork();
   if (pid == 0) {
     ::execl(MOTHRACK_AGENT, MOTHRACK_AGENT, file.c_str(), nullptr);
@@ -134,7 +135,7 @@
   }
   EXPECT_TRUE(Eventually([&] { return a.HasState("agent-1", gossip::MemberState::kAlive); }));
   EXPECT_EQ(a.Latest()->members.at(0).update.role, Role::kAgent);
-  const auto answer = mothrack::testing::AdminClient("unix:" + place.File("agent.sock")).Get("/v1/agent");
+  const auto answer = mothrack::testing::AdminClient("unix:" + directory.File("agent.sock")).Get("/v1/agent");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->body["peers"]["task"], "runs");
   ::kill(pid, SIGTERM);
--- a/tests/gossip/recorded_datagrams_test.cpp
+++ b/tests/gossip/recorded_datagrams_test.cpp
@@ -1,5 +1,6 @@
-// Datagrams and the key file as version 0.2.0 had them: each kind of message is written with the same bytes
-// and read whole, and the seal is the same but for the stream's random number and the tag over it.
+// Tests compatibility with datagrams and a key file recorded with version 0.2.0: each kind of message is
+// encoded to the same bytes and decoded completely, and the seal is equal except for the stream's random
+// number and the tag that covers it.
 #include <gtest/gtest.h>
 
 #include "gossip/keys.h"
@@ -12,11 +13,11 @@
 
 using testing::ToHex;
 
-const std::string kFolder = MOTHRACK_FIXTURES;
+const std::string kFixtures = MOTHRACK_FIXTURES;
 
-// Where the head of a sealed datagram has what (src/gossip/seal.h).
-constexpr std::size_t kStreamAt = 6;
-constexpr std::size_t kCountAt = 14;
+// Offsets in the header of a sealed datagram (src/gossip/seal.h).
+constexpr std::size_t kStreamOffset = 6;
+constexpr std::size_t kCountOffset = 14;
 
 const MembershipUpdate kAnn{
     {"ann", 1'700'000'000'000'000}, 3, MemberState::kAlive, Role::kSidecar, "127.0.0.1:7001", "hall-a"};
@@ -33,7 +34,8 @@
           {kCid.boot_id, "k", 1, Duration{0}, Duration{600'000}, ""}};
 }
 
-struct Row {
+// The fields of a recorded message, whose sender is kAnn.
+struct RecordedMessage {
   const char* name;
   MessageKind kind;
   std::uint64_t sequence;
@@ -45,8 +47,8 @@
   std::vector<Value> values;
 };
 
-// In the order of the fixture.
-std::vector<Row> Rows() {
+// The recorded messages, in the order of fixtures/datagrams.txt.
+std::vector<RecordedMessage> RecordedMessages() {
   return {{"ping", MessageKind::kPing, 42, kBob, "", "", {}, kUpdates, {}},
           {"ack", MessageKind::kAck, 43, {}, "", "", {}, kUpdates, Values()},
           {"ping_request", MessageKind::kPingRequest, 44, kCid, "", "", {}, kUpdates, {}},
@@ -57,42 +59,42 @@
           {"leave", MessageKind::kLeave, 0, {}, "", "", {}, kUpdates, {}}};
 }
 
-Message MessageOf(const Row& row) {
+Message MessageOf(const RecordedMessage& recorded_message) {
   Message message;
-  message.kind = row.kind;
+  message.kind = recorded_message.kind;
   message.sender = kAnn;
-  message.sequence = row.sequence;
-  message.subject = row.subject;
-  message.range_from = row.range_from;
-  message.range_to = row.range_to;
-  message.digest = row.digest;
-  message.updates = row.updates;
-  message.values = row.values;
+  message.sequence = recorded_message.sequence;
+  message.subject = recorded_message.subject;
+  message.range_from = recorded_message.range_from;
+  message.range_to = recorded_message.range_to;
+  message.digest = recorded_message.digest;
+  message.updates = recorded_message.updates;
+  message.values = recorded_message.values;
   return message;
 }
 
 KeyRing Keys() {
-  const testing::FixtureDirectory folder;
-  return Load(folder.CopyOf(kFolder + "/keys.txt"));
+  const testing::FixtureDirectory directory;
+  return LoadKeys(directory.CopyOf(kFixtures + "/keys.txt"));
 }
 
-TEST(RecordedDatagrams, EachKindIsWrittenWithTheSameBytesAndReadWhole) {
-  const auto recorded = testing::ReadHexLines(kFolder + "/datagrams.txt");
-  const std::vector<Row> rows = Rows();
-  ASSERT_EQ(recorded.size(), rows.size());
-  for (std::size_t i = 0; i < rows.size(); ++i) {
-    const Message message = MessageOf(rows[i]);
-    EXPECT_EQ(recorded[i].first, rows[i].name);
-    EXPECT_EQ(ToHex(Encode(message)), ToHex(recorded[i].second)) << rows[i].name;
+TEST(RecordedDatagrams, EachKindIsEncodedToTheSameBytesAndDecoded) {
+  const auto recorded = testing::ReadHexLines(kFixtures + "/datagrams.txt");
+  const std::vector<RecordedMessage> messages = RecordedMessages();
+  ASSERT_EQ(recorded.size(), messages.size());
+  for (std::size_t i = 0; i < messages.size(); ++i) {
+    const Message message = MessageOf(messages[i]);
+    EXPECT_EQ(recorded[i].first, messages[i].name);
+    EXPECT_EQ(ToHex(Encode(message)), ToHex(recorded[i].second)) << messages[i].name;
     DecodeError error;
     const auto read = Decode(recorded[i].second, &error);
-    ASSERT_TRUE(read) << rows[i].name << ": " << error.cause;
-    EXPECT_EQ(*read, message) << rows[i].name;
+    ASSERT_TRUE(read) << messages[i].name << ": " << error.cause;
+    EXPECT_EQ(*read, message) << messages[i].name;
   }
 }
 
 TEST(RecordedDatagrams, TheKeyFileGivesTheSameKeys) {
-  const auto ids = testing::ReadHexLines(kFolder + "/key_ids.txt");
+  const auto ids = testing::ReadHexLines(kFixtures + "/key_ids.txt");
   const KeyRing ring = Keys();
   ASSERT_EQ(ring.size(), 2U);
   ASSERT_EQ(ids.size(), ring.size());
@@ -102,26 +104,27 @@
   }
 }
 
-// The stream's number is random and the tag covers it: what can't be equal is proven by opening.
-TEST(RecordedDatagrams, SealedOnesAreOpenedAndTheSealIsTheSame) {
-  const auto sealed = testing::ReadHexLines(kFolder + "/sealed.txt");
-  const std::string payload = Encode(MessageOf(Rows().back()));
+// The stream's number is random and the tag covers it, so these two cannot be equal; opening the recorded
+// datagrams verifies them.
+TEST(RecordedDatagrams, RecordedSealsAreAcceptedAndNewSealsAreEqual) {
+  const auto sealed = testing::ReadHexLines(kFixtures + "/sealed.txt");
+  const std::string payload = Encode(MessageOf(RecordedMessages().back()));
   ASSERT_EQ(sealed.size(), 3U);
   const KeyRing ring = Keys();
-  Seal both(ring);
-  Seal first(ring);
-  Seal second({ring[1]});
+  Seal opener(ring);
+  Seal first_key_seal(ring);
+  Seal second_key_seal({ring[1]});
   for (const auto& [key, datagram] : sealed) {
-    const auto opened = both.Open(datagram);
+    const auto opened = opener.Open(datagram);
     ASSERT_EQ(opened.verdict, SealVerdict::kAccepted) << key;
     EXPECT_EQ(ToHex(opened.payload), ToHex(payload)) << key;
-    const auto now = (key == "first" ? first : second).Close(payload);
-    ASSERT_TRUE(now);
-    ASSERT_EQ(now->size(), datagram.size());
-    EXPECT_EQ(ToHex(now->substr(0, kStreamAt)), ToHex(datagram.substr(0, kStreamAt))) << key;
+    const auto sealed_now = (key == "first" ? first_key_seal : second_key_seal).Close(payload);
+    ASSERT_TRUE(sealed_now);
+    ASSERT_EQ(sealed_now->size(), datagram.size());
+    EXPECT_EQ(ToHex(sealed_now->substr(0, kStreamOffset)), ToHex(datagram.substr(0, kStreamOffset))) << key;
     const std::size_t covered = datagram.size() - kSealTagSize;
-    EXPECT_EQ(ToHex(now->substr(kCountAt, covered - kCountAt)),
-              ToHex(datagram.substr(kCountAt, covered - kCountAt)))
+    EXPECT_EQ(ToHex(sealed_now->substr(kCountOffset, covered - kCountOffset)),
+              ToHex(datagram.substr(kCountOffset, covered - kCountOffset)))
         << key;
   }
 }
--- a/tests/gossip/task_fixture.h
+++ b/tests/gossip/task_fixture.h
@@ -1,4 +1,5 @@
-// What tests of the gossip task share: a directory of their own, quick settings and a client of the task.
+// Fixtures of tests of the gossip task: a temporary directory, settings with short intervals and a client of
+// the task.
 #pragma once
 
 #include <sys/stat.h>
@@ -17,31 +18,31 @@
 
 using mothrack::testing::Eventually;
 
-// A directory for the task's files, with a file "keys" in it.
+// A temporary directory for the task's files that contains a key file "keys".
 class TaskDirectory : public mothrack::testing::TemporaryDirectory {
  public:
-  TaskDirectory() : TemporaryDirectory("gossip-task") { Keys("keys", {'a'}); }
-  // A file of mode 0600; its path.
+  TaskDirectory() : TemporaryDirectory("gossip-task") { WriteKeys("keys", {'a'}); }
+  // Writes a file of mode 0600 and returns its path.
   std::string Write(const std::string& name, const std::string& text) const {
     std::ofstream(File(name)) << text;
     ::chmod(File(name).c_str(), 0600);
     return File(name);
   }
-  // A key for each letter: 64 hex digits, not all alike.
-  std::string Keys(const std::string& name, const std::vector<char>& letters) const {
+  // Writes a key file with one key for each letter, a hex digit that ends the key. Returns its path.
+  std::string WriteKeys(const std::string& name, const std::vector<char>& letters) const {
     std::string text;
-    for (const char c : letters)
-      text += "0123456789abcdef0123456789abcdef0123456789abcdef" + std::string(16, c) + '\n';
+    for (const char letter : letters)
+      text += "0123456789abcdef0123456789abcdef0123456789abcdef" + std::string(16, letter) + '\n';
     return Write(name, text);
   }
 };
 
-inline Settings FastSettings(const TaskDirectory& place, std::vector<runtime::Endpoint> seeds = {},
+inline Settings FastSettings(const TaskDirectory& directory, std::vector<runtime::Endpoint> seeds = {},
                              const std::string& keys = "keys") {
   Settings settings;
   settings.listen = *runtime::ParseEndpoint("127.0.0.1:0");
   settings.zone = "hall";
-  settings.key_file = place.File(keys);
+  settings.key_file = directory.File(keys);
   settings.seeds = std::move(seeds);
   settings.protocol.probe_interval = Duration(100);
   settings.protocol.probe_timeout = Duration(40);
@@ -50,12 +51,13 @@
   return settings;
 }
 
-// The event loop side of the task, without an event loop.
+// Uses the task as the event loop does, but without an event loop.
 class TaskClient {
  public:
-  TaskClient(const TaskDirectory& place, const std::string& name, std::vector<runtime::Endpoint> seeds = {},
-             const std::string& keys = "keys", Task::TurnHook turn_hook = {})
-      : task(FastSettings(place, std::move(seeds), keys), name, std::move(turn_hook)) {}
+  TaskClient(const TaskDirectory& directory, const std::string& name,
+             std::vector<runtime::Endpoint> seeds = {}, const std::string& keys = "keys",
+             Task::TurnHook turn_hook = {})
+      : task(FastSettings(directory, std::move(seeds), keys), name, std::move(turn_hook)) {}
   const MembershipSnapshot* Latest() {
     while (auto snapshot = task.snapshots().TryPop()) latest_ = *snapshot;
     return latest_.get();
--- a/tests/gossip/task_test.cpp
+++ b/tests/gossip/task_test.cpp
@@ -1,4 +1,4 @@
-// The gossip task in this process: whatever becomes of it, the event loop goes on.
+// Tests of the gossip task: whatever happens to it, the event loop's thread continues.
 #include "gossip/task.h"
 
 #include <atomic>
@@ -21,9 +21,9 @@
 using namespace std::chrono_literals;
 
 TEST(Task, TwoMembersDiscoverEachOtherAndExchangeValues) {
-  const TaskDirectory place;
-  TaskClient a(place, "a");
-  TaskClient b(place, "b", {a.task.local()});
+  const TaskDirectory directory;
+  TaskClient a(directory, "a");
+  TaskClient b(directory, "b", {a.task.local()});
   EXPECT_TRUE(Eventually([&] {
     return a.HasState("b", gossip::MemberState::kAlive) && b.HasState("a", gossip::MemberState::kAlive);
   }));
@@ -36,22 +36,22 @@
   a.task.Post(LeaveCommand{});
   EXPECT_TRUE(a.task.Stop());
   EXPECT_TRUE(Eventually([&] { return b.HasState("a", gossip::MemberState::kLeft); }))
-      << "what was said before the stop is done";
+      << "a leave posted before the stop must be sent";
 }
 
 TEST(Task, AMemberThatStopsWithoutLeavingIsDead) {
-  const TaskDirectory place;
-  TaskClient a(place, "a");
-  auto b = std::make_unique<TaskClient>(place, "b", std::vector{a.task.local()});
+  const TaskDirectory directory;
+  TaskClient a(directory, "a");
+  auto b = std::make_unique<TaskClient>(directory, "b", std::vector{a.task.local()});
   ASSERT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kAlive); }));
   b.reset();
   EXPECT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kDead); }));
 }
 
 TEST(Task, AStuckTaskNeitherBlocksTheLoopNorTheStop) {
-  const TaskDirectory place;
+  const TaskDirectory directory;
   const auto stuck = std::make_shared<std::atomic<bool>>(false);
-  TaskClient a(place, "a", {}, "keys", [stuck] {
+  TaskClient a(directory, "a", {}, "keys", [stuck] {
     while (*stuck) std::this_thread::sleep_for(1ms);
   });
   ASSERT_TRUE(Eventually([&] { return a.Latest() != nullptr; }));
@@ -70,10 +70,10 @@
 }
 
 TEST(Task, AFailedTaskIsCountedAndTheLoopContinues) {
-  const TaskDirectory place;
+  const TaskDirectory directory;
   std::atomic<int> turns{0};
-  TaskClient a(place, "a", {}, "keys", [&] {
-    if (++turns == 5) throw std::runtime_error("planted");
+  TaskClient a(directory, "a", {}, "keys", [&] {
+    if (++turns == 5) throw std::runtime_error("injected fault");
   });
   EXPECT_TRUE(Eventually([&] { return a.task.failures() == 1; }));
   a.task.Post(PutValueCommand{"load", "1", Duration(1000)});
@@ -81,25 +81,25 @@
 }
 
 TEST(Task, DatagramsOfAnotherKeyAreRejectedUntilKeysAreReloaded) {
-  const TaskDirectory place;
-  place.Keys("others", {'b'});
-  TaskClient a(place, "a");
-  TaskClient b(place, "b", {a.task.local()}, "others");
+  const TaskDirectory directory;
+  directory.WriteKeys("others", {'b'});
+  TaskClient a(directory, "a");
+  TaskClient b(directory, "b", {a.task.local()}, "others");
   EXPECT_TRUE(Eventually([&] { return a.Latest() != nullptr && a.Latest()->unauthenticated > 0; }));
   EXPECT_TRUE(a.Latest()->members.empty());
-  // A faulty file changes nothing.
-  place.Write("others", "no key at all\n");
+  // An invalid file changes nothing.
+  directory.Write("others", "no key at all\n");
   b.task.ReloadKeys();
   std::this_thread::sleep_for(200ms);
   EXPECT_TRUE(a.Latest()->members.empty());
-  place.Keys("others", {'a', 'b'});
+  directory.WriteKeys("others", {'a', 'b'});
   b.task.ReloadKeys();
   EXPECT_TRUE(Eventually([&] { return a.HasState("b", gossip::MemberState::kAlive); }));
 }
 
 TEST(Task, InvalidDatagramsAreCounted) {
-  const TaskDirectory place;
-  TaskClient a(place, "a");
+  const TaskDirectory directory;
+  TaskClient a(directory, "a");
   boost::asio::io_context io;
   boost::asio::ip::udp::socket stranger(io, boost::asio::ip::udp::v4());
   const boost::asio::ip::udp::endpoint to(a.task.local().address(), a.task.local().port());
@@ -109,8 +109,8 @@
 }
 
 TEST(Task, StartErrorsNameTheCause) {
-  const TaskDirectory place;
-  TaskClient a(place, "a");
+  const TaskDirectory directory;
+  TaskClient a(directory, "a");
   const auto error = [](const Settings& settings, const std::string& name) {
     try {
       const Task task(settings, name);
@@ -119,12 +119,12 @@
     }
     return std::string("started");
   };
-  Settings settings = FastSettings(place);
-  EXPECT_NE(error(settings, "no good name").find("no member's name"), std::string::npos);
+  Settings settings = FastSettings(directory);
+  EXPECT_NE(error(settings, "no good name").find("not a valid member name"), std::string::npos);
   settings.listen = a.task.local();
   EXPECT_NE(error(settings, "b").find("Address already in use; free the address"), std::string::npos);
-  settings = FastSettings(place, {}, "none");
-  EXPECT_NE(error(settings, "b").find(place.File("none")), std::string::npos);
+  settings = FastSettings(directory, {}, "none");
+  EXPECT_NE(error(settings, "b").find(directory.File("none")), std::string::npos);
 }
 
 }  // namespace
--- a/tests/gossip/wire_test.cpp
+++ b/tests/gossip/wire_test.cpp
@@ -1,4 +1,5 @@
-// What a peer may do to a datagram, by malice, by age or by accident, and what an operator to the key file.
+// Tests of the encoding and the seal of datagrams, which may be malicious, of another version or corrupted,
+// and of errors in the key file.
 #include <gtest/gtest.h>
 #include <sodium.h>
 #include <sys/stat.h>
@@ -28,9 +29,9 @@
 }
 
 TEST(PeersWire, RandomMessagesRoundTripWithinTheirSizeBounds) {
-  MessageGenerator draw(30);
+  MessageGenerator generator(30);
   for (int i = 0; i < 20'000; ++i) {
-    const Message message = draw.RandomMessage();
+    const Message message = generator.RandomMessage();
     const std::string bytes = Encode(message);
     ASSERT_LE(bytes.size(), MaxEncodedSizeOfAll(message));
     DecodeError error;
@@ -51,23 +52,24 @@
   bare.range_from = bare.range_to = std::string(kMaxNameSize + 1, 'r');
   EXPECT_LE(Encode(bare).size(), MaxEncodedSize(bare));
   const auto grown = [&](const Message& message) { return Encode(message).size() - Encode(bare).size(); };
-  Message one = bare;
-  one.digest = {{bare.sender.boot_id, kMaxCounter, MemberState::kLeft, ~std::uint64_t{0}}};
-  EXPECT_LE(grown(one), MaxEncodedSize(one.digest[0]));
-  one = bare;
-  one.updates = {bare.sender};
-  EXPECT_LE(grown(one), MaxEncodedSize(one.updates[0]));
-  one = bare;
-  one.values = {{bare.sender.boot_id, std::string(24, 'k'), kMaxCounter, kMaxValueTtl, kMaxValueTtl,
-                 std::string(256, 'v')}};
-  EXPECT_LE(grown(one), MaxEncodedSize(one.values[0]));
+  Message with_part = bare;
+  with_part.digest = {{bare.sender.boot_id, kMaxCounter, MemberState::kLeft, ~std::uint64_t{0}}};
+  EXPECT_LE(grown(with_part), MaxEncodedSize(with_part.digest[0]));
+  with_part = bare;
+  with_part.updates = {bare.sender};
+  EXPECT_LE(grown(with_part), MaxEncodedSize(with_part.updates[0]));
+  with_part = bare;
+  with_part.values = {{bare.sender.boot_id, std::string(24, 'k'), kMaxCounter, kMaxValueTtl, kMaxValueTtl,
+                       std::string(256, 'v')}};
+  EXPECT_LE(grown(with_part), MaxEncodedSize(with_part.values[0]));
 }
 
-// A cut may fall between two parts, and the rest is a message; it is never another one's words.
+// A message truncated between two parts may still be valid, but must never contain other data than the
+// original.
 TEST(PeersWire, EveryTruncationIsRejectedOrDecodesToAPrefix) {
-  MessageGenerator draw(31);
+  MessageGenerator generator(31);
   for (int i = 0; i < 50; ++i) {
-    const Message message = draw.RandomMessage();
+    const Message message = generator.RandomMessage();
     const std::string bytes = Encode(message);
     for (std::size_t size = 0; size < bytes.size(); ++size) {
       const auto read = Decode(std::string_view(bytes).substr(0, size));
@@ -84,20 +86,20 @@
   const std::string bytes = Encode(message);
   std::string later = bytes + "\xa2\x06\x05hello" + "\xa8\x06\x2a";  // fields 100 and 101
   EXPECT_EQ(Decode(later), message);
-  // Inside a part as well: the last one is the news; a varint field 15 more.
-  pb::Datagram whole;
-  ASSERT_TRUE(whole.ParseFromString(bytes));
-  const std::string part = whole.updates(0).SerializeAsString();
+  // An unknown varint field 15 inside a part, here the only update, is skipped as well.
+  pb::Datagram parsed;
+  ASSERT_TRUE(parsed.ParseFromString(bytes));
+  const std::string part = parsed.updates(0).SerializeAsString();
   later = bytes.substr(0, bytes.size() - part.size() - 1) + static_cast<char>(part.size() + 2) + part +
           "\x78\x01";
   EXPECT_EQ(Decode(later), message);
 
   using namespace std::string_literals;
-  EXPECT_EQ(FaultOf("\x08\x02" + bytes.substr(2)), DecodeFault::kLater);
-  EXPECT_EQ(FaultOf("\x08\x02\xff\xff garbage to us"), DecodeFault::kLater);
-  EXPECT_EQ(FaultOf("\x08\xff\x01"), DecodeFault::kLater);
-  EXPECT_EQ(FaultOf("\x08\x00"s + bytes.substr(2)), DecodeFault::kBounds);
-  EXPECT_EQ(FaultOf(bytes + "\x08\x02"), DecodeFault::kBounds);  // a second version
+  EXPECT_EQ(FaultOf("\x08\x02" + bytes.substr(2)), DecodeFault::kLaterVersion);
+  EXPECT_EQ(FaultOf("\x08\x02\xff\xff garbage to us"), DecodeFault::kLaterVersion);
+  EXPECT_EQ(FaultOf("\x08\xff\x01"), DecodeFault::kLaterVersion);
+  EXPECT_EQ(FaultOf("\x08\x00"s + bytes.substr(2)), DecodeFault::kOutOfBounds);
+  EXPECT_EQ(FaultOf(bytes + "\x08\x02"), DecodeFault::kOutOfBounds);  // a second version
   EXPECT_EQ(FaultOf(bytes.substr(2)), DecodeFault::kMalformed);
   EXPECT_EQ(FaultOf("\x08" + std::string(12, '\xff')), DecodeFault::kMalformed);
   EXPECT_EQ(FaultOf(""), DecodeFault::kMalformed);
@@ -106,56 +108,58 @@
 TEST(PeersWire, MessagesBeyondABoundAreRejected) {
   const auto largest = std::string(kMaxNameSize, 'n');
   const std::vector<std::pair<const char*, std::function<void(pb::Datagram&)>>> rows = {
-      {"kind 0", [](auto& d) { d.set_kind(0); }},
-      {"kind 9", [](auto& d) { d.set_kind(9); }},
-      {"kind 2^32 + 1", [](auto& d) { d.set_kind((1ull << 32) + 1); }},
-      {"no sender", [](auto& d) { d.clear_sender(); }},
-      {"ping for nobody",
-       [](auto& d) {
-         d.set_kind(3);
-         d.clear_subject();
+      {"kind 0", [](auto& datagram) { datagram.set_kind(0); }},
+      {"kind 9", [](auto& datagram) { datagram.set_kind(9); }},
+      {"kind 2^32 + 1", [](auto& datagram) { datagram.set_kind((1ull << 32) + 1); }},
+      {"no sender", [](auto& datagram) { datagram.clear_sender(); }},
+      {"ping request without subject",
+       [](auto& datagram) {
+         datagram.set_kind(3);
+         datagram.clear_subject();
        }},
-      {"a subject of no name", [](auto& d) { d.mutable_subject()->clear_name(); }},
-      {"range", [&](auto& d) { d.set_range_to(largest + "12"); }},
-      {"name", [&](auto& d) { d.mutable_sender()->set_name(largest + "1"); }},
-      {"name of a folder", [](auto& d) { d.mutable_sender()->set_name("../x"); }},
-      {"name with a blank", [](auto& d) { d.mutable_updates(0)->set_name("a b"); }},
-      {"born", [](auto& d) { d.mutable_updates(0)->set_boot_number(kMaxCounter + 1); }},
-      {"incarnation", [](auto& d) { d.mutable_updates(0)->set_incarnation(~0ull); }},
-      {"state 0", [](auto& d) { d.mutable_updates(0)->set_state(0); }},
-      {"state 5", [](auto& d) { d.mutable_updates(0)->set_state(5); }},
-      {"role 3", [](auto& d) { d.mutable_updates(0)->set_role(3); }},
-      {"address", [](auto& d) { d.mutable_updates(0)->set_address("host:80"); }},
-      {"address without port", [](auto& d) { d.mutable_updates(0)->set_address("127.0.0.1"); }},
-      {"long address", [](auto& d) { d.mutable_updates(0)->set_address(std::string(47, '1') + ":1"); }},
-      {"zone", [](auto& d) { d.mutable_updates(0)->set_zone("hall a"); }},
-      {"digest name", [](auto& d) { d.mutable_digest(0)->set_name(""); }},
-      {"digest state", [](auto& d) { d.mutable_digest(0)->set_state(7); }},
-      {"owner", [](auto& d) { d.mutable_values(0)->set_owner(""); }},
-      {"key", [](auto& d) { d.mutable_values(0)->set_key(std::string(25, 'k')); }},
-      {"key of none", [](auto& d) { d.mutable_values(0)->set_key(""); }},
-      {"key with a line's end", [](auto& d) { d.mutable_values(0)->set_key("a\n"); }},
-      {"version", [](auto& d) { d.mutable_values(0)->set_version(kMaxCounter + 1); }},
-      {"age", [](auto& d) { d.mutable_values(0)->set_age_ms(600'001); }},
-      {"age below 0", [](auto& d) { d.mutable_values(0)->set_age_ms(static_cast<std::uint64_t>(-1)); }},
-      {"lasts", [](auto& d) { d.mutable_values(0)->set_ttl_ms((1ull << 32) + 5); }},
-      {"value", [](auto& d) { d.mutable_values(0)->set_bytes(std::string(257, 'v')); }},
+      {"subject without a name", [](auto& datagram) { datagram.mutable_subject()->clear_name(); }},
+      {"range", [&](auto& datagram) { datagram.set_range_to(largest + "12"); }},
+      {"name", [&](auto& datagram) { datagram.mutable_sender()->set_name(largest + "1"); }},
+      {"name that is a path", [](auto& datagram) { datagram.mutable_sender()->set_name("../x"); }},
+      {"name with a blank", [](auto& datagram) { datagram.mutable_updates(0)->set_name("a b"); }},
+      {"boot number", [](auto& datagram) { datagram.mutable_updates(0)->set_boot_number(kMaxCounter + 1); }},
+      {"incarnation", [](auto& datagram) { datagram.mutable_updates(0)->set_incarnation(~0ull); }},
+      {"state 0", [](auto& datagram) { datagram.mutable_updates(0)->set_state(0); }},
+      {"state 5", [](auto& datagram) { datagram.mutable_updates(0)->set_state(5); }},
+      {"role 3", [](auto& datagram) { datagram.mutable_updates(0)->set_role(3); }},
+      {"address", [](auto& datagram) { datagram.mutable_updates(0)->set_address("host:80"); }},
+      {"address without port", [](auto& datagram) { datagram.mutable_updates(0)->set_address("127.0.0.1"); }},
+      {"long address",
+       [](auto& datagram) { datagram.mutable_updates(0)->set_address(std::string(47, '1') + ":1"); }},
+      {"zone", [](auto& datagram) { datagram.mutable_updates(0)->set_zone("hall a"); }},
+      {"digest name", [](auto& datagram) { datagram.mutable_digest(0)->set_name(""); }},
+      {"digest state", [](auto& datagram) { datagram.mutable_digest(0)->set_state(7); }},
+      {"owner", [](auto& datagram) { datagram.mutable_values(0)->set_owner(""); }},
+      {"key", [](auto& datagram) { datagram.mutable_values(0)->set_key(std::string(25, 'k')); }},
+      {"empty key", [](auto& datagram) { datagram.mutable_values(0)->set_key(""); }},
+      {"key with a line break", [](auto& datagram) { datagram.mutable_values(0)->set_key("a\n"); }},
+      {"version", [](auto& datagram) { datagram.mutable_values(0)->set_version(kMaxCounter + 1); }},
+      {"age", [](auto& datagram) { datagram.mutable_values(0)->set_age_ms(600'001); }},
+      {"age below 0",
+       [](auto& datagram) { datagram.mutable_values(0)->set_age_ms(static_cast<std::uint64_t>(-1)); }},
+      {"time to live", [](auto& datagram) { datagram.mutable_values(0)->set_ttl_ms((1ull << 32) + 5); }},
+      {"value", [](auto& datagram) { datagram.mutable_values(0)->set_bytes(std::string(257, 'v')); }},
   };
   Message message;
   message.sender = message.subject = Ann();
   message.digest = {{Ann().boot_id, 1, MemberState::kAlive, 2}};
   message.updates = {Ann()};
   message.values = {{Ann().boot_id, "load", 1, Duration(5), Duration(1000), "7"}};
-  pb::Datagram good;
-  ASSERT_TRUE(good.ParseFromString(Encode(message)));
-  EXPECT_EQ(FaultOf(good.SerializeAsString()), DecodeFault::kNone);
-  for (const auto& [what, spoil] : rows) {
-    pb::Datagram bad = good;
-    spoil(bad);
-    EXPECT_EQ(FaultOf(bad.SerializeAsString()), DecodeFault::kBounds) << what;
+  pb::Datagram valid;
+  ASSERT_TRUE(valid.ParseFromString(Encode(message)));
+  EXPECT_EQ(FaultOf(valid.SerializeAsString()), DecodeFault::kNone);
+  for (const auto& [description, make_invalid] : rows) {
+    pb::Datagram invalid = valid;
+    make_invalid(invalid);
+    EXPECT_EQ(FaultOf(invalid.SerializeAsString()), DecodeFault::kOutOfBounds) << description;
   }
   message.values.assign(5, {Ann().boot_id, "load", 1, Duration(5), Duration(1000), std::string(256, 'v')});
-  EXPECT_EQ(FaultOf(Encode(message)), DecodeFault::kBounds) << "longer than a datagram";
+  EXPECT_EQ(FaultOf(Encode(message)), DecodeFault::kOutOfBounds) << "longer than a datagram";
 }
 
 Key KeyOf(std::uint8_t fill) {
@@ -165,87 +169,89 @@
 }
 
 TEST(PeersSeal, StaysWithinItsReservedSizeAndRejectsLongerDatagrams) {
-  Seal a({KeyOf(1)}), b({KeyOf(1)});
+  Seal sender({KeyOf(1)}), receiver({KeyOf(1)});
   const std::string full(kMaxPayloadSize, 'p');
-  const auto sealed = a.Close(full);
+  const auto sealed = sender.Close(full);
   ASSERT_TRUE(sealed);
   EXPECT_LE(sealed->size(), kMaxDatagramSize);
-  EXPECT_EQ(b.Open(*sealed).payload, full);
-  EXPECT_FALSE(a.Close(full + "p"));
-  EXPECT_EQ(b.Open(std::string(kMaxDatagramSize + 1, 'x')).verdict, SealVerdict::kNoDatagram);
+  EXPECT_EQ(receiver.Open(*sealed).payload, full);
+  EXPECT_FALSE(sender.Close(full + "p"));
+  EXPECT_EQ(receiver.Open(std::string(kMaxDatagramSize + 1, 'x')).verdict, SealVerdict::kMalformed);
 }
 
 TEST(PeersSeal, TruncatedAndCorruptedDatagramsAreRejected) {
   Message message;
   message.sender = Ann();
-  Seal a({KeyOf(1)}), b({KeyOf(1), KeyOf(2)});
-  const std::string sealed = *a.Close(Encode(message));
+  Seal sender({KeyOf(1)}), receiver({KeyOf(1), KeyOf(2)});
+  const std::string sealed = *sender.Close(Encode(message));
   for (std::size_t size = 0; size < sealed.size(); ++size) {
-    ASSERT_NE(b.Open(std::string_view(sealed).substr(0, size)).verdict, SealVerdict::kAccepted) << size;
+    ASSERT_NE(receiver.Open(std::string_view(sealed).substr(0, size)).verdict, SealVerdict::kAccepted)
+        << size;
   }
   for (std::size_t bit = 0; bit < 8 * sealed.size(); ++bit) {
     std::string other = sealed;
     other[bit / 8] = static_cast<char>(other[bit / 8] ^ 1 << bit % 8);
-    ASSERT_NE(b.Open(other).verdict, SealVerdict::kAccepted) << bit;
+    ASSERT_NE(receiver.Open(other).verdict, SealVerdict::kAccepted) << bit;
   }
-  EXPECT_NE(b.Open(sealed + "x").verdict, SealVerdict::kAccepted);
-  EXPECT_EQ(b.counts().received, 0u);
-  EXPECT_EQ(b.counts().replayed, 0u) << "what is forged must not have moved the window";
-  EXPECT_EQ(b.Open(sealed).verdict, SealVerdict::kAccepted);
+  EXPECT_NE(receiver.Open(sealed + "x").verdict, SealVerdict::kAccepted);
+  EXPECT_EQ(receiver.counts().received, 0u);
+  EXPECT_EQ(receiver.counts().replayed, 0u) << "forged datagrams must not move the replay window";
+  EXPECT_EQ(receiver.Open(sealed).verdict, SealVerdict::kAccepted);
 }
 
 TEST(PeersSeal, KeysAreRotatedInThreeStepsWithoutLosingMessages) {
-  const Key old = KeyOf(1), young = KeyOf(2);
-  const std::vector<KeyRing> steps = {{old}, {old, young}, {young, old}, {young}};
+  const Key current_key = KeyOf(1), next_key = KeyOf(2);
+  const std::vector<KeyRing> steps = {
+      {current_key}, {current_key, next_key}, {next_key, current_key}, {next_key}};
   for (std::size_t i = 0; i < steps.size(); ++i) {
     for (std::size_t j = 0; j < steps.size(); ++j) {
       Seal from(steps[i]), to(steps[j]);
-      const bool near = i < j ? j - i < 2 : i - j < 2;
+      const bool is_adjacent = i < j ? j - i < 2 : i - j < 2;
       const SealVerdict verdict = to.Open(*from.Close("x")).verdict;
-      if (near) {
+      if (is_adjacent) {
         EXPECT_EQ(verdict, SealVerdict::kAccepted) << i << " to " << j;
       }
     }
   }
   EXPECT_EQ(Seal(steps[3]).Open(*Seal(steps[0]).Close("x")).verdict, SealVerdict::kUnknownKey)
-      << "a step left out";
-  // The name of a key that is known does not help without the key.
-  Seal stranger({KeyOf(3)}), member({old});
-  std::string posing = *stranger.Close("x");
-  EXPECT_EQ(member.Open(posing).verdict, SealVerdict::kUnknownKey);
-  std::copy(old.id.begin(), old.id.end(), posing.begin() + 2);
-  EXPECT_EQ(member.Open(posing).verdict, SealVerdict::kForged);
+      << "a rotation that skips a step must be rejected";
+  // The id of a known key does not help without the key.
+  Seal stranger({KeyOf(3)}), member({current_key});
+  std::string impostor = *stranger.Close("x");
+  EXPECT_EQ(member.Open(impostor).verdict, SealVerdict::kUnknownKey);
+  std::copy(current_key.id.begin(), current_key.id.end(), impostor.begin() + 2);
+  EXPECT_EQ(member.Open(impostor).verdict, SealVerdict::kForged);
   EXPECT_EQ(member.counts().unknown_key, 1u);
   EXPECT_EQ(member.counts().forged, 1u);
-  // A ring changes under a running process without its datagrams being taken for repeated ones.
-  Seal running({old}), other({old, young});
+  // The datagrams of a process whose ring is replaced are not rejected as replayed.
+  Seal running({current_key}), other({current_key, next_key});
   EXPECT_EQ(other.Open(*running.Close("1")).verdict, SealVerdict::kAccepted);
-  running.Use({young});
+  running.ReplaceKeys({next_key});
   EXPECT_EQ(other.Open(*running.Close("2")).verdict, SealVerdict::kAccepted);
-  EXPECT_THROW(running.Use({}), std::invalid_argument);
+  EXPECT_THROW(running.ReplaceKeys({}), std::invalid_argument);
 }
 
 TEST(PeersSeal, ReplayedDatagramsAreAcceptedOnce) {
-  Seal a({KeyOf(1)}), b({KeyOf(1)}), again({KeyOf(1)});
+  Seal sender({KeyOf(1)}), receiver({KeyOf(1)}), restarted({KeyOf(1)});
   std::vector<std::string> sent;
-  for (int i = 0; i < 100; ++i) sent.push_back(*a.Close("x"));
-  for (int i = 99; i >= 0; --i) {  // the wrong way round: 64 are within the window
-    EXPECT_EQ(b.Open(sent[static_cast<std::size_t>(i)]).verdict,
+  for (int i = 0; i < 100; ++i) sent.push_back(*sender.Close("x"));
+  for (int i = 99; i >= 0; --i) {  // in reverse order: 64 are within the window
+    EXPECT_EQ(receiver.Open(sent[static_cast<std::size_t>(i)]).verdict,
               i >= 36 ? SealVerdict::kAccepted : SealVerdict::kReplayed)
         << i;
   }
-  for (const auto& one : sent) EXPECT_EQ(b.Open(one).verdict, SealVerdict::kReplayed);
-  EXPECT_EQ(b.counts().received, 64u);
-  EXPECT_EQ(a.Open(sent[0]).verdict, SealVerdict::kReplayed) << "its own, come back";
-  EXPECT_EQ(b.Open(*again.Close("x")).verdict, SealVerdict::kAccepted)
-      << "the next process of a member begins anew";
+  for (const auto& datagram : sent) EXPECT_EQ(receiver.Open(datagram).verdict, SealVerdict::kReplayed);
+  EXPECT_EQ(receiver.counts().received, 64u);
+  EXPECT_EQ(sender.Open(sent[0]).verdict, SealVerdict::kReplayed) << "a process must reject its own datagram";
+  EXPECT_EQ(receiver.Open(*restarted.Close("x")).verdict, SealVerdict::kAccepted)
+      << "the next process of a member has a stream of its own";
 }
 
 TEST(PeersSeal, TheReplayWindowEvictsTheStreamIdleForLongest) {
   ReplayWindow window(3);
   for (const std::uint64_t stream : {1, 2, 3, 1})
     EXPECT_TRUE(window.Accept(stream, stream == 1 ? window.streams() + 1 : 5));
-  EXPECT_TRUE(window.Accept(4, 1));  // 2 goes
+  EXPECT_TRUE(window.Accept(4, 1));  // evicts stream 2
   EXPECT_EQ(window.streams(), 3u);
   EXPECT_FALSE(window.Accept(3, 5));
   EXPECT_FALSE(window.Accept(1, 4));
@@ -254,18 +260,18 @@
   EXPECT_FALSE(window.Accept(1, 1));
 }
 
-// Against a window that remembers all.
+// Compares the window with a record of all accepted numbers.
 TEST(PeersSeal, TheReplayWindowAcceptsNothingTwiceInAnySequence) {
-  MessageGenerator draw(32);
+  MessageGenerator generator(32);
   ReplayWindow window;
-  std::vector<bool> taken(4000);
+  std::vector<bool> already_accepted(4000);
   std::uint64_t latest = 0;
   for (std::uint64_t i = 0; i < 40'000; ++i) {
-    const std::uint64_t count = std::min<std::uint64_t>(3999, i / 10 + draw.Below(100));
+    const std::uint64_t count = std::min<std::uint64_t>(3999, i / 10 + generator.Below(100));
     latest = std::max(latest, count);
-    const bool took = window.Accept(7, count);
-    ASSERT_EQ(took, !taken[count] && latest - count < 64) << i;
-    if (took) taken[count] = true;
+    const bool accepted = window.Accept(7, count);
+    ASSERT_EQ(accepted, !already_accepted[count] && latest - count < 64) << i;
+    if (accepted) already_accepted[count] = true;
   }
 }
 
@@ -273,13 +279,13 @@
  protected:
   PeersKeys() : path_("/tmp/peers_keys_" + std::to_string(::getpid())) {}
   ~PeersKeys() override { std::filesystem::remove(path_); }
-  void Put(const std::string& text, mode_t mode = 0600) {
+  void WriteFile(const std::string& text, mode_t mode = 0600) {
     std::ofstream(path_, std::ios::trunc) << text;
     ::chmod(path_.c_str(), mode);
   }
-  std::string Fault() {
+  std::string ErrorOfLoading() {
     try {
-      Load(path_);
+      LoadKeys(path_);
     } catch (const KeyFileError& error) {
       return error.what();
     }
@@ -292,53 +298,58 @@
 };
 
 TEST_F(PeersKeys, OneOrTwoAreReadInFileOrder) {
-  Put("# of the cluster\n\n  " + hex_ + " \r\n\t" + other_);
-  const KeyRing two = Load(path_);
+  WriteFile("# of the cluster\n\n  " + hex_ + " \r\n\t" + other_);
+  const KeyRing two = LoadKeys(path_);
   ASSERT_EQ(two.size(), 2u);
-  Put(base64_ + '\n', 0400);
-  const KeyRing one = Load(path_);
+  WriteFile(base64_ + '\n', 0400);
+  const KeyRing one = LoadKeys(path_);
   ASSERT_EQ(one.size(), 1u);
   EXPECT_EQ(one[0].id, two[0].id);
   EXPECT_EQ(Seal(two).Open(*Seal(one).Close("x")).verdict, SealVerdict::kAccepted);
   EXPECT_NE(two[0].id, two[1].id);
 }
 
-TEST_F(PeersKeys, EachFaultIsNamedWithItsLineAndRemedy) {
+TEST_F(PeersKeys, EachErrorNamesItsLineAndRemedy) {
   const std::vector<std::pair<std::string, std::string>> rows = {
       {hex_.substr(1) + "\n",
-       ":1: a key of 63 characters, where 64 hex or 44 base64 are wanted; write 32 random bytes"},
+       ":1: the key has 63 characters instead of 64 hex or 44 base64 characters; write 32 random bytes"},
       {"# x\n" + hex_ + "\nxy" + hex_.substr(2), ":3: the key is not hex; write 32 random bytes"},
       {"!!" + base64_.substr(2), ":1: the key is not base64; write 32 random bytes"},
       {base64_.substr(0, 41) + "A==", ":1: the key is not base64; write 32 random bytes"},
-      {hex_ + "\n\n" + base64_, ":3: the same key as in line 1; take out one of the two"},
-      {hex_ + "\n" + other_ + "\n" + hex_, ":3: a third key; take out one that nobody seals with any more"},
-      {"\n" + std::string(64, '0'), ":2: the key is one byte over and over; write 32 random bytes"},
-      {"# none yet\n", ": holds no key; write 32 random bytes"},
-      {"", ": holds no key; write 32 random bytes"},
+      {hex_ + "\n\n" + base64_, ":3: the same key as in line 1; remove one of the two"},
+      {hex_ + "\n" + other_ + "\n" + hex_, ":3: a third key; remove one that no member seals with any more"},
+      {"\n" + std::string(64, '0'), ":2: the key repeats a single byte; write 32 random bytes"},
+      {"# none yet\n", ": contains no key; write 32 random bytes"},
+      {"", ": contains no key; write 32 random bytes"},
       {std::string(5000, '#'), ": is longer than 4096 bytes; keep one or two keys"},
   };
   for (const auto& [text, fault] : rows) {
-    Put(text);
-    EXPECT_TRUE(Fault().starts_with(path_ + fault)) << Fault();
-    EXPECT_EQ(Fault().find(hex_.substr(8, 16)), std::string::npos) << "the key itself was told";
+    WriteFile(text);
+    EXPECT_TRUE(ErrorOfLoading().starts_with(path_ + fault)) << ErrorOfLoading();
+    EXPECT_EQ(ErrorOfLoading().find(hex_.substr(8, 16)), std::string::npos)
+        << "the error must not contain the key";
   }
 }
 
-TEST_F(PeersKeys, AFileAccessibleToOthersIsRejected) {
+TEST_F(PeersKeys, AFileWithAnUnsafeModeOrAnotherOwnerIsRejected) {
   for (const mode_t mode : {0644, 0640, 0604, 0620, 0700}) {
-    Put(hex_, mode);
-    EXPECT_EQ(Fault(), path_ + ": others may use it; chmod 0600 it, and change the keys if they were read")
+    WriteFile(hex_, mode);
+    EXPECT_EQ(ErrorOfLoading(),
+              path_ +
+                  ": its mode allows more than reading and writing by its owner; chmod it to 0600, and "
+                  "replace the keys if others may have read them")
         << mode;
   }
   std::filesystem::remove(path_);
-  EXPECT_EQ(Fault(), path_ + ": cannot be opened: No such file or directory; make it with mode 0600");
+  EXPECT_EQ(ErrorOfLoading(),
+            path_ + ": cannot be opened: No such file or directory; create it with mode 0600");
   ASSERT_EQ(::mkfifo(path_.c_str(), 0600), 0);
-  EXPECT_EQ(Fault(), path_ + ": is no regular file; give the path of one");
+  EXPECT_EQ(ErrorOfLoading(), path_ + ": is not a regular file; give the path of one");
   std::filesystem::remove(path_);
   if (::geteuid() != 0) return;  // only root can give a file away
-  Put(hex_);
+  WriteFile(hex_);
   ASSERT_EQ(::chown(path_.c_str(), 12345, 12345), 0);
-  EXPECT_EQ(Fault(), path_ + ": belongs to user 12345; chown it to 0, who runs this");
+  EXPECT_EQ(ErrorOfLoading(), path_ + ": belongs to user 12345; chown it to user 0, who runs this program");
 }
 
 }  // namespace
