--- a/tests/gossip/bounded_queue_test.cpp
+++ b/tests/gossip/bounded_queue_test.cpp
@@ -1,4 +1,4 @@
-// The bounded queues between the gossip task and the event loop.
+// Tests of the bounded queues between the gossip task and the event loop.
 #include <poll.h>
 #include <unistd.h>
 
@@ -39,17 +39,17 @@
   EXPECT_TRUE(readable());
 }
 
-// The receiver sleeps whenever the queue is empty; it is woken for every last message.
+// The receiver sleeps whenever the queue is empty. Every message must wake it, or be popped before it sleeps.
 TEST(BoundedQueue, LosesNoWakeUpBetweenTwoThreads) {
   constexpr int kMessages = 200'000;
   BoundedQueue<int> queue(64);
   int received = 0, last = -1;
-  bool is_ordered = true, missed = false;
+  bool is_ordered = true, missed_wake_up = false;
   std::thread receiver([&] {
     while (last != kMessages - 1) {
       pollfd awaited{queue.descriptor(), POLLIN, 0};
       if (::poll(&awaited, 1, 5000) == 0) {
-        missed = true;
+        missed_wake_up = true;
         return;
       }
       queue.ClearSignal();
@@ -62,10 +62,10 @@
   });
   for (int i = 0; i < kMessages; ++i) {
     queue.Push(i);
-    if (i % 1000 == 0) std::this_thread::sleep_for(50us);  // so that it falls asleep in between
+    if (i % 1000 == 0) std::this_thread::sleep_for(50us);  // so that the receiver falls asleep
   }
   receiver.join();
-  EXPECT_FALSE(missed);
+  EXPECT_FALSE(missed_wake_up);
   EXPECT_TRUE(is_ordered);
   EXPECT_EQ(received + static_cast<int>(queue.dropped()), kMessages);
 }
--- a/tests/gossip/core_bounds_test.cpp
+++ b/tests/gossip/core_bounds_test.cpp
@@ -1,4 +1,4 @@
-// What the core rejects and evicts, and that updates merge in any order.
+// Tests of what the core rejects and evicts, and that the order of updates does not matter.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -14,12 +14,12 @@
 namespace {
 
 TEST(Bounds, InvalidUpdatesAreRejectedAndCounted) {
-  const std::string longer(kMaxNameSize + 1, 'x');
+  const std::string too_long(kMaxNameSize + 1, 'x');
   std::vector<MembershipUpdate> invalid(7, MakeMember("m"));
-  invalid[0].boot_id.name = longer;
+  invalid[0].boot_id.name = too_long;
   invalid[1].boot_id.name = "";
-  invalid[2].address = longer;
-  invalid[3].zone = longer;
+  invalid[2].address = too_long;
+  invalid[3].zone = too_long;
   invalid[4].state = static_cast<MemberState>(9);
   invalid[5].boot_id.boot_number = 0;
   invalid[6].incarnation = ~0ull;
@@ -28,7 +28,7 @@
   EXPECT_EQ(node.core.counts().rejected, invalid.size());
   EXPECT_EQ(node.core.alive(), 2u);
   std::vector<Value> values(5, MakeValue(50, 1, 0, 1000, "v"));
-  values[0].key = longer;
+  values[0].key = too_long;
   values[1].bytes.resize(kMaxValueSize + 1);
   values[2].ttl = kMaxValueTtl + Duration(1);
   values[3].version = 0;
@@ -59,33 +59,32 @@
   EXPECT_EQ(node.core.counts().rejected, before + 1);
 }
 
-// The same news in any order: the same is held.
+// The same updates and values, received in any order, lead to the same state.
 TEST(Merge, IsCommutative) {
   for (std::uint64_t seed = 1; seed <= 300; ++seed) {
     Random random(seed);
-    std::vector<Message> all;
+    std::vector<Message> messages;
     for (int i = 0; i < 12; ++i) {
       Message message = From("helper");
       message.updates = {MakeMember("m", 50 + random.Below(2), random.Below(3),
                                     static_cast<MemberState>(1 + random.Below(4)))};
-      const auto version =
-          1 + random.Below(4);  // what it holds is its owner's: the same wherever it is heard
+      const auto version = 1 + random.Below(4);  // determines the bytes and age, as set by the owner
       message.values.push_back(
           MakeValue(50 + random.Below(2), version, version == 3 ? 9000 : 0, 9000, Numbered("v", version)));
-      all.push_back(message);
+      messages.push_back(message);
     }
-    // A value alone would tell of its life, but not of its member.
-    all.push_back(From("helper"));
-    all.back().updates = {MakeMember("m", 51, 0)};
+    // Ensures that the later boot is received in an update too, since a value alone does not create a member.
+    messages.push_back(From("helper"));
+    messages.back().updates = {MakeMember("m", 51, 0)};
     std::string first;
     for (int permutation = 0; permutation < 6; ++permutation) {
       SingleNode node;
-      random.Shuffle(all);
-      for (const auto& message : all) node.Receive(message);
+      random.Shuffle(messages);
+      for (const auto& message : messages) node.Receive(message);
       const auto stored = node.core.Find("m")->update;
       std::string text =
           std::to_string(stored.boot_id.boot_number) + '/' + std::to_string(static_cast<int>(stored.state));
-      // Of one that left nothing but that it did counts.
+      // The incarnation of a member that has left does not matter.
       if (stored.state != MemberState::kLeft) text += '/' + std::to_string(stored.incarnation);
       for (const auto& view : node.core.Values("k", At(0))) text += '/' + view.value->bytes;
       if (permutation == 0) first = text;
--- a/tests/gossip/core_scenarios_test.cpp
+++ b/tests/gossip/core_scenarios_test.cpp
@@ -1,4 +1,4 @@
-// Directed scenarios: loss, restarts, pauses, partitions, leaving.
+// Scripted scenarios in a simulated network: loss, restarts, pauses, partitions, leaving.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -13,13 +13,13 @@
 TEST(Scenarios, LossDelayAndDuplicatesCauseNoFalseDeath) {
   Scenario scenario(30);
   scenario.links = {10, 5, 150, 100};
-  for (std::size_t i = 0; i < 30; i += 3) scenario.nodes[i].rate = 1.05;
+  for (std::size_t i = 0; i < 30; i += 3) scenario.nodes[i].clock_rate = 1.05;
   scenario.Run(1'200'000);
   EXPECT_TRUE(scenario.deaths.empty());
   EXPECT_EQ(scenario.violation, "");
-  EXPECT_LT(scenario.ticks, 30u * 1200 * 20) << "called more often than there is something to do";
+  EXPECT_LT(scenario.ticks, 30u * 1200 * 20) << "Tick() was called more often than anything was due";
   for (std::size_t i = 0; i < 30; ++i) scenario.PutValue(i, Numbered("w", i));
-  EXPECT_LT(scenario.RunUntilAgreed(30'000), 30'000) << scenario.Disagreement();
+  EXPECT_LT(scenario.RunUntilAgreed(30'000), 30'000) << scenario.FindDisagreement();
 }
 
 TEST(Scenarios, ADeadMemberIsDetectedAndReturnsAsALaterIncarnation) {
@@ -29,29 +29,29 @@
   scenario.Run(3000);
   scenario.Kill(3);
   scenario.published.clear();
-  EXPECT_LT(scenario.RunUntilAgreed(15'000), 8000) << scenario.Disagreement();
+  EXPECT_LT(scenario.RunUntilAgreed(15'000), 8000) << scenario.FindDisagreement();
   EXPECT_EQ(scenario.nodes[0].core->known(), 20u);
   EXPECT_EQ(scenario.nodes[0].core->alive(), 19u);
-  scenario.Start(3, 500);  // its clock went back: before its former life
-  EXPECT_LT(scenario.RunUntilAgreed(10'000), 5000) << scenario.Disagreement();
+  scenario.Start(3, 500);  // its clock went back: a lower boot number than before
+  EXPECT_LT(scenario.RunUntilAgreed(10'000), 5000) << scenario.FindDisagreement();
   EXPECT_GT(scenario.nodes[3].core->self().boot_id.boot_number, 1'000'000u);
 }
 
 TEST(Scenarios, AStoppedMemberResumesWithItsOldState) {
   Scenario scenario(20);
   scenario.Run(10'000);
-  scenario.Kill(4);  // suspected, it may be, when the other stops
+  scenario.Kill(4);  // may still be suspected when node 7 stops
   scenario.Run(700);
   scenario.Stop(7);
   scenario.Run(60'000);
   EXPECT_EQ(scenario.deaths[scenario.nodes[7].name], 18);
   scenario.deaths.clear();
   scenario.Continue(7);
-  // Who died meanwhile it learns out of records, so it suspects first.
-  EXPECT_LT(scenario.RunUntilAgreed(20'000), 20'000) << scenario.Disagreement();
+  // It learns of the death of node 4 from records, and therefore suspects that node first.
+  EXPECT_LT(scenario.RunUntilAgreed(20'000), 20'000) << scenario.FindDisagreement();
   scenario.Run(20'000);
   scenario.deaths.erase(scenario.nodes[4].name);
-  EXPECT_TRUE(scenario.deaths.empty()) << "it buried " << scenario.deaths.begin()->first;
+  EXPECT_TRUE(scenario.deaths.empty()) << "declared dead: " << scenario.deaths.begin()->first;
 }
 
 TEST(Scenarios, HealedPartitionsMerge) {
@@ -65,8 +65,8 @@
   scenario.Run(5000);
   scenario.deaths.clear();
   for (auto& node : scenario.nodes) node.group = 0;
-  EXPECT_LT(scenario.RunUntilAgreed(60'000), 30'000) << scenario.Disagreement();
-  EXPECT_TRUE(scenario.deaths.empty()) << "the living were buried at the reunion";
+  EXPECT_LT(scenario.RunUntilAgreed(60'000), 30'000) << scenario.FindDisagreement();
+  EXPECT_TRUE(scenario.deaths.empty()) << "live members were declared dead after the partition healed";
 }
 
 TEST(Scenarios, AllMembersRestartAtOnce) {
@@ -75,7 +75,7 @@
   for (std::size_t i = 0; i < 60; ++i) scenario.Kill(i);
   scenario.Run(1000);
   scenario.StartAll();
-  EXPECT_LT(scenario.RunUntilAgreed(30'000), 15'000) << scenario.Disagreement();
+  EXPECT_LT(scenario.RunUntilAgreed(30'000), 15'000) << scenario.FindDisagreement();
   EXPECT_TRUE(scenario.deaths.empty());
 }
 
@@ -89,7 +89,7 @@
   EXPECT_EQ(scenario.nodes[0].core->known(), 19u);
 }
 
-TEST(Scenarios, ItsOwnPauseConfirmsNoSuspicion) {
+TEST(Scenarios, APauseOfTheProcessDoesNotEndSuspicions) {
   SingleNode node(NoProbes());
   node.ReceiveUpdate(MakeMember("m", 50, 5, MemberState::kSuspect));
   node.now += 10'000'000;
--- a/tests/gossip/core_tables_test.cpp
+++ b/tests/gossip/core_tables_test.cpp
@@ -1,4 +1,4 @@
-// The core's rules, row by row from the tables of the design page.
+// Tests the core's rules against the tables of docs/design/gossip.md, one row at a time.
 #include <gtest/gtest.h>
 
 #include <cstddef>
@@ -19,52 +19,54 @@
 
 using testing::Row;
 
-// Every combination of `columns`' words must have exactly one row. A cell names words by commas, "any", or
-// "-" where the column does not matter; `play` gets the combination and its row.
+// Requires that every reachable combination of the columns' words has exactly one row, and that every row is
+// used. A cell lists words separated by commas, or has "any" or "-" if the column does not matter. `check` is
+// called with the combination and its row.
 void CheckEveryCombination(const std::string& heading,
                            const std::vector<std::pair<std::string, Texts>>& columns,
-                           const std::function<bool(const Row&)>& there,
-                           const std::function<void(const Row&, const Row&)>& play) {
+                           const std::function<bool(const Row&)>& is_reachable,
+                           const std::function<void(const Row&, const Row&)>& check) {
   const auto rows = testing::TableOf(MOTHRACK_PEERS_PAGE, heading);
-  std::set<const Row*> used;
+  std::set<const Row*> used_rows;
   std::size_t combinations = 1;
   for (const auto& [column, words] : columns) combinations *= words.size();
-  for (std::size_t n = 0; n < combinations; ++n) {
-    Row one;
-    std::size_t rest = n;
+  for (std::size_t number = 0; number < combinations; ++number) {
+    Row combination;
+    std::size_t rest = number;
     for (const auto& [column, words] : columns) {
-      one[column] = words[rest % words.size()];
+      combination[column] = words[rest % words.size()];
       rest /= words.size();
     }
-    if (!there(one)) continue;
+    if (!is_reachable(combination)) continue;
     std::string text;
-    std::vector<const Row*> fitting;
+    std::vector<const Row*> matching;
     for (const Row& row : rows) {
       bool fits = true;
       for (const auto& [column, words] : columns) {
         const std::string& cell = row.at(column);
         std::istringstream list(cell);
-        bool named = cell == "any" || cell == "-";
+        bool is_listed = cell == "any" || cell == "-";
         for (std::string word; std::getline(list >> std::ws, word, ',');)
-          named = named || word == one[column];
-        fits = fits && named;
+          is_listed = is_listed || word == combination[column];
+        fits = fits && is_listed;
       }
-      if (fits) fitting.push_back(&row);
+      if (fits) matching.push_back(&row);
     }
-    for (const auto& [column, word] : one) text += column + ": " + word + "; ";
-    ASSERT_EQ(fitting.size(), 1u) << heading << ": rows for " << text;
-    used.insert(fitting.front());
+    for (const auto& [column, word] : combination) text += column + ": " + word + "; ";
+    ASSERT_EQ(matching.size(), 1u) << heading << ": rows for " << text;
+    used_rows.insert(matching.front());
     SCOPED_TRACE(text);
-    play(one, *fitting.front());
+    check(combination, *matching.front());
   }
-  EXPECT_EQ(used.size(), rows.size()) << heading << ": a row that nothing plays";
+  EXPECT_EQ(used_rows.size(), rows.size()) << heading << ": a row that no combination uses";
 }
 
-// Where nothing is held there is nothing to be earlier or later than.
-bool IsReachable(const Row& one) {
-  return one.at("held") != "nothing" ||
-         (one.at("life") == "same" && (!one.contains("version") || one.at("version") == "same") &&
-          (!one.contains("incarnation") || one.at("incarnation") == "same"));
+// If nothing is stored, a received number cannot be lower or higher than the stored one.
+bool IsReachable(const Row& combination) {
+  return combination.at("held") != "nothing" ||
+         (combination.at("life") == "same" &&
+          (!combination.contains("version") || combination.at("version") == "same") &&
+          (!combination.contains("incarnation") || combination.at("incarnation") == "same"));
 }
 
 TEST(Tables, Membership) {
@@ -75,28 +77,31 @@
        {"incarnation", {"lower", "same", "higher"}},
        {"news", kStates},
        {"by", {"gossip", "records"}}},
-      IsReachable, [](const Row& one, const Row& row) {
+      IsReachable, [](const Row& combination, const Row& row) {
         SingleNode node(NoProbes());
-        const bool self = one.at("held") == "self", nothing = one.at("held") == "nothing";
-        const MembershipUpdate stored = MakeMember(self ? "self" : "m", 50, 5, StateOf(one.at("held")));
+        const bool self = combination.at("held") == "self", nothing = combination.at("held") == "nothing";
+        const MembershipUpdate stored =
+            MakeMember(self ? "self" : "m", 50, 5, StateOf(combination.at("held")));
         if (!self && !nothing) node.ReceiveUpdate(stored);
         node.Run(600);
         const auto number = [](const std::string& word, std::uint64_t of) {
           return word == "former" || word == "lower" ? of - 1 : word == "same" ? of : of + 1;
         };
-        const MembershipUpdate update = MakeMember(stored.boot_id.name, number(one.at("life"), 50),
-                                                   number(one.at("incarnation"), 5), StateOf(one.at("news")));
-        node.ReceiveUpdate(update, one.at("by") == "gossip" ? MessageKind::kGossip : MessageKind::kRecords);
+        const MembershipUpdate update =
+            MakeMember(stored.boot_id.name, number(combination.at("life"), 50),
+                       number(combination.at("incarnation"), 5), StateOf(combination.at("news")));
+        node.ReceiveUpdate(update,
+                           combination.at("by") == "gossip" ? MessageKind::kGossip : MessageKind::kRecords);
         const MembershipUpdate after = self ? node.core.self() : node.core.Find("m")->update;
         EXPECT_EQ(after.state,
                   row.at("held then") == "as before" ? stored.state : StateOf(row.at("held then")));
         if (self) {
-          const std::string did = after.boot_id.boot_number > 50   ? "born again"
-                                  : after.incarnation == 5         ? "nothing"
-                                  : node.core.counts().refuted > 0 ? "refutes"
-                                                                   : "outdoes";
-          EXPECT_EQ(did, row.at("oneself"));
-          EXPECT_TRUE(did == "nothing" || Supersedes(after, update));
+          const std::string response = after.boot_id.boot_number > 50   ? "born again"
+                                       : after.incarnation == 5         ? "nothing"
+                                       : node.core.counts().refuted > 0 ? "refutes"
+                                                                        : "outdoes";
+          EXPECT_EQ(response, row.at("oneself"));
+          EXPECT_TRUE(response == "nothing" || Supersedes(after, update));
         } else if (row.at("told on") == "yes") {
           EXPECT_EQ(after.boot_id, update.boot_id);
           EXPECT_EQ(after.incarnation, update.incarnation);
@@ -112,28 +117,29 @@
        {"life", {"former", "same", "later"}},
        {"version", {"lower", "same", "higher"}},
        {"age", {"younger", "older", "over"}}},
-      IsReachable, [](const Row& one, const Row& row) {
+      IsReachable, [](const Row& combination, const Row& row) {
         SingleNode node(NoProbes());
         node.ReceiveUpdate(MakeMember("m"));
-        const Value stored = MakeValue(50, 5, 500, one.at("held") == "lapsed" ? 800 : 5000, "held");
-        if (one.at("held") != "nothing") node.ReceiveValue(stored);
-        node.Run(600);  // the held one's age: 1100
+        const Value stored = MakeValue(50, 5, 500, combination.at("held") == "lapsed" ? 800 : 5000, "held");
+        if (combination.at("held") != "nothing") node.ReceiveValue(stored);
+        node.Run(600);  // the stored value's age is then 1100 ms
         const auto number = [](const std::string& word, std::uint64_t of) {
           return word == "former" || word == "lower" ? of - 1 : word == "same" ? of : of + 1;
         };
-        const std::string& age = one.at("age");
-        const Value value = MakeValue(number(one.at("life"), 50), number(one.at("version"), 5),
-                                      age == "younger" ? 100
-                                      : age == "older" ? 1200
-                                                       : 5000,
-                                      5000, "new");
+        const std::string& age = combination.at("age");
+        const Value value =
+            MakeValue(number(combination.at("life"), 50), number(combination.at("version"), 5),
+                      age == "younger" ? 100
+                      : age == "older" ? 1200
+                                       : 5000,
+                      5000, "new");
         node.ReceiveValue(value);
         const bool disseminated = node.Disseminates("m", "k");
-        if (one.at("life") == "later") node.ReceiveUpdate(MakeMember("m", 51));
+        if (combination.at("life") == "later") node.ReceiveUpdate(MakeMember("m", 51));
         const auto views = node.core.Values("k", At(node.now));
         const std::string& result = row.at("result");
         EXPECT_EQ(disseminated, row.at("told on") == "yes");
-        if (result == "noted" || (result == "as before" && one.at("held") != "shown") ||
+        if (result == "noted" || (result == "as before" && combination.at("held") != "shown") ||
             (result == "aged" && age == "over")) {
           EXPECT_TRUE(views.empty());
         } else {
@@ -158,18 +164,18 @@
         {"acked", "acked by another", "no ack but all nacks", "no ack and a nack missing",
          "no ack and nobody to ask", "had to refute", "was stopped"}}},
       [](const Row&) { return true; },
-      [](const Row& one, const Row& row) {
-        const std::string& what = one.at("what happened");
+      [](const Row& combination, const Row& row) {
+        const std::string& what = combination.at("what happened");
         SingleNode node;
         if (what != "no ack and nobody to ask") {
           for (const char* name : {"a", "b", "c", "d"}) node.ReceiveUpdate(MakeMember(name));
         }
-        // Some health to lose: twice it had to refute.
+        // Two refutations raise the health score to 2, so that it can decrease as well.
         for (std::uint64_t i = 0; i < 2; ++i)
           node.ReceiveUpdate(MakeMember("self", 50, 5 + i, MemberState::kSuspect));
         std::string probed;
         std::uint64_t sequence = 0;
-        Texts others;
+        Texts helpers;
         const auto run = [&] {
           for (const Datagram& sent : node.Run(50)) {
             if (sent.message.kind == MessageKind::kPing && probed.empty()) {
@@ -177,7 +183,7 @@
               sequence = sent.message.sequence;
             }
             if (sent.message.kind == MessageKind::kPingRequest)
-              others.push_back(sent.address.substr(0, sent.address.find(':')));
+              helpers.push_back(sent.address.substr(0, sent.address.find(':')));
           }
         };
         while (probed.empty()) run();
@@ -194,12 +200,12 @@
         }
         if (what.find("by another") != std::string::npos || what.starts_with("no ack")) {
           for (int i = 0; i < 13; ++i) run();
-          ASSERT_EQ(others.size(), what == "no ack and nobody to ask" ? 0u : 3u);
-          if (what == "acked by another") answer(others[0], MessageKind::kAck);
+          ASSERT_EQ(helpers.size(), what == "no ack and nobody to ask" ? 0u : 3u);
+          if (what == "acked by another") answer(helpers[0], MessageKind::kAck);
           const std::size_t nacks = what == "no ack but all nacks"        ? 3
                                     : what == "no ack and a nack missing" ? 2
                                                                           : 0;
-          for (std::size_t i = 0; i < nacks; ++i) answer(others[i], MessageKind::kNack);
+          for (std::size_t i = 0; i < nacks; ++i) answer(helpers[i], MessageKind::kNack);
           if (what.starts_with("no ack")) {
             while (node.core.counts().probes_failed == 0) run();
           }
@@ -221,7 +227,7 @@
       SingleNode node;
       for (std::size_t i = 2; i < members; ++i) node.ReceiveUpdate(MakeMember(Numbered("n", i)));
       ASSERT_EQ(node.core.alive(), members);
-      // Relayed, by whomever: nobody's own word.
+      // Relayed updates do not confirm the suspicion, whoever sends them.
       for (const char* by : {"n3", "n4", "n5"}) {
         Message relayed = From(by);
         relayed.updates = {MakeMember("n2", 50, 5, MemberState::kSuspect)};
--- a/tests/gossip/scenario.h
+++ b/tests/gossip/scenario.h
@@ -1,4 +1,5 @@
-// A simulated network of cores, with the values that each published and the deaths that were declared.
+// A simulated network of cores that records the values that each node published and the deaths that were
+// declared.
 #pragma once
 
 #include <cstddef>
@@ -24,45 +25,47 @@
     };
     StartAll();
   }
-  // What keeps all that are up from holding the same: all of them live, and each one's latest word.
-  std::string Disagreement() {
-    std::set<std::string> up;
+  // Returns the first difference between the state of a running node and the expected one, in which exactly
+  // the running nodes are live and each has its latest published value. Otherwise returns the first
+  // violation; empty if there is none.
+  std::string FindDisagreement() {
+    std::set<std::string> running;
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (Up(i)) up.insert(nodes[i].name);
+      if (IsRunning(i)) running.insert(nodes[i].name);
     }
     for (std::size_t i = 0; i < nodes.size(); ++i) {
-      if (!Up(i)) continue;
+      if (!IsRunning(i)) continue;
       std::set<std::string> live{nodes[i].name};
       for (const auto& view : nodes[i].core->members()) {
         if (view.update.state <= MemberState::kSuspect) live.insert(view.update.boot_id.name);
       }
-      if (live != up)
-        return nodes[i].name + " believes in " + std::to_string(live.size()) + " of " +
-               std::to_string(up.size());
-      std::map<std::string, std::string> held_values;
+      if (live != running)
+        return nodes[i].name + " considers " + std::to_string(live.size()) + " members live instead of " +
+               std::to_string(running.size());
+      std::map<std::string, std::string> values;
       for (const auto& view : nodes[i].core->Values("k", LocalNow(i)))
-        held_values[view.value->owner.name] = view.value->bytes;
+        values[view.value->owner.name] = view.value->bytes;
       for (const auto& [name, value] : published) {
-        if (held_values[name] != value)
-          return nodes[i].name + " holds of " + name + " '" + held_values[name] + "', not " + value;
+        if (values[name] != value)
+          return nodes[i].name + " has for " + name + " the value '" + values[name] + "' instead of " + value;
       }
-      if (held_values.size() != published.size()) return nodes[i].name + " holds values that nobody put";
+      if (values.size() != published.size()) return nodes[i].name + " has values that were not published";
     }
     return violation;
   }
   void PutValue(std::size_t i, const std::string& bytes, int ttl = 600'000) {
-    if (!Up(i)) return;
+    if (!IsRunning(i)) return;
     Put(i, "k", bytes, ttl);
     published[nodes[i].name] = bytes;
   }
-  // Until nothing differs; how long that took.
-  std::int64_t RunUntilAgreed(std::int64_t most) {
+  // Runs until FindDisagreement() returns nothing, for at most `max_ms`. Returns the time that it took.
+  std::int64_t RunUntilAgreed(std::int64_t max_ms) {
     const std::int64_t from = now;
-    while (now < from + most && !Disagreement().empty()) Run(500);
+    while (now < from + max_ms && !FindDisagreement().empty()) Run(500);
     return now - from;
   }
-  std::map<std::string, int> deaths;
-  std::map<std::string, std::string> published;
+  std::map<std::string, int> deaths;             // number of nodes that declared it dead, by name
+  std::map<std::string, std::string> published;  // latest value of each node, by name
 };
 
 }  // namespace mothrack::gossip
--- a/tests/gossip/simulated_network.h
+++ b/tests/gossip/simulated_network.h
@@ -1,5 +1,6 @@
-// A network of cores in made-up time: links that lose, delay, repeat, reorder and are cut; processes that
-// stop, die and start again; clocks that differ. What holds at every moment is checked as it runs.
+// A network of cores in simulated time. Links lose, delay, duplicate and reorder datagrams and can be
+// partitioned. Processes stop, die and start again, and their clocks differ. The bounds on the size and rate
+// of datagrams are checked for every datagram sent.
 #pragma once
 
 #include <algorithm>
@@ -31,19 +32,19 @@
 
 struct LinkConditions {
   int loss = 0, duplication = 0;  // percent
-  int delay = 1, jitter = 0;      // ms: delay to delay + spread, so that they overtake each other
+  int delay = 1, jitter = 0;  // ms: from `delay` to `delay` + `jitter`, so that datagrams overtake each other
 };
 
 class SimulatedNetwork {
  public:
   struct Node {
     std::string name, address;
-    std::unique_ptr<Core> core;     // none: the process is not there
-    bool stopped = false;           // its process does not run; the socket holds what comes
-    int group = 0;                  // members of different groups do not hear each other
-    double rate = 1;                // of its clock
-    std::int64_t tick = 0;          // when it is called next
-    std::deque<std::int64_t> sent;  // within the last second
+    std::unique_ptr<Core> core;     // null if the process does not run
+    bool stopped = false;           // the process is stopped; its socket buffers what arrives
+    int group = 0;                  // datagrams between different groups are lost
+    double clock_rate = 1;          // of its clock; 1 is correct
+    std::int64_t tick_at = 0;       // when Tick() is called next
+    std::deque<std::int64_t> sent;  // local times of datagrams sent within the last second
     std::deque<std::pair<std::shared_ptr<Message>, std::string>> receive_buffer;
     std::uint64_t datagrams = 0, bytes = 0;
     std::size_t max_per_second = 0;
@@ -64,7 +65,7 @@
     }
     return nodes.size() - 1;
   }
-  // A process of it starts, `born` by its clock's word.
+  // Starts a process of node `i`.
   void Start(std::size_t i, std::uint64_t boot_number) {
     Node& node = nodes[i];
     gossip::MembershipUpdate local{
@@ -75,7 +76,7 @@
     node.stopped = false;
     node.receive_buffer.clear();
     node.sent.clear();
-    node.tick = kNever;
+    node.tick_at = kNever;
     Schedule(i);
   }
   void StartAll() {
@@ -88,7 +89,7 @@
     if (!node.core || !node.stopped) return;
     node.stopped = false;
     for (const auto& [message, from] : std::exchange(node.receive_buffer, {})) Receive(i, *message, from);
-    node.tick = kNever;
+    node.tick_at = kNever;
     Schedule(i);
   }
   void Leave(std::size_t i) {
@@ -111,8 +112,8 @@
       now = event.at;
       Node& node = nodes[event.node];
       if (event.message == nullptr) {
-        if (!node.core || node.stopped || node.tick != event.at) continue;
-        node.tick = kNever;
+        if (!node.core || node.stopped || node.tick_at != event.at) continue;
+        node.tick_at = kNever;
         gossip::CoreOutput out;
         node.core->Tick(LocalNow(event.node), out);
         ++ticks;
@@ -122,7 +123,7 @@
       }
       if (!node.core || nodes[event.from].group != node.group) continue;
       if (node.stopped) {
-        // A socket's buffer is bounded.
+        // The buffer of a socket is bounded.
         if (node.receive_buffer.size() < 200)
           node.receive_buffer.emplace_back(event.message, nodes[event.from].address);
       } else {
@@ -133,11 +134,11 @@
   }
 
   TimePoint LocalNow(std::size_t i) const {
-    // Clocks of two machines have nothing to do with each other.
-    return TimePoint(Duration(static_cast<std::int64_t>(static_cast<double>(now) * nodes[i].rate) +
+    // Each node's clock has its own origin, since clocks of two machines are not comparable.
+    return TimePoint(Duration(static_cast<std::int64_t>(static_cast<double>(now) * nodes[i].clock_rate) +
                               static_cast<std::int64_t>(i) * 1'000'000));
   }
-  bool Up(std::size_t i) const { return nodes[i].core && !nodes[i].stopped; }
+  bool IsRunning(std::size_t i) const { return nodes[i].core && !nodes[i].stopped; }
 
   const gossip::ProtocolConfig config_;
   gossip::Random random;
@@ -146,8 +147,9 @@
   std::int64_t now = 0;
   std::uint64_t ticks = 0;
   OnChange on_change;
-  std::function<bool(Message&, std::size_t to)> tamper;  // a planted fault; false: it is lost
-  std::string violation;                                 // the first
+  // Injects a fault into a received message. Returns false to lose the message.
+  std::function<bool(Message&, std::size_t to)> tamper;
+  std::string violation;  // the first violation; empty if there is none
 
  private:
   static constexpr std::int64_t kNever = std::int64_t{1} << 60;
@@ -155,7 +157,7 @@
     std::int64_t at;
     std::uint64_t sequence;
     std::size_t node, from;
-    std::shared_ptr<Message> message;  // none: a tick
+    std::shared_ptr<Message> message;  // null for a tick
     bool operator<(const Event& other) const {
       return std::tie(at, sequence) > std::tie(other.at, other.sequence);
     }
@@ -179,10 +181,12 @@
     if (!node.core || node.stopped || node.core->next() == TimePoint::max()) return;
     const auto local =
         node.core->next().time_since_epoch().count() - static_cast<std::int64_t>(i) * 1'000'000;
-    const auto at = std::max(
-        now, node.rate == 1 ? local : static_cast<std::int64_t>(static_cast<double>(local) / node.rate) + 1);
-    if (at >= node.tick) return;
-    node.tick = at;
+    const auto at =
+        std::max(now, node.clock_rate == 1
+                          ? local
+                          : static_cast<std::int64_t>(static_cast<double>(local) / node.clock_rate) + 1);
+    if (at >= node.tick_at) return;
+    node.tick_at = at;
     events_.push({at, ++last_sequence_, i, i, nullptr});
   }
 
@@ -202,12 +206,12 @@
       node.sent.push_back(local);
       node.max_per_second = std::max(node.max_per_second, node.sent.size());
       if (node.sent.size() > config_.datagrams_per_s)
-        RecordViolation(node.name + " sent more than a second allows");
+        RecordViolation(node.name + " exceeded the datagrams allowed per second");
       const auto to = by_address_.find(datagram.address);
       if (to == by_address_.end()) continue;
       const auto message = std::make_shared<Message>(std::move(datagram.message));
-      const int times = Chance(links.duplication) ? 2 : 1;
-      for (int t = 0; t < times; ++t) {
+      const int copies = Chance(links.duplication) ? 2 : 1;
+      for (int copy = 0; copy < copies; ++copy) {
         if (Chance(links.loss)) continue;
         const auto delay =
             links.delay + static_cast<int>(random.Below(static_cast<std::size_t>(links.jitter) + 1));
--- a/tests/gossip/single_node.h
+++ b/tests/gossip/single_node.h
@@ -1,4 +1,4 @@
-// One core, driven by a test in made-up time, and short forms for what it receives.
+// One core, driven by a test in simulated time, and helpers that create what it receives.
 #pragma once
 
 #include <algorithm>
@@ -15,6 +15,7 @@
 
 inline const Texts kStates = {"alive", "suspect", "dead", "left"};
 
+// The time of a test's start plus `ms`.
 inline TimePoint At(std::int64_t ms) { return TimePoint(Duration(1'000'000 + ms)); }
 inline MembershipUpdate MakeMember(const std::string& name, std::uint64_t boot_number = 50,
                                    std::uint64_t incarnation = 5, MemberState state = MemberState::kAlive) {
@@ -44,7 +45,7 @@
   return static_cast<MemberState>(std::find(kStates.begin(), kStates.end(), name) - kStates.begin() + 1);
 }
 
-// One core, which receives from a member "helper" what the test wants it to know.
+// One core, which receives its updates and values from a member "helper".
 struct SingleNode {
   explicit SingleNode(ProtocolConfig config = {}) : core(MakeMember("self"), config, 1, At(0)) {
     Receive(From("helper"));
@@ -60,7 +61,7 @@
     message.values = {value};
     Receive(message);
   }
-  // Ticks on time; what it sends meanwhile.
+  // Advances the time, calls Tick() whenever it is due, and returns the datagrams sent meanwhile.
   std::vector<Datagram> Run(std::int64_t ms) {
     out.datagrams.clear();
     const std::int64_t until = now + ms;
@@ -71,6 +72,7 @@
     now = until;
     return std::exchange(out.datagrams, {});
   }
+  // Whether the core sends the member's update, or its value of this key, within 300 ms.
   bool Disseminates(const std::string& name, const std::string& key = "") {
     bool disseminated = false;
     for (const Datagram& sent : Run(300)) {
@@ -86,7 +88,7 @@
   std::int64_t now = 0;
 };
 
-// So that none is suspected while a row is played.
+// A configuration whose probes are so rare that no member is suspected during a test.
 inline ProtocolConfig NoProbes() {
   ProtocolConfig config;
   config.probe_interval = Duration(60'000);
