--- a/src/gossip/failure_detector.cpp
+++ b/src/gossip/failure_detector.cpp
@@ -8,17 +8,17 @@
 
 void FailureDetector::RunRounds(TimePoint now, CoreOutput& out) {
   const auto next_step = [&] { return probes_.Next(now, context_.membership, context_.random); };
-  for (Step step = next_step(); step.what != Step::What::kNone; step = next_step()) {
-    switch (step.what) {
-      case Step::What::kNone:
+  for (Step step = next_step(); step.action != Step::Action::kNone; step = next_step()) {
+    switch (step.action) {
+      case Step::Action::kNone:
         break;
-      case Step::What::kPing:
+      case Step::Action::kPing:
         Ping(step, now, out);
         break;
-      case Step::What::kPingIndirectly:
+      case Step::Action::kPingIndirectly:
         RequestIndirectPings(step, now, out);
         break;
-      case Step::What::kRoundOver:
+      case Step::Action::kRoundOver:
         FinishRound(step, now, out);
         break;
     }
@@ -69,7 +69,7 @@
   if (update.state != MemberState::kSuspect) return;
   merger_.ApplyMember(update, UpdateOrigin::kGossip, now, out);
   context_.membership.ReportSuspect(step.name, step.incarnation, context_.self.boot_id.name);
-  // Also if the suspicion was already known, because it is now first-hand.
+  // Disseminate it even if the suspicion was already known, because it is now first-hand.
   context_.updates.Add(step.name, "", now);
 }
 
--- a/src/gossip/update_merger.cpp
+++ b/src/gossip/update_merger.cpp
@@ -42,10 +42,10 @@
   for (Value& value : context_.values.AdvanceBoot(member.boot_id, false))
     ReportExpired(std::move(value), out);
   context_.updates.Add(name, "", now);
-  // A refutation of a suspicion that was never seen here is no change for users of the membership.
+  // A refutation of a suspicion that was never seen here is not a change for users of the membership.
   MembershipUpdate comparable = member;
   if (result.before) comparable.incarnation = result.before->incarnation;
-  if (!result.before || comparable != *result.before) out.AddChange(Change::What::kMember, member);
+  if (!result.before || comparable != *result.before) out.AddChange(Change::Kind::kMember, member);
 }
 
 void UpdateMerger::OnMemberChanged(const MembershipUpdate& member,
@@ -71,9 +71,10 @@
   }
   const auto* owner = context_.membership.Find(value.owner.name);
   // An expired value of an unknown owner is not stored, because nothing would ever remove it.
-  const bool unforgettable = owner == nullptr && value.age >= value.ttl;
-  const bool of_former_boot = owner != nullptr && value.owner.boot_number < owner->update.boot_id.boot_number;
-  if (unforgettable || of_former_boot || now < values_ignored_until_) {
+  const bool would_be_kept_forever = owner == nullptr && value.age >= value.ttl;
+  const bool of_earlier_boot =
+      owner != nullptr && value.owner.boot_number < owner->update.boot_id.boot_number;
+  if (would_be_kept_forever || of_earlier_boot || now < values_ignored_until_) {
     ++context_.counts.values_stale;
     return;
   }
@@ -86,7 +87,7 @@
     case ValueStore::MergeOutcome::kApplied:
       ++context_.counts.values_applied;
       context_.updates.Add(value.owner.name, value.key, now - value.age);
-      out.AddChange(Change::What::kValue, value);
+      out.AddChange(Change::Kind::kValue, value);
       break;
     case ValueStore::MergeOutcome::kAged:
     case ValueStore::MergeOutcome::kStale:
@@ -143,7 +144,7 @@
       if (!stored.expired) context_.updates.Add(self.boot_id.name, key, now);
     }
   }
-  out.AddChange(Change::What::kLocalBootRaised, self);
+  out.AddChange(Change::Kind::kLocalBootRaised, self);
   return true;
 }
 
@@ -186,7 +187,7 @@
   ++context_.counts.expired;
   context_.updates.Drop(value.owner.name, value.key);
   value.bytes.clear();
-  out.AddChange(Change::What::kValueExpired, value);
+  out.AddChange(Change::Kind::kValueExpired, value);
 }
 
 }  // namespace mothrack::gossip
