--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -22,7 +22,7 @@
 constexpr unsigned kInsufficientStorage = 507;
 
 json ToJson(const Agent::Answer& answer) {
-  json response = {{"verdict", rollout::Name(answer.verdict)},
+  json response = {{"verdict", rollout::WireName(answer.verdict)},
                    {"open", answer.open},
                    {"highest", answer.highest},
                    {"refused", answer.refused}};
--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -93,16 +93,16 @@
 
 void ReadLimits(TomlSection& section, AgentFile& file) {
   rollout::InstanceLimits& limits = file.limits;
-  limits.stop =
-      section.Milliseconds("stop_ms", limits.stop, rollout::Duration(100), rollout::Duration(600'000));
-  limits.ready =
-      section.Milliseconds("ready_ms", limits.ready, rollout::Duration(100), rollout::Duration(600'000));
+  limits.stop_timeout = section.Milliseconds("stop_ms", limits.stop_timeout, rollout::Duration(100),
+                                             rollout::Duration(600'000));
+  limits.ready_timeout = section.Milliseconds("ready_ms", limits.ready_timeout, rollout::Duration(100),
+                                              rollout::Duration(600'000));
   limits.first_backoff = section.Milliseconds("first_pause_ms", limits.first_backoff, rollout::Duration(100),
                                               rollout::Duration(60'000));
   limits.max_backoff = section.Milliseconds("longest_pause_ms", limits.max_backoff, limits.first_backoff,
                                             rollout::Duration(600'000));
-  limits.crashes =
-      static_cast<std::size_t>(section.Number("crashes", static_cast<std::int64_t>(limits.crashes), 1, 100));
+  limits.crash_loop_exits = static_cast<std::size_t>(
+      section.Number("crashes", static_cast<std::int64_t>(limits.crash_loop_exits), 1, 100));
   limits.crash_window = section.Milliseconds("crash_window_ms", limits.crash_window, rollout::Duration(1000),
                                              rollout::Duration(3'600'000));
   file.process_limits.max_log_bytes = static_cast<std::uint64_t>(
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -199,7 +199,7 @@
       return instance.process.Signal(SIGTERM);
     case rollout::Action::Kind::kKill:
       return instance.process.Signal(SIGKILL);
-    case rollout::Action::Kind::kSay:
+    case rollout::Action::Kind::kLog:
       return log_.Info("instance_report", {{"instance", name}, {"text", action.line}});
   }
 }
--- a/src/ctl/command_change.cpp
+++ b/src/ctl/command_change.cpp
@@ -85,7 +85,7 @@
 
 void PrintBatches(const rollout::Plan& plan) {
   std::size_t number = 0;
-  for (const auto& batch : rollout::Batches(plan)) {
+  for (const auto& batch : rollout::SplitIntoBatches(plan)) {
     ++number;
     std::cout << "batch " << number << (number == 1 && plan.policy.canary ? " (canary)" : "") << '\n';
     for (const std::size_t i : batch) {
@@ -165,8 +165,8 @@
   if (!files.empty()) {
     if (const ExitCode code = SendGeneration(session, plan, files); code != kDone) return code;
   }
-  std::cout << plan.id << ": " << plan.targets.size() << " instances in " << rollout::Batches(plan).size()
-            << " batches" << std::endl;
+  std::cout << plan.id << ": " << plan.targets.size() << " instances in "
+            << rollout::SplitIntoBatches(plan).size() << " batches" << std::endl;
   return PrintOutcome(session.driver().CarryOut(plan, rollout::Change::Direction::kForward, false, plan.who,
                                                 snapshot.ShortestLease()));
 }
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -190,7 +190,7 @@
     std::map<std::string, std::vector<ReportRequest>> reports;
     for (const rollout::ChangeCommand& command : commands) {
       switch (command.kind) {
-        case rollout::ChangeCommand::Kind::kSay:
+        case rollout::ChangeCommand::Kind::kPrint:
           say_(command.line);
           break;
         case rollout::ChangeCommand::Kind::kRenew:
--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -34,7 +34,7 @@
       direction_(direction),
       epoch_(epoch),
       lease_duration_(lease_duration),
-      batches_(Batches(plan_)),
+      batches_(SplitIntoBatches(plan_)),
       progress_(plan_.targets.size()) {
   if (direction_ == Direction::kUndo) std::reverse(batches_.begin(), batches_.end());
   for (const Target& target : plan_.targets) lease_confirmed_at_[target.name.agent] = lease_granted_at;
@@ -166,7 +166,7 @@
   if (targets.empty()) return true;
   std::string line = plan_.id + (direction_ == Direction::kUndo ? " undoes" : " changes");
   for (const std::size_t i : targets) line += ' ' + LabelOf(i);
-  commands.push_back({ChangeCommand::Kind::kSay, {}, {}, 0, line});
+  commands.push_back({ChangeCommand::Kind::kPrint, {}, {}, 0, line});
   return true;
 }
 
@@ -287,7 +287,7 @@
                   commands);
   }
   if (plan_.policy.on_failure == OnFailure::kHold) return Finish(ChangeEnd::kHeld, reason, commands);
-  commands.push_back({ChangeCommand::Kind::kSay, {}, {}, 0, plan_.id + " turns back: " + reason});
+  commands.push_back({ChangeCommand::Kind::kPrint, {}, {}, 0, plan_.id + " turns back: " + reason});
   rollback_reason_ = reason;
   direction_ = Direction::kUndo;
   // The failed batch first, as no other one may start before it is available again. Then all of them, also
@@ -310,8 +310,11 @@
   reason_ = reason;
   constexpr const char* kNames[] = {"completed", "held", "rolled back", "aborted"};
   const std::string name = kNames[static_cast<std::size_t>(end)];
-  commands.push_back(
-      {ChangeCommand::Kind::kSay, {}, {}, 0, plan_.id + ' ' + name + (reason.empty() ? "" : ": " + reason)});
+  commands.push_back({ChangeCommand::Kind::kPrint,
+                      {},
+                      {},
+                      0,
+                      plan_.id + ' ' + name + (reason.empty() ? "" : ": " + reason)});
 }
 
 void Change::SendToInstance(ChangeCommand::Kind kind, std::size_t target, TimePoint now,
--- a/src/rollout/change.h
+++ b/src/rollout/change.h
@@ -39,9 +39,9 @@
     kSendStep,  // sends `step` to `name`'s agent, which answers with a report
     kReport,    // polls `name`'s agent for a report
     kRenew,     // renews the lease of `name.agent`
-    kSay,       // prints `line` for the operator
+    kPrint,     // prints `line` for the operator
   };
-  Kind kind = Kind::kSay;
+  Kind kind = Kind::kPrint;
   InstanceName name{};
   Step step{};
   std::uint64_t number = 0;  // of the request: goes to OnReport() with its answer
--- a/src/rollout/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -52,7 +52,7 @@
   record_.phase = phase;
   record_.failure_reason = why;
   const std::string end = phase == Phase::kDone ? " done" : " failed: " + why;
-  actions.push_back({Action::Kind::kSay, {}, {}, record_.step.token() + end});
+  actions.push_back({Action::Kind::kLog, {}, {}, record_.step.token() + end});
 }
 
 void Instance::AdvanceStep(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
@@ -68,8 +68,8 @@
   }
   if (!started_at_) started_at_ = now;
   if (seen.ready && seen.generation == record_.generation) return Finish(Phase::kDone, {}, actions);
-  if (now - *started_at_ >= limits_.ready) {
-    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(limits_.ready).count();
+  if (now - *started_at_ >= limits_.ready_timeout) {
+    const auto seconds = std::chrono::duration_cast<std::chrono::seconds>(limits_.ready_timeout).count();
     Finish(Phase::kFailed, "not ready within " + std::to_string(seconds) + " s", actions);
   }
 }
@@ -80,9 +80,9 @@
     return;
   }
   if (seen.running || crash_loop_held_) return;
-  if (exits_.size() >= limits_.crashes) {
+  if (exits_.size() >= limits_.crash_loop_exits) {
     crash_loop_held_ = true;
-    actions.push_back({Action::Kind::kSay,
+    actions.push_back({Action::Kind::kLog,
                        {},
                        {},
                        "crash loop: it ended " + std::to_string(exits_.size()) +
@@ -96,10 +96,10 @@
   if (!stopping_since_) {
     stopping_since_ = now;
     if (!seen.draining) actions.push_back({Action::Kind::kStop, {}, {}, {}});
-  } else if (!killed_ && now - *stopping_since_ >= limits_.stop) {
+  } else if (!killed_ && now - *stopping_since_ >= limits_.stop_timeout) {
     killed_ = true;
     actions.push_back({Action::Kind::kKill, {}, {}, {}});
-    actions.push_back({Action::Kind::kSay, {}, {}, "killed: it ignored the planned stop"});
+    actions.push_back({Action::Kind::kLog, {}, {}, "killed: it ignored the planned stop"});
   }
 }
 
--- a/src/rollout/instance.h
+++ b/src/rollout/instance.h
@@ -35,11 +35,12 @@
 
 // Bounds of the supervision; the operators' keys are in [limits] of the agent's file.
 struct InstanceLimits {
-  Duration stop{15'000};        // for a planned stop; then the process is killed
-  Duration ready{10'000};       // from a start until the process reports that it is ready
-  Duration first_backoff{200};  // before a restart after an exit by itself; doubles each time
+  Duration stop_timeout{15'000};   // for a planned stop; then the process is killed
+  Duration ready_timeout{10'000};  // from a start until the process reports that it is ready
+  Duration first_backoff{200};     // before a restart after an exit by itself; doubles each time
   Duration max_backoff{30'000};
-  std::size_t crashes = 5;  // so many exits within `crash_window` are a crash loop: the instance is held
+  std::size_t crash_loop_exits =
+      5;  // this many exits within `crash_window` are a crash loop: the instance is held
   Duration crash_window{60'000};
   std::size_t max_step_starts = 3;  // a step fails once so many of its processes have ended
 };
@@ -59,9 +60,9 @@
     kStart,  // with `generation` and `token`
     kStop,   // a planned stop
     kKill,   // it ignores the planned stop
-    kSay,    // logs `line` for the people on call
+    kLog,    // logs `line` for the people on call
   };
-  Kind kind = Kind::kSay;
+  Kind kind = Kind::kLog;
   std::string generation{};
   std::string token{};
   std::string line{};
--- a/src/rollout/plan.cpp
+++ b/src/rollout/plan.cpp
@@ -23,7 +23,7 @@
   return std::nullopt;
 }
 
-std::vector<std::vector<std::size_t>> Batches(const Plan& plan) {
+std::vector<std::vector<std::size_t>> SplitIntoBatches(const Plan& plan) {
   std::vector<std::string> halls;
   for (const Target& target : plan.targets) {
     if (std::find(halls.begin(), halls.end(), target.hall) == halls.end()) halls.push_back(target.hall);
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -52,6 +52,6 @@
 
 // The targets' indices in the order in which they go: the canary, then hall by hall, in the order in which
 // halls are first named, at most `max_unavailable` at once. No batch has targets of two halls.
-std::vector<std::vector<std::size_t>> Batches(const Plan& plan);
+std::vector<std::vector<std::size_t>> SplitIntoBatches(const Plan& plan);
 
 }  // namespace mothrack::rollout
--- a/src/rollout/wire.cpp
+++ b/src/rollout/wire.cpp
@@ -85,8 +85,8 @@
 template double Member(const json&, const char*);
 template json Member(const json&, const char*);
 
-std::string Name(Phase phase) { return NameIn(kPhases, phase); }
-std::string Name(Lessor::Verdict verdict) { return NameIn(kVerdicts, verdict); }
+std::string WireName(Phase phase) { return NameIn(kPhases, phase); }
+std::string WireName(Lessor::Verdict verdict) { return NameIn(kVerdicts, verdict); }
 Lessor::Verdict VerdictFrom(const std::string& name) {
   return OneOf<Lessor::Verdict>(kVerdicts, name, "verdict");
 }
@@ -156,9 +156,9 @@
 }
 
 json ToJson(const Report& r) {
-  return {{"step", ToJson(r.step)},     {"phase", Name(r.phase)}, {"why", r.failure_reason},
-          {"running", r.running},       {"ready", r.ready},       {"held", r.held},
-          {"generation", r.generation}, {"taken", r.requests},    {"bad", r.failed_requests}};
+  return {{"step", ToJson(r.step)},     {"phase", WireName(r.phase)}, {"why", r.failure_reason},
+          {"running", r.running},       {"ready", r.ready},           {"held", r.held},
+          {"generation", r.generation}, {"taken", r.requests},        {"bad", r.failed_requests}};
 }
 
 Report ReportFrom(const json& from) {
@@ -177,7 +177,7 @@
 
 json ToJson(const InstanceRecord& r) {
   return {{"wanted", r.wanted},     {"generation", r.generation}, {"token", r.token},
-          {"step", ToJson(r.step)}, {"phase", Name(r.phase)},     {"why", r.failure_reason}};
+          {"step", ToJson(r.step)}, {"phase", WireName(r.phase)}, {"why", r.failure_reason}};
 }
 
 InstanceRecord InstanceRecordFrom(const json& from) {
--- a/src/rollout/wire.h
+++ b/src/rollout/wire.h
@@ -26,8 +26,8 @@
 InstanceRecord InstanceRecordFrom(const nlohmann::json& json);
 
 // Names of enumerators on the wire.
-std::string Name(Phase phase);
-std::string Name(Lessor::Verdict verdict);
+std::string WireName(Phase phase);
+std::string WireName(Lessor::Verdict verdict);
 Lessor::Verdict VerdictFrom(const std::string& name);
 
 // A required member of type T: bool, std::string, std::int64_t, std::uint64_t, double or JSON as it is.
--- a/tests/rollout/change_test.cpp
+++ b/tests/rollout/change_test.cpp
@@ -38,7 +38,7 @@
       std::vector<ChangeCommand> commands;
       change.Tick(At(now_), commands);
       for (const ChangeCommand& c : commands) {
-        if (c.kind == ChangeCommand::Kind::kSay) {
+        if (c.kind == ChangeCommand::Kind::kPrint) {
           messages += c.line + '\n';
           continue;
         }
--- a/tests/rollout/fleet_model.h
+++ b/tests/rollout/fleet_model.h
@@ -36,8 +36,8 @@
 
 inline InstanceLimits Limits() {
   InstanceLimits limits;
-  limits.stop = milliseconds(1500);
-  limits.ready = milliseconds(2500);
+  limits.stop_timeout = milliseconds(1500);
+  limits.ready_timeout = milliseconds(2500);
   limits.max_backoff = milliseconds(2000);
   limits.crash_window = milliseconds(20'000);
   return limits;
--- a/tests/rollout/fleet_model_agents.cpp
+++ b/tests/rollout/fleet_model_agents.cpp
@@ -75,7 +75,7 @@
 }
 
 void FleetModel::Execute(Host& host, const std::string& name, const Action& action) {
-  if (action.kind == Action::Kind::kSay) return;
+  if (action.kind == Action::Kind::kLog) return;
   CrashPoint(false);
   const auto it = host.processes.find(name);
   if (action.kind == Action::Kind::kStart) {
--- a/tests/rollout/fleet_model_tools.cpp
+++ b/tests/rollout/fleet_model_tools.cpp
@@ -133,7 +133,7 @@
   if (faults_over_ ? tool.held_after_faults >= 3 : Chance(0.0008 * fault_rate_)) tool.change->Abort();
   tool.change->Tick(now_, commands);
   for (const ChangeCommand& c : commands) {
-    if (c.kind == ChangeCommand::Kind::kSay) {
+    if (c.kind == ChangeCommand::Kind::kPrint) {
       last_message_ = c.line;
       continue;
     }
--- a/tests/rollout/instance_test.cpp
+++ b/tests/rollout/instance_test.cpp
@@ -28,7 +28,7 @@
       case Action::Kind::kKill:
         text += "kill";
         break;
-      case Action::Kind::kSay:
+      case Action::Kind::kLog:
         text += action.line;
         break;
     }
@@ -89,7 +89,7 @@
 
 TEST(Instance, ProcessThatIgnoresThePlannedStopIsKilledOnce) {
   InstanceLimits limits;
-  limits.stop = milliseconds(1000);
+  limits.stop_timeout = milliseconds(1000);
   Instance instance(Running(), limits);
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   const ProcessState ignores_stop = Process("", "g1");
@@ -102,7 +102,7 @@
 
 TEST(Instance, StepFailsWhenItsProcessDoesNotBecomeReadyOrKeepsExiting) {
   InstanceLimits limits;
-  limits.ready = milliseconds(1000);
+  limits.ready_timeout = milliseconds(1000);
   Instance slow(Running(), limits);
   ASSERT_EQ(slow.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(slow, {}, 0), "start g2 c1/do.0");
@@ -169,7 +169,7 @@
 
 TEST(Instance, FailedStepIsAcceptedAgainFromALaterHolderOnly) {
   InstanceLimits limits;
-  limits.ready = milliseconds(1000);
+  limits.ready_timeout = milliseconds(1000);
   Instance instance(Running(), limits);
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(instance, {}, 0), "start g2 c1/do.0");
--- a/tests/rollout/plan_test.cpp
+++ b/tests/rollout/plan_test.cpp
@@ -14,10 +14,10 @@
 
 TEST(Plan, CanaryFirstThenHallByHall) {
   using Batching = std::vector<std::vector<std::size_t>>;
-  EXPECT_EQ(Batches(TwoHallPlan(4, 2)), (Batching{{0}, {1, 2}, {3}, {4, 5}, {6, 7}}));
+  EXPECT_EQ(SplitIntoBatches(TwoHallPlan(4, 2)), (Batching{{0}, {1, 2}, {3}, {4, 5}, {6, 7}}));
   Plan plan = TwoHallPlan(3, 8);
   plan.policy.canary = false;
-  EXPECT_EQ(Batches(plan), (Batching{{0, 1, 2}, {3, 4, 5}}));
+  EXPECT_EQ(SplitIntoBatches(plan), (Batching{{0, 1, 2}, {3, 4, 5}}));
 }
 
 TEST(Plan, ValidationNamesEachFault) {
