--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -7,13 +7,14 @@
 namespace mothrack::rollout {
 namespace {
 
-// A command without an answer is repeated after this.
+// An unanswered command is repeated after this time.
 constexpr Duration kRetryInterval{500};
-// Between two polls of an instance. A batch waits for a new report three times (its steps' end, the watch's
-// end, the availability of the others), and a rolling change takes the sum of those. One report of an agent
-// answers for all of its instances, so this is 16 requests a second to each agent that the change touches.
+// Time between two polls of an instance. A batch waits for a new report three times (end of its steps, end of
+// the watch interval, availability of the other targets), and a rolling change takes the sum of these waits.
+// One report of an agent answers for all of its instances, so this makes 16 requests per second to each agent
+// that the change touches.
 constexpr Duration kReportInterval{60};
-// How often the lease is renewed within its duration.
+// Number of renewals of the lease within its duration.
 constexpr int kRenewalsPerLease = 6;
 
 std::string Seconds(Duration time) {
@@ -70,7 +71,8 @@
 void Change::Tick(TimePoint now, std::vector<ChangeCommand>& commands) {
   if (end_) return;
   if (!started_) {
-    // unreachable_timeout counts from here, as claiming many agents one by one may take longer than that.
+    // unreachable_timeout counts from here, because claiming many agents one by one may take longer than
+    // that.
     started_ = true;
     batch_entered_at_ = now;
     for (Progress& progress : progress_) progress.polled_at = now;
@@ -78,7 +80,8 @@
   if (fenced_) return Finish(ChangeEnd::kHeld, agent_fault_, commands);
   if (aborted_) return Finish(ChangeEnd::kAborted, "aborted by its operator", commands);
   if (const std::string agent = UnresponsiveAgent(now); !agent.empty()) {
-    return Finish(ChangeEnd::kHeld, agent + " can't be reached; its instances finish what they have taken",
+    return Finish(ChangeEnd::kHeld,
+                  agent + " can't be reached; its instances finish the steps that they have accepted",
                   commands);
   }
   RenewAndPoll(now, commands);
@@ -87,7 +90,7 @@
 }
 
 std::string Change::UnresponsiveAgent(TimePoint now) const {
-  // Half the duration that the agents count: see src/rollout/lease.h.
+  // The holder stops at half of the duration that the agents count (src/rollout/lease.h).
   for (const auto& [agent, confirmed] : lease_confirmed_at_) {
     if (now - confirmed >= lease_duration_ / 2) return agent;
   }
@@ -131,7 +134,7 @@
   batch_entered_at_ = now;
   batch_started_at_.reset();
   healthy_since_.reset();
-  // Polls at once: the batch starts by reports that are newer than the end of the batch before it.
+  // Poll at once: a batch starts only with reports that are newer than the end of the previous batch.
   for (Progress& progress : progress_) progress.last_poll_at.reset();
 }
 
@@ -150,7 +153,7 @@
 
 bool Change::StartBatch(const std::vector<std::size_t>& targets, TimePoint now,
                         std::vector<ChangeCommand>& commands) {
-  // A batch that an earlier holder started goes on, whether or not the others are available.
+  // A batch that an earlier holder started continues, whether or not the other targets are available.
   const bool all_accepted =
       std::all_of(targets.begin(), targets.end(), [this](std::size_t i) { return StepAccepted(i); });
   if (!all_accepted) {
@@ -174,8 +177,9 @@
   for (std::size_t i = 0; i < progress_.size(); ++i) {
     if (std::find(batch.begin(), batch.end(), i) != batch.end()) continue;
     const Progress& progress = progress_[i];
-    // An older report may be from before the last batch.
-    if (!progress.report || progress.polled_at < batch_entered_at_) return "no news of " + LabelOf(i);
+    // An older report may date from before the previous batch ended.
+    if (!progress.report || progress.polled_at < batch_entered_at_)
+      return "no recent report of " + LabelOf(i);
     const bool stopped_on_purpose = plan_.kind == StepKind::kStop && MayNeedUndo(i) &&
                                     progress.report->phase == Phase::kDone && !progress.report->step.undo;
     if (!stopped_on_purpose && !progress.report->available()) return LabelOf(i) + " is not available";
@@ -267,7 +271,7 @@
   if (!progress.after_step || !progress.baseline) return {};
   const Report& now = *progress.report;
   const Report& baseline = *progress.baseline;
-  // The counters are of the process, so that a smaller one means another process.
+  // The counters belong to the process, so a smaller count means that another process runs.
   if (now.requests < progress.after_step->requests) return LabelOf(target) + " ended while it was watched";
   const std::uint64_t requests = now.requests - progress.after_step->requests;
   const std::uint64_t failed_requests = now.failed_requests - progress.after_step->failed_requests;
@@ -276,8 +280,8 @@
   const double baseline_share = baseline_counts ? Share(baseline.failed_requests, baseline.requests) : 0;
   if (requests < plan_.policy.min_requests) return {};
   if (failure_share <= baseline_share + plan_.policy.max_failure_increase) return {};
-  return LabelOf(target) + " refuses or fails " + Percent(failure_share) + " of its requests, before " +
-         Percent(baseline_share);
+  return LabelOf(target) + " rejects or fails " + Percent(failure_share) + " of its requests, up from " +
+         Percent(baseline_share) + " before its step";
 }
 
 void Change::HandleFailure(const std::string& reason, TimePoint now, std::vector<ChangeCommand>& commands) {
@@ -287,12 +291,12 @@
                   commands);
   }
   if (plan_.policy.on_failure == OnFailure::kHold) return Finish(ChangeEnd::kHeld, reason, commands);
-  commands.push_back({ChangeCommand::Kind::kPrint, {}, {}, 0, plan_.id + " turns back: " + reason});
+  commands.push_back({ChangeCommand::Kind::kPrint, {}, {}, 0, plan_.id + " rolls back: " + reason});
   rollback_reason_ = reason;
   direction_ = Direction::kUndo;
-  // The failed batch first, as no other one may start before it is available again. Then all of them, also
-  // the later ones: an earlier holder may have come further than this one, which began at the first batch
-  // again.
+  // The failed batch is undone first, because no other batch may start before it is available again. Then all
+  // others are undone, including later ones: an earlier holder may have got further than this one, which
+  // started again from the first batch.
   const std::vector<std::size_t> current = batches_[batch_];
   batches_.erase(batches_.begin() + static_cast<std::ptrdiff_t>(batch_));
   batches_.push_back(current);
@@ -329,10 +333,11 @@
 }
 
 Step Change::StepOf(std::size_t target) const {
-  const Target& t = plan_.targets[target];
+  const Target& planned = plan_.targets[target];
   const bool undo = direction_ == Direction::kUndo;
   // The undo of a stop is a start.
-  return {plan_.id, undo ? StepKind::kRestart : plan_.kind, undo, undo ? t.from : t.to, epoch_, t.from};
+  return {plan_.id,    undo ? StepKind::kRestart : plan_.kind, undo, undo ? planned.from : planned.to, epoch_,
+          planned.from};
 }
 
 bool Change::MayNeedUndo(std::size_t target) const {
--- a/src/rollout/claim.cpp
+++ b/src/rollout/claim.cpp
@@ -5,12 +5,12 @@
 namespace mothrack::rollout {
 namespace {
 
-// A request without an answer is repeated after this.
+// An unanswered request is repeated after this time.
 constexpr Duration kRetryInterval{400};
 
 std::string DescribeConflict(const std::string& agent, const std::optional<Holder>& holder) {
-  if (!holder) return agent + " was claimed by another at the same instant; try again";
-  return holder->who + " has the fleet for " + holder->change + " (" + holder->why + ")";
+  if (!holder) return agent + " was claimed by another tool at the same time; try again";
+  return holder->who + " holds the lease of the fleet for " + holder->change + " (" + holder->why + ")";
 }
 
 }  // namespace
@@ -39,9 +39,9 @@
     ++next_agent_;
     request_pending_ = false;
   } else {
-    const bool known = verdict == Lessor::Verdict::kHeld || verdict == Lessor::Verdict::kOpen;
-    fault_ = DescribeConflict(agent, known ? holder : std::nullopt);
-    if (verdict == Lessor::Verdict::kOpen) fault_ += ", and it is not closed; resume, undo or abort it first";
+    const bool holder_known = verdict == Lessor::Verdict::kHeld || verdict == Lessor::Verdict::kOpen;
+    fault_ = DescribeConflict(agent, holder_known ? holder : std::nullopt);
+    if (verdict == Lessor::Verdict::kOpen) fault_ += ", which is still open; resume, undo or abort it first";
   }
 }
 
@@ -58,9 +58,9 @@
   return names;
 }
 
-void Claim::Reject(const std::string& why, std::vector<ClaimCommand>& commands) {
-  rejection_ = why;
-  // Also at the agent whose answer is missing: it may have granted the lease.
+void Claim::Reject(const std::string& reason, std::vector<ClaimCommand>& commands) {
+  rejection_ = reason;
+  // This includes the agent whose answer is missing, because it may have granted the lease.
   const std::size_t contacted =
       opening_ ? claim_order_.size() : std::min(claim_order_.size(), next_agent_ + 1);
   for (std::size_t i = 0; i < contacted; ++i) {
@@ -73,7 +73,7 @@
   if (!fault_.empty()) return Reject(fault_, commands);
   if (epoch_ == 0 && !CollectEpochs(now, commands)) return;
   while (next_agent_ < claim_order_.size() && request_pending_ && now - request_started_at_ >= timeout_) {
-    // The agent may have granted the lease. The others may be a quorum without it.
+    // Release it, because the agent may have granted the lease, and continue: the others may be a quorum.
     commands.push_back({ClaimCommand::Kind::kRelease, claim_order_[next_agent_], epoch_});
     claim_order_.erase(claim_order_.begin() + static_cast<std::ptrdiff_t>(next_agent_));
     request_pending_ = false;
@@ -81,7 +81,7 @@
   if (next_agent_ < claim_order_.size()) return RequestNextAgent(now, commands);
   if (!HasQuorum(granted_by_)) return Reject("can't be reached: " + MissingFrom(granted_by_), commands);
   if (!opening_) {
-    if (resuming_ && !open_at_any_agent_) return Reject("the change has come to its end meanwhile", commands);
+    if (resuming_ && !open_at_any_agent_) return Reject("the change has ended in the meantime", commands);
     opening_ = true;
     granted_by_.clear();
     next_agent_ = 0;
--- a/src/rollout/claim.h
+++ b/src/rollout/claim.h
@@ -1,7 +1,7 @@
-// How a tool acquires the lease (src/rollout/lease.h) of many agents: it reads the highest epoch of every
+// A tool's claim of the lease (src/rollout/lease.h) of many agents. It reads the highest epoch of every
 // agent, takes the next one as its fencing token, and acquires the lease of one agent after the other, in the
-// order of their names. Two tools that begin at the same instant thus meet at the first agent, and one of
-// them stops there with nothing to release. Once it has all leases it opens its change at each agent.
+// order of their names. So two tools that start at the same time meet at the first agent, and one of them
+// stops there with nothing to release. Once the claim has all leases, it opens its change at each agent.
 //
 // A state machine without I/O, driven by answers and by time. Not thread-safe.
 #pragma once
@@ -17,7 +17,7 @@
 
 namespace mothrack::rollout {
 
-// What the claim wants sent to an agent.
+// A request for the caller to send to an agent.
 struct ClaimCommand {
   enum class Kind { kReadEpoch, kAcquire, kOpen, kRelease };
   Kind kind = Kind::kReadEpoch;
@@ -27,40 +27,44 @@
 
 class Claim {
  public:
-  // `claim_id`: as in Holder, of this claim alone. `agents`: all of the fleet. `required`: those that the
-  // change touches; a majority of all is required besides. An agent that does not answer within `timeout`
-  // counts as unreachable.
-  // `resuming`: the change was opened before; it must still be open somewhere, or it has come to an end
-  // meanwhile.
+  // `claim_id`: Holder::claim_id, unique to this claim. `agents`: all agents of the fleet. `required`: those
+  // that the change touches; a majority of all agents is required as well. An agent that does not answer
+  // within `timeout` counts as unreachable. `resuming`: the change was opened before; if it is no longer open
+  // at any agent, it has ended in the meantime and the claim is rejected.
   Claim(std::string claim_id, std::set<std::string> agents, std::set<std::string> required, bool resuming,
         Duration timeout, TimePoint now);
 
   void OnHighestEpoch(const std::string& agent, Epoch highest);
-  // The answer to kAcquire or kOpen. `claim_id`: of the request that it answers; `holder`: who has the lease
-  // instead; `open`: whether this change is open at the agent.
+  // Handles the answer to kAcquire or kOpen. `claim_id`: of the answered request. `holder`: the current
+  // holder if the lease was refused. `open`: whether this change is open at the agent.
   void OnLeaseAnswer(const std::string& claim_id, const std::string& agent, Epoch epoch,
                      Lessor::Verdict verdict, const std::optional<Holder>& holder, bool open);
 
-  // Call it after each of the above, and at least every kTickInterval.
+  // Appends the requests that are due. Call it after each of the functions above, and at least every
+  // kTickInterval.
   static constexpr Duration kTickInterval{100};
   void Tick(TimePoint now, std::vector<ClaimCommand>& commands);
 
   struct Granted {
     Epoch epoch = 0;
-    TimePoint since;  // no agent granted it earlier
+    TimePoint since;  // no agent granted the lease before this
   };
+  // std::nullopt until all leases are granted and the change is open everywhere.
   const std::optional<Granted>& granted() const { return granted_; }
-  // Why it was not granted; empty while that is open. Everything that was granted is released.
+  // Why the claim was rejected; empty while it is undecided or if it was granted. A rejected claim has
+  // released all of its leases.
   const std::string& rejection() const { return rejection_; }
 
  private:
-  // Reads the highest epochs and chooses the claim's own; false while it waits for them, or rejected the
-  // claim.
+  // Reads the highest epochs and chooses the claim's own. Returns false while it waits for answers, or after
+  // it rejected the claim.
   bool CollectEpochs(TimePoint now, std::vector<ClaimCommand>& commands);
-  // Sends the current agent its request, and again where no answer came.
+  // Sends the current agent its request, and repeats it while there is no answer.
   void RequestNextAgent(TimePoint now, std::vector<ClaimCommand>& commands);
+  // Whether `agents` are a majority of all and include all required ones.
   bool HasQuorum(const std::set<std::string>& agents) const;
-  void Reject(const std::string& why, std::vector<ClaimCommand>& commands);
+  void Reject(const std::string& reason, std::vector<ClaimCommand>& commands);
+  // Lists the agents of the fleet that are not in `agents`.
   std::string MissingFrom(const std::set<std::string>& agents) const;
 
   const std::string claim_id_;
@@ -69,20 +73,21 @@
   const bool resuming_;
   const Duration timeout_;
   TimePoint request_started_at_;   // when the current request was first sent
-  TimePoint last_sent_at_;         // when it was sent last
+  TimePoint last_sent_at_;         // when it was last sent
   bool epochs_requested_ = false;  // kReadEpoch was sent
   std::map<std::string, Epoch> highest_by_agent_;
   Epoch epoch_ = 0;  // 0: not chosen yet
   std::vector<std::string> claim_order_;
-  std::size_t next_agent_ = 0;  // in `claim_order_`: whose answer is awaited, or who gets the next request
+  // Index in `claim_order_` of the agent whose answer is awaited or that gets the next request.
+  std::size_t next_agent_ = 0;
   bool request_pending_ = false;
-  bool opening_ = false;              // all are claimed
-  std::set<std::string> granted_by_;  // claimed or, once opening, opened
+  bool opening_ = false;              // all leases are acquired; the change is being opened
+  std::set<std::string> granted_by_;  // agents that granted kAcquire or, while opening, kOpen
   std::optional<TimePoint> first_request_at_;
   std::optional<Granted> granted_;
   std::string rejection_;
   bool open_at_any_agent_ = false;
-  std::string fault_;  // why an agent did not grant it; Tick() rejects the claim for it
+  std::string fault_;  // why an agent refused; the next Tick() rejects the claim
 };
 
 }  // namespace mothrack::rollout
--- a/src/rollout/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -6,15 +6,16 @@
 
 Instance::Verdict Instance::Accept(const Step& step) {
   const bool same_change = record_.phase != Phase::kNone && record_.step.change == step.change;
-  const bool tried_again = record_.phase == Phase::kFailed && step.epoch > record_.step.epoch;
-  if (same_change && record_.step.undo == step.undo && !tried_again) return Verdict::kAccepted;
+  const bool retried = record_.phase == Phase::kFailed && step.epoch > record_.step.epoch;
+  if (same_change && record_.step.undo == step.undo && !retried) return Verdict::kAccepted;
   if (same_change && record_.step.undo && !step.undo) return Verdict::kStale;
-  // An undo takes over from its own change's step at any point; every other step waits its turn.
+  // An undo supersedes the step of its own change at any point. Every other step has to wait for the end of
+  // the current one.
   if (record_.phase == Phase::kAccepted && !same_change) return Verdict::kBusy;
   if (!step.undo && !same_change && record_.generation != step.from) return Verdict::kGenerationMismatch;
   record_.step = step;
   if (step.undo && !same_change) {
-    // Nothing is to be undone; but the step itself may still be on its way, and is stale from now on.
+    // There is nothing to undo. But the step itself may still arrive, and must be rejected as stale then.
     record_.phase = Phase::kDone;
     record_.failure_reason.clear();
     return Verdict::kAccepted;
@@ -28,7 +29,7 @@
   killed_ = false;
   started_at_.reset();
   step_exits_ = 0;
-  start_at_.reset();
+  next_start_time_.reset();
   exits_.clear();
   crash_loop_held_ = false;
   return Verdict::kAccepted;
@@ -48,11 +49,11 @@
   }
 }
 
-void Instance::Finish(Phase phase, const std::string& why, std::vector<Action>& actions) {
+void Instance::Finish(Phase phase, const std::string& failure_reason, std::vector<Action>& actions) {
   record_.phase = phase;
-  record_.failure_reason = why;
-  const std::string end = phase == Phase::kDone ? " done" : " failed: " + why;
-  actions.push_back({Action::Kind::kLog, {}, {}, record_.step.token() + end});
+  record_.failure_reason = failure_reason;
+  const std::string result = phase == Phase::kDone ? " done" : " failed: " + failure_reason;
+  actions.push_back({Action::Kind::kLog, {}, {}, record_.step.token() + result});
 }
 
 void Instance::AdvanceStep(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
@@ -61,9 +62,9 @@
   if (!record_.wanted) return Finish(Phase::kDone, {}, actions);
   if (!seen.running) {
     if (step_exits_ >= limits_.max_step_starts) {
-      return Finish(Phase::kFailed, "it ended " + std::to_string(step_exits_) + " times", actions);
+      return Finish(Phase::kFailed, "its process exited " + std::to_string(step_exits_) + " times", actions);
     }
-    if (!start_at_ || now >= *start_at_) Start(now, actions);
+    if (!next_start_time_ || now >= *next_start_time_) Start(now, actions);
     return;
   }
   if (!started_at_) started_at_ = now;
@@ -85,11 +86,11 @@
     actions.push_back({Action::Kind::kLog,
                        {},
                        {},
-                       "crash loop: it ended " + std::to_string(exits_.size()) +
-                           " times; held, restart it once it is mended"});
+                       "crash loop: the process exited " + std::to_string(exits_.size()) +
+                           " times; held, restart it once the cause is fixed"});
     return;
   }
-  if (!start_at_ || now >= *start_at_) Start(now, actions);
+  if (!next_start_time_ || now >= *next_start_time_) Start(now, actions);
 }
 
 void Instance::Stop(const ProcessState& seen, TimePoint now, std::vector<Action>& actions) {
@@ -99,7 +100,7 @@
   } else if (!killed_ && now - *stopping_since_ >= limits_.stop_timeout) {
     killed_ = true;
     actions.push_back({Action::Kind::kKill, {}, {}, {}});
-    actions.push_back({Action::Kind::kLog, {}, {}, "killed: it ignored the planned stop"});
+    actions.push_back({Action::Kind::kLog, {}, {}, "killed: the process ignored the planned stop"});
   }
 }
 
@@ -107,16 +108,17 @@
   exits_.push_back(now);
   while (!exits_.empty() && now - exits_.front() > limits_.crash_window) exits_.pop_front();
   if (record_.phase == Phase::kAccepted && started_at_) ++step_exits_;
-  Duration pause = limits_.first_backoff;
-  for (std::size_t i = 1; i < exits_.size() && pause < limits_.max_backoff; ++i) pause *= 2;
-  start_at_ = now + std::min(pause, limits_.max_backoff);
+  Duration backoff = limits_.first_backoff;
+  for (std::size_t i = 1; i < exits_.size() && backoff < limits_.max_backoff; ++i) backoff *= 2;
+  next_start_time_ = now + std::min(backoff, limits_.max_backoff);
 }
 
 void Instance::Start(TimePoint now, std::vector<Action>& actions) {
-  // The limit to become ready counts from each start: an early exit must not shorten the next attempt.
+  // ready_timeout counts from each start, so that an early exit does not shorten the next attempt.
   if (record_.phase == Phase::kAccepted) started_at_ = now;
-  // No further start until the process is seen or a backoff has passed: a start that failed leaves no trace.
-  start_at_ = now + limits_.first_backoff;
+  // Wait a backoff before another start, unless the process is seen earlier: a failed start leaves no process
+  // whose exit could be observed.
+  next_start_time_ = now + limits_.first_backoff;
   was_running_ = true;
   actions.push_back({Action::Kind::kStart, record_.generation, record_.token, {}});
 }
--- a/src/rollout/lease.cpp
+++ b/src/rollout/lease.cpp
@@ -6,8 +6,8 @@
   // A repeated or duplicated request.
   if (epoch == state_.highest && state_.holder == holder && now < expires_at_) return Verdict::kGranted;
   if (epoch <= state_.highest) return Verdict::kFenced;
-  const auto other = this->holder(now);
-  if (other && (other->change != holder.change || other->who != holder.who)) return Verdict::kHeld;
+  const auto current = this->holder(now);
+  if (current && (current->change != holder.change || current->who != holder.who)) return Verdict::kHeld;
   if (state_.open && state_.open->change != holder.change) return Verdict::kOpen;
   state_.highest = epoch;
   state_.holder = holder;
--- a/src/rollout/lease.h
+++ b/src/rollout/lease.h
@@ -1,18 +1,18 @@
-// The lease that an agent grants on its machine: who may change the fleet. A holder needs the lease of every
-// agent that its change touches, and of a majority of all agents: so there is one holder at a time, and no
-// agent that it commands has granted an older one. Each agent counts the lease's time by its own steady
-// clock, from when it granted or renewed it; the holder counts from its request, and stops at half the time
-// (src/rollout/change.h). A holder that was cut off thus knows that it has lost the lease before any agent
-// grants it to another, as long as all clocks run at about the same rate; what time they show does not
-// matter.
+// The lease that an agent grants on its machine; it decides who may change the fleet. A holder needs the
+// lease of every agent that its change touches, and of a majority of all agents. So there is one holder at a
+// time, and no agent that it commands still honours an older lease. Each agent counts the lease's duration by
+// its own steady clock, from when it granted or renewed the lease. The holder counts from its request, and
+// stops at half of the duration (src/rollout/change.h). So a holder that was cut off knows that it has lost
+// the lease before any agent grants it to another one, provided that all clocks run at about the same rate.
+// Their absolute times do not matter.
 //
-// Before its first step a change is opened at every agent whose lease it has, and closed only once it has
-// come to an end that leaves nothing to do. While one is open an agent grants the lease to it alone: its
-// steps are finished or undone before another change begins.
+// Before its first step, a change is opened at every agent whose lease it has. It is closed only once it has
+// ended with nothing left to do. While a change is open at an agent, that agent grants the lease only for
+// this change, so its steps are finished or undone before another change begins.
 //
-// A value without I/O: let a copy decide, make its state durable, then replace the original, and answer only
-// after that. Not thread-safe. The epoch is a fencing token (Kleppmann, "How to do distributed locking",
-// 2016): commands of an epoch below the highest one granted are refused.
+// A value without I/O: call a function on a copy, make the copy's state durable, replace the original by the
+// copy, and only then answer. Not thread-safe. The epoch is a fencing token (Kleppmann, "How to do
+// distributed locking", 2016): commands of an epoch below the highest one granted are refused.
 #pragma once
 
 #include <optional>
@@ -22,41 +22,42 @@
 
 namespace mothrack::rollout {
 
-// What must be on disk before an answer goes out.
+// The state that must be on disk before an answer is sent.
 struct LeaseState {
-  Epoch highest = 0;             // ever granted here
-  std::optional<Holder> holder;  // of `highest`, until it is released
-  std::optional<Holder> open;    // the change that is not closed yet, and who opened it
+  Epoch highest = 0;             // the highest epoch that this agent has granted
+  std::optional<Holder> holder;  // of `highest`, until it releases the lease
+  std::optional<Holder> open;    // the open change, and the holder that opened it
   bool operator==(const LeaseState&) const = default;
 };
 
-// One agent's part in the lease.
+// One agent's side of the lease.
 class Lessor {
  public:
   enum class Verdict {
     kGranted,
-    kHeld,    // by another, whose time is not over
-    kOpen,    // another change is
-    kFenced,  // the epoch is not above all that were granted here, or is not the latest
-    kLapsed,  // the epoch is the latest, but its time was over: ask for a new one
+    kHeld,    // another holder's lease has not expired
+    kOpen,    // another change is open
+    kFenced,  // the epoch is outdated: not above the highest granted one, or not the current one
+    kLapsed,  // the epoch is the current one, but its lease has expired: acquire a new one
   };
 
-  // After a restart of the agent a lease has its full duration again, as it is not known how much was left.
-  Lessor(LeaseState state, Duration time, TimePoint now)
-      : state_(std::move(state)), duration_(time), expires_at_(now + time) {}
+  // After a restart of the agent a lease has its full duration again, because the remaining time is unknown.
+  Lessor(LeaseState state, Duration duration, TimePoint now)
+      : state_(std::move(state)), duration_(duration), expires_at_(now + duration) {}
 
-  // A new holder. The same operator's claim for the same change takes over: that is a tool started again.
+  // Grants the lease to a new holder. A claim by the same operator for the same change takes over an
+  // unexpired lease, because it comes from a restarted tool.
   Verdict Acquire(Epoch epoch, const Holder& holder, TimePoint now);
-  // May a command of this epoch and claim be carried out? kGranted renews the lease.
+  // Checks whether a command of this epoch and claim may be carried out; kGranted also renews the lease.
   Verdict Renew(Epoch epoch, const std::string& claim_id, TimePoint now);
-  // The holder's change begins; of another holder than the lease was granted to, or of another change:
-  // kFenced.
+  // Opens the holder's change. Returns kFenced if the lease was granted to another holder or for another
+  // change.
   Verdict Open(Epoch epoch, const Holder& holder, TimePoint now);
-  // The holder is done; with `close`, so is its change. Of another epoch or claim: nothing happens.
+  // Releases the lease and, with `close`, closes the open change. Does nothing for another epoch or claim.
   void Release(Epoch epoch, const std::string& claim_id, bool close);
 
   const LeaseState& state() const { return state_; }
-  // Who holds it; nobody once the time is over.
+  // The current holder; std::nullopt if there is none or its lease has expired.
   std::optional<Holder> holder(TimePoint now) const;
 
  private:
--- a/src/rollout/plan.h
+++ b/src/rollout/plan.h
@@ -1,4 +1,5 @@
-// What a change is to do, in which order. Made once, and then the same wherever the change is carried on.
+// The plan of a change: what it does, and in which order. A plan is made once and does not change when
+// another holder resumes the change.
 #pragma once
 
 #include <optional>
@@ -13,24 +14,25 @@
 struct Target {
   InstanceName name;
   std::string hall;  // the data hall of its machine
-  std::string from;  // generation that it has when the plan is made: an undo goes back to it
-  std::string to;    // generation that it is to get; the same as `from` for a mere restart
+  std::string from;  // generation at the time of the plan; an undo returns to it
+  std::string to;    // generation after the change; equal to `from` for a mere restart
   bool operator==(const Target&) const = default;
 };
 
-// What a failed step or gate leads to.
+// The reaction to a failed step or gate.
 enum class OnFailure { kHold, kRollBack };
 
-// Bounds that a change keeps, and when it counts as failed.
+// The limits that a change respects, and the criteria by which it counts as failed.
 struct Policy {
-  std::size_t max_unavailable = 1;  // instances that are down at once for the change's sake, in one hall
-  bool canary = true;               // the first instance goes alone
+  // Maximum number of instances, all in one hall, that are down at once because of the change.
+  std::size_t max_unavailable = 1;
+  bool canary = true;  // the first batch is a single instance
   OnFailure on_failure = OnFailure::kHold;
-  Duration step_timeout{60'000};        // for a batch's steps to end
-  Duration watch_interval{2'000};       // for which a batch must be healthy after its steps
-  Duration unreachable_timeout{5'000};  // without a report from an agent that is needed
-  // While it is watched, an instance's share of rejected and failed requests may exceed the share before the
-  // change by so much (0 to 1). Fewer requests than `min_requests` are no evidence.
+  Duration step_timeout{60'000};        // time limit for the steps of a batch
+  Duration watch_interval{2'000};       // how long a batch must stay healthy after its steps
+  Duration unreachable_timeout{5'000};  // maximum time without a report from an agent of the change
+  // Maximum increase (0 to 1) of an instance's share of rejected and failed requests, from before its step to
+  // the watch interval. Fewer than `min_requests` requests are not enough to judge by.
   double max_failure_increase = 0.05;
   std::uint64_t min_requests = 20;
   bool operator==(const Policy&) const = default;
@@ -41,17 +43,18 @@
   std::string id;
   std::string who;
   std::string why;
-  StepKind kind = StepKind::kRestart;  // kStop: of instances of one hall only
+  StepKind kind = StepKind::kRestart;  // kStop is limited to the instances of one hall
   std::vector<Target> targets;
   Policy policy;
   bool operator==(const Plan&) const = default;
 };
 
-// What is wrong with a plan, with the mend; nothing where it can be carried out.
+// Returns what is wrong with a plan and how to fix it, or std::nullopt if the plan can be carried out.
 std::optional<std::string> ValidatePlan(const Plan& plan);
 
-// The targets' indices in the order in which they go: the canary, then hall by hall, in the order in which
-// halls are first named, at most `max_unavailable` at once. No batch has targets of two halls.
+// Returns the batches of a plan as indices of its targets: the canary, then hall by hall in the order in
+// which the targets first name the halls, each batch with at most `max_unavailable` targets. No batch spans
+// two halls.
 std::vector<std::vector<std::size_t>> SplitIntoBatches(const Plan& plan);
 
 }  // namespace mothrack::rollout
--- a/src/rollout/wire.cpp
+++ b/src/rollout/wire.cpp
@@ -9,15 +9,17 @@
 
 using nlohmann::json;
 
-constexpr std::array<const char*, 4> kPhases = {"none", "accepted", "done", "failed"};
-constexpr std::array<const char*, 5> kVerdicts = {"granted", "held", "open", "fenced", "lapsed"};
-constexpr std::array<const char*, 2> kKinds = {"restart", "stop"};
-constexpr std::array<const char*, 2> kOnFailure = {"hold", "roll-back"};
+constexpr std::array<const char*, 4> kPhaseNames = {"none", "accepted", "done", "failed"};
+constexpr std::array<const char*, 5> kVerdictNames = {"granted", "held", "open", "fenced", "lapsed"};
+constexpr std::array<const char*, 2> kStepKindNames = {"restart", "stop"};
+constexpr std::array<const char*, 2> kOnFailureNames = {"hold", "roll-back"};
+
+constexpr std::size_t kMaxNameLength = 64;
 
 template <typename E, std::size_t N>
-E OneOf(const std::array<const char*, N>& names, const std::string& name, const char* what) {
+E EnumFrom(const std::array<const char*, N>& names, const std::string& name, const char* what) {
   const auto it = std::find(names.begin(), names.end(), name);
-  if (it == names.end()) throw std::invalid_argument(std::string(what) + ": '" + name + "' is none");
+  if (it == names.end()) throw std::invalid_argument(std::string(what) + ": '" + name + "' is unknown");
   return static_cast<E>(it - names.begin());
 }
 
@@ -30,22 +32,23 @@
   return Duration(Member<std::int64_t>(from, name));
 }
 
-json ToJson(const Policy& p) {
-  return {{"max_unavailable", p.max_unavailable},
-          {"canary", p.canary},
-          {"on_failure", NameIn(kOnFailure, p.on_failure)},
-          {"step_limit_ms", p.step_timeout.count()},
-          {"watch_ms", p.watch_interval.count()},
-          {"unreachable_limit_ms", p.unreachable_timeout.count()},
-          {"worse_by", p.max_failure_increase},
-          {"least_requests", p.min_requests}};
+json ToJson(const Policy& policy) {
+  return {{"max_unavailable", policy.max_unavailable},
+          {"canary", policy.canary},
+          {"on_failure", NameIn(kOnFailureNames, policy.on_failure)},
+          {"step_limit_ms", policy.step_timeout.count()},
+          {"watch_ms", policy.watch_interval.count()},
+          {"unreachable_limit_ms", policy.unreachable_timeout.count()},
+          {"worse_by", policy.max_failure_increase},
+          {"least_requests", policy.min_requests}};
 }
 
 Policy PolicyFrom(const json& from) {
   Policy policy;
   policy.max_unavailable = Member<std::size_t>(from, "max_unavailable");
   policy.canary = Member<bool>(from, "canary");
-  policy.on_failure = OneOf<OnFailure>(kOnFailure, Member<std::string>(from, "on_failure"), "on_failure");
+  policy.on_failure =
+      EnumFrom<OnFailure>(kOnFailureNames, Member<std::string>(from, "on_failure"), "on_failure");
   policy.step_timeout = Milliseconds(from, "step_limit_ms");
   policy.watch_interval = Milliseconds(from, "watch_ms");
   policy.unreachable_timeout = Milliseconds(from, "unreachable_limit_ms");
@@ -61,7 +64,7 @@
   if (!from.is_object() || !from.contains(name))
     throw std::invalid_argument(std::string(name) + " is missing");
   const json& value = from[name];
-  bool right = false;
+  bool has_type = false;
   if constexpr (std::is_same_v<T, bool>) {
     right = value.is_boolean();
   } else if constexpr (std::is_same_v<T, std::string>) {
@@ -75,7 +78,7 @@
   } else {
     right = value.is_number_integer();
   }
-  if (!right) throw std::invalid_argument(std::string(name) + " is of the wrong kind");
+  if (!has_type) throw std::invalid_argument(std::string(name) + " is of the wrong kind");
   return value.get<T>();
 }
 template bool Member(const json&, const char*);
@@ -85,18 +88,18 @@
 template double Member(const json&, const char*);
 template json Member(const json&, const char*);
 
-std::string WireName(Phase phase) { return NameIn(kPhases, phase); }
-std::string WireName(Lessor::Verdict verdict) { return NameIn(kVerdicts, verdict); }
+std::string WireName(Phase phase) { return NameIn(kPhaseNames, phase); }
+std::string WireName(Lessor::Verdict verdict) { return NameIn(kVerdictNames, verdict); }
 Lessor::Verdict VerdictFrom(const std::string& name) {
-  return OneOf<Lessor::Verdict>(kVerdicts, name, "verdict");
+  return EnumFrom<Lessor::Verdict>(kVerdictNames, name, "verdict");
 }
 
-json ToJson(const Holder& h) {
-  return {{"change", h.change},
-          {"who", h.who},
-          {"why", h.why},
-          {"since_unix_ms", h.since_unix_ms},
-          {"tool", h.claim_id}};
+json ToJson(const Holder& holder) {
+  return {{"change", holder.change},
+          {"who", holder.who},
+          {"why", holder.why},
+          {"since_unix_ms", holder.since_unix_ms},
+          {"tool", holder.claim_id}};
 }
 
 Holder HolderFrom(const json& from) {
@@ -105,16 +108,16 @@
           Member<std::string>(from, "tool")};
 }
 
-json ToJson(const Step& s) {
-  return {{"change", s.change}, {"kind", NameIn(kKinds, s.kind)},
-          {"undo", s.undo},     {"generation", s.generation},
-          {"epoch", s.epoch},   {"from", s.from}};
+json ToJson(const Step& step) {
+  return {{"change", step.change}, {"kind", NameIn(kStepKindNames, step.kind)},
+          {"undo", step.undo},     {"generation", step.generation},
+          {"epoch", step.epoch},   {"from", step.from}};
 }
 
 Step StepFrom(const json& from) {
   Step step;
   step.change = Member<std::string>(from, "change");
-  step.kind = OneOf<StepKind>(kKinds, Member<std::string>(from, "kind"), "kind");
+  step.kind = EnumFrom<StepKind>(kStepKindNames, Member<std::string>(from, "kind"), "kind");
   step.undo = Member<bool>(from, "undo");
   step.generation = Member<std::string>(from, "generation");
   step.epoch = Member<std::uint64_t>(from, "epoch");
@@ -124,17 +127,17 @@
 
 json ToJson(const Plan& plan) {
   json targets = json::array();
-  for (const Target& t : plan.targets) {
-    targets.push_back({{"agent", t.name.agent},
-                       {"instance", t.name.instance},
-                       {"hall", t.hall},
-                       {"from", t.from},
-                       {"to", t.to}});
+  for (const Target& target : plan.targets) {
+    targets.push_back({{"agent", target.name.agent},
+                       {"instance", target.name.instance},
+                       {"hall", target.hall},
+                       {"from", target.from},
+                       {"to", target.to}});
   }
   return {{"id", plan.id},
           {"who", plan.who},
           {"why", plan.why},
-          {"kind", NameIn(kKinds, plan.kind)},
+          {"kind", NameIn(kStepKindNames, plan.kind)},
           {"targets", std::move(targets)},
           {"policy", ToJson(plan.policy)}};
 }
@@ -144,27 +147,28 @@
   plan.id = Member<std::string>(from, "id");
   plan.who = Member<std::string>(from, "who");
   plan.why = Member<std::string>(from, "why");
-  plan.kind = OneOf<StepKind>(kKinds, Member<std::string>(from, "kind"), "kind");
-  for (const json& t : Member<json>(from, "targets")) {
-    plan.targets.push_back({{Member<std::string>(t, "agent"), Member<std::string>(t, "instance")},
-                            Member<std::string>(t, "hall"),
-                            Member<std::string>(t, "from"),
-                            Member<std::string>(t, "to")});
+  plan.kind = EnumFrom<StepKind>(kStepKindNames, Member<std::string>(from, "kind"), "kind");
+  for (const json& target : Member<json>(from, "targets")) {
+    plan.targets.push_back({{Member<std::string>(target, "agent"), Member<std::string>(target, "instance")},
+                            Member<std::string>(target, "hall"),
+                            Member<std::string>(target, "from"),
+                            Member<std::string>(target, "to")});
   }
   plan.policy = PolicyFrom(Member<json>(from, "policy"));
   return plan;
 }
 
-json ToJson(const Report& r) {
-  return {{"step", ToJson(r.step)},     {"phase", WireName(r.phase)}, {"why", r.failure_reason},
-          {"running", r.running},       {"ready", r.ready},           {"held", r.held},
-          {"generation", r.generation}, {"taken", r.requests},        {"bad", r.failed_requests}};
+json ToJson(const Report& report) {
+  return {
+      {"step", ToJson(report.step)},     {"phase", WireName(report.phase)}, {"why", report.failure_reason},
+      {"running", report.running},       {"ready", report.ready},           {"held", report.held},
+      {"generation", report.generation}, {"taken", report.requests},        {"bad", report.failed_requests}};
 }
 
 Report ReportFrom(const json& from) {
   Report report;
   report.step = StepFrom(Member<json>(from, "step"));
-  report.phase = OneOf<Phase>(kPhases, Member<std::string>(from, "phase"), "phase");
+  report.phase = EnumFrom<Phase>(kPhaseNames, Member<std::string>(from, "phase"), "phase");
   report.failure_reason = Member<std::string>(from, "why");
   report.running = Member<bool>(from, "running");
   report.ready = Member<bool>(from, "ready");
@@ -175,9 +179,9 @@
   return report;
 }
 
-json ToJson(const InstanceRecord& r) {
-  return {{"wanted", r.wanted},     {"generation", r.generation}, {"token", r.token},
-          {"step", ToJson(r.step)}, {"phase", WireName(r.phase)}, {"why", r.failure_reason}};
+json ToJson(const InstanceRecord& record) {
+  return {{"wanted", record.wanted},     {"generation", record.generation}, {"token", record.token},
+          {"step", ToJson(record.step)}, {"phase", WireName(record.phase)}, {"why", record.failure_reason}};
 }
 
 InstanceRecord InstanceRecordFrom(const json& from) {
@@ -186,18 +190,18 @@
   record.generation = Member<std::string>(from, "generation");
   record.token = Member<std::string>(from, "token");
   record.step = StepFrom(Member<json>(from, "step"));
-  record.phase = OneOf<Phase>(kPhases, Member<std::string>(from, "phase"), "phase");
+  record.phase = EnumFrom<Phase>(kPhaseNames, Member<std::string>(from, "phase"), "phase");
   record.failure_reason = Member<std::string>(from, "why");
   return record;
 }
 
 bool IsValidName(const std::string& name) {
-  const auto good = [](char c) {
+  const auto allowed = [](char c) {
     return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z') || (c >= '0' && c <= '9') || c == '-' ||
            c == '_' || c == '.';
   };
-  return !name.empty() && name.size() <= 64 && name.front() != '.' &&
-         std::all_of(name.begin(), name.end(), good);
+  return !name.empty() && name.size() <= kMaxNameLength && name.front() != '.' &&
+         std::all_of(name.begin(), name.end(), allowed);
 }
 
 }  // namespace mothrack::rollout
--- a/src/rollout/wire.h
+++ b/src/rollout/wire.h
@@ -1,6 +1,7 @@
-// The rollout's values as JSON: on disk, and between agents and tools. Reading throws std::invalid_argument,
-// which names what is missing or wrong. Unknown members are skipped, so that a newer tool and an older agent
-// understand each other. The member names are a wire format and differ from the fields' names in places.
+// JSON encoding of the rollout's values, on disk and between agents and tools. Reading throws
+// std::invalid_argument, whose text names the missing or invalid member. Unknown members are skipped, so that
+// a newer tool and an older agent understand each other. The member names are a wire format and differ from
+// the fields' names in places.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -25,17 +26,18 @@
 Report ReportFrom(const nlohmann::json& json);
 InstanceRecord InstanceRecordFrom(const nlohmann::json& json);
 
-// Names of enumerators on the wire.
+// The names of enumerators in JSON. VerdictFrom() throws std::invalid_argument for an unknown name.
 std::string WireName(Phase phase);
 std::string WireName(Lessor::Verdict verdict);
 Lessor::Verdict VerdictFrom(const std::string& name);
 
-// A required member of type T: bool, std::string, std::int64_t, std::uint64_t, double or JSON as it is.
+// Returns a required member of type T: bool, std::string, std::int64_t, std::uint64_t, double, or
+// nlohmann::json for a member of any type.
 template <typename T>
 T Member(const nlohmann::json& json, const char* name);
 
-// Names of instances, agents and generations become parts of paths: letters, digits, '-', '_' and '.', at
-// most 64, no dot first.
+// Whether a name of an instance, agent or generation is safe as part of a path: 1 to 64 letters, digits, '-',
+// '_' and '.', and no leading dot.
 bool IsValidName(const std::string& name);
 
 }  // namespace mothrack::rollout
--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -199,7 +199,7 @@
   ASSERT_TRUE(Eventually([&] { return fleet.Status()["agents"]["a1"].contains("open"); }));
   const auto second = fleet.Ctl(Quick({"restart", "--why", "the second", "--who", "bob"}));
   EXPECT_EQ(second.code, 2);
-  EXPECT_NE(second.out.find("ann has the fleet for"), std::string::npos) << second.out;
+  EXPECT_NE(second.out.find("ann holds the lease of the fleet for"), std::string::npos) << second.out;
   EXPECT_NE(second.out.find("the first one"), std::string::npos) << second.out;
   EXPECT_EQ(Fleet::WaitCtl(first).code, 0);
   EXPECT_TRUE(fleet.AllReady("g1"));
--- a/tests/rollout/change_test.cpp
+++ b/tests/rollout/change_test.cpp
@@ -1,4 +1,4 @@
-// One change from its first batch to its end, against fake agents.
+// A change from its first batch to its end, against fake agents.
 #include "rollout/change.h"
 
 #include <chrono>
@@ -18,7 +18,7 @@
 using testing::At;
 using testing::TwoHallPlan;
 
-// Fake agents of one change: the test sets what each instance reports.
+// The fake agents of one change. The test sets what each instance reports.
 class Fleet {
  public:
   Fleet(const Plan& plan, Change::Direction direction = Change::Direction::kForward)
@@ -31,30 +31,31 @@
     }
   }
 
-  // Ticks until the change has ended or until `until` (ms); steps succeed at once unless `on_step` changes
-  // that.
+  // Ticks until the change has ended or the time is `until` (ms). Steps succeed at once unless `on_step`
+  // changes the report.
   void Run(int until) {
     for (; now_ <= until && !change.end(); now_ += 100) {
       std::vector<ChangeCommand> commands;
       change.Tick(At(now_), commands);
-      for (const ChangeCommand& c : commands) {
-        if (c.kind == ChangeCommand::Kind::kPrint) {
-          messages += c.line + '\n';
+      for (const ChangeCommand& command : commands) {
+        if (command.kind == ChangeCommand::Kind::kPrint) {
+          messages += command.line + '\n';
           continue;
         }
-        if (unresponsive.contains(c.name.agent)) continue;
-        change.OnLeaseRenewed(c.name.agent, At(now_));
-        if (c.kind == ChangeCommand::Kind::kRenew) continue;
-        Report& report = reports.at(c.name);
-        if (c.kind == ChangeCommand::Kind::kSendStep && report.step != c.step) {
-          steps.push_back(c.name.agent + '/' + c.name.instance + (c.step.undo ? " undo" : ""));
-          report.step = c.step;
+        if (unresponsive.contains(command.name.agent)) continue;
+        change.OnLeaseRenewed(command.name.agent, At(now_));
+        if (command.kind == ChangeCommand::Kind::kRenew) continue;
+        Report& report = reports.at(command.name);
+        if (command.kind == ChangeCommand::Kind::kSendStep && report.step != command.step) {
+          steps.push_back(command.name.agent + '/' + command.name.instance +
+                          (command.step.undo ? " undo" : ""));
+          report.step = command.step;
           report.phase = Phase::kDone;
-          report.generation = c.step.generation;
-          if (on_step) on_step(c.name, report);
+          report.generation = command.step.generation;
+          if (on_step) on_step(command.name, report);
         }
-        if (c.kind == ChangeCommand::Kind::kReport && on_report) on_report(c.name, report);
-        change.OnReport(c.name, c.number, report, At(now_));
+        if (command.kind == ChangeCommand::Kind::kReport && on_report) on_report(command.name, report);
+        change.OnReport(command.name, command.number, report, At(now_));
       }
     }
   }
@@ -114,7 +115,7 @@
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
   EXPECT_EQ(fleet.steps, Names{"bole/i0"});
-  EXPECT_NE(fleet.change.reason().find("bole/i0 refuses or fails 20% of its requests, before"),
+  EXPECT_NE(fleet.change.reason().find("bole/i0 rejects or fails 20% of its requests, up from"),
             std::string::npos)
       << fleet.change.reason();
 }
@@ -145,11 +146,12 @@
   fleet.on_step = [&](const InstanceName&, Report&) { fleet.unresponsive.insert("kality"); };
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kHeld);
-  EXPECT_EQ(fleet.change.reason(), "kality can't be reached; its instances finish what they have taken");
+  EXPECT_EQ(fleet.change.reason(),
+            "kality can't be reached; its instances finish the steps that they have accepted");
   EXPECT_EQ(fleet.steps, Names{"bole/i0"});
 }
 
-// Claiming forty agents one by one takes longer than an agent may be silent for.
+// Claiming forty agents one by one takes longer than unreachable_timeout, so that time must not count.
 TEST(Change, UnreachableTimeoutCountsFromTheFirstTick) {
   Change change(TwoHallPlan(1, 1), Change::Direction::kForward, 1, milliseconds(60'000), At(0));
   std::vector<ChangeCommand> commands;
@@ -197,13 +199,13 @@
   report.step = {"c1", StepKind::kRestart, false, "g2", 0};
   report.phase = Phase::kFailed;
   report.ready = false;
-  fleet.on_step = [](const InstanceName&, Report& r) { r.ready = true; };
+  fleet.on_step = [](const InstanceName&, Report& failed) { failed.ready = true; };
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted) << fleet.messages;
   EXPECT_EQ(fleet.steps, (Names{"bole/i0", "kality/i0"}));
 }
 
-// An earlier holder had come to the second hall, and what this one begins with fails.
+// An earlier holder had reached the second hall, and the first step of the resumed change fails.
 TEST(Change, ResumedChangeRollsBackLaterBatchesToo) {
   Plan plan = TwoHallPlan(2, 1);
   plan.policy.on_failure = OnFailure::kRollBack;
@@ -228,7 +230,7 @@
   Report old;
   fleet.Run(1000);
   ASSERT_FALSE(fleet.steps.empty());
-  // Of before everything: its number is older than what has been heard.
+  // Number 1 is below that of every report received since.
   for (int i = 0; i < 5; ++i) fleet.change.OnReport({"bole", "i0"}, 1, old, At(0));
   fleet.Run(60'000);
   EXPECT_EQ(fleet.change.end(), ChangeEnd::kCompleted);
--- a/tests/rollout/claim_test.cpp
+++ b/tests/rollout/claim_test.cpp
@@ -1,4 +1,4 @@
-// How a tool acquires the lease of many agents.
+// A tool's claim of the lease of many agents.
 #include "rollout/claim.h"
 
 #include <chrono>
@@ -32,30 +32,30 @@
     for (const auto& [name, lessor] : lessors) names.insert(name);
     return names;
   }
-  // One tick of the claim; agents in `unresponsive` do not answer.
+  // Runs one tick of the claim; agents in `unresponsive` do not answer.
   void Tick(Claim& claim, const Holder& holder, TimePoint now,
             const std::set<std::string>& unresponsive = {}) {
     std::vector<ClaimCommand> commands;
     claim.Tick(now, commands);
-    for (const ClaimCommand& c : commands) {
-      if (unresponsive.contains(c.agent)) continue;
-      Lessor& lessor = lessors.at(c.agent);
+    for (const ClaimCommand& command : commands) {
+      if (unresponsive.contains(command.agent)) continue;
+      Lessor& lessor = lessors.at(command.agent);
       const auto current_holder = lessor.holder(now);
-      switch (c.kind) {
+      switch (command.kind) {
         case ClaimCommand::Kind::kReadEpoch:
-          claim.OnHighestEpoch(c.agent, lessor.state().highest);
+          claim.OnHighestEpoch(command.agent, lessor.state().highest);
           break;
         case ClaimCommand::Kind::kAcquire:
-          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, lessor.Acquire(c.epoch, holder, now),
-                              current_holder,
+          claim.OnLeaseAnswer(holder.claim_id, command.agent, command.epoch,
+                              lessor.Acquire(command.epoch, holder, now), current_holder,
                               lessor.state().open && lessor.state().open->change == holder.change);
           break;
         case ClaimCommand::Kind::kOpen:
-          claim.OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, lessor.Open(c.epoch, holder, now),
-                              current_holder, true);
+          claim.OnLeaseAnswer(holder.claim_id, command.agent, command.epoch,
+                              lessor.Open(command.epoch, holder, now), current_holder, true);
           break;
         case ClaimCommand::Kind::kRelease:
-          lessor.Release(c.epoch, holder.claim_id, false);
+          lessor.Release(command.epoch, holder.claim_id, false);
           break;
       }
     }
@@ -74,23 +74,24 @@
   }
   ASSERT_TRUE(first.granted());
   EXPECT_FALSE(second.granted());
-  EXPECT_NE(second.rejection().find("the same instant"), std::string::npos) << second.rejection();
+  EXPECT_NE(second.rejection().find("at the same time"), std::string::npos) << second.rejection();
   Claim third("bob", agents.Names(), agents.Names(), false, milliseconds(1000), At(100));
   for (int i = 0; i < 12; ++i) agents.Tick(third, bob, At(100 + i));
-  EXPECT_EQ(third.rejection(), "ann has the fleet for c1 (a test)");
+  EXPECT_EQ(third.rejection(), "ann holds the lease of the fleet for c1 (a test)");
   for (const auto& [name, lessor] : agents.lessors) EXPECT_EQ(lessor.holder(At(200))->who, "ann") << name;
 }
 
 TEST(Claim, NeedsAMajorityAndAllRequiredAgents) {
-  const auto claim = [](const std::set<std::string>& needed, const std::set<std::string>& unresponsive) {
+  const auto result_of = [](const std::set<std::string>& required,
+                            const std::set<std::string>& unresponsive) {
     Agents agents;
-    Claim claim("ann", agents.Names(), needed, false, milliseconds(1000), At(0));
+    Claim claim("ann", agents.Names(), required, false, milliseconds(1000), At(0));
     for (int i = 0; i < 100; ++i) agents.Tick(claim, HolderNamed("ann", "c1"), At(i * 100), unresponsive);
     return claim.granted() ? "granted" : claim.rejection();
   };
-  EXPECT_EQ(claim({"a"}, {"d"}), "granted");
-  EXPECT_EQ(claim({"a", "d"}, {"d"}), "can't be reached: d");
-  EXPECT_EQ(claim({"a"}, {"c", "d"}), "can't be reached: c, d")
+  EXPECT_EQ(result_of({"a"}, {"d"}), "granted");
+  EXPECT_EQ(result_of({"a", "d"}, {"d"}), "can't be reached: d");
+  EXPECT_EQ(result_of({"a"}, {"c", "d"}), "can't be reached: c, d")
       << "the other two may have granted it to another";
 }
 
@@ -99,7 +100,7 @@
   const Holder ann = HolderNamed("ann", "c1");
   Claim closed("ann", agents.Names(), agents.Names(), true, milliseconds(1000), At(0));
   for (int i = 0; i < 12; ++i) agents.Tick(closed, ann, At(i));
-  EXPECT_EQ(closed.rejection(), "the change has come to its end meanwhile");
+  EXPECT_EQ(closed.rejection(), "the change has ended in the meantime");
   Lessor& lessor = agents.lessors.at("c");
   ASSERT_EQ(lessor.Acquire(9, ann, At(20)), Verdict::kGranted);
   ASSERT_EQ(lessor.Open(9, ann, At(20)), Verdict::kGranted);
@@ -108,9 +109,9 @@
   EXPECT_TRUE(open.granted()) << open.rejection();
 }
 
-// History 98150: ann's first claim, for c1, was rejected while its request to "a" was still under way. The
-// answer arrived when her second, for c4, had chosen the same epoch, and was matched to the second: c1 was
-// then open at "a", c4 elsewhere, and neither could be closed.
+// A regression from history 98150. A claim for c1 was rejected while its request to "a" was still in flight.
+// The answer arrived after the operator's second claim, for c4, had chosen the same epoch, and was matched to
+// that claim. Then c1 was open at "a" and c4 elsewhere, and neither could be closed.
 TEST(Claim, AnswersToAnEarlierClaimAreIgnored) {
   Agents agents;
   const Holder first{"c1", "ann", "a test", 0, "ann.1"};
@@ -118,13 +119,14 @@
   Claim claim(second.claim_id, agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
   agents.Tick(claim, second, At(0));                  // reads the highest epoch
   agents.Tick(claim, second, At(1), agents.Names());  // requests epoch 1 of "a", whose answer is late
-  Lessor& a = agents.lessors.at("a");
-  claim.OnLeaseAnswer(first.claim_id, "a", 1, a.Acquire(1, first, At(2)), std::nullopt, false);
+  Lessor& lessor_a = agents.lessors.at("a");
+  claim.OnLeaseAnswer(first.claim_id, "a", 1, lessor_a.Acquire(1, first, At(2)), std::nullopt, false);
   for (int i = 0; i < 12; ++i) agents.Tick(claim, second, At(500 + i));
   EXPECT_FALSE(claim.granted());
-  EXPECT_NE(claim.rejection().find("the same instant"), std::string::npos) << claim.rejection();
+  EXPECT_NE(claim.rejection().find("at the same time"), std::string::npos) << claim.rejection();
   for (const auto& [name, lessor] : agents.lessors) EXPECT_FALSE(lessor.state().open) << name;
-  EXPECT_EQ(agents.lessors.at("b").state().highest, 0U) << "it went on without the lease of the agent before";
+  EXPECT_EQ(agents.lessors.at("b").state().highest, 0U)
+      << "the claim continued without the lease of the previous agent";
 }
 
 TEST(Claim, ReleasesGrantedLeasesWhenRejected) {
@@ -132,7 +134,7 @@
   ASSERT_EQ(agents.lessors.at("c").Acquire(5, HolderNamed("bob", "c2"), At(0)), Verdict::kGranted);
   Claim claim("ann", agents.Names(), agents.Names(), false, milliseconds(1000), At(0));
   for (int i = 0; i < 12; ++i) agents.Tick(claim, HolderNamed("ann", "c1"), At(i));
-  EXPECT_EQ(claim.rejection(), "bob has the fleet for c2 (a test)");
+  EXPECT_EQ(claim.rejection(), "bob holds the lease of the fleet for c2 (a test)");
   for (const char* name : {"a", "b", "d"}) EXPECT_FALSE(agents.lessors.at(name).holder(At(20))) << name;
   EXPECT_EQ(agents.lessors.at("c").holder(At(20))->who, "bob");
 }
--- a/tests/rollout/instance_test.cpp
+++ b/tests/rollout/instance_test.cpp
@@ -1,4 +1,4 @@
-// How an agent supervises one instance and carries a step to its end.
+// An agent's supervision of one instance, and the execution of its steps.
 #include "rollout/instance.h"
 
 #include <chrono>
@@ -42,60 +42,61 @@
   return Describe(actions);
 }
 
-ProcessState Process(const std::string& token, const std::string& generation, bool ready = true) {
+ProcessState ProcessWith(const std::string& token, const std::string& generation, bool ready = true) {
   return {true, token, generation, ready, false};
 }
 
 const Step kRestart{"c1", StepKind::kRestart, false, "g2", 0, "g1"};
 
-InstanceRecord Running() {
+InstanceRecord RunningRecord() {
   InstanceRecord record;
   record.generation = "g1";
   return record;
 }
 
 TEST(Instance, RestartIsOneStopAndOneStart) {
-  Instance instance(Running(), {});
-  const ProcessState old = Process("", "g1");
+  Instance instance(RunningRecord(), {});
+  const ProcessState old = ProcessWith("", "g1");
   EXPECT_EQ(Reconcile(instance, old, 0), "");
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(instance, old, 10), "stop");
   EXPECT_EQ(Reconcile(instance, old, 20), "");
   EXPECT_EQ(Reconcile(instance, {}, 30), "start g2 c1/do.0");
-  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 40), "");
-  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2"), 50), "c1/do.0 done");
+  EXPECT_EQ(Reconcile(instance, ProcessWith("c1/do.0", "g2", false), 40), "");
+  EXPECT_EQ(Reconcile(instance, ProcessWith("c1/do.0", "g2"), 50), "c1/do.0 done");
   EXPECT_EQ(instance.record().phase, Phase::kDone);
-  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted) << "the command came twice";
-  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2"), 60), "");
+  ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted) << "a repeated command";
+  EXPECT_EQ(Reconcile(instance, ProcessWith("c1/do.0", "g2"), 60), "");
 }
 
-// The agent dies after each durable step and before each action; what it finds then determines the rest.
+// The agent crashes after accepting a step. The state of the process that the next agent finds determines
+// what remains to be done.
 TEST(Instance, RestartedAgentContinuesTheStepFromTheProcessState) {
-  Instance accepted(Running(), {});
+  Instance accepted(RunningRecord(), {});
   ASSERT_EQ(accepted.Accept(kRestart), Instance::Verdict::kAccepted);
   const InstanceRecord record = accepted.record();
-  const auto after = [&](const ProcessState& seen) {
+  const auto reconcile_after_restart = [&](const ProcessState& seen) {
     Instance instance(record, {});
     return Reconcile(instance, seen, 1000);
   };
-  EXPECT_EQ(after(Process("", "g1")), "stop");
-  ProcessState draining = Process("", "g1", false);
+  EXPECT_EQ(reconcile_after_restart(ProcessWith("", "g1")), "stop");
+  ProcessState draining = ProcessWith("", "g1", false);
   draining.draining = true;
-  EXPECT_EQ(after(draining), "") << "it drains already";
-  EXPECT_EQ(after({}), "start g2 c1/do.0");
-  EXPECT_EQ(after(Process("c1/do.0", "g2", false)), "") << "it has been started";
-  EXPECT_EQ(after(Process("c1/do.0", "g2")), "c1/do.0 done");
+  EXPECT_EQ(reconcile_after_restart(draining), "") << "it is draining already";
+  EXPECT_EQ(reconcile_after_restart({}), "start g2 c1/do.0");
+  EXPECT_EQ(reconcile_after_restart(ProcessWith("c1/do.0", "g2", false)), "") << "it has been started";
+  EXPECT_EQ(reconcile_after_restart(ProcessWith("c1/do.0", "g2")), "c1/do.0 done");
 }
 
 TEST(Instance, ProcessThatIgnoresThePlannedStopIsKilledOnce) {
   InstanceLimits limits;
   limits.stop_timeout = milliseconds(1000);
-  Instance instance(Running(), limits);
+  Instance instance(RunningRecord(), limits);
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
-  const ProcessState ignores_stop = Process("", "g1");
+  const ProcessState ignores_stop = ProcessWith("", "g1");
   EXPECT_EQ(Reconcile(instance, ignores_stop, 0), "stop");
   EXPECT_EQ(Reconcile(instance, ignores_stop, 999), "");
-  EXPECT_EQ(Reconcile(instance, ignores_stop, 1000), "kill; killed: it ignored the planned stop");
+  EXPECT_EQ(Reconcile(instance, ignores_stop, 1000), "kill; killed: the process ignored the planned stop");
   EXPECT_EQ(Reconcile(instance, ignores_stop, 1100), "");
   EXPECT_EQ(Reconcile(instance, {}, 1200), "start g2 c1/do.0");
 }
@@ -103,29 +104,30 @@
 TEST(Instance, StepFailsWhenItsProcessDoesNotBecomeReadyOrKeepsExiting) {
   InstanceLimits limits;
   limits.ready_timeout = milliseconds(1000);
-  Instance slow(Running(), limits);
+  Instance slow(RunningRecord(), limits);
   ASSERT_EQ(slow.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(slow, {}, 0), "start g2 c1/do.0");
-  EXPECT_EQ(Reconcile(slow, Process("c1/do.0", "g2", false), 999), "");
-  EXPECT_EQ(Reconcile(slow, Process("c1/do.0", "g2", false), 1000), "c1/do.0 failed: not ready within 1 s");
+  EXPECT_EQ(Reconcile(slow, ProcessWith("c1/do.0", "g2", false), 999), "");
+  EXPECT_EQ(Reconcile(slow, ProcessWith("c1/do.0", "g2", false), 1000),
+            "c1/do.0 failed: not ready within 1 s");
   EXPECT_EQ(slow.record().phase, Phase::kFailed);
 
-  Instance dying(Running(), limits);
-  ASSERT_EQ(dying.Accept(kRestart), Instance::Verdict::kAccepted);
+  Instance crashing(RunningRecord(), limits);
+  ASSERT_EQ(crashing.Accept(kRestart), Instance::Verdict::kAccepted);
   int starts = 0;
   int now = 0;
-  for (; now < 60'000 && dying.record().phase == Phase::kAccepted; now += 50) {
-    if (Reconcile(dying, {}, now).starts_with("start")) ++starts;
+  for (; now < 60'000 && crashing.record().phase == Phase::kAccepted; now += 50) {
+    if (Reconcile(crashing, {}, now).starts_with("start")) ++starts;
   }
   EXPECT_EQ(starts, 3);
-  EXPECT_EQ(dying.record().failure_reason, "it ended 3 times");
+  EXPECT_EQ(crashing.record().failure_reason, "its process exited 3 times");
 }
 
 TEST(Instance, CrashLoopBacksOffAndIsHeldUntilAStep) {
   InstanceLimits limits;
   limits.first_backoff = milliseconds(100);
-  Instance instance(Running(), limits);
-  Reconcile(instance, Process("", "g1"), 0);
+  Instance instance(RunningRecord(), limits);
+  Reconcile(instance, ProcessWith("", "g1"), 0);
   std::vector<int> starts;
   std::string held;
   for (int now = 10; now < 60'000; now += 10) {
@@ -133,63 +135,63 @@
     if (actions.starts_with("start g1")) starts.push_back(now);
     if (actions.starts_with("crash loop")) held += actions;
   }
-  ASSERT_EQ(starts.size(), 4U) << "the first end, and four more";
+  ASSERT_EQ(starts.size(), 4U) << "one restart after each of the first four exits";
   for (std::size_t i = 2; i < starts.size(); ++i) {
     EXPECT_GE(starts[i] - starts[i - 1], 2 * (starts[i - 1] - starts[i - 2]) - 40);
   }
-  EXPECT_EQ(held, "crash loop: it ended 5 times; held, restart it once it is mended");
+  EXPECT_EQ(held, "crash loop: the process exited 5 times; held, restart it once the cause is fixed");
   EXPECT_TRUE(instance.held());
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(instance, {}, 60'000), "start g2 c1/do.0");
 }
 
 TEST(Instance, KilledProcessIsRestarted) {
-  Instance instance(Running(), {});
-  Reconcile(instance, Process("", "g1"), 0);
+  Instance instance(RunningRecord(), {});
+  Reconcile(instance, ProcessWith("", "g1"), 0);
   EXPECT_EQ(Reconcile(instance, {}, 10), "");
   EXPECT_EQ(Reconcile(instance, {}, 210), "start g1 ");
 }
 
 TEST(Instance, UndoSupersedesTheStepAndMakesItStale) {
   const Step undo{"c1", StepKind::kRestart, true, "g1"};
-  Instance halfway(Running(), {});
+  Instance halfway(RunningRecord(), {});
   ASSERT_EQ(halfway.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(halfway, {}, 0), "start g2 c1/do.0");
   ASSERT_EQ(halfway.Accept(undo), Instance::Verdict::kAccepted);
   EXPECT_EQ(halfway.Accept(kRestart), Instance::Verdict::kStale) << "reordered";
-  EXPECT_EQ(Reconcile(halfway, Process("c1/do.0", "g2"), 10), "stop");
+  EXPECT_EQ(Reconcile(halfway, ProcessWith("c1/do.0", "g2"), 10), "stop");
   EXPECT_EQ(Reconcile(halfway, {}, 20), "start g1 c1/undo.0");
-  EXPECT_EQ(Reconcile(halfway, Process("c1/undo.0", "g1"), 30), "c1/undo.0 done");
+  EXPECT_EQ(Reconcile(halfway, ProcessWith("c1/undo.0", "g1"), 30), "c1/undo.0 done");
 
-  Instance untouched(Running(), {});
+  Instance untouched(RunningRecord(), {});
   ASSERT_EQ(untouched.Accept(undo), Instance::Verdict::kAccepted);
-  EXPECT_EQ(Reconcile(untouched, Process("", "g1"), 0), "") << "nothing to undo";
-  EXPECT_EQ(untouched.Accept(kRestart), Instance::Verdict::kStale) << "it was still on its way";
+  EXPECT_EQ(Reconcile(untouched, ProcessWith("", "g1"), 0), "") << "nothing to undo";
+  EXPECT_EQ(untouched.Accept(kRestart), Instance::Verdict::kStale) << "it was still in flight";
 }
 
 TEST(Instance, FailedStepIsAcceptedAgainFromALaterHolderOnly) {
   InstanceLimits limits;
   limits.ready_timeout = milliseconds(1000);
-  Instance instance(Running(), limits);
+  Instance instance(RunningRecord(), limits);
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(Reconcile(instance, {}, 0), "start g2 c1/do.0");
-  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 1000),
+  EXPECT_EQ(Reconcile(instance, ProcessWith("c1/do.0", "g2", false), 1000),
             "c1/do.0 failed: not ready within 1 s");
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
-  EXPECT_EQ(instance.record().phase, Phase::kFailed) << "the command came twice";
+  EXPECT_EQ(instance.record().phase, Phase::kFailed) << "a repeated command";
   Step again = kRestart;
   again.epoch = 1;
   ASSERT_EQ(instance.Accept(again), Instance::Verdict::kAccepted);
-  EXPECT_EQ(Reconcile(instance, Process("c1/do.0", "g2", false), 2000), "stop");
+  EXPECT_EQ(Reconcile(instance, ProcessWith("c1/do.0", "g2", false), 2000), "stop");
   EXPECT_EQ(Reconcile(instance, {}, 2100), "start g2 c1/do.1");
-  EXPECT_EQ(Reconcile(instance, Process("c1/do.1", "g2"), 2200), "c1/do.1 done");
+  EXPECT_EQ(Reconcile(instance, ProcessWith("c1/do.1", "g2"), 2200), "c1/do.1 done");
   again.epoch = 2;
   ASSERT_EQ(instance.Accept(again), Instance::Verdict::kAccepted);
-  EXPECT_EQ(Reconcile(instance, Process("c1/do.1", "g2"), 2300), "") << "it is done";
+  EXPECT_EQ(Reconcile(instance, ProcessWith("c1/do.1", "g2"), 2300), "") << "it is already done";
 }
 
 TEST(Instance, StepOfAnotherChangeIsBusyUntilTheFirstEnds) {
-  Instance instance(Running(), {});
+  Instance instance(RunningRecord(), {});
   ASSERT_EQ(instance.Accept(kRestart), Instance::Verdict::kAccepted);
   EXPECT_EQ(instance.Accept({"c2", StepKind::kRestart, false, "g3", 0, "g2"}), Instance::Verdict::kBusy);
   EXPECT_EQ(instance.Accept({"c2", StepKind::kRestart, true, "g1"}), Instance::Verdict::kBusy);
@@ -197,7 +199,7 @@
 }
 
 TEST(Instance, StepFromAnotherGenerationIsRefused) {
-  Instance instance(Running(), {});
+  Instance instance(RunningRecord(), {});
   Step step = kRestart;
   step.from = "g0";
   const InstanceRecord before = instance.record();
@@ -206,9 +208,9 @@
 }
 
 TEST(Instance, StoppedInstanceStaysDown) {
-  Instance instance(Running(), {});
+  Instance instance(RunningRecord(), {});
   ASSERT_EQ(instance.Accept({"c1", StepKind::kStop, false, "g1", 0, "g1"}), Instance::Verdict::kAccepted);
-  EXPECT_EQ(Reconcile(instance, Process("", "g1"), 0), "stop");
+  EXPECT_EQ(Reconcile(instance, ProcessWith("", "g1"), 0), "stop");
   EXPECT_EQ(Reconcile(instance, {}, 10), "c1/do.0 done");
   for (int now = 20; now < 100'000; now += 1000) EXPECT_EQ(Reconcile(instance, {}, now), "");
 }
--- a/tests/rollout/lease_test.cpp
+++ b/tests/rollout/lease_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_EQ(lessor.Renew(1, "ann", At(500)), Verdict::kGranted);
   EXPECT_EQ(lessor.Acquire(2, HolderNamed("bob", "c2"), At(1400)), Verdict::kHeld) << "it was renewed";
   EXPECT_EQ(lessor.Acquire(2, HolderNamed("bob", "c2"), At(1500)), Verdict::kGranted);
-  EXPECT_EQ(lessor.Renew(1, "ann", At(1501)), Verdict::kFenced) << "its holder was suspended meanwhile";
+  EXPECT_EQ(lessor.Renew(1, "ann", At(1501)), Verdict::kFenced) << "its holder was suspended in the meantime";
   EXPECT_EQ(lessor.Acquire(2, HolderNamed("eve", "c3"), At(9000)), Verdict::kFenced)
       << "an epoch is granted once";
   lessor.Release(1, "ann", true);
@@ -52,12 +52,13 @@
   ASSERT_EQ(lessor.Open(1, HolderNamed("ann", "c1"), At(1)), Verdict::kGranted);
   lessor.Release(1, "ann", false);
   EXPECT_EQ(lessor.Acquire(2, HolderNamed("bob", "c2"), At(2)), Verdict::kOpen);
-  EXPECT_EQ(lessor.Acquire(2, HolderNamed("bob", "c1"), At(2)), Verdict::kGranted) << "who takes it over";
+  EXPECT_EQ(lessor.Acquire(2, HolderNamed("bob", "c1"), At(2)), Verdict::kGranted)
+      << "another operator may take over the open change";
   lessor.Release(2, "bob", true);
   EXPECT_EQ(lessor.Acquire(3, HolderNamed("bob", "c2"), At(3)), Verdict::kGranted);
 }
 
-// A request of the same tool and epoch, but for another change, was granted meanwhile.
+// A delayed request of the same tool and epoch, but for another change, was granted in the meantime.
 TEST(Lease, OpensOnlyTheChangeItWasGrantedFor) {
   Lessor lessor({}, milliseconds(1000), At(0));
   ASSERT_EQ(lessor.Acquire(5, HolderNamed("ann", "c1"), At(0)), Verdict::kGranted);
@@ -69,7 +70,7 @@
 TEST(Lease, HasItsFullDurationAfterAnAgentRestart) {
   Lessor before({}, milliseconds(1000), At(0));
   ASSERT_EQ(before.Acquire(7, HolderNamed("ann", "c1"), At(0)), Verdict::kGranted);
-  // The machine was restarted, and so was its clock.
+  // The machine was restarted, so its clock has started again too.
   Lessor lessor(before.state(), milliseconds(1000), At(10));
   EXPECT_EQ(lessor.Acquire(8, HolderNamed("bob", "c2"), At(1009)), Verdict::kHeld);
   EXPECT_EQ(lessor.Renew(7, "ann", At(1009)), Verdict::kGranted);
--- a/tests/rollout/plan_test.cpp
+++ b/tests/rollout/plan_test.cpp
@@ -1,4 +1,4 @@
-// The plan of a change, and its batches.
+// Validation of a plan, and its division into batches.
 #include "rollout/plan.h"
 
 #include <optional>
@@ -13,11 +13,11 @@
 using testing::TwoHallPlan;
 
 TEST(Plan, CanaryFirstThenHallByHall) {
-  using Batching = std::vector<std::vector<std::size_t>>;
-  EXPECT_EQ(SplitIntoBatches(TwoHallPlan(4, 2)), (Batching{{0}, {1, 2}, {3}, {4, 5}, {6, 7}}));
+  using BatchList = std::vector<std::vector<std::size_t>>;
+  EXPECT_EQ(SplitIntoBatches(TwoHallPlan(4, 2)), (BatchList{{0}, {1, 2}, {3}, {4, 5}, {6, 7}}));
   Plan plan = TwoHallPlan(3, 8);
   plan.policy.canary = false;
-  EXPECT_EQ(SplitIntoBatches(plan), (Batching{{0, 1, 2}, {3, 4, 5}}));
+  EXPECT_EQ(SplitIntoBatches(plan), (BatchList{{0, 1, 2}, {3, 4, 5}}));
 }
 
 TEST(Plan, ValidationNamesEachFault) {
@@ -27,7 +27,7 @@
             "max_unavailable is 0, so nothing can be changed; give 1 or more");
   Plan twice = TwoHallPlan(1, 1);
   twice.targets.push_back(twice.targets.front());
-  EXPECT_EQ(ValidatePlan(twice), "bole/i0 is named twice; take one of them out");
+  EXPECT_EQ(ValidatePlan(twice), "bole/i0 is named twice; remove one of them");
   Plan stop = TwoHallPlan(1, 1);
   stop.kind = StepKind::kStop;
   EXPECT_EQ(ValidatePlan(stop),
--- a/tests/rollout/rollout_test_support.h
+++ b/tests/rollout/rollout_test_support.h
@@ -1,4 +1,4 @@
-// What the tests of single decisions share: times, holders, a plan of two halls.
+// Helpers shared by the unit tests: times, holders, and a plan for two halls.
 #pragma once
 
 #include <chrono>
@@ -10,15 +10,16 @@
 
 namespace mothrack::rollout::testing {
 
-// So many milliseconds after the clock's beginning.
+// The time that is `ms` milliseconds after the epoch of the clock.
 inline TimePoint At(int ms) { return TimePoint(std::chrono::milliseconds(ms)); }
 
-// A holder whose claim is named as they are.
+// A holder whose claim id is the operator's name.
 inline Holder HolderNamed(const std::string& who, const std::string& change) {
   return {change, who, "a test", 0, who};
 }
 
-// A restart of so many instances in each of the halls "bole" and "kality", each hall with one agent.
+// A plan that restarts `per_hall` instances in each of the halls "bole" and "kality", with one agent per
+// hall.
 inline Plan TwoHallPlan(std::size_t per_hall, std::size_t max_unavailable) {
   Plan plan{"c1", "ann", "a test", StepKind::kRestart, {}, {}};
   for (const char* hall : {"bole", "kality"}) {
