--- a/tests/rollout/fleet_history.h
+++ b/tests/rollout/fleet_history.h
@@ -1,6 +1,6 @@
-// A fleet in one thread and in simulated time: the program's own agents (src/agent/agent.h) over fake stores
-// and processes, its own claims and changes in fake tools, and the messages between them. All of these fail,
-// at moments drawn from one seed or at one that a script names.
+// Simulated histories of a fleet, in one thread and in simulated time: the real agents (src/agent/agent.h)
+// with fake stores and processes, the real claims and changes in fake tools, and the messages between them.
+// All of these fail, at times drawn from a seed or at points named by a script.
 #pragma once
 
 #include <cstdint>
@@ -12,34 +12,37 @@
 namespace mothrack::rollout::testing {
 
 struct History {
-  std::string violation;  // of a rule, with the moment; empty: none
-  // How the last change ended, and what happened on the way: the sums show what the histories reach.
+  std::string violation;  // the first broken rule, with its time; empty if there is none
+  // How the last change ended, followed by counts of events. Sums of the counts show what the histories
+  // cover.
   std::string end;
   int changes = 0;
-  int agent_deaths = 0;
-  int tool_deaths = 0;
-  int refused_claims = 0;
+  int agent_crashes = 0;
+  int tool_crashes = 0;
+  int rejected_claims = 0;
   int fenced = 0;
-  int undone = 0;
+  int rolled_back = 0;
   int aborted = 0;
   int saves_failed = 0;
-  int started_again = 0;  // for a step that had a process already, after that one's end
-  // Of a script: places where an agent may die (before and after each durable step and each action), and
-  // commands that the first operator sent.
-  int points = 0;
+  int repeated_starts = 0;  // starts for a step whose earlier process has exited
+  // Counted only in a run with a script: the points at which an agent may crash (before and after each
+  // durable write and each action), and the commands sent by the first operator.
+  int crash_points = 0;
   int commands = 0;
 };
 
-// One history. The same seed gives the same one.
-History Play(std::uint64_t seed);
+// Runs the history of a seed. The same seed gives the same history.
+History RunHistory(std::uint64_t seed);
 
-// One change to all, and no other fault than these. A second operator finishes what the first leaves.
+// Faults of a run that makes one change to all instances and has no other faults. A second operator finishes
+// the change if the first one does not.
 struct Script {
-  std::vector<int> agent_dies_at{};  // at these places of History::points, counted over all agents
-  int tool_dies_at = -1;             // after this one of History::commands; -1: never
-  Change::Direction then = Change::Direction::kForward;
+  std::vector<int> agent_crashes_at{};  // numbers of crash points, counted over all agents
+  int tool_crashes_at = -1;             // number of the first operator's command; -1: never
+  // Whether a holder that finds the change open resumes it or undoes it.
+  Change::Direction second_direction = Change::Direction::kForward;
 };
-// The seed draws the delays.
-History Play(std::uint64_t seed, const Script& script);
+// Runs a script. Only the delays are drawn from the seed.
+History RunHistory(std::uint64_t seed, const Script& script);
 
 }  // namespace mothrack::rollout::testing
--- a/tests/rollout/fleet_model.h
+++ b/tests/rollout/fleet_model.h
@@ -1,4 +1,4 @@
-// A fleet in one thread and in simulated time: see fleet_history.h. Its parts: the run and its faults
+// The simulated fleet that runs the histories of fleet_history.h. Its parts: the run and its faults
 // (fleet_model.cpp), machines and agents (fleet_model_agents.cpp), operators' tools
 // (fleet_model_tools.cpp), and the rules that it checks (fleet_model_rules.cpp).
 #pragma once
@@ -29,12 +29,12 @@
 using std::chrono::milliseconds;
 
 inline constexpr int kAgents = 4;     // two in each of two halls
-inline constexpr int kInstances = 2;  // on each
-inline constexpr Duration kLeaseTime{6000};
-inline constexpr Duration kFaultPeriod{60'000};  // faults come for so long
-inline constexpr Duration kRecovery{240'000};    // and by then the last operator must be through
+inline constexpr int kInstances = 2;  // per agent
+inline constexpr Duration kLeaseDuration{6000};
+inline constexpr Duration kFaultPeriod{60'000};        // faults are injected until then
+inline constexpr Duration kRecoveryDeadline{240'000};  // the last operator must have finished by then
 
-inline InstanceLimits Limits() {
+inline InstanceLimits TestLimits() {
   InstanceLimits limits;
   limits.stop_timeout = milliseconds(1500);
   limits.ready_timeout = milliseconds(2500);
@@ -53,48 +53,48 @@
   return policy;
 }
 
-// A process lives on when its agent dies.
+// An instance's process. It survives a crash of its agent.
 struct Process {
   std::string token;
   std::string generation;
   TimePoint ready_at;
-  std::optional<TimePoint> ends_at;
+  std::optional<TimePoint> exits_at;  // std::nullopt: keeps running
   bool draining = false;
-  bool ignores_stop = false;  // the planned one
-  int stops = 0;
+  bool ignores_stop = false;  // ignores a planned stop
+  int planned_stops = 0;
 };
 
-// Thrown through the agent's own code: it dies there.
-struct AgentDied {};
+// Thrown through the agent's code to crash it at that point.
+struct AgentCrashed {};
 
 // A machine with its disk and processes, which outlive the agent on it.
 struct Host {
   std::string name;
   std::string hall;
   bool up = true;
-  TimePoint back_at;
+  TimePoint restart_at;
   bool disk_full = false;
   agent::Stored disk;
   std::map<std::string, Process> processes;
-  bool cut_off = false;
-  // Of the agent that runs now.
+  bool unreachable = false;
+  // The running agent and its fakes.
   std::unique_ptr<agent::Store> store;
   std::unique_ptr<agent::Machine> machine;
   std::unique_ptr<agent::Agent> agent;
 };
 
-// An operator at a tool.
+// An operator's tool.
 struct Tool {
   std::string who;
-  std::uint64_t incarnation = 0;  // answers to a tool that died reach nobody
+  std::uint64_t incarnation = 0;  // incremented by a crash; answers to an earlier one are dropped
   bool up = true;
-  TimePoint next;  // when it begins something
+  TimePoint next_action_at;  // when it restarts or begins a change
   std::unique_ptr<Claim> claim;
   std::unique_ptr<Change> change;
   Plan plan;
   Change::Direction direction = Change::Direction::kForward;
   Epoch epoch = 0;
-  int claims = 0;  // in this incarnation: each has an id of its own
+  int claims = 0;  // makes the id of each claim unique
   int held_after_faults = 0;
 };
 
@@ -107,48 +107,51 @@
   friend class FakeStore;
   friend class FakeMachine;
 
-  int RandomUpTo(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
+  int UniformUpTo(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
   bool Chance(double p) { return std::uniform_real_distribution<double>(0, 1)(random_) < p; }
-  void Violation(const std::string& what);
+  void ReportViolation(const std::string& what);
   std::string Describe() const;
 
   // ---- Faults ----
 
   void InjectFaults();
-  void KillTool(Tool& tool);
-  // No further fault: the agents come back, and one operator sets about finishing what there is.
-  void EndFaults();
-  void KillAgent(Host& host);
+  void CrashTool(Tool& tool);
+  // Ends all faults: the agents restart, and one operator finishes what is left.
+  void StopFaults();
+  void CrashAgent(Host& host);
   void StartAgent(Host& host);
-  // The agent crashes here where the seed or the script wants it: at each of its durable steps and of its
-  // actions, just before it, or just after it and before what follows from it.
+  // A point at which the seed or the script may crash the agent: just before or just after (`after`) each of
+  // its durable writes and actions.
   void CrashPoint(bool after);
-  // A save of the agent: an error where its disk is full.
+  // Saves the agent's data with `write`; fails if the disk is full.
   std::optional<agent::StoreError> Save(Host& host, const std::function<void()>& write);
-  // Calls the agent; nothing where it died of it.
-  template <typename F>
-  auto Call(Host& host, F call) -> std::optional<decltype(call(*host.agent))> {
+  // Calls the agent. Returns std::nullopt if the agent crashed during the call.
+  template <typename Function>
+  auto Call(Host& host, Function call) -> std::optional<decltype(call(*host.agent))> {
     try {
       return call(*host.agent);
-    } catch (const AgentDied&) {
+    } catch (const AgentCrashed&) {
       saving_ = false;
-      KillAgent(host);
+      CrashAgent(host);
       return std::nullopt;
     }
   }
 
   // ---- Messages ----
 
-  // `late`: how likely it is to come long after it was sent.
-  void Send(const Host& host, std::function<void()> arrive, double late = 0.02);
+  // Calls `arrive` after a delay, unless the message is lost. `late_probability`: the probability of a long
+  // delay.
+  void Send(const Host& host, std::function<void()> arrive, double late_probability = 0.02);
   void Deliver();
-  // Calls `serve` at the agent and, with what it gives, `on_answer` at the tool, if that still lives.
+  // Calls `serve` at the agent, and then `on_answer` with its result at the tool, unless the tool has crashed
+  // in the meantime.
   template <typename Serve, typename OnAnswer>
-  void SendRequest(Tool& tool, const std::string& name, Serve serve, OnAnswer on_answer, double late = 0.02) {
-    Host& host = Of(name);
+  void SendRequest(Tool& tool, const std::string& name, Serve serve, OnAnswer on_answer,
+                   double late_probability = 0.02) {
+    Host& host = HostNamed(name);
     if (script_ != nullptr && tool.who == tools_.front().who &&
-        history_.commands++ == script_->tool_dies_at) {
-      tool_dies_ = true;
+        history_.commands++ == script_->tool_crashes_at) {
+      tool_crash_due_ = true;
     }
     const auto arrive = [this, &tool, &host, incarnation = tool.incarnation, serve, on_answer] {
       if (!host.up) return;
@@ -158,24 +161,25 @@
         if (tool.up && tool.incarnation == incarnation) on_answer(*answer);
       });
     };
-    Send(host, arrive, late);
+    Send(host, arrive, late_probability);
   }
 
   // ---- Agents ----
 
-  Host& Of(const std::string& name);
+  Host& HostNamed(const std::string& name);
   void Supervise(Host& host);
   ProcessState Inspect(const Host& host, const std::string& name) const;
   void Execute(Host& host, const std::string& name, const Action& action);
-  // Counts what was refused by its epoch; checks that no holder's command comes behind a later one's.
+  // Counts requests that were refused because of their epoch, and checks that no command of a holder is
+  // accepted after one of a later holder.
   agent::Agent::Answer CheckFencing(agent::Agent::Answer answer, Epoch epoch, bool command);
 
   // ---- Tools ----
 
-  static std::string NameOf(const Tool& tool);
+  static std::string ClaimIdOf(const Tool& tool);
   void AdvanceTool(Tool& tool);
   std::vector<Target> AllTargets() const;
-  // A new change, or one that an earlier holder left: carried on or undone.
+  // Claims the lease for a new change, or to resume or undo an open one.
   void BeginChange(Tool& tool);
   void AdvanceClaim(Tool& tool);
   void Release(Tool& tool, const std::string& name, Epoch epoch, bool close);
@@ -185,27 +189,29 @@
   // ---- Rules ----
 
   const InstanceRecord& RecordOf(const InstanceName& name) const;
-  // The end that a change reports is true of every instance, by what is on disk.
+  // Checks the reported end of a change against the record of every instance.
   void CheckEnd(const Plan& plan, ChangeEnd end);
-  // Instances that are down for a change's sake: in one hall only, and no more than the policy allows.
-  void CheckHalls();
-  // Every instance is in a known state: no step is open, and what runs is what the record names.
-  bool Settled();
+  // Checks that the instances that are down because of a change are in one hall, and are no more than the
+  // policy allows.
+  void CheckUnavailableInstances();
+  // Whether every instance is in a final state: no step is in progress. Also checks that each process runs
+  // with the generation of its record.
+  bool IsSettled();
 
   std::mt19937_64 random_;
   TimePoint now_;
-  bool faults_over_ = false;
+  bool faults_stopped_ = false;
   bool finished_ = false;
   std::vector<Host> hosts_;
-  const Script* script_ = nullptr;  // none: faults are drawn from the seed
+  const Script* script_ = nullptr;  // null: faults are drawn from the seed
   bool saving_ = false;
-  bool tool_dies_ = false;
-  std::set<std::string> started_;  // by instance and token
+  bool tool_crash_due_ = false;
+  std::set<std::string> started_tokens_;  // by instance and token
   std::vector<Tool> tools_;
   std::multimap<TimePoint, std::function<void()>> messages_;
-  std::set<std::string> faulty_at_;
+  std::set<std::string> faulty_hosts_;  // processes of a new generation fail there
   bool exits_at_once_ = false;
-  double fault_rate_ = 1;  // how often something fails
+  double fault_rate_ = 1;  // factor on the probability of each fault
   std::set<std::string> ended_;
   Epoch highest_accepted_epoch_ = 0;
   std::set<std::pair<std::string, InstanceName>> accepted_steps_;  // steps, not undos
--- a/tests/rollout/fleet_model_agents.cpp
+++ b/tests/rollout/fleet_model_agents.cpp
@@ -1,8 +1,9 @@
+// The simulated machines and the agents on them.
 #include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
-// The agent's disk, and its processes, as the agent sees them.
+// The agent's store; it writes to the simulated disk.
 class FakeStore : public agent::Store {
  public:
   FakeStore(FleetModel& model, Host& host) : model_(model), host_(host) {}
@@ -29,6 +30,7 @@
   Host& host_;
 };
 
+// The agent's machine; it runs simulated processes.
 class FakeMachine : public agent::Machine {
  public:
   FakeMachine(FleetModel& model, Host& host) : model_(model), host_(host) {}
@@ -48,21 +50,24 @@
   host.up = true;
   host.store = std::make_unique<FakeStore>(*this, host);
   host.machine = std::make_unique<FakeMachine>(*this, host);
-  std::map<std::string, std::string> begin;
-  for (const auto& [name, record] : host.disk.records) begin[name] = "g0";
-  host.agent = std::make_unique<agent::Agent>(*host.store, *host.machine, host.disk, begin, Limits(),
-                                              kLeaseTime, now_);
+  std::map<std::string, std::string> initial_generations;
+  for (const auto& [name, record] : host.disk.records) initial_generations[name] = "g0";
+  host.agent = std::make_unique<agent::Agent>(*host.store, *host.machine, host.disk, initial_generations,
+                                              TestLimits(), kLeaseDuration, now_);
 }
 
-Host& FleetModel::Of(const std::string& name) {
-  return *std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& h) { return h.name == name; });
+Host& FleetModel::HostNamed(const std::string& name) {
+  return *std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& host) { return host.name == name; });
 }
 
 void FleetModel::Supervise(Host& host) {
-  std::erase_if(host.processes, [&](const auto& p) { return p.second.ends_at && now_ >= *p.second.ends_at; });
+  std::erase_if(host.processes, [&](const auto& entry) {
+    const Process& process = entry.second;
+    return process.exits_at && now_ >= *process.exits_at;
+  });
   if (host.up) {
     Call(host, [this](agent::Agent& agent) { return agent.ReconcileInstances(now_, 0), true; });
-  } else if (now_ >= host.back_at) {
+  } else if (now_ >= host.restart_at) {
     StartAgent(host);
   }
 }
@@ -70,8 +75,9 @@
 ProcessState FleetModel::Inspect(const Host& host, const std::string& name) const {
   const auto it = host.processes.find(name);
   if (it == host.processes.end()) return {};
-  const Process& p = it->second;
-  return {true, p.token, p.generation, now_ >= p.ready_at && !p.draining, p.draining};
+  const Process& process = it->second;
+  return {true, process.token, process.generation, now_ >= process.ready_at && !process.draining,
+          process.draining};
 }
 
 void FleetModel::Execute(Host& host, const std::string& name, const Action& action) {
@@ -79,23 +85,24 @@
   CrashPoint(false);
   const auto it = host.processes.find(name);
   if (action.kind == Action::Kind::kStart) {
-    if (it != host.processes.end()) return Violation("two processes for " + host.name + '/' + name);
-    if (!action.token.empty() && !started_.insert(host.name + '/' + name + ' ' + action.token).second) {
-      ++history_.started_again;
+    if (it != host.processes.end()) return ReportViolation("two processes for " + host.name + '/' + name);
+    if (!action.token.empty() &&
+        !started_tokens_.insert(host.name + '/' + name + ' ' + action.token).second) {
+      ++history_.repeated_starts;
     }
-    Process p{
-        action.token, action.generation, now_ + milliseconds(100 + RandomUpTo(500)), {}, false, false, 0};
-    if (action.generation != "g0" && faulty_at_.contains(host.name)) {
-      if (exits_at_once_) p.ends_at = now_ + milliseconds(RandomUpTo(300));
-      p.ready_at = TimePoint::max();
+    Process process{
+        action.token, action.generation, now_ + milliseconds(100 + UniformUpTo(500)), {}, false, false, 0};
+    if (action.generation != "g0" && faulty_hosts_.contains(host.name)) {
+      if (exits_at_once_) process.exits_at = now_ + milliseconds(UniformUpTo(300));
+      process.ready_at = TimePoint::max();
     }
-    host.processes[name] = p;
+    host.processes[name] = process;
   } else if (it != host.processes.end() && action.kind == Action::Kind::kStop) {
-    if (++it->second.stops > 1) Violation("stopped twice: " + host.name + '/' + name);
+    if (++it->second.planned_stops > 1) ReportViolation("stopped twice: " + host.name + '/' + name);
     it->second.draining = true;
-    if (!it->second.ignores_stop) it->second.ends_at = now_ + milliseconds(200 + RandomUpTo(600));
+    if (!it->second.ignores_stop) it->second.exits_at = now_ + milliseconds(200 + UniformUpTo(600));
   } else if (it != host.processes.end()) {
-    it->second.ends_at = now_;
+    it->second.exits_at = now_;
   }
   CrashPoint(true);
 }
@@ -104,7 +111,8 @@
   if (answer.verdict != Lessor::Verdict::kGranted) {
     ++history_.fenced;
   } else if (command) {
-    if (epoch < highest_accepted_epoch_) Violation("a holder's command was taken after a later holder's");
+    if (epoch < highest_accepted_epoch_)
+      ReportViolation("a holder's command was accepted after a later holder's");
     highest_accepted_epoch_ = std::max(highest_accepted_epoch_, epoch);
   }
   return answer;
--- a/tests/rollout/fleet_model_rules.cpp
+++ b/tests/rollout/fleet_model_rules.cpp
@@ -1,9 +1,10 @@
+// The rules that the simulated fleet checks.
 #include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
 const InstanceRecord& FleetModel::RecordOf(const InstanceName& name) const {
-  return std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& h) { return h.name == name.agent; })
+  return std::find_if(hosts_.begin(), hosts_.end(), [&](const Host& host) { return host.name == name.agent; })
       ->disk.records.at(name.instance);
 }
 
@@ -12,15 +13,15 @@
     const InstanceRecord& record = RecordOf(target.name);
     const std::string& wanted = end == ChangeEnd::kCompleted ? target.to : target.from;
     if (record.phase == Phase::kAccepted)
-      Violation(plan.id + " ended, and " + record.step.token() + " has not");
-    const bool had = accepted_steps_.contains({plan.id, target.name});
-    if (end == ChangeEnd::kCompleted && !had) Violation(plan.id + " completed without a step");
-    if (had && record.generation != wanted)
-      Violation(plan.id + " ended with " + record.generation + ", not " + wanted);
+      ReportViolation(plan.id + " ended, and " + record.step.token() + " has not");
+    const bool had_step = accepted_steps_.contains({plan.id, target.name});
+    if (end == ChangeEnd::kCompleted && !had_step) ReportViolation(plan.id + " completed without a step");
+    if (had_step && record.generation != wanted)
+      ReportViolation(plan.id + " ended with " + record.generation + ", not " + wanted);
   }
 }
 
-void FleetModel::CheckHalls() {
+void FleetModel::CheckUnavailableInstances() {
   std::set<std::string> halls;
   std::size_t down = 0;
   for (const Host& host : hosts_) {
@@ -37,11 +38,12 @@
       ++down;
     }
   }
-  if (halls.size() > 1) Violation("instances of both halls are down for a change: " + Describe());
-  if (down > PolicyOf(false).max_unavailable) Violation("more are down than max_unavailable: " + Describe());
+  if (halls.size() > 1) ReportViolation("instances of both halls are down for a change: " + Describe());
+  if (down > PolicyOf(false).max_unavailable)
+    ReportViolation("more are down than max_unavailable: " + Describe());
 }
 
-bool FleetModel::Settled() {
+bool FleetModel::IsSettled() {
   for (const Host& host : hosts_) {
     if (!host.up) return false;
     for (const auto& [name, record] : host.disk.records) {
@@ -50,8 +52,8 @@
       if (it == host.processes.end()) {
         if (!host.agent->ReportOf(name).held) return false;
       } else if (it->second.generation != record.generation) {
-        Violation(host.name + '/' + name + " runs " + it->second.generation + ", and " + record.generation +
-                  " is on record");
+        ReportViolation(host.name + '/' + name + " runs " + it->second.generation + ", and " +
+                        record.generation + " is on record");
       }
     }
   }
--- a/tests/rollout/fleet_model_tools.cpp
+++ b/tests/rollout/fleet_model_tools.cpp
@@ -1,20 +1,21 @@
+// The operators' tools.
 #include "rollout/fleet_model.h"
 
 namespace mothrack::rollout::testing {
 
-std::string FleetModel::NameOf(const Tool& tool) {
+std::string FleetModel::ClaimIdOf(const Tool& tool) {
   return tool.who + '.' + std::to_string(tool.incarnation) + '.' + std::to_string(tool.claims);
 }
 
 void FleetModel::AdvanceTool(Tool& tool) {
   if (!tool.up) {
-    if (now_ < tool.next) return;
+    if (now_ < tool.next_action_at) return;
     tool.up = true;
   }
-  if (!tool.claim && !tool.change && now_ >= tool.next) BeginChange(tool);
+  if (!tool.claim && !tool.change && now_ >= tool.next_action_at) BeginChange(tool);
   if (tool.claim) AdvanceClaim(tool);
   if (tool.change) AdvanceChange(tool);
-  if (std::exchange(tool_dies_, false)) KillTool(tool);
+  if (std::exchange(tool_crash_due_, false)) CrashTool(tool);
 }
 
 std::vector<Target> FleetModel::AllTargets() const {
@@ -27,7 +28,7 @@
 }
 
 void FleetModel::BeginChange(Tool& tool) {
-  if (faults_over_ && &tool != &tools_.front()) return;
+  if (faults_stopped_ && &tool != &tools_.front()) return;
   std::string open;
   for (const Host& host : hosts_) {
     if (!host.up || !host.agent->lease().open) continue;
@@ -35,17 +36,17 @@
     tool.plan = *host.agent->PlanOf(open);
   }
   if (script_ != nullptr &&
-      (open.empty() ? history_.changes > 0 || &tool != &tools_.front() : faults_over_)) {
-    const auto busy = [](const Tool& t) { return !t.up || t.claim || t.change; };
-    finished_ =
-        open.empty() && history_.changes > 0 && std::none_of(tools_.begin(), tools_.end(), busy) && Settled();
+      (open.empty() ? history_.changes > 0 || &tool != &tools_.front() : faults_stopped_)) {
+    const auto busy = [](const Tool& other) { return !other.up || other.claim || other.change; };
+    finished_ = open.empty() && history_.changes > 0 && std::none_of(tools_.begin(), tools_.end(), busy) &&
+                IsSettled();
     if (open.empty()) return;
   }
   bool resumes = false;
-  // Some begin another change regardless, and must be refused.
-  if (open.empty() || (!faults_over_ && history_.changes < 4 && Chance(0.2))) {
-    if (faults_over_ || history_.changes >= 4) {
-      if (faults_over_ && Settled()) finished_ = true;
+  // Some operators begin another change although one is open; their claim must be rejected.
+  if (open.empty() || (!faults_stopped_ && history_.changes < 4 && Chance(0.2))) {
+    if (faults_stopped_ || history_.changes >= 4) {
+      if (faults_stopped_ && IsSettled()) finished_ = true;
       return;
     }
     tool.plan = Plan{"c" + std::to_string(++history_.changes),
@@ -54,7 +55,7 @@
                      StepKind::kRestart,
                      AllTargets(),
                      PolicyOf(Chance(0.5))};
-    // A later change goes on from where the ones before it left the fleet, a generation further.
+    // Each change starts from the generations that the earlier ones left, and usually moves to a new one.
     for (Target& target : tool.plan.targets) {
       target.from = RecordOf(target.name).generation;
       target.to = Chance(0.2) ? target.from : "g" + std::to_string(history_.changes);
@@ -62,66 +63,68 @@
     tool.direction = Change::Direction::kForward;
   } else {
     resumes = true;
-    tool.direction = script_ != nullptr ? script_->then
-                     : faults_over_     ? Change::Direction::kUndo
+    tool.direction = script_ != nullptr ? script_->second_direction
+                     : faults_stopped_  ? Change::Direction::kUndo
                      : Chance(0.5)      ? Change::Direction::kUndo
                                         : Change::Direction::kForward;
   }
-  if (const auto fault = ValidatePlan(tool.plan)) return Violation(*fault);
+  if (const auto fault = ValidatePlan(tool.plan)) return ReportViolation(*fault);
   std::set<std::string> names;
   for (const Host& host : hosts_) names.insert(host.name);
   ++tool.claims;
-  tool.claim = std::make_unique<Claim>(NameOf(tool), names, names, resumes, milliseconds(1500), now_);
+  tool.claim = std::make_unique<Claim>(ClaimIdOf(tool), names, names, resumes, milliseconds(1500), now_);
 }
 
 void FleetModel::AdvanceClaim(Tool& tool) {
   std::vector<ClaimCommand> commands;
   tool.claim->Tick(now_, commands);
-  const Holder holder{tool.plan.id, tool.who, tool.plan.why, 0, NameOf(tool)};
-  for (const ClaimCommand& c : commands) {
-    switch (c.kind) {
+  const Holder holder{tool.plan.id, tool.who, tool.plan.why, 0, ClaimIdOf(tool)};
+  for (const ClaimCommand& command : commands) {
+    switch (command.kind) {
       case ClaimCommand::Kind::kReadEpoch:
         SendRequest(
-            tool, c.agent, [this](agent::Agent& agent) { return agent.ReadLease(now_); },
-            [&tool, name = c.agent](const agent::Agent::Answer& a) {
-              if (tool.claim) tool.claim->OnHighestEpoch(name, a.highest);
+            tool, command.agent, [this](agent::Agent& agent) { return agent.ReadLease(now_); },
+            [&tool, name = command.agent](const agent::Agent::Answer& answer) {
+              if (tool.claim) tool.claim->OnHighestEpoch(name, answer.highest);
             });
         break;
       case ClaimCommand::Kind::kAcquire:
       case ClaimCommand::Kind::kOpen:
         SendRequest(
-            tool, c.agent,
-            [this, c, holder, plan = tool.plan](agent::Agent& agent) {
-              return c.kind == ClaimCommand::Kind::kOpen ? agent.Open(c.epoch, holder, plan, now_, 0)
-                                                         : agent.Acquire(c.epoch, holder, now_, 0);
+            tool, command.agent,
+            [this, command, holder, plan = tool.plan](agent::Agent& agent) {
+              return command.kind == ClaimCommand::Kind::kOpen
+                         ? agent.Open(command.epoch, holder, plan, now_, 0)
+                         : agent.Acquire(command.epoch, holder, now_, 0);
             },
-            [&tool, c, holder](const agent::Agent::Answer& a) {
-              if (tool.claim && a.refused.empty())
-                tool.claim->OnLeaseAnswer(holder.claim_id, c.agent, c.epoch, a.verdict, a.holder, a.open);
+            [&tool, command, holder](const agent::Agent::Answer& answer) {
+              if (tool.claim && answer.refused.empty())
+                tool.claim->OnLeaseAnswer(holder.claim_id, command.agent, command.epoch, answer.verdict,
+                                          answer.holder, answer.open);
             });
         break;
       case ClaimCommand::Kind::kRelease:
-        Release(tool, c.agent, c.epoch, false);
+        Release(tool, command.agent, command.epoch, false);
         break;
     }
   }
   if (tool.claim->granted()) {
     tool.epoch = tool.claim->granted()->epoch;
-    tool.change = std::make_unique<Change>(tool.plan, tool.direction, tool.epoch, kLeaseTime,
+    tool.change = std::make_unique<Change>(tool.plan, tool.direction, tool.epoch, kLeaseDuration,
                                            tool.claim->granted()->since);
     tool.claim.reset();
   } else if (!tool.claim->rejection().empty()) {
     last_message_ = tool.claim->rejection();
-    ++history_.refused_claims;
+    ++history_.rejected_claims;
     tool.claim.reset();
-    tool.next = now_ + milliseconds(500 + RandomUpTo(4000));
+    tool.next_action_at = now_ + milliseconds(500 + UniformUpTo(4000));
   }
 }
 
 void FleetModel::Release(Tool& tool, const std::string& name, Epoch epoch, bool close) {
   SendRequest(
       tool, name,
-      [epoch, close, name = NameOf(tool)](agent::Agent& agent) {
+      [epoch, close, name = ClaimIdOf(tool)](agent::Agent& agent) {
         return agent.Release(epoch, name, close, 0);
       },
       [](const agent::Agent::Answer&) {});
@@ -129,35 +132,37 @@
 
 void FleetModel::AdvanceChange(Tool& tool) {
   std::vector<ChangeCommand> commands;
-  // At last, what can't be undone either (its former generation was bad, too) is left as it is.
-  if (faults_over_ ? tool.held_after_faults >= 3 : Chance(0.0008 * fault_rate_)) tool.change->Abort();
+  // Once faults have stopped, a change that was held repeatedly is aborted: its undo fails as well if the
+  // former generation is faulty too.
+  if (faults_stopped_ ? tool.held_after_faults >= 3 : Chance(0.0008 * fault_rate_)) tool.change->Abort();
   tool.change->Tick(now_, commands);
-  for (const ChangeCommand& c : commands) {
-    if (c.kind == ChangeCommand::Kind::kPrint) {
-      last_message_ = c.line;
+  for (const ChangeCommand& command : commands) {
+    if (command.kind == ChangeCommand::Kind::kPrint) {
+      last_message_ = command.line;
       continue;
     }
     SendRequest(
-        tool, c.name.agent,
-        [this, c, epoch = tool.epoch, name = NameOf(tool)](agent::Agent& agent) {
-          if (c.kind == ChangeCommand::Kind::kSendStep)
-            return CheckFencing(agent.AcceptStep(c.name.instance, c.step, epoch, name, now_, 0), epoch, true);
+        tool, command.name.agent,
+        [this, command, epoch = tool.epoch, name = ClaimIdOf(tool)](agent::Agent& agent) {
+          if (command.kind == ChangeCommand::Kind::kSendStep)
+            return CheckFencing(agent.AcceptStep(command.name.instance, command.step, epoch, name, now_, 0),
+                                epoch, true);
           agent::Agent::Answer answer = CheckFencing(agent.Renew(epoch, name, now_), epoch, false);
-          if (c.kind == ChangeCommand::Kind::kReport && answer.verdict == Lessor::Verdict::kGranted) {
-            answer.report = agent.ReportOf(c.name.instance);
+          if (command.kind == ChangeCommand::Kind::kReport && answer.verdict == Lessor::Verdict::kGranted) {
+            answer.report = agent.ReportOf(command.name.instance);
           }
           return answer;
         },
-        [this, &tool, c, sent_at = now_, epoch = tool.epoch](const agent::Agent::Answer& a) {
+        [this, &tool, command, sent_at = now_, epoch = tool.epoch](const agent::Agent::Answer& answer) {
           if (!tool.change || tool.epoch != epoch) return;
-          if (a.verdict != Lessor::Verdict::kGranted) {
-            return tool.change->OnFenced(c.name.agent, a.holder ? a.holder->who : "");
+          if (answer.verdict != Lessor::Verdict::kGranted) {
+            return tool.change->OnFenced(command.name.agent, answer.holder ? answer.holder->who : "");
           }
-          tool.change->OnLeaseRenewed(c.name.agent, sent_at);
-          if (a.report) tool.change->OnReport(c.name, c.number, *a.report, sent_at);
-          if (!a.refused.empty()) tool.change->OnStepRejected(c.name, a.refused);
+          tool.change->OnLeaseRenewed(command.name.agent, sent_at);
+          if (answer.report) tool.change->OnReport(command.name, command.number, *answer.report, sent_at);
+          if (!answer.refused.empty()) tool.change->OnStepRejected(command.name, answer.refused);
         },
-        c.kind == ChangeCommand::Kind::kSendStep ? 0.15 : 0.02);
+        command.kind == ChangeCommand::Kind::kSendStep ? 0.15 : 0.02);
   }
   if (tool.change->end()) OnChangeEnd(tool, *tool.change->end());
 }
@@ -166,13 +171,13 @@
   const bool closed = end != ChangeEnd::kHeld;
   for (const Host& host : hosts_) Release(tool, host.name, tool.epoch, closed);
   tool.change.reset();
-  tool.next = now_ + milliseconds(1000 + RandomUpTo(6000));
+  tool.next_action_at = now_ + milliseconds(1000 + UniformUpTo(6000));
   switch (end) {
     case ChangeEnd::kCompleted:
     case ChangeEnd::kRolledBack:
       ended_.insert(tool.plan.id);
       history_.end = end == ChangeEnd::kCompleted ? "completed" : "rolled back";
-      if (end == ChangeEnd::kRolledBack) ++history_.undone;
+      if (end == ChangeEnd::kRolledBack) ++history_.rolled_back;
       CheckEnd(tool.plan, end);
       break;
     case ChangeEnd::kAborted:
@@ -181,7 +186,7 @@
       break;
     case ChangeEnd::kHeld:
       history_.end = "held";
-      if (faults_over_) ++tool.held_after_faults;
+      if (faults_stopped_) ++tool.held_after_faults;
       break;
   }
 }
