--- a/src/change_freeze/agent_permits.cpp
+++ b/src/change_freeze/agent_permits.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// After this time, a lapsed confirmation no longer helps to explain why a change has stopped.
+// How long a lapsed confirmation is kept, so that Check() can still tell that a permit has lapsed.
 constexpr Duration kLapsedRetention{60'000};
 
 }  // namespace
@@ -42,31 +42,33 @@
     return CheckConfirmed(known->second.confirmation, kind, batch);
   if (!leaderless_reason_.empty()) return {Verdict::kLapsed, leaderless_reason_};
   if (known == confirmations_.end())
-    return {Verdict::kNoPermit, "the coordinator has not said that " + change + " may go on"};
-  return {Verdict::kLapsed,
-          "no word of the coordinator of term " + std::to_string(record_.term) + " for too long"};
+    return {Verdict::kNoPermit, "the coordinator has not confirmed a permit for " + change};
+  return {Verdict::kLapsed, "the permit has lapsed: no confirmation from the coordinator of term " +
+                                std::to_string(record_.term) + " for too long"};
 }
 
 AgentPermits::Decision AgentPermits::CheckConfirmed(const PermitConfirmation& confirmation, ChangeKind kind,
                                                     std::uint32_t batch) const {
   if (confirmation.state == PermitState::kBlocked) return {Verdict::kBlocked, confirmation.reason};
   if (confirmation.state == PermitState::kNone || confirmation.kind != kind) {
-    return {Verdict::kNoPermit, confirmation.reason.empty() ? "the coordinator has given no permit for this"
+    return {Verdict::kNoPermit, confirmation.reason.empty() ? "the coordinator has granted no permit for this"
                                                             : confirmation.reason};
   }
   if (batch <= confirmation.batch) return {Verdict::kAllowed, {}};
   if (confirmation.state == PermitState::kPaused) return {Verdict::kPaused, confirmation.reason};
-  return {Verdict::kNoPermit, "the permit goes to batch " + std::to_string(confirmation.batch)};
+  return {Verdict::kNoPermit, "the permit covers batches up to " + std::to_string(confirmation.batch)};
 }
 
 Status AgentPermits::BreakGlass(const BreakGlassRequest& request, TimePoint now) {
   if (!MayBreakGlass(request.role))
-    return {StatusCode::kNotAuthorized, "a viewer can't break the glass; ask an operator"};
+    return {StatusCode::kNotAuthorized, "a viewer may not use break-glass; ask an operator"};
   if (request.reason.empty() || request.operator_name.empty() || request.change.empty())
-    return {StatusCode::kInvalidRequest, "say who breaks the glass, for which change, and why"};
+    return {StatusCode::kInvalidRequest,
+            "break-glass needs the operator's name, the change and the reason; give all three"};
   if (record_.unreported.size() >= kMaxUnreportedBreakGlass) {
-    return {StatusCode::kLimitReached,
-            "the coordinator has not heard of the last " + std::to_string(kMaxUnreportedBreakGlass)};
+    return {StatusCode::kLimitReached, "the coordinator has not recorded the last " +
+                                           std::to_string(kMaxUnreportedBreakGlass) +
+                                           " break-glass overrides of this agent"};
   }
   record_.unreported.push_back({++record_.break_glass_count, agent_, request.change, request.operator_name,
                                 request.reason.substr(0, kMaxTextBytes)});
--- a/src/change_freeze/agent_permits.h
+++ b/src/change_freeze/agent_permits.h
@@ -6,7 +6,7 @@
 // kPermitValidity of its decision, even at an unreachable one: an agent counts from when it *sent its
 // request*, and the leader answers only while its lease holds.
 //
-// Without a leader nothing new begins, and running changes wait. An operator can override this with
+// Without a leader no change begins, and running changes wait. An operator can override this with
 // break-glass (break_glass.h).
 //
 // A value without clock, disk or socket; one thread at a time. For a call that changes record(): call it on a
@@ -28,7 +28,7 @@
 
 namespace mothrack::change_freeze {
 
-// What the agent stores on disk.
+// The part of an agent's permits that is stored on disk.
 struct PermitRecord {
   Term term = 0;                        // the highest known
   std::uint64_t break_glass_count = 0;  // number of all overrides at this agent so far
--- a/src/change_freeze/clock_tolerance.h
+++ b/src/change_freeze/clock_tolerance.h
@@ -19,7 +19,7 @@
 // The time for which the holder of a lease or permit may rely on it, by its own clock.
 constexpr Duration Shortened(Duration time) { return time * (100 - kMaxClockErrorPercent) / 100; }
 
-// The time for which everybody else must wait, by their own clocks, until the holder's time is over.
+// The time for which all others must wait, by their own clocks, until the holder's time has expired.
 constexpr Duration Lengthened(Duration time) { return time * (100 + kMaxClockErrorPercent) / 100; }
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -9,10 +9,10 @@
 
 Relation Compare(const NameSet& touched, const NameSet& scope) {
   if (touched.empty()) return Relation::kOverlapping;
-  const auto in =
+  const auto in_scope =
       std::count_if(touched.begin(), touched.end(), [&](const auto& name) { return scope.contains(name); });
-  if (in == 0) return Relation::kOutside;
-  return in == static_cast<std::ptrdiff_t>(touched.size()) ? Relation::kInside : Relation::kOverlapping;
+  if (in_scope == 0) return Relation::kOutside;
+  return in_scope == static_cast<std::ptrdiff_t>(touched.size()) ? Relation::kInside : Relation::kOverlapping;
 }
 
 bool KnownDisjoint(const NameSet& a, const NameSet& b) {
--- a/src/change_freeze/conflicts.h
+++ b/src/change_freeze/conflicts.h
@@ -41,7 +41,7 @@
 };
 inline constexpr const char* kRelations[] = {"inside", "overlapping", "outside", "fleet"};
 
-// The effect of an incident on a change, the stronger first.
+// The effect of an incident on a change, strongest first.
 enum class Effect : std::uint8_t {
   kBlocked,  // may not begin or take a further step
   kPaused,   // may not begin; a running one finishes its batch and waits
@@ -50,7 +50,7 @@
 };
 inline constexpr const char* kEffects[] = {"blocked", "paused", "allowed", "remedy"};
 
-// What an incident covers.
+// The part of the fleet that an incident covers.
 struct Scope {
   enum class Kind : std::uint8_t { kFleet, kSite, kZone, kInstances, kGeneration };
   Kind kind = Kind::kFleet;
@@ -58,7 +58,7 @@
   bool operator==(const Scope&) const = default;
 };
 
-// What a change touches. Each set is either complete or empty; empty means unknown.
+// The part of the fleet that a change touches. Each set is either complete or empty; empty means unknown.
 struct Footprint {
   std::set<std::string> sites{};
   std::set<std::string> zones{};
@@ -67,9 +67,9 @@
   bool operator==(const Footprint&) const = default;
 };
 
-// Where the footprint lies relative to the scope.
+// Returns the relation of the footprint to the scope.
 Relation RelationOf(const Footprint& footprint, const Scope& scope);
-// Looks up the table.
+// Looks up the effect in the table.
 Effect EffectOf(ChangeKind change, Relation relation, IncidentKind incident);
 
 // Whether two changes must not run at the same time. Two that touch instances must not, because only one can
--- a/src/change_freeze/freeze_state.cpp
+++ b/src/change_freeze/freeze_state.cpp
@@ -30,7 +30,7 @@
     Evaluation evaluation = EvaluateIncident(incident, kind, footprint, remedies);
     if (evaluation.effect < strongest.effect) strongest = std::move(evaluation);
   }
-  // Report a wrong remedy claim even if no incident stands against the change.
+  // Report a wrong remedy claim even if no incident blocks or pauses the change.
   for (const std::uint64_t id : remedies) {
     const Incident* incident = incidents.Find(id);
     if (strongest.effect != Effect::kAllowed || incident == nullptr) continue;
@@ -57,11 +57,11 @@
 // Checks the request against the change's own permit and those of others, in the order in which they were
 // granted.
 Status FreezeState::CheckAgainstPermits(const PermitRequest& request, TimePoint now) {
-  Status ending{StatusCode::kPermitEnding, "its former permit is still on its way; ask again"};
+  Status ending{StatusCode::kPermitEnding, "the change's previous permit may still be in use; ask again"};
   for (Permit& permit : permits_) {
     if (permit.change != request.change) {
       if (MutuallyExclusive(permit.kind, permit.footprint, request.kind, request.footprint))
-        return {StatusCode::kExcludedByPermit, permit.change + " has a permit; wait for its end"};
+        return {StatusCode::kExcludedByPermit, permit.change + " has a permit; wait until it ends"};
       continue;
     }
     if (permit.ended) return ending;
@@ -79,7 +79,9 @@
   Reevaluate(now);
   if (request.change.empty() || request.change.size() > kMaxTextBytes ||
       request.requester.size() > kMaxTextBytes || request.remedies.size() > kMaxIncidents) {
-    return {StatusCode::kInvalidRequest, "name the change and who wants it"};
+    return {StatusCode::kInvalidRequest, "name the change and its requester, in at most " +
+                                             std::to_string(kMaxTextBytes) + " bytes each, and at most " +
+                                             std::to_string(kMaxIncidents) + " incidents"};
   }
   const Evaluation evaluation = Evaluate(request.kind, request.footprint, request.remedies);
   if (Status status = CheckAgainstPermits(request, now); !status.ok()) return status;
@@ -92,7 +94,7 @@
     return {};
   }
   if (permits_.size() >= kMaxPermits)
-    return {StatusCode::kLimitReached, "there are too many permits; wait for an end"};
+    return {StatusCode::kLimitReached, "there are too many permits; wait until one ends"};
   Permit permit;
   permit.change = request.change;
   permit.kind = request.kind;
@@ -143,7 +145,7 @@
       Terminate(permit, PermitState::kNone, "nobody asked for it any more", now);
       continue;
     }
-    // An incident that the change fixed may be closed by now.
+    // An incident that the change was to fix may have been closed since.
     std::erase_if(permit.remedies, [&](std::uint64_t id) { return incidents.Find(id) == nullptr; });
     const Evaluation evaluation = Evaluate(permit.kind, permit.footprint, permit.remedies);
     permit.reason = evaluation.reason;
--- a/src/change_freeze/incidents.cpp
+++ b/src/change_freeze/incidents.cpp
@@ -160,18 +160,21 @@
 }
 
 const Incident* Incidents::Find(std::uint64_t id) const {
-  const auto found = std::find_if(all_.begin(), all_.end(), [&](const Incident& i) { return i.id == id; });
+  const auto found =
+      std::find_if(all_.begin(), all_.end(), [&](const Incident& incident) { return incident.id == id; });
   return found == all_.end() ? nullptr : &*found;
 }
 
 Incident* Incidents::FindMutable(std::uint64_t id) {
-  const auto found = std::find_if(all_.begin(), all_.end(), [&](const Incident& i) { return i.id == id; });
+  const auto found =
+      std::find_if(all_.begin(), all_.end(), [&](const Incident& incident) { return incident.id == id; });
   return found == all_.end() ? nullptr : &*found;
 }
 
 Incident* Incidents::FindByScope(IncidentKind kind, const Scope& scope) {
-  const auto found = std::find_if(all_.begin(), all_.end(),
-                                  [&](const Incident& i) { return i.kind == kind && i.scope == scope; });
+  const auto found = std::find_if(all_.begin(), all_.end(), [&](const Incident& incident) {
+    return incident.kind == kind && incident.scope == scope;
+  });
   return found == all_.end() ? nullptr : &*found;
 }
 
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -37,7 +37,7 @@
 // only one site.
 inline constexpr int kCrashLoopMinSites = 2;
 
-// What an observer measured. `kind` is never kOperator.
+// An observer's measurement. `kind` is never kOperator.
 struct Evidence {
   IncidentKind kind = IncidentKind::kRejections;
   Scope scope{};
@@ -47,7 +47,7 @@
   Duration sustained{0};  // how long it has been at or above that level
 };
 
-// What evidence means for an incident.
+// The significance of evidence for an incident.
 enum class EvidenceSeverity : std::uint8_t {
   kFiring,         // opens an incident
   kIndeterminate,  // opens none, but keeps one open
@@ -65,7 +65,7 @@
 };
 inline constexpr const char* kIncidentStates[] = {"open", "calming", "stale", "muted"};
 
-// What changes the state of an incident.
+// The events that change the state of an incident.
 enum class IncidentEvent : std::uint8_t {
   kEvidenceNotClear,
   kEvidenceClear,
@@ -100,7 +100,7 @@
   bool IsInForce() const { return state != IncidentState::kMuted; }
 };
 
-// Ids count from 1; 0 means none.
+// Result of opening an incident or reporting evidence. Ids count from 1; 0 means none.
 struct IncidentResult {
   std::uint64_t id = 0;
   Status status{};
--- a/src/change_freeze/permit.h
+++ b/src/change_freeze/permit.h
@@ -19,7 +19,8 @@
 inline constexpr Duration kPermitValidity{2000};
 // How often the host polls for a permit in use: three chances before it lapses.
 inline constexpr Duration kPermitPollInterval{500};
-// A permit that nobody polled for this long ends. The fleet's lease (rollout/lease.h) keeps its change open.
+// A permit that was not polled for this long ends. Its change stays open, by the rollout lease
+// (rollout/lease.h).
 inline constexpr Duration kPermitIdleTimeout{60'000};
 
 // The state of a permit.
--- a/src/change_freeze/permit_service.cpp
+++ b/src/change_freeze/permit_service.cpp
@@ -11,7 +11,7 @@
 // Voter::StartLeadership writes the value that the winner has read as the first version of its term.
 constexpr std::uint64_t kFirstVersion = 1;
 
-Status KeepAsItIs(FreezeState& /*state*/) { return {}; }
+Status EditNothing(FreezeState& /*state*/) { return {}; }
 
 }  // namespace
 
@@ -26,7 +26,7 @@
   if (!HoldsLease(now) || proposed_) return;
   FreezeState reevaluated = *state_;
   reevaluated.Reevaluate(now);
-  if (!reevaluated.EqualIgnoringTimes(*state_) || RenewalIsDue(now)) Change(now, KeepAsItIs, out);
+  if (!reevaluated.EqualIgnoringTimes(*state_) || RenewalIsDue(now)) Change(now, EditNothing, out);
 }
 
 void PermitService::OnWriteFailed(TimePoint now) {
@@ -66,7 +66,7 @@
   std::string unreachable;
   for (const std::string& name : voter_.UnreachableVoters(now))
     unreachable += (unreachable.empty() ? "" : ", ") + name;
-  return "nobody coordinates changes; not heard of: " +
+  return "there is no coordinator; unreachable voters: " +
          (unreachable.empty() ? "none, wait for the election" : unreachable);
 }
 
@@ -76,7 +76,9 @@
     return Receipt{0, 0, {code, std::move(message)}};
   };
   if (!HoldsLease(now)) return refused(StatusCode::kNotLeader, LeaderlessReason(now));
-  if (proposed_) return refused(StatusCode::kChangePending, "another decision is on its way; ask again");
+  if (proposed_)
+    return refused(StatusCode::kChangePending,
+                   "an earlier change of the state is not committed yet; ask again");
   FreezeState next = *state_;
   const Status status = edit(next);
   next.Reevaluate(now);
--- a/src/change_freeze/permit_service.h
+++ b/src/change_freeze/permit_service.h
@@ -32,11 +32,11 @@
 
   // Whether it may answer agents and change the state at `now`.
   bool HoldsLease(TimePoint now) const { return voter_.HoldsLease(now) && state_.has_value(); }
-  // Why it does not hold the lease, as a text for people: who leads, or which voters are missing. Empty if it
-  // does.
+  // Returns why it does not hold the lease, as human-readable text: who leads, or which voters are
+  // unreachable. Empty if it holds the lease.
   std::string LeaderlessReason(TimePoint now) const;
 
-  // The result of a change of the state. It names the version that must be committed for the change to take
+  // The result of Change(). It names the version that must be committed for the change to take
   // effect (IsCommitted()). After another leader has won, the outcome is unknown: ask again, since every
   // change here can be repeated.
   struct Receipt {
@@ -44,7 +44,7 @@
     std::uint64_t version = 0;  // 0: the request was not carried out, and `status` says why
     Status status{};
   };
-  // Changes the given state. Even if it returns an error it may have changed something (a permit that has to
+  // Edits the given state. Even if it returns an error it may have changed something (a permit that has to
   // end before the next one can start), and that is proposed too.
   using Edit = std::function<Status(FreezeState&)>;
   // Fails with kNotLeader, kChangePending or kStateTooLarge, or with the result of `edit`.
--- a/src/change_freeze/status.h
+++ b/src/change_freeze/status.h
@@ -14,7 +14,7 @@
   kOk,
   kInvalidRequest,  // a field is missing, too long or contradicts another one
   kNotAuthorized,   // the caller's role does not suffice
-  // This voter does not hold the lease; the text says whom to ask, or which voters are missing.
+  // This voter does not hold the lease; the text names the leader, or the unreachable voters.
   kNotLeader,
   kChangePending,      // an earlier change of the state is not committed yet; ask again
   kStateTooLarge,      // the encoded state would exceed kMaxValueBytes
--- a/src/change_freeze/voter.cpp
+++ b/src/change_freeze/voter.cpp
@@ -88,7 +88,7 @@
   next_action_ = std::max(now, promised_until_) + ElectionDelay();
 }
 
-// Nobody may win before the holder of the promised lease knows that it has ended.
+// Extends the promise that no other voter wins before the holder of the lease knows that it has ended.
 void Voter::PromiseLease(TimePoint now) {
   promised_until_ = std::max(promised_until_, now + Lengthened(settings_.lease));
   if (role_ == Role::kFollower) next_action_ = promised_until_ + ElectionDelay();
@@ -154,7 +154,8 @@
   OnReplicateResponse(response);
 }
 
-// Depends on the role: campaigns, gives up, sends heartbeats or asks again.
+// Performs the action that is due in the current role: starts a campaign, abandons it, sends heartbeats or
+// repeats the rejoin request.
 void Voter::OnActionDue(TimePoint now, std::vector<VoterMessage>& out) {
   switch (role_) {
     case Role::kRejoining:
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -49,7 +49,7 @@
 struct VoterSettings {
   std::string local_voter;
   std::set<std::string> voters;  // all voters, including this one; an odd number
-  // A silent leader can be replaced after this time plus the clock tolerance.
+  // A leader that sends nothing can be replaced after this time plus the clock tolerance.
   Duration lease{3000};
   Duration heartbeat_interval{500};  // six chances per lease
   Duration request_timeout{800};     // for a request to all voters: a round trip of 200 ms with one loss
@@ -142,8 +142,8 @@
   VoterRecord record_;
   // The members below belong to this process only and are not stored on disk.
   Role role_ = Role::kFollower;
-  TimePoint promised_until_;     // until then this voter lets nobody else win
-  TimePoint next_action_;        // by role: to campaign, to give up, to send heartbeats or to ask again
+  TimePoint promised_until_;     // until then this voter grants no vote to another
+  TimePoint next_action_;        // time of the next OnActionDue()
   std::uint64_t campaigns_ = 0;  // varies ElectionDelay
   Term highest_seen_term_ = 0;   // in responses; the next campaign uses a higher one
   std::string leader_;
@@ -157,7 +157,7 @@
   Incarnation wanted_incarnation_ = 0;  // while rejoining
   LeaderLease lease_;
   ReplicaTracker replicas_;
-  TimePoint establish_deadline_;  // when kEstablishing gives up
+  TimePoint establish_deadline_;  // when kEstablishing steps down
 };
 
 }  // namespace mothrack::change_freeze
--- a/src/change_freeze/voter_record.h
+++ b/src/change_freeze/voter_record.h
@@ -1,4 +1,5 @@
-// What a voter stores on disk, and how a starting voter finds out whether its file is the latest one.
+// The data that a voter stores on disk, and the check by which a starting voter finds out whether its file is
+// the latest one.
 //
 // Plain values; any thread. Source: docs/design/change_freeze.md, "What a voter promises".
 #pragma once
@@ -27,11 +28,11 @@
 struct ValueVersion {
   Term term = 0;
   std::uint64_t version = 0;  // in `term`, from 1; 0: nothing written
-  // NOLINTNEXTLINE(modernize-use-nullptr): false finding in the comparison that the compiler writes.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive in the compiler-generated comparison
   auto operator<=>(const ValueVersion&) const = default;
 };
 
-// What must be on disk before any message that results from it is sent.
+// The durable state of a voter. It must be on disk before any message that results from it is sent.
 struct VoterRecord {
   std::uint64_t serial = 0;  // number of writes of this record
   Incarnation incarnation = 0;
@@ -49,7 +50,7 @@
 struct RecordPosition {
   Incarnation incarnation = 0;
   std::uint64_t serial = 0;
-  // NOLINTNEXTLINE(modernize-use-nullptr): false finding in the comparison that the compiler writes.
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive in the compiler-generated comparison
   auto operator<=>(const RecordPosition&) const = default;
 };
 inline RecordPosition PositionOf(const VoterRecord& record) { return {record.incarnation, record.serial}; }
@@ -60,8 +61,8 @@
   kStale,  // an old copy, or missing: the voter must rejoin
 };
 
-// Judges what a voter finds at its start; std::nullopt stands for a missing file. `founding`: an operator
-// declared that the fleet is being founded, which happens once. Only then may both files be missing.
+// Assesses the files that a voter finds at its start; std::nullopt means a missing file. `founding`: an
+// operator declared that the fleet is being founded, which happens once. Only then may both files be missing.
 RecordCondition AssessRecord(const std::optional<VoterRecord>& record,
                              const std::optional<RecordPosition>& position, bool founding);
 
