--- a/tests/change_freeze/cluster_clients.cpp
+++ b/tests/change_freeze/cluster_clients.cpp
@@ -1,4 +1,4 @@
-// Operators who open and close incidents, tools that want permits, and the recovery at the end.
+// Operators who open and close incidents, tools that request permits, and the recovery at the end.
 #include <algorithm>
 
 #include "change_freeze/simulated_cluster.h"
@@ -6,8 +6,8 @@
 namespace mothrack::change_freeze::testing {
 
 Machine* SimulatedCluster::Leader() {
-  for (auto& m : machines_) {
-    if (now_ >= m->paused_until && HoldsLease(*m)) return m.get();
+  for (auto& machine : machines_) {
+    if (now_ >= machine->paused_until && HoldsLease(*machine)) return machine.get();
   }
   return nullptr;
 }
@@ -18,7 +18,7 @@
   for (Freeze& freeze : freezes_) PollFreeze(freeze);
   if (leader != nullptr && !freezes_.empty() && Chance(0.01)) {
     Freeze& freeze = freezes_[static_cast<std::size_t>(UniformUpTo(static_cast<int>(freezes_.size()) - 1))];
-    if (freeze.acked_at >= 0) Close(*leader, freeze);
+    if (freeze.committed_at >= 0) Close(*leader, freeze);
   }
   if (leader != nullptr && Chance(0.02)) {
     Evidence evidence;
@@ -30,11 +30,12 @@
     Decide(*leader,
            [&](PermitService& service, auto& out) { service.OnEvidence(evidence, Clock(*leader), out); });
   }
-  Machine& m = *machines_[static_cast<std::size_t>(UniformUpTo(static_cast<int>(machines_.size()) - 1))];
-  if (m.up && now_ >= m.paused_until && Chance(0.001)) {
-    AgentPermits updated = *m.agent_permits;
-    if (updated.BreakGlass({"c9", "ann", OperatorRole::kOperator, "a test"}, Clock(m)).ok() &&
-        SavePermits(m, updated))
+  Machine& machine =
+      *machines_[static_cast<std::size_t>(UniformUpTo(static_cast<int>(machines_.size()) - 1))];
+  if (machine.up && now_ >= machine.paused_until && Chance(0.001)) {
+    AgentPermits updated = *machine.agent_permits;
+    if (updated.BreakGlass({"c9", "ann", OperatorRole::kOperator, "a test"}, Clock(machine)).ok() &&
+        SavePermits(machine, updated))
       ++history_.break_glass;
   }
 }
@@ -42,7 +43,7 @@
 void SimulatedCluster::Open(Machine& leader) {
   Freeze freeze;
   if (Chance(0.7)) freeze.scope = {Scope::Kind::kSite, {Chance(0.5) ? "bole" : "kality"}};
-  freeze.at = &leader;
+  freeze.sent_to = &leader;
   freeze.process = leader.process;
   Decide(leader, [&](PermitService& service, auto& out) {
     freeze.receipt = service.Change(
@@ -59,15 +60,17 @@
 }
 
 void SimulatedCluster::PollFreeze(Freeze& freeze) {
-  Machine& m = *freeze.at;
-  if (freeze.acked_at >= 0 || !m.up || m.process != freeze.process || now_ < m.paused_until) return;
-  if (!m.service->IsCommitted(freeze.receipt)) return;
+  Machine& machine = *freeze.sent_to;
+  if (freeze.committed_at >= 0 || !machine.up || machine.process != freeze.process ||
+      now_ < machine.paused_until)
+    return;
+  if (!machine.service->IsCommitted(freeze.receipt)) return;
   ++history_.freezes;
-  freeze.acked_at = now_;
-  for (const Permit& permit : m.service->state()->permits()) {
-    freeze.limit[{permit.change, permit.kind}] = permit.batch;
-    if (permit.state == PermitState::kPaused) ++history_.paused;
-    if (permit.state == PermitState::kBlocked) ++history_.blocked;
+  freeze.committed_at = now_;
+  for (const Permit& permit : machine.service->state()->permits()) {
+    freeze.last_batches[{permit.change, permit.kind}] = permit.batch;
+    if (permit.state == PermitState::kPaused) ++history_.permits_paused;
+    if (permit.state == PermitState::kBlocked) ++history_.permits_blocked;
   }
 }
 
@@ -84,16 +87,17 @@
   Machine* leader = Leader();
   for (Change& change : changes_) {
     if (leader == nullptr || change.done || !Chance(0.05)) continue;
-    if (change.at != nullptr && change.at->up && change.at->process == change.process &&
-        change.at->service->IsCommitted(change.receipt)) {
-      change.at = nullptr;
+    if (change.sent_to != nullptr && change.sent_to->up && change.sent_to->process == change.process &&
+        change.sent_to->service->IsCommitted(change.receipt)) {
+      change.sent_to = nullptr;
       ++change.batch;
     }
     if (Chance(0.02)) {
       Decide(*leader, [&](PermitService& service, auto& out) {
         service.Change(
             Clock(*leader),
-            [&](FreezeState& l) { return l.EndPermit(change.name, Clock(*leader)), Status(); }, out);
+            [&](FreezeState& edited) { return edited.EndPermit(change.name, Clock(*leader)), Status(); },
+            out);
       });
       continue;
     }
@@ -107,7 +111,7 @@
 }
 
 void SimulatedCluster::RequestPermit(Machine& leader, Change& change) {
-  change.at = &leader;
+  change.sent_to = &leader;
   change.process = leader.process;
   Decide(leader, [&](PermitService& service, auto& out) {
     change.receipt = service.Change(
@@ -125,7 +129,7 @@
 void SimulatedCluster::CheckRecovery() {
   Machine* leader = Leader();
   if (leader == nullptr) {
-    last_reason_ = "nobody leads";
+    last_reason_ = "there is no leader";
     return;
   }
   switch (stage_) {
@@ -143,9 +147,9 @@
   const FreezeState& state = *leader.service->state();
   for (Freeze& freeze : freezes_) freeze.closing = true;
   for (Change& change : changes_) change.done = true;
-  // What was on its way may still come in.
-  if (!state.incidents.all().empty() || !state.permits().empty()) since_ = now_;
-  if (now_ > since_ + 1500) {
+  // Requests in flight may still take effect.
+  if (!state.incidents.all().empty() || !state.permits().empty()) stage_since_ = now_;
+  if (now_ > stage_since_ + 1500) {
     stage_ = RecoveryStage::kPermitting;
     Change& last = changes_.back();
     last = {};
@@ -162,23 +166,23 @@
     return Status();
   };
   Decide(leader, [&](PermitService& service, auto& out) { service.Change(Clock(leader), end_all, out); });
-  last_reason_ = "what is left does not go";
+  last_reason_ = "earlier incidents or permits remain";
 }
 
 void SimulatedCluster::AwaitPermit(Machine& leader) {
   const FreezeState& state = *leader.service->state();
   const auto& permits = state.permits();
   if (!state.incidents.all().empty() || (!permits.empty() && permits.front().change != "last")) {
-    stage_ = RecoveryStage::kDraining;  // of before the faults stopped, read by a new leader
-    since_ = now_;
+    stage_ = RecoveryStage::kDraining;  // a new leader has read earlier incidents or permits
+    stage_since_ = now_;
     return;
   }
   RequestPermit(leader, changes_.back());
-  const bool all = std::all_of(machines_.begin(), machines_.end(), [&](const auto& m) {
-    return m->up &&
-           m->agent_permits->Check("last", ChangeKind::kRestart, 0, Clock(*m)).verdict ==
+  const bool all = std::all_of(machines_.begin(), machines_.end(), [&](const auto& machine) {
+    return machine->up &&
+           machine->agent_permits->Check("last", ChangeKind::kRestart, 0, Clock(*machine)).verdict ==
                AgentPermits::Verdict::kAllowed &&
-           m->permit_record.unreported.empty() && m->role != Voter::Role::kRejoining;
+           machine->permit_record.unreported.empty() && machine->role != Voter::Role::kRejoining;
   });
   if (all) stage_ = RecoveryStage::kFreezing;
 }
@@ -186,14 +190,14 @@
 void SimulatedCluster::AwaitFreeze(Machine& leader) {
   if (stage_ == RecoveryStage::kFreezing) {
     Open(leader);
-    since_ = now_;
+    stage_since_ = now_;
   }
   if (freezes_.empty()) return;
   Freeze& freeze = freezes_.back();
   PollFreeze(freeze);
-  const bool lost = freeze.closing || (freeze.acked_at < 0 && now_ > since_ + 2000);
+  const bool lost = freeze.closing || (freeze.committed_at < 0 && now_ > stage_since_ + 2000);
   stage_ = lost ? RecoveryStage::kFreezing : RecoveryStage::kConfirming;
-  finished_ = freeze.acked_at >= 0 && !freeze.closing && now_ > freeze.acked_at + kPermitBound + 200;
+  finished_ = freeze.committed_at >= 0 && !freeze.closing && now_ > freeze.committed_at + kPermitBound + 200;
 }
 
 }  // namespace mothrack::change_freeze::testing
--- a/tests/change_freeze/conflicts_test.cpp
+++ b/tests/change_freeze/conflicts_test.cpp
@@ -1,4 +1,4 @@
-// What may go on while something is wrong: the page's table row by row.
+// The effects of incidents on changes: the table "What conflicts" of docs/design/change_freeze.md row by row.
 #include "change_freeze/conflicts.h"
 
 #include <gtest/gtest.h>
@@ -11,14 +11,14 @@
 TEST(FreezeTables, WhatConflicts) {
   ConformanceTable table("What conflicts", {"change", "where"});
   for (int change = 0; change < 8; ++change) {
-    for (int where = 0; where < 4; ++where) {
-      Row row{{"change", kChangeKinds[change]}, {"where", kRelations[where]}};
+    for (int relation = 0; relation < 4; ++relation) {
+      Row row{{"change", kChangeKinds[change]}, {"where", kRelations[relation]}};
       for (int incident = 0; incident < 4; ++incident) {
-        row[kIncidentKinds[incident]] =
-            kEffects[static_cast<int>(EffectOf(static_cast<ChangeKind>(change), static_cast<Relation>(where),
-                                               static_cast<IncidentKind>(incident)))];
+        row[kIncidentKinds[incident]] = kEffects[static_cast<int>(
+            EffectOf(static_cast<ChangeKind>(change), static_cast<Relation>(relation),
+                     static_cast<IncidentKind>(incident)))];
       }
-      table.Play(row);
+      table.Check(row);
     }
   }
 }
--- a/tests/change_freeze/conformance_table.h
+++ b/tests/change_freeze/conformance_table.h
@@ -1,5 +1,5 @@
-// The tables of docs/design/change_freeze.md against the code: every row is played, and everything that can
-// be played has its row.
+// Compares a table of docs/design/change_freeze.md with the code: every row must be checked, and every
+// checked case must have a row.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -19,27 +19,28 @@
 
 inline TimePoint At(int ms) { return TimePoint(Duration(ms)); }
 
-// `keys`: the columns that name a row. A row that was not played fails the test as this ends.
+// `keys`: the columns that identify a row. The destructor fails the test for each row that was not checked.
 class ConformanceTable {
  public:
   ConformanceTable(const std::string& heading, std::vector<std::string> keys) : keys_(std::move(keys)) {
     for (const Row& row : TableOf(MOTHRACK_FREEZE_PAGE, heading)) {
-      EXPECT_TRUE(rows_.emplace(KeyOf(row), row).second) << "twice: " << KeyOf(row);
+      EXPECT_TRUE(rows_.emplace(KeyOf(row), row).second) << "duplicate row: " << KeyOf(row);
     }
   }
   ~ConformanceTable() {
-    for (const auto& [key, row] : rows_) ADD_FAILURE() << "the code knows no such row: " << key;
+    for (const auto& [key, row] : rows_) ADD_FAILURE() << "the test has no case for the row " << key;
   }
-  void Play(const Row& played) {
-    const auto row = rows_.find(KeyOf(played));
+  // Compares the row that the code produces with the table's row of the same key.
+  void Check(const Row& actual) {
+    const auto row = rows_.find(KeyOf(actual));
     if (row == rows_.end()) {
       std::string cells;
-      for (const auto& [column, cell] : played) cells += column + "=" + cell + "; ";
+      for (const auto& [column, cell] : actual) cells += column + "=" + cell + "; ";
       ADD_FAILURE() << "the page has no row for " << cells;
       return;
     }
     for (const auto& [column, cell] : row->second)
-      EXPECT_EQ(cell, played.at(column)) << KeyOf(played) << ": " << column;
+      EXPECT_EQ(cell, actual.at(column)) << KeyOf(actual) << ": " << column;
     rows_.erase(row);
   }
 
--- a/tests/change_freeze/freeze_histories_test.cpp
+++ b/tests/change_freeze/freeze_histories_test.cpp
@@ -1,5 +1,5 @@
-// All parts together: in histories with faults drawn from a seed, at every crash point, and with faults
-// injected into the model that the rules must find.
+// All parts of the change freeze together: in histories with faults drawn from a seed, with a crash at every
+// crash point, and with injected faults that the rules must detect.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -15,13 +15,13 @@
 namespace mothrack::change_freeze {
 namespace {
 
-std::uint64_t FromEnv(const char* name, std::uint64_t otherwise) {
-  const char* set = std::getenv(name);
-  return set == nullptr ? otherwise : std::strtoull(set, nullptr, 10);
+std::uint64_t EnvironmentNumber(const char* name, std::uint64_t fallback) {
+  const char* text = std::getenv(name);
+  return text == nullptr ? fallback : std::strtoull(text, nullptr, 10);
 }
 
-// Under the sanitizers fewer, to stay within a minute beside the other tests; HISTORIES=1000 and
-// CRASH_STRIDE=1 there play them all.
+// The sanitizer build runs fewer histories, to stay within a minute next to the other tests. HISTORIES=1000
+// and CRASH_STRIDE=1 run all of them there.
 #ifdef __SANITIZE_ADDRESS__
 constexpr std::uint64_t kDefaultHistories = 100;
 constexpr std::uint64_t kCrashStride = 10;
@@ -32,43 +32,45 @@
 constexpr std::uint64_t kPairStride = 17;
 #endif
 
-// HISTORIES sets how many, HISTORIES_FROM the first seed (1). Even seeds have five voters, odd ones three.
+// The environment variable HISTORIES sets the number of histories, and HISTORIES_FROM the first seed (default
+// 1). Even seeds have five voters, odd ones three.
 TEST(FreezeHistories, KeepTheRules) {
-  const std::uint64_t count = FromEnv("HISTORIES", kDefaultHistories);
-  const std::uint64_t begin = FromEnv("HISTORIES_FROM", 1);
+  const std::uint64_t count = EnvironmentNumber("HISTORIES", kDefaultHistories);
+  const std::uint64_t begin = EnvironmentNumber("HISTORIES_FROM", 1);
   testing::History sums;
-  using Sum = int testing::History::*;
-  const std::vector<std::pair<const char*, Sum>> all = {
+  using Counter = int testing::History::*;
+  const std::vector<std::pair<const char*, Counter>> counters = {
       {"elections", &testing::History::elections},
-      {"deaths", &testing::History::crashes},
+      {"crashes", &testing::History::crashes},
       {"torn writes", &testing::History::torn_writes},
       {"saves failed", &testing::History::saves_failed},
-      {"old copies", &testing::History::stale_files},
-      {"joined anew", &testing::History::rejoins},
-      {"stops", &testing::History::pauses},
-      {"coordinators stopped", &testing::History::leaders_paused},
+      {"stale files", &testing::History::stale_files},
+      {"rejoins", &testing::History::rejoins},
+      {"pauses", &testing::History::pauses},
+      {"leaders paused", &testing::History::leaders_paused},
       {"freezes", &testing::History::freezes},
-      {"permits paused", &testing::History::paused},
-      {"blocked", &testing::History::blocked},
-      {"late words", &testing::History::late_confirmations},
-      {"broken glass", &testing::History::break_glass}};
+      {"permits paused", &testing::History::permits_paused},
+      {"permits blocked", &testing::History::permits_blocked},
+      {"late confirmations", &testing::History::late_confirmations},
+      {"break-glass overrides", &testing::History::break_glass}};
   for (std::uint64_t seed = begin; seed < begin + count; ++seed) {
     const testing::History history = testing::RunHistory(seed, seed % 2 == 0 ? 5 : 3);
     ASSERT_EQ(history.violation, "") << "seed " << seed;
-    for (const auto& [name, sum] : all) sums.*sum += history.*sum;
+    for (const auto& [name, counter] : counters) sums.*counter += history.*counter;
   }
-  for (const auto& [name, sum] : all) {
-    std::cout << name << ' ' << sums.*sum << ", ";
-    EXPECT_GT(sums.*sum, 0) << name;
+  for (const auto& [name, counter] : counters) {
+    std::cout << name << ' ' << sums.*counter << ", ";
+    EXPECT_GT(sums.*counter, 0) << name;
   }
   std::cout << count << " histories" << std::endl;
 }
 
-// Every place of a run without other faults where a machine may crash: before a write, in the middle of it,
-// between it and the write of its position, before its messages leave; and around each write of an agent's.
-// It comes back as it was, or with the copy of two writes before.
-TEST(FreezeCrashPoints, NoneBreaksARule) {
-  const int stride = static_cast<int>(std::max<std::uint64_t>(1, FromEnv("CRASH_STRIDE", kCrashStride)));
+// Crashes a machine at every crash point of a run without other faults: before a write, in the middle of it,
+// between it and the write of its position, before its messages are sent, and before and after each write of
+// an agent's permits. The machine restarts with its latest file, or with the copy from two writes before.
+TEST(FreezeCrashPoints, SingleCrashBreaksNoRule) {
+  const int stride =
+      static_cast<int>(std::max<std::uint64_t>(1, EnvironmentNumber("CRASH_STRIDE", kCrashStride)));
   for (const int voters : {3, 5}) {
     const int crash_points = testing::RunHistory(7, voters, testing::Script{}).crash_points;
     ASSERT_GE(crash_points, 100);
@@ -76,16 +78,18 @@
       for (int point = 0; point < crash_points; point += stride) {
         const testing::History history = testing::RunHistory(7, voters, {point, -1, stale_file});
         ASSERT_EQ(history.violation, "")
-            << voters << " voters, point " << point << (stale_file ? ", old copy" : "");
+            << voters << " voters, point " << point << (stale_file ? ", stale file" : "");
         ASSERT_EQ(history.crashes, 1);
       }
     }
   }
 }
 
-// Two crashes: every seventeenth pair, under the sanitizers every 170th; CRASH_PAIRS=1 plays them all.
-TEST(FreezeCrashPoints, NeitherDoPairs) {
-  const int stride = static_cast<int>(std::max<std::uint64_t>(1, FromEnv("CRASH_PAIRS", kPairStride)));
+// Crashes at two points per run. By default every seventeenth pair runs, in the sanitizer build every 170th;
+// CRASH_PAIRS=1 runs all pairs.
+TEST(FreezeCrashPoints, TwoCrashesBreakNoRule) {
+  const int stride =
+      static_cast<int>(std::max<std::uint64_t>(1, EnvironmentNumber("CRASH_PAIRS", kPairStride)));
   const int crash_points = std::min(160, testing::RunHistory(7, 3, testing::Script{}).crash_points);
   int pair = 0;
   for (int first = 0; first < crash_points; ++first) {
@@ -97,10 +101,10 @@
   }
 }
 
-// A test a fault, so that they run side by side.
+// One test per fault, so that they can run in parallel.
 class FreezeInjectedFault : public ::testing::TestWithParam<int> {};
 
-TEST_P(FreezeInjectedFault, IsFoundByTheHistories) {
+TEST_P(FreezeInjectedFault, IsDetectedByTheRules) {
   std::string found;
   std::uint64_t seed = 0;
   while (found.empty() && seed < 2000)
--- a/tests/change_freeze/freeze_state_test.cpp
+++ b/tests/change_freeze/freeze_state_test.cpp
@@ -1,4 +1,4 @@
-// The replicated state: permits under incidents, remedies, when an end counts, and its bytes.
+// The replicated state: permits during incidents, remedies, the end of a permit, and the encoding.
 #include "change_freeze/freeze_state.h"
 
 #include <gtest/gtest.h>
@@ -17,10 +17,10 @@
   return {"c1", kind, {{site}, {}, {}, {}}, "bob", std::move(remedies), batch};
 }
 
-TEST(FreezeLedger, AFreezeInTheMiddleEndsAtTheBatchAndCanBeUndoneOrResumed) {
+TEST(FreezeStateRules, FreezeStopsAChangeAfterItsBatchAndAllowsUndoOrResume) {
   FreezeState state;
-  Footprint both{{"bole", "kality"}, {}, {}, {}};
-  const PermitRequest forward{"c1", ChangeKind::kNewGeneration, both, "bob", {}, 3};
+  Footprint both_sites{{"bole", "kality"}, {}, {}, {}};
+  const PermitRequest forward{"c1", ChangeKind::kNewGeneration, both_sites, "bob", {}, 3};
   ASSERT_TRUE(state.RequestPermit(forward, At(0)).ok());
   const auto id =
       state.incidents.Open({Scope::Kind::kSite, {"bole"}}, "a fire", "ann", Duration(60'000), At(100)).id;
@@ -31,9 +31,9 @@
   next.batch = 4;
   EXPECT_NE(state.RequestPermit(next, At(200)).message.find("a fire"), std::string::npos);
   FreezeState undone = state;
-  PermitRequest undo{"c1", ChangeKind::kUndo, both, "bob", {id}, 0};
+  PermitRequest undo{"c1", ChangeKind::kUndo, both_sites, "bob", {id}, 0};
   EXPECT_EQ(undone.RequestPermit(undo, At(300)).code, StatusCode::kPermitEnding)
-      << "the forward permit is still on its way";
+      << "agents may still use the forward permit";
   EXPECT_EQ(undone.RequestPermit(undo, At(2499)).code, StatusCode::kPermitEnding);
   EXPECT_TRUE(undone.RequestPermit(undo, At(2500)).ok());
   state.incidents.Close(id, At(400));
@@ -41,32 +41,31 @@
   EXPECT_EQ(state.ConfirmPermit("c1", At(500)).batch, 4u);
 }
 
-TEST(FreezeLedger, RemediesNameTheirIncidentAndAreChecked) {
+TEST(FreezeStateRules, RemediesNameTheirIncidentAndAreChecked) {
   FreezeState state;
   const auto bole =
       state.incidents.Open({Scope::Kind::kSite, {"bole"}}, "a fire", "ann", Duration(60'000), At(0)).id;
-  const auto judge = [&](ChangeKind kind, const std::string& site, std::set<std::uint64_t> remedies) {
+  const auto effect_of = [&](ChangeKind kind, const std::string& site, std::set<std::uint64_t> remedies) {
     return state.Evaluate(kind, {{site}, {}, {}, {}}, remedies).effect;
   };
-  EXPECT_EQ(judge(ChangeKind::kRestart, "bole", {}), Effect::kPaused);
-  EXPECT_EQ(judge(ChangeKind::kRestart, "bole", {bole}), Effect::kAllowed);
-  EXPECT_EQ(judge(ChangeKind::kUndo, "bole", {bole}), Effect::kAllowed);
-  EXPECT_EQ(judge(ChangeKind::kNewGeneration, "bole", {bole}), Effect::kBlocked);
-  EXPECT_EQ(judge(ChangeKind::kNewGeneration, "kality", {}), Effect::kAllowed);
-  EXPECT_EQ(judge(ChangeKind::kNewGeneration, "kality", {bole}), Effect::kBlocked)
-      << "no remedy, and says it is one";
-  // Another incident, whose scope crosses the first one's: both have their say.
+  EXPECT_EQ(effect_of(ChangeKind::kRestart, "bole", {}), Effect::kPaused);
+  EXPECT_EQ(effect_of(ChangeKind::kRestart, "bole", {bole}), Effect::kAllowed);
+  EXPECT_EQ(effect_of(ChangeKind::kUndo, "bole", {bole}), Effect::kAllowed);
+  EXPECT_EQ(effect_of(ChangeKind::kNewGeneration, "bole", {bole}), Effect::kBlocked);
+  EXPECT_EQ(effect_of(ChangeKind::kNewGeneration, "kality", {}), Effect::kAllowed);
+  EXPECT_EQ(effect_of(ChangeKind::kNewGeneration, "kality", {bole}), Effect::kBlocked)
+      << "a wrong remedy claim";
+  // Another incident, whose scope overlaps with the first one's. Both apply.
   const auto g2 =
       state.incidents.Open({Scope::Kind::kGeneration, {"g2"}}, "it loops", "ann", Duration(60'000), At(0)).id;
-  EXPECT_EQ(judge(ChangeKind::kRestart, "bole", {bole}), Effect::kPaused)
-      << "of which generation, nobody knows";
+  EXPECT_EQ(effect_of(ChangeKind::kRestart, "bole", {bole}), Effect::kPaused) << "the generation is unknown";
   EXPECT_EQ(state.Evaluate(ChangeKind::kRestart, {{"bole"}, {}, {"g2"}, {}}, {bole, g2}).effect,
             Effect::kAllowed);
   EXPECT_EQ(state.Evaluate(ChangeKind::kRestart, {{"bole"}, {}, {"g1"}, {}}, {bole}).effect,
             Effect::kAllowed);
 }
 
-TEST(FreezeLedger, WhatEndedCountsFromWhenThatWasCommitted) {
+TEST(FreezeStateRules, EndOfAPermitCountsFromItsCommit) {
   FreezeState before;
   ASSERT_TRUE(before.RequestPermit(RequestOf(ChangeKind::kRestart, "bole"), At(0)).ok());
   FreezeState next = before;
@@ -78,7 +77,7 @@
   EXPECT_TRUE(next.permits().empty());
 }
 
-TEST(FreezeLedger, BytesCutAnywhereAreNoLedger) {
+TEST(FreezeStateRules, TruncatedBytesAreNotDecoded) {
   FreezeState state;
   state.incidents.Open({}, "a fire", "ann", Duration(60'000), At(0));
   state.RequestPermit({"c2", ChangeKind::kUndo, {{"bole"}, {"z1"}, {"g1"}, {"a/i"}}, "bob", {1}, 4}, At(0));
--- a/tests/change_freeze/simulated_cluster.cpp
+++ b/tests/change_freeze/simulated_cluster.cpp
@@ -12,15 +12,15 @@
   constexpr double kFaultRates[] = {0.3, 1, 2, 4};
   fault_rate_ = script_ != nullptr ? 0 : kFaultRates[UniformUpTo(3)];
   for (const std::string& name : names_) {
-    auto& m = *machines_.emplace_back(std::make_unique<Machine>());
-    m.name = name;
-    m.site = machines_.size() % 2 == 1 ? "bole" : "kality";
-    m.rate = Chance(0.3) ? 1.05 : Chance(0.3) ? 0.92 : 0.99 + 0.02 * UniformUpTo(100) / 100;
-    if (injected_fault_ == InjectedFault::kFastClocks) m.rate = machines_.size() % 2 == 1 ? 2 : 1;
-    m.file.emplace();
-    m.position.emplace();
+    auto& machine = *machines_.emplace_back(std::make_unique<Machine>());
+    machine.name = name;
+    machine.site = machines_.size() % 2 == 1 ? "bole" : "kality";
+    machine.rate = Chance(0.3) ? 1.05 : Chance(0.3) ? 0.92 : 0.99 + 0.02 * UniformUpTo(100) / 100;
+    if (injected_fault_ == InjectedFault::kFastClocks) machine.rate = machines_.size() % 2 == 1 ? 2 : 1;
+    machine.file.emplace();
+    machine.position.emplace();
   }
-  for (auto& m : machines_) Start(*m);
+  for (auto& machine : machines_) Start(*machine);
   for (int i = 0; i < 4; ++i) {
     Change change;
     change.name = "c" + std::to_string(i);
@@ -32,54 +32,56 @@
 }
 
 History SimulatedCluster::Run() {
-  while (history_.violation.empty() && now_ < kRecovery && !finished_) {
+  while (history_.violation.empty() && now_ < kRecoveryDeadline && !finished_) {
     now_ += 20 + UniformUpTo(50);
     if (now_ >= (script_ != nullptr ? kScriptedPeriod : kFaultPeriod) && !faults_stopped_) StopFaults();
     if (!faults_stopped_ && script_ == nullptr) InjectFaults();
     Deliver();
-    for (auto& m : machines_) RunMachine(*m);
+    for (auto& machine : machines_) RunMachine(*machine);
     if (!faults_stopped_) {
       RunOperators();
       RunTools();
     }
     if (faults_stopped_) CheckRecovery();
-    Check();
+    CheckRules();
   }
   if (history_.violation.empty() && !finished_)
-    ReportViolation("no end, stage " + std::to_string(static_cast<int>(stage_)) + ": " + last_reason_ +
-                    DescribeMachines());
+    ReportViolation("not finished in time, stage " + std::to_string(static_cast<int>(stage_)) + ": " +
+                    last_reason_ + DescribeMachines());
   return history_;
 }
 
 bool SimulatedCluster::Save(const VoterRecord& record) {
-  Machine& m = *saving_;
+  Machine& machine = *saving_;
   CrashPoint();
-  if (m.disk_full) {
+  if (machine.disk_full) {
     ++history_.saves_failed;
-    if (Chance(0.3)) m.file = record;  // the record is there, and its position is not
+    if (Chance(0.3)) machine.file = record;  // the record was written, but not its position
     return false;
   }
-  if (OthersCurrent(m) && CrashesHere()) {
+  if (OthersCurrent(machine) && CrashesHere()) {
     ++history_.torn_writes;
-    m.file.reset();
+    machine.file.reset();
     throw Crashed();
   }
-  if (m.file) m.writes_of_file.push_back(*m.file);
-  m.file = record;
+  if (machine.file) machine.writes_of_file.push_back(*machine.file);
+  machine.file = record;
   CrashPoint();
-  m.position = PositionOf(record);
+  machine.position = PositionOf(record);
   CrashPoint();
   return true;
 }
 
-int SimulatedCluster::UniformUpTo(int most) {
-  return static_cast<int>(random_() % static_cast<unsigned>(most + 1));
+int SimulatedCluster::UniformUpTo(int maximum) {
+  return static_cast<int>(random_() % static_cast<unsigned>(maximum + 1));
 }
 
-bool SimulatedCluster::Chance(double p) { return static_cast<double>(random_() >> 11) * 0x1p-53 < p; }
+bool SimulatedCluster::Chance(double probability) {
+  return static_cast<double>(random_() >> 11) * 0x1p-53 < probability;
+}
 
-TimePoint SimulatedCluster::Clock(const Machine& m) const {
-  return TimePoint(Duration(static_cast<std::int64_t>(m.offset + m.rate * now_)));
+TimePoint SimulatedCluster::Clock(const Machine& machine) const {
+  return TimePoint(Duration(static_cast<std::int64_t>(machine.offset + machine.rate * now_)));
 }
 
 void SimulatedCluster::ReportViolation(const std::string& what) {
@@ -88,13 +90,15 @@
 
 std::string SimulatedCluster::DescribeMachines() const {
   std::string text;
-  for (const auto& m : machines_) {
-    text += "; " + m->name + (m->up ? " role " + std::to_string(static_cast<int>(m->role)) : " down") +
-            " term " + std::to_string(m->file ? m->file->term : 0);
-    if (m->file)
-      text += " file " + std::to_string(m->file->incarnation) + '.' + std::to_string(m->file->serial) +
-              (m->file->stale ? " old" : "");
-    text += " seal " + std::to_string(m->position->incarnation) + '.' + std::to_string(m->position->serial);
+  for (const auto& machine : machines_) {
+    text += "; " + machine->name +
+            (machine->up ? " role " + std::to_string(static_cast<int>(machine->role)) : " down") + " term " +
+            std::to_string(machine->file ? machine->file->term : 0);
+    if (machine->file)
+      text += " file " + std::to_string(machine->file->incarnation) + '.' +
+              std::to_string(machine->file->serial) + (machine->file->stale ? " stale" : "");
+    text += " position " + std::to_string(machine->position->incarnation) + '.' +
+            std::to_string(machine->position->serial);
   }
   return text;
 }
@@ -105,8 +109,7 @@
   for (int deliveries = !faults_stopped_ && Chance(0.04 * fault_rate_) ? 2 : 1; deliveries > 0;
        --deliveries) {
     int delay = 1 + UniformUpTo(120);
-    if (!faults_stopped_ && Chance(0.04 * fault_rate_))
-      delay = UniformUpTo(12'000);  // a message from long ago
+    if (!faults_stopped_ && Chance(0.04 * fault_rate_)) delay = UniformUpTo(12'000);  // a long delay
     messages_.emplace(now_ + delay, std::pair(const_cast<Machine*>(&to), arrive));
   }
 }
@@ -124,15 +127,15 @@
   }
 }
 
-void SimulatedCluster::Decide(Machine& m,
+void SimulatedCluster::Decide(Machine& machine,
                               const std::function<void(PermitService&, std::vector<VoterMessage>&)>& act) {
-  if (!m.up) return;
+  if (!machine.up) return;
   std::vector<VoterMessage> out;
-  saving_ = &m;
+  saving_ = &machine;
   const auto send = [&](std::vector<VoterMessage>& messages) {
     for (VoterMessage& message : messages) {
       Machine& to = *machines_[static_cast<std::size_t>(message.to[1] - '0')];
-      Send(m, to, [this, &to, message] {
+      Send(machine, to, [this, &to, message] {
         Decide(to, [&](PermitService& service, auto& more) { service.Receive(message, Clock(to), more); });
       });
     }
@@ -140,70 +143,70 @@
   try {
     if (injected_fault_ == InjectedFault::kSentBeforeDurable ||
         injected_fault_ == InjectedFault::kWriteFailureIgnored) {
-      PermitService updated = *m.service;
+      PermitService updated = *machine.service;
       std::vector<VoterMessage> early;
       act(updated, early);
       if (injected_fault_ == InjectedFault::kSentBeforeDurable) send(early);
-      const bool saved = updated.record() == m.service->record() || Save(updated.record());
-      if (saved || injected_fault_ == InjectedFault::kWriteFailureIgnored) *m.service = updated;
+      const bool saved = updated.record() == machine.service->record() || Save(updated.record());
+      if (saved || injected_fault_ == InjectedFault::kWriteFailureIgnored) *machine.service = updated;
       if (injected_fault_ == InjectedFault::kWriteFailureIgnored) send(early);
     } else {
-      ApplyDurably(*m.service, *this, Clock(m), act, out);
+      ApplyDurably(*machine.service, *this, Clock(machine), act, out);
       send(out);
     }
   } catch (const Crashed&) {
-    return Crash(m);
+    return Crash(machine);
   }
-  const Voter& voter = m.service->voter();
-  if (m.role == Voter::Role::kRejoining && voter.role() == Voter::Role::kFollower) ++history_.rejoins;
-  if (voter.role() != m.role && voter.role() == Voter::Role::kEstablishing) {
-    if (!winners_.emplace(voter.term(), m.name).second)
-      ReportViolation("two won term " + std::to_string(voter.term()));
+  const Voter& voter = machine.service->voter();
+  if (machine.role == Voter::Role::kRejoining && voter.role() == Voter::Role::kFollower) ++history_.rejoins;
+  if (voter.role() != machine.role && voter.role() == Voter::Role::kEstablishing) {
+    if (!winners_.emplace(voter.term(), machine.name).second)
+      ReportViolation("two voters won term " + std::to_string(voter.term()));
   }
-  if (voter.role() != m.role && voter.role() == Voter::Role::kLeader) CheckWinner(m);
-  m.role = voter.role();
-  CheckCommitted(m);
+  if (voter.role() != machine.role && voter.role() == Voter::Role::kLeader) CheckWinner(machine);
+  machine.role = voter.role();
+  CheckCommitted(machine);
 }
 
-void SimulatedCluster::CheckWinner(const Machine& m) {
+void SimulatedCluster::CheckWinner(const Machine& machine) {
   ++history_.elections;
-  const auto at = written_.find(m.service->record().value);
-  if ((at == written_.end() ? ValueVersion() : at->second) < committed_) {
-    ReportViolation(m.name + " won term " + std::to_string(m.service->voter().term()) +
-                    " without what was committed");
+  const auto written = last_written_.find(machine.service->record().value);
+  if ((written == last_written_.end() ? ValueVersion() : written->second) < committed_) {
+    ReportViolation(machine.name + " won term " + std::to_string(machine.service->voter().term()) +
+                    " without the latest committed value");
   }
 }
 
-void SimulatedCluster::CheckCommitted(const Machine& m) {
-  const Voter& voter = m.service->voter();
+void SimulatedCluster::CheckCommitted(const Machine& machine) {
+  const Voter& voter = machine.service->voter();
   if (voter.role() != Voter::Role::kEstablishing && voter.role() != Voter::Role::kLeader) return;
-  ValueVersion& at = written_[m.service->record().value];
-  at = std::max(at, m.service->record().value_version);
+  ValueVersion& written = last_written_[machine.service->record().value];
+  written = std::max(written, machine.service->record().value_version);
   if (voter.committed() > 0) committed_ = std::max(committed_, {voter.term(), voter.committed()});
 }
 
-bool SimulatedCluster::HoldsLease(const Machine& m) const {
-  if (!m.up) return false;
+bool SimulatedCluster::HoldsLease(const Machine& machine) const {
+  if (!machine.up) return false;
   if (injected_fault_ == InjectedFault::kLeaseIgnored)
-    return m.role == Voter::Role::kLeader && m.service->state() != nullptr;
-  return m.service->HoldsLease(Clock(m));
+    return machine.role == Voter::Role::kLeader && machine.service->state() != nullptr;
+  return machine.service->HoldsLease(Clock(machine));
 }
 
-void SimulatedCluster::RunMachine(Machine& m) {
-  if (!m.up && now_ >= m.back_at) Start(m);
-  if (!m.up || now_ < m.paused_until) return;
-  Decide(m, [&](PermitService& service, auto& out) { service.Tick(Clock(m), out); });
-  if (!m.up || now_ < m.next_poll) return;
-  m.next_poll = now_ + 400;
+void SimulatedCluster::RunMachine(Machine& machine) {
+  if (!machine.up && now_ >= machine.restart_at) Start(machine);
+  if (!machine.up || now_ < machine.paused_until) return;
+  Decide(machine, [&](PermitService& service, auto& out) { service.Tick(Clock(machine), out); });
+  if (!machine.up || now_ < machine.next_poll) return;
+  machine.next_poll = now_ + 400;
   for (const Change& change : changes_) {
-    for (auto& other : machines_) PollPermit(m, *other, change.name);
+    for (auto& other : machines_) PollPermit(machine, *other, change.name);
   }
-  if (!m.permit_record.unreported.empty()) ReportBreakGlass(m);
+  if (!machine.permit_record.unreported.empty()) ReportBreakGlass(machine);
 }
 
-void SimulatedCluster::PollPermit(Machine& m, Machine& other, const std::string& change) {
-  const auto request_sent = Clock(m);
-  Send(m, other, [this, &m, &other, change, request_sent, process = m.process] {
+void SimulatedCluster::PollPermit(Machine& machine, Machine& other, const std::string& change) {
+  const auto request_sent = Clock(machine);
+  Send(machine, other, [this, &machine, &other, change, request_sent, process = machine.process] {
     std::optional<PermitConfirmation> confirmation = other.service->ConfirmPermit(change, Clock(other));
     if (!confirmation && injected_fault_ == InjectedFault::kLeaseIgnored && HoldsLease(other)) {
       FreezeState edited = *other.service->state();
@@ -211,58 +214,60 @@
       confirmation->term = other.service->voter().term();
       confirmation->version = other.service->voter().committed();
     }
-    Send(other, m,
-         [this, &m, confirmation, request_sent, process,
+    Send(other, machine,
+         [this, &machine, confirmation, request_sent, process,
           reason = other.service->LeaderlessReason(Clock(other))] {
-           if (m.process != process) return;
-           confirmation ? OnConfirmation(
-                              m, *confirmation,
-                              injected_fault_ == InjectedFault::kValidityFromAnswer ? Clock(m) : request_sent)
-                        : m.agent_permits->OnLeaderless(reason);
+           if (machine.process != process) return;
+           confirmation
+               ? OnConfirmation(
+                     machine, *confirmation,
+                     injected_fault_ == InjectedFault::kValidityFromAnswer ? Clock(machine) : request_sent)
+               : machine.agent_permits->OnLeaderless(reason);
          });
   });
 }
 
-bool SimulatedCluster::SavePermits(Machine& m, const AgentPermits& agent_permits) {
+bool SimulatedCluster::SavePermits(Machine& machine, const AgentPermits& agent_permits) {
   try {
     CrashPoint();
-    if (m.disk_full) return ++history_.saves_failed, false;
-    m.permit_record = agent_permits.record();
+    if (machine.disk_full) return ++history_.saves_failed, false;
+    machine.permit_record = agent_permits.record();
     CrashPoint();
   } catch (const Crashed&) {
-    Crash(m);
+    Crash(machine);
     return false;
   }
-  *m.agent_permits = agent_permits;
+  *machine.agent_permits = agent_permits;
   return true;
 }
 
-void SimulatedCluster::OnConfirmation(Machine& m, const PermitConfirmation& confirmation,
+void SimulatedCluster::OnConfirmation(Machine& machine, const PermitConfirmation& confirmation,
                                       TimePoint request_sent) {
-  AgentPermits updated = *m.agent_permits;
+  AgentPermits updated = *machine.agent_permits;
   if (!updated.OnConfirmation(confirmation, request_sent)) {
     ++history_.late_confirmations;
     if (injected_fault_ == InjectedFault::kStaleConfirmationAccepted)
-      *m.agent_permits = AgentPermits(m.name, {}),
-      m.agent_permits->OnConfirmation(confirmation, request_sent);
+      *machine.agent_permits = AgentPermits(machine.name, {}),
+      machine.agent_permits->OnConfirmation(confirmation, request_sent);
     return;
   }
-  if (updated.record() == m.agent_permits->record()) {
-    *m.agent_permits = updated;
-  } else if (!SavePermits(m, updated)) {
+  if (updated.record() == machine.agent_permits->record()) {
+    *machine.agent_permits = updated;
+  } else if (!SavePermits(machine, updated)) {
     return;
   }
-  m.highest_term = std::max(m.highest_term, confirmation.term);
-  m.confirmations.emplace_back(confirmation, request_sent);
-  if (m.confirmations.size() > 60) m.confirmations.erase(m.confirmations.begin());
+  machine.highest_term = std::max(machine.highest_term, confirmation.term);
+  machine.confirmations.emplace_back(confirmation, request_sent);
+  if (machine.confirmations.size() > 60) machine.confirmations.erase(machine.confirmations.begin());
 }
 
-void SimulatedCluster::ReportBreakGlass(Machine& m) {
+void SimulatedCluster::ReportBreakGlass(Machine& machine) {
   for (auto& other : machines_) {
-    Send(m, *other,
-         [this, &m, &other = *other, break_glass = m.permit_record.unreported, process = m.process] {
+    Send(machine, *other,
+         [this, &machine, &other = *other, break_glass = machine.permit_record.unreported,
+          process = machine.process] {
            if (!HoldsLease(other)) return;
-           const std::uint64_t reported = other.service->state()->LastBreakGlassOf(m.name);
+           const std::uint64_t reported = other.service->state()->LastBreakGlassOf(machine.name);
            if (reported < break_glass.back().number) {
              Decide(other, [&](PermitService& service, auto& out) {
                service.Change(
@@ -271,11 +276,11 @@
              });
            }
            if (reported == 0) return;
-           Send(other, m, [this, &m, reported, process] {
-             if (m.process != process) return;
-             AgentPermits updated = *m.agent_permits;
+           Send(other, machine, [this, &machine, reported, process] {
+             if (machine.process != process) return;
+             AgentPermits updated = *machine.agent_permits;
              updated.OnBreakGlassReported(reported);
-             if (!(updated.record() == m.agent_permits->record())) SavePermits(m, updated);
+             if (!(updated.record() == machine.agent_permits->record())) SavePermits(machine, updated);
            });
          });
   }
--- a/tests/change_freeze/simulated_cluster.h
+++ b/tests/change_freeze/simulated_cluster.h
@@ -1,9 +1,9 @@
-// The cluster that the histories of freeze_model.h run: machines with the program's own voter, permit service
-// and agent's permits, and with a disk, a clock and a network of the model. One thread, made-up time,
-// everything drawn from one seed: the order of the draws is part of what a seed means.
+// The cluster of the histories of freeze_model.h: machines with a real voter, permit service and agent's
+// permits, and with a simulated disk, clock and network. It runs in one thread and in simulated time.
+// Everything is drawn from one seed, so a change in the order of the draws changes the history of each seed.
 //
-// simulated_cluster.cpp: machines, disks, messages. cluster_faults.cpp: what fails. cluster_clients.cpp:
-// operators, tools, and the recovery at the end. cluster_rules.cpp: what must always hold.
+// simulated_cluster.cpp: machines, disks, messages. cluster_faults.cpp: faults. cluster_clients.cpp:
+// operators, tools, and the recovery at the end. cluster_rules.cpp: the rules that must always hold.
 #pragma once
 
 #include <cstdint>
@@ -22,13 +22,13 @@
 
 namespace mothrack::change_freeze::testing {
 
-// All times of the model are ms of true time, unless they are a machine's TimePoint.
-inline constexpr int kFaultPeriod = 30'000;     // faults come until then
-inline constexpr int kScriptedPeriod = 10'000;  // the same where a script names the faults
-inline constexpr int kRecovery = 100'000;       // by then all must work again
-inline constexpr int kPermitBound = 2000;       // from a freeze's commit until no agent acts against it
+// All times of the model are in ms of true time, except the TimePoints of a machine's clock.
+inline constexpr int kFaultPeriod = 30'000;        // faults are injected until then
+inline constexpr int kScriptedPeriod = 10'000;     // the same, if a script names the faults
+inline constexpr int kRecoveryDeadline = 100'000;  // the cluster must have recovered by then
+inline constexpr int kPermitBound = 2000;          // from a freeze's commit until no agent acts against it
 
-// Thrown through the program's own code: the machine's process dies there.
+// Thrown through the tested code to crash the machine's process at that point.
 struct Crashed {};
 
 // A machine with its disk, its clock and the process that runs on it.
@@ -39,22 +39,22 @@
   double offset = 0;  // of its clock, ms
   bool up = true;
   int process = 0;       // counts its starts
-  int back_at = 0;       // while it is down
-  int paused_until = 0;  // the whole machine
+  int restart_at = 0;    // while it is down
+  int paused_until = 0;  // the machine with all of its processes
   bool disk_full = false;
-  int partition = 0;  // machines of one number reach each other
-  // On disk.
+  int partition = 0;  // machines with the same number reach each other
+  // Data on disk.
   std::optional<VoterRecord> file;
   std::optional<RecordPosition> position;
-  std::vector<VoterRecord> writes_of_file;  // each earlier content of `file`
+  std::vector<VoterRecord> writes_of_file;  // all earlier contents of `file`
   PermitRecord permit_record;
-  // In the process.
+  // State of the running process.
   std::unique_ptr<PermitService> service;
   std::unique_ptr<AgentPermits> agent_permits;
   Voter::Role role = Voter::Role::kFollower;
   int next_poll = 0;
-  // What the rules compare `agent_permits` with: the confirmations that this process received, each with when
-  // it was asked for; and the highest term of all times.
+  // Data against which the rules check `agent_permits`: the latest confirmations that this process received,
+  // each with the time of its request, and the highest term that this machine ever received.
   std::vector<std::pair<PermitConfirmation, TimePoint>> confirmations;
   Term highest_term = 0;
 };
@@ -62,13 +62,13 @@
 // A change that a tool wants to run.
 struct Change {
   std::string name;
-  std::vector<ChangeKind> kinds;  // the last one is wanted
+  std::vector<ChangeKind> kinds;  // all that were requested; the last one is the current one
   Footprint footprint;
   std::set<std::uint64_t> remedies;
   std::uint32_t batch = 0;
   bool done = false;
-  Machine* at = nullptr;  // where its last request went, in `process` there
-  int process = 0;
+  Machine* sent_to = nullptr;  // the receiver of the last request
+  int process = 0;             // the receiver's Machine::process at that time
   PermitService::Receipt receipt;
 };
 
@@ -76,23 +76,25 @@
 struct Freeze {
   std::uint64_t id = 0;
   Scope scope;
-  Machine* at = nullptr;
-  int process = 0;
+  Machine* sent_to = nullptr;  // the leader that received the request
+  int process = 0;             // its Machine::process at that time
   PermitService::Receipt receipt;
-  int acked_at = -1;  // -1: not yet committed
+  int committed_at = -1;  // -1: not yet committed
   bool closing = false;
-  std::map<std::pair<std::string, ChangeKind>, std::int64_t> limit;  // the last batch that could begin
+  // By change: the last batch that its permit covered when the freeze was committed.
+  std::map<std::pair<std::string, ChangeKind>, std::int64_t> last_batches;
 };
 
-// What is waited for once faults have stopped. The numbers are printed with a history that never ends.
+// The stages of the recovery once faults have stopped. The stage's number is printed for a history that does
+// not finish in time.
 enum class RecoveryStage {
-  kDraining,    // incidents and permits of before go
-  kPermitting,  // a new change gets its permit at every agent
-  kFreezing,    // an incident is opened
-  kConfirming,  // it is committed, and in force everywhere
+  kDraining,    // wait until the earlier incidents and permits have ended
+  kPermitting,  // wait until a new change has its permit at every agent
+  kFreezing,    // open an incident
+  kConfirming,  // wait until it is committed and in force at every agent
 };
 
-// The rules are checked after each step; the first violation ends the run.
+// Checks the rules after each step of simulated time. The first violation ends the run.
 class SimulatedCluster : public RecordStore {
  public:
   SimulatedCluster(std::uint64_t seed, int voters, InjectedFault injected, const Script* script);
@@ -100,9 +102,9 @@
   bool Save(const VoterRecord& record) override;
 
  private:
-  int UniformUpTo(int most);
-  bool Chance(double p);
-  TimePoint Clock(const Machine& m) const;
+  int UniformUpTo(int maximum);
+  bool Chance(double probability);
+  TimePoint Clock(const Machine& machine) const;
   void ReportViolation(const std::string& what);
   std::string DescribeMachines() const;
 
@@ -110,39 +112,39 @@
   bool CrashesHere();
   void CrashPoint();
   void InjectFaults();
-  // Faults that harm only together. Half of the followers are cut off while the leader and the others go on;
-  // those others come back with what they had before, as the leader falls silent. Or: the leader is cut off,
-  // and all followers start again at once.
+  // Injects faults that do harm only in combination. Either half of the followers are cut off while the
+  // leader and the others continue, and then those others restart with an old file while the leader is
+  // paused. Or the leader is cut off, and all followers restart at once.
   void InjectCombinedFault();
-  void Pause(Machine& m);
-  bool OthersCurrent(const Machine& m) const;
-  void Crash(Machine& m, bool stale_file = false);
-  void Start(Machine& m);
+  void Pause(Machine& machine);
+  bool OthersCurrent(const Machine& machine) const;
+  void Crash(Machine& machine, bool stale_file = false);
+  void Start(Machine& machine);
   void StopFaults();
 
   // Messages.
   void Send(const Machine& from, const Machine& to, std::function<void()> arrive);
   void Deliver();
-  void Decide(Machine& m, const std::function<void(PermitService&, std::vector<VoterMessage>&)>& act);
+  void Decide(Machine& machine, const std::function<void(PermitService&, std::vector<VoterMessage>&)>& act);
 
-  // The register: also a rule, checked as machines change their roles. Whoever wins has read what was
-  // committed, or what was written after it.
-  void CheckWinner(const Machine& m);
-  void CheckCommitted(const Machine& m);
+  // Rules of the register, checked when machines change their roles: a winner has read the latest committed
+  // value or a later one.
+  void CheckWinner(const Machine& machine);
+  void CheckCommitted(const Machine& machine);
 
   // A machine.
-  bool HoldsLease(const Machine& m) const;
-  void RunMachine(Machine& m);
-  void PollPermit(Machine& m, Machine& other, const std::string& change);
-  bool SavePermits(Machine& m, const AgentPermits& agent_permits);
-  void OnConfirmation(Machine& m, const PermitConfirmation& confirmation, TimePoint request_sent);
-  void ReportBreakGlass(Machine& m);
+  bool HoldsLease(const Machine& machine) const;
+  void RunMachine(Machine& machine);
+  void PollPermit(Machine& machine, Machine& other, const std::string& change);
+  bool SavePermits(Machine& machine, const AgentPermits& agent_permits);
+  void OnConfirmation(Machine& machine, const PermitConfirmation& confirmation, TimePoint request_sent);
+  void ReportBreakGlass(Machine& machine);
 
   // Operators.
   Machine* Leader();
   void RunOperators();
   void Open(Machine& leader);
-  // Has it been committed? Then it counts from now on.
+  // If the freeze has been committed, it must be respected from now on.
   void PollFreeze(Freeze& freeze);
   void Close(Machine& leader, Freeze& freeze);
 
@@ -150,20 +152,20 @@
   void RunTools();
   void RequestPermit(Machine& leader, Change& change);
 
-  // Recovery. With no further fault: an incident and a change come through, and nobody acts against the last
-  // freeze.
+  // Recovery. Without further faults, a change must get its permit, an incident must be committed, and no
+  // agent may act against that last freeze.
   void CheckRecovery();
   void AwaitDrained(Machine& leader);
   void AwaitPermit(Machine& leader);
   void AwaitFreeze(Machine& leader);
 
   // Rules.
-  bool InForce(const Machine& m, const Change& change, ChangeKind kind, std::uint32_t batch) const;
-  void Check();
-  // There must be a confirmation of the highest term that this agent ever received, asked for not too long
-  // ago.
-  void CheckConfirmation(const Machine& m, const Change& change, ChangeKind kind);
-  void CheckFreeze(const Machine& m, const Change& change, ChangeKind kind, const Freeze& freeze);
+  bool InForce(const Machine& machine, const Change& change, ChangeKind kind, std::uint32_t batch) const;
+  void CheckRules();
+  // Checks that the agent has a confirmation of the highest term that it ever received, whose request was
+  // sent less than kPermitValidity ago.
+  void CheckConfirmation(const Machine& machine, const Change& change, ChangeKind kind);
+  void CheckFreeze(const Machine& machine, const Change& change, ChangeKind kind, const Freeze& freeze);
 
   std::mt19937_64 random_;
   const InjectedFault injected_fault_;
@@ -173,18 +175,19 @@
   bool faults_stopped_ = false;
   bool finished_ = false;
   RecoveryStage stage_ = RecoveryStage::kDraining;
-  std::string last_reason_;  // why the last request was refused, for the report
+  std::string last_reason_;  // why the last request was refused; reported if the history does not finish
   std::set<std::string> names_;
   std::vector<std::unique_ptr<Machine>> machines_;
-  Machine* saving_ = nullptr;  // whose record Save() writes
+  Machine* saving_ = nullptr;  // the machine whose record Save() writes
   std::multimap<int, std::pair<Machine*, std::function<void()>>> messages_;
   std::multimap<int, std::function<void()>> scheduled_faults_;
   std::vector<Change> changes_;
   std::vector<Freeze> freezes_;
-  int since_ = 0;  // when the wait of `stage_` began
+  int stage_since_ = 0;  // when the wait of `stage_` began
   std::map<Term, std::string> winners_;
-  std::map<std::string, ValueVersion> written_;  // by value: the latest version that it was written as
-  ValueVersion committed_;                       // the latest of all
+  // By value: the latest version under which it was written.
+  std::map<std::string, ValueVersion> last_written_;
+  ValueVersion committed_;  // the highest committed version
   History history_;
 };
 
--- a/tests/change_freeze/voter_fixture.cpp
+++ b/tests/change_freeze/voter_fixture.cpp
@@ -7,20 +7,20 @@
 
 void VoterFixture::GrantLastRequest(const std::string& name) {
   const VoterMessage request = out.back();
-  VoterMessage m = From(name,
-                        request.kind == Kind::kPreVoteRequest  ? Kind::kPreVoteResponse
-                        : request.kind == Kind::kVoteRequest   ? Kind::kVoteResponse
-                        : request.kind == Kind::kRejoinRequest ? Kind::kRejoinResponse
-                                                               : Kind::kReplicateResponse,
-                        request.term);
-  m.granted = true;
-  m.value_version = request.kind == Kind::kPreVoteRequest ? ValueVersion{request.term, 0}
-                    : request.kind == Kind::kVoteRequest  ? ValueVersion{4, 2}
-                                                          : request.value_version;
-  m.value = "of b";
-  m.wanted_incarnation = request.wanted_incarnation;
+  VoterMessage message = From(name,
+                              request.kind == Kind::kPreVoteRequest  ? Kind::kPreVoteResponse
+                              : request.kind == Kind::kVoteRequest   ? Kind::kVoteResponse
+                              : request.kind == Kind::kRejoinRequest ? Kind::kRejoinResponse
+                                                                     : Kind::kReplicateResponse,
+                              request.term);
+  message.granted = true;
+  message.value_version = request.kind == Kind::kPreVoteRequest ? ValueVersion{request.term, 0}
+                          : request.kind == Kind::kVoteRequest  ? ValueVersion{4, 2}
+                                                                : request.value_version;
+  message.value = "of b";
+  message.wanted_incarnation = request.wanted_incarnation;
   out.clear();
-  Receive(m);
+  Receive(message);
 }
 
 VoterFixture InRole(Role role) {
@@ -39,7 +39,8 @@
   if (role != Role::kFollower) fixture.Tick();
   for (int step = 3; role >= Role::kCandidate && step <= static_cast<int>(role); ++step)
     fixture.GrantLastRequest("b");
-  EXPECT_EQ(kRoles[static_cast<int>(fixture.voter.role())], std::string(kRoles[static_cast<int>(role)]));
+  EXPECT_EQ(kRoleNames[static_cast<int>(fixture.voter.role())],
+            std::string(kRoleNames[static_cast<int>(role)]));
   return fixture;
 }
 
--- a/tests/change_freeze/voter_fixture.h
+++ b/tests/change_freeze/voter_fixture.h
@@ -1,4 +1,4 @@
-// A voter in any role, as the tests of voters and of the permit service need it.
+// A voter in any role, for the tests of voters and of the permit service.
 #pragma once
 
 #include <string>
@@ -9,30 +9,32 @@
 
 namespace mothrack::change_freeze {
 
-// The words of docs/design/change_freeze.md, by VoterRole.
-inline constexpr const char* kRoles[] = {"lost", "follower", "asking", "candidate", "taking", "coordinator"};
+// The names of the roles in docs/design/change_freeze.md, by VoterRole.
+inline constexpr const char* kRoleNames[] = {"lost",      "follower", "asking",
+                                             "candidate", "taking",   "coordinator"};
 
-// Voter `a` of three, in a role, at 10 s of its clock; its term is 5, or 6 once it is a candidate.
+// Voter `a` of three voters, at 10 s of its clock. Its term is 5, or 6 once it is a candidate.
 struct VoterFixture {
   Voter voter;
   int now = 10'000;
   std::vector<VoterMessage> out{};
 
   VoterMessage From(const std::string& name, VoterMessage::Kind kind, Term term) const {
-    VoterMessage m;
-    m.kind = kind;
-    m.from = name;
-    m.to = "a";
-    m.term = term;
-    m.request_sent = now;
-    return m;
+    VoterMessage message;
+    message.kind = kind;
+    message.from = name;
+    message.to = "a";
+    message.term = term;
+    message.request_sent = now;
+    return message;
   }
-  void Receive(const VoterMessage& m) { voter.Receive(m, At(now), out); }
+  void Receive(const VoterMessage& message) { voter.Receive(message, At(now), out); }
   void Tick() { voter.Tick(At(now), out); }
-  // `name` grants what the voter asked last.
+  // Voter `name` grants the voter's latest request.
   void GrantLastRequest(const std::string& name);
 };
 
+// Returns the fixture with its voter in `role`.
 VoterFixture InRole(VoterRole role);
 
 }  // namespace mothrack::change_freeze
--- a/tests/change_freeze/voter_role_test.cpp
+++ b/tests/change_freeze/voter_role_test.cpp
@@ -1,4 +1,4 @@
-// The roles of a voter: the table of voter_role.h.
+// The role transitions of the table in voter_role.h.
 #include "change_freeze/voter_role.h"
 
 #include <gtest/gtest.h>
@@ -19,15 +19,15 @@
       {{Role::kEstablishing, Event::kValueCommitted}, Role::kLeader},
       {{Role::kRejoining, Event::kRejoinGranted}, Role::kFollower},
   };
-  for (int r = 0; r <= static_cast<int>(Role::kLeader); ++r) {
-    for (int e = 0; e <= static_cast<int>(Event::kRejoinGranted); ++e) {
-      const auto role = static_cast<Role>(r);
-      const auto event = static_cast<Event>(e);
+  for (int role_index = 0; role_index <= static_cast<int>(Role::kLeader); ++role_index) {
+    for (int event_index = 0; event_index <= static_cast<int>(Event::kRejoinGranted); ++event_index) {
+      const auto role = static_cast<Role>(role_index);
+      const auto event = static_cast<Event>(event_index);
       Role expected = role;
       if (const auto row = table.find({role, event}); row != table.end()) expected = row->second;
       if (event == Event::kRecordStale) expected = Role::kRejoining;
       if (event == Event::kSteppedDown && role != Role::kRejoining) expected = Role::kFollower;
-      EXPECT_EQ(NextRole(role, event), expected) << "role " << r << ", event " << e;
+      EXPECT_EQ(NextRole(role, event), expected) << "role " << role_index << ", event " << event_index;
     }
   }
 }
--- a/tests/change_freeze/voter_test.cpp
+++ b/tests/change_freeze/voter_test.cpp
@@ -1,4 +1,5 @@
-// A voter: the page's table row by row, and the rules of lease, votes and stale records on their own.
+// A voter: the table "Rules of a voter" of docs/design/change_freeze.md row by row, and separate tests of the
+// lease, votes and stale records.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -16,60 +17,77 @@
 using Kind = VoterMessage::Kind;
 using Role = VoterRole;
 
+// Describes messages in the words of the table.
 std::string DescribeMessages(const std::vector<VoterMessage>& out) {
   constexpr const char* kKinds[] = {"pre", "pre", "ask", "vote", "write", "beat", "held", "join", "joined"};
   std::set<std::string> descriptions;
-  for (const VoterMessage& m : out) {
-    const bool answer = m.kind == Kind::kPreVoteResponse || m.kind == Kind::kVoteResponse ||
-                        m.kind == Kind::kReplicateResponse || m.kind == Kind::kRejoinResponse;
-    descriptions.insert(kKinds[static_cast<int>(m.kind)] + std::string(!answer     ? "?"
-                                                                       : m.granted ? ": yes"
-                                                                                   : ": no"));
+  for (const VoterMessage& message : out) {
+    const bool is_response = message.kind == Kind::kPreVoteResponse || message.kind == Kind::kVoteResponse ||
+                             message.kind == Kind::kReplicateResponse ||
+                             message.kind == Kind::kRejoinResponse;
+    descriptions.insert(kKinds[static_cast<int>(message.kind)] + std::string(!is_response      ? "?"
+                                                                             : message.granted ? ": yes"
+                                                                                               : ": no"));
   }
   std::string text;
-  for (const std::string& one : descriptions) text += (text.empty() ? "" : ", ") + one;
+  for (const std::string& description : descriptions) text += (text.empty() ? "" : ", ") + description;
   return text.empty() ? "nothing" : text;
 }
 
 TEST(FreezeTables, RulesOfAVoter) {
   ConformanceTable table("Rules of a voter", {"role", "what comes"});
   const std::vector<std::pair<std::string, std::function<void(VoterFixture&)>>> events = {
-      {"pre, a later term", [](VoterFixture& b) { b.Receive(b.From("b", Kind::kPreVoteRequest, 9)); }},
+      {"pre, a later term",
+       [](VoterFixture& fixture) { fixture.Receive(fixture.From("b", Kind::kPreVoteRequest, 9)); }},
       {"pre, long after the last beat",
-       [](VoterFixture& b) { b.now += 9000, b.Receive(b.From("b", Kind::kPreVoteRequest, 9)); }},
-      {"ask, a later term", [](VoterFixture& b) { b.Receive(b.From("b", Kind::kVoteRequest, 9)); }},
+       [](VoterFixture& fixture) {
+         fixture.now += 9000, fixture.Receive(fixture.From("b", Kind::kPreVoteRequest, 9));
+       }},
+      {"ask, a later term",
+       [](VoterFixture& fixture) { fixture.Receive(fixture.From("b", Kind::kVoteRequest, 9)); }},
       {"ask, long after the last beat",
-       [](VoterFixture& b) { b.now += 9000, b.Receive(b.From("b", Kind::kVoteRequest, 9)); }},
-      {"ask, its term", [](VoterFixture& b) { b.Receive(b.From("b", Kind::kVoteRequest, b.voter.term())); }},
-      {"write, a later term", [](VoterFixture& b) { b.Receive(b.From("b", Kind::kReplicate, 9)); }},
-      {"beat, its term", [](VoterFixture& b) { b.Receive(b.From("b", Kind::kHeartbeat, b.voter.term())); }},
-      {"write, an older term", [](VoterFixture& b) { b.Receive(b.From("b", Kind::kReplicate, 3)); }},
+       [](VoterFixture& fixture) {
+         fixture.now += 9000, fixture.Receive(fixture.From("b", Kind::kVoteRequest, 9));
+       }},
+      {"ask, its term",
+       [](VoterFixture& fixture) {
+         fixture.Receive(fixture.From("b", Kind::kVoteRequest, fixture.voter.term()));
+       }},
+      {"write, a later term",
+       [](VoterFixture& fixture) { fixture.Receive(fixture.From("b", Kind::kReplicate, 9)); }},
+      {"beat, its term",
+       [](VoterFixture& fixture) {
+         fixture.Receive(fixture.From("b", Kind::kHeartbeat, fixture.voter.term()));
+       }},
+      {"write, an older term",
+       [](VoterFixture& fixture) { fixture.Receive(fixture.From("b", Kind::kReplicate, 3)); }},
       {"enough yes",
-       [](VoterFixture& b) {
-         if (b.out.empty()) return;
-         const VoterMessage request = b.out.back();
-         b.GrantLastRequest("b");
-         if (b.voter.role() != Role::kRejoining) return;
-         b.out = {request};
-         b.GrantLastRequest("c");
+       [](VoterFixture& fixture) {
+         if (fixture.out.empty()) return;
+         const VoterMessage request = fixture.out.back();
+         fixture.GrantLastRequest("b");
+         if (fixture.voter.role() != Role::kRejoining) return;
+         fixture.out = {request};
+         fixture.GrantLastRequest("c");
        }},
-      {"no, of a later term", [](VoterFixture& b) { b.Receive(b.From("b", Kind::kReplicateResponse, 9)); }},
+      {"no, of a later term",
+       [](VoterFixture& fixture) { fixture.Receive(fixture.From("b", Kind::kReplicateResponse, 9)); }},
       {"join",
-       [](VoterFixture& b) {
-         VoterMessage m = b.From("b", Kind::kRejoinRequest, 0);
-         m.wanted_incarnation = 1;
-         b.Receive(m);
+       [](VoterFixture& fixture) {
+         VoterMessage message = fixture.From("b", Kind::kRejoinRequest, 0);
+         message.wanted_incarnation = 1;
+         fixture.Receive(message);
        }},
       {"it has told more",
-       [](VoterFixture& b) {
-         VoterMessage m = b.From("b", Kind::kReplicateResponse, b.voter.term());
-         m.receiver_serial = 99;
-         b.Receive(m);
+       [](VoterFixture& fixture) {
+         VoterMessage message = fixture.From("b", Kind::kReplicateResponse, fixture.voter.term());
+         message.receiver_serial = 99;
+         fixture.Receive(message);
        }},
-      {"its next moment", [](VoterFixture& b) { b.now += 1600, b.Tick(); }},
-      {"silence for a lease", [](VoterFixture& b) { b.now += 3000, b.Tick(); }},
-      {"silence for longer", [](VoterFixture& b) { b.now += 5000, b.Tick(); }},
-      {"the disk refuses", [](VoterFixture& b) { b.voter.OnWriteFailed(At(b.now)); }},
+      {"its next moment", [](VoterFixture& fixture) { fixture.now += 1600, fixture.Tick(); }},
+      {"silence for a lease", [](VoterFixture& fixture) { fixture.now += 3000, fixture.Tick(); }},
+      {"silence for longer", [](VoterFixture& fixture) { fixture.now += 5000, fixture.Tick(); }},
+      {"the disk refuses", [](VoterFixture& fixture) { fixture.voter.OnWriteFailed(At(fixture.now)); }},
   };
   for (int role = 0; role < 6; ++role) {
     for (const auto& [name, event] : events) {
@@ -80,16 +98,16 @@
       if (name != "enough yes") fixture.out.clear();
       if (name == "enough yes" && role == 1) fixture.out.clear();
       event(fixture);
-      table.Play({{"role", kRoles[role]},
-                  {"what comes", name},
-                  {"becomes", kRoles[static_cast<int>(fixture.voter.role())]},
-                  {"on disk first", fixture.voter.record().serial != serial ? "yes" : "no"},
-                  {"says", DescribeMessages(fixture.out)}});
+      table.Check({{"role", kRoleNames[role]},
+                   {"what comes", name},
+                   {"becomes", kRoleNames[static_cast<int>(fixture.voter.role())]},
+                   {"on disk first", fixture.voter.record().serial != serial ? "yes" : "no"},
+                   {"says", DescribeMessages(fixture.out)}});
     }
   }
 }
 
-TEST(FreezeVoter, TakesTheLatestOfAMajority) {
+TEST(FreezeVoter, WinnerReadsTheLatestValueOfAMajority) {
   VoterFixture fixture = InRole(Role::kEstablishing);
   EXPECT_EQ(fixture.voter.record().value, "of b");
   EXPECT_EQ(fixture.voter.record().value_version, (ValueVersion{6, 1}));
@@ -103,7 +121,7 @@
   late.granted = true;
   late.value_version = {6, 1};
   fixture.now += 1000;
-  fixture.Receive(late);  // asked at 10 s, answered at 11 s
+  fixture.Receive(late);  // requested at 10 s, answered at 11 s
   EXPECT_FALSE(fixture.voter.HoldsLease(At(10'000 + 2700)));
 }
 
@@ -112,7 +130,7 @@
   record.serial = 4;
   EXPECT_EQ(AssessRecord(record, RecordPosition{0, 4}, false), RecordCondition::kCurrent);
   EXPECT_EQ(AssessRecord(record, RecordPosition{0, 3}, false), RecordCondition::kCurrent)
-      << "written, and not sent";
+      << "written, but not sent";
   EXPECT_EQ(AssessRecord(record, RecordPosition{0, 5}, false), RecordCondition::kStale);
   EXPECT_EQ(AssessRecord(record, RecordPosition{1, 1}, false), RecordCondition::kStale)
       << "of an earlier incarnation";
@@ -122,8 +140,8 @@
   EXPECT_EQ(AssessRecord(std::nullopt, std::nullopt, true), RecordCondition::kCurrent);
 }
 
-// What a voter sent in an earlier incarnation counts no more, once anybody who granted the later one is heard
-// from.
+// A vote of an earlier incarnation is dropped once a message of a voter that granted the later incarnation
+// arrives.
 TEST(FreezeVoter, VotesOfAnEarlierIncarnationAreDropped) {
   VoterSettings settings;
   settings.local_voter = "a";
@@ -140,7 +158,7 @@
   vote.granted = true;
   fixture.Receive(vote);
   vote.from = "c";
-  vote.incarnations = {{"b", 1}};  // b has come back as another
+  vote.incarnations = {{"b", 1}};  // b has rejoined as incarnation 1
   fixture.Receive(vote);
   EXPECT_EQ(fixture.voter.role(), Role::kCandidate);
   vote.from = "d";
