--- a/src/change_freeze/permit.h
+++ b/src/change_freeze/permit.h
@@ -19,7 +19,7 @@
 inline constexpr Duration kPermitValidity{2000};
 // How often the host polls for a permit in use: three chances before it lapses.
 inline constexpr Duration kPermitPollInterval{500};
-// A permit that was not polled for this long ends. Its change stays open, by the rollout lease
+// A permit that was not polled for this long ends. Its change stays open at the agents
 // (rollout/lease.h).
 inline constexpr Duration kPermitIdleTimeout{60'000};
 
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -142,7 +142,7 @@
   VoterRecord record_;
   // The members below belong to this process only and are not stored on disk.
   Role role_ = Role::kFollower;
-  TimePoint promised_until_;     // until then this voter grants no vote to another
+  TimePoint promised_until_;     // until then this voter grants no new vote and does not campaign
   TimePoint next_action_;        // time of the next OnActionDue()
   std::uint64_t campaigns_ = 0;  // varies ElectionDelay
   Term highest_seen_term_ = 0;   // in responses; the next campaign uses a higher one
--- a/src/rollout/change.h
+++ b/src/rollout/change.h
@@ -129,8 +129,9 @@
   std::string BatchBlocker(const std::vector<std::size_t>& batch) const;
   // Returns what is wrong with a target whose step is done; empty if it is healthy.
   std::string HealthFault(std::size_t target) const;
-  // Returns a text if the target's share of failed requests has risen by more than the policy allows since
-  // before its step; empty if it has not, or if there were too few requests to judge by.
+  // Returns a text if the target's process was replaced while it was watched, or if its share of failed
+  // requests has risen by more than the policy allows since before its step. Empty otherwise, and if there
+  // were too few requests to judge by.
   std::string FailureShareFault(std::size_t target) const;
 
   // Advances the current batch as far as the reports allow: start, steps, gate, next batch. StartBatch(),
--- a/src/rollout/claim.h
+++ b/src/rollout/claim.h
@@ -49,10 +49,10 @@
     Epoch epoch = 0;
     TimePoint since;  // no agent granted the lease before this
   };
-  // std::nullopt until all leases are granted and the change is open everywhere.
+  // std::nullopt until the change is open at a majority of all agents, including all required ones.
   const std::optional<Granted>& granted() const { return granted_; }
-  // Why the claim was rejected; empty while it is undecided or if it was granted. A rejected claim has
-  // released all of its leases.
+  // Why the claim was rejected; empty while it is undecided or if it was granted. The Tick() that
+  // rejects a claim also releases its leases.
   const std::string& rejection() const { return rejection_; }
 
  private:
--- a/tests/rollout/fleet_model.h
+++ b/tests/rollout/fleet_model.h
@@ -107,8 +107,10 @@
   friend class FakeStore;
   friend class FakeMachine;
 
-  int UniformUpTo(int most) { return std::uniform_int_distribution<int>(0, most)(random_); }
-  bool Chance(double p) { return std::uniform_real_distribution<double>(0, 1)(random_) < p; }
+  int UniformUpTo(int maximum) { return std::uniform_int_distribution<int>(0, maximum)(random_); }
+  bool Chance(double probability) {
+    return std::uniform_real_distribution<double>(0, 1)(random_) < probability;
+  }
   void ReportViolation(const std::string& what);
   std::string Describe() const;
 
