--- a/src/rollout/wire.cpp
+++ b/src/rollout/wire.cpp
@@ -66,17 +66,17 @@
   const json& value = from[name];
   bool has_type = false;
   if constexpr (std::is_same_v<T, bool>) {
-    right = value.is_boolean();
+    has_type = value.is_boolean();
   } else if constexpr (std::is_same_v<T, std::string>) {
-    right = value.is_string();
+    has_type = value.is_string();
   } else if constexpr (std::is_same_v<T, json>) {
-    right = true;
+    has_type = true;
   } else if constexpr (std::is_floating_point_v<T>) {
-    right = value.is_number();
+    has_type = value.is_number();
   } else if constexpr (std::is_unsigned_v<T>) {
-    right = value.is_number_unsigned();
+    has_type = value.is_number_unsigned();
   } else {
-    right = value.is_number_integer();
+    has_type = value.is_number_integer();
   }
   if (!has_type) throw std::invalid_argument(std::string(name) + " is of the wrong kind");
   return value.get<T>();
