--- a/src/zone_failover/conditions.h
+++ b/src/zone_failover/conditions.h
@@ -12,7 +12,7 @@
 
 namespace mothrack::zone_failover {
 
-// What the rules depend on.
+// The input of the rules.
 struct ConditionInput {
   const ZoneState& zone;
   const VoteCounts& votes;
--- a/src/zone_failover/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -15,11 +15,11 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// What the zones in use, except one, can take over.
+// The zones in use, except the one that is being decided, as alternatives for its load.
 struct OtherZones {
   bool has_alternative = false;
   std::uint64_t spare_capacity = 0;  // calls per second: their peak minus their current load
-  bool late = false;                 // too many of their answers are late
+  bool late = false;                 // too many of their outcomes are late or rejected
 };
 
 // One call of Decide(). Zones are decided one after the other, by name, and each sees the new states of those
@@ -63,11 +63,11 @@
     if (!isolated_) FollowMajority(name, has_alternative, locally_reachable);
     if (IsInUse(zone.phase)) UpdateBaseline(name);
 
-    const OtherZones others = JudgeOthers(name, has_alternative);
-    const OperatorOverride* override_in_force = EffectiveOverride(name, overrides_, now_);
+    const OtherZones others = AssessOtherZones(name, has_alternative);
+    const OperatorOverride* effective_override = EffectiveOverride(name, overrides_, now_);
     const ConditionInput condition_input{zone,
                                          votes_.at(name),
-                                         override_in_force,
+                                         effective_override,
                                          isolated_,
                                          others.has_alternative,
                                          others.late,
@@ -75,7 +75,7 @@
                                          now_};
     TransitionInput input;
     input.condition = ConditionOf(condition_input, config_);
-    input.override_number = override_in_force == nullptr ? 0 : override_in_force->number;
+    input.override_number = effective_override == nullptr ? 0 : effective_override->number;
     input.spare_capacity = others.spare_capacity;
     input.others_late = others.late;
     input.locally_reachable = locally_reachable;
@@ -115,11 +115,12 @@
     ZoneState& zone = states_.at(name);
     const auto majority = MajorityState(observations_.at(name), members_.live.size());
     if (!majority || !IsLater(*majority, zone)) return;
-    if (IsOut(majority->phase) && !has_alternative) return;
-    if (!IsOut(zone.phase) && IsOut(majority->phase)) zone.retained = locally_reachable;
-    Adopt(zone, *majority, now_);
+    if (IsDrainingOrDrained(majority->phase) && !has_alternative) return;
+    if (!IsDrainingOrDrained(zone.phase) && IsDrainingOrDrained(majority->phase))
+      zone.retained = locally_reachable;
+    AdoptState(zone, *majority, now_);
     if (zone.phase == Phase::kDrained) zone.shifted = kWholeShare;
-    if (IsOut(zone.phase) && !zone.by_operator) zone.share = 0;
+    if (IsDrainingOrDrained(zone.phase) && !zone.by_operator) zone.share = 0;
   }
 
   void UpdateBaseline(const std::string& name) {
@@ -129,7 +130,7 @@
       zone.baseline_load = static_cast<std::uint32_t>(SentPerSecond(observations_.at(name)));
   }
 
-  OtherZones JudgeOthers(const std::string& name, bool has_alternative) const {
+  OtherZones AssessOtherZones(const std::string& name, bool has_alternative) const {
     OtherZones others;
     others.has_alternative = has_alternative;
     std::uint64_t in_time = 0;
@@ -157,11 +158,11 @@
       zone.retained = false;
       zone.share = 0;
     }
-    const bool own_view = isolated_ || !OthersReport() || zone.retained;
-    RampShare(zone, TargetShare(zone, own_view, config_), config_, now_);
+    const bool use_own_view = isolated_ || !HasReportsOfOthers() || zone.retained;
+    RampShare(zone, TargetShare(zone, use_own_view, config_), config_, now_);
   }
 
-  bool OthersReport() const {
+  bool HasReportsOfOthers() const {
     return std::any_of(recent_.begin(), recent_.end(), [&](const EvidenceReport* report) {
       return report->owner.name != members_.local.name;
     });
@@ -189,16 +190,16 @@
 
 ZoneStates InitialState(const std::vector<std::string>& zones, const std::vector<EvidenceReport>& reports,
                         TimePoint now) {
-  const auto of_any_age = RecentReports(reports, Duration::max());
+  const auto reports_of_any_age = RecentReports(reports, Duration::max());
   ZoneStates states;
   for (const std::string& name : zones) {
     ZoneState& zone = states[name];
     zone.since = zone.share_updated = zone.drain_started = now;
-    const auto observations = ObservationsOf(IdOf(name), of_any_age);
+    const auto observations = ObservationsOf(IdOf(name), reports_of_any_age);
     const auto majority = MajorityState(observations, observations.size());
     if (!majority) continue;
-    Adopt(zone, *majority, now);
-    if (IsOut(zone.phase)) zone.shifted = kWholeShare;
+    AdoptState(zone, *majority, now);
+    if (IsDrainingOrDrained(zone.phase)) zone.shifted = kWholeShare;
     // The share of a recovering zone also starts at 0 and rises with the ramp.
     if (!IsInUse(zone.phase)) zone.share = 0;
   }
--- a/src/zone_failover/evidence.cpp
+++ b/src/zone_failover/evidence.cpp
@@ -9,14 +9,15 @@
 // latest attempt got a response.
 constexpr std::uint32_t kMinUnanswered = 5;
 constexpr std::uint32_t kUnansweredPerResponse = 4;
-// One unanswered attempt may be chance, and one upstream is not the zone.
+// The length of an unanswered run, and the number of its upstreams, that find a zone unresponsive. A single
+// attempt may fail by chance, and a single failed upstream does not mean that the zone failed.
 constexpr std::uint16_t kUnresponsiveRun = 2;
 
 }  // namespace
 
 const ZoneEvidence* Evidence::Find(ZoneId zone) const {
-  const auto it =
-      std::find_if(zones.begin(), zones.end(), [&](const ZoneEvidence& z) { return z.zone == zone; });
+  const auto it = std::find_if(zones.begin(), zones.end(),
+                               [&](const ZoneEvidence& evidence) { return evidence.zone == zone; });
   return it == zones.end() ? nullptr : &*it;
 }
 
--- a/src/zone_failover/evidence.h
+++ b/src/zone_failover/evidence.h
@@ -11,9 +11,9 @@
 
 namespace mothrack::zone_failover {
 
-// The window in which attempts are counted. In a shorter window, a member with little traffic would judge by
-// chance. A longer one would still show the last answers of an unavailable zone when the others should have
-// left it.
+// The window in which attempts are counted. A shorter one would hold too few attempts of a member with little
+// traffic. A longer one would still contain the last answers of an unavailable zone when it should already be
+// drained.
 constexpr Duration kBucket{250};
 constexpr std::size_t kBuckets = 8;
 constexpr Duration kWindow = kBucket * kBuckets;
@@ -21,7 +21,7 @@
 // The highest count that is sent, in two bytes. Higher counts are clamped; weights are capped anyway.
 constexpr std::uint16_t kMaxCount = 16383;
 
-// A member's own decision on a zone, for members that are starting or were cut off.
+// A member's own decision on a zone. Members that are starting or were cut off adopt it.
 struct ReportedState {
   Phase phase = Phase::kActive;
   std::uint8_t step = 0;           // for kDraining and kRecovering
@@ -66,7 +66,7 @@
   bool operator==(const Evidence&) const = default;
 };
 
-// What a member's evidence says about a zone.
+// The verdict on a zone that follows from one member's evidence.
 enum class Verdict { kNone, kResponsive, kUnresponsive };
 
 // kUnresponsive: two consecutive unanswered attempts to different upstreams, or four of five unanswered
--- a/src/zone_failover/evidence_codec.h
+++ b/src/zone_failover/evidence_codec.h
@@ -20,7 +20,7 @@
 
 // Zones beyond kMaxZones are omitted, and counts above kMaxCount are clamped.
 std::string Encode(const Evidence& evidence);
-// Returns nothing if the bytes are not an exact result of Encode(), or if they contradict themselves.
+// Returns nothing if the bytes are not an exact result of Encode(), or if its counts contradict each other.
 std::optional<Evidence> Decode(std::string_view bytes);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/fair_share.cpp
+++ b/src/zone_failover/fair_share.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::zone_failover {
 namespace {
 
-std::uint64_t SumCutTo(const std::vector<std::uint64_t>& values, std::uint64_t cap) {
+std::uint64_t SumClampedTo(const std::vector<std::uint64_t>& values, std::uint64_t cap) {
   std::uint64_t sum = 0;
   for (const std::uint64_t value : values) sum += std::min(value, cap);
   return sum;
@@ -33,11 +33,11 @@
 std::uint64_t WeightCap(const std::vector<std::uint64_t>& weights, std::uint64_t divisor) {
   // If the condition holds for one cap, it holds for all lower ones, because the sum is concave.
   return GreatestThatHolds(weights,
-                           [&](std::uint64_t cap) { return SumCutTo(weights, cap) >= divisor * cap; });
+                           [&](std::uint64_t cap) { return SumClampedTo(weights, cap) >= divisor * cap; });
 }
 
 std::uint64_t FairShareLevel(const std::vector<std::uint64_t>& needs, std::uint64_t total) {
-  return GreatestThatHolds(needs, [&](std::uint64_t level) { return SumCutTo(needs, level) <= total; });
+  return GreatestThatHolds(needs, [&](std::uint64_t level) { return SumClampedTo(needs, level) <= total; });
 }
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/fair_share.h
+++ b/src/zone_failover/fair_share.h
@@ -1,4 +1,4 @@
-// Two exact divisions of integers, each found by bisection. The order of the input does not matter. Pure
+// Two fair divisions in integers, each found by bisection. The order of the input does not matter. Pure
 // functions; any thread.
 #pragma once
 
@@ -12,7 +12,7 @@
 std::uint64_t WeightCap(const std::vector<std::uint64_t>& weights, std::uint64_t divisor);
 
 // Max-min fair division (water filling): the greatest level such that the sum of all needs, each clamped to
-// it, is at most `total`. What one does not need of its equal part goes to the others.
+// it, is at most `total`. The unused part of one's equal share goes to the others.
 std::uint64_t FairShareLevel(const std::vector<std::uint64_t>& needs, std::uint64_t total);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/majority_state.cpp
+++ b/src/zone_failover/majority_state.cpp
@@ -24,11 +24,11 @@
   return 0;
 }
 
-// Order of a zone's states, compared member by member.
+// The position of a state in the order of a zone's states: its fields are compared one after the other.
 struct StateRank {
   std::uint32_t generation;
   int severity;
-  int phase;  // makes different states unequal; the phases in use count as one
+  int phase;  // distinguishes phases of equal severity; both phases in use have the same number
   bool operator==(const StateRank&) const = default;
   bool operator<(const StateRank& other) const {
     return std::tie(generation, severity, phase) < std::tie(other.generation, other.severity, other.phase);
@@ -48,7 +48,7 @@
   return a.age_quarters > b.age_quarters;
 }
 
-// The state with its current age, including the time for which the report was in flight.
+// The state with its current age, including the time since it was sent.
 ReportedState WithCurrentAge(const Observation& observation) {
   ReportedState state = observation.evidence->reported;
   state.age_quarters = static_cast<std::uint16_t>(
@@ -73,7 +73,7 @@
   return RankOf(zone.phase, zone.step, zone.generation) < RankOf(reported);
 }
 
-void Adopt(ZoneState& zone, const ReportedState& reported, TimePoint now) {
+void AdoptState(ZoneState& zone, const ReportedState& reported, TimePoint now) {
   zone.phase = reported.phase == Phase::kSuspect ? Phase::kActive : reported.phase;
   zone.step = reported.step;
   zone.generation = reported.generation;
--- a/src/zone_failover/majority_state.h
+++ b/src/zone_failover/majority_state.h
@@ -12,14 +12,15 @@
 namespace mothrack::zone_failover {
 
 // The latest state that more than half of `members` have reached, or nothing if too few report one. So a
-// minority with wrong reports cannot move anybody. A higher generation is later; within one generation, the
-// state that is less favourable to the zone.
+// minority with wrong reports cannot change the state of any other member. A higher generation is later;
+// within one generation, the state that is less favourable to the zone.
 std::optional<ReportedState> MajorityState(const std::vector<Observation>& observations, std::size_t members);
 
 // Whether the reported state is later than the zone's own.
 bool IsLater(const ReportedState& reported, const ZoneState& zone);
 
-// Adopts a reported state.
-void Adopt(ZoneState& zone, const ReportedState& reported, TimePoint now);
+// Replaces the zone's phase, step, generation, losses and times by the reported ones. kSuspect becomes
+// kActive, because suspicion is each member's own.
+void AdoptState(ZoneState& zone, const ReportedState& reported, TimePoint now);
 
 }  // namespace mothrack::zone_failover
--- a/src/zone_failover/observer.cpp
+++ b/src/zone_failover/observer.cpp
@@ -8,11 +8,13 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// A run over this many different upstreams is conclusive, so further ones need not be remembered.
+// An unanswered run over this many different upstreams is conclusive, so further upstreams are not
+// remembered.
 constexpr std::size_t kMaxRunUpstreams = 16;
 // A zone has at most hundreds of upstreams.
 constexpr std::size_t kMaxResponsiveUpstreams = 512;
-// A repeated outcome follows the first one soon. Not more than this many other attempts end in between.
+// Number of unsafe attempts that are remembered to recognize a repeated outcome, which follows the first one
+// soon: not more than this many others end in between.
 constexpr std::size_t kRememberedAttempts = 256;
 
 std::int64_t BucketNumber(TimePoint now) { return now.time_since_epoch() / kBucket; }
@@ -26,8 +28,8 @@
 void Observer::AdvanceBuckets(Zone& zone, TimePoint now) {
   const std::int64_t current = BucketNumber(now);
   const std::int64_t oldest = current - static_cast<std::int64_t>(kBuckets) + 1;
-  for (std::int64_t b = std::max(zone.newest + 1, oldest); b <= current; ++b)
-    zone.buckets[static_cast<std::size_t>(b) % kBuckets] = {};
+  for (std::int64_t number = std::max(zone.newest + 1, oldest); number <= current; ++number)
+    zone.buckets[static_cast<std::size_t>(number) % kBuckets] = {};
   zone.newest = std::max(zone.newest, current);
 }
 
@@ -44,7 +46,7 @@
 }
 
 void Observer::SetUpstreams(std::string_view zone, std::size_t count, TimePoint now) {
-  if (Zone* z = FindOrAdd(zone, now)) z->upstreams = count;
+  if (Zone* entry = FindOrAdd(zone, now)) entry->upstreams = count;
 }
 
 void Observer::SetReportedState(std::string_view zone, const ReportedState& reported,
@@ -56,10 +58,10 @@
 }
 
 void Observer::OnSent(std::string_view zone, TimePoint now) {
-  Zone* z = FindOrAdd(zone, now);
-  if (z == nullptr) return;
-  ++CurrentBucket(*z).sent;
-  ++z->in_flight;
+  Zone* entry = FindOrAdd(zone, now);
+  if (entry == nullptr) return;
+  ++CurrentBucket(*entry).sent;
+  ++entry->in_flight;
 }
 
 bool Observer::IsRepeated(const AttemptEnd& end) {
--- a/src/zone_failover/observer.h
+++ b/src/zone_failover/observer.h
@@ -15,15 +15,15 @@
 
 namespace mothrack::zone_failover {
 
-// How an attempt ended, as far as it says something about the zone.
+// The outcome of an attempt, reduced to what it says about the zone.
 enum class Outcome {
-  kAnswered,    // whatever the status
+  kAnswered,    // with any status
   kRejected,    // by the upstream
   kNoResponse,  // timed out, not connected, reset
   kCancelled,   // by this member, which says nothing about the upstream
 };
 
-// The end of one attempt. The views must stay valid during the call only.
+// The end of one attempt. The views need to be valid only during the call.
 struct AttemptEnd {
   std::string_view zone;
   std::string_view upstream;
@@ -32,7 +32,7 @@
   Duration elapsed{0};
   bool in_time = false;  // within the latency objective
   bool unsafe = false;   // not idempotent (RFC 9110 section 9.2.1)
-  // An unsafe attempt that was given up may still be answered. Only its final outcome counts, once.
+  // An unsafe attempt that was abandoned may still be answered. Only its final outcome counts, once.
   bool final = true;
 };
 
@@ -67,7 +67,7 @@
   };
   struct Zone {
     std::array<Bucket, kBuckets> buckets{};  // a ring, indexed by bucket number
-    std::int64_t newest = 0;                 // number of the newest bucket
+    std::int64_t newest = 0;                 // number of the newest bucket, counted from the clock's epoch
     // Unanswered attempts that were sent after the last response, and hashes of their upstreams.
     std::uint32_t unanswered_run = 0;
     std::set<std::uint64_t> run_upstreams;
--- a/src/zone_failover/operator_override.h
+++ b/src/zone_failover/operator_override.h
@@ -9,15 +9,15 @@
 
 namespace mothrack::zone_failover {
 
-// In ascending priority among overrides with the same number. docs/design/zone_failover.md calls them stay,
-// return, leave.
+// The kinds of overrides, in ascending priority among those with the same number.
+// docs/design/zone_failover.md calls them stay, return, leave.
 enum class OverrideKind {
   kHold,     // do not change the zone's phase because of evidence
   kRecover,  // start a recovery now, once
   kDrain,    // move the zone's traffic away although it responds
 };
 
-// One override.
+// An operator's command for one zone.
 struct OperatorOverride {
   std::string zone;
   OverrideKind kind = OverrideKind::kHold;
--- a/src/zone_failover/recovery.cpp
+++ b/src/zone_failover/recovery.cpp
@@ -6,11 +6,12 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// Maximum time that counts for one change of a share. It keeps the product small after a pause.
+// Maximum time that counts for one change of a share, so that the product in RampShare() stays small after a
+// pause.
 constexpr Duration kMaxRampTime{10'000};
 
-// In a zone with traffic, one failure in ten may be chance. Of the probes none may fail.
-bool IsClean(const VoteCounts& votes, bool probes_only) {
+// In a zone with traffic, one call in ten may fail by chance. Of the probes, none may fail.
+bool HasFewFailures(const VoteCounts& votes, bool probes_only) {
   return probes_only ? votes.answered == votes.outcomes : votes.answered * 10 >= votes.outcomes * 9;
 }
 
@@ -25,17 +26,17 @@
 
 bool IsRecoveryProven(const ZoneState& zone, const VoteCounts& votes, std::size_t live_members,
                       const FailoverConfig& config, TimePoint now) {
-  const bool probes_only = IsOut(zone.phase);
-  const bool time_is_over = probes_only ? now - zone.drain_started >= DrainTimeOf(zone, config)
-                                        : now - zone.since >= config.recovery_step_interval;
+  const bool probes_only = IsDrainingOrDrained(zone.phase);
+  const bool has_lasted = probes_only ? now - zone.drain_started >= DrainTimeOf(zone, config)
+                                      : now - zone.since >= config.recovery_step_interval;
   const std::uint32_t successes = probes_only ? config.probe_successes : config.step_successes;
   const std::size_t judges = std::min(config.min_success_judges, std::max<std::size_t>(live_members, 1));
-  return time_is_over && IsClean(votes, probes_only) && votes.answered >= successes &&
+  return has_lasted && HasFewFailures(votes, probes_only) && votes.answered >= successes &&
          votes.answered_judges >= judges;
 }
 
-int TargetShare(const ZoneState& zone, bool own_view, const FailoverConfig& config) {
-  if (own_view || IsInUse(zone.phase)) return kWholeShare;
+int TargetShare(const ZoneState& zone, bool use_own_view, const FailoverConfig& config) {
+  if (use_own_view || IsInUse(zone.phase)) return kWholeShare;
   if (zone.phase == Phase::kRecovering) return kWholeShare * zone.step / config.recovery_steps;
   return zone.by_operator ? kWholeShare - zone.shifted : 0;
 }
--- a/src/zone_failover/state_machine.cpp
+++ b/src/zone_failover/state_machine.cpp
@@ -13,7 +13,7 @@
 
 // One row per phase, one column per condition, in the order of the enums.
 constexpr TransitionTable MakeTable() {
-  // Short names keep a row on two lines.
+  // The names are short so that a row fits on two lines.
   constexpr auto keep = Action::kKeep, watch = Action::kWatch, drain = Action::kStartDrain,
                  shift = Action::kShiftMore, probe = Action::kProbe, start = Action::kStartRecovery,
                  up = Action::kStepUp, down = Action::kStepDown, abort = Action::kAbortRecovery;
@@ -37,7 +37,7 @@
   // clang-format on
 }
 
-// Enters the next step of a drain, or ends it if the whole load is shifted.
+// Enters a step of the drain. If the entire load is shifted, the zone is drained instead.
 void EnterDrain(ZoneState& zone, int step, TimePoint now) {
   const bool all_shifted = zone.shifted >= kWholeShare;
   EnterPhase(zone, all_shifted ? Phase::kDrained : Phase::kDraining, all_shifted ? 0 : step, now);
--- a/src/zone_failover/state_machine.h
+++ b/src/zone_failover/state_machine.h
@@ -27,7 +27,7 @@
   kHealthy,          // well
 };
 
-// What a transition does. Each comment starts with the page's word.
+// The actions of transitions. Each comment starts with the page's word.
 enum class Action {
   kKeep,           // keep
   kWatch,          // watch: suspected from now on
@@ -47,18 +47,18 @@
 };
 Transition TransitionFor(Phase phase, Condition condition);
 
-// What the actions depend on, besides the zone itself.
+// The input of the actions, in addition to the state of the zone.
 struct TransitionInput {
   Condition condition = Condition::kHealthy;
   std::uint64_t override_number = 0;  // of the effective override; 0 if there is none
-  std::uint64_t spare_capacity = 0;   // calls per second that the other zones in use can take in addition
+  std::uint64_t spare_capacity = 0;   // calls per second that the other zones in use can serve in addition
   bool others_late = false;           // their answers are late, so no more load may be shifted to them
-  bool locally_reachable = false;     // this member's own zone, which it can reach itself
+  bool locally_reachable = false;     // it is this member's own zone, and this member can reach it
   TimePoint now;
 };
 
 // Carries out the transition for the condition. The resulting phase may differ from Transition::to: a
-// draining zone whose whole load is shifted becomes drained, a recovering one after its last step becomes
+// draining zone whose entire load is shifted becomes drained, a recovering one after its last step becomes
 // active, and one that steps down from its first step becomes drained.
 void ApplyTransition(ZoneState& zone, const TransitionInput& input, const FailoverConfig& config);
 
--- a/src/zone_failover/traffic_plan.cpp
+++ b/src/zone_failover/traffic_plan.cpp
@@ -9,8 +9,8 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// One probe per second and member: with three members a zone's return is detected soon enough, and no
-// upstream is overloaded.
+// One probe per second and member. With three probing members a zone's recovery is detected soon enough, and
+// no upstream is overloaded.
 constexpr std::uint32_t kProbesPer1000s = 1000;
 constexpr std::uint64_t kWindowsPer1000s = 1'000'000 / kWindow.count();
 
@@ -32,18 +32,18 @@
     return ProbeRank{member.zone == zone, Hash(member.name, seed), member.name};
   };
   const ProbeRank own = rank(members.local);
-  const auto before = std::count_if(members.live.begin(), members.live.end(),
-                                    [&](const MemberId& member) { return rank(member) < own; });
-  return static_cast<std::size_t>(before) < config.probing_members;
+  const auto ranked_before = std::count_if(members.live.begin(), members.live.end(),
+                                           [&](const MemberId& member) { return rank(member) < own; });
+  return static_cast<std::size_t>(ranked_before) < config.probing_members;
 }
 
 // Calls of each member to all zones, per 1000 s.
 struct Needs {
-  std::vector<std::uint64_t> of_members;
+  std::vector<std::uint64_t> by_member;
   std::uint64_t own = 0;
 };
 
-// A member's need of a zone is estimated by everything that it sends. Live members without recent evidence
+// A member's need in any zone is estimated by all calls that it sends. Live members without recent evidence
 // count as the mean of the others, so that no allowance is given away that they may need.
 Needs NeedsOf(const std::vector<EvidenceReport>& reports, const MemberList& members,
               const FailoverConfig& config) {
@@ -53,36 +53,38 @@
     std::uint64_t sent = 0;
     for (const ZoneEvidence& zone : report->evidence->zones) sent += zone.sent;
     const std::uint64_t need = sent * kWindowsPer1000s;
-    needs.of_members.push_back(need);
+    needs.by_member.push_back(need);
     total += need;
     if (report->owner.name == members.local.name) needs.own = need;
   }
-  const std::size_t heard = needs.of_members.size();
-  if (heard > 0 && heard < members.live.size()) needs.of_members.resize(members.live.size(), total / heard);
+  const std::size_t reporting = needs.by_member.size();
+  if (reporting > 0 && reporting < members.live.size())
+    needs.by_member.resize(members.live.size(), total / reporting);
   return needs;
 }
 
-// This member's part of what all members together may send to the zone's cold upstreams.
+// This member's part of the calls that all members together may send to the zone's upstreams at the start of
+// their slow start.
 std::uint32_t SlowStartAllowance(const ZoneState& zone, const Needs& needs, const FailoverConfig& config) {
-  const std::uint64_t of_all =
+  const std::uint64_t fleet_allowance =
       zone.peak_per_1000s * static_cast<std::uint64_t>(config.slow_start_share) / kWholeShare;
-  const std::uint64_t own = std::min(needs.own, FairShareLevel(needs.of_members, of_all));
+  const std::uint64_t own = std::min(needs.own, FairShareLevel(needs.by_member, fleet_allowance));
   return static_cast<std::uint32_t>(std::min<std::uint64_t>(own, UINT32_MAX));
 }
 
-// Share of the fleet's load that no zone takes, in thousandths. A zone that an operator drained still takes
-// what the others do not.
+// The share of the fleet's load that no zone serves, in thousandths. A zone that an operator drained still
+// serves the load that the others do not take.
 int ShareToShed(const ZoneStates& states) {
   std::uint64_t load = 0;
-  std::uint64_t untaken = 0;
+  std::uint64_t unserved = 0;
   for (const auto& [name, zone] : states) {
     load += zone.baseline_load;
     if (zone.by_operator || IsInUse(zone.phase)) continue;
-    const int untaken_share = std::max(0, kWholeShare - zone.shifted - zone.share);
-    untaken += static_cast<std::uint64_t>(zone.baseline_load) * static_cast<std::uint64_t>(untaken_share) /
-               kWholeShare;
+    const int unserved_share = std::max(0, kWholeShare - zone.shifted - zone.share);
+    unserved += static_cast<std::uint64_t>(zone.baseline_load) * static_cast<std::uint64_t>(unserved_share) /
+                kWholeShare;
   }
-  return load == 0 ? 0 : static_cast<int>(untaken * kWholeShare / load);
+  return load == 0 ? 0 : static_cast<int>(unserved * kWholeShare / load);
 }
 
 }  // namespace
@@ -105,8 +107,8 @@
     share.slow_start_per_1000s = SlowStartAllowance(zone, needs, config);
     const bool cautious_here = cautious && name != members.local.zone;
     if (cautious_here) share.share = 0;
-    const bool probe_drained =
-        IsOut(zone.phase) && !zone.by_operator && IsProbing(name, zone.generation, members, config);
+    const bool probe_drained = IsDrainingOrDrained(zone.phase) && !zone.by_operator &&
+                               IsProbing(name, zone.generation, members, config);
     if (cautious_here || probe_drained) share.probes_per_1000s = kProbesPer1000s;
     plan.zones.push_back(share);
   }
--- a/src/zone_failover/traffic_plan.h
+++ b/src/zone_failover/traffic_plan.h
@@ -1,5 +1,5 @@
-// What this member's balancer may send to each zone, derived from the zone states. Pure functions; any
-// thread.
+// The traffic that this member's balancer may send to each zone, derived from the zone states. Pure
+// functions; any thread.
 #pragma once
 
 #include <cstdint>
@@ -16,8 +16,9 @@
 // The plan for one zone. Rates are those of this member, in calls per 1000 s.
 struct ZoneShare {
   std::string zone;
-  int share = kWholeShare;  // of the traffic that it would send there, in thousandths
-  // Allowed rate to cold upstreams of the zone if they are completely cold.
+  int share = kWholeShare;  // of the traffic that the balancer would send there otherwise, in thousandths
+  // Allowed rate to the zone's upstreams at the start of their slow start. It grows with the slow start
+  // factor.
   std::uint32_t slow_start_per_1000s = 0;
   std::uint32_t probes_per_1000s = 0;
   std::uint32_t generation = 0;
--- a/src/zone_failover/types.cpp
+++ b/src/zone_failover/types.cpp
@@ -7,8 +7,9 @@
 
 bool HaveDistinctIds(const std::vector<std::string>& zones) {
   std::map<ZoneId, std::string> names;
-  return std::all_of(zones.begin(), zones.end(),
-                     [&](const std::string& z) { return names.emplace(IdOf(z), z).first->second == z; });
+  return std::all_of(zones.begin(), zones.end(), [&](const std::string& zone) {
+    return names.emplace(IdOf(zone), zone).first->second == zone;
+  });
 }
 
 bool IsIsolated(const MemberList& members) { return members.live.size() * 2 < members.known_members; }
--- a/src/zone_failover/types.h
+++ b/src/zone_failover/types.h
@@ -14,21 +14,23 @@
 namespace mothrack::zone_failover {
 
 using Duration = std::chrono::milliseconds;
-// On this machine's steady clock; never compared with another machine's.
+// A time on this machine's steady clock. It is never compared with another machine's time.
 using TimePoint = std::chrono::time_point<std::chrono::steady_clock, Duration>;
 
 // Shares are integers in thousandths, so that every machine computes the same.
 constexpr int kWholeShare = 1000;
 
-// Hash of a zone's name, used in messages because names of up to 64 bytes would leave no room for the counts.
+// Hash of a zone's name, used in messages because names of up to 64 bytes would leave no space for the
+// counts.
 // Two zones with the same id would be treated as one; HaveDistinctIds() detects this before the names are
 // used.
 using ZoneId = std::uint32_t;
 
-// FNV-1a with 64 bits: the same on every machine. `from` continues an earlier hash.
-constexpr std::uint64_t Hash(std::string_view text, std::uint64_t from = 0xcbf29ce484222325) {
-  for (const char c : text) from = (from ^ static_cast<unsigned char>(c)) * 0x100000001b3;
-  return from;
+// FNV-1a with 64 bits: the same on every machine. `hash` is the hash to continue, by default FNV's offset
+// basis.
+constexpr std::uint64_t Hash(std::string_view text, std::uint64_t hash = 0xcbf29ce484222325) {
+  for (const char c : text) hash = (hash ^ static_cast<unsigned char>(c)) * 0x100000001b3;
+  return hash;
 }
 constexpr ZoneId IdOf(std::string_view zone) {
   const std::uint64_t hash = Hash(zone);
@@ -48,10 +50,12 @@
   kRecovering,  // gets a share that rises step by step
 };
 
-// Whether traffic goes there as usual.
+// Whether a zone in this phase gets its usual traffic.
 constexpr bool IsInUse(Phase phase) { return phase == Phase::kActive || phase == Phase::kSuspect; }
-// Whether traffic is being, or has been, moved away.
-constexpr bool IsOut(Phase phase) { return phase == Phase::kDraining || phase == Phase::kDrained; }
+// Whether traffic is being, or has been, moved away from a zone in this phase.
+constexpr bool IsDrainingOrDrained(Phase phase) {
+  return phase == Phase::kDraining || phase == Phase::kDrained;
+}
 
 // A member of the fleet and the zone in which it runs. Names are unique.
 struct MemberId {
@@ -59,7 +63,7 @@
   auto operator<=>(const MemberId&) const = default;
 };
 
-// What this member knows of the fleet. `live`, `zones` and `known_members` include the member itself.
+// The fleet as far as this member knows it. `live`, `zones` and `known_members` include the member itself.
 struct MemberList {
   MemberId local;
   std::vector<MemberId> live;
--- a/src/zone_failover/votes.cpp
+++ b/src/zone_failover/votes.cpp
@@ -8,7 +8,7 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// A single member is no fleet: its own view is all there is, and its balancer already uses that.
+// A single member is never a quorum: its balancer already acts on this member's own view.
 constexpr std::size_t kMinFleetJudges = 2;
 
 struct Judge {
@@ -16,7 +16,7 @@
   std::uint64_t weight;
 };
 
-// There are few names, so a linear search is faster than a set.
+// A set of zone names. There are few, so a linear search is faster than std::set.
 class ZoneNames {
  public:
   void Add(std::string_view name) {
@@ -28,11 +28,12 @@
   std::vector<std::string_view> names_;
 };
 
-// A member that gets a response from no zone is cut off itself, or has a problem that is not the zone's.
+// Whether the member gets responses from another zone. If not, the member may be cut off itself, or have
+// another problem that is not the zone's.
 bool GetsResponsesElsewhere(const Observation& observation) {
   const auto& zones = observation.report->evidence->zones;
-  return std::any_of(zones.begin(), zones.end(), [&](const ZoneEvidence& z) {
-    return z.zone != observation.evidence->zone && VerdictOf(z) == Verdict::kResponsive;
+  return std::any_of(zones.begin(), zones.end(), [&](const ZoneEvidence& evidence) {
+    return evidence.zone != observation.evidence->zone && VerdictOf(evidence) == Verdict::kResponsive;
   });
 }
 
@@ -55,12 +56,12 @@
   }
 }
 
-// Compares part / whole with a share in thousandths.
-bool IsAtLeast(std::uint64_t part, std::uint64_t whole, int share) {
-  return part * kWholeShare >= whole * static_cast<std::uint64_t>(share);
+// Compare part / total with a share in thousandths.
+bool IsAtLeast(std::uint64_t part, std::uint64_t total, int share) {
+  return part * kWholeShare >= total * static_cast<std::uint64_t>(share);
 }
-bool IsAtMost(std::uint64_t part, std::uint64_t whole, int share) {
-  return part * kWholeShare <= whole * static_cast<std::uint64_t>(share);
+bool IsAtMost(std::uint64_t part, std::uint64_t total, int share) {
+  return part * kWholeShare <= total * static_cast<std::uint64_t>(share);
 }
 
 }  // namespace
@@ -73,7 +74,7 @@
   std::vector<Judge> judges;
   judges.reserve(observations.size());
   ZoneNames judge_zones;
-  ZoneNames unresponsive_zones;
+  ZoneNames unresponsive_judge_zones;
   for (const Observation& observation : observations) {
     const MemberId& owner = observation.report->owner;
     if (observation.verdict == Verdict::kNone || (!insiders_judge && owner.zone == zone)) continue;
@@ -85,25 +86,25 @@
     judge_zones.Add(owner.zone);
     if (unresponsive) {
       ++votes.unresponsive_judges;
-      unresponsive_zones.Add(owner.zone);
+      unresponsive_judge_zones.Add(owner.zone);
     }
     CountOutcomes(*observation.evidence, votes);
   }
   votes.judges = judges.size();
   WeighJudges(judges, config, votes);
 
-  // As many judges as possible are required: counted by live members, not by those that happen to have a
-  // verdict.
+  // If fewer than `min_judges` members could judge, a quorum needs all of them: all live ones, not only those
+  // that happen to have a verdict.
   const auto possible = static_cast<std::size_t>(
       std::count_if(members.live.begin(), members.live.end(),
                     [&](const MemberId& member) { return insiders_judge || member.zone != zone; }));
-  // Judges of a single zone decide alone if there is no other zone, and if more than half of all known
-  // members are live.
+  // Judges of a single zone suffice if the fleet has too few zones for more, and if more than half of all
+  // known members are live.
   const bool one_zone_suffices =
       insiders_judge && judge_zones.size() == 1 && members.live.size() * 2 > members.known_members;
   votes.enough_judges =
       votes.unresponsive_judges >= std::min(config.min_judges, std::max(possible, kMinFleetJudges)) &&
-      (unresponsive_zones.size() >= config.min_judge_zones || one_zone_suffices);
+      (unresponsive_judge_zones.size() >= config.min_judge_zones || one_zone_suffices);
   return votes;
 }
 
--- a/src/zone_failover/votes.h
+++ b/src/zone_failover/votes.h
@@ -41,7 +41,7 @@
 
 // Whether a quorum finds the zone unresponsive.
 bool HasQuorum(const VoteCounts& votes, const FailoverConfig& config);
-// Whether too many find it unresponsive to continue as usual, even if they are no quorum.
+// Whether so many judges find it unresponsive that normal operation must not continue, even without a quorum.
 bool IsDoubtful(const VoteCounts& votes, const FailoverConfig& config);
 // Whether so few judges and witnesses find it unresponsive that it can take another zone's load.
 bool IsAlternative(const VoteCounts& votes, const FailoverConfig& config);
--- a/src/zone_failover/zone_state.cpp
+++ b/src/zone_failover/zone_state.cpp
@@ -8,7 +8,7 @@
 
 using std::chrono::seconds;
 
-// Decay per second: 1/866, which halves the peak in ten minutes. By then the zone may have other machines.
+// The peak decays by 1/866 per second, so by half in ten minutes. By then the zone may have other machines.
 constexpr std::uint64_t kPeakDecayDivisor = 866;
 constexpr std::uint64_t kWindowsPer1000s = 1'000'000 / kWindow.count();
 
@@ -51,10 +51,10 @@
     zone.peak_updated += seconds(1);
   }
   if (zone.peak_per_1000s == 0) zone.peak_updated = now;
-  const std::uint64_t seen = SumOf(&ZoneEvidence::in_time, observations) * kWindowsPer1000s;
-  zone.peak_per_1000s = std::max(zone.peak_per_1000s, seen);
-  // Only a much lower peak adopts the others', that is a new member's. If all members adopted each other's
-  // peaks, no peak would ever decay.
+  const std::uint64_t current_rate = SumOf(&ZoneEvidence::in_time, observations) * kWindowsPer1000s;
+  zone.peak_per_1000s = std::max(zone.peak_per_1000s, current_rate);
+  // Only a member whose peak is much lower, such as a new one, adopts the peak of the others. If all members
+  // adopted each other's peaks, no peak would ever decay.
   const std::uint64_t reported = MedianPeak(observations);
   if (zone.peak_per_1000s < reported * 3 / 4) zone.peak_per_1000s = reported;
 }
