--- a/src/hash_ring/bounded_load.cpp
+++ b/src/hash_ring/bounded_load.cpp
@@ -64,8 +64,8 @@
   --total_in_flight_;
 }
 
-// The limits of all nodes add up to more than what is in flight, so at least one node has capacity. This
-// guarantees that Pick() finds one.
+// The limits of all nodes add up to more than what is in flight, so at least one node is below its limit.
+// This guarantees that Pick() finds one.
 std::uint64_t BoundedLoad::Limit(std::uint32_t node) const {
   const std::uint64_t total_weight = ring_->total_weight();
   if (total_weight == 0) return 0;
@@ -86,10 +86,11 @@
   ++requests_;
   if (ring_->serving() == 0 || max == 0) return;
   const std::size_t spread = std::min<std::size_t>(owners_of(key), ring_->serving());
-  // Usually one of the first few owners has capacity. If all of these are full, repeat with more owners.
-  for (std::size_t reach = std::max(max, spread) + 1;; reach *= 4) {
+  // Usually one of the first few owners is below its limit. If all of these are full, repeat with more
+  // owners.
+  for (std::size_t owner_count = std::max(max, spread) + 1;; owner_count *= 4) {
     nodes.clear();
-    ring_->Owners(key, reach, scratch_);
+    ring_->Owners(key, owner_count, scratch_);
     if (spread > 1) {
       const auto first = scratch_.begin();
       std::rotate(first, first + Mix(request) % spread, first + spread);
@@ -99,17 +100,17 @@
       nodes.push_back(owner.node);
       if (nodes.size() == max) break;
     }
-    if (!nodes.empty() || reach >= ring_->serving()) break;
+    if (!nodes.empty() || owner_count >= ring_->serving()) break;
   }
   over_limit_ += nodes.empty() || nodes.front() != scratch_.front().node;
 }
 
 void BoundedLoad::Update(TimePoint now) {
-  const auto lapsed =
+  const auto expired =
       std::erase_if(reports_, [&](const auto& entry) { return now - entry.second.at >= config_.report_ttl; });
-  if (lapsed > 0) RecountInFlight();
+  if (expired > 0) RecountInFlight();
   if (now - period_started_ < config_.period) return;
-  // After a pause of several periods it is unknown in which one the requests arrived, so count them in one.
+  // After a pause of several periods it is unknown in which one the requests arrived, so all count in one.
   period_started_ = now;
   ClosePeriod();
 }
@@ -174,12 +175,12 @@
   const auto allowance = std::max<std::uint64_t>({hot_rate, config_.min_hot_rate, 1});
   const std::uint64_t cooled_allowance =
       std::max<std::uint64_t>(allowance * config_.cool_share / kThousandths, 1);
-  const auto owners_for = [&](std::uint64_t rate, std::uint64_t each) {
+  const auto owners_for = [&](std::uint64_t rate, std::uint64_t rate_per_owner) {
     return static_cast<std::uint32_t>(
-        std::clamp<std::uint64_t>((rate + each - 1) / each, 1, config_.max_owners));
+        std::clamp<std::uint64_t>((rate + rate_per_owner - 1) / rate_per_owner, 1, config_.max_owners));
   };
   for (const auto& [key, demand] : demands) {
-    // Between the two numbers a key keeps its current owners.
+    // Between the two numbers a key keeps its current number of owners.
     const std::uint32_t fewest = owners_for(demand.rate, allowance);
     const std::uint32_t most = std::max(fewest, owners_for(demand.rate, cooled_allowance));
     const std::uint32_t owners = std::clamp(demand.owners, fewest, most);
--- a/src/hash_ring/bounded_load.h
+++ b/src/hash_ring/bounded_load.h
@@ -1,10 +1,10 @@
 // Consistent hashing with bounded loads (Mirrokni, Thorup, Zadimoghaddam, 2018) over a ring, and hot keys
 // that are spread over several owners. Reasons and tables: docs/design/hash_ring.md, "Rules of load".
 //
-// Bound of a node: no node is picked if it would have more in flight than (1 + e) of its share, by weight, of
-// the fleet's requests in flight, or than a small minimum if that is greater. The counts of other members are
-// as old as their last report; a report that is too old is not used. A member that receives no reports uses
-// its own counts, of which each node has its share as well.
+// Bound of a node: no node is picked if it would then have more requests in flight than (1 + e) times its
+// share, by weight, of the fleet's requests in flight, or than a small minimum if that is greater. The counts
+// of other members are as old as their last report; a report that is too old is not used. A member that
+// receives no reports applies the same bound to its own counts.
 //
 // Hot keys: a key that the fleet requests more often than one node's allowance for a key is served by as many
 // of its first owners as necessary, each request by one of them. Members with the same counts reach the same
@@ -26,13 +26,15 @@
 
 namespace mothrack::hash_ring {
 
-// Shares are thousandths. Must be the same at all members, or they reach different numbers of owners.
+// The bounds of nodes and keys. Shares are thousandths. The values must be the same at all members, or they
+// reach different numbers of owners.
 struct LoadBoundConfig {
   // e of the bound. With 0.25 few requests leave their first owner, and no node is overloaded.
   std::uint32_t excess = 250;
   // Minimum bound of a node, in requests in flight. Without it, light traffic would leave its owner.
   std::uint32_t min_limit = 4;
-  // A node's allowance for one key, as a share of the mean node's request rate.
+  // The request rate of one key that one node may serve (its allowance), as a share of the mean request rate
+  // of a node.
   std::uint32_t hot_share = 500;
   // Minimum of that allowance, in requests per period, so that a quiet fleet has no hot keys.
   std::uint32_t min_hot_rate = 50;
@@ -46,7 +48,7 @@
   Duration period{1'000};
 };
 
-// What one member reports to the others.
+// The report that one member sends to the others.
 struct LoadReport {
   static constexpr std::size_t kMaxHeavyKeys = 16;  // bounds the size of a report
   struct HeavyKey {
@@ -61,7 +63,7 @@
 };
 
 // Not thread-safe. Memory is bounded for any input. The result of Pick() is advice: the balancer bypasses an
-// owner that is ejected, cold or in a drained zone.
+// owner that is ejected, at the start of its slow start or in a drained zone.
 class BoundedLoad {
  public:
   static constexpr std::size_t kMaxMembers = 4096;  // the same bound as in gossip
@@ -92,7 +94,7 @@
   // Requests in flight to one node, and to all serving nodes, by this member's and the reported counts.
   std::uint64_t in_flight(std::uint32_t node) const { return in_flight_[node]; }
   std::uint64_t in_flight() const { return total_in_flight_; }
-  // The bound of a node: (1 + e) of its share of everything in flight, including one further request; rounded
+  // The bound of a node: (1 + e) times its share of all requests in flight and one further request, rounded
   // up, and at least `min_limit`. 0 if no node serves.
   std::uint64_t Limit(std::uint32_t node) const;
   // The number of owners over which a key is spread; 1 unless it is hot.
@@ -109,13 +111,13 @@
     std::uint64_t key = 0;
     std::uint32_t rate = 0;  // per period
   };
-  // The whole fleet's demand for a key.
+  // The demand of the entire fleet for a key.
   struct KeyDemand {
     std::uint64_t rate = 0;    // per period
     std::uint32_t owners = 0;  // the highest number that any member uses
   };
 
-  // Recomputes what each node has in flight after the ring or a report has changed.
+  // Recomputes the counts of requests in flight; called when the ring or a report has changed.
   void RecountInFlight();
   void ClosePeriod();
   // Smooths the rates of the keys in the sketch into own_rates_. Returns them, the heaviest first.
--- a/src/hash_ring/heavy_hitter_sketch.h
+++ b/src/hash_ring/heavy_hitter_sketch.h
@@ -8,8 +8,8 @@
 
 namespace mothrack::hash_ring {
 
-// Not thread-safe. Contains every key with more than 1 / kCapacity of all added keys. The count of an entry
-// is never too low, and too high by at most its overcount.
+// Not thread-safe. Contains every key that accounts for more than 1 / kCapacity of all Add() calls since
+// Clear(). The count of an entry is never too low, and too high by at most its overcount.
 class HeavyHitterSketch {
  public:
   // 64 entries of 16 bytes; Add() scans them once.
@@ -20,7 +20,7 @@
     std::uint32_t overcount = 0;  // the count of the key that this one replaced
   };
 
-  // Counts one request of a key.
+  // Counts one request for a key. If the sketch is full, a new key replaces the one with the lowest count.
   void Add(std::uint64_t key);
   void Clear() { used_ = 0; }
   const Entry* begin() const { return entries_.data(); }
--- a/src/hash_ring/ring_builder.cpp
+++ b/src/hash_ring/ring_builder.cpp
@@ -7,11 +7,11 @@
 namespace mothrack::hash_ring {
 namespace {
 
-// Far above what a member reaches with one generation per second during its whole life. A member that claims
-// more would leave no numbers for the others.
+// The highest generation that is accepted: far above what a member reaches with one generation per second
+// during its lifetime. A record with a much higher one would leave no generations for later changes.
 constexpr std::uint64_t kMaxGeneration = std::uint64_t{1} << 48;
 
-// A heavier record is greater; a removed one is the lightest.
+// The order of records by weight: a heavier one is greater, and a removed one is the lightest.
 auto WeightRank(const NodeRecord& record) {
   return std::tuple(!record.removed, record.weight_share, record.level);
 }
@@ -25,8 +25,8 @@
 
 }  // namespace
 
-// The lighter record wins, because it does no harm: an overrated node gets overloaded, an underrated one has
-// spare capacity.
+// Within one generation the lighter record wins, because it does no harm: a node with too high a weight gets
+// overloaded, one with too low a weight has spare capacity.
 bool Supersedes(const NodeRecord& record, const NodeRecord& current) {
   if (record.generation != current.generation) return record.generation > current.generation;
   return WeightRank(record) < WeightRank(current);
@@ -44,12 +44,12 @@
 
 std::optional<NodeRecord> RingBuilder::DesiredRecord(const Entry& entry, const NodeUpdate* update,
                                                      TimePoint now) const {
-  const bool has = entry.record && !entry.record->removed;
+  const bool has_record = entry.record && !entry.record->removed;
   if (update && update->state == NodeUpdate::State::kActive) {
     NodeRecord desired;
     desired.uid = update->uid;
     desired.weight_share = WeightShareAt(update->age);
-    if (has) {
+    if (has_record) {
       // An expired measurement is no reason to return to the registered capacity.
       desired.level =
           update->measured_capacity
@@ -62,18 +62,19 @@
     }
     return desired;
   }
-  if (!has || (!update && now - *entry.missing_since < config_.missing_grace)) return std::nullopt;
+  if (!has_record || (!update && now - *entry.missing_since < config_.missing_grace)) return std::nullopt;
   NodeRecord desired = *entry.record;
   desired.removed = true;
   return desired;
 }
 
-// Noise around a change in one direction does not restart its settle time, but a change of direction does.
+// Variations of a pending change do not restart its settle time as long as its direction (heavier or lighter)
+// stays the same.
 void RingBuilder::SetPending(Entry& entry, std::optional<NodeRecord> desired, TimePoint now) {
-  const auto direction = [&](const NodeRecord& pending) {
+  const auto is_lighter = [&](const NodeRecord& pending) {
     return entry.record ? WeightRank(pending) < WeightRank(*entry.record) : false;
   };
-  if (desired && (!entry.pending || direction(*desired) != direction(*entry.pending)))
+  if (desired && (!entry.pending || is_lighter(*desired) != is_lighter(*entry.pending)))
     entry.pending_since = now;
   entry.pending = std::move(desired);
 }
@@ -81,14 +82,14 @@
 bool RingBuilder::ApplyDueChanges(TimePoint now) {
   bool all_settled = true;
   bool any_settled = false;
-  Duration oldest{0};
+  Duration oldest_age{0};
   for (const auto& [uid, entry] : entries_) {
     if (!entry.pending) continue;
     const Duration age = now - entry.pending_since;
-    oldest = std::max(oldest, age);
+    oldest_age = std::max(oldest_age, age);
     (age >= config_.settle_time ? any_settled : all_settled) = age >= config_.settle_time;
   }
-  if (!any_settled || (!all_settled && oldest < config_.batch_window)) return false;
+  if (!any_settled || (!all_settled && oldest_age < config_.batch_window)) return false;
   ++generation_;
   for (auto& [uid, entry] : entries_) {
     if (!entry.pending || now - entry.pending_since < config_.settle_time) continue;
@@ -100,8 +101,8 @@
 }
 
 bool RingBuilder::Update(const std::vector<NodeUpdate>& nodes, bool cut_off, TimePoint now) {
-  // Pending changes start over once the member is no longer cut off: a node that was missing before may have
-  // returned in between.
+  // Settle times and grace periods restart once the member is no longer cut off: a node that was missing
+  // before may have returned in between.
   if (cut_off) {
     for (auto& [uid, entry] : entries_) {
       entry.pending.reset();
@@ -120,9 +121,9 @@
     if (entries_.size() < kMaxNodes) entries_.try_emplace(update.uid);
   }
   bool changed = false;
-  for (auto at = entries_.begin(); at != entries_.end();) {
-    Entry& entry = at->second;
-    const auto found = by_uid.find(at->first);
+  for (auto entry_it = entries_.begin(); entry_it != entries_.end();) {
+    Entry& entry = entry_it->second;
+    const auto found = by_uid.find(entry_it->first);
     const NodeUpdate* update = found == by_uid.end() ? nullptr : found->second;
     if (update) {
       entry.missing_since.reset();
@@ -133,11 +134,11 @@
                           WeightShareAt(update->age) == WeightShare::kNone;
     changed |= std::exchange(entry.bypassed, bypassed) != bypassed && entry.record && !entry.record->removed;
     SetPending(entry, DesiredRecord(entry, update, now), now);
-    // Nothing about this node has to be remembered any more.
-    const bool forget =
+    // A missing node's entry is needed only for its record, or to remember its removal.
+    const bool can_be_forgotten =
         !update &&
         (!entry.record || (entry.record->removed && now - entry.changed_at >= config_.removal_memory));
-    at = forget ? entries_.erase(at) : std::next(at);
+    entry_it = can_be_forgotten ? entries_.erase(entry_it) : std::next(entry_it);
   }
   changed |= ApplyDueChanges(now);
   if (changed) Rebuild();
@@ -147,16 +148,16 @@
 bool RingBuilder::Merge(const std::vector<NodeRecord>& records, TimePoint now) {
   bool changed = false;
   for (const NodeRecord& record : records) {
-    const auto at = entries_.find(record.uid);
-    if (!IsValid(record) || (at == entries_.end() && entries_.size() >= kMaxNodes)) {
+    const auto entry_it = entries_.find(record.uid);
+    if (!IsValid(record) || (entry_it == entries_.end() && entries_.size() >= kMaxNodes)) {
       ++rejected_;
       continue;
     }
-    Entry& entry = at != entries_.end() ? at->second : entries_[record.uid];
+    Entry& entry = entry_it != entries_.end() ? entry_it->second : entries_[record.uid];
     if (entry.record && !Supersedes(record, *entry.record)) continue;
     generation_ = std::max(generation_, record.generation);
     // A node of which only the record is known is bypassed until it appears in the list.
-    if (at == entries_.end()) entry.bypassed = true;
+    if (entry_it == entries_.end()) entry.bypassed = true;
     entry.record = record;
     entry.changed_at = now;
     // This record may be the pending change, or may cause another one. The next Update() determines that. The
