--- a/tests/zone_failover/decision_test.cpp
+++ b/tests/zone_failover/decision_test.cpp
@@ -1,5 +1,5 @@
-// Decisions don't depend on the order of their input; new members begin with care; the allowance for cold
-// upstreams is shared.
+// Decisions do not depend on the order of their input, new members start cautiously, and the slow start
+// allowance is shared among members.
 #include "zone_failover/decision.h"
 
 #include <gtest/gtest.h>
@@ -16,25 +16,25 @@
 namespace mothrack::zone_failover {
 namespace {
 
-TEST(ZoneDecision, DoesNotDependOnTheSequenceOfItsInput) {
+TEST(ZoneDecision, DoesNotDependOnTheOrderOfItsInput) {
   std::mt19937_64 random(7);
   for (int i = 0; i < 300; ++i) {
     Fleet fleet;
-    for (const MemberId& p : fleet.members.live) {
+    for (const MemberId& member : fleet.members.live) {
       std::string verdicts = "www";
-      for (char& c : verdicts) c = "wwsl-"[random() % 5];
+      for (char& verdict : verdicts) verdict = "wwsl-"[random() % 5];
       const ReportedState reported{static_cast<Phase>(random() % 5), 1, 1,
                                    static_cast<std::uint32_t>(random() % 4), 20};
-      fleet.reports.push_back(ReportOf(p, verdicts, static_cast<std::uint16_t>(1 + random() % 1000),
+      fleet.reports.push_back(ReportOf(member, verdicts, static_cast<std::uint16_t>(1 + random() % 1000),
                                        {reported, reported, reported}));
     }
     std::vector<OperatorOverride> overrides{{"a", OverrideKind::kDrain, 1, "x", "", At(9)},
                                             {"a", OverrideKind::kHold, random() % 3, "y", "", At(9)}};
     std::optional<std::vector<ReportedState>> first;
-    for (int turn = 0; turn < 5; ++turn) {
-      const ZoneStates s = Decide({}, kNames, fleet.reports, overrides, fleet.members, {}, At(0));
+    for (int repetition = 0; repetition < 5; ++repetition) {
+      const ZoneStates states = Decide({}, kZoneNames, fleet.reports, overrides, fleet.members, {}, At(0));
       std::vector<ReportedState> reported;
-      for (const auto& [name, zone] : s) reported.push_back(ReportedStateOf(zone, At(0)));
+      for (const auto& [name, zone] : states) reported.push_back(ReportedStateOf(zone, At(0)));
       if (!first) first = reported;
       ASSERT_EQ(reported, *first) << i;
       std::shuffle(fleet.reports.begin(), fleet.reports.end(), random);
@@ -45,32 +45,33 @@
 }
 
 TEST(ZoneDecision, NewMemberStartsFromItsPeersOrConservatively) {
-  const ReportedState left{Phase::kDrained, 0, 1, 5, 8};
-  const ZoneStates reported = InitialState(kNames, {ReportOf({"c1", "c"}, "-ww", 10, {left})}, At(0));
-  EXPECT_EQ(reported.at("a").phase, Phase::kDrained);
-  EXPECT_EQ(reported.at("a").share, 0);
-  EXPECT_EQ(reported.at("a").since, At(-2000));
-  const ZoneStates none = InitialState(kNames, {}, At(0));
-  const TrafficPlan cautious = TrafficPlanFor(none, {}, Fleet().members, {}, At(100), At(0));
+  const ReportedState drained{Phase::kDrained, 0, 1, 5, 8};
+  const ZoneStates from_peers =
+      InitialState(kZoneNames, {ReportOf({"c1", "c"}, "-ww", 10, {drained})}, At(0));
+  EXPECT_EQ(from_peers.at("a").phase, Phase::kDrained);
+  EXPECT_EQ(from_peers.at("a").share, 0);
+  EXPECT_EQ(from_peers.at("a").since, At(-2000));
+  const ZoneStates without_peers = InitialState(kZoneNames, {}, At(0));
+  const TrafficPlan cautious = TrafficPlanFor(without_peers, {}, Fleet().members, {}, At(100), At(0));
   EXPECT_EQ(cautious.zones.at(0).share, 0);
   EXPECT_GT(cautious.zones.at(0).probes_per_1000s, 0U);
-  EXPECT_EQ(cautious.zones.at(1).share, 1000) << "its own";
-  EXPECT_EQ(TrafficPlanFor(none, {}, Fleet().members, {}, At(2000), At(0)).zones.at(0).share, 1000);
+  EXPECT_EQ(cautious.zones.at(1).share, 1000) << "the member's own zone";
+  EXPECT_EQ(TrafficPlanFor(without_peers, {}, Fleet().members, {}, At(2000), At(0)).zones.at(0).share, 1000);
 }
 
-TEST(ZoneDecision, SlowStartAllowanceIsSharedAndSpareAllowanceIsLent) {
+TEST(ZoneDecision, SlowStartAllowanceIsSharedAndUnusedPartsGoToOthers) {
   Fleet fleet;
   std::uint64_t sum = 0;
-  ZoneStates state;
-  for (const std::string& name : kNames) state[name].peak_per_1000s = 400 * 1000;
-  for (const MemberId& p : fleet.members.live)
-    fleet.reports.push_back(ReportOf(p, "www", p.name == "a0" ? 1 : 100));
-  for (const MemberId& p : fleet.members.live) {
-    fleet.members.local = p;
-    const auto mine =
-        TrafficPlanFor(state, fleet.reports, fleet.members, {}, At(0)).zones.at(0).slow_start_per_1000s;
-    EXPECT_EQ(mine, p.name == "a0" ? 1500U : (60'000U - 1500U) / 11);
-    sum += mine;
+  ZoneStates states;
+  for (const std::string& name : kZoneNames) states[name].peak_per_1000s = 400 * 1000;
+  for (const MemberId& member : fleet.members.live)
+    fleet.reports.push_back(ReportOf(member, "www", member.name == "a0" ? 1 : 100));
+  for (const MemberId& member : fleet.members.live) {
+    fleet.members.local = member;
+    const auto allowance =
+        TrafficPlanFor(states, fleet.reports, fleet.members, {}, At(0)).zones.at(0).slow_start_per_1000s;
+    EXPECT_EQ(allowance, member.name == "a0" ? 1500U : (60'000U - 1500U) / 11);
+    sum += allowance;
   }
   EXPECT_LE(sum, 60'000U);
 }
--- a/tests/zone_failover/histories_test.cpp
+++ b/tests/zone_failover/histories_test.cpp
@@ -1,6 +1,6 @@
-// Histories of evidence drawn from seeds, against rules that must hold whatever is reported; and faults
-// planted in the configuration, that must be found. HISTORIES sets how many, HISTORIES_FROM the first seed
-// (1).
+// Random histories of evidence, checked against rules that must hold whatever is reported. With faults
+// injected into the configuration, the same checks must find each fault. The environment variable HISTORIES
+// sets the number of histories, HISTORIES_FROM the first seed (by default 1).
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -20,13 +20,14 @@
 namespace {
 
 struct HistoryResult {
-  std::string violation;
-  int drains = 0, recoveries = 0, isolated = 0;
+  std::string violation;  // empty if there was none
+  int drains = 0, recoveries = 0, isolated_rounds = 0;
 };
 
-// One member among twelve; zones fail and evidence arrives at random, with up to three members that report
-// the same falsehood.
-HistoryResult Play(std::uint64_t seed, const FailoverConfig& config) {
+// Simulates the decisions of one member among twelve until a rule is violated or 90 s have passed. Zones fail
+// and evidence arrives at random. In half of the histories, up to three members report the same false
+// evidence.
+HistoryResult SimulateHistory(std::uint64_t seed, const FailoverConfig& config) {
   std::mt19937_64 random(seed);
   Fleet fleet;
   HistoryResult result;
@@ -48,77 +49,83 @@
     for (const MemberId& member : fleet.members.live) {
       std::string verdicts = actual;
       if (random() % 12 == 0) verdicts[random() % 3] = "ws-"[random() % 3];
-      // Those of one zone, and a busy one.
+      // All members of a zone but one, with many more attempts than the others.
       const bool reports_falsely = has_false_reporters && member.zone == "c" && member.name != "c3";
       if (reports_falsely) verdicts = "sww";
       const std::uint16_t sent = reports_falsely ? 5000 : 20;
       const ReportedState false_state{Phase::kDrained, 0, 9, 1'000'000, 1};
       std::vector<ReportedState> reported;
-      for (const std::string& z : kNames)
-        reported.push_back(reports_falsely     ? false_state
-                           : state.contains(z) ? ReportedStateOf(state[z], At(now))
-                                               : ReportedState{});
+      for (const std::string& name : kZoneNames)
+        reported.push_back(reports_falsely        ? false_state
+                           : state.contains(name) ? ReportedStateOf(state[name], At(now))
+                                                  : ReportedState{});
       EvidenceReport report = ReportOf(member, verdicts, sent, reported);
       report.age = Duration(random() % 3500);
       if (random() % 5 != 0) fleet.reports.push_back(report);
     }
-    const ZoneStates next = Decide(state, kNames, fleet.reports, {}, fleet.members, config, At(now));
+    const ZoneStates next = Decide(state, kZoneNames, fleet.reports, {}, fleet.members, config, At(now));
     const bool isolated = fleet.members.live.size() * 2 < fleet.members.known_members;
-    result.isolated += isolated ? 1 : 0;
+    result.isolated_rounds += isolated ? 1 : 0;
     int in_use = 0;
-    for (const auto& [name, z] : next) {
+    for (const auto& [name, zone] : next) {
       const ZoneState before = state.contains(name) ? state[name] : ZoneState{};
-      const auto is_out = [](const ZoneState& s) {
-        return s.phase == Phase::kDraining || s.phase == Phase::kDrained;
+      const auto is_draining_or_drained = [](const ZoneState& candidate) {
+        return candidate.phase == Phase::kDraining || candidate.phase == Phase::kDrained;
       };
-      in_use += z.phase == Phase::kActive || z.phase == Phase::kSuspect ? 1 : 0;
+      in_use += zone.phase == Phase::kActive || zone.phase == Phase::kSuspect ? 1 : 0;
       const auto violate = [&](const std::string& what) {
         result.violation = what + " (zone " + name + ", " + std::to_string(now) + " ms)";
       };
-      if (is_out(z) && !is_out(before)) {
-        // Counted anew, and not by the code that decided it.
-        std::set<std::string> zones;
-        const auto count = [&](const std::string& of, Verdict what) {
+      if (is_draining_or_drained(zone) && !is_draining_or_drained(before)) {
+        // Counts the votes independently of the code under test.
+        std::set<std::string> unresponsive_judge_zones;
+        const auto count = [&](const std::string& zone_name, Verdict verdict) {
           std::size_t members = 0;
           for (const EvidenceReport& report : fleet.reports) {
-            if (report.age >= Duration(3000) || report.owner.zone == of ||
-                VerdictOf(*report.evidence->Find(IdOf(of))) != what)
+            if (report.age >= Duration(3000) || report.owner.zone == zone_name ||
+                VerdictOf(*report.evidence->Find(IdOf(zone_name))) != verdict)
               continue;
             ++members;
-            if (of == name && what == Verdict::kUnresponsive) zones.insert(report.owner.zone);
+            if (zone_name == name && verdict == Verdict::kUnresponsive)
+              unresponsive_judge_zones.insert(report.owner.zone);
           }
           return members;
         };
         const std::size_t unresponsive = count(name, Verdict::kUnresponsive),
                           responsive = count(name, Verdict::kResponsive);
-        const bool has_alternative = std::any_of(next.begin(), next.end(), [&](const auto& o) {
-          return o.first != name && (o.second.phase == Phase::kActive || o.second.phase == Phase::kSuspect) &&
-                 count(o.first, Verdict::kResponsive) > count(o.first, Verdict::kUnresponsive);
+        const bool has_alternative = std::any_of(next.begin(), next.end(), [&](const auto& other) {
+          return other.first != name &&
+                 (other.second.phase == Phase::kActive || other.second.phase == Phase::kSuspect) &&
+                 count(other.first, Verdict::kResponsive) > count(other.first, Verdict::kUnresponsive);
         });
-        const bool back = before.phase == Phase::kRecovering;
-        if (!back && !has_alternative) violate("left for nowhere");
-        // With weights cut to a fifth the three that lie have less than what the others have together.
-        if (!back && unresponsive < responsive) violate("left against most");
-        const std::size_t outside =
+        const bool recovery_aborted = before.phase == Phase::kRecovering;
+        if (!recovery_aborted && !has_alternative) violate("drained without an alternative");
+        // Each weight is capped at a fifth of the total, so the members with false reports cannot outweigh
+        // the others.
+        if (!recovery_aborted && unresponsive < responsive) violate("drained against the majority");
+        const std::size_t members_outside =
             std::count_if(fleet.members.live.begin(), fleet.members.live.end(),
                           [&](const MemberId& member) { return member.zone != name; });
-        if (!back && (unresponsive < std::clamp<std::size_t>(outside, 2, 3) || zones.size() < 2))
-          violate("left without a quorum");
-        const int times = ++losses[name];
-        if (times > 1 && At(now) - last_drain[name] < Duration(5000)) violate("flaps");
+        if (!recovery_aborted && (unresponsive < std::clamp<std::size_t>(members_outside, 2, 3) ||
+                                  unresponsive_judge_zones.size() < 2))
+          violate("drained without a quorum");
+        const int loss = ++losses[name];
+        if (loss > 1 && At(now) - last_drain[name] < Duration(5000)) violate("drained again too soon");
         last_drain[name] = At(now);
         ++result.drains;
       }
-      if (before.phase == Phase::kDrained && z.phase == Phase::kRecovering) {
+      if (before.phase == Phase::kDrained && zone.phase == Phase::kRecovering) {
         ++result.recoveries;
-        if (At(now) - last_drain[name] < Duration(5000)) violate("came back too soon");
+        if (At(now) - last_drain[name] < Duration(5000)) violate("recovered too soon");
       }
-      if (isolated && z.generation != before.generation) violate("decided alone");
-      if (z.generation < before.generation) violate("generation fell");
-      const int moved = z.share - before.share;
-      if (moved > 26 || (moved < -26 && !(is_out(z) && z.generation != before.generation))) violate("jumped");
+      if (isolated && zone.generation != before.generation) violate("decided while isolated");
+      if (zone.generation < before.generation) violate("generation decreased");
+      const int share_change = zone.share - before.share;
+      if (share_change > 26 ||
+          (share_change < -26 && !(is_draining_or_drained(zone) && zone.generation != before.generation)))
+        violate("share changed too fast");
     }
-    if (in_use == 0) result.violation = "all zones left at " + std::to_string(now);
+    if (in_use == 0) result.violation = "no zone in use (" + std::to_string(now) + " ms)";
     if (!result.violation.empty()) return result;
     state = next;
   }
@@ -126,42 +133,49 @@
 }
 
 TEST(ZoneHistories, KeepTheRules) {
-  const char* set = std::getenv("HISTORIES");
-  const std::uint64_t count = set == nullptr ? 1000 : std::strtoull(set, nullptr, 10);
-  const char* from = std::getenv("HISTORIES_FROM");
-  const std::uint64_t begin = from == nullptr ? 1 : std::strtoull(from, nullptr, 10);
-  HistoryResult all;
-  for (std::uint64_t seed = begin; seed < begin + count; ++seed) {
-    const HistoryResult result = Play(seed, {});
+  const char* count_text = std::getenv("HISTORIES");
+  const std::uint64_t count = count_text == nullptr ? 1000 : std::strtoull(count_text, nullptr, 10);
+  const char* first_text = std::getenv("HISTORIES_FROM");
+  const std::uint64_t first_seed = first_text == nullptr ? 1 : std::strtoull(first_text, nullptr, 10);
+  HistoryResult total;
+  for (std::uint64_t seed = first_seed; seed < first_seed + count; ++seed) {
+    const HistoryResult result = SimulateHistory(seed, {});
     ASSERT_EQ(result.violation, "") << "seed " << seed;
-    all.drains += result.drains, all.recoveries += result.recoveries, all.isolated += result.isolated;
+    total.drains += result.drains, total.recoveries += result.recoveries,
+        total.isolated_rounds += result.isolated_rounds;
   }
-  std::printf("%d leaves, %d returns, %d turns alone\n", all.drains, all.recoveries, all.isolated);
-  EXPECT_GT(all.drains, 0);
-  EXPECT_GT(all.recoveries, 0);
-  EXPECT_GT(all.isolated, 0);
+  std::printf("%d drains, %d recoveries, %d rounds while isolated\n", total.drains, total.recoveries,
+              total.isolated_rounds);
+  EXPECT_GT(total.drains, 0);
+  EXPECT_GT(total.recoveries, 0);
+  EXPECT_GT(total.isolated_rounds, 0);
 }
 
 TEST(ZoneHistories, FindEachInjectedFault) {
-  const auto found = [](const std::function<void(FailoverConfig&)>& plant) {
+  const auto first_violation = [](const std::function<void(FailoverConfig&)>& inject_fault) {
     FailoverConfig config;
-    plant(config);
+    inject_fault(config);
     for (std::uint64_t seed = 1; seed <= 300; ++seed) {
-      const HistoryResult result = Play(seed, config);
+      const HistoryResult result = SimulateHistory(seed, config);
       if (!result.violation.empty()) return result.violation.substr(0, result.violation.find(" ("));
     }
     return std::string("nothing");
   };
-  EXPECT_EQ(found([](FailoverConfig& r) {
-              r.min_judges = 1, r.min_judge_zones = 1, r.unavailable_threshold = 200;
+  EXPECT_EQ(first_violation([](FailoverConfig& config) {
+              config.min_judges = 1, config.min_judge_zones = 1, config.unavailable_threshold = 200;
             }),
-            "left without a quorum");
-  EXPECT_EQ(found([](FailoverConfig& r) { r.min_judge_zones = 1, r.judge_weight_divisor = 1; }),
-            "left without a quorum");
-  EXPECT_EQ(found([](FailoverConfig& r) { r.unavailable_threshold = 100; }), "left against most");
-  EXPECT_EQ(found([](FailoverConfig& r) { r.min_drain_time = Duration(500); }), "came back too soon");
-  EXPECT_EQ(found([](FailoverConfig& r) { r.share_ramp = 2000; }), "jumped");
-  EXPECT_EQ(found([](FailoverConfig& r) { r.alternative_threshold = 1000; }), "left for nowhere");
+            "drained without a quorum");
+  EXPECT_EQ(first_violation(
+                [](FailoverConfig& config) { config.min_judge_zones = 1, config.judge_weight_divisor = 1; }),
+            "drained without a quorum");
+  EXPECT_EQ(first_violation([](FailoverConfig& config) { config.unavailable_threshold = 100; }),
+            "drained against the majority");
+  EXPECT_EQ(first_violation([](FailoverConfig& config) { config.min_drain_time = Duration(500); }),
+            "recovered too soon");
+  EXPECT_EQ(first_violation([](FailoverConfig& config) { config.share_ramp = 2000; }),
+            "share changed too fast");
+  EXPECT_EQ(first_violation([](FailoverConfig& config) { config.alternative_threshold = 1000; }),
+            "drained without an alternative");
 }
 
 }  // namespace
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -1,4 +1,4 @@
-// The table "Words of operators" of docs/design/zone_failover.md row by row.
+// Each row of the table "Words of operators" of docs/design/zone_failover.md.
 #include "zone_failover/operator_override.h"
 
 #include <gtest/gtest.h>
@@ -20,23 +20,24 @@
 TEST(ZoneTables, OperatorOverrides) {
   for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Words of operators")) {
     std::vector<OperatorOverride> overrides;
-    std::istringstream in(row.at("words"));
-    for (std::string one; std::getline(in, one, ',');) {
-      std::istringstream of(one);
-      std::string owner, kind, over;
+    std::istringstream commands(row.at("words"));
+    for (std::string command; std::getline(commands, command, ',');) {
+      std::istringstream fields(command);
+      std::string owner, kind_name, expired;
       std::uint64_t number = 0;
-      of >> owner >> kind >> number >> over;
-      const OverrideKind k = kind == "leave"    ? OverrideKind::kDrain
-                             : kind == "return" ? OverrideKind::kRecover
-                                                : OverrideKind::kHold;
-      overrides.push_back({"a", k, number, owner, "", At(over.empty() ? 1 : 0)});
+      fields >> owner >> kind_name >> number >> expired;
+      const OverrideKind kind = kind_name == "leave"    ? OverrideKind::kDrain
+                                : kind_name == "return" ? OverrideKind::kRecover
+                                                        : OverrideKind::kHold;
+      overrides.push_back({"a", kind, number, owner, "", At(expired.empty() ? 1 : 0)});
     }
-    for (int turn = 0; turn < 2; ++turn) {
+    // In both orders.
+    for (int order = 0; order < 2; ++order) {
       const OperatorOverride* effective = EffectiveOverride("a", overrides, At(0));
-      const std::vector<std::string> kinds{"stay", "return", "leave"};
+      const std::vector<std::string> kind_names{"stay", "return", "leave"};
       EXPECT_EQ(effective == nullptr
                     ? "none"
-                    : effective->owner + ' ' + kinds[static_cast<std::size_t>(effective->kind)],
+                    : effective->owner + ' ' + kind_names[static_cast<std::size_t>(effective->kind)],
                 row.at("counts"));
       std::reverse(overrides.begin(), overrides.end());
     }
--- a/tests/zone_failover/state_machine_test.cpp
+++ b/tests/zone_failover/state_machine_test.cpp
@@ -1,5 +1,5 @@
-// The table "Rules of a zone" of docs/design/zone_failover.md row by row: as it stands in the code, and as
-// evidence plays it through the whole decision.
+// Each row of the table "Rules of a zone" of docs/design/zone_failover.md: compared with the table in the
+// code, and with the result of Decide() for evidence that leads to the row's condition.
 #include "zone_failover/state_machine.h"
 
 #include <gtest/gtest.h>
@@ -22,6 +22,7 @@
 using testing::Row;
 using testing::TableOf;
 
+// The page's names, in the order of the enums.
 const std::vector<std::string> kPhases = {"in", "suspect", "leaving", "left", "returning"};
 const std::vector<std::string> kConditions = {"alone", "leave", "stay",    "return", "last", "late",
                                               "lost",  "doubt", "unknown", "proved", "well"};
@@ -29,37 +30,37 @@
                                            "return", "step on", "step back", "put back"};
 
 template <typename T>
-T Named(const std::vector<std::string>& names, const std::string& name) {
+T EnumNamed(const std::vector<std::string>& names, const std::string& name) {
   const auto it = std::find(names.begin(), names.end(), name);
-  if (it == names.end()) throw std::runtime_error("no " + name);
+  if (it == names.end()) throw std::runtime_error("unknown name: " + name);
   return static_cast<T>(it - names.begin());
 }
 
-TEST(ZoneTables, EveryStateAndConditionIsOnceInThePageAndAsInTheCode) {
+TEST(ZoneTables, PageHasEachTransitionOnceAndAgreesWithTheCode) {
   std::set<std::pair<std::string, std::string>> seen;
   for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Rules of a zone")) {
     EXPECT_TRUE(seen.emplace(row.at("state"), row.at("condition")).second)
         << row.at("state") << row.at("condition");
-    const Transition transition = TransitionFor(Named<Phase>(kPhases, row.at("state")),
-                                                Named<Condition>(kConditions, row.at("condition")));
-    EXPECT_EQ(transition.to, Named<Phase>(kPhases, row.at("becomes")))
+    const Transition transition = TransitionFor(EnumNamed<Phase>(kPhases, row.at("state")),
+                                                EnumNamed<Condition>(kConditions, row.at("condition")));
+    EXPECT_EQ(transition.to, EnumNamed<Phase>(kPhases, row.at("becomes")))
         << row.at("state") << ' ' << row.at("condition");
-    EXPECT_EQ(transition.action, Named<Action>(kActions, row.at("action")))
+    EXPECT_EQ(transition.action, EnumNamed<Action>(kActions, row.at("action")))
         << row.at("state") << ' ' << row.at("condition");
   }
   EXPECT_EQ(seen.size(), kPhases.size() * kConditions.size());
 }
 
-// The same rows by evidence that gives the condition, through the whole decision.
-TEST(ZoneTables, EveryRowIsWhatEvidenceDoes) {
+// Runs Decide() for each row with evidence that leads to the row's condition.
+TEST(ZoneTables, EvidenceLeadsToTheTransitionOfEachRow) {
   for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Rules of a zone")) {
     const std::string condition = row.at("condition");
     Fleet fleet;
     ZoneStates before;
-    for (const std::string& name : kNames)
+    for (const std::string& name : kZoneNames)
       before[name].share_updated = At(-60'000), before[name].since = At(-60'000);
     ZoneState& a = before["a"];
-    a.phase = Named<Phase>(kPhases, row.at("state"));
+    a.phase = EnumNamed<Phase>(kPhases, row.at("state"));
     a.step = a.phase == Phase::kRecovering ? 2 : a.phase == Phase::kDraining ? 1 : 0;
     a.generation = 7;
     a.baseline_load = 100;
@@ -68,9 +69,9 @@
     if (condition == "doubt" || condition == "late") a.share = 500;
     std::vector<OperatorOverride> overrides;
     if (condition == "leave" || condition == "stay" || condition == "return") {
-      const std::map<std::string, OverrideKind> kinds{
+      const std::map<std::string, OverrideKind> override_kinds{
           {"leave", OverrideKind::kDrain}, {"stay", OverrideKind::kHold}, {"return", OverrideKind::kRecover}};
-      overrides.push_back({"a", kinds.at(condition), 1, "ann", "a test", At(60'000)});
+      overrides.push_back({"a", override_kinds.at(condition), 1, "ann", "a test", At(60'000)});
     }
     fleet.Report("www", 8, "www");
     if (condition == "alone") fleet.members.known_members = 100;
@@ -80,31 +81,31 @@
     if (condition == "doubt") fleet.Report("sww", 4, "www");
     if (condition == "unknown") fleet.Report("-ww", 8, "-ww");
     if (condition == "well") fleet.Report("lww", 0, "lww"), a.since = At(-1000), a.drain_started = At(-1000);
-    const ZoneStates after = Decide(before, kNames, fleet.reports, overrides, fleet.members, {}, At(0));
-    const ZoneState& z = after.at("a");
-    EXPECT_EQ(kPhases[static_cast<std::size_t>(z.phase)], row.at("becomes"))
+    const ZoneStates after = Decide(before, kZoneNames, fleet.reports, overrides, fleet.members, {}, At(0));
+    const ZoneState& zone = after.at("a");
+    EXPECT_EQ(kPhases[static_cast<std::size_t>(zone.phase)], row.at("becomes"))
         << row.at("state") << ' ' << condition;
     const std::string& action = row.at("action");
     if (action == "step on") {
-      EXPECT_EQ(z.step, 3);
+      EXPECT_EQ(zone.step, 3);
     }
     if (action == "step back") {
-      EXPECT_EQ(z.step, 1);
+      EXPECT_EQ(zone.step, 1);
     }
     if (action == "move") {
-      EXPECT_EQ(z.shifted, 500) << condition;
+      EXPECT_EQ(zone.shifted, 500) << condition;
     }
     if (action == "return") {
-      EXPECT_EQ(z.step, 1);
+      EXPECT_EQ(zone.step, 1);
     }
     if (action == "put back") {
-      EXPECT_EQ(z.share, 0);
+      EXPECT_EQ(zone.share, 0);
     }
     if (action == "leave" && condition == "lost") {
-      EXPECT_EQ(z.share, 0);
+      EXPECT_EQ(zone.share, 0);
     }
     if (action == "keep" && row.at("state") == row.at("becomes")) {
-      EXPECT_EQ(z.generation, 7U);
+      EXPECT_EQ(zone.generation, 7U);
     }
   }
 }
--- a/tests/zone_failover/votes_test.cpp
+++ b/tests/zone_failover/votes_test.cpp
@@ -1,4 +1,4 @@
-// The table "Quorum" of docs/design/zone_failover.md row by row; caps of the judges' weights.
+// Each row of the table "Quorum" of docs/design/zone_failover.md, and the caps of the judges' weights.
 #include "zone_failover/votes.h"
 
 #include <gtest/gtest.h>
@@ -19,10 +19,11 @@
 using testing::Row;
 using testing::TableOf;
 
-std::map<std::string, int> ByZone(const std::string& cell) {
+// Reads the numbers of members by zone from a cell such as "a3 b2".
+std::map<std::string, int> CountsByZone(const std::string& cell) {
   std::map<std::string, int> members;
-  std::istringstream in(cell);
-  for (std::string token; in >> token;) members[token.substr(0, 1)] = std::stoi(token.substr(1));
+  std::istringstream tokens(cell);
+  for (std::string token; tokens >> token;) members[token.substr(0, 1)] = std::stoi(token.substr(1));
   return members;
 }
 
@@ -30,23 +31,23 @@
   for (const Row& row : TableOf(MOTHRACK_ZONES_PAGE, "Quorum")) {
     MemberList members;
     members.known_members = std::stoul(row.at("known"));
-    for (const auto& [zone, count] : ByZone(row.at("live"))) {
+    for (const auto& [zone, count] : CountsByZone(row.at("live"))) {
       for (int i = 0; i < count; ++i) members.live.push_back({zone + std::to_string(i), zone});
     }
     members.local = members.live.front();
-    const bool two = members.known_members == 40 || members.known_members == 30;
+    const bool has_two_zones = members.known_members == 40 || members.known_members == 30;
     members.zones = members.known_members == 1 ? std::set<std::string>{"a"}
-                    : two                      ? std::set<std::string>{"a", "b"}
+                    : has_two_zones            ? std::set<std::string>{"a", "b"}
                                                : std::set<std::string>{"a", "b", "c"};
     std::vector<EvidenceReport> reports;
-    for (const std::string say : {"silent", "well"}) {
-      bool first = true;
-      for (const auto& [zone, count] : ByZone(row.at(say))) {
+    for (const std::string column : {"silent", "well"}) {
+      bool is_first = true;
+      for (const auto& [zone, count] : CountsByZone(row.at(column))) {
         for (int i = 0; i < count; ++i) {
-          const bool busy = first && row.at("busy") == say;
-          first = false;
-          reports.push_back(ReportOf({zone + say + std::to_string(i), zone}, say == "silent" ? "sww" : "www",
-                                     busy ? 10'000 : 10));
+          const bool is_busy = is_first && row.at("busy") == column;
+          is_first = false;
+          reports.push_back(ReportOf({zone + column + std::to_string(i), zone},
+                                     column == "silent" ? "sww" : "www", is_busy ? 10'000 : 10));
         }
       }
     }
@@ -55,7 +56,7 @@
   }
 }
 
-TEST(ZoneDecision, CapsAndLevelsAreExact) {
+TEST(ZoneDecision, WeightCapAndFairShareLevelAreExact) {
   EXPECT_EQ(WeightCap({10, 10, 10, 10, 1000}, 5), 10U);
   EXPECT_EQ(WeightCap({1, 1, 1}, 5), 0U);
   EXPECT_EQ(FairShareLevel({1, 2, 100, 100}, 43), 20U);
