--- a/tests/hash_ring/bounded_load_test.cpp
+++ b/tests/hash_ring/bounded_load_test.cpp
@@ -1,5 +1,5 @@
-// The table "Rules of load" of docs/design/hash_ring.md row by row; bounds of nodes, and a hot key that
-// spreads and comes back.
+// Each row of the table "Rules of load" of docs/design/hash_ring.md, the bounds of nodes, and a hot key that
+// is spread over several owners and then returns to one.
 #include "hash_ring/bounded_load.h"
 
 #include <gtest/gtest.h>
@@ -20,173 +20,180 @@
 namespace mothrack::hash_ring {
 namespace {
 
-struct Fleet {
+// One member's view of a ring of equal nodes, and the owners of one key.
+struct LoadFixture {
   std::shared_ptr<const Ring> ring;
   LoadBoundConfig config;
   std::unique_ptr<BoundedLoad> load;
-  std::vector<std::uint32_t> ranked;  // of kKey's owners
+  std::vector<std::uint32_t> ranked_owners;  // nodes, by their rank as owners of kKey
   static constexpr std::uint64_t kKey = 42;
-  explicit Fleet(int nodes, const LoadBoundConfig& with = {}) : config(with) {
-    std::vector<Node> all;
-    for (int i = 0; i < nodes; ++i) all.push_back({"n" + std::to_string(100 + i), 80});
-    ring = std::make_shared<const Ring>(1, all);
+  explicit LoadFixture(int nodes, const LoadBoundConfig& load_config = {}) : config(load_config) {
+    std::vector<Node> ring_nodes;
+    for (int i = 0; i < nodes; ++i) ring_nodes.push_back({"n" + std::to_string(100 + i), 80});
+    ring = std::make_shared<const Ring>(1, ring_nodes);
     load = std::make_unique<BoundedLoad>(config, At(0));
     load->SetRing(ring);
     std::vector<Owner> owners;
     ring->Owners(kKey, nodes, owners);
-    for (const Owner& owner : owners) ranked.push_back(owner.node);
+    for (const Owner& owner : owners) ranked_owners.push_back(owner.node);
   }
-  // By place in the order: the first to be asked.
-  std::string First(std::uint64_t request = 0) {
+  // Returns the node that a request is sent to first, by its rank among the key's owners: "owner 1" and so
+  // on.
+  std::string FirstPick(std::uint64_t request = 0) {
     std::vector<std::uint32_t> nodes;
     load->Pick(kKey, request, 3, nodes);
     if (nodes.empty()) return "none";
-    return "owner " + std::to_string(std::find(ranked.begin(), ranked.end(), nodes[0]) - ranked.begin() + 1);
+    return "owner " + std::to_string(std::find(ranked_owners.begin(), ranked_owners.end(), nodes[0]) -
+                                     ranked_owners.begin() + 1);
   }
-  void Fill(std::size_t first, std::size_t end, std::uint32_t count) {
+  // Starts `count` attempts to each of the owners ranked `first` to before `end`, counted from 0.
+  void StartAttempts(std::size_t first, std::size_t end, std::uint32_t count) {
     for (std::size_t i = first; i < end; ++i) {
-      for (std::uint32_t k = 0; k < count; ++k) load->OnAttemptStarted(ring->nodes()[ranked[i]].uid);
+      for (std::uint32_t attempt = 0; attempt < count; ++attempt)
+        load->OnAttemptStarted(ring->nodes()[ranked_owners[i]].uid);
     }
   }
-  // Another member tells of the key and of 10,000 requests in all; at 10 nodes the allowance is 500.
-  std::string Owners(std::uint32_t rate, std::int64_t at, std::uint32_t owners = 1) {
-    load->OnReport("other", {{}, 10'000, {{kKey, rate, owners}}}, Duration{0}, At(at));
-    load->Update(At(at));
+  // Another member reports `rate` requests for the key of 10,000 requests in total. Returns the resulting
+  // number of owners of the key. With 10 nodes the allowance for a key is 500.
+  std::string OwnersAfterReport(std::uint32_t rate, std::int64_t now, std::uint32_t owners = 1) {
+    load->OnReport("other", {{}, 10'000, {{kKey, rate, owners}}}, Duration{0}, At(now));
+    load->Update(At(now));
     return std::to_string(load->owners_of(kKey));
   }
 };
 
 TEST(Tables, RulesOfLoad) {
-  const auto report = [](Fleet& fleet, std::uint32_t count, Duration age) {
-    fleet.load->OnReport("other", {{{fleet.ring->nodes()[fleet.ranked[0]].uid, count}}, 0, {}}, age, At(0));
+  const auto report = [](LoadFixture& fixture, std::uint32_t count, Duration age) {
+    fixture.load->OnReport("other", {{{fixture.ring->nodes()[fixture.ranked_owners[0]].uid, count}}, 0, {}},
+                           age, At(0));
   };
   const std::map<std::string, std::function<std::string()>> kCases = {
       {"room everywhere",
        [] {
-         Fleet f(10);
-         f.Fill(0, 10, 10);
-         return f.First();
+         LoadFixture fixture(10);
+         fixture.StartAttempts(0, 10, 10);
+         return fixture.FirstPick();
        }},
       {"first owner full",
        [] {
-         Fleet f(10);
-         f.Fill(0, 10, 10);
-         f.Fill(0, 1, 5);
-         return f.First();
+         LoadFixture fixture(10);
+         fixture.StartAttempts(0, 10, 10);
+         fixture.StartAttempts(0, 1, 5);
+         return fixture.FirstPick();
        }},
       {"first two owners full",
        [] {
-         Fleet f(10);
-         f.Fill(0, 10, 10);
-         f.Fill(0, 2, 5);
-         return f.First();
+         LoadFixture fixture(10);
+         fixture.StartAttempts(0, 10, 10);
+         fixture.StartAttempts(0, 2, 5);
+         return fixture.FirstPick();
        }},
       {"all full but the last",
        [] {
-         Fleet f(10, {.excess = 50});
-         f.Fill(0, 9, 20);
-         return f.First();
+         LoadFixture fixture(10, {.excess = 50});
+         fixture.StartAttempts(0, 9, 20);
+         return fixture.FirstPick();
        }},
       {"light traffic",
        [] {
-         Fleet f(10);
-         f.Fill(0, 1, 3);
-         return f.First();
+         LoadFixture fixture(10);
+         fixture.StartAttempts(0, 1, 3);
+         return fixture.FirstPick();
        }},
       {"full by what another told",
        [&] {
-         Fleet f(10);
-         report(f, 50, Duration{0});
-         return f.First();
+         LoadFixture fixture(10);
+         report(fixture, 50, Duration{0});
+         return fixture.FirstPick();
        }},
       {"told too long ago",
        [&] {
-         Fleet f(10);
-         report(f, 50, Duration{2000});
-         return f.First();
+         LoadFixture fixture(10);
+         report(fixture, 50, Duration{2000});
+         return fixture.FirstPick();
        }},
       {"lapsed since",
        [&] {
-         Fleet f(10);
-         report(f, 50, Duration{0});
-         f.load->Update(At(2000));
-         return f.First();
+         LoadFixture fixture(10);
+         report(fixture, 50, Duration{0});
+         fixture.load->Update(At(2000));
+         return fixture.FirstPick();
        }},
       {"told anew",
        [&] {
-         Fleet f(10);
-         report(f, 50, Duration{100});
-         report(f, 0, Duration{0});
-         return f.First();
+         LoadFixture fixture(10);
+         report(fixture, 50, Duration{100});
+         report(fixture, 0, Duration{0});
+         return fixture.FirstPick();
        }},
       {"overtaken on its way",
        [&] {
-         Fleet f(10);
-         report(f, 50, Duration{0});
-         report(f, 0, Duration{100});
-         return f.First();
+         LoadFixture fixture(10);
+         report(fixture, 50, Duration{0});
+         report(fixture, 0, Duration{100});
+         return fixture.FirstPick();
        }},
       {"no node serves",
        [] {
-         Fleet f(0);
-         return f.First();
+         LoadFixture fixture(0);
+         return fixture.FirstPick();
        }},
       {"key within its allowance",
        [] {
-         Fleet f(10);
-         return f.Owners(500, 1000);
+         LoadFixture fixture(10);
+         return fixture.OwnersAfterReport(500, 1000);
        }},
       {"key of three and a half",
        [] {
-         Fleet f(10);
-         return f.Owners(1750, 1000);
+         LoadFixture fixture(10);
+         return fixture.OwnersAfterReport(1750, 1000);
        }},
       {"it cools a little",
        [] {
-         Fleet f(10);
-         f.Owners(1750, 1000);
-         return f.Owners(1300, 2000);
+         LoadFixture fixture(10);
+         fixture.OwnersAfterReport(1750, 1000);
+         return fixture.OwnersAfterReport(1300, 2000);
        }},
       {"it cools more",
        [] {
-         Fleet f(10);
-         f.Owners(1750, 1000);
-         return f.Owners(1000, 2000);
+         LoadFixture fixture(10);
+         fixture.OwnersAfterReport(1750, 1000);
+         return fixture.OwnersAfterReport(1000, 2000);
        }},
       {"it is cold again",
        [] {
-         Fleet f(10);
-         f.Owners(1750, 1000);
-         return f.Owners(300, 2000);
+         LoadFixture fixture(10);
+         fixture.OwnersAfterReport(1750, 1000);
+         return fixture.OwnersAfterReport(300, 2000);
        }},
       {"another goes by more",
        [] {
-         Fleet f(10);
-         return f.Owners(1300, 1000, 4);
+         LoadFixture fixture(10);
+         return fixture.OwnersAfterReport(1300, 1000, 4);
        }},
       {"hotter than all are allowed",
        [] {
-         Fleet f(40);
-         return f.Owners(9'000, 1000);
+         LoadFixture fixture(40);
+         return fixture.OwnersAfterReport(9'000, 1000);
        }},
   };
-  std::set<std::string> played;
+  std::set<std::string> tested;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of load")) {
     EXPECT_EQ(kCases.at(row.at("case"))(), row.at("result")) << row.at("case");
-    played.insert(row.at("case"));
+    tested.insert(row.at("case"));
   }
-  EXPECT_EQ(played.size(), kCases.size());
+  EXPECT_EQ(tested.size(), kCases.size());
 }
 
-// Three members, half of all requests for one key, some mixed capacities: told every 250 ms, a request takes
-// 200 ms.
-TEST(BoundedLoad, NoNodeExceedsItsBoundAndAHotKeySpreadsAndReturns) {
+// 4 requests per ms of 200 ms each to 20 nodes of mixed capacities. In the first 10 s half of them are for
+// one key, after 15 s only a few. The member reports to a second member every 250 ms.
+TEST(BoundedLoad, NoNodeExceedsItsBoundAndAHotKeyIsSpreadAndReturns) {
   const auto ring = std::make_shared<const Ring>(1, Nodes(20));
   LoadBoundConfig config;
   BoundedLoad load(config, At(0));
   load.SetRing(ring);
-  BoundedLoad twin(config, At(0));  // asks nothing: goes by what the first tells
-  twin.SetRing(ring);
+  BoundedLoad receiver(config, At(0));  // sends no requests, only receives reports
+  receiver.SetRing(ring);
   std::mt19937_64 random(11);
   std::vector<std::uint32_t> nodes;
   std::deque<std::pair<std::int64_t, std::uint32_t>> in_flight_requests;
@@ -207,17 +214,17 @@
       ASSERT_LE(load.in_flight(nodes[0]), limit);
       in_flight_requests.emplace_back(now + 200, nodes[0]);
     }
-    if (now % 250 == 0) twin.OnReport("first", load.Report(), Duration{0}, At(now));
+    if (now % 250 == 0) receiver.OnReport("first", load.Report(), Duration{0}, At(now));
     load.Update(At(now));
-    twin.Update(At(now));
+    receiver.Update(At(now));
     if (now == 9'999) {
       EXPECT_GE(load.owners_of(7), 12u);
       EXPECT_GE(nodes_of_hot_key.size(), 12u);
-      EXPECT_EQ(load.owners_of(7), twin.owners_of(7));
+      EXPECT_EQ(load.owners_of(7), receiver.owners_of(7));
     }
   }
   EXPECT_EQ(load.owners_of(7), 1u);
-  EXPECT_EQ(nodes_of_hot_key.size(), 1u) << "it is back at its first owner";
+  EXPECT_EQ(nodes_of_hot_key.size(), 1u) << "the key is back at its first owner";
 }
 
 }  // namespace
--- a/tests/hash_ring/heavy_hitter_sketch_test.cpp
+++ b/tests/hash_ring/heavy_hitter_sketch_test.cpp
@@ -1,4 +1,4 @@
-// The sketch has every heavy key, and its counts are never too low.
+// The sketch contains every heavy key, and its counts are never too low.
 #include "hash_ring/heavy_hitter_sketch.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +10,7 @@
 namespace mothrack::hash_ring {
 namespace {
 
-TEST(BoundedLoad, TheSketchHasEveryKeyAboveItsShareAndNeverUnderestimates) {
+TEST(BoundedLoad, SketchContainsEveryHeavyKeyAndNeverUnderestimates) {
   HeavyHitterSketch sketch;
   std::mt19937_64 random(5);
   std::map<std::uint64_t, std::uint32_t> exact;
@@ -19,13 +19,13 @@
     sketch.Add(key);
     ++exact[key];
   }
-  std::set<std::uint64_t> there;
+  std::set<std::uint64_t> keys_in_sketch;
   for (const auto& entry : sketch) {
-    there.insert(entry.key);
+    keys_in_sketch.insert(entry.key);
     EXPECT_GE(entry.count, exact[entry.key]);
     EXPECT_LE(entry.count - entry.overcount, exact[entry.key]);
   }
-  EXPECT_TRUE(there.contains(1) && there.contains(2));
+  EXPECT_TRUE(keys_in_sketch.contains(1) && keys_in_sketch.contains(2));
 }
 
 }  // namespace
--- a/tests/hash_ring/histories_test.cpp
+++ b/tests/hash_ring/histories_test.cpp
@@ -1,5 +1,6 @@
-// Several members that build rings in histories drawn from seeds, against rules that must hold; and planted
-// faults that must be found. HISTORIES sets how many seeds.
+// Random histories of several members that build rings, checked against rules that must hold. With a fault
+// injected into one member, the same checks must find it. The environment variable HISTORIES sets the number
+// of histories.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -16,157 +17,181 @@
 namespace mothrack::hash_ring {
 namespace {
 
-// Members that hear of nodes and of each other's places with delays of up to kMaxDelayMs; nodes that start
-// anew, vanish, come back, leave and change; members that are cut off. One of them may have a fault.
-enum class Fault { kNone, kNoHysteresis, kNoGrace, kIgnoresCutOff, kOwnMeasure, kAgesStandStill };
+// A fault of one of the members.
+enum class Fault {
+  kNone,
+  kNoHysteresis,    // does not hold a level against measurement noise
+  kNoGrace,         // removes a missing node's record at once
+  kIgnoresCutOff,   // takes the empty list for the truth while it is cut off
+  kOwnMeasurement,  // uses its own measurement instead of the fleet's
+  kWrongAges,       // takes nodes for younger than they are
+};
 constexpr std::int64_t kMaxDelayMs = 1000, kTickMs = 100, kChangesEndMs = 60'000;
 
-std::string Play(std::uint64_t seed, Fault fault) {
+// Simulates members that learn of nodes and of each other's records with delays of up to kMaxDelayMs. Nodes
+// restart, go missing, return, drain and change their capacity. Members are cut off at times. Member 0 has
+// the fault. Returns the first violation of a rule, or an empty text if there was none.
+std::string SimulateHistory(std::uint64_t seed, Fault fault) {
   std::mt19937_64 random(seed);
   const auto draw = [&](std::uint64_t below) { return static_cast<std::int64_t>(random() % below); };
   constexpr int kMembers = 5, kNodes = 16;
-  struct Truth {
-    bool there = true;
-    std::int64_t born = -100'000, since = -100'000;  // missing or there and active since
+  // Times are in ms since the start of the history.
+  struct ActualNode {
+    bool present = true;
+    std::int64_t started = -100'000;  // start of its process
+    std::int64_t since = -100'000;    // since when it is missing, or present and active
     std::uint64_t capacity = 0;
     State state = State::kActive;
-    bool retained = false;  // missing, and its place was surely whole by then
+    bool had_full_record = false;  // missing, and certainly had a record with its full weight before
   };
-  std::vector<std::vector<Truth>> past;  // by turn
-  std::vector<Truth> truth(kNodes);
-  for (auto& node : truth) node.capacity = 1000u << draw(4);
+  std::vector<std::vector<ActualNode>> history;  // by tick
+  std::vector<ActualNode> actual(kNodes);
+  for (auto& node : actual) node.capacity = 1000u << draw(4);
   RingConfig config;
   config.missing_grace = Duration{15'000};
   config.slow_start_time = Duration{8'000};
   std::vector<RingBuilder> builders;
-  for (int m = 0; m < kMembers; ++m) {
-    RingConfig own = config;
-    if (m == 0 && fault == Fault::kNoHysteresis) own.hysteresis = 0;
-    if (m == 0 && fault == Fault::kNoGrace) own.missing_grace = Duration{0};
-    builders.emplace_back(own, At(0));
+  for (int member = 0; member < kMembers; ++member) {
+    RingConfig member_config = config;
+    if (member == 0 && fault == Fault::kNoHysteresis) member_config.hysteresis = 0;
+    if (member == 0 && fault == Fault::kNoGrace) member_config.missing_grace = Duration{0};
+    builders.emplace_back(member_config, At(0));
   }
   struct Message {
-    std::int64_t due;
+    std::int64_t due;  // -1 if it was delivered
     int to;
     std::vector<NodeRecord> records;
   };
   std::vector<Message> messages;
-  std::vector<std::vector<std::int64_t>> seen(kMembers, std::vector<std::int64_t>(kNodes, 0));
-  std::vector<std::uint64_t> sent(kMembers, 0), numbers(kMembers, 0);
-  std::vector<std::int64_t> cut(kMembers, -1), last_sent_at(kMembers, 0);
-  std::uint64_t changes = 1, quiet = 0;
-  std::int64_t apart = -1;  // since when members that hear each other differ, with nothing new under way
+  // By member and node: the time whose state of the node the member knows.
+  std::vector<std::vector<std::int64_t>> known_time(kMembers, std::vector<std::int64_t>(kNodes, 0));
+  // By member.
+  std::vector<std::uint64_t> sent_generations(kMembers, 0), generations(kMembers, 0);
+  std::vector<std::int64_t> cut_off_until(kMembers, -1), last_sent_at(kMembers, 0);
+  std::uint64_t changes = 1;           // of the nodes
+  std::uint64_t final_generation = 0;  // when all changes have been made
+  // Since when members that are not cut off have had different rings, after the last change; -1 if they have
+  // the same.
+  std::int64_t differ_since = -1;
   for (std::int64_t now = 0; now <= kChangesEndMs + 45'000; now += kTickMs) {
     if (now > 5000 && now < kChangesEndMs && draw(15) == 0) {
-      Truth& node = truth[draw(kNodes)];
-      const auto what = draw(6);
+      ActualNode& node = actual[draw(kNodes)];
+      const auto change = draw(6);
       ++changes;
-      if (what <= 1 && node.there) {
-        node = {false,         node.born,  now,
-                node.capacity, node.state, node.state == State::kActive && now - node.since > 15'000};
-      } else if (what <= 3) {
-        if (!node.there || node.state != State::kActive || what == 2) node.since = now;
-        node.there = true, node.state = State::kActive;
-      } else if (what == 4) {
+      if (change <= 1 && node.present) {
+        node = {false,         node.started, now,
+                node.capacity, node.state,   node.state == State::kActive && now - node.since > 15'000};
+      } else if (change <= 3) {
+        if (!node.present || node.state != State::kActive || change == 2) node.since = now;
+        node.present = true, node.state = State::kActive;
+      } else if (change == 4) {
         node.capacity = 1000u << draw(4);
-      } else if (node.there) {
+      } else if (node.present) {
         node.state = State::kDraining;
       }
-      if (what == 2) node.born = now;
+      if (change == 2) node.started = now;
     }
-    past.push_back(truth);
-    for (int m = 0; m < kMembers; ++m) {
-      if (now > 5000 && now < kChangesEndMs - 10'000 && cut[m] < now && draw(1500) == 0)
-        cut[m] = now + draw(25'000);
-      const bool off = cut[m] >= now;
-      std::vector<NodeUpdate> nodes;
-      for (int n = 0; n < kNodes && !off; ++n) {
-        auto& at = seen[m][n];
-        at = std::max(
-            at, now - static_cast<std::int64_t>(Mix(seed * 4096 + m * 64 + n) % (kMaxDelayMs / kTickMs)) *
-                          kTickMs);
-        const Truth& node = past[at / kTickMs][n];
-        if (!node.there) continue;
-        const bool own = m == 0 && fault == Fault::kOwnMeasure;
-        nodes.push_back(
-            UpdateOf("n" + std::to_string(n), Duration{now - node.born},
-                     node.capacity * (own ? 1300 : 960 + Mix(seed + n + now / 3000 * 64) % 81) / 1000));
-        nodes.back().state = node.state;
-        if (m == 0 && fault == Fault::kAgesStandStill)
-          nodes.back().age = Duration{std::max<std::int64_t>(at - node.born, 0) / 4};
+    history.push_back(actual);
+    for (int member = 0; member < kMembers; ++member) {
+      if (now > 5000 && now < kChangesEndMs - 10'000 && cut_off_until[member] < now && draw(1500) == 0)
+        cut_off_until[member] = now + draw(25'000);
+      const bool cut_off = cut_off_until[member] >= now;
+      std::vector<NodeUpdate> updates;
+      for (int index = 0; index < kNodes && !cut_off; ++index) {
+        auto& known = known_time[member][index];
+        known = std::max(known, now - static_cast<std::int64_t>(Mix(seed * 4096 + member * 64 + index) %
+                                                                (kMaxDelayMs / kTickMs)) *
+                                          kTickMs);
+        const ActualNode& node = history[known / kTickMs][index];
+        if (!node.present) continue;
+        const bool own_measurement = member == 0 && fault == Fault::kOwnMeasurement;
+        updates.push_back(
+            UpdateOf("n" + std::to_string(index), Duration{now - node.started},
+                     node.capacity *
+                         (own_measurement ? 1300 : 960 + Mix(seed + index + now / 3000 * 64) % 81) / 1000));
+        updates.back().state = node.state;
+        if (member == 0 && fault == Fault::kWrongAges)
+          updates.back().age = Duration{std::max<std::int64_t>(known - node.started, 0) / 4};
       }
       for (auto& message : messages) {
-        if (message.to != m || message.due > now || off) continue;
-        builders[m].Merge(message.records, At(now));
+        if (message.to != member || message.due > now || cut_off) continue;
+        builders[member].Merge(message.records, At(now));
         message.due = -1;
       }
-      builders[m].Update(nodes, off && !(m == 0 && fault == Fault::kIgnoresCutOff), At(now));
-      if (builders[m].generation() < numbers[m]) return "a number fell";
-      numbers[m] = builders[m].generation();
-      // Whole places now and then, as they do that compare what they hold; at once when something changed.
-      if (!off && (sent[m] != builders[m].generation() || now - last_sent_at[m] >= 2000)) {
-        sent[m] = builders[m].generation();
-        last_sent_at[m] = now;
+      builders[member].Update(updates, cut_off && !(member == 0 && fault == Fault::kIgnoresCutOff), At(now));
+      if (builders[member].generation() < generations[member]) return "a generation decreased";
+      generations[member] = builders[member].generation();
+      // All records are sent at once after a change, and otherwise every two seconds, as by anti-entropy.
+      if (!cut_off &&
+          (sent_generations[member] != builders[member].generation() || now - last_sent_at[member] >= 2000)) {
+        sent_generations[member] = builders[member].generation();
+        last_sent_at[member] = now;
         for (int to = 0; to < kMembers; ++to)
-          messages.push_back({now + draw(kMaxDelayMs), to, builders[m].records()});
+          messages.push_back({now + draw(kMaxDelayMs), to, builders[member].records()});
       }
     }
     std::erase_if(messages, [&](const Message& message) {
       return message.due < 0 || message.due + 2 * kMaxDelayMs < now;
     });
-    for (int m = 0; m < kMembers; ++m) {
-      if (cut[m] + 4 * kMaxDelayMs >= now) continue;
-      for (int n = 0; n < kNodes; ++n) {
-        const auto node = builders[m].ring()->Find("n" + std::to_string(n));
-        const bool serves = node && builders[m].ring()->weight(*node) > 0;
-        const Truth& is = truth[n];
-        if (!node && is.there && is.state == State::kActive && now - is.since > 15'000 && now > 15'000) {
-          return "a node has no place";
+    for (int member = 0; member < kMembers; ++member) {
+      if (cut_off_until[member] + 4 * kMaxDelayMs >= now) continue;
+      for (int index = 0; index < kNodes; ++index) {
+        const auto node = builders[member].ring()->Find("n" + std::to_string(index));
+        const bool serves = node && builders[member].ring()->weight(*node) > 0;
+        const ActualNode& actual_node = actual[index];
+        if (!node && actual_node.present && actual_node.state == State::kActive &&
+            now - actual_node.since > 15'000 && now > 15'000) {
+          return "an active node is not in the ring";
         }
-        if (serves && !is.there && now - is.since > kMaxDelayMs + kTickMs) return "a missing node serves";
-        // Members that were cut off count a node's absence from when they hear again.
-        if (!node && !is.there && is.retained && now - is.since < 13'000) {
-          return "a place was given up within its grace";
+        if (serves && !actual_node.present && now - actual_node.since > kMaxDelayMs + kTickMs)
+          return "a missing node serves";
+        // Members that were cut off count the grace period from the end of that time.
+        if (!node && !actual_node.present && actual_node.had_full_record &&
+            now - actual_node.since < 13'000) {
+          return "a record was removed within its grace period";
         }
       }
     }
-    // What is due is made by then, and nothing else comes: all agree, but for 2S + T after the last
-    // generation.
+    // All changes that were due have been made by then, and no further ones follow. So all members agree,
+    // except for up to 2S + T after the last generation.
     std::set<std::uint64_t> hashes;
     std::uint64_t highest = 0;
-    for (int m = 0; m < kMembers; ++m) {
-      highest = std::max(highest, numbers[m]);
-      if (cut[m] + 4 * kMaxDelayMs < now) hashes.insert(builders[m].ring()->hash());
+    for (int member = 0; member < kMembers; ++member) {
+      highest = std::max(highest, generations[member]);
+      if (cut_off_until[member] + 4 * kMaxDelayMs < now) hashes.insert(builders[member].ring()->hash());
     }
-    if (now <= kChangesEndMs + 30'000) quiet = highest;
-    if (highest > quiet) return "a generation without a reason";
+    if (now <= kChangesEndMs + 30'000) final_generation = highest;
+    if (highest > final_generation) return "a generation without a change";
     if (hashes.size() <= 1 || now < kChangesEndMs + 5000)
-      apart = -1;
-    else if (apart < 0)
-      apart = now;
-    if (apart >= 0 && now - apart > 2 * kMaxDelayMs + kTickMs) return "members differ for longer than 2S + T";
+      differ_since = -1;
+    else if (differ_since < 0)
+      differ_since = now;
+    if (differ_since >= 0 && now - differ_since > 2 * kMaxDelayMs + kTickMs)
+      return "members differ for longer than 2S + T";
   }
-  // A new process makes four at most (down, three steps up), some changes make none, and many are made
-  // together.
-  if (numbers[0] > changes + 8) return "more generations than changes";
+  // A new process causes at most four generations (one without the node, three steps of its weight share).
+  // Some changes cause none, and many share one.
+  if (generations[0] > changes + 8) return "more generations than changes";
   return "";
 }
 
-int Count(int otherwise) {
-  const char* said = std::getenv("HISTORIES");
-  return said ? std::atoi(said) : otherwise;
+// The value of the environment variable HISTORIES, or `default_count` if it is not set.
+int HistoryCount(int default_count) {
+  const char* text = std::getenv("HISTORIES");
+  return text ? std::atoi(text) : default_count;
 }
 
 TEST(Histories, KeepTheRules) {
-  for (int seed = 0; seed < Count(60); ++seed) ASSERT_EQ(Play(seed, Fault::kNone), "") << seed;
+  for (int seed = 0; seed < HistoryCount(60); ++seed)
+    ASSERT_EQ(SimulateHistory(seed, Fault::kNone), "") << seed;
 }
 
 TEST(Histories, FindInjectedFaults) {
-  for (const Fault fault : {Fault::kNoHysteresis, Fault::kNoGrace, Fault::kIgnoresCutOff, Fault::kOwnMeasure,
-                            Fault::kAgesStandStill}) {
-    std::map<std::string, int> found;
-    for (int seed = 0; seed < 20; ++seed) ++found[Play(seed, fault)];
-    EXPECT_LT(found[""], 20) << static_cast<int>(fault);
+  for (const Fault fault : {Fault::kNoHysteresis, Fault::kNoGrace, Fault::kIgnoresCutOff,
+                            Fault::kOwnMeasurement, Fault::kWrongAges}) {
+    std::map<std::string, int> violations;
+    for (int seed = 0; seed < 20; ++seed) ++violations[SimulateHistory(seed, fault)];
+    EXPECT_LT(violations[""], 20) << static_cast<int>(fault);
   }
 }
 
--- a/tests/hash_ring/ring_builder_test.cpp
+++ b/tests/hash_ring/ring_builder_test.cpp
@@ -1,5 +1,5 @@
-// Generations: the tables of docs/design/hash_ring.md on them row by row, and what noise, merging and slow
-// start do.
+// Generations: each row of the tables of docs/design/hash_ring.md on them, and the effects of measurement
+// noise, merging and slow start.
 #include "hash_ring/ring_builder.h"
 
 #include <gtest/gtest.h>
@@ -17,12 +17,13 @@
 namespace mothrack::hash_ring {
 namespace {
 
-// Updates with the same list each 100 ms until `until`.
+// Calls Update() with the same list every 100 ms, from `now` until `until`.
 void UpdateUntil(RingBuilder& builder, const std::vector<NodeUpdate>& nodes, bool cut_off, std::int64_t& now,
                  std::int64_t until) {
   for (; now <= until; now += 100) builder.Update(nodes, cut_off, At(now));
 }
 
+// The state of the only node in the words of the page's tables.
 std::string StateOf(const RingBuilder& builder) {
   const auto records = builder.records();
   if (records.empty()) return "none";
@@ -33,11 +34,11 @@
 }
 
 TEST(Tables, RulesOfAGeneration) {
-  const std::map<std::string, WeightShare> kShares = {{"cold", WeightShare::kNone},
-                                                      {"part", WeightShare::kQuarter},
-                                                      {"whole", WeightShare::kFull},
-                                                      {"missing", WeightShare::kFull},
-                                                      {"gone", WeightShare::kFull}};
+  const std::map<std::string, WeightShare> kWeightShares = {{"cold", WeightShare::kNone},
+                                                            {"part", WeightShare::kQuarter},
+                                                            {"whole", WeightShare::kFull},
+                                                            {"missing", WeightShare::kFull},
+                                                            {"gone", WeightShare::kFull}};
   const std::map<std::string, Duration> kAges = {
       {"cold", Duration{0}}, {"part", Duration{5000}}, {"whole", Duration{30'000}}};
   struct Event {
@@ -45,23 +46,24 @@
     std::int64_t after = 0;
     bool cut_off = false;
   };
-  NodeUpdate leaving = UpdateOf("n"), left = UpdateOf("n");
-  leaving.state = State::kDraining;
-  left.state = State::kRemoved;
+  NodeUpdate draining = UpdateOf("n"), removed = UpdateOf("n");
+  draining.state = State::kDraining;
+  removed.state = State::kRemoved;
   const std::map<std::string, Event> kEvents = {{"listed, cold", {{UpdateOf("n", Duration{0})}}},
                                                 {"listed, half warm", {{UpdateOf("n", Duration{5000})}}},
                                                 {"listed, warm", {{UpdateOf("n")}}},
-                                                {"leaving", {{leaving}}},
-                                                {"left", {{left}}},
+                                                {"leaving", {{draining}}},
+                                                {"left", {{removed}}},
                                                 {"missing", {{}}},
                                                 {"missing past its grace", {{}, 60'000}},
-                                                {"anything, while cut off", {{leaving}, 0, true}}};
-  std::set<std::string> played;
+                                                {"anything, while cut off", {{draining}, 0, true}}};
+  std::set<std::string> tested;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of a generation")) {
     SCOPED_TRACE(row.at("place") + ", " + row.at("event"));
     RingBuilder builder({}, At(0));
-    if (kShares.contains(row.at("place"))) {
-      builder.Merge({{"n", 1, LevelOf(1000), kShares.at(row.at("place")), row.at("place") == "gone"}}, At(0));
+    if (kWeightShares.contains(row.at("place"))) {
+      builder.Merge({{"n", 1, LevelOf(1000), kWeightShares.at(row.at("place")), row.at("place") == "gone"}},
+                    At(0));
     }
     std::vector<NodeUpdate> nodes;
     if (kAges.contains(row.at("place"))) nodes = {UpdateOf("n", kAges.at(row.at("place")))};
@@ -75,9 +77,9 @@
     UpdateUntil(builder, event.nodes, event.cut_off, now, event.after + 2000);
     EXPECT_EQ(StateOf(builder), row.at("next"));
     EXPECT_EQ(builder.generation() > generation ? "yes" : "no", row.at("generation"));
-    played.insert(row.at("place") + row.at("event"));
+    tested.insert(row.at("place") + row.at("event"));
   }
-  EXPECT_EQ(played.size(), 6 * kEvents.size());
+  EXPECT_EQ(tested.size(), 6 * kEvents.size());
 }
 
 TEST(Tables, RulesOfMerging) {
@@ -91,7 +93,7 @@
       {"the same", current},
       {"number out of reach", {"n", ~std::uint64_t{0}, 9, WeightShare::kHalf, false}},
       {"no number", {"n", 0, 1, WeightShare::kNone, false}}};
-  std::set<std::string> played;
+  std::set<std::string> tested;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of merging")) {
     SCOPED_TRACE(row.at("heard"));
     RingBuilder builder({}, At(0));
@@ -100,27 +102,27 @@
     EXPECT_EQ(accepted ? "taken" : builder.rejected() ? "refused" : "kept", row.at("then"));
     EXPECT_EQ(builder.generation(), builder.records()[0].generation);
     EXPECT_EQ(builder.records()[0], accepted ? kReceived.at(row.at("heard")) : current);
-    played.insert(row.at("heard"));
+    tested.insert(row.at("heard"));
   }
-  EXPECT_EQ(played.size(), kReceived.size());
+  EXPECT_EQ(tested.size(), kReceived.size());
 }
 
 TEST(Tables, RulesOfQuantising) {
-  std::set<std::string> played;
+  std::set<std::string> tested;
   for (const auto& row : testing::TableOf(MOTHRACK_RING_PAGE, "Rules of quantising")) {
     std::optional<Level> current;
     if (row.at("held") != "-") current = static_cast<Level>(std::stoi(row.at("held")));
     EXPECT_EQ(LevelWithHysteresis(current, std::stoull(row.at("capacity"))), std::stoi(row.at("level")))
         << row.at("case");
-    played.insert(row.at("case"));
+    tested.insert(row.at("case"));
   }
-  EXPECT_EQ(played,
+  EXPECT_EQ(tested,
             (std::set<std::string>{"first", "nothing", "least", "most", "one unit doubled", "noise up",
                                    "noise down", "last within, above", "first beyond, above",
                                    "last within, below", "first beyond, below", "halved"}));
 }
 
-TEST(RingBuilder, NoiseMovesNothingAndDueChangesFormOneGeneration) {
+TEST(RingBuilder, NoiseChangesNothingAndDueChangesShareOneGeneration) {
   RingBuilder builder({}, At(0));
   std::mt19937 random(3);
   std::vector<NodeUpdate> nodes;
@@ -128,28 +130,28 @@
     nodes.push_back(UpdateOf("n" + std::to_string(i), Duration{100'000}, 1000 + 100 * i));
   std::int64_t now = 0;
   UpdateUntil(builder, nodes, false, now, 2000);
-  const auto first = builder.ring()->hash();
-  EXPECT_EQ(builder.generation(), 1u) << "all joins at once";
-  for (int turn = 0; turn < 2000; ++turn, now += 100) {
+  const auto first_hash = builder.ring()->hash();
+  EXPECT_EQ(builder.generation(), 1u) << "all nodes join in one generation";
+  for (int round = 0; round < 2000; ++round, now += 100) {
     auto noisy = nodes;
-    // One step is 2^(1/8): 9.05% up, 8.3% down; anything less, however biased.
+    // The measurements vary, in any direction, by less than one step: 9.05% up, 8.3% down.
     for (auto& update : noisy)
       *update.measured_capacity = *update.measured_capacity * (918 + random() % 172) / 1000;
-    if (turn % 100 > 50) noisy[turn / 100].measured_capacity.reset();  // lapsed
+    if (round % 100 > 50) noisy[round / 100].measured_capacity.reset();  // an expired measurement
     builder.Update(noisy, false, At(now));
   }
   EXPECT_EQ(builder.generation(), 1u);
-  // Half of the capacities at once, some leave, some come.
+  // At once, half of the capacities are halved, one node drains and one joins.
   for (int i = 0; i < 15; ++i) *nodes[i].measured_capacity /= 2;
   nodes[20].state = State::kDraining;
   nodes.push_back(UpdateOf("new"));
   UpdateUntil(builder, nodes, false, now, now + 5000);
   EXPECT_EQ(builder.generation(), 2u);
-  EXPECT_NE(builder.ring()->hash(), first);
+  EXPECT_NE(builder.ring()->hash(), first_hash);
 }
 
-// It hears of the place before it hears of its reason.
-TEST(RingBuilder, AMemberWithoutTheCauseWaitsBeforeReverting) {
+// A member that receives a record before the update that caused it must not revert the record at once.
+TEST(RingBuilder, KeepsARecordWhoseCauseItDoesNotKnowYet) {
   RingBuilder builder({}, At(0));
   std::int64_t now = 0;
   UpdateUntil(builder, {UpdateOf("n")}, false, now, 2000);
@@ -162,18 +164,19 @@
 
 TEST(RingBuilder, NodesInSlowStartJoinInStepsAndAReturningNodeKeepsItsRecord) {
   RingBuilder builder({}, At(0));
-  std::vector<WeightShare> parts;
+  std::vector<WeightShare> weight_shares;
   for (std::int64_t now = 0; now <= 60'000; now += 100) {
     builder.Update({UpdateOf("old"), UpdateOf("new", Duration{now})}, false, At(now));
     const auto node = builder.ring()->Find("new");
-    if (node && (parts.empty() || parts.back() != builder.ring()->nodes()[*node].weight_share)) {
-      parts.push_back(builder.ring()->nodes()[*node].weight_share);
-      // Never above what the node has by then.
+    if (node &&
+        (weight_shares.empty() || weight_shares.back() != builder.ring()->nodes()[*node].weight_share)) {
+      weight_shares.push_back(builder.ring()->nodes()[*node].weight_share);
+      // Never more than the balancer's slow start allows at that time.
       const double share = static_cast<double>(builder.ring()->weight(*node)) / builder.ring()->weight(1);
       EXPECT_LE(share, 0.1 + 0.9 * static_cast<double>(now) / 20'000);
     }
   }
-  EXPECT_EQ(parts, (std::vector{WeightShare::kQuarter, WeightShare::kHalf, WeightShare::kFull}));
+  EXPECT_EQ(weight_shares, (std::vector{WeightShare::kQuarter, WeightShare::kHalf, WeightShare::kFull}));
   const auto hash = builder.ring()->hash();
   const auto generation = builder.generation();
   std::int64_t now = 60'100;
@@ -185,7 +188,7 @@
   EXPECT_EQ(builder.generation(), generation);
   EXPECT_FALSE(builder.staleness(At(now)).stale);
   UpdateUntil(builder, {}, true, now, 200'000);
-  EXPECT_EQ(builder.ring()->hash(), hash) << "cut off, it serves on";
+  EXPECT_EQ(builder.ring()->hash(), hash) << "a member that is cut off keeps its ring";
   EXPECT_TRUE(builder.staleness(At(now)).stale);
 }
 
--- a/tests/hash_ring/ring_fixtures.h
+++ b/tests/hash_ring/ring_fixtures.h
@@ -1,4 +1,4 @@
-// Nodes and updates that the tests of the package share.
+// Nodes and updates for the tests of the package.
 #pragma once
 
 #include <array>
@@ -16,7 +16,7 @@
 
 inline TimePoint At(std::int64_t ms) { return TimePoint(std::chrono::milliseconds(ms)); }
 
-// Mixed capacities: 1, 1.5, 2 and 4 units in turn.
+// Nodes number `from` to `from` + `count` - 1. Their capacities are 1, 1.5, 2 and 4 units in turn.
 inline std::vector<Node> Nodes(int count, int from = 0) {
   std::vector<Node> nodes;
   for (int i = from; i < from + count; ++i) {
@@ -25,7 +25,7 @@
   return nodes;
 }
 
-// An active node of a process that is warm, with a capacity of one unit.
+// The update of an active node: by default of one whose slow start has ended, with a capacity of one unit.
 inline NodeUpdate UpdateOf(const std::string& uid, Duration age = Duration{100'000},
                            std::uint64_t measured_capacity = 1000) {
   return {uid, State::kActive, 1000, measured_capacity, age};
