--- a/tests/gossip/programs_test.cpp
+++ b/tests/gossip/programs_test.cpp
@@ -90,7 +90,7 @@
   EXPECT_TRUE(Eventually([&] { return a.StateOf("b") == "alive"; }));
   // SIGHUP reloads the keys. A planned stop is announced to the other members.
   a.node().Signal(SIGHUP);
-  EXPECT_TRUE(Eventually([&] { return a.node().log().find("keys reloaded from") != std::string::npos; }))
+  EXPECT_TRUE(Eventually([&] { return a.node().log().find("keys read again") != std::string::npos; }))
       << a.node().log();
   b.node().Signal(SIGTERM);
   EXPECT_EQ(b.node().Wait(), 0);
--- a/tests/sidecar/upgrade_test.cpp
+++ b/tests/sidecar/upgrade_test.cpp
@@ -240,7 +240,7 @@
     dies.Wait();
     ASSERT_TRUE(Eventually([&] {
       const std::string log = old.log();
-      const std::string gone = "the successor exited";
+      const std::string gone = "the successor is gone";
       const auto at = log.find(gone);
       return at != std::string::npos && (i == 0 || log.find(gone, at + 1) != std::string::npos);
     }));
@@ -299,7 +299,7 @@
     const auto answer = AdminClient(node.ops()).Get("/ops/readiness");
     return answer ? answer->status : 0;
   };
-  ASSERT_TRUE(Eventually([&] { return old.log().find("a successor accepts clients") != std::string::npos; }));
+  ASSERT_TRUE(Eventually([&] { return old.log().find("a successor takes clients") != std::string::npos; }));
   EXPECT_EQ(ready(successor), 503);
   EXPECT_EQ(Put(successor, "/ops/drain/stop"), 200);
   EXPECT_EQ(ready(successor), 200);
