--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -12,7 +12,8 @@
 
 namespace mothrack::balancer {
 
-// Consecutive failures that eject while few attempts at the other upstreams fail.
+// Consecutive failures that eject while few attempts at the other upstreams fail. The design page states this
+// number, and the durations of an ejection below.
 inline constexpr int kFailuresToEject = 5;
 // Duration of the first ejection, factor for each repeated one, and the maximum.
 inline constexpr Duration kBaseEjection = std::chrono::seconds(60);
