--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -132,7 +132,7 @@
   for (std::thread& thread : threads) thread.join();
   Measurement measured;
   double due = 0;
-  Times times = NewTimes();
+  LatencyHistogram times = NewLatencyHistogram();
   for (const LoadResult& r : results) {
     measured.served += static_cast<double>(r.served);
     due += static_cast<double>(r.due);
--- a/src/simulation/command_load.cpp
+++ b/src/simulation/command_load.cpp
@@ -14,7 +14,7 @@
               static_cast<unsigned long long>(result.served), static_cast<unsigned long long>(result.refused),
               static_cast<unsigned long long>(result.failed));
   std::printf("%-26s %9s %9s %9s %9s\n", "ms", "median", "95%", "99%", "99.9%");
-  const auto row = [](const char* name, const Times& times) {
+  const auto row = [](const char* name, const LatencyHistogram& times) {
     std::printf("%-26s %9.2f %9.2f %9.2f %9.2f\n", name, Quantile(times, 0.5), Quantile(times, 0.95),
                 Quantile(times, 0.99), Quantile(times, 0.999));
   };
--- a/src/simulation/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -20,14 +20,14 @@
 
 }  // namespace
 
-Times NewTimes() {
+LatencyHistogram NewLatencyHistogram() {
   const auto bins = static_cast<unsigned>(std::ceil(std::log(kMostMs / kLeastMs) / std::log(kBinWidth)));
   return boost::histogram::make_histogram(
       boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(bins, kLeastMs,
                                                                                       kMostMs));
 }
 
-double Quantile(const Times& times, double q) {
+double Quantile(const LatencyHistogram& times, double q) {
   double sum = 0;
   for (const auto& bin : boost::histogram::indexed(times, boost::histogram::coverage::all)) sum += *bin;
   if (sum <= 0) return 0;
@@ -45,8 +45,8 @@
 Figures::Figures(const Scenario& scenario)
     : scenario_(scenario),
       seconds_(static_cast<std::size_t>(std::ceil(scenario.length_s))),
-      all_(NewTimes()) {
-  for (std::size_t i = 0; i < seconds_.size(); ++i) times_.push_back(NewTimes());
+      all_(NewLatencyHistogram()) {
+  for (std::size_t i = 0; i < seconds_.size(); ++i) times_.push_back(NewLatencyHistogram());
 }
 
 Second& Figures::At(double s) {
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -14,11 +14,11 @@
 namespace mothrack::simulation {
 
 // Milliseconds, each bin 5% wide from 0.1 ms to 100 s: a quantile is off by half of that at most.
-using Times = boost::histogram::histogram<
+using LatencyHistogram = boost::histogram::histogram<
     std::tuple<boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>>>;
-Times NewTimes();
+LatencyHistogram NewLatencyHistogram();
 // Of q in 0..1; 0 where there is none.
-double Quantile(const Times& times, double q);
+double Quantile(const LatencyHistogram& times, double q);
 
 // One second of a run.
 struct Second {
@@ -86,8 +86,8 @@
   };
   const Scenario& scenario_;
   std::vector<Second> seconds_;
-  std::vector<Times> times_;
-  Times all_;
+  std::vector<LatencyHistogram> times_;
+  LatencyHistogram all_;
   std::unordered_map<std::uint64_t, Requested> requested_;
 };
 
--- a/src/simulation/load_generator.h
+++ b/src/simulation/load_generator.h
@@ -26,10 +26,11 @@
 struct LoadResult {
   std::uint64_t due = 0;
   std::uint64_t served = 0;
-  std::uint64_t refused = 0;     // 429, 503
-  std::uint64_t failed = 0;      // any other answer, none, or no connection
-  Times from_due = NewTimes();   // of what was served
-  Times from_sent = NewTimes();  // the same as a client sees it that forgets what was due
+  std::uint64_t refused = 0;                          // 429, 503
+  std::uint64_t failed = 0;                           // any other answer, none, or no connection
+  LatencyHistogram from_due = NewLatencyHistogram();  // of what was served
+  LatencyHistogram from_sent =
+      NewLatencyHistogram();  // the same as a client sees it that forgets what was due
   double seconds = 0;
 };
 
--- a/tests/simulation/figures_test.cpp
+++ b/tests/simulation/figures_test.cpp
@@ -7,11 +7,11 @@
 namespace {
 
 TEST(Figures, QuantilesAreWithinABinOfTheTruth) {
-  Times times = NewTimes();
+  LatencyHistogram times = NewLatencyHistogram();
   for (int i = 1; i <= 1000; ++i) times(i);
   EXPECT_NEAR(Quantile(times, 0.5), 500, 25);
   EXPECT_NEAR(Quantile(times, 0.99), 990, 50);
-  EXPECT_EQ(Quantile(NewTimes(), 0.5), 0);
+  EXPECT_EQ(Quantile(NewLatencyHistogram(), 0.5), 0);
 }
 
 // Capacity is back at 6 s, rejections stop at 9 s: three seconds were lost needlessly.
