--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -87,7 +87,7 @@
   const Second sum = world.figures().Sum();
   return {world.figures().served_share(),
           static_cast<double>(sum.attempts) / static_cast<double>(sum.client_attempts),
-          world.figures().p(0.5), world.figures().p(0.99)};
+          world.figures().LatencyQuantile(0.5), world.figures().LatencyQuantile(0.99)};
 }
 
 Measurement MeasureReal(double use) {
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -73,7 +73,7 @@
 
   const std::vector<Second>& seconds() const { return seconds_; }
   Second Sum() const;
-  double p(double q) const { return Quantile(all_, q); }
+  double LatencyQuantile(double q) const { return Quantile(all_, q); }
   double served_share() const;  // of client requests, within the latency objective or late
   double gained_share() const;  // of the priority weight
   // From the first fault's begin on; none where the scenario has no faults.
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -81,8 +81,8 @@
               {"failed", sum.failed},
               {"gained", figures.gained_share()},
               {"served", figures.served_share()},
-              {"p50_ms", figures.p(0.5)},
-              {"p99_ms", figures.p(0.99)},
+              {"p50_ms", figures.LatencyQuantile(0.5)},
+              {"p99_ms", figures.LatencyQuantile(0.99)},
               {"attempts_a_try", static_cast<double>(sum.attempts) / client_attempts},
               {"connects_a_try", static_cast<double>(sum.connects) / client_attempts},
               {"ejected", sum.ejected}};
