--- a/src/simulation/chart.h
+++ b/src/simulation/chart.h
@@ -1,4 +1,5 @@
-// A chart over the seconds of a run, as SVG within an HTML figure, with the same figures as a table below it.
+// A chart over the seconds of a run: an SVG drawing in an HTML <figure> element, with the same values as a table
+// below it.
 #pragma once
 
 #include <cstddef>
@@ -8,41 +9,42 @@
 
 namespace mothrack::simulation {
 
-// A fault's time, drawn behind the curves.
-struct Band {
+// The time span of a fault, drawn behind the curves.
+struct FaultBand {
   std::string name;
   double from_s = 0;
   double to_s = 0;
 };
 
+// One curve or one stacked area of a chart.
 struct Series {
   std::string name;
-  const char* colour;          // as CSS has it
-  std::vector<double> values;  // one a second, as many as the chart has
+  const char* colour;          // a CSS colour
+  std::vector<double> values;  // one for each second of the chart
 };
 
-// The text with what HTML takes for markup escaped.
-std::string Escaped(const std::string& text);
-// The number with as many digits as a reader needs.
-std::string Short(double value);
+// Returns the text with the characters <, >, & and " escaped for HTML.
+std::string EscapeHtml(const std::string& text);
+// Formats a number with up to three decimal places: fewer for larger numbers, no trailing zeros.
+std::string FormatNumber(double value);
 
-// Not thread-safe; keeps copies of all that it is given.
+// Holds copies of the series and bands. Not thread-safe.
 class Chart {
  public:
-  Chart(std::string title, std::string unit, std::size_t seconds, std::vector<Band> bands);
+  Chart(std::string title, std::string unit, std::size_t seconds, std::vector<FaultBand> bands);
 
   // Adds a curve.
-  void Line(Series series) { lines_.push_back(std::move(series)); }
-  // Adds an area upon those added before.
-  void Stack(Series series) { stack_.push_back(std::move(series)); }
+  void AddLine(Series series) { lines_.push_back(std::move(series)); }
+  // Adds an area on top of the areas added before.
+  void AddStacked(Series series) { stack_.push_back(std::move(series)); }
 
   std::string Html() const;
 
  private:
   struct Scale;
 
-  Scale MakeScale() const;
-  // Those of the stack, then the lines.
+  Scale ComputeScale() const;
+  // Returns the stacked areas in order, then the lines.
   std::vector<const Series*> AllSeries() const;
   std::string BandsSvg(const Scale& scale) const;
   std::string GridSvg(const Scale& scale) const;
@@ -54,7 +56,7 @@
   const std::string title_;
   const std::string unit_;
   const std::size_t seconds_;
-  const std::vector<Band> bands_;
+  const std::vector<FaultBand> bands_;
   std::vector<Series> lines_;
   std::vector<Series> stack_;
 };
--- a/src/simulation/command_compare.cpp
+++ b/src/simulation/command_compare.cpp
@@ -1,4 +1,5 @@
-// compare: the runs of two labels that have scenario, settings and seed in common, as paired differences.
+// The command compare: paired differences between the runs of two labels that have the same scenario, settings and
+// seed.
 #include <cstdio>
 #include <stdexcept>
 
@@ -15,10 +16,10 @@
 using nlohmann::json;
 using Pairs = std::vector<std::pair<json, json>>;
 
-// By scenario; throws where the labels have no run in common.
+// Returns the pairs of runs by scenario. Throws if the labels have no run in common.
 std::map<std::string, Pairs> PairedRuns(const Results& results, const std::string& a, const std::string& b) {
-  const auto of_a = results.Of(a);
-  const auto of_b = results.Of(b);
+  const auto of_a = results.RunsWithLabel(a);
+  const auto of_b = results.RunsWithLabel(b);
   std::map<std::string, Pairs> pairs;
   for (const auto& [key, run] : of_a) {
     RunKey other = key;
@@ -27,20 +28,20 @@
     if (it != of_b.end()) pairs[key.scenario].emplace_back(run, it->second);
   }
   if (pairs.empty())
-    throw std::runtime_error("no run of '" + a + "' has one of '" + b + "' with the same scenario and seed");
+    throw std::runtime_error("no run of label '" + a + "' has a run of label '" + b + "' with the same scenario, settings and seed");
   return pairs;
 }
 
-// One figure over all pairs of a scenario; none where no run has it.
-std::optional<Row> CompareFigure(const std::string& scenario, const Figure& figure, const Pairs& runs) {
-  Row row{scenario, figure.name, figure.up, 0, 0, {}};
+// Compares one figure over all pairs of a scenario. Returns nothing if no run has the figure.
+std::optional<ComparisonRow> CompareFigure(const std::string& scenario, const Figure& figure, const Pairs& runs) {
+  ComparisonRow row{scenario, figure.name, figure.higher_is_better, 0, 0, {}};
   std::vector<double> differences;
   for (const auto& [first, second] : runs) {
     if (!first.contains(figure.name)) continue;
     const double x = first.value(figure.name, 0.0);
     const double y = second.value(figure.name, 0.0);
-    row.a += x / static_cast<double>(runs.size());
-    row.b += y / static_cast<double>(runs.size());
+    row.mean_a += x / static_cast<double>(runs.size());
+    row.mean_b += y / static_cast<double>(runs.size());
     differences.push_back(y - x);
   }
   if (differences.empty()) return std::nullopt;
@@ -48,14 +49,14 @@
   return row;
 }
 
-void PrintRows(const std::string& a, const std::string& b, const std::vector<Row>& rows) {
-  std::printf("%-22s %-15s %5s %9s %9s %9s  95%% of such\n", "scenario", "figure", "pairs", a.c_str(),
+void PrintRows(const std::string& a, const std::string& b, const std::vector<ComparisonRow>& rows) {
+  std::printf("%-22s %-15s %5s %9s %9s %9s  95%% confidence\n", "scenario", "figure", "pairs", a.c_str(),
               b.c_str(), "less");
-  for (const Row& row : rows) {
+  for (const ComparisonRow& row : rows) {
     const Difference& d = row.difference;
-    const char* mark = !d.tells() ? "" : row.up == (d.mean > 0) ? "better" : "WORSE";
+    const char* mark = !d.significant() ? "" : row.higher_is_better == (d.mean > 0) ? "better" : "WORSE";
     std::printf("%-22s %-15s %5zu %9.4f %9.4f %9.4f  %.4f to %.4f  %s\n", row.scenario.c_str(),
-                row.figure.c_str(), d.pairs, row.a, row.b, d.mean, d.low, d.high, mark);
+                row.figure.c_str(), d.pairs, row.mean_a, row.mean_b, d.mean, d.low, d.high, mark);
   }
 }
 
@@ -65,7 +66,7 @@
   const std::string& a = options.first_label;
   const std::string& b = options.second_label;
   const Results results(options.db);
-  std::vector<Row> rows;
+  std::vector<ComparisonRow> rows;
   for (const auto& [scenario, runs] : PairedRuns(results, a, b)) {
     for (const Figure& figure : ComparedFigures()) {
       if (auto row = CompareFigure(scenario, figure, runs)) rows.push_back(std::move(*row));
--- a/src/simulation/command_load.cpp
+++ b/src/simulation/command_load.cpp
@@ -1,4 +1,4 @@
-// load: open-loop HTTP load on a real sidecar of this machine, and its times.
+// The command load: open-loop HTTP load on a real sidecar of this machine, and the latencies measured.
 #include <cstdio>
 
 #include "simulation/commands.h"
@@ -9,7 +9,7 @@
 
 int ApplyLoad(const Options& options) {
   const LoadResult result = Load(options.load);
-  std::printf("%llu due in %.1f s: %llu served, %llu refused, %llu failed\n",
+  std::printf("%llu requests in %.1f s: %llu served, %llu rejected, %llu failed\n",
               static_cast<unsigned long long>(result.due), result.seconds,
               static_cast<unsigned long long>(result.served), static_cast<unsigned long long>(result.refused),
               static_cast<unsigned long long>(result.failed));
@@ -18,8 +18,8 @@
     std::printf("%-26s %9.2f %9.2f %9.2f %9.2f\n", name, Quantile(times, 0.5), Quantile(times, 0.95),
                 Quantile(times, 0.99), Quantile(times, 0.999));
   };
-  row("from when it was due", result.from_due);
-  row("from when it was sent", result.from_sent);
+  row("latency from due time", result.from_due);
+  row("latency from send time", result.from_sent);
   return kExpectationsMet;
 }
 
--- a/src/simulation/command_run.cpp
+++ b/src/simulation/command_run.cpp
@@ -1,4 +1,5 @@
-// run: one run of each scenario, with its verdicts, and where it is asked for its seconds and its page.
+// The command run: runs each scenario once and prints its verdicts; on request also its figures by second and an
+// HTML page.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -15,28 +16,28 @@
 
 using nlohmann::json;
 
-// "held: ..." or "not held: ..."
+// Returns one text for each expectation: "held: ..." or "not held: ...".
 std::vector<std::string> Verdicts(const Scenario& scenario, const json& run) {
   std::vector<std::string> verdicts;
-  const auto say = [&](bool expectations_met, const std::string& what) {
+  const auto add = [&](bool expectations_met, const std::string& what) {
     verdicts.push_back((expectations_met ? "held: " : "not held: ") + what);
   };
-  say(run.value("broken", 0) == 0, "the four rules");
+  add(run.value("broken", 0) == 0, "the four rules");
   for (const json& b : run["breaks"]) {
-    say(false, "rule " + b.value("rule", "") + " at " + std::to_string(b.value("at_s", 0.0)) +
+    add(false, "rule " + b.value("rule", "") + " at " + std::to_string(b.value("at_s", 0.0)) +
                    " s: " + b.value("what", ""));
   }
   char text[96];
   if (scenario.served_at_least) {
     std::snprintf(text, sizeof text, "served %.4f, at least %.4f", run.value("served", 0.0),
                   *scenario.served_at_least);
-    say(run.value("served", 0.0) >= *scenario.served_at_least, text);
+    add(run.value("served", 0.0) >= *scenario.served_at_least, text);
   }
   if (scenario.recovers_within_s) {
     const bool recovered = run.value("recovered", true);
-    std::snprintf(text, sizeof text, "back %.0f s behind the room, at most %.0f", run.value("took_s", 0.0),
+    std::snprintf(text, sizeof text, "service recovered %.0f s after capacity, at most %.0f", run.value("took_s", 0.0),
                   *scenario.recovers_within_s);
-    say(recovered && run.value("took_s", 0.0) <= *scenario.recovers_within_s, text);
+    add(recovered && run.value("took_s", 0.0) <= *scenario.recovers_within_s, text);
   }
   return verdicts;
 }
@@ -51,17 +52,18 @@
               static_cast<unsigned long long>(run.value("seed", std::uint64_t{0})),
               run.value("digest", "").c_str(),
               static_cast<unsigned long long>(run.value("requests", std::uint64_t{0})));
-  std::printf("  asked %llu, in time %llu, late %llu, refused %llu, failed %llu; worth gained %.4f\n",
+  std::printf("  client requests %llu: in time %llu, late %llu, rejected %llu, failed %llu; share of priority weight served in time %.4f\n",
               static_cast<unsigned long long>(run.value("asked", 0ULL)),
               static_cast<unsigned long long>(run.value("good", 0ULL)),
               static_cast<unsigned long long>(run.value("late", 0ULL)),
               static_cast<unsigned long long>(run.value("refused", 0ULL)),
               static_cast<unsigned long long>(run.value("failed", 0ULL)), run.value("gained", 0.0));
-  std::printf("  median %.1f ms, 99%% %.1f ms; %.3f attempts and %.3f connections a try\n",
+  std::printf("  latency median %.1f ms, 99%% %.1f ms; %.3f attempts and %.3f new connections per request to a sidecar\n",
               run.value("p50_ms", 0.0), run.value("p99_ms", 0.0), run.value("attempts_a_try", 0.0),
               run.value("connects_a_try", 0.0));
   if (run.contains("took_s")) {
-    std::printf("  room from %.0f s on; back %s%.0f s behind it; %.4f came to nothing while there was room\n",
+    std::printf("  capacity sufficient from %.0f s on; service recovered %s%.0f s later; share not served despite spare "
+                "capacity %.4f\n",
                 run.value("covered_s", 0.0), run.value("recovered", false) ? "" : "NOT within ",
                 run.value("took_s", 0.0), run.value("needless", 0.0));
   }
@@ -83,8 +85,8 @@
   }
 }
 
-std::vector<Band> Bands(const Scenario& scenario) {
-  std::vector<Band> bands;
+std::vector<FaultBand> FaultBands(const Scenario& scenario) {
+  std::vector<FaultBand> bands;
   for (const Fault& f : scenario.faults)
     bands.push_back({NameOf(f.kind), f.at_s, std::max(f.at_s + 0.2, f.at_s + f.len_s)});
   return bands;
@@ -102,16 +104,16 @@
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
     const json run = ToJson(scenario, options.seed, outcome, simulated.figures(), true);
     Print(run);
-    std::printf("  %.2f s, %.0f requests a minute\n", took,
+    std::printf("  %.2f s, %.0f requests per minute\n", took,
                 static_cast<double>(outcome.requests) / took * 60);
     const auto verdicts = Verdicts(scenario, run);
     for (const std::string& verdict : verdicts) std::printf("  %s\n", verdict.c_str());
     expectations_met = AllExpectationsMet(verdicts) && expectations_met;
     if (options.seconds) PrintSeconds(run);
     if (!options.report.empty())
-      WriteFile(options.report, RunPage(run, scenario.about, Bands(scenario), verdicts));
+      WriteFile(options.report, RunPage(run, scenario.about, FaultBands(scenario), verdicts));
     if (!options.expected_digest.empty() && run["digest"] != options.expected_digest) {
-      std::printf("  another history than %s\n", options.expected_digest.c_str());
+      std::printf("  digest differs from the expected %s\n", options.expected_digest.c_str());
       expectations_met = false;
     }
   }
--- a/src/simulation/command_search.cpp
+++ b/src/simulation/command_search.cpp
@@ -1,4 +1,5 @@
-// search: scenarios mutated at random from given ones, each run once and judged.
+// The command search: mutates the given scenarios at random, runs each mutation once and reports those that show a
+// fault.
 #include <algorithm>
 #include <cstdio>
 
@@ -14,30 +15,30 @@
 
 using nlohmann::json;
 
-// A fault that lasts longer than this behind its cause outlives it; judged only where the run goes on for
-// long enough. Seconds.
-constexpr double kOutlivesCause = 12;
-constexpr double kLeastRemaining = 17;
+// Degraded service that lasts longer than this after its cause has ended is reported.
+constexpr double kMaxRecoverySeconds = 12;
+// Runs that end sooner than this after the cause are too short to judge.
+constexpr double kMinRemainingSeconds = 17;
 
-// What is wrong with a run; empty: nothing. `run` is null where its process died.
+// Describes what is wrong with a run; empty if nothing is. `run` is null if its process died.
 std::string FaultOf(const Scenario& scenario, const json& run) {
   if (run.is_null()) return "its process died";
   if (run.value("broken", 0) > 0) return "rule " + run["breaks"][0].value("rule", "");
   if (!run.contains("took_s")) return {};
   const double covered = run.value("covered_s", 0.0);
   const double from = std::max(covered, scenario.FaultsEnd());
-  const double back = run.value("recovered", false) ? covered + run.value("took_s", 0.0) : scenario.length_s;
-  if (scenario.length_s - from < kLeastRemaining || back - from <= kOutlivesCause) return {};
-  return "trouble outlives its cause by " + std::to_string(static_cast<int>(back - from)) + " s";
+  const double recovered_at = run.value("recovered", false) ? covered + run.value("took_s", 0.0) : scenario.length_s;
+  if (scenario.length_s - from < kMinRemainingSeconds || recovered_at - from <= kMaxRecoverySeconds) return {};
+  return "degraded service outlasts its cause by " + std::to_string(static_cast<int>(recovered_at - from)) + " s";
 }
 
 std::vector<Job> MutatedJobs(const Options& options) {
-  std::vector<Scenario> library;
-  for (const std::string& path : options.scenarios) library.push_back(LoadScenario(path, options.changes));
+  std::vector<Scenario> originals;
+  for (const std::string& path : options.scenarios) originals.push_back(LoadScenario(path, options.changes));
   Random random(options.seed);
   std::vector<Job> jobs;
   for (int i = 0; i < options.budget; ++i) {
-    Scenario scenario = Mutated(library[random.Below(library.size())], random);
+    Scenario scenario = Mutated(originals[random.Below(originals.size())], random);
     scenario.name = "found-" + std::to_string(options.seed) + '-' + std::to_string(i);
     jobs.push_back({scenario, random.Next() >> 12});
   }
@@ -49,7 +50,7 @@
 int SearchFaults(const Options& options) {
   const std::vector<Job> jobs = MutatedJobs(options);
   std::size_t found = 0;
-  PlayAll(jobs, options.jobs, [&](std::size_t job, const json& run) {
+  RunAll(jobs, options.jobs, [&](std::size_t job, const json& run) {
     const auto& [scenario, seed] = jobs[job];
     const std::string fault = FaultOf(scenario, run);
     if (fault.empty()) return true;
@@ -63,7 +64,7 @@
     }
     return true;
   });
-  std::printf("%zu of %d show trouble\n", found, options.budget);
+  std::printf("%zu of %d scenarios show a fault\n", found, options.budget);
   return found == 0 ? kExpectationsMet : kExpectationsMissed;
 }
 
--- a/src/simulation/command_shrink.cpp
+++ b/src/simulation/command_shrink.cpp
@@ -1,4 +1,5 @@
-// shrink: the smallest scenario that shows the same kind of fault, printed as a file.
+// The command shrink: reduces a scenario while it still shows the same kind of fault, and prints the result as a
+// scenario file.
 #include <cstdio>
 
 #include "simulation/commands.h"
@@ -10,26 +11,26 @@
 
 int ShrinkScenario(const Options& options) {
   const Scenario scenario = LoadScenario(options.scenarios.at(0), options.changes);
-  const auto fault = [&](const Scenario& s) {
+  const auto find_fault = [&](const Scenario& s) {
     SimulationRun simulated(s, options.seed, options.injected_fault);
     const Outcome outcome = simulated.Run();
     return FindFault(s, outcome, simulated.figures());
   };
-  const std::string whole = fault(scenario);
-  if (whole.empty()) {
-    std::fprintf(stderr, "nothing is wrong with seed %llu\n", static_cast<unsigned long long>(options.seed));
+  const std::string original_fault = find_fault(scenario);
+  if (original_fault.empty()) {
+    std::fprintf(stderr, "no fault found with seed %llu\n", static_cast<unsigned long long>(options.seed));
     return kUsage;
   }
-  // The same kind of trouble: its first words.
-  const std::string kind = whole.substr(0, 12);
-  const Scenario small = Shrunk(
-      scenario, [&](const Scenario& s) { return fault(s).starts_with(kind); }, options.budget);
-  SimulationRun simulated(small, options.seed, options.injected_fault);
+  // Descriptions of the same kind of fault begin with the same 12 characters; the numbers follow later.
+  const std::string kind = original_fault.substr(0, 12);
+  const Scenario shrunk = Shrunk(
+      scenario, [&](const Scenario& s) { return find_fault(s).starts_with(kind); }, options.budget);
+  SimulationRun simulated(shrunk, options.seed, options.injected_fault);
   const Outcome outcome = simulated.Run();
-  std::printf("# %s; seed %llu\n", FindFault(small, outcome, simulated.figures()).c_str(),
+  std::printf("# %s; seed %llu\n", FindFault(shrunk, outcome, simulated.figures()).c_str(),
               static_cast<unsigned long long>(options.seed));
   for (const Breach& b : outcome.breaches) std::printf("# %.3f s: %s\n", b.at_s, b.what.c_str());
-  std::printf("%s", ToToml(small).c_str());
+  std::printf("%s", ToToml(shrunk).c_str());
   return kExpectationsMissed;
 }
 
--- a/src/simulation/command_sweep.cpp
+++ b/src/simulation/command_sweep.cpp
@@ -1,5 +1,5 @@
-// sweep: each scenario with each setting and seed, in processes side by side; what the result database has
-// already is not run again.
+// The command sweep: runs each scenario with each setting and seed in parallel processes. Runs that the result
+// database already has are skipped.
 #include <sys/utsname.h>
 #include <unistd.h>
 
@@ -20,14 +20,14 @@
 
 using nlohmann::json;
 
-// As --set takes them: "table.key=value" each.
+// Changes to a scenario in the form of --set: "table.key=value" each.
 using Changes = std::vector<std::string>;
 
-// What is still to run: a job and the key of its result, at the same index.
+// The runs that are still to be made: a job and the key of its result have the same index.
 struct PendingRuns {
   std::vector<Job> jobs;
   std::vector<RunKey> keys;
-  std::size_t present = 0;  // left out, as the database has them
+  std::size_t present = 0;  // runs left out because the database has them
 };
 
 std::string MachineName() {
@@ -37,7 +37,7 @@
          std::to_string(std::thread::hardware_concurrency()) + " cores";
 }
 
-// "1..20" or "7".
+// Reads a range of seeds: "1..20" or "7".
 std::pair<std::uint64_t, std::uint64_t> SeedsOf(const std::string& text) {
   const auto dots = text.find("..");
   try {
@@ -46,11 +46,11 @@
     if (to < from || to - from > 1'000'000) throw std::invalid_argument(text);
     return {from, to};
   } catch (const std::exception&) {
-    throw std::runtime_error("--seeds " + text + ": give a number, or two as 1..20");
+    throw std::runtime_error("--seeds " + text + ": give a number or a range such as 1..20");
   }
 }
 
-// "key=a,b,c": a list of changes, one for each value.
+// Splits "key=a,b,c" into a list of changes, one for each value.
 std::vector<std::string> Variants(const std::string& text) {
   const auto equals = text.find('=');
   if (equals == std::string::npos)
@@ -62,7 +62,7 @@
   return changes;
 }
 
-// Each combination of the values of --vary, over what --set changes for all.
+// Returns each combination of the values of --vary, on top of the changes of --set.
 std::vector<Changes> Combinations(const Changes& common, const std::vector<std::string>& vary) {
   std::vector<Changes> combinations = {common};
   for (const std::string& v : vary) {
@@ -78,7 +78,7 @@
   return combinations;
 }
 
-// The scenario under these changes; those beyond the first `common` are part of its name.
+// Loads the scenario with these changes. Its name includes the changes after the first `common` ones.
 Scenario LoadVariant(const std::string& path, const Changes& changes, std::size_t common) {
   Scenario scenario = LoadScenario(path, changes);
   for (std::size_t i = common; i < changes.size(); ++i) scenario.name += ' ' + changes[i];
@@ -107,7 +107,7 @@
   return pending;
 }
 
-// Prints what is wrong with a run; false where anything is. `run` is null where its process died.
+// Prints what is wrong with a run and returns false if anything is. `run` is null if its process died.
 bool CheckRun(const RunKey& key, const json& run) {
   const auto seed = static_cast<unsigned long long>(key.seed);
   if (run.is_null()) {
@@ -120,16 +120,16 @@
   return false;
 }
 
-// Runs and stores what is pending; the number of runs with something wrong.
+// Runs and stores the pending runs. Returns the number of runs with a fault.
 std::size_t RunPending(const PendingRuns& pending, std::size_t at_once, Results& results) {
   const auto begin = std::chrono::steady_clock::now();
   const std::string machine = MachineName();
   const bool on_terminal = ::isatty(1) != 0;
   std::size_t done = 0;
   std::size_t bad = 0;
-  PlayAll(pending.jobs, at_once, [&](std::size_t job, const json& run) {
+  RunAll(pending.jobs, at_once, [&](std::size_t job, const json& run) {
     ++done;
-    if (!run.is_null()) results.Keep(pending.keys[job], MOTHRACK_VERSION, machine, run);
+    if (!run.is_null()) results.Store(pending.keys[job], MOTHRACK_VERSION, machine, run);
     if (!CheckRun(pending.keys[job], run)) ++bad;
     if (on_terminal && !run.is_null()) {
       const double passed = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
@@ -143,22 +143,22 @@
   return bad;
 }
 
-// A row a scenario, over all seeds that are stored under the label.
+// Prints one row for each scenario, over all seeds stored under the label.
 void PrintTable(const Results& results, const std::string& label) {
-  std::map<std::string, std::vector<json>> by;
-  for (const auto& [key, run] : results.Of(label)) by[key.scenario].push_back(run);
+  std::map<std::string, std::vector<json>> runs_by_scenario;
+  for (const auto& [key, run] : results.RunsWithLabel(label)) runs_by_scenario[key.scenario].push_back(run);
   std::printf("%-34s %5s %8s %8s %8s %8s %8s %8s\n", "scenario", "runs", "gained", "worst", "took_s", "worst",
               "needless", "p99_ms");
-  for (const auto& [name, runs] : by) {
+  for (const auto& [name, runs] : runs_by_scenario) {
     double gained = 0, least = 1, took = 0, longest = 0, needless = 0, p99 = 0;
     for (const json& run : runs) {
-      const auto n = static_cast<double>(runs.size());
-      gained += run.value("gained", 0.0) / n;
+      const auto count = static_cast<double>(runs.size());
+      gained += run.value("gained", 0.0) / count;
       least = std::min(least, run.value("gained", 0.0));
-      took += run.value("took_s", 0.0) / n;
+      took += run.value("took_s", 0.0) / count;
       longest = std::max(longest, run.value("took_s", 0.0));
-      needless += run.value("needless", 0.0) / n;
-      p99 += run.value("p99_ms", 0.0) / n;
+      needless += run.value("needless", 0.0) / count;
+      p99 += run.value("p99_ms", 0.0) / count;
     }
     std::printf("%-34s %5zu %8.4f %8.4f %8.2f %8.1f %8.4f %8.1f\n", name.c_str(), runs.size(), gained, least,
                 took, longest, needless, p99);
@@ -170,7 +170,7 @@
 int SweepScenarios(const Options& options) {
   Results results(options.db);
   const PendingRuns pending = FindPendingRuns(options, results);
-  if (pending.present > 0) std::printf("%zu runs are there already\n", pending.present);
+  if (pending.present > 0) std::printf("%zu runs are there already, skipped\n", pending.present);
   const std::size_t bad = RunPending(pending, options.jobs, results);
   PrintTable(results, options.label);
   return bad == 0 ? kExpectationsMet : kExpectationsMissed;
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -3,8 +3,8 @@
 namespace mothrack::simulation {
 namespace {
 
-constexpr double kChance = 0.02;                  // of each attempt
-constexpr std::uint64_t kResentBit = 1ULL << 62;  // ids of the dispatcher never get there
+constexpr double kFaultProbability = 0.02;        // for each attempt
+constexpr std::uint64_t kResentBit = 1ULL << 62;  // the dispatcher's ids never reach it
 
 }  // namespace
 
@@ -14,14 +14,14 @@
   const auto& client_request = static_cast<const ClientRequest&>(*message);
   const bool unsafe = scenario_.classes[client_request.cls].effect == balancer::Effect::kUnsafe;
   std::string to = uid;
-  if (injected_fault_ == InjectedFault::kResend && unsafe && random_.Chance(kChance)) {
+  if (injected_fault_ == InjectedFault::kResend && unsafe && random_.Chance(kFaultProbability)) {
     inner_.Send(dispatch::ExchangeId{static_cast<std::uint64_t>(id) | kResentBit}, uid, message, timeout, {});
   }
-  if (injected_fault_ == InjectedFault::kAfterDrain && random_.Chance(kChance)) {
-    if (const auto leaving = find_(true)) to = SimulatedTransport::NameOf(*leaving);
+  if (injected_fault_ == InjectedFault::kAfterDrain && random_.Chance(kFaultProbability)) {
+    if (const auto leaving = find_server_(true)) to = SimulatedTransport::NameOf(*leaving);
   }
   if (injected_fault_ == InjectedFault::kOverloadWarmingUp) {
-    if (const auto warming_up = find_(false)) to = SimulatedTransport::NameOf(*warming_up);
+    if (const auto warming_up = find_server_(false)) to = SimulatedTransport::NameOf(*warming_up);
   }
   inner_.Send(id, to, std::move(message), timeout, std::move(hooks));
 }
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -1,4 +1,4 @@
-// Breaks a rule on purpose: `mothrack-sim run --plant`.
+// Breaks a rule on purpose, to check that the rule checker detects it: `mothrack-sim run --plant`.
 #pragma once
 
 #include <cstdint>
@@ -15,20 +15,23 @@
 
 namespace mothrack::simulation {
 
-// Which rule a run breaks on purpose, to see that its checker finds it.
+// The fault that a run injects.
+// kResend: an unsafe attempt is sent twice. kAfterDrain: attempts go to a draining server. kDroppedAnswer: some
+// final answers are dropped. kOverloadWarmingUp: all attempts go to a server in slow start.
 enum class InjectedFault { kNone, kResend, kAfterDrain, kDroppedAnswer, kOverloadWarmingUp };
 
-// A transport between dispatcher and SimulatedTransport that now and then does what a rule forbids, so that a
-// run shows that the invariants find it. `find` gives a server that is draining, or one that is warming up.
+// A transport between the dispatcher and SimulatedTransport that sometimes breaks a rule. `find_server(true)` returns
+// a server that is draining, `find_server(false)` one in slow start. Holds references to `inner` and `scenario`,
+// which must outlive it.
 class FaultInjector : public dispatch::Transport {
  public:
   FaultInjector(SimulatedTransport& inner, const Scenario& scenario, InjectedFault injected_fault,
-                Random random, std::function<std::optional<std::size_t>(bool leaving)> find)
+                Random random, std::function<std::optional<std::size_t>(bool leaving)> find_server)
       : inner_(inner),
         scenario_(scenario),
         injected_fault_(injected_fault),
         random_(random),
-        find_(std::move(find)) {}
+        find_server_(std::move(find_server)) {}
 
   void Apply(const std::string& uid, const dispatch::Location& location) override {
     inner_.Apply(uid, location);
@@ -47,7 +50,7 @@
   const Scenario& scenario_;
   const InjectedFault injected_fault_;
   Random random_;
-  const std::function<std::optional<std::size_t>(bool)> find_;
+  const std::function<std::optional<std::size_t>(bool)> find_server_;
 };
 
 }  // namespace mothrack::simulation
--- a/src/simulation/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -8,38 +8,39 @@
 namespace mothrack::simulation {
 namespace {
 
-constexpr double kLeastMs = 0.1;
-constexpr double kMostMs = 1e5;
+constexpr double kMinMs = 0.1;
+constexpr double kMaxMs = 1e5;
 constexpr double kBinWidth = 1.05;
-// A second is well with fewer refused than this, and fewer late; so many in a row are a recovery.
-constexpr double kMostRefused = 0.02;
-constexpr double kMostLate = 0.05;
-constexpr std::size_t kWellSeconds = 3;
-// Room: what is able exceeds the demand by this.
+// Service counts as recovered after kRecoveredSeconds seconds in a row in which the shares of client requests that
+// were not served and that were late are below these.
+constexpr double kMaxNotServedShare = 0.02;
+constexpr double kMaxLateShare = 0.05;
+constexpr std::size_t kRecoveredSeconds = 3;
+// Capacity counts as sufficient if it is at least this multiple of the demand.
 constexpr double kCapacityMargin = 1.1;
 
 }  // namespace
 
 LatencyHistogram NewLatencyHistogram() {
-  const auto bins = static_cast<unsigned>(std::ceil(std::log(kMostMs / kLeastMs) / std::log(kBinWidth)));
+  const auto bins = static_cast<unsigned>(std::ceil(std::log(kMaxMs / kMinMs) / std::log(kBinWidth)));
   return boost::histogram::make_histogram(
-      boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(bins, kLeastMs,
-                                                                                      kMostMs));
+      boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(bins, kMinMs,
+                                                                                      kMaxMs));
 }
 
 double Quantile(const LatencyHistogram& times, double q) {
   double sum = 0;
   for (const auto& bin : boost::histogram::indexed(times, boost::histogram::coverage::all)) sum += *bin;
   if (sum <= 0) return 0;
-  double before = 0;
+  double counted = 0;
   for (const auto& bin : boost::histogram::indexed(times, boost::histogram::coverage::all)) {
-    before += *bin;
-    if (before < q * sum) continue;
-    const double low = std::max(bin.bin().lower(), kLeastMs);
-    const double high = std::min(bin.bin().upper(), kMostMs);
+    counted += *bin;
+    if (counted < q * sum) continue;
+    const double low = std::max(bin.bin().lower(), kMinMs);
+    const double high = std::min(bin.bin().upper(), kMaxMs);
     return std::sqrt(low * high);
   }
-  return kMostMs;
+  return kMaxMs;
 }
 
 Figures::Figures(const Scenario& scenario)
@@ -54,27 +55,27 @@
   return seconds_[std::min(i, seconds_.size() - 1)];
 }
 
-void Figures::Record(const SimulationEvent& h) {
-  const double s = InSeconds(h.at);
-  switch (h.kind) {
+void Figures::Record(const SimulationEvent& event) {
+  const double s = InSeconds(event.at);
+  switch (event.kind) {
     case SimulationEvent::Kind::kRequested:
       ++At(s).requested;
-      At(s).priority_weight += scenario_.classes[h.cls].priority_weight;
-      requested_[h.request] = {h.at, h.cls};
+      At(s).priority_weight += scenario_.classes[event.cls].priority_weight;
+      requested_[event.request] = {event.at, event.cls};
       break;
     case SimulationEvent::Kind::kResolved: {
-      const auto it = requested_.find(h.request);
+      const auto it = requested_.find(event.request);
       if (it == requested_.end()) break;
       const double began = InSeconds(it->second.at);
       Second& second = At(began);
-      if (h.request_outcome == RequestOutcome::kServed) {
-        const double ms = InMilliseconds(h.at - it->second.at);
-        ++(h.late ? second.late : second.good);
-        if (!h.late) second.gained += scenario_.classes[it->second.cls].priority_weight;
+      if (event.request_outcome == RequestOutcome::kServed) {
+        const double ms = InMilliseconds(event.at - it->second.at);
+        ++(event.late ? second.late : second.good);
+        if (!event.late) second.served_priority_weight += scenario_.classes[it->second.cls].priority_weight;
         times_[std::min(static_cast<std::size_t>(began), times_.size() - 1)](ms);
         all_(ms);
       } else {
-        ++(h.request_outcome == RequestOutcome::kRefused ? second.refused : second.failed);
+        ++(event.request_outcome == RequestOutcome::kRefused ? second.refused : second.failed);
       }
       requested_.erase(it);
       break;
@@ -83,7 +84,7 @@
       ++At(s).client_attempts;
       break;
     case SimulationEvent::Kind::kAnswered:
-      if (h.request_outcome == RequestOutcome::kRefused) ++At(s).rejected_client_attempts;
+      if (event.request_outcome == RequestOutcome::kRefused) ++At(s).rejected_client_attempts;
       break;
     case SimulationEvent::Kind::kAttemptSent:
       ++At(s).attempts;
@@ -110,13 +111,13 @@
     sum.refused += s.refused;
     sum.failed += s.failed;
     sum.priority_weight += s.priority_weight;
-    sum.gained += s.gained;
+    sum.served_priority_weight += s.served_priority_weight;
     sum.client_attempts += s.client_attempts;
     sum.rejected_client_attempts += s.rejected_client_attempts;
     sum.attempts += s.attempts;
     sum.connects += s.connects;
     sum.overload += s.overload;
-    sum.nobody += s.nobody;
+    sum.no_upstream += s.no_upstream;
     sum.given_up += s.given_up;
     sum.retries += s.retries;
     sum.hedges += s.hedges;
@@ -135,7 +136,7 @@
 
 double Figures::gained_share() const {
   const Second sum = Sum();
-  return sum.priority_weight <= 0 ? 1 : sum.gained / sum.priority_weight;
+  return sum.priority_weight <= 0 ? 1 : sum.served_priority_weight / sum.priority_weight;
 }
 
 std::optional<Recovery> Figures::recovery() const {
@@ -143,28 +144,28 @@
   double begin = scenario_.length_s;
   for (const Fault& f : scenario_.faults) begin = std::min(begin, f.at_s);
   const auto from = static_cast<std::size_t>(begin);
-  // Behind the last second in which there was too little; where there always was enough, the trouble's begin.
+  // The second after the last one with too little capacity; the start of the first fault if there always was enough.
   std::size_t covered = from;
   for (std::size_t i = from; i < seconds_.size(); ++i) {
-    if (seconds_[i].able < seconds_[i].demand) covered = i + 1;
+    if (seconds_[i].available_capacity < seconds_[i].demand) covered = i + 1;
   }
-  const auto bad = [](const Second& s) { return static_cast<double>(s.refused + s.failed); };
-  const auto well = [&](const Second& s) {
+  const auto not_served = [](const Second& s) { return static_cast<double>(s.refused + s.failed); };
+  const auto healthy = [&](const Second& s) {
     const auto requested = static_cast<double>(std::max<std::uint64_t>(1, s.requested));
-    return bad(s) < kMostRefused * requested && static_cast<double>(s.late) < kMostLate * requested;
+    return not_served(s) < kMaxNotServedShare * requested && static_cast<double>(s.late) < kMaxLateShare * requested;
   };
   Recovery recovery;
   recovery.covered_s = static_cast<double>(covered);
-  double lost = 0;
+  double needless = 0;
   double requested = 0;
   for (const Second& s : seconds_) {
     requested += static_cast<double>(s.requested);
-    if (s.able >= kCapacityMargin * s.demand) lost += bad(s);
+    if (s.available_capacity >= kCapacityMargin * s.demand) needless += not_served(s);
   }
-  recovery.needless = requested > 0 ? lost / requested : 0;
-  for (std::size_t i = covered; i + kWellSeconds <= seconds_.size(); ++i) {
+  recovery.needless = requested > 0 ? needless / requested : 0;
+  for (std::size_t i = covered; i + kRecoveredSeconds <= seconds_.size(); ++i) {
     const auto begin_at = seconds_.begin() + static_cast<std::ptrdiff_t>(i);
-    if (!std::all_of(begin_at, begin_at + static_cast<std::ptrdiff_t>(kWellSeconds), well)) continue;
+    if (!std::all_of(begin_at, begin_at + static_cast<std::ptrdiff_t>(kRecoveredSeconds), healthy)) continue;
     recovery.recovered = true;
     recovery.recovered_s = static_cast<double>(i);
     recovery.took_s = recovery.recovered_s - recovery.covered_s;
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -1,5 +1,5 @@
-// The figures of a run: a row a second, latencies, and how soon service was back after a fault. Pure; one
-// thread. docs/design/simulation.md, "Recovery".
+// The figures of a run: counts for each second, latencies, and how soon service recovered after a fault.
+// docs/design/simulation.md, "Recovery", defines recovery. Does no I/O and reads no clock; for one thread.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -13,70 +13,72 @@
 
 namespace mothrack::simulation {
 
-// Milliseconds, each bin 5% wide from 0.1 ms to 100 s: a quantile is off by half of that at most.
+// Counts latencies in milliseconds, from 0.1 ms to 100 s. Each bin is 5% wide, so a quantile is off by at most half
+// of that.
 using LatencyHistogram = boost::histogram::histogram<
     std::tuple<boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>>>;
 LatencyHistogram NewLatencyHistogram();
-// Of q in 0..1; 0 where there is none.
+// Returns the quantile `q`, from 0 to 1, in milliseconds; 0 if the histogram is empty.
 double Quantile(const LatencyHistogram& times, double q);
 
-// One second of a run.
+// The figures of one second of a run.
 struct Second {
-  // Client requests by the second in which they began.
+  // Client requests, counted in the second in which they began.
   std::uint64_t requested = 0;
   std::uint64_t good = 0;     // served within their latency objective
   std::uint64_t late = 0;     // served after it
-  std::uint64_t refused = 0;  // not served, the last answer being a rejection
+  std::uint64_t refused = 0;  // not served; the last answer was a rejection
   std::uint64_t failed = 0;
-  double priority_weight = 0;  // asked for
-  double gained = 0;
-  // What was done in it.
+  double priority_weight = 0;  // of all client requests
+  double served_priority_weight = 0;  // of those served within their latency objective
+  // What happened in this second.
   std::uint64_t client_attempts = 0;  // requests that sidecars accepted
   std::uint64_t rejected_client_attempts = 0;
   std::uint64_t attempts = 0;
   std::uint64_t connects = 0;
-  // What the decision modules count: rejected as overload, with no upstream, given up after attempts;
-  // retries, hedged requests, half-open probes.
-  std::uint64_t overload = 0, nobody = 0, given_up = 0;
+  // Counts of the sidecars' decision modules: requests rejected as overload, rejected with no upstream to send to,
+  // and given up after attempts; then retries, hedged requests and half-open probes.
+  std::uint64_t overload = 0, no_upstream = 0, given_up = 0;
   std::uint64_t retries = 0, hedges = 0, half_open_probes = 0;
-  double shed = 0;  // the share of the work that is shed as overload, in the mean over the sidecars
+  double shed = 0;  // share of the work that is shed as overload, mean over the sidecars
   std::uint64_t ejected = 0;
   std::uint64_t returned = 0;
-  // As shares of the capacity of all servers when warm: what could serve, and the demand of first attempts.
-  double able = 0;
+  // As shares of the capacity of all servers when warm: the capacity that can serve, and the demand of first attempts.
+  double available_capacity = 0;
   double demand = 0;
-  double in_flight = 0;  // calls at servers
-  int warming_up = 0;    // servers
-  int down = 0;
-  double p50 = 0, p95 = 0, p99 = 0;  // milliseconds, of what was served
+  double in_flight = 0;  // calls queued or running at servers
+  int warming_up = 0;    // servers in slow start
+  int down = 0;        // listed servers that are down or unreachable
+  double p50 = 0, p95 = 0, p99 = 0;  // latency of served requests, milliseconds
 };
 
-// How soon service was back once capacity was. Seconds from the start of the run.
+// How soon service recovered once there was enough capacity. Times are seconds from the start of the run.
 struct Recovery {
-  double covered_s = 0;    // capacity covered the demand from then on
-  double recovered_s = 0;  // rejected or failed under 2%, late under 5%, for three seconds
+  double covered_s = 0;    // from here on, capacity covered the demand
+  double recovered_s = 0;  // from here on, less than 2% rejected or failed and less than 5% late, for three seconds
   bool recovered = false;
-  double took_s = 0;
-  double needless = 0;  // client requests not served while there was a tenth of headroom, as a share of all
+  double took_s = 0;  // from covered_s to recovered_s, or to the end of the run
+  double needless = 0;  // share of all client requests that were not served although capacity exceeded demand by a tenth
 };
 
-// Holds a reference to the scenario, which must outlive it.
+// Collects the figures of a run from its events. Holds a reference to the scenario, which must outlive it.
 class Figures {
  public:
   Figures(const Scenario& scenario);
 
-  void Record(const SimulationEvent& h);
-  // The row of a second; the last one for later times.
+  void Record(const SimulationEvent& event);
+  // Returns the figures of the second that contains the time `s`; for later times those of the last second.
   Second& At(double s);
-  // To be called once, at the end of the run: computes the quantiles of each second.
+  // Computes the quantiles of each second. Call once, at the end of the run.
   void Finish();
 
   const std::vector<Second>& seconds() const { return seconds_; }
+  // Returns the counts added up over all seconds.
   Second Sum() const;
   double LatencyQuantile(double q) const { return Quantile(all_, q); }
-  double served_share() const;  // of client requests, within the latency objective or late
-  double gained_share() const;  // of the priority weight
-  // From the first fault's begin on; none where the scenario has no faults.
+  double served_share() const;  // of the client requests, within the latency objective or late
+  double gained_share() const;  // of the priority weight, served within the latency objective
+  // Returns the recovery from the first fault on; nothing if the scenario has no faults.
   std::optional<Recovery> recovery() const;
 
  private:
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -8,8 +8,8 @@
 namespace mothrack::simulation {
 namespace {
 
-// A call that was given up may still run so long after its request's end: servers drop what has expired.
-constexpr runtime::Duration kMemory = std::chrono::seconds(20);
+// How long an attempt may still run after its request has ended; servers drop expired calls.
+constexpr runtime::Duration kEndedRequestRetention = std::chrono::seconds(20);
 
 bool NeverRan(balancer::Outcome outcome) {
   return outcome == balancer::Outcome::kFull || outcome == balancer::Outcome::kConnectFailed ||
@@ -29,60 +29,60 @@
 
 void Rules::RecordBreach(Rule rule, runtime::TimePoint at, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ == 0)
-    first_.push_back({rule, InSeconds(at), std::move(what)});
+    first_breaches_.push_back({rule, InSeconds(at), std::move(what)});
 }
 
-void Rules::Forget(runtime::TimePoint now) {
-  while (!ended_.empty() && now - ended_.front().first > kMemory) {
+void Rules::ForgetEnded(runtime::TimePoint now) {
+  while (!ended_.empty() && now - ended_.front().first > kEndedRequestRetention) {
     open_.erase(ended_.front().second);
     ended_.pop_front();
   }
 }
 
-void Rules::Record(const SimulationEvent& h) {
+void Rules::Record(const SimulationEvent& event) {
   using Kind = SimulationEvent::Kind;
-  Forget(h.at);
-  switch (h.kind) {
+  ForgetEnded(event.at);
+  switch (event.kind) {
     case Kind::kAccepted:
-      open_[h.request] = {h.sidecar, h.cls, h.until, 0, 0, false, false, false, {}};
+      open_[event.request] = {event.sidecar, event.cls, event.until, 0, 0, false, false, false, {}};
       break;
     case Kind::kAnswered:
-      RecordAnswer(h);
+      RecordAnswer(event);
       break;
     case Kind::kClientLeft:
-      if (Open* open = Find(h.request); open != nullptr && !open->answered)
-        RecordLeft(h.at, h.request, *open);
+      if (OpenRequest* open = Find(event.request); open != nullptr && !open->answered)
+        RecordLeft(event.at, event.request, *open);
       break;
     case Kind::kSidecarKilled:
       for (auto& [id, open] : open_) {
-        if (open.sidecar == h.sidecar && !open.answered) RecordLeft(h.at, id, open);
+        if (open.sidecar == event.sidecar && !open.answered) RecordLeft(event.at, id, open);
       }
-      leaving_.erase(h.sidecar);
+      leaving_.erase(event.sidecar);
       break;
     case Kind::kAttemptSent:
-      RecordAttempt(h);
+      RecordAttempt(event);
       break;
     case Kind::kAttemptEnded:
-      if (Open* open = Find(h.request); open != nullptr && NeverRan(h.outcome) && open->unproven > 0) {
-        --open->unproven;
+      if (OpenRequest* open = Find(event.request); open != nullptr && NeverRan(event.outcome) && open->possibly_run_attempts > 0) {
+        --open->possibly_run_attempts;
       }
       break;
     case Kind::kCallArrived:
-      Arrived(h);
+      RecordArrival(event);
       break;
     case Kind::kCallStarted:
-      RecordRun(h);
+      RecordStart(event);
       break;
     case Kind::kSidecarNotified:
-      if (h.leaving) {
-        leaving_[h.sidecar].try_emplace(h.server, h.at);
-      } else if (const auto sidecar = leaving_.find(h.sidecar); sidecar != leaving_.end()) {
-        sidecar->second.erase(h.server);
+      if (event.leaving) {
+        leaving_[event.sidecar].try_emplace(event.server, event.at);
+      } else if (const auto sidecar = leaving_.find(event.sidecar); sidecar != leaving_.end()) {
+        sidecar->second.erase(event.server);
       }
       break;
     case Kind::kServerStarted:
-      if (servers_.size() <= h.server) servers_.resize(h.server + 1);
-      servers_[h.server] = {h.at, h.work, {}, 0};
+      if (servers_.size() <= event.server) servers_.resize(event.server + 1);
+      servers_[event.server] = {event.at, event.work, {}, 0};
       break;
     case Kind::kRequested:
     case Kind::kResolved:
@@ -90,87 +90,87 @@
   }
 }
 
-Rules::Open* Rules::Find(std::uint64_t request) {
+Rules::OpenRequest* Rules::Find(std::uint64_t request) {
   const auto it = open_.find(request);
   return it == open_.end() ? nullptr : &it->second;
 }
 
-void Rules::RecordLeft(runtime::TimePoint at, std::uint64_t request, Open& open) {
+void Rules::RecordLeft(runtime::TimePoint at, std::uint64_t request, OpenRequest& open) {
   open.answered = open.left = true;
   ended_.emplace_back(at, request);
 }
 
-void Rules::RecordAnswer(const SimulationEvent& h) {
-  const std::string request = "request " + std::to_string(h.request);
-  Open* open = Find(h.request);
+void Rules::RecordAnswer(const SimulationEvent& event) {
+  const std::string request = "request " + std::to_string(event.request);
+  OpenRequest* open = Find(event.request);
   if (open == nullptr) {
-    RecordBreach(Rule::kLost, h.at, request + " was answered and never taken");
+    RecordBreach(Rule::kLost, event.at, request + " was answered but never accepted");
     return;
   }
-  if (open->answered) RecordBreach(Rule::kLost, h.at, request + " was answered twice");
-  if (!open->left && h.at > open->until + limits_.grace) {
-    RecordBreach(Rule::kLost, h.at,
-                 request + " was answered " + std::to_string(InMilliseconds(h.at - open->until)) +
-                     " ms after its time");
+  if (open->answered) RecordBreach(Rule::kLost, event.at, request + " was answered twice");
+  if (!open->left && event.at > open->until + limits_.grace) {
+    RecordBreach(Rule::kLost, event.at,
+                 request + " was answered " + std::to_string(InMilliseconds(event.at - open->until)) +
+                     " ms after its deadline");
   }
-  const bool refused = h.request_outcome == RequestOutcome::kRefused;
-  if (limits_.unsafe.at(open->cls) && refused && (open->unproven > 0 || open->runs > 0)) {
-    RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was refused, and may have run");
+  const bool refused = event.request_outcome == RequestOutcome::kRefused;
+  if (limits_.unsafe.at(open->cls) && refused && (open->possibly_run_attempts > 0 || open->runs > 0)) {
+    RecordBreach(Rule::kTwice, event.at, request + ", unsafe, was rejected although it may have run");
   }
   open->answered = true;
   open->refused = refused;
-  ended_.emplace_back(h.at, h.request);
+  ended_.emplace_back(event.at, event.request);
 }
 
-void Rules::RecordAttempt(const SimulationEvent& h) {
-  const std::string request = "request " + std::to_string(h.request);
-  if (Open* open = Find(h.request); open != nullptr) {
-    if (limits_.unsafe.at(open->cls) && open->unproven > 0) {
-      RecordBreach(Rule::kTwice, h.at, request + ", unsafe, was sent again while it may have run");
+void Rules::RecordAttempt(const SimulationEvent& event) {
+  const std::string request = "request " + std::to_string(event.request);
+  if (OpenRequest* open = Find(event.request); open != nullptr) {
+    if (limits_.unsafe.at(open->cls) && open->possibly_run_attempts > 0) {
+      RecordBreach(Rule::kTwice, event.at, request + ", unsafe, was sent again while it may have run");
     }
-    ++open->unproven;
+    ++open->possibly_run_attempts;
   }
-  const auto sidecar = leaving_.find(h.sidecar);
+  const auto sidecar = leaving_.find(event.sidecar);
   if (sidecar == leaving_.end()) return;
-  const auto notified = sidecar->second.find(h.server);
-  if (notified == sidecar->second.end() || h.at <= notified->second + limits_.drain) return;
-  RecordBreach(Rule::kDrain, h.at,
-               request + " was sent to server " + std::to_string(h.server) + " " +
-                   std::to_string(InMilliseconds(h.at - notified->second)) +
-                   " ms after it was told as leaving");
+  const auto notified = sidecar->second.find(event.server);
+  if (notified == sidecar->second.end() || event.at <= notified->second + limits_.drain) return;
+  RecordBreach(Rule::kDrain, event.at,
+               request + " was sent to server " + std::to_string(event.server) + " " +
+                   std::to_string(InMilliseconds(event.at - notified->second)) +
+                   " ms after the notice that it drains");
 }
 
-void Rules::RecordRun(const SimulationEvent& h) {
-  Open* open = Find(h.request);
+void Rules::RecordStart(const SimulationEvent& event) {
+  OpenRequest* open = Find(event.request);
   if (open == nullptr) return;
   ++open->runs;
   if (!limits_.unsafe.at(open->cls)) return;
-  const std::string request = "request " + std::to_string(h.request);
-  if (open->runs > 1) RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran twice");
-  if (open->refused) RecordBreach(Rule::kTwice, h.at, request + ", unsafe, ran after it was refused");
+  const std::string request = "request " + std::to_string(event.request);
+  if (open->runs > 1) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran twice");
+  if (open->refused) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran after it was rejected");
 }
 
-// What all sidecars together send to a cold server within the window, against what it can do by now.
-void Rules::Arrived(const SimulationEvent& h) {
-  if (h.server >= servers_.size()) return;
-  Server& server = servers_[h.server];
-  if (server.booted == runtime::TimePoint::min() || h.at - server.booted >= limits_.slow_start_duration)
+// Compares the work that all sidecars together send to a server in slow start within the window with its capacity.
+void Rules::RecordArrival(const SimulationEvent& event) {
+  if (event.server >= servers_.size()) return;
+  ServerLoad& server = servers_[event.server];
+  if (server.booted == runtime::TimePoint::min() || event.at - server.booted >= limits_.slow_start_duration)
     return;
-  server.work.emplace_back(h.at, h.work);
-  server.sum += h.work;
-  while (h.at - server.work.front().first > limits_.overload_window) {
+  server.work.emplace_back(event.at, event.work);
+  server.sum += event.work;
+  while (event.at - server.work.front().first > limits_.overload_window) {
     server.sum -= server.work.front().second;
     server.work.pop_front();
   }
-  const double age = InSeconds(h.at - server.booted) / InSeconds(limits_.slow_start_duration);
+  const double age = InSeconds(event.at - server.booted) / InSeconds(limits_.slow_start_duration);
   const double slow_start_factor =
       limits_.slow_start_initial_share + (1 - limits_.slow_start_initial_share) * age;
-  const double can = slow_start_factor * server.capacity * InMilliseconds(limits_.overload_window);
-  if (server.sum > limits_.overload_multiple * can) {
-    RecordBreach(Rule::kSlowStart, h.at,
-                 "server " + std::to_string(h.server) + ", " +
-                     std::to_string(InSeconds(h.at - server.booted)) + " s old, was sent " +
-                     std::to_string(server.sum / can) + " times what it can do");
+  const double capacity = slow_start_factor * server.capacity * InMilliseconds(limits_.overload_window);
+  if (server.sum > limits_.overload_multiple * capacity) {
+    RecordBreach(Rule::kSlowStart, event.at,
+                 "server " + std::to_string(event.server) + ", " +
+                     std::to_string(InSeconds(event.at - server.booted)) + " s old, was sent " +
+                     std::to_string(server.sum / capacity) + " times its capacity");
     server.work.clear();
     server.sum = 0;
   }
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,5 +1,5 @@
-// The four rules that every version keeps, checked over events alone, whatever reports them. Pure: no clock,
-// no I/O. Each breach says when, which request or server it concerns, and what had gone before. One thread.
+// Checks the four rules that every version must keep, over events alone, whatever program reports them. Each breach
+// tells its time, the request or server concerned, and what happened. Does no I/O and reads no clock; for one thread.
 #pragma once
 
 #include <array>
@@ -14,80 +14,82 @@
 
 namespace mothrack::simulation {
 
-// kLost: a request without its one answer in time. kTwice: an unsafe request that may run twice. kDrain: an
-// attempt at a draining server. kSlowStart: a warming server sent more than it can do.
+// kLost: a request does not get exactly one answer in time. kTwice: an unsafe request may run twice. kDrain: an
+// attempt goes to a draining server. kSlowStart: a server in slow start is sent more than it can do.
 enum class Rule { kLost, kTwice, kDrain, kSlowStart };
-// As results and pages have it.
+// Returns the name of the rule in results and pages.
 const char* NameOf(Rule rule);
 
-// A rule that was broken.
+// One breach of a rule.
 struct Breach {
   Rule rule{};
   double at_s = 0;
   std::string what;
 };
 
-// Keeps what it needs of each open request, and of an ended one for 20 s, as an attempt may still run.
+// The rule checker. Keeps the state of each open request, and of an ended one for another 20 s because its attempts may
+// still run.
 class Rules {
  public:
   struct Limits {
-    std::vector<bool> unsafe;          // by class
-    runtime::Duration grace{50'000};   // beyond a request's time
-    runtime::Duration drain{550'000};  // after the notice that a server drains, with the grace of sockets
-    double overload_multiple = 4;      // of what a warming server can do
+    std::vector<bool> unsafe;          // indexed by class
+    runtime::Duration grace{50'000};   // after a request's deadline
+    runtime::Duration drain{550'000};  // from the notice that a server drains until no attempt may start
+    double overload_multiple = 4;      // of the capacity of a server in slow start
     runtime::Duration overload_window{1'000'000};
     double slow_start_initial_share = 0.2;
     runtime::Duration slow_start_duration{15'000'000};
   };
   explicit Rules(Limits limits);
 
-  // In the order in which events happen.
-  void Record(const SimulationEvent& h);
-  // The end of the run: a request that is unanswered by then and past its deadline is lost.
+  // Checks one event. Events must come in the order in which they happened.
+  void Record(const SimulationEvent& event);
+  // Ends the run: a request that has no answer by then and is past its deadline is lost.
   void End(runtime::TimePoint at);
 
-  // The first of each rule, and how many there were.
-  const std::vector<Breach>& breaches() const { return first_; }
+  // The first breach of each rule.
+  const std::vector<Breach>& breaches() const { return first_breaches_; }
+  // The number of breaches of a rule.
   std::size_t count(Rule rule) const { return counts_[static_cast<std::size_t>(rule)]; }
   std::size_t total() const;
   std::size_t open() const { return open_.size(); }
 
  private:
-  struct Open {
+  struct OpenRequest {
     std::uint64_t sidecar = 0;
     std::size_t cls = 0;
     runtime::TimePoint until;
-    int unproven = 0;  // attempts that may have run, or may yet
+    int possibly_run_attempts = 0;  // attempts that may have run or may still run
     int runs = 0;
     bool answered = false;
     bool refused = false;
     bool left = false;
     runtime::TimePoint notified;  // its end
   };
-  struct Server {
+  struct ServerLoad {
     runtime::TimePoint booted = runtime::TimePoint::min();
-    double capacity = 0;                                     // warm, milliseconds of work a millisecond
-    std::deque<std::pair<runtime::TimePoint, double>> work;  // accepted within the window
+    double capacity = 0;                                     // when warm, in milliseconds of work per millisecond
+    std::deque<std::pair<runtime::TimePoint, double>> work;  // accepted within the overload window
     double sum = 0;
   };
 
   void RecordBreach(Rule rule, runtime::TimePoint at, std::string what);
-  Open* Find(std::uint64_t request);
-  void Forget(runtime::TimePoint now);
-  void RecordAnswer(const SimulationEvent& h);
-  void RecordLeft(runtime::TimePoint at, std::uint64_t request, Open& open);
-  void RecordAttempt(const SimulationEvent& h);
-  void RecordRun(const SimulationEvent& h);
-  void Arrived(const SimulationEvent& h);
+  OpenRequest* Find(std::uint64_t request);
+  void ForgetEnded(runtime::TimePoint now);
+  void RecordAnswer(const SimulationEvent& event);
+  void RecordLeft(runtime::TimePoint at, std::uint64_t request, OpenRequest& open);
+  void RecordAttempt(const SimulationEvent& event);
+  void RecordStart(const SimulationEvent& event);
+  void RecordArrival(const SimulationEvent& event);
 
   const Limits limits_;
-  std::unordered_map<std::uint64_t, Open> open_;
+  std::unordered_map<std::uint64_t, OpenRequest> open_;
   std::deque<std::pair<runtime::TimePoint, std::uint64_t>>
-      ended_;  // retained for a while: their attempts may still run
+      ended_;  // by time of their end; kept because attempts may still run
   std::unordered_map<std::uint64_t, std::unordered_map<std::size_t, runtime::TimePoint>>
-      leaving_;  // by sidecar and server
-  std::vector<Server> servers_;
-  std::vector<Breach> first_;
+      leaving_;  // time of the first notice that a server drains, by sidecar and server
+  std::vector<ServerLoad> servers_;
+  std::vector<Breach> first_breaches_;
   std::array<std::size_t, 4> counts_{};
 };
 
--- a/src/simulation/load_generator.h
+++ b/src/simulation/load_generator.h
@@ -1,6 +1,6 @@
-// Open-loop load on a real sidecar over HTTP: requests begin when they are due, whatever became of the ones
-// before, and each one's time counts from when it was due. A server that stalls counts as slow for all
-// requests that it kept waiting, which a client that waits with it would not see.
+// Open-loop load on a real sidecar over HTTP. Requests start when they are due, whether or not earlier ones have
+// ended, and the latency of each counts from its due time. A stall therefore counts for every request that waited for
+// it; a closed-loop client, which sends the next request only after an answer, would see one slow request.
 #pragma once
 
 #include <cstdint>
@@ -10,32 +10,32 @@
 
 namespace mothrack::simulation {
 
-// The load that is asked for.
+// The load to send.
 struct LoadConfig {
   std::string host = "127.0.0.1";
   std::uint16_t port = 0;
   std::string target = "/page/x";
-  double rate = 100;  // a second
+  double rate = 100;  // requests per second
   double length_s = 10;
-  int timeout_ms = 1000;           // sent as X-Timeout-Ms, and for how long an answer is waited for
-  std::uint64_t poisson_seed = 0;  // 0: evenly spread; else drawn, as independent clients come
-  std::size_t connections = 64;    // at most; requests that are due wait for one, and their time counts
+  int timeout_ms = 1000;           // sent as X-Timeout-Ms; also the time to wait for an answer
+  std::uint64_t poisson_seed = 0;  // 0: evenly spaced arrivals; else the seed of Poisson arrivals
+  std::size_t connections = 64;    // maximum; a due request waits for a free one, which counts as latency
 };
 
-// What became of it.
+// The results of the load.
 struct LoadResult {
-  std::uint64_t due = 0;
+  std::uint64_t due = 0;  // requests
   std::uint64_t served = 0;
   std::uint64_t refused = 0;                          // 429, 503
   std::uint64_t failed = 0;                           // any other answer, none, or no connection
-  LatencyHistogram from_due = NewLatencyHistogram();  // of what was served
+  LatencyHistogram from_due = NewLatencyHistogram();  // latency of served requests from their due time
   LatencyHistogram from_sent =
-      NewLatencyHistogram();  // the same as a client sees it that forgets what was due
+      NewLatencyHistogram();  // from the time they were sent, as a closed-loop client measures
   double seconds = 0;
 };
 
-// Blocks until all requests have ended, on an event loop of its own. Loopback only: throws
-// std::invalid_argument for another host.
+// Sends the load and blocks until all requests have ended; runs its own event loop. Throws std::invalid_argument if the
+// host is not a loopback address.
 LoadResult Load(const LoadConfig& config);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,4 +1,4 @@
-// mothrack-sim: from a question to a table or a picture. docs/operators/simulator.md.
+// The program mothrack-sim: reads the command line and runs the command. docs/operators/simulator.md describes it.
 #include <exception>
 #include <iostream>
 #include <variant>
--- a/src/simulation/report.h
+++ b/src/simulation/report.h
@@ -1,5 +1,5 @@
-// Pages that people look at: one HTML file each, with its pictures drawn in it and a table beside each;
-// nothing is fetched.
+// HTML pages for people: each is one file with its charts as inline SVG and a table below each chart. A page fetches
+// nothing.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,20 +11,21 @@
 
 namespace mothrack::simulation {
 
-// Of one run, as ToJson of results.h gives it with its seconds; `faults` are drawn behind the curves.
-std::string RunPage(const nlohmann::json& run, const std::string& about, const std::vector<Band>& faults,
+// Returns the page of one run. `run` is the result of ToJson (results.h) with its seconds; `faults` are drawn behind the
+// curves.
+std::string RunPage(const nlohmann::json& run, const std::string& about, const std::vector<FaultBand>& faults,
                     const std::vector<std::string>& verdicts);
 
-// One figure of one scenario, compared.
-struct Row {
+// One figure of one scenario, compared between two labels.
+struct ComparisonRow {
   std::string scenario;
   std::string figure;
-  bool up = true;  // more is better
-  double a = 0;    // means
-  double b = 0;
-  Difference difference;  // of b less a
+  bool higher_is_better = true;
+  double mean_a = 0;
+  double mean_b = 0;
+  Difference difference;  // of b minus a
 };
-// Of two labels over the same scenarios and seeds.
-std::string ComparisonPage(const std::string& a, const std::string& b, const std::vector<Row>& rows);
+// Returns the page that compares two labels over the same scenarios and seeds.
+std::string ComparisonPage(const std::string& a, const std::string& b, const std::vector<ComparisonRow>& rows);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -28,14 +28,14 @@
           {"attempts", s.attempts},
           {"connects", s.connects},
           {"overload", s.overload},
-          {"nobody", s.nobody},
+          {"nobody", s.no_upstream},
           {"given_up", s.given_up},
           {"copies", s.hedges},
           {"trials", s.half_open_probes},
           {"shed", s.shed},
           {"ejected", s.ejected},
           {"returned", s.returned},
-          {"able", s.able},
+          {"able", s.available_capacity},
           {"demand", s.demand},
           {"held", s.in_flight},
           {"cold", s.warming_up},
@@ -121,12 +121,12 @@
   return Bind(find, key).Step();
 }
 
-void Results::Keep(const RunKey& key, const std::string& build, const std::string& machine, const json& run) {
+void Results::Store(const RunKey& key, const std::string& build, const std::string& machine, const json& run) {
   storage::Statement keep(db_, "INSERT OR REPLACE INTO run VALUES (?, ?, ?, ?, ?, ?, ?)");
   Bind(keep, key).Text(5, build).Text(6, machine).Text(7, run.dump()).Step();
 }
 
-std::map<RunKey, json> Results::Of(const std::string& label) const {
+std::map<RunKey, json> Results::RunsWithLabel(const std::string& label) const {
   std::map<RunKey, json> runs;
   storage::Statement find(db_, "SELECT scenario, settings, seed, json FROM run WHERE label = ?");
   find.Text(1, label);
--- a/src/simulation/results.h
+++ b/src/simulation/results.h
@@ -1,6 +1,5 @@
-// The results of runs, stored in one SQLite file: by scenario, its settings, seed and the label of the build
-// or settings that are compared. A run that is stored is not made again, so that a sweep which was cut short
-// continues where it was.
+// The results of runs, stored in one SQLite file. Each is identified by scenario, settings, seed and a label for the
+// build or the settings that are compared. A sweep skips stored runs, so an interrupted one continues where it stopped.
 #pragma once
 
 #include <cstdint>
@@ -25,29 +24,29 @@
   auto operator<=>(const RunKey&) const = default;
 };
 
-// The figures by which runs are compared; higher is better where `up`.
+// A figure by which runs are compared.
 struct Figure {
   const char* name;
-  bool up;
+  bool higher_is_better;
 };
 const std::vector<Figure>& ComparedFigures();
 
-// One run as it is stored and shown.
+// Returns a run as JSON, as it is stored and shown.
 nlohmann::json ToJson(const Scenario& scenario, std::uint64_t seed, const Outcome& outcome,
                       const Figures& figures, bool with_seconds);
-// Of the scenario as a file, 16 hexadecimal digits.
+// Returns a hash of the scenario's TOML text as 16 hexadecimal digits.
 std::string HashOf(const Scenario& scenario);
 
-// The result database. One thread; other processes may use the file, and are waited for up to 5 s.
+// The result database. For one thread. Other processes may use the file; a lock that they hold is waited for, up to 5 s.
 class Results {
  public:
-  // Throws std::runtime_error where the file can't be used.
+  // Throws std::runtime_error if the file cannot be used.
   explicit Results(const std::string& path);
 
   bool Has(const RunKey& key) const;
-  void Keep(const RunKey& key, const std::string& build, const std::string& machine,
+  void Store(const RunKey& key, const std::string& build, const std::string& machine,
             const nlohmann::json& run);
-  std::map<RunKey, nlohmann::json> Of(const std::string& label) const;
+  std::map<RunKey, nlohmann::json> RunsWithLabel(const std::string& label) const;
   std::vector<std::string> Labels() const;
 
  private:
--- a/src/simulation/server.h
+++ b/src/simulation/server.h
@@ -40,7 +40,7 @@
   double slow_start_factor() const;
   // Milliseconds of work a millisecond: when warm and left alone, and what it could do now.
   double capacity() const { return scenario_.cores * speed_; }
-  double able() const { return up_ && !draining_ ? capacity() * slow_start_factor() / slowed_ : 0; }
+  double available_capacity() const { return up_ && !draining_ ? capacity() * slow_start_factor() / slowed_ : 0; }
   std::size_t in_flight() const { return queue_.size() + running_.size(); }
 
   // Faults: calls take `times` as long; a share of them, 0 to 1, ends with an error.
--- a/src/simulation/simulated_transport.cpp
+++ b/src/simulation/simulated_transport.cpp
@@ -68,12 +68,12 @@
 void SimulatedTransport::Write(const CallPtr& call) {
   if (call->abandoned) return End(call, Outcome::kNotSent, true);
   call->connected = true;
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kAttemptSent;
-  h.sidecar = sidecar_;
-  h.request = call->client_request->request;
-  h.server = call->server;
-  network_link_.Record(h);
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kAttemptSent;
+  event.sidecar = sidecar_;
+  event.request = call->client_request->request;
+  event.server = call->server;
+  network_link_.Record(event);
   if (call->hooks.on_written) call->hooks.on_written();
   if (!network_link_.Passes(zone_, call->server)) return;  // nothing comes back until its time is over
   sim_.After(network_link_.Delay(zone_, call->server),
@@ -88,19 +88,19 @@
   Server& server = network_link_.At(call->server);
   if (!network_link_.Passes(zone_, call->server)) return;
   if (!server.up()) return Answer(call, Outcome::kReset);
-  SimulationEvent h;
-  h.sidecar = sidecar_;
-  h.request = call->client_request->request;
-  h.server = call->server;
-  h.cls = call->client_request->cls;
-  h.work = call->client_request->work;
+  SimulationEvent event;
+  event.sidecar = sidecar_;
+  event.request = call->client_request->request;
+  event.server = call->server;
+  event.cls = call->client_request->cls;
+  event.work = call->client_request->work;
   Server::Job job;
   job.id = call->job;
   job.work = call->client_request->work;
   // The server may outlive this sidecar.
-  job.begun = [&network = network_link_, h]() mutable {
-    h.kind = SimulationEvent::Kind::kCallStarted;
-    network.Record(h);
+  job.begun = [&network = network_link_, event]() mutable {
+    event.kind = SimulationEvent::Kind::kCallStarted;
+    network.Record(event);
   };
   job.ended = [this, call, incarnation = std::weak_ptr(incarnation_)](Server::End end) {
     if (incarnation.expired()) return;
@@ -108,10 +108,10 @@
                  : end == Server::End::kError ? Outcome::kError
                                               : Outcome::kReset);
   };
-  h.kind = SimulationEvent::Kind::kCallArrived;
+  event.kind = SimulationEvent::Kind::kCallArrived;
   const bool accepted = server.Take(std::move(job));
   if (!accepted) return Answer(call, Outcome::kFull);
-  network_link_.Record(h);
+  network_link_.Record(event);
 }
 
 void SimulatedTransport::Answer(const CallPtr& call, Outcome outcome) {
@@ -140,13 +140,13 @@
                          : outcome == Outcome::kTimeout ? Outcome::kConnectFailed
                                                         : Outcome::kNotSent;
   if (call->connected) {
-    SimulationEvent h;
-    h.kind = SimulationEvent::Kind::kAttemptEnded;
-    h.sidecar = sidecar_;
-    h.request = call->client_request->request;
-    h.server = call->server;
-    h.outcome = proven;
-    network_link_.Record(h);
+    SimulationEvent event;
+    event.kind = SimulationEvent::Kind::kAttemptEnded;
+    event.sidecar = sidecar_;
+    event.request = call->client_request->request;
+    event.server = call->server;
+    event.outcome = proven;
+    network_link_.Record(event);
   }
   dispatch::ExchangeResult result;
   result.outcome = proven;
--- a/src/simulation/simulated_transport.h
+++ b/src/simulation/simulated_transport.h
@@ -32,7 +32,7 @@
   // False where packets are dropped silently.
   virtual bool Passes(std::size_t zone, std::size_t server) const = 0;
   virtual Server& At(std::size_t server) = 0;
-  virtual void Record(SimulationEvent h) = 0;
+  virtual void Record(SimulationEvent event) = 0;
   virtual std::uint64_t NextJob() = 0;
 };
 
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -29,14 +29,14 @@
 
 struct SimulationRun::Hash {
   Hash() { XXH64_reset(state.get(), 0); }
-  void Add(const SimulationEvent& h) {
+  void Add(const SimulationEvent& event) {
     const std::uint64_t words[] = {
-        static_cast<std::uint64_t>(h.kind),
-        static_cast<std::uint64_t>(h.at.time_since_epoch().count()),
-        h.sidecar,
-        h.request,
-        h.server,
-        static_cast<std::uint64_t>(h.request_outcome) << 8 | static_cast<std::uint64_t>(h.outcome)};
+        static_cast<std::uint64_t>(event.kind),
+        static_cast<std::uint64_t>(event.at.time_since_epoch().count()),
+        event.sidecar,
+        event.request,
+        event.server,
+        static_cast<std::uint64_t>(event.request_outcome) << 8 | static_cast<std::uint64_t>(event.outcome)};
     XXH64_update(state.get(), words, sizeof words);
   }
   struct Free {
@@ -133,13 +133,13 @@
   return zone == machine.zone || (!cut_[zone] && !cut_[machine.zone]);
 }
 
-void SimulationRun::Record(SimulationEvent h) {
-  h.at = runtime::TimePoint(sim_.now() - kEpoch);
-  if (h.until != runtime::TimePoint{}) h.until = runtime::TimePoint(h.until - kEpoch);
+void SimulationRun::Record(SimulationEvent event) {
+  event.at = runtime::TimePoint(sim_.now() - kEpoch);
+  if (event.until != runtime::TimePoint{}) event.until = runtime::TimePoint(event.until - kEpoch);
   ++recorded_events_;
-  hash_->Add(h);
-  rules_.Record(h);
-  figures_.Record(h);
+  hash_->Add(event);
+  rules_.Record(event);
+  figures_.Record(event);
 }
 
 // ---- Servers and lists ----
@@ -167,11 +167,11 @@
   machine.boot_ms =
       std::chrono::duration_cast<std::chrono::milliseconds>(sim_.now().time_since_epoch()).count();
   machine.state = UpstreamState::kServing;
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kServerStarted;
-  h.server = server;
-  h.work = machine.server->capacity();
-  Record(h);
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kServerStarted;
+  event.server = server;
+  event.work = machine.server->capacity();
+  Record(event);
   Changed(server);
 }
 
@@ -205,12 +205,12 @@
     return;
   }
   if (!sidecar.dispatcher) return;  // it hears of all when it starts
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kSidecarNotified;
-  h.sidecar = sidecar.id;
-  h.server = server;
-  h.leaving = machines_[server].state != UpstreamState::kServing;
-  Record(h);
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kSidecarNotified;
+  event.sidecar = sidecar.id;
+  event.server = server;
+  event.leaving = machines_[server].state != UpstreamState::kServing;
+  Record(event);
   sidecar.dispatcher->Apply(ListOf({server}, balancer::MembershipUpdate::Kind::kChanges));
 }
 
@@ -256,10 +256,10 @@
 
 void SimulationRun::Stop(Sidecar& sidecar) {
   if (!sidecar.dispatcher) return;
-  SimulationEvent h;
-  h.kind = SimulationEvent::Kind::kSidecarKilled;
-  h.sidecar = sidecar.id;
-  Record(h);
+  SimulationEvent event;
+  event.kind = SimulationEvent::Kind::kSidecarKilled;
+  event.sidecar = sidecar.id;
+  Record(event);
   sidecar.open = false;
   sidecar.dispatcher.reset();
   sidecar.fault_injector.reset();
@@ -292,12 +292,12 @@
   const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
   if (s >= scenario_.length_s) return;
   Second& second = figures_.At(s);
-  double able = 0;
+  double available_capacity = 0;
   double demand = 0;
   for (const Machine& machine : machines_) {
     const bool listed = machine.state == UpstreamState::kServing;
     const bool there = machine.server->up() && !machine.unresponsive && !lost_[machine.zone];
-    if (listed && there) able += machine.server->able();
+    if (listed && there) available_capacity += machine.server->available_capacity();
     if (listed && there && machine.server->slow_start_factor() < 1) ++second.warming_up;
     if (listed && !there) ++second.down;
     second.in_flight += static_cast<double>(machine.server->in_flight());
@@ -307,7 +307,7 @@
     if (sidecar->open) demand += sidecar->rate * sidecar->times;
     const balancer::Counts counts = sidecar->dispatcher->counts();
     second.overload += counts.overload - sidecar->last_counts.overload;
-    second.nobody += counts.no_upstream - sidecar->last_counts.no_upstream;
+    second.no_upstream += counts.no_upstream - sidecar->last_counts.no_upstream;
     second.given_up += counts.given_up - sidecar->last_counts.given_up;
     second.retries += counts.retries - sidecar->last_counts.retries;
     second.hedges += counts.hedges - sidecar->last_counts.hedges;
@@ -319,7 +319,7 @@
     sidecar->last_counts = counts;
     sidecar->connects = sidecar->transport->connects();
   }
-  second.able = able / warm_;
+  second.available_capacity = available_capacity / warm_;
   second.demand = demand * Load() * work_ / 1000 / warm_;
   sim_.After(std::chrono::seconds(1), [this] { EachSecond(); });
 }
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -59,7 +59,7 @@
   runtime::Duration Delay(std::size_t zone, std::size_t server) override;
   bool Passes(std::size_t zone, std::size_t server) const override;
   Server& At(std::size_t server) override { return *machines_[server].server; }
-  void Record(SimulationEvent h) override;
+  void Record(SimulationEvent event) override;
   std::uint64_t NextJob() override { return ++last_job_; }
 
   // Servers and lists.
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -15,16 +15,16 @@
 namespace mothrack::simulation {
 namespace {
 
-// A process that plays one job and writes its result as JSON.
+// A process that runs one job and writes its result as JSON.
 struct Worker {
   std::size_t job = 0;
   pid_t pid = 0;
   std::string output;
 };
-using Workers = std::map<int, Worker>;  // by the descriptor that their output is read from
+using Workers = std::map<int, Worker>;  // by the file descriptor their output is read from
 
-// The worker's side: plays the job, writes its result to `to` and ends the process.
-[[noreturn]] void Work(const Job& job, int to) {
+// Runs the job in the worker process, writes its result to the descriptor `to` and ends the process.
+[[noreturn]] void RunWorker(const Job& job, int to) {
   int code = 1;
   try {
     SimulationRun simulated(job.scenario, job.seed);
@@ -32,36 +32,36 @@
     const std::string text = ToJson(job.scenario, job.seed, outcome, simulated.figures(), false).dump();
     std::size_t at = 0;
     while (at < text.size()) {
-      const ssize_t wrote = ::write(to, text.data() + at, text.size() - at);
-      if (wrote <= 0) ::_exit(1);
-      at += static_cast<std::size_t>(wrote);
+      const ssize_t written = ::write(to, text.data() + at, text.size() - at);
+      if (written <= 0) ::_exit(1);
+      at += static_cast<std::size_t>(written);
     }
     code = 0;
   } catch (const std::exception&) {
-    // Told by what is missing.
+    // The parent sees the failure by the exit code.
   }
   ::_exit(code);
 }
 
 void StartWorker(const std::vector<Job>& jobs, std::size_t job, Workers& workers) {
   int pipe[2];
-  if (::pipe(pipe) != 0) throw std::runtime_error("no pipe for a worker");
+  if (::pipe(pipe) != 0) throw std::runtime_error("cannot create a pipe for a worker process");
   const pid_t pid = ::fork();
-  if (pid < 0) throw std::runtime_error("no process for a worker");
+  if (pid < 0) throw std::runtime_error("cannot fork a worker process");
   if (pid == 0) {
     ::close(pipe[0]);
-    Work(jobs[job], pipe[1]);
+    RunWorker(jobs[job], pipe[1]);
   }
   ::close(pipe[1]);
   workers[pipe[0]] = {job, pid, {}};
 }
 
-// The descriptors that have something to read, or whose worker has ended; waits for the first.
+// Waits until a worker has written output or has ended. Returns the descriptors that are ready.
 std::vector<int> WaitForOutput(const Workers& workers) {
   std::vector<pollfd> waits;
   waits.reserve(workers.size());
   for (const auto& [fd, worker] : workers) waits.push_back({fd, POLLIN, 0});
-  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR) throw std::runtime_error("poll");
+  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR) throw std::runtime_error("poll failed while waiting for worker processes");
   std::vector<int> ready;
   for (const pollfd& wait : waits) {
     if (wait.revents != 0) ready.push_back(wait.fd);
@@ -69,12 +69,13 @@
   return ready;
 }
 
-// Takes what the worker has written. Its result once it has ended, null where it died.
+// Reads what the worker has written. Returns its result once it has ended, a JSON null if it died, and nothing while
+// it still runs.
 std::optional<nlohmann::json> ReadOutput(int fd, Worker& worker) {
   char buffer[4096];
-  const ssize_t got = ::read(fd, buffer, sizeof buffer);
-  if (got > 0) {
-    worker.output.append(buffer, static_cast<std::size_t>(got));
+  const ssize_t count = ::read(fd, buffer, sizeof buffer);
+  if (count > 0) {
+    worker.output.append(buffer, static_cast<std::size_t>(count));
     return std::nullopt;
   }
   int status = 0;
@@ -87,18 +88,18 @@
 
 }  // namespace
 
-void PlayAll(const std::vector<Job>& jobs, std::size_t at_once,
+void RunAll(const std::vector<Job>& jobs, std::size_t at_once,
              const std::function<bool(std::size_t, const nlohmann::json&)>& done) {
   Workers workers;
   std::size_t next = 0;
-  bool going = true;
-  while (!workers.empty() || (going && next < jobs.size())) {
-    while (going && next < jobs.size() && workers.size() < at_once) StartWorker(jobs, next++, workers);
+  bool starting = true;
+  while (!workers.empty() || (starting && next < jobs.size())) {
+    while (starting && next < jobs.size() && workers.size() < at_once) StartWorker(jobs, next++, workers);
     for (const int fd : WaitForOutput(workers)) {
       Worker& worker = workers[fd];
       const auto run = ReadOutput(fd, worker);
       if (!run) continue;
-      going = done(worker.job, *run) && going;
+      starting = done(worker.job, *run) && starting;
       workers.erase(fd);
     }
   }
--- a/src/simulation/sweep.h
+++ b/src/simulation/sweep.h
@@ -1,5 +1,4 @@
-// Many runs in parallel, each in a process of its own: a run that dies takes no other with it, and is
-// reported.
+// Runs many simulations in parallel, each in its own process, so that a crash affects one run only and is reported.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +11,16 @@
 
 namespace mothrack::simulation {
 
-// One run that is to be made.
+// A run to be made.
 struct Job {
   Scenario scenario;
   std::uint64_t seed = 0;
 };
 
-// Runs them, `at_once` at a time, and hands each result on as it ends, in whatever order; null where its
-// process died. Begins nothing more once `done` says false. Forks: to be called from a process with one
-// thread. Throws std::runtime_error where a system call fails.
-void PlayAll(const std::vector<Job>& jobs, std::size_t at_once,
+// Runs the jobs, `at_once` at a time, and passes each result to `done` as it ends, in any order. The result is
+// null if the process died. Starts no further job once `done` returns false. Calls fork(), so the calling process
+// must have a single thread. Throws std::runtime_error if a system call fails.
+void RunAll(const std::vector<Job>& jobs, std::size_t at_once,
              const std::function<bool(std::size_t job, const nlohmann::json& run)>& done);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/text_file.h
+++ b/src/simulation/text_file.h
@@ -1,11 +1,11 @@
-// Writes the files that commands are asked for: pages, and scenarios that were found.
+// Writes text files: HTML pages and scenario files.
 #pragma once
 
 #include <string>
 
 namespace mothrack::simulation {
 
-// Replaces what is there. Throws std::runtime_error, naming `path`, where it can't be written whole.
+// Writes `text` to `path`, replacing an existing file. Throws std::runtime_error, naming `path`, if the write fails.
 void WriteFile(const std::string& path, const std::string& text);
 
 }  // namespace mothrack::simulation
--- a/tests/simulation/figures_test.cpp
+++ b/tests/simulation/figures_test.cpp
@@ -21,7 +21,7 @@
   Figures figures(scenario);
   std::uint64_t client_request = 0;
   for (int s = 0; s < 20; ++s) {
-    figures.At(s).able = s >= 3 && s < 6 ? 0.3 : 1;
+    figures.At(s).available_capacity = s >= 3 && s < 6 ? 0.3 : 1;
     figures.At(s).demand = 0.6;
     for (int i = 0; i < 100; ++i) {
       SimulationEvent event;
@@ -45,11 +45,11 @@
 
 TEST(Statistics, AnIntervalTellsOnlyWhereItLeavesZeroOut) {
   const Difference clear = Compare({1.0, 1.2, 0.9, 1.1});
-  EXPECT_TRUE(clear.tells());
+  EXPECT_TRUE(clear.significant());
   EXPECT_NEAR(clear.mean, 1.05, 1e-9);
   EXPECT_NEAR(clear.high - clear.low, 2 * 3.1824463 * 0.1290994 / 2, 1e-4);  // t(3), s / sqrt(4)
-  EXPECT_FALSE(Compare({1.0, -1.2, 0.9, -0.8}).tells());
-  EXPECT_FALSE(Compare({1.0}).tells());
+  EXPECT_FALSE(Compare({1.0, -1.2, 0.9, -0.8}).significant());
+  EXPECT_FALSE(Compare({1.0}).significant());
 }
 
 }  // namespace
--- a/tests/simulation/program_test.cpp
+++ b/tests/simulation/program_test.cpp
@@ -63,7 +63,7 @@
   const pid_t pid = StartProgram(SweepOf(directory.File("cut")), directory.File("cut.out"));
   ASSERT_TRUE(testing::Eventually([&] {
     try {
-      return fs::exists(directory.File("cut")) && Results(directory.File("cut")).Of("now").size() >= 3;
+      return fs::exists(directory.File("cut")) && Results(directory.File("cut")).RunsWithLabel("now").size() >= 3;
     } catch (const std::exception&) {
       return false;
     }
@@ -73,8 +73,8 @@
   ASSERT_EQ(CodeOf(StartProgram(SweepOf(directory.File("cut")), directory.File("cut.out"))), 0);
   const std::string cut = ReadAll(directory.File("cut.out"));
   EXPECT_NE(cut.find("runs are there already"), std::string::npos) << cut;
-  EXPECT_EQ(Results(directory.File("cut")).Of("now"), Results(directory.File("whole")).Of("now"));
-  EXPECT_EQ(Results(directory.File("whole")).Of("now").size(), 24U);
+  EXPECT_EQ(Results(directory.File("cut")).RunsWithLabel("now"), Results(directory.File("whole")).RunsWithLabel("now"));
+  EXPECT_EQ(Results(directory.File("whole")).RunsWithLabel("now").size(), 24U);
 }
 
 TEST(Program, ComparesTheSameSeedsAndDrawsAPage) {
@@ -92,7 +92,7 @@
       const Outcome outcome = simulated.Run();
       RunKey of_seed = key;
       of_seed.seed = seed;
-      results.Keep(of_seed, "x", "y", ToJson(played, seed, outcome, simulated.figures(), false));
+      results.Store(of_seed, "x", "y", ToJson(played, seed, outcome, simulated.figures(), false));
     }
   }
   ASSERT_EQ(CodeOf(StartProgram({"compare", "a", "b", "--db", db, "--report", directory.File("page.html")},
--- a/tests/simulation/stored_fixture_test.cpp
+++ b/tests/simulation/stored_fixture_test.cpp
@@ -30,7 +30,7 @@
   EXPECT_EQ(results.Labels(), kLabels);
   const Scenario scenario = Played();
   for (const std::string& label : kLabels) {
-    const auto runs = results.Of(label);
+    const auto runs = results.RunsWithLabel(label);
     ASSERT_EQ(runs.size(), kSeeds);
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const RunKey key{label, "calm", HashOf(scenario), seed};
@@ -51,7 +51,7 @@
     Results results(path);
     for (const std::string& label : kLabels) {
       for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        results.Keep({label, "calm", HashOf(scenario), seed}, "0.2.0", "a machine", Play(scenario, seed));
+        results.Store({label, "calm", HashOf(scenario), seed}, "0.2.0", "a machine", Play(scenario, seed));
       }
     }
   }
