--- a/src/simulation/chart.cpp
+++ b/src/simulation/chart.cpp
@@ -16,7 +16,8 @@
 constexpr double kTop = 10;
 constexpr double kRight = 8;
 
-// Returns the distance between grid lines: 1, 2 or 5 times a power of ten, for at most five lines up to `max_value`.
+// Returns the distance between grid lines: 1, 2 or 5 times a power of ten, for at most five lines up to
+// `max_value`.
 double GridStep(double max_value) {
   const double raw = max_value / 5;
   const double power_of_ten = std::pow(10, std::floor(std::log10(raw)));
@@ -61,7 +62,7 @@
 struct Chart::Scale {
   double seconds = 1;
   double max_value = 1;  // the highest grid line
-  double step = 1;  // distance between grid lines
+  double step = 1;       // distance between grid lines
 
   double X(double second) const { return kLeft + (kWidth - kLeft - kRight) * second / seconds; }
   double Y(double value) const { return kTop + (kHeight - kTop - kBottom) * (1 - value / max_value); }
@@ -98,7 +99,8 @@
   for (const FaultBand& band : bands_) {
     out << "<rect class=band x=" << scale.X(band.from_s) << " y=" << kTop
         << " width=" << std::max(2.0, scale.X(band.to_s) - scale.X(band.from_s))
-        << " height=" << kHeight - kTop - kBottom << "><title>" << EscapeHtml(band.name) << "</title></rect>\n";
+        << " height=" << kHeight - kTop - kBottom << "><title>" << EscapeHtml(band.name)
+        << "</title></rect>\n";
   }
   return out.str();
 }
@@ -158,7 +160,8 @@
   std::ostringstream out;
   out << "<p class=legend>";
   for (const Series* series : AllSeries())
-    out << "<span><i style=\"background:" << series->colour << "\"></i>" << EscapeHtml(series->name) << "</span> ";
+    out << "<span><i style=\"background:" << series->colour << "\"></i>" << EscapeHtml(series->name)
+        << "</span> ";
   if (!bands_.empty()) out << "<span><i class=bandkey></i>injected fault</span>";
   out << "</p>\n";
   return out.str();
@@ -183,8 +186,8 @@
   std::ostringstream out;
   out << "<figure><figcaption>" << EscapeHtml(title_) << " <span class=unit>" << EscapeHtml(unit_)
       << "</span></figcaption>\n<div class=wide>"
-      << "<svg viewBox=\"0 0 " << kWidth << ' ' << kHeight << "\" role=img aria-label=\"" << EscapeHtml(title_)
-      << "\">\n";
+      << "<svg viewBox=\"0 0 " << kWidth << ' ' << kHeight << "\" role=img aria-label=\""
+      << EscapeHtml(title_) << "\">\n";
   out << BandsSvg(scale) << GridSvg(scale) << StackSvg(scale) << LinesSvg(scale) << "</svg></div>\n"
       << LegendHtml() << TableHtml() << "</figure>\n";
   return out.str();
--- a/src/simulation/chart.h
+++ b/src/simulation/chart.h
@@ -1,5 +1,5 @@
-// A chart over the seconds of a run: an SVG drawing in an HTML <figure> element, with the same values as a table
-// below it.
+// A chart over the seconds of a run: an SVG drawing in an HTML <figure> element, with the same values as a
+// table below it.
 #pragma once
 
 #include <cstddef>
--- a/src/simulation/command_compare.cpp
+++ b/src/simulation/command_compare.cpp
@@ -1,5 +1,5 @@
-// The command compare: paired differences between the runs of two labels that have the same scenario, settings and
-// seed.
+// The command compare: paired differences between the runs of two labels that have the same scenario,
+// settings and seed.
 #include <cstdio>
 #include <stdexcept>
 
@@ -28,12 +28,14 @@
     if (it != of_b.end()) pairs[key.scenario].emplace_back(run, it->second);
   }
   if (pairs.empty())
-    throw std::runtime_error("no run of label '" + a + "' has a run of label '" + b + "' with the same scenario, settings and seed");
+    throw std::runtime_error("no run of label '" + a + "' has a run of label '" + b +
+                             "' with the same scenario, settings and seed");
   return pairs;
 }
 
 // Compares one figure over all pairs of a scenario. Returns nothing if no run has the figure.
-std::optional<ComparisonRow> CompareFigure(const std::string& scenario, const Figure& figure, const Pairs& runs) {
+std::optional<ComparisonRow> CompareFigure(const std::string& scenario, const Figure& figure,
+                                           const Pairs& runs) {
   ComparisonRow row{scenario, figure.name, figure.higher_is_better, 0, 0, {}};
   std::vector<double> differences;
   for (const auto& [first, second] : runs) {
--- a/src/simulation/command_run.cpp
+++ b/src/simulation/command_run.cpp
@@ -1,5 +1,5 @@
-// The command run: runs each scenario once and prints its verdicts; on request also its figures by second and an
-// HTML page.
+// The command run: runs each scenario once and prints its verdicts; on request also its figures by second and
+// an HTML page.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -35,8 +35,8 @@
   }
   if (scenario.recovers_within_s) {
     const bool recovered = run.value("recovered", true);
-    std::snprintf(text, sizeof text, "service recovered %.0f s after capacity, at most %.0f", run.value("took_s", 0.0),
-                  *scenario.recovers_within_s);
+    std::snprintf(text, sizeof text, "service recovered %.0f s after capacity, at most %.0f",
+                  run.value("took_s", 0.0), *scenario.recovers_within_s);
     add(recovered && run.value("took_s", 0.0) <= *scenario.recovers_within_s, text);
   }
   return verdicts;
@@ -52,20 +52,26 @@
               static_cast<unsigned long long>(run.value("seed", std::uint64_t{0})),
               run.value("digest", "").c_str(),
               static_cast<unsigned long long>(run.value("requests", std::uint64_t{0})));
-  std::printf("  client requests %llu: in time %llu, late %llu, rejected %llu, failed %llu; share of priority weight served in time %.4f\n",
-              static_cast<unsigned long long>(run.value("asked", 0ULL)),
-              static_cast<unsigned long long>(run.value("good", 0ULL)),
-              static_cast<unsigned long long>(run.value("late", 0ULL)),
-              static_cast<unsigned long long>(run.value("refused", 0ULL)),
-              static_cast<unsigned long long>(run.value("failed", 0ULL)), run.value("gained", 0.0));
-  std::printf("  latency median %.1f ms, 99%% %.1f ms; %.3f attempts and %.3f new connections per request to a sidecar\n",
-              run.value("p50_ms", 0.0), run.value("p99_ms", 0.0), run.value("attempts_a_try", 0.0),
-              run.value("connects_a_try", 0.0));
+  std::printf(
+      "  client requests %llu: in time %llu, late %llu, rejected %llu, failed %llu; share of priority weight "
+      "served in time %.4f\n",
+      static_cast<unsigned long long>(run.value("asked", 0ULL)),
+      static_cast<unsigned long long>(run.value("good", 0ULL)),
+      static_cast<unsigned long long>(run.value("late", 0ULL)),
+      static_cast<unsigned long long>(run.value("refused", 0ULL)),
+      static_cast<unsigned long long>(run.value("failed", 0ULL)), run.value("gained", 0.0));
+  std::printf(
+      "  latency median %.1f ms, 99%% %.1f ms; %.3f attempts and %.3f new connections per request to a "
+      "sidecar\n",
+      run.value("p50_ms", 0.0), run.value("p99_ms", 0.0), run.value("attempts_a_try", 0.0),
+      run.value("connects_a_try", 0.0));
   if (run.contains("took_s")) {
-    std::printf("  capacity sufficient from %.0f s on; service recovered %s%.0f s later; share not served despite spare "
-                "capacity %.4f\n",
-                run.value("covered_s", 0.0), run.value("recovered", false) ? "" : "NOT within ",
-                run.value("took_s", 0.0), run.value("needless", 0.0));
+    std::printf(
+        "  capacity sufficient from %.0f s on; service recovered %s%.0f s later; share not served despite "
+        "spare "
+        "capacity %.4f\n",
+        run.value("covered_s", 0.0), run.value("recovered", false) ? "" : "NOT within ",
+        run.value("took_s", 0.0), run.value("needless", 0.0));
   }
 }
 
--- a/src/simulation/command_search.cpp
+++ b/src/simulation/command_search.cpp
@@ -1,5 +1,5 @@
-// The command search: mutates the given scenarios at random, runs each mutation once and reports those that show a
-// fault.
+// The command search: mutates the given scenarios at random, runs each mutation once and reports those that
+// show a fault.
 #include <algorithm>
 #include <cstdio>
 
@@ -27,9 +27,12 @@
   if (!run.contains("took_s")) return {};
   const double covered = run.value("covered_s", 0.0);
   const double from = std::max(covered, scenario.FaultsEnd());
-  const double recovered_at = run.value("recovered", false) ? covered + run.value("took_s", 0.0) : scenario.length_s;
-  if (scenario.length_s - from < kMinRemainingSeconds || recovered_at - from <= kMaxRecoverySeconds) return {};
-  return "degraded service outlasts its cause by " + std::to_string(static_cast<int>(recovered_at - from)) + " s";
+  const double recovered_at =
+      run.value("recovered", false) ? covered + run.value("took_s", 0.0) : scenario.length_s;
+  if (scenario.length_s - from < kMinRemainingSeconds || recovered_at - from <= kMaxRecoverySeconds)
+    return {};
+  return "degraded service outlasts its cause by " + std::to_string(static_cast<int>(recovered_at - from)) +
+         " s";
 }
 
 std::vector<Job> MutatedJobs(const Options& options) {
@@ -38,7 +41,7 @@
   Random random(options.seed);
   std::vector<Job> jobs;
   for (int i = 0; i < options.budget; ++i) {
-    Scenario scenario = Mutated(originals[random.Below(originals.size())], random);
+    Scenario scenario = Mutate(originals[random.Below(originals.size())], random);
     scenario.name = "found-" + std::to_string(options.seed) + '-' + std::to_string(i);
     jobs.push_back({scenario, random.Next() >> 12});
   }
--- a/src/simulation/command_shrink.cpp
+++ b/src/simulation/command_shrink.cpp
@@ -1,5 +1,5 @@
-// The command shrink: reduces a scenario while it still shows the same kind of fault, and prints the result as a
-// scenario file.
+// The command shrink: reduces a scenario while it still shows_fault the same kind of fault, and prints the
+// result as a scenario file.
 #include <cstdio>
 
 #include "simulation/commands.h"
@@ -23,7 +23,7 @@
   }
   // Descriptions of the same kind of fault begin with the same 12 characters; the numbers follow later.
   const std::string kind = original_fault.substr(0, 12);
-  const Scenario shrunk = Shrunk(
+  const Scenario shrunk = ShrinkWhile(
       scenario, [&](const Scenario& s) { return find_fault(s).starts_with(kind); }, options.budget);
   SimulationRun simulated(shrunk, options.seed, options.injected_fault);
   const Outcome outcome = simulated.Run();
--- a/src/simulation/command_sweep.cpp
+++ b/src/simulation/command_sweep.cpp
@@ -1,5 +1,5 @@
-// The command sweep: runs each scenario with each setting and seed in parallel processes. Runs that the result
-// database already has are skipped.
+// The command sweep: runs each scenario with each setting and seed in parallel processes. Runs that the
+// result database already has are skipped.
 #include <sys/utsname.h>
 #include <unistd.h>
 
--- a/src/simulation/commands.h
+++ b/src/simulation/commands.h
@@ -1,6 +1,6 @@
-// The subcommands of the program mothrack-sim: one function and one file each. Each prints its result, returns
-// an exit code (exit_code.h), and throws an exception derived from std::exception if a file or an option
-// cannot be used. They run on the main thread.
+// The subcommands of the program mothrack-sim: one function and one file each. Each prints its result,
+// returns an exit code (exit_code.h), and throws an exception derived from std::exception if a file or an
+// option cannot be used. They run on the main thread.
 #pragma once
 
 #include "simulation/options.h"
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -16,13 +16,13 @@
 namespace mothrack::simulation {
 
 // The fault that a run injects.
-// kResend: an unsafe attempt is sent twice. kAfterDrain: attempts go to a draining server. kDroppedAnswer: some
-// final answers are dropped. kOverloadWarmingUp: all attempts go to a server in slow start.
+// kResend: an unsafe attempt is sent twice. kAfterDrain: attempts go to a draining server. kDroppedAnswer:
+// some final answers are dropped. kOverloadWarmingUp: all attempts go to a server in slow start.
 enum class InjectedFault { kNone, kResend, kAfterDrain, kDroppedAnswer, kOverloadWarmingUp };
 
-// A transport between the dispatcher and SimulatedTransport that sometimes breaks a rule. `find_server(true)` returns
-// a server that is draining, `find_server(false)` one in slow start. Holds references to `inner` and `scenario`,
-// which must outlive it.
+// A transport between the dispatcher and SimulatedTransport that sometimes breaks a rule. `find_server(true)`
+// returns a server that is draining, `find_server(false)` one in slow start. Holds references to `inner` and
+// `scenario`, which must outlive it.
 class FaultInjector : public dispatch::Transport {
  public:
   FaultInjector(SimulatedTransport& inner, const Scenario& scenario, InjectedFault injected_fault,
--- a/src/simulation/figures.cpp
+++ b/src/simulation/figures.cpp
@@ -11,8 +11,8 @@
 constexpr double kMinMs = 0.1;
 constexpr double kMaxMs = 1e5;
 constexpr double kBinWidth = 1.05;
-// Service counts as recovered after kRecoveredSeconds seconds in a row in which the shares of client requests that
-// were not served and that were late are below these.
+// Service counts as recovered after kRecoveredSeconds seconds in a row in which the shares of client requests
+// that were not served and that were late are below these.
 constexpr double kMaxNotServedShare = 0.02;
 constexpr double kMaxLateShare = 0.05;
 constexpr std::size_t kRecoveredSeconds = 3;
@@ -24,8 +24,7 @@
 LatencyHistogram NewLatencyHistogram() {
   const auto bins = static_cast<unsigned>(std::ceil(std::log(kMaxMs / kMinMs) / std::log(kBinWidth)));
   return boost::histogram::make_histogram(
-      boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(bins, kMinMs,
-                                                                                      kMaxMs));
+      boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>(bins, kMinMs, kMaxMs));
 }
 
 double Quantile(const LatencyHistogram& times, double q) {
@@ -144,7 +143,8 @@
   double begin = scenario_.length_s;
   for (const Fault& f : scenario_.faults) begin = std::min(begin, f.at_s);
   const auto from = static_cast<std::size_t>(begin);
-  // The second after the last one with too little capacity; the start of the first fault if there always was enough.
+  // The second after the last one with too little capacity; the start of the first fault if there always was
+  // enough.
   std::size_t covered = from;
   for (std::size_t i = from; i < seconds_.size(); ++i) {
     if (seconds_[i].available_capacity < seconds_[i].demand) covered = i + 1;
@@ -152,7 +152,8 @@
   const auto not_served = [](const Second& s) { return static_cast<double>(s.refused + s.failed); };
   const auto healthy = [&](const Second& s) {
     const auto requested = static_cast<double>(std::max<std::uint64_t>(1, s.requested));
-    return not_served(s) < kMaxNotServedShare * requested && static_cast<double>(s.late) < kMaxLateShare * requested;
+    return not_served(s) < kMaxNotServedShare * requested &&
+           static_cast<double>(s.late) < kMaxLateShare * requested;
   };
   Recovery recovery;
   recovery.covered_s = static_cast<double>(covered);
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -13,8 +13,8 @@
 
 namespace mothrack::simulation {
 
-// Counts latencies in milliseconds, from 0.1 ms to 100 s. Each bin is 5% wide, so a quantile is off by at most half
-// of that.
+// Counts latencies in milliseconds, from 0.1 ms to 100 s. Each bin is 5% wide, so a quantile is off by at
+// most half of that.
 using LatencyHistogram = boost::histogram::histogram<
     std::tuple<boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>>>;
 LatencyHistogram NewLatencyHistogram();
@@ -29,36 +29,39 @@
   std::uint64_t late = 0;     // served after it
   std::uint64_t refused = 0;  // not served; the last answer was a rejection
   std::uint64_t failed = 0;
-  double priority_weight = 0;  // of all client requests
+  double priority_weight = 0;         // of all client requests
   double served_priority_weight = 0;  // of those served within their latency objective
   // What happened in this second.
   std::uint64_t client_attempts = 0;  // requests that sidecars accepted
   std::uint64_t rejected_client_attempts = 0;
   std::uint64_t attempts = 0;
   std::uint64_t connects = 0;
-  // Counts of the sidecars' decision modules: requests rejected as overload, rejected with no upstream to send to,
-  // and given up after attempts; then retries, hedged requests and half-open probes.
+  // Counts of the sidecars' decision modules: requests rejected as overload, rejected with no upstream to
+  // send to, and given up after attempts; then retries, hedged requests and half-open probes.
   std::uint64_t overload = 0, no_upstream = 0, given_up = 0;
   std::uint64_t retries = 0, hedges = 0, half_open_probes = 0;
   double shed = 0;  // share of the work that is shed as overload, mean over the sidecars
   std::uint64_t ejected = 0;
   std::uint64_t returned = 0;
-  // As shares of the capacity of all servers when warm: the capacity that can serve, and the demand of first attempts.
+  // As shares of the capacity of all servers when warm: the capacity that can serve, and the demand of first
+  // attempts.
   double available_capacity = 0;
   double demand = 0;
-  double in_flight = 0;  // calls queued or running at servers
-  int warming_up = 0;    // servers in slow start
-  int down = 0;        // listed servers that are down or unreachable
+  double in_flight = 0;              // calls queued or running at servers
+  int warming_up = 0;                // servers in slow start
+  int down = 0;                      // listed servers that are down or unreachable
   double p50 = 0, p95 = 0, p99 = 0;  // latency of served requests, milliseconds
 };
 
 // How soon service recovered once there was enough capacity. Times are seconds from the start of the run.
 struct Recovery {
-  double covered_s = 0;    // from here on, capacity covered the demand
-  double recovered_s = 0;  // from here on, less than 2% rejected or failed and less than 5% late, for three seconds
+  double covered_s = 0;  // from here on, capacity covered the demand
+  double recovered_s =
+      0;  // from here on, less than 2% rejected or failed and less than 5% late, for three seconds
   bool recovered = false;
   double took_s = 0;  // from covered_s to recovered_s, or to the end of the run
-  double needless = 0;  // share of all client requests that were not served although capacity exceeded demand by a tenth
+  double needless =
+      0;  // share of all client requests that were not served although capacity exceeded demand by a tenth
 };
 
 // Collects the figures of a run from its events. Holds a reference to the scenario, which must outlive it.
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -63,7 +63,8 @@
       RecordAttempt(event);
       break;
     case Kind::kAttemptEnded:
-      if (OpenRequest* open = Find(event.request); open != nullptr && NeverRan(event.outcome) && open->possibly_run_attempts > 0) {
+      if (OpenRequest* open = Find(event.request);
+          open != nullptr && NeverRan(event.outcome) && open->possibly_run_attempts > 0) {
         --open->possibly_run_attempts;
       }
       break;
@@ -150,7 +151,8 @@
   if (open->refused) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran after it was rejected");
 }
 
-// Compares the work that all sidecars together send to a server in slow start within the window with its capacity.
+// Compares the work that all sidecars together send to a server in slow start within the window with its
+// capacity.
 void Rules::RecordArrival(const SimulationEvent& event) {
   if (event.server >= servers_.size()) return;
   ServerLoad& server = servers_[event.server];
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,5 +1,6 @@
-// Checks the four rules that every version must keep, over events alone, whatever program reports them. Each breach
-// tells its time, the request or server concerned, and what happened. Does no I/O and reads no clock; for one thread.
+// Checks the four rules that every version must keep, over events alone, whatever program reports them. Each
+// breach tells its time, the request or server concerned, and what happened. Does no I/O and reads no clock;
+// for one thread.
 #pragma once
 
 #include <array>
@@ -14,8 +15,8 @@
 
 namespace mothrack::simulation {
 
-// kLost: a request does not get exactly one answer in time. kTwice: an unsafe request may run twice. kDrain: an
-// attempt goes to a draining server. kSlowStart: a server in slow start is sent more than it can do.
+// kLost: a request does not get exactly one answer in time. kTwice: an unsafe request may run twice. kDrain:
+// an attempt goes to a draining server. kSlowStart: a server in slow start is sent more than it can do.
 enum class Rule { kLost, kTwice, kDrain, kSlowStart };
 // Returns the name of the rule in results and pages.
 const char* NameOf(Rule rule);
@@ -27,8 +28,8 @@
   std::string what;
 };
 
-// The rule checker. Keeps the state of each open request, and of an ended one for another 20 s because its attempts may
-// still run.
+// The rule checker. Keeps the state of each open request, and of an ended one for another 20 s because its
+// attempts may still run.
 class Rules {
  public:
   struct Limits {
@@ -68,7 +69,7 @@
   };
   struct ServerLoad {
     runtime::TimePoint booted = runtime::TimePoint::min();
-    double capacity = 0;                                     // when warm, in milliseconds of work per millisecond
+    double capacity = 0;  // when warm, in milliseconds of work per millisecond
     std::deque<std::pair<runtime::TimePoint, double>> work;  // accepted within the overload window
     double sum = 0;
   };
--- a/src/simulation/load_generator.cpp
+++ b/src/simulation/load_generator.cpp
@@ -70,8 +70,8 @@
   const LoadConfig& config() const { return config_; }
   const tcp::endpoint& endpoint() const { return endpoint_; }
 
-  void OnRequestEnded(const std::shared_ptr<Connection>& connection, Clock::time_point due, Clock::time_point sent,
-             unsigned status) {
+  void OnRequestEnded(const std::shared_ptr<Connection>& connection, Clock::time_point due,
+                      Clock::time_point sent, unsigned status) {
     if (status == 200) {
       ++result_.served;
       result_.from_due(MillisecondsSince(due));
--- a/src/simulation/load_generator.h
+++ b/src/simulation/load_generator.h
@@ -1,6 +1,7 @@
-// Open-loop load on a real sidecar over HTTP. Requests start when they are due, whether or not earlier ones have
-// ended, and the latency of each counts from its due time. A stall therefore counts for every request that waited for
-// it; a closed-loop client, which sends the next request only after an answer, would see one slow request.
+// Open-loop load on a real sidecar over HTTP. Requests start when they are due, whether or not earlier ones
+// have ended, and the latency of each counts from its due time. A stall therefore counts for every request
+// that waited for it; a closed-loop client, which sends the next request only after an answer, would see one
+// slow request.
 #pragma once
 
 #include <cstdint>
@@ -34,8 +35,8 @@
   double seconds = 0;
 };
 
-// Sends the load and blocks until all requests have ended; runs its own event loop. Throws std::invalid_argument if the
-// host is not a loopback address.
+// Sends the load and blocks until all requests have ended; runs its own event loop. Throws
+// std::invalid_argument if the host is not a loopback address.
 LoadResult Load(const LoadConfig& config);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/main.cpp
+++ b/src/simulation/main.cpp
@@ -1,4 +1,5 @@
-// The program mothrack-sim: reads the command line and runs the command. docs/operators/simulator.md describes it.
+// The program mothrack-sim: reads the command line and runs the command. docs/operators/simulator.md
+// describes it.
 #include <exception>
 #include <iostream>
 #include <variant>
--- a/src/simulation/options.cpp
+++ b/src/simulation/options.cpp
@@ -97,7 +97,8 @@
   load->add_option("--poisson", config.poisson_seed,
                    "seed for Poisson arrivals; without it arrivals are evenly spaced");
   load->add_option("--timeout-ms", config.timeout_ms, "deadline of a request")->check(CLI::Range(1, 600'000));
-  load->add_option("--connections", config.connections, "maximum number of connections")->check(CLI::Range(1, 20'000));
+  load->add_option("--connections", config.connections, "maximum number of connections")
+      ->check(CLI::Range(1, 20'000));
   return load;
 }
 
@@ -107,7 +108,8 @@
   CLI::App app{"Simulates fleets of sidecars with their own decision code, and sends load to real sidecars."};
   app.set_version_flag("--version", MOTHRACK_VERSION);
   app.require_subcommand(1);
-  app.footer("Exit codes: 0 all expectations met; 1 wrong usage or an error in a file; 2 an expectation not met.");
+  app.footer(
+      "Exit codes: 0 all expectations met; 1 wrong usage or an error in a file; 2 an expectation not met.");
   Options options;
   options.jobs = std::max(1U, std::thread::hardware_concurrency());
   std::string injected_fault = "none";
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -36,8 +36,8 @@
   LoadConfig load;
 };
 
-// Reads the command line. If there is nothing to run (--help, --version, an error), prints the text for the user and
-// returns the exit code.
+// Reads the command line. If there is nothing to run (--help, --version, an error), prints the text for the
+// user and returns the exit code.
 std::variant<Options, int> ParseCommandLine(int argc, char** argv);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/report.cpp
+++ b/src/simulation/report.cpp
@@ -81,7 +81,9 @@
     {"Servers",
      "number of servers; number of calls at all servers",
      false,
-     {{{"in slow start", kBlue, "cold"}, {"down or unresponsive", kRed, "down"}, {"calls in flight", kGreen, "held"}}}},
+     {{{"in slow start", kBlue, "cold"},
+       {"down or unresponsive", kRed, "down"},
+       {"calls in flight", kGreen, "held"}}}},
     {"Additional work of the sidecars",
      "per second",
      false,
@@ -134,20 +136,25 @@
     body << chart.Html();
   }
   return HtmlPage(run.value("scenario", "") + " " + std::to_string(run.value("seed", std::uint64_t{0})),
-              body.str());
+                  body.str());
 }
 
-std::string ComparisonPage(const std::string& a, const std::string& b, const std::vector<ComparisonRow>& rows) {
+std::string ComparisonPage(const std::string& a, const std::string& b,
+                           const std::vector<ComparisonRow>& rows) {
   std::ostringstream body;
   body << "<h1>" << EscapeHtml(a) << " and " << EscapeHtml(b)
-       << "</h1>\n<p>Runs of both labels with the same scenario, settings and seed; the difference is " << EscapeHtml(b) << " minus " << EscapeHtml(a)
-       << ", with its 95% confidence interval. A coloured difference is statistically significant.</p>\n<div class=wide><table><tr><th>scenario</th><th>figure</th><th>pairs</th><th>"
-       << EscapeHtml(a) << "</th><th>" << EscapeHtml(b) << "</th><th>difference</th><th>95% interval</th></tr>\n";
+       << "</h1>\n<p>Runs of both labels with the same scenario, settings and seed; the difference is "
+       << EscapeHtml(b) << " minus " << EscapeHtml(a)
+       << ", with its 95% confidence interval. A coloured difference is statistically significant.</p>\n<div "
+          "class=wide><table><tr><th>scenario</th><th>figure</th><th>pairs</th><th>"
+       << EscapeHtml(a) << "</th><th>" << EscapeHtml(b)
+       << "</th><th>difference</th><th>95% interval</th></tr>\n";
   double min_scale = 1e-12;
   std::map<std::string, double> max_difference;
   for (const ComparisonRow& row : rows) {
     double& figure_max = max_difference[row.figure];
-    figure_max = std::max({figure_max, std::abs(row.difference.low), std::abs(row.difference.high), min_scale});
+    figure_max =
+        std::max({figure_max, std::abs(row.difference.low), std::abs(row.difference.high), min_scale});
   }
   for (const ComparisonRow& row : rows) {
     const Difference& d = row.difference;
@@ -155,13 +162,13 @@
     const char* style = !d.significant() ? "" : better ? "good" : "bad";
     const auto x = [&](double v) { return 100 + 95 * v / max_difference[row.figure]; };
     body << "<tr><td>" << EscapeHtml(row.scenario) << "</td><td>" << EscapeHtml(row.figure) << "</td><td>"
-         << d.pairs << "</td><td>" << FormatNumber(row.mean_a) << "</td><td>" << FormatNumber(row.mean_b) << "</td><td class=\""
-         << style << "\">" << FormatNumber(d.mean) << " (" << FormatNumber(d.low) << " to " << FormatNumber(d.high)
-         << R"()</td><td><svg style="width:200px" viewBox="0 0 200 16">)"
+         << d.pairs << "</td><td>" << FormatNumber(row.mean_a) << "</td><td>" << FormatNumber(row.mean_b)
+         << "</td><td class=\"" << style << "\">" << FormatNumber(d.mean) << " (" << FormatNumber(d.low)
+         << " to " << FormatNumber(d.high) << R"()</td><td><svg style="width:200px" viewBox="0 0 200 16">)"
          << "<line class=grid x1=100 x2=100 y1=0 y2=16 /><line stroke=\""
          << (!d.significant() ? "#888"
-             : better   ? kGreen
-                        : kRed)
+             : better         ? kGreen
+                              : kRed)
          << "\" stroke-width=3 x1=" << x(d.low) << " x2=" << x(d.high)
          << " y1=8 y2=8 /><circle cx=" << x(d.mean) << " cy=8 r=3 /></svg></td></tr>\n";
   }
--- a/src/simulation/report.h
+++ b/src/simulation/report.h
@@ -1,5 +1,5 @@
-// HTML pages for people: each is one file with its charts as inline SVG and a table below each chart. A page fetches
-// nothing.
+// HTML pages for people: each is one file with its charts as inline SVG and a table below each chart. A page
+// fetches nothing.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -11,8 +11,8 @@
 
 namespace mothrack::simulation {
 
-// Returns the page of one run. `run` is the result of ToJson (results.h) with its seconds; `faults` are drawn behind the
-// curves.
+// Returns the page of one run. `run` is the result of ToJson (results.h) with its seconds; `faults` are drawn
+// behind the curves.
 std::string RunPage(const nlohmann::json& run, const std::string& about, const std::vector<FaultBand>& faults,
                     const std::vector<std::string>& verdicts);
 
@@ -26,6 +26,7 @@
   Difference difference;  // of b minus a
 };
 // Returns the page that compares two labels over the same scenarios and seeds.
-std::string ComparisonPage(const std::string& a, const std::string& b, const std::vector<ComparisonRow>& rows);
+std::string ComparisonPage(const std::string& a, const std::string& b,
+                           const std::vector<ComparisonRow>& rows);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -121,7 +121,8 @@
   return Bind(find, key).Step();
 }
 
-void Results::Store(const RunKey& key, const std::string& build, const std::string& machine, const json& run) {
+void Results::Store(const RunKey& key, const std::string& build, const std::string& machine,
+                    const json& run) {
   storage::Statement keep(db_, "INSERT OR REPLACE INTO run VALUES (?, ?, ?, ?, ?, ?, ?)");
   Bind(keep, key).Text(5, build).Text(6, machine).Text(7, run.dump()).Step();
 }
--- a/src/simulation/results.h
+++ b/src/simulation/results.h
@@ -1,5 +1,6 @@
-// The results of runs, stored in one SQLite file. Each is identified by scenario, settings, seed and a label for the
-// build or the settings that are compared. A sweep skips stored runs, so an interrupted one continues where it stopped.
+// The results of runs, stored in one SQLite file. Each is identified by scenario, settings, seed and a label
+// for the build or the settings that are compared. A sweep skips stored runs, so an interrupted one continues
+// where it stopped.
 #pragma once
 
 #include <cstdint>
@@ -37,7 +38,8 @@
 // Returns a hash of the scenario's TOML text as 16 hexadecimal digits.
 std::string HashOf(const Scenario& scenario);
 
-// The result database. For one thread. Other processes may use the file; a lock that they hold is waited for, up to 5 s.
+// The result database. For one thread. Other processes may use the file; a lock that they hold is waited for,
+// up to 5 s.
 class Results {
  public:
   // Throws std::runtime_error if the file cannot be used.
@@ -45,7 +47,7 @@
 
   bool Has(const RunKey& key) const;
   void Store(const RunKey& key, const std::string& build, const std::string& machine,
-            const nlohmann::json& run);
+             const nlohmann::json& run);
   std::map<RunKey, nlohmann::json> RunsWithLabel(const std::string& label) const;
   std::vector<std::string> Labels() const;
 
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -14,45 +14,46 @@
 namespace mothrack::simulation {
 namespace {
 
-constexpr std::array<const char*, 13> kKinds = {"cut-zone", "lose-zone", "silent",   "slow",    "errors",
-                                                "flap",     "replace",   "kill",     "restart", "burst",
-                                                "crowd",    "stale",     "impatient"};
-constexpr std::array<const char*, 3> kEffects = {"safe", "keyed", "unsafe"};
-
-// One table: what is read from it is marked, what is left over is a fault.
-class Table {
+constexpr std::array<const char*, 13> kFaultKindNames = {
+    "cut-zone", "lose-zone", "silent", "slow",  "errors", "flap",     "replace",
+    "kill",     "restart",   "burst",  "crowd", "stale",  "impatient"};
+constexpr std::array<const char*, 3> kEffectNames = {"safe", "keyed", "unsafe"};
+
+// Reads the keys of one TOML table. Every error throws ScenarioError with table, key and remedy. A key that
+// nothing has read is an error in RejectUnknownKeys.
+class TableReader {
  public:
-  Table(const toml::table* table, std::string name) : table_(table), name_(std::move(name)) {}
+  TableReader(const toml::table* table, std::string name) : table_(table), name_(std::move(name)) {}
 
   [[noreturn]] void Fail(const std::string& key, const std::string& what) const {
     throw ScenarioError("[" + name_ + "] " + key + ": " + what);
   }
-  void Number(const char* key, double& value, double least, double most) {
-    const toml::node* node = Node(key);
+  void Number(const char* key, double& value, double min, double max) {
+    const toml::node* node = FindNode(key);
     if (node == nullptr) return;
     const auto found = node->value<double>();
-    if (!found || !(*found >= least && *found <= most)) {
+    if (!found || !(*found >= min && *found <= max)) {
       std::ostringstream range;
-      range << "give a number from " << least << " to " << most;
+      range << "give a number from " << min << " to " << max;
       Fail(key, range.str());
     }
     value = *found;
   }
-  void Count(const char* key, std::size_t& value, std::size_t most) {
+  void Count(const char* key, std::size_t& value, std::size_t max) {
     auto number = static_cast<double>(value);
-    Number(key, number, 1, static_cast<double>(most));
+    Number(key, number, 1, static_cast<double>(max));
     if (number != std::floor(number)) Fail(key, "give a whole number");
     value = static_cast<std::size_t>(number);
   }
   void Text(const char* key, std::string& value) {
-    const toml::node* node = Node(key);
+    const toml::node* node = FindNode(key);
     if (node == nullptr) return;
     const auto found = node->value<std::string>();
-    if (!found) Fail(key, "give a text in quotes");
+    if (!found) Fail(key, "give a string in quotes");
     value = *found;
   }
   void Flag(const char* key, bool& value) {
-    const toml::node* node = Node(key);
+    const toml::node* node = FindNode(key);
     if (node == nullptr) return;
     const auto found = node->value<bool>();
     if (!found) Fail(key, "give true or false");
@@ -65,14 +66,14 @@
     const auto it = std::find(names.begin(), names.end(), name);
     std::string all;
     for (const char* n : names) all += (all.empty() ? "" : ", ") + std::string(n);
-    if (it == names.end()) Fail(key, "'" + name + "' is none; give one of " + all);
+    if (it == names.end()) Fail(key, "'" + name + "' is unknown; give one of " + all);
     return static_cast<std::size_t>(it - names.begin());
   }
-  const toml::node* Node(const char* key) {
+  const toml::node* FindNode(const char* key) {
     known_.insert(key);
     return table_ == nullptr ? nullptr : table_->get(key);
   }
-  void Done() const {
+  void RejectUnknownKeys() const {
     if (table_ == nullptr) return;
     for (const auto& [key, node] : *table_) {
       if (!known_.contains(std::string(key.str()))) Fail(std::string(key.str()), "there is no such key");
@@ -85,10 +86,11 @@
   std::set<std::string> known_;
 };
 
-void Lay(toml::table& root, const std::string& change) {
+// Applies a change of the form "table.key=value", or "key=value" for a key outside tables.
+void ApplyChange(toml::table& root, const std::string& change) {
   const auto dot = change.find('.');
   const auto equals = change.find('=');
-  if (equals == std::string::npos || (dot != std::string::npos && dot > equals && false)) {
+  if (equals == std::string::npos) {
     throw ScenarioError("--set " + change + ": give table.key=value");
   }
   const bool in_table = dot != std::string::npos && dot < equals;
@@ -100,7 +102,7 @@
     if (in_table) {
       if (!root.contains(table)) root.insert(table, toml::table{});
       into = root.get(table)->as_table();
-      if (into == nullptr) throw ScenarioError("--set " + change + ": '" + table + "' is no table");
+      if (into == nullptr) throw ScenarioError("--set " + change + ": '" + table + "' is not a table");
     }
     value.get("v")->visit([&](auto&& v) { into->insert_or_assign(key, v); });
   } catch (const toml::parse_error& e) {
@@ -110,70 +112,70 @@
 
 ClassLoad ReadClass(const toml::table& table) {
   ClassLoad c;
-  Table t(&table, "class");
-  t.Text("name", c.name);
-  if (c.name.empty()) t.Fail("name", "give one");
-  t.Number("share", c.share, 0, 1e6);
-  t.Number("work_ms", c.work_ms, 0.01, 1e5);
-  t.Number("work_cv", c.work_cv, 0, 10);
-  t.Number("aim_ms", c.latency_objective_ms, 1, 1e6);
-  t.Number("deadline_ms", c.deadline_ms, 1, 1e6);
-  t.Number("worth", c.priority_weight, 0, 1e6);
-  c.effect = static_cast<balancer::Effect>(t.OneOf("effect", kEffects));
-  if (c.deadline_ms < c.latency_objective_ms) t.Fail("deadline_ms", "give no less than aim_ms");
-  t.Done();
+  TableReader reader(&table, "class");
+  reader.Text("name", c.name);
+  if (c.name.empty()) reader.Fail("name", "give a name");
+  reader.Number("share", c.share, 0, 1e6);
+  reader.Number("work_ms", c.work_ms, 0.01, 1e5);
+  reader.Number("work_cv", c.work_cv, 0, 10);
+  reader.Number("aim_ms", c.latency_objective_ms, 1, 1e6);
+  reader.Number("deadline_ms", c.deadline_ms, 1, 1e6);
+  reader.Number("worth", c.priority_weight, 0, 1e6);
+  c.effect = static_cast<balancer::Effect>(reader.OneOf("effect", kEffectNames));
+  if (c.deadline_ms < c.latency_objective_ms) reader.Fail("deadline_ms", "give no less than aim_ms");
+  reader.RejectUnknownKeys();
   return c;
 }
 
 Fault ReadFault(const toml::table& table, const Scenario& s) {
   Fault f;
-  Table t(&table, "fault");
-  f.kind = static_cast<FaultKind>(t.OneOf("kind", kKinds));
-  t.Number("at_s", f.at_s, 0, s.length_s);
-  t.Number("len_s", f.len_s, 0, s.length_s);
-  t.Number("part", f.part, 0, 1);
-  t.Number("size", f.size, 0, 1000);
-  t.Text("zone", f.zone);
+  TableReader reader(&table, "fault");
+  f.kind = static_cast<FaultKind>(reader.OneOf("kind", kFaultKindNames));
+  reader.Number("at_s", f.at_s, 0, s.length_s);
+  reader.Number("len_s", f.len_s, 0, s.length_s);
+  reader.Number("part", f.part, 0, 1);
+  reader.Number("size", f.size, 0, 1000);
+  reader.Text("zone", f.zone);
   const bool zoned = f.kind == FaultKind::kCutZone || f.kind == FaultKind::kLoseZone;
   if (zoned && std::find(s.zones.begin(), s.zones.end(), f.zone) == s.zones.end()) {
-    t.Fail("zone", "'" + f.zone + "' is none of [servers] zones");
+    reader.Fail("zone", "'" + f.zone + "' is not one of [servers] zones");
   }
   if (f.kind == FaultKind::kFlap && f.size < 0.1)
-    t.Fail("size", "give the seconds that it is away, at least 0.1");
-  t.Done();
+    reader.Fail("size", "give the time that a server stays down, at least 0.1 s");
+  reader.RejectUnknownKeys();
   return f;
 }
 
-// The table `name` of the file; an absent one reads as one without keys.
-Table Subtable(Table& top, const char* name) {
-  const toml::node* node = top.Node(name);
+// Returns a reader for the table `name` of the file. An absent table reads as an empty one.
+TableReader ReadSubtable(TableReader& top, const char* name) {
+  const toml::node* node = top.FindNode(name);
   if (node != nullptr && !node->is_table()) top.Fail(name, "give a table");
   return {node == nullptr ? nullptr : node->as_table(), name};
 }
 
-std::vector<std::string> ReadZones(const Table& servers, const toml::node& node) {
+std::vector<std::string> ReadZones(const TableReader& servers, const toml::node& node) {
   if (!node.is_array()) servers.Fail("zones", "give a list of names");
   std::vector<std::string> zones;
   for (const toml::node& zone : *node.as_array()) {
     if (!zone.is_string()) servers.Fail("zones", "give a list of names");
     zones.emplace_back(zone.value_or(""));
   }
-  if (zones.empty()) servers.Fail("zones", "give at least one");
+  if (zones.empty()) servers.Fail("zones", "give at least one zone");
   return zones;
 }
 
-void ReadFleet(Table& top, Scenario& s) {
-  Table fleet = Subtable(top, "fleet");
+void ReadFleet(TableReader& top, Scenario& s) {
+  TableReader fleet = ReadSubtable(top, "fleet");
   fleet.Count("sidecars", s.sidecars, 100'000);
   fleet.Number("skew", s.skew, 0, 10);
   fleet.Number("start_ms", s.start_ms, 0, 60'000);
-  fleet.Done();
+  fleet.RejectUnknownKeys();
 }
 
-void ReadServers(Table& top, Scenario& s) {
-  Table servers = Subtable(top, "servers");
+void ReadServers(TableReader& top, Scenario& s) {
+  TableReader servers = ReadSubtable(top, "servers");
   servers.Count("count", s.servers, 100'000);
-  if (const toml::node* zones = servers.Node("zones")) s.zones = ReadZones(servers, *zones);
+  if (const toml::node* zones = servers.FindNode("zones")) s.zones = ReadZones(servers, *zones);
   servers.Number("cores", s.cores, 1, 1024);
   servers.Number("slowest", s.slowest, 0.01, 100);
   servers.Number("fastest", s.fastest, 0.01, 100);
@@ -186,11 +188,11 @@
   servers.Number("pause_ms", s.pause_ms, 0, 60'000);
   servers.Number("error_rate", s.error_rate, 0, 1);
   servers.Number("drain_s", s.drain_s, 0, 600);
-  servers.Done();
+  servers.RejectUnknownKeys();
 }
 
-void ReadNet(Table& top, Scenario& s) {
-  Table net = Subtable(top, "net");
+void ReadNet(TableReader& top, Scenario& s) {
+  TableReader net = ReadSubtable(top, "net");
   net.Number("same_ms", s.same_ms, 0, 10'000);
   net.Number("cross_ms", s.cross_ms, 0, 10'000);
   net.Number("jitter", s.jitter, 0, 5);
@@ -198,46 +200,46 @@
   net.Number("notice_from_s", s.notice_from_s, 0, 600);
   net.Number("notice_to_s", s.notice_to_s, 0, 600);
   if (s.notice_to_s < s.notice_from_s) net.Fail("notice_to_s", "give no less than notice_from_s");
-  net.Done();
+  net.RejectUnknownKeys();
 }
 
-void ReadLoad(Table& top, Scenario& s) {
-  Table load = Subtable(top, "load");
+void ReadLoad(TableReader& top, Scenario& s) {
+  TableReader load = ReadSubtable(top, "load");
   load.Number("use", s.use, 0, 100);
   load.Number("wave", s.wave, 0, 1);
   load.Number("wave_s", s.wave_s, 1, 36'000);
   load.Number("retries", s.retries, 0, 100);
   load.Number("backoff_ms", s.backoff_ms, 1, 60'000);
-  load.Done();
+  load.RejectUnknownKeys();
 }
 
-void ReadAllow(Table& top, Scenario& s) {
-  Table allow = Subtable(top, "allow");
+void ReadAllowedActions(TableReader& top, Scenario& s) {
+  TableReader allow = ReadSubtable(top, "allow");
   allow.Count("max_attempts", s.max_attempts, 100);
   allow.Flag("second_copies", s.hedging);
-  allow.Done();
+  allow.RejectUnknownKeys();
 }
 
-void ReadMust(Table& top, Scenario& s) {
-  Table must = Subtable(top, "must");
+void ReadExpectations(TableReader& top, Scenario& s) {
+  TableReader must = ReadSubtable(top, "must");
   double served = -1;
   double recovers = -1;
   must.Number("served_at_least", served, 0, 1);
   must.Number("recovers_within_s", recovers, 0, 36'000);
-  must.Done();
+  must.RejectUnknownKeys();
   if (served >= 0) s.served_at_least = served;
   if (recovers >= 0) s.recovers_within_s = recovers;
 }
 
-// Hands each [[name]] of the file to `read`.
+// Calls `read` with each [[name]] table of the file.
 template <typename Read>
-void ReadTables(Table& top, const char* name, Read read) {
-  const toml::node* node = top.Node(name);
+void ReadTables(TableReader& top, const char* name, Read read) {
+  const toml::node* node = top.FindNode(name);
   if (node == nullptr) return;
-  const std::string mend = "write [[" + std::string(name) + "]]";
-  if (!node->is_array()) top.Fail(name, mend);
+  const std::string remedy = "write [[" + std::string(name) + "]]";
+  if (!node->is_array()) top.Fail(name, remedy);
   for (const toml::node& entry : *node->as_array()) {
-    if (!entry.is_table()) top.Fail(name, mend);
+    if (!entry.is_table()) top.Fail(name, remedy);
     read(*entry.as_table());
   }
 }
@@ -252,10 +254,10 @@
   }
 }
 
-// Throws ScenarioError without the file's path.
+// Throws ScenarioError with a text that does not include the path of the file.
 Scenario ReadScenario(const toml::table& root) {
   Scenario s;
-  Table top(&root, "top");
+  TableReader top(&root, "top");
   top.Text("name", s.name);
   top.Text("about", s.about);
   top.Number("length_s", s.length_s, 1, 36'000);
@@ -263,16 +265,16 @@
   ReadServers(top, s);
   ReadNet(top, s);
   ReadLoad(top, s);
-  ReadAllow(top, s);
-  ReadMust(top, s);
+  ReadAllowedActions(top, s);
+  ReadExpectations(top, s);
   ReadTables(top, "class", [&](const toml::table& t) { s.classes.push_back(ReadClass(t)); });
   ReadTables(top, "fault", [&](const toml::table& t) { s.faults.push_back(ReadFault(t, s)); });
-  top.Done();
-  if (s.name.empty()) top.Fail("name", "give one");
+  top.RejectUnknownKeys();
+  if (s.name.empty()) top.Fail("name", "give a name");
   if (s.classes.empty()) top.Fail("class", "give at least one [[class]]");
   double share = 0;
   for (const ClassLoad& c : s.classes) share += c.share;
-  if (share <= 0) top.Fail("class", "give at least one a share");
+  if (share <= 0) top.Fail("class", "give at least one class a share above 0");
   return s;
 }
 
@@ -312,7 +314,7 @@
                                   {"aim_ms", c.latency_objective_ms},
                                   {"deadline_ms", c.deadline_ms},
                                   {"worth", c.priority_weight},
-                                  {"effect", kEffects.at(static_cast<std::size_t>(c.effect))}});
+                                  {"effect", kEffectNames.at(static_cast<std::size_t>(c.effect))}});
   }
   return classes;
 }
@@ -330,13 +332,13 @@
 
 }  // namespace
 
-const char* NameOf(FaultKind kind) { return kKinds.at(static_cast<std::size_t>(kind)); }
+const char* NameOf(FaultKind kind) { return kFaultKindNames.at(static_cast<std::size_t>(kind)); }
 
 Scenario ParseScenario(const std::string& text, const std::string& path,
                        const std::vector<std::string>& changes) {
   toml::table root = ParseToml(text, path);
   try {
-    for (const std::string& change : changes) Lay(root, change);
+    for (const std::string& change : changes) ApplyChange(root, change);
     return ReadScenario(root);
   } catch (const ScenarioError& e) {
     throw ScenarioError(path + ": " + e.what());
@@ -345,7 +347,7 @@
 
 Scenario LoadScenario(const std::string& path, const std::vector<std::string>& changes) {
   std::ifstream file(path);
-  if (!file) throw ScenarioError(path + ": can't be read");
+  if (!file) throw ScenarioError(path + ": cannot be read");
   std::ostringstream text;
   text << file.rdbuf();
   return ParseScenario(text.str(), path, changes);
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -8,15 +8,15 @@
 namespace mothrack::simulation {
 namespace {
 
-// A fault whose effect lasts so long after its cause, with capacity enough, outlives it. Seconds.
-constexpr double kOutlives = 12;
-constexpr double kLeastLength = 10;  // seconds, of a shrunk run
+// Degraded service that lasts longer than this after its cause has ended, with enough capacity, is reported.
+constexpr double kMaxRecoverySeconds = 12;
+constexpr double kMinRunSeconds = 10;  // a shrunk run is not made shorter
 
-double Moved(double value, Random& random, double least, double most) {
-  return std::clamp(value * random.Between(0.6, 1.6), least, most);
+double ScaleAtRandom(double value, Random& random, double min, double max) {
+  return std::clamp(value * random.Between(0.6, 1.6), min, max);
 }
 
-Fault DrawnFault(const Scenario& s, Random& random) {
+Fault RandomFault(const Scenario& s, Random& random) {
   Fault f;
   f.kind = static_cast<FaultKind>(random.Below(13));
   f.at_s = random.Between(5, s.length_s * 0.4);
@@ -29,11 +29,11 @@
   return f;
 }
 
-// Makes a scenario smaller by steps, each of which is kept only where the result still shows the fault.
+// Makes a scenario smaller step by step. A step is kept only if the result still shows_fault the fault.
 class Shrinker {
  public:
-  Shrinker(Scenario scenario, const std::function<bool(const Scenario&)>& shows, int budget)
-      : scenario_(std::move(scenario)), shows_(shows), budget_(budget) {}
+  Shrinker(Scenario scenario, const std::function<bool(const Scenario&)>& shows_fault, int budget)
+      : scenario_(std::move(scenario)), shows_fault_(shows_fault), budget_(budget) {}
 
   Scenario Shrink() {
     bool smaller = true;
@@ -48,8 +48,9 @@
   }
 
  private:
+  // Runs the candidate and keeps it if it shows_fault the fault; false if not, or if no runs are left.
   bool KeepIfShown(const Scenario& candidate) {
-    if (budget_-- <= 0 || !shows_(candidate)) return false;
+    if (budget_-- <= 0 || !shows_fault_(candidate)) return false;
     scenario_ = candidate;
     return true;
   }
@@ -89,9 +90,9 @@
     return smaller;
   }
   bool ShortenRun() {
-    if (scenario_.length_s <= kLeastLength) return false;
+    if (scenario_.length_s <= kMinRunSeconds) return false;
     return KeepChange([](Scenario& s) {
-      s.length_s = std::max(kLeastLength, std::floor(s.length_s / 2));
+      s.length_s = std::max(kMinRunSeconds, std::floor(s.length_s / 2));
       std::erase_if(s.faults, [&](const Fault& f) { return f.at_s > s.length_s; });
       for (Fault& f : s.faults) f.len_s = std::min(f.len_s, s.length_s);
     });
@@ -105,7 +106,7 @@
   }
 
   Scenario scenario_;
-  const std::function<bool(const Scenario&)>& shows_;
+  const std::function<bool(const Scenario&)>& shows_fault_;
   int budget_;  // runs left
 };
 
@@ -116,43 +117,44 @@
   if (outcome.still_open > 0) return "requests without an answer";
   const auto recovery = figures.recovery();
   if (!recovery) return {};
-  // Judged only where the run goes on long enough behind both its faults and the return of capacity.
-  const double from = std::max(recovery->covered_s, scenario.FaultsEnd());
-  if (scenario.length_s - from < kOutlives + 5) return {};
-  const double over = recovery->recovered ? recovery->recovered_s - from : scenario.length_s - from;
-  if (over > kOutlives)
-    return "trouble outlives its cause by " + std::to_string(static_cast<int>(over)) + " s";
+  // Judged only if the run continues long enough after its faults have ended and capacity has returned.
+  const double cause_end_s = std::max(recovery->covered_s, scenario.FaultsEnd());
+  if (scenario.length_s - cause_end_s < kMaxRecoverySeconds + 5) return {};
+  const double recovery_s =
+      recovery->recovered ? recovery->recovered_s - cause_end_s : scenario.length_s - cause_end_s;
+  if (recovery_s > kMaxRecoverySeconds)
+    return "degraded service outlasts its cause by " + std::to_string(static_cast<int>(recovery_s)) + " s";
   return {};
 }
 
-Scenario Mutated(const Scenario& scenario, Random& random) {
+Scenario Mutate(const Scenario& scenario, Random& random) {
   Scenario s = scenario;
   s.length_s = 70;
-  s.skew = Moved(std::max(s.skew, 0.1), random, 0, 2);
-  s.use = Moved(s.use, random, 0.2, 0.8);
-  s.retries = Moved(std::max(s.retries, 0.3), random, 0, 4);
-  s.backoff_ms = Moved(s.backoff_ms, random, 10, 500);
-  s.slow_start_s = Moved(s.slow_start_s, random, 5, 25);
-  s.slow_start_initial_share = Moved(s.slow_start_initial_share, random, 0.1, 0.5);
-  s.pause_ms = Moved(std::max(s.pause_ms, 5.0), random, 0, 300);
-  s.notice_to_s = std::max(s.notice_from_s, Moved(s.notice_to_s, random, 0.3, 6));
-  s.sidecars = static_cast<std::size_t>(Moved(static_cast<double>(s.sidecars), random, 4, 120));
-  s.servers = static_cast<std::size_t>(Moved(static_cast<double>(s.servers), random, 6, 40));
+  s.skew = ScaleAtRandom(std::max(s.skew, 0.1), random, 0, 2);
+  s.use = ScaleAtRandom(s.use, random, 0.2, 0.8);
+  s.retries = ScaleAtRandom(std::max(s.retries, 0.3), random, 0, 4);
+  s.backoff_ms = ScaleAtRandom(s.backoff_ms, random, 10, 500);
+  s.slow_start_s = ScaleAtRandom(s.slow_start_s, random, 5, 25);
+  s.slow_start_initial_share = ScaleAtRandom(s.slow_start_initial_share, random, 0.1, 0.5);
+  s.pause_ms = ScaleAtRandom(std::max(s.pause_ms, 5.0), random, 0, 300);
+  s.notice_to_s = std::max(s.notice_from_s, ScaleAtRandom(s.notice_to_s, random, 0.3, 6));
+  s.sidecars = static_cast<std::size_t>(ScaleAtRandom(static_cast<double>(s.sidecars), random, 4, 120));
+  s.servers = static_cast<std::size_t>(ScaleAtRandom(static_cast<double>(s.servers), random, 6, 40));
   if (!s.faults.empty() && random.Chance(0.3)) {
     s.faults.erase(s.faults.begin() + static_cast<std::ptrdiff_t>(random.Below(s.faults.size())));
   }
   for (Fault& f : s.faults) {
-    f.at_s = Moved(f.at_s, random, 3, 30);
-    f.len_s = Moved(std::max(f.len_s, 0.5), random, 0, 20);
-    f.part = Moved(f.part, random, 0, 0.8);
+    f.at_s = ScaleAtRandom(f.at_s, random, 3, 30);
+    f.len_s = ScaleAtRandom(std::max(f.len_s, 0.5), random, 0, 20);
+    f.part = ScaleAtRandom(f.part, random, 0, 0.8);
   }
   while (s.faults.empty() || (s.faults.size() < 4 && random.Chance(0.5)))
-    s.faults.push_back(DrawnFault(s, random));
+    s.faults.push_back(RandomFault(s, random));
   return s;
 }
 
-Scenario Shrunk(Scenario scenario, const std::function<bool(const Scenario&)>& shows, int budget) {
-  return Shrinker(std::move(scenario), shows, budget).Shrink();
+Scenario ShrinkWhile(Scenario scenario, const std::function<bool(const Scenario&)>& shows_fault, int budget) {
+  return Shrinker(std::move(scenario), shows_fault, budget).Shrink();
 }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/search.h
+++ b/src/simulation/search.h
@@ -1,5 +1,5 @@
 // Looks for faults of the program: scenarios mutated at random from given ones, and the smallest that still
-// shows what was found. Pure.
+// shows_fault what was found. Pure.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,16 @@
 
 namespace mothrack::simulation {
 
-// What is wrong with a run; empty: nothing. A broken rule, or a fault whose effect outlives
-// its cause.
+// Describes what is wrong with a run: a broken rule, a request without an answer, or degraded service that
+// outlasts its cause. Empty if nothing is wrong.
 std::string FindFault(const Scenario& scenario, const Outcome& outcome, const Figures& figures);
 
-// Another scenario like it: its fleet, load and faults changed at random, faults added and taken away. Valid
-// whatever is drawn.
-Scenario Mutated(const Scenario& scenario, Random& random);
+// Returns a mutation of the scenario: fleet, load and faults are changed at random, and faults are added and
+// removed. The result is always valid.
+Scenario Mutate(const Scenario& scenario, Random& random);
 
-// The smallest that `shows` still: faults taken away, fewer sidecars and servers, a shorter run, one class.
-// Takes at most `budget` runs.
-Scenario Shrunk(Scenario scenario, const std::function<bool(const Scenario&)>& shows, int budget);
+// Returns a smaller scenario for which `shows_fault` is still true: with fewer faults, classes, sidecars and
+// servers, a shorter run and simpler load. Calls `shows_fault` at most `budget` times.
+Scenario ShrinkWhile(Scenario scenario, const std::function<bool(const Scenario&)>& shows_fault, int budget);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/server.cpp
+++ b/src/simulation/server.cpp
@@ -6,7 +6,7 @@
 
 Server::Server(Simulator& sim, const Scenario& scenario, Random random, double speed)
     : sim_(sim), scenario_(scenario), random_(random), speed_(speed) {
-  pause_at_ = sim_.now() + SecondsOf(random_.Exponential(scenario_.pause_every_s));
+  next_pause_ = sim_.now() + SecondsOf(random_.Exponential(scenario_.pause_every_s));
 }
 
 double Server::slow_start_factor() const {
@@ -15,37 +15,37 @@
   return std::min(1.0, scenario_.slow_start_initial_share + (1 - scenario_.slow_start_initial_share) * age);
 }
 
-bool Server::Take(Job job) {
-  const auto most = static_cast<std::size_t>(scenario_.cores * (1 + scenario_.queue_per_core));
-  if (draining_ || in_flight() >= most) return false;
+bool Server::Accept(Job job) {
+  const auto max_calls = static_cast<std::size_t>(scenario_.cores * (1 + scenario_.queue_per_core));
+  if (draining_ || in_flight() >= max_calls) return false;
   queue_.push_back(std::move(job));
-  Begin();
+  StartQueued();
   return true;
 }
 
-void Server::Begin() {
+void Server::StartQueued() {
   while (!queue_.empty() && static_cast<double>(running_.size()) < scenario_.cores) {
     Job job = std::move(queue_.front());
     queue_.pop_front();
     const double load = static_cast<double>(in_flight() + 1) / scenario_.cores;
     const double thrash =
         1 + scenario_.thrash * std::max(0.0, load / std::max(scenario_.thrash_at, 1e-9) - 1);
-    double ms = job.work / (speed_ * slow_start_factor()) * slowed_ * thrash;
-    if (scenario_.pause_ms > 0 && sim_.now() >= pause_at_) {
+    double ms = job.work / (speed_ * slow_start_factor()) * slowdown_ * thrash;
+    if (scenario_.pause_ms > 0 && sim_.now() >= next_pause_) {
       ms += scenario_.pause_ms;
-      pause_at_ = sim_.now() + SecondsOf(random_.Exponential(scenario_.pause_every_s));
+      next_pause_ = sim_.now() + SecondsOf(random_.Exponential(scenario_.pause_every_s));
     }
-    const bool fails = random_.Chance(std::max(failing_, scenario_.error_rate));
+    const bool fails = random_.Chance(std::max(injected_error_rate_, scenario_.error_rate));
     const std::uint64_t id = job.id;
-    if (job.begun) job.begun();
+    if (job.on_started) job.on_started();
     running_.emplace(id, std::move(job));
     sim_.After(Milliseconds(ms), [this, id, fails, incarnation = incarnation_] {
       if (incarnation != incarnation_) return;
       const auto it = running_.find(id);
       const Job done = std::move(it->second);
       running_.erase(it);
-      if (done.ended) done.ended(fails ? End::kError : End::kDone);
-      Begin();
+      if (done.on_ended) done.on_ended(fails ? End::kError : End::kDone);
+      StartQueued();
     });
   }
 }
@@ -63,10 +63,10 @@
   for (auto& [id, job] : running_) all.push_back(std::move(job));
   queue_.clear();
   running_.clear();
-  // In an order that does not hang on a table's.
+  // Sorted, since the order of the hash table is not the same on every platform.
   std::sort(all.begin(), all.end(), [](const Job& a, const Job& b) { return a.id < b.id; });
   for (const Job& job : all) {
-    if (job.ended) job.ended(End::kReset);
+    if (job.on_ended) job.on_ended(End::kReset);
   }
 }
 
--- a/src/simulation/server.h
+++ b/src/simulation/server.h
@@ -1,5 +1,5 @@
-// A simulated page server: cores that work through a bounded queue, slower under overload, with a slow start
-// and occasional pauses. Scenario::queue_per_core bounds the queue.
+// A simulated server: its cores work through a queue bounded by Scenario::queue_per_core. It becomes slower
+// under overload, has a slow start and pauses now and then.
 #pragma once
 
 #include <cstdint>
@@ -19,36 +19,39 @@
   struct Job {
     std::uint64_t id = 0;
     double work = 0;  // milliseconds of a core of speed 1
-    std::function<void()> begun;
-    std::function<void(End)> ended;
+    std::function<void()> on_started;
+    std::function<void(End)> on_ended;
   };
 
   Server(Simulator& sim, const Scenario& scenario, Random random, double speed);
 
-  // False: rejected without effect, as it is full or drains.
-  bool Take(Job job);
-  // The caller does not wait any more: a call that has not begun never will; one that has goes on.
+  // Queues the call. False if it was rejected without effect because the server is full or draining.
+  bool Accept(Job job);
+  // Removes a call that has not started, because its caller no longer waits. A call that has started
+  // continues.
   void Cancel(std::uint64_t id);
-  // Its process ends; all calls that it has are reset.
+  // Ends the server process; all its calls are reset.
   void Kill();
-  // It starts again, at the begin of its slow start.
+  // Starts the server again; its slow start begins.
   void Boot();
   void Drain() { draining_ = true; }
 
   bool up() const { return up_; }
   bool draining() const { return draining_; }
   double slow_start_factor() const;
-  // Milliseconds of work a millisecond: when warm and left alone, and what it could do now.
+  // Milliseconds of work per millisecond: when warm and without faults, and at present.
   double capacity() const { return scenario_.cores * speed_; }
-  double available_capacity() const { return up_ && !draining_ ? capacity() * slow_start_factor() / slowed_ : 0; }
+  double available_capacity() const {
+    return up_ && !draining_ ? capacity() * slow_start_factor() / slowdown_ : 0;
+  }
   std::size_t in_flight() const { return queue_.size() + running_.size(); }
 
-  // Faults: calls take `times` as long; a share of them, 0 to 1, ends with an error.
-  void Slow(double times) { slowed_ = times; }
-  void Fail(double share) { failing_ = share; }
+  // Injected faults: calls take `times` as long; the share `share` of them, 0 to 1, ends with an error.
+  void SetSlowdown(double times) { slowdown_ = times; }
+  void SetErrorRate(double share) { injected_error_rate_ = share; }
 
  private:
-  void Begin();
+  void StartQueued();
 
   Simulator& sim_;
   const Scenario& scenario_;
@@ -58,9 +61,9 @@
   bool draining_ = false;
   bool ever_booted_ = false;
   runtime::TimePoint booted_{};
-  double slowed_ = 1;
-  double failing_ = 0;
-  runtime::TimePoint pause_at_{};
+  double slowdown_ = 1;
+  double injected_error_rate_ = 0;
+  runtime::TimePoint next_pause_{};
   std::uint64_t incarnation_ = 0;
   std::deque<Job> queue_;
   std::unordered_map<std::uint64_t, Job> running_;
--- a/src/simulation/simulated_transport.cpp
+++ b/src/simulation/simulated_transport.cpp
@@ -47,22 +47,22 @@
 
 void SimulatedTransport::Connect(const CallPtr& call) {
   ++connects_;
-  const runtime::Duration there = network_link_.Delay(zone_, call->server);
-  const runtime::Duration hand = Milliseconds(scenario_.handshake_ms) + 2 * there;
+  const runtime::Duration delay = network_link_.Delay(zone_, call->server);
+  const runtime::Duration connect_time = Milliseconds(scenario_.handshake_ms) + 2 * delay;
   const auto later = [this, call, incarnation = std::weak_ptr(incarnation_)](runtime::Duration wait,
                                                                              auto act) {
     sim_.After(wait, [call, incarnation, act] {
       if (!incarnation.expired() && !call->ended) act();
     });
   };
-  if (!network_link_.Passes(zone_, call->server)) {
-    // Silence; a socket gives up after the time of the settings.
+  if (!network_link_.IsReachable(zone_, call->server)) {
+    // No response; a socket gives up after the connect timeout of the settings (Scenario::SettingsOf).
     return later(std::chrono::milliseconds(200), [this, call] { End(call, Outcome::kConnectFailed, false); });
   }
   if (!network_link_.At(call->server).up()) {
-    return later(2 * there, [this, call] { End(call, Outcome::kConnectFailed, false); });
+    return later(2 * delay, [this, call] { End(call, Outcome::kConnectFailed, false); });
   }
-  later(hand, [this, call] { Write(call); });
+  later(connect_time, [this, call] { Write(call); });
 }
 
 void SimulatedTransport::Write(const CallPtr& call) {
@@ -75,18 +75,18 @@
   event.server = call->server;
   network_link_.Record(event);
   if (call->hooks.on_written) call->hooks.on_written();
-  if (!network_link_.Passes(zone_, call->server)) return;  // nothing comes back until its time is over
+  if (!network_link_.IsReachable(zone_, call->server)) return;  // no answer comes; the attempt times out
   sim_.After(network_link_.Delay(zone_, call->server),
              [this, call, incarnation = std::weak_ptr(incarnation_)] {
                if (!incarnation.expired()) Arrive(call);
              });
 }
 
-// At the server, whether or not its sidecar still waits.
+// The call reaches the server, whether or not its sidecar still waits.
 void SimulatedTransport::Arrive(const CallPtr& call) {
-  if (call->ended) return;  // its connection was closed behind it
+  if (call->ended) return;  // its connection was closed meanwhile
   Server& server = network_link_.At(call->server);
-  if (!network_link_.Passes(zone_, call->server)) return;
+  if (!network_link_.IsReachable(zone_, call->server)) return;
   if (!server.up()) return Answer(call, Outcome::kReset);
   SimulationEvent event;
   event.sidecar = sidecar_;
@@ -98,43 +98,43 @@
   job.id = call->job;
   job.work = call->client_request->work;
   // The server may outlive this sidecar.
-  job.begun = [&network = network_link_, event]() mutable {
+  job.on_started = [&network = network_link_, event]() mutable {
     event.kind = SimulationEvent::Kind::kCallStarted;
     network.Record(event);
   };
-  job.ended = [this, call, incarnation = std::weak_ptr(incarnation_)](Server::End end) {
+  job.on_ended = [this, call, incarnation = std::weak_ptr(incarnation_)](Server::End end) {
     if (incarnation.expired()) return;
     Answer(call, end == Server::End::kDone    ? Outcome::kServed
                  : end == Server::End::kError ? Outcome::kError
                                               : Outcome::kReset);
   };
   event.kind = SimulationEvent::Kind::kCallArrived;
-  const bool accepted = server.Take(std::move(job));
+  const bool accepted = server.Accept(std::move(job));
   if (!accepted) return Answer(call, Outcome::kFull);
   network_link_.Record(event);
 }
 
 void SimulatedTransport::Answer(const CallPtr& call, Outcome outcome) {
-  if (!network_link_.Passes(zone_, call->server)) return;
+  if (!network_link_.IsReachable(zone_, call->server)) return;
   sim_.After(network_link_.Delay(zone_, call->server),
              [this, call, outcome, incarnation = std::weak_ptr(incarnation_)] {
                if (!incarnation.expired()) End(call, outcome, outcome != Outcome::kReset);
              });
 }
 
-void SimulatedTransport::End(const CallPtr& call, Outcome outcome, bool keeps) {
+void SimulatedTransport::End(const CallPtr& call, Outcome outcome, bool keep_connection) {
   if (call->ended) return;
   call->ended = true;
   calls_.erase(call->id);
-  if (keeps) At(NameOf(call->server)).idle.push_back(sim_.now());
+  if (keep_connection) At(NameOf(call->server)).idle.push_back(sim_.now());
   const bool given_up = outcome == Outcome::kTimeout || outcome == Outcome::kCancelled;
-  if (given_up && call->connected && network_link_.Passes(zone_, call->server)) {
+  if (given_up && call->connected && network_link_.IsReachable(zone_, call->server)) {
     sim_.After(network_link_.Delay(zone_, call->server),
                [&network = network_link_, server = call->server, job = call->job] {
                  network.At(server).Cancel(job);
                });
   }
-  // Before its request's first byte was written nothing can have run, whatever ended it.
+  // An attempt that ended before the first byte of its request was written cannot have run.
   const bool unsent = !call->connected && (outcome == Outcome::kTimeout || outcome == Outcome::kCancelled);
   const Outcome proven = !unsent                        ? outcome
                          : outcome == Outcome::kTimeout ? Outcome::kConnectFailed
@@ -158,24 +158,24 @@
 
 void SimulatedTransport::Probe(dispatch::ExchangeId, const std::string& uid, OnEnd on_end) {
   const std::size_t server = NumberOf(uid);
-  const runtime::Duration there = network_link_.Delay(zone_, server);
-  const bool well = network_link_.Passes(zone_, server) && network_link_.At(server).up();
-  sim_.After(well ? 2 * there : runtime::Duration(std::chrono::milliseconds(200)),
+  const runtime::Duration delay = network_link_.Delay(zone_, server);
+  const bool well = network_link_.IsReachable(zone_, server) && network_link_.At(server).up();
+  sim_.After(well ? 2 * delay : runtime::Duration(std::chrono::milliseconds(200)),
              [on_end = std::move(on_end), well, there, incarnation = std::weak_ptr(incarnation_)] {
                if (incarnation.expired()) return;
                dispatch::ExchangeResult result;
                result.outcome = well ? Outcome::kServed : Outcome::kTimeout;
-               result.elapsed = 2 * there;
+               result.elapsed = 2 * delay;
                on_end(std::move(result));
              });
 }
 
-void SimulatedTransport::Broke(std::size_t server) { At(NameOf(server)).idle.clear(); }
+void SimulatedTransport::OnServerStopped(std::size_t server) { At(NameOf(server)).idle.clear(); }
 
 void SimulatedTransport::Cancel(dispatch::ExchangeId id) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  // The end is told from the loop, as sockets do.
+  // The end is reported from the event loop, as with sockets.
   sim_.After(runtime::Duration(0), [this, call = it->second, incarnation = std::weak_ptr(incarnation_)] {
     if (!incarnation.expired()) End(call, Outcome::kCancelled, false);
   });
--- a/src/simulation/simulated_transport.h
+++ b/src/simulation/simulated_transport.h
@@ -1,6 +1,6 @@
-// The transport of a simulated sidecar: what src/http/transport.h does on sockets, in simulated time over
-// simulated links. It reuses connections, opens new ones, and proves of each attempt no more than a socket
-// would.
+// The transport of a simulated sidecar: does in simulated time over simulated links what src/http/transport.h
+// does with sockets. It reuses idle connections, opens new ones, and reports no more about each attempt than
+// a socket can show.
 #pragma once
 
 #include <functional>
@@ -16,28 +16,28 @@
 
 namespace mothrack::simulation {
 
-// A request as the simulated clients make it; `work` in milliseconds of a core of speed 1.
+// A request of a simulated client; `work` is in milliseconds of a core of speed 1.
 struct ClientRequest : dispatch::Message {
   std::uint64_t request = 0;
   std::size_t cls = 0;
   double work = 0;
 };
 
-// What lies between sidecars and servers.
+// The simulated network between sidecars and servers, as the transport uses it.
 class SimulatedNetwork {
  public:
   virtual ~SimulatedNetwork() = default;
-  // One way between a sidecar in this zone and a server; drawn anew by each call.
+  // Draws a one-way delay between a sidecar in this zone and a server.
   virtual runtime::Duration Delay(std::size_t zone, std::size_t server) = 0;
-  // False where packets are dropped silently.
-  virtual bool Passes(std::size_t zone, std::size_t server) const = 0;
+  // False if packets between the zone and the server are dropped silently.
+  virtual bool IsReachable(std::size_t zone, std::size_t server) const = 0;
   virtual Server& At(std::size_t server) = 0;
   virtual void Record(SimulationEvent event) = 0;
   virtual std::uint64_t NextJob() = 0;
 };
 
-// Holds references to simulator, network and scenario, which must outlive it; callbacks that are still
-// scheduled when it ends do nothing. One a start of a sidecar.
+// There is one for each start of a sidecar. Holds references to simulator, network and scenario, which must
+// outlive it. Callbacks that are still scheduled when it is destroyed do nothing.
 class SimulatedTransport : public dispatch::Transport {
  public:
   SimulatedTransport(Simulator& sim, SimulatedNetwork& network, const Scenario& scenario,
@@ -57,11 +57,11 @@
   void Abandon(dispatch::ExchangeId id) override;
   void CloseIdle(const std::string& uid) override { At(uid).idle.clear(); }
 
-  // The server's process has ended, and its sockets said so.
-  void Broke(std::size_t server);
+  // Called when the server's process has ended and its connections were closed visibly.
+  void OnServerStopped(std::size_t server);
 
   std::uint64_t connects() const { return connects_; }
-  // The name of a server in lists, and back.
+  // Convert between the number of a server and its uid in endpoint lists.
   static std::string NameOf(std::size_t server) { return "s" + std::to_string(server); }
   static std::size_t NumberOf(const std::string& uid) { return std::stoul(uid.substr(1)); }
 
@@ -73,14 +73,14 @@
     dispatch::ExchangeHooks hooks;
     runtime::TimePoint began;
     std::uint64_t job = 0;
-    bool connected = false;  // its request is being written, or was
+    bool connected = false;  // its request is being written or was written
     bool abandoned = false;
     bool ended = false;
   };
   using CallPtr = std::shared_ptr<Call>;
   struct Pool {
     dispatch::Location location;
-    std::vector<runtime::TimePoint> idle;  // since when
+    std::vector<runtime::TimePoint> idle;  // start of the idle time of each idle connection
   };
 
   Pool& At(const std::string& uid) { return pools_[uid]; }
@@ -88,7 +88,7 @@
   void Write(const CallPtr& call);
   void Arrive(const CallPtr& call);
   void Answer(const CallPtr& call, balancer::Outcome outcome);
-  void End(const CallPtr& call, balancer::Outcome outcome, bool keeps);
+  void End(const CallPtr& call, balancer::Outcome outcome, bool keep_connection);
 
   Simulator& sim_;
   SimulatedNetwork& network_link_;
@@ -99,7 +99,7 @@
   std::unordered_map<std::string, Pool> pools_;
   std::unordered_map<dispatch::ExchangeId, CallPtr> calls_;
   std::uint64_t connects_ = 0;
-  // What is on its way must not reach a transport that has ended.
+  // Scheduled callbacks hold a weak reference to it and do nothing once the transport is destroyed.
   std::shared_ptr<int> incarnation_ = std::make_shared<int>(0);
 };
 
--- a/src/simulation/simulation_clients.cpp
+++ b/src/simulation/simulation_clients.cpp
@@ -1,4 +1,4 @@
-// SimulationRun's clients: when requests come, what is asked of which sidecar, and what becomes of it.
+// The clients of a SimulationRun: arrivals, requests to the sidecars, retries and results.
 #include <algorithm>
 #include <cmath>
 #include <utility>
@@ -8,11 +8,11 @@
 namespace mothrack::simulation {
 namespace {
 
-// Seconds until an arrival is drawn anew, since the rate may have risen meanwhile.
+// Seconds after which the next arrival is drawn again, because the rate may have changed.
 constexpr double kMaxArrivalWait = 0.25;
-// Attempts more of a client that leaves early and comes again at once.
+// Additional attempts of a client that disconnects early and retries at once.
 constexpr int kImpatientRetries = 2;
-// Of the answers, one in so many is dropped where that fault is injected.
+// Where dropped answers are injected, one in this many answers is dropped.
 constexpr std::uint64_t kDroppedAnswerEvery = 997;
 
 RequestOutcome RequestOutcomeOf(const dispatch::FinalAnswer& final) {
@@ -29,13 +29,13 @@
 
 }  // namespace
 
-double SimulationRun::Load() const {
+double SimulationRun::LoadFactor() const {
   const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
-  return burst_ * (1 + scenario_.wave * std::sin(6.283185307179586 * s / scenario_.wave_s));
+  return burst_factor_ * (1 + scenario_.wave * std::sin(6.283185307179586 * s / scenario_.wave_s));
 }
 
 void SimulationRun::NextArrival(Sidecar& sidecar) {
-  const double rate = sidecar.rate * sidecar.times * Load();
+  const double rate = sidecar.rate * sidecar.times * LoadFactor();
   const double wait = sidecar.random.Exponential(1 / std::max(rate, 1e-9));
   sim_.After(SecondsOf(std::min(wait, kMaxArrivalWait)),
              [this, &sidecar, wait, incarnation = std::weak_ptr(sidecar.incarnation)] {
@@ -65,7 +65,7 @@
   pending->requested_at = sim_.now();
   pending->until = sim_.now() + Milliseconds(c.deadline_ms);
   pending->work = c.work_ms * arrivals_.LogNormal(c.work_cv);
-  pending->impatient = impatient_ > 0 && arrivals_.Chance(impatient_);
+  pending->impatient = impatient_share_ > 0 && arrivals_.Chance(impatient_share_);
   const double retries = scenario_.retries;
   pending->max_client_attempts =
       1 + static_cast<int>(retries) + (arrivals_.Chance(retries - std::floor(retries)) ? 1 : 0);
@@ -103,7 +103,7 @@
   };
   const auto id = sidecar.dispatcher->Submit(std::move(new_request));
   if (!pending->impatient || !id) return;
-  // Leaves at a third of its latency objective, and comes again at once.
+  // The client disconnects at a third of its latency objective and retries at once.
   const runtime::Duration leaves_after =
       Milliseconds(scenario_.classes[pending->cls].latency_objective_ms / 3);
   const int client_attempts = pending->client_attempts;
@@ -133,14 +133,14 @@
   event.cls = pending->cls;
   event.request_outcome = RequestOutcomeOf(final);
   Record(event);
-  const bool again = event.request_outcome != RequestOutcome::kServed &&
-                     pending->client_attempts < pending->max_client_attempts &&
-                     (event.request_outcome == RequestOutcome::kRefused ||
-                      scenario_.classes[pending->cls].effect == balancer::Effect::kSafe);
+  const bool may_retry = event.request_outcome != RequestOutcome::kServed &&
+                         pending->client_attempts < pending->max_client_attempts &&
+                         (event.request_outcome == RequestOutcome::kRefused ||
+                          scenario_.classes[pending->cls].effect == balancer::Effect::kSafe);
   runtime::Duration wait =
       Milliseconds(scenario_.backoff_ms * (0.5 + sidecar.random.Uniform()) * pending->client_attempts);
   wait = std::max(wait, final.retry_after);
-  if (!again || sim_.now() + wait >= pending->until) {
+  if (!may_retry || sim_.now() + wait >= pending->until) {
     Close(*pending, event.request_outcome);
     sidecar.pending_requests.erase(pending->client_request);
     return;
--- a/src/simulation/simulation_faults.cpp
+++ b/src/simulation/simulation_faults.cpp
@@ -1,4 +1,4 @@
-// SimulationRun's faults: what each kind of the scenario does, and how it ends.
+// The faults of a SimulationRun: what each kind does and how it ends.
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -10,14 +10,14 @@
 
 using balancer::UpstreamState;
 
-// Of what vanishes silently discovery hears after this long.
-constexpr runtime::Duration kUnresponsiveNotice = std::chrono::seconds(5);
-// A new server is there so long after the one that it replaces was told as leaving.
-constexpr runtime::Duration kReplacement = std::chrono::seconds(1);
+// The time until discovery notices servers that vanished without notice.
+constexpr runtime::Duration kLossDetectionTime = std::chrono::seconds(5);
+// The time from listing a server as draining until its replacement has started.
+constexpr runtime::Duration kReplacementDelay = std::chrono::seconds(1);
 
 }  // namespace
 
-std::vector<std::size_t> SimulationRun::Share(std::size_t of, double part) {
+std::vector<std::size_t> SimulationRun::ChooseIndices(std::size_t of, double part) {
   std::vector<std::size_t> all(of);
   std::iota(all.begin(), all.end(), std::size_t{0});
   for (std::size_t i = of; i > 1; --i) std::swap(all[i - 1], all[random_.Below(i)]);
@@ -25,7 +25,7 @@
   return all;
 }
 
-void SimulationRun::Plan(const Fault& fault) {
+void SimulationRun::ScheduleFault(const Fault& fault) {
   const auto at = runtime::TimePoint(kEpoch) + SecondsOf(fault.at_s);
   sim_.At(at, [this, &fault] { BeginFault(fault); });
 }
@@ -41,7 +41,7 @@
 std::vector<std::size_t> SimulationRun::ChooseServers(double part) {
   const std::vector<std::size_t> serving = ServingServers();
   std::vector<std::size_t> chosen;
-  for (const std::size_t i : Share(serving.size(), part)) chosen.push_back(serving[i]);
+  for (const std::size_t i : ChooseIndices(serving.size(), part)) chosen.push_back(serving[i]);
   return chosen;
 }
 
@@ -51,8 +51,8 @@
   switch (fault.kind) {
     case FaultKind::kCutZone: {
       const std::size_t zone = ZoneOf(fault);
-      cut_[zone] = true;
-      return later([this, zone] { cut_[zone] = false; });
+      zone_cut_off_[zone] = true;
+      return later([this, zone] { zone_cut_off_[zone] = false; });
     }
     case FaultKind::kLoseZone:
       return LoseZone(ZoneOf(fault), length);
@@ -66,21 +66,21 @@
     case FaultKind::kReplace:
       return ReplaceServers(fault);
     case FaultKind::kKill:
-      for (const std::size_t i : Share(sidecars_.size(), fault.part)) Stop(*sidecars_[i]);
+      for (const std::size_t i : ChooseIndices(sidecars_.size(), fault.part)) Stop(*sidecars_[i]);
       return;
     case FaultKind::kRestart:
       return RestartSidecars(fault);
     case FaultKind::kBurst:
-      burst_ *= fault.size;
-      return later([this, &fault] { burst_ /= fault.size; });
+      burst_factor_ *= fault.size;
+      return later([this, &fault] { burst_factor_ /= fault.size; });
     case FaultKind::kHotSidecars:
       return RaiseRates(fault);
     case FaultKind::kStale:
       stale_ = true;
       return later([this] { stale_ = false; });
     case FaultKind::kImpatient:
-      impatient_ = fault.part;
-      return later([this] { impatient_ = 0; });
+      impatient_share_ = fault.part;
+      return later([this] { impatient_share_ = 0; });
   }
 }
 
@@ -90,20 +90,20 @@
 }
 
 void SimulationRun::LoseZone(std::size_t zone, runtime::Duration length) {
-  lost_[zone] = true;
+  zone_lost_[zone] = true;
   std::vector<std::size_t> removed;
   for (const std::size_t i : ServingServers()) {
     if (machines_[i].zone == zone) removed.push_back(i);
   }
-  sim_.After(kUnresponsiveNotice, [this, zone, removed] {
-    if (!lost_[zone]) return;
+  sim_.After(kLossDetectionTime, [this, zone, removed] {
+    if (!zone_lost_[zone]) return;
     for (const std::size_t i : removed) {
       machines_[i].state = UpstreamState::kGone;
-      Changed(i);
+      NotifySidecars(i);
     }
   });
   sim_.After(length, [this, zone, removed] {
-    lost_[zone] = false;
+    zone_lost_[zone] = false;
     for (const std::size_t i : removed) {
       KillServer(i);
       BootServer(i);
@@ -121,8 +121,9 @@
 void SimulationRun::SetImpaired(std::size_t server, const Fault& fault, bool impaired) {
   Machine& machine = machines_[server];
   if (fault.kind == FaultKind::kUnresponsive) machine.unresponsive = impaired;
-  if (fault.kind == FaultKind::kSlow) machine.server->Slow(impaired ? std::max(1.0, fault.size) : 1);
-  if (fault.kind == FaultKind::kErrors) machine.server->Fail(impaired ? std::min(1.0, fault.size) : 0);
+  if (fault.kind == FaultKind::kSlow) machine.server->SetSlowdown(impaired ? std::max(1.0, fault.size) : 1);
+  if (fault.kind == FaultKind::kErrors)
+    machine.server->SetErrorRate(impaired ? std::min(1.0, fault.size) : 0);
 }
 
 void SimulationRun::ReplaceServers(const Fault& fault) {
@@ -136,13 +137,13 @@
 
 void SimulationRun::ReplaceServer(std::size_t server) {
   machines_[server].state = UpstreamState::kDraining;
-  Changed(server);
-  sim_.After(kReplacement,
+  NotifySidecars(server);
+  sim_.After(kReplacementDelay,
              [this, server] { BootServer(AddServer(machines_[server].zone, machines_[server].speed)); });
   sim_.After(SecondsOf(scenario_.drain_s), [this, server] {
     machines_[server].state = UpstreamState::kGone;
     KillServer(server);
-    Changed(server);
+    NotifySidecars(server);
   });
 }
 
@@ -154,7 +155,7 @@
 }
 
 void SimulationRun::RaiseRates(const Fault& fault) {
-  for (const std::size_t i : Share(sidecars_.size(), fault.part)) {
+  for (const std::size_t i : ChooseIndices(sidecars_.size(), fault.part)) {
     sidecars_[i]->times *= fault.size;
     sim_.After(SecondsOf(fault.len_s), [this, i, &fault] { sidecars_[i]->times /= fault.size; });
   }
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -13,9 +13,9 @@
 
 using balancer::UpstreamState;
 
-// A planned stop waits for what is open, but no longer than the longest deadline here and some.
+// The time that a planned stop waits for open requests, chosen longer than the usual deadlines.
 constexpr runtime::Duration kStopTimeout = std::chrono::seconds(5);
-constexpr double kMeanRateFloor = 0.02;  // of the mean: nobody sends nothing
+constexpr double kMinRateShare = 0.02;  // of the mean rate: every sidecar gets some requests
 
 Rules::Limits LimitsOf(const Scenario& scenario) {
   Rules::Limits limits;
@@ -27,6 +27,7 @@
 
 }  // namespace
 
+// Hashes the recorded events to the digest of the run.
 struct SimulationRun::Hash {
   Hash() { XXH64_reset(state.get(), 0); }
   void Add(const SimulationEvent& event) {
@@ -53,11 +54,11 @@
       network_(random_.Fork()),
       figures_(scenario_),
       rules_(LimitsOf(scenario_)),
-      cut_(scenario.zones.size()),
-      lost_(scenario.zones.size()),
+      zone_cut_off_(scenario.zones.size()),
+      zone_lost_(scenario.zones.size()),
       hash_(std::make_unique<Hash>()) {
   sim_.RunUntil(runtime::TimePoint(kEpoch));
-  // Servers are dealt to the zones in turn.
+  // Servers are assigned to the zones in turn.
   const auto place_in_zone = [&](std::size_t server) { return server / scenario_.zones.size(); };
   for (std::size_t i = 0; i < scenario_.servers; ++i) {
     const double along = scenario_.servers > 1
@@ -66,31 +67,31 @@
                              : 0;
     const double speed = scenario_.slowest + (scenario_.fastest - scenario_.slowest) * std::min(1.0, along);
     AddServer(i % scenario_.zones.size(), speed);
-    warm_ += machines_.back().server->capacity();
+    warm_capacity_ += machines_.back().server->capacity();
   }
   double share = 0;
   for (const ClassLoad& c : scenario_.classes) share += c.share;
-  for (const ClassLoad& c : scenario_.classes) work_ += c.share / share * c.work_ms;
-  rate_ = scenario_.use * warm_ * 1000 / work_;
+  for (const ClassLoad& c : scenario_.classes) mean_work_ += c.share / share * c.work_ms;
+  request_rate_ = scenario_.use * warm_capacity_ * 1000 / mean_work_;
 
   std::vector<double> weights;
   Random skew = random_.Fork();
   for (std::size_t i = 0; i < scenario_.sidecars; ++i) {
-    weights.push_back(std::max(kMeanRateFloor, skew.LogNormal(scenario_.skew)));
+    weights.push_back(std::max(kMinRateShare, skew.LogNormal(scenario_.skew)));
   }
   const double sum = std::accumulate(weights.begin(), weights.end(), 0.0);
   for (std::size_t i = 0; i < scenario_.sidecars; ++i) {
     auto sidecar = std::make_unique<Sidecar>();
     sidecar->number = i;
     sidecar->zone = i % scenario_.zones.size();
-    sidecar->rate = rate_ * weights[i] / sum;
+    sidecar->rate = request_rate_ * weights[i] / sum;
     sidecar->random = random_.Fork();
     sidecar->notice = SecondsOf(sidecar->random.Between(scenario_.notice_from_s, scenario_.notice_to_s));
     sidecars_.push_back(std::move(sidecar));
     Start(*sidecars_.back());
   }
-  for (const Fault& fault : scenario_.faults) Plan(fault);
-  EachSecond();
+  for (const Fault& fault : scenario_.faults) ScheduleFault(fault);
+  SampleSecond();
 }
 
 SimulationRun::~SimulationRun() {
@@ -100,7 +101,7 @@
 Outcome SimulationRun::Run() {
   const runtime::TimePoint end = runtime::TimePoint(kEpoch) + SecondsOf(scenario_.length_s);
   sim_.RunUntil(end);
-  // Nobody asks any more, and what was asked comes to its end.
+  // No new requests; those that are open are run to their end.
   for (const auto& sidecar : sidecars_) sidecar->open = false;
   runtime::Duration longest{};
   for (const ClassLoad& c : scenario_.classes) longest = std::max(longest, Milliseconds(c.deadline_ms));
@@ -120,17 +121,17 @@
   return outcome;
 }
 
-// ---- Links ----
+// ---- Network ----
 
 runtime::Duration SimulationRun::Delay(std::size_t zone, std::size_t server) {
   const double mean = zone == machines_[server].zone ? scenario_.same_ms : scenario_.cross_ms;
   return Milliseconds(mean * network_.LogNormal(scenario_.jitter));
 }
 
-bool SimulationRun::Passes(std::size_t zone, std::size_t server) const {
+bool SimulationRun::IsReachable(std::size_t zone, std::size_t server) const {
   const Machine& machine = machines_[server];
-  if (machine.unresponsive || lost_[machine.zone]) return false;
-  return zone == machine.zone || (!cut_[zone] && !cut_[machine.zone]);
+  if (machine.unresponsive || zone_lost_[machine.zone]) return false;
+  return zone == machine.zone || (!zone_cut_off_[zone] && !zone_cut_off_[machine.zone]);
 }
 
 void SimulationRun::Record(SimulationEvent event) {
@@ -156,7 +157,7 @@
 void SimulationRun::KillServer(std::size_t server) {
   machines_[server].server->Kill();
   for (const auto& sidecar : sidecars_) {
-    if (sidecar->transport && Passes(sidecar->zone, server)) sidecar->transport->Broke(server);
+    if (sidecar->transport && IsReachable(sidecar->zone, server)) sidecar->transport->OnServerStopped(server);
   }
 }
 
@@ -172,12 +173,12 @@
   event.server = server;
   event.work = machine.server->capacity();
   Record(event);
-  Changed(server);
+  NotifySidecars(server);
 }
 
-void SimulationRun::Changed(std::size_t server) {
+void SimulationRun::NotifySidecars(std::size_t server) {
   for (const auto& sidecar : sidecars_) {
-    sim_.After(sidecar->notice, [this, &sidecar = *sidecar, server] { Deliver(sidecar, server); });
+    sim_.After(sidecar->notice, [this, &sidecar = *sidecar, server] { DeliverUpdate(sidecar, server); });
   }
 }
 
@@ -199,12 +200,12 @@
   return list;
 }
 
-void SimulationRun::Deliver(Sidecar& sidecar, std::size_t server) {
+void SimulationRun::DeliverUpdate(Sidecar& sidecar, std::size_t server) {
   if (stale_) {
-    sim_.After(std::chrono::milliseconds(500), [this, &sidecar, server] { Deliver(sidecar, server); });
+    sim_.After(std::chrono::milliseconds(500), [this, &sidecar, server] { DeliverUpdate(sidecar, server); });
     return;
   }
-  if (!sidecar.dispatcher) return;  // it hears of all when it starts
+  if (!sidecar.dispatcher) return;  // it gets the full list when it starts
   SimulationEvent event;
   event.kind = SimulationEvent::Kind::kSidecarNotified;
   event.sidecar = sidecar.id;
@@ -287,8 +288,7 @@
   });
 }
 
-// Looks at the world as it is, as people would.
-void SimulationRun::EachSecond() {
+void SimulationRun::SampleSecond() {
   const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
   if (s >= scenario_.length_s) return;
   Second& second = figures_.At(s);
@@ -296,10 +296,10 @@
   double demand = 0;
   for (const Machine& machine : machines_) {
     const bool listed = machine.state == UpstreamState::kServing;
-    const bool there = machine.server->up() && !machine.unresponsive && !lost_[machine.zone];
-    if (listed && there) available_capacity += machine.server->available_capacity();
-    if (listed && there && machine.server->slow_start_factor() < 1) ++second.warming_up;
-    if (listed && !there) ++second.down;
+    const bool reachable = machine.server->up() && !machine.unresponsive && !zone_lost_[machine.zone];
+    if (listed && reachable) available_capacity += machine.server->available_capacity();
+    if (listed && reachable && machine.server->slow_start_factor() < 1) ++second.warming_up;
+    if (listed && !reachable) ++second.down;
     second.in_flight += static_cast<double>(machine.server->in_flight());
   }
   for (const auto& sidecar : sidecars_) {
@@ -319,9 +319,9 @@
     sidecar->last_counts = counts;
     sidecar->connects = sidecar->transport->connects();
   }
-  second.available_capacity = available_capacity / warm_;
-  second.demand = demand * Load() * work_ / 1000 / warm_;
-  sim_.After(std::chrono::seconds(1), [this] { EachSecond(); });
+  second.available_capacity = available_capacity / warm_capacity_;
+  second.demand = demand * LoadFactor() * mean_work_ / 1000 / warm_capacity_;
+  sim_.After(std::chrono::seconds(1), [this] { SampleSecond(); });
 }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -1,6 +1,7 @@
-// One run in simulated time: sidecars with the program's own dispatcher and decision module in them, servers,
-// zones, discovery, clients, and faults. One seed gives one history; one thread. Its methods stand in
-// simulation_run.cpp (servers, lists, sidecars), simulation_clients.cpp and simulation_faults.cpp.
+// One run in simulated time: sidecars that use the program's own dispatcher and decision module, and
+// simulated servers, zones, discovery, clients and faults. The same seed gives the same history. For one
+// thread. The methods are in simulation_run.cpp (servers, lists, sidecars), simulation_clients.cpp and
+// simulation_faults.cpp.
 #pragma once
 
 #include <iostream>
@@ -20,19 +21,18 @@
 
 namespace mothrack::simulation {
 
-// What a run shows beside its figures.
+// The results of a run in addition to its figures.
 struct Outcome {
-  std::uint64_t digest = 0;  // of everything that happened, in its order
+  std::uint64_t digest = 0;  // hash of all recorded events in their order
   std::uint64_t recorded_events = 0;
-  std::uint64_t events = 0;
-  std::uint64_t requests = 0;  // that sidecars accepted
+  std::uint64_t events = 0;    // of the event queue (src/simulation/simulator.h)
+  std::uint64_t requests = 0;  // requests that sidecars accepted
   std::vector<Breach> breaches;
-  std::size_t broken = 0;
-  std::size_t still_open =
-      0;  // requests past their deadline and without an answer; 0 where the program is right
+  std::size_t broken = 0;      // number of breaches of all rules
+  std::size_t still_open = 0;  // requests past their deadline without an answer; 0 if the program is correct
 };
 
-// Builds the fleet from the scenario in its constructor; Run() is to be called once.
+// The constructor builds the fleet from the scenario. Call Run() once.
 class SimulationRun : private SimulatedNetwork {
  public:
   SimulationRun(const Scenario& scenario, std::uint64_t seed,
@@ -51,13 +51,13 @@
     balancer::UpstreamState state = balancer::UpstreamState::kServing;
     std::int64_t boot_ms = 0;
     std::optional<runtime::TimePoint> started;
-    bool unresponsive = false;  // drops all that it is sent
+    bool unresponsive = false;  // drops everything that it is sent
     double speed = 1;
   };
 
-  // Links.
+  // The simulated network.
   runtime::Duration Delay(std::size_t zone, std::size_t server) override;
-  bool Passes(std::size_t zone, std::size_t server) const override;
+  bool IsReachable(std::size_t zone, std::size_t server) const override;
   Server& At(std::size_t server) override { return *machines_[server].server; }
   void Record(SimulationEvent event) override;
   std::uint64_t NextJob() override { return ++last_job_; }
@@ -66,10 +66,10 @@
   std::size_t AddServer(std::size_t zone, double speed);
   void KillServer(std::size_t server);
   void BootServer(std::size_t server);
-  void Changed(std::size_t server);
+  void NotifySidecars(std::size_t server);
   dispatch::MembershipList ListOf(const std::vector<std::size_t>& servers,
                                   balancer::MembershipUpdate::Kind kind) const;
-  void Deliver(Sidecar& sidecar, std::size_t server);
+  void DeliverUpdate(Sidecar& sidecar, std::size_t server);
 
   // Sidecars and clients.
   void Start(Sidecar& sidecar);
@@ -83,14 +83,14 @@
   void OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
                      std::uint64_t request, const dispatch::FinalAnswer& final);
   void Close(const PendingClientRequest& pending, RequestOutcome request_outcome);
-  double Load() const;
+  double LoadFactor() const;
 
   // Faults.
-  void Plan(const Fault& fault);
+  void ScheduleFault(const Fault& fault);
   void BeginFault(const Fault& fault);
   std::size_t ZoneOf(const Fault& fault) const;
   std::vector<std::size_t> ServingServers() const;
-  // A part of those that serve, drawn at random.
+  // Draws the share `part` of the serving servers at random.
   std::vector<std::size_t> ChooseServers(double part);
   void LoseZone(std::size_t zone, runtime::Duration length);
   void ImpairServers(const Fault& fault);
@@ -100,8 +100,10 @@
   void RestartSidecars(const Fault& fault);
   void RaiseRates(const Fault& fault);
   void Flap(std::size_t server, double away_s, runtime::TimePoint end);
-  std::vector<std::size_t> Share(std::size_t of, double part);
-  void EachSecond();
+  // Draws the share `part` of the indices below `of` at random.
+  std::vector<std::size_t> ChooseIndices(std::size_t of, double part);
+  // Adds the state of the fleet to the figures once a second.
+  void SampleSecond();
 
   const Scenario scenario_;
   const InjectedFault injected_fault_;
@@ -115,14 +117,15 @@
   Rules rules_;
   std::vector<Machine> machines_;
   std::vector<std::unique_ptr<Sidecar>> sidecars_;
-  std::vector<bool> cut_;  // zones
-  std::vector<bool> lost_;
+  std::vector<bool> zone_cut_off_;  // by zone
+  std::vector<bool> zone_lost_;     // by zone
   bool stale_ = false;
-  double burst_ = 1;
-  double impatient_ = 0;
-  double rate_ = 0;  // client requests a second, over the fleet
-  double warm_ = 0;  // capacity of the first servers, when warm: milliseconds of work a millisecond
-  double work_ = 0;  // of a client request, in the mean: milliseconds
+  double burst_factor_ = 1;
+  double impatient_share_ = 0;
+  double request_rate_ = 0;  // client requests per second of the whole fleet
+  double warm_capacity_ =
+      0;                  // capacity of the initial servers when warm: milliseconds of work per millisecond
+  double mean_work_ = 0;  // mean work of a client request, milliseconds
   std::uint64_t last_request_ = 0;
   std::uint64_t last_client_request_ = 0;
   std::uint64_t last_job_ = 0;
--- a/src/simulation/simulation_run_state.h
+++ b/src/simulation/simulation_run_state.h
@@ -1,4 +1,5 @@
-// What a SimulationRun keeps of a sidecar and of a client's request; for simulation_run*.cpp only.
+// The state that a SimulationRun keeps for each sidecar and client request. For the source files of
+// SimulationRun only.
 #pragma once
 
 #include <cstdint>
@@ -12,10 +13,10 @@
 
 namespace mothrack::simulation {
 
-// Simulated time begins here: a time point of zero means "none" to the program.
+// Simulated time starts here, because the program treats a time point of zero as "none".
 inline constexpr runtime::Duration kEpoch = std::chrono::seconds(1000);
 
-// A client's request, over all of its attempts.
+// A client request, over all attempts of its client.
 struct SimulationRun::PendingClientRequest {
   std::uint64_t client_request = 0;
   std::size_t cls = 0;
@@ -27,23 +28,24 @@
   bool impatient = false;
 };
 
-// A sidecar over all of its starts.
+// A sidecar, over all its starts.
 struct SimulationRun::Sidecar {
   std::size_t number = 0;
-  std::uint64_t id = 0;  // of this start: number, and how often it was started above 32 bits
+  std::uint64_t id = 0;  // of this start: number in the lower 32 bits, count of the starts above
   std::uint32_t starts = 0;
   std::size_t zone = 0;
-  double rate = 0;   // client requests a second
-  double times = 1;  // of its usual rate, while a fault raises it
+  double rate = 0;   // client requests per second
+  double times = 1;  // factor on the rate while a fault raises it
   runtime::Duration notice{};
   Random random{0};
-  bool open = false;  // its application sends requests
+  bool open = false;  // accepts requests from its clients
   std::unique_ptr<SimulatedTransport> transport;
   std::unique_ptr<FaultInjector> fault_injector;
   std::unique_ptr<dispatch::Dispatcher> dispatcher;
   std::shared_ptr<int> incarnation;
-  std::map<std::uint64_t, std::shared_ptr<PendingClientRequest>> pending_requests;  // by client request
-  balancer::Counts last_counts;                                                     // at the last second
+  std::map<std::uint64_t, std::shared_ptr<PendingClientRequest>>
+      pending_requests;          // by client request number
+  balancer::Counts last_counts;  // at the last sample
   std::uint64_t connects = 0;
 };
 
--- a/src/simulation/simulator.h
+++ b/src/simulation/simulator.h
@@ -1,5 +1,5 @@
-// Simulated time: events in the order of their times, and of their scheduling where these are equal. One
-// thread, no clock of the machine's: the same seed gives the same order.
+// Simulated time: events run in the order of their times, and in the order of scheduling at equal times. The
+// clock of the machine is not used, so the same seed gives the same order. For one thread.
 #pragma once
 
 #include <algorithm>
@@ -22,11 +22,13 @@
 inline double InSeconds(runtime::TimePoint t) { return InSeconds(t.time_since_epoch()); }
 inline double InMilliseconds(runtime::Duration d) { return static_cast<double>(d.count()) / 1e3; }
 
-// Numbers drawn from a seed, the same with every standard library: its distributions are not.
+// Random numbers from a seed. They are the same with every standard library, unlike the distributions of
+// <random>.
 class Random {
  public:
   explicit Random(std::uint64_t seed) : state_(seed) { Next(); }
-  // Another one for another purpose: what one draws more does not move the others.
+  // Returns an independent generator for another purpose: draws from one do not change the numbers of the
+  // other.
   Random Fork() { return Random(Next()); }
   std::uint64_t Next() {  // SplitMix64
     std::uint64_t z = (state_ += 0x9e3779b97f4a7c15);
@@ -39,7 +41,7 @@
   bool Chance(double p) { return Uniform() < p; }
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Uniform() * static_cast<double>(n)); }
   double Exponential(double mean) { return -mean * std::log(1 - Uniform()); }
-  // Of mean 1 and this coefficient of variation.
+  // Draws from a log-normal distribution with mean 1 and this coefficient of variation.
   double LogNormal(double cv) {
     if (cv <= 0) return 1;
     const double s2 = std::log(1 + cv * cv);
@@ -51,21 +53,21 @@
   std::uint64_t state_;
 };
 
-// The event queue. Unbounded: a run holds as many events as its calls and timers need.
+// The event queue. It is unbounded: a run holds as many events as its calls and timers need.
 class Simulator {
  public:
-  using Act = std::function<void()>;
+  using Action = std::function<void()>;
 
   runtime::TimePoint now() const { return now_; }
   std::uint64_t events() const { return events_; }
 
-  void At(runtime::TimePoint at, Act act) {
-    heap_.push_back({std::max(at, now_), ++last_, std::move(act)});
+  void At(runtime::TimePoint at, Action action) {
+    heap_.push_back({std::max(at, now_), ++last_, std::move(action)});
     std::push_heap(heap_.begin(), heap_.end(), Later);
   }
-  void After(runtime::Duration wait, Act act) { At(now_ + wait, std::move(act)); }
+  void After(runtime::Duration wait, Action action) { At(now_ + wait, std::move(action)); }
 
-  // Runs all that is due until then, and what follows from it; now() is `end` afterwards.
+  // Runs all events due until `end`, including those that they schedule. now() is `end` afterwards.
   void RunUntil(runtime::TimePoint end) {
     while (!heap_.empty() && heap_.front().at <= end) {
       std::pop_heap(heap_.begin(), heap_.end(), Later);
@@ -73,7 +75,7 @@
       heap_.pop_back();
       now_ = next.at;
       ++events_;
-      next.act();
+      next.action();
     }
     now_ = end;
   }
@@ -82,7 +84,7 @@
   struct Event {
     runtime::TimePoint at;
     std::uint64_t number;
-    Act act;
+    Action action;
   };
   static bool Later(const Event& a, const Event& b) {
     return a.at != b.at ? a.at > b.at : a.number > b.number;
@@ -102,14 +104,15 @@
   void Set(runtime::TimePoint at, std::function<void()> due) override {
     *latest_ += 1;
     sim_.At(at, [due = std::move(due), number = *latest_, latest = std::weak_ptr<std::uint64_t>(latest_)] {
-      const auto still = latest.lock();
-      if (still && *still == number) due();
+      const auto current = latest.lock();
+      if (current && *current == number) due();
     });
   }
 
  private:
   Simulator& sim_;
-  // Shared with what is set: gone with this object, and only the latest counts.
+  // The number of the latest Set(); scheduled events hold a weak reference. An event runs only if the timer
+  // still exists and it is the latest.
   std::shared_ptr<std::uint64_t> latest_ = std::make_shared<std::uint64_t>(0);
 };
 
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -61,7 +61,8 @@
   std::vector<pollfd> waits;
   waits.reserve(workers.size());
   for (const auto& [fd, worker] : workers) waits.push_back({fd, POLLIN, 0});
-  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR) throw std::runtime_error("poll failed while waiting for worker processes");
+  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR)
+    throw std::runtime_error("poll");
   std::vector<int> ready;
   for (const pollfd& wait : waits) {
     if (wait.revents != 0) ready.push_back(wait.fd);
@@ -69,8 +70,8 @@
   return ready;
 }
 
-// Reads what the worker has written. Returns its result once it has ended, a JSON null if it died, and nothing while
-// it still runs.
+// Reads what the worker has written. Returns its result once it has ended, a JSON null if it died, and
+// nothing while it still runs.
 std::optional<nlohmann::json> ReadOutput(int fd, Worker& worker) {
   char buffer[4096];
   const ssize_t count = ::read(fd, buffer, sizeof buffer);
@@ -89,7 +90,7 @@
 }  // namespace
 
 void RunAll(const std::vector<Job>& jobs, std::size_t at_once,
-             const std::function<bool(std::size_t, const nlohmann::json&)>& done) {
+            const std::function<bool(std::size_t, const nlohmann::json&)>& done) {
   Workers workers;
   std::size_t next = 0;
   bool starting = true;
--- a/src/simulation/text_file.h
+++ b/src/simulation/text_file.h
@@ -5,7 +5,8 @@
 
 namespace mothrack::simulation {
 
-// Writes `text` to `path`, replacing an existing file. Throws std::runtime_error, naming `path`, if the write fails.
+// Writes `text` to `path`, replacing an existing file. Throws std::runtime_error, naming `path`, if the write
+// fails.
 void WriteFile(const std::string& path, const std::string& text);
 
 }  // namespace mothrack::simulation
--- a/tests/simulation/figures_test.cpp
+++ b/tests/simulation/figures_test.cpp
@@ -1,4 +1,4 @@
-// Figures of a run: quantiles, recovery, and what a comparison may conclude.
+// Figures of a run: quantiles, recovery, and the significance of a comparison.
 #include "gtest/gtest.h"
 #include "simulation/simulation_support.h"
 #include "simulation/statistics.h"
@@ -6,7 +6,7 @@
 namespace mothrack::simulation {
 namespace {
 
-TEST(Figures, QuantilesAreWithinABinOfTheTruth) {
+TEST(Figures, QuantilesAreWithinOneBinOfTheTrueValues) {
   LatencyHistogram times = NewLatencyHistogram();
   for (int i = 1; i <= 1000; ++i) times(i);
   EXPECT_NEAR(Quantile(times, 0.5), 500, 25);
@@ -14,9 +14,9 @@
   EXPECT_EQ(Quantile(NewLatencyHistogram(), 0.5), 0);
 }
 
-// Capacity is back at 6 s, rejections stop at 9 s: three seconds were lost needlessly.
+// Capacity is back at 6 s, rejections stop at 9 s: for three seconds requests are rejected needlessly.
 TEST(Figures, RecoveryCountsFromReturningCapacityAndNotFromTheFault) {
-  Scenario scenario = Small("mass_restart", 20);
+  Scenario scenario = LoadSmallScenario("mass_restart", 20);
   scenario.faults = {{FaultKind::kSlow, 3, 3, 0.5, 4, ""}};
   Figures figures(scenario);
   std::uint64_t client_request = 0;
@@ -43,7 +43,7 @@
   EXPECT_NEAR(recovery->needless, 30.0 / 2000, 1e-9);
 }
 
-TEST(Statistics, AnIntervalTellsOnlyWhereItLeavesZeroOut) {
+TEST(Statistics, ADifferenceIsSignificantOnlyIfItsIntervalExcludesZero) {
   const Difference clear = Compare({1.0, 1.2, 0.9, 1.1});
   EXPECT_TRUE(clear.significant());
   EXPECT_NEAR(clear.mean, 1.05, 1e-9);
--- a/tests/simulation/invariants_test.cpp
+++ b/tests/simulation/invariants_test.cpp
@@ -1,4 +1,4 @@
-// The four rules, event by event.
+// The rule checker: each rule on a short sequence of events.
 #include "simulation/invariants.h"
 
 #include <map>
@@ -10,7 +10,8 @@
 namespace mothrack::simulation {
 namespace {
 
-// Hands events to the rules: each when the next one begins, so that a test can fill in its members.
+// Records events with the rule checker. Each is recorded when the next one is added, so that a test can set
+// its members first.
 class CheckedEvents {
  public:
   CheckedEvents()
@@ -50,33 +51,33 @@
                                                 {balancer::Outcome::kConnectFailed, 0},
                                                 {balancer::Outcome::kTimeout, 1},
                                                 {balancer::Outcome::kReset, 1}}) {
-    CheckedEvents c;
-    c.Add(Kind::kAccepted, 0);
-    c.Add(Kind::kAttemptSent, 1);
-    c.Add(Kind::kAttemptEnded, 2).outcome = outcome;
-    c.Add(Kind::kAttemptSent, 3);
-    EXPECT_EQ(c.Count(Rule::kTwice), broken) << static_cast<int>(outcome);
+    CheckedEvents events;
+    events.Add(Kind::kAccepted, 0);
+    events.Add(Kind::kAttemptSent, 1);
+    events.Add(Kind::kAttemptEnded, 2).outcome = outcome;
+    events.Add(Kind::kAttemptSent, 3);
+    EXPECT_EQ(events.Count(Rule::kTwice), broken) << static_cast<int>(outcome);
   }
 }
 
-TEST(Rules, ARejectionPromisesThatNothingRan) {
-  CheckedEvents c;
-  c.Add(Kind::kAccepted, 0);
-  c.Add(Kind::kAttemptSent, 1);
-  c.Add(Kind::kAttemptEnded, 2).outcome = balancer::Outcome::kFull;
-  c.Add(Kind::kAnswered, 3).request_outcome = RequestOutcome::kRefused;
-  EXPECT_EQ(c.Count(Rule::kTwice), 0U);
-  c.Add(Kind::kCallStarted, 4);
-  EXPECT_EQ(c.Count(Rule::kTwice), 1U);
+TEST(Rules, ARejectedRequestMustNotRun) {
+  CheckedEvents events;
+  events.Add(Kind::kAccepted, 0);
+  events.Add(Kind::kAttemptSent, 1);
+  events.Add(Kind::kAttemptEnded, 2).outcome = balancer::Outcome::kFull;
+  events.Add(Kind::kAnswered, 3).request_outcome = RequestOutcome::kRefused;
+  EXPECT_EQ(events.Count(Rule::kTwice), 0U);
+  events.Add(Kind::kCallStarted, 4);
+  EXPECT_EQ(events.Count(Rule::kTwice), 1U);
 }
 
-TEST(Rules, OneAnswerInTimeAndNoneForWhoLeft) {
+TEST(Rules, ARequestNeedsOneAnswerInTimeUnlessItsClientLeft) {
   CheckedEvents late;
   late.Add(Kind::kAccepted, 0);
   late.Add(Kind::kAnswered, 1050).request_outcome = RequestOutcome::kFailed;
   EXPECT_EQ(late.Count(Rule::kLost), 0U);
   late.Add(Kind::kAnswered, 1051).request_outcome = RequestOutcome::kFailed;
-  EXPECT_EQ(late.Count(Rule::kLost), 2U) << "a second one, and late";
+  EXPECT_EQ(late.Count(Rule::kLost), 2U) << "one breach for the second answer, one for the late answer";
   CheckedEvents left;
   left.Add(Kind::kAccepted, 0);
   left.Add(Kind::kClientLeft, 10);
@@ -90,25 +91,26 @@
   EXPECT_EQ(none.Count(Rule::kLost), 1U);
 }
 
-TEST(Rules, NothingBeginsAtADrainingServerAfterItsGrace) {
-  CheckedEvents c;
-  c.Add(Kind::kAccepted, 0);
-  c.Add(Kind::kSidecarNotified, 0).leaving = true;
-  c.Add(Kind::kAttemptSent, 550);
-  EXPECT_EQ(c.Count(Rule::kDrain), 0U);
-  c.Add(Kind::kSidecarNotified, 551).leaving = true;  // notified again: the first notice counts
-  c.Add(Kind::kAttemptSent, 552);
-  EXPECT_EQ(c.Count(Rule::kDrain), 1U);
+TEST(Rules, NoAttemptGoesToADrainingServerAfterItsGracePeriod) {
+  CheckedEvents events;
+  events.Add(Kind::kAccepted, 0);
+  events.Add(Kind::kSidecarNotified, 0).leaving = true;
+  events.Add(Kind::kAttemptSent, 550);
+  EXPECT_EQ(events.Count(Rule::kDrain), 0U);
+  events.Add(Kind::kSidecarNotified, 551).leaving = true;  // notified again: the first notice counts
+  events.Add(Kind::kAttemptSent, 552);
+  EXPECT_EQ(events.Count(Rule::kDrain), 1U);
 }
 
-TEST(Rules, AWarmingServerBearsWhatAllSendWithinTheWindow) {
-  // Of 3 ms a millisecond, a fifth at first: 2,400 ms of work in a second are four times what it can.
-  CheckedEvents c;
-  c.Add(Kind::kServerStarted, 0).work = 3;
-  for (int i = 0; i < 24; ++i) c.Add(Kind::kCallArrived, i).work = 100;
-  EXPECT_EQ(c.Count(Rule::kSlowStart), 0U);
-  c.Add(Kind::kCallArrived, 25).work = 150;
-  EXPECT_EQ(c.Count(Rule::kSlowStart), 1U);
+TEST(Rules, AServerInSlowStartGetsLimitedWorkWithinTheWindow) {
+  // A capacity of 3 ms of work per millisecond, a fifth of it at first: 2,400 ms of work in a second are four
+  // times that.
+  CheckedEvents events;
+  events.Add(Kind::kServerStarted, 0).work = 3;
+  for (int i = 0; i < 24; ++i) events.Add(Kind::kCallArrived, i).work = 100;
+  EXPECT_EQ(events.Count(Rule::kSlowStart), 0U);
+  events.Add(Kind::kCallArrived, 25).work = 150;
+  EXPECT_EQ(events.Count(Rule::kSlowStart), 1U);
   CheckedEvents spread;
   spread.Add(Kind::kServerStarted, 0).work = 3;
   for (int i = 0; i < 50; ++i) spread.Add(Kind::kCallArrived, 100 * i).work = 150;
--- a/tests/simulation/load_generator_test.cpp
+++ b/tests/simulation/load_generator_test.cpp
@@ -1,4 +1,4 @@
-// Open-loop load: latency counts from when a request was due. Loopback only.
+// Open-loop load: the latency of a request counts from its due time; only loopback addresses are accepted.
 #include "simulation/load_generator.h"
 
 #include <atomic>
@@ -11,9 +11,9 @@
 namespace mothrack::simulation {
 namespace {
 
-// A server that stalls for half a second: of requests due every 5 ms, some hundred waited for it. A client
-// that sends the next one only when the last is answered sees one slow answer.
-TEST(Load, CountsAStallForAllThatWaitedForIt) {
+// The server stalls for half a second, and about a hundred requests that are due every 5 ms wait for it. A
+// closed-loop client, which sends the next request only after an answer, would see one slow answer.
+TEST(Load, CountsAStallForEachRequestThatWaitedForIt) {
   std::atomic<bool> stalled{false};
   const auto begin = std::chrono::steady_clock::now();
   testing::Upstream server([&](testing::Wire& wire, const testing::Request&, int) {
@@ -33,18 +33,18 @@
   EXPECT_EQ(result.due, 300U);
   EXPECT_EQ(result.served + result.refused + result.failed, result.due);
   EXPECT_EQ(result.served, 300U);
-  EXPECT_GT(Quantile(result.from_due, 0.9), 150) << "a tenth waited for the stall";
-  EXPECT_LT(Quantile(result.from_sent, 0.9), 50) << "and a client that forgets what was due does not see it";
+  EXPECT_GT(Quantile(result.from_due, 0.9), 150) << "at least a tenth of the requests waited for the stall";
+  EXPECT_LT(Quantile(result.from_sent, 0.9), 50) << "measured from the send time the stall is not visible";
 }
 
-TEST(Load, GoesToLoopbackOnlyAndCountsWhatNobodyAnswers) {
+TEST(Load, AcceptsLoopbackOnlyAndCountsRefusedConnectionsAsFailed) {
   LoadConfig config;
   config.host = "192.0.2.1";
   EXPECT_THROW(Load(config), std::invalid_argument);
-  const testing::Refusing nobody;
+  const testing::Refusing refusing_server;
   config.host = "127.0.0.1";
-  config.port =
-      static_cast<std::uint16_t>(std::stoi(nobody.address().substr(nobody.address().find(':') + 1)));
+  config.port = static_cast<std::uint16_t>(
+      std::stoi(refusing_server.address().substr(refusing_server.address().find(':') + 1)));
   config.rate = 100;
   config.length_s = 0.2;
   const LoadResult result = Load(config);
--- a/tests/simulation/program_test.cpp
+++ b/tests/simulation/program_test.cpp
@@ -1,4 +1,4 @@
-// The program mothrack-sim: sweeps that continue, comparisons, exit codes, pages.
+// The program mothrack-sim: continued sweeps, comparisons, exit codes and pages.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -19,7 +19,7 @@
 
 namespace fs = std::filesystem;
 
-// Starts the program with its output in `out`; the child's process id.
+// Starts the program with its output in the file `out`. Returns its process id.
 pid_t StartProgram(const std::vector<std::string>& arguments, const std::string& out) {
   std::vector<std::string> command = {MOTHRACK_SIM_PROGRAM};
   command.insert(command.end(), arguments.begin(), arguments.end());
@@ -34,8 +34,8 @@
   ::_exit(127);
 }
 
-// Waits for the end of the process; its exit code, or 128 and its signal.
-int CodeOf(pid_t pid) {
+// Waits for the process to end. Returns its exit code, or 128 plus the signal that ended it.
+int WaitForExitCode(pid_t pid) {
   int status = 0;
   ::waitpid(pid, &status, 0);
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
@@ -47,8 +47,8 @@
   return text.str();
 }
 
-std::vector<std::string> SweepOf(const std::string& db) {
-  return {"sweep",   PathOf("calm"),
+std::vector<std::string> SweepArguments(const std::string& db) {
+  return {"sweep",   ScenarioPath("calm"),
           "--set",   "length_s=6",
           "--set",   "fleet.sidecars=8",
           "--vary",  "load.use=0.3,0.6",
@@ -57,53 +57,59 @@
           "--db",    db};
 }
 
-TEST(Program, ASweepKilledHalfwayGoesOnToTheSameTable) {
+TEST(Program, AKilledSweepContinuesToTheSameResults) {
   const testing::TemporaryDirectory directory("simulation");
-  ASSERT_EQ(CodeOf(StartProgram(SweepOf(directory.File("whole")), directory.File("whole.out"))), 0);
-  const pid_t pid = StartProgram(SweepOf(directory.File("cut")), directory.File("cut.out"));
+  ASSERT_EQ(
+      WaitForExitCode(StartProgram(SweepArguments(directory.File("whole")), directory.File("whole.out"))), 0);
+  const pid_t pid = StartProgram(SweepArguments(directory.File("cut")), directory.File("cut.out"));
   ASSERT_TRUE(testing::Eventually([&] {
     try {
-      return fs::exists(directory.File("cut")) && Results(directory.File("cut")).RunsWithLabel("now").size() >= 3;
+      return fs::exists(directory.File("cut")) &&
+             Results(directory.File("cut")).RunsWithLabel("now").size() >= 3;
     } catch (const std::exception&) {
       return false;
     }
   }));
   ::kill(pid, SIGKILL);
-  CodeOf(pid);
-  ASSERT_EQ(CodeOf(StartProgram(SweepOf(directory.File("cut")), directory.File("cut.out"))), 0);
+  WaitForExitCode(pid);
+  ASSERT_EQ(WaitForExitCode(StartProgram(SweepArguments(directory.File("cut")), directory.File("cut.out"))),
+            0);
   const std::string cut = ReadAll(directory.File("cut.out"));
   EXPECT_NE(cut.find("runs are there already"), std::string::npos) << cut;
-  EXPECT_EQ(Results(directory.File("cut")).RunsWithLabel("now"), Results(directory.File("whole")).RunsWithLabel("now"));
+  EXPECT_EQ(Results(directory.File("cut")).RunsWithLabel("now"),
+            Results(directory.File("whole")).RunsWithLabel("now"));
   EXPECT_EQ(Results(directory.File("whole")).RunsWithLabel("now").size(), 24U);
 }
 
-TEST(Program, ComparesTheSameSeedsAndDrawsAPage) {
+TEST(Program, ComparesRunsOfTheSameSeedsAndWritesAPage) {
   const testing::TemporaryDirectory directory("simulation");
   const std::string db = directory.File("db");
   for (const char* label : {"a", "b"}) {
     const std::string hedging = std::string("allow.second_copies=") + (*label == 'a' ? "true" : "false");
-    // Other settings make another hash, so the pair is made by hand: the label differs, the key does not.
-    Scenario scenario = LoadScenario(PathOf("calm"), {"length_s=6", "fleet.sidecars=8"});
+    // The two labels run with different settings, which have different hashes. The runs are stored with the
+    // same hash here, so that they form pairs.
+    Scenario scenario = LoadScenario(ScenarioPath("calm"), {"length_s=6", "fleet.sidecars=8"});
     const RunKey key{label, scenario.name, HashOf(scenario), 1};
     Results results(db);
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
-      Scenario played = LoadScenario(PathOf("calm"), {"length_s=6", "fleet.sidecars=8", hedging});
-      SimulationRun simulated(played, seed);
+      Scenario changed = LoadScenario(ScenarioPath("calm"), {"length_s=6", "fleet.sidecars=8", hedging});
+      SimulationRun simulated(changed, seed);
       const Outcome outcome = simulated.Run();
       RunKey of_seed = key;
       of_seed.seed = seed;
-      results.Store(of_seed, "x", "y", ToJson(played, seed, outcome, simulated.figures(), false));
+      results.Store(of_seed, "x", "y", ToJson(changed, seed, outcome, simulated.figures(), false));
     }
   }
-  ASSERT_EQ(CodeOf(StartProgram({"compare", "a", "b", "--db", db, "--report", directory.File("page.html")},
-                                directory.File("out"))),
-            0);
+  ASSERT_EQ(
+      WaitForExitCode(StartProgram({"compare", "a", "b", "--db", db, "--report", directory.File("page.html")},
+                                   directory.File("out"))),
+      0);
   EXPECT_NE(ReadAll(directory.File("out")).find("attempts_a_try"), std::string::npos);
   EXPECT_NE(ReadAll(directory.File("page.html")).find("<svg"), std::string::npos);
-  EXPECT_EQ(CodeOf(StartProgram({"compare", "a", "nobody", "--db", db}, directory.File("out"))), 1);
+  EXPECT_EQ(WaitForExitCode(StartProgram({"compare", "a", "nobody", "--db", db}, directory.File("out"))), 1);
 }
 
-TEST(Program, TellsWhatDidNotHoldByItsExitCodeAndReplays) {
+TEST(Program, ReportsMissedExpectationsByExitCodeAndReplaysRuns) {
   const testing::TemporaryDirectory directory("simulation");
   const std::string out = directory.File("out");
   const std::vector<std::string> small = {"--set", "length_s=8", "--set", "fleet.sidecars=8"};
@@ -111,17 +117,22 @@
     arguments.insert(arguments.end(), small.begin(), small.end());
     return arguments;
   };
-  ASSERT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--report", directory.File("page.html")}), out)),
+  ASSERT_EQ(WaitForExitCode(StartProgram(
+                with({"run", ScenarioPath("calm"), "--report", directory.File("page.html")}), out)),
             0)
       << ReadAll(out);
   const std::string text = ReadAll(out);
   const auto at = text.find("digest ") + 7;
   const std::string digest = text.substr(at, 16);
-  EXPECT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--expect", digest}), out)), 0) << ReadAll(out);
-  EXPECT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--expect", digest, "--seed", "2"}), out)), 2);
-  EXPECT_EQ(CodeOf(StartProgram(with({"run", PathOf("calm"), "--plant", "resend"}), out)), 2);
+  EXPECT_EQ(WaitForExitCode(StartProgram(with({"run", ScenarioPath("calm"), "--expect", digest}), out)), 0)
+      << ReadAll(out);
+  EXPECT_EQ(WaitForExitCode(
+                StartProgram(with({"run", ScenarioPath("calm"), "--expect", digest, "--seed", "2"}), out)),
+            2);
+  EXPECT_EQ(WaitForExitCode(StartProgram(with({"run", ScenarioPath("calm"), "--plant", "resend"}), out)), 2);
   EXPECT_NE(ReadAll(out).find("not held: rule twice"), std::string::npos);
-  EXPECT_EQ(CodeOf(StartProgram({"run", PathOf("calm"), "--set", "fleet.sidecars=none"}, out)), 1);
+  EXPECT_EQ(WaitForExitCode(StartProgram({"run", ScenarioPath("calm"), "--set", "fleet.sidecars=none"}, out)),
+            1);
   const std::string page = ReadAll(directory.File("page.html"));
   for (const char* part : {"<figcaption>Room", "<table>", "held: the four rules"})
     EXPECT_NE(page.find(part), std::string::npos) << part;
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -1,4 +1,5 @@
-// Scenario files: what is wrong in one is named, and what is written can be read again.
+// Scenario files: an error names its place and remedy, and a written scenario reads back as the same
+// scenario.
 #include <filesystem>
 #include <map>
 
@@ -15,13 +16,14 @@
   const std::string cls = "[[class]]\nname = \"p\"\neffect = \"safe\"\n";
   const std::map<std::string, std::string> faults = {
       {head, "[[class]]"},
-      {cls, "[top] name: give one"},
+      {cls, "[top] name: give a name"},
       {head + "speed = 3\n" + cls, "[top] speed: there is no such key"},
       {head + "[fleet]\nsidecars = 0\n" + cls, "[fleet] sidecars: give a number from 1 to"},
       {head + "[fleet]\nsidecars = 1.5\n" + cls, "give a whole number"},
       {head + "[load]\nuse = \"much\"\n" + cls, "[load] use: give a number"},
-      {head + cls + "[[fault]]\nkind = \"rain\"\n", "'rain' is none; give one of cut-zone"},
-      {head + cls + "[[fault]]\nkind = \"cut-zone\"\nzone = \"moon\"\n", "'moon' is none of [servers] zones"},
+      {head + cls + "[[fault]]\nkind = \"rain\"\n", "'rain' is unknown; give one of cut-zone"},
+      {head + cls + "[[fault]]\nkind = \"cut-zone\"\nzone = \"moon\"\n",
+       "'moon' is not one of [servers] zones"},
       {head + "[[class]]\nname = \"p\"\neffect = \"safe\"\naim_ms = 900\ndeadline_ms = 800\n",
        "no less than aim_ms"},
       {head + "x = \n", "x.toml:2"},
--- a/tests/simulation/simulation_run_test.cpp
+++ b/tests/simulation/simulation_run_test.cpp
@@ -1,4 +1,4 @@
-// Simulation runs: the same seed gives the same run, no rule is broken, and each checker finds its fault.
+// Simulation runs: the same seed gives the same run, no rule is broken, and injected faults are detected.
 #include <filesystem>
 #include <map>
 
@@ -10,46 +10,47 @@
 
 namespace fs = std::filesystem;
 
-TEST(SimulationRun, TheSameSeedGivesTheSameRunAndAnotherAnother) {
+TEST(SimulationRun, TheSameSeedGivesTheSameRunAndAnotherSeedADifferentOne) {
   for (const char* name : {"rolling_deploy", "retry_storm", "hall_lost"}) {
-    const Scenario scenario = Small(name);
-    const CompletedRun first = Play(scenario, 5);
-    const CompletedRun second = Play(scenario, 5);
+    const Scenario scenario = LoadSmallScenario(name);
+    const CompletedRun first = RunScenario(scenario, 5);
+    const CompletedRun second = RunScenario(scenario, 5);
     EXPECT_EQ(first.outcome.digest, second.outcome.digest) << name;
     EXPECT_EQ(first.run, second.run) << name;
-    EXPECT_NE(first.outcome.digest, Play(scenario, 6).outcome.digest) << name;
+    EXPECT_NE(first.outcome.digest, RunScenario(scenario, 6).outcome.digest) << name;
   }
 }
 
-// Every scenario of the library, small: it can be read, the rules hold, and nobody is left without an answer.
-TEST(SimulationRun, TheLibraryIsPlayedWithNoRuleBroken) {
-  int played = 0;
+// Runs every scenario of the directory with a small fleet: it can be read, no rule is broken, and every
+// request gets an answer.
+TEST(SimulationRun, NoScenarioBreaksARule) {
+  int scenario_count = 0;
   for (const auto& entry : fs::directory_iterator(MOTHRACK_SCENARIOS)) {
-    const Scenario scenario = Small(entry.path().stem());
-    const CompletedRun completed = Play(scenario, 3);
+    const Scenario scenario = LoadSmallScenario(entry.path().stem());
+    const CompletedRun completed = RunScenario(scenario, 3);
     EXPECT_EQ(completed.outcome.broken, 0U) << scenario.name << ": " << completed.run["breaks"].dump();
     EXPECT_EQ(completed.outcome.still_open, 0U) << scenario.name;
     const auto ended =
         completed.run["good"].get<std::uint64_t>() + completed.run["late"].get<std::uint64_t>() +
         completed.run["refused"].get<std::uint64_t>() + completed.run["failed"].get<std::uint64_t>();
     EXPECT_EQ(ended, completed.run["asked"].get<std::uint64_t>())
-        << scenario.name << ": a client request without an end";
-    ++played;
+        << scenario.name << ": a client request has no result";
+    ++scenario_count;
   }
-  EXPECT_GE(played, 13);
+  EXPECT_GE(scenario_count, 13);
 }
 
-TEST(SimulationRun, EachRulesCheckerFindsItsInjectedFault) {
+TEST(SimulationRun, EachInjectedFaultIsDetectedByItsRule) {
   const std::map<InjectedFault, std::string> injected = {{InjectedFault::kResend, "twice"},
                                                          {InjectedFault::kAfterDrain, "drain"},
                                                          {InjectedFault::kDroppedAnswer, "lost"},
                                                          {InjectedFault::kOverloadWarmingUp, "cold"}};
-  Scenario scenario = Small("rolling_deploy");
+  Scenario scenario = LoadSmallScenario("rolling_deploy");
   // Enough sidecars to overload a warming server.
   scenario.sidecars = 30;
   scenario.servers = 14;
   for (const auto& [injected_fault, rule] : injected) {
-    const CompletedRun completed = Play(scenario, 2, injected_fault);
+    const CompletedRun completed = RunScenario(scenario, 2, injected_fault);
     ASSERT_FALSE(completed.outcome.breaches.empty()) << rule;
     for (const Breach& b : completed.outcome.breaches) EXPECT_EQ(NameOf(b.rule), rule) << b.what;
   }
@@ -57,8 +58,8 @@
 
 TEST(SimulationRun, TenThousandServers) {
   const Scenario scenario = LoadScenario(
-      PathOf("calm"), {"servers.count=10000", "fleet.sidecars=3", "length_s=1", "load.use=0.0002"});
-  const CompletedRun completed = Play(scenario, 1);
+      ScenarioPath("calm"), {"servers.count=10000", "fleet.sidecars=3", "length_s=1", "load.use=0.0002"});
+  const CompletedRun completed = RunScenario(scenario, 1);
   EXPECT_EQ(completed.outcome.broken, 0U);
   EXPECT_GT(completed.outcome.requests, 20U);
 }
--- a/tests/simulation/simulation_support.h
+++ b/tests/simulation/simulation_support.h
@@ -1,4 +1,4 @@
-// What the simulator's tests share: scenarios of the library, made small, and one run of them.
+// Helpers of the simulator's tests: load the scenarios of src/simulation/scenarios, reduce them and run them.
 #pragma once
 
 #include <algorithm>
@@ -10,26 +10,26 @@
 
 namespace mothrack::simulation {
 
-// The path of a scenario of the library.
-inline std::string PathOf(const std::string& name) {
+// Returns the path of a scenario in src/simulation/scenarios.
+inline std::string ScenarioPath(const std::string& name) {
   return std::string(MOTHRACK_SCENARIOS) + '/' + name + ".toml";
 }
 
-// A scenario of the library with a small fleet, a shorter run and its faults within that.
-inline Scenario Small(const std::string& name, double length_s = 25) {
-  Scenario scenario = LoadScenario(PathOf(name), {"fleet.sidecars=12", "servers.count=8"});
+// Loads a scenario with a small fleet, a shorter run, and its faults moved into that time.
+inline Scenario LoadSmallScenario(const std::string& name, double length_s = 25) {
+  Scenario scenario = LoadScenario(ScenarioPath(name), {"fleet.sidecars=12", "servers.count=8"});
   scenario.length_s = length_s;
   for (Fault& f : scenario.faults) f.at_s = std::min(f.at_s, 8.0), f.len_s = std::min(f.len_s, 6.0);
   return scenario;
 }
 
-// One simulation run: its outcome, and its figures as JSON with their seconds.
+// The results of one run: its outcome, and its figures as JSON, with those of each second.
 struct CompletedRun {
   Outcome outcome;
   nlohmann::json run;
 };
-inline CompletedRun Play(const Scenario& scenario, std::uint64_t seed,
-                         InjectedFault injected_fault = InjectedFault::kNone) {
+inline CompletedRun RunScenario(const Scenario& scenario, std::uint64_t seed,
+                                InjectedFault injected_fault = InjectedFault::kNone) {
   SimulationRun simulated(scenario, seed, injected_fault);
   const Outcome outcome = simulated.Run();
   return {outcome, ToJson(scenario, seed, outcome, simulated.figures(), true)};
--- a/tests/simulation/stored_fixture_test.cpp
+++ b/tests/simulation/stored_fixture_test.cpp
@@ -1,5 +1,5 @@
-// The simulator's results as version 0.2.0 kept them: the present one reads all of them, and its runs of the
-// same scenario and seeds are kept as the same rows.
+// A result database that version 0.2.0 wrote: this version reads all of it, and stores runs of the same
+// scenario and seeds as the same rows.
 #include <gtest/gtest.h>
 
 #include "simulation/results.h"
@@ -14,21 +14,25 @@
 const std::vector<std::string> kLabels = {"after", "before"};
 constexpr std::uint64_t kSeeds = 2;
 
-// The scenario is a copy of the time of the recording: its settings are part of what is kept.
-Scenario Played() { return LoadScenario(MOTHRACK_FIXTURES "/calm.toml", {"length_s=2", "fleet.sidecars=4"}); }
+// Loads the copy of the scenario as it was when the database was recorded; stored rows include the hash of
+// its settings.
+Scenario RecordedScenario() {
+  return LoadScenario(MOTHRACK_FIXTURES "/calm.toml", {"length_s=2", "fleet.sidecars=4"});
+}
 
-// With the figures of each second for the last seed alone.
-nlohmann::json Play(const Scenario& scenario, std::uint64_t seed) {
+// Runs the scenario. The result has the figures of each second for the last seed only, as in the recorded
+// database.
+nlohmann::json RunScenario(const Scenario& scenario, std::uint64_t seed) {
   SimulationRun run(scenario, seed);
   const Outcome outcome = run.Run();
   return ToJson(scenario, seed, outcome, run.figures(), seed == kSeeds);
 }
 
-TEST(StoredFixture, ResultsOfTheFormerVersionAreReadWhole) {
+TEST(StoredFixture, ReadsAllResultsOfTheEarlierVersion) {
   const testing::FixtureDirectory folder;
   const Results results(folder.CopyOf(kFixture));
   EXPECT_EQ(results.Labels(), kLabels);
-  const Scenario scenario = Played();
+  const Scenario scenario = RecordedScenario();
   for (const std::string& label : kLabels) {
     const auto runs = results.RunsWithLabel(label);
     ASSERT_EQ(runs.size(), kSeeds);
@@ -36,22 +40,23 @@
       const RunKey key{label, "calm", HashOf(scenario), seed};
       ASSERT_TRUE(results.Has(key)) << label << ' ' << seed;
       const nlohmann::json& read = runs.at(key);
-      const nlohmann::json played = Play(scenario, seed);
+      const nlohmann::json played = RunScenario(scenario, seed);
       EXPECT_EQ(read.size(), played.size());
       for (const auto& [name, figure] : played.items()) EXPECT_EQ(read.at(name), figure) << name;
     }
   }
 }
 
-TEST(StoredFixture, ResultsAreKeptWithTheSchemaAndRowsOfTheFormerVersion) {
+TEST(StoredFixture, StoresResultsWithTheSchemaAndRowsOfTheEarlierVersion) {
   const testing::FixtureDirectory folder;
   const std::string path = folder.File("new.sqlite");
-  const Scenario scenario = Played();
+  const Scenario scenario = RecordedScenario();
   {
     Results results(path);
     for (const std::string& label : kLabels) {
       for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
-        results.Store({label, "calm", HashOf(scenario), seed}, "0.2.0", "a machine", Play(scenario, seed));
+        results.Store({label, "calm", HashOf(scenario), seed}, "0.2.0", "a machine",
+                      RunScenario(scenario, seed));
       }
     }
   }
