--- a/src/simulation/command_compare.cpp
+++ b/src/simulation/command_compare.cpp
@@ -28,8 +28,8 @@
     if (it != of_b.end()) pairs[key.scenario].emplace_back(run, it->second);
   }
   if (pairs.empty())
-    throw std::runtime_error("no run of label '" + a + "' has a run of label '" + b +
-                             "' with the same scenario, settings and seed");
+    throw std::runtime_error("no run of label '" + a +
+                             "' has the scenario, settings and seed of a run of label '" + b + "'");
   return pairs;
 }
 
--- a/src/simulation/command_run.cpp
+++ b/src/simulation/command_run.cpp
@@ -35,8 +35,8 @@
   }
   if (scenario.recovers_within_s) {
     const bool recovered = run.value("recovered", true);
-    std::snprintf(text, sizeof text, "service recovered %.0f s after capacity, at most %.0f",
-                  run.value("took_s", 0.0), *scenario.recovers_within_s);
+    std::snprintf(text, sizeof text, "service recovery took %.0f s, at most %.0f", run.value("took_s", 0.0),
+                  *scenario.recovers_within_s);
     add(recovered && run.value("took_s", 0.0) <= *scenario.recovers_within_s, text);
   }
   return verdicts;
@@ -67,11 +67,11 @@
       run.value("connects_a_try", 0.0));
   if (run.contains("took_s")) {
     std::printf(
-        "  capacity sufficient from %.0f s on; service recovered %s%.0f s later; share not served despite "
-        "spare "
-        "capacity %.4f\n",
-        run.value("covered_s", 0.0), run.value("recovered", false) ? "" : "NOT within ",
-        run.value("took_s", 0.0), run.value("needless", 0.0));
+        "  capacity sufficient from %.0f s on; service %s %.0f s; share not served despite spare capacity "
+        "%.4f\n",
+        run.value("covered_s", 0.0),
+        run.value("recovered", false) ? "recovered after" : "NOT recovered within", run.value("took_s", 0.0),
+        run.value("needless", 0.0));
   }
 }
 
--- a/src/simulation/command_shrink.cpp
+++ b/src/simulation/command_shrink.cpp
@@ -1,4 +1,4 @@
-// The command shrink: reduces a scenario while it still shows_fault the same kind of fault, and prints the
+// The command shrink: reduces a scenario while it still shows the same kind of fault, and prints the
 // result as a scenario file.
 #include <cstdio>
 
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -16,8 +16,9 @@
 namespace mothrack::simulation {
 
 // The fault that a run injects.
-// kResend: an unsafe attempt is sent twice. kAfterDrain: attempts go to a draining server. kDroppedAnswer:
-// some final answers are dropped. kOverloadWarmingUp: all attempts go to a server in slow start.
+// kResend: some unsafe attempts are sent twice. kAfterDrain: some attempts go to a draining server.
+// kDroppedAnswer: some final answers are dropped. kOverloadWarmingUp: all attempts go to a server in slow
+// start.
 enum class InjectedFault { kNone, kResend, kAfterDrain, kDroppedAnswer, kOverloadWarmingUp };
 
 // A transport between the dispatcher and SimulatedTransport that sometimes breaks a rule. `find_server(true)`
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -35,7 +35,7 @@
   struct Limits {
     std::vector<bool> unsafe;          // indexed by class
     runtime::Duration grace{50'000};   // after a request's deadline
-    runtime::Duration drain{550'000};  // from the notice that a server drains until no attempt may start
+    runtime::Duration drain{550'000};  // after the notice that a server drains; includes the grace of sockets
     double overload_multiple = 4;      // of the capacity of a server in slow start
     runtime::Duration overload_window{1'000'000};
     double slow_start_initial_share = 0.2;
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -29,7 +29,7 @@
   return f;
 }
 
-// Makes a scenario smaller step by step. A step is kept only if the result still shows_fault the fault.
+// Makes a scenario smaller step by step. A step is kept only if the result still shows the fault.
 class Shrinker {
  public:
   Shrinker(Scenario scenario, const std::function<bool(const Scenario&)>& shows_fault, int budget)
@@ -48,7 +48,7 @@
   }
 
  private:
-  // Runs the candidate and keeps it if it shows_fault the fault; false if not, or if no runs are left.
+  // Runs the candidate and keeps it if it shows the fault; false if not, or if no runs are left.
   bool KeepIfShown(const Scenario& candidate) {
     if (budget_-- <= 0 || !shows_fault_(candidate)) return false;
     scenario_ = candidate;
--- a/src/simulation/search.h
+++ b/src/simulation/search.h
@@ -1,5 +1,5 @@
-// Looks for faults of the program: scenarios mutated at random from given ones, and the smallest that still
-// shows_fault what was found. Pure.
+// Search for faults of the program: judges runs, mutates scenarios at random, and reduces a scenario to a
+// smaller one that still shows a fault. Reads no clock and does no I/O.
 #pragma once
 
 #include <cstdint>
--- a/src/simulation/server.cpp
+++ b/src/simulation/server.cpp
@@ -63,7 +63,7 @@
   for (auto& [id, job] : running_) all.push_back(std::move(job));
   queue_.clear();
   running_.clear();
-  // Sorted, since the order of the hash table is not the same on every platform.
+  // Sorted by id, so that the order of the resets does not depend on the order of the hash table.
   std::sort(all.begin(), all.end(), [](const Job& a, const Job& b) { return a.id < b.id; });
   for (const Job& job : all) {
     if (job.on_ended) job.on_ended(End::kReset);
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -13,7 +13,8 @@
 
 using balancer::UpstreamState;
 
-// The time that a planned stop waits for open requests, chosen longer than the usual deadlines.
+// The longest time that a planned stop waits for open requests: the longest deadline of the scenarios plus a
+// margin.
 constexpr runtime::Duration kStopTimeout = std::chrono::seconds(5);
 constexpr double kMinRateShare = 0.02;  // of the mean rate: every sidecar gets some requests
 
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -102,7 +102,8 @@
   void Flap(std::size_t server, double away_s, runtime::TimePoint end);
   // Draws the share `part` of the indices below `of` at random.
   std::vector<std::size_t> ChooseIndices(std::size_t of, double part);
-  // Adds the state of the fleet to the figures once a second.
+  // Adds the state of the fleet to the figures once a second: the true state, not what the sidecars know of
+  // it.
   void SampleSecond();
 
   const Scenario scenario_;
--- a/tests/simulation/search_test.cpp
+++ b/tests/simulation/search_test.cpp
@@ -1,4 +1,5 @@
-// Mutate scenarios are valid and reproducible; a shrunk one still shows_fault its fault.
+// Search for faults: mutated scenarios are valid and reproducible, and a shrunk scenario still shows its
+// fault.
 #include "simulation/search.h"
 
 #include "gtest/gtest.h"
