--- a/src/simulation/simulated_transport.cpp
+++ b/src/simulation/simulated_transport.cpp
@@ -159,12 +159,12 @@
 void SimulatedTransport::Probe(dispatch::ExchangeId, const std::string& uid, OnEnd on_end) {
   const std::size_t server = NumberOf(uid);
   const runtime::Duration delay = network_link_.Delay(zone_, server);
-  const bool well = network_link_.IsReachable(zone_, server) && network_link_.At(server).up();
-  sim_.After(well ? 2 * delay : runtime::Duration(std::chrono::milliseconds(200)),
-             [on_end = std::move(on_end), well, there, incarnation = std::weak_ptr(incarnation_)] {
+  const bool reachable = network_link_.IsReachable(zone_, server) && network_link_.At(server).up();
+  sim_.After(reachable ? 2 * delay : runtime::Duration(std::chrono::milliseconds(200)),
+             [on_end = std::move(on_end), reachable, delay, incarnation = std::weak_ptr(incarnation_)] {
                if (incarnation.expired()) return;
                dispatch::ExchangeResult result;
-               result.outcome = well ? Outcome::kServed : Outcome::kTimeout;
+               result.outcome = reachable ? Outcome::kServed : Outcome::kTimeout;
                result.elapsed = 2 * delay;
                on_end(std::move(result));
              });
