--- a/tests/simulation/figures_test.cpp
+++ b/tests/simulation/figures_test.cpp
@@ -1,4 +1,4 @@
-// Figures of a run: quantiles, recovery, and what a comparison may conclude.
+// Figures of a run: quantiles, recovery, and the significance of a comparison.
 #include "gtest/gtest.h"
 #include "simulation/simulation_support.h"
 #include "simulation/statistics.h"
@@ -6,22 +6,22 @@
 namespace mothrack::simulation {
 namespace {
 
-TEST(Figures, QuantilesAreWithinABinOfTheTruth) {
-  Times times = NewTimes();
+TEST(Figures, QuantilesAreWithinOneBinOfTheTrueValues) {
+  LatencyHistogram times = NewLatencyHistogram();
   for (int i = 1; i <= 1000; ++i) times(i);
   EXPECT_NEAR(Quantile(times, 0.5), 500, 25);
   EXPECT_NEAR(Quantile(times, 0.99), 990, 50);
-  EXPECT_EQ(Quantile(NewTimes(), 0.5), 0);
+  EXPECT_EQ(Quantile(NewLatencyHistogram(), 0.5), 0);
 }
 
-// Capacity is back at 6 s, rejections stop at 9 s: three seconds were lost needlessly.
+// Capacity is back at 6 s, rejections stop at 9 s: for three seconds requests are rejected needlessly.
 TEST(Figures, RecoveryCountsFromReturningCapacityAndNotFromTheFault) {
-  Scenario scenario = Small("mass_restart", 20);
+  Scenario scenario = LoadSmallScenario("mass_restart", 20);
   scenario.faults = {{FaultKind::kSlow, 3, 3, 0.5, 4, ""}};
   Figures figures(scenario);
   std::uint64_t client_request = 0;
   for (int s = 0; s < 20; ++s) {
-    figures.At(s).able = s >= 3 && s < 6 ? 0.3 : 1;
+    figures.At(s).available_capacity = s >= 3 && s < 6 ? 0.3 : 1;
     figures.At(s).demand = 0.6;
     for (int i = 0; i < 100; ++i) {
       SimulationEvent event;
@@ -43,13 +43,13 @@
   EXPECT_NEAR(recovery->needless, 30.0 / 2000, 1e-9);
 }
 
-TEST(Statistics, AnIntervalTellsOnlyWhereItLeavesZeroOut) {
+TEST(Statistics, ADifferenceIsSignificantOnlyIfItsIntervalExcludesZero) {
   const Difference clear = Compare({1.0, 1.2, 0.9, 1.1});
-  EXPECT_TRUE(clear.tells());
+  EXPECT_TRUE(clear.significant());
   EXPECT_NEAR(clear.mean, 1.05, 1e-9);
   EXPECT_NEAR(clear.high - clear.low, 2 * 3.1824463 * 0.1290994 / 2, 1e-4);  // t(3), s / sqrt(4)
-  EXPECT_FALSE(Compare({1.0, -1.2, 0.9, -0.8}).tells());
-  EXPECT_FALSE(Compare({1.0}).tells());
+  EXPECT_FALSE(Compare({1.0, -1.2, 0.9, -0.8}).significant());
+  EXPECT_FALSE(Compare({1.0}).significant());
 }
 
 }  // namespace
