--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -14,7 +14,7 @@
 constexpr std::size_t kMaxInstances = 256;
 constexpr std::size_t kMinTokenLength = 16;
 
-std::map<std::string, Role> Tokens(const TomlSection& section, const std::string& path) {
+std::map<std::string, Role> ReadTokens(const TomlSection& section, const std::string& path) {
   RequirePrivateFile(section, "tokens", path);
   std::map<std::string, Role> tokens;
   std::ifstream file(path);
@@ -27,14 +27,14 @@
     words >> token;
     const std::string where = path + " line " + std::to_string(number);
     if (role != "viewer" && role != "operator")
-      section.Fault("tokens", where + ": begins with viewer or operator");
+      section.Fail("tokens", where + ": must begin with viewer or operator");
     if (token.size() < kMinTokenLength)
-      section.Fault("tokens", where + ": a token has 16 characters at least");
+      section.Fail("tokens", where + ": a token needs at least 16 characters");
     if (!tokens.emplace(token, role == "viewer" ? Role::kViewer : Role::kOperator).second) {
-      section.Fault("tokens", where + ": the same token stands there twice");
+      section.Fail("tokens", where + ": the token occurs twice in the file");
     }
   }
-  if (tokens.empty()) section.Fault("tokens", path + " has no line ROLE TOKEN");
+  if (tokens.empty()) section.Fail("tokens", path + " has no line ROLE TOKEN");
   return tokens;
 }
 
@@ -42,9 +42,9 @@
   InstanceSpec spec;
   spec.name = section.Name("name");
   spec.command = section.Strings("command");
-  if (spec.command.empty()) section.Fault("command", "is missing; give the program and its arguments");
+  if (spec.command.empty()) section.Fail("command", "is missing; give the program and its arguments");
   if (spec.command.front().front() != '/')
-    section.Fault("command", "begins with a whole path, as /usr/bin/mothrack");
+    section.Fail("command", "must begin with an absolute path, such as /usr/bin/mothrack");
   spec.environment = section.StringMap("environment");
   spec.admin_address = section.Text("door", "unix:{directory}/door");
   spec.generation = section.Name("generation");
@@ -65,7 +65,7 @@
   std::optional<std::vector<std::string>> Texts(const char* key) override { return section_.Strings(key); }
   [[noreturn]] void Fail(const std::string& key, std::optional<std::size_t>,
                          const std::string& what) override {
-    section_.Fault(key, what);  // which element it is, `what` quotes
+    section_.Fail(key, what);  // `what` quotes the element
   }
 
  private:
@@ -75,15 +75,15 @@
 
 void ReadAgent(TomlSection& file_section, AgentFile& file) {
   auto agent = file_section.Table("agent");
-  if (!agent) file_section.Fault("", "there is no [agent]");
+  if (!agent) file_section.Fail("", "the table [agent] is missing");
   file.name = agent->Name("name");
   file.hall = agent->Name("hall");
   file.listen = agent->Address("listen");
   file.directory = agent->Text("directory");
   const std::string tokens = agent->Text("tokens", "");
-  if (!tokens.empty()) file.tokens = Tokens(*agent, tokens);
+  if (!tokens.empty()) file.tokens = ReadTokens(*agent, tokens);
   if (tokens.empty() && file.listen.rfind("unix:", 0) != 0) {
-    agent->Fault("tokens", "is missing; an address needs a file with lines ROLE TOKEN");
+    agent->Fail("tokens", "is missing; an address needs a file with lines ROLE TOKEN");
   }
   file.check = agent->Strings("check");
   file.lease_time =
@@ -115,7 +115,8 @@
   if (auto generations = file_section.Table("generations"))
     file.generations = file_section.StringMap("generations");
   for (const auto& [name, from] : file.generations) {
-    if (!rollout::IsValidName(name)) file_section.Fault("generations", name + " is no name for a generation");
+    if (!rollout::IsValidName(name))
+      file_section.Fail("generations", name + " is not a valid generation name");
   }
 }
 
@@ -124,11 +125,11 @@
   for (TomlSection& section : file_section.Tables("instance")) {
     file.instances.push_back(ReadInstance(section));
     if (!names.insert(file.instances.back().name).second)
-      section.Fault("name", "is that of another instance, too");
+      section.Fail("name", "is already the name of another instance");
   }
-  if (file.instances.empty()) file_section.Fault("", "there is no [[instance]]");
+  if (file.instances.empty()) file_section.Fail("", "at least one [[instance]] is required");
   if (file.instances.size() > kMaxInstances)
-    file_section.Fault("instance", "more than " + std::to_string(kMaxInstances));
+    file_section.Fail("instance", "occurs more than " + std::to_string(kMaxInstances) + " times");
 }
 
 void ReadPeers(TomlSection& file_section, [[maybe_unused]] AgentFile& file) {
@@ -140,7 +141,7 @@
   }
 #else
   if (file_section.Has("peers")) {
-    file_section.Fault("peers", "this program was built without peers; build it with -DMOTHRACK_PEERS=ON");
+    file_section.Fail("peers", "this program was built without peers; build it with -DMOTHRACK_PEERS=ON");
   }
 #endif
 }
--- a/src/agent/agent_file.h
+++ b/src/agent/agent_file.h
@@ -1,5 +1,5 @@
-// The agent's file (TOML), as an operator writes it for one machine: deploy/agent.toml. A file with a fault
-// is rejected completely.
+// The agent file (TOML), which an operator writes for one machine. Example: deploy/agent.toml. A file with an
+// error is rejected completely.
 #pragma once
 
 #include <map>
@@ -17,22 +17,22 @@
 
 namespace mothrack::agent {
 
-// What the bearer of a token may do: read only, or everything.
+// What a token permits: reading only, or everything.
 enum class Role { kViewer, kOperator };
 
 // The file's values; the defaults are those of the keys.
 struct AgentFile {
   std::string name;
-  std::string hall;                    // the data hall that the machine stands in
+  std::string hall;                    // the data hall of the machine
   std::string listen;                  // "unix:/path" or a loopback address
-  std::string directory;               // of its state
-  std::map<std::string, Role> tokens;  // by the token; of a loopback address only
+  std::string directory;               // where the agent stores its state
+  std::map<std::string, Role> tokens;  // key: the token; only for a loopback address
   rollout::Duration lease_time{10'000};
   rollout::InstanceLimits limits;
   ProcessSupervisor::Limits process_limits;
-  // A command that ends with 0 where a generation's files are good; empty: none is run.
+  // A command that checks a generation's files and exits with 0 if they are valid. Empty: no check.
   std::vector<std::string> check;
-  // Stored at the start: name to the directory with the files.
+  // Generations to store at the start. Key: name; value: the directory with the files.
   std::map<std::string, std::string> generations;
   std::vector<InstanceSpec> instances;
 #ifdef MOTHRACK_WITH_PEERS
--- a/src/agent/agent_list.cpp
+++ b/src/agent/agent_list.cpp
@@ -27,14 +27,15 @@
     if (!token.empty()) {
       RequirePrivateFile(section, "token_file", token);
       std::ifstream(token) >> agent.token;
-      if (agent.token.empty()) section.Fault("token_file", token + " is empty");
+      if (agent.token.empty()) section.Fail("token_file", token + " is empty");
     }
     section.RejectUnknownKeys();
-    if (!names.insert(agent.name).second) section.Fault("name", "is that of another agent, too");
+    if (!names.insert(agent.name).second) section.Fail("name", "is already the name of another agent");
     agents.push_back(std::move(agent));
   }
-  if (agents.empty()) file_section.Fault("", "there is no [[agent]]");
-  if (agents.size() > kMaxAgents) file_section.Fault("agent", "more than " + std::to_string(kMaxAgents));
+  if (agents.empty()) file_section.Fail("", "at least one [[agent]] is required");
+  if (agents.size() > kMaxAgents)
+    file_section.Fail("agent", "occurs more than " + std::to_string(kMaxAgents) + " times");
   file_section.RejectUnknownKeys();
   return agents;
 }
--- a/src/agent/agent_list.h
+++ b/src/agent/agent_list.h
@@ -1,5 +1,5 @@
-// The list of agents (TOML) that a tool calls: deploy/agents.toml. A file with a fault is rejected
-// completely.
+// The list of agents (TOML) that mothrackctl calls. Example: deploy/agents.toml. A file with an error is
+// rejected completely.
 #pragma once
 
 #include <string>
@@ -9,15 +9,15 @@
 
 namespace mothrack::agent {
 
-// One agent, as a tool reaches it.
+// How to reach one agent.
 struct AgentEndpoint {
   std::string name;
-  std::string hall;     // the data hall that its machine stands in
+  std::string hall;     // the data hall of its machine
   std::string address;  // "unix:/path" or a loopback address with its port; key `place`
   std::string token;    // a bearer token; empty: none is sent
 };
 
-// At most 256 agents, each name once. Throws FileError.
+// Reads a list of at most 256 agents with unique names. Throws FileError.
 std::vector<AgentEndpoint> LoadAgentsFile(const std::string& path);
 
 }  // namespace mothrack::agent
--- a/src/agent/child_process.cpp
+++ b/src/agent/child_process.cpp
@@ -24,13 +24,14 @@
 
 using nlohmann::json;
 
-// The lock's descriptor in the process that is started: it holds the lock by it until it ends.
+// The lock's descriptor in the started process, which keeps it open and so holds the lock until it exits.
 constexpr int kLockFd = 3;
 
 int OpenPidFd(pid_t pid) { return static_cast<int>(::syscall(SYS_pidfd_open, pid, 0)); }
 
-// When the kernel started a process, in ticks since boot. 0: there is no such process. proc(5): field 22 of
-// stat, counted behind the name in parentheses, which may hold anything.
+// Returns when the kernel started a process, in ticks since boot, or 0 if there is no such process. This is
+// field 22 of /proc/PID/stat (proc(5)). The fields are counted from the end of the name in parentheses, since
+// the name may contain any characters.
 std::uint64_t StartTimeOf(pid_t pid) {
   constexpr int kFirstFieldAfterName = 3;
   constexpr int kStartTimeField = 22;
@@ -47,7 +48,7 @@
   return std::strtoull(field.c_str(), nullptr, 10);
 }
 
-// As execve(2) takes them; valid as long as `texts` is.
+// Returns a null-terminated array for execve(2). It is valid as long as `texts` is.
 std::vector<char*> PointersTo(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   pointers.reserve(texts.size() + 1);
@@ -56,9 +57,9 @@
   return pointers;
 }
 
-// In the child, after fork. The agent has one thread, so this may allocate.
-[[noreturn]] void BecomeProgram(const LaunchSpec& spec, const std::vector<char*>& argv,
-                                const std::vector<char*>& envp) {
+// Executes the program; called in the child after fork. The agent has one thread, so this may allocate.
+[[noreturn]] void ExecuteProgram(const LaunchSpec& spec, const std::vector<char*>& argv,
+                                 const std::vector<char*>& envp) {
   ::setsid();
   // Not CLOEXEC: the program keeps the lock.
   const int lock = ::open(spec.lock_path.c_str(), O_RDWR | O_CREAT, kPrivateMode);
@@ -73,8 +74,8 @@
   ::dup2(no_input, STDIN_FILENO);
   ::dup2(log, STDOUT_FILENO);
   ::dup2(log, STDERR_FILENO);
-  // No other descriptor of the agent goes along: whoever held its listening socket would stand in its
-  // successor's way.
+  // Closes all other descriptors of the agent: a child that kept its listening socket open would prevent the
+  // next agent from listening.
   ::dup2(lock, kLockFd);
   CloseFdsFrom(kLockFd + 1);
   ::signal(SIGPIPE, SIG_DFL);
@@ -85,7 +86,7 @@
   ::_exit(kExitNoExec);
 }
 
-// Appends what `fd` gives to `output` until its end; false where `deadline` came first.
+// Appends what can be read from `fd` to `output` until end of file. Returns false if `deadline` came first.
 bool ReadOutput(int fd, std::chrono::steady_clock::time_point deadline, std::string& output) {
   using std::chrono::milliseconds;
   while (true) {
@@ -93,11 +94,11 @@
         std::chrono::duration_cast<milliseconds>(deadline - std::chrono::steady_clock::now()).count();
     pollfd ready{fd, POLLIN, 0};
     if (left <= 0 || ::poll(&ready, 1, static_cast<int>(left)) <= 0) return false;
-    std::array<char, 1024> part;
-    const ssize_t size = ::read(fd, part.data(), part.size());
+    std::array<char, 1024> buffer;
+    const ssize_t size = ::read(fd, buffer.data(), buffer.size());
     if (size <= 0) return true;
     if (output.size() < CommandResult::kMaxOutputBytes) {
-      output.append(part.data(), static_cast<std::size_t>(size));
+      output.append(buffer.data(), static_cast<std::size_t>(size));
     }
   }
 }
@@ -113,12 +114,12 @@
   const std::vector<char*> envp = PointersTo(spec.environment);
   const pid_t pid = ::fork();
   if (pid < 0) return std::nullopt;
-  if (pid == 0) BecomeProgram(spec, argv, envp);
+  if (pid == 0) ExecuteProgram(spec, argv, envp);
   return ChildProcess{pid, UniqueFd(OpenPidFd(pid)), std::move(spec.token), std::move(spec.generation)};
 }
 
-// The lock shows that a process lives, the file which one. The start time distinguishes it from a later
-// process with the same number.
+// The lock shows that a process runs, and the file which one. The start time distinguishes it from a later
+// process with the same pid.
 std::optional<ChildProcess> FindRunning(const std::string& lock_path, const std::string& process_file_path) {
   if (!IsLockedByAnother(lock_path)) return std::nullopt;
   const json file = json::parse(ReadFile(process_file_path), nullptr, false);
@@ -133,7 +134,7 @@
     process.token = rollout::Member<std::string>(file, "token");
     process.generation = rollout::Member<std::string>(file, "generation");
   } catch (const std::invalid_argument&) {
-    // It has the lock and has not written its file yet.
+    // The process has the lock but has not written its file yet.
   }
   if (!process.running()) return std::nullopt;
   return process;
--- a/src/agent/child_process.h
+++ b/src/agent/child_process.h
@@ -1,8 +1,10 @@
-// Processes that outlive the agent: started in a session of their own, found again after the agent's death,
-// identified by pidfd (pidfd_open(2)), so that a signal never reaches another process with the same number.
+// Processes that outlive the agent. They are started in a session of their own, and a restarted agent finds
+// them again. They are identified by pidfd (pidfd_open(2)), so that a signal never reaches another process
+// that has the same pid.
 //
-// Each holds the lock (flock(2)) of its instance's directory for as long as it lives, whoever its parent is;
-// the process file beside it counts only while that lock is held. Called from the agent's one thread.
+// Each process holds the lock (flock(2)) of its instance's directory until it exits, whoever its parent is.
+// The process file in the same directory is valid only while that lock is held. Call these functions only
+// from the agent's one thread.
 #pragma once
 
 #include <sys/types.h>
@@ -15,56 +17,56 @@
 
 namespace mothrack::agent {
 
-// Exit code where a program could not be started, as shells have it.
+// The exit code if a program could not be started, as in shells.
 constexpr int kExitNoExec = 127;
 
-// A process that runs; none where pid is 0.
+// A running process; none if pid is 0.
 struct ChildProcess {
   pid_t pid = 0;
   UniqueFd pid_fd;
-  std::string token;       // of the step that it was started for; empty: of none
-  std::string generation;  // that it was started with
+  std::string token;       // of the step that it was started for; empty if there was none
+  std::string generation;  // the generation that it was started with
 
   bool running() const { return pid != 0; }
-  // No effect where the process has ended.
+  // Sends a signal. No effect if the process has exited.
   void Signal(int number) const;
 };
 
 // How a process is started.
 struct LaunchSpec {
   std::vector<std::string> arguments;    // the program's path first
-  std::vector<std::string> environment;  // NAME=value; all that it gets
+  std::vector<std::string> environment;  // NAME=value; nothing is inherited
   std::string lock_path;
-  std::string process_file_path;  // written by the child, under the lock, before it becomes the program
-  std::string log_path;           // its standard output and error
+  std::string process_file_path;  // written by the child, under the lock, before it executes the program
+  std::string log_path;           // for its standard output and error
   std::string token;
   std::string generation;
 };
 
-// Starts a process. Nothing where fork failed, with errno set. A child that can't take the lock, write its
-// process file or execute the program ends with kExitNoExec.
+// Starts a process. Returns nullopt with errno set if fork failed. A child that can't take the lock, write
+// its process file or execute the program exits with kExitNoExec.
 std::optional<ChildProcess> Launch(LaunchSpec spec);
 
-// The process that holds the lock, by its process file. Nothing where no process holds it, or where it has
-// not written its file yet: ask again later.
+// Returns the process that holds the lock, as its process file describes it. Returns nullopt if no process
+// holds the lock, or if it has not written its file yet: call again later.
 std::optional<ChildProcess> FindRunning(const std::string& lock_path, const std::string& process_file_path);
 
-// How a process has ended, for the log: "ended", with its exit code or signal where it was this agent's
-// child. Nothing while it runs.
+// Returns how a process has ended, for the log: "ended", with its exit code or signal if it was this agent's
+// child. Returns nullopt while it runs.
 std::optional<std::string> PollExit(const ChildProcess& process);
 
-// What became of a command that was run to its end.
+// The result of RunCommand().
 struct CommandResult {
   enum class Outcome { kSucceeded, kFailed, kTimedOut, kNotStarted };
   Outcome outcome = Outcome::kFailed;
-  std::string output;  // standard output and error, the first kMaxOutputBytes and at most a read more
-  int error = 0;       // errno of kNotStarted
+  std::string output;  // standard output and error: the first kMaxOutputBytes and at most one more read
+  int error = 0;       // errno, for kNotStarted
 
   static constexpr std::size_t kMaxOutputBytes = 2000;
 };
 
-// Runs a command with an empty environment and waits for its end, for `timeout_ms` milliseconds at most; then
-// it is killed. Blocks the caller. `arguments`: the program's absolute path first.
+// Runs a command with an empty environment, blocks until it exits, and kills it after `timeout_ms`
+// milliseconds. `arguments`: the program's absolute path first.
 CommandResult RunCommand(std::vector<std::string> arguments, int timeout_ms);
 
 }  // namespace mothrack::agent
--- a/src/agent/clock.h
+++ b/src/agent/clock.h
@@ -1,4 +1,5 @@
-// The clocks of the agent and the tool, in the types of rollout, whose decisions get the time handed in.
+// The clocks of the agent and mothrackctl, in the types of src/rollout. The decisions there take the time as
+// an argument.
 #pragma once
 
 #include <chrono>
@@ -8,12 +9,12 @@
 
 namespace mothrack::agent {
 
-// The machine's steady clock: for leases and timeouts, never compared with another machine's.
+// Reads the machine's steady clock, for leases and timeouts. Never compare it with another machine's.
 inline rollout::TimePoint SteadyNow() {
   return std::chrono::time_point_cast<rollout::Duration>(std::chrono::steady_clock::now());
 }
 
-// The wall clock in milliseconds since 1970 (UTC): for people only, nothing is decided by it.
+// Reads the wall clock in milliseconds since 1970 (UTC). It is only shown to people; no decision uses it.
 inline std::int64_t UnixNow() {
   return std::chrono::duration_cast<rollout::Duration>(std::chrono::system_clock::now().time_since_epoch())
       .count();
--- a/src/agent/file_error.h
+++ b/src/agent/file_error.h
@@ -1,11 +1,11 @@
-// A fault in a file that an operator wrote.
+// The exception for an error in a file that an operator wrote.
 #pragma once
 
 #include <stdexcept>
 
 namespace mothrack::agent {
 
-// Its text names file, line or key, and how to mend it.
+// The message names the file, the line or key, and how to fix the error.
 class FileError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
--- a/src/agent/posix_io.cpp
+++ b/src/agent/posix_io.cpp
@@ -31,7 +31,7 @@
 
 void CloseFdsFrom(int first) {
   if (::syscall(SYS_close_range, static_cast<unsigned>(first), ~0U, 0U) == 0) return;
-  // A kernel before 5.9.
+  // Kernels before 5.9 have no close_range(2).
   for (long fd = first; fd < ::sysconf(_SC_OPEN_MAX); ++fd) ::close(static_cast<int>(fd));
 }
 
@@ -61,9 +61,10 @@
 
 std::string Substitute(std::string text, const std::map<std::string, std::string>& values) {
   for (const auto& [name, value] : values) {
-    const std::string mark = '{' + name + '}';
-    for (auto at = text.find(mark); at != std::string::npos; at = text.find(mark, at + value.size())) {
-      text.replace(at, mark.size(), value);
+    const std::string placeholder = '{' + name + '}';
+    for (auto at = text.find(placeholder); at != std::string::npos;
+         at = text.find(placeholder, at + value.size())) {
+      text.replace(at, placeholder.size(), value);
     }
   }
   return text;
--- a/src/agent/posix_io.h
+++ b/src/agent/posix_io.h
@@ -1,5 +1,5 @@
-// Small helpers over POSIX files: descriptors with an owner, durable writes, locks. Errors are left in errno,
-// so that the caller can report ENOSPC, EDQUOT and EIO by their names. They block.
+// Small helpers over POSIX files: owned descriptors, durable writes, locks. They leave errors in errno, so
+// that the caller can report ENOSPC, EDQUOT and EIO by name. They block.
 #pragma once
 
 #include <sys/types.h>
@@ -10,7 +10,7 @@
 
 namespace mothrack::agent {
 
-// Mode of all files that the agent makes.
+// The mode of all files that the agent creates.
 constexpr mode_t kPrivateMode = 0600;
 
 // A file descriptor, closed with its object.
@@ -34,24 +34,25 @@
   int fd_ = -1;
 };
 
-// Closes all descriptors from `first` on.
+// Closes all descriptors numbered `first` or above.
 void CloseFdsFrom(int first);
 
-// Writes a file so that after a crash it is complete under its name, or as it was before. False: errno is
-// set.
+// Writes a file so that after a crash it has either all of the new text or its former content. Returns false
+// with errno set on failure.
 bool WriteFileDurably(const std::string& path, const std::string& text);
 
-// Makes what was created or renamed in a directory durable. False: errno is set, and that may be lost in a
-// crash of the machine.
+// Makes files that were created or renamed in a directory durable. Returns false with errno set on failure;
+// a crash of the machine may then undo the creation or renaming.
 bool SyncDirectory(const std::string& path);
 
-// Empty where the file can't be read.
+// Returns the content of a file, or an empty string if it can't be read.
 std::string ReadFile(const std::string& path);
 
-// Does another open file description hold the lock (flock) of this file? Makes the file where it is absent.
+// Returns whether another open file description holds the lock (flock) of this file. Creates the file if it
+// does not exist.
 bool IsLockedByAnother(const std::string& path);
 
-// The text with each {name} replaced by its value.
+// Returns the text with each {name} replaced by its value.
 std::string Substitute(std::string text, const std::map<std::string, std::string>& values);
 
 }  // namespace mothrack::agent
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -30,12 +30,12 @@
 
 }  // namespace
 
-// An instance, and its process where one runs.
+// An instance, and its process if one runs.
 struct ProcessSupervisor::ManagedInstance {
   InstanceSpec spec;
   std::string directory;
   ChildProcess process;
-  SidecarStatus status;    // of `process`, as it reported last
+  SidecarStatus status;    // of `process`, from its last report
   RequestCounts requests;  // likewise
   std::unique_ptr<boost::asio::posix::stream_descriptor> exit_watch;
   bool poll_in_flight = false;
@@ -44,11 +44,12 @@
   rollout::TimePoint next_log_check_at{};
 
   std::string PathOf(const char* name) const { return directory + '/' + name; }
-  // Where a generation's files are as the instance gets them.
+  // The directory of a generation's files as rendered for the instance.
   std::string FilesDirectory(const std::string& generation) const {
     return PathOf("files") + '/' + generation;
   }
-  // What is replaced in its command, environment and files, where a generation's files lie in `files`.
+  // The values for placeholders in its command, environment and files. `files`: the directory with the
+  // generation's rendered files.
   std::map<std::string, std::string> Placeholders(const std::string& files) const {
     return {{"instance", spec.name}, {"directory", directory}, {"generation", files}};
   }
@@ -111,9 +112,9 @@
   instance.ForgetProcess();
 }
 
-// Notifies as soon as the process that runs now ends, rather than at the next tick.
+// Notifies as soon as the present process exits, rather than at the next tick.
 void ProcessSupervisor::WatchExit(const ManagedPointer& instance) {
-  // The descriptor is closed with the watch, and the process needs its own for signals.
+  // The watch closes its descriptor, and the process needs one for signals, so the watch gets a duplicate.
   const int exit_fd = ::fcntl(instance->process.pid_fd.get(), F_DUPFD_CLOEXEC, 0);
   if (exit_fd < 0) return;  // Poll() collects the exit at the next tick
   instance->exit_watch = std::make_unique<boost::asio::posix::stream_descriptor>(io_, exit_fd);
@@ -148,7 +149,7 @@
   instance->next_poll_at =
       now + (instance->awaits_state_change ? limits_.poll_interval_awaited : limits_.poll_interval_settled);
   const std::string address = Substitute(instance->spec.admin_address, instance->Placeholders(""));
-  // `after=~` sorts behind all upstreams, which leaves their list out of the answer.
+  // `~` sorts after the names of all upstreams, so `after=~` leaves their list out of the response.
   admin_client::SendRequest(io_, {address, {}, "GET", "/v1/status?after=~", {}}, limits_.poll_timeout,
                             [this, weak = std::weak_ptr(instance),
                              pid = instance->process.pid](const admin_client::Response& response) {
@@ -165,7 +166,7 @@
                                         const admin_client::Response& response) {
   const bool was_ready = std::exchange(instance.status.ready, false);
   instance.status.draining = false;
-  // Nothing listens yet, so a poll costs nothing: repeat it soon.
+  // Nothing listens on the admin API yet, so a poll is cheap and is repeated soon.
   if (!response.transport_error.empty() && instance.awaits_state_change) {
     instance.next_poll_at -= limits_.poll_interval_awaited - limits_.poll_interval_unreachable;
   }
@@ -181,7 +182,8 @@
 rollout::ProcessState ProcessSupervisor::Inspect(const std::string& name) {
   const ManagedInstance& instance = Get(name);
   const ChildProcess& process = instance.process;
-  // A process that holds the lock but has not written its file yet runs: no second one may be started.
+  // A process that holds the lock but has not written its file yet counts as running, so that no second one
+  // is started.
   if (!process.running()) return {IsLockedByAnother(instance.PathOf("lock")), "", "", false, false};
   return {true, process.token, process.generation, instance.status.ready, instance.status.draining};
 }
@@ -253,8 +255,9 @@
                                 {"step", action.token}});
 }
 
-// The process holds its log open, so the file itself stays: it is copied aside and truncated. Lines that come
-// between the two are lost; a pipe through the agent would lose them all when the agent dies.
+// The process keeps its log open, so the file is copied and truncated rather than renamed. Lines that are
+// written between the copy and the truncation are lost. A pipe through the agent would lose all lines while
+// no agent runs.
 void ProcessSupervisor::BoundLog(const ManagedInstance& instance) const {
   const std::string path = instance.PathOf("log");
   std::error_code error;
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -1,16 +1,16 @@
-// The processes of a machine's instances: started with a configuration generation, found again after the
-// agent's own death, polled over their admin API, stopped, their logs bounded. What to do with a process is
-// decided by agent.h; this carries it out.
+// Manages the processes of a machine's instances: starts them with a configuration generation, adopts those
+// that still run when the agent is restarted, polls their admin API, stops them, and bounds their logs. Agent
+// (agent.h) decides what to do with a process; this class carries it out.
 //
-// One directory an instance:
-//   lock          locked by the process for as long as it lives; nobody starts a second one beside it
-//   process.json  pid, its start time by the kernel, token and generation; written by the process itself,
-//                 under the lock and before it becomes the sidecar
+// Each instance has a directory:
+//   lock          locked by the process until it exits, so that no second one is started
+//   process.json  pid, start time as the kernel has it, token and generation; written by the process itself,
+//                 under the lock and before it executes the sidecar
 //   log, log.1    its standard output and error
-//   files/NAME/   a generation's files as this instance gets them
-// And generations/NAME/ for each generation (generation_store.h). In an instance's files, command and
-// environment {instance}, {directory} (the instance's) and {generation} (a directory with the files) are
-// replaced.
+//   files/NAME/   the files of generation NAME as rendered for this instance
+// generations/NAME/ has the files of generation NAME as they were stored (generation_store.h). In an
+// instance's files, command and environment, {instance}, {directory} (the instance's directory) and
+// {generation} (the directory with the rendered files) are replaced.
 //
 // Called from the event loop only; starting a process and checking a generation block it.
 #pragma once
@@ -31,13 +31,13 @@
 
 namespace mothrack::agent {
 
-// An instance as the agent's file has it.
+// An instance as the agent file defines it.
 struct InstanceSpec {
   std::string name;
   std::vector<std::string> command;                // the program's absolute path first
-  std::map<std::string, std::string> environment;  // all that it gets
+  std::map<std::string, std::string> environment;  // nothing is inherited
   std::string admin_address;                       // of the sidecar's admin API; key `door`
-  std::string generation;                          // that it begins with
+  std::string generation;                          // the generation to begin with
 };
 
 class ProcessSupervisor : public Machine {
@@ -45,31 +45,32 @@
   // Durations are in milliseconds.
   struct Limits {
     rollout::Duration check_timeout{5000};  // for the command that checks a generation
-    // A longer log is moved aside, over the one that was moved before. Bytes.
+    // A longer log is copied to log.1, which it replaces, and truncated.
     std::uint64_t max_log_bytes = std::uint64_t{8} * 1024 * 1024;
     rollout::Duration poll_timeout{1000};
     rollout::Duration poll_interval_settled{1000};
-    // While a change of state is awaited; the admin API answers 20 times a second.
+    // While a change of state is awaited. The admin API answers 20 times a second.
     rollout::Duration poll_interval_awaited{60};
-    // While a change is awaited and the admin API can't be reached, as in a sidecar that starts.
+    // While a change of state is awaited and the admin API can't be reached, as while a sidecar starts.
     rollout::Duration poll_interval_unreachable{20};
   };
 
-  // Adopts the processes that run. Throws std::runtime_error where the directory can't be used.
-  // `check`: a command that ends with 0 where a generation's files are good for an instance; empty: any are.
+  // Adopts the processes that run. Throws std::runtime_error if the directory can't be used.
+  // `check`: a command that exits with 0 if a generation's files are valid for an instance; empty: no check.
   ProcessSupervisor(boost::asio::io_context& io, std::string directory,
                     const std::vector<InstanceSpec>& specs, std::vector<std::string> check,
                     const Limits& limits, runtime::Logger& log);
-  // The processes go on running.
+  // Leaves the processes running.
   ~ProcessSupervisor() override;
   ProcessSupervisor(const ProcessSupervisor&) = delete;
   ProcessSupervisor& operator=(const ProcessSupervisor&) = delete;
 
-  // Called from the event loop when a process has ended or became ready or unready: Poll() and
-  // Agent::ReconcileInstances() are due. Between such calls a tick is enough.
+  // Sets a function that is called from the event loop when a process has exited or has become ready or
+  // unready. The caller then calls Poll() and Agent::ReconcileInstances(), which it otherwise calls at each
+  // tick.
   void OnStateChange(std::function<void()> on_state_change) { on_state_change_ = std::move(on_state_change); }
 
-  // Collects what has ended, polls admin APIs that are due, bounds logs. Call it before
+  // Collects processes that have exited, polls admin APIs that are due, and bounds logs. Call it before
   // Agent::ReconcileInstances().
   void Poll(rollout::TimePoint now);
 
@@ -79,11 +80,11 @@
   bool HasGeneration(const std::string& generation) const override { return generations_.Has(generation); }
 
   GenerationStore& generations() { return generations_; }
-  // The last `bytes` of an instance's log.
+  // Returns the last `bytes` bytes of an instance's log.
   std::string LogTail(const std::string& instance, std::size_t bytes) const;
-  // 0: none runs, or none is known yet.
+  // The pid of an instance's process; 0 if none runs or none is known yet.
   int pid(const std::string& instance) const;
-  // Is a change of state of any process awaited?
+  // Returns whether a change of state of any process is awaited.
   bool awaits_state_change() const;
 
  private:
--- a/src/agent/toml_section.cpp
+++ b/src/agent/toml_section.cpp
@@ -21,8 +21,9 @@
 
 void RequirePrivateFile(const TomlSection& section, const std::string& key, const std::string& path) {
   struct stat info {};
-  if (::stat(path.c_str(), &info) != 0) section.Fault(key, path + " can't be read");
-  if ((info.st_mode & 077) != 0) section.Fault(key, path + " may be read by others; chmod 600 it");
+  if (::stat(path.c_str(), &info) != 0) section.Fail(key, path + " can't be read");
+  if ((info.st_mode & 077) != 0)
+    section.Fail(key, path + " is accessible to other users; set its mode to 600");
 }
 
 }  // namespace mothrack::agent
--- a/src/agent/toml_section.h
+++ b/src/agent/toml_section.h
@@ -1,4 +1,4 @@
-// Reads the TOML files that operators write for agents and tools.
+// Reads the TOML files that operators write for agents and mothrackctl.
 #pragma once
 
 #include <toml++/toml.h>
@@ -19,17 +19,18 @@
 
 namespace mothrack::agent {
 
-// A table of a file, read key by key. Each fault names file, line and key, and how to mend it, as FileError.
-// Refers to the table that it was made with. Each reader throws FileError where the key's value is of another
-// type or out of bounds, or where the key is missing and there is no fallback.
+// A table of a file, read key by key. It refers to the table that it was made with. Each reader throws
+// FileError if the key's value is of another type or out of bounds, or if the key is missing and there is no
+// fallback. The error names the file, the line and the key, and how to fix it.
 class TomlSection {
  public:
-  // `path`: of the file, `key`: of the table in it, for messages; empty: the file itself.
+  // `path` and `key` name the file and the table in error messages. An empty `key` stands for the file's root
+  // table.
   TomlSection(std::string path, std::string key, const toml::table& table)
       : path_(std::move(path)), key_(std::move(key)), table_(table) {}
 
-  // Throws FileError: "FILE:LINE: KEY: what".
-  [[noreturn]] void Fault(const std::string& key, const std::string& what) const {
+  // Throws FileError with the message "FILE:LINE: KEY: what".
+  [[noreturn]] void Fail(const std::string& key, const std::string& what) const {
     const toml::node* node = key.empty() ? nullptr : table_.get(key);
     const auto line = (node != nullptr ? node->source() : table_.source()).begin.line;
     const std::string name = key_.empty() ? key : key.empty() ? key_ : key_ + '.' + key;
@@ -40,39 +41,39 @@
   std::string Text(const std::string& key, const std::optional<std::string>& fallback = std::nullopt) {
     const toml::node* node = Get(key);
     if (node == nullptr && fallback) return *fallback;
-    if (node == nullptr) Fault(key, "is missing; give a text");
-    if (!node->is_string()) Fault(key, "is no text; put it in quotes");
+    if (node == nullptr) Fail(key, "is missing; give a string");
+    if (!node->is_string()) Fail(key, "is not a string; put it in quotes");
     return *node->value<std::string>();
   }
-  // A name that may become part of a path.
+  // Reads a name that is safe to use as part of a path.
   std::string Name(const std::string& key) {
     std::string name = Text(key);
     if (!rollout::IsValidName(name))
-      Fault(key, "takes letters, digits, '-', '_' and '.', at most 64, no dot first");
+      Fail(key, "must have at most 64 letters, digits, '-', '_' or '.', and must not begin with a dot");
     return name;
   }
   rollout::Duration Milliseconds(const std::string& key, rollout::Duration fallback, rollout::Duration min,
                                  rollout::Duration max) {
     return rollout::Duration(Number(key, fallback.count(), min.count(), max.count()));
   }
-  // From `min` to `max`, both included.
+  // Reads an integer from `min` to `max`, both included.
   std::int64_t Number(const std::string& key, std::int64_t fallback, std::int64_t min, std::int64_t max) {
     const toml::node* node = Get(key);
     if (node == nullptr) return fallback;
     const auto value = node->value_exact<std::int64_t>();
     if (!value || *value < min || *value > max) {
-      Fault(key, "takes a whole number from " + std::to_string(min) + " to " + std::to_string(max));
+      Fail(key, "must be an integer from " + std::to_string(min) + " to " + std::to_string(max));
     }
     return *value;
   }
-  // Empty where the key is missing; so are the next two.
+  // Strings() and StringMap() return an empty container if the key is missing.
   std::vector<std::string> Strings(const std::string& key) {
     std::vector<std::string> texts;
     const toml::node* node = Get(key);
     if (node == nullptr) return texts;
-    if (!node->is_array()) Fault(key, "is no list; write [\"...\"]");
+    if (!node->is_array()) Fail(key, "is not a list; write [\"...\"]");
     for (const toml::node& item : *node->as_array()) {
-      if (!item.is_string()) Fault(key, "holds something that is no text");
+      if (!item.is_string()) Fail(key, "has an element that is not a string");
       texts.push_back(*item.value<std::string>());
     }
     return texts;
@@ -81,9 +82,9 @@
     std::map<std::string, std::string> pairs;
     const toml::node* node = Get(key);
     if (node == nullptr) return pairs;
-    if (!node->is_table()) Fault(key, "is no table; write { NAME = \"...\" }");
+    if (!node->is_table()) Fail(key, "is not a table; write { NAME = \"...\" }");
     for (const auto& [name, item] : *node->as_table()) {
-      if (!item.is_string()) Fault(key, std::string(name.str()) + " is no text");
+      if (!item.is_string()) Fail(key, std::string(name.str()) + " is not a string");
       pairs[std::string(name.str())] = *item.value<std::string>();
     }
     return pairs;
@@ -91,31 +92,31 @@
   std::optional<TomlSection> Table(const std::string& key) {
     const toml::node* node = Get(key);
     if (node == nullptr) return std::nullopt;
-    if (!node->is_table()) Fault(key, "is no table");
+    if (!node->is_table()) Fail(key, "is not a table");
     return TomlSection(path_, key_.empty() ? key : key_ + '.' + key, *node->as_table());
   }
   std::vector<TomlSection> Tables(const std::string& key) {
     std::vector<TomlSection> tables;
     const toml::node* node = Get(key);
     if (node == nullptr) return tables;
-    if (!node->is_array()) Fault(key, "is no list of tables; write [[" + key + "]]");
+    if (!node->is_array()) Fail(key, "is not a list of tables; write [[" + key + "]]");
     for (const toml::node& item : *node->as_array()) {
-      if (!item.is_table()) Fault(key, "holds something that is no table; write [[" + key + "]]");
+      if (!item.is_table()) Fail(key, "has an element that is not a table; write [[" + key + "]]");
       tables.emplace_back(path_, key + '[' + std::to_string(tables.size()) + ']', *item.as_table());
     }
     return tables;
   }
-  // Of an admin API: "unix:/path" or a loopback address with its port.
+  // Reads the address of an admin API: "unix:/path" or a loopback address with its port.
   std::string Address(const std::string& key) {
     std::string address = Text(key);
-    if (const std::string fault = admin_client::FaultOfAddress(address); !fault.empty()) Fault(key, fault);
+    if (const std::string fault = admin_client::FaultOfAddress(address); !fault.empty()) Fail(key, fault);
     return address;
   }
-  // Throws FileError for a key that none of the above was called with. Call it last.
+  // Throws FileError if the table has a key that no reader was called with. Call it last.
   void RejectUnknownKeys() const {
     for (const auto& [key, value] : table_) {
       if (!known_keys_.contains(std::string(key.str()))) {
-        Fault(std::string(key.str()), "is unknown; there are " + Known());
+        Fail(std::string(key.str()), "is unknown; the known keys are " + KnownKeyList());
       }
     }
   }
@@ -125,7 +126,7 @@
     known_keys_.insert(key);
     return table_.get(key);
   }
-  std::string Known() const {
+  std::string KnownKeyList() const {
     std::string names;
     for (const std::string& key : known_keys_) names += (names.empty() ? "" : ", ") + key;
     return names;
@@ -137,10 +138,11 @@
   std::set<std::string> known_keys_;
 };
 
-// Throws FileError where the file can't be read or is no TOML.
+// Throws FileError if the file can't be read or is not valid TOML.
 toml::table ParseToml(const std::string& path);
 
-// Throws FileError where others than its owner may read a file with secrets; `key` names the file.
+// Throws FileError if a file with secrets is accessible to others than its owner. `key` of the section names
+// the file.
 void RequirePrivateFile(const TomlSection& section, const std::string& key, const std::string& path);
 
 }  // namespace mothrack::agent
