--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::agent {
 namespace {
 
-constexpr const char* kSaveFailedText = "its disk takes nothing; mend that first";
+constexpr const char* kSaveFailedText = "its state can't be saved to disk; fix that first";
 
 }  // namespace
 
@@ -16,7 +16,7 @@
   for (const auto& [name, generation] : instances) {
     rollout::InstanceRecord record;
     record.generation = generation;
-    // The record goes before the file, which names only the generation that an instance begins with.
+    // The record takes precedence over the agent file, which names only the generation to begin with.
     if (const auto it = stored.records.find(name); it != stored.records.end()) record = it->second;
     instances_.emplace(name, SupervisedInstance{rollout::Instance(record, limits), record});
   }
@@ -74,7 +74,7 @@
   if (answer.verdict != rollout::Lessor::Verdict::kGranted) return answer;
   answer.open = true;
   if (next.state() == lease_.state() && plans_.contains(plan.id) && plans_.at(plan.id) == plan) {
-    lease_ = next;  // renewed, which is not durable state
+    lease_ = next;  // the lease's renewal is not part of the durable state
     return answer;
   }
   SaveLease(next, &plan, {unix_ms, holder.change, "opened by " + holder.who}, answer);
@@ -107,7 +107,7 @@
     answer.Refuse(Refusal::kUnknownInstance, "there is no such instance");
     return answer;
   }
-  // The lease is of one change: a step of another one is a fault of its sender.
+  // A lease belongs to one change, so a step of another change is an error of its sender.
   if (!lease_.state().open || lease_.state().open->change != step.change || step.epoch != epoch) {
     answer.Refuse(Refusal::kStepOfOtherChange, "the step is of a change that is not open here");
     return answer;
@@ -136,7 +136,7 @@
     case rollout::Instance::Verdict::kGenerationMismatch:
       return answer.Refuse(Refusal::kGenerationMismatch,
                            "it has " + next.record().generation + ", not " + step.from);
-    case rollout::Instance::Verdict::kStale:  // the report shows the undo that came before it
+    case rollout::Instance::Verdict::kStale:  // the report shows the undo that preceded the step
     case rollout::Instance::Verdict::kAccepted:
       break;
   }
@@ -168,15 +168,15 @@
 
 rollout::Report Agent::ReportOf(const std::string& instance) {
   const SupervisedInstance& supervised = instances_.at(instance);
-  const rollout::ProcessState seen = machine_.Inspect(instance);
+  const rollout::ProcessState process = machine_.Inspect(instance);
   rollout::Report report;
   report.step = supervised.saved.step;
   report.phase = supervised.saved.phase;
   report.failure_reason = supervised.saved.failure_reason;
-  report.running = seen.running;
-  report.ready = seen.ready && !seen.draining;
+  report.running = process.running;
+  report.ready = process.ready && !process.draining;
   report.held = supervised.instance.held();
-  report.generation = seen.generation;
+  report.generation = process.generation;
   const RequestCounts counts = machine_.RequestsOf(instance);
   report.requests = counts.total;
   report.failed_requests = counts.failed;
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -1,10 +1,9 @@
 // An agent's logic: the lease of one machine, its instances and their steps, without sockets, clocks and
 // processes. It answers commands (src/agent/agent_api.h receives them over HTTP), supervises its instances,
-// and acts through a Machine. Whatever it reports is durable first; a save that fails has had no effect.
+// and acts through a Machine. It makes state durable before it reports it; a failed save has no effect.
 //
-// While the store fails it goes on supervising by the records that it has in memory, and accepts no step of
-// any change. Not thread-safe: called from the event loop only. docs/operators/rollouts.md has the operators'
-// side.
+// While the store fails, it continues to supervise by the records in memory and accepts no steps. Not
+// thread-safe: called from the event loop only. docs/operators/rollouts.md is the operators' guide.
 #pragma once
 
 #include <cstdint>
@@ -21,50 +20,50 @@
 
 namespace mothrack::agent {
 
-// Requests of a process since its start.
+// Numbers of requests of a process since its start.
 struct RequestCounts {
   std::uint64_t total = 0;
   std::uint64_t failed = 0;  // rejected, failed, or answered after the deadline
 };
 
-// The processes of a machine: what the agent sees of them, and how it acts on them. `instance` is one that
-// the agent was made with.
+// Interface to the processes of a machine, by which the agent inspects and controls them. `instance` is the
+// name of one of the agent's instances.
 class Machine {
  public:
   virtual ~Machine() = default;
-  // The instance's process as it is now.
+  // Returns the present state of the instance's process.
   virtual rollout::ProcessState Inspect(const std::string& instance) = 0;
-  // Carries out an action, at once or not at all: the next Inspect() shows what came of it.
+  // Carries out an action, at once or not at all. The next Inspect() shows the result.
   virtual void Execute(const std::string& instance, const rollout::Action& action) = 0;
-  // Of the process that runs now.
+  // The counts of the process that runs now.
   virtual RequestCounts RequestsOf(const std::string& instance) = 0;
-  // Is the configuration generation stored here? A step to one that is not is refused.
+  // Returns whether the configuration generation is stored here. A step to one that is not is refused.
   virtual bool HasGeneration(const std::string& generation) const = 0;
 };
 
 // Why a command that the lease would allow was refused.
 enum class Refusal {
-  kNone,                // it was not
+  kNone,                // it was not refused
   kPlanOfOtherChange,   // the plan to open is of another change than the lease
   kUnknownInstance,     // this agent has no such instance
   kStepOfOtherChange,   // the step is of a change or an epoch that is not open here
   kBusy,                // the instance has an accepted step of another change that has not ended
   kGenerationMismatch,  // the instance has another generation than the step starts from
   kUnknownGeneration,   // the step's generation is not stored here
-  kSaveFailed           // the store refused the save: nothing has changed. Store::error() has the cause
+  kSaveFailed           // the store could not save, and nothing has changed; Store::error() has the cause
 };
 
 class Agent {
  public:
-  // What every command is answered with.
+  // The answer to a command.
   struct Answer {
     rollout::Lessor::Verdict verdict = rollout::Lessor::Verdict::kGranted;
-    std::optional<rollout::Holder> holder;  // who has the lease, or the open change, instead
+    std::optional<rollout::Holder> holder;  // another holder of the lease or of the open change
     bool open = false;                      // the command's change is open here
-    rollout::Epoch highest = 0;             // ever granted here
+    rollout::Epoch highest = 0;             // the highest epoch ever granted here
     Refusal refusal = Refusal::kNone;
-    std::string refused;                    // the refusal, for the operator; empty where there is none
-    std::optional<rollout::Report> report;  // of the instance that a step was for
+    std::string refused;                    // the refusal's text for the operator; empty if there is none
+    std::optional<rollout::Report> report;  // on the instance that a step was for
 
     void Refuse(Refusal why, std::string message) {
       refusal = why;
@@ -72,17 +71,17 @@
     }
   };
 
-  // `stored`: what the store had at its start. `instances`: those that it supervises, each with the
-  // generation that it begins with where the store has no record of it. `store` and `machine` outlive the
+  // `stored`: the content of the store when it was opened. `instances`: the supervised instances, each with
+  // the generation to begin with if the store has no record of it. `store` and `machine` must outlive the
   // agent.
   Agent(Store& store, Machine& machine, const Stored& stored,
         const std::map<std::string, std::string>& instances, const rollout::InstanceLimits& limits,
         rollout::Duration lease_time, rollout::TimePoint now);
 
-  // The commands. `now` is of the steady clock, by which the lease expires; `unix_ms` of the wall clock, for
-  // the history that people read. `epoch` and `claim_id` name the lease that a command is sent under.
+  // The commands. `now` is the steady clock's time, by which the lease expires. `unix_ms` is the wall
+  // clock's, for the history. `epoch` and `claim_id` identify the lease under which a command is sent.
 
-  // The highest epoch that was granted here, and who holds the lease.
+  // Answers with the highest epoch that was granted here and the holder of the lease.
   Answer ReadLease(rollout::TimePoint now) const;
   Answer Acquire(rollout::Epoch epoch, const rollout::Holder& holder, rollout::TimePoint now,
                  std::int64_t unix_ms);
@@ -90,45 +89,46 @@
   Answer Open(rollout::Epoch epoch, const rollout::Holder& holder, const rollout::Plan& plan,
               rollout::TimePoint now, std::int64_t unix_ms);
   Answer Renew(rollout::Epoch epoch, const std::string& claim_id, rollout::TimePoint now);
-  // Gives the lease back; with `close`, the change is over. Of another epoch or claim: no effect.
+  // Releases the lease; with `close`, also closes the change. No effect if the lease has another epoch or
+  // claim.
   Answer Release(rollout::Epoch epoch, const std::string& claim_id, bool close, std::int64_t unix_ms);
-  // Renews the lease and makes the instance's step durable; ReconcileInstances() carries it out. The same
-  // step again has no further effect.
+  // Renews the lease and makes the instance's step durable; ReconcileInstances() carries it out. Repeating
+  // the same step has no further effect.
   Answer AcceptStep(const std::string& instance, const rollout::Step& step, rollout::Epoch epoch,
                     const std::string& claim_id, rollout::TimePoint now, std::int64_t unix_ms);
 
-  // Compares every instance's process with its record, saves steps that have ended, and acts on the
-  // processes. Call it at least every kTickInterval, and whenever a process changed.
+  // Compares every instance's process with its record, saves steps that have ended, and carries out actions
+  // on the processes. Call it at least every kTickInterval, and whenever a process has changed.
   static constexpr rollout::Duration kTickInterval{100};
   void ReconcileInstances(rollout::TimePoint now, std::int64_t unix_ms);
 
-  // The instance's step as far as it is durable, and its process as it is now.
+  // Reports the instance's durable step and the present state of its process.
   rollout::Report ReportOf(const std::string& instance);
   std::vector<std::string> Names() const;
   // The generation that the instance is to run with, by its durable record.
   const std::string& GenerationOf(const std::string& instance) const {
     return instances_.at(instance).saved.generation;
   }
-  // Is the instance to run at all, by its durable record?
+  // Returns whether the instance is to run, by its durable record.
   bool WantedOf(const std::string& instance) const { return instances_.at(instance).saved.wanted; }
   const rollout::LeaseState& lease() const { return lease_.state(); }
   std::optional<rollout::Holder> holder(rollout::TimePoint now) const { return lease_.holder(now); }
-  // The plan of a change that was opened here; null where none was, or it is too long ago.
+  // Returns the plan of a change that was opened here; null if it was not, or if its plan has been deleted.
   const rollout::Plan* PlanOf(const std::string& change) const;
 
  private:
   struct SupervisedInstance {
     rollout::Instance instance;
-    rollout::InstanceRecord saved;  // the durable one; behind `instance.record()` while saves fail
+    rollout::InstanceRecord saved;  // the durable record; older than `instance.record()` while saves fail
   };
 
-  // Makes the lease's next state durable, then the current one. On failure: nothing changed, `answer`
-  // refused.
+  // Saves the lease's next state and then makes it the current one. If the save fails, nothing changes and
+  // the command is refused in `answer`.
   void SaveLease(const rollout::Lessor& next, const rollout::Plan* opened, const Event& note, Answer& answer);
-  // Why the step can't be accepted, into `answer`; else `next` has accepted it.
+  // Lets `next` accept the step, or writes to `answer` why it can't be accepted.
   void CheckStep(rollout::Instance& next, const rollout::InstanceRecord& saved, const rollout::Step& step,
                  Answer& answer) const;
-  // Saves a record that reconciling has changed; tried again at the next call where the store fails.
+  // Saves a record that reconciling has changed. If the store fails, the next call tries again.
   void SaveStepEnd(const std::string& name, SupervisedInstance& supervised, std::int64_t unix_ms);
 
   Store& store_;
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -17,8 +17,8 @@
 constexpr std::size_t kMaxEvents = 500;
 constexpr std::size_t kDefaultEvents = 50;
 constexpr std::size_t kLogEndBytes = std::size_t{16} * 1024;
-constexpr std::size_t kMaxLoggedName = 64;  // bytes of what a caller sent
-// HTTP status where nothing could be saved (RFC 4918, 11.5).
+constexpr std::size_t kMaxLoggedName = 64;  // bytes of a text from a caller
+// HTTP status if nothing could be saved (RFC 4918, 11.5).
 constexpr unsigned kInsufficientStorage = 507;
 
 json ToJson(const Agent::Answer& answer) {
@@ -31,7 +31,7 @@
   return response;
 }
 
-// Bodies are read strictly: a command with a fault has no effect.
+// Parses the body strictly: an invalid command is answered with 400 and has no effect.
 Answer WithBody(const Call& call, const std::function<Answer(const json&)>& serve) {
   const json body = json::parse(call.body, nullptr, false);
   if (!body.is_object()) return admin::Fault(400, "the body is no JSON object");
@@ -64,10 +64,10 @@
 std::optional<Answer> AgentApi::Guard(const Call& call) {
   if (!rate_limiter_.Take(runtime::Now())) return admin::Fault(429, "too many requests; ask less often");
   if (file_.tokens.empty()) return std::nullopt;
-  // All are compared, so that the time taken does not reveal which one matched.
+  // Compares all tokens, so that the time it takes does not reveal which one matched.
   std::optional<Role> role;
-  for (const auto& [token, its] : file_.tokens) {
-    if (admin::HasBearerToken(call, token)) role = its;
+  for (const auto& [token, token_role] : file_.tokens) {
+    if (admin::HasBearerToken(call, token)) role = token_role;
   }
   if (!role) return admin::Fault(401, "give the token as Authorization: Bearer TOKEN");
   if (*role == Role::kOperator || call.method == "GET") return std::nullopt;
@@ -127,7 +127,7 @@
 }
 
 std::vector<admin::Route> AgentApi::Routes() {
-  // A route with a body: `serve` gets it parsed.
+  // A route with a body; `serve` gets the parsed body.
   const auto with_body = [this](Answer (AgentApi::*serve)(const json&)) {
     return [this, serve](const Call& call) {
       return WithBody(call, [this, serve](const json& body) { return (this->*serve)(body); });
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -1,6 +1,6 @@
-// mothrack-agent: supervises the sidecars of one machine, by its agent file (src/agent/agent_file.h). One
-// thread: everything runs in one event loop. Exit code 1: the file has a fault, or something it names can't
-// be used.
+// mothrack-agent: supervises the sidecars of one machine as its agent file says (src/agent/agent_file.h).
+// Everything runs in one event loop on one thread. The exit code is 1 if the file is invalid or something
+// that it names can't be used.
 #include <fcntl.h>
 #include <sys/file.h>
 
@@ -30,20 +30,21 @@
 namespace mothrack::agent {
 namespace {
 
-// Two agents over one directory would each start what the other started. The lock lasts as long as the
-// result.
+// Locks the directory for as long as the result exists. Two agents on one directory would each start the same
+// instances.
 UniqueFd LockDirectory(const std::string& directory) {
   std::filesystem::create_directories(directory);
   const std::string path = directory + "/agent.lock";
   UniqueFd lock(::open(path.c_str(), O_RDWR | O_CREAT | O_CLOEXEC, kPrivateMode));
   if (!lock) throw std::runtime_error(path + ": can't be opened");
   if (::flock(lock.get(), LOCK_EX | LOCK_NB) != 0) {
-    throw std::runtime_error(directory + ": another agent has it; end that first, or give this one its own");
+    throw std::runtime_error(
+        directory + ": another agent uses it; stop that agent first, or give this one another directory");
   }
   return lock;
 }
 
-// Stores the generations that the file names, like those that a tool sends. Throws FileError.
+// Stores the generations that the agent file names. Throws FileError.
 void StoreNamedGenerations(const AgentFile& file, ProcessSupervisor& processes) {
   for (const auto& [name, from] : file.generations) {
     if (processes.HasGeneration(name)) continue;
@@ -76,13 +77,13 @@
       if (!error) RunNow();
     });
   }
-  // At the next turn of the event loop: the caller may be in the middle of its own work.
+  // Runs at the next turn of the event loop, since the caller may be in the middle of its own work.
   void RunSoon() {
     boost::asio::post(io_, [this] { RunNow(); });
   }
 
  private:
-  // While a process is about to become ready or to end.
+  // The tick while a process is about to become ready or to exit.
   static constexpr rollout::Duration kTickWhileAwaiting{20};
 
   boost::asio::io_context& io_;
@@ -92,8 +93,7 @@
 };
 
 #ifdef MOTHRACK_WITH_PEERS
-// Gossip with the other processes of the machine's hall. SIGHUP makes it read its keys again, and nothing
-// else.
+// Runs gossip with the other processes of the machine's hall. SIGHUP reloads its keys, and nothing else.
 class PeersRunner {
  public:
   PeersRunner(boost::asio::io_context& io, const gossip::Settings& settings, const std::string& name,
@@ -104,7 +104,7 @@
   }
 
   nlohmann::json Report() const { return client_.Report(); }
-  // Tells the others that this process ends.
+  // Announces to the other members that this process exits.
   void Leave() { client_.Leave(); }
 
  private:
@@ -121,11 +121,11 @@
 };
 #endif
 
-// Runs the agent until SIGTERM or SIGINT; its exit code. Throws what is wrong at the start.
+// Runs the agent until SIGTERM or SIGINT and returns its exit code. Throws if the agent can't start.
 int Run(const std::string& path) {
   std::signal(SIGPIPE, SIG_IGN);
-  // A write beyond the limit of a file's size then fails with EFBIG, which the store reports as a failed
-  // save. The sidecars inherit that, as one line of their log too many would end them otherwise.
+  // With SIGXFSZ ignored, a write beyond the file size limit fails with EFBIG, which the store reports as a
+  // failed save. The sidecars inherit this; otherwise a log line beyond the limit would terminate them.
   std::signal(SIGXFSZ, SIG_IGN);
   const AgentFile file = LoadAgentFile(path);
   const UniqueFd lock = LockDirectory(file.directory);
@@ -151,7 +151,7 @@
   processes.OnStateChange([&] { supervision.RunSoon(); });
   api.OnStepAccepted([&] { supervision.RunSoon(); });
   supervision.RunNow();
-  // The sidecars go on running: the next agent adopts them.
+  // The sidecars keep running when the agent exits; the next agent adopts them.
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
   stop.async_wait([&](const boost::system::error_code& error, int) {
     if (error) return;
@@ -165,23 +165,23 @@
       io.run();
     } catch (const std::exception& e) {
       log.Error("unexpected_exception",
-                {{"cause", e.what()}});  // one caller's trouble must not end the others
+                {{"cause", e.what()}});  // an error in one call must not stop the agent
     }
   }
   return 0;
 }
 
-// Parses the command line and does what it says; the exit code.
+// Parses and executes the command line; returns the exit code.
 int RunCommandLine(int argc, char** argv) {
   CLI::App app{
-      "mothrack-agent: looks after the sidecars of one machine. It starts, stops and restarts them, adopts "
-      "what runs\n"
-      "when it is started anew, and takes changes from mothrackctl. SIGTERM ends it; the sidecars run on."};
+      "mothrack-agent: supervises the sidecars of one machine. It starts, stops and restarts them, adopts\n"
+      "running sidecars when it is restarted, and carries out changes from mothrackctl. SIGTERM stops the\n"
+      "agent; the sidecars keep running."};
   app.set_version_flag("--version", "mothrack-agent " MOTHRACK_VERSION);
   std::string path;
   bool check = false;
-  app.add_option("FILE", path, "the fleet file (TOML), as deploy/agent.toml")->required();
-  app.add_flag("--check", check, "validate the file and end");
+  app.add_option("FILE", path, "the agent file (TOML), such as deploy/agent.toml")->required();
+  app.add_flag("--check", check, "validate the file and exit");
   try {
     app.parse(argc, argv);
   } catch (const CLI::ParseError& e) {
--- a/src/agent/generation_check.cpp
+++ b/src/agent/generation_check.cpp
@@ -12,11 +12,11 @@
     case CheckError::Cause::kNotStarted:
       return std::string("can't be checked: ") + std::strerror(error.system_error);
     case CheckError::Cause::kTimedOut:
-      return "its check did not end in time";
+      return "its check timed out";
     case CheckError::Cause::kRejected:
       break;
   }
-  return "its check says: " + (error.output.empty() ? "nothing, and failed" : error.output);
+  return "its check failed" + (error.output.empty() ? " without output" : ": " + error.output);
 }
 
 }  // namespace
--- a/src/agent/generation_check.h
+++ b/src/agent/generation_check.h
@@ -1,4 +1,4 @@
-// The result of the operator's check of a generation: a command that ends with 0 where its files are good.
+// The result of the operator's check of a generation: a command that exits with 0 if the files are valid.
 #pragma once
 
 #include <optional>
@@ -13,20 +13,20 @@
   enum class Cause {
     kFilesNotWritten,  // the files could not be written to where the command reads them
     kNotStarted,       // the command could not be started
-    kTimedOut,         // the command was killed, as it did not end in time
-    kRejected          // the command ended with a failure
+    kTimedOut,         // the command did not exit in time and was killed
+    kRejected          // the command exited with a failure
   };
   Cause cause = Cause::kFilesNotWritten;
   std::string generation;
-  std::string output{};  // of the command, for kRejected: CommandResult::kMaxOutputBytes at most
+  std::string output{};  // of the command, for kRejected; at most CommandResult::kMaxOutputBytes
   int system_error = 0;  // errno, for kNotStarted
 
-  // For the operator: the generation and the cause.
+  // A text for the operator that names the generation and the cause.
   std::string Message() const;
   bool operator==(const CheckError&) const = default;
 };
 
-// What the check command's result says of a generation; nothing where the files are good.
+// Turns the result of the check command into an error; nullopt if the files are valid.
 std::optional<CheckError> CheckErrorFrom(const std::string& generation, const CommandResult& result);
 
 }  // namespace mothrack::agent
--- a/src/agent/generation_store.cpp
+++ b/src/agent/generation_store.cpp
@@ -56,12 +56,11 @@
                            "generation: a name has letters, digits, '-', '_' and '.', at most 64"};
   }
   if (files.empty() || files.size() > kMaxFiles) {
-    return GenerationError{Cause::kInvalidFiles, "files: give 1 to " + std::to_string(kMaxFiles)};
+    return GenerationError{Cause::kInvalidFiles, "files: give 1 to " + std::to_string(kMaxFiles) + " files"};
   }
   for (const auto& [name, text] : files) {
     if (!rollout::IsValidName(name)) {
-      return GenerationError{Cause::kInvalidFiles,
-                             "files: '" + name + "' is no name for a file of a generation"};
+      return GenerationError{Cause::kInvalidFiles, "files: '" + name + "' is not a valid file name"};
     }
     if (text.size() > kMaxFileBytes) {
       return GenerationError{Cause::kInvalidFiles,
@@ -75,12 +74,14 @@
   if (auto invalid = Validate(generation, files)) return invalid;
   if (Has(generation)) {
     if (FilesOf(generation) == files) return std::nullopt;
-    return GenerationError{Cause::kOtherFiles,
-                           generation + " is there with other files; give the new ones a name of their own"};
+    return GenerationError{
+        Cause::kOtherFiles,
+        generation + " is already stored with other files; give the new ones another name"};
   }
   if (Names().size() >= kMaxGenerations) {
-    return GenerationError{Cause::kTooMany, "there are " + std::to_string(kMaxGenerations) +
-                                                " generations already; remove some that nothing runs"};
+    return GenerationError{Cause::kTooMany,
+                           std::to_string(kMaxGenerations) +
+                               " generations are already stored; remove some that no instance runs"};
   }
   return Write(generation, files);
 }
@@ -88,7 +89,8 @@
 std::optional<GenerationError> GenerationStore::Write(const std::string& generation,
                                                       const Files& files) const {
   const std::string target = DirectoryOf(generation);
-  // A name with a dot first is none of a generation: until the rename none is there.
+  // A name that begins with a dot is not a valid generation name, so the generation does not exist before the
+  // rename.
   const std::string temporary = directory_ + "/." + generation;
   std::error_code error;
   fs::remove_all(temporary, error);
@@ -106,7 +108,8 @@
   fs::rename(temporary, target, error);
   if (error) return DiskError(target, error.message());
   if (SyncDirectory(directory_)) return std::nullopt;
-  // Best effort: a caller that gets an error repeats the request, which must not find the generation stored.
+  // Undoes the rename, if possible: a caller that gets an error repeats the request, which must not find the
+  // generation stored.
   const GenerationError sync_error = DiskError(directory_, std::strerror(errno));
   fs::rename(target, temporary, error);
   return sync_error;
--- a/src/agent/generation_store.h
+++ b/src/agent/generation_store.h
@@ -1,6 +1,6 @@
-// Configuration generations on disk: DIRECTORY/NAME/ with a generation's files. A generation is immutable,
-// and there complete or not at all. Called from the event loop only; Keep() blocks it until the files are
-// durable and checked.
+// Configuration generations on disk: DIRECTORY/NAME/ has the files of generation NAME. A generation is
+// immutable and is stored completely or not at all. Called from the event loop only; Keep() blocks it until
+// the files are durable and checked.
 #pragma once
 
 #include <cstddef>
@@ -17,22 +17,22 @@
 // Why a generation was not stored.
 struct GenerationError {
   enum class Cause {
-    kInvalidName,     // of the generation
-    kInvalidFiles,    // none, too many, too long, or one with an invalid name
-    kOtherFiles,      // there is a generation of this name with other files
+    kInvalidName,     // the generation's name
+    kInvalidFiles,    // no files, too many, one that is too long or has an invalid name
+    kOtherFiles,      // a generation of this name is stored with other files
     kTooMany,         // kMaxGenerations are stored
     kCheckFailed,     // the files did not pass the operator's check
-    kDiskWriteFailed  // ENOSPC, EDQUOT, EIO, ...; the message has errno's text. Nothing is stored
+    kDiskWriteFailed  // ENOSPC, EDQUOT, EIO, ...; the message has errno's text
   };
   Cause cause = Cause::kInvalidName;
-  std::string message;  // for the operator: the generation, file or path, and the cause
+  std::string message;  // for the operator: names the generation, file or path, and the cause
 };
 
 class GenerationStore {
  public:
   // File name to text.
   using Files = std::map<std::string, std::string>;
-  // Checks the files of a generation in a directory. Nothing: they are good.
+  // Checks the files of a generation in a directory. Returns nullopt if they are valid.
   using Check =
       std::function<std::optional<CheckError>(const std::string& generation, const std::string& directory)>;
 
@@ -40,17 +40,17 @@
   static constexpr std::size_t kMaxFiles = 32;  // of a generation
   static constexpr std::size_t kMaxFileBytes = std::size_t{256} * 1024;
 
-  // Makes the directory; throws std::runtime_error where that fails.
+  // Creates the directory; throws std::runtime_error if that fails.
   GenerationStore(std::string directory, Check check);
 
   bool Has(const std::string& generation) const;
   std::vector<std::string> Names() const;
-  // As they were stored; none where there is no such generation.
+  // Returns the files as they were stored; empty if there is no such generation.
   Files FilesOf(const std::string& generation) const;
-  // Where a generation's files are, or would be.
+  // The directory of a generation's files, whether or not it exists.
   std::string DirectoryOf(const std::string& generation) const { return directory_ + '/' + generation; }
 
-  // Stores a generation. No error: it is durable, or was stored before with the same files.
+  // Stores a generation durably. Succeeds without effect if it is already stored with the same files.
   std::optional<GenerationError> Keep(const std::string& generation, const Files& files);
 
  private:
--- a/src/agent/rendered_files.cpp
+++ b/src/agent/rendered_files.cpp
@@ -10,15 +10,15 @@
 
 namespace fs = std::filesystem;
 
-std::string RenderError::Message() const { return "no files of " + generation; }
+std::string RenderError::Message() const { return "can't render the files of " + generation; }
 
 std::optional<RenderError> RenderFiles(const std::string& generation, const std::string& from,
                                        const std::string& to,
                                        const std::map<std::string, std::string>& placeholders) {
   using Cause = RenderError::Cause;
   std::error_code ignored;
-  fs::create_directories(to, ignored);  // where that fails, so does writing the first file
-  // Where the directory can't be read to its end, what was read is rendered all the same.
+  fs::create_directories(to, ignored);  // if this fails, so does writing the first file
+  // If the directory can't be read completely, the files that were read are still rendered.
   const DirectoryFiles read = ReadDirectory(from, DirectoryEntries::kAll);
   for (const auto& [name, text] : read.files) {
     const std::string path = (fs::path(to) / name).string();
--- a/src/agent/rendered_files.h
+++ b/src/agent/rendered_files.h
@@ -1,5 +1,5 @@
-// A generation's files as one instance gets them: copies in a directory of the instance, with the
-// placeholders replaced by the instance's values. Writing blocks until the files are durable.
+// Renders a generation's files for one instance: copies them to a directory of the instance and replaces
+// placeholders with the instance's values. Blocks until the files are durable.
 #pragma once
 
 #include <map>
@@ -12,20 +12,20 @@
 // Why a generation's files were not rendered.
 struct RenderError {
   enum class Cause {
-    kUnreadable,   // the directory with the generation's files
-    kWriteFailed,  // of one rendered file
+    kUnreadable,   // the directory with the generation's files can't be read
+    kWriteFailed,  // a rendered file can't be written
   };
   Cause cause = Cause::kUnreadable;
   std::string generation;
-  std::string path;       // the directory or the file
-  std::error_code error;  // of the system
+  std::string path;       // of the directory or the file
+  std::error_code error;  // the system's error
 
-  // For the log: the generation alone, whichever the cause.
+  // A text for the log, which names only the generation.
   std::string Message() const;
 };
 
-// Renders the files in `from` into `to`, which it makes; files that are there already are replaced.
-// `placeholders`: name to value. After an error, `to` may hold some of the files.
+// Renders the files in `from` into `to`, which is created if it does not exist. Replaces existing files.
+// `placeholders`: name to value. After an error, `to` may have some of the files.
 std::optional<RenderError> RenderFiles(const std::string& generation, const std::string& from,
                                        const std::string& to,
                                        const std::map<std::string, std::string>& placeholders);
--- a/src/agent/sidecar_status.h
+++ b/src/agent/sidecar_status.h
@@ -1,4 +1,4 @@
-// What a sidecar's admin API reports of itself, as far as its agent needs it.
+// Parses the parts of a sidecar's admin status that its agent needs.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -8,17 +8,17 @@
 
 namespace mothrack::agent {
 
-// Of one sidecar process; both false while it starts.
+// The status of one sidecar process; both members are false while it starts.
 struct SidecarStatus {
   bool ready = false;
   bool draining = false;
 };
 
-// Reads the body of GET /v1/status. Nothing where it is of another process than `pid`: a sidecar that was
-// started beside it, or before. Throws nlohmann::json::exception where a known key is of the wrong type.
+// Parses the body of GET /v1/status. Returns nullopt if another process than `pid` sent it, such as a former
+// sidecar at the same address. Throws nlohmann::json::exception if a known key is of the wrong type.
 std::optional<SidecarStatus> ParseSidecarStatus(const nlohmann::json& body, int pid);
 
-// Reads the counters of the same body: the sum over all pools. Throws as ParseSidecarStatus().
+// Sums the request counters of the same body over all pools. Throws like ParseSidecarStatus().
 RequestCounts SumRequests(const nlohmann::json& body);
 
 }  // namespace mothrack::agent
--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -15,7 +15,7 @@
 using storage::Statement;
 using storage::Transaction;
 
-// Another process that reads the file (a backup, a person) may lock it for so long before a save fails.
+// How long another process that reads the file, such as a backup, may lock it before a save fails.
 constexpr int kBusyTimeoutMs = 500;
 constexpr mode_t kFileMode = 0600;
 
@@ -27,7 +27,7 @@
     "CREATE TABLE event (number INTEGER PRIMARY KEY AUTOINCREMENT, at INTEGER NOT NULL, change TEXT, line "
     "TEXT);";
 
-// Why a file that SQLite can read is not used.
+// Thrown for a file that SQLite can read but the agent can't use.
 class FileRejected : public std::runtime_error {
  public:
   FileRejected(StoreError::Cause cause, const std::string& what) : std::runtime_error(what), cause_(cause) {}
@@ -38,8 +38,8 @@
 };
 
 StoreError OpenError(const std::string& path, StoreError::Cause cause, const std::exception& e) {
-  return {cause,
-          path + ": " + e.what() + "; put a copy that is whole in its place, or move it away to begin anew"};
+  return {cause, path + ": " + e.what() +
+                     "; replace it with an intact copy, or move it away to start with an empty one"};
 }
 
 }  // namespace
@@ -50,9 +50,9 @@
     Read();
   } catch (const FileRejected& e) {
     open_error_ = OpenError(path, e.cause(), e);
-  } catch (const std::runtime_error& e) {  // of SQLite
+  } catch (const std::runtime_error& e) {  // from SQLite
     open_error_ = OpenError(path, StoreError::Cause::kUnreadable, e);
-  } catch (const std::exception& e) {  // a value that is not what rollout/wire.h writes
+  } catch (const std::exception& e) {  // a value that rollout/wire.h does not write
     open_error_ = OpenError(path, StoreError::Cause::kDamaged, e);
   }
 }
@@ -63,8 +63,8 @@
   db_ = std::make_unique<storage::Database>(path);
   ::chmod(path.c_str(), kFileMode);
   db_->WaitFor(kBusyTimeoutMs);
-  // Written ahead and synced before a commit returns; the rollback journal rather than WAL, as saves are few
-  // and one file is easier to copy than three.
+  // The journal is written ahead, and the file is synced before a commit returns. This uses a rollback
+  // journal rather than WAL, since saves are few and one file is easier to copy than three.
   db_->Run("PRAGMA journal_mode = DELETE");
   db_->Run("PRAGMA synchronous = FULL");
   Statement version(*db_, "PRAGMA user_version");
@@ -156,7 +156,7 @@
 void SqliteStore::Note(const Event& event) {
   const bool failed_before = save_error_.has_value();
   Save(event, [] {});
-  if (!failed_before) save_error_.reset();  // a lost line of the history is no reason to refuse changes
+  if (!failed_before) save_error_.reset();  // losing a line of the history is no reason to refuse changes
 }
 
 std::vector<Event> SqliteStore::Events(std::size_t most) const {
--- a/src/ctl/claim_error.h
+++ b/src/ctl/claim_error.h
@@ -1,4 +1,4 @@
-// Why the lease of the agents was not granted, so that a change was not begun.
+// Why the agents did not grant the lease, so that a change was not begun.
 #pragma once
 
 #include <string>
@@ -13,10 +13,10 @@
     kRejected       // the claim was rejected: another holder, too few agents reached, ...
   };
   Cause cause = Cause::kRejected;
-  std::string agent{};   // of kAgentError and kAgentRefused
-  std::string reason{};  // of all but kInterrupted, for the operator: as the agent or the claim gave it
+  std::string agent{};   // for kAgentError and kAgentRefused
+  std::string reason{};  // for the operator, from the agent or the claim; empty for kInterrupted
 
-  // For the operator: the agent where there is one, and the reason.
+  // A text for the operator with the reason, and with the agent if there is one.
   std::string Message() const;
 };
 
--- a/src/ctl/command_change.cpp
+++ b/src/ctl/command_change.cpp
@@ -19,14 +19,14 @@
 using nlohmann::json;
 using Files = std::map<std::string, std::string>;  // name to text
 
-// What a command makes of the fleet.
+// The kind of change that a subcommand makes.
 struct ChangeRequest {
   rollout::StepKind kind = rollout::StepKind::kRestart;
   bool sets_generation = false;
   bool carry_out = true;  // otherwise it is only shown
 };
 
-// The time, for people to name the change by, and random digits, so that no id is given twice.
+// Returns the time, by which people can tell changes apart, and random digits, which make the id unique.
 std::string NewChangeId() {
   const std::time_t now = std::time(nullptr);
   std::tm utc{};
@@ -44,7 +44,7 @@
 Files ReadFilesIn(const std::string& directory) {
   agent::DirectoryFiles read = agent::ReadDirectory(directory, agent::DirectoryEntries::kRegularFiles);
   if (read.error) throw agent::FileError(directory + ": " + read.error.message());
-  if (read.files.empty()) throw agent::FileError(directory + ": holds no file");
+  if (read.files.empty()) throw agent::FileError(directory + ": has no files");
   return std::move(read.files);
 }
 
@@ -58,8 +58,8 @@
   return policy;
 }
 
-// The instances that the options name, or all, without those that have the generation already. Names from
-// --only that no instance has are left in `unmatched`.
+// Returns the instances that the options name, or all, without those that already have the generation. Puts
+// names from --only that match no instance into `unmatched`.
 std::vector<rollout::Target> SelectTargets(Session& session, const ChangeRequest& request,
                                            const FleetSnapshot& snapshot, std::set<std::string>& unmatched) {
   const Options& options = session.options();
@@ -96,7 +96,7 @@
   }
 }
 
-// Line by line, against the generation that the first target has.
+// Compares the files line by line with the generation that the first target has.
 void PrintFileDifferences(Session& session, const rollout::Plan& plan, const Files& files) {
   const rollout::Target& first = plan.targets.front();
   const auto replies =
@@ -108,7 +108,8 @@
   for (const auto& [name, text] : before.items()) names.insert(name);
   for (const std::string& name : names) {
     const auto after = files.find(name);
-    const std::string text = Difference(before.value(name, ""), after == files.end() ? "" : after->second);
+    const std::string text =
+        LineDifference(before.value(name, ""), after == files.end() ? "" : after->second);
     if (text.empty()) continue;
     std::cout << first.from << " -> " << session.options().generation << ": " << name << '\n' << text;
   }
@@ -120,12 +121,13 @@
   if (!files.empty()) PrintFileDifferences(session, plan, files);
   const auto agent = snapshot.AgentWithOpenChange();
   if (!agent) return kDone;
-  std::cout << "would be refused: " << Plain(snapshot.OpenChange(*agent, "change")) << " is open at "
-            << *agent << '\n';
+  std::cout << "would be refused: change " << Printable(snapshot.OpenChange(*agent, "change"))
+            << " is open at " << *agent << '\n';
   return kRefused;
 }
 
-// Sends the files to all agents before the first step: what one of them refuses changes nothing anywhere.
+// Sends the files to all agents before the first step, so that nothing changes anywhere if an agent refuses
+// them.
 ExitCode SendGeneration(Session& session, const rollout::Plan& plan, const Files& files) {
   const std::string& generation = session.options().generation;
   std::set<std::string> agents;
@@ -134,7 +136,7 @@
   for (const auto& [agent, reply] : session.driver().RequestAll("POST", "/v1/generation", body, agents)) {
     if (reply.ok()) continue;
     std::string reason = agent;
-    reason += " does not take " + generation + ": " + reply.ErrorText() + "; nothing has changed";
+    reason += " refuses generation " + generation + ": " + reply.ErrorText() + "; nothing has changed";
     return Fail(kRefused, reason);
   }
   return kDone;
@@ -144,7 +146,7 @@
   const Options& options = session.options();
   const FleetSnapshot snapshot = TakeSnapshot(session.driver());
   if (!snapshot.faults.empty())
-    return Fail(kUnreachable, "can't be reached: " + Join(snapshot.Unreachable()));
+    return Fail(kUnreachable, "can't be reached: " + JoinNames(snapshot.Unreachable()));
   Files files;
   if (request.sets_generation && !options.directory.empty()) files = ReadFilesIn(options.directory);
   std::set<std::string> unmatched;
@@ -155,7 +157,7 @@
                            SelectTargets(session, request, snapshot, unmatched),
                            PolicyFrom(options)};
   if (!unmatched.empty())
-    return Fail(kUsage, "there is no instance " + Join(unmatched) + "; see mothrackctl status");
+    return Fail(kUsage, "there is no instance " + JoinNames(unmatched) + "; see mothrackctl status");
   if (plan.targets.empty()) {
     std::cout << "nothing to change: every instance has " << options.generation << std::endl;
     return kDone;
--- a/src/ctl/command_explain.cpp
+++ b/src/ctl/command_explain.cpp
@@ -16,19 +16,20 @@
 
 void PrintInstance(const std::string& label, const json& instance) {
   std::cout << label << ": " << StateOf(instance) << ", generation "
-            << Plain(instance.value("generation", "")) << " of " << Plain(instance.value("configured", ""))
-            << " configured, pid " << instance.value("pid", 0) << '\n'
-            << "  requests since its start: " << instance.value("taken", 0) << " taken, "
-            << instance.value("bad", 0) << " refused or failed\n";
+            << Printable(instance.value("generation", ""))
+            << " (configured: " << Printable(instance.value("configured", "")) << "), pid "
+            << instance.value("pid", 0) << '\n'
+            << "  requests since its start: " << instance.value("taken", 0) << " received, "
+            << instance.value("bad", 0) << " rejected, failed or late\n";
   if (instance.value("phase", "none") != "none") {
     const json& step = instance["step"];
     const std::string why = instance.value("why", "");
     std::cout << "  last step: " << (step.value("undo", false) ? "undo of " : "")
-              << Plain(step.value("change", "")) << " to " << Plain(step.value("generation", "")) << ", "
-              << instance.value("phase", "") << (why.empty() ? "" : ": " + Plain(why)) << '\n';
+              << Printable(step.value("change", "")) << " to " << Printable(step.value("generation", ""))
+              << ", " << instance.value("phase", "") << (why.empty() ? "" : ": " + Printable(why)) << '\n';
   }
   if (instance.value("held", false))
-    std::cout << "  it ended too often and is not started again: restart it once mended\n";
+    std::cout << "  it crashed too often and is not started again: fix the cause, then restart it\n";
 }
 
 void PrintLogEnd(const std::string& log) {
@@ -37,7 +38,7 @@
   std::istringstream in(log);
   for (std::string line; std::getline(in, line);) lines.push_back(line);
   for (std::size_t i = lines.size() > kLogLines ? lines.size() - kLogLines : 0; i < lines.size(); ++i) {
-    std::cout << "    " << Plain(lines[i]) << '\n';
+    std::cout << "    " << Printable(lines[i]) << '\n';
   }
 }
 
--- a/src/ctl/command_history.cpp
+++ b/src/ctl/command_history.cpp
@@ -20,16 +20,16 @@
     const json events = reply.body.is_object() ? reply.body.value("events", json::array()) : json::array();
     for (const json& event : events) {
       const auto at_unix_ms = event.value("at_unix_ms", std::int64_t{0});
-      rows_by_time.emplace(at_unix_ms,
-                           std::vector<std::string>{ClockText(at_unix_ms), agent, event.value("change", ""),
-                                                    event.value("line", "")});
+      rows_by_time.emplace(
+          at_unix_ms, std::vector<std::string>{FormatLocalTime(at_unix_ms), agent, event.value("change", ""),
+                                               event.value("line", "")});
     }
   }
   std::vector<std::vector<std::string>> rows = {{"WHEN", "AGENT", "CHANGE", "WHAT"}};
   for (const auto& [at, row] : rows_by_time) rows.push_back(row);
-  std::cout << Table(rows);
+  std::cout << FormatTable(rows);
   if (unreachable.empty()) return kDone;
-  return Fail(kUnreachable, "can't be reached: " + Join(unreachable));
+  return Fail(kUnreachable, "can't be reached: " + JoinNames(unreachable));
 }
 
 }  // namespace mothrack::ctl
--- a/src/ctl/command_resume.cpp
+++ b/src/ctl/command_resume.cpp
@@ -1,4 +1,4 @@
-// mothrackctl resume, undo, abort: the change that is open at the agents, carried on, undone or closed.
+// mothrackctl resume, undo, abort: the change that is open at the agents, continued, undone or closed.
 #include <iostream>
 #include <optional>
 
@@ -10,7 +10,7 @@
 namespace mothrack::ctl {
 namespace {
 
-// The plan of the open change, or the exit code where there is none to be had.
+// The plan of the open change, or the exit code if it can't be fetched.
 struct OpenPlan {
   std::optional<rollout::Plan> plan;
   ExitCode code = kRefused;
@@ -24,33 +24,34 @@
     return {std::nullopt, Fail(kRefused, *agent + ": " + reply.ErrorText())};
   }
   if (snapshot.faults.empty()) return {std::nullopt, Fail(kRefused, "no change is open")};
-  return {std::nullopt, Fail(kUnreachable, "no change is open where one was reached; not reached: " +
-                                               Join(snapshot.Unreachable()))};
+  return {std::nullopt,
+          Fail(kUnreachable, "no change is open at the agents that were reached; not reached: " +
+                                 JoinNames(snapshot.Unreachable()))};
 }
 
-ExitCode CarryOn(Session& session, rollout::Change::Direction direction) {
+ExitCode Continue(Session& session, rollout::Change::Direction direction) {
   const FleetSnapshot snapshot = TakeSnapshot(session.driver());
   const auto [plan, code] = FetchOpenPlan(session, snapshot);
   if (!plan) return code;
   const bool undo = direction == rollout::Change::Direction::kUndo;
-  std::cout << plan->id << " by " << Plain(plan->who) << " (" << Plain(plan->why) << ") is "
-            << (undo ? "undone" : "carried on") << std::endl;
+  std::cout << plan->id << " by " << Printable(plan->who) << " (" << Printable(plan->why) << ") is "
+            << (undo ? "undone" : "continued") << std::endl;
   return PrintOutcome(
       session.driver().CarryOut(*plan, direction, true, session.OperatorName(), snapshot.ShortestLease()));
 }
 
 }  // namespace
 
-ExitCode RunResume(Session& session) { return CarryOn(session, rollout::Change::Direction::kForward); }
+ExitCode RunResume(Session& session) { return Continue(session, rollout::Change::Direction::kForward); }
 
-ExitCode RunUndo(Session& session) { return CarryOn(session, rollout::Change::Direction::kUndo); }
+ExitCode RunUndo(Session& session) { return Continue(session, rollout::Change::Direction::kUndo); }
 
 ExitCode RunAbort(Session& session) {
   const auto [plan, code] = FetchOpenPlan(session, TakeSnapshot(session.driver()));
   if (!plan) return code;
   const auto outcome = session.driver().Close(*plan, session.OperatorName());
   if (outcome.refused) return Fail(kRefused, outcome.refused->Message());
-  std::cout << plan->id << " closed as it stands; no step is undone" << std::endl;
+  std::cout << plan->id << " closed; no step is undone" << std::endl;
   return PrintLeftOpen(outcome) ? kUnreachable : kDone;
 }
 
--- a/src/ctl/command_status.cpp
+++ b/src/ctl/command_status.cpp
@@ -32,10 +32,11 @@
   const json& open = agent["open"];
   std::string note = "open: " + open.value("change", "") + " by " + open.value("who", "") + " (" +
                      open.value("why", "") + ")";
-  if (!agent.contains("holder")) return note + ", nobody holds it: resume or abort\n";
+  if (!agent.contains("holder"))
+    return note + ", no operator holds the lease: run mothrackctl resume or abort\n";
   const json& holder = agent["holder"];
   return note + ", held by " + holder.value("who", "") + " since " +
-         ClockText(holder.value("since_unix_ms", std::int64_t{0})) + '\n';
+         FormatLocalTime(holder.value("since_unix_ms", std::int64_t{0})) + '\n';
 }
 
 class StatusTable {
@@ -56,8 +57,9 @@
   std::string Text() const {
     std::string notes;
     std::istringstream lines(notes_);
-    for (std::string line; std::getline(lines, line);) notes += Plain(line) + '\n';
-    return Table(rows_) + notes + std::to_string(ready_) + " of " + std::to_string(instances_) + " ready\n";
+    for (std::string line; std::getline(lines, line);) notes += Printable(line) + '\n';
+    return FormatTable(rows_) + notes + std::to_string(ready_) + " of " + std::to_string(instances_) +
+           " ready\n";
   }
 
  private:
--- a/src/ctl/ctl_main.cpp
+++ b/src/ctl/ctl_main.cpp
@@ -1,4 +1,4 @@
-// mothrackctl: sees, changes and restarts many sidecars together, through the agents of their machines.
+// mothrackctl: shows, changes and restarts many sidecars together, through the agents of their machines.
 #include <csignal>
 #include <exception>
 #include <iostream>
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -14,8 +14,8 @@
 
 using nlohmann::json;
 
-// The event loop runs for so long at most before time-outs are checked again.
-constexpr rollout::Duration kLoopTurn{20};
+// The longest wait in the event loop before timeouts are checked again.
+constexpr rollout::Duration kMaxLoopWait{20};
 
 std::string RandomText() {
   std::random_device random;
@@ -27,15 +27,15 @@
 // An agent's answer to a request that needs the lease.
 struct Driver::LeaseAnswer {
   rollout::Lessor::Verdict verdict = rollout::Lessor::Verdict::kFenced;
-  std::optional<rollout::Holder> holder;  // who has the lease instead
-  std::string refused;                    // why it was refused, where the verdict is not the reason
+  std::optional<rollout::Holder> holder;  // another holder of the lease
+  std::string refused;                    // why it was refused, if the verdict is not the reason
   bool open = false;
   rollout::Epoch highest = 0;
 };
 
 Driver::Driver(boost::asio::io_context& io, std::vector<agent::AgentEndpoint> agents,
-               std::function<void(const std::string&)> say)
-    : io_(io), agents_(std::move(agents)), say_(std::move(say)) {}
+               std::function<void(const std::string&)> print_line)
+    : io_(io), agents_(std::move(agents)), print_line_(std::move(print_line)) {}
 
 Driver::Outcome Driver::CarryOut(const rollout::Plan& plan, rollout::Change::Direction direction,
                                  bool resuming, const std::string& who, rollout::Duration lease_time) {
@@ -47,11 +47,12 @@
   rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
   RunChange(change, lease.epoch, holder.claim_id);
   outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
-  // A change that has ended said so itself, with its reason.
-  if (!change.end()) say_(plan.id + " held: interrupted; what was taken is finished by the agents");
+  // A change that has ended has printed its end and the reason itself.
+  if (!change.end())
+    print_line_(plan.id + " held: interrupted; the agents finish the steps that they have accepted");
   const bool close = outcome.end != rollout::ChangeEnd::kHeld;
-  const auto missing = Release(lease.epoch, holder.claim_id, close);
-  if (close) outcome.left_open = missing;
+  const auto not_released = Release(lease.epoch, holder.claim_id, close);
+  if (close) outcome.left_open = not_released;
   return outcome;
 }
 
@@ -74,13 +75,13 @@
   return {plan.id, who, plan.why, agent::UnixNow(), claim_id};
 }
 
-// One claim under way, with what its answers change. It is a local of AcquireLease(): answers that come after
-// its end must not touch it, see Driver::run_lifetime_.
+// One claim under way and the state that answers to it change. It is a local variable of AcquireLease(), so
+// answers that arrive after the claim's end must not access it; see Driver::run_lifetime_.
 struct Driver::ClaimRun {
   const rollout::Plan& plan;
   const rollout::Holder& holder;
   rollout::Claim claim;
-  std::optional<ClaimError> agent_error{};  // what an agent answered instead of a verdict
+  std::optional<ClaimError> agent_error{};  // an agent's error or refusal instead of a verdict
   rollout::Epoch last_epoch = 0;            // the highest that was requested
 };
 
@@ -100,7 +101,7 @@
       SendClaimCommand(run, command);
       run.last_epoch = std::max(run.last_epoch, command.epoch);
     }
-    RunEventLoop(kLoopTurn);
+    RunEventLoop(kMaxLoopWait);
   }
   EndRun();
   if (claim.granted()) return {claim.granted()->epoch, claim.granted()->since, {}};
@@ -158,7 +159,7 @@
       [&run, command, claim_id = run.holder.claim_id](const admin_client::Response& response) {
         const auto answer = ParseLeaseAnswer(response);
         if (!answer) {
-          // Where no answer came at all, the claim repeats the request.
+          // If there was no answer at all, the claim repeats the request.
           if (response.transport_error.empty()) {
             run.agent_error = ClaimError{ClaimError::Cause::kAgentError, command.agent, response.ErrorText()};
           }
@@ -186,12 +187,12 @@
     std::vector<rollout::ChangeCommand> commands;
     const rollout::TimePoint now = agent::SteadyNow();
     change.Tick(now, commands);
-    // One report of an agent answers for all of its instances, and renews its lease.
+    // One report of an agent covers all of its instances and renews its lease.
     std::map<std::string, std::vector<ReportRequest>> reports;
     for (const rollout::ChangeCommand& command : commands) {
       switch (command.kind) {
         case rollout::ChangeCommand::Kind::kPrint:
-          say_(command.line);
+          print_line_(command.line);
           break;
         case rollout::ChangeCommand::Kind::kRenew:
           reports[command.name.agent];
@@ -205,7 +206,7 @@
       }
     }
     for (const auto& [agent, requests] : reports) RequestReports(run, agent, requests, now);
-    if (!change.end()) RunEventLoop(kLoopTurn);
+    if (!change.end()) RunEventLoop(kMaxLoopWait);
   }
   EndRun();
 }
@@ -269,15 +270,15 @@
 
 std::set<std::string> Driver::Release(rollout::Epoch epoch, const std::string& claim_id, bool close) {
   constexpr int kAttempts = 3;  // each waits for kTimeout at most
-  std::set<std::string> missing;
-  for (const agent::AgentEndpoint& agent : agents_) missing.insert(agent.name);
-  for (int i = 0; i < kAttempts && !missing.empty(); ++i) {
+  std::set<std::string> not_released;
+  for (const agent::AgentEndpoint& agent : agents_) not_released.insert(agent.name);
+  for (int i = 0; i < kAttempts && !not_released.empty(); ++i) {
     const json body = {{"ask", "release"}, {"epoch", epoch}, {"tool", claim_id}, {"close", close}};
-    for (const auto& [name, reply] : RequestAll("POST", "/v1/lease", body, missing)) {
-      if (reply.ok()) missing.erase(name);
+    for (const auto& [name, reply] : RequestAll("POST", "/v1/lease", body, not_released)) {
+      if (reply.ok()) not_released.erase(name);
     }
   }
-  return missing;
+  return not_released;
 }
 
 std::map<std::string, admin_client::Response> Driver::RequestAll(const std::string& method,
@@ -294,7 +295,7 @@
         io_, {agent.address, agent.token, method, target, body}, kTimeout,
         [replies, name = agent.name](admin_client::Response reply) { (*replies)[name] = std::move(reply); });
   }
-  while (replies->size() < requests_sent) RunEventLoop(kLoopTurn);
+  while (replies->size() < requests_sent) RunEventLoop(kMaxLoopWait);
   return *replies;
 }
 
@@ -314,7 +315,8 @@
         try {
           on_response(reply);
         } catch (const std::invalid_argument& e) {
-          say_(agent + ": its answer can't be read: " + e.what());  // as if none had come
+          print_line_(agent +
+                      ": its answer can't be parsed: " + e.what());  // handled as if there were no answer
         }
       });
 }
--- a/src/ctl/fleet_snapshot.h
+++ b/src/ctl/fleet_snapshot.h
@@ -13,24 +13,24 @@
 
 namespace mothrack::ctl {
 
-// Of all agents in the list.
+// The state of all agents in the list.
 struct FleetSnapshot {
   std::map<std::string, nlohmann::json> agents;  // those that answered, by name
-  std::map<std::string, std::string> faults;     // why the others did not
+  std::map<std::string, std::string> faults;     // why the others could not be read, by name
 
   std::set<std::string> Unreachable() const;
   // The shortest of the agents' lease durations, 10 s at most.
   rollout::Duration ShortestLease() const;
-  // The agent with an open change, the first by name; nothing: no agent has one.
+  // Returns the first agent by name that has an open change; nullopt if there is none.
   std::optional<std::string> AgentWithOpenChange() const;
-  // Of the change that is open at an agent: `key` is "change", "who" or "why".
+  // Returns a member of the change that is open at an agent: `key` is "change", "who" or "why".
   std::string OpenChange(const std::string& agent, const char* key) const;
 };
 
 // Polls all agents at once and waits for their answers.
 FleetSnapshot TakeSnapshot(Driver& driver);
 
-// The state of an instance in a word or two, as status and explain print it.
+// Returns the state of an instance in a word or two, for status and explain.
 std::string StateOf(const nlohmann::json& instance);
 
 }  // namespace mothrack::ctl
--- a/src/ctl/options.h
+++ b/src/ctl/options.h
@@ -8,7 +8,7 @@
 
 namespace mothrack::ctl {
 
-// What the tool is to do.
+// The subcommand to run.
 enum class Command {
   kStatus,
   kPlan,
@@ -22,14 +22,14 @@
   kExplain,
 };
 
-// What the options and arguments of all commands set; each command reads its own.
+// The options and arguments of all subcommands. Each subcommand reads only its own.
 struct Options {
   Command command = Command::kStatus;
   std::string agents_file = "agents.toml";
   std::string who;  // empty: the user's name
   std::string why;
   std::string generation;
-  std::string directory;          // with the generation's files; empty: the agents have them
+  std::string directory;          // has the generation's files; empty: the agents have them already
   std::vector<std::string> only;  // AGENT/INSTANCE; empty: all
   std::string instance;           // AGENT/INSTANCE
   bool json = false;
@@ -40,11 +40,11 @@
   std::size_t max_unavailable = 1;
   int watch_ms = 2000;          // Policy::watch_interval
   int step_limit_ms = 60'000;   // Policy::step_timeout
-  std::size_t max_events = 50;  // of each agent
+  std::size_t max_events = 50;  // from each agent
 };
 
-// Reads the command line. Where there is nothing to run (--help, --version, a fault) it has printed what
-// there is to print, and returns the exit code.
+// Parses the command line. If there is nothing to run (--help, --version, an error), prints the text for that
+// case and returns the exit code.
 std::variant<Options, int> ParseCommandLine(int argc, char** argv);
 
 }  // namespace mothrack::ctl
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -15,7 +15,7 @@
 Session::Session(Options options)
     : options_(std::move(options)),
       driver_(io_, agent::LoadAgentsFile(options_.agents_file),
-              [](const std::string& line) { std::cout << Plain(line) << std::endl; }),
+              [](const std::string& line) { std::cout << Printable(line) << std::endl; }),
       signals_(io_, SIGINT, SIGTERM) {
   signals_.async_wait([this](const boost::system::error_code& error, int) {
     if (!error) driver_.Interrupt();
@@ -29,14 +29,14 @@
 }
 
 ExitCode Fail(ExitCode code, const std::string& reason) {
-  std::cerr << "mothrackctl: " << Plain(reason) << std::endl;
+  std::cerr << "mothrackctl: " << Printable(reason) << std::endl;
   return code;
 }
 
 bool PrintLeftOpen(const Driver::Outcome& outcome) {
   if (outcome.left_open.empty()) return false;
-  std::cout << "still open at " << Join(outcome.left_open)
-            << ", which can't be reached: abort once they are back" << std::endl;
+  std::cout << "the change is still open at " << JoinNames(outcome.left_open)
+            << "; they can't be reached: run mothrackctl abort once they are back" << std::endl;
   return true;
 }
 
@@ -47,7 +47,7 @@
     case rollout::ChangeEnd::kCompleted:
       return left_open ? kUnreachable : kDone;
     case rollout::ChangeEnd::kHeld:
-      std::cout << "it stays open: mothrackctl resume, undo or abort" << std::endl;
+      std::cout << "the change stays open: run mothrackctl resume, undo or abort" << std::endl;
       return kHeld;
     case rollout::ChangeEnd::kRolledBack:
       return kRolledBack;
--- a/src/ctl/session.h
+++ b/src/ctl/session.h
@@ -1,5 +1,5 @@
-// What every command of mothrackctl works with: its options, the driver to the agents, SIGINT and SIGTERM.
-// One thread.
+// The context of one run of mothrackctl: its options, the driver of the agents, and the handling of SIGINT
+// and SIGTERM. Single-threaded.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -16,7 +16,7 @@
 // One run of the tool.
 class Session {
  public:
-  // Throws agent::FileError where the list of agents has a fault.
+  // Throws agent::FileError if the list of agents is invalid.
   explicit Session(Options options);
 
   const Options& options() const { return options_; }
@@ -47,7 +47,7 @@
 ExitCode Fail(ExitCode code, const std::string& reason);
 // Prints how a change ended; returns the exit code for it.
 ExitCode PrintOutcome(const Driver::Outcome& outcome);
-// Prints which agents still have the change open; false: none.
+// Prints which agents still have the change open; returns false if none has.
 bool PrintLeftOpen(const Driver::Outcome& outcome);
 
 }  // namespace mothrack::ctl
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -7,7 +7,7 @@
 namespace mothrack::ctl {
 namespace {
 
-std::vector<std::string> Lines(const std::string& text) {
+std::vector<std::string> SplitLines(const std::string& text) {
   std::vector<std::string> lines;
   std::istringstream in(text);
   for (std::string line; std::getline(in, line);) lines.push_back(line);
@@ -20,9 +20,9 @@
   std::vector<std::size_t> changed;  // indices into `lines`
 };
 
-// By the longest common subsequence of lines; time and memory grow with the product of both sizes.
+// Compares by the longest common subsequence of lines. Time and memory grow with the product of both sizes.
 DiffLines Compare(const std::vector<std::string>& before, const std::vector<std::string>& after) {
-  // Its length for the rest of both from each pair of lines on.
+  // The subsequence's length for the remaining lines from each pair of positions on.
   std::vector<std::vector<unsigned>> common(before.size() + 1, std::vector<unsigned>(after.size() + 1, 0));
   for (std::size_t i = before.size(); i-- > 0;) {
     for (std::size_t j = after.size(); j-- > 0;) {
@@ -49,19 +49,19 @@
 
 }  // namespace
 
-std::string Plain(const std::string& text) {
-  std::string plain;
-  for (const char c : text) plain += static_cast<unsigned char>(c) < ' ' || c == 127 ? '?' : c;
-  return plain;
+std::string Printable(const std::string& text) {
+  std::string printable;
+  for (const char c : text) printable += static_cast<unsigned char>(c) < ' ' || c == 127 ? '?' : c;
+  return printable;
 }
 
-std::string Join(const std::set<std::string>& names) {
+std::string JoinNames(const std::set<std::string>& names) {
   std::string text;
   for (const std::string& name : names) text += (text.empty() ? "" : ", ") + name;
   return text;
 }
 
-std::string ClockText(std::int64_t unix_ms) {
+std::string FormatLocalTime(std::int64_t unix_ms) {
   const std::time_t at = unix_ms / 1000;
   std::tm local{};
   ::localtime_r(&at, &local);
@@ -70,7 +70,7 @@
   return text;
 }
 
-std::string Table(const std::vector<std::vector<std::string>>& rows) {
+std::string FormatTable(const std::vector<std::vector<std::string>>& rows) {
   std::vector<std::size_t> widths;
   for (const auto& row : rows) {
     widths.resize(std::max(widths.size(), row.size()));
@@ -80,7 +80,7 @@
   for (const auto& row : rows) {
     std::string line;
     for (std::size_t i = 0; i < row.size(); ++i) {
-      line += Plain(row[i]);
+      line += Printable(row[i]);
       if (i + 1 < row.size()) line += std::string(widths[i] - row[i].size() + 2, ' ');
     }
     text += line + '\n';
@@ -88,10 +88,10 @@
   return text;
 }
 
-std::string Difference(const std::string& before, const std::string& after, std::size_t context) {
+std::string LineDifference(const std::string& before, const std::string& after, std::size_t context) {
   if (before == after) return {};
-  const auto removed = Lines(before);
-  const auto added = Lines(after);
+  const auto removed = SplitLines(before);
+  const auto added = SplitLines(after);
   if (removed.size() > kMaxLines || added.size() > kMaxLines) {
     return "(differs; too long to compare line by line)\n";
   }
@@ -102,7 +102,7 @@
     const std::size_t from = std::max(shown, changed > context ? changed - context : 0);
     if (from > shown) text += "  ...\n";
     for (shown = from; shown < std::min(diff.lines.size(), changed + context + 1); ++shown) {
-      text += Plain(diff.lines[shown]) + '\n';
+      text += Printable(diff.lines[shown]) + '\n';
     }
   }
   if (shown < diff.lines.size()) text += "  ...\n";
--- a/src/ctl/show.h
+++ b/src/ctl/show.h
@@ -1,4 +1,4 @@
-// What mothrackctl prints: tables, differences of files. Text in, text out.
+// Formats the output of mothrackctl: tables, differences of files, names and times.
 #pragma once
 
 #include <cstdint>
@@ -8,22 +8,23 @@
 
 namespace mothrack::ctl {
 
-// Columns as wide as their widest cell, two spaces between; the first row is the head.
-std::string Table(const std::vector<std::vector<std::string>>& rows);
+// Formats rows as a table. Columns are as wide as their widest cell, with two spaces between them. The first
+// row is the head.
+std::string FormatTable(const std::vector<std::vector<std::string>>& rows);
 
-// Lines that were removed ("-") and added ("+"), with `context` unchanged lines on either side; empty where
-// nothing differs. Where a side has more than kMaxLines it only notes that they differ: the comparison costs
-// the product of both.
-std::string Difference(const std::string& before, const std::string& after, std::size_t context = 2);
+// Shows the lines that were removed ("-") and added ("+"), with `context` unchanged lines on either side.
+// Empty if the texts are equal. If a text has more than kMaxLines lines, it only notes that they differ,
+// since the comparison's cost is the product of both numbers of lines.
+std::string LineDifference(const std::string& before, const std::string& after, std::size_t context = 2);
 constexpr std::size_t kMaxLines = 2000;
 
-// The text with control characters made visible, as it comes from other machines and goes to a terminal.
-std::string Plain(const std::string& text);
+// Replaces each control character with '?': the text comes from other machines and is printed to a terminal.
+std::string Printable(const std::string& text);
 
-// With ", " between them.
-std::string Join(const std::set<std::string>& names);
+// Joins names with ", ".
+std::string JoinNames(const std::set<std::string>& names);
 
-// Local time, "YYYY-MM-DD HH:MM:SS".
-std::string ClockText(std::int64_t unix_ms);
+// Formats a time as local time, "YYYY-MM-DD HH:MM:SS".
+std::string FormatLocalTime(std::int64_t unix_ms);
 
 }  // namespace mothrack::ctl
--- a/src/storage/sqlite.h
+++ b/src/storage/sqlite.h
@@ -72,7 +72,7 @@
     if (result != SQLITE_ROW && result != SQLITE_DONE) throw DatabaseError(sqlite3_errmsg(db_));
     return result == SQLITE_ROW;
   }
-  // A column of the present row; the first one is 0. A null is an empty text or 0.
+  // Read a column of the current row; the first one is 0. A null is read as an empty text or 0.
   std::string Text(int column) const {
     const auto* text = reinterpret_cast<const char*>(sqlite3_column_text(statement_, column));
     if (text == nullptr) return {};
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -1,4 +1,4 @@
-// An agent's answers to commands: the typed refusals, and that a save that failed has had no effect.
+// An agent's answers to commands: the cause of each refusal, and that a failed save has no effect.
 #include "agent/agent.h"
 
 #include <chrono>
@@ -20,7 +20,7 @@
 using rollout::TimePoint;
 using Verdict = rollout::Lessor::Verdict;
 
-// Saves nothing, and fails where `failure` is set.
+// Stores nothing, and fails if `failure` is set.
 class FakeStore : public Store {
  public:
   std::optional<StoreError> SaveLease(const rollout::LeaseState&, const Plan*, const Event&) override {
@@ -121,7 +121,7 @@
   store_.failure = StoreError{StoreError::Cause::kSaveFailed, "state.sqlite: disk is full"};
   const Agent::Answer step = Accept("i0", step_);
   EXPECT_EQ(step.refusal, Refusal::kSaveFailed);
-  EXPECT_EQ(step.refused, "its disk takes nothing; mend that first");
+  EXPECT_EQ(step.refused, "its state can't be saved to disk; fix that first");
   EXPECT_EQ(step.report->phase, Phase::kNone);
   EXPECT_EQ(agent_.GenerationOf("i0"), "g1");
   EXPECT_EQ(agent_.Release(1, "ann.1", true, 0).refusal, Refusal::kSaveFailed);
--- a/tests/agent/directory_files_test.cpp
+++ b/tests/agent/directory_files_test.cpp
@@ -1,4 +1,4 @@
-// The files of a directory: which entries count, and the error where it can't be read.
+// Reading a directory's files: which entries count as files, and the error if the directory can't be read.
 #include "agent/directory_files.h"
 
 #include <filesystem>
@@ -52,7 +52,7 @@
   EXPECT_THROW(ReadDirectory(directory_.path(), DirectoryEntries::kRegularFiles), fs::filesystem_error);
 }
 
-TEST_F(DirectoryFilesTest, ErrorIsOfTheSystem) {
+TEST_F(DirectoryFilesTest, ReportsTheSystemError) {
   const DirectoryFiles missing = ReadDirectory(directory_.File("missing"), DirectoryEntries::kAll);
   EXPECT_EQ(missing.error, std::errc::no_such_file_or_directory);
   EXPECT_TRUE(missing.files.empty());
--- a/tests/agent/generation_check_test.cpp
+++ b/tests/agent/generation_check_test.cpp
@@ -1,4 +1,4 @@
-// The texts that an operator gets where a generation does not pass its check, cause by cause.
+// The error texts for a generation that does not pass its check, and how they come from the command's result.
 #include "agent/generation_check.h"
 
 #include <cerrno>
@@ -19,9 +19,9 @@
   } rows[] = {
       {{Cause::kFilesNotWritten, "g1"}, "g1: can't be checked: its files can't be written"},
       {{Cause::kNotStarted, "g1", {}, EAGAIN}, "g1: can't be checked: Resource temporarily unavailable"},
-      {{Cause::kTimedOut, "g1"}, "g1: its check did not end in time"},
-      {{Cause::kRejected, "g1", "line 3: no such key\n"}, "g1: its check says: line 3: no such key\n"},
-      {{Cause::kRejected, "g1"}, "g1: its check says: nothing, and failed"},
+      {{Cause::kTimedOut, "g1"}, "g1: its check timed out"},
+      {{Cause::kRejected, "g1", "line 3: no such key\n"}, "g1: its check failed: line 3: no such key\n"},
+      {{Cause::kRejected, "g1"}, "g1: its check failed without output"},
   };
   for (const auto& row : rows) EXPECT_EQ(row.error.Message(), row.text);
 }
--- a/tests/agent/generation_store_test.cpp
+++ b/tests/agent/generation_store_test.cpp
@@ -1,4 +1,4 @@
-// Configuration generations on disk: stored completely or not at all, with the cause where they are not.
+// Configuration generations on disk: stored completely or not at all, and the cause if they are not.
 #include "agent/generation_store.h"
 
 #include <cstdio>
@@ -15,7 +15,7 @@
 namespace fs = std::filesystem;
 using Cause = GenerationError::Cause;
 
-// Nothing where there is no error.
+// Returns nullopt if there is no error.
 std::optional<Cause> CauseOf(const std::optional<GenerationError>& error) {
   return error ? std::optional(error->cause) : std::nullopt;
 }
@@ -51,7 +51,7 @@
   const auto rejected = store_->Keep("g1", files);
   EXPECT_EQ(CauseOf(rejected), Cause::kCheckFailed);
   ASSERT_TRUE(rejected);
-  EXPECT_EQ(rejected->message, "g1: its check says: line 3");
+  EXPECT_EQ(rejected->message, "g1: its check failed: line 3");
   EXPECT_TRUE(store_->Names().empty());
 }
 
--- a/tests/agent/recorded_answers_test.cpp
+++ b/tests/agent/recorded_answers_test.cpp
@@ -1,7 +1,6 @@
-// What the agent's API answers, as version 0.2.0 answered: the head byte for byte, the body as JSON by key
-// and value, through one change of one instance from its lease to its end. Masked, since they differ by the
-// run: values of the keys in kVarying, by their type; numbers of processes in lines; Content-Length, which
-// counts them.
+// The agent's API answers as in version 0.2.0 throughout one change of one instance. The head is compared
+// byte for byte, the body as JSON. Values that differ from run to run are masked: values of the keys in
+// kVarying (only their type is compared), pids in text, and Content-Length, which depends on them.
 #include <gtest/gtest.h>
 
 #include <regex>
@@ -16,7 +15,7 @@
 namespace mothrack::testing {
 namespace {
 
-// Times, the number of the process, and its log, which has both.
+// Times, the pid, and the process's log, which has both.
 const std::set<std::string> kVarying = {"at_unix_ms", "log", "now_unix_ms", "pid"};
 
 void MaskVarying(json& value) {
@@ -40,13 +39,13 @@
   return Escaped(head) + '\n' + std::regex_replace(body.dump(1), kPid, "pid N");
 }
 
-struct Row {
+struct RequestCase {
   const char* name;
   const char* line;
   std::string body;
 };
 
-std::string Request(const Row& row) {
+std::string Request(const RequestCase& row) {
   return std::string(row.line) +
          " HTTP/1.1\r\nHost: h\r\nContent-Length: " + std::to_string(row.body.size()) + "\r\n\r\n" + row.body;
 }
@@ -56,11 +55,11 @@
                       {"why", "new time-outs"},
                       {"since_unix_ms", 1'700'000'000'123},
                       {"tool", "ann.1.77"}};
-const json kOther = {{"change", "c-2"},
-                     {"who", "bob"},
-                     {"why", "another"},
-                     {"since_unix_ms", 1'700'000'000'456},
-                     {"tool", "bob.2.78"}};
+const json kOtherHolder = {{"change", "c-2"},
+                           {"who", "bob"},
+                           {"why", "another"},
+                           {"since_unix_ms", 1'700'000'000'456},
+                           {"tool", "bob.2.78"}};
 const json kTarget = {{"agent", "a0"}, {"instance", "n0"}, {"hall", "bole"}, {"from", "g1"}, {"to", "g1"}};
 const json kPlan = {{"id", "c-1"},
                     {"who", "ann"},
@@ -79,18 +78,18 @@
 const json kStep = {{"change", "c-1"},    {"kind", "restart"}, {"undo", false},
                     {"generation", "g1"}, {"epoch", 5},        {"from", "g1"}};
 
-std::string Lease(const char* ask, int epoch, const json& more) {
+std::string LeaseBody(const char* ask, int epoch, const json& more) {
   json body = {{"ask", ask}, {"epoch", epoch}};
   body.update(more);
   return body.dump();
 }
 
-std::string Take(int epoch, const char* instance) {
+std::string StepBody(int epoch, const char* instance) {
   return json{{"epoch", epoch}, {"tool", "ann.1.77"}, {"instance", instance}, {"step", kStep}}.dump();
 }
 
-// Up to the step, all within the lease's 3 s.
-std::vector<Row> ChangeRows() {
+// The requests up to the step. They must all be sent within the lease's 3 s.
+std::vector<RequestCase> ChangeRequests() {
   const std::string keep = json{{"name", "g2"}, {"files", {{"mothrack.toml", "name = \"x\"\n"}}}}.dump();
   return {
       {"agent", "GET /v1/agent", ""},
@@ -104,20 +103,20 @@
       {"no epoch", "POST /v1/lease", R"({"ask":"renew"})"},
       {"epoch of another kind", "POST /v1/lease", R"({"ask":"renew","epoch":"5"})"},
       {"another ask", "POST /v1/lease", R"({"ask":"borrow","epoch":5,"tool":"t"})"},
-      {"take without a lease", "POST /v1/take", Take(5, "n0")},
-      {"acquire", "POST /v1/lease", Lease("acquire", 5, {{"holder", kHolder}})},
-      {"acquire by another", "POST /v1/lease", Lease("acquire", 6, {{"holder", kOther}})},
-      {"acquire below", "POST /v1/lease", Lease("acquire", 4, {{"holder", kOther}})},
-      {"renew of another", "POST /v1/lease", Lease("renew", 5, {{"tool", "bob.2.78"}})},
-      {"open", "POST /v1/lease", Lease("open", 5, {{"holder", kHolder}, {"plan", kPlan}})},
-      {"renew", "POST /v1/lease", Lease("renew", 5, {{"tool", "ann.1.77"}})},
+      {"take without a lease", "POST /v1/take", StepBody(5, "n0")},
+      {"acquire", "POST /v1/lease", LeaseBody("acquire", 5, {{"holder", kHolder}})},
+      {"acquire by another", "POST /v1/lease", LeaseBody("acquire", 6, {{"holder", kOtherHolder}})},
+      {"acquire below", "POST /v1/lease", LeaseBody("acquire", 4, {{"holder", kOtherHolder}})},
+      {"renew of another", "POST /v1/lease", LeaseBody("renew", 5, {{"tool", "bob.2.78"}})},
+      {"open", "POST /v1/lease", LeaseBody("open", 5, {{"holder", kHolder}, {"plan", kPlan}})},
+      {"renew", "POST /v1/lease", LeaseBody("renew", 5, {{"tool", "ann.1.77"}})},
       {"report", "POST /v1/report", R"({"epoch":5,"tool":"ann.1.77"})"},
       {"report of another", "POST /v1/report", R"({"epoch":4,"tool":"bob.2.78"})"},
       {"plan", "GET /v1/plan?c-1", ""},
       {"agent with a change", "GET /v1/agent", ""},
-      {"take of none", "POST /v1/take", Take(5, "n9")},
-      {"take", "POST /v1/take", Take(5, "n0")},
-      {"release", "POST /v1/lease", Lease("release", 5, {{"tool", "ann.1.77"}, {"close", true}})},
+      {"take of none", "POST /v1/take", StepBody(5, "n9")},
+      {"take", "POST /v1/take", StepBody(5, "n0")},
+      {"release", "POST /v1/lease", LeaseBody("release", 5, {{"tool", "ann.1.77"}, {"close", true}})},
       {"keep", "POST /v1/generation", keep},
       {"keep what is no text", "POST /v1/generation", R"({"name":"g3","files":{"a":1}})"},
       {"keep a bad name", "POST /v1/generation", R"({"name":"../g","files":{"a":"b"}})"},
@@ -127,15 +126,16 @@
 }
 
 TEST(RecordedAgent, AnswersAreThoseOfTheFormerVersion) {
-  // Of the file beside a process, by which the next agent finds it: its number, and when the kernel started
-  // it.
+  // The pid and start time in the process file, by which the next agent finds the process.
   static const std::regex kProcessNumbers("(\"pid\":|\"started\":)[0-9]+");
   Recorded recorded(MOTHRACK_FIXTURES "/answers.txt");
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   const AdminClient agent("unix:" + fleet.path("a0.sock"));
-  const auto ask = [&](const Row& row) { recorded.Expect(row.name, TextOf(agent.Raw(Request(row)))); };
-  for (const Row& row : ChangeRows()) ask(row);
+  const auto ask = [&](const RequestCase& row) {
+    recorded.Expect(row.name, TextOf(agent.Raw(Request(row))));
+  };
+  for (const RequestCase& row : ChangeRequests()) ask(row);
   ASSERT_TRUE(Eventually([&] {
     const json instance = fleet.Instance(0, 0);
     return instance.value("phase", "") == "done" && instance.value("ready", false);
--- a/tests/agent/rendered_files_test.cpp
+++ b/tests/agent/rendered_files_test.cpp
@@ -1,4 +1,4 @@
-// A generation's files as an instance gets them, and the error where they can't be read or written.
+// Rendering a generation's files for an instance, and the errors if they can't be read or written.
 #include "agent/rendered_files.h"
 
 #include <filesystem>
@@ -58,8 +58,8 @@
     RenderError error;
     const char* text;
   } rows[] = {
-      {{Cause::kUnreadable, "g1", "/var/generations/g1", {}}, "no files of g1"},
-      {{Cause::kWriteFailed, "g1", "/var/files/g1/mothrack.toml", {}}, "no files of g1"},
+      {{Cause::kUnreadable, "g1", "/var/generations/g1", {}}, "can't render the files of g1"},
+      {{Cause::kWriteFailed, "g1", "/var/files/g1/mothrack.toml", {}}, "can't render the files of g1"},
   };
   for (const auto& row : rows) EXPECT_EQ(row.error.Message(), row.text);
 }
--- a/tests/agent/sqlite_store_test.cpp
+++ b/tests/agent/sqlite_store_test.cpp
@@ -1,4 +1,4 @@
-// The agent's store on disk: what is restored from it, and what it does when the disk is full or its file is
+// The agent's store on disk: restoring its content, and its errors if the disk is full or the file is
 // truncated, damaged, of a later version or locked.
 #include "agent/sqlite_store.h"
 
@@ -30,7 +30,7 @@
 using rollout::StepKind;
 using Cause = StoreError::Cause;
 
-// Nothing where there is no error.
+// Returns nullopt if there is no error.
 std::optional<Cause> CauseOf(const std::optional<StoreError>& error) {
   return error ? std::optional(error->cause) : std::nullopt;
 }
@@ -38,13 +38,14 @@
 class StoreTest : public ::testing::Test {
  protected:
   std::string path() const { return directory_.File("state.sqlite"); }
-  void Sql(const std::string& sql) const {
-    sqlite3* db = nullptr;
-    ASSERT_EQ(sqlite3_open(path().c_str(), &db), SQLITE_OK);
-    EXPECT_EQ(sqlite3_exec(db, sql.c_str(), nullptr, nullptr, nullptr), SQLITE_OK) << sqlite3_errmsg(db);
-    sqlite3_close(db);
+  void ExecuteSql(const std::string& sql) const {
+    sqlite3* database = nullptr;
+    ASSERT_EQ(sqlite3_open(path().c_str(), &database), SQLITE_OK);
+    EXPECT_EQ(sqlite3_exec(database, sql.c_str(), nullptr, nullptr, nullptr), SQLITE_OK)
+        << sqlite3_errmsg(database);
+    sqlite3_close(database);
   }
-  std::string Bytes() const {
+  std::string FileContent() const {
     std::ostringstream text;
     text << std::ifstream(path(), std::ios::binary).rdbuf();
     return text.str();
@@ -72,8 +73,8 @@
   return record;
 }
 
-// A file of many pages, with everything in it.
-void Fill(SqliteStore& store) {
+// Stores a lease, a plan, events and 60 records, which fill many pages of the file.
+void SaveManyRecords(SqliteStore& store) {
   const Plan plan = PlanOf("c1");
   ASSERT_EQ(store.SaveLease(LeaseOf(3, "c1"), &plan, {1, "c1", "opened"}), std::nullopt);
   for (int i = 0; i < 60; ++i)
@@ -84,7 +85,7 @@
   {
     SqliteStore store(path());
     ASSERT_EQ(store.fault(), "");
-    Fill(store);
+    SaveManyRecords(store);
   }
   const SqliteStore again(path());
   EXPECT_EQ(again.fault(), "");
@@ -110,12 +111,12 @@
   EXPECT_FALSE(again.stored().plans.contains("c0"));
 }
 
-// In a process of its own whose files may not grow further, so that writes fail as on a full disk. Only the
-// save that it reported as successful may be in the file afterwards.
+// Runs in a child process with a file size limit, so that writes fail as on a full disk. Afterwards the file
+// may have only the save that was reported as successful.
 TEST_F(StoreTest, SaveOnFullDiskIsRolledBackAndSucceedsOnceThereIsSpace) {
   {
     SqliteStore store(path());
-    Fill(store);
+    SaveManyRecords(store);
   }
   const pid_t child = ::fork();
   if (child == 0) {
@@ -124,7 +125,7 @@
     struct rlimit none {};
     ::getrlimit(RLIMIT_FSIZE, &none);
     struct rlimit full = none;
-    full.rlim_cur = 4096;  // less than the file has: nothing can be written behind its first page
+    full.rlim_cur = 4096;  // less than the file's size: nothing can be written after its first page
     ::setrlimit(RLIMIT_FSIZE, &full);
     const bool failed =
         CauseOf(store.SaveRecord("i3", RecordOf(100), {9, "c1", "lost"})) == Cause::kSaveFailed &&
@@ -146,31 +147,31 @@
   EXPECT_EQ(again.Events(1).at(0).line, "kept");
 }
 
-// Truncated after each page: the file must never be read as if the rest had not existed.
+// The file is truncated after each page. It must never be read as if the rest had not existed.
 TEST_F(StoreTest, TruncatedFileIsRejectedAndNotWrittenTo) {
   constexpr std::size_t kPage = 4096;
   {
     SqliteStore store(path());
-    Fill(store);
+    SaveManyRecords(store);
   }
-  const std::string complete = Bytes();
+  const std::string complete = FileContent();
   ASSERT_GT(complete.size(), 4 * kPage);
   for (std::size_t cut = kPage; cut < complete.size(); cut += kPage) {
     std::ofstream(path(), std::ios::binary | std::ios::trunc) << complete.substr(0, cut);
     SqliteStore store(path());
     EXPECT_NE(store.fault().find("state.sqlite: "), std::string::npos) << cut;
-    EXPECT_NE(store.fault().find("move it away to begin anew"), std::string::npos) << cut;
+    EXPECT_NE(store.fault().find("move it away to start with an empty one"), std::string::npos) << cut;
     EXPECT_TRUE(store.stored().records.empty()) << cut;
     ASSERT_TRUE(store.error()) << cut;
     EXPECT_EQ(store.SaveRecord("i0", RecordOf(1), {}), store.error()) << cut;
     EXPECT_NE(store.error()->cause, Cause::kSaveFailed) << cut;
-    EXPECT_EQ(Bytes(), complete.substr(0, cut)) << "the damaged file was written to";
+    EXPECT_EQ(FileContent(), complete.substr(0, cut)) << "the damaged file was written to";
   }
 }
 
 TEST_F(StoreTest, FileOfLaterVersionIsRejected) {
   { SqliteStore store(path()); }
-  Sql("PRAGMA user_version = 2");
+  ExecuteSql("PRAGMA user_version = 2");
   SqliteStore store(path());
   EXPECT_NE(store.fault().find("later version (2, this one knows 1)"), std::string::npos) << store.fault();
   EXPECT_EQ(CauseOf(store.SaveLease(LeaseOf(1, "c1"), nullptr, {})), Cause::kLaterVersion);
@@ -179,22 +180,22 @@
 TEST_F(StoreTest, OpenChangeWithoutPlanAndUnparsableRecordAreDamage) {
   {
     SqliteStore store(path());
-    Fill(store);
+    SaveManyRecords(store);
   }
-  const std::string complete = Bytes();
-  Sql("DELETE FROM plan");
+  const std::string complete = FileContent();
+  ExecuteSql("DELETE FROM plan");
   EXPECT_NE(SqliteStore(path()).fault().find("no plan of the open change c1"), std::string::npos);
   EXPECT_EQ(CauseOf(SqliteStore(path()).error()), Cause::kDamaged);
   std::ofstream(path(), std::ios::binary | std::ios::trunc) << complete;
-  Sql("UPDATE record SET json = '{\"phase\": 7}' WHERE instance = 'i5'");
+  ExecuteSql("UPDATE record SET json = '{\"phase\": 7}' WHERE instance = 'i5'");
   EXPECT_FALSE(SqliteStore(path()).fault().empty());
   EXPECT_EQ(CauseOf(SqliteStore(path()).error()), Cause::kDamaged);
 }
 
-// As while a backup reads the file.
+// Another connection locks the file, as a backup does while it reads the file.
 TEST_F(StoreTest, SaveFailsWhileFileIsLockedAndSucceedsAfterwards) {
   SqliteStore store(path());
-  Fill(store);
+  SaveManyRecords(store);
   sqlite3* other = nullptr;
   ASSERT_EQ(sqlite3_open(path().c_str(), &other), SQLITE_OK);
   ASSERT_EQ(sqlite3_exec(other, "BEGIN EXCLUSIVE", nullptr, nullptr, nullptr), SQLITE_OK);
--- a/tests/agent/stored_fixture_test.cpp
+++ b/tests/agent/stored_fixture_test.cpp
@@ -1,4 +1,5 @@
-// The agent's store as version 0.2.0 wrote it: the present one reads all of it, and writes the same.
+// Compatibility with the agent's store of version 0.2.0: the present version reads all of it and writes the
+// same schema and rows.
 #include <gtest/gtest.h>
 
 #include "agent/sqlite_store.h"
@@ -16,10 +17,10 @@
 
 const std::string kFixture = MOTHRACK_FIXTURES "/state.sqlite";
 
-// What the fixture was written with: every member differs from its default in one of the values.
+// The values in the fixture. Every member differs from its default in at least one value.
 const Holder kOpener{"c-2", "ann", "new timeouts", 1'700'000'000'123, "ann.1.77"};
 const Holder kHolder{"c-2", "bob", "takes over \"c-2\"", 1'700'000'060'456, "bob.2.78"};
-const Holder kFormer{"c-1", "ann", "restart all", 1'699'999'999'000, "ann.0.76"};
+const Holder kFormerHolder{"c-1", "ann", "restart all", 1'699'999'999'000, "ann.0.76"};
 
 Plan FirstPlan() {
   return {"c-1",
@@ -48,7 +49,7 @@
           policy};
 }
 
-InstanceRecord Failed() {
+InstanceRecord FailedRecord() {
   InstanceRecord record;
   record.wanted = false;
   record.generation = "g2";
@@ -59,7 +60,7 @@
   return record;
 }
 
-InstanceRecord Done() {
+InstanceRecord DoneRecord() {
   InstanceRecord record;
   record.generation = "g1";
   record.token = "c-1/do.3";
@@ -68,7 +69,7 @@
   return record;
 }
 
-InstanceRecord Accepted() {
+InstanceRecord AcceptedRecord() {
   InstanceRecord record;
   record.generation = "g2";
   record.step = {"c-2", StepKind::kRestart, false, "g2", 7, "g1"};
@@ -76,7 +77,7 @@
   return record;
 }
 
-InstanceRecord Fresh() {
+InstanceRecord NewRecord() {
   InstanceRecord record;
   record.generation = "g0";
   return record;
@@ -144,27 +145,27 @@
   ExpectPolicy(read.policy, written.policy);
 }
 
-TEST(StoredFixture, AnAgentsStoreOfTheFormerVersionIsReadWhole) {
-  const testing::FixtureDirectory folder;
-  const SqliteStore store(folder.CopyOf(kFixture));
+TEST(StoredFixture, AnAgentsStoreOfTheFormerVersionIsReadCompletely) {
+  const testing::FixtureDirectory directory;
+  const SqliteStore store(directory.CopyOf(kFixture));
   ASSERT_EQ(store.fault(), "");
   const Stored& read = store.stored();
   EXPECT_EQ(read.lease.highest, 7U);
   ExpectHolder(read.lease.holder, kHolder);
   ExpectHolder(read.lease.open, kOpener);
   ASSERT_EQ(read.records.size(), 4U);
-  ExpectRecord(read.records.at("i0"), Failed());
-  ExpectRecord(read.records.at("i1"), Done());
-  ExpectRecord(read.records.at("i2"), Accepted());
-  ExpectRecord(read.records.at("i3"), Fresh());
+  ExpectRecord(read.records.at("i0"), FailedRecord());
+  ExpectRecord(read.records.at("i1"), DoneRecord());
+  ExpectRecord(read.records.at("i2"), AcceptedRecord());
+  ExpectRecord(read.records.at("i3"), NewRecord());
   ASSERT_EQ(read.plans.size(), 2U);
   ExpectPlan(read.plans.at("c-1"), FirstPlan());
   ExpectPlan(read.plans.at("c-2"), SecondPlan());
 }
 
-TEST(StoredFixture, AnAgentsHistoryOfTheFormerVersionIsReadWhole) {
-  const testing::FixtureDirectory folder;
-  const SqliteStore store(folder.CopyOf(kFixture));
+TEST(StoredFixture, AnAgentsHistoryOfTheFormerVersionIsReadCompletely) {
+  const testing::FixtureDirectory directory;
+  const SqliteStore store(directory.CopyOf(kFixture));
   const auto events = store.Events(10);
   const std::vector<Event> written = {{1'699'999'999'001, "c-1", "opened"},
                                       {1'700'000'000'124, "c-2", "opened"},
@@ -180,23 +181,25 @@
 }
 
 TEST(StoredFixture, AnAgentsStoreIsWrittenWithTheSchemaAndRowsOfTheFormerVersion) {
-  const testing::FixtureDirectory folder;
-  const std::string path = folder.File("new.sqlite");
+  const testing::FixtureDirectory directory;
+  const std::string path = directory.File("new.sqlite");
   {
     SqliteStore store(path);
     const Plan first = FirstPlan();
     const Plan second = SecondPlan();
-    ASSERT_EQ(store.SaveLease({3, kFormer, kFormer}, &first, {1'699'999'999'001, "c-1", "opened"}),
-              std::nullopt);
+    ASSERT_EQ(
+        store.SaveLease({3, kFormerHolder, kFormerHolder}, &first, {1'699'999'999'001, "c-1", "opened"}),
+        std::nullopt);
     ASSERT_EQ(store.SaveLease({7, kHolder, kOpener}, &second, {1'700'000'000'124, "c-2", "opened"}),
               std::nullopt);
-    ASSERT_EQ(store.SaveRecord("i0", Failed(), {1'700'000'001'000, "c-2", "i0 failed"}), std::nullopt);
-    ASSERT_EQ(store.SaveRecord("i1", Done(), {}), std::nullopt);
-    ASSERT_EQ(store.SaveRecord("i2", Accepted(), {1'700'000'002'000, "c-2", "i2 accepted"}), std::nullopt);
-    ASSERT_EQ(store.SaveRecord("i3", Fresh(), {}), std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i0", FailedRecord(), {1'700'000'001'000, "c-2", "i0 failed"}), std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i1", DoneRecord(), {}), std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i2", AcceptedRecord(), {1'700'000'002'000, "c-2", "i2 accepted"}),
+              std::nullopt);
+    ASSERT_EQ(store.SaveRecord("i3", NewRecord(), {}), std::nullopt);
     store.Note({1'700'000'003'000, "", "started"});
   }
-  EXPECT_EQ(testing::DumpSqlite(path), testing::DumpSqlite(folder.CopyOf(kFixture)));
+  EXPECT_EQ(testing::DumpSqlite(path), testing::DumpSqlite(directory.CopyOf(kFixture)));
 }
 
 }  // namespace
--- a/tests/ctl/claim_error_test.cpp
+++ b/tests/ctl/claim_error_test.cpp
@@ -1,4 +1,4 @@
-// The texts and the exit code that an operator gets where the lease was not granted, cause by cause.
+// The error texts, by cause, and the exit code of mothrackctl if the lease was not granted.
 #include "ctl/claim_error.h"
 
 #include "ctl/session.h"
--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -1,5 +1,5 @@
-// The agent and the tool as programs, with real sidecars under them: crashes of either at any moment,
-// concurrent operators, configurations with a fault, stores that fail.
+// Tests of the programs mothrack-agent and mothrackctl with real sidecars: crashes of either at any moment,
+// concurrent operators, invalid configurations, and stores that fail.
 #include <signal.h>
 #include <sys/wait.h>
 #include <unistd.h>
@@ -19,8 +19,8 @@
 
 const std::vector<std::string> kQuickOptions = {"--max-unavailable", "2", "--watch-ms", "100"};
 
-// `arguments` and those of a quick rollout.
-std::vector<std::string> Quick(std::vector<std::string> arguments) {
+// Adds the options of a quick rollout.
+std::vector<std::string> WithQuickOptions(std::vector<std::string> arguments) {
   arguments.insert(arguments.end(), kQuickOptions.begin(), kQuickOptions.end());
   return arguments;
 }
@@ -59,34 +59,34 @@
   EXPECT_NE(explained.out.find("not started again"), std::string::npos) << explained.out;
 }
 
-// The process file names a pid that belongs to a foreign process by now: it is not adopted, stopped or
-// killed.
+// If the pid in the process file now belongs to a foreign process, the agent does not adopt, stop or kill
+// that process.
 TEST(Agent, DoesNotAdoptAForeignProcessWithAReusedPid) {
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   const int pid = fleet.Pid(0, 0);
   fleet.KillAgent(0);
   ::kill(pid, SIGKILL);
-  const pid_t stranger = ::fork();
-  if (stranger == 0) {
+  const pid_t foreign_pid = ::fork();
+  if (foreign_pid == 0) {
     ::pause();
     ::_exit(0);
   }
   std::ofstream(fleet.DirectoryOf(0, 0) + "/process.json")
-      << R"({"pid":)" << stranger << R"(,"started":1,"token":"","generation":"g1"})";
+      << R"({"pid":)" << foreign_pid << R"(,"started":1,"token":"","generation":"g1"})";
   fleet.StartAgent(0);
   ASSERT_TRUE(fleet.AllReady("g1"));
-  EXPECT_NE(fleet.Pid(0, 0), stranger);
-  EXPECT_EQ(::kill(stranger, 0), 0);
-  ::kill(stranger, SIGKILL);
-  ::waitpid(stranger, nullptr, 0);
+  EXPECT_NE(fleet.Pid(0, 0), foreign_pid);
+  EXPECT_EQ(::kill(foreign_pid, 0), 0);
+  ::kill(foreign_pid, SIGKILL);
+  ::waitpid(foreign_pid, nullptr, 0);
 }
 
 TEST(Agent, SecondAgentOverOneDirectoryIsRefused) {
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   EXPECT_EQ(fleet.StartAgentAgain(0), 1);
-  EXPECT_NE(fleet.AgentLog(0).find("another agent has it"), std::string::npos);
+  EXPECT_NE(fleet.AgentLog(0).find("another agent uses it"), std::string::npos);
   EXPECT_EQ(Count(fleet.AgentLog(0), " info process_started instance=n0 pid="), 1U);
 }
 
@@ -96,7 +96,8 @@
   std::filesystem::remove_all(fleet.path("a0") + "/generations/g1");
   ::kill(fleet.Pid(0, 0), SIGKILL);
   EXPECT_TRUE(Eventually([&] {
-    return Count(fleet.AgentLog(0), R"( error process_not_started instance=n0 cause="no files of g1")") > 0;
+    return Count(fleet.AgentLog(0),
+                 R"( error process_not_started instance=n0 cause="can't render the files of g1")") > 0;
   })) << fleet.AgentLog(0);
   fleet.KillAgent(0);
   std::filesystem::remove_all(fleet.path("g1"));
@@ -106,7 +107,7 @@
   EXPECT_NE(fleet.AgentLog(0).find(text), std::string::npos) << fleet.AgentLog(0);
 }
 
-TEST(Agent, SupervisesOnWithADamagedStoreAndRefusesChanges) {
+TEST(Agent, KeepsSupervisingWithADamagedStoreAndRefusesChanges) {
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   const int pid = fleet.Pid(0, 0);
@@ -118,13 +119,13 @@
   ::kill(pid, SIGKILL);
   EXPECT_TRUE(
       Eventually([&] { return fleet.Instance(0, 0).value("ready", false) && fleet.Pid(0, 0) != pid; }));
-  const auto restart = fleet.Ctl(Quick({"restart", "--why", "a test"}));
+  const auto restart = fleet.Ctl(WithQuickOptions({"restart", "--why", "a test"}));
   EXPECT_EQ(restart.code, 2) << restart.out;
-  EXPECT_NE(restart.out.find("disk takes nothing"), std::string::npos) << restart.out;
+  EXPECT_NE(restart.out.find("can't be saved to disk"), std::string::npos) << restart.out;
   EXPECT_NE(fleet.Ctl({"status"}).out.find("move it away"), std::string::npos);
 }
 
-// Guards against an agent that SIGXFSZ ends at its first write beyond the limit.
+// Guards against SIGXFSZ terminating the agent at its first write beyond the file size limit.
 TEST(Agent, RefusesChangesWhenTheFileSizeLimitIsReached) {
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
@@ -133,9 +134,9 @@
   fleet.StartAgent(0, 0);
   ASSERT_TRUE(fleet.AllReady("g1"));
   EXPECT_EQ(fleet.Pid(0, 0), pid);
-  const auto restart = fleet.Ctl(Quick({"restart", "--why", "a test"}));
+  const auto restart = fleet.Ctl(WithQuickOptions({"restart", "--why", "a test"}));
   EXPECT_EQ(restart.code, 2) << restart.out;
-  EXPECT_NE(restart.out.find("disk takes nothing"), std::string::npos) << restart.out;
+  EXPECT_NE(restart.out.find("can't be saved to disk"), std::string::npos) << restart.out;
   ASSERT_TRUE(fleet.AllReady("g1"));
   EXPECT_EQ(fleet.Pid(0, 0), pid);
 }
@@ -146,13 +147,15 @@
   const auto plan = fleet.Ctl({"plan", "g2", "--dir", fleet.Generation("g2")});
   EXPECT_EQ(plan.code, 0);
   EXPECT_NE(plan.out.find("- # g1\n+ # g2\n"), std::string::npos) << plan.out;
-  const auto dry = fleet.Ctl(Quick({"apply", "g2", "--dir", fleet.path("g2"), "--why", "t", "--dry-run"}));
+  const auto dry =
+      fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", fleet.path("g2"), "--why", "t", "--dry-run"}));
   EXPECT_NE(dry.out.find("a1/n1: g1 -> g2"), std::string::npos) << dry.out;
   EXPECT_EQ(fleet.Instance(0, 0).value("generation", ""), "g1");
-  const auto apply = fleet.Ctl(Quick({"apply", "g2", "--dir", fleet.path("g2"), "--why", "a test"}));
+  const auto apply =
+      fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", fleet.path("g2"), "--why", "a test"}));
   EXPECT_EQ(apply.code, 0) << apply.out;
   EXPECT_TRUE(fleet.AllReady("g2"));
-  const auto again = fleet.Ctl(Quick({"apply", "g2", "--why", "a test"}));
+  const auto again = fleet.Ctl(WithQuickOptions({"apply", "g2", "--why", "a test"}));
   EXPECT_EQ(again.code, 0);
   EXPECT_NE(again.out.find("nothing to change"), std::string::npos);
   const auto drain = fleet.Ctl({"drain", "--only", "a0/n1", "--why", "away", "--watch-ms", "100"});
@@ -167,11 +170,11 @@
   ASSERT_TRUE(fleet.AllReady("g1"));
   const int pid = fleet.Pid(0, 0);
   const auto bad =
-      fleet.Ctl(Quick({"apply", "g2", "--dir", fleet.Generation("g2", true), "--why", "a test"}));
+      fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", fleet.Generation("g2", true), "--why", "a test"}));
   EXPECT_EQ(bad.code, 2);
   EXPECT_NE(bad.out.find("nonsense"), std::string::npos) << bad.out;
   EXPECT_EQ(fleet.Pid(0, 0), pid);
-  const auto unknown = fleet.Ctl(Quick({"apply", "g7", "--why", "a test"}));
+  const auto unknown = fleet.Ctl(WithQuickOptions({"apply", "g7", "--why", "a test"}));
   EXPECT_EQ(unknown.code, 3) << unknown.out;  // held before its first step
   EXPECT_NE(unknown.out.find("no configuration g7"), std::string::npos) << unknown.out;
   EXPECT_EQ(fleet.Pid(0, 0), pid);
@@ -183,21 +186,21 @@
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   const std::string directory = fleet.path("g2");
-  const auto missing = fleet.Ctl(Quick({"apply", "g2", "--dir", directory, "--why", "a test"}));
+  const auto missing = fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", directory, "--why", "a test"}));
   EXPECT_EQ(missing.code, 1);
   EXPECT_EQ(missing.out, "mothrackctl: " + directory + ": No such file or directory\n");
   std::filesystem::create_directories(directory + "/subdirectory");
-  const auto empty = fleet.Ctl(Quick({"apply", "g2", "--dir", directory, "--why", "a test"}));
+  const auto empty = fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", directory, "--why", "a test"}));
   EXPECT_EQ(empty.code, 1);
-  EXPECT_EQ(empty.out, "mothrackctl: " + directory + ": holds no file\n");
+  EXPECT_EQ(empty.out, "mothrackctl: " + directory + ": has no files\n");
 }
 
 TEST(Ctl, SecondOperatorIsRefusedWithHolderAndReason) {
   Fleet fleet({2, 2, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
-  const pid_t first = fleet.StartCtl(Quick({"restart", "--why", "the first one", "--who", "ann"}));
+  const pid_t first = fleet.StartCtl(WithQuickOptions({"restart", "--why", "the first one", "--who", "ann"}));
   ASSERT_TRUE(Eventually([&] { return fleet.Status()["agents"]["a1"].contains("open"); }));
-  const auto second = fleet.Ctl(Quick({"restart", "--why", "the second", "--who", "bob"}));
+  const auto second = fleet.Ctl(WithQuickOptions({"restart", "--why", "the second", "--who", "bob"}));
   EXPECT_EQ(second.code, 2);
   EXPECT_NE(second.out.find("ann holds the lease of the fleet for"), std::string::npos) << second.out;
   EXPECT_NE(second.out.find("the first one"), std::string::npos) << second.out;
@@ -209,25 +212,25 @@
   Fleet fleet({1, 1, "", "", true});
   ASSERT_TRUE(fleet.AllReady("g1"));
   EXPECT_EQ(fleet.Ctl({"status"}, "viewers.toml").code, 0);
-  const auto restart = fleet.Ctl(Quick({"restart", "--why", "a test"}), "viewers.toml");
+  const auto restart = fleet.Ctl(WithQuickOptions({"restart", "--why", "a test"}), "viewers.toml");
   EXPECT_EQ(restart.code, 2);
   EXPECT_NE(restart.out.find("a viewer may only look"), std::string::npos) << restart.out;
   EXPECT_EQ(fleet.AgentLog(0).find("token-12345"), std::string::npos) << "a secret in the log";
-  EXPECT_EQ(fleet.Ctl(Quick({"restart", "--why", "a test"})).code, 0);
+  EXPECT_EQ(fleet.Ctl(WithQuickOptions({"restart", "--why", "a test"})).code, 0);
 }
 
 TEST(Ctl, UnreachableAgentIsNamedAndNoStepIsSent) {
   Fleet fleet({2, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   fleet.KillAgent(1);
-  const auto restart = fleet.Ctl(Quick({"restart", "--why", "a test"}));
+  const auto restart = fleet.Ctl(WithQuickOptions({"restart", "--why", "a test"}));
   EXPECT_EQ(restart.code, 6);
   EXPECT_NE(restart.out.find("a1"), std::string::npos) << restart.out;
   EXPECT_EQ(fleet.Ctl({"status"}).code, 6);
 }
 
-// A rolling change, with the tool or agents killed at moments drawn from a seed; then another operator
-// resumes it. FLEET_RUNS sets how many, FLEET_SEED the first seed.
+// Kills agents and the tool at random moments of a rolling change; then another operator resumes it.
+// FLEET_RUNS sets the number of runs, FLEET_SEED the first seed.
 TEST(Ctl, ChangeIsCompletedAfterAgentAndToolCrashes) {
   const int begin = EnvironmentNumber("FLEET_SEED", 1);
   const int runs = EnvironmentNumber("FLEET_RUNS", 3);
@@ -235,14 +238,15 @@
     std::mt19937 random(static_cast<unsigned>(seed));
     Fleet fleet({4, 2, "", "", false});
     ASSERT_TRUE(fleet.AllReady("g1"));
-    const pid_t tool =
-        fleet.StartCtl(Quick({"apply", "g2", "--dir", fleet.Generation("g2"), "--why", "a test"}));
+    const pid_t ctl_pid =
+        fleet.StartCtl(WithQuickOptions({"apply", "g2", "--dir", fleet.Generation("g2"), "--why", "a test"}));
     CrashAgents(fleet, random, 4, 3);
-    if (random() % 2 == 0) ::kill(tool, SIGKILL);
-    const int code = Fleet::WaitCtl(tool).code;
-    // The tool's change may be completed, held or not begun.
+    if (random() % 2 == 0) ::kill(ctl_pid, SIGKILL);
+    const int code = Fleet::WaitCtl(ctl_pid).code;
+    // The change may be completed, held or not begun.
     EXPECT_TRUE(ResumeUntilNoneIsOpen(fleet)) << seed;
-    if (code != 0) fleet.Ctl(Quick({"apply", "g2", "--dir", fleet.path("g2"), "--why", "the rest"}));
+    if (code != 0)
+      fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", fleet.path("g2"), "--why", "the rest"}));
     EXPECT_TRUE(fleet.AllReady("g2")) << "seed " << seed << ": " << fleet.Ctl({"status"}).out;
     for (int a = 0; a < 4; ++a)
       EXPECT_FALSE(fleet.Status()["agents"]["a" + std::to_string(a)].contains("open"));
--- a/tests/ctl/fleet_test_support.h
+++ b/tests/ctl/fleet_test_support.h
@@ -1,5 +1,5 @@
-// What the tests of agents and the tool as programs share: settings of long runs, crashes of agents, and an
-// operator who finishes what another left open.
+// Helpers for tests that run the agent and mothrackctl as programs: settings of long runs, crashes of agents,
+// and resuming a change that another operator left open.
 #pragma once
 
 #include <chrono>
@@ -13,7 +13,7 @@
 
 namespace mothrack::testing {
 
-// A number from the environment: FLEET_RUNS sets how many runs, FLEET_SEED the first seed.
+// Reads a number from the environment. FLEET_RUNS sets the number of runs, FLEET_SEED the first seed.
 inline int EnvironmentNumber(const char* name, int fallback) {
   const char* text = std::getenv(name);
   return text == nullptr ? fallback : std::atoi(text);
@@ -31,8 +31,8 @@
   }
 }
 
-// Resumes the open change until it is completed; true also where none is open, as it was closed or never
-// opened.
+// Resumes the open change until it is completed. Returns true also if no change is open, since it was closed
+// or never opened.
 inline bool ResumeUntilNoneIsOpen(const Fleet& fleet) {
   return Eventually([&] {
     const auto resumed = fleet.Ctl({"resume"});
--- a/tests/ctl/fleet_traffic_test.cpp
+++ b/tests/ctl/fleet_traffic_test.cpp
@@ -1,5 +1,5 @@
-// Forty real sidecars under four agents in two halls, with light traffic through all of them, while the fleet
-// is changed and agents or the tool are killed. FLEET_RUNS sets how many runs, FLEET_SEED the first seed.
+// Forty real sidecars under four agents in two halls, with light traffic through all of them, during a change
+// in which agents and mothrackctl are killed. FLEET_RUNS sets the number of runs, FLEET_SEED the first seed.
 #include <signal.h>
 
 #include <chrono>
@@ -21,11 +21,11 @@
 constexpr int kAgents = 4;
 constexpr int kInstances = 10;
 
-// Another operator finishes the open change; then all instances are brought to `generation`.
+// Resumes the open change as another operator; then brings all instances to `generation`.
 void FinishChange(const Fleet& fleet, const std::string& generation, const std::vector<std::string>& apply) {
   EXPECT_TRUE(ResumeUntilNoneIsOpen(fleet));
   CtlResult result;
-  // Twice: an agent that was killed a moment ago may still be starting.
+  // Tries twice, since an agent that has just been killed may still be starting.
   for (int i = 0; i < 2 && !fleet.AllReady(generation); ++i) result = fleet.Ctl(apply);
   EXPECT_TRUE(fleet.AllReady(generation)) << result.out << fleet.Ctl({"status"}).out;
 }
@@ -36,10 +36,10 @@
   for (int seed = begin; seed < begin + runs; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(static_cast<unsigned>(seed));
-    Runs ran;
-    Upstream one(ran.Handler());
-    Upstream two(ran.Handler());
-    Upstream three(ran.Handler());
+    Runs runs_by_request;
+    Upstream one(runs_by_request.Handler());
+    Upstream two(runs_by_request.Handler());
+    Upstream three(runs_by_request.Handler());
     const json list =
         List({Target("u1", one.address()), Target("u2", two.address()), Target("u3", three.address())});
     Fleet::Options options{kAgents, kInstances, "", "", false};
@@ -48,28 +48,28 @@
     Fleet fleet(options);
     ASSERT_TRUE(fleet.AllReady("g1"));
     Traffic traffic(fleet.ports(), milliseconds(40));
-    // In turn: another configuration, and a restart with the one that is there.
-    const std::string to = seed % 2 == 0 ? "g1" : "g2";
+    // Odd seeds apply another generation; even seeds restart with the present one.
+    const std::string generation = seed % 2 == 0 ? "g1" : "g2";
     std::vector<std::string> apply = {"restart"};
-    if (to == "g2") apply = {"apply", "g2", "--dir", fleet.Generation("g2")};
+    if (generation == "g2") apply = {"apply", "g2", "--dir", fleet.Generation("g2")};
     for (const char* argument : {"--why", "a test", "--max-unavailable", "5", "--watch-ms", "100"})
       apply.push_back(argument);
-    const pid_t tool = fleet.StartCtl(apply);
+    const pid_t ctl_pid = fleet.StartCtl(apply);
     CrashAgents(fleet, random, kAgents, 4);
-    const bool killed = random() % 3 == 0;
-    if (killed) ::kill(tool, SIGKILL);
-    const int code = Fleet::WaitCtl(tool).code;
-    FinishChange(fleet, to, apply);
+    const bool ctl_killed = random() % 3 == 0;
+    if (ctl_killed) ::kill(ctl_pid, SIGKILL);
+    const int code = Fleet::WaitCtl(ctl_pid).code;
+    FinishChange(fleet, generation, apply);
     const auto ends = traffic.Stop();
 
     using End = Traffic::Outcome;
-    const auto runs_of = ran.all();
+    const auto runs_of = runs_by_request.all();
     EXPECT_EQ(traffic.count(End::kLost), 0U);
     EXPECT_GT(traffic.count(End::kServed), 1000U);
     for (const auto& [id, times] : runs_of) EXPECT_EQ(times, 1) << id << " ran twice";
     for (const auto& [id, end] : ends) {
       const bool has_run = runs_of.contains(id);
-      // A failure makes no promise either way.
+      // A failed request may or may not have run at the upstream.
       if (end != End::kFailed && end != End::kLost) {
         EXPECT_EQ(has_run, end == End::kServed) << id << " ended as " << static_cast<int>(end);
       }
@@ -77,8 +77,9 @@
     std::cout << "seed " << seed << ": served " << traffic.count(End::kServed) << ", refused "
               << traffic.count(End::kRefused) << ", failed " << traffic.count(End::kFailed) << ", not taken "
               << traffic.count(End::kNotAccepted) << ", crossed " << traffic.count(End::kIdleCloseRace)
-              << ", lost " << traffic.count(End::kLost) << "; tool " << (killed ? "killed" : "ended with ")
-              << (killed ? "" : std::to_string(code)) << std::endl;
+              << ", lost " << traffic.count(End::kLost) << "; tool "
+              << (ctl_killed ? "killed" : "ended with ") << (ctl_killed ? "" : std::to_string(code))
+              << std::endl;
   }
 }
 
