--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -22,7 +22,7 @@
 constexpr std::size_t kReadSize = 8192;
 // Minimum rate of a request body, in bytes per second, and the longest pause while a client reads a response.
 // Both tolerate ordinary clients on bad links. The pause is long because the kernel's send buffer may hold
-// much of the response: the client reads that first, before we can write more.
+// much of the response, and the socket becomes writable only after the client has read much of that.
 constexpr std::int64_t kMinBodyRate = std::int64_t{16} * 1024;
 constexpr runtime::Duration kWriteIdleTimeout = std::chrono::seconds(30);
 // A connection younger than this that has sent nothing is assumed to be about to send a request.
@@ -41,7 +41,7 @@
   AwaitRequest();
 }
 
-// ---- Its end ----
+// ---- Closing ----
 
 void ClientConnection::Close() {
   if (closed_) return;
@@ -51,7 +51,8 @@
   slot_.reset();
   const auto self = shared_from_this();
   if (owner_ != nullptr) owner_->Remove(self);
-  // Notify first: the observer ends the attempts, so nobody waits for the rest of a body any more.
+  // Notify the observer first: it ends the attempts, so that none of them still reads from `upload_` when the
+  // stream breaks.
   if (const auto on_disconnect = std::exchange(observer_, {}).on_disconnect) on_disconnect();
   if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kBroken);
   writer_.AbandonBody();
@@ -79,7 +80,7 @@
   if (phase_ != Phase::kReading) return CloseNow();
   if (!reader_.started() && !unused_) return;
   // The sidecar itself may have been too busy to read, so bytes that have already arrived are read first.
-  if (HasUnreadBytes() && !std::exchange(excused_, true)) return;
+  if (HasUnreadBytes() && !std::exchange(extension_granted_, true)) return;
   if (reader_.started()) {
     return Reject(beast_http::status::request_timeout, "request did not come in time");
   }
@@ -129,7 +130,7 @@
 void ClientConnection::AwaitRequest() {
   reader_.BeginNextRequest();
   upload_stall_.Reset();
-  excused_ = false;
+  extension_granted_ = false;
   since_ = runtime::Now();
   owner_->OnAwaitingRequest(since_);
 }
@@ -180,7 +181,7 @@
   if (parsing_ || closed_) return;
   if (phase_ == Phase::kLingering || flooded_) {
     if (upload_was_cut_ && reader_.buffer().size() > 0) since_ = runtime::Now();
-    DropBuffered();
+    DiscardBuffered();
     const std::size_t limit = upload_was_cut_ ? kMaxBodySize : kMaxLingerBytes;
     if (phase_ == Phase::kLingering && linger_.dropped_bytes() > limit) return Close();
   }
@@ -191,13 +192,13 @@
   // reveals whether the client has disconnected.
   if (phase_ != Phase::kReading && !upload_ && reader_.buffer().size() == kMaxReadAhead) {
     flooded_ = close_after_ = true;
-    DropBuffered();
+    DiscardBuffered();
   }
   Read();
 }
 
-// The buffered bytes are not parsed as a request.
-void ClientConnection::DropBuffered() {
+// Discards the buffered bytes without parsing them as a request.
+void ClientConnection::DiscardBuffered() {
   auto& buffer = reader_.buffer();
   linger_.CountDropped(buffer.size());
   buffer.consume(buffer.size());
@@ -292,7 +293,7 @@
   if (phase_ == Phase::kServing) observer_ = std::move(observer);
 }
 
-// The body exceeds what is buffered whole: the request is passed on now, and the body is streamed after it.
+// Called when the body exceeds kBufferLimit: passes the request on now and streams the body after it.
 void ClientConnection::BeginUpload() {
   HttpRequest request;
   request.base() = reader_.head();
@@ -350,7 +351,7 @@
     upload->Abandon();
     upload_was_cut_ = close_after_ = true;
   }
-  // A handler that finds the request malformed asks for the close through the response's keep-alive flag.
+  // A handler that finds the request malformed clears the response's keep-alive flag to close the connection.
   if (!response.keep_alive() || owner_->ClosesAfterResponse()) close_after_ = true;
   if (ResponseWriter::EndsWithConnection(coming, http_version_)) close_after_ = true;
   writer_.Start(std::move(response), std::move(coming), http_version_, !close_after_);
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -34,8 +34,8 @@
 // counted from its first byte; and for writing a response. Trickling bytes does not renew it: the deployment
 // requires silent and stalled clients to be gone within 3 s of connecting.
 inline constexpr runtime::Duration kRequestTimeout = std::chrono::milliseconds(2500);
-// How long to wait for the client's close after our half-close. Closing at once could send an RST that
-// overtakes the response. The time is short because a planned stop waits for it too.
+// How long to wait for the client's close after the sidecar's half-close. Closing at once could send an RST
+// that overtakes the response. The time is short because a planned stop waits for it too.
 inline constexpr runtime::Duration kLingerTimeout = std::chrono::milliseconds(250);
 
 class ClientConnection : public std::enable_shared_from_this<ClientConnection>,
@@ -73,7 +73,7 @@
   // owner.
   void Orphan();
   // Ends an idle connection whose descriptor is not needed at once. A request that arrives between the last
-  // check and this call does not cause an RST: the client sees our half-close and closes its side, and only
+  // check and this call does not cause an RST: the client sees the half-close and closes its side, and only
   // then is this side closed.
   void HalfClose();
   // Closes without waiting any longer for the client's close.
@@ -85,7 +85,7 @@
   runtime::TimePoint since() const { return since_; }
   // Waits for a request of which no byte has arrived.
   bool Idle() const { return phase_ == Phase::kReading && !reader_.started(); }
-  // The client connected a moment ago and has sent nothing yet, so a request is likely to follow.
+  // The client connected recently and has sent nothing yet, so a request is likely to follow.
   bool IsNew(runtime::TimePoint now) const;
   // All responses are written; only the client's close is awaited.
   bool AwaitsClose() const { return phase_ == Phase::kLingering || phase_ == Phase::kHalfClosed; }
@@ -110,7 +110,7 @@
   void AwaitClose();
   void Receive();
   void Progress();
-  void DropBuffered();
+  void DiscardBuffered();
   void Parse();
   bool ParseStep();
   bool AcceptHead();
@@ -148,11 +148,11 @@
   StallTimer upload_stall_;
   Phase phase_ = Phase::kReading;
   runtime::TimePoint since_;
-  unsigned http_version_ = 11;   // of the current request
-  bool unused_ = true;           // no byte has ever arrived
-  bool excused_ = false;         // it was overdue once, but had unread bytes and got one extension
-  bool close_after_ = false;     // close after the current response
-  bool upload_was_cut_ = false;  // the response was sent before the request body had fully arrived
+  unsigned http_version_ = 11;      // of the current request
+  bool unused_ = true;              // no byte has ever arrived
+  bool extension_granted_ = false;  // was overdue once, but had unread bytes and got one extension
+  bool close_after_ = false;        // close after the current response
+  bool upload_was_cut_ = false;     // the response was sent before the request body had fully arrived
   bool flooded_ = false;  // more pipelined bytes than the buffer holds: none of them is parsed as a request
   bool parsing_ = false;  // guards Parse() against re-entry
   bool reading_ = false;  // a wait for readability is pending
--- a/src/http/connection_pools.cpp
+++ b/src/http/connection_pools.cpp
@@ -11,9 +11,9 @@
 using balancer::UpstreamState;
 using std::chrono::milliseconds;
 
-// The upstream's idle timer starts when it has written its response, ours when we have read it, and the next
-// request also needs time to arrive. So an idle connection is closed earlier than the upstream's limit: by a
-// tenth of the limit, and at least by kIdleMargin.
+// The upstream's idle timer starts when it has written its response, the pool's when the response was read,
+// and the next request also needs time to arrive. So an idle connection is closed earlier than the upstream's
+// limit: by a tenth of the limit, and at least by kIdleMargin.
 constexpr int kIdleShare = 10;
 constexpr runtime::Duration kIdleMargin = milliseconds(500);
 constexpr runtime::Duration kSweepInterval = milliseconds(250);
--- a/src/http/connection_pools.h
+++ b/src/http/connection_pools.h
@@ -2,8 +2,8 @@
 // an idle connection is closed.
 //
 // Owned by HttpTransport, on the thread of its event loop. Bounded by the upstream side of Descriptors: idle
-// connections are evicted to make room for new ones. There are no error codes: if no connection can be had, a
-// null pointer is returned.
+// connections are evicted to free descriptors for new ones. There are no error codes: if no connection is
+// available, a null pointer is returned.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -17,7 +17,7 @@
 enum class HeadStatus {
   kPartial,
   kWhole,
-  kInvalid,  // another parser might read it differently from ours
+  kInvalid,  // another parser might read it differently from this one
 };
 // Rejects bare CR or LF, NUL bytes, folded headers, heads longer than kMaxHeaderSize, and methods other than
 // GET and POST. `scanned` is the position where the previous call on the same bytes stopped, 0 at first, so
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -29,7 +29,7 @@
   return response;
 }
 
-// The value of a header field; nothing if the field is missing or repeated.
+// Returns the value of a header field, or nothing if the field is missing or repeated.
 std::optional<string_view> SingleValue(const HttpRequest& request, string_view name) {
   const auto range = request.equal_range(name);
   if (range.first == range.second || std::next(range.first) != range.second) return std::nullopt;
@@ -69,10 +69,10 @@
 }
 
 HttpResponse ServedResponse(dispatch::FinalAnswer& final) {
-  HttpResponse own = std::move(static_cast<HttpReply&>(*final.reply).response);
+  HttpResponse upstream_response = std::move(static_cast<HttpReply&>(*final.reply).response);
   HttpResponse response(beast_http::status::ok, 11);
-  response.base() = std::move(own.base());
-  response.body() = std::move(own.body());
+  response.base() = std::move(upstream_response.base());
+  response.body() = std::move(upstream_response.body());
   response.version(11);
   RemoveHopByHop(response);
   return response;
@@ -90,9 +90,9 @@
 
 DeadlineRange DeadlinesOf(const balancer::Settings& settings) {
   DeadlineRange range{runtime::Duration::max(), runtime::Duration::zero()};
-  for (const auto& known : settings.classes) {
-    range.shortest = std::min(range.shortest, known.deadline);
-    range.longest = std::max(range.longest, known.deadline);
+  for (const auto& class_settings : settings.classes) {
+    range.shortest = std::min(range.shortest, class_settings.deadline);
+    range.longest = std::max(range.longest, class_settings.deadline);
   }
   return range;
 }
@@ -172,15 +172,16 @@
   if (!IsVisibleText(request.target())) return InvalidRequest{"bad target"};
   const auto named_class = classes_.find(std::string(FirstSegment(request.target())));
   if (named_class == classes_.end()) return InvalidRequest{"unknown class"};
-  const auto& known = dispatcher_.settings().classes[static_cast<std::size_t>(named_class->second)];
-  if (!MethodFitsEffect(request, has_body, known.effect)) {
+  const auto& class_settings = dispatcher_.settings().classes[static_cast<std::size_t>(named_class->second)];
+  if (!MethodFitsEffect(request, has_body, class_settings.effect)) {
     return InvalidRequest{"method or Idempotency-Key does not fit the class"};
   }
   const auto id = SingleValue(request, "X-Request-ID");
   if (!id || !IsValidId(*id)) return InvalidRequest{"missing or bad X-Request-ID"};
   const auto timeout_text = SingleValue(request, "X-Timeout-Ms");
   const auto timeout_ms = timeout_text ? ParseNumber<std::uint32_t>(*timeout_text) : std::nullopt;
-  if (!timeout_ms || *timeout_ms == 0 || milliseconds(*timeout_ms) > kMaxDeadlines * known.deadline) {
+  if (!timeout_ms || *timeout_ms == 0 ||
+      milliseconds(*timeout_ms) > kMaxDeadlines * class_settings.deadline) {
     return InvalidRequest{"missing or bad X-Timeout-Ms"};
   }
 
--- a/src/http/incremental_body.h
+++ b/src/http/incremental_body.h
@@ -25,10 +25,10 @@
   std::size_t capacity = 0;  // bytes at which the parser stops with http::error::need_buffer
 };
 
-// For use as the Body of beast_http::request_parser or response_parser.
+// The Body argument of beast_http::request_parser and response_parser.
 struct IncrementalBody {
   using value_type = BodyChunk;
-  class reader {  // NOLINT(readability-identifier-naming): the name that Beast asks for
+  class reader {  // NOLINT(readability-identifier-naming): the name that Beast requires
    public:
     template <bool isRequest, class Fields>
     reader(beast_http::header<isRequest, Fields>&, value_type& chunk) : chunk_(chunk) {}
--- a/src/http/lingering_close.h
+++ b/src/http/lingering_close.h
@@ -11,9 +11,9 @@
 
 namespace mothrack::http {
 
-// Bound on the bytes discarded after the last response. A client that keeps sending beyond it gets an RST;
-// reading megabytes only to discard them is not worth it. The same bound applies to bytes that arrive behind
-// a request that is being served.
+// Bound on the bytes discarded after the last response. A client that keeps sending beyond it gets an RST,
+// because reading megabytes only to discard them would waste processor time. The same bound applies to bytes
+// that arrive behind a request that is being served.
 inline constexpr std::size_t kMaxLingerBytes = std::size_t{256} * 1024;
 
 class LingeringClose {
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -20,8 +20,8 @@
 // If the deadlines are short, this many sweeps run within the shortest one, so that clients in the listen
 // backlog are found in time.
 constexpr int kSweepsInDeadline = 3;
-// While requests pass, the backlog is polled at this interval. One system call every 20 ms is negligible
-// beside them.
+// While requests pass, the backlog is polled at this interval. One system call every 20 ms costs little
+// compared with serving them.
 constexpr runtime::Duration kPollInterval = milliseconds(20);
 constexpr runtime::Duration kDrainSweepInterval = milliseconds(10);
 // How soon a disconnected client is detected when nothing is read from it. An attempt that starts 0.1 s after
--- a/src/http/response_writer.h
+++ b/src/http/response_writer.h
@@ -48,7 +48,8 @@
 
   // Whether the body of the current response is streamed.
   bool streaming() const { return body_writer_.has_value(); }
-  // Nobody reads the rest of the body: notifies its producer. Must be called after the socket was closed.
+  // Tells the producer of a streamed body that the rest of it will not be read. Must be called after the
+  // socket was closed.
   void AbandonBody();
 
  private:
--- a/src/http/transport.h
+++ b/src/http/transport.h
@@ -40,7 +40,8 @@
   void Probe(dispatch::ExchangeId id, const std::string& uid, OnEnd on_end) override;
   // Ends the exchange and closes its connection.
   void Cancel(dispatch::ExchangeId id) override;
-  // Gives up the request, but a connection that is still being established is awaited and pooled.
+  // Stops sending the request, unless it is completely written. A connection that is still being established
+  // is awaited and pooled.
   void Abandon(dispatch::ExchangeId id) override;
   void CloseIdle(const std::string& uid) override { pools_.CloseIdle(uid); }
 
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -26,7 +26,7 @@
 
 // Counters since the start of the process.
 struct TransportCounters {
-  // Connections; failed: connect() did not succeed.
+  // Connections. `failed` counts those for which connect() did not succeed.
   std::uint64_t opened = 0, failed = 0, closed = 0, evicted = 0;
   std::uint64_t probes = 0;
 };
@@ -62,7 +62,7 @@
   // use, because the event loop may not have delivered the event yet.
   bool LooksAlive();
   // Arranges that Close() sends an RST if the kernel's send buffer still holds bytes. After a plain close the
-  // kernel would still deliver them, however late, and the request would start long after it was given up.
+  // kernel would still deliver them, however late, and the request would start long after it was cancelled.
   // Must be called before Close().
   void DiscardUnsent();
 
--- a/src/http/upstream_exchange.cpp
+++ b/src/http/upstream_exchange.cpp
@@ -23,7 +23,7 @@
 // An upstream that does not read a streamed request body, or pauses in a streamed response, for this long has
 // failed.
 constexpr runtime::Duration kWriteIdleTimeout = seconds(5);
-constexpr runtime::Duration kAnswerIdleTimeout = seconds(15);
+constexpr runtime::Duration kResponseIdleTimeout = seconds(15);
 // A response of unknown length is buffered like one of known length, but once it is no longer small only for
 // this long: the part of a long response that has arrived must not be withheld from its client for 2 s.
 constexpr runtime::Duration kBufferingTimeout = seconds(1);
@@ -31,7 +31,7 @@
 // Whether the head determines where the response ends. A response may end with its connection (RFC 9112
 // section 6.3) only if the head says that the connection ends. Otherwise a complete response could not be
 // distinguished from a truncated one.
-bool TellsItsEnd(const beast_http::response_parser<IncrementalBody>& parser) {
+bool HasDefinedEnd(const beast_http::response_parser<IncrementalBody>& parser) {
   const auto& header = parser.get();
   const auto codings = header.count(beast_http::field::transfer_encoding);
   if (codings == 0) return parser.content_length().has_value() || !header.keep_alive();
@@ -125,7 +125,7 @@
     ArmTimer(deadline_);
   }
   ReadHeader();
-  // Tell the upstream the time that remains after connecting.
+  // Send the upstream the time that remains after connecting.
   const runtime::Duration left = arriving_ ? request_.timeout : runtime::Duration(deadline_ - runtime::Now());
   writer_->Start(*request_.message, std::chrono::duration_cast<milliseconds>(left));
 }
@@ -186,7 +186,7 @@
     return ReadHeader();
   }
   // A 200 before the whole request was written is invalid too.
-  if (status == 200 && (!written_ || !TellsItsEnd(*parser_))) return End(Cause::kBroken);
+  if (status == 200 && (!written_ || !HasDefinedEnd(*parser_))) return End(Cause::kBroken);
   const auto length = parser_->content_length();
   if (status == 200 && length && *length > kBufferLimit) return StartStreaming();
   if (status != 200 || length) return ReadWholeBody();
@@ -203,7 +203,7 @@
 }
 
 void UpstreamExchange::OnWholeBody(error_code error) {
-  // Of an error response the first part of the body is enough.
+  // For an error response the first part of the body is enough.
   if (error && error != beast_http::error::need_buffer) return End(Cause::kBroken);
   FinishWithResponse();
 }
@@ -215,7 +215,7 @@
     // The client reads slowly; its pause does not count against the upstream.
     if (capacity == 0) return DisarmTimer();
     parser_->get().body().capacity = capacity;
-    ArmTimer(runtime::Now() + kAnswerIdleTimeout);
+    ArmTimer(runtime::Now() + kResponseIdleTimeout);
   }
   reading_body_ = true;
   beast_http::async_read_some(connection_->socket(), connection_->buffer(), *parser_,
@@ -271,7 +271,7 @@
   DisarmTimer();
   streaming_ = true;
   hooks_.on_started(std::make_unique<HttpReply>(std::move(head), std::move(coming)));
-  if (reading_body_ && !connection_->closed()) return ArmTimer(runtime::Now() + kAnswerIdleTimeout);
+  if (reading_body_ && !connection_->closed()) return ArmTimer(runtime::Now() + kResponseIdleTimeout);
   ReadSomeBody();
 }
 
@@ -296,7 +296,7 @@
   ReleaseRequestBody();
   const auto stream = std::exchange(response_stream_, nullptr);
   const auto self = shared_from_this();
-  const auto on_end = CloseBooks();
+  const auto on_end = MarkEnded();
   if (reusable) {
     ReleaseConnection();
   } else {
@@ -313,7 +313,7 @@
   timer_.cancel();
   ReleaseRequestBody();
   const auto self = shared_from_this();
-  const auto on_end = CloseBooks();
+  const auto on_end = MarkEnded();
   ReleaseConnection();
   on_end({Outcome::kNotSent, connection_->idle_since() - sent_at_, {}, nullptr});
 }
@@ -334,7 +334,7 @@
   const auto stream = std::exchange(response_stream_, nullptr);
   const Outcome outcome = OutcomeOf(cause, written_);
   const auto self = shared_from_this();
-  const auto on_end = CloseBooks();
+  const auto on_end = MarkEnded();
   on_end({outcome, runtime::Now() - sent_at_, {}, nullptr});
   if (stream) stream->End(runtime::Stream::State::kBroken);
 }
@@ -350,7 +350,7 @@
   timer_.cancel();
 }
 
-dispatch::Transport::OnEnd UpstreamExchange::CloseBooks() {
+dispatch::Transport::OnEnd UpstreamExchange::MarkEnded() {
   phase_ = Phase::kEnded;
   auto on_end = std::exchange(hooks_.on_end, nullptr);
   owner_.Remove(request_.id);
--- a/src/http/upstream_exchange.h
+++ b/src/http/upstream_exchange.h
@@ -39,7 +39,7 @@
     ~Owner() = default;
   };
 
-  // What to send, and the time limits.
+  // The message to send and its time limits.
   struct Request {
     dispatch::ExchangeId id{};
     std::shared_ptr<const HttpMessage> message;
@@ -108,7 +108,7 @@
   void FinishWithout(Cause cause);
   // Marks the exchange as ended; no hook is called after this. Returns on_end, which the caller still has to
   // call.
-  dispatch::Transport::OnEnd CloseBooks();
+  dispatch::Transport::OnEnd MarkEnded();
   void ReleaseRequestBody();
   void ReleaseConnection();
 
