--- a/tests/http/bulk_test.cpp
+++ b/tests/http/bulk_test.cpp
@@ -1,4 +1,4 @@
-// Bodies longer than are kept whole, both ways: as they come, cut at any point, slowly, and broken off.
+// Tests bodies longer than the buffer limit in both directions: split at any point, slow, and truncated.
 
 #include <unistd.h>
 
@@ -23,11 +23,11 @@
 
 constexpr std::size_t kMegabyte = 1024 * 1024;
 
-// What a sanitizer keeps of freed memory is not the program's.
+// AddressSanitizer keeps freed memory for a while, which is not the program's own use.
 #ifdef __SANITIZE_ADDRESS__
-constexpr std::size_t kMostGrowth = 300 * kMegabyte;
+constexpr std::size_t kMaxMemoryGrowth = 300 * kMegabyte;
 #else
-constexpr std::size_t kMostGrowth = 30 * kMegabyte;
+constexpr std::size_t kMaxMemoryGrowth = 30 * kMegabyte;
 #endif
 
 std::string Pattern(std::size_t size) {
@@ -40,14 +40,14 @@
   return text;
 }
 
-Node::Options Served(const json& known) {
+Node::Options NodeOptions(const json& known) {
   Node::Options options;
   options.known = known;
   options.ops = "127.0.0.1:0";
   return options;
 }
 
-json Page(Node& node) {
+json PageCounters(Node& node) {
   const auto answer = AdminClient(node.ops()).Get("/ops/stats");
   return answer ? answer->body["transactions"]["page"] : json();
 }
@@ -70,7 +70,7 @@
   return text + "0\r\nX-Check: 1\r\n\r\n";
 }
 
-// Sends in pieces cut at odd places.
+// Sends the text in pieces of irregular sizes.
 void SendCut(Wire& wire, const std::string& text) {
   for (std::size_t at = 0, size = 1; at < text.size(); at += size) {
     size = 1 + (at * 7919) % 65000;
@@ -78,7 +78,7 @@
   }
 }
 
-// ---- Answers ----
+// ---- Responses ----
 
 TEST(BulkAnswer, OfEachFramingArrivesComplete) {
   const std::string body = Pattern(3 * kMegabyte);
@@ -93,7 +93,7 @@
     SendCut(wire, head + "Connection: close\r\n\r\n" + body);
     wire.socket.close();
   });
-  Node node(Served(List({Target("u1", upstream.address())})));
+  Node node(NodeOptions(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening() && node.OpsListening());
   Client client(node.port());
   for (const char* kind : {"length", "chunked", "end"}) {
@@ -102,7 +102,7 @@
     EXPECT_EQ(response->result_int(), 200U);
     EXPECT_TRUE(response->body() == body) << kind;
   }
-  const json page = Page(node);
+  const json page = PageCounters(node);
   EXPECT_EQ(page["answered"], 3);
   EXPECT_EQ(page["errored"], 0);
   EXPECT_EQ(page["sends"], 3);
@@ -118,14 +118,14 @@
                "\r\n\r\n" + text.substr(0, 150 * 1024));
     wire.socket.close();
   });
-  Node node(Served(List({Target("u1", upstream.address())})));
+  Node node(NodeOptions(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening() && node.OpsListening());
   for (const char* kind : {"length", "chunked"}) {
     Client client(node.port());
     EXPECT_FALSE(client.Get(std::string("/page/") + kind, kind)) << kind;
   }
-  EXPECT_TRUE(Eventually([&] { return Page(node)["errored"] == 2; }));
-  EXPECT_EQ(upstream.requests().size(), 2U);  // the client has some of it: nothing is sent again
+  EXPECT_TRUE(Eventually([&] { return PageCounters(node)["errored"] == 2; }));
+  EXPECT_EQ(upstream.requests().size(), 2U);  // no retry: the client has part of the response
 }
 
 TEST(BulkAnswer, ThirtySlowReadersFitTheMemoryAndLeaveCapacityForPages) {
@@ -136,7 +136,8 @@
     boost::system::error_code error;
     boost::asio::write(wire.socket, boost::asio::buffer(body), error);
   });
-  Node::Options options = Served(List({Target("u1", upstream.address()), Target("u2", upstream.address())}));
+  Node::Options options =
+      NodeOptions(List({Target("u1", upstream.address()), Target("u2", upstream.address())}));
   Node node(options);
   ASSERT_TRUE(node.Listening() && node.OpsListening());
   std::vector<std::unique_ptr<Client>> readers;
@@ -148,17 +149,17 @@
     ASSERT_EQ(std::string(piece.data(), std::min<std::size_t>(size, 12)), "HTTP/1.1 200");
   }
   const auto before = Resident(node);
-  std::size_t most = 0;
+  std::size_t max_resident = 0;
   Client pages(node.port());
   for (int i = 0; i < 40; ++i) {
     for (const auto& reader : readers) reader->wire.socket.read_some(boost::asio::buffer(piece));
     const auto response = pages.Get("/page/small", "s" + std::to_string(i));
     ASSERT_TRUE(response);
     EXPECT_EQ(response->result_int(), 200U);
-    most = std::max(most, Resident(node));
+    max_resident = std::max(max_resident, Resident(node));
   }
-  // Thirty windows of 256 KiB, twice that while they are moved, and what is read ahead.
-  EXPECT_LT(most, before + kMostGrowth);
+  // Thirty windows of 256 KiB, twice that while they are copied, and the read-ahead.
+  EXPECT_LT(max_resident, before + kMaxMemoryGrowth);
   readers.clear();
   EXPECT_TRUE(Eventually([&] {
     const auto stats = AdminClient(node.ops()).Get("/ops/stats");
@@ -173,7 +174,7 @@
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     wire.Answer(200, request.body() == body ? "same" : "other");
   });
-  Node node(Served(List({Target("u1", upstream.address())})));
+  Node node(NodeOptions(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   SendCut(client.wire, PostText("/submit/k", "length", body));
@@ -187,7 +188,7 @@
   response = client.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "same");
-  // The connection is in step, and goes on.
+  // The message boundaries are intact: the connection serves another request.
   response = client.Post("/submit/k", "small", "x");
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "other");
@@ -196,7 +197,7 @@
 
 TEST(BulkUpload, ASlowOneHasItsDeadlineFromTheLastByte) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(Served(List({Target("u1", upstream.address())})));
+  Node node(NodeOptions(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   const std::string body = Pattern(200 * 1024);
   const std::string text = PostText("/submit/k", "slow", body, 1000);
@@ -214,7 +215,7 @@
   Upstream upstream(Upstream::Echo("u"));
   Refusing refusing;
   Upstream full([](Wire& wire, const Request&, int) { wire.Answer(503, "x", "X-Not-Processed: 1\r\n"); });
-  Node node(Served(List(
+  Node node(NodeOptions(List(
       {Target("u1", refusing.address()), Target("u2", upstream.address()), Target("u3", full.address())})));
   ASSERT_TRUE(node.Listening());
   const std::string body = Pattern(300 * 1024);
@@ -229,8 +230,8 @@
 }
 
 TEST(BulkUpload, RejectedBeforeItsEndTheAnswerArrivesComplete) {
-  // Nobody takes it: told while the client still sends, and no reset overtakes the answer.
-  Node node(Served(List({})));
+  // There is no upstream: the response is sent while the client still sends, and no reset overtakes it.
+  Node node(NodeOptions(List({})));
   ASSERT_TRUE(node.Listening());
   const std::string text = PostText("/submit/k", "a", Pattern(4 * kMegabyte));
   Client client(node.port());
@@ -249,7 +250,7 @@
   Peer peer([&](Wire& wire, int) {
     if (wire.ReadsEnd()) ended = true;
   });
-  Node node(Served(List({Target("u1", peer.address())})));
+  Node node(NodeOptions(List({Target("u1", peer.address())})));
   ASSERT_TRUE(node.Listening() && node.OpsListening());
   {
     Client client(node.port());
@@ -266,7 +267,7 @@
 
 TEST(BulkUpload, AHeadThatTakesTwoSecondsIsServed) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(Served(List({Target("u1", upstream.address())})));
+  Node node(NodeOptions(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   const std::string text = GetText("/page/x", "slow");
   Client client(node.port());
--- a/tests/http/listener_disconnect_test.cpp
+++ b/tests/http/listener_disconnect_test.cpp
@@ -1,4 +1,4 @@
-// Clients that disconnect, whatever they sent ahead.
+// Tests that a disconnect is detected regardless of the bytes that the client sent before it.
 #include <cstddef>
 #include <string>
 #include <vector>
@@ -8,80 +8,84 @@
 namespace mothrack {
 namespace {
 
-struct Departure {
+struct DisconnectCase {
   const char* name;
   std::string sent;
-  bool comes;  // handed on before its end
+  bool streamed;  // forwarded before its body is complete
 };
 
-std::vector<Departure> Departures() {
+std::vector<DisconnectCase> DisconnectCases() {
   return {
-      {"nothing behind the request", Get("/p"), false},
-      {"some behind it", Get("/p") + Followers(20000), false},
-      {"more than is kept behind it", Get("/p") + Followers(100000), false},
-      // 256 KiB are read, and up to two reads more; the system has the rest, and the end behind it.
-      {"more than is read behind it", Get("/p") + Followers(280000), false},
-      // As much as is kept whole, the least window, what is read ahead; and some that waits in the system.
-      {"an upload that nobody takes", PostOfLength(1 << 20, (64 + 16 + 32 + 8) * 1024), true},
+      {"nothing after the request", Get("/p"), false},
+      {"some bytes after it", Get("/p") + PipelinedRequests(20000), false},
+      {"more bytes after it than are buffered", Get("/p") + PipelinedRequests(100000), false},
+      // 256 KiB are read, and up to two reads more. The rest stays in the kernel's receive buffer, before the
+      // close.
+      {"more bytes after it than are read", Get("/p") + PipelinedRequests(280000), false},
+      // The buffer limit, the minimum window and the read-ahead, plus 8 KiB that stay in the kernel's receive
+      // buffer.
+      {"an upload that the handler does not consume", PostOfLength(1 << 20, (64 + 16 + 32 + 8) * 1024), true},
   };
 }
 
 TEST_F(ListenerTest, ADisconnectIsDetectedWithin100MsDespitePipelinedData) {
-  answers = takes = false;
-  for (const Departure& departure : Departures()) {
-    for (const Way way : {Way::kClose, Way::kReset}) {
-      SCOPED_TRACE(departure.name + std::string(way == Way::kReset ? ", reset" : ", closed"));
-      Listen(kRoomy, runtime::ByteBudget::kMinWindow);
+  replies_at_once = consumes_bodies = false;
+  for (const DisconnectCase& disconnect_case : DisconnectCases()) {
+    for (const DisconnectKind disconnect_kind : {DisconnectKind::kClose, DisconnectKind::kReset}) {
+      SCOPED_TRACE(disconnect_case.name +
+                   std::string(disconnect_kind == DisconnectKind::kReset ? ", reset" : ", closed"));
+      Listen(kManyDescriptors, runtime::ByteBudget::kMinWindow);
       Client& client = Connect();
-      ASSERT_EQ(SendAll(client, departure.sent), departure.sent.size());
-      Settle();
-      ASSERT_EQ(handed.size(), 1U);
-      ASSERT_FALSE(handed[0].disconnected);
-      Leave(client, way);
-      Pass(milliseconds(100));
-      EXPECT_TRUE(handed[0].disconnected);
+      ASSERT_EQ(SendAll(client, disconnect_case.sent), disconnect_case.sent.size());
+      RunUntilIdle();
+      ASSERT_EQ(forwarded.size(), 1U);
+      ASSERT_FALSE(forwarded[0].disconnected);
+      Disconnect(client, disconnect_kind);
+      AdvanceTime(milliseconds(100));
+      EXPECT_TRUE(forwarded[0].disconnected);
       EXPECT_EQ(descriptors->used(), 0U);
-      EXPECT_EQ(handed.size(), 1U);
-      EXPECT_EQ(departure.comes, static_cast<bool>(handed[0].coming));
-      if (departure.comes) {
-        EXPECT_EQ(handed[0].coming.stream->state(), runtime::Stream::State::kBroken);
+      EXPECT_EQ(forwarded.size(), 1U);
+      EXPECT_EQ(disconnect_case.streamed, static_cast<bool>(forwarded[0].coming));
+      if (disconnect_case.streamed) {
+        EXPECT_EQ(forwarded[0].coming.stream->state(), runtime::Stream::State::kBroken);
       }
-      handed.clear();
+      forwarded.clear();
       clients.clear();
     }
   }
 }
 
-// The sidecar had no time for either: what it reads first is the request.
+// The request and the disconnect are both pending before the sidecar reads, and it reads the request first.
 TEST_F(ListenerTest, AQueuedRequestOfADisconnectedClientIsNotForwarded) {
-  for (const std::string& sent : {Get("/p"), Get("/p") + Followers(5000), PostOfLength(5, 5)}) {
-    for (const Way way : {Way::kClose, Way::kReset}) {
+  for (const std::string& sent : {Get("/p"), Get("/p") + PipelinedRequests(5000), PostOfLength(5, 5)}) {
+    for (const DisconnectKind disconnect_kind : {DisconnectKind::kClose, DisconnectKind::kReset}) {
       Client& client = Connect();
       Send(client, sent);
-      Leave(client, way);
+      Disconnect(client, disconnect_kind);
       EXPECT_TRUE(AllClosed());
-      EXPECT_TRUE(handed.empty());
+      EXPECT_TRUE(forwarded.empty());
     }
   }
 }
 
-// Else a client that has left would get them sent on, one after the other. Its own answer arrives whole.
+// Otherwise the pipelined requests of a client that has disconnected would be forwarded one by one. The
+// response to the first request must still arrive completely.
 TEST_F(ListenerTest, RequestsAfterAFloodAreNotForwarded) {
-  more_of_answer = 200000;
+  extra_response_bytes = 200000;
   for (const std::size_t size : {100000, 280000}) {
-    answers = false;
+    replies_at_once = false;
     Client& client = Connect(true);
-    const std::string sent = Get("/p") + Followers(size);
+    const std::string sent = Get("/p") + PipelinedRequests(size);
     ASSERT_EQ(SendAll(client, sent), sent.size());
-    Settle();
-    ASSERT_EQ(handed.size(), 1U);
-    answers = true;
-    Answer(handed[0]);
+    RunUntilIdle();
+    ASSERT_EQ(forwarded.size(), 1U);
+    replies_at_once = true;
+    Reply(forwarded[0]);
     EXPECT_TRUE(Ends(client));
     EXPECT_NE(client.received.find("Connection: close"), std::string::npos);
-    EXPECT_GT(client.received.size(), more_of_answer);
-    EXPECT_EQ(handed.size(), 1U);
-    handed.clear();
+    EXPECT_GT(client.received.size(), extra_response_bytes);
+    EXPECT_EQ(forwarded.size(), 1U);
+    forwarded.clear();
   }
 }
 
--- a/tests/http/listener_drain_test.cpp
+++ b/tests/http/listener_drain_test.cpp
@@ -1,4 +1,4 @@
-// Connections that end between requests: quiesce and drain.
+// Tests how quiescing and draining end connections between requests.
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <cstddef>
@@ -11,91 +11,91 @@
 
 class ConnectionEnd : public ListenerTest, public ::testing::WithParamInterface<bool> {
  protected:
-  // By hand, or for good.
-  void Begin() {
+  // Drains or quiesces the listener, by the test's parameter.
+  void BeginStop() {
     if (GetParam()) {
-      listener->Drain([this] { ++ended; });
+      listener->Drain([this] { ++drains_ended; });
     } else {
       listener->Quiesce(true);
     }
   }
-  Client& Served() {
+  Client& ConnectAndServe() {
     Client& client = Connect();
     Send(client, Get("/first"));
     EXPECT_TRUE(Receives(client, "answer /first"));
     client.received.clear();
-    handed.clear();
+    forwarded.clear();
     return client;
   }
 };
 
 INSTANTIATE_TEST_SUITE_P(Listener, ConnectionEnd, ::testing::Bool(),
-                         [](const auto& info) { return info.param ? "Drained" : "Rested"; });
+                         [](const auto& info) { return info.param ? "Drained" : "Quiesced"; });
 
 TEST_P(ConnectionEnd, RequestsBeforeTheEndAreServedAndAnsweredWithClose) {
-  Client& client = Served();
+  Client& client = ConnectAndServe();
   Send(client, Get("/second"));
-  Begin();
+  BeginStop();
   EXPECT_TRUE(Receives(client, "answer /second"));
   EXPECT_NE(client.received.find("Connection: close"), std::string::npos);
   EXPECT_TRUE(Ends(client));
 }
 
 TEST_P(ConnectionEnd, RequestsThatCrossTheEndAreNeitherReadNorReset) {
-  for (Hook System::*const moment : {&System::before_end, &System::after_end}) {
-    SCOPED_TRACE(moment == &System::before_end ? "before the end" : "after it");
-    Client& client = Served();
+  for (Hook InterceptedCalls::*const moment : {&InterceptedCalls::before_end, &InterceptedCalls::after_end}) {
+    SCOPED_TRACE(moment == &InterceptedCalls::before_end ? "before the half-close" : "after the half-close");
+    Client& client = ConnectAndServe();
     bool crossed = false;
-    system_.watched = client.server;
-    system_.*moment = [&] {
+    intercepted_calls.watched = client.server;
+    intercepted_calls.*moment = [&] {
       Send(client, Get("/crossing"));
       crossed = true;
     };
-    Begin();
+    BeginStop();
     ASSERT_TRUE(crossed);
     EXPECT_TRUE(Ends(client));
     EXPECT_EQ(client.received, "");
-    // The client is the first to close, and the listener sees it behind what it left unread.
+    // The client closes first, and the listener detects that although unread bytes precede the close.
     EXPECT_EQ(descriptors->used(), 1U);
     EXPECT_EQ(Unread(client), Get("/crossing").size());
-    Leave(client, Way::kClose);
-    Pass(milliseconds(10));
+    Disconnect(client, DisconnectKind::kClose);
+    AdvanceTime(milliseconds(10));
     EXPECT_EQ(descriptors->used(), 0U);
-    EXPECT_TRUE(handed.empty());
-    if (GetParam()) break;  // once for good
+    EXPECT_TRUE(forwarded.empty());
+    if (GetParam()) break;  // a drain cannot be undone
     listener->Quiesce(false);
   }
 }
 
 TEST_P(ConnectionEnd, IdleClientsAreClosed) {
-  Client& closes = Served();
-  Client& stays = Served();
-  Begin();
+  Client& closes = ConnectAndServe();
+  Client& stays = ConnectAndServe();
+  BeginStop();
   EXPECT_TRUE(Ends(closes));
   EXPECT_TRUE(Ends(stays));
   EXPECT_EQ(descriptors->used(), 2U);
-  Leave(closes, Way::kClose);
-  Settle();
+  Disconnect(closes, DisconnectKind::kClose);
+  RunUntilIdle();
   EXPECT_EQ(descriptors->used(), 1U);
-  Pass(milliseconds(280));
+  AdvanceTime(milliseconds(280));
   EXPECT_EQ(descriptors->used(), 0U);
 }
 
 TEST_P(ConnectionEnd, APartialRequestIsAwaitedServedAndAnsweredWithClose) {
   const std::string request = Post("Content-Length: 5\r\n", "abcde");
   for (const std::size_t cut : {std::size_t{1}, std::size_t{20}, request.size() - 1}) {
-    Client& client = Served();
+    Client& client = ConnectAndServe();
     Send(client, request.substr(0, cut));
-    Settle();
-    Begin();
-    Pass(milliseconds(2400));
+    RunUntilIdle();
+    BeginStop();
+    AdvanceTime(milliseconds(2400));
     ASSERT_EQ(Receive(client), "");
     ASSERT_FALSE(client.end);
     Send(client, request.substr(cut));
     EXPECT_TRUE(Receives(client, "answer /p"));
     EXPECT_NE(client.received.find("Connection: close"), std::string::npos);
-    ASSERT_EQ(handed.size(), 1U);
-    EXPECT_EQ(handed[0].body, "abcde");
+    ASSERT_EQ(forwarded.size(), 1U);
+    EXPECT_EQ(forwarded[0].body, "abcde");
     EXPECT_TRUE(Ends(client));
     if (GetParam()) break;
     listener->Quiesce(false);
@@ -103,66 +103,66 @@
 }
 
 TEST_P(ConnectionEnd, RequestsAfterTheLastAnswerAreNotForwarded) {
-  answers = false;
+  replies_at_once = false;
   Client& ahead = Connect();
   Send(ahead, Get("/held") + Get("/ahead"));
   Client& behind = Connect();
   Send(behind, Get("/held"));
   Client& crossing = Connect();
   Send(crossing, Get("/held"));
-  Settle();
-  ASSERT_EQ(handed.size(), 3U);
-  Begin();
-  system_.watched = crossing.server;
-  system_.before_end = [&] { Send(crossing, Get("/crossing")); };
-  for (Handed& request : handed) Answer(request);
-  Settle();
+  RunUntilIdle();
+  ASSERT_EQ(forwarded.size(), 3U);
+  BeginStop();
+  intercepted_calls.watched = crossing.server;
+  intercepted_calls.before_end = [&] { Send(crossing, Get("/crossing")); };
+  for (ForwardedRequest& request : forwarded) Reply(request);
+  RunUntilIdle();
   Send(behind, Get("/behind"));
   for (Client* client : {&ahead, &behind, &crossing}) {
     EXPECT_TRUE(Receives(*client, "answer /held"));
     EXPECT_NE(client->received.find("Connection: close"), std::string::npos);
     EXPECT_TRUE(Ends(*client));
-    Leave(*client, Way::kClose);
+    Disconnect(*client, DisconnectKind::kClose);
   }
   EXPECT_TRUE(AllClosed());
-  EXPECT_EQ(handed.size(), 3U);
+  EXPECT_EQ(forwarded.size(), 3U);
 }
 
 TEST_F(ListenerTest, ADrainEndsOnceAndOnlyWhenAllIsAnswered) {
-  answers = false;
+  replies_at_once = false;
   Client& in_flight = Connect();
   Send(in_flight, Get("/held"));
-  Settle();
-  // One that has connected and says nothing for now, one that comes later.
+  RunUntilIdle();
+  // `recent` has connected and sends nothing yet; `late` connects during the drain.
   Client& recent = Connect();
-  listener->Drain([this] { ++ended; });
-  Pass(milliseconds(200));
+  listener->Drain([this] { ++drains_ended; });
+  AdvanceTime(milliseconds(200));
   Send(recent, Get("/fresh"));
-  Settle();
+  RunUntilIdle();
   Client& late = Connect();
   Send(late, Get("/late"));
-  Settle();
-  ASSERT_EQ(handed.size(), 3U);
-  Pass(milliseconds(2800));
-  EXPECT_EQ(ended, 0);
-  for (Handed& request : handed) Answer(request);
+  RunUntilIdle();
+  ASSERT_EQ(forwarded.size(), 3U);
+  AdvanceTime(milliseconds(2800));
+  EXPECT_EQ(drains_ended, 0);
+  for (ForwardedRequest& request : forwarded) Reply(request);
   for (Client* client : {&in_flight, &recent, &late}) {
     EXPECT_TRUE(Receives(*client, "answer"));
     EXPECT_TRUE(Ends(*client));
   }
-  EXPECT_EQ(ended, 0);
-  Pass(milliseconds(400));
-  EXPECT_EQ(ended, 1);
+  EXPECT_EQ(drains_ended, 0);
+  AdvanceTime(milliseconds(400));
+  EXPECT_EQ(drains_ended, 1);
 }
 
 TEST_F(ListenerTest, ADrainDuringASweepEndsOnce) {
   listener->PauseAccepting();
-  // The sweep is due, and the signal is handled ahead of it.
+  // The sweep is due, and the signal handler runs before it.
   boost::asio::steady_timer signal(io, std::chrono::steady_clock::time_point());
-  signal.async_wait([this](error_code) { listener->Drain([this] { ++ended; }); });
-  Leap(milliseconds(300));
-  Pass(milliseconds(100));
-  EXPECT_EQ(ended, 1);
+  signal.async_wait([this](error_code) { listener->Drain([this] { ++drains_ended; }); });
+  JumpTime(milliseconds(300));
+  AdvanceTime(milliseconds(100));
+  EXPECT_EQ(drains_ended, 1);
 }
 
 }  // namespace
--- a/tests/http/listener_eviction_test.cpp
+++ b/tests/http/listener_eviction_test.cpp
@@ -1,4 +1,4 @@
-// Eviction of connections where descriptors run out.
+// Tests the eviction of connections when descriptors run out.
 #include <cstddef>
 #include <string>
 
@@ -9,83 +9,84 @@
 
 class Eviction : public ListenerTest {
  protected:
-  Eviction() { Listen(kTwoClients); }
-  // One of the two descriptors is in use for good.
-  void Hold() {
-    answers = false;
+  Eviction() { Listen(kDescriptorsForTwoClients); }
+  // Occupies one of the two descriptors with a request that gets no response yet.
+  void OccupyDescriptor() {
+    replies_at_once = false;
     Send(Connect(), Get("/held"));
-    Settle();
-    answers = true;
+    RunUntilIdle();
+    replies_at_once = true;
   }
 };
 
 TEST_F(Eviction, ARequestWithUnreadDataIsNotEvicted) {
-  Hold();
+  OccupyDescriptor();
   const std::string request = Post("Content-Length: 5\r\n", "abcde");
   Client& half = Connect();
   Send(half, request.substr(0, request.size() - 1));
-  Settle();
-  Leap(milliseconds(1500));  // slow by now
-  Client& next = Dial();     // the event loop hears of it first
+  RunUntilIdle();
+  JumpTime(milliseconds(1500));       // now counts as slow
+  Client& next = ConnectToBacklog();  // the event loop is notified of this client first
   Send(half, request.substr(request.size() - 1));
   EXPECT_TRUE(Receives(half, "answer /p"));
-  Leap(milliseconds(25));
-  EXPECT_TRUE(Ends(half));  // idle by now
-  next.server = system_.accepted.back();
+  JumpTime(milliseconds(25));
+  EXPECT_TRUE(Ends(half));  // idle now, so it is evicted
+  next.server = intercepted_calls.accepted.back();
   Send(next, Get("/next"));
   EXPECT_TRUE(Receives(next, "answer /next"));
 }
 
 TEST_F(Eviction, ALastAnswerIsNotResetByPipelinedData) {
-  Hold();
-  more_of_answer = 200000;
+  OccupyDescriptor();
+  extra_response_bytes = 200000;
   Client& last = Connect(true);
   Send(last, Get("/last", "Connection: close\r\n"));
-  Settle();
-  ASSERT_EQ(handed.size(), 2U);
-  Client& next = Dial();
+  RunUntilIdle();
+  ASSERT_EQ(forwarded.size(), 2U);
+  Client& next = ConnectToBacklog();
   Send(last, Get("/behind"));
-  Settle();
-  next.server = system_.accepted.back();
+  RunUntilIdle();
+  next.server = intercepted_calls.accepted.back();
   Send(next, Get("/next"));
   EXPECT_TRUE(Receives(next, "answer /next"));
   EXPECT_TRUE(Ends(last));
-  EXPECT_GT(last.received.size(), more_of_answer);
-  EXPECT_EQ(handed.size(), 3U);
+  EXPECT_GT(last.received.size(), extra_response_bytes);
+  EXPECT_EQ(forwarded.size(), 3U);
 }
 
-// All are busy when the listener would close: whoever waits in its queue is let in as soon as there is room.
+// All connections are busy when the listener would close its socket: a client in the backlog is accepted as
+// soon as a descriptor is free.
 TEST_F(Eviction, ADrainAwaitsQueuedClients) {
-  Hold();
-  Hold();
-  Client& waits = Dial();
-  Settle();
-  listener->Drain([this] { ++ended; });
-  Pass(milliseconds(900), milliseconds(10));
+  OccupyDescriptor();
+  OccupyDescriptor();
+  Client& waits = ConnectToBacklog();
+  RunUntilIdle();
+  listener->Drain([this] { ++drains_ended; });
+  AdvanceTime(milliseconds(900), milliseconds(10));
   EXPECT_FALSE((Receive(waits), waits.end));
-  const std::size_t accepted = system_.accepted.size();
-  Answer(handed[0]);
+  const std::size_t accepted = intercepted_calls.accepted.size();
+  Reply(forwarded[0]);
   EXPECT_TRUE(Ends(clients[0]));
-  Leave(clients[0], Way::kClose);
-  Pass(milliseconds(30));
-  ASSERT_EQ(system_.accepted.size(), accepted + 1);
-  waits.server = system_.accepted.back();
+  Disconnect(clients[0], DisconnectKind::kClose);
+  AdvanceTime(milliseconds(30));
+  ASSERT_EQ(intercepted_calls.accepted.size(), accepted + 1);
+  waits.server = intercepted_calls.accepted.back();
   Send(waits, Get("/waits"));
   EXPECT_TRUE(Receives(waits, "answer /waits"));
-  Answer(handed[1]);
-  Pass(milliseconds(400));
-  EXPECT_EQ(ended, 1);
+  Reply(forwarded[1]);
+  AdvanceTime(milliseconds(400));
+  EXPECT_EQ(drains_ended, 1);
 }
 
 TEST_F(Eviction, ADrainAbandonsQueuedClientsWhereNoConnectionEnds) {
-  Hold();
-  Hold();
-  Client& waits = Dial();
-  listener->Drain([this] { ++ended; });
-  Pass(milliseconds(3200), milliseconds(10));
+  OccupyDescriptor();
+  OccupyDescriptor();
+  Client& waits = ConnectToBacklog();
+  listener->Drain([this] { ++drains_ended; });
+  AdvanceTime(milliseconds(3200), milliseconds(10));
   EXPECT_FALSE((Receive(waits), waits.end));
-  Pass(milliseconds(200), milliseconds(10));
-  EXPECT_TRUE(Until([&] { return Receive(waits), waits.end.failed(); }));
+  AdvanceTime(milliseconds(200), milliseconds(10));
+  EXPECT_TRUE(WaitUntil([&] { return Receive(waits), waits.end.failed(); }));
 }
 
 }  // namespace
--- a/tests/http/listener_fixture.cpp
+++ b/tests/http/listener_fixture.cpp
@@ -1,4 +1,4 @@
-// System calls of the listener tests: clock, accept, ends of connections and wake-ups.
+// Wrappers of system calls for the listener tests: the clock, accept(), shutdown(), close() and epoll_wait().
 #include "http/listener_fixture.h"
 
 #include <dlfcn.h>
@@ -11,65 +11,65 @@
 
 namespace mothrack {
 
-System system_;
+InterceptedCalls intercepted_calls;
 
 namespace {
 
 template <typename F>
-F* Next(const char* name) {
+F* RealFunction(const char* name) {
   return reinterpret_cast<F*>(::dlsym(RTLD_NEXT, name));
 }
 
-void Once(Hook& hook) {
+void CallOnce(Hook& hook) {
   if (const Hook call = std::exchange(hook, nullptr)) call();
 }
 
-int End(int fd, const std::function<int()>& end) {
-  if (fd < 0 || fd != system_.watched) return end();
-  system_.watched = -1;
-  Once(system_.before_end);
+int CallWithEndHooks(int fd, const std::function<int()>& end) {
+  if (fd < 0 || fd != intercepted_calls.watched) return end();
+  intercepted_calls.watched = -1;
+  CallOnce(intercepted_calls.before_end);
   const int result = end();
-  Once(system_.after_end);
+  CallOnce(intercepted_calls.after_end);
   return result;
 }
 
 }  // namespace
 }  // namespace mothrack
 
-using mothrack::End;
-using mothrack::Next;
-using mothrack::Once;
-using mothrack::system_;
+using mothrack::CallOnce;
+using mothrack::CallWithEndHooks;
+using mothrack::intercepted_calls;
+using mothrack::RealFunction;
 
 extern "C" int clock_gettime(clockid_t clock, timespec* time) {
-  static const auto next = Next<int(clockid_t, timespec*)>("clock_gettime");
+  static const auto next = RealFunction<int(clockid_t, timespec*)>("clock_gettime");
   if (clock != CLOCK_MONOTONIC) return next(clock, time);
-  if (!system_.now) next(clock, &system_.now.emplace());
-  *time = *system_.now;
+  if (!intercepted_calls.now) next(clock, &intercepted_calls.now.emplace());
+  *time = *intercepted_calls.now;
   return 0;
 }
 
 extern "C" int accept(int fd, sockaddr* from, socklen_t* size) {
-  static const auto next = Next<int(int, sockaddr*, socklen_t*)>("accept");
+  static const auto next = RealFunction<int(int, sockaddr*, socklen_t*)>("accept");
   const int accepted = next(fd, from, size);
-  if (fd == system_.listening && accepted >= 0) system_.accepted.push_back(accepted);
+  if (fd == intercepted_calls.listening && accepted >= 0) intercepted_calls.accepted.push_back(accepted);
   return accepted;
 }
 
 extern "C" int shutdown(int fd, int how) {
-  static const auto next = Next<int(int, int)>("shutdown");
-  return End(fd, [&] { return next(fd, how); });
+  static const auto next = RealFunction<int(int, int)>("shutdown");
+  return CallWithEndHooks(fd, [&] { return next(fd, how); });
 }
 
 extern "C" int close(int fd) {
-  static const auto next = Next<int(int)>("close");
-  return End(fd, [&] { return next(fd); });
+  static const auto next = RealFunction<int(int)>("close");
+  return CallWithEndHooks(fd, [&] { return next(fd); });
 }
 
 extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
-  static const auto next = Next<int(int, epoll_event*, int, int)>("epoll_wait");
-  ++system_.waits;
+  static const auto next = RealFunction<int(int, epoll_event*, int, int)>("epoll_wait");
+  ++intercepted_calls.waits;
   const int ready = next(epoll, events, most, timeout);
-  if (ready > 0) Once(system_.after_wake);
+  if (ready > 0) CallOnce(intercepted_calls.after_wake);
   return ready;
 }
--- a/tests/http/listener_fixture.h
+++ b/tests/http/listener_fixture.h
@@ -1,6 +1,6 @@
-// The listener on a loopback socket, between scripted clients and a scripted application. Time stands still
-// unless a test advances it. The system calls are those of listener_fixture.cpp, which pass on to the real
-// ones: a client can act between any two of them.
+// Runs the listener on a loopback socket with scripted clients and a scripted request handler. The clock
+// stands still unless a test advances it. listener_fixture.cpp wraps system calls, so that a test can let a
+// client act between two of them.
 #pragma once
 
 #include <poll.h>
@@ -33,20 +33,21 @@
 
 using Hook = std::function<void()>;
 
-struct System {
-  std::optional<timespec> now;  // of the steady clock
+struct InterceptedCalls {
+  std::optional<timespec> now;  // time of the steady clock
   int listening = -1;
-  std::vector<int> accepted;  // by the listener, in order
-  int watched = -1;           // of this one the next half-close or close is
-  Hook before_end;            // told here, once
-  Hook after_end;
-  Hook after_wake;  // once, between a wake-up of the event loop and what it wakes
-  std::uint64_t waits = 0;
+  std::vector<int> accepted;  // descriptors that the listener accepted, in order
+  int watched = -1;           // descriptor whose next shutdown() or close() calls the two hooks below
+  Hook before_end;            // called once, then cleared
+  Hook after_end;             // called once, then cleared
+  Hook after_wake;            // called once, after epoll_wait() reports events and before their handlers run
+  std::uint64_t waits = 0;    // number of epoll_wait() calls
 };
-extern System system_;
+extern InterceptedCalls intercepted_calls;
 
-inline constexpr std::size_t kRoomy = 256;
-inline constexpr std::size_t kTwoClients = runtime::Descriptors::kFixed + 4;  // each side has half
+inline constexpr std::size_t kManyDescriptors = 256;
+inline constexpr std::size_t kDescriptorsForTwoClients =
+    runtime::Descriptors::kFixed + 4;  // each side gets half of the four
 
 inline std::string Get(const std::string& target, const std::string& headers = "") {
   return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n";
@@ -60,7 +61,7 @@
   return Post("Content-Length: " + std::to_string(length) + "\r\n", std::string(sent, 'x'));
 }
 
-inline std::string Followers(std::size_t size) {
+inline std::string PipelinedRequests(std::size_t size) {
   std::string bytes;
   while (bytes.size() < size) bytes += Get("/follower");
   return bytes;
@@ -68,26 +69,26 @@
 
 class ListenerTest : public ::testing::Test {
  protected:
-  ListenerTest() { Listen(kRoomy); }
+  ListenerTest() { Listen(kManyDescriptors); }
   ~ListenerTest() override {
-    system_.listening = system_.watched = -1;
-    system_.before_end = system_.after_end = system_.after_wake = nullptr;
+    intercepted_calls.listening = intercepted_calls.watched = -1;
+    intercepted_calls.before_end = intercepted_calls.after_end = intercepted_calls.after_wake = nullptr;
   }
 
-  // What was handed on of a request, and what it was told since.
-  struct Handed {
+  // One request passed to the handler, and the notifications about it since.
+  struct ForwardedRequest {
     std::string target;
     std::string body;
     http::ReplyCallback reply;
     http::ComingBody coming;
     bool disconnected = false;
-    bool whole = false;
+    bool complete = false;
   };
 
   struct Client {
     explicit Client(boost::asio::io_context& io) : socket(io) {}
     tcp::socket socket;
-    int server = -1;  // the listener's descriptor of it
+    int server = -1;  // the listener's descriptor for this client
     std::string received;
     error_code end;
   };
@@ -100,87 +101,89 @@
     listener.emplace(io, where, *descriptors, *budget, log,
                      http::DeadlineRange{std::chrono::seconds(5), std::chrono::seconds(5)},
                      [this](http::HttpRequest request, http::ComingBody coming, http::ReplyCallback reply) {
-                       return Take(std::move(request), std::move(coming), std::move(reply));
+                       return HandleRequest(std::move(request), std::move(coming), std::move(reply));
                      });
-    system_.listening = listener->native_handle();
+    intercepted_calls.listening = listener->native_handle();
   }
 
-  http::RequestObserver Take(http::HttpRequest request, http::ComingBody coming, http::ReplyCallback reply) {
-    Handed& handed_request = handed.emplace_back();
-    handed_request.target = std::string(request.target());
-    handed_request.body = request.body();
-    handed_request.coming = coming;
-    handed_request.reply = std::move(reply);
-    if (coming && takes) {
+  http::RequestObserver HandleRequest(http::HttpRequest request, http::ComingBody coming,
+                                      http::ReplyCallback reply) {
+    ForwardedRequest& forwarded_request = forwarded.emplace_back();
+    forwarded_request.target = std::string(request.target());
+    forwarded_request.body = request.body();
+    forwarded_request.coming = coming;
+    forwarded_request.reply = std::move(reply);
+    if (coming && consumes_bodies) {
       coming.stream->BeginConsuming();
-      const auto take = [&handed_request, stream = coming.stream.get()] {
-        handed_request.body += stream->Ready();
+      const auto consume = [&forwarded_request, stream = coming.stream.get()] {
+        forwarded_request.body += stream->Ready();
         stream->Consume(stream->Ready().size());
       };
-      coming.stream->on_bytes = take;
+      coming.stream->on_bytes = consume;
     }
-    if (answers && !coming) Answer(handed_request);
-    return {[&handed_request] { handed_request.disconnected = true; },
-            [this, &handed_request] {
-              handed_request.whole = true;
-              if (answers) Answer(handed_request);
+    if (replies_at_once && !coming) Reply(forwarded_request);
+    return {[&forwarded_request] { forwarded_request.disconnected = true; },
+            [this, &forwarded_request] {
+              forwarded_request.complete = true;
+              if (replies_at_once) Reply(forwarded_request);
             }};
   }
 
-  void Answer(Handed& handed_request) {
+  void Reply(ForwardedRequest& forwarded_request) {
     http::HttpResponse response(beast_http::status::ok, 11);
-    response.body() = "answer " + handed_request.target + std::string(more_of_answer, '.');
-    std::exchange(handed_request.reply, nullptr)(std::move(response), {});
+    response.body() = "answer " + forwarded_request.target + std::string(extra_response_bytes, '.');
+    std::exchange(forwarded_request.reply, nullptr)(std::move(response), {});
   }
 
-  // Runs the event loop until it has nothing to do by now.
-  void Settle() {
+  // Runs the event loop until no handler is ready.
+  void RunUntilIdle() {
     io.restart();
     while (io.poll() > 0) {
     }
   }
 
-  // Runs it until the condition holds, with an eye to the real clock.
-  bool Until(const std::function<bool()>& condition, bool running = true) {
+  // Waits until the condition holds, at most 20 s of real time. Runs the event loop meanwhile if `running`.
+  bool WaitUntil(const std::function<bool()>& condition, bool running = true) {
     const auto give_up_at = std::chrono::system_clock::now() + std::chrono::seconds(20);
     while (true) {
-      if (running) Settle();
+      if (running) RunUntilIdle();
       if (condition()) return true;
       if (std::chrono::system_clock::now() > give_up_at) return false;
       ::poll(nullptr, 0, 1);
     }
   }
 
-  // Moves time on and lets the event loop see it.
-  void Pass(runtime::Duration by, runtime::Duration step = milliseconds(5)) {
-    for (; by > runtime::Duration::zero(); by -= step) Leap(std::min(by, step));
+  // Advances the clock in steps and runs the event loop after each.
+  void AdvanceTime(runtime::Duration by, runtime::Duration step = milliseconds(5)) {
+    for (; by > runtime::Duration::zero(); by -= step) JumpTime(std::min(by, step));
   }
-  void Leap(runtime::Duration by) {
-    const long nanoseconds = system_.now->tv_nsec + std::chrono::nanoseconds(by).count();
-    system_.now->tv_sec += nanoseconds / 1000000000;
-    system_.now->tv_nsec = nanoseconds % 1000000000;
-    // The event loop looks at the clock when a timer is set that is earlier than all others.
+  void JumpTime(runtime::Duration by) {
+    const long nanoseconds = intercepted_calls.now->tv_nsec + std::chrono::nanoseconds(by).count();
+    intercepted_calls.now->tv_sec += nanoseconds / 1000000000;
+    intercepted_calls.now->tv_nsec = nanoseconds % 1000000000;
+    // The event loop reads the clock again when a timer is set that is earlier than all others.
     bool woken = false;
     boost::asio::steady_timer now(io, std::chrono::steady_clock::time_point());
     now.async_wait([&](error_code) { woken = true; });
-    ASSERT_TRUE(Until([&] { return woken; }));
-    Settle();
+    ASSERT_TRUE(WaitUntil([&] { return woken; }));
+    RunUntilIdle();
   }
 
-  Client& Connect(bool narrow = false) {
-    Client& client = Dial(narrow);
-    const std::size_t before = system_.accepted.size();
-    EXPECT_TRUE(Until([&] { return system_.accepted.size() > before; }));
-    client.server = system_.accepted.back();
+  Client& Connect(bool small_receive_buffer = false) {
+    Client& client = ConnectToBacklog(small_receive_buffer);
+    const std::size_t before = intercepted_calls.accepted.size();
+    EXPECT_TRUE(WaitUntil([&] { return intercepted_calls.accepted.size() > before; }));
+    client.server = intercepted_calls.accepted.back();
     return client;
   }
-  // Only as far as the listening socket's queue. Little of an answer reaches a narrow client before it reads.
-  Client& Dial(bool narrow = false) {
-    Client& client = clients.emplace_back(own);
+  // Connects the client only as far as the listen backlog. With `small_receive_buffer`, its receive buffer is
+  // small, so that little of a response reaches it before it reads.
+  Client& ConnectToBacklog(bool small_receive_buffer = false) {
+    Client& client = clients.emplace_back(clients_io);
     client.socket.open(tcp::v4());
-    if (narrow) client.socket.set_option(boost::asio::socket_base::receive_buffer_size(4096));
+    if (small_receive_buffer) client.socket.set_option(boost::asio::socket_base::receive_buffer_size(4096));
     client.socket.connect(listener->local());
-    pollfd listening{system_.listening, POLLIN, 0};
+    pollfd listening{intercepted_calls.listening, POLLIN, 0};
     EXPECT_EQ(::poll(&listening, 1, 20000), 1);
     client.socket.non_blocking(true);
     return client;
@@ -191,21 +194,23 @@
     return ::ioctl(client.server, FIONREAD, &size) == 0 ? static_cast<std::size_t>(size) : 0;
   }
 
-  // As much as there is room for; the listener's system has it then, and the listener not yet.
+  // Sends as much as the socket takes and returns its size. The bytes are then in the listener's receive
+  // buffer, and the listener has not read them.
   std::size_t Send(Client& client, const std::string& bytes) {
     const std::size_t before = Unread(client);
     error_code error;
     const std::size_t size = client.socket.write_some(boost::asio::buffer(bytes), error);
-    EXPECT_TRUE(Until([&] { return Unread(client) >= before + size; }, false));
+    EXPECT_TRUE(WaitUntil([&] { return Unread(client) >= before + size; }, false));
     return size;
   }
 
-  // The listener reads on meanwhile; fewer bytes where it reads no more.
+  // Sends while the listener reads. Returns the number of bytes sent: fewer than given if the listener stops
+  // reading.
   std::size_t SendAll(Client& client, const std::string& bytes) {
     std::size_t sent = 0;
     for (int refusals = 0; sent < bytes.size() && refusals < 200;) {
       error_code error;
-      // In small parts: the system accounts a large one as held until all of it is read.
+      // Written in small parts, because the kernel accounts a large one as buffered until all of it is read.
       const auto remaining =
           boost::asio::buffer(&bytes[sent], std::min<std::size_t>(bytes.size() - sent, 8192));
       const std::size_t size = client.socket.write_some(remaining, error);
@@ -213,17 +218,18 @@
       refusals = size == 0 ? refusals + 1 : 0;
       sent += size;
       if (size == 0) ::poll(nullptr, 0, 1);
-      Settle();
+      RunUntilIdle();
     }
     return sent;
   }
 
-  enum class Way { kClose, kReset };
-  // The client leaves, and the listener's system knows.
-  void Leave(Client& client, Way way) {
-    if (way == Way::kReset) client.socket.set_option(boost::asio::socket_base::linger(true, 0));
+  enum class DisconnectKind { kClose, kReset };
+  // Disconnects the client and waits until the listener's kernel socket has seen it.
+  void Disconnect(Client& client, DisconnectKind disconnect_kind) {
+    if (disconnect_kind == DisconnectKind::kReset)
+      client.socket.set_option(boost::asio::socket_base::linger(true, 0));
     client.socket.close();
-    EXPECT_TRUE(Until(
+    EXPECT_TRUE(WaitUntil(
         [&] {
           pollfd server{client.server, POLLRDHUP, 0};
           return ::poll(&server, 1, 0) == 1;
@@ -231,7 +237,7 @@
         false));
   }
 
-  // What has come to the client by now.
+  // Returns all bytes that the client has received so far.
   const std::string& Receive(Client& client) {
     char bytes[4096];
     while (!client.end) {
@@ -244,29 +250,29 @@
     return client.received;
   }
   bool Receives(Client& client, const std::string& part) {
-    return Until([&] { return Receive(client).find(part) != std::string::npos; });
+    return WaitUntil([&] { return Receive(client).find(part) != std::string::npos; });
   }
-  // Nothing more comes, by a clean end: not by a reset, which could take an answer's last bytes along.
+  // Whether the connection ends with a FIN. A reset could destroy the last bytes of a response.
   bool Ends(Client& client) {
-    return Until([&] { return Receive(client), client.end.failed(); }) &&
+    return WaitUntil([&] { return Receive(client), client.end.failed(); }) &&
            client.end == boost::asio::error::eof;
   }
   bool AllClosed() {
-    return Until([&] { return descriptors->used() == 0; });
+    return WaitUntil([&] { return descriptors->used() == 0; });
   }
 
-  bool answers = true;  // at once
-  bool takes = true;    // of bodies that still come
-  std::size_t more_of_answer = 0;
+  bool replies_at_once = true;  // the handler replies as soon as the request is complete
+  bool consumes_bodies = true;  // the handler consumes bodies that are still arriving
+  std::size_t extra_response_bytes = 0;
   runtime::Logger log{"t"};
-  boost::asio::io_context own;  // of the clients: never run
+  boost::asio::io_context clients_io;  // for the clients' sockets; never run
   boost::asio::io_context io{1};
   std::optional<runtime::Descriptors> descriptors;
   std::optional<runtime::ByteBudget> budget;
-  std::deque<Handed> handed;
+  std::deque<ForwardedRequest> forwarded;
   std::optional<http::Listener> listener;
   std::deque<Client> clients;
-  int ended = 0;  // drains
+  int drains_ended = 0;  // number of calls of Drain()'s callback
 };
 
 }  // namespace mothrack
--- a/tests/http/listener_limits_test.cpp
+++ b/tests/http/listener_limits_test.cpp
@@ -1,4 +1,4 @@
-// Bounds of what is read from clients that flood.
+// Tests the bounds on the bytes read from clients that send without pause.
 #include <cstddef>
 #include <string>
 
@@ -8,29 +8,30 @@
 namespace {
 
 TEST_F(ListenerTest, APipelinedFloodIsReadToABoundWithoutBusyLoopOrStarvation) {
-  answers = false;
+  replies_at_once = false;
   Client& client = Connect();
-  const std::string sent = Get("/p") + Followers(64 << 20);
+  const std::string sent = Get("/p") + PipelinedRequests(64 << 20);
   const std::size_t sent_bytes = SendAll(client, sent);
   EXPECT_LT(sent_bytes, sent.size());
-  // Nothing is read any more, and nothing asks whether it should be.
-  Settle();
+  // The listener has stopped reading, and the event loop does not wake up for the unread bytes.
+  RunUntilIdle();
   const std::size_t waiting = Unread(client);
-  const auto waits = system_.waits;
-  Settle();
-  EXPECT_LE(system_.waits - waits, 2U);
+  const auto waits = intercepted_calls.waits;
+  RunUntilIdle();
+  EXPECT_LE(intercepted_calls.waits - waits, 2U);
   EXPECT_EQ(Unread(client), waiting);
-  EXPECT_FALSE(handed[0].disconnected);
-  // Others are served meanwhile, and its own request is answered.
-  answers = true;
+  EXPECT_FALSE(forwarded[0].disconnected);
+  // Other clients are served meanwhile, and the flooding client's own request is answered.
+  replies_at_once = true;
   Client& other = Connect();
   Send(other, Get("/other"));
   EXPECT_TRUE(Receives(other, "answer /other"));
-  Answer(handed[0]);
+  Reply(forwarded[0]);
   EXPECT_TRUE(Receives(client, "answer /p"));
 }
 
-// After a last answer so much is dropped at most. Others get their turn between any two reads.
+// After the last response a bounded number of bytes is discarded. Other connections are served between two
+// reads.
 TEST_F(ListenerTest, AFloodBehindALastAnswerIsResetWhileOthersAreServed) {
   Client& client = Connect();
   Client& other = Connect();
@@ -40,28 +41,28 @@
   Send(other, Get("/other"));
   const std::size_t waiting = Unread(client);
   io.restart();
-  for (int turns = 0; turns < 6 && handed.size() < 2; ++turns) io.poll_one();
-  EXPECT_EQ(handed.size(), 2U);
+  for (int turns = 0; turns < 6 && forwarded.size() < 2; ++turns) io.poll_one();
+  EXPECT_EQ(forwarded.size(), 2U);
   EXPECT_GE(Unread(client) + 4 * 8192, waiting);
   const std::string sent(8 << 20, 'x');
   EXPECT_LT(SendAll(client, sent), sent.size());
-  EXPECT_TRUE(Until([&] { return descriptors->used() == 1; }));
-  EXPECT_EQ(handed.size(), 2U);
+  EXPECT_TRUE(WaitUntil([&] { return descriptors->used() == 1; }));
+  EXPECT_EQ(forwarded.size(), 2U);
 }
 
 TEST_F(ListenerTest, AnUnconsumedUploadIsReadToItsWindowWithoutBusyLoop) {
-  takes = false;
+  consumes_bodies = false;
   Client& client = Connect();
   const std::string sent = PostOfLength(8 << 20, 8 << 20);
   EXPECT_LT(SendAll(client, sent), sent.size());
-  Settle();
+  RunUntilIdle();
   EXPECT_LE(budget->held(), http::kBufferLimit + runtime::ByteBudget::kMaxWindow);
-  const auto waits = system_.waits;
-  Settle();
-  EXPECT_LE(system_.waits - waits, 2U);
-  Leave(client, Way::kReset);
-  Pass(milliseconds(100));
-  EXPECT_TRUE(handed[0].disconnected);
+  const auto waits = intercepted_calls.waits;
+  RunUntilIdle();
+  EXPECT_LE(intercepted_calls.waits - waits, 2U);
+  Disconnect(client, DisconnectKind::kReset);
+  AdvanceTime(milliseconds(100));
+  EXPECT_TRUE(forwarded[0].disconnected);
 }
 
 }  // namespace
--- a/tests/http/listener_timeouts_test.cpp
+++ b/tests/http/listener_timeouts_test.cpp
@@ -1,4 +1,4 @@
-// Timeouts that fire while data is already there.
+// Tests timeouts that expire while unread data has already arrived.
 #include <cstddef>
 #include <string>
 
@@ -7,45 +7,45 @@
 namespace mothrack {
 namespace {
 
-// The sidecar had no time: what came meanwhile is read before anybody is judged by the clock.
+// The event loop was delayed: bytes that arrived meanwhile are read before a timeout is applied.
 TEST_F(ListenerTest, ARequestReceivedBeforeTheIdleTimeoutFiresIsServed) {
   const std::string request = Get("/p");
   for (const std::size_t before : {std::size_t{0}, std::size_t{1}, request.size() - 1}) {
     SCOPED_TRACE(before);
     Client& client = Connect();
     if (before > 0) Send(client, request.substr(0, before));
-    Settle();
-    system_.after_wake = [&] { Send(client, request.substr(before)); };
-    Leap(milliseconds(3000));
+    RunUntilIdle();
+    intercepted_calls.after_wake = [&] { Send(client, request.substr(before)); };
+    JumpTime(milliseconds(3000));
     EXPECT_TRUE(Receives(client, "answer /p")) << client.received;
-    EXPECT_EQ(handed.size(), 1U);
-    handed.clear();
+    EXPECT_EQ(forwarded.size(), 1U);
+    forwarded.clear();
   }
 }
 
 TEST_F(ListenerTest, ATricklingClientGetsNoSecondExtension) {
   Client& client = Connect();
   Send(client, "GET /p HTTP/1.1\r\nX: ");
-  Settle();
+  RunUntilIdle();
   for (int i = 0; i < 2; ++i) {
-    system_.after_wake = [&] { Send(client, "a"); };
-    Leap(milliseconds(2600));
+    intercepted_calls.after_wake = [&] { Send(client, "a"); };
+    JumpTime(milliseconds(2600));
   }
   EXPECT_TRUE(Receives(client, "408"));
   EXPECT_TRUE(Ends(client));
 }
 
 TEST_F(ListenerTest, ALastAnswerIsNotResetByDataAtTheEndOfTheLingeringClose) {
-  more_of_answer = 200000;
+  extra_response_bytes = 200000;
   Client& client = Connect(true);
   Send(client, Get("/last", "Connection: close\r\n"));
-  Settle();
-  system_.after_wake = [&] { Send(client, Get("/behind")); };
-  Leap(milliseconds(300));
+  RunUntilIdle();
+  intercepted_calls.after_wake = [&] { Send(client, Get("/behind")); };
+  JumpTime(milliseconds(300));
   EXPECT_EQ(descriptors->used(), 0U);
   EXPECT_TRUE(Ends(client));
-  EXPECT_GT(client.received.size(), more_of_answer);
-  EXPECT_EQ(handed.size(), 1U);
+  EXPECT_GT(client.received.size(), extra_response_bytes);
+  EXPECT_EQ(forwarded.size(), 1U);
 }
 
 }  // namespace
--- a/tests/http/transport_test.cpp
+++ b/tests/http/transport_test.cpp
@@ -1,5 +1,5 @@
-// The transport alone between a dispatcher that is a script and upstreams that are: what it writes, and what
-// it tells of an exchange, where two events cross.
+// Tests the transport between a scripted dispatcher and scripted upstreams: what it writes, and which outcome
+// it reports when two events coincide.
 #include "http/transport.h"
 
 #include <gtest/gtest.h>
@@ -34,10 +34,10 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Listens with a backlog of one that is full, so that a connection comes up only once somebody accepts.
-class Late {
+// An upstream whose backlog of one is full, so that connections to it are established only after Open().
+class DelayedUpstream {
  public:
-  explicit Late(boost::asio::io_context& io)
+  explicit DelayedUpstream(boost::asio::io_context& io)
       : io_(io), acceptor_(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0), false) {
     ::listen(acceptor_.native_handle(), 0);
     filler_.emplace(io_);
@@ -46,7 +46,7 @@
 
   std::string address() const { return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port()); }
 
-  // From here on connections come up; the system knocks again within a second or so.
+  // Accepts connections from now on. The kernel of the connecting side retries its SYN within about a second.
   void Open() {
     acceptor_.accept();  // the filler
     acceptor_.async_accept([this](boost::system::error_code error, tcp::socket socket) {
@@ -77,8 +77,8 @@
   std::string received_;
 };
 
-// Bytes written that the other side's system has not taken.
-int Unread(tcp::socket& socket) {
+// Returns the number of written bytes that the peer's kernel has not acknowledged.
+int UnacknowledgedBytes(tcp::socket& socket) {
   int bytes = 0;
   return ::ioctl(socket.native_handle(), SIOCOUTQ, &bytes) == 0 ? bytes : -1;
 }
@@ -94,7 +94,7 @@
     return limits;
   }
 
-  void Serving(const std::string& uid, const std::string& address) {
+  void AddUpstream(const std::string& uid, const std::string& address) {
     transport.Apply(
         uid, dispatch::Location{balancer::UpstreamState::kServing, *runtime::ParseEndpoint(address), 0});
   }
@@ -111,15 +111,15 @@
       started.push_back(std::move(reply));
     };
     hooks.on_end = [this](dispatch::ExchangeResult result) {
-      ended.push_back(result.outcome);
-      if (result.reply) whole = static_cast<http::HttpReply&>(*result.reply).response.body();
+      outcomes.push_back(result.outcome);
+      if (result.reply) buffered_body = static_cast<http::HttpReply&>(*result.reply).response.body();
     };
     transport.Send(id, uid, std::make_shared<http::HttpMessage>(std::move(request)), timeout,
                    std::move(hooks));
   }
 
-  // Runs the loop until `condition` holds; the test's own time-out is the other end.
-  void Until(const std::function<bool()>& condition) {
+  // Runs the event loop until `condition` holds. Only the timeout of the test program ends it otherwise.
+  void RunUntil(const std::function<bool()>& condition) {
     while (!condition()) io.run_one();
   }
 
@@ -127,97 +127,99 @@
   runtime::Descriptors descriptors;
   runtime::ByteBudget budget;
   http::HttpTransport transport;
-  std::vector<Outcome> ended;
-  std::vector<std::unique_ptr<dispatch::Reply>> started;  // answers whose bodies came as they came
-  std::string whole;                                      // the last body that came whole
+  std::vector<Outcome> outcomes;
+  std::vector<std::unique_ptr<dispatch::Reply>> started;  // responses with a streamed body
+  std::string buffered_body;                              // the last body that was buffered completely
   int written = 0;
 };
 
-// Seen: a copy whose connection came up 50 ms after its request had been answered was written then, and ran.
+// Guards against a fault that occurred: an attempt whose connection was established 50 ms after the request's
+// final answer was still written, and ran.
 TEST_F(TransportTest, AnAttemptAbandonedWhileConnectingIsNotSentAndItsConnectionIsPooled) {
-  Late late(io);
-  Serving("u1", late.address());
+  DelayedUpstream delayed_upstream(io);
+  AddUpstream("u1", delayed_upstream.address());
   Send(dispatch::ExchangeId{1}, "u1", "/page/abandoned");
   io.poll();
-  ASSERT_TRUE(ended.empty());
+  ASSERT_TRUE(outcomes.empty());
   transport.Abandon(dispatch::ExchangeId{1});
-  ASSERT_TRUE(ended.empty()) << "how its connection fares is worth knowing";
-  late.Open();
-  Until([&] { return !ended.empty(); });
-  EXPECT_EQ(ended, std::vector{Outcome::kNotSent});
+  ASSERT_TRUE(outcomes.empty()) << "the exchange must stay open until its connection is established or fails";
+  delayed_upstream.Open();
+  RunUntil([&] { return !outcomes.empty(); });
+  EXPECT_EQ(outcomes, std::vector{Outcome::kNotSent});
   EXPECT_EQ(written, 0);
-  Until([&] { return late.up(); });
+  RunUntil([&] { return delayed_upstream.up(); });
   Send(dispatch::ExchangeId{2}, "u1", "/page/next");
-  Until([&] { return late.received().find("\r\n\r\n") != std::string::npos; });
-  EXPECT_EQ(late.received().rfind("GET /page/next ", 0), 0U) << late.received();
-  late.Answer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
-  Until([&] { return ended.size() == 2; });
-  EXPECT_EQ(ended[1], Outcome::kServed);
+  RunUntil([&] { return delayed_upstream.received().find("\r\n\r\n") != std::string::npos; });
+  EXPECT_EQ(delayed_upstream.received().rfind("GET /page/next ", 0), 0U) << delayed_upstream.received();
+  delayed_upstream.Answer("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  RunUntil([&] { return outcomes.size() == 2; });
+  EXPECT_EQ(outcomes[1], Outcome::kServed);
   EXPECT_EQ(transport.counts().opened, 1U);
 }
 
 TEST_F(TransportTest, AnAbandonedAttemptThatIsCancelledOrDrainedEndsOnce) {
   for (const bool drained : {false, true}) {
-    Late late(io);
-    ended.clear();
+    DelayedUpstream delayed_upstream(io);
+    outcomes.clear();
     const std::string uid = drained ? "u1" : "u2";
-    Serving(uid, late.address());
+    AddUpstream(uid, delayed_upstream.address());
     const dispatch::ExchangeId id{drained ? 11U : 12U};
     Send(id, uid, "/page/x");
     io.poll();
     transport.Abandon(id);
     if (drained) {
       transport.Apply(uid, dispatch::Location{balancer::UpstreamState::kDraining,
-                                              *runtime::ParseEndpoint(late.address()), 0});
+                                              *runtime::ParseEndpoint(delayed_upstream.address()), 0});
     } else {
       transport.Cancel(id);
     }
-    EXPECT_EQ(ended, std::vector{drained ? Outcome::kNotSent : Outcome::kCancelled});
+    EXPECT_EQ(outcomes, std::vector{drained ? Outcome::kNotSent : Outcome::kCancelled});
     transport.Abandon(id);
-    late.Open();
+    delayed_upstream.Open();
     io.poll();
-    EXPECT_EQ(ended.size(), 1U);
+    EXPECT_EQ(outcomes.size(), 1U);
     EXPECT_EQ(written, 0);
   }
 }
 
-// The loop had no time meanwhile: both wait for it in one turn, and what is handled first decides for both.
+// The event loop was delayed, so both events are pending in one turn. The one that is handled first decides.
 TEST_F(TransportTest, AConnectAndATimeoutInOneLoopTurnEndTheAttemptOnce) {
   for (int i = 0; i < 20; ++i) {
     tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
     const std::string uid = "u" + std::to_string(i);
     const runtime::Endpoint endpoint = acceptor.local_endpoint();
-    ended.clear();
+    outcomes.clear();
     written = 0;
-    Serving(uid, "127.0.0.1:" + std::to_string(endpoint.port()));
+    AddUpstream(uid, "127.0.0.1:" + std::to_string(endpoint.port()));
     Send(dispatch::ExchangeId{static_cast<std::uint64_t>(i + 1)}, uid, "/submit/x", "unsafe",
          milliseconds(2));
-    tcp::socket upstream = acceptor.accept();  // the system's doing, without the loop
+    tcp::socket upstream = acceptor.accept();  // the kernel completes the connection without the event loop
     std::this_thread::sleep_for(milliseconds(4));
-    Until([&] { return !ended.empty(); });
+    RunUntil([&] { return !outcomes.empty(); });
     io.poll();
-    ASSERT_EQ(ended.size(), 1U);
-    // What the module takes for never run must not have gone out, nor what it takes for run have stayed here.
+    ASSERT_EQ(outcomes.size(), 1U);
+    // A request reported as never run must not have been sent, and one reported as possibly run must have
+    // been.
     boost::system::error_code error;
     std::string received;
     boost::asio::read(upstream, boost::asio::dynamic_buffer(received), error);
     const bool arrived = received.find("unsafe") != std::string::npos;
-    EXPECT_EQ(ended[0], arrived ? Outcome::kTimeout : Outcome::kConnectFailed) << received;
+    EXPECT_EQ(outcomes[0], arrived ? Outcome::kTimeout : Outcome::kConnectFailed) << received;
     EXPECT_EQ(written, arrived ? 1 : 0);
   }
 }
 
-// Its upstream reads nothing: the system has taken some of it, and not all.
+// The upstream reads nothing, so the kernel has accepted only part of the request.
 TEST_F(TransportTest, AnAttemptAbandonedHalfWrittenNeverArrivesComplete) {
   tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
-  Serving("u1", "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
+  AddUpstream("u1", "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
   const std::size_t size = 16 << 20;
   Send(dispatch::ExchangeId{1}, "u1", "/submit/x", std::string(size, 'x'));
   tcp::socket upstream = acceptor.accept();
-  Until([&] { return upstream.available() > 0; });
+  RunUntil([&] { return upstream.available() > 0; });
   transport.Abandon(dispatch::ExchangeId{1});
-  Until([&] { return !ended.empty(); });
-  EXPECT_EQ(ended, std::vector{Outcome::kCancelled});
+  RunUntil([&] { return !outcomes.empty(); });
+  EXPECT_EQ(outcomes, std::vector{Outcome::kCancelled});
   EXPECT_EQ(written, 0);
   std::string all(size, 0);
   boost::system::error_code error;
@@ -225,62 +227,66 @@
   EXPECT_TRUE(error);
 }
 
-// The system took all of it, and its upstream's has room for some only: reading on later must not find the
-// rest.
+// The local kernel has accepted the whole request, and the upstream's receive buffer holds only part of it.
+// An upstream that reads later must not get the rest.
 TEST_F(TransportTest, AnAttemptCancelledBeforeDeliveryNeverArrivesComplete) {
   tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   acceptor.set_option(boost::asio::socket_base::receive_buffer_size(4096));
-  Serving("u1", "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
+  AddUpstream("u1", "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
   const std::size_t size = 1 << 20;
   Send(dispatch::ExchangeId{1}, "u1", "/submit/x", std::string(size, 'x'));
   tcp::socket upstream = acceptor.accept();
-  Until([&] { return written == 1; });
+  RunUntil([&] { return written == 1; });
   transport.Cancel(dispatch::ExchangeId{1});
-  ASSERT_EQ(ended, std::vector{Outcome::kCancelled});
+  ASSERT_EQ(outcomes, std::vector{Outcome::kCancelled});
   std::string all(size, 0);
   boost::system::error_code error;
   EXPECT_LT(boost::asio::read(upstream, boost::asio::buffer(all), error), size);
   EXPECT_EQ(error, boost::asio::error::connection_reset);
 }
 
-// An answer that does not tell its length: what comes of it, and whether another attempt can still be made.
+// A response of unknown length: its outcome, and whether it stays buffered, so that another attempt is
+// possible.
 TEST_F(TransportTest, AnAnswerWithoutALengthIsBufferedUpToItsBound) {
   constexpr std::size_t kKilo = 1024;
-  enum class Then { kEnds, kStops, kBreaks, kGoesOn };
-  struct Row {
+  enum class Continuation { kCompletes, kPauses, kBreaks, kContinues };
+  struct ResponseCase {
     const char* name;
-    std::size_t first;  // bytes that come at once
-    Then then;
-    std::size_t more;  // and later, of what goes on
+    std::size_t first_bytes;  // bytes sent at once
+    Continuation continuation;
+    std::size_t later_bytes;  // bytes sent later, with kContinues
     int timeout_ms;
-    bool starts;  // its way to the client, before it is whole
+    bool streams;  // streaming to the client starts before the response is complete
     std::optional<Outcome> outcome;
   };
-  const Row rows[] = {
-      {"small and whole", kKilo, Then::kEnds, 0, 5000, false, Outcome::kServed},
-      {"long and whole", 40 * kKilo, Then::kEnds, 0, 5000, false, Outcome::kServed},
-      {"as long as is kept", 64 * kKilo, Then::kEnds, 0, 5000, false, Outcome::kServed},
-      {"longer", 64 * kKilo + 1, Then::kEnds, 0, 5000, true, Outcome::kServed},
-      {"small and broken", kKilo, Then::kBreaks, 0, 5000, false, Outcome::kReset},
-      {"long and broken", 40 * kKilo, Then::kBreaks, 0, 5000, false, Outcome::kReset},
-      {"longer and broken", 65 * kKilo, Then::kBreaks, 0, 5000, true, Outcome::kReset},
-      {"small and late", kKilo, Then::kStops, 0, 1300, false, Outcome::kTimeout},
-      {"long and late", 40 * kKilo, Then::kStops, 0, 500, false, Outcome::kTimeout},
-      {"long and slow", 40 * kKilo, Then::kStops, 0, 5000, true, std::nullopt},
-      {"grows in time", kKilo, Then::kGoesOn, 40 * kKilo, 5000, true, Outcome::kServed},
-      {"small for long", kKilo, Then::kGoesOn, kKilo, 5000, false, Outcome::kServed},
+  const ResponseCase rows[] = {
+      {"small and complete", kKilo, Continuation::kCompletes, 0, 5000, false, Outcome::kServed},
+      {"long and complete", 40 * kKilo, Continuation::kCompletes, 0, 5000, false, Outcome::kServed},
+      {"as long as the buffer limit", 64 * kKilo, Continuation::kCompletes, 0, 5000, false, Outcome::kServed},
+      {"longer than the buffer limit", 64 * kKilo + 1, Continuation::kCompletes, 0, 5000, true,
+       Outcome::kServed},
+      {"small and broken", kKilo, Continuation::kBreaks, 0, 5000, false, Outcome::kReset},
+      {"long and broken", 40 * kKilo, Continuation::kBreaks, 0, 5000, false, Outcome::kReset},
+      {"longer than the buffer limit and broken", 65 * kKilo, Continuation::kBreaks, 0, 5000, true,
+       Outcome::kReset},
+      {"small and late", kKilo, Continuation::kPauses, 0, 1300, false, Outcome::kTimeout},
+      {"long and late", 40 * kKilo, Continuation::kPauses, 0, 500, false, Outcome::kTimeout},
+      {"long and slow", 40 * kKilo, Continuation::kPauses, 0, 5000, true, std::nullopt},
+      {"small, then long", kKilo, Continuation::kContinues, 40 * kKilo, 5000, true, Outcome::kServed},
+      {"small for long, then complete", kKilo, Continuation::kContinues, kKilo, 5000, false,
+       Outcome::kServed},
   };
   std::uint64_t id = 0;
   for (const bool chunked : {true, false}) {
-    for (const Row& row : rows) {
-      SCOPED_TRACE(std::string(row.name) + (chunked ? ", in chunks" : ", to the connection's end"));
-      ended.clear(), started.clear(), whole.clear();
+    for (const ResponseCase& row : rows) {
+      SCOPED_TRACE(std::string(row.name) + (chunked ? ", in chunks" : ", until the connection ends"));
+      outcomes.clear(), started.clear(), buffered_body.clear();
       tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
       const std::string uid = "u" + std::to_string(++id);
-      Serving(uid, "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
+      AddUpstream(uid, "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
       Send(dispatch::ExchangeId{id}, uid, "/page/x", "", milliseconds(row.timeout_ms));
       tcp::socket upstream = acceptor.accept();
-      Until([&] { return upstream.available() > 0; });
+      RunUntil([&] { return upstream.available() > 0; });
       const auto write = [&](std::size_t size, const std::string& before, const std::string& after) {
         char head[32] = "";
         if (chunked && size > 0) std::snprintf(head, sizeof head, "%zx\r\n", size);
@@ -289,30 +295,31 @@
       };
       const std::string last = chunked ? "0\r\n\r\n" : "";
       const auto end = [&] { chunked ? upstream.close() : upstream.shutdown(tcp::socket::shutdown_send); };
-      write(row.first,
+      write(row.first_bytes,
             std::string("HTTP/1.1 200 OK\r\n") +
                 (chunked ? "Transfer-Encoding: chunked" : "Connection: close") + "\r\n\r\n",
-            row.then == Then::kEnds ? last : "");
-      if (row.then == Then::kEnds && !chunked) end();
-      if (row.then == Then::kBreaks) {
+            row.continuation == Continuation::kCompletes ? last : "");
+      if (row.continuation == Continuation::kCompletes && !chunked) end();
+      if (row.continuation == Continuation::kBreaks) {
         upstream.set_option(boost::asio::socket_base::linger(true, 0));
-        // What it wrote is delivered first: the reset would overtake it.
-        Until([&] { return Unread(upstream) == 0; });
+        // The written bytes must be delivered first, because the reset would overtake them.
+        RunUntil([&] { return UnacknowledgedBytes(upstream) == 0; });
         io.poll();
         upstream.close();
       }
-      if (row.then == Then::kGoesOn) {
-        const runtime::TimePoint later = runtime::Now() + milliseconds(1200);  // beyond the longest hold
+      if (row.continuation == Continuation::kContinues) {
+        const runtime::TimePoint later =
+            runtime::Now() + milliseconds(1200);  // longer than a response is buffered
         while (runtime::Now() < later) io.run_one_for(milliseconds(20));
         EXPECT_TRUE(started.empty());
-        write(row.more, "", last);
+        write(row.later_bytes, "", last);
         if (!chunked) end();
       }
-      Until([&] { return row.outcome ? !ended.empty() : !started.empty(); });
-      EXPECT_EQ(started.size(), row.starts ? 1U : 0U);
-      EXPECT_EQ(ended, row.outcome ? std::vector{*row.outcome} : std::vector<Outcome>{});
-      if (!row.starts && row.outcome == Outcome::kServed) {
-        EXPECT_EQ(whole.size(), row.first + row.more);
+      RunUntil([&] { return row.outcome ? !outcomes.empty() : !started.empty(); });
+      EXPECT_EQ(started.size(), row.streams ? 1U : 0U);
+      EXPECT_EQ(outcomes, row.outcome ? std::vector{*row.outcome} : std::vector<Outcome>{});
+      if (!row.streams && row.outcome == Outcome::kServed) {
+        EXPECT_EQ(buffered_body.size(), row.first_bytes + row.later_bytes);
       }
       transport.Cancel(dispatch::ExchangeId{id});
       transport.Apply(
@@ -322,15 +329,15 @@
 }
 
 TEST_F(TransportTest, AWrittenAttemptContinuesWhenItIsAbandoned) {
-  Late late(io);
-  late.Open();
-  Serving("u1", late.address());
+  DelayedUpstream delayed_upstream(io);
+  delayed_upstream.Open();
+  AddUpstream("u1", delayed_upstream.address());
   Send(dispatch::ExchangeId{1}, "u1", "/page/x");
-  Until([&] { return late.received().find("\r\n\r\n") != std::string::npos; });
+  RunUntil([&] { return delayed_upstream.received().find("\r\n\r\n") != std::string::npos; });
   transport.Abandon(dispatch::ExchangeId{1});
-  late.Answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-  Until([&] { return !ended.empty(); });
-  EXPECT_EQ(ended, std::vector{Outcome::kServed});
+  delayed_upstream.Answer("HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
+  RunUntil([&] { return !outcomes.empty(); });
+  EXPECT_EQ(outcomes, std::vector{Outcome::kServed});
   EXPECT_EQ(written, 1);
 }
 
