--- a/src/sidecar/dns_section.cpp
+++ b/src/sidecar/dns_section.cpp
@@ -67,15 +67,15 @@
   return {};
 }
 
-// Keys that a class in the file leaves out are as in the default class of its opcode.
-void TakeDefaults(dns::ClassSettings& settings) {
-  for (const dns::ClassSettings& usual : dns::DefaultClasses()) {
-    if (usual.opcode != settings.opcode) continue;
-    settings.latency_objective = usual.latency_objective;
-    settings.deadline = usual.deadline;
-    settings.effect = usual.effect;
-    settings.priority_weight = usual.priority_weight;
-    settings.late_priority_weight = usual.late_priority_weight;
+// Sets the values that the file may omit in a class to those of the default class of its opcode.
+void ApplyOpcodeDefaults(dns::ClassSettings& settings) {
+  for (const dns::ClassSettings& default_class : dns::DefaultClasses()) {
+    if (default_class.opcode != settings.opcode) continue;
+    settings.latency_objective = default_class.latency_objective;
+    settings.deadline = default_class.deadline;
+    settings.effect = default_class.effect;
+    settings.priority_weight = default_class.priority_weight;
+    settings.late_priority_weight = default_class.late_priority_weight;
   }
 }
 
@@ -98,7 +98,7 @@
   table.ForEach("qtypes", [&](const toml::node& node, const std::string& key) {
     settings.qtypes.push_back(ReadType(table, node, key));
   });
-  TakeDefaults(settings);
+  ApplyOpcodeDefaults(settings);
   table.ReadMilliseconds("aim_ms", settings.latency_objective);
   table.ReadMilliseconds("deadline_ms", settings.deadline);
   if (settings.latency_objective > settings.deadline) {
@@ -170,8 +170,8 @@
     }
   });
   // The file's classes come first; a query that matches none of them gets a default class.
-  for (const dns::ClassSettings& usual : dns::DefaultClasses()) {
-    if (names.insert(usual.name).second) classes.push_back(usual);
+  for (const dns::ClassSettings& default_class : dns::DefaultClasses()) {
+    if (names.insert(default_class.name).second) classes.push_back(default_class);
   }
   return classes;
 }
@@ -192,7 +192,7 @@
     }
     // Port 0 in `listen` is chosen later, so it can't be compared; resolvers can't have it.
     if (std::find(listen.begin(), listen.end(), resolver.endpoint) != listen.end()) {
-      inner.Fail("endpoint", "is an address of dns.listen: queries would go round; name the resolver's own");
+      inner.Fail("endpoint", "is an address of dns.listen: queries would loop back; name the resolver's own");
     }
     resolvers.push_back(std::move(resolver));
   });
@@ -243,20 +243,20 @@
   for (const dns::ClassSettings& settings : dns.classes) classes.push_back(ToToml(settings));
   toml::array resolvers;
   for (const dns::ResolverSettings& resolver : dns.resolvers) resolvers.push_back(ToToml(resolver));
-  const auto whole = [](std::size_t value) { return static_cast<std::int64_t>(value); };
+  const auto integer = [](std::size_t value) { return static_cast<std::int64_t>(value); };
   return toml::table{{"listen", listen},
-                     {"edns_size", whole(dns.edns_size)},
-                     {"max_open_queries", whole(dns.max_open_queries)},
-                     {"max_open_per_client", whole(dns.max_open_per_client)},
-                     {"max_open_per_connection", whole(dns.max_open_per_connection)},
-                     {"max_tcp_clients", whole(dns.max_tcp_clients)},
+                     {"edns_size", integer(dns.edns_size)},
+                     {"max_open_queries", integer(dns.max_open_queries)},
+                     {"max_open_per_client", integer(dns.max_open_per_client)},
+                     {"max_open_per_connection", integer(dns.max_open_per_connection)},
+                     {"max_tcp_clients", integer(dns.max_tcp_clients)},
                      {"tcp_first_byte_ms", Milliseconds(dns.tcp_first_byte)},
                      {"tcp_idle_ms", Milliseconds(dns.tcp_idle)},
                      {"update_memory_ms", Milliseconds(dns.update_memory)},
-                     {"max_attempts", whole(dns.max_attempts)},
+                     {"max_attempts", integer(dns.max_attempts)},
                      {"connect_timeout_ms", Milliseconds(dns.connect_timeout)},
-                     {"udp_ports", whole(dns.udp_ports)},
-                     {"tcp_connections", whole(dns.tcp_connections)},
+                     {"udp_ports", integer(dns.udp_ports)},
+                     {"tcp_connections", integer(dns.tcp_connections)},
                      {"resolver_idle_ms", Milliseconds(dns.resolver_idle)},
                      {"class", classes},
                      {"resolver", resolvers}};
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -22,21 +22,21 @@
 
 }  // namespace
 
-// NOLINTNEXTLINE(bugprone-exception-escape): what is thrown out of here ends the program, as it should
+// NOLINTNEXTLINE(bugprone-exception-escape): an uncaught exception is meant to end the program
 int main(int argc, char** argv) {
   CLI::App app{
-      "mothrack: a sidecar that passes requests on to one of many upstreams.\n"
-      "Without a command it runs in the foreground: what the LB_* variables tell, what the operator's file\n"
-      "names, or both. SIGTERM begins a planned stop, SIGHUP reads the configuration again."};
+      "mothrack: a sidecar that forwards each request to one of many upstreams.\n"
+      "Without a command it runs in the foreground, configured by the LB_* variables, the operator's\n"
+      "file or both. SIGTERM begins a planned stop, SIGHUP reloads the configuration."};
   app.set_version_flag("--version", "mothrack " MOTHRACK_VERSION);
   mothrack::sidecar::Options options;
   app.add_option("--config", options.path, "the operator's file (TOML), as deploy/mothrack.toml")
       ->type_name("FILE");
-  app.add_option("--counts", options.counts_s, "log a line of counts every so many seconds (0.1 to 3600)")
+  app.add_option("--counts", options.counts_s, "log a line of counters at this interval (0.1 to 3600)")
       ->type_name("SECONDS")
       ->check(CLI::Range(0.1, 3600.0));
   CLI::App* check =
-      app.add_subcommand("check", "validate an operator's file and print the settings that count");
+      app.add_subcommand("check", "validate an operator's file and print the settings in effect");
   std::string file;
   check->add_option("FILE", file, "the operator's file")->required();
   try {
--- a/src/sidecar/operator_file.cpp
+++ b/src/sidecar/operator_file.cpp
@@ -17,10 +17,11 @@
 namespace mothrack::sidecar {
 namespace {
 
-// Bytes: a larger file is a wrong path, for example of a log or a device.
+// In bytes. A larger file means a wrong path, for example that of a log or a device.
 constexpr std::size_t kMaxFileSize = std::size_t{1} << 20;
 constexpr std::size_t kReadSize = 65536;
-// Descriptors: those that are always open, and a few for clients and upstreams.
+// Limits of open descriptors. The lower one covers those that are always open and a few for clients and
+// upstreams.
 constexpr std::int64_t kMinSockets = 64;
 constexpr std::int64_t kMaxSockets = 1'000'000;
 
@@ -31,7 +32,7 @@
   std::vector<char> bytes(kReadSize);
   while (stream.read(bytes.data(), kReadSize), stream.gcount() > 0) {
     text.append(bytes.data(), static_cast<std::size_t>(stream.gcount()));
-    if (text.size() > kMaxFileSize) throw ConfigError(path + ": is larger than 1 MiB; it can't be meant");
+    if (text.size() > kMaxFileSize) throw ConfigError(path + ": is larger than 1 MiB; check the path");
   }
   if (stream.bad()) throw ConfigError(path + ": cannot be read; it must be a file");
   return text;
@@ -43,7 +44,7 @@
   } catch (const toml::parse_error& e) {
     const auto& at = e.source().begin;
     throw ConfigError(path + ':' + std::to_string(at.line) + ':' + std::to_string(at.column) +
-                      ": not TOML: " + std::string(e.description()) + "; mend the line");
+                      ": not TOML: " + std::string(e.description()) + "; correct the line");
   }
 }
 
--- a/tests/sidecar/operator_file_test.cpp
+++ b/tests/sidecar/operator_file_test.cpp
@@ -1,4 +1,4 @@
-// The operator's file: what it may say, and the one error for what it may not.
+// The operator's file: valid contents, and the error for each kind of invalid ones.
 #include "sidecar/operator_file.h"
 
 #include <unistd.h>
@@ -107,7 +107,7 @@
        "7:7: ", "uid of its own"},
       {kDns + kResolver + "[[dns.resolver]]\nuid = \"r2\"\nendpoint = \"127.0.0.1:5301\"\n",
        "8:12: ", "\"r1\", too"},
-      {kDns + "[[dns.resolver]]\nuid = \"r\"\nendpoint = \"127.0.0.1:5300\"\n", "5:12: ", "go round"},
+      {kDns + "[[dns.resolver]]\nuid = \"r\"\nendpoint = \"127.0.0.1:5300\"\n", "5:12: ", "loop back"},
       {kDns + "[[dns.class]]\nname = \"c\"\nopcode = \"IQUERY\"\n" + kResolver, "5:10: ", "\"QUERY\""},
       {kDns + "[[dns.class]]\nname = \"c\"\nopcode = \"QUERY\"\nqtypes = [\"B\"]\n" + kResolver,
        "6:11: ", "no type"},
