--- a/src/sidecar/admin_section.cpp
+++ b/src/sidecar/admin_section.cpp
@@ -12,13 +12,15 @@
 namespace {
 
 constexpr std::string_view kUnixPrefix = "unix:";
-// Characters. The lower bound keeps a token from being guessed: 16 hexadecimal digits are 64 bits.
-constexpr std::size_t kMinToken = 16;
-constexpr std::size_t kMaxToken = 256;
-// Bytes of a Unix socket's path, without the zero behind it.
-constexpr std::size_t kMaxUnixPath = sizeof(sockaddr_un::sun_path) - 1;
+// Length of a token in characters. The lower bound makes guessing infeasible: 16 hexadecimal digits are 64
+// bits.
+constexpr std::size_t kMinTokenLength = 16;
+constexpr std::size_t kMaxTokenLength = 256;
+// Longest path of a Unix socket in bytes, without the terminating zero.
+constexpr std::size_t kMaxUnixPathLength = sizeof(sockaddr_un::sun_path) - 1;
 
-// The token that the file at `path` holds. Whoever can read it is let in, so nobody else may.
+// The token in the first line of the file at `path`. Whoever can read the file has access, so a file that
+// other users may access is rejected.
 std::string ReadToken(const TomlTable& table, const std::string& path) {
   struct stat info {};
   std::ifstream stream(path);
@@ -30,7 +32,7 @@
     table.Fail("token_file", path + " is open to others; chmod 600 it");
   }
   const bool visible = std::all_of(token.begin(), token.end(), [](char c) { return c > ' ' && c < 127; });
-  if (token.size() < kMinToken || token.size() > kMaxToken || !visible) {
+  if (token.size() < kMinTokenLength || token.size() > kMaxTokenLength || !visible) {
     table.Fail("token_file", path + ": its first line is no token; make it 16 to 256 visible characters");
   }
   return token;
@@ -38,9 +40,9 @@
 
 std::string ReadUnixPath(const TomlTable& table, const std::string& listen) {
   std::string path = listen.substr(kUnixPrefix.size());
-  if (!path.starts_with('/') || path.size() > kMaxUnixPath) {
+  if (!path.starts_with('/') || path.size() > kMaxUnixPathLength) {
     table.Fail("listen", "is no path of a Unix socket; give a full path of at most " +
-                             std::to_string(kMaxUnixPath) + " bytes");
+                             std::to_string(kMaxUnixPathLength) + " bytes");
   }
   return path;
 }
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -15,33 +15,34 @@
 
 using nlohmann::json;
 
-// Descriptors: those that are always open, and a few for clients and upstreams.
+// The lowest valid limit of open descriptors: those that are always open, and a few for clients and
+// upstreams.
 constexpr std::size_t kMinSockets = 64;
 
-std::string Variable(const std::function<const char*(const char*)>& variable, const char* name) {
+std::string RequiredVariable(const std::function<const char*(const char*)>& variable, const char* name) {
   const char* value = variable(name);
   if (value == nullptr || *value == '\0') throw ConfigError(std::string(name) + " is not set");
   return value;
 }
 
-runtime::Endpoint Address(const std::string& name, const std::string& text) {
+runtime::Endpoint ParseAddress(const std::string& name, const std::string& text) {
   const auto endpoint = runtime::ParseEndpoint(text);
   if (!endpoint) throw ConfigError(name + " is no address and port: " + text);
   return *endpoint;
 }
 
 runtime::Endpoint AddressVariable(const std::function<const char*(const char*)>& variable, const char* name) {
-  return Address(name, Variable(variable, name));
+  return ParseAddress(name, RequiredVariable(variable, name));
 }
 
-const json& Field(const json& object, const std::string& path, const char* name) {
+const json& RequiredField(const json& object, const std::string& path, const char* name) {
   const auto it = object.find(name);
   if (it == object.end()) throw ConfigError("LB_CONFIG: " + path + name + " is missing");
   return *it;
 }
 
-std::uint64_t Seed(const json& file) {
-  const json& field = Field(file, "", "seed");
+std::uint64_t ReadSeed(const json& file) {
+  const json& field = RequiredField(file, "", "seed");
   if (field.is_number_unsigned()) return field.get<std::uint64_t>();
   std::uint64_t seed = 0;
   if (field.is_string()) {
@@ -53,10 +54,10 @@
 }
 
 // The lower one of the deployment's limit and the process's resource limit.
-std::size_t Sockets(const json& file) {
-  const json& limits = Field(file, "", "limits");
+std::size_t ReadSocketLimit(const json& file) {
+  const json& limits = RequiredField(file, "", "limits");
   if (!limits.is_object()) throw ConfigError("LB_CONFIG: limits is no object");
-  const json& field = Field(limits, "limits.", "sockets");
+  const json& field = RequiredField(limits, "limits.", "sockets");
   if (!field.is_number_unsigned() || field.get<std::uint64_t>() < kMinSockets) {
     throw ConfigError("LB_CONFIG: limits.sockets is no number from " + std::to_string(kMinSockets) + " on");
   }
@@ -68,22 +69,22 @@
   return sockets;
 }
 
-// MB: the default, and an upper bound against slips of the unit.
-constexpr std::uint64_t kDefaultMemory = 192;
-constexpr double kMaxMemory = 1e6;
+// Memory limits in MiB: the default, and an upper bound that catches a value in a wrong unit.
+constexpr std::uint64_t kDefaultMemoryMib = 192;
+constexpr double kMaxMemoryMib = 1e6;
 
-std::size_t Memory(const json& file) {
-  const json& limits = Field(file, "", "limits");
+std::size_t ReadMemoryLimit(const json& file) {
+  const json& limits = RequiredField(file, "", "limits");
   const auto field = limits.find("memory_mb");
-  if (field == limits.end()) return kDefaultMemory << 20;
+  if (field == limits.end()) return kDefaultMemoryMib << 20;
   if (!field->is_number() || !(field->get<double>() >= 1)) {
     throw ConfigError("LB_CONFIG: limits.memory_mb is no number from 1 on");
   }
-  return static_cast<std::size_t>(std::min(field->get<double>(), kMaxMemory) * (1 << 20));
+  return static_cast<std::size_t>(std::min(field->get<double>(), kMaxMemoryMib) * (1 << 20));
 }
 
 balancer::Settings ReadSettings(const json& file) {
-  const json& field = Field(file, "", "settings");
+  const json& field = RequiredField(file, "", "settings");
   CheckSettings(field, Pass::kForm);
   std::string module_error;  // the module has its own names for the settings
   try {
@@ -107,29 +108,29 @@
 
 Config LoadConfig(const std::function<const char*(const char*)>& variable) {
   Config config;
-  config.name = Variable(variable, "LB_NAME");
+  config.name = RequiredVariable(variable, "LB_NAME");
   config.listen = AddressVariable(variable, "LB_LISTEN");
   config.discovery = AddressVariable(variable, "LB_DISCOVERY");
-  const auto path = Variable(variable, "LB_CONFIG");
+  const auto path = RequiredVariable(variable, "LB_CONFIG");
   std::ifstream stream(path);
   if (!stream) throw ConfigError("LB_CONFIG: cannot read " + path);
   const json file = json::parse(stream, nullptr, false);
   if (!file.is_object()) throw ConfigError("LB_CONFIG: " + path + " holds no JSON object");
-  config.seed = Seed(file);
-  config.sockets = Sockets(file);
-  config.memory = Memory(file);
+  config.seed = ReadSeed(file);
+  config.sockets = ReadSocketLimit(file);
+  config.memory = ReadMemoryLimit(file);
   config.settings = ReadSettings(file);
   // The file takes precedence: unlike the environment it can be replaced while the process runs.
   if (const auto discovery = file.find("discovery"); discovery != file.end()) {
     if (!discovery->is_string()) throw ConfigError("LB_CONFIG: discovery is no text");
-    config.discovery = Address("LB_CONFIG: discovery", discovery->get<std::string>());
+    config.discovery = ParseAddress("LB_CONFIG: discovery", discovery->get<std::string>());
   }
   // The environment takes precedence: the file may be shared with a former process.
   if (const char* ops = variable("LB_OPS"); ops != nullptr && *ops != '\0') {
-    config.ops = Address("LB_OPS", ops);
+    config.ops = ParseAddress("LB_OPS", ops);
   } else if (const auto in_file = file.find("ops"); in_file != file.end()) {
     if (!in_file->is_string()) throw ConfigError("LB_CONFIG: ops is no text");
-    config.ops = Address("LB_CONFIG: ops", in_file->get<std::string>());
+    config.ops = ParseAddress("LB_CONFIG: ops", in_file->get<std::string>());
   }
   if (const auto known = file.find("known"); known != file.end()) config.known = *known;
   return config;
--- a/src/sidecar/config.h
+++ b/src/sidecar/config.h
@@ -15,21 +15,21 @@
 
 namespace mothrack::sidecar {
 
-// A missing or invalid setting, of the platform or of the operator's file. The text is one line that names
-// it.
+// A missing or invalid setting of the platform or of the operator's file. The message is one line that names
+// the setting.
 class ConfigError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 struct Config {
-  std::string name;  // before each log line
+  std::string name;  // prefix of each log line
   runtime::Endpoint listen;
   runtime::Endpoint discovery;
   std::optional<runtime::Endpoint> ops;  // of the operator API; absent: disabled
   std::uint64_t seed = 0;                // for the module's random number generator
   std::size_t sockets = 0;               // limit of open descriptors
-  std::size_t memory = 0;                // bytes
+  std::size_t memory = 0;                // limit in bytes
   nlohmann::json known;  // the last known endpoint list, in discovery's format; null if there is none
   balancer::Settings settings;
 };
--- a/src/sidecar/counter_logger.cpp
+++ b/src/sidecar/counter_logger.cpp
@@ -10,9 +10,9 @@
 
 using nlohmann::json;
 
-// Bound on the upstreams in a line.
+// Bounds the length of a line: further upstreams are left out.
 constexpr std::size_t kMaxUpstreamsNamed = 200;
-// Names in the line, by balancer::Outcome.
+// Names of the outcomes in the line, in the order of balancer::Outcome.
 constexpr std::array<const char*, balancer::kOutcomes> kOutcomeNames = {
     "served", "error", "full", "timeout", "noconn", "reset", "cancelled", "unsent"};
 
--- a/src/sidecar/counter_logger.h
+++ b/src/sidecar/counter_logger.h
@@ -23,10 +23,10 @@
                 runtime::Logger& log);
 
  private:
-  // Of one upstream, since the start of its process.
+  // Attempts sent to one upstream since the start of its process.
   struct Attempts {
     std::uint64_t sent = 0;
-    std::uint64_t unanswered = 0;  // of these attempts
+    std::uint64_t unanswered = 0;  // those of `sent` that ended without an answer
   };
 
   void Schedule();
@@ -39,11 +39,11 @@
   const Sidecar& sidecar_;
   runtime::Logger& log_;
   boost::asio::steady_timer timer_;
-  // Values at the previous line.
+  // The counters as of the previous line.
   balancer::Counts decisions_;
   http::HttpTransport::Counts connections_;
   discovery::Discovery::Counts discovery_;
-  std::map<std::string, Attempts> attempts_;  // by upstream
+  std::map<std::string, Attempts> attempts_;  // by upstream id
 };
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -13,13 +13,13 @@
 
 // Time for the serving process to answer, including a wait for another successor.
 constexpr runtime::Duration kTakeOverTimeout = std::chrono::seconds(3);
-// Interval at which the descriptors are shared out anew.
+// Interval at which the descriptors are redistributed between the two processes.
 constexpr auto kReleaseInterval = std::chrono::milliseconds(100);
 // Retry interval for bans that could not be written.
 constexpr auto kBanWriteRetry = std::chrono::seconds(1);
 // Descriptors that the predecessor keeps to finish its last answers.
 constexpr std::size_t kMinReservedDescriptors = 32;
-// Bytes for "." and a process id after the path of the socket.
+// Bytes reserved for "." and a process id after the path of the socket.
 constexpr std::size_t kMaxPathSuffix = 16;
 
 }  // namespace
--- a/src/sidecar/operator_file.h
+++ b/src/sidecar/operator_file.h
@@ -1,6 +1,6 @@
 // The operator's file (TOML): all settings that are not in the platform's LB_* variables and JSON file. It is
-// read and validated as a whole: on an error, which names file, line, column and remedy, nothing of it is
-// used. The *_section.h files read its sections, with toml_table.h.
+// validated completely before any of it is used; an error names file, line, column and remedy. The
+// *_section.h files read its sections, with toml_table.h.
 #pragma once
 
 #include <cstddef>
--- a/src/sidecar/peers_link.h
+++ b/src/sidecar/peers_link.h
@@ -20,7 +20,7 @@
 // Used on the thread of the event loop only.
 class PeersLink {
  public:
-  // Descriptors that are always open.
+  // The number of descriptors that are always open.
   static std::size_t FixedDescriptors(const OperatorFile& file) {
     return file.peers ? gossip::GossipClient::kFixedDescriptors : 0;
   }
--- a/src/sidecar/program_settings.cpp
+++ b/src/sidecar/program_settings.cpp
@@ -12,7 +12,7 @@
 namespace mothrack::sidecar {
 namespace {
 
-// Descriptors: the usual soft limit of a process, if not configured.
+// Limit of open descriptors if none is configured: the usual soft limit of a process.
 constexpr std::size_t kDefaultSockets = 1024;
 
 }  // namespace
--- a/src/sidecar/program_settings.h
+++ b/src/sidecar/program_settings.h
@@ -23,7 +23,7 @@
   std::string name() const { return platform ? platform->name : file->name; }
   // Limit of open descriptors: the lower one of the settings' and the system's.
   std::size_t sockets() const;
-  // Always open descriptors of optional parts.
+  // The number of descriptors that optional parts (DNS, admin API, peers, operator API) keep open.
   std::size_t fixed_descriptors() const;
 };
 
--- a/src/sidecar/settings_schema.cpp
+++ b/src/sidecar/settings_schema.cpp
@@ -16,17 +16,17 @@
 
 using nlohmann::json;
 
-enum class Kind { kText, kFlag, kWhole, kNumber };
+enum class Kind { kText, kFlag, kInteger, kNumber };
 enum class Presence {
   kRequired,
-  kTogether,  // either all such fields of an object or none
+  kAllOrNone,  // either all such fields of an object or none
   kOptional,
 };
 
 // No upper bound.
-constexpr auto kAny = std::numeric_limits<double>::max();
-constexpr double kDay = 86'400e6;   // microseconds: the longest duration, far below where sums overflow
-constexpr double kMostCount = 1e6;  // of sidecars, attempts and the like
+constexpr auto kUnbounded = std::numeric_limits<double>::max();
+constexpr double kMaxDurationUs = 86'400e6;  // a day; sums of such durations don't overflow
+constexpr double kMaxCount = 1e6;            // of sidecars, attempts and the like
 
 // One field of a JSON object and its valid values.
 struct FieldSchema {
@@ -44,59 +44,59 @@
 constexpr FieldSchema kClassFields[] = {
     {"Name", kText, kRequired},
     {"Effect", kText, kRequired, 0, 0, " read_like idempotency_key non_idempotent "},
-    {"Aim", kWhole, kRequired, 1, kDay},
-    {"HardLimit", kWhole, kRequired, 1, kDay},
+    {"Aim", kInteger, kRequired, 1, kMaxDurationUs},
+    {"HardLimit", kInteger, kRequired, 1, kMaxDurationUs},
     {"KeyScope", kText, kOptional, 0, 0, " all zone cell "},
-    {"Window", kWhole, kOptional, 0, kDay},
-    {"Worth", kNumber, kTogether, 0, kAny},
-    {"LateWorth", kNumber, kTogether, 0, 1},
-    {"Stream", kFlag, kTogether},
-    {"AimStretch", kNumber, kOptional, 0, kMostCount},
+    {"Window", kInteger, kOptional, 0, kMaxDurationUs},
+    {"Worth", kNumber, kAllOrNone, 0, kUnbounded},
+    {"LateWorth", kNumber, kAllOrNone, 0, 1},
+    {"Stream", kFlag, kAllOrNone},
+    {"AimStretch", kNumber, kOptional, 0, kMaxCount},
 };
 // Fields required of a class with idempotency keys.
 constexpr FieldSchema kKeyedFields[] = {
     {"KeyScope", kText, kRequired, 0, 0, " all zone cell "},
-    {"Window", kWhole, kRequired, 1, kDay},
+    {"Window", kInteger, kRequired, 1, kMaxDurationUs},
 };
 constexpr FieldSchema kTenantFields[] = {
     {"Name", kText, kRequired},
-    {"Share", kNumber, kTogether, 0, kAny},
-    {"QuotaPerS", kNumber, kTogether, 0, kAny},
+    {"Share", kNumber, kAllOrNone, 0, kUnbounded},
+    {"QuotaPerS", kNumber, kAllOrNone, 0, kUnbounded},
 };
 constexpr FieldSchema kTopFields[] = {
     {"MembershipMode", kText, kRequired, 0, 0, " pushed on_request "},
-    {"PeersTotal", kWhole, kTogether, 1, kMostCount},
-    {"Me", kWhole, kTogether, 0, kMostCount},
+    {"PeersTotal", kInteger, kAllOrNone, 1, kMaxCount},
+    {"Me", kInteger, kAllOrNone, 0, kMaxCount},
     {"Zone", kText, kOptional},
     {"Weights", kText, kOptional},
-    {"OverShareWorth", kNumber, kOptional, 0, kAny},
+    {"OverShareWorth", kNumber, kOptional, 0, kUnbounded},
 };
 constexpr FieldSchema kLimitFields[] = {
-    {"MaxAttempts", kWhole, kRequired, 1, kMostCount},
+    {"MaxAttempts", kInteger, kRequired, 1, kMaxCount},
     {"SecondCopies", kFlag, kRequired},
     {"Cancelling", kFlag, kRequired},
-    {"ConnectTimeout", kWhole, kRequired, 1, kDay},
-    {"IdleClose", kWhole, kRequired, 1, kDay},
-    {"MayProbe", kFlag, kTogether},
-    {"RetryAfter", kFlag, kTogether},
-    {"MaxRetryAfter", kWhole, kTogether, 0, kDay},
-    {"Multiplex", kWhole, kTogether, 1, kMostCount},
+    {"ConnectTimeout", kInteger, kRequired, 1, kMaxDurationUs},
+    {"IdleClose", kInteger, kRequired, 1, kMaxDurationUs},
+    {"MayProbe", kFlag, kAllOrNone},
+    {"RetryAfter", kFlag, kAllOrNone},
+    {"MaxRetryAfter", kInteger, kAllOrNone, 0, kMaxDurationUs},
+    {"Multiplex", kInteger, kAllOrNone, 1, kMaxCount},
 };
 constexpr FieldSchema kRuleFields[] = {
-    {"GraceToAnswer", kWhole, kTogether, 0, kDay},
-    {"StopSendingWithin", kWhole, kTogether, 0, kDay},
-    {"ColdFrom", kNumber, kTogether, 1e-9, 1},
-    {"Cold", kWhole, kTogether, 1, kDay},
-    {"FallMultiple", kNumber, kTogether, 1e-9, kMostCount},
-    {"Fall", kWhole, kTogether, 1, kDay},
-    {"MustAskIn", kWhole, kOptional, 1, kDay},
+    {"GraceToAnswer", kInteger, kAllOrNone, 0, kMaxDurationUs},
+    {"StopSendingWithin", kInteger, kAllOrNone, 0, kMaxDurationUs},
+    {"ColdFrom", kNumber, kAllOrNone, 1e-9, 1},
+    {"Cold", kInteger, kAllOrNone, 1, kMaxDurationUs},
+    {"FallMultiple", kNumber, kAllOrNone, 1e-9, kMaxCount},
+    {"Fall", kInteger, kAllOrNone, 1, kMaxDurationUs},
+    {"MustAskIn", kInteger, kOptional, 1, kMaxDurationUs},
 };
-// Fields required if the endpoint list is sent on request.
-constexpr FieldSchema kOnRequestFields[] = {{"MustAskIn", kWhole, kRequired, 1, kDay}};
+// Fields required if the endpoint list is sent only on request (MembershipMode on_request).
+constexpr FieldSchema kOnRequestFields[] = {{"MustAskIn", kInteger, kRequired, 1, kMaxDurationUs}};
 constexpr FieldSchema kPriceFields[] = {
-    {"CrossZone", kNumber, kTogether, 0, kAny}, {"Handshake", kNumber, kTogether, 0, kAny},
-    {"Probe", kNumber, kTogether, 0, kAny},     {"Waste", kNumber, kTogether, 0, kAny},
-    {"LateFail", kNumber, kTogether, 0, kAny},
+    {"CrossZone", kNumber, kAllOrNone, 0, kUnbounded}, {"Handshake", kNumber, kAllOrNone, 0, kUnbounded},
+    {"Probe", kNumber, kAllOrNone, 0, kUnbounded},     {"Waste", kNumber, kAllOrNone, 0, kUnbounded},
+    {"LateFail", kNumber, kAllOrNone, 0, kUnbounded},
 };
 constexpr FieldSchema kReportFields[] = {{"How", kText, kRequired}};
 
@@ -124,15 +124,15 @@
       RejectField(path, "is none of:" + std::string(schema.words.substr(0, schema.words.size() - 1)));
     }
   } else {
-    const bool whole = schema.kind == kWhole;
-    const std::string kind = whole ? "is no whole number" : "is no number";
+    const bool integral = schema.kind == kInteger;
+    const std::string kind = integral ? "is no whole number" : "is no number";
     if (!field.is_number()) RejectField(path, kind);
     const double value = field.get<double>();
-    // Above the second bound it does not fit the integer type, whatever the range.
-    if (whole && (value != std::floor(value) || std::abs(value) > 9e18)) RejectField(path, kind);
+    // A magnitude above 9e18 does not fit a 64-bit integer, whatever the field's range.
+    if (integral && (value != std::floor(value) || std::abs(value) > 9e18)) RejectField(path, kind);
     if (pass == Pass::kRange && !(value >= schema.least && value <= schema.most)) {
       RejectField(path, kind + " from " + Bound(schema.least) +
-                            (schema.most < kAny ? " to " + Bound(schema.most) : std::string(" on")));
+                            (schema.most < kUnbounded ? " to " + Bound(schema.most) : std::string(" on")));
     }
   }
 }
@@ -141,13 +141,13 @@
 void CheckPart(const json& part, const FieldSchema (&fields)[kCount], const std::string& path, Pass pass) {
   if (!part.is_object()) RejectField(path, "is no object");
   const bool together = std::any_of(std::begin(fields), std::end(fields), [&part](const FieldSchema& schema) {
-    return schema.presence == kTogether && !IsMissing(part, schema.name);
+    return schema.presence == kAllOrNone && !IsMissing(part, schema.name);
   });
   for (const FieldSchema& schema : fields) {
     const std::string name = path + '.' + schema.name;
     if (!IsMissing(part, schema.name)) {
       CheckField(part[schema.name], schema, name, pass);
-    } else if (schema.presence == kRequired || (schema.presence == kTogether && together)) {
+    } else if (schema.presence == kRequired || (schema.presence == kAllOrNone && together)) {
       RejectField(name, "is missing");
     }
   }
--- a/src/sidecar/settings_schema.h
+++ b/src/sidecar/settings_schema.h
@@ -7,7 +7,7 @@
 
 namespace mothrack::sidecar {
 
-// The passes over the settings: first the types of all, then the ranges.
+// The passes over the settings: kForm checks the types of all fields, then kRange the ranges.
 enum class Pass { kForm, kRange };
 
 // Throws ConfigError, which names the first invalid field.
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -27,8 +27,8 @@
 // its predecessor, while the agent of this machine answers at once.
 constexpr runtime::Duration kListTimeout = std::chrono::milliseconds(500);
 
-// The memory limit divided by this is for bodies that are streamed. As much again may be buffered as whole
-// bodies, and as much by the kernel.
+// The share of the memory limit for streamed bodies is one part in this many. Bodies that are buffered
+// completely may use as much again, and so may the kernel's buffers.
 constexpr std::size_t kBodyMemoryDivisor = 4;
 
 runtime::ListenOn ListenOptionsOf(const Config& config, const Sidecar::Inheritance& inheritance) {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -32,7 +32,7 @@
     bool share_port = false;     // another process may listen as well (SO_REUSEPORT)
     bool wait_for_list = false;  // accept clients only once discovery sent its list, or after kListTimeout
     bool quiescing = false;
-    bool share_memory = false;  // with the former process
+    bool share_memory = false;  // the former process uses half of the memory for bodies
     std::set<std::string> bans{};
     std::vector<std::string> ids{};  // recent request ids, for duplicate detection
     // Start times of upstreams' processes as the former process determined them, and when it got its last
@@ -84,7 +84,7 @@
   // ConfigError, without effect.
   void Reconfigure(const Config& config);
 
-  // For the admin API and logs.
+  // State that the admin API and the logs report.
   const dispatch::Dispatcher& dispatcher() const { return dispatcher_; }
   const http::HttpTransport& transport() const { return transport_; }
   const discovery::Discovery& discovery() const { return discovery_; }
--- a/src/sidecar/toml_table.cpp
+++ b/src/sidecar/toml_table.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 // Edit distance up to which an unknown key is taken for a misspelling of a known one.
-constexpr std::size_t kMaxMisspeltLetters = 2;
-// Milliseconds, an hour: a longer time-out is a wrong unit.
+constexpr std::size_t kMaxMisspeltDistance = 2;
+// An hour in milliseconds: a longer timeout indicates a wrong unit.
 constexpr std::int64_t kMaxMilliseconds = 3'600'000;
 
 // Levenshtein distance of two words.
@@ -134,7 +134,7 @@
 void TomlTable::FailIfMisspelt(const std::string& missing) const {
   for (const auto& [key, node] : table_) {
     const std::string name(key.str());
-    if (known_.contains(name) || EditDistance(name, missing) > kMaxMisspeltLetters) continue;
+    if (known_.contains(name) || EditDistance(name, missing) > kMaxMisspeltDistance) continue;
     Fail(key.source(), name, "unknown key; did you mean " + Quoted(missing) + '?');
   }
 }
@@ -143,15 +143,15 @@
   for (const auto& [key, node] : table_) {
     const std::string name(key.str());
     if (known_.contains(name)) continue;
-    std::string mend = "take it out";
-    std::size_t nearest = kMaxMisspeltLetters + 1;
+    std::string remedy = "take it out";
+    std::size_t nearest = kMaxMisspeltDistance + 1;
     for (const std::string& known : known_) {
       const std::size_t distance = EditDistance(name, known);
       if (distance >= nearest) continue;
       nearest = distance;
-      mend = "did you mean " + Quoted(known) + '?';
+      remedy = "did you mean " + Quoted(known) + '?';
     }
-    Fail(key.source(), name, "unknown key; " + mend);
+    Fail(key.source(), name, "unknown key; " + remedy);
   }
 }
 
--- a/src/sidecar/toml_table.h
+++ b/src/sidecar/toml_table.h
@@ -43,7 +43,7 @@
 
   // These leave `target` unchanged if the key is missing.
   void ReadInteger(const char* key, std::int64_t least, std::int64_t most, std::size_t& target);
-  // A duration in whole milliseconds, from 1 ms to an hour.
+  // An integer duration in milliseconds, from 1 ms to an hour.
   void ReadMilliseconds(const char* key, runtime::Duration& target);
   void ReadNumber(const char* key, double least, double most, double& target);
 
@@ -51,7 +51,7 @@
   bool ForEach(const char* key, const std::function<void(const toml::node&, const std::string&)>& read);
   // Likewise for a list of tables, `[[path.key]]`; keys that `read` does not read are errors.
   void ForEachTable(const char* key, const std::function<void(TomlTable&)>& read);
-  // A table within this one; nothing if it is missing.
+  // A table within this one; std::nullopt if it is missing.
   std::optional<TomlTable> Subtable(const char* key);
 
   // If a required key is missing: throws for an unknown key with a similar spelling, if there is one.
@@ -68,12 +68,12 @@
   std::set<std::string> known_;  // keys that were read
 };
 
-// An address and port; not a wildcard (0.0.0.0, ::). Port 0, chosen by the kernel, is valid only
-// `for_listening`.
+// Reads an address and port. A wildcard address (0.0.0.0, ::) is an error; port 0, for which the kernel picks
+// a free one, is valid only if `for_listening`.
 runtime::Endpoint ReadEndpoint(const TomlTable& table, const toml::node& node, const std::string& key,
                                bool for_listening);
 
-// "127.0.0.1:5300", "[::1]:5300".
+// The endpoint as text: "127.0.0.1:5300", "[::1]:5300".
 std::string ToText(const runtime::Endpoint& endpoint);
 
 }  // namespace mothrack::sidecar
