--- a/tests/sidecar/ban_storage_test.cpp
+++ b/tests/sidecar/ban_storage_test.cpp
@@ -1,4 +1,4 @@
-// Bans outlive a disk that fails for a while.
+// Bans survive a temporary disk failure.
 #include <cerrno>
 #include <csignal>
 #include <string>
--- a/tests/sidecar/client_requests_test.cpp
+++ b/tests/sidecar/client_requests_test.cpp
@@ -201,10 +201,10 @@
 
 TEST(Application, DuplicateOfARequestInFlightIsRejected) {
   Gate requested;
-  Gate go;
+  Gate gate;
   Upstream upstream([&](Wire& wire, const Request&, int) {
     requested.Open();
-    go.Pass();
+    gate.Pass();
     wire.Answer(200, "x");
   });
   Node node(With(List({Target("u1", upstream.address())})));
@@ -216,7 +216,7 @@
   const auto refused = second.Post("/submit/k", "same", "x");
   ASSERT_TRUE(refused);
   EXPECT_EQ(refused->result_int(), 400U);
-  go.Open();
+  gate.Open();
   const auto response = first.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
--- a/tests/sidecar/faulty_service.h
+++ b/tests/sidecar/faulty_service.h
@@ -1,5 +1,5 @@
-// A sidecar whose system calls fail as a test plans, between upstreams, discovery and clients that keep
-// account.
+// A sidecar whose system calls fail as a test plans, between upstreams, discovery and clients that record
+// requests and answers.
 #pragma once
 
 #include <chrono>
@@ -23,10 +23,10 @@
 using std::chrono::steady_clock;
 
 inline constexpr std::size_t kClients = 6;
-// Of clients and upstreams, so that connections are made all the time.
+// Applies to clients and upstreams. Low, so that new connections are made throughout the test.
 inline constexpr int kRequestsOnAConnection = 3;
 
-// A sidecar between two upstreams, its discovery and clients that keep account.
+// A sidecar between two upstreams, its discovery and clients that record requests and answers.
 class Service {
  public:
   explicit Service(std::vector<std::string> environment = {})
@@ -44,7 +44,7 @@
     return Serves(50);
   }
 
-  // Whether so many further requests are served before the timeout of Eventually.
+  // Whether this many further requests are served before Eventually() times out.
   bool Serves(std::size_t count) {
     const std::size_t before = served();
     return Eventually([&] { return served() >= before + count; });
@@ -62,8 +62,8 @@
 
   std::size_t served() const { return traffic_->count(Traffic::Outcome::kServed); }
 
-  // Ends the traffic, and compares what clients were told with what ran. `stopped`: the sidecar has ended as
-  // planned, and requests may have crossed its close.
+  // Ends the traffic and compares the answers that clients got with the requests that ran. `stopped`: the
+  // sidecar made a planned stop, so requests may have been under way when it closed their connections.
   void ExpectNothingLostOrTwice(bool stopped = false) {
     const auto ends = traffic_->Stop();
     EXPECT_EQ(traffic_->count(Traffic::Outcome::kLost), 0U) << "requests without an answer\n" << node.log();
--- a/tests/sidecar/hot_restart_messages_test.cpp
+++ b/tests/sidecar/hot_restart_messages_test.cpp
@@ -1,4 +1,4 @@
-// What two processes of one sidecar notify each other of, as it stands on their link.
+// Encoding of the messages between two processes of one sidecar during a hot restart.
 #include <string>
 
 #include "gtest/gtest.h"
--- a/tests/sidecar/membership_test.cpp
+++ b/tests/sidecar/membership_test.cpp
@@ -46,11 +46,11 @@
 
 TEST(Membership, NothingNewGoesToADrainingUpstream) {
   Gate asked;
-  Gate go;
+  Gate gate;
   Upstream leaving([&](Wire& wire, const Request& request, int) {
     if (request.target() == "/submit/held") {
       asked.Open();
-      go.Pass();
+      gate.Pass();
     }
     wire.Answer(200, "old");
   });
@@ -69,7 +69,7 @@
   const std::size_t before = leaving.requests().size();
   for (int i = 0; i < 20; ++i) EXPECT_TRUE(BecomesServedBy(node, "new /page/k"));
   EXPECT_EQ(leaving.requests().size(), before);
-  go.Open();  // requests in flight finish
+  gate.Open();  // requests in flight finish
   const auto response = in_flight.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "old");
--- a/tests/sidecar/node_cases.h
+++ b/tests/sidecar/node_cases.h
@@ -20,7 +20,7 @@
   std::shared_future<void> opened_ = promise_.get_future().share();
 };
 
-// A node that begins with `known` as its list of upstreams.
+// A node with `known` as its initial list of upstreams.
 inline Node::Options With(const json& known, json settings = Settings()) {
   Node::Options options;
   options.known = known;
@@ -28,8 +28,8 @@
   return options;
 }
 
-// The status that an unsafe request ends with, for one upstream that behaves like this: 503 says that nothing
-// ran, 502 and 504 that it may have.
+// The status of an unsafe request if the only upstream behaves like this: 503 means that nothing ran, 502 and
+// 504 that it may have run.
 inline unsigned UnsafeStatus(const std::string& address, int timeout_ms, std::size_t body = 10) {
   Node node(With(List({Target("u1", address)})));
   if (!node.Listening()) return 0;
@@ -38,7 +38,7 @@
   return response ? response->result_int() : 0;
 }
 
-// How much of a message a connection takes whose narrow other end never reads.
+// How many bytes of a message a connection accepts if its peer has a small buffer and never reads.
 inline std::size_t BytesAcceptedUnread() {
   boost::asio::io_context io;
   tcp::acceptor acceptor(io, tcp::v4());
--- a/tests/sidecar/outcome_test.cpp
+++ b/tests/sidecar/outcome_test.cpp
@@ -121,7 +121,7 @@
   EXPECT_LE(wait, 2);
 }
 
-// What an unsafe request gets for an upstream that sends these bytes and leaves the connection open.
+// The answer to an unsafe request if the upstream sends these bytes and leaves the connection open.
 unsigned StatusForBytes(const std::string& bytes) {
   Upstream upstream([&](Wire& wire, const Request&, int) { wire.Write(bytes); });
   const unsigned status = UnsafeStatus(upstream.address(), 1000);
--- a/tests/sidecar/service_test.cpp
+++ b/tests/sidecar/service_test.cpp
@@ -36,7 +36,7 @@
   return answer && answer->status == 200 ? answer->body : json();
 }
 
-// ---- The calls ----
+// ---- Calls of the operator API ----
 
 TEST(OperatorApi, ReportsReadinessAndCounters) {
   Upstream upstream(Upstream::Echo("u"));
@@ -57,8 +57,8 @@
 }
 
 TEST(OperatorApi, CountsRejectedFailedAndOpenRequests) {
-  std::promise<void> go;
-  const auto open = go.get_future().share();
+  std::promise<void> release;
+  const auto open = release.get_future().share();
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() == "/page/held") open.wait();
     if (request.target() == "/submit/full") return (void)wire.Answer(503, "x", "X-Not-Processed: 1\r\n");
@@ -84,7 +84,7 @@
   EXPECT_EQ(submit["errored"], 1);
   EXPECT_EQ(submit["sends"], upstream.requests().size() - 1);
   EXPECT_EQ(stats["current"], 1);
-  go.set_value();
+  release.set_value();
   EXPECT_EQ(in_flight.Read()->result_int(), 200U);
   EXPECT_EQ(Stats(ops)["current"], 0);
 }
@@ -117,9 +117,9 @@
   EXPECT_EQ(StatusOf(ops.Raw("what?\r\n\r\n")), 0);
 }
 
-// ---- Taking an upstream out by hand ----
+// ---- Bans ----
 
-// Sends so many requests in sequence and returns which upstreams answered.
+// Sends this many requests in sequence and returns which upstreams answered.
 std::set<std::string> AnswerersOf(Node& node, int requests, const std::string& prefix) {
   Client client(node.port());
   std::set<std::string> names;
@@ -160,7 +160,7 @@
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 2; }));
   EXPECT_EQ(AnswerersOf(node, 8, "r"), Names{"b"});
   EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", Named("ua"))), 200);
-  // It is new to the list and in slow start: it is chosen in its turn.
+  // It is new to the list and in slow start, and still gets a share of the requests.
   Names back;
   int tries = 0;
   EXPECT_TRUE(Eventually([&] {
@@ -208,8 +208,8 @@
 }
 
 TEST(DrainByHand, ClosesIdleConnectionsAnswersOpenRequestsAndAcceptsAgain) {
-  std::promise<void> go;
-  const auto open = go.get_future().share();
+  std::promise<void> release;
+  const auto open = release.get_future().share();
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() == "/page/held") open.wait();
     wire.Answer(200, "fine");
@@ -240,7 +240,7 @@
   EXPECT_EQ(response->result_int(), 200U);
   EXPECT_FALSE(response->keep_alive());
   EXPECT_TRUE(half.wire.ReadsEnd());
-  go.set_value();
+  release.set_value();
   response = busy.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->result_int(), 200U);
--- a/tests/sidecar/short_transfers_test.cpp
+++ b/tests/sidecar/short_transfers_test.cpp
@@ -1,4 +1,4 @@
-// Short writes and reads all the time.
+// Short writes and reads throughout.
 #include <string>
 
 #include "gtest/gtest.h"
@@ -16,7 +16,7 @@
   faults.remaining = -1;
   ASSERT_TRUE(service.Start()) << service.node.log();
   EXPECT_TRUE(service.Serves(1500)) << service.served() << " were served\n" << service.node.log();
-  // The watch of discovery is written in pieces too, and so are answers of the admin API.
+  // Watches of discovery and answers of the admin API are written in pieces, too.
   const int calls = service.discovery.calls();
   service.discovery.Publish(service.Targets());
   EXPECT_TRUE(Eventually([&] { return service.discovery.calls() > calls + 2; }));
--- a/tests/sidecar/sites_test.cpp
+++ b/tests/sidecar/sites_test.cpp
@@ -34,22 +34,22 @@
   return json::parse(stream);
 }
 
-class File {
+class ConfigFile {
  public:
-  explicit File(const json& content)
+  explicit ConfigFile(const json& content)
       : path_(std::filesystem::temp_directory_path() / ("site-" + std::to_string(::getpid()) + ".json")) {
     std::ofstream(path_) << content;
   }
-  ~File() { std::filesystem::remove(path_); }
+  ~ConfigFile() { std::filesystem::remove(path_); }
   const std::string& path() const { return path_; }
 
  private:
   std::string path_;
 };
 
-// As the platform starts a sidecar, with LB_CONFIG a copy that holds `content`.
+// Reads the configuration as a sidecar does that the platform started, with `content` as the LB_CONFIG file.
 sidecar::Config Load(const json& content) {
-  const File file(content);
+  const ConfigFile file(content);
   const auto variable = [&file](const char* name) -> const char* {
     const std::string_view wanted(name);
     if (wanted == "LB_NAME") return "n1";
@@ -60,7 +60,7 @@
   return sidecar::LoadConfig(variable);
 }
 
-// The error of a damaged copy: one line, and of the right file. "taken" where it was not noticed.
+// The error for a damaged copy, checked to be one line that names the file; "taken" if no error was raised.
 std::string ErrorOf(const json& file) {
   try {
     Load(file);
@@ -73,7 +73,7 @@
   return "taken";
 }
 
-// Whether it names `path`, as a whole: not a longer name that begins alike.
+// Whether the error names exactly `path`, not a longer path that starts with it.
 bool Names(const std::string& error, const std::string& path) {
   return (error + ' ').find(' ' + path + ' ') != std::string::npos;
 }
@@ -154,8 +154,8 @@
   EXPECT_EQ(time(file["clients"]["max_retry_after_ms"]), settings.limits.max_retry_after);
 }
 
-// real.json names things on the sockets: a list in its words is one that the sidecar reads, and one in which
-// a word is spoilt is turned away with the word.
+// real.json defines the names used on the wire: the sidecar reads a list written with them and rejects a list
+// with a misspelt one, naming it.
 TEST_P(Site, NamesOnTheSocketsAreTheSidecars) {
   const json real = ReadJson(PathOf(site(), "real.json"));
   const auto list = [](const json& names) {
@@ -182,7 +182,7 @@
   EXPECT_EQ(info.kind, "k");
   EXPECT_EQ(info.cell, 4);
   EXPECT_EQ(info.weight, 2.5);
-  // What is missing then, or unknown.
+  // The missing or unknown name that the error states.
   for (const char* pointer :
        {"/f/version", "/f/full", "/f/list", "/f/id", "/f/addr", "/f/state", "/states/ready"}) {
     json spoilt = real;
--- a/tests/sidecar/start_stop_test.cpp
+++ b/tests/sidecar/start_stop_test.cpp
@@ -13,11 +13,11 @@
 
 TEST(Process, PlannedStopServesWhatItAcceptedAndWhatStillComes) {
   Gate asked;
-  Gate go;
+  Gate gate;
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() == "/submit/held") {
       asked.Open();
-      go.Pass();
+      gate.Pass();
     }
     wire.Answer(200, std::string(request.target()));
   });
@@ -35,7 +35,7 @@
   ASSERT_TRUE(served);
   EXPECT_EQ(served->body(), "/page/late");
   EXPECT_FALSE(served->keep_alive());
-  go.Open();
+  gate.Open();
   const auto response = held.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "/submit/held");
--- a/tests/sidecar/stop_deadline_test.cpp
+++ b/tests/sidecar/stop_deadline_test.cpp
@@ -1,4 +1,4 @@
-// A planned stop ahead of the SIGKILL that follows.
+// A planned stop completes before the SIGKILL that follows.
 #include <algorithm>
 #include <chrono>
 #include <csignal>
@@ -21,14 +21,14 @@
 TEST(PlannedStop, IsOverBeforeTheEarliestSigkill) {
   constexpr auto kDeadline = milliseconds(100);
   constexpr auto kEarliestKill = kDeadline + milliseconds(700);
-  // One try in time suffices: load of the machine delays some, while a systematic wait delays all.
+  // One attempt in time suffices: machine load delays some, while a systematic wait delays all.
   constexpr int kTries = 12;
   auto quickest = milliseconds::max();
   for (int tries = 0; tries < kTries && quickest >= kEarliestKill; ++tries) {
     Upstream upstream(Upstream::Echo("u"));
     Node::Options options;
     // The leak check of a sanitized program at its exit is no part of the stop, and takes longer than the
-    // margin of the stop on a loaded machine. Stops with the check are those of all other tests.
+    // margin of the stop on a loaded machine. All other tests stop the program with the leak check.
     options.environment = {"ASAN_OPTIONS=detect_leaks=0"};
     options.known = List({Target("u1", upstream.address())});
     for (json& known : options.settings["Classes"]) {
--- a/tests/sidecar/system_faults_test.cpp
+++ b/tests/sidecar/system_faults_test.cpp
@@ -21,7 +21,7 @@
 struct FaultCase {
   const char* name;
   SystemCall call;
-  int error;  // 0: it moves one byte only
+  int error;  // errno; 0: the call moves one byte only
   bool outgoing_only = false;
 };
 std::ostream& operator<<(std::ostream& out, const FaultCase& fault_case) { return out << fault_case.name; }
@@ -65,8 +65,8 @@
 
 class SystemFaults : public ::testing::TestWithParam<FaultCase> {};
 
-// First at single uses of the call (each of its first 200 if SYSTEM_FAULTS=whole), then at one in three for a
-// while.
+// Injects the fault into single uses of the call (each of its first 200 if SYSTEM_FAULTS=whole), then into
+// every third one for a while.
 TEST_P(SystemFaults, LoseNothingAndItServesAgain) {
   const FaultCase& fault_case = GetParam();
   Service service;
--- a/tests/sidecar/upgrade_test.cpp
+++ b/tests/sidecar/upgrade_test.cpp
@@ -27,7 +27,7 @@
 class SharedDirectory : public TemporaryDirectory {
  public:
   SharedDirectory() : TemporaryDirectory("shared") {}
-  // The file with the bans; empty where there is none.
+  // Contents of the file with the bans; empty if there is no file.
   std::string Bans() const {
     for (const auto& entry : std::filesystem::directory_iterator(path())) {
       if (entry.path().extension() == ".bans") return entry.path();
@@ -166,7 +166,7 @@
   };
   Client late(successor.port());
   for (int i = 0; i < 6; ++i) EXPECT_EQ(by(late, "l" + std::to_string(i)), "b");
-  // While both run: back at the old one, then the other out at the new one.
+  // While both processes run: lifts the ban at the old one, then bans the other upstream at the new one.
   EXPECT_EQ(Put(old, "/ops/upstreams/up", "ua"), 200);
   const auto banned = [](Node& node) {
     const auto stats = AdminClient(node.ops()).Get("/ops/stats");
@@ -180,8 +180,8 @@
 }
 
 TEST(Upgrade, RequestIdsOfThePredecessorAreRejectedAtTheSuccessor) {
-  std::promise<void> go;
-  const auto open = go.get_future().share();
+  std::promise<void> release;
+  const auto open = release.get_future().share();
   Upstream upstream([&](Wire& wire, const Request&, int) {
     open.wait();
     wire.Answer(200, "done");
@@ -200,7 +200,7 @@
   ASSERT_TRUE(duplicate);
   EXPECT_EQ(duplicate->result_int(), 400U);
   old.Signal(SIGTERM);
-  go.set_value();
+  release.set_value();
   EXPECT_EQ(first.Read()->result_int(), 200U);
   EXPECT_EQ(old.Wait(), 0);
   EXPECT_EQ(upstream.requests().size(), 1U);
@@ -271,7 +271,7 @@
     for (int i = 0; i < 4; ++i)
       EXPECT_EQ(client.Get("/page/x", "i" + std::to_string(i))->body(), "b /page/x");
   }
-  // Truncated, or of a later version: logged, and ignored as a whole.
+  // Truncated, or of a later version: logged, and ignored completely.
   const std::string file = shared.Bans();
   ASSERT_FALSE(file.empty());
   for (const char* text : {"{\"version\":1,\"ba", "{\"version\":2,\"bans\":[\"ua\"]}"}) {
