--- a/tests/support/fault_injection.cpp
+++ b/tests/support/fault_injection.cpp
@@ -1,7 +1,7 @@
-// Loaded into a program by LD_PRELOAD: its system calls fail, move fewer bytes than they were given, or tell
-// another wall clock, as the mapped plan says (fault_plan.h). A hit with an error does nothing but fail: no
-// bytes move, no connection is taken. The calls go straight to the kernel, so that no other library's idea of
-// them comes in between.
+// Loaded into a program by LD_PRELOAD: its system calls fail, move fewer bytes than requested, or return a
+// shifted wall clock, as the mapped plan says (fault_plan.h). A hit with an error only fails: no bytes move,
+// no connection is accepted. The calls go directly to the kernel, so that no other library's wrapper
+// intervenes.
 #include <poll.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -40,7 +40,7 @@
   return plan;
 }
 
-// Of descriptors below: which are sockets that this process connected.
+// Marks the sockets on which this process called connect(), for descriptors below the array's size.
 std::array<std::atomic<bool>, 4096> connected{};
 
 void SetConnected(int descriptor, bool on) {
@@ -54,7 +54,7 @@
          connected[static_cast<std::size_t>(descriptor)];
 }
 
-// The faults of this use, or none.
+// The faults planned for this use of a call, if any.
 const CallFaults* Hit(SystemCall call, int descriptor) {
   FaultPlan* plan = Plan();
   if (plan == nullptr) return nullptr;
@@ -67,7 +67,7 @@
   return &faults;
 }
 
-// True, and errno set, where this use fails.
+// Whether this use of a call fails; then errno is set.
 bool Fails(SystemCall call, int descriptor = -1) {
   const CallFaults* faults = Hit(call, descriptor);
   if (faults == nullptr || faults->error == 0) return false;
@@ -75,7 +75,7 @@
   return true;
 }
 
-// As Fails(); else `size` is what this use may move.
+// Like Fails(); otherwise limits `size` to what this use may move.
 bool FailsOrShortens(SystemCall call, int descriptor, std::size_t& size) {
   const CallFaults* faults = Hit(call, descriptor);
   if (faults == nullptr) return false;
@@ -93,7 +93,7 @@
   return size;
 }
 
-// Of a message, the parts that hold its first `size` bytes.
+// The parts of a message that hold its first `size` bytes.
 struct Shortened {
   std::array<iovec, 64> parts{};
   msghdr message{};
@@ -110,7 +110,7 @@
   }
 };
 
-// Datagrams are whole or not at all.
+// Datagrams are sent completely or not at all, so only stream sockets move fewer bytes.
 bool IsStream(int descriptor) {
   int type = 0;
   socklen_t size = sizeof type;
--- a/tests/support/fault_plan.h
+++ b/tests/support/fault_plan.h
@@ -32,15 +32,16 @@
 };
 constexpr std::size_t kSystemCalls = static_cast<std::size_t>(SystemCall::kCount);
 
-// Of one call. A use is hit if it comes after the first `skip` ones, and is an `every`-th one from there on.
-// The others pass. All numbers may be changed while the process runs; `remaining` last.
+// The faults of one system call. A use is hit if it comes after the first `skip` ones and is an `every`-th
+// one from there on; other uses are unaffected. All numbers may be changed while the process runs,
+// `remaining` last.
 struct CallFaults {
   std::atomic<int> error{0};  // errno of a hit; 0: it moves at most `short_to` bytes
   std::atomic<std::uint64_t> short_to{1};
   std::atomic<std::uint64_t> skip{0};
   std::atomic<std::uint64_t> every{1};
   std::atomic<bool> outgoing_only{false};  // only sockets on which this process called connect()
-  std::atomic<std::int64_t> remaining{0};  // hits still to come; negative: without an end
+  std::atomic<std::int64_t> remaining{0};  // hits still to come; negative: unlimited
   std::atomic<std::uint64_t> uses{0};      // counted by the process
   std::atomic<std::uint64_t> hits{0};      // likewise
 };
@@ -52,7 +53,7 @@
   CallFaults& Of(SystemCall call) { return calls[static_cast<std::size_t>(call)]; }
 };
 
-// The plan in a file of its own, as long as this lives.
+// A plan in a file that exists as long as this object.
 class FaultPlanFile {
  public:
   FaultPlanFile() {
--- a/tests/support/faulty_relay_cuts_test.cpp
+++ b/tests/support/faulty_relay_cuts_test.cpp
@@ -38,7 +38,7 @@
   t.relay.Heal();
   t.a.Send(t.at("c"), "healed");
   EXPECT_EQ(t.c.Receive(), "healed");
-  // By one end's own name; the others, in no side, hear one another.
+  // A partition named by an endpoint; endpoints that are in no side still reach each other.
   t.relay.Partition({{"c"}});
   t.a.Send(t.at("c"), "alone");
   t.a.Send(t.at("b"), "not alone");
@@ -64,7 +64,7 @@
   EXPECT_EQ(ReadOnce(server, kTimeout, &received), ReadResult::kBytes);
   EXPECT_EQ(received, "held");
 
-  // Nor does a process that dies on one side reach the other, until then.
+  // The end of a process on one side does not reach the other side either, until the cut is healed.
   p.relay.Partition({{"a"}, {"b"}});
   const Socket late = Connect(p.port);
   EXPECT_FALSE(p.listener.Ready(kQuietTime));
@@ -93,7 +93,7 @@
   EXPECT_FALSE(p.listener.Ready(milliseconds(0)));
   EXPECT_EQ(p.relay.counts("a", "b").resets, 2U);
   p.relay.ClearFaults();
-  // Nobody listens behind the relay.
+  // No process listens behind the relay.
   p.listener.Close();
   EXPECT_EQ(ReadOnce(Connect(p.port)), ReadResult::kReset);
 }
--- a/tests/support/faulty_relay_fixture.h
+++ b/tests/support/faulty_relay_fixture.h
@@ -1,5 +1,5 @@
-// Plain sockets and small topologies for the tests of FaultyRelay: a process at each end of a link would do
-// the same. Failures to send, connect or listen are failures of the test. Not thread-safe, but for Write.
+// Plain sockets and small topologies for the tests of FaultyRelay, in place of processes at each end of a
+// link. Failures to send, connect or listen fail the test. Not thread-safe, except Write().
 #pragma once
 
 #include <netinet/in.h>
@@ -72,7 +72,7 @@
     from_ = ntohs(from.sin_port);
     return std::string(bytes, static_cast<std::size_t>(got));
   }
-  std::uint16_t from() const { return from_; }  // of the last one
+  std::uint16_t from() const { return from_; }  // sender's port of the last datagram
 
  private:
   std::uint16_t from_ = 0;
@@ -99,16 +99,16 @@
   return Socket(::accept4(listener.fd(), nullptr, nullptr, SOCK_CLOEXEC));
 }
 
-// Sends all of `bytes`, waiting for room.
+// Sends all of `bytes`; blocks while the send buffer is full.
 inline void Write(const Socket& socket, const std::string& bytes) {
   EXPECT_EQ(::send(socket.fd(), bytes.data(), bytes.size(), MSG_NOSIGNAL),
             static_cast<ssize_t>(bytes.size()));
 }
 
-// What one read gave: bytes, nothing within the time, the end of the stream, or an error.
+// The result of one read: bytes, nothing before the timeout, the end of the stream, or an error.
 enum class ReadResult { kBytes, kTimedOut, kEnd, kReset };
 
-// Reads once, whatever is there; `bytes`: where to append it.
+// Reads the available bytes once and appends them to `bytes`.
 inline ReadResult ReadOnce(const Socket& socket, milliseconds timeout = kTimeout,
                            std::string* bytes = nullptr) {
   if (!socket.Ready(timeout)) return ReadResult::kTimedOut;
@@ -132,7 +132,8 @@
   FaultyRelay relay;
 };
 
-// Sends `count` numbered datagrams from a to b, slowly enough that no buffer overflows; those that arrive.
+// Sends `count` numbered datagrams from a to b, slowly enough that no buffer overflows; returns those that
+// arrive.
 inline std::vector<int> SendAndCollect(ThreeEndpoints& t, int count) {
   std::vector<int> received;
   for (int i = 0; i < count; ++i) {
--- a/tests/support/faulty_relay_forwarding_test.cpp
+++ b/tests/support/faulty_relay_forwarding_test.cpp
@@ -1,4 +1,4 @@
-// What FaultyRelay does without faults: everything arrives, from the right address, and nothing is kept.
+// FaultyRelay without faults: all data arrives, from the right address, and nothing is retained.
 #include <sys/socket.h>
 
 #include <algorithm>
@@ -18,7 +18,7 @@
   const auto received = SendAndCollect(t, 1000);
   EXPECT_EQ(received.size(), 1000U);
   EXPECT_TRUE(std::ranges::is_sorted(received));
-  // Where it came from is where its sender says that it is.
+  // Datagrams arrive from the address at which the relay serves their sender.
   EXPECT_EQ(t.b.from(), t.at("a"));
   t.b.Send(t.b.from(), "answer");
   EXPECT_EQ(t.a.Receive(), "answer");
@@ -34,7 +34,7 @@
   stranger.Send(t.at("a"), "let me in");
   EXPECT_FALSE(t.a.Receive(kQuietTime));
   EXPECT_EQ(t.relay.unknown_senders(), 1U);
-  // Until it is the address of an end that was started anew.
+  // That holds until the address belongs to an endpoint that was restarted.
   t.relay.MoveEndpoint("b", stranger.port());
   stranger.Send(t.at("a"), "b again");
   EXPECT_EQ(t.a.Receive(), "b again");
--- a/tests/support/faulty_relay_random_faults_test.cpp
+++ b/tests/support/faulty_relay_random_faults_test.cpp
@@ -1,4 +1,4 @@
-// Faults of FaultyRelay that chance decides: their rates, and that they repeat with the seed.
+// Random faults of FaultyRelay: their rates, and that the same seed repeats them.
 #include <algorithm>
 #include <cstdint>
 #include <string>
--- a/tests/support/faulty_relay_timing_test.cpp
+++ b/tests/support/faulty_relay_timing_test.cpp
@@ -1,4 +1,4 @@
-// Delay, jitter and bandwidth of FaultyRelay, and what they do to what is queued.
+// Delay, jitter and bandwidth of FaultyRelay, and their effect on queued data.
 #include <algorithm>
 #include <cstddef>
 #include <cstdint>
@@ -11,7 +11,7 @@
 namespace mothrack::testing {
 namespace {
 
-constexpr std::size_t kHeaders = 28;  // of IP and UDP, which count on the way
+constexpr std::size_t kHeaders = 28;  // bytes of IP and UDP headers, which count towards the bandwidth
 
 TEST(FaultyRelayUdp, DelayIsALowerBoundAndJitterDoesNotReorder) {
   ThreeEndpoints t;
@@ -24,7 +24,7 @@
     EXPECT_GE(Clock::now() - sent, milliseconds(100));
   }
   EXPECT_GE(Clock::now() - sent, milliseconds(130)) << "no jitter";
-  // The way back has none.
+  // The opposite direction has no delay.
   const auto back = Clock::now();
   t.b.Send(t.at("a"), "back");
   EXPECT_TRUE(t.a.Receive());
@@ -58,7 +58,7 @@
   EXPECT_EQ(received, 50);
   EXPECT_GE(took, milliseconds(490));
   EXPECT_LT(took, milliseconds(2000));
-  // A few more where the first went on before the last came.
+  // A few more arrive if the first was forwarded before the last was queued.
   while (t.b.Receive(kQuietTime)) ++received;
   const auto counts = t.relay.counts("a", "b");
   EXPECT_EQ(static_cast<std::uint64_t>(received), counts.delivered);
--- a/tests/support/fixtures.h
+++ b/tests/support/fixtures.h
@@ -1,5 +1,5 @@
-// Fixtures: what version 0.2.0 of the programs (commit de65f91) wrote or sent, kept as files beside the tests
-// that compare the present version with them. They are recorded once and never made anew by a test.
+// Fixtures: what version 0.2.0 of the programs (commit de65f91) wrote or sent, kept as files in the folders
+// of the tests that compare the present version with them. They were recorded once; no test regenerates them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,7 +18,7 @@
 
 namespace mothrack::testing {
 
-// A whole file's bytes. Throws std::runtime_error where it can't be read.
+// The contents of a file. Throws std::runtime_error if it can't be read.
 inline std::string ReadFixture(const std::string& path) {
   std::ifstream file(path, std::ios::binary);
   if (!file) throw std::runtime_error(path + " can't be read");
@@ -27,7 +27,7 @@
   return text.str();
 }
 
-// Bytes as lower-case hex digits, and back; throws std::invalid_argument where a pair is no number.
+// Bytes as lower-case hex digits, and back; throws std::invalid_argument for a pair that is not hexadecimal.
 inline std::string ToHex(std::string_view bytes) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string hex;
@@ -55,8 +55,8 @@
   return lines;
 }
 
-// Text that a page can show: line ends are written out, and the line goes on below; what is not printable is
-// \xNN.
+// Printable text: a line end is written as an escape followed by a line break; other bytes that are not
+// printable are written as \xNN.
 inline std::string Escaped(std::string_view bytes) {
   std::string text;
   for (const char c : bytes) {
@@ -77,7 +77,7 @@
 }
 
 // A fixture of many sections, each "=== NAME" and the lines below it. Every section has to be compared with
-// once, and nothing that it does not have: the destructor tells what was left.
+// once, and no other section may be: the destructor reports sections that were not compared.
 class Recorded {
  public:
   explicit Recorded(const std::string& path) {
@@ -98,7 +98,7 @@
   Recorded(const Recorded&) = delete;
   Recorded& operator=(const Recorded&) = delete;
 
-  // `text` without a line end at its end has one added, as in the file.
+  // Adds a line end to `text` if it has none at its end, as in the file.
   void Expect(const std::string& name, std::string text) {
     if (!text.ends_with('\n')) text += '\n';
     const auto section = sections_.extract(name);
@@ -111,7 +111,7 @@
   std::map<std::string, std::string> sections_;
 };
 
-// A directory of a test that compares with fixtures.
+// The working directory of a test that compares with fixtures.
 class FixtureDirectory : public TemporaryDirectory {
  public:
   FixtureDirectory() : TemporaryDirectory("fixture") {}
--- a/tests/support/log_events.sh
+++ b/tests/support/log_events.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Every event that the sources log stands in docs/operators/logs.md, with its level and its keys, and nothing else does;
-# so do the words of the lines that keep a form of their own: log_events.sh SOURCE.
+# docs/operators/logs.md lists every event that the sources log, with its level and keys, and no other event. It also
+# states the texts that are logged through Logger::Stated(): log_events.sh SOURCE.
 set -eu
 source=$1
 page=$source/docs/operators/logs.md
@@ -11,7 +11,7 @@
   exit 1
 }
 
-# The sources, a file a line, without the line breaks that the formatter makes.
+# The sources, one file per line, without the formatter's line breaks.
 find "$source/src" -name '*.h' -o -name '*.cpp' | sort | while read -r file; do
   tr '\n' ' ' <"$file" | tr -s ' '
   echo
@@ -23,7 +23,7 @@
   sed -E 's/^Error/error/; s/^Warn/warning/; s/^Info/info/; s/^([a-z]+)\( ?"([a-z0-9_]+)"/\2 \1/; s/, ?\{ ?\{/ {{/' |
   sed -E 's/\{"([a-z0-9_]+)", [^{}]*\},? ?/ \1 /g; s/[{}]/ /g; s/ +/ /g; s/ $//' | sort -u >"$work/logged"
 
-# No call that the pattern above misses.
+# Checks that the pattern above misses no call.
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\(' "$work/sources" | wc -l >"$work/calls"
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\( ?"[a-z0-9_]+"' "$work/sources" | wc -l >"$work/named"
 cmp -s "$work/calls" "$work/named" || fail "an event is not a literal at its call: $(cat "$work/calls") calls, $(cat "$work/named") named"
--- a/tests/support/loopback.h
+++ b/tests/support/loopback.h
@@ -25,15 +25,15 @@
   return ::bind(fd, reinterpret_cast<const sockaddr*>(&address), sizeof address) == 0;
 }
 
-// The local port of an IPv4 socket; 0 where it has none.
+// The local port of an IPv4 socket; 0 if it has none.
 inline std::uint16_t LocalPort(int fd) {
   sockaddr_in address{};
   socklen_t size = sizeof address;
   return ::getsockname(fd, reinterpret_cast<sockaddr*>(&address), &size) == 0 ? ntohs(address.sin_port) : 0;
 }
 
-// A blocking socket of `type` (SOCK_STREAM, SOCK_DGRAM), closed on exec and connected to `port`, which the
-// caller closes; -1 where the connection fails.
+// A blocking socket of `type` (SOCK_STREAM, SOCK_DGRAM), closed on exec and connected to `port`. The
+// caller closes it. Returns -1 if the connection fails.
 inline int ConnectLoopback(int type, std::uint16_t port) {
   const int fd = ::socket(AF_INET, type | SOCK_CLOEXEC, 0);
   if (fd < 0) return -1;
--- a/tests/support/platform_links.sh
+++ b/tests/support/platform_links.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The platform's program, built as operators build it, needs no library of what sidecars tell each other:
-# platform_links.sh SOURCE [PROGRAM], which builds one where none is given.
+# The platform's program, built as operators build it, links no library of gossip:
+# platform_links.sh SOURCE [PROGRAM]; builds the program if none is given.
 set -eu
 source=$1
 program=${2:-}
@@ -16,7 +16,7 @@
   echo "$program links what only peers need" >&2
   exit 1
 fi
-# Nor may it take the section for granted.
+# It must reject the section [peers], too.
 file=$(mktemp)
 printf '[peers]\nlisten = "127.0.0.1:7600"\n' >"$file"
 said=$("$program" check "$file" 2>&1) && { echo "$program takes [peers]" >&2; rm "$file"; exit 1; }
--- a/tests/support/sqlite_dump.h
+++ b/tests/support/sqlite_dump.h
@@ -1,5 +1,5 @@
-// What stands in an SQLite file, as text that two files can be compared by: their bytes may differ in what
-// the library writes on its own, their schema and rows must not.
+// The contents of an SQLite file as text, to compare two files: their bytes may differ in what the library
+// writes for itself, but their schema and rows must not.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace mothrack::testing {
 
-// The version, each object of the schema, and each row of each table, by the order of their keys. Columns are
-// told apart and NULL from an empty text.
+// The version, each object of the schema, and each row of each table, by the order of their keys. The text
+// separates columns and distinguishes NULL from an empty text.
 inline std::string DumpSqlite(const std::string& path) {
   const storage::Database db(path);
   storage::Statement version(db, "PRAGMA user_version");
--- a/tests/support/tables.h
+++ b/tests/support/tables.h
@@ -1,5 +1,5 @@
 // Conformance tables: the first table under a heading of a design page, as rows of cells by column. Tests
-// play them row by row, so that page and code say the same.
+// run them row by row, so that page and code agree.
 #pragma once
 
 #include <fstream>
@@ -26,7 +26,7 @@
   return cells;
 }
 
-// Throws where there is no such heading or table, or a row has not as many cells as there are columns.
+// Throws if there is no such heading or table, or if a row's number of cells is not that of the columns.
 inline std::vector<Row> TableOf(const std::string& path, const std::string& heading) {
   std::ifstream page(path);
   if (!page) throw std::runtime_error("no page " + path);
--- a/tests/support/temporary_directory_test.cpp
+++ b/tests/support/temporary_directory_test.cpp
@@ -1,5 +1,5 @@
-// The directory that tests keep their files in: made for its user alone, removed with its object, and an
-// exception where it can't be made, which fails the test that needs it.
+// The directory for the files of a test: only its user may access it, it is removed with its object, and an
+// exception fails the test if it can't be created.
 #include "support/temporary_directory.h"
 
 #include <sys/stat.h>
--- a/tests/support/test_cluster_test.cpp
+++ b/tests/support/test_cluster_test.cpp
@@ -1,5 +1,5 @@
-// The test cluster itself: its processes run, and its checks find each violation that is caused on purpose.
-// Without gossip, so that this also covers a fleet that has none.
+// The test cluster itself: its processes run, and its checks find each violation that a test causes on
+// purpose. Gossip is disabled, so that a fleet without it is covered, too.
 #include "standins/test_cluster.h"
 
 #include <signal.h>
@@ -64,25 +64,24 @@
   EXPECT_GT(cluster.relay().counts("sidecars", "upstreams").resets, 0U);
 }
 
-// What breaks the rules, caused on purpose: each of the four is found.
+// Each of four violations, caused on purpose, is found.
 TEST(TestCluster, JudgesByTheFourRules) {
   TestCluster cluster(WithoutGossip());
   cluster.BeginTraffic();
   std::this_thread::sleep_for(milliseconds(500));
-  // Discovery is not heard any more: what it says of an upstream reaches nobody, who therefore sends on
-  // there.
+  // Discovery is cut off: its changes to an upstream don't reach the sidecars, so they keep sending to it.
   cluster.relay().Cut("discovery", "sidecars");
   cluster.SetUpstreamState("adama-hall-u0", "leaving");
-  // Cold, by an upstream that can do next to nothing.
+  // Slow start, violated by an upstream with almost no capacity.
   cluster.AnnounceRestart("kality-hall-u0", 0.01);
   std::this_thread::sleep_for(milliseconds(2000));
-  // Killed unknown to the cluster: what was under way there is lost. Its client sends again once its stop is
-  // over.
+  // Killed without the cluster's knowledge: requests in flight there are lost. The sidecar's client sends
+  // again once the sidecar's stop is over.
   cluster.Signal("s1", SIGSTOP);
   std::this_thread::sleep_for(milliseconds(200));
   cluster.Signal("s1", SIGKILL);
   std::this_thread::sleep_for(milliseconds(300));
-  // A request that a client has sent, the first unsafe one, sent once more past all sidecars.
+  // The first unsafe request of a client, sent a second time directly to an upstream.
   const std::string upstream = cluster.AddressOf("bole-hall-u1");
   Client again(static_cast<std::uint16_t>(std::stoi(upstream.substr(upstream.find(':') + 1))));
   EXPECT_TRUE(again.Post("/submit/s0-1", "s0-1", "s0-1"));
--- a/tests/support/traffic_record_test.cpp
+++ b/tests/support/traffic_record_test.cpp
@@ -1,5 +1,5 @@
-// What the record of a test cluster takes for a violation, and what not: kills between a request and the
-// reading of its answer.
+// Which outcomes the record of a test cluster counts as violations if a process is killed between a request
+// and the reading of its answer.
 #include "standins/traffic_record.h"
 
 #include <chrono>
