--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -32,7 +32,8 @@
   mothrack::sidecar::Options options;
   app.add_option("--config", options.path, "the operator's file (TOML), as deploy/mothrack.toml")
       ->type_name("FILE");
-  app.add_option("--counts", options.counts_s, "log a line of counters at this interval (0.1 to 3600)")
+  app.add_option("--counts", options.counts_s,
+                 "log a line of counters at this interval, in seconds (0.1 to 3600)")
       ->type_name("SECONDS")
       ->check(CLI::Range(0.1, 3600.0));
   CLI::App* check =
