--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -58,7 +58,7 @@
       on_ready_(std::move(on_ready)),
       list_timeout_(io),
       front_(io, ListenOptionsOf(config, inheritance), descriptors, budget_, log, dispatcher_) {
-  // Before any attempt is sent.
+  // Inherited state takes effect before any attempt is sent.
   dispatcher_.RestoreBans(inheritance.bans);
   for (const std::string& id : inheritance.ids) dispatcher_.ImportKey(id);
   front_.Quiesce(inheritance.quiescing);
@@ -71,7 +71,7 @@
   if (config.settings.membership_on_request && !config.known.is_null())
     discovery_.SetKnownRevision(known.revision);
   dispatcher_.Apply(std::move(known));
-  // If membership is sent on request, the module subscribes.
+  // If the list is sent only on request, the module starts discovery itself.
   if (!config.settings.membership_on_request) discovery_.Start();
   list_timeout_.expires_after(inheritance.wait_for_list ? kListTimeout : runtime::Duration::zero());
   list_timeout_.async_wait([this](const boost::system::error_code& error) {
