--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -27,8 +27,8 @@
 // its predecessor, while the agent of this machine answers at once.
 constexpr runtime::Duration kListTimeout = std::chrono::milliseconds(500);
 
-// The memory limit divided by this is for bodies that are streamed. As much again may be buffered as whole
-// bodies, and as much by the kernel.
+// The share of the memory limit for streamed bodies is one part in this many. Bodies that are buffered
+// completely may use as much again, and so may the kernel's buffers.
 constexpr std::size_t kBodyMemoryDivisor = 4;
 
 runtime::ListenOn ListenOptionsOf(const Config& config, const Sidecar::Inheritance& inheritance) {
@@ -58,7 +58,7 @@
       on_ready_(std::move(on_ready)),
       list_timeout_(io),
       front_(io, ListenOptionsOf(config, inheritance), descriptors, budget_, log, dispatcher_) {
-  // Before any attempt is sent.
+  // Inherited state takes effect before any attempt is sent.
   dispatcher_.RestoreBans(inheritance.bans);
   for (const std::string& id : inheritance.ids) dispatcher_.ImportKey(id);
   front_.Quiesce(inheritance.quiescing);
@@ -71,7 +71,7 @@
   if (config.settings.membership_on_request && !config.known.is_null())
     discovery_.SetKnownRevision(known.revision);
   dispatcher_.Apply(std::move(known));
-  // If membership is sent on request, the module subscribes.
+  // If the list is sent only on request, the module starts discovery itself.
   if (!config.settings.membership_on_request) discovery_.Start();
   list_timeout_.expires_after(inheritance.wait_for_list ? kListTimeout : runtime::Duration::zero());
   list_timeout_.async_wait([this](const boost::system::error_code& error) {
