--- a/tests/runtime/acceptor_close_test.cpp
+++ b/tests/runtime/acceptor_close_test.cpp
@@ -16,7 +16,7 @@
   EXPECT_EQ(system_.interrupts, 0);
 }
 
-// Reads nothing, and the connection stands.
+// Whether the connection is open and has no data to read.
 bool IsOpen(tcp::socket& client) {
   char byte = 0;
   boost::system::error_code error;
@@ -39,21 +39,21 @@
   EXPECT_FALSE(acceptor->is_open());
 }
 
-// The process has as many descriptors as it may: those that wait are kept waiting until others have ended.
+// The process has used up its descriptors: clients in the backlog stay there until descriptors are free.
 TEST_F(AcceptorTest, ClientsQueuedAtCloseWithoutADescriptorAreNotReset) {
   Settle();
   Connect();
   ASSERT_TRUE(Admits(1));
   Connect();
   Connect();
-  system_.descriptors = 3;  // the standard streams have these
+  system_.descriptors = 3;  // all used by the standard streams
   EXPECT_FALSE(acceptor->Close());
   Settle();
   EXPECT_FALSE(acceptor->Close());
   EXPECT_TRUE(acceptor->is_open());
   EXPECT_EQ(admitted.size(), 1U);
   for (tcp::socket& client : clients) EXPECT_TRUE(IsOpen(client));
-  // There are some again.
+  // Descriptors are available again.
   system_.descriptors = RLIM_INFINITY;
   EXPECT_TRUE(acceptor->Close());
   EXPECT_EQ(admitted.size(), 3U);
--- a/tests/runtime/acceptor_errors_test.cpp
+++ b/tests/runtime/acceptor_errors_test.cpp
@@ -1,4 +1,4 @@
-// The acceptor where accept fails: by a client, by lack of descriptors, for long.
+// Failures of accept(): errors of one client, exhausted descriptors, and lasting errors.
 #include <cerrno>
 #include <cstddef>
 
@@ -20,7 +20,7 @@
   EXPECT_EQ(admitted.size(), 1U);
 }
 
-// What befell one client, or one call, is no reason to keep the others waiting.
+// An error that concerns one client or one call must not delay other clients by a pause.
 TEST_F(AcceptorTest, AnErrorOfOneClientOrAnInterruptionDelaysNobody) {
   for (const int error : {EINTR, ECONNABORTED, EPERM, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET,
                           EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH, ETIMEDOUT}) {
@@ -35,7 +35,7 @@
   }
 }
 
-// A lack that is over at the next call closes nobody's connection; one that lasts does.
+// If the next accept() after a failure succeeds, no connection is evicted. If it fails again, one is.
 TEST_F(AcceptorTest, OnlyALastingLackOfDescriptorsEvictsOthers) {
   for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS}) {
     const std::size_t before = admitted.size();
@@ -58,7 +58,7 @@
   system_.fails = 1000;
   system_.error = ECONNABORTED;
   Connect();
-  EXPECT_TRUE(Admits(1));  // after some pauses
+  EXPECT_TRUE(Admits(1));  // after several pauses
   EXPECT_EQ(system_.fails, 0);
 }
 
--- a/tests/runtime/acceptor_fixture.cpp
+++ b/tests/runtime/acceptor_fixture.cpp
@@ -1,4 +1,5 @@
-// System calls of the acceptor tests: they err as system_ says and pass on to the real ones.
+// Wrappers of the system calls that the acceptor tests use: they inject the faults set in `system_` and
+// otherwise call the real functions.
 #include "runtime/acceptor_fixture.h"
 
 #include <dlfcn.h>
--- a/tests/runtime/acceptor_fixture.h
+++ b/tests/runtime/acceptor_fixture.h
@@ -1,6 +1,6 @@
-// An acceptor on a loopback socket of its own, with a system that errs on demand: lost wake-ups, clients that
-// disconnect in the queue, no descriptor left. The system calls are those of acceptor_fixture.cpp, which pass
-// on to the real ones.
+// Fixture with an acceptor on a loopback socket and injected faults of system calls: lost wake-ups, clients
+// that disconnect in the backlog, and exhausted descriptors. acceptor_fixture.cpp replaces the system calls
+// by wrappers that inject the faults and otherwise call the real ones.
 #pragma once
 
 #include <sys/resource.h>
@@ -23,19 +23,19 @@
 using boost::asio::ip::tcp;
 using std::chrono::milliseconds;
 
-// What the system does to the one listening socket under test.
+// Faults to inject for the listening socket under test, and observations of its system calls.
 struct System {
   int listening = -1;
-  int fails = 0;                        // of the next calls of accept
-  int error = 0;                        // with this
-  bool takes = false;                   // and the client at the head of the queue is gone then
-  rlim_t descriptors = RLIM_INFINITY;   // the limit while it accepts: the sanitizers need some at other times
-  std::function<void()> after_refusal;  // once, when accept has found nobody
-  int lost_wakes = 0;                   // of the next that tell of a client
-  int blocked = 0;                      // calls that would have waited without an end
-  int interrupts = 0;                   // of the next looks at its queue
-  int timers = 0;                       // set by the event loop
-  std::map<int, void*> registered;      // with epoll, by descriptor
+  int fails = 0;                        // number of next accept() calls that fail with `error`
+  int error = 0;                        // errno of the calls that fail
+  bool takes = false;                   // a failing accept() also removes the first client from the backlog
+  rlim_t descriptors = RLIM_INFINITY;   // limit during accept() only, because sanitizers need descriptors
+  std::function<void()> after_refusal;  // called once, after the next accept() that fails in the kernel
+  int lost_wakes = 0;                   // number of next EPOLLIN events to suppress
+  int blocked = 0;                      // number of poll() calls without a timeout, which fail with EINTR
+  int interrupts = 0;                   // number of next poll() calls that fail with EINTR
+  int timers = 0;                       // number of timerfd_settime() calls
+  std::map<int, void*> registered;      // epoll user data by descriptor
 };
 extern System system_;
 
@@ -67,13 +67,14 @@
     admitted.push_back(std::move(socket));
   }
 
-  // A client that connects, and waits.
+  // Connects a client, which then waits in the backlog.
   void Connect() {
     clients.emplace_back(own);
     clients.back().connect(acceptor->local());
   }
 
-  // Runs the event loop, as long as it takes for so many clients to be admitted, two seconds at most.
+  // Runs the event loop until `count` clients are admitted, for two seconds at most. Returns whether they
+  // are.
   bool Admits(std::size_t count) {
     const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(2);
     io.restart();
@@ -81,7 +82,7 @@
       io.run_one_for(milliseconds(20));
     return admitted.size() >= count;
   }
-  // Lets the event loop do what is to be done by now.
+  // Runs the event loop until it has had nothing to do for 5 ms.
   void Settle() {
     io.restart();
     while (io.run_one_for(milliseconds(5)) > 0) {
@@ -89,9 +90,9 @@
   }
 
   int capacity = 1 << 30;
-  int evicted = 0;  // calls
+  int evicted = 0;  // number of EvictOne() calls
   runtime::Logger log{"t"};
-  boost::asio::io_context own;  // of the clients: never run
+  boost::asio::io_context own;  // for the client sockets; never run
   boost::asio::io_context io{1};
   std::optional<runtime::Acceptor> acceptor;
   std::vector<tcp::socket> admitted;
--- a/tests/runtime/acceptor_pause_test.cpp
+++ b/tests/runtime/acceptor_pause_test.cpp
@@ -27,7 +27,7 @@
   Connect();
   EXPECT_TRUE(Admits(1));
   Settle();
-  // Each wait that ends asks once more whether somebody waits: one wait, one refusal.
+  // Each wait that ends calls accept() until none is queued, so one wait means exactly one refusal.
   int refusals = 0;
   std::function<void()> count = [&] {
     ++refusals;
--- a/tests/runtime/acceptor_wakeups_test.cpp
+++ b/tests/runtime/acceptor_wakeups_test.cpp
@@ -1,4 +1,4 @@
-// The acceptor where wake-ups of the event loop are lost.
+// The acceptor serves all clients even if wake-ups of the event loop are lost.
 #include <cstddef>
 
 #include "runtime/acceptor_fixture.h"
@@ -25,7 +25,7 @@
   Settle();
   EXPECT_EQ(admitted.size(), 1U);
   EXPECT_EQ(acceptor->missed_wakeups(), 1U);
-  // And from then on as ever.
+  // Later clients are reported by the event loop as usual.
   Connect();
   EXPECT_TRUE(Admits(2));
   EXPECT_EQ(acceptor->missed_wakeups(), 1U);
@@ -48,7 +48,7 @@
   EXPECT_TRUE(admitted.empty());
 }
 
-// With every wake-up lost, looks alone serve all, also those that found no room at first.
+// If every wake-up is lost, polls suffice to admit all clients, also one that first met a lack of capacity.
 TEST_F(AcceptorTest, PollsServeAllClientsWhereEveryWakeUpIsLost) {
   Settle();
   system_.lost_wakes = 1 << 30;
@@ -58,7 +58,7 @@
   acceptor->PollForMissedClients();
   Settle();
   EXPECT_TRUE(admitted.empty());
-  capacity = 1 << 30;  // the pause for want of room ends by a timer
+  capacity = 1 << 30;  // a timer ends the pause for lack of capacity
   EXPECT_TRUE(Admits(1));
   for (std::size_t i = 2; i < 6; ++i) {
     Connect();
@@ -79,13 +79,13 @@
   EXPECT_TRUE(admitted.empty());
 }
 
-// One client after the other, each alone with an acceptor that has nothing else to do.
+// Clients connect one after the other while the acceptor has nothing else to do.
 TEST_F(AcceptorTest, TenThousandSingleClientsInSequence) {
   constexpr std::size_t kClients = 10000;
   for (std::size_t i = 0; i < kClients; ++i) {
     Connect();
     ASSERT_TRUE(Admits(1)) << i;
-    // Reset, so that no address is held for long.
+    // Closes with a reset, so that no address stays in TIME_WAIT.
     admitted.back().set_option(boost::asio::socket_base::linger(true, 0));
     admitted.clear();
     clients.clear();
--- a/tests/runtime/connection_set_test.cpp
+++ b/tests/runtime/connection_set_test.cpp
@@ -1,4 +1,4 @@
-// A server's open connections, and which one it gives up first.
+// The set of a server's open connections, and which one it evicts first.
 #include "runtime/connection_set.h"
 
 #include <memory>
--- a/tests/runtime/deadlines_test.cpp
+++ b/tests/runtime/deadlines_test.cpp
@@ -1,4 +1,4 @@
-// Points in time that can be cancelled.
+// Deadlines that can be cancelled.
 #include "runtime/deadlines.h"
 
 #include <boost/asio/io_context.hpp>
--- a/tests/runtime/descriptors_test.cpp
+++ b/tests/runtime/descriptors_test.cpp
@@ -1,4 +1,4 @@
-// Sockets counted against the deployment's limit, by side and shared with another process.
+// Accounting of sockets against the descriptor limit, by side and when another process shares the limit.
 #include "runtime/descriptors.h"
 
 #include <cstddef>
--- a/tests/runtime/log_test.cpp
+++ b/tests/runtime/log_test.cpp
@@ -1,4 +1,4 @@
-// The one form of a log line, what keeps outsiders from forging it, and its bounds.
+// Format of log lines, escaping that prevents forged lines, and bounds on their length and rate.
 #include "runtime/log.h"
 
 #include <gtest/gtest.h>
@@ -16,7 +16,7 @@
 namespace mothrack::runtime {
 namespace {
 
-constexpr std::size_t kNameSize = 3;  // of "n: "
+constexpr std::size_t kNameSize = 3;  // bytes of "n: "
 
 std::vector<std::string> LinesOf(const std::string& text) {
   std::vector<std::string> lines;
@@ -48,7 +48,7 @@
     return text;
   }
 
-  // The line of one value, by a logger of its own: its limit is not in the way.
+  // Returns the line of one value, from a new logger so that the rate limit has no effect.
   static std::string LineOf(const std::string& value) {
     std::ostringstream own;
     Logger("n", own).Info("event", {{"key", value}, {"after", 1}});
@@ -81,7 +81,7 @@
   EXPECT_EQ(LineOf(""), "n: info event key=\"\" after=1\n");
 }
 
-// What is not in snake_case is no event and no key, and what is not a literal neither: it does not compile.
+// Names of events and keys must be literals in snake_case; anything else does not compile.
 TEST_F(LogTest, NamesAreConstants) {
   static_assert(std::is_constructible_v<LogField, LogName, std::string>);
   static_assert(!std::is_constructible_v<LogName, std::string>);
@@ -138,7 +138,7 @@
   const std::size_t room = Logger::kMaxLineLength + kNameSize - head.size();
   EXPECT_EQ(LineOf(std::string(2000, 'x')), head + std::string(room, 'x') + '\n');
   EXPECT_EQ(LineOf(std::string(2000, ' ')), head + '"' + std::string(room - 2, ' ') + "\"\n");
-  // Never half an escape, wherever the end falls.
+  // An escape is never cut in half, wherever the limit falls.
   for (std::size_t before = 0; before < 4; ++before) {
     const std::string line = LineOf(std::string(before, 'x') + std::string(2000, '\x01'));
     const std::string value = line.substr(head.size() + 1 + before, line.size() - head.size() - before - 3);
@@ -146,7 +146,7 @@
     EXPECT_EQ(line.substr(line.size() - 2), "\"\n");
     EXPECT_EQ(value.size() % 4, 0U) << line;
   }
-  // A key that has no room with its value is left out whole.
+  // A key that does not fit with its value is left out completely.
   const std::string most(room - std::string(" after=").size(), 'x');
   EXPECT_EQ(LineOf(most), head + most + '\n');
   log.Stated(std::string(2000, 'x'));
@@ -167,7 +167,7 @@
   };
   for (int i = 0; i < 100; ++i) log_one();
   ASSERT_EQ(LinesOf(out.str()).size(), 100U);
-  // Until a line has told of those left out.
+  // Logs until a line reports the number of lines left out.
   while (out.str().find("lines_left_out") == std::string::npos) {
     ASSERT_LT(Now() - begun, std::chrono::seconds(20));
     log_one();
@@ -186,7 +186,7 @@
   EXPECT_GT(left_out, 0U);
   EXPECT_EQ(written + left_out, asked);
   EXPECT_LE(static_cast<double>(written), 100 + 5 * seconds);
-  EXPECT_GE(seconds, 0.2);  // the first line after the burst is a fifth of a second off
+  EXPECT_GE(seconds, 0.2);  // at 5 lines a second, the first line after the burst takes 0.2 s
 }
 
 TEST_F(LogTest, FiguresAreAsTheyAreAndHaveNoLimit) {
--- a/tests/runtime/secure_random_test.cpp
+++ b/tests/runtime/secure_random_test.cpp
@@ -1,4 +1,4 @@
-// The range of unpredictable numbers.
+// The range of SecureRandom's numbers.
 #include "runtime/secure_random.h"
 
 #include <cstddef>
--- a/tests/runtime/stream_test.cpp
+++ b/tests/runtime/stream_test.cpp
@@ -1,4 +1,4 @@
-// One body on its way through the process: its window, its beginning again, its being dropped.
+// A body stream: its window, restarts from the first byte, and abandonment.
 #include "runtime/stream.h"
 
 #include <memory>
@@ -27,7 +27,7 @@
   EXPECT_EQ(stream.Capacity(), 40U * 1024);
   EXPECT_EQ(budget.held(), 24U * 1024);
   {
-    // Shared evenly among those that are open, and never less than the least.
+    // The budget is shared evenly among open streams, with a minimum window for each.
     std::vector<std::unique_ptr<runtime::Stream>> others;
     for (int i = 0; i < 9; ++i) others.push_back(std::make_unique<runtime::Stream>(budget, 0));
     EXPECT_EQ(others[0]->Capacity(), runtime::ByteBudget::kMinWindow);
@@ -48,7 +48,7 @@
   ASSERT_TRUE(stream.BeginConsuming());
   stream.Append(std::string(60, 'a'));
   stream.Consume(60);
-  EXPECT_FALSE(stream.BeginConsuming());  // somebody takes
+  EXPECT_FALSE(stream.BeginConsuming());  // there is a consumer already
   stream.StopConsuming();
   ASSERT_TRUE(stream.BeginConsuming());
   EXPECT_EQ(stream.Ready(), std::string(60, 'a'));
--- a/tests/runtime/sweep_timer_test.cpp
+++ b/tests/runtime/sweep_timer_test.cpp
@@ -1,4 +1,4 @@
-// A sweep that repeats until it says that it is over.
+// A sweep repeats until its function returns false.
 #include "runtime/sweep_timer.h"
 
 #include <boost/asio/io_context.hpp>
@@ -19,7 +19,7 @@
   };
   runtime::SweepTimer timer(io, interval, [&] { return ++sweeps < 3; });
   timer.Restart();
-  timer.Restart();  // sets it anew: still one sweep at a time
+  timer.Restart();  // resets the timer; there is still one sweep at a time
   io.run();
   EXPECT_EQ(sweeps, 3);
   EXPECT_EQ(intervals, 4);
--- a/tests/runtime/timer_queue_test.cpp
+++ b/tests/runtime/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// Many points in time on one timer: their order, and a handler that throws.
+// Many due times on one timer: their order, and a handler that throws.
 #include "runtime/timer_queue.h"
 
 #include <boost/asio/io_context.hpp>
