--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -56,7 +56,7 @@
   std::function<Answer(const Call&)> serve;
 };
 
-// Where a server listens: a Unix socket or an address.
+// The address that a server listens on: a Unix socket or a TCP endpoint.
 struct ListenAddress {
   std::string setting;                        // the name of the setting, for errors
   std::string unix_path;                      // if empty, `endpoint` is used
--- a/src/admin_client/admin_client.cpp
+++ b/src/admin_client/admin_client.cpp
@@ -81,11 +81,11 @@
   Response Parse() const {
     const auto& message = parser_.get();
     Response response{{}, message.result_int(), nlohmann::json::parse(message.body(), nullptr, false)};
-    if (response.body.is_discarded()) response.transport_error = "the answer is no JSON";
+    if (response.body.is_discarded()) response.transport_error = "the response is not JSON";
     return response;
   }
 
-  // Only the first call counts: the timer and the socket may both have come to an end.
+  // Only the first call has an effect: the timer and a socket operation may both have completed.
   void Finish(Response response) {
     const auto on_response = std::exchange(on_response_, nullptr);
     timer_.cancel();
--- a/src/admin_client/admin_client.h
+++ b/src/admin_client/admin_client.h
@@ -1,6 +1,6 @@
-// Client side of the admin API (src/admin/server.h): one HTTP/1.1 request with JSON a connection, over a Unix
-// socket or loopback TCP. The agent polls sidecars with it, mothrackctl calls agents. Called from the event
-// loop.
+// Client side of the admin API (src/admin/server.h): one HTTP/1.1 request with JSON per connection, over a
+// Unix socket or loopback TCP. The agent polls sidecars with it, mothrackctl calls agents. Called from the
+// event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,20 +14,20 @@
 
 // NOLINTNEXTLINE(bugprone-exception-escape): nlohmann::json's move is noexcept; the check sees its assertions
 struct Response {
-  std::string transport_error;  // why there is no response; empty: there is one
-  unsigned status = 0;          // of HTTP
+  std::string transport_error;  // why there is no response; empty if there is one
+  unsigned status = 0;          // HTTP status code
   nlohmann::json body;
 
-  // A response with a status of 2xx.
+  // Whether there is a response with a 2xx status.
   bool ok() const { return transport_error.empty() && status / 100 == 2; }
-  // For people, where it is not ok().
+  // Describes the failure for people, if not ok().
   std::string ErrorText() const;
 };
 
 // A call of the admin API.
 struct Request {
   std::string address;  // "unix:/path" or "127.0.0.1:7090"
-  std::string token;    // empty: none is given
+  std::string token;    // bearer token; empty if the API needs none
   std::string method = "GET";
   std::string target;
   std::optional<nlohmann::json> body{};
@@ -41,7 +41,7 @@
 void SendRequest(boost::asio::io_context& io, Request request, std::chrono::milliseconds timeout,
                  std::function<void(Response)> on_response);
 
-// Why an address is not valid; empty: it is.
+// Returns why an address is invalid; empty if it is valid.
 std::string FaultOfAddress(const std::string& address);
 
 }  // namespace mothrack::admin_client
