--- a/tests/admin/admin_fixture.h
+++ b/tests/admin/admin_fixture.h
@@ -1,4 +1,4 @@
-// What tests of the admin API share: a directory for its socket and token, and operator files.
+// Fixture of the admin API tests: a directory for its socket and token, and operator files.
 #pragma once
 
 #include <sys/stat.h>
--- a/tests/admin/admin_status_test.cpp
+++ b/tests/admin/admin_status_test.cpp
@@ -44,7 +44,8 @@
   EXPECT_EQ(body["missed_wakeups"], 0);
   EXPECT_GT(body["process"]["memory_bytes"], 1 << 20);
   EXPECT_GE(body["process"]["descriptors"], 8);
-  EXPECT_LE(body["process"]["descriptors"], node.descriptors() + 1) << "with the connection that asked";
+  EXPECT_LE(body["process"]["descriptors"], node.descriptors() + 1)
+      << "one more: the connection of this call";
 
   ASSERT_EQ(body["pools"].size(), 1U);
   const json& pool = body["pools"][0];
--- a/tests/admin/recorded_answers_test.cpp
+++ b/tests/admin/recorded_answers_test.cpp
@@ -1,7 +1,7 @@
-// What the admin API and the operators' API answer, as version 0.2.0 answered: the head byte for byte, the
-// body as JSON by key and value. Masked, since they differ by the run: values of the keys in kVarying, by
-// their type; the scratch folder as FOLDER; the operator's file as FILE; ports of 127.0.0.1 as PORT;
-// Content-Length, which counts them.
+// The answers of the admin API and the operators' API are those of version 0.2.0: the head byte for byte, the
+// body as JSON by key and value. Values that differ between runs are masked: values of the keys in kVarying
+// by their type, the scratch folder as FOLDER, the operator's file as FILE, ports of 127.0.0.1 as PORT, and
+// Content-Length, which depends on them.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -16,7 +16,7 @@
 namespace mothrack::testing {
 namespace {
 
-// Times, the process's own figures, and the hash of a file that has the scratch folder in it.
+// Keys of times, of the process's own figures, and of the hash of a file that contains the scratch folder.
 const std::set<std::string> kVarying = {"descriptors", "hash",     "memory_bytes", "now_ms", "pid",
                                         "since_ms",    "taken_ms", "until_ms",     "at_ms"};
 
@@ -64,8 +64,8 @@
   return Eventually([&] { return node.log().find(text) != std::string::npos; });
 }
 
-// One upstream that serves and one that leaves; DNS beside HTTP; three requests that are served, one that is
-// failed.
+// A node with one upstream that serves, one in the state "leaving", and DNS in addition to HTTP, after three
+// served requests and a failed one.
 TEST(RecordedAdmin, AnswersAreThoseOfTheFormerVersion) {
   Recorded recorded(MOTHRACK_FIXTURES "/admin_answers.txt");
   const FixtureDirectory folder;
--- a/tests/dns/closed_port.h
+++ b/tests/dns/closed_port.h
@@ -12,10 +12,10 @@
 
 namespace mothrack::testing {
 
-// Holds the port for both protocols, so that the system gives it to nobody else; a TCP holder alone leaves
-// its number free for UDP. Connections are refused, since the TCP socket doesn't listen. Datagrams are
-// refused (ICMP port unreachable), since the UDP socket is connected to its own address: it takes only what
-// it sends itself, which is nothing.
+// Holds the port for both protocols, so that the kernel assigns it to no other socket; a TCP socket leaves
+// the port free for UDP. Connections are refused, since the TCP socket doesn't listen. Datagrams are
+// refused (ICMP port unreachable), since the UDP socket is connected to its own address: it receives only
+// what it sends itself, which is nothing.
 class ClosedPort {
  public:
   ClosedPort() {
--- a/tests/dns/dns_clients.sh
+++ b/tests/dns/dns_clients.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Independent clients against the built program, between stand-in resolvers: dns_clients.sh PROGRAM STANDIN
-# dig in each of its ways; then 100,000 queries of dnsperf with one of three resolvers silent.
+# Runs independent DNS clients against the built program and three stand-in resolvers, one of which never
+# answers: dig with various options, then 100,000 queries of dnsperf. Usage: dns_clients.sh PROGRAM STANDIN
 set -eu
 program=$1
 standin=$2
@@ -17,7 +17,7 @@
   exit 1
 }
 
-# port_of FILE PATTERN: waits for the number behind the pattern.
+# port_of FILE PATTERN: waits until FILE has a number after PATTERN, and prints it.
 port_of() {
   for _ in $(seq 200); do
     port=$(sed -n "s/.*$2\([0-9]*\).*/\1/p" "$1" | head -1)
@@ -42,7 +42,7 @@
 pids="$pids $main"
 port=$(port_of "$work/log" 'dns on 127.0.0.1:')
 
-# ask WANTED ARGUMENTS: dig's output must have each wanted line.
+# ask WANTED ARGUMENTS: runs dig with ARGUMENTS; a line of its output must match WANTED.
 ask() {
   wanted=$1
   shift
@@ -78,13 +78,13 @@
 
 kill -TERM $main
 wait $main || fail "the program ended with $?"
-# The silent resolver was found out: it was sent next to nothing.
+# The unresponsive resolver was detected: it was sent few queries.
 kill -TERM "$r3"
 wait "$r3"
 swallowed=$(sed -n 's/^udp \([0-9]*\).*/\1/p' "$work/r3")
 echo "swallowed=$swallowed"
 [ "$swallowed" -gt 0 ] && [ "$swallowed" -lt 1000 ] || fail "the silent resolver was sent $swallowed queries"
-# Answered twice: what came out is what went in.
+# The number of answers equals the number of queries without retransmissions: none was answered twice.
 account=$(grep -o 'udp_queries=.*' "$work/log" | tail -1)
 echo "$account"
 eval "$(echo "$account" | tr ' ' '\n' | grep -E '^(udp_queries|tcp_queries|answers|retransmissions)=')"
--- a/tests/dns/dns_forwarding_test.cpp
+++ b/tests/dns/dns_forwarding_test.cpp
@@ -20,7 +20,7 @@
 using std::chrono::milliseconds;
 using Turn = StandinResolver::Turn;
 
-// ---- Passing on ----
+// ---- Forwarding ----
 
 TEST(Dns, ForwardsAnswersUnchangedOverUdpAndTcp) {
   StandinResolver resolver(StandinResolver::Echo());
@@ -56,9 +56,9 @@
     ports.insert(seen[i].from_port);
     if (i > 0) steps.insert(IdOf(seen[i].query) - IdOf(seen[i - 1].query));
   }
-  // By chance two of 300 ids are the same about once in two runs; a dozen of them never.
+  // Two of 300 random ids coincide in about one run of two; a dozen practically never do.
   EXPECT_GT(ids.size(), kQueries - 12U);
-  EXPECT_GT(steps.size(), kQueries - 24U) << "ids that can be counted on";
+  EXPECT_GT(steps.size(), kQueries - 24U) << "predictable ids";
   EXPECT_GE(ports.size(), 16U);
   EXPECT_LE(node.descriptors(), 64);
 }
@@ -129,7 +129,7 @@
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
-  // 40 records take 684 bytes and more: too much for one that speaks no EDNS, or takes 600 bytes.
+  // 40 records take at least 684 bytes: too many for a client without EDNS or with a limit of 600 bytes.
   const struct {
     int client_edns_size;
     int records;
@@ -150,7 +150,7 @@
     EXPECT_EQ(EdnsSizeOf(resolver.seen().back().query), c.client_edns_size < 0 ? -1 : 1232)
         << c.client_edns_size;
   }
-  // Over TCP it comes whole.
+  // Over TCP the answer is complete.
   DnsTcpClient tcp(node.dns_port());
   const auto answer = tcp.Query(MakeQuery(QueryFor("big.org", 99)));
   ASSERT_TRUE(answer);
@@ -192,7 +192,7 @@
   EXPECT_EQ(resolver.queries(), 0);
 }
 
-// ---- What is not passed on ----
+// ---- Messages that are not forwarded ----
 
 TEST(Dns, UnknownOpcodesAndTransfersAreRejected) {
   StandinResolver resolver(StandinResolver::Echo());
--- a/tests/dns/dns_helpers.h
+++ b/tests/dns/dns_helpers.h
@@ -1,4 +1,4 @@
-// What the tests of the real program's DNS share: its file, queries by name, and its counters.
+// Helpers of the DNS tests that run the real program: operator files, queries by name, and DNS counters.
 #pragma once
 
 #include <atomic>
@@ -17,7 +17,7 @@
 inline constexpr int kServFail = 2;
 inline constexpr int kNotImp = 4;
 inline constexpr int kRefused = 5;
-// How long a test waits for what must not come: longer than any delay of a loaded machine.
+// How long a test waits to show that no message arrives.
 inline constexpr std::chrono::milliseconds kQuietPeriod{150};
 
 struct ResolverList {
@@ -49,7 +49,7 @@
   return spec;
 }
 
-// A counter of the statistics that the program logs on a reload.
+// Reloads the operator's file and returns a counter that the program logs then; -1 if it logs none.
 inline long ReadCounter(Node& node, const std::string& file, const std::string& name) {
   const std::size_t before = node.log().size();
   node.ReloadOperatorFile(file);
@@ -65,7 +65,7 @@
   return std::stol(node.log().substr(at + mark.size()));
 }
 
-// Shared by the scripts of one test: which query is the first of all, at any resolver.
+// Shared by the resolver scripts of one test, to tell which query is the first at any resolver.
 struct SharedQueryCount {
   std::atomic<int> queries{0};
 };
--- a/tests/dns/dns_hostile_input_test.cpp
+++ b/tests/dns/dns_hostile_input_test.cpp
@@ -30,13 +30,14 @@
   StandinResolver resolver([](Turn& turn) {
     const Octets right = MakeAnswer(turn.query());
     Octets forged = right;
-    // Wrong ids; then the right id with another question, another case, no question, a query's bit.
+    // Wrong ids; then the right id with another question, another letter case, the QR bit of a query, no
+    // question, or a cut-off end.
     std::uint16_t id = IdOf(right);
     for (int i = 0; i < kGuesses; ++i) {
       SetId(forged, ++id);
       turn.Send(forged);
     }
-    // Once the flood is through: the system's own buffer may drop some of that.
+    // Sent after the flood has been received, because the kernel's buffer may drop datagrams during it.
     constexpr milliseconds kLater{150};
     QuerySpec other = QueryFor("evil.example.org", IdOf(right));
     turn.SendAfter(kLater, MakeAnswer(MakeQuery(other)));
@@ -52,7 +53,6 @@
     turn.SendAfter(kLater, Octets(right.begin(), right.end() - 3));  // cut
     turn.SendAfter(2 * kLater, right);
   });
-  // Another process at the same machine answers from its own port: the system keeps that out.
   const std::string file = OperatorFile(ResolverList().Add("r1", resolver.address()));
   Node node(DnsOnlyOptions(file));
   ASSERT_TRUE(node.DnsListening());
@@ -64,14 +64,15 @@
   EXPECT_FALSE(client.Receive(kQuietPeriod));
   EXPECT_EQ(ReadCounter(node, file, "garbled"), 1);
   const long unmatched = ReadCounter(node, file, "unmatched");
-  EXPECT_GT(unmatched, 4) << "four of these, and some of the flood";
+  EXPECT_GT(unmatched, 4) << "four forged answers with the right id, and some of the flood";
   EXPECT_LE(unmatched, kGuesses + 4);
   EXPECT_EQ(resolver.queries(), 1);
 }
 
 TEST(Forged, AnswersFromAnotherPortAreIgnored) {
   std::unique_ptr<StandinResolver> resolver;
-  // A second socket sends what would be right, to the very port that asked.
+  // A second socket sends matching answers to the port that sent the query. The kernel drops them, because
+  // the program's socket is connected to the resolver's port.
   resolver = std::make_unique<StandinResolver>(
       [](Turn& turn) { turn.SendAfter(milliseconds(300), MakeAnswer(turn.query())); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver->address()))));
@@ -158,7 +159,7 @@
   const Octets good = MakeQuery(QueryFor("good.org", 0x7777));
   for (const Hostile& hostile : HostileMessages()) {
     client.Send(hostile.bytes);
-    // Datagrams are taken in their order: what comes before the good one's answer is the hostile one's.
+    // Datagrams are handled in order: an answer before that to the good query belongs to the hostile message.
     client.Send(good);
     const auto first = client.Receive();
     ASSERT_TRUE(first) << hostile.what;
@@ -174,7 +175,7 @@
   }
   EXPECT_EQ(resolver.queries(), static_cast<int>(HostileMessages().size()));
   EXPECT_EQ(ReadCounter(node, file, "dropped"), 3);
-  // Over TCP the same, on a connection each.
+  // The same messages over TCP, each on its own connection.
   for (const Hostile& hostile : HostileMessages()) {
     DnsTcpClient tcp(node.dns_port());
     tcp.Send(hostile.bytes);
@@ -204,7 +205,7 @@
       std::this_thread::sleep_for(milliseconds(2));
     }
     EXPECT_EQ(client.Receive(), MakeAnswer(query));
-    // An answer of the largest kind, to a query of the largest kind.
+    // A query of the maximum size is answered.
     Octets large = query;
     large.resize(65535, 0);
     client.Send(large);
--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -134,7 +134,8 @@
     ASSERT_TRUE(answer) << i;
     EXPECT_EQ(RcodeOf(*answer), 0) << i;
   }
-  // No socket of its own for an UPDATE, and none left: refused, as it has never run.
+  // An UPDATE needs a socket of its own. Without a free descriptor it is refused, which is safe since no
+  // attempt was sent.
   std::vector<std::unique_ptr<DnsTcpClient>> clients;
   for (int i = 0; i < 5; ++i) clients.push_back(std::make_unique<DnsTcpClient>(node.dns_port()));
   clients.clear();
@@ -182,7 +183,7 @@
   }
   ASSERT_TRUE(Eventually([&] { return resolver.queries() >= 2 * kQueries; }));
   node.Signal(SIGTERM);
-  // Clients go on for a moment.
+  // Clients still send queries for a short while.
   std::this_thread::sleep_for(milliseconds(100));
   udp.Send(MakeQuery(QueryFor("late.org", 99)));
   std::set<int> ids;
@@ -199,7 +200,7 @@
       << node.log();
 }
 
-// ---- Starting ----
+// ---- Start-up ----
 
 TEST(DnsStart, AddressInUseAndEmptyFileAreNamed) {
   StandinResolver occupied(StandinResolver::Echo());
--- a/tests/dns/dns_message_test.cpp
+++ b/tests/dns/dns_message_test.cpp
@@ -1,4 +1,4 @@
-// Reading and rewriting DNS messages, on their own: each length, offset and count that lies.
+// Parsing and rewriting of DNS messages, including messages with wrong lengths, offsets and counts.
 #include <random>
 #include <string>
 
@@ -45,7 +45,8 @@
   EXPECT_FALSE(layout.edns);
 }
 
-// Whatever is cut off, no byte behind the end is read (the address sanitizer watches) and it is not whole.
+// Wherever a message is cut off, it is malformed, and no byte after its end is read (checked by the address
+// sanitizer).
 TEST(Message, EveryPrefixIsMalformed) {
   QuerySpec spec;
   spec.edns_size = 1232;
@@ -80,7 +81,7 @@
     }
     Layout layout;
     if (ParseMessage(bytes, layout) != ParseStatus::kOk) continue;
-    // What can be read can be rewritten, and read again.
+    // A message that can be parsed can be rewritten, and the result can be parsed again.
     const Buffer out = ToClientResponse(bytes, layout, client_query, 1232);
     ASSERT_LE(out.size(), client_query.max_response_size);
     Layout again;
@@ -93,7 +94,7 @@
 }
 
 TEST(Message, PointersLeadBackwardsOnly) {
-  // A chain of pointers, each to the one before: long, but it ends.
+  // A long chain of pointers, each to the previous one, is valid because it ends.
   Buffer bytes = {0, 1, 0, 0, 0, 1, 0, 0, 0, 0, 0, 0, 1, 'a', 0, 0, 1, 0, 1};
   std::uint16_t records = 0;
   std::size_t last = 12;
@@ -108,7 +109,7 @@
   bytes[7] = static_cast<std::uint8_t>(records);
   Layout layout;
   EXPECT_EQ(ParseMessage(bytes, layout), ParseStatus::kOk);
-  // One that leads to itself, and one that leads forwards.
+  // A pointer to itself and a pointer forwards are malformed.
   Buffer loop = bytes;
   loop[19] = 0xc0;
   loop[20] = 19;
@@ -142,7 +143,7 @@
   ASSERT_EQ(ParseMessage(query, layout), ParseStatus::kOk);
   EXPECT_TRUE(layout.is_signed);
   EXPECT_EQ(ToResolverQuery(query, layout, 1232), query);
-  // Nothing may stand behind the signature.
+  // No record may follow the signature.
   for (const std::uint8_t byte : {0, 0, 1, 0, 1, 0, 0, 0, 0, 0, 0}) query.push_back(byte);
   query[11] = 3;
   EXPECT_EQ(ParseMessage(query, layout), ParseStatus::kMalformed);
@@ -162,7 +163,7 @@
   EXPECT_EQ(FindExtendedError(answer, read), kNoReachableAuthority);
   EXPECT_LE(answer.size(), kMaxUdpWithoutEdns);
   EXPECT_EQ(testing::QuestionOf(answer), testing::QuestionOf(query));
-  // Whoever speaks no EDNS gets none.
+  // A client that does not use EDNS gets a response without it.
   const Buffer plain = MakeResponse(QueryOf(MakeQuery({})), {}, kBadVers, ExtendedErrorInfo{}, 1232);
   ASSERT_EQ(ParseMessage(plain, read), ParseStatus::kOk);
   EXPECT_FALSE(read.edns);
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -24,7 +24,7 @@
 using Turn = StandinResolver::Turn;
 using Via = StandinResolver::Via;
 
-// ---- Silence ----
+// ---- Unresponsive resolvers ----
 
 TEST(UnresponsiveResolvers, ResolverIsEjectedAndItsClientsAreServedByTheOthers) {
   StandinResolver unresponsive(StandinResolver::Unresponsive());
@@ -46,7 +46,7 @@
   }));
   const int before = unresponsive.queries();
   for (int i = 0; i < 200; ++i) ASSERT_TRUE(send_query());
-  // Only half-open probes, on which no client depends.
+  // The ejected resolver gets only half-open probes, on which no client depends.
   EXPECT_LE(unresponsive.queries() - before, 4);
   // It answers again: half-open probes detect that long before its ejection ends.
   unresponsive.SetScript(StandinResolver::Echo());
@@ -105,7 +105,7 @@
     EXPECT_TRUE(answer_code == kServFail * 100 + 22 || answer_code == kRefused * 100 + 14) << answer_code;
     return node.log().find("ejected r1") != std::string::npos;
   }));
-  // No resolver to send it to: REFUSED, not ready.
+  // Without any resolver, the answer is REFUSED with the extended error Not Ready.
   EXPECT_TRUE(Eventually([&] { return send_query() == kRefused * 100 + 14; }));
   only.SetScript(StandinResolver::Echo());
   EXPECT_TRUE(Eventually([&] {
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -1,5 +1,5 @@
-// The real program between scripted resolvers and DNS clients. Truncated answers: the attempt moves to TCP,
-// and what happens where TCP fails.
+// The real program between scripted resolvers and DNS clients. Truncated answers: the attempt is repeated
+// over TCP; outcomes if TCP fails.
 #include <atomic>
 #include <chrono>
 #include <cstdint>
@@ -125,7 +125,7 @@
     ASSERT_TRUE(answer) << static_cast<int>(way);
     EXPECT_FALSE(client.Receive(kQuietPeriod)) << static_cast<int>(way);
     if (way == Way::kUnresponsive) {
-      // At its deadline nothing has ended yet: the attempt is still out.
+      // The attempt is still open at the deadline, so the truncated answer is not used.
       EXPECT_EQ(RcodeOf(*answer), kServFail);
     } else {
       EXPECT_TRUE(IsTruncated(*answer)) << static_cast<int>(way);
--- a/tests/dns/dns_update_test.cpp
+++ b/tests/dns/dns_update_test.cpp
@@ -32,7 +32,7 @@
   const auto answer = client.Query(update);
   ASSERT_TRUE(answer);
   EXPECT_EQ(RcodeOf(*answer), 0);
-  // Its answer was lost: a retransmission gets the same answer, and nothing runs.
+  // After a lost answer, a retransmission gets the same answer and the UPDATE does not run again.
   for (int i = 0; i < 3; ++i) EXPECT_EQ(client.Query(update), answer);
   EXPECT_EQ(resolver.queries(), 1);
   // Another UPDATE under the same id is a new one.
@@ -85,7 +85,7 @@
 }
 
 constexpr std::uint16_t kUpdates = 6;      // over UDP and TCP in turn
-constexpr std::uint16_t kMaxUpdates = 60;  // until a resolver was asked over both
+constexpr std::uint16_t kMaxUpdates = 60;  // bound for reaching a resolver over each protocol
 
 TEST(Update, IsRetriedIfRefusedByAClosedPort) {
   StandinResolver good(StandinResolver::Echo());
@@ -97,8 +97,8 @@
 }
 
 // REFUSED is answered before anything runs. It also counts as a sign of overload, after which a node may
-// reject updates without any attempt: so each update is the first of a new node, until the resolver that
-// refuses was asked.
+// reject updates without any attempt. So each update is sent to a new node, until the refusing resolver got
+// one over each protocol.
 TEST(Update, IsRetriedIfRefusedBeforeItWasSeen) {
   StandinResolver good(StandinResolver::Echo());
   StandinResolver refusing([](Turn& turn) {
@@ -108,8 +108,8 @@
   });
   const std::string file =
       OperatorFile(ResolverList().Add("bad", refusing.address()).Add("good", good.address()));
-  const auto asked_over_both = [&] { return refusing.udp_queries() > 0 && refusing.tcp_queries() > 0; };
-  for (std::uint16_t id = 0; id < kUpdates || (id < kMaxUpdates && !asked_over_both()); ++id) {
+  const auto saw_both_protocols = [&] { return refusing.udp_queries() > 0 && refusing.tcp_queries() > 0; };
+  for (std::uint16_t id = 0; id < kUpdates || (id < kMaxUpdates && !saw_both_protocols()); ++id) {
     Node node(DnsOnlyOptions(file));
     ASSERT_TRUE(node.DnsListening());
     ASSERT_NO_FATAL_FAILURE(ExpectRunsOnce(node, good, id));
@@ -118,7 +118,8 @@
   EXPECT_GE(refusing.tcp_queries(), 1);
 }
 
-// Each has a socket of its own, so that an error of another datagram is not taken for its own.
+// Each UPDATE over UDP uses its own socket, so that an ICMP error of another datagram is not attributed to
+// it.
 TEST(Update, UsesTheTransportOfTheClient) {
   StandinResolver resolver(StandinResolver::Echo());
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
--- a/tests/dns/recorded_messages_test.cpp
+++ b/tests/dns/recorded_messages_test.cpp
@@ -1,6 +1,5 @@
-// What the program sends over DNS, byte for byte as version 0.2.0 sent it: queries to a resolver over UDP and
-// TCP, and what a client is told over both. Masked as "....": the id of a query to the resolver, which is
-// drawn at random.
+// The DNS messages that the program sends are byte for byte those of version 0.2.0: queries to a resolver and
+// responses to a client, over UDP and TCP. The random id of a query to the resolver is masked as "....".
 #include <gtest/gtest.h>
 
 #include <string>
@@ -85,7 +84,7 @@
   };
 }
 
-// Each row over UDP and over TCP, by a node and a resolver of its own.
+// Runs each row over UDP and over TCP, each time with a new node and a new resolver.
 void Exchange(const Row& row, bool by_tcp, Recorded& recorded) {
   const std::string name = std::string(row.name) + (by_tcp ? ", over TCP" : ", over UDP");
   StandinResolver resolver(row.script, row.tcp);
--- a/tests/runtime/acceptor_errors_test.cpp
+++ b/tests/runtime/acceptor_errors_test.cpp
@@ -35,7 +35,7 @@
   }
 }
 
-// If the next accept() after a failure succeeds, no connection is evicted. If it fails again, one is.
+// If the next accept() after a failure succeeds, no connection is evicted. Each repeated failure evicts one.
 TEST_F(AcceptorTest, OnlyALastingLackOfDescriptorsEvictsOthers) {
   for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS}) {
     const std::size_t before = admitted.size();
