--- a/src/dns/settings.cpp
+++ b/src/dns/settings.cpp
@@ -18,26 +18,29 @@
 
 const ClassSettings* Classifier::Find(std::uint8_t opcode, std::uint16_t qtype, balancer::ClassId& id) const {
   for (std::size_t i = 0; i < classes_.size(); ++i) {
-    const ClassSettings& c = classes_[i];
-    if (c.opcode != opcode) continue;
-    if (!c.qtypes.empty() && std::find(c.qtypes.begin(), c.qtypes.end(), qtype) == c.qtypes.end()) continue;
+    const ClassSettings& class_settings = classes_[i];
+    if (class_settings.opcode != opcode) continue;
+    if (!class_settings.qtypes.empty() &&
+        std::find(class_settings.qtypes.begin(), class_settings.qtypes.end(), qtype) ==
+            class_settings.qtypes.end())
+      continue;
     id = balancer::ClassId{i};
-    return &c;
+    return &class_settings;
   }
   return nullptr;
 }
 
 balancer::Settings ModuleSettings(const Settings& settings) {
   balancer::Settings out;
-  for (const ClassSettings& c : settings.classes) {
-    balancer::RequestClass known;
-    known.name = c.name;
-    known.latency_objective = c.latency_objective;
-    known.deadline = c.deadline;
-    known.effect = c.effect;
-    known.priority_weight = c.priority_weight;
-    known.late_priority_weight = c.late_priority_weight;
-    out.classes.push_back(std::move(known));
+  for (const ClassSettings& class_settings : settings.classes) {
+    balancer::RequestClass request_class;
+    request_class.name = class_settings.name;
+    request_class.latency_objective = class_settings.latency_objective;
+    request_class.deadline = class_settings.deadline;
+    request_class.effect = class_settings.effect;
+    request_class.priority_weight = class_settings.priority_weight;
+    request_class.late_priority_weight = class_settings.late_priority_weight;
+    out.classes.push_back(std::move(request_class));
   }
   out.limits.max_attempts = settings.max_attempts;
   out.limits.hedging = true;
@@ -53,13 +56,13 @@
 dispatch::MembershipList Resolvers(const Settings& settings) {
   dispatch::MembershipList list;
   list.update.kind = balancer::MembershipUpdate::Kind::kFull;
-  for (const ResolverSettings& r : settings.resolvers) {
+  for (const ResolverSettings& resolver : settings.resolvers) {
     balancer::UpstreamInfo info;
-    info.id.value = r.uid;
-    info.zone = r.zone;
-    info.weight = r.weight;
-    info.state = r.leaving ? balancer::UpstreamState::kDraining : balancer::UpstreamState::kServing;
-    list.locations[r.uid] = dispatch::Location{info.state, r.endpoint, 0};
+    info.id.value = resolver.uid;
+    info.zone = resolver.zone;
+    info.weight = resolver.weight;
+    info.state = resolver.leaving ? balancer::UpstreamState::kDraining : balancer::UpstreamState::kServing;
+    list.locations[resolver.uid] = dispatch::Location{info.state, resolver.endpoint, 0};
     list.update.upstreams.push_back(std::move(info));
   }
   return list;
--- a/src/dns/transport.cpp
+++ b/src/dns/transport.cpp
@@ -135,7 +135,7 @@
   for (const Attempt* attempt : attempts) ids.push_back(attempt->id);
   if (!ids.empty()) {
     std::erase_if(attempts_.at(ids.front()).resolver->connections,
-                  [&](const auto& l) { return l.get() == &connection; });
+                  [&](const auto& candidate) { return candidate.get() == &connection; });
   }
   for (const dispatch::ExchangeId id : ids) {
     const auto it = attempts_.find(id);
--- a/tests/admin/admin_access_test.cpp
+++ b/tests/admin/admin_access_test.cpp
@@ -54,7 +54,7 @@
   ::close(half);
 }
 
-TEST(AdminApi, PollingTooOftenIsRejectedUnlookedAt) {
+TEST(AdminApi, PollingTooOftenIsRejected) {
   const AdminDirectory place;
   Node node(Dns(Resolvers(1) + At(place.address())));
   ASSERT_EQ(AdminAddressOf(node), place.address());
--- a/tests/dns/dns_forwarding_test.cpp
+++ b/tests/dns/dns_forwarding_test.cpp
@@ -63,7 +63,7 @@
   EXPECT_LE(node.descriptors(), 64);
 }
 
-TEST(Dns, TcpQueriesAreAnsweredAsTheirAnswersCome) {
+TEST(Dns, TcpQueriesAreAnsweredAsAnswersArrive) {
   StandinResolver resolver([](Turn& turn) {
     if (NameOf(turn.query()) == "slow.org") {
       turn.SendAfter(milliseconds(300), MakeAnswer(turn.query()));
@@ -137,18 +137,18 @@
   } cases[] = {{-1, 40, false}, {600, 40, false}, {100, 20, true},  {100, 40, false},
                {900, 40, true}, {4096, 40, true}, {4096, 80, false}};
   std::uint16_t id = 0;
-  for (const auto& c : cases) {
-    records = c.records;
+  for (const auto& test_case : cases) {
+    records = test_case.records;
     QuerySpec spec = QueryFor("big.org", ++id);
-    spec.edns_size = c.client_edns_size;
+    spec.edns_size = test_case.client_edns_size;
     const auto answer = client.Query(MakeQuery(spec));
     ASSERT_TRUE(answer);
-    EXPECT_EQ(IsTruncated(*answer), !c.whole) << c.client_edns_size;
-    EXPECT_EQ(AnswersOf(*answer), c.whole ? c.records : 0) << c.client_edns_size;
+    EXPECT_EQ(IsTruncated(*answer), !test_case.whole) << test_case.client_edns_size;
+    EXPECT_EQ(AnswersOf(*answer), test_case.whole ? test_case.records : 0) << test_case.client_edns_size;
     EXPECT_EQ(QuestionOf(*answer), QuestionOf(MakeQuery(spec)));
-    EXPECT_EQ(EdnsSizeOf(*answer), c.client_edns_size < 0 ? -1 : 1232) << c.client_edns_size;
-    EXPECT_EQ(EdnsSizeOf(resolver.seen().back().query), c.client_edns_size < 0 ? -1 : 1232)
-        << c.client_edns_size;
+    EXPECT_EQ(EdnsSizeOf(*answer), test_case.client_edns_size < 0 ? -1 : 1232) << test_case.client_edns_size;
+    EXPECT_EQ(EdnsSizeOf(resolver.seen().back().query), test_case.client_edns_size < 0 ? -1 : 1232)
+        << test_case.client_edns_size;
   }
   // Over TCP the answer is complete.
   DnsTcpClient tcp(node.dns_port());
--- a/tests/dns/dns_hostile_input_test.cpp
+++ b/tests/dns/dns_hostile_input_test.cpp
@@ -25,7 +25,7 @@
 
 // ---- Forgeries ----
 
-TEST(Forged, AnswersAreDroppedAndTheRightOneStillCounts) {
+TEST(Forged, AnswersAreDroppedAndTheRightOneIsAccepted) {
   constexpr int kGuesses = 10000;
   StandinResolver resolver([](Turn& turn) {
     const Octets right = MakeAnswer(turn.query());
--- a/tests/dns/dns_message_test.cpp
+++ b/tests/dns/dns_message_test.cpp
@@ -64,7 +64,7 @@
   }
 }
 
-TEST(Message, AnyByteMayBeAnything) {
+TEST(Message, RandomlyChangedOnesParseAgainAfterRewriting) {
   QuerySpec spec;
   spec.edns_size = 1232;
   AnswerSpec answer;
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -132,7 +132,7 @@
 
 // ---- Membership ----
 
-TEST(Drain, NothingBeginsAtALeavingResolverAfterTheWindow) {
+TEST(Drain, NoAttemptStartsAtALeavingResolverAfterTheWindow) {
   const Script script = [](Turn& turn) {
     AnswerSpec spec;
     spec.truncated = turn.via() == Via::kUdp && NameOf(turn.query()).starts_with("t");
@@ -148,17 +148,19 @@
   std::atomic<int> asked{0};
   std::atomic<int> answered{0};
   std::vector<std::thread> clients;
-  for (int c = 0; c < 4; ++c) {
-    clients.emplace_back([&, c] {
+  for (int client_index = 0; client_index < 4; ++client_index) {
+    clients.emplace_back([&, client_index] {
       DnsUdpClient udp(node.dns_port());
       DnsTcpClient tcp(node.dns_port());
       for (std::uint16_t id = 0; !stop; ++id) {
         // Over UDP, moved to TCP, and UPDATEs over TCP: both kinds of sockets are in use.
         ++asked;
         std::optional<Octets> answer;
-        if (id % 3 == 0) answer = udp.Query(MakeQuery(QueryFor("a" + std::to_string(c) + ".org", id)));
-        if (id % 3 == 1) answer = udp.Query(MakeQuery(QueryFor("t" + std::to_string(c) + ".org", id)));
-        if (id % 3 == 2) answer = tcp.Query(MakeUpdate("z.org", id, "h" + std::to_string(c)));
+        if (id % 3 == 0)
+          answer = udp.Query(MakeQuery(QueryFor("a" + std::to_string(client_index) + ".org", id)));
+        if (id % 3 == 1)
+          answer = udp.Query(MakeQuery(QueryFor("t" + std::to_string(client_index) + ".org", id)));
+        if (id % 3 == 2) answer = tcp.Query(MakeUpdate("z.org", id, "h" + std::to_string(client_index)));
         if (answer && RcodeOf(*answer) == 0 && !IsTruncated(*answer)) ++answered;
       }
     });
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -42,7 +42,7 @@
 
 // The first attempt is unanswered; its hedge is truncated at the other resolver and retried over TCP there.
 // Whichever answers first, the client gets one answer and no second.
-TEST(Truncation, PartwayThroughARetryWithAnEarlierAttemptStillOut) {
+TEST(Truncation, OfAHedgeWhileTheFirstAttemptIsOpen) {
   for (const bool first_wins : {false, true}) {
     SharedQueryCount query_count;
     std::atomic<bool> move_done{false};
--- a/tests/runtime/log_test.cpp
+++ b/tests/runtime/log_test.cpp
@@ -97,7 +97,7 @@
 
 // ---- Escaping ----
 
-TEST_F(LogTest, NoValueForgesALineAKeyOrAnOrderToATerminal) {
+TEST_F(LogTest, NoValueForgesALineAKeyOrATerminalSequence) {
   struct Row {
     std::string value;
     std::string shown;
@@ -119,10 +119,11 @@
       {"\xe2\x80\xa8", R"("\xe2\x80\xa8")"},
   };
   for (const Row& row : rows) EXPECT_EQ(LineOf(row.value), "n: info event key=" + row.shown + " after=1\n");
-  for (int c = 0; c < 256; ++c) {
-    const std::string line = LineOf(std::string("a") + static_cast<char>(c) + "b");
-    ASSERT_EQ(line.find('\n'), line.size() - 1) << c;
-    for (const char shown : line.substr(0, line.size() - 1)) ASSERT_TRUE(shown >= ' ' && shown <= '~') << c;
+  for (int byte = 0; byte < 256; ++byte) {
+    const std::string line = LineOf(std::string("a") + static_cast<char>(byte) + "b");
+    ASSERT_EQ(line.find('\n'), line.size() - 1) << byte;
+    for (const char shown : line.substr(0, line.size() - 1))
+      ASSERT_TRUE(shown >= ' ' && shown <= '~') << byte;
   }
 }
 
@@ -157,9 +158,9 @@
 
 TEST_F(LogTest, BurstOf100LinesThen5ASecondAndTheNextTellsHowManyWereLeftOut) {
   const TimePoint begun = Now();
-  std::size_t asked = 0;
+  std::size_t attempted = 0;
   const auto log_one = [&] {
-    if (++asked % 2 == 0) {
+    if (++attempted % 2 == 0) {
       log.Info("event");
     } else {
       log.Stated("stated");
@@ -175,28 +176,28 @@
   const double seconds = std::chrono::duration<double>(Now() - begun).count();
   std::size_t written = 0;
   std::size_t left_out = 0;
-  const std::string told = "n: warning lines_left_out count=";
+  const std::string left_out_prefix = "n: warning lines_left_out count=";
   for (const std::string& line : LinesOf(Take())) {
-    if (line.starts_with(told)) {
-      left_out += std::stoul(line.substr(told.size()));
+    if (line.starts_with(left_out_prefix)) {
+      left_out += std::stoul(line.substr(left_out_prefix.size()));
     } else {
       ++written;
     }
   }
   EXPECT_GT(left_out, 0U);
-  EXPECT_EQ(written + left_out, asked);
+  EXPECT_EQ(written + left_out, attempted);
   EXPECT_LE(static_cast<double>(written), 100 + 5 * seconds);
   EXPECT_GE(seconds, 0.2);  // at 5 lines a second, the first line after the burst takes 0.2 s
 }
 
-TEST_F(LogTest, FiguresAreAsTheyAreAndHaveNoLimit) {
+TEST_F(LogTest, FiguresAreWrittenUnchangedAndWithoutLimit) {
   const std::string text = "counts {\"a\":\"" + std::string(2000, 'x') + "\"}";
   for (int i = 0; i < 300; ++i) log.Figures(text);
   const auto lines = LinesOf(Take());
   ASSERT_EQ(lines.size(), 300U);
   for (const std::string& line : lines) ASSERT_EQ(line, "n: " + text);
   log.Info("event");
-  EXPECT_EQ(Take(), "n: info event\n") << "figures take nothing of the others' limit";
+  EXPECT_EQ(Take(), "n: info event\n") << "figures do not count towards the limit of other lines";
 }
 
 // ---- Standard error ----
