--- a/tests/admin/admin_access_test.cpp
+++ b/tests/admin/admin_access_test.cpp
@@ -15,9 +15,9 @@
 namespace {
 
 TEST(AdminApi, AddressNeedsTheTokenAndNeverShowsIt) {
-  const AdminDirectory place;
+  const AdminDirectory directory;
   const std::string token = "5f1c0a7e9b3d48265f1c0a7e9b3d4826";
-  Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + place.Token(token) + "\"\n")));
+  Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + directory.Token(token) + "\"\n")));
   const std::string address = AdminAddressOf(node);
   ASSERT_TRUE(address.starts_with("127.0.0.1:")) << node.log();
   std::string wrong = token;
@@ -39,10 +39,10 @@
 }
 
 TEST(AdminApi, IdleConnectionsDoNotBlockIt) {
-  const AdminDirectory place;
-  Node node(Dns(Resolvers(1) + At(place.address())));
-  ASSERT_EQ(AdminAddressOf(node), place.address());
-  const AdminClient admin(place.address());
+  const AdminDirectory directory;
+  Node node(Dns(Resolvers(1) + At(directory.address())));
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
+  const AdminClient admin(directory.address());
   const int idle = admin.Connect();
   ASSERT_GE(idle, 0);
   const int half = admin.Connect();
@@ -55,10 +55,10 @@
 }
 
 TEST(AdminApi, PollingTooOftenIsRejected) {
-  const AdminDirectory place;
-  Node node(Dns(Resolvers(1) + At(place.address())));
-  ASSERT_EQ(AdminAddressOf(node), place.address());
-  const AdminClient admin(place.address());
+  const AdminDirectory directory;
+  Node node(Dns(Resolvers(1) + At(directory.address())));
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
+  const AdminClient admin(directory.address());
   int refused = 0;
   // More than the burst allowance; how many more pass depends on how long they take.
   for (int i = 0; i < 200; ++i) {
@@ -74,42 +74,42 @@
 }
 
 TEST(AdminApi, ReplacesAStaleSocketButNothingElse) {
-  const AdminDirectory place;
-  const std::string file = Resolvers(1) + At(place.address());
+  const AdminDirectory directory;
+  const std::string file = Resolvers(1) + At(directory.address());
   {
     Node killed(Dns(file));
-    ASSERT_EQ(AdminAddressOf(killed), place.address());
+    ASSERT_EQ(AdminAddressOf(killed), directory.address());
     killed.Signal(SIGKILL);
     killed.Wait();
   }
-  ASSERT_TRUE(fs::exists(place.socket())) << "left behind";
+  ASSERT_TRUE(fs::exists(directory.socket())) << "left behind";
   Node node(Dns(file));
-  ASSERT_EQ(AdminAddressOf(node), place.address());
-  EXPECT_TRUE(AdminClient(place.address()).Get("/v1/status"));
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
+  EXPECT_TRUE(AdminClient(directory.address()).Get("/v1/status"));
 
   Node second(Dns(file));
   EXPECT_EQ(second.Wait(), 1);
   EXPECT_NE(second.log().find("is served by another process"), std::string::npos) << second.log();
-  EXPECT_TRUE(AdminClient(place.address()).Get("/v1/status")) << "the first one's socket is still there";
+  EXPECT_TRUE(AdminClient(directory.address()).Get("/v1/status")) << "the first one's socket is still there";
 
-  std::ofstream(place.File("plain")) << "kept";
-  Node third(Dns(Resolvers(1) + At("unix:" + place.File("plain"))));
+  std::ofstream(directory.File("plain")) << "kept";
+  Node third(Dns(Resolvers(1) + At("unix:" + directory.File("plain"))));
   EXPECT_EQ(third.Wait(), 1);
   EXPECT_NE(third.log().find("is no socket"), std::string::npos) << third.log();
-  EXPECT_EQ(fs::file_size(place.File("plain")), 4U);
+  EXPECT_EQ(fs::file_size(directory.File("plain")), 4U);
 }
 
 TEST(AdminSettings, TokenFileMustBeGoodAndPrivate) {
-  const AdminDirectory place;
+  const AdminDirectory directory;
   const auto error_of = [&](const std::string& token_file) {
     Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + token_file + "\"\n")));
     EXPECT_EQ(node.Wait(), 1);
     return node.log();
   };
-  EXPECT_NE(error_of(place.File("none")).find("cannot be read"), std::string::npos);
-  EXPECT_NE(error_of(place.Token("5f1c0a7e9b3d48265f1c", 0644)).find("open to others; chmod 600"),
+  EXPECT_NE(error_of(directory.File("none")).find("cannot be read"), std::string::npos);
+  EXPECT_NE(error_of(directory.Token("5f1c0a7e9b3d48265f1c", 0644)).find("open to others; chmod 600"),
             std::string::npos);
-  EXPECT_NE(error_of(place.Token("short")).find("is no token"), std::string::npos);
+  EXPECT_NE(error_of(directory.Token("short")).find("is no token"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/admin/admin_commands_test.cpp
+++ b/tests/admin/admin_commands_test.cpp
@@ -11,11 +11,11 @@
 namespace {
 
 TEST(AdminApi, ReloadAppliesAGoodFileAndNamesTheFaultOfABadOne) {
-  const AdminDirectory place;
-  const std::string admin_section = At(place.address());
+  const AdminDirectory directory;
+  const std::string admin_section = At(directory.address());
   Node node(Dns(Resolvers(1) + admin_section));
-  ASSERT_EQ(AdminAddressOf(node), place.address());  // opens behind DNS
-  const AdminClient admin(place.address());
+  ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
+  const AdminClient admin(directory.address());
   const auto before = admin.Get("/v1/status");
   ASSERT_TRUE(before);
 
@@ -43,10 +43,10 @@
 }
 
 TEST(AdminApi, DrainIsThePlannedStopAndIsReportedMeanwhile) {
-  const AdminDirectory place;
-  Node node(Dns(Resolvers(1) + At(place.address())));
-  ASSERT_EQ(AdminAddressOf(node), place.address());  // opens behind DNS
-  const AdminClient admin(place.address());
+  const AdminDirectory directory;
+  Node node(Dns(Resolvers(1) + At(directory.address())));
+  ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
+  const AdminClient admin(directory.address());
   const auto answer = admin.Post("/v1/drain");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->status, 202);
@@ -55,14 +55,14 @@
   ASSERT_TRUE(draining);
   EXPECT_EQ(draining->body["state"], "draining");
   EXPECT_EQ(node.Wait(), 0);
-  EXPECT_FALSE(fs::exists(place.socket()));
+  EXPECT_FALSE(fs::exists(directory.socket()));
 }
 
 TEST(AdminApi, UnknownCommandsAreRejectedAndLogged) {
-  const AdminDirectory place;
-  Node node(Dns(Resolvers(1) + At(place.address())));
-  ASSERT_EQ(AdminAddressOf(node), place.address());
-  const AdminClient admin(place.address());
+  const AdminDirectory directory;
+  Node node(Dns(Resolvers(1) + At(directory.address())));
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
+  const AdminClient admin(directory.address());
   const auto status = [](const std::optional<AdminAnswer>& answer) { return answer ? answer->status : 0; };
   EXPECT_EQ(status(admin.Get("/v1/drain")), 405);
   EXPECT_EQ(status(admin.Post("/v1/status")), 405);
--- a/tests/admin/admin_fixture.h
+++ b/tests/admin/admin_fixture.h
@@ -34,8 +34,8 @@
 inline std::string Resolvers(int count, const std::string& endpoint = "") {
   std::string text = "[dns]\nlisten = [\"127.0.0.1:0\"]\n";
   for (int i = 0; i < count; ++i) {
-    const std::string place = endpoint.empty() ? "127.0.0.1:" + std::to_string(1000 + i) : endpoint;
-    text += "[[dns.resolver]]\nuid = \"r " + std::to_string(i) + "\"\nendpoint = \"" + place + "\"\n";
+    const std::string address = endpoint.empty() ? "127.0.0.1:" + std::to_string(1000 + i) : endpoint;
+    text += "[[dns.resolver]]\nuid = \"r " + std::to_string(i) + "\"\nendpoint = \"" + address + "\"\n";
   }
   return text;
 }
@@ -57,16 +57,16 @@
 // The address of the admin API as the program logs it; empty if it logs none.
 inline std::string AdminAddressOf(Node& node) {
   const std::string mark = "admin on ";
-  std::string place;
+  std::string address;
   Eventually([&] {
     const std::string log = node.log();
     const auto at = log.find(mark);
     const auto end = at == std::string::npos ? at : log.find('\n', at);
     if (end == std::string::npos) return false;
-    place = log.substr(at + mark.size(), end - at - mark.size());
+    address = log.substr(at + mark.size(), end - at - mark.size());
     return true;
   });
-  return place;
+  return address;
 }
 
 inline bool Logs(Node& node, const std::string& text) {
--- a/tests/admin/admin_status_test.cpp
+++ b/tests/admin/admin_status_test.cpp
@@ -19,19 +19,19 @@
 namespace {
 
 TEST(AdminApi, ReportsTheProcessTheConfigurationAndTheUpstreams) {
-  const AdminDirectory place;
+  const AdminDirectory directory;
   Upstream upstream(Upstream::Echo("u"));
-  Node node(Http(At(place.address()),
+  Node node(Http(At(directory.address()),
                  List({Target("u1", upstream.address()), Target("u2", "127.0.0.1:9", "leaving")})));
   ASSERT_TRUE(node.Listening());
-  ASSERT_EQ(AdminAddressOf(node), place.address());
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
   struct stat info {};
-  ASSERT_EQ(::stat(place.socket().c_str(), &info), 0);
+  ASSERT_EQ(::stat(directory.socket().c_str(), &info), 0);
   EXPECT_EQ(info.st_mode & 0777, 0600U);
 
   Client client(node.port());
   for (int i = 0; i < 3; ++i) ASSERT_TRUE(client.Get("/page/k", "v" + std::to_string(i)));
-  const auto answer = AdminClient(place.address()).Get("/v1/status");
+  const auto answer = AdminClient(directory.address()).Get("/v1/status");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->status, 200);
   const json& body = answer->body;
@@ -67,23 +67,23 @@
   Node node(Dns(Resolvers(1)));
   ASSERT_TRUE(node.DnsListening());
   const int without = node.descriptors();
-  const AdminDirectory place;
-  Node with(Dns(Resolvers(1) + At(place.address())));
-  ASSERT_EQ(AdminAddressOf(with), place.address());
+  const AdminDirectory directory;
+  Node with(Dns(Resolvers(1) + At(directory.address())));
+  ASSERT_EQ(AdminAddressOf(with), directory.address());
   EXPECT_EQ(with.descriptors(), without + 1);
   EXPECT_EQ(node.log().find("admin"), std::string::npos);
 }
 
 TEST(AdminApi, CountsRequestsInFlightRejectedFailedAndDisconnected) {
-  const AdminDirectory place;
+  const AdminDirectory directory;
   std::atomic<bool> answers{false};
   Upstream upstream([&](Wire& wire, const Request&, int) {
     Eventually([&] { return answers.load(); });
     wire.Answer(200, "late");
   });
-  Node node(Http(At(place.address()), List({Target("u1", upstream.address())})));
+  Node node(Http(At(directory.address()), List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
-  const AdminClient admin(place.address());
+  const AdminClient admin(directory.address());
   Client client(node.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", "x", 10000)));
   EXPECT_TRUE(Eventually([&] {
@@ -112,7 +112,7 @@
 }
 
 TEST(AdminApi, ReportsWhichUpstreamIsEjectedUntilWhenAndWhy) {
-  const AdminDirectory place;
+  const AdminDirectory directory;
   StandinResolver dead([](StandinResolver::Turn& turn) {
     AnswerSpec spec;
     spec.rcode = 2;
@@ -121,10 +121,10 @@
   StandinResolver good(StandinResolver::Echo());
   Node node(Dns("[dns]\nlisten = [\"127.0.0.1:0\"]\n[[dns.resolver]]\nuid = \"dead\"\nendpoint = \"" +
                 dead.address() + "\"\n[[dns.resolver]]\nuid = \"good\"\nendpoint = \"" + good.address() +
-                "\"\n" + At(place.address())));
+                "\"\n" + At(directory.address())));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
-  const AdminClient admin(place.address());
+  const AdminClient admin(directory.address());
   json ejected;
   std::uint16_t id = 0;
   EXPECT_TRUE(Eventually([&] {
@@ -145,10 +145,10 @@
 }
 
 TEST(AdminApi, PagesThroughManyUpstreams) {
-  const AdminDirectory place;
-  Node node(Dns(Resolvers(250) + At(place.address())));
-  ASSERT_EQ(AdminAddressOf(node), place.address());
-  const AdminClient admin(place.address());
+  const AdminDirectory directory;
+  Node node(Dns(Resolvers(250) + At(directory.address())));
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
+  const AdminClient admin(directory.address());
   std::set<std::string> seen;
   std::string after;
   for (int page = 0; page < 3; ++page) {
