--- a/tests/http/recorded_messages_test.cpp
+++ b/tests/http/recorded_messages_test.cpp
@@ -15,7 +15,8 @@
 namespace mothrack::testing {
 namespace {
 
-// Reads until `whole` returns true or the peer closes. A close is shown as "[closed]" at the end of the text.
+// Reads until `is_complete` returns true or the peer closes. A close is shown as "[closed]" at the end of the
+// text.
 std::string ReadRaw(Wire& wire, const std::function<bool(const std::string&)>& is_complete) {
   std::string text;
   char part[4096];
