--- a/tests/standins/dns_client.h
+++ b/tests/standins/dns_client.h
@@ -20,7 +20,7 @@
   DnsUdpClient& operator=(const DnsUdpClient&) = delete;
 
   void Send(const Octets& query);
-  // The next datagram; nothing where none comes in time.
+  // Returns the next datagram, or nullopt on timeout.
   std::optional<Octets> Receive(std::chrono::milliseconds timeout = kDnsTimeout);
   std::optional<Octets> Query(const Octets& query) {
     Send(query);
@@ -39,16 +39,16 @@
   DnsTcpClient& operator=(const DnsTcpClient&) = delete;
 
   bool connected() const { return fd_ >= 0; }
-  void Send(const Octets& query);  // with its length
+  void Send(const Octets& query);  // with the length prefix
   void SendRaw(const Octets& bytes);
   void EndSending();
-  // The next message; nothing where none comes in time or the connection ends.
+  // Returns the next message, or nullopt on timeout or at the connection's end.
   std::optional<Octets> Receive(std::chrono::milliseconds timeout = kDnsTimeout);
   std::optional<Octets> Query(const Octets& query) {
     Send(query);
     return Receive();
   }
-  // Waits for the other side's close; false where it never comes or something else does.
+  // Waits until the other side closes. Returns false on timeout or if anything else arrives.
   bool ReadsEnd(std::chrono::milliseconds timeout = kDnsTimeout);
 
  private:
--- a/tests/standins/dns_wire.h
+++ b/tests/standins/dns_wire.h
@@ -1,4 +1,5 @@
-// DNS messages as test peers write and read them: on purpose not by the program's own code.
+// Writes and reads DNS messages for test peers, on purpose without the program's own code, so that a fault
+// there cannot hide itself.
 #pragma once
 
 #include <cstdint>
@@ -17,10 +18,10 @@
   std::uint16_t id = 0x1234;
   std::uint16_t type = kTypeA;
   std::uint8_t opcode = 0;
-  int edns_size = -1;  // below 0: no OPT
+  int edns_size = -1;  // below 0: no OPT record
   std::uint8_t edns_version = 0;
   Octets edns_options{};
-  Octets update{};  // records of an UPDATE's update section: one, as it is
+  Octets update{};  // the one record of an UPDATE's update section, in wire format
 };
 Octets MakeQuery(const QuerySpec& spec);
 Octets MakeUpdate(const std::string& zone, std::uint16_t id, const std::string& record);
@@ -32,7 +33,7 @@
   int extended_error = -1;
   int edns_size = -1;  // below 0: OPT only where an extended error needs one
 };
-// An answer to `query`, its question repeated to the letter.
+// Makes an answer to `query`, with the question copied byte for byte.
 Octets MakeAnswer(const Octets& query, const AnswerSpec& spec = {});
 
 std::uint16_t IdOf(const Octets& message);
@@ -40,9 +41,9 @@
 int RcodeOf(const Octets& message);  // the header's four bits
 bool IsTruncated(const Octets& message);
 int AnswersOf(const Octets& message);
-std::string NameOf(const Octets& message);  // of the first question, as it is written
+std::string NameOf(const Octets& message);  // of the first question, in its original case
 Octets QuestionOf(const Octets& message);
-// The code of the first extended error, below 0 where there is none. The message's records must be those that
+// The code of the first extended error, below 0 if there is none. The message's records must be those that
 // MakeAnswer and the program's own answers have.
 int ExtendedErrorOf(const Octets& message);
 int EdnsSizeOf(const Octets& message);  // below 0: no OPT
--- a/tests/standins/faulty_relay.h
+++ b/tests/standins/faulty_relay.h
@@ -36,7 +36,7 @@
 
 class FaultyRelay {
  public:
-  using Faults = relay::Faults;  // of one link; the defaults are none
+  using Faults = relay::Faults;  // of one link; by default there are none
   using Counts = relay::Counts;  // of one link, or the sum of several
 
   explicit FaultyRelay(std::uint64_t seed = 1);
@@ -44,11 +44,11 @@
   FaultyRelay(const FaultyRelay&) = delete;
   FaultyRelay& operator=(const FaultyRelay&) = delete;
 
-  // Adds an endpoint and the groups that it is in; `udp_port`: its real port on loopback, 0 where it has no
-  // UDP. Returns the port to advertise, 0 likewise.
+  // Adds an endpoint and the groups that it is in; `udp_port`: its real port on loopback, 0 if it has no
+  // UDP. Returns the port to advertise, 0 if it has no UDP.
   std::uint16_t AddEndpoint(const std::string& name, const std::vector<std::string>& groups,
                             std::uint16_t udp_port = 0);
-  // The endpoint restarted on another port; the advertised one stays.
+  // Sets another real port for a restarted endpoint; the advertised port stays.
   void MoveEndpoint(const std::string& name, std::uint16_t udp_port);
   std::uint16_t advertised_port(const std::string& name) const;
   // The port by which `from` reaches `to`'s real TCP port. Several for one pair share its link.
@@ -59,8 +59,8 @@
                     const std::function<void(Faults&)>& change);
   void Cut(const std::string& from, const std::string& to);  // one direction only
   void Restore(const std::string& from, const std::string& to);
-  // Endpoints of different sides exchange nothing, whatever else is set; those in no side form one of their
-  // own.
+  // Endpoints on different sides exchange nothing, whatever faults are set. Endpoints on no side form one
+  // more side.
   void Partition(const std::vector<std::vector<std::string>>& sides);
   void Heal();         // ends the partition; faults of links stay
   void ClearFaults();  // no fault anywhere
@@ -68,20 +68,20 @@
   void ResetConnections(const std::string& from, const std::string& to);
 
   Counts counts(const std::string& from = "*", const std::string& to = "*") const;
-  std::uint64_t unknown_senders() const;  // datagrams from no endpoint's address, dropped
+  std::uint64_t unknown_senders() const;  // datagrams dropped because no endpoint has their source address
   std::size_t queued_bytes() const;       // bytes queued now
   std::string Describe()
-      const;  // the links on which anything was dropped, repeated or reordered, for a test's log
+      const;  // lists the links on which anything was dropped, duplicated, reordered or reset
 
  private:
-  // Takes over changed faults for what is queued, and wakes the thread.
+  // Reschedules queued data after a change of faults, and wakes the thread.
   void ApplyChangedFaults();
   void Loop();
   int PollTimeoutMs() const;  // milliseconds until something is due; -1: nothing is queued
   void HandleEvents(int fd, std::uint32_t events, relay::Clock::time_point now);
 
   relay::Poller poller_;
-  mutable std::mutex mutex_;  // guards the three below
+  mutable std::mutex mutex_;  // guards topology_, datagrams_ and connections_
   relay::Topology topology_;
   relay::DatagramRelay datagrams_;
   relay::ConnectionRelay connections_;
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -28,7 +28,7 @@
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-// Waits for a condition, far longer than it should take; false where it never came.
+// Waits until the condition holds, far longer than it should take. Returns false on timeout.
 bool Eventually(const std::function<bool()>& condition);
 
 // A connection as a script sees it. Everything blocks (the test runner's time-out is the
@@ -40,7 +40,7 @@
   std::optional<Response> ReadResponse();
   bool Write(const std::string& bytes);
   bool Answer(unsigned status, const std::string& body, const std::string& headers = "");
-  bool ReadsEnd();  // waits for the other side's close
+  bool ReadsEnd();  // waits until the other side closes the connection
   void Reset();     // closes with a reset
 
   tcp::socket socket;
@@ -49,7 +49,8 @@
   boost::beast::flat_buffer buffer_;
 };
 
-// Makes the system take little of a message that the other end does not read: small segments and buffer.
+// Sets small segments and a small receive buffer, so that little of a message is accepted while this end does
+// not read.
 void LimitReceiveBuffer(tcp::acceptor& acceptor);
 
 // Listens on a free port and plays a script for each connection, each in a thread of its own.
@@ -75,7 +76,7 @@
   std::thread accepting_;
 };
 
-// An upstream that answers each request by a function of it, and keeps what it was sent.
+// An upstream that calls the handler for each request and records the requests.
 class Upstream {
  public:
   using Handler = std::function<void(Wire&, const Request&, int request_number)>;
@@ -92,7 +93,7 @@
   Peer peer_;
 };
 
-// An address where connections never come up: its backlog is full.
+// An address where connection attempts hang: the listener's backlog is full.
 class BlackHole {
  public:
   BlackHole();
@@ -104,7 +105,7 @@
   std::vector<tcp::socket> waiting_;
 };
 
-// An address that refuses connections: bound, but nobody listens.
+// An address that refuses connections: its socket is bound but does not listen.
 class Refusing {
  public:
   Refusing();
@@ -118,7 +119,8 @@
 json Target(const std::string& uid, const std::string& endpoint, const std::string& state = "active",
             std::int64_t boot_ms = 0);
 
-// A list of targets. (Braces alone would leave it to the compiler whether one target is a list.)
+// A JSON array of targets. With a braced initializer, compilers differ on whether one target becomes an
+// array.
 json List(const std::vector<json>& targets);
 
 class Discovery {
@@ -162,34 +164,35 @@
     json settings = Settings();
     int sockets = 256;
     std::string listen = "127.0.0.1:0";
-    std::string ops = "";     // where operators call: LB_OPS
+    std::string ops = "";     // LB_OPS: the listening address of the operators' port; empty: not set
     std::string tmpdir = "";  // $TMPDIR; empty: none is set
     std::vector<std::string> unset;
     std::string config_text;                 // in place of the JSON made from the rest
     bool platform = true;                    // the LB_* variables are set
-    std::string operator_file;               // its text; empty: none is named
+    std::string operator_file;               // the text of the operator file; empty: there is none
     std::vector<std::string> environment{};  // further NAME=VALUE
     int udp_send_interval = 0;    // the system accepts only every n-th datagram at the first try; 0: all
-    int socket_limit = 0;         // the system gives it no descriptor of this number or more; 0: no limit
-    std::string fault_plan = "";  // the file of a FaultPlan by which its system calls fail; empty: none
+    int socket_limit = 0;         // descriptors of this number or more are refused; 0: no limit
+    std::string fault_plan = "";  // the file of the FaultPlan that makes its system calls fail; empty: none
     bool lost_wakeups = false;    // epoll never reports a client that waits at a listening socket
-    bool log_blocked = false;     // its log takes no byte until UnblockLog(): it stops at its first line
+    bool log_blocked = false;     // writes to its log block until UnblockLog()
   };
   explicit Node(const Options& options);
   ~Node();
-  void UnblockLog();  // reads the log from here on; for log_blocked
-  bool Listening();   // waits until it is
+  void UnblockLog();  // starts to read the log; for log_blocked
+  bool Listening();   // waits until the node listens
   std::uint16_t port() const { return port_; }
   void Signal(int number);
-  void Reload(const std::string& config_text);  // replaces the file and tells it
-  bool OpsListening();                          // waits until it is
+  void Reload(
+      const std::string& config_text);  // replaces the configuration file and makes the node reload it
+  bool OpsListening();                  // waits until the operators' port listens
   std::string ops() const { return "127.0.0.1:" + std::to_string(ops_port_); }
-  bool DnsListening();  // waits until it is
+  bool DnsListening();  // waits until the DNS port listens
   std::uint16_t dns_port() const { return dns_port_; }
-  void WriteOperatorFile(const std::string& text);  // replaces it, and tells nobody
+  void WriteOperatorFile(const std::string& text);  // replaces the file without a reload
   void ReloadOperatorFile(const std::string& text);
   json config() const { return config_; }
-  int Wait();  // its exit code; 128 and the signal where it was killed
+  int Wait();  // returns the exit code, or 128 plus the signal that killed the process
   pid_t pid() const { return pid_; }
   std::string log() const;
   int descriptors() const;
@@ -207,11 +210,11 @@
   std::string operator_path_;
   mutable std::mutex mutex_;
   std::string log_;
-  int log_end_ = -1;  // until it is read
+  int log_end_ = -1;  // the pipe's read end until the log is read
   std::thread reading_;
 };
 
-// A connection of the application.
+// A connection from the application to the sidecar.
 class Client {
  public:
   explicit Client(std::uint16_t port);
--- a/tests/standins/relay_connections.h
+++ b/tests/standins/relay_connections.h
@@ -24,20 +24,22 @@
   ConnectionRelay(const ConnectionRelay&) = delete;
   ConnectionRelay& operator=(const ConnectionRelay&) = delete;
 
-  // Listens on a port for connections to `real_port`, whose bytes cross the two links; the port.
+  // Listens on a port for connections to `real_port`, whose bytes cross the two links. Returns
+  // the port.
   std::uint16_t Listen(Link& forward, Link& backward, std::uint16_t real_port);
 
   bool OwnsListener(int fd) const { return listeners_.contains(fd); }
   void Accept(int listener);
-  // What the poller tells of either socket of a connection; nothing where it is closed already.
+  // Handles the poller's events for either socket of a connection; ignores sockets that are already closed.
   void HandleEvents(int fd, std::uint32_t events, Clock::time_point now);
   // Connects, delivers and closes whatever is due now.
   void Advance();
-  // When Advance has something to do next; time_point::max() where it waits for events alone.
+  // When Advance() has something to do next; time_point::max() if it waits only for events.
   Clock::time_point NextDue() const;
-  // Schedules what is queued on links whose faults changed, as if the new ones had held when it came.
+  // Reschedules what is queued on links whose faults changed, as if the new faults had applied on its
+  // arrival.
   void Reschedule();
-  // Resets both sides of the connections whose forward link the two selectors mean.
+  // Resets both sides of the connections whose forward link matches the two selectors.
   void Reset(const std::string& from, const std::string& to);
 
  private:
@@ -52,9 +54,9 @@
     Stream& outgoing;
     Stream& incoming;
     int fd = -1;
-    std::uint32_t events = 0;  // that the poller is asked for
-    bool watched = true;       // false: gone, the poller is asked for nothing any more
-    bool was_reset = false;    // and a cut keeps it from the other side
+    std::uint32_t events = 0;  // the epoll events that are registered
+    bool watched = true;       // false: closed or reset, and removed from the poller
+    bool was_reset = false;    // a cut link delays the reset of the other side
   };
   struct Connection {
     explicit Connection(const Listener& listener)
@@ -72,10 +74,11 @@
   static bool FinishConnecting(Connection& connection);
   void StopWatching(Side& side) const;
   void Advance(Connection& connection, Clock::time_point now);
-  // What an established connection has to exchange now; false: the connection is closed.
+  // Transfers what an established connection can transfer now. Returns false if the connection is to be
+  // closed.
   bool Exchange(Connection& connection, Clock::time_point now);
   static Clock::time_point NextDueOf(const Connection& connection);
-  // Asks the poller only for what can be used now; a side whose stream has no room is not read.
+  // Registers only the events that can be handled now; a side whose stream is full is not read.
   void UpdateInterest(Connection& connection) const;
   void UpdateInterest(Side& side, bool connecting) const;
   void Close(int client, bool reset);
--- a/tests/standins/relay_datagrams.h
+++ b/tests/standins/relay_datagrams.h
@@ -30,13 +30,14 @@
   void Move(Endpoint& endpoint, std::uint16_t udp_port);
 
   bool Owns(int fd) const { return by_fd_.contains(fd); }
-  // Queues what waits at a socket that it owns.
+  // Receives and queues the datagrams that wait at a socket of the relay.
   void Receive(int fd);
   // Sends all that is due.
   void Deliver(Clock::time_point now);
-  // When the next datagram is due; time_point::max() where none is queued.
+  // When the next datagram is due; time_point::max() if none is queued.
   Clock::time_point NextDue() const;
-  // Schedules what is queued on links whose faults changed, as if the new ones had held when it came.
+  // Reschedules what is queued on links whose faults changed, as if the new faults had applied on its
+  // arrival.
   void Reschedule();
 
   std::uint64_t unknown_senders() const { return unknown_senders_; }
@@ -60,7 +61,7 @@
   const Poller& poller_;
   std::unordered_map<std::uint16_t, Endpoint*> by_real_port_;
   std::unordered_map<int, Endpoint*> by_fd_;
-  std::multimap<Clock::time_point, Datagram> queue_;  // by when they are due
+  std::multimap<Clock::time_point, Datagram> queue_;  // by due time
   std::uint64_t unknown_senders_ = 0;
   std::vector<char> buffer_ = std::vector<char>(kReadBytes);
 };
--- a/tests/standins/relay_io.h
+++ b/tests/standins/relay_io.h
@@ -1,5 +1,5 @@
-// What a FaultyRelay asks the system for: sockets on loopback, and which of them are ready. Errors:
-// std::runtime_error where the system gives none.
+// The system interface of a FaultyRelay: loopback sockets and their readiness. Errors: std::runtime_error if
+// the system provides no socket or epoll set.
 #pragma once
 
 #include <sys/epoll.h>
@@ -10,11 +10,11 @@
 
 namespace mothrack::testing::relay {
 
-constexpr std::size_t kReadBytes = 65'536;  // at most, of one read
+constexpr std::size_t kReadBytes = 65'536;  // the most that one read takes
 
-// A non-blocking socket of `type` on a port of loopback that the system chooses and `port` tells.
+// Opens a non-blocking socket of `type` on a loopback port that the system chooses, and sets `port` to it.
 int OpenLoopbackSocket(int type, std::uint16_t& port);
-// The close that follows resets the connection.
+// Makes a later close() reset the connection.
 void ResetOnClose(int fd);
 
 // An epoll set, and a way to end a wait from another thread. Wake may be called from any thread; the rest as
@@ -30,8 +30,8 @@
   void Add(int fd, std::uint32_t events) const;
   void Change(int fd, std::uint32_t events) const;
   void Remove(int fd) const;
-  // Waits until a socket is ready, Wake is called or the time is over (-1: no limit). The ready sockets, at
-  // most 256, without the wake-up itself.
+  // Waits until a socket is ready, Wake() is called or the timeout ends (-1: no limit). Returns the events of
+  // at most 256 ready sockets, without the wake-up itself.
   std::vector<epoll_event> Wait(int timeout_ms) const;
   void Wake() const;
 
--- a/tests/standins/relay_link.h
+++ b/tests/standins/relay_link.h
@@ -27,7 +27,7 @@
   bool reset_connections = false;  // TCP: open and new connections are reset
 };
 
-// Of one ordered pair; datagrams, unless the name says otherwise.
+// The counts of one ordered pair, in datagrams unless the name says otherwise.
 struct Counts {
   std::uint64_t received = 0, delivered = 0, bytes = 0;
   std::uint64_t lost = 0, cut = 0, queue_full = 0,
@@ -46,10 +46,10 @@
   std::size_t side = 0;          // of the partition; 0: in no side
 };
 
-// Whether a selector, a name, a group or "*", means this endpoint.
+// Whether a selector (a name, a group or "*") matches this endpoint.
 bool Selects(const std::string& selector, const Endpoint& endpoint);
 
-// What chance decides for one datagram.
+// The random decisions for one datagram.
 struct DatagramDraws {
   bool lost = false;
   bool duplicated = false;
@@ -64,7 +64,7 @@
 
   const Endpoint& from() const { return from_; }
   const Endpoint& to() const { return to_; }
-  // By its own fault or by a partition.
+  // Whether the link is cut, by its own fault or by a partition.
   bool IsCut() const;
   // Takes the same number of random numbers for each datagram, whatever the faults, so that one more fault
   // does not change which datagrams another one hits.
@@ -84,8 +84,8 @@
   const Endpoint& from_;
   const Endpoint& to_;
   std::mt19937_64 random_;
-  Clock::time_point last_due_;    // of what keeps its order
-  Clock::time_point busy_until_;  // a link of limited bandwidth has sent all that it has by then
+  Clock::time_point last_due_;    // of data that keeps its order
+  Clock::time_point busy_until_;  // when a link of limited bandwidth has sent all its queued data
 };
 
 }  // namespace mothrack::testing::relay
--- a/tests/standins/relay_stream.h
+++ b/tests/standins/relay_stream.h
@@ -14,7 +14,7 @@
 
 class Stream {
  public:
-  // Whether the connection goes on after a call of the system.
+  // Whether the connection can be used further after a system call.
   enum class IoResult { kContinue, kFailed };
 
   // The link must outlive the stream; its queued bytes are kept up to date.
@@ -24,30 +24,30 @@
   Stream& operator=(const Stream&) = delete;
 
   Link& link() const { return link_; }
-  bool ended() const { return ended_; }      // nothing more comes from the sender
-  bool done() const { return done_; }        // and the receiver has, or needs, nothing more
-  bool blocked() const { return blocked_; }  // the receiver takes no more for now
+  bool ended() const { return ended_; }      // the sender sends nothing more
+  bool done() const { return done_; }        // the receiver has received everything or is closed
+  bool blocked() const { return blocked_; }  // the receiver's socket accepts no more for now
   bool HasRoom() const { return queued_bytes_ < link_.faults.queue_bytes; }
-  // When the next bytes can be delivered; time_point::max() where none can.
+  // When the next bytes can be delivered; time_point::max() if none can.
   Clock::time_point NextDue() const;
 
-  // Reads what the sender's socket has, as far as there is room, by way of `buffer`.
+  // Reads from the sender's socket, up to the free space of the queue, through `buffer`.
   IoResult Receive(int from, std::vector<char>& buffer, Clock::time_point now);
   // Writes what is due to the receiver's socket.
   IoResult Deliver(int to, Clock::time_point now);
   void Unblock() { blocked_ = false; }
-  // The sender is gone; what came from it is still delivered.
+  // The sender has closed; what it sent before is still delivered.
   void End() { ended_ = true; }
-  // The receiver is gone, and what is queued with it.
+  // The receiver has closed; what is queued is discarded.
   void Abandon();
-  // Schedules what is queued as if the link's present faults had held when it came.
+  // Reschedules what is queued as if the link's present faults had applied on its arrival.
   void Reschedule();
 
  private:
   struct Chunk {
     Clock::time_point came, due;
     std::string bytes;
-    bool end = false;  // of what the sender has to say; no bytes then
+    bool end = false;  // the end of the sender's data; the chunk has no bytes then
   };
 
   std::size_t ReadSize(std::size_t buffer_size) const;
--- a/tests/standins/relay_topology.h
+++ b/tests/standins/relay_topology.h
@@ -18,7 +18,7 @@
 
 class Topology {
  public:
-  // By the names of the two endpoints. A link is made when it is first needed, and stays.
+  // Links by the names of their two endpoints. A link is made when it is first needed, and stays.
   using Links = std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>>;
 
   explicit Topology(std::uint64_t seed) : seed_(seed) {}
@@ -31,13 +31,13 @@
   Link& LinkOf(const Endpoint& from, const Endpoint& to);
   const Links& links() const { return links_; }
 
-  // The link of every pair that the two selectors mean; an error where they mean none, as a fault that is set
-  // nowhere would let every test pass.
+  // Calls `call` for the link of every pair that the two selectors match. Throws if they match none, because
+  // a fault that applies to no link would let every test pass.
   void ForEachLink(const std::string& from, const std::string& to, const std::function<void(Link&)>& call);
-  // Endpoints in no side form one of their own.
+  // Endpoints on no side form one more side.
   void Partition(const std::vector<std::vector<std::string>>& sides);
 
-  // Of the links that the two selectors mean.
+  // The sum of the counts of the links that the two selectors match.
   Counts CountsOf(const std::string& from, const std::string& to) const;
   std::size_t QueuedBytes() const;
 
--- a/tests/standins/resolver.h
+++ b/tests/standins/resolver.h
@@ -1,5 +1,5 @@
-// A stand-in for a DNS resolver on a loopback port, UDP and TCP, that plays a script and keeps what it was
-// sent. One thread; nothing in it waits but for the network.
+// A stand-in for a DNS resolver on a loopback port, UDP and TCP, that answers by a script and records the
+// queries. It has one thread, which blocks only in epoll_wait().
 #pragma once
 
 #include <atomic>
@@ -29,21 +29,21 @@
     int connection = -1;  // over TCP: the connection's number
   };
 
-  // What a script does about one query. Valid during the script only; what it plans for later goes by
-  // After().
+  // One query and the ways to answer it. Valid only while the script runs; SendAfter() schedules a later
+  // answer.
   class Turn {
    public:
     const Octets& query() const { return seen_.query; }
     Via via() const { return seen_.via; }
-    int number() const { return number_; }  // of the query, from 0
-    // Octets as they are: over TCP with their length before them.
+    int number() const { return number_; }  // the query's number, from 0
+    // Sends the octets unchanged, over TCP with the length prefix.
     void Send(const Octets& answer);
     void Answer(const AnswerSpec& spec = {}) { Send(MakeAnswer(query(), spec)); }
-    // Over TCP: these bytes without a length.
+    // Over TCP: sends the bytes without a length prefix.
     void SendRaw(const Octets& bytes);
     // Over TCP: breaks the connection with a reset.
     void Reset();
-    // The answer goes out so much later, where its way is still there.
+    // Sends the answer after the delay, unless its connection is closed by then.
     void SendAfter(std::chrono::milliseconds delay, const Octets& answer);
 
    private:
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -24,7 +24,7 @@
 
 namespace mothrack::testing {
 
-// The first lines of a list, each ended, to be printed beside a failure.
+// The first lines of a list, each with a line end, for a failure message.
 std::string FirstLines(const std::vector<std::string>& lines);
 
 class TestCluster {
@@ -34,15 +34,16 @@
     int sidecars = 6;                      // s0, s1, ... over the zones in turn
     int agents = 3;                        // a0, a1, ..., the same
     int upstreams = 2;                     // in each zone: "bole-hall-u0", ...
-    std::chrono::milliseconds probe{200};  // the other terms of [peers] are scaled by it
-    std::chrono::milliseconds every{25};   // a request of each sidecar's client
+    std::chrono::milliseconds probe{200};  // the other intervals of [peers] are scaled with it
+    std::chrono::milliseconds every{25};   // the interval between requests of each sidecar's client
     std::uint64_t seed = 1;
     bool with_peers = true;
     std::string peers = "";          // further lines of [peers]
-    std::string operator_file = "";  // further sections, of sidecars
-    std::string agent_file = "";     // of agents
+    std::string operator_file = "";  // further sections of the sidecars' operator files
+    std::string agent_file = "";     // further sections of the agents' files
   };
-  // All processes listen when the constructor returns; std::runtime_error with the log of one that does not.
+  // All processes listen when the constructor returns. Throws std::runtime_error with the log of a process
+  // that does not start.
   explicit TestCluster(const Options& options);
   ~TestCluster();
   TestCluster(const TestCluster&) = delete;
@@ -58,28 +59,30 @@
   void Pause(const std::string& selector);     // SIGSTOP
   void Continue(const std::string& selector);  // SIGCONT
   void Signal(const std::string& selector, int number);
-  void Start(const std::string& selector);  // those that don't run, on the same ports where they are free
+  void Start(
+      const std::string& selector);  // starts those that don't run, on the same ports if these are free
   pid_t pid(const std::string& name) const;
   bool runs(const std::string& name) const;
 
-  // A key as its file has it, each number another; all begin with that of 0. Each process has a file of its
-  // own, so that they may differ.
+  // The text of the key with this number, as in a key file. All processes begin with key 0. Each process has
+  // its own key file, so that the keys may differ.
   static std::string Key(int number);
   void SetKeys(const std::string& selector, const std::vector<std::string>& keys);
 
-  // A process's report of its peers; null where it does not answer.
+  // The peers section of a process's status; null if the process does not answer.
   nlohmann::json Peers(const std::string& name) const;
-  nlohmann::json Status(const std::string& name) const;  // all of it
-  // How one sees another: "alive", "suspect", "dead", "left", "unknown".
+  nlohmann::json Status(const std::string& name) const;  // the whole status
+  // The state of a member as the observer reports it: "alive", "suspect", "dead", "left", "unknown".
   std::string StateAt(const std::string& observer, const std::string& member) const;
-  // Whether all of these see all of those so, each but itself. Polls each once: the admin API limits its
-  // rate.
+  // Whether every observer reports every member other than itself in this state. Polls each observer once,
+  // because the admin API limits the rate of calls.
   bool AllSee(const std::vector<std::string>& observers, const std::vector<std::string>& members,
               const std::string& state) const;
   bool AllSee(const std::string& observers, const std::string& members, const std::string& state) const {
     return AllSee(Names(observers), Names(members), state);
   }
-  // Polls `condition` every 100 ms; the time until it held, nullopt where it did not within `timeout`.
+  // Polls `condition` every 100 ms. Returns the time until it held, or nullopt if it did not within
+  // `timeout`.
   std::optional<std::chrono::milliseconds> Await(const std::function<bool()>& condition,
                                                  std::chrono::milliseconds timeout) const;
 
@@ -92,10 +95,12 @@
       std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
   std::size_t count(Traffic::Outcome end) const { return traffic_ ? traffic_->count(end) : 0; }
 
-  // What discovery reports of an upstream: "active", "leaving"; "gone" takes it from the list.
+  // Sets the state that discovery reports for an upstream: "active" or "leaving"; "gone" removes it from the
+  // list.
   void SetUpstreamState(const std::string& upstream, const std::string& state);
-  std::string AddressOf(const std::string& upstream) const;  // its real one, not the relay's
-  // Discovery reports a restart: the upstream is in slow start, and does `per_s` requests a second after it.
+  std::string AddressOf(const std::string& upstream) const;  // the real address, not the relay's
+  // Makes discovery report a restart: the upstream is in slow start and handles `per_s` requests a second
+  // after it.
   void AnnounceRestart(const std::string& upstream, double per_s);
 
   std::string path(const std::string& name) const { return directory_.File(name); }
@@ -105,12 +110,13 @@
   struct Process {
     std::string name, zone, machine;
     bool agent = false;
-    std::size_t number = 0;  // among those of its kind
+    std::size_t number = 0;  // among the sidecars or among the agents
     std::uint16_t udp = 0, tcp = 0;
     pid_t pid = -1;
     std::size_t log_from = 0;  // where the log of this run begins
     std::unique_ptr<Discovery> discovery;
-    std::map<std::string, std::uint16_t> relay_ports;  // by which it reaches the upstreams
+    std::map<std::string, std::uint16_t>
+        relay_ports;  // the relay's ports through which it reaches the upstreams
   };
   struct UpstreamEntry {
     std::string name, zone, state;
@@ -128,14 +134,14 @@
   void AddProcess(bool agent, int number);
   void ConnectThroughRelay(Process& sidecar);
   std::string PeersSection(const Process& process) const;
-  void WriteFile(const Process& process) const;  // its configuration
+  void WriteFile(const Process& process) const;  // the process's configuration
   std::vector<std::string> CommandOf(const Process& process) const;
   std::vector<std::string> EnvironmentOf(const Process& process) const;
   void Spawn(Process& process);
-  bool WaitUntilListening(Process& process);  // waits until it listens; false where it has ended
+  bool WaitUntilListening(Process& process);  // false if the process has ended
   void StartAll(const std::vector<Process*>& processes);
   void EndInstance(const Process& agent) const;
-  void RecordNotified(const Process& sidecar);  // it knows the upstreams from now on
+  void RecordNotified(const Process& sidecar);  // records that it knows the upstreams from now on
 
   const Options options_;
   const TemporaryDirectory directory_{"cluster"};
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -17,11 +17,11 @@
 
 namespace mothrack::testing {
 
-// An upstream's side: which unsafe requests ran, and how often.
+// Records which unsafe requests ran at the upstreams, and how often.
 class Runs {
  public:
   Upstream::Handler Handler();
-  void Note(const std::string& id);  // it ran
+  void Note(const std::string& id);  // records one run
   std::map<std::string, int> all() const;
 
  private:
@@ -37,11 +37,12 @@
     kFailed,         // another status
     kNotAccepted,    // no connection: the sidecar is down
     kIdleCloseRace,  // written to a reused connection that the sidecar closed meanwhile
-    kLost,           // taken, as far as a client can tell, and never answered
+    kLost,           // accepted, as far as a client can tell, and never answered
   };
 
-  // A request that has ended, whichever way: of which sidecar's client, its how manieth, and from when to
-  // when. `connected`: its connection stood by then, or `begin` where it never did.
+  // A request that has ended, with any outcome: the number of its client's sidecar, its index among that
+  // client's requests, and its times. `connected`: when its connection was established, or `begin` if it
+  // never was.
   struct CompletedRequest {
     std::size_t number = 0;
     int index = 0;
@@ -51,14 +52,14 @@
     std::chrono::steady_clock::time_point begin, connected, end;
   };
 
-  // Begins at once; each sends so often. `on_completed`: by the clients' threads. With
-  // `requests_on_a_connection` a client closes its connection after so many.
+  // Starts at once; each client sends a request `every` interval. `on_completed` is called by the clients'
+  // threads. `requests_on_a_connection`: a client closes its connection after this many requests; 0: never.
   Traffic(const std::vector<std::uint16_t>& ports, std::chrono::milliseconds every,
           std::function<void(const CompletedRequest&)> on_completed = {}, int requests_on_a_connection = 0);
   ~Traffic();
-  // Ends it, and tells how the unsafe requests ended, by their ids.
+  // Ends the traffic. Returns the outcomes of the unsafe requests by their ids.
   std::map<std::string, Outcome> Stop();
-  // Of all requests, safe ones as well.
+  // The number of requests with this outcome, safe ones included.
   std::size_t count(Outcome end) const { return counts_[static_cast<std::size_t>(end)]; }
 
  private:
--- a/tests/standins/traffic_record.h
+++ b/tests/standins/traffic_record.h
@@ -23,21 +23,21 @@
   // How long a client of the cluster waits for its answer.
   static constexpr std::chrono::milliseconds kRequestTimeout{5000};
 
-  // By the clients' threads: a request has ended.
+  // Called by the clients' threads when a request has ended.
   void RequestCompleted(const Traffic::CompletedRequest& request);
-  // By the upstreams' threads: the request with this id, as Traffic forms it, runs at an upstream. Other ids
-  // are passed over.
+  // Called by the upstreams' threads when the request with this id, as Traffic forms it, runs at an upstream.
+  // Other ids are ignored.
   void RequestStarted(std::size_t upstream, std::string_view id, TimePoint at);
   // The process of a sidecar was seen to be gone: whatever it sent, it sent before `at`.
   void SidecarKilled(std::size_t sidecar, TimePoint at);
   // A sidecar is notified of all upstreams; `draining` has an entry for each of them.
   void SidecarNotified(std::size_t sidecar, const std::vector<bool>& draining, TimePoint at);
-  // An upstream is in slow start from `at`, and does so many requests a second once it is warm.
+  // An upstream is in slow start from `at`, and handles this many requests a second after it.
   void UpstreamRestarted(std::size_t upstream, double requests_per_second, TimePoint at);
 
-  // All violations, a line each. `unsafe`: how the unsafe requests ended for their clients; `runs`: how often
-  // each of them ran; `drain`: from the notice that an upstream drains to the last request that it may get.
-  // After the traffic has ended.
+  // Returns all violations, one line each. `unsafe`: how the unsafe requests ended for their clients; `runs`:
+  // how often each of them ran; `drain`: from the notice that an upstream drains to the last request that it
+  // may get. To be called after the traffic has ended.
   std::vector<std::string> Violations(const std::map<std::string, Traffic::Outcome>& unsafe,
                                       const std::map<std::string, int>& runs,
                                       std::chrono::milliseconds drain) const;
@@ -54,7 +54,7 @@
   mutable std::mutex mutex_;
   std::vector<simulation::SimulationEvent> events_;  // of upstreams and sidecars
   std::vector<Traffic::CompletedRequest> completed_;
-  std::map<std::size_t, std::vector<TimePoint>> kills_;  // by sidecar, in order
+  std::map<std::size_t, std::vector<TimePoint>> kills_;  // by sidecar, in order of time
 };
 
 }  // namespace mothrack::testing
