--- a/tests/standins/dns_wire.cpp
+++ b/tests/standins/dns_wire.cpp
@@ -49,7 +49,7 @@
 
 std::size_t QuestionEnd(const Octets& in) { return Get(in, 4) == 0 ? 12 : SkipName(in, 12) + 4; }
 
-// The offset of the OPT record's type; 0 where there is none.
+// The offset of the OPT record's type; 0 if there is none.
 std::size_t FindOpt(const Octets& in) {
   std::size_t at = QuestionEnd(in);
   for (int left = Get(in, 6) + Get(in, 8) + Get(in, 10); left > 0; --left) {
--- a/tests/standins/faulty_relay.cpp
+++ b/tests/standins/faulty_relay.cpp
@@ -67,7 +67,7 @@
 void FaultyRelay::Partition(const std::vector<std::vector<std::string>>& sides) {
   const std::lock_guard lock(mutex_);
   topology_.Partition(sides);
-  poller_.Wake();  // what is queued is looked at when it is due
+  poller_.Wake();  // queued data is checked for a cut when it is due
 }
 
 void FaultyRelay::Heal() { Partition({}); }
@@ -124,7 +124,7 @@
 
 void FaultyRelay::Loop() {
   while (!stopping_) {
-    // Whoever changes something between the two also wakes.
+    // A change after PollTimeoutMs() also calls Wake(), which ends the wait.
     const auto events = poller_.Wait(PollTimeoutMs());
     const std::lock_guard lock(mutex_);
     const auto now = Clock::now();
--- a/tests/standins/fleet.cpp
+++ b/tests/standins/fleet.cpp
@@ -31,12 +31,13 @@
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
 }
 
-// Holds ports for the sidecars and agents of one fleet. Bound and not listening: whoever sets SO_REUSEADDR
-// may listen there all the same, and a connection is refused while nobody does. Another test's fleet finds
-// the port taken, also while its sidecar is down: else clients would meet a stranger there.
-class Ports {
+// Reserves ports for the sidecars and agents of one fleet. Each port is bound but not listening: a process
+// that sets SO_REUSEADDR can still listen on it, and connections are refused while none does. The fleet of
+// another test finds the port taken even while its sidecar is down; otherwise clients could reach that
+// fleet's sidecar.
+class PortReservations {
  public:
-  // Each another; below the range that the system gives out by itself, so that no connection has one of them.
+  // Returns distinct ports below the range of ephemeral ports, so that no connection uses one of them.
   std::vector<std::uint16_t> Take(std::size_t count) {
     std::vector<std::uint16_t> ports;
     static std::uint16_t next = static_cast<std::uint16_t>(10'000 + ::getpid() % 200 * 100);
@@ -65,9 +66,9 @@
   Generation("g1");
   const auto sidecars =
       static_cast<std::size_t>(options_.agents) * static_cast<std::size_t>(options_.instances);
-  const auto held = std::make_shared<Ports>();
-  reserved_ports_ = held;
-  ports_ = options_.ports ? held->Take(sidecars) : std::vector<std::uint16_t>(sidecars, 0);
+  const auto reservations = std::make_shared<PortReservations>();
+  reserved_ports_ = reservations;
+  ports_ = options_.ports ? reservations->Take(sidecars) : std::vector<std::uint16_t>(sidecars, 0);
   std::string list;
   std::string viewers;
   if (options_.tokens) {
@@ -79,7 +80,7 @@
   for (int a = 0; a < options_.agents; ++a) {
     const std::string name = "a" + std::to_string(a);
     const std::string hall = a < (options_.agents + 1) / 2 ? "bole" : "kality";
-    const std::string place = options_.tokens ? "127.0.0.1:" + std::to_string(held->Take(1).front())
+    const std::string place = options_.tokens ? "127.0.0.1:" + std::to_string(reservations->Take(1).front())
                                               : "unix:" + path(name + ".sock");
     std::ofstream file(path(name + ".toml"));
     file << "[agent]\nname = \"" << name << "\"\nhall = \"" << hall << "\"\nlisten = \"" << place
@@ -110,7 +111,8 @@
 
 Fleet::~Fleet() {
   for (const auto& [agent, pid] : agents_) ::kill(pid, SIGKILL), CodeOf(pid);
-  // The sidecars are their own masters; the files say which they are, and the locks that they still run.
+  // The sidecars outlive their agents. Their process files have the pids, and a reservations lock shows that
+  // a sidecar still runs.
   for (int a = 0; a < options_.agents; ++a) {
     for (int i = 0; i < options_.instances; ++i) {
       const auto file = json::parse(ReadAll(DirectoryOf(a, i) + "/process.json"), nullptr, false);
@@ -224,8 +226,8 @@
     if (!status.is_object()) return false;
     for (const auto& [name, agent] : status["agents"].items()) {
       if (!agent.contains("instances")) return false;
-      for (const auto& [instance, told] : agent["instances"].items()) {
-        if (!told.value("ready", false) || told.value("generation", "") != generation) return false;
+      for (const auto& [instance, report] : agent["instances"].items()) {
+        if (!report.value("ready", false) || report.value("generation", "") != generation) return false;
       }
     }
     return true;
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -61,8 +61,7 @@
   std::string DirectoryOf(int agent, int instance) const;
   std::string AgentLog(int agent) const;
   pid_t AgentPid(int agent) const { return agents_.at(agent); }
-  int StartAgentAgain(
-      int agent);  // starts a second process of the agent while the first runs; returns its exit code
+  int StartAgentAgain(int agent);  // while the first one runs; returns the exit code
 
  private:
   pid_t Spawn(const std::vector<std::string>& command, const std::string& out,
--- a/tests/standins/full_send_buffer.cpp
+++ b/tests/standins/full_send_buffer.cpp
@@ -1,6 +1,6 @@
-// Loaded into a program by LD_PRELOAD: of the datagrams that it sends, the system takes only every
-// UDP_SEND_INTERVAL-th at the first try; for the others its buffer is full. A loopback network itself never
-// is.
+// Loaded into a program by LD_PRELOAD: only every UDP_SEND_INTERVAL-th call that sends a datagram succeeds.
+// The others fail with EAGAIN, as with a full send buffer, which does not occur on the loopback network
+// itself.
 #include <dlfcn.h>
 #include <sys/socket.h>
 
--- a/tests/standins/lost_wakeups.cpp
+++ b/tests/standins/lost_wakeups.cpp
@@ -1,5 +1,4 @@
-// Loaded into a program by LD_PRELOAD: the system never tells it of a client that waits at a listening
-// socket.
+// Loaded into a program by LD_PRELOAD: epoll_wait() never reports a client that waits at a listening socket.
 #include <dlfcn.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -8,7 +7,8 @@
 
 namespace {
 
-// One thread registers and waits in the program under test; descriptors beyond are reported as usual.
+// The epoll data of each descriptor. Unguarded: one thread of the program under test registers and waits.
+// Events of higher descriptors are reported as usual.
 std::array<void*, 4096> registered{};
 
 bool Listens(const void* tag) {
@@ -23,22 +23,22 @@
 
 }  // namespace
 
-extern "C" int epoll_ctl(int epoll, int what, int fd, epoll_event* event) {
+extern "C" int epoll_ctl(int epoll, int operation, int fd, epoll_event* event) {
   using Function = int (*)(int, int, int, epoll_event*);
   static const auto next = reinterpret_cast<Function>(::dlsym(RTLD_NEXT, "epoll_ctl"));
   if (event != nullptr && fd >= 0 && fd < static_cast<int>(registered.size())) {
     for (void*& tag : registered) {
-      if (tag == event->data.ptr) tag = nullptr;  // of a descriptor that is closed
+      if (tag == event->data.ptr) tag = nullptr;  // left by a closed descriptor
     }
     registered[static_cast<std::size_t>(fd)] = event->data.ptr;
   }
-  return next(epoll, what, fd, event);
+  return next(epoll, operation, fd, event);
 }
 
-extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
+extern "C" int epoll_wait(int epoll, epoll_event* events, int max_events, int timeout) {
   using Function = int (*)(int, epoll_event*, int, int);
   static const auto next = reinterpret_cast<Function>(::dlsym(RTLD_NEXT, "epoll_wait"));
-  const int reported = next(epoll, events, most, timeout);
+  const int reported = next(epoll, events, max_events, timeout);
   int passed = 0;
   for (int i = 0; i < reported; ++i) {
     if (!Listens(events[i].data.ptr)) events[passed++] = events[i];
--- a/tests/standins/node.cpp
+++ b/tests/standins/node.cpp
@@ -16,9 +16,10 @@
 namespace mothrack::testing {
 namespace {
 
-// The library that injects the fault which `options` ask for, and its settings; one kind of fault a process.
+// The environment that preloads the fault library for `options`, with its settings. A process has at most one
+// kind of fault.
 std::vector<std::string> FaultEnvironment(const Node::Options& options) {
-  // The sanitizers want to be loaded first; here the injected library is.
+  // The sanitizer's check that it is loaded first is off: here the preloaded library comes first.
   const std::string sanitizer = "ASAN_OPTIONS=verify_asan_link_order=0";
   if (!options.fault_plan.empty()) {
     return {"LD_PRELOAD=" MOTHRACK_FAULT_INJECTION, "FAULT_PLAN=" + options.fault_plan, sanitizer};
@@ -35,8 +36,7 @@
   return {};
 }
 
-// The environment of the sidecar as NAME=VALUE by NAME: this process's own, with what `options` set and
-// unset.
+// The sidecar's environment, as NAME=VALUE by NAME: that of this process with the changes of `options`.
 std::map<std::string, std::string> Environment(const Node::Options& options, const std::string& config_path) {
   std::map<std::string, std::string> variables;
   for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -73,7 +73,7 @@
 }
 
 // Fills the pipe, so that the next write to it blocks.
-void Fill(int writing_end) {
+void FillPipe(int writing_end) {
   const int size = ::fcntl(writing_end, F_SETPIPE_SZ, 1);
   const std::string full(static_cast<std::size_t>(std::max(size, 1)), '\n');
   if (::write(writing_end, full.data(), full.size()) != size) throw std::runtime_error("pipe");
@@ -96,8 +96,8 @@
   operator_path_ = config_path_ + ".toml";
   if (!options.operator_file.empty()) std::ofstream(operator_path_) << options.operator_file;
 
-  // All of it before the fork: other threads of this process may hold the allocator's lock at that moment,
-  // and under the sanitizers a child that allocates then waits for ever.
+  // Everything is allocated before the fork: another thread may hold the allocator's lock at the fork, and
+  // under the sanitizers a child that allocates then blocks forever.
   std::vector<std::string> variables;
   for (const auto& [name, entry] : Environment(options, config_path_)) variables.push_back(entry);
   std::vector<std::string> arguments = {MOTHRACK_PROGRAM};
@@ -107,7 +107,7 @@
 
   int ends[2];
   if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
-  if (options.log_blocked) Fill(ends[1]);
+  if (options.log_blocked) FillPipe(ends[1]);
   pid_ = ::fork();
   if (pid_ == 0) {
     ::dup2(ends[1], 2);
--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -21,7 +21,7 @@
 using std::chrono::seconds;
 
 constexpr auto kTimeout = seconds(20);
-constexpr std::uint64_t kMostBody = 1 << 30;
+constexpr std::uint64_t kMaxBodyBytes = 1 << 30;
 
 tcp::endpoint Loopback(std::uint16_t port) { return {boost::asio::ip::make_address_v4("127.0.0.1"), port}; }
 
@@ -38,7 +38,7 @@
 
 std::optional<Request> Wire::ReadRequest() {
   beast_http::request_parser<beast_http::string_body> parser;
-  parser.body_limit(kMostBody);
+  parser.body_limit(kMaxBodyBytes);
   error_code error;
   beast_http::read(socket, buffer_, parser, error);
   if (error) return std::nullopt;
@@ -47,7 +47,7 @@
 
 std::optional<Response> Wire::ReadResponse() {
   beast_http::response_parser<beast_http::string_body> parser;
-  parser.body_limit(kMostBody);
+  parser.body_limit(kMaxBodyBytes);
   error_code error;
   beast_http::read(socket, buffer_, parser, error);
   if (error) return std::nullopt;
@@ -156,12 +156,12 @@
     auto& socket = waiting_.emplace_back(io_, tcp::v4());
     socket.native_non_blocking(true);
     const auto to = acceptor_.local_endpoint();
-    // Not through Asio, which waits for the end of it.
+    // A direct call, because Asio's connect() blocks until the connection attempt ends.
     [[maybe_unused]] const int begun = ::connect(socket.native_handle(), to.data(), to.size());
     pollfd ready{socket.native_handle(), POLLOUT, 0};
     if (::poll(&ready, 1, 100) == 0) return;
   }
-  throw std::runtime_error("the backlog never fills");
+  throw std::runtime_error("the listener's backlog does not fill");
 }
 
 std::string BlackHole::address() const {
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -183,9 +183,8 @@
   bool Listening();   // waits until the node listens
   std::uint16_t port() const { return port_; }
   void Signal(int number);
-  void Reload(
-      const std::string& config_text);  // replaces the configuration file and makes the node reload it
-  bool OpsListening();                  // waits until the operators' port listens
+  void Reload(const std::string& config_text);  // replaces the file and sends SIGHUP
+  bool OpsListening();                          // waits until the operators' port listens
   std::string ops() const { return "127.0.0.1:" + std::to_string(ops_port_); }
   bool DnsListening();  // waits until the DNS port listens
   std::uint16_t dns_port() const { return dns_port_; }
--- a/tests/standins/relay_connections.cpp
+++ b/tests/standins/relay_connections.cpp
@@ -36,7 +36,7 @@
 std::uint16_t ConnectionRelay::Listen(Link& forward, Link& backward, std::uint16_t real_port) {
   std::uint16_t port = 0;
   const int fd = OpenLoopbackSocket(SOCK_STREAM, port);
-  if (::listen(fd, SOMAXCONN) != 0) throw std::runtime_error("the relay can't listen");
+  if (::listen(fd, SOMAXCONN) != 0) throw std::runtime_error("the relay cannot listen on its TCP port");
   listeners_[fd] = {&forward, &backward, real_port};
   poller_.Add(fd, EPOLLIN);
   return port;
@@ -102,7 +102,7 @@
     return Close(connection.client.fd, true);
   }
   if (failed) {
-    // A reset crosses a cut as little as bytes do: the far end learns nothing until it heals.
+    // A reset does not cross a cut link either: the far end does not see it until the cut ends.
     if (!side.outgoing.link().IsCut()) return Close(connection.client.fd, true);
     side.was_reset = true;
     side.incoming.Abandon();
@@ -117,7 +117,7 @@
 }
 
 void ConnectionRelay::StopWatching(Side& side) const {
-  poller_.Remove(side.fd);  // what it is gone by would be reported again and again
+  poller_.Remove(side.fd);  // epoll would report the error or hang-up again and again
   side.watched = false;
   side.incoming.Unblock();
 }
@@ -143,7 +143,7 @@
     return false;
   };
   for (const Side* side : {&connection.client, &connection.server}) {
-    // One side was reset, and a cut delayed the reset of the other.
+    // One side was reset while the link was cut: now the other side is reset as well.
     if (side->was_reset && !side->outgoing.link().IsCut()) return close(true);
   }
   for (const Side* side : {&connection.server, &connection.client}) {
--- a/tests/standins/relay_datagrams.cpp
+++ b/tests/standins/relay_datagrams.cpp
@@ -12,9 +12,10 @@
 namespace mothrack::testing::relay {
 namespace {
 
-constexpr std::size_t kHeaderBytes = 28;  // of IP and UDP on the wire: an empty datagram takes room as well
-constexpr int kMaxReceivedAtOnce = 256;  // datagrams of one socket in one turn, so that none starves the rest
-constexpr int kKernelBufferBytes = 1 << 20;  // what the system may hold while the thread is not scheduled
+constexpr std::size_t kHeaderBytes = 28;  // IP and UDP headers: an empty datagram has a size as well
+constexpr int kMaxReceivedAtOnce =
+    256;  // datagrams from one socket in a row, so that no socket starves the others
+constexpr int kKernelBufferBytes = 1 << 20;  // for datagrams that arrive while the thread is not scheduled
 
 }  // namespace
 
--- a/tests/standins/relay_io.cpp
+++ b/tests/standins/relay_io.cpp
@@ -12,14 +12,14 @@
 namespace mothrack::testing::relay {
 namespace {
 
-constexpr std::size_t kMaxEvents = 256;  // of one wait
+constexpr std::size_t kMaxEvents = 256;  // returned by one wait
 
 }  // namespace
 
 int OpenLoopbackSocket(int type, std::uint16_t& port) {
   const int fd = ::socket(AF_INET, type | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
   if (fd < 0 || !BindLoopback(fd, 0) || (port = LocalPort(fd)) == 0) {
-    throw std::runtime_error("the relay gets no socket");
+    throw std::runtime_error("the relay cannot open a loopback socket");
   }
   return fd;
 }
@@ -32,7 +32,7 @@
 Poller::Poller() : epoll_(::epoll_create1(EPOLL_CLOEXEC)), wake_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {
   epoll_event event{EPOLLIN, {.fd = wake_}};
   if (epoll_ < 0 || wake_ < 0 || ::epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_, &event) != 0) {
-    throw std::runtime_error("the relay can't wait");
+    throw std::runtime_error("the relay cannot create its epoll set");
   }
 }
 
--- a/tests/standins/relay_link.cpp
+++ b/tests/standins/relay_link.cpp
@@ -15,7 +15,8 @@
   return std::mt19937_64(sequence);
 }
 
-// Uniform from 0 to 1. Not by a distribution of the library, whose draws differ from one library to the next.
+// A uniform number in [0, 1). The distributions of the standard library are not used, as their results differ
+// between implementations.
 double UniformShare(std::mt19937_64& random) { return static_cast<double>(random() >> 11) * 0x1p-53; }
 
 }  // namespace
--- a/tests/standins/relay_report.cpp
+++ b/tests/standins/relay_report.cpp
@@ -5,8 +5,10 @@
 namespace mothrack::testing::relay {
 namespace {
 
-bool HasFaults(const Counts& c) {
-  return c.lost + c.cut + c.queue_full + c.send_errors + c.duplicated + c.reordered + c.resets != 0;
+bool HasFaults(const Counts& counts) {
+  return counts.lost + counts.cut + counts.queue_full + counts.send_errors + counts.duplicated +
+             counts.reordered + counts.resets !=
+         0;
 }
 
 }  // namespace
@@ -14,14 +16,15 @@
 std::string Describe(const Topology& topology, std::uint64_t unknown_senders) {
   std::ostringstream text;
   for (const auto& [names, link] : topology.links()) {
-    const Counts& c = link->counts;
-    if (!HasFaults(c)) continue;
-    text << names.first << " > " << names.second << ": " << c.received << " came, " << c.delivered
-         << " delivered; dropped " << c.lost << " by chance, " << c.cut << " by a cut, " << c.queue_full
-         << " for room, " << c.send_errors << " by the system; repeated " << c.duplicated << ", reordered "
-         << c.reordered << "; TCP " << c.connections << " connections, " << c.resets << " reset\n";
+    const Counts& counts = link->counts;
+    if (!HasFaults(counts)) continue;
+    text << names.first << " > " << names.second << ": " << counts.received << " came, " << counts.delivered
+         << " delivered; dropped " << counts.lost << " by loss, " << counts.cut << " by a cut, "
+         << counts.queue_full << " by a full queue, " << counts.send_errors << " by the system; duplicated "
+         << counts.duplicated << ", reordered " << counts.reordered << "; TCP " << counts.connections
+         << " connections, " << counts.resets << " reset\n";
   }
-  if (unknown_senders > 0) text << unknown_senders << " datagrams of strangers\n";
+  if (unknown_senders > 0) text << unknown_senders << " datagrams from unknown senders\n";
   return text.str();
 }
 
--- a/tests/standins/relay_stream.cpp
+++ b/tests/standins/relay_stream.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::chrono::microseconds kNoExtraDelay(0);
-// A link of limited bandwidth passes on small pieces, or its rate would come in leaps.
+// A link of limited bandwidth forwards small pieces, so that the rate is even.
 constexpr std::size_t kPiecesPerSecond = 50;
 constexpr std::size_t kMinPieceBytes = 256;
 
--- a/tests/standins/relay_topology.cpp
+++ b/tests/standins/relay_topology.cpp
@@ -7,14 +7,14 @@
 Endpoint& Topology::AddEndpoint(const std::string& name, const std::vector<std::string>& groups,
                                 std::uint16_t udp_port) {
   auto& endpoint = endpoints_[name];
-  if (endpoint != nullptr) throw std::logic_error("the relay has two ends " + name);
+  if (endpoint != nullptr) throw std::logic_error("the relay already has an endpoint " + name);
   endpoint = std::make_unique<Endpoint>(Endpoint{name, groups, udp_port, 0, -1, 0});
   return *endpoint;
 }
 
 Endpoint& Topology::EndpointOf(const std::string& name) {
   const auto it = endpoints_.find(name);
-  if (it == endpoints_.end()) throw std::logic_error("the relay has no end " + name);
+  if (it == endpoints_.end()) throw std::logic_error("the relay has no endpoint " + name);
   return *it->second;
 }
 
--- a/tests/standins/resolver.cpp
+++ b/tests/standins/resolver.cpp
@@ -37,7 +37,7 @@
 }  // namespace
 
 StandinResolver::StandinResolver(Script script, bool tcp, std::uint16_t port) : script_(std::move(script)) {
-  // A port that is free for both.
+  // Looks for a port that is free for both UDP and TCP.
   for (int i = 0; i < 50; ++i) {
     udp_ = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     if (!BindLoopback(udp_, port)) throw std::runtime_error("bind UDP");
@@ -98,8 +98,8 @@
       const DelayedAnswer later = delayed_.begin()->second;
       delayed_.erase(delayed_.begin());
       const auto it = open_.find(later.fd);
-      const bool there = later.number < 0 || (it != open_.end() && it->second.number == later.number);
-      if (there) SendNow(later.fd, later.peer, later.bytes);
+      const bool connected = later.number < 0 || (it != open_.end() && it->second.number == later.number);
+      if (connected) SendNow(later.fd, later.peer, later.bytes);
     }
     for (int i = 0; i < ready; ++i) {
       const int fd = events[i].data.fd;
--- a/tests/standins/resolver_main.cpp
+++ b/tests/standins/resolver_main.cpp
@@ -1,6 +1,7 @@
-// standin_resolver PORT [silent]: a resolver for trials by hand, for dig and dnsperf. Port 0 takes a free
-// one; it is printed. Answers each query with one record, and "bigN.example.org" with N (truncated over UDP
-// where they do not fit what the query says), until it is ended; then it tells how many it was sent.
+// standin_resolver PORT [silent]: a resolver for manual tests with dig and dnsperf. Port 0 takes a free port.
+// The port is printed. Answers each query with one record, and "bigN.example.org" with N records (truncated
+// over UDP if they exceed the size that the query allows); with "silent" it answers none. On SIGTERM or
+// SIGINT it prints how many queries it received and exits.
 #include <csignal>
 #include <cstdlib>
 #include <iostream>
@@ -22,8 +23,8 @@
   const std::string name = NameOf(turn.query());
   if (name.starts_with("big")) spec.records = std::atoi(name.c_str() + 3);
   auto answer = MakeAnswer(turn.query(), spec);
-  const auto most = static_cast<std::size_t>(std::max(512, EdnsSizeOf(turn.query())));
-  if (turn.via() == StandinResolver::Via::kUdp && answer.size() > most) {
+  const auto max_size = static_cast<std::size_t>(std::max(512, EdnsSizeOf(turn.query())));
+  if (turn.via() == StandinResolver::Via::kUdp && answer.size() > max_size) {
     spec.truncated = true;
     answer = MakeAnswer(turn.query(), spec);
   }
--- a/tests/standins/socket_limit.cpp
+++ b/tests/standins/socket_limit.cpp
@@ -1,6 +1,6 @@
-// Loaded into a program by LD_PRELOAD: the system gives no socket whose number is SOCKET_LIMIT or more, as if
-// that were the limit of descriptors. Not a limit of the process itself: the undefined-behaviour sanitizer
-// opens pipes for its checks, and takes one that it can't have for an object that isn't there.
+// Loaded into a program by LD_PRELOAD: socket() and accept() return no descriptor of SOCKET_LIMIT or more, as
+// if that were the process's limit. RLIMIT_NOFILE is not used: the undefined-behaviour sanitizer opens pipes
+// for its checks, and reports an invalid object if it cannot open one.
 #include <dlfcn.h>
 #include <fcntl.h>
 #include <sys/socket.h>
@@ -11,12 +11,12 @@
 
 namespace {
 
-// Asked before anything happens: what is refused must not be accepted and closed.
-bool Refused() {
+// Checked before the call: a refused client must stay in the backlog, not be accepted and closed.
+bool LimitReached() {
   static const char* const setting = std::getenv("SOCKET_LIMIT");
   static const int limit = setting == nullptr ? INT_MAX : std::atoi(setting);
   for (int fd = 0; fd < limit; ++fd) {
-    if (::fcntl(fd, F_GETFD) < 0) return false;  // the system gives the lowest that is free
+    if (::fcntl(fd, F_GETFD) < 0) return false;  // the system returns the lowest free descriptor
   }
   errno = EMFILE;
   return true;
@@ -27,11 +27,11 @@
 extern "C" int socket(int domain, int type, int protocol) {
   using Function = int (*)(int, int, int);
   static const auto next = reinterpret_cast<Function>(::dlsym(RTLD_NEXT, "socket"));
-  return Refused() ? -1 : next(domain, type, protocol);
+  return LimitReached() ? -1 : next(domain, type, protocol);
 }
 
 extern "C" int accept(int fd, sockaddr* from, socklen_t* from_size) {
   using Function = int (*)(int, sockaddr*, socklen_t*);
   static const auto next = reinterpret_cast<Function>(::dlsym(RTLD_NEXT, "accept"));
-  return Refused() ? -1 : next(fd, from, from_size);
+  return LimitReached() ? -1 : next(fd, from, from_size);
 }
--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -29,10 +29,10 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int kMaxPrintedLines = 10;
-constexpr int kMaxPortAttempts = 5;         // at ports, where one was taken meanwhile
-constexpr milliseconds kDefaultProbe{500};  // of [peers]; the other defaults there go with it
+constexpr int kMaxPortAttempts = 5;         // restarts on other ports if one was taken meanwhile
+constexpr milliseconds kDefaultProbe{500};  // probe_ms of [peers], to which its other defaults are scaled
 constexpr const char* kDiscoveryEndpoint =
-    "discovery";  // in no zone: whatever is cut off, it stays with those that are not
+    "discovery";  // in no zone, so that a partition leaves it with the endpoints on no side
 
 std::string ReadAll(const std::string& path) {
   std::ostringstream text;
@@ -40,8 +40,8 @@
   return text.str();
 }
 
-// Below the range that the system gives out by itself, so that no connection has it while its owner is down;
-// free for both protocols a moment ago.
+// Returns a port that was free for TCP and UDP when it was checked. It is below the range of ephemeral ports,
+// so that no connection takes it while its owner is down.
 std::uint16_t FreePort() {
   static std::uint16_t next = static_cast<std::uint16_t>(10'000 + ::getpid() % 210 * 100);
   for (;;) {
@@ -56,12 +56,12 @@
   }
 }
 
-// Of "host:port".
+// The port of an address "host:port".
 std::uint16_t PortOf(const std::string& address) {
   return static_cast<std::uint16_t>(std::stoi(address.substr(address.find(':') + 1)));
 }
 
-// As execve(2) takes them, with a null pointer behind the last; valid while `texts` is.
+// A null-terminated array of pointers into `texts` for execve(2); valid as long as `texts` is.
 std::vector<char*> PointersTo(std::vector<std::string>& texts) {
   std::vector<char*> pointers;
   for (std::string& text : texts) pointers.push_back(text.data());
@@ -69,10 +69,11 @@
   return pointers;
 }
 
-// A child process whose output is appended to `log`. It is killed with the process that started it.
+// Starts a child process whose output is appended to `log`. It is killed when the thread that started it
+// ends.
 pid_t StartProcess(std::vector<std::string> command, std::vector<std::string> environment,
                    const std::string& log) {
-  // All that allocates comes before the fork: another thread may hold the allocator's lock.
+  // Allocates before the fork only: another thread may hold the allocator's lock at the fork.
   const std::vector<char*> argv = PointersTo(command);
   const std::vector<char*> envp = PointersTo(environment);
   const int fd = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0600);
@@ -100,10 +101,13 @@
   return text;
 }
 
-// Whole before anything is started, so that its destructor ends what was, whatever fails.
-TestCluster::TestCluster(const Options& options) : TestCluster(options, Made{}) { StartAll(Select("*")); }
+// Delegates, so that the object is complete before a process starts: if a start throws, the destructor runs
+// and ends the processes that were started.
+TestCluster::TestCluster(const Options& options) : TestCluster(options, NotStarted{}) {
+  StartAll(Select("*"));
+}
 
-TestCluster::TestCluster(const Options& options, Made)
+TestCluster::TestCluster(const Options& options, NotStarted)
     : options_(options), relay_(std::make_unique<FaultyRelay>(options.seed)) {
   WriteSharedFiles();
   relay_->AddEndpoint(kDiscoveryEndpoint, {});
@@ -154,7 +158,7 @@
   processes_[process.name] = std::move(process);
 }
 
-// A sidecar reaches upstreams and discovery by ports of the relay.
+// Opens the relay's ports through which a sidecar reaches upstreams and discovery.
 void TestCluster::ConnectThroughRelay(Process& sidecar) {
   for (const UpstreamEntry& entry : upstreams_) {
     sidecar.relay_ports[entry.name] =
@@ -182,7 +186,7 @@
       selected.push_back(&process);
     }
   }
-  if (selected.empty()) throw std::logic_error("the cluster has nothing called " + selector);
+  if (selected.empty()) throw std::logic_error("the cluster has no process that matches " + selector);
   return selected;
 }
 
@@ -277,10 +281,10 @@
         << "\nprobe_patience_ms = " << scaled(200)
         << "\ngossip_ms = " << std::max<std::int64_t>(scaled(100), 20)
         << "\ndigest_ms = " << std::max<std::int64_t>(scaled(1000), 100) << "\n";
-  // The bound on datagrams is by second, and rounds are shorter.
+  // The limit of datagrams is per second: shorter probe intervals need a higher one.
   peers << "datagrams_per_s = "
         << std::min<std::int64_t>(40 * kDefaultProbe.count() / options_.probe.count(), 1000) << "\nseeds = [";
-  // One of each zone, so that every part of a fleet that was cut finds back.
+  // One seed per zone, so that every side of a partition can rejoin the others.
   bool first = true;
   for (std::size_t i = 0; i < options_.zones.size(); ++i) {
     const std::string name = (options_.agents > 0 ? "a" : "s") + std::to_string(i);
@@ -301,7 +305,7 @@
          << peers << options_.operator_file;
     return;
   }
-  // An agent has to have an instance; this one does nothing and ends by itself.
+  // An agent needs at least one instance; this one only sleeps.
   file << "[agent]\nname = \"" << process.name << "\"\nhall = \"" << process.zone
        << "\"\nlisten = \"unix:" << path(process.name + ".sock") << "\"\ndirectory = \"" << path(process.name)
        << "\"\n[limits]\nfirst_pause_ms = 1000\n[generations]\ng1 = \"" << path("g1") << "\"\n"
@@ -315,7 +319,7 @@
   return {MOTHRACK_PROGRAM, "--config", file};
 }
 
-// The test's own environment but for the platform's variables, which each sidecar gets for itself.
+// The test's own environment without the platform's variables (LB_*), which are set for each sidecar.
 std::vector<std::string> TestCluster::EnvironmentOf(const Process& process) const {
   std::vector<std::string> variables;
   for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -342,7 +346,7 @@
   const bool up = Eventually([&] {
     ended = ::waitpid(process.pid, nullptr, WNOHANG) == process.pid;
     const std::string text = Log(process.name).substr(process.log_from);
-    // A sidecar opens its admin API last: until then a call there meets what the process before has
+    // A sidecar opens its admin API last. Until then a call there meets the socket that the previous process
     // left.
     return ended || text.find(process.agent ? "agent on " : "admin on ") != std::string::npos;
   });
@@ -385,7 +389,7 @@
 }
 
 void TestCluster::Kill(const std::string& selector) {
-  Signal(selector, SIGKILL);  // all of them before any is waited for: a machine drops at once
+  Signal(selector, SIGKILL);  // all before the first wait, as when a machine fails
   for (Process* process : Select(selector)) {
     if (process->pid <= 0) continue;
     ::waitpid(process->pid, nullptr, 0);
@@ -397,7 +401,7 @@
 void TestCluster::Pause(const std::string& selector) { Signal(selector, SIGSTOP); }
 void TestCluster::Continue(const std::string& selector) { Signal(selector, SIGCONT); }
 
-// It is its own master; its file says which it is, and its lock that it still runs.
+// The instance outlives its agent. Its process file has the pid, and a held lock shows that it still runs.
 void TestCluster::EndInstance(const Process& agent) const {
   const std::string place = path(agent.name) + "/instances/idle";
   const auto file = json::parse(ReadAll(place + "/process.json"), nullptr, false);
@@ -452,7 +456,7 @@
   const auto begin = Clock::now();
   while (!condition()) {
     if (Clock::now() - begin > timeout) return std::nullopt;
-    std::this_thread::sleep_for(milliseconds(100));  // the rate limit of the admin API
+    std::this_thread::sleep_for(milliseconds(100));  // the admin API limits the rate of calls
   }
   return std::chrono::duration_cast<milliseconds>(Clock::now() - begin);
 }
@@ -465,8 +469,8 @@
 }
 
 std::vector<std::string> TestCluster::StopTrafficAndCheck(milliseconds drain) {
-  if (!traffic_) return {"there was no traffic to judge"};
-  Continue("*");  // whoever waits for a stopped one would wait on
+  if (!traffic_) return {"there was no traffic to check"};
+  Continue("*");  // a client of a paused process would wait for it
   const auto unsafe = traffic_->Stop();
   return record_.Violations(unsafe, ran_.all(), drain);
 }
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -59,8 +59,7 @@
   void Pause(const std::string& selector);     // SIGSTOP
   void Continue(const std::string& selector);  // SIGCONT
   void Signal(const std::string& selector, int number);
-  void Start(
-      const std::string& selector);  // starts those that don't run, on the same ports if these are free
+  void Start(const std::string& selector);  // those that don't run, on the same ports if free
   pid_t pid(const std::string& name) const;
   bool runs(const std::string& name) const;
 
@@ -115,8 +114,7 @@
     pid_t pid = -1;
     std::size_t log_from = 0;  // where the log of this run begins
     std::unique_ptr<Discovery> discovery;
-    std::map<std::string, std::uint16_t>
-        relay_ports;  // the relay's ports through which it reaches the upstreams
+    std::map<std::string, std::uint16_t> relay_ports;  // by upstream, and of discovery
   };
   struct UpstreamEntry {
     std::string name, zone, state;
@@ -124,8 +122,8 @@
     std::unique_ptr<Upstream> upstream;
   };
 
-  struct Made {};
-  TestCluster(const Options& options, Made);
+  struct NotStarted {};  // selects the constructor that starts no process
+  TestCluster(const Options& options, NotStarted);
   std::vector<Process*> Select(const std::string& selector);
   const Process& At(const std::string& name) const;
   nlohmann::json ListFor(const Process& process) const;
--- a/tests/standins/traffic.cpp
+++ b/tests/standins/traffic.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-// The other side has ended a connection on which nothing is owed: whoever writes to it first looks.
+// Whether the other side has closed an idle connection. A client checks before it writes.
 bool Closed(Wire& wire) {
   char byte = 0;
   return ::recv(wire.socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0;
--- a/tests/standins/traffic_record.cpp
+++ b/tests/standins/traffic_record.cpp
@@ -15,11 +15,12 @@
 using std::chrono::milliseconds;
 using Outcome = Traffic::Outcome;
 
-// Between a death and what its client sees of it.
+// The longest time between a sidecar's death and the moment its client notices it.
 constexpr milliseconds kDeathNoticeDelay{100};
-// One machine for all processes of the cluster, clients included.
+// How late an answer may come: all processes of the cluster and the clients share one machine.
 constexpr milliseconds kAnswerGrace{1000};
-constexpr int kSidecarShift = 32;  // a request's number: its sidecar above, its index below
+constexpr int kSidecarShift =
+    32;  // a request's number has the sidecar in the high bits, the index in the low ones
 
 SimulationEvent EventAt(SimulationEvent::Kind kind, TrafficRecord::TimePoint at) {
   SimulationEvent event;
@@ -28,7 +29,7 @@
   return event;
 }
 
-// "s3-17", as the clients name them, in one number.
+// The number of a request from its id, such as "s3-17"; nullopt for ids of another form.
 std::optional<std::uint64_t> NumberOf(std::string_view id) {
   const auto dash = id.find('-');
   if (!id.starts_with('s') || dash == std::string_view::npos) return std::nullopt;
@@ -102,8 +103,8 @@
   });
 }
 
-// A connection belongs to one process. If that was killed before its client had read the answer, the answer
-// was sent before the kill, however late the client came to read it.
+// A connection belongs to one process. If that process was killed before the client had read the answer, the
+// answer was sent before the kill, however late the client read it.
 TrafficRecord::TimePoint TrafficRecord::AnsweredAt(const Traffic::CompletedRequest& request) const {
   const auto kills = kills_.find(request.number);
   if (kills == kills_.end()) return request.end;
@@ -112,14 +113,14 @@
   return *first_kill;
 }
 
-// The clients' requests, then what upstreams and sidecars reported at the same time: an answer comes before
-// the kill of its sidecar. What no sidecar accepted is left out.
+// All events by time. At equal times the clients' events come before those of upstreams and sidecars, so that
+// an answer precedes the kill of its sidecar. Requests that no sidecar accepted are left out.
 std::vector<SimulationEvent> TrafficRecord::EventsInOrder() const {
   std::vector<SimulationEvent> events;
   for (const Traffic::CompletedRequest& request : completed_) {
     const bool answered = HasAnswer(request.how);
     if (!answered && request.how != Outcome::kLost) continue;
-    // Which process would have had to answer a lost one is not known: the first that may have accepted it.
+    // It is not known which process accepted a lost request: the first that may have done so is assumed.
     SimulationEvent event =
         EventAt(SimulationEvent::Kind::kAccepted, answered ? request.connected : request.begin);
     event.request = static_cast<std::uint64_t>(request.number) << kSidecarShift |
@@ -142,7 +143,8 @@
 void TrafficRecord::AddLostRequests(std::vector<std::string>& violations) const {
   for (const Traffic::CompletedRequest& request : completed_) {
     if (request.how != Outcome::kLost && request.how != Outcome::kIdleCloseRace) continue;
-    // A connection that was closed as the request came ends at once; one that ends later had accepted it.
+    // A connection that was closed as the request came ends at once. If it ends later, the sidecar had
+    // accepted the request.
     const bool accepted = request.how == Outcome::kLost || request.end - request.begin > kDeathNoticeDelay;
     if (accepted && !KilledMeanwhile(request)) {
       violations.push_back(request.id + " was taken and never answered");
@@ -155,7 +157,7 @@
                                  std::vector<std::string>& violations) const {
   for (const auto& [id, times] : runs) {
     if (times > 1) violations.push_back(id + " ran " + std::to_string(times) + " times");
-    if (!unsafe.contains(id)) violations.push_back(id + " ran and nobody sent it");
+    if (!unsafe.contains(id)) violations.push_back(id + " ran, but no client sent it");
   }
   std::set<std::string> killed;
   for (const Traffic::CompletedRequest& request : completed_) {
@@ -163,7 +165,7 @@
     if (unanswered && KilledMeanwhile(request)) killed.insert(request.id);
   }
   for (const auto& [id, how] : unsafe) {
-    // A failure makes no promise either way.
+    // A failed request may have run or not.
     if (how == Outcome::kFailed || how == Outcome::kLost || killed.contains(id)) continue;
     const bool has_run = runs.contains(id);
     if (has_run == (how == Outcome::kServed)) continue;
@@ -179,7 +181,7 @@
   limits.drain = drain;
   simulation::Rules rules(limits);
   for (const SimulationEvent& event : EventsInOrder()) rules.Record(event);
-  rules.End(runtime::TimePoint::max());  // the traffic has ended: what has no answer by now gets none
+  rules.End(runtime::TimePoint::max());  // requests that are unanswered now stay unanswered
   for (const simulation::Breach& breach : rules.breaches()) {
     violations.push_back("rule " + std::string(NameOf(breach.rule)) + ": " + breach.what + " (" +
                          std::to_string(rules.count(breach.rule)) + " times)");
