--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -123,6 +123,7 @@
 // array.
 json List(const std::vector<json>& targets);
 
+// A discovery service: lists the targets, and holds a watch until the next version or the end of its wait.
 class Discovery {
  public:
   enum class Behavior { kAnswers, kUnresponsive, kClosesConnection, kMalformed };
@@ -130,7 +131,7 @@
   std::string address() const { return peer_->address(); }
   void Publish(const json& targets, bool all = true);  // a new version
   void SetBehavior(Behavior behavior);
-  int calls() const { return calls_; }
+  int calls() const { return calls_; }  // lists and watches
   int lists() const { return lists_; }
 
  private:
--- a/tests/standins/relay_datagrams.cpp
+++ b/tests/standins/relay_datagrams.cpp
@@ -12,9 +12,8 @@
 namespace mothrack::testing::relay {
 namespace {
 
-constexpr std::size_t kHeaderBytes = 28;  // IP and UDP headers: an empty datagram has a size as well
-constexpr int kMaxReceivedAtOnce =
-    256;  // datagrams from one socket in a row, so that no socket starves the others
+constexpr std::size_t kHeaderBytes = 28;     // IP and UDP headers: an empty datagram has a size as well
+constexpr int kMaxReceivedAtOnce = 256;      // datagrams in a row, so that no socket starves the others
 constexpr int kKernelBufferBytes = 1 << 20;  // for datagrams that arrive while the thread is not scheduled
 
 }  // namespace
--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -30,7 +30,7 @@
 
 constexpr int kMaxPrintedLines = 10;
 constexpr int kMaxPortAttempts = 5;         // restarts on other ports if one was taken meanwhile
-constexpr milliseconds kDefaultProbe{500};  // probe_ms of [peers], to which its other defaults are scaled
+constexpr milliseconds kDefaultProbe{500};  // default probe_ms of [peers], by which its intervals are scaled
 constexpr const char* kDiscoveryEndpoint =
     "discovery";  // in no zone, so that a partition leaves it with the endpoints on no side
 
--- a/tests/standins/traffic_record.cpp
+++ b/tests/standins/traffic_record.cpp
@@ -19,8 +19,8 @@
 constexpr milliseconds kDeathNoticeDelay{100};
 // How late an answer may come: all processes of the cluster and the clients share one machine.
 constexpr milliseconds kAnswerGrace{1000};
-constexpr int kSidecarShift =
-    32;  // a request's number has the sidecar in the high bits, the index in the low ones
+// The number of a request has its sidecar in the high bits and its index in the low ones.
+constexpr int kSidecarShift = 32;
 
 SimulationEvent EventAt(SimulationEvent::Kind kind, TrafficRecord::TimePoint at) {
   SimulationEvent event;
