--- a/tests/standins/resolver.h
+++ b/tests/standins/resolver.h
@@ -1,5 +1,5 @@
 // A stand-in for a DNS resolver on a loopback port, UDP and TCP, that answers by a script and records the
-// queries. It has one thread, which blocks only in epoll_wait().
+// queries. It has one thread, which blocks only on the network.
 #pragma once
 
 #include <atomic>
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -35,7 +35,7 @@
     int agents = 3;                        // a0, a1, ..., the same
     int upstreams = 2;                     // in each zone: "bole-hall-u0", ...
     std::chrono::milliseconds probe{200};  // the other intervals of [peers] are scaled with it
-    std::chrono::milliseconds every{25};   // the interval between requests of each sidecar's client
+    std::chrono::milliseconds every{25};   // the pause between requests of each sidecar's client
     std::uint64_t seed = 1;
     bool with_peers = true;
     std::string peers = "";          // further lines of [peers]
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -52,8 +52,9 @@
     std::chrono::steady_clock::time_point begin, connected, end;
   };
 
-  // Starts at once; each client sends a request `every` interval. `on_completed` is called by the clients'
-  // threads. `requests_on_a_connection`: a client closes its connection after this many requests; 0: never.
+  // Starts at once; `every`: the pause between the requests of a client. `on_completed` is called by the
+  // clients' threads. `requests_on_a_connection`: a client closes its connection after this many requests; 0:
+  // never.
   Traffic(const std::vector<std::uint16_t>& ports, std::chrono::milliseconds every,
           std::function<void(const CompletedRequest&)> on_completed = {}, int requests_on_a_connection = 0);
   ~Traffic();
