--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs what the build needs, builds, and shows the sidecar at work between stand-ins: HTTP and DNS, with one
-# server and one resolver going silent meanwhile.
+# Installs the build's packages, builds, and runs the demo: the sidecar between stand-ins for HTTP and DNS, of which
+# one server and one resolver become unresponsive for a time.
 set -eu
 cd "$(dirname "$0")/.."
 sh tools/install.sh cmake g++ make libboost-dev nlohmann-json3-dev libtomlplusplus-dev libcli11-dev libspdlog-dev
--- a/tests/support/demo_configures.sh
+++ b/tests/support/demo_configures.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# The README's first command configures what it builds, in a tree of its own: demo_configures.sh SOURCE
+# Checks that demo/run.sh's CMake options configure successfully in an empty build tree: demo_configures.sh SOURCE
 set -eu
 build=$(mktemp -d)
 trap 'rm -rf "$build"' EXIT
--- a/tests/support/log_events.sh
+++ b/tests/support/log_events.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# docs/operators/logs.md lists every event that the sources log, with its level and keys, and no other event. It also
-# states the texts that are logged through Logger::Stated(): log_events.sh SOURCE.
+# Checks that docs/operators/logs.md lists every event that the sources log, with its level and keys, and no other event,
+# and that it has the texts that are logged through Logger::Stated(): log_events.sh SOURCE
 set -eu
 source=$1
 page=$source/docs/operators/logs.md
@@ -17,7 +17,7 @@
   echo
 done >"$work/sources"
 
-# `event level key key` a line. A field is {"key", value}, and no value has braces.
+# Writes one line per event, as `event level key key`. A field is {"key", value}, and no value has braces.
 calls='(Error|Warn|Info|Write)\( ?(Level::k[A-Za-z]+, )?"[a-z0-9_]+"(, ?\{ ?(\{"[a-z0-9_]+", [^{}]*\},? ?)+\})?'
 grep -oE "$calls" "$work/sources" | sed -E 's/^Write\( ?Level::k(Error|Warn|Info)(ing)?, /\1(/' |
   sed -E 's/^Error/error/; s/^Warn/warning/; s/^Info/info/; s/^([a-z]+)\( ?"([a-z0-9_]+)"/\2 \1/; s/, ?\{ ?\{/ {{/' |
@@ -33,7 +33,7 @@
 [ "$(wc -l <"$work/logged")" -gt 20 ] || fail "hardly an event was found in the sources"
 diff "$work/page" "$work/logged" || fail "docs/operators/logs.md (<) and the sources (>) differ"
 
-# The literals of the lines whose words a page states.
+# The literals that are passed to Logger::Stated(), each of which must be on the page.
 grep -oE '(\.|->)Stated\([^;]*;' "$work/sources" | grep -oE '"[^"]{4,}"' | tr -d '"' >"$work/stated"
 [ "$(wc -l <"$work/stated")" -gt 5 ] || fail "hardly a stated line was found in the sources"
 while read -r words; do
--- a/tests/support/platform_links.sh
+++ b/tests/support/platform_links.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# The platform's program, built as operators build it, links no library of gossip:
-# platform_links.sh SOURCE [PROGRAM]; builds the program if none is given.
+# Checks that the program, built without gossip as operators build it, links none of gossip's libraries:
+# platform_links.sh SOURCE [PROGRAM]. Builds the program if none is given.
 set -eu
 source=$1
 program=${2:-}
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Fails where a source is not as .clang-format says, or where the linter (.clang-tidy) finds anything in src:
-# lint.sh BUILD, the folder of a build with tests, whose compile_commands.json and generated headers the linter reads.
+# Fails if a source file is not formatted as .clang-format says, or if clang-tidy reports anything in src: lint.sh BUILD.
+# BUILD is the folder of a build with tests; the linter reads its compile_commands.json and generated headers.
 set -eu
 cd "$(dirname "$0")/.."
 build=$1
