--- a/bench/bench.cpp
+++ b/bench/bench.cpp
@@ -1,8 +1,8 @@
-// mothrack_bench PROGRAM FLOOR [--requests N] [--rounds N] [--check]: what a request through the sidecar
-// costs, as a ratio to the bare relay of bench/floor.cpp, which carries the same messages of the same client
-// to the same stand-ins in the same run, turn about. CPU times are the process's own (its CPU clock). Also
-// the time that either adds, one request at a time, and the memory at 10,000 open DNS queries. With --check
-// it fails where an aim is missed.
+// mothrack_bench PROGRAM FLOOR [--requests N] [--rounds N] [--check]: measures the cost of a request through
+// the sidecar as a ratio to the bare relay of bench/floor.cpp. Both carry the same messages between the same
+// client and the same stand-ins, alternately in one run. CPU times are read from the CPU clock of each
+// process. Also measures the latency that each adds with one request at a time, and the sidecar's memory at
+// 10,000 open DNS queries. With --check the exit code is 1 if a target is missed.
 #include <sys/socket.h>
 #include <unistd.h>
 
@@ -34,7 +34,7 @@
 using std::chrono::milliseconds;
 using testing::StandinResolver;
 
-// The aims; the HTTP figure is what it cost before DNS was there.
+// The targets. The HTTP ratio must not exceed what it was before DNS support was added.
 constexpr double kMaxHttpRatio = 2.6;
 constexpr double kMaxUdpRatio = 2.5;
 constexpr long kMaxMemoryKb = 32 * 1024;
@@ -48,7 +48,7 @@
 constexpr milliseconds kBurstPause{5};
 constexpr milliseconds kSettleTime{200};  // until the last query has arrived at the resolver
 
-// What the sidecar logs on standard error before its ports.
+// The text that precedes each port number in the sidecar's log on standard error.
 constexpr const char* kHttpPortMark = "listening on 127.0.0.1:";
 constexpr const char* kDnsPortMark = "dns on 127.0.0.1:";
 
@@ -93,7 +93,8 @@
                  drive);
 }
 
-// Returns the ratio of the CPU times. `tcp`: the clients' protocol; resolvers are asked over UDP either way.
+// Returns the ratio of the CPU times. `tcp`: the clients' protocol; resolvers are queried over UDP either
+// way.
 double CompareDns(const BenchOptions& options, std::uint16_t resolver_port, const std::string& operator_file,
                   bool tcp) {
   Contestants contestants;
@@ -136,11 +137,11 @@
   resolver.StopRecording();
   const TemporaryFile operator_file(".toml", DnsOperatorFile(resolver.port()));
   missed = CompareDns(options, resolver.port(), operator_file.path(), false) > kMaxUdpRatio || missed;
-  CompareDns(options, resolver.port(), operator_file.path(), true);  // without an aim
+  CompareDns(options, resolver.port(), operator_file.path(), true);  // has no target
   missed = MeasureMemory(options, resolver, operator_file.path()) > kMaxMemoryKb || missed;
 
   if (missed) {
-    std::printf("an aim is missed: HTTP %.1f, DNS over UDP %.1f, memory %ld KB\n", kMaxHttpRatio,
+    std::printf("a target is missed: HTTP %.1f, DNS over UDP %.1f, memory %ld KB\n", kMaxHttpRatio,
                 kMaxUdpRatio, kMaxMemoryKb);
   }
   return options.check && missed ? 1 : 0;
--- a/bench/closed_loop.cpp
+++ b/bench/closed_loop.cpp
@@ -20,7 +20,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int kMaxEvents = 64;
-constexpr int kSilenceMs = 5000;  // without any answer the run is given up
+constexpr int kSilenceMs = 5000;  // the run ends if no answer arrives for this long
 constexpr std::size_t kReadSize = 65536;
 
 // One run of the load: its connections and what is in flight.
@@ -88,7 +88,7 @@
   const int requests_;
   const int epoll_;
   std::vector<int> sockets_;                // by lane
-  std::vector<std::string> buffers_;        // by lane: bytes of answers that are not whole yet
+  std::vector<std::string> buffers_;        // by lane: bytes of answers that are not complete yet
   std::vector<Clock::time_point> sent_at_;  // by request
   int next_ = 0;                            // request
   LoadResult result_;
--- a/bench/closed_loop.h
+++ b/bench/closed_loop.h
@@ -19,12 +19,12 @@
   std::vector<double> latencies_us;  // of each answer, in the order of arrival
 };
 
-// What the generator has to know of a protocol. Requests are numbered from 0, lanes too.
+// What the generator needs to know about a protocol. Requests and lanes are numbered from 0.
 struct Protocol {
   int socket_type = 0;  // SOCK_STREAM or SOCK_DGRAM
   // The request `number`, as it is sent on `lane`.
   std::function<std::string(int number, int lane)> make_request;
-  // Removes whole answers from the front of `buffer` and returns the numbers of their requests.
+  // Removes complete answers from the front of `buffer` and returns the numbers of their requests.
   std::function<std::vector<int>(std::string& buffer, int lane)> take_answers;
 };
 
@@ -32,8 +32,8 @@
 // it. Throws std::runtime_error if there is no connection.
 int ConnectToPort(int type, std::uint16_t port);
 
-// Sends `requests` requests and returns when all are answered or when no answer came for 5 s; what was lost
-// is seen in `answered`. Throws std::runtime_error if there is no connection.
+// Sends `requests` requests and returns when all are answered or when no answer came for 5 s.
+// `answered` of the result shows how many were lost. Throws std::runtime_error if there is no connection.
 LoadResult RunClosedLoop(const Protocol& protocol, std::uint16_t port, const Load& load, int requests);
 
 // The value below which `share` (0 to 1) of `values` lie; 0 if there are none.
--- a/bench/comparison.h
+++ b/bench/comparison.h
@@ -1,5 +1,5 @@
-// Measures the sidecar beside the bare relay (floor) and the stand-in without anything between, in turn under
-// the same load, and prints their figures.
+// Measures the sidecar, the bare relay (floor) and direct access to the stand-in, in turn under the same
+// load, and prints their figures.
 #pragma once
 
 #include <array>
@@ -14,7 +14,7 @@
 
 namespace mothrack::bench {
 
-// One of those compared, and what was measured of it.
+// One of the compared programs, and its results.
 struct Contestant {
   std::string name;
   std::unique_ptr<ChildProcess> process;  // null: the stand-in itself
@@ -30,7 +30,7 @@
   Contestant floor;
   Contestant sidecar;
 
-  // In the order of measurement and report.
+  // The members are in the order of measurement and report.
   std::array<Contestant*, 3> All() { return {&direct, &floor, &sidecar}; }
 };
 
@@ -41,7 +41,7 @@
   int rounds = 0;
 };
 
-// Sends so many requests to `port` under `load`.
+// Sends the given number of requests to `port` under `load`.
 using LoadDriver = std::function<LoadResult(std::uint16_t port, const Load& load, int requests)>;
 
 // Runs all rounds and prints the figures. Returns the median, over the rounds, of the sidecar's CPU time per
--- a/bench/dns_wire.cpp
+++ b/bench/dns_wire.cpp
@@ -1,5 +1,6 @@
-// bench_dns_wire: what reading an answer costs, by the reader of the few fields that a forwarder needs and by
-// ldns, turn about in one run; for the choice in docs/design/dns.md. Built where libldns-dev is installed.
+// bench_dns_wire: compares the cost of parsing an answer with src/dns, which reads only the fields that a
+// forwarder needs, and with ldns, alternately in one run. The choice is explained in docs/design/dns.md.
+// Built only if libldns-dev is installed.
 #include "standins/dns_wire.h"
 
 #include <algorithm>
--- a/bench/fleet_bench.cpp
+++ b/bench/fleet_bench.cpp
@@ -30,7 +30,7 @@
 
 double Since(Clock::time_point begin) { return std::chrono::duration<double>(Clock::now() - begin).count(); }
 
-// Processor time by the kernel's account, in seconds, and resident bytes.
+// CPU time as accounted by the kernel, in seconds, and resident memory in bytes.
 double CpuOf(int pid) {
   double ns = 0;
   std::ifstream("/proc/" + std::to_string(pid) + "/schedstat") >> ns;
@@ -43,7 +43,7 @@
   return static_cast<double>(resident * ::sysconf(_SC_PAGESIZE)) / 1e6;
 }
 
-// Four hundred instances that are nothing but processes: what the tool and the agents cost without sidecars.
+// Measures the tool and the agents with 400 scripted processes in place of sidecars.
 bool SeeFourHundred() {
   constexpr int kEach = 100;
   Fleet::Options options{4, kEach, "", "", false};
@@ -60,7 +60,7 @@
     }
     return running == 4 * kEach;
   });
-  if (!all) return std::fprintf(stderr, "the four hundred do not run\n"), false;
+  if (!all) return std::fprintf(stderr, "the 400 scripted instances did not all start\n"), false;
   const auto begin = Clock::now();
   constexpr int kPolls = 10;
   for (int i = 0; i < kPolls; ++i) {
@@ -82,7 +82,8 @@
   constexpr int kRate = 500;
   constexpr int kRounds = 5;
   constexpr int kPolls = 30;
-  constexpr auto kPollInterval = std::chrono::milliseconds(100);  // it answers 20 a second at most
+  constexpr auto kPollInterval =
+      std::chrono::milliseconds(100);  // the admin API answers at most 20 requests a second
   mothrack::testing::Upstream upstream([](mothrack::testing::Wire& wire, const mothrack::testing::Request&,
                                           int) { wire.Answer(200, "fine"); });
   std::vector<mothrack::testing::json> targets = {mothrack::testing::Target("u0", upstream.address())};
@@ -100,7 +101,7 @@
   int number = 0;
   // A connection without a first request would be closed while the admin API is polled.
   bool answered = client.Get("/page/x", "first").has_value();
-  // Processor time of the sidecar over as many turns, in seconds.
+  // The sidecar's CPU time over that many turns, in seconds.
   const auto cpu_over = [&](int turns, Clock::duration every, const std::function<bool()>& act) {
     const double before = CpuOf(node.pid());
     auto at = Clock::now();
@@ -139,7 +140,7 @@
   return ratios[kRounds / 2] <= kMostRatio;
 }
 
-// What a rolling restart costs.
+// Measures the cost of a rolling restart.
 bool Roll() {
   constexpr int kAgents = 4;
   constexpr int kInstances = 10;
@@ -149,7 +150,7 @@
   Fleet fleet({kAgents, kInstances, "", "", false});
   if (!fleet.AllReady("g1")) return std::fprintf(stderr, "the fleet did not get ready\n"), false;
 
-  // By hand: the time from the planned stop to the end of the process.
+  // Without the agents: the time from the planned stop to the end of the process.
   std::vector<double> drains;
   for (int i = 0; i < 5; ++i) {
     const int pid = fleet.Pid(3, i);
--- a/bench/floor.cpp
+++ b/bench/floor.cpp
@@ -1,7 +1,7 @@
-// bench_floor udp|stream UPSTREAM_PORT: what carrying messages costs at the least on this machine. One
-// thread, one epoll loop, nothing read of the messages but what relaying needs: over UDP the id, which is
-// changed and changed back, over a stream (HTTP, DNS over TCP) nothing at all. Listens on a free loopback
-// port, and prints it.
+// bench_floor udp|stream UPSTREAM_PORT: a minimal relay, which shows the least cost of carrying messages on
+// this machine. It has one thread and one epoll loop, and parses only what relaying needs: over UDP the id,
+// which it replaces and restores; over a stream (HTTP, DNS over TCP) nothing. Listens on a free loopback port
+// and prints it.
 #include <arpa/inet.h>
 #include <fcntl.h>
 #include <netinet/in.h>
@@ -92,7 +92,8 @@
   }
 }
 
-// A connection of its own to the upstream for each client's; all messages here fit the system's buffers.
+// Opens one upstream connection for each client connection. All messages here fit the system's socket
+// buffers.
 int RelayStreams(std::uint16_t upstream_port) {
   std::vector<int> other(65536, -1);
   const int listening = ::Open(SOCK_STREAM);
--- a/bench/http_standin.cpp
+++ b/bench/http_standin.cpp
@@ -16,7 +16,7 @@
 
 constexpr int kBacklog = 512;
 constexpr int kMaxEvents = 64;
-constexpr int kStopCheckMs = 50;  // how often the loop looks whether it has to end
+constexpr int kStopCheckMs = 50;  // how often the loop checks whether to stop
 constexpr std::size_t kReadSize = 16384;
 constexpr std::string_view kEndOfHeaders = "\r\n\r\n";
 
--- a/bench/lab_calibrate.cpp
+++ b/bench/lab_calibrate.cpp
@@ -1,7 +1,8 @@
-// lab_calibrate: the simulator against real processes. Two real sidecars over loopback sockets in front of
-// six servers of three cores each, and the same scenario in simulated time, at three loads. Printed for each
-// load: share of requests served, attempts a request, median and 99th percentile of the response time (ms).
-// Exit code 1 where the two differ by more than the bounds in main(). Takes about 20 s of wall time a load.
+// lab_calibrate: compares the simulator with real processes. It runs two real sidecars over loopback sockets
+// in front of six servers of three cores each, and the same scenario in simulated time, at three loads.
+// Printed for each load: share of requests served, attempts a request, median and 99th percentile of the
+// response time (ms). Exit code 1 where the two differ by more than the bounds in main(). Takes about 20 s of
+// wall time a load.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -29,7 +30,7 @@
 constexpr double kSlowest = 1;
 constexpr double kFastest = 1.6;
 
-// Cores, and who waits for one.
+// The cores of a server, and the requests that wait for one.
 class Cores {
  public:
   explicit Cores(int cores) : free_(cores) {}
@@ -148,8 +149,8 @@
 }  // namespace
 
 int main() {
-  // Of times: the bins are 5% wide, and sleeping on a real machine is late by a tenth of a millisecond or
-  // more.
+  // The bound for times: the bins are 5% wide, and a sleep on a real machine ends a tenth of a millisecond or
+  // more late.
   constexpr double kServedOff = 0.01;
   constexpr double kAttemptsOff = 0.03;
   constexpr double kMedianOff = 1.15;
@@ -166,7 +167,8 @@
                        within(simulated.median, real.median, kMedianOff) &&
                        within(simulated.p99, real.p99, kP99Off);
     std::printf(
-        "use %.1f: served %.4f made up, %.4f real; attempts a try %.3f, %.3f; median %.1f, %.1f ms; 99%% "
+        "use %.1f: served %.4f simulated, %.4f real; attempts a request %.3f, %.3f; median %.1f, %.1f ms; "
+        "99%% "
         "%.1f, %.1f ms%s\n",
         use, simulated.served, real.served, simulated.attempts, real.attempts, simulated.median, real.median,
         simulated.p99, real.p99, agree ? "" : "  APART");
--- a/bench/peers_bench.cpp
+++ b/bench/peers_bench.cpp
@@ -1,6 +1,6 @@
-// Many peers in made-up time, each putting one 60-byte value every so often: what it costs, how soon all
-// know, how old what is seen is. Arguments: numbers of members (10 100 300 2000), then `key=value` for terms:
-// fanout, gossip, rate, retransmit.
+// Gossip among many members in simulated time, each of which periodically puts one 60-byte value. Measures
+// the cost, the time until all members have a change, and the age of the values that members see. Arguments:
+// numbers of members (10 100 300 2000), then settings as `key=value`: fanout, gossip, rate, retransmit.
 #include <algorithm>
 #include <cstdio>
 #include <cstdlib>
@@ -23,7 +23,8 @@
          1000;
 }
 
-// A second in which each puts its value at its own tenth of every `put` seconds; 0: nobody does.
+// Simulates one second. Each member puts its value every `put` seconds, at its own tenth of a second; if
+// `put` is 0, no member does.
 void Second(SimulatedNetwork& net, std::size_t silent, std::size_t put) {
   for (int part = 0; part < 10; ++part) {
     const auto tenth = static_cast<std::size_t>(net.now / 100);
@@ -66,7 +67,7 @@
     Second(net, none, 0);
     ++joined;
   }
-  for (int s = 0; s < (large ? 15 : 20); ++s) Second(net, none, put);  // until it is steady
+  for (int s = 0; s < (large ? 15 : 20); ++s) Second(net, none, put);  // until the load is steady
   for (auto& node : net.nodes) node.datagrams = node.bytes = 0;
   const int seconds = large ? 4 : 15;
   const std::clock_t begin = std::clock();
@@ -136,7 +137,7 @@
       "processor a second | all joined after, s |\n|---|---|---|---|---|---|---|---|---|---|\n");
   for (const std::size_t members : sizes) {
     std::vector<std::size_t> every = {0, 1};
-    if (members > 100) every.push_back(members / 100);  // what the datagrams bear, in all
+    if (members > 100) every.push_back(members / 100);  // the most that the datagrams can carry in total
     for (const std::size_t put : every) Measure(members, config, put);
   }
 }
--- a/bench/peers_wire.cpp
+++ b/bench/peers_wire.cpp
@@ -1,4 +1,5 @@
-// Sizes on the wire, and what a datagram costs: nanoseconds a call, the median of five runs.
+// Measures the size of datagrams on the wire and their processing time: nanoseconds a call, the median of
+// five runs.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -42,7 +43,7 @@
   Seal from(ring), stranger(others), to(ring);
   const std::string sealed = *from.Close(bytes);
   const std::string foreign = *stranger.Close(bytes);
-  std::string posing = foreign;  // names our key without having it
+  std::string posing = foreign;  // claims the receiver's key id but is sealed with another key
   std::copy(ring[0].id.begin(), ring[0].id.end(), posing.begin() + 2);
   std::printf("| %s | %zu | %zu | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f |\n", name, bytes.size(),
               sealed.size(), Nanoseconds([&] { g_sink += Encode(message).size(); }),
@@ -99,7 +100,7 @@
   Report("values, full", values, ring, others);
   Report("digest, full", digest, ring, others);
 
-  // The whole of 300 members, as a newcomer gets it.
+  // The full state of 300 members, as a joining member receives it.
   std::size_t datagrams = 0, size = 0;
   for (std::size_t i = 0; i < 300;) {
     Message part;
--- a/bench/ring_bench.cpp
+++ b/bench/ring_bench.cpp
@@ -1,7 +1,8 @@
-// ring_bench: weighted rendezvous (src/hash_ring) beside a continuum of virtual nodes, multi-probe hashing
-// and a filled table, at 10, 100 and 1,000 nodes of mixed capacities. Spread (the most loaded node's share
-// over its weight's), movement at a join, a leave and a halved capacity over the least that must move, time
-// of a lookup, memory. The pick of the balancer last.
+// ring_bench: compares weighted rendezvous hashing (src/hash_ring) with a continuum of virtual nodes,
+// multi-probe hashing and a Maglev lookup table, at 10, 100 and 1,000 nodes of mixed capacities. Prints the
+// spread (the most loaded node's share divided by its share of the weights), the keys that move at a join, a
+// leave and a halved capacity divided by the least that must move, the time of a lookup, and the memory. Last
+// comes the time of a request through the balancer.
 #include <algorithm>
 #include <array>
 #include <chrono>
@@ -26,7 +27,7 @@
 };
 using Nodes = std::vector<Weighted>;
 
-// In each, Owners() fills `most` distinct nodes in order.
+// Each of the following types has Owners(), which stores up to `most` distinct nodes in order of preference.
 struct Rendezvous {
   explicit Rendezvous(const Nodes& nodes) {
     std::vector<Node> all;
@@ -50,7 +51,7 @@
   std::vector<std::uint32_t> number;
 };
 
-// Points on a circle; a key belongs to the next one. As Ketama: 160 points a unit of weight.
+// Points on a circle; a key belongs to the next one. Has 160 points for each unit of weight, as Ketama does.
 struct Continuum {
   struct Point {
     std::uint64_t at;
@@ -83,7 +84,7 @@
   std::vector<Point> points;
 };
 
-// Few points a node, 21 probes a key: the probe closest to its next point wins.
+// Few points for each node and 21 probes for each key: the probe that is closest to its next point decides.
 struct MultiProbe : Continuum {
   explicit MultiProbe(const Nodes& nodes) : Continuum(nodes, 4) {}
   void Owners(std::uint64_t key, std::size_t most, std::vector<std::uint32_t>& out) const {
@@ -98,7 +99,7 @@
   }
 };
 
-// As Maglev: each node takes slots by its own order of them, as often as its weight says.
+// A Maglev lookup table: each node claims slots in its own permutation, in proportion to its weight.
 struct Table {
   static constexpr std::uint32_t kSlots = 65537;
   explicit Table(const Nodes& nodes) : slots(kSlots, ~std::uint32_t{0}), count(nodes.size()) {
@@ -149,8 +150,8 @@
   return first;
 }
 
-// Moved keys over those whose owner's share had to change hands, of the same keys: those that left or came to
-// the node.
+// The number of keys that moved divided by the number that had to move, which are the keys that left or came
+// to `node`.
 double Movement(const std::vector<std::uint32_t>& before, const std::vector<std::uint32_t>& after,
                 std::uint32_t node) {
   int moved = 0;
@@ -179,7 +180,7 @@
 void Measure(const char* name, int count) {
   constexpr std::array<double, 4> kWeights = {1, 1.5, 2, 4};
   Nodes nodes;
-  // Weights that all kinds have exactly: rendezvous' own steps.
+  // Weights that every type represents exactly: they are steps of the rendezvous ring's weight levels.
   for (int i = 0; i <= count; ++i) {
     nodes.push_back({"node-" + std::to_string(i), i % 4 == 1 ? 1.5422108254 : kWeights[i % 4]});
   }
@@ -202,7 +203,7 @@
               kind.bytes() / 1024.0);
 }
 
-// A request through the balancer alone: arrival, its actions, its end.
+// The nanoseconds that the balancer takes to handle the arrival of a request, without transport.
 double Pick(int count) {
   using namespace std::chrono_literals;
   namespace kb = mothrack::balancer;
--- a/bench/zones_bench.cpp
+++ b/bench/zones_bench.cpp
@@ -1,8 +1,8 @@
-// Many members over three zones in made-up time: how soon nothing is sent to a lost zone by anybody, for how
-// long the members disagree, what the cold zone is sent when it is back, and whether a zone is ever drained
-// that should not be.
+// Many members over three zones in simulated time. Measures how soon no member sends to a lost zone any more,
+// for how long the members disagree, the load on the cold zone after its return, and whether a zone is ever
+// drained that should not be.
 //   zones_bench [NIGHTS [MEMBERS [NAME]]]
-// gives the figures of docs/design/zone_failover.md: NIGHTS calm and overloaded ones (NAME nights), 20 and 5
+// prints the figures of docs/design/zone_failover.md: NIGHTS calm and overloaded ones (NAME nights), 20 and 5
 // of the others at most. zones_simulation.h has the models.
 #include <algorithm>
 #include <cstdio>
@@ -26,7 +26,7 @@
   return values[static_cast<std::size_t>(at * static_cast<double>(values.size() - 1))];
 }
 
-// One result a seed; the order of the threads does not matter.
+// One result for each seed, independent of the order of the threads.
 std::vector<Result> RunAll(const Scenario& scenario, int seeds) {
   std::vector<Result> results(static_cast<std::size_t>(seeds));
   std::vector<std::thread> threads;
@@ -70,7 +70,7 @@
   std::fflush(stdout);
 }
 
-// A zone or two are lost, or seem to be.
+// Scenarios in which one or two zones are lost, or seem to be.
 std::vector<Scenario> LossScenarios(int members) {
   Scenario lost{"lost", members};
   lost.lost_at = 15'000;
@@ -103,7 +103,7 @@
   return {lost, members_fail, tight, again, partitioned, two, third, false_reporter};
 }
 
-// Nothing is lost: no zone may be drained.
+// Scenarios in which no zone is lost, so that none may be drained.
 std::vector<Scenario> FaultFreeScenarios() {
   Scenario calm{"calm"};
   Scenario overloaded{"overloaded"};
--- a/bench/zones_simulation.cpp
+++ b/bench/zones_simulation.cpp
@@ -17,12 +17,14 @@
 constexpr double kRate = 15;    // calls a second and member, on average
 // Latency objective, mean service time, time-out of a connect.
 constexpr int kObjectiveMs = 400, kServiceMs = 60, kConnectMs = 250;
-// A zone that is back: its capacity at first, the time until it is whole, and the load it falls over at.
+// A zone that has returned: its initial capacity, the time until its full capacity, and the load that
+// overloads it.
 constexpr double kInitialShare = 0.1, kSlowStartMs = 20'000, kOverloadMultiple = 2;
-// Unanswered attempts in a row after which a member passes a zone over by itself.
+// Unanswered attempts in a row after which a member avoids a zone by its own decision.
 constexpr int kUnresponsiveRun = 3;
 
-// Attempts and messages wait in a ring of slots, a tick each: longer than any of them is under way.
+// Attempts and messages wait in a ring of slots, one for each tick. The ring is longer than any of them
+// takes.
 constexpr int kSlots = 1024;
 std::size_t Slot(int ms) { return static_cast<std::size_t>(ms / kTickMs % kSlots); }
 
@@ -111,8 +113,8 @@
   m.observer->OnAttemptEnd({zones_[e.zone], zones_[e.zone] + std::to_string(e.upstream), 0, e.outcome,
                             Duration(now_ - e.sent), e.in_time, false, true},
                            At(now_));
-  // As the balancer: it sheds so that a tenth is late, over its range in some two seconds; of a zone taken
-  // to be lost it learns nothing.
+  // Sheds load as the balancer does, so that a tenth of the answers is late; the share crosses its range in
+  // about two seconds. A zone that is considered lost does not count.
   const bool late = e.outcome != Outcome::kAnswered || !e.in_time;
   const double step = 1 / std::max(12.0, m.rate * 2);
   if (m.unanswered_run[e.zone] < kUnresponsiveRun)
@@ -175,7 +177,7 @@
 void ZoneSimulation::Call(int i) {
   Member& m = members_[i];
   ++result_.calls;
-  // The plan's share is shed in any case; the balancer's own is no less.
+  // The share that the plan sheds is a minimum for the balancer's own.
   if (Uniform() < std::max(m.shed, scenario_.fleet_decides ? m.plan.shed / 1000.0 : 0)) {
     ++result_.shed_calls;
     return;
@@ -263,7 +265,7 @@
   const MemberList& members = MemberListOf(m);
   m.state = Decide(m.state, zones_, reports, {}, members, config_, now);
   const TrafficPlan before = std::exchange(m.plan, TrafficPlanFor(m.state, reports, members, config_, now));
-  // What it found unresponsive itself is out of date once the fleet returns there.
+  // The member's own finding that a zone is unresponsive is out of date once the fleet returns to it.
   for (std::size_t z = 0; z < before.zones.size(); ++z) {
     if (scenario_.fleet_decides && before.zones[z].share == 0 && m.plan.zones[z].share > 0)
       m.unanswered_run[z] = 0;
@@ -275,7 +277,7 @@
 }
 
 const MemberList& ZoneSimulation::MemberListOf(const Member& member) {
-  // Gossip finds members dead after some four seconds.
+  // Gossip detects dead members after about four seconds.
   const bool found = IsLost(0) && now_ >= scenario_.lost_at + 4000;
   const bool inside = member.zone == 0;
   MemberList& members = member_lists_[found ? 1 + inside : 0];
@@ -338,7 +340,7 @@
     }
     was_out_[z] = out[z] > 0;
   }
-  // What the zone got within a second against what it falls over at.
+  // The load on the zone within a second, relative to the load that overloads it.
   window_.push_back(slow_start_sent_);
   slow_start_sent_ = 0;
   if (window_.size() > 10) window_.pop_front();
--- a/bench/zones_simulation.h
+++ b/bench/zones_simulation.h
@@ -1,8 +1,8 @@
-// A small world in made-up time: members over three zones that decide on zones as the product does, with
-// models of links, servers and balancer around them. Upstreams of a zone are one queue; a member spreads its
-// calls by the shares that it is given, passes over a zone of which it found three attempts in a row
-// unanswered (as the balancer does), and sends to cold upstreams by its allowance alone. A run depends on its
-// scenario and seed only.
+// A simulation in simulated time: members in three zones decide on zones with the code of src/zone_failover,
+// around models of links, servers and balancer. Upstreams of a zone are one queue; a member spreads its calls
+// by the shares that it is given, passes over a zone of which it found three attempts in a row unanswered (as
+// the balancer does), and sends to cold upstreams only within its allowance. A run depends on its scenario
+// and seed only.
 #pragma once
 
 #include <cstdint>
@@ -20,13 +20,13 @@
 
 constexpr int kZones = 3;
 
-// What happens in one run.
+// The events and settings of one run.
 struct Scenario {
   const char* name = "calm";
   int members = 60;
   double utilization = 0.5;  // of the capacity of all zones
   int length_ms = 60'000;
-  // Times in ms from the start; -1: never. Zone 0 is lost and back, twice at most.
+  // Times in ms from the start; -1: never. Zone 0 is lost and returns, twice at most.
   int lost_at = -1, back_at = -1;
   int lost_again = -1, back_again = -1;
   int second_at = -1;              // zone 1 is lost as well, for good
@@ -38,25 +38,25 @@
   bool fleet_decides = true;       // else each member decides alone
 };
 
-// What one run shows.
+// The results of one run.
 struct Result {
   double last_sent_ms = -1;        // from the loss until the last member stopped calling the zone
   double median_last_sent_ms = 0;  // the same of the median member
   double disagreed_ms = 0;  // in which not all members that hear each other had the same phase and step
   long sent_to_lost = 0, answered = 0, shed_calls = 0, failed = 0, calls = 0;
-  double max_slow_start_load = 0;  // in any second, of the load that the cold zone falls over at
-  double max_allowance_used = 0;   // in any second, of what all members may send to the cold zone
-  double fully_back_ms = -1;       // from the return until all members use all of it
+  double max_slow_start_load = 0;  // in any second, relative to the load that overloads the cold zone
+  double max_allowance_used = 0;  // in any second, relative to the allowance of all members for the cold zone
+  double fully_back_ms = -1;      // from the return until all members use all of it
   int false_drains = 0, drains = 0;
   long reported = 0, bytes = 0;  // evidence that was sent, once a report
 };
 
-// One run; for one thread.
+// Simulates one run. Not thread-safe.
 class ZoneSimulation {
  public:
   ZoneSimulation(const Scenario& scenario, std::uint64_t seed);
 
-  // To be called once. Prints the states as it goes where the environment has TRACE.
+  // Call it once only. Prints the states during the run if the environment variable TRACE is set.
   Result Run();
 
  private:
@@ -85,7 +85,7 @@
     Outcome outcome;
     bool in_time;
   };
-  // Evidence on its way.
+  // Evidence in transit.
   struct Message {
     int to, from, sent_at;
     std::uint64_t sequence;
@@ -106,7 +106,7 @@
   void Deliver(Message message);
   void RunMember(int i);
   const ZoneShare* ShareOf(const Member& m, int zone) const;
-  // Alone a member allows itself its own part of the whole, with the balancer's safety factor.
+  // If members decide alone, each allows itself its own part of the total, with the balancer's safety factor.
   double SlowStartBudget(const Member& m, int z) const;
   double ProbeRate(const Member& m, int z) const;
   void Call(int i);
--- a/demo/clients.cpp
+++ b/demo/clients.cpp
@@ -13,8 +13,8 @@
 
 using Clock = std::chrono::steady_clock;
 
-constexpr std::chrono::milliseconds kPause{8};  // of a client, between requests
-constexpr int kNames = 50;                      // that the requests are spread over
+constexpr std::chrono::milliseconds kPause{8};  // between two requests of a client
+constexpr int kNames = 50;                      // number of different names in requests
 constexpr int kHttpTimeoutMs = 1500;
 
 constexpr unsigned kHttpOk = 200;
--- a/demo/demo.cpp
+++ b/demo/demo.cpp
@@ -1,6 +1,6 @@
-// The sidecar at its job, on loopback: three stand-in page servers and three stand-in resolvers behind it, a
-// client of each protocol before it. Halfway one server and one resolver go silent, later they come back.
-// Ends with an account, and fails where a request was lost or a submission ran twice.
+// Demonstrates the sidecar on loopback, between clients of each protocol and three stand-in page servers and
+// three stand-in resolvers. One server and one resolver become unresponsive and recover later. Prints a
+// summary at the end, and fails if a request was lost or a submission ran twice.
 #include <atomic>
 #include <chrono>
 #include <csignal>
@@ -27,8 +27,8 @@
 
 constexpr int kServers = 3;  // of each kind
 constexpr milliseconds kPhase{2500};
-// A half-open probe of one that does not respond takes its class's deadline, and the next one comes 1 s
-// later.
+// Long enough for recovery: a half-open probe of an unresponsive upstream takes the deadline of its class,
+// and the next probe follows 1 s later.
 constexpr milliseconds kReturn{6000};
 
 // The page servers and resolvers behind the sidecar. The last of each kind is the one that fails.
@@ -83,8 +83,7 @@
     for (const auto& resolver : resolvers_) (*row++).*when = static_cast<std::size_t>(resolver->queries());
   }
 
-  // Unsafe requests that ran more than once, over all page servers: one must run once at most, whichever
-  // servers it met.
+  // The number of unsafe requests that ran more than once, counted over all page servers together.
   int CountRepeatedSubmissions() const {
     std::map<std::string, int> runs;
     for (const auto& page : pages_) {
@@ -106,7 +105,7 @@
   std::vector<std::unique_ptr<StandinResolver>> resolvers_;
 };
 
-// Sends requests of all kinds through `node` while the last servers are well, silent and back.
+// Sends requests of all kinds through `node` while the last servers are healthy, unresponsive and recovered.
 ClientTotals PlayPhases(const Node& node, Servers& servers, std::vector<ServerRow>& rows) {
   std::atomic<bool> stop{false};
   ClientTotals totals;
@@ -148,9 +147,10 @@
     std::cerr << "the sidecar did not start:\n" << node.log();
     return 1;
   }
-  std::cout << "A sidecar between 3 page servers and 3 resolvers: HTTP on port " << node.port()
-            << ", DNS on port " << node.dns_port() << ".\nFor " << kPhase.count() / 1000.0
-            << " s all is well; then page-3 and resolver-3 go silent; then they are back.\n\n";
+  std::cout
+      << "A sidecar between 3 page servers and 3 resolvers: HTTP on port " << node.port() << ", DNS on port "
+      << node.dns_port() << ".\nFor " << kPhase.count() / 1000.0
+      << " s all servers are healthy; then page-3 and resolver-3 become unresponsive; then they recover.\n\n";
 
   std::vector<ServerRow> rows = servers.Rows();
   const ClientTotals totals = PlayPhases(node, servers, rows);
@@ -163,7 +163,7 @@
 
   node.Signal(SIGTERM);
   const int code = node.Wait();
-  std::cout << "The sidecar's log:\n" << node.log() << "It ended with " << code << ".\n";
+  std::cout << "The sidecar's log:\n" << node.log() << "It exited with status " << code << ".\n";
   return lost == 0 && repeated == 0 && code == 0 ? 0 : 1;
 }
 
--- a/demo/report.cpp
+++ b/demo/report.cpp
@@ -14,7 +14,7 @@
 
 void PrintClient(const std::string& name, const RequestCounters& counters) {
   PrintName(name);
-  std::cout << std::setw(6) << counters.sent << " asked" << std::setw(7) << counters.served << " served"
+  std::cout << std::setw(6) << counters.sent << " sent" << std::setw(7) << counters.served << " served"
             << std::setw(5) << counters.refused << " refused" << std::setw(5) << counters.failed << " failed"
             << std::setw(5) << counters.unanswered << " unanswered   slowest " << std::fixed
             << std::setprecision(0) << counters.slowest_ms << " ms\n";
@@ -23,7 +23,7 @@
 }  // namespace
 
 void PrintClients(const ClientTotals& totals) {
-  std::cout << "What the clients got\n";
+  std::cout << "Results of the clients\n";
   PrintClient("pages (GET, safe)", totals.page);
   PrintClient("tally sheets (POST, unsafe)", totals.submit);
   PrintClient("names over UDP", totals.udp);
@@ -31,7 +31,7 @@
 }
 
 void PrintServers(const std::vector<ServerRow>& rows) {
-  std::cout << "\nWhat was sent to                all well    silent    back\n";
+  std::cout << "\nRequests sent to                 healthy    silent    back\n";
   for (const ServerRow& row : rows) {
     PrintName(row.name);
     std::cout << std::setw(6) << row.when_well << std::setw(10) << row.when_silent - row.when_well
--- a/demo/report.h
+++ b/demo/report.h
@@ -1,4 +1,4 @@
-// The account that the demo prints at its end.
+// The summary that the demo prints at its end.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace mothrack::demo {
 
-// What the clients of each kind got.
+// The results of the clients of each kind.
 struct ClientTotals {
   RequestCounters page;
   RequestCounters submit;
@@ -19,7 +19,7 @@
   int unanswered() const { return page.unanswered + submit.unanswered + udp.unanswered + tcp.unanswered; }
 };
 
-// Requests that one server had received by the end of each phase.
+// The number of requests that one server had received by the end of each phase.
 struct ServerRow {
   std::string name;
   std::size_t when_well = 0;
--- a/fuzz/dns_message_fuzz.cpp
+++ b/fuzz/dns_message_fuzz.cpp
@@ -1,5 +1,5 @@
-// What comes from the network, as a message and as a stream of frames: it is read, rewritten both ways and
-// read again. Broken invariants abort.
+// Fuzzes the DNS parsers with input from the network, as one message and as a stream of frames. The input is
+// parsed, rewritten as a query and as a response, and parsed again. A broken invariant aborts.
 #include <cstdint>
 #include <cstdlib>
 
@@ -47,7 +47,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   const Bytes input(data, size);
   CheckMessage(input);
-  // The same as a stream, in pieces whose size the first byte sets.
+  // The same input as a stream, in pieces whose size is given by the first byte.
   if (size == 0) return 0;
   const std::size_t piece = 1 + data[0];
   FrameReader frames;
--- a/fuzz/fleet_wire_fuzz.cpp
+++ b/fuzz/fleet_wire_fuzz.cpp
@@ -1,6 +1,6 @@
-// What comes from another machine's agent or tool, and from the disk, as JSON. What can be read is written,
-// read again and must be the same; what can't is said by std::invalid_argument and by nothing else. Broken
-// invariants abort.
+// Fuzzes the readers of JSON that comes from the agent or the tool on another machine, or from the disk. A
+// value that can be read must be the same after it is written and read again. A reader reports invalid input
+// by std::invalid_argument and by no other exception. A broken invariant aborts.
 #include <cstdint>
 #include <cstdlib>
 #include <stdexcept>
@@ -17,7 +17,8 @@
   try {
     const T value = read(input);
     const json written = ToJson(value);
-    // The text as well, as it goes over the wire: bytes that are no UTF-8 can't have come in.
+    // Also checks the text that is sent: dump() throws for invalid UTF-8, which the reader must have
+    // rejected.
     if (ToJson(read(json::parse(written.dump()))) != written) std::abort();
   } catch (const std::invalid_argument&) {
   }
--- a/fuzz/peers_wire_fuzz.cpp
+++ b/fuzz/peers_wire_fuzz.cpp
@@ -1,5 +1,6 @@
-// What comes from another peer once its seal is open. What can be read is written, read again and must be the
-// same, and take no more bytes than the core reckons with. Broken invariants abort.
+// Fuzzes the reader of a peer's datagrams after decryption. A message that can be read must be the same after
+// it is written and read again, and must not exceed the size that the gossip core computes. A broken
+// invariant aborts.
 #include <cstdint>
 #include <cstdlib>
 
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,4 +1,5 @@
-// Runs a fuzz target over every file of a folder, where there is no libFuzzer. Fails where there is none.
+// Runs a fuzz target over every file of a folder in builds without libFuzzer. Fails if the folder has no
+// files.
 #include <cstdint>
 #include <filesystem>
 #include <fstream>
