--- a/src/gossip/task_log.cpp
+++ b/src/gossip/task_log.cpp
@@ -14,7 +14,7 @@
 
 TaskLog::TaskLog(const std::string& name) : Logger(name, kLimits) {}
 
-void TaskLog::LogSystemError(const std::string& operation, int error) {
+void TaskLog::LogSystemFailure(const std::string& operation, int error) {
   if (!logged_errors_.insert(error).second) return;
   Warn("peers_system_refuses", {{"operation", operation}, {"cause", ErrorText(error)}});
 }
--- a/src/gossip/task_log.h
+++ b/src/gossip/task_log.h
@@ -19,7 +19,7 @@
 
   // Logs that a system call failed, once per errno value; the snapshot's counters show how often.
   // `operation`: for example "read".
-  void LogSystemError(const std::string& operation, int error);
+  void LogSystemFailure(const std::string& operation, int error);
 
  private:
   std::set<int> logged_errors_;
--- a/src/gossip/task_worker.cpp
+++ b/src/gossip/task_worker.cpp
@@ -169,7 +169,7 @@
       case IoStatus::kWouldBlock:
         return;
       case IoStatus::kFailed:
-        log_.LogSystemError("read", received.error);
+        log_.LogSystemFailure("read", received.error);
         reading_paused_until_ = now + kReadPause;
         return;
     }
@@ -207,7 +207,7 @@
   const UdpSocket::Sent sent = socket_.Send(*sealed, *to);
   if (sent.status == IoStatus::kDone) return;
   ++send_failures_;
-  if (sent.status != IoStatus::kWouldBlock) log_.LogSystemError("send", sent.error);
+  if (sent.status != IoStatus::kWouldBlock) log_.LogSystemFailure("send", sent.error);
 }
 
 void TaskWorker::OnChange(const Change& change) {
