--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -105,18 +105,18 @@
   const std::string request = "request " + std::to_string(event.request);
   OpenRequest* open = Find(event.request);
   if (open == nullptr) {
-    RecordBreach(Rule::kLost, event.at, request + " was answered but never accepted");
+    RecordBreach(Rule::kLost, event.at, request + " was answered and never taken");
     return;
   }
   if (open->answered) RecordBreach(Rule::kLost, event.at, request + " was answered twice");
   if (!open->left && event.at > open->until + limits_.grace) {
     RecordBreach(Rule::kLost, event.at,
                  request + " was answered " + std::to_string(InMilliseconds(event.at - open->until)) +
-                     " ms after its deadline");
+                     " ms after its time");
   }
   const bool refused = event.request_outcome == RequestOutcome::kRefused;
   if (limits_.unsafe.at(open->cls) && refused && (open->possibly_run_attempts > 0 || open->runs > 0)) {
-    RecordBreach(Rule::kTwice, event.at, request + ", unsafe, was rejected although it may have run");
+    RecordBreach(Rule::kTwice, event.at, request + ", unsafe, was refused, and may have run");
   }
   open->answered = true;
   open->refused = refused;
@@ -138,7 +138,7 @@
   RecordBreach(Rule::kDrain, event.at,
                request + " was sent to server " + std::to_string(event.server) + " " +
                    std::to_string(InMilliseconds(event.at - notified->second)) +
-                   " ms after the notice that it drains");
+                   " ms after it was told as leaving");
 }
 
 void Rules::RecordStart(const SimulationEvent& event) {
@@ -148,7 +148,7 @@
   if (!limits_.unsafe.at(open->cls)) return;
   const std::string request = "request " + std::to_string(event.request);
   if (open->runs > 1) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran twice");
-  if (open->refused) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran after it was rejected");
+  if (open->refused) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran after it was refused");
 }
 
 // Compares the work that all sidecars together send to a server in slow start within the window with its
@@ -172,7 +172,7 @@
     RecordBreach(Rule::kSlowStart, event.at,
                  "server " + std::to_string(event.server) + ", " +
                      std::to_string(InSeconds(event.at - server.booted)) + " s old, was sent " +
-                     std::to_string(server.sum / capacity) + " times its capacity");
+                     std::to_string(server.sum / capacity) + " times what it can do");
     server.work.clear();
     server.sum = 0;
   }
