--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -203,7 +203,7 @@
   if (!answer.refused.empty()) {
     log_.Warn("step_refused", {{"instance", name.substr(0, kMaxLoggedName)}, {"reason", answer.refused}});
   }
-  if (on_step_accepted_) on_step_accepted_();
+  if (on_step_received_) on_step_received_();
   return {200, ToJson(answer)};
 }
 
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -43,8 +43,8 @@
   void ReportPeers(std::function<nlohmann::json()> peers) { peers_ = std::move(peers); }
   // Sets a function that is called after each step that was received, accepted or not. The caller then calls
   // Agent::ReconcileInstances().
-  void OnStepAccepted(std::function<void()> on_step_accepted) {
-    on_step_accepted_ = std::move(on_step_accepted);
+  void OnStepReceived(std::function<void()> on_step_received) {
+    on_step_received_ = std::move(on_step_received);
   }
 
   static constexpr double kPerSecond = 200;  // calls of all callers together
@@ -73,7 +73,7 @@
   ProcessSupervisor& processes_;
   Store& store_;
   runtime::Logger& log_;
-  std::function<void()> on_step_accepted_;
+  std::function<void()> on_step_received_;
   std::function<nlohmann::json()> peers_;
   runtime::RateLimiter rate_limiter_;
   admin::Server server_;  // last, since it calls the other members
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -149,7 +149,7 @@
 
   SupervisionLoop supervision(io, processes, agent);
   processes.OnStateChange([&] { supervision.RunSoon(); });
-  api.OnStepAccepted([&] { supervision.RunSoon(); });
+  api.OnStepReceived([&] { supervision.RunSoon(); });
   supervision.RunNow();
   // The sidecars keep running when the agent exits; the next agent adopts them.
   boost::asio::signal_set stop(io, SIGTERM, SIGINT);
--- a/src/balancer/connection_model.cpp
+++ b/src/balancer/connection_model.cpp
@@ -35,7 +35,7 @@
 
 void ConnectionModel::RecordTick() {
   difficulty_.value *= 1 - Seconds(kTickInterval) / Seconds(kConnectingDecayTime);
-  trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustGrowth), limits_.idle_close);
+  trusted_idle_ = std::min(Scaled(trusted_idle_, kTrustedIdleGrowth), limits_.idle_close);
 }
 
 }  // namespace mothrack::balancer
--- a/src/balancer/connection_model.h
+++ b/src/balancer/connection_model.h
@@ -13,8 +13,9 @@
 // Minimum idle time up to which a connection is reused. The limit is otherwise half the idle time at which a
 // connection was found closed.
 inline constexpr Duration kMinTrustedIdle = std::chrono::milliseconds(100);
-// Factor by which that limit grows each tick; it doubles in about ten seconds.
-inline constexpr double kTrustGrowth = 1.02;
+// Factor by which the trusted idle time, up to which a connection is reused, grows each tick until it reaches
+// Limits::idle_close. It doubles in about ten seconds.
+inline constexpr double kTrustedIdleGrowth = 1.02;
 // A reset within this share of the connect time-out means that the connection was already closed.
 inline constexpr double kImmediateShare = 0.1;
 // Difficulty of connecting above which connecting counts as hard: about half of the attempts that open a
--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -80,8 +80,9 @@
   static void RecordUnansweredProbe(OutlierRecord& record) { ++record.failure_run; }
   static void RecordReturn(OutlierRecord& record, TimePoint now);
 
-  // Recomputes the sums over the serving upstreams after an outcome: clear, then add each record.
+  // Sets the sums over the serving upstreams to 0, before they are recomputed after an outcome.
   void ClearSums() { all_attempts_ = all_failures_ = 0; }
+  // Adds the attempts and failures of a serving upstream to the sums unless it is ejected.
   void AddToSums(const OutlierRecord& record) {
     if (record.ejected) return;
     all_attempts_ += record.attempts;
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -82,7 +82,8 @@
 balancer::Duration StalenessBound(const StalenessRules& rules, StalenessCase staleness_case);
 // The worst staleness that `policy` can lead to.
 balancer::Duration WorstCaseStaleness(const PollPolicy& policy, StalenessCase staleness_case);
-// The minimum difference between the two, which covers late scheduling of the process and of its timers.
+// The minimum difference between StalenessBound() and WorstCaseStaleness(), which covers late scheduling of
+// the process and of its timers.
 balancer::Duration SchedulingMargin(const StalenessRules& rules);
 
 }  // namespace mothrack::discovery
--- a/src/gossip/probe_scheduler.h
+++ b/src/gossip/probe_scheduler.h
@@ -51,9 +51,11 @@
   // A step of the probe round for the caller to carry out.
   struct Step {
     enum class Action { kNone, kPing, kPingIndirectly, kRoundOver } action = Action::kNone;
-    std::string name;
-    std::uint64_t sequence = 0, boot_number = 0, incarnation = 0;  // of the ping, and of the probed member
-    Outcome outcome = Outcome::kAcked;                             // for kRoundOver
+    std::string name;                   // the probed member
+    std::uint64_t sequence = 0;         // sequence number of the ping
+    std::uint64_t boot_number = 0;      // boot number of the probed member
+    std::uint64_t incarnation = 0;      // incarnation of the probed member
+    Outcome outcome = Outcome::kAcked;  // result of the round, for kRoundOver
   };
 
   ProbeScheduler(const ProtocolConfig& config, TimePoint now, Random& random);
--- a/tests/admin/admin_access_test.cpp
+++ b/tests/admin/admin_access_test.cpp
@@ -17,7 +17,8 @@
 TEST(AdminApi, AddressNeedsTheTokenAndNeverShowsIt) {
   const AdminDirectory directory;
   const std::string token = "5f1c0a7e9b3d48265f1c0a7e9b3d4826";
-  Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + directory.Token(token) + "\"\n")));
+  Node node(
+      Dns(Resolvers(1) + AdminSectionAt("127.0.0.1:0", "token_file = \"" + directory.Token(token) + "\"\n")));
   const std::string address = AdminAddressOf(node);
   ASSERT_TRUE(address.starts_with("127.0.0.1:")) << node.log();
   std::string wrong = token;
@@ -40,7 +41,7 @@
 
 TEST(AdminApi, IdleConnectionsDoNotBlockIt) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(1) + At(directory.address())));
+  Node node(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   const int idle = admin.Connect();
@@ -56,7 +57,7 @@
 
 TEST(AdminApi, PollingTooOftenIsRejected) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(1) + At(directory.address())));
+  Node node(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   int refused = 0;
@@ -75,7 +76,7 @@
 
 TEST(AdminApi, ReplacesAStaleSocketButNothingElse) {
   const AdminDirectory directory;
-  const std::string file = Resolvers(1) + At(directory.address());
+  const std::string file = Resolvers(1) + AdminSectionAt(directory.address());
   {
     Node killed(Dns(file));
     ASSERT_EQ(AdminAddressOf(killed), directory.address());
@@ -93,7 +94,7 @@
   EXPECT_TRUE(AdminClient(directory.address()).Get("/v1/status")) << "the first one's socket is still there";
 
   std::ofstream(directory.File("plain")) << "kept";
-  Node third(Dns(Resolvers(1) + At("unix:" + directory.File("plain"))));
+  Node third(Dns(Resolvers(1) + AdminSectionAt("unix:" + directory.File("plain"))));
   EXPECT_EQ(third.Wait(), 1);
   EXPECT_NE(third.log().find("is no socket"), std::string::npos) << third.log();
   EXPECT_EQ(fs::file_size(directory.File("plain")), 4U);
@@ -102,7 +103,7 @@
 TEST(AdminSettings, TokenFileMustBeGoodAndPrivate) {
   const AdminDirectory directory;
   const auto error_of = [&](const std::string& token_file) {
-    Node node(Dns(Resolvers(1) + At("127.0.0.1:0", "token_file = \"" + token_file + "\"\n")));
+    Node node(Dns(Resolvers(1) + AdminSectionAt("127.0.0.1:0", "token_file = \"" + token_file + "\"\n")));
     EXPECT_EQ(node.Wait(), 1);
     return node.log();
   };
--- a/tests/admin/admin_commands_test.cpp
+++ b/tests/admin/admin_commands_test.cpp
@@ -12,7 +12,7 @@
 
 TEST(AdminApi, ReloadAppliesAGoodFileAndNamesTheFaultOfABadOne) {
   const AdminDirectory directory;
-  const std::string admin_section = At(directory.address());
+  const std::string admin_section = AdminSectionAt(directory.address());
   Node node(Dns(Resolvers(1) + admin_section));
   ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
   const AdminClient admin(directory.address());
@@ -44,7 +44,7 @@
 
 TEST(AdminApi, DrainIsThePlannedStopAndIsReportedMeanwhile) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(1) + At(directory.address())));
+  Node node(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
   const AdminClient admin(directory.address());
   const auto answer = admin.Post("/v1/drain");
@@ -60,7 +60,7 @@
 
 TEST(AdminApi, UnknownCommandsAreRejectedAndLogged) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(1) + At(directory.address())));
+  Node node(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   const auto status = [](const std::optional<AdminAnswer>& answer) { return answer ? answer->status : 0; };
--- a/tests/admin/admin_fixture.h
+++ b/tests/admin/admin_fixture.h
@@ -27,7 +27,8 @@
   }
 };
 
-inline std::string At(const std::string& listen, const std::string& more = "") {
+// An [admin] section that listens at the address `listen`. `more`: its further lines.
+inline std::string AdminSectionAt(const std::string& listen, const std::string& more = "") {
   return "[admin]\nlisten = \"" + listen + "\"\n" + more;
 }
 
--- a/tests/admin/admin_status_test.cpp
+++ b/tests/admin/admin_status_test.cpp
@@ -21,7 +21,7 @@
 TEST(AdminApi, ReportsTheProcessTheConfigurationAndTheUpstreams) {
   const AdminDirectory directory;
   Upstream upstream(Upstream::Echo("u"));
-  Node node(Http(At(directory.address()),
+  Node node(Http(AdminSectionAt(directory.address()),
                  List({Target("u1", upstream.address()), Target("u2", "127.0.0.1:9", "leaving")})));
   ASSERT_TRUE(node.Listening());
   ASSERT_EQ(AdminAddressOf(node), directory.address());
@@ -68,7 +68,7 @@
   ASSERT_TRUE(node.DnsListening());
   const int without = node.descriptors();
   const AdminDirectory directory;
-  Node with(Dns(Resolvers(1) + At(directory.address())));
+  Node with(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(with), directory.address());
   EXPECT_EQ(with.descriptors(), without + 1);
   EXPECT_EQ(node.log().find("admin"), std::string::npos);
@@ -81,7 +81,7 @@
     Eventually([&] { return answers.load(); });
     wire.Answer(200, "late");
   });
-  Node node(Http(At(directory.address()), List({Target("u1", upstream.address())})));
+  Node node(Http(AdminSectionAt(directory.address()), List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   const AdminClient admin(directory.address());
   Client client(node.port());
@@ -121,7 +121,7 @@
   StandinResolver good(StandinResolver::Echo());
   Node node(Dns("[dns]\nlisten = [\"127.0.0.1:0\"]\n[[dns.resolver]]\nuid = \"dead\"\nendpoint = \"" +
                 dead.address() + "\"\n[[dns.resolver]]\nuid = \"good\"\nendpoint = \"" + good.address() +
-                "\"\n" + At(directory.address())));
+                "\"\n" + AdminSectionAt(directory.address())));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   const AdminClient admin(directory.address());
@@ -146,7 +146,7 @@
 
 TEST(AdminApi, PagesThroughManyUpstreams) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(250) + At(directory.address())));
+  Node node(Dns(Resolvers(250) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   std::set<std::string> seen;
--- a/tests/balancer/rotation_test.cpp
+++ b/tests/balancer/rotation_test.cpp
@@ -85,17 +85,18 @@
 TEST(UnreliableUpstream, KeepsAShareByItsSuccessRate) {
   TestSidecar sidecar;
   sidecar.ListUpstreams(4);
-  int at_b = 0;
+  int attempts_at_b = 0;
   for (int i = 0; i < 400; ++i) {
     const std::size_t before = sidecar.sent.size();
     sidecar.Arrive(kUnsafe);
     sidecar.now += 10ms;
     ASSERT_EQ(sidecar.sent.size(), before + 1);
     const bool b = sidecar.sent[before].upstream == "b";
-    sidecar.EndAttempt(sidecar.sent[before], b && ++at_b % 2 == 0 ? Outcome::kTimeout : Outcome::kServed);
+    sidecar.EndAttempt(sidecar.sent[before],
+                       b && ++attempts_at_b % 2 == 0 ? Outcome::kTimeout : Outcome::kServed);
   }
-  EXPECT_GT(at_b, 400 / 12);
-  EXPECT_LT(at_b, 400 / 5);
+  EXPECT_GT(attempts_at_b, 400 / 12);
+  EXPECT_LT(attempts_at_b, 400 / 5);
   EXPECT_FALSE(sidecar.HasLogged("refusing"));
 }
 
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -70,7 +70,7 @@
     }
     sidecars_.resize(static_cast<std::size_t>(test_case.sidecars));
     for (std::size_t i = 0; i < sidecars_.size(); ++i) {
-      sidecars_[i].rate = i % 10 == 0 ? 20 : 2;  // a second
+      sidecars_[i].rate = i % 10 == 0 ? 20 : 2;  // requests per second
       all_rate_ += sidecars_[i].rate;
       Start(i);
     }
@@ -106,7 +106,8 @@
     double allowed = 0;  // the bound without the margin
     Duration at{};       // after the start
   } worst;
-  // Requests to the upstreams in slow start, divided by their fair share at the minimum slow start factor.
+  // Requests to the upstreams in slow start, divided by their fair share, which is summed over time at the
+  // slow start factor of each moment.
   double SentShare() const { return sent_ / fair_share_; }
 
  private:
--- a/tests/balancer/unavailable_zone_test.cpp
+++ b/tests/balancer/unavailable_zone_test.cpp
@@ -46,7 +46,8 @@
   EXPECT_GT(zones.SendRequests(200, false).first, 80);
   EXPECT_LE(zones.SendRequests(100, true).first, 4) << "not two at each of the six upstreams";
   EXPECT_EQ(zones.SendRequests(100, true).first, 0);
-  // Safe requests probe it, at least one each half second.
+  // Safe requests probe it for 3 s. After each probe, the next one waits for a minimum delay that is drawn at
+  // random from 0.5 s to 1.5 s.
   const int probes = zones.SendRequests(150, true, kSafe).first;
   EXPECT_GE(probes, 1);
   EXPECT_LE(probes, 8);
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -29,9 +29,11 @@
 TEST(UnresponsiveResolvers, ResolverIsEjectedAndItsClientsAreServedByTheOthers) {
   StandinResolver unresponsive(StandinResolver::Unresponsive());
   StandinResolver good(StandinResolver::Echo());
-  StandinResolver better(StandinResolver::Echo());
-  Node node(DnsOnlyOptions(OperatorFile(
-      ResolverList().Add("s", unresponsive.address()).Add("g", good.address()).Add("b", better.address()))));
+  StandinResolver second_responsive(StandinResolver::Echo());
+  Node node(DnsOnlyOptions(OperatorFile(ResolverList()
+                                            .Add("s", unresponsive.address())
+                                            .Add("g", good.address())
+                                            .Add("b", second_responsive.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   std::uint16_t id = 0;
--- a/tests/sidecar/reload_test.cpp
+++ b/tests/sidecar/reload_test.cpp
@@ -10,7 +10,8 @@
 namespace mothrack::testing {
 namespace {
 
-std::string FollowingTo(const Node& node, const std::string& discovery) {
+// The program's configuration with another address of discovery.
+std::string ConfigWithDiscovery(const Node& node, const std::string& discovery) {
   json config = node.config();
   config["discovery"] = discovery;
   return config.dump();
@@ -30,17 +31,17 @@
   Node node(options);
   ASSERT_TRUE(node.Listening());
   ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
-  node.Reload(FollowingTo(node, second.address()));  // with a watch open
+  node.Reload(ConfigWithDiscovery(node, second.address()));  // with a watch open
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   first.SetBehavior(Discovery::Behavior::kClosesConnection);
-  node.Reload(FollowingTo(node, first.address()));
+  node.Reload(ConfigWithDiscovery(node, first.address()));
   ASSERT_TRUE(Eventually([&] { return node.log().find("discovery: ") != std::string::npos; }));
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list holds
-  for (int i = 0; i < 3; ++i) node.Reload(FollowingTo(node, second.address()));
+  for (int i = 0; i < 3; ++i) node.Reload(ConfigWithDiscovery(node, second.address()));
   second.Publish(List({Target("u1", a.address())}));
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
   node.Signal(SIGTERM);
-  node.Reload(FollowingTo(node, first.address()));  // in a drain
+  node.Reload(ConfigWithDiscovery(node, first.address()));  // in a drain
   EXPECT_EQ(node.Wait(), 0);
 }
 
@@ -55,7 +56,7 @@
   ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
   json known = node.config();
   known["known"] = {{"no", "list"}};
-  for (const auto& text : {std::string("{"), FollowingTo(node, "nowhere"), known.dump()}) {
+  for (const auto& text : {std::string("{"), ConfigWithDiscovery(node, "nowhere"), known.dump()}) {
     const auto faults = [&node] {
       const std::string log = node.log();
       const std::string fault = " error configuration_not_taken cause=";
