--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -10,9 +10,9 @@
 // An unanswered command is repeated after this time.
 constexpr Duration kRetryInterval{500};
 // Time between two polls of an instance. A batch waits for a new report three times (end of its steps, end of
-// the watch interval, availability of the other targets), and a rolling change takes the sum of these waits.
-// One report of an agent answers for all of its instances, so this makes 16 requests per second to each agent
-// that the change touches.
+// the watch interval, availability of the other targets), and these waits add to the duration of a rolling
+// change. One report of an agent covers all of its instances, so each agent that the change touches receives
+// 16 requests per second.
 constexpr Duration kReportInterval{60};
 // Number of renewals of the lease within its duration.
 constexpr int kRenewalsPerLease = 6;
--- a/src/rollout/change.h
+++ b/src/rollout/change.h
@@ -1,7 +1,7 @@
 // Executes one change: its steps batch by batch, a gate after each batch, and the reaction to a failed step
-// or gate. It runs in the operator's tool, which may crash at any time. Nothing of it needs to survive a
-// crash, because the agents store the plan and the progress of each step. The next holder of the lease builds
-// a new Change from them, and resumes or undoes it.
+// or gate. It runs in the operator's tool, which may crash at any time. None of its state needs to survive a
+// crash, because the agents store the plan and the progress of each step. From these, the next holder of the
+// lease builds a new Change that resumes or undoes the old one.
 //
 // A state machine without I/O, driven by the agents' answers and by time. Every command may be lost, repeated
 // or late: an agent carries out each step once (src/rollout/instance.h), and rejects the steps of a holder
@@ -10,7 +10,7 @@
 //
 // Invariants:
 //   * before a batch starts, every target outside it is available, except those that the change stopped on
-//     purpose; so at most `max_unavailable` are down at once because of the change, all in one hall;
+//     purpose; so at most `max_unavailable` targets are down at once because of the change, all in one hall;
 //   * a batch ends only once each of its steps is done and has been healthy for `watch_interval`;
 //   * no step is commanded unless each agent that the change touches confirmed the lease within half its
 //     duration;
--- a/src/rollout/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -15,7 +15,8 @@
   if (!step.undo && !same_change && record_.generation != step.from) return Verdict::kGenerationMismatch;
   record_.step = step;
   if (step.undo && !same_change) {
-    // There is nothing to undo. But the step itself may still arrive, and must be rejected as stale then.
+    // There is nothing to undo. But the step itself may still arrive and must then be rejected as stale,
+    // which the recorded undo ensures.
     record_.phase = Phase::kDone;
     record_.failure_reason.clear();
     return Verdict::kAccepted;
@@ -116,8 +117,8 @@
 void Instance::Start(TimePoint now, std::vector<Action>& actions) {
   // ready_timeout counts from each start, so that an early exit does not shorten the next attempt.
   if (record_.phase == Phase::kAccepted) started_at_ = now;
-  // Wait a backoff before another start, unless the process is seen earlier: a failed start leaves no process
-  // whose exit could be observed.
+  // Wait for a backoff before the next start, in case this one fails: a failed start leaves no process whose
+  // exit could be observed.
   next_start_time_ = now + limits_.first_backoff;
   was_running_ = true;
   actions.push_back({Action::Kind::kStart, record_.generation, record_.token, {}});
--- a/src/rollout/instance.h
+++ b/src/rollout/instance.h
@@ -1,4 +1,4 @@
-// Supervision of one instance by its agent: keeps the process running, restarts it with exponential backoff,
+// Supervises one instance for its agent: keeps the process running, restarts it with exponential backoff,
 // stops restarting it in a crash loop (the instance is then "held"), and carries out steps. A step ends in a
 // known state even if the agent crashes at any point.
 //
--- a/src/rollout/types.h
+++ b/src/rollout/types.h
@@ -37,11 +37,11 @@
 
 enum class StepKind {
   kRestart,  // a planned stop, then a start with the step's generation
-  kStop,     // a planned stop; the instance stays down
+  kStop,     // a planned stop, after which the instance stays down
 };
 
-// What one instance has to do for a change. It is carried out once, and again if it failed and a later holder
-// retries it. An undo comes after the step that it reverts, never before.
+// The part of a change that one instance carries out. A step is carried out once, and again if it failed and
+// a later holder retries it. An undo comes after the step that it reverts, never before.
 struct Step {
   std::string change;
   StepKind kind = StepKind::kRestart;
@@ -69,7 +69,7 @@
   // The current state of the process.
   bool running = false;
   bool ready = false;
-  bool held = false;       // in a crash loop: it exited too often and is not restarted
+  bool held = false;       // in a crash loop: the process exited too often and is not restarted
   std::string generation;  // that the process runs with
   // Requests since the process started.
   std::uint64_t requests = 0;
--- a/tests/rollout/claim_test.cpp
+++ b/tests/rollout/claim_test.cpp
@@ -109,9 +109,10 @@
   EXPECT_TRUE(open.granted()) << open.rejection();
 }
 
-// A regression from history 98150. A claim for c1 was rejected while its request to "a" was still in flight.
-// The answer arrived after the operator's second claim, for c4, had chosen the same epoch, and was matched to
-// that claim. Then c1 was open at "a" and c4 elsewhere, and neither could be closed.
+// Guards against a fault that the random history of seed 98150 found. A claim for c1 was rejected while its
+// request to "a" was still in flight. The answer arrived after the operator's second claim, for c4, had
+// chosen the same epoch, and was matched to that claim. Then c1 was open at "a" and c4 elsewhere, and neither
+// could be closed.
 TEST(Claim, AnswersToAnEarlierClaimAreIgnored) {
   Agents agents;
   const Holder first{"c1", "ann", "a test", 0, "ann.1"};
--- a/tests/rollout/fleet_model.h
+++ b/tests/rollout/fleet_model.h
@@ -60,7 +60,7 @@
   TimePoint ready_at;
   std::optional<TimePoint> exits_at;  // std::nullopt: keeps running
   bool draining = false;
-  bool ignores_stop = false;  // ignores a planned stop
+  bool ignores_stop = false;  // continues after a planned stop, so that the agent has to kill it
   int planned_stops = 0;
 };
 
@@ -94,8 +94,8 @@
   Plan plan;
   Change::Direction direction = Change::Direction::kForward;
   Epoch epoch = 0;
-  int claims = 0;  // makes the id of each claim unique
-  int held_after_faults = 0;
+  int claims = 0;             // makes the id of each claim unique
+  int held_after_faults = 0;  // number of its changes that were held after the faults had stopped
 };
 
 class FleetModel {
@@ -212,8 +212,8 @@
   std::vector<Tool> tools_;
   std::multimap<TimePoint, std::function<void()>> messages_;
   std::set<std::string> faulty_hosts_;  // processes of a new generation fail there
-  bool exits_at_once_ = false;
-  double fault_rate_ = 1;  // factor on the probability of each fault
+  bool exits_at_once_ = false;          // they exit soon after their start; otherwise they never become ready
+  double fault_rate_ = 1;               // factor on the probability of each fault
   std::set<std::string> ended_;
   Epoch highest_accepted_epoch_ = 0;
   std::set<std::pair<std::string, InstanceName>> accepted_steps_;  // steps, not undos
--- a/tests/rollout/lease_test.cpp
+++ b/tests/rollout/lease_test.cpp
@@ -58,7 +58,7 @@
   EXPECT_EQ(lessor.Acquire(3, HolderNamed("bob", "c2"), At(3)), Verdict::kGranted);
 }
 
-// A delayed request of the same tool and epoch, but for another change, was granted in the meantime.
+// The agent may have granted a delayed request of the same tool and epoch that was for another change.
 TEST(Lease, OpensOnlyTheChangeItWasGrantedFor) {
   Lessor lessor({}, milliseconds(1000), At(0));
   ASSERT_EQ(lessor.Acquire(5, HolderNamed("ann", "c1"), At(0)), Verdict::kGranted);
