--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-Agent::Agent(Store& store, Machine& machine, const Stored& stored,
+Agent::Agent(Store& store, Machine& machine, const StoredState& stored,
              const std::map<std::string, std::string>& instances, const rollout::InstanceLimits& limits,
              rollout::Duration lease_time, rollout::TimePoint now)
     : store_(store), machine_(machine), lease_(stored.lease, lease_time, now), plans_(stored.plans) {
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -74,7 +74,7 @@
   // `stored`: the content of the store when it was opened. `instances`: the supervised instances, each with
   // the generation to begin with if the store has no record of it. `store` and `machine` must outlive the
   // agent.
-  Agent(Store& store, Machine& machine, const Stored& stored,
+  Agent(Store& store, Machine& machine, const StoredState& stored,
         const std::map<std::string, std::string>& instances, const rollout::InstanceLimits& limits,
         rollout::Duration lease_time, rollout::TimePoint now);
 
--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -88,7 +88,7 @@
 }
 
 void SqliteStore::Read() {
-  Stored read;
+  StoredState read;
   Statement lease(*db_, "SELECT highest, holder, open FROM lease");
   if (lease.Step()) {
     read.lease.highest = static_cast<rollout::Epoch>(lease.Number(0));
--- a/src/agent/sqlite_store.h
+++ b/src/agent/sqlite_store.h
@@ -22,7 +22,7 @@
   ~SqliteStore() override;
 
   // The content of the file when it was opened; empty if error() is permanent.
-  const Stored& stored() const { return stored_; }
+  const StoredState& stored() const { return stored_; }
 
   std::optional<StoreError> SaveLease(const rollout::LeaseState& state, const rollout::Plan* opened,
                                       const Event& note) override;
@@ -48,7 +48,7 @@
 
   const std::string path_;
   std::unique_ptr<storage::Database> db_;
-  Stored stored_;
+  StoredState stored_;
   std::optional<StoreError> open_error_;  // permanent until the file is replaced and the agent restarted
   std::optional<StoreError> save_error_;  // of the last save
 };
--- a/src/agent/store.h
+++ b/src/agent/store.h
@@ -16,7 +16,7 @@
 namespace mothrack::agent {
 
 // The durable state that an agent starts from.
-struct Stored {
+struct StoredState {
   rollout::LeaseState lease;
   std::map<std::string, rollout::InstanceRecord> records;
   std::map<std::string, rollout::Plan> plans;  // by change id: the open change and some former ones
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -107,7 +107,7 @@
   record.generation = "g2";
   record.step = {"c0", StepKind::kRestart, false, "g2", 0, "g1"};
   record.phase = Phase::kAccepted;
-  Stored stored;
+  StoredState stored;
   stored.records["i0"] = record;
   stored.lease = {1, holder_, holder_};
   Agent agent(store_, machine_, stored, {{"i0", "g1"}}, {}, std::chrono::seconds(10), kNow);
--- a/tests/agent/stored_fixture_test.cpp
+++ b/tests/agent/stored_fixture_test.cpp
@@ -149,7 +149,7 @@
   const testing::FixtureDirectory directory;
   const SqliteStore store(directory.CopyOf(kFixture));
   ASSERT_EQ(store.fault(), "");
-  const Stored& read = store.stored();
+  const StoredState& read = store.stored();
   EXPECT_EQ(read.lease.highest, 7U);
   ExpectHolder(read.lease.holder, kHolder);
   ExpectHolder(read.lease.open, kOpener);
--- a/tests/rollout/fleet_model.h
+++ b/tests/rollout/fleet_model.h
@@ -74,7 +74,7 @@
   bool up = true;
   TimePoint restart_at;
   bool disk_full = false;
-  agent::Stored disk;
+  agent::StoredState disk;
   std::map<std::string, Process> processes;
   bool unreachable = false;
   // The running agent and its fakes.
