--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -110,7 +110,7 @@
     return instances_.at(instance).saved.generation;
   }
   // Returns whether the instance is to run, by its durable record.
-  bool WantedOf(const std::string& instance) const { return instances_.at(instance).saved.wanted; }
+  bool ShouldRun(const std::string& instance) const { return instances_.at(instance).saved.wanted; }
   const rollout::LeaseState& lease() const { return lease_.state(); }
   std::optional<rollout::Holder> holder(rollout::TimePoint now) const { return lease_.holder(now); }
   // Returns the plan of a change that was opened here; null if it was not, or if its plan has been deleted.
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -84,7 +84,7 @@
     instances[name] = rollout::ToJson(agent_.ReportOf(name));
     instances[name]["pid"] = processes_.pid(name);
     instances[name]["configured"] = agent_.GenerationOf(name);
-    instances[name]["wanted"] = agent_.WantedOf(name);
+    instances[name]["wanted"] = agent_.ShouldRun(name);
   }
   const rollout::LeaseState& lease = agent_.lease();
   json about = {{"name", file_.name},
@@ -147,7 +147,7 @@
           {"POST", "/v1/lease", with_body(&AgentApi::Lease)},
           {"POST", "/v1/report", with_body(&AgentApi::Report)},
           {"POST", "/v1/take", with_body(&AgentApi::AcceptStep)},
-          {"POST", "/v1/generation", with_body(&AgentApi::KeepGeneration)}};
+          {"POST", "/v1/generation", with_body(&AgentApi::AddGeneration)}};
 }
 
 Answer AgentApi::History(const std::string& query) const {
@@ -207,7 +207,7 @@
   return {200, ToJson(answer)};
 }
 
-Answer AgentApi::KeepGeneration(const json& body) {
+Answer AgentApi::AddGeneration(const json& body) {
   GenerationStore::Files files;
   const json given = rollout::Member<json>(body, "files");
   if (!given.is_object()) return admin::Fault(400, "files is of the wrong kind");
@@ -216,7 +216,7 @@
     files[name] = text.get<std::string>();
   }
   const auto generation = rollout::Member<std::string>(body, "name");
-  if (const auto error = processes_.generations().Keep(generation, files)) {
+  if (const auto error = processes_.generations().Add(generation, files)) {
     return admin::Fault(409, error->message);
   }
   store_.Note({UnixNow(), "", "kept generation " + generation});
--- a/src/agent/agent_api.h
+++ b/src/agent/agent_api.h
@@ -62,7 +62,7 @@
   admin::Answer Lease(const nlohmann::json& body);
   admin::Answer Report(const nlohmann::json& body);
   admin::Answer AcceptStep(const nlohmann::json& body);
-  admin::Answer KeepGeneration(const nlohmann::json& body);
+  admin::Answer AddGeneration(const nlohmann::json& body);
   nlohmann::json About() const;
 
   // Applies the rate limit, tokens and roles. Returns an answer if the call is refused.
--- a/src/agent/agent_main.cpp
+++ b/src/agent/agent_main.cpp
@@ -51,7 +51,7 @@
     const auto [files, error] = ReadDirectory(from, DirectoryEntries::kAll);
     const std::string key = "generations." + name + ": ";
     if (error) throw FileError(key + from + ": " + error.message());
-    if (const auto rejection = processes.generations().Keep(name, files)) {
+    if (const auto rejection = processes.generations().Add(name, files)) {
       throw FileError(key + rejection->message);
     }
   }
--- a/src/agent/generation_store.cpp
+++ b/src/agent/generation_store.cpp
@@ -70,7 +70,7 @@
   return std::nullopt;
 }
 
-std::optional<GenerationError> GenerationStore::Keep(const std::string& generation, const Files& files) {
+std::optional<GenerationError> GenerationStore::Add(const std::string& generation, const Files& files) {
   if (auto invalid = Validate(generation, files)) return invalid;
   if (Has(generation)) {
     if (FilesOf(generation) == files) return std::nullopt;
--- a/src/agent/generation_store.h
+++ b/src/agent/generation_store.h
@@ -1,5 +1,5 @@
 // Configuration generations on disk: DIRECTORY/NAME/ has the files of generation NAME. A generation is
-// immutable and is stored completely or not at all. Called from the event loop only; Keep() blocks it until
+// immutable and is stored completely or not at all. Called from the event loop only; Add() blocks it until
 // the files are durable and checked.
 #pragma once
 
@@ -51,7 +51,7 @@
   std::string DirectoryOf(const std::string& generation) const { return directory_ + '/' + generation; }
 
   // Stores a generation durably. Succeeds without effect if it is already stored with the same files.
-  std::optional<GenerationError> Keep(const std::string& generation, const Files& files);
+  std::optional<GenerationError> Add(const std::string& generation, const Files& files);
 
  private:
   std::optional<GenerationError> Validate(const std::string& generation, const Files& files) const;
--- a/tests/agent/generation_store_test.cpp
+++ b/tests/agent/generation_store_test.cpp
@@ -34,21 +34,21 @@
 
 TEST_F(GenerationStoreTest, StoredGenerationIsImmutable) {
   const GenerationStore::Files files = {{"mothrack.toml", "one"}};
-  EXPECT_EQ(CauseOf(store_->Keep("g1", files)), std::nullopt);
-  EXPECT_EQ(CauseOf(store_->Keep("g1", files)), std::nullopt) << "the same files again";
-  EXPECT_EQ(CauseOf(store_->Keep("g1", {{"mothrack.toml", "two"}})), Cause::kOtherFiles);
+  EXPECT_EQ(CauseOf(store_->Add("g1", files)), std::nullopt);
+  EXPECT_EQ(CauseOf(store_->Add("g1", files)), std::nullopt) << "the same files again";
+  EXPECT_EQ(CauseOf(store_->Add("g1", {{"mothrack.toml", "two"}})), Cause::kOtherFiles);
   EXPECT_EQ(store_->FilesOf("g1"), files);
 }
 
 TEST_F(GenerationStoreTest, RejectionsNameTheirCauseAndStoreNothing) {
   const GenerationStore::Files files = {{"mothrack.toml", "one"}};
-  EXPECT_EQ(CauseOf(store_->Keep("../g1", files)), Cause::kInvalidName);
-  EXPECT_EQ(CauseOf(store_->Keep("g1", {})), Cause::kInvalidFiles);
-  EXPECT_EQ(CauseOf(store_->Keep("g1", {{"../escape", "x"}})), Cause::kInvalidFiles);
+  EXPECT_EQ(CauseOf(store_->Add("../g1", files)), Cause::kInvalidName);
+  EXPECT_EQ(CauseOf(store_->Add("g1", {})), Cause::kInvalidFiles);
+  EXPECT_EQ(CauseOf(store_->Add("g1", {{"../escape", "x"}})), Cause::kInvalidFiles);
   const std::string too_long(GenerationStore::kMaxFileBytes + 1, 'x');
-  EXPECT_EQ(CauseOf(store_->Keep("g1", {{"mothrack.toml", too_long}})), Cause::kInvalidFiles);
+  EXPECT_EQ(CauseOf(store_->Add("g1", {{"mothrack.toml", too_long}})), Cause::kInvalidFiles);
   check_error_ = CheckError{CheckError::Cause::kRejected, "g1", "line 3"};
-  const auto rejected = store_->Keep("g1", files);
+  const auto rejected = store_->Add("g1", files);
   EXPECT_EQ(CauseOf(rejected), Cause::kCheckFailed);
   ASSERT_TRUE(rejected);
   EXPECT_EQ(rejected->message, "g1: its check failed: line 3");
@@ -57,9 +57,9 @@
 
 TEST_F(GenerationStoreTest, StoresNoMoreThanItsBound) {
   for (std::size_t i = 0; i < GenerationStore::kMaxGenerations; ++i) {
-    ASSERT_EQ(CauseOf(store_->Keep("g" + std::to_string(i), {{"f", "x"}})), std::nullopt) << i;
+    ASSERT_EQ(CauseOf(store_->Add("g" + std::to_string(i), {{"f", "x"}})), std::nullopt) << i;
   }
-  EXPECT_EQ(CauseOf(store_->Keep("one-more", {{"f", "x"}})), Cause::kTooMany);
+  EXPECT_EQ(CauseOf(store_->Add("one-more", {{"f", "x"}})), Cause::kTooMany);
 }
 
 TEST_F(GenerationStoreTest, FailedWriteNamesThePath) {
@@ -67,7 +67,7 @@
   std::FILE* file = std::fopen(directory_.File("generations").c_str(), "w");  // where a directory should be
   ASSERT_NE(file, nullptr);
   std::fclose(file);
-  const auto error = store_->Keep("g1", {{"f", "x"}});
+  const auto error = store_->Add("g1", {{"f", "x"}});
   EXPECT_EQ(CauseOf(error), Cause::kDiskWriteFailed);
   ASSERT_TRUE(error);
   EXPECT_NE(error->message.find(directory_.File("generations")), std::string::npos) << error->message;
