--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -62,12 +62,12 @@
     bool open = false;                      // the command's change is open here
     rollout::Epoch highest = 0;             // the highest epoch ever granted here
     Refusal refusal = Refusal::kNone;
-    std::string refused;                    // the refusal's text for the operator; empty if there is none
+    std::string refusal_text;               // the refusal's text for the operator; empty if there is none
     std::optional<rollout::Report> report;  // on the instance that a step was for
 
     void Refuse(Refusal why, std::string message) {
       refusal = why;
-      refused = std::move(message);
+      refusal_text = std::move(message);
     }
   };
 
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -25,7 +25,7 @@
   json response = {{"verdict", rollout::WireName(answer.verdict)},
                    {"open", answer.open},
                    {"highest", answer.highest},
-                   {"refused", answer.refused}};
+                   {"refused", answer.refusal_text}};
   if (answer.holder) response["holder"] = rollout::ToJson(*answer.holder);
   if (answer.report) response["report"] = rollout::ToJson(*answer.report);
   return response;
@@ -122,7 +122,7 @@
   }
   const bool close = rollout::Member<bool>(body, "close");
   const Agent::Answer answer = agent_.Release(epoch, claim_id, close, UnixNow());
-  if (answer.refusal == Refusal::kSaveFailed) return admin::Fault(kInsufficientStorage, answer.refused);
+  if (answer.refusal == Refusal::kSaveFailed) return admin::Fault(kInsufficientStorage, answer.refusal_text);
   return {200, ToJson(answer)};
 }
 
@@ -200,8 +200,9 @@
       agent_.AcceptStep(name, rollout::StepFrom(rollout::Member<json>(body, "step")),
                         rollout::Member<std::uint64_t>(body, "epoch"),
                         rollout::Member<std::string>(body, "tool"), SteadyNow(), UnixNow());
-  if (!answer.refused.empty()) {
-    log_.Warn("step_refused", {{"instance", name.substr(0, kMaxLoggedName)}, {"reason", answer.refused}});
+  if (!answer.refusal_text.empty()) {
+    log_.Warn("step_refused",
+              {{"instance", name.substr(0, kMaxLoggedName)}, {"reason", answer.refusal_text}});
   }
   if (on_step_received_) on_step_received_();
   return {200, ToJson(answer)};
--- a/src/ctl/command_resume.cpp
+++ b/src/ctl/command_resume.cpp
@@ -50,7 +50,7 @@
   const auto [plan, code] = FetchOpenPlan(session, TakeSnapshot(session.driver()));
   if (!plan) return code;
   const auto outcome = session.driver().Close(*plan, session.OperatorName());
-  if (outcome.refused) return Fail(kRefused, outcome.refused->Message());
+  if (outcome.claim_error) return Fail(kRefused, outcome.claim_error->Message());
   std::cout << plan->id << " closed; no step is undone" << std::endl;
   return PrintLeftOpen(outcome) ? kUnreachable : kDone;
 }
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -28,7 +28,7 @@
 struct Driver::LeaseAnswer {
   rollout::Lessor::Verdict verdict = rollout::Lessor::Verdict::kFenced;
   std::optional<rollout::Holder> holder;  // another holder of the lease
-  std::string refused;                    // why it was refused, if the verdict is not the reason
+  std::string refusal_text;               // why it was refused, if the verdict is not the reason
   bool open = false;
   rollout::Epoch highest = 0;
 };
@@ -42,8 +42,8 @@
   const rollout::Holder holder = HolderOf(plan, who);
   const Lease lease = AcquireLease(plan, holder, resuming);
   Outcome outcome;
-  outcome.refused = lease.refused;
-  if (outcome.refused) return outcome;
+  outcome.claim_error = lease.claim_error;
+  if (outcome.claim_error) return outcome;
   rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
   RunChange(change, lease.epoch, holder.claim_id);
   outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
@@ -60,8 +60,8 @@
   const rollout::Holder holder = HolderOf(plan, who);
   const Lease lease = AcquireLease(plan, holder, true);
   Outcome outcome;
-  outcome.refused = lease.refused;
-  if (outcome.refused) return outcome;
+  outcome.claim_error = lease.claim_error;
+  if (outcome.claim_error) return outcome;
   outcome.end = rollout::ChangeEnd::kAborted;
   outcome.left_open = Release(lease.epoch, holder.claim_id, true);
   return outcome;
@@ -108,11 +108,11 @@
   Lease lease;
   lease.epoch = run.last_epoch;
   if (run.agent_error) {
-    lease.refused = std::move(run.agent_error);
+    lease.claim_error = std::move(run.agent_error);
   } else if (interrupted_) {
-    lease.refused = ClaimError{ClaimError::Cause::kInterrupted};
+    lease.claim_error = ClaimError{ClaimError::Cause::kInterrupted};
   } else {
-    lease.refused = ClaimError{ClaimError::Cause::kRejected, {}, claim.rejection()};
+    lease.claim_error = ClaimError{ClaimError::Cause::kRejected, {}, claim.rejection()};
   }
   // The claim releases what it was granted when it is rejected, but not after an interrupt or an agent's
   // error.
@@ -165,8 +165,8 @@
           }
           return;
         }
-        if (!answer->refused.empty()) {
-          run.agent_error = ClaimError{ClaimError::Cause::kAgentRefused, command.agent, answer->refused};
+        if (!answer->refusal_text.empty()) {
+          run.agent_error = ClaimError{ClaimError::Cause::kAgentRefused, command.agent, answer->refusal_text};
           return;
         }
         run.claim.OnLeaseAnswer(claim_id, command.agent, command.epoch, answer->verdict, answer->holder,
@@ -220,7 +220,7 @@
        [&change = run.change, command, now](const admin_client::Response& response) {
          const auto answer = ParseLeaseAnswer(response);
          if (!answer || !ConfirmLease(change, command.name.agent, *answer, now)) return;
-         if (!answer->refused.empty()) return change.OnStepRejected(command.name, answer->refused);
+         if (!answer->refusal_text.empty()) return change.OnStepRejected(command.name, answer->refusal_text);
          if (!response.body.contains("report")) return;
          change.OnReport(command.name, command.number, rollout::ReportFrom(response.body["report"]), now);
        });
@@ -258,7 +258,7 @@
   try {
     LeaseAnswer answer;
     answer.verdict = rollout::VerdictFrom(rollout::Member<std::string>(response.body, "verdict"));
-    answer.refused = rollout::Member<std::string>(response.body, "refused");
+    answer.refusal_text = rollout::Member<std::string>(response.body, "refused");
     answer.open = rollout::Member<bool>(response.body, "open");
     answer.highest = rollout::Member<std::uint64_t>(response.body, "highest");
     if (response.body.contains("holder")) answer.holder = rollout::HolderFrom(response.body["holder"]);
--- a/src/ctl/driver.h
+++ b/src/ctl/driver.h
@@ -32,7 +32,7 @@
          std::function<void(const std::string&)> print_line);
 
   struct Outcome {
-    std::optional<ClaimError> refused;  // why no step was sent; nullopt if the change was begun
+    std::optional<ClaimError> claim_error;  // why no step was sent; nullopt if the change was begun
     rollout::ChangeEnd end = rollout::ChangeEnd::kHeld;
     std::set<std::string> left_open;  // agents that could not be reached to close the change
   };
@@ -59,9 +59,9 @@
  private:
   // The result of a claim.
   struct Lease {
-    rollout::Epoch epoch = 0;           // the lease's fencing token
-    rollout::TimePoint since;           // no agent granted the lease before this time
-    std::optional<ClaimError> refused;  // why it was not granted; nullopt if it was
+    rollout::Epoch epoch = 0;               // the lease's fencing token
+    rollout::TimePoint since;               // no agent granted the lease before this time
+    std::optional<ClaimError> claim_error;  // why it was not granted; nullopt if it was
   };
   struct ClaimRun;
   struct ChangeRun;
--- a/src/ctl/session.cpp
+++ b/src/ctl/session.cpp
@@ -41,7 +41,7 @@
 }
 
 ExitCode PrintOutcome(const Driver::Outcome& outcome) {
-  if (outcome.refused) return Fail(kRefused, outcome.refused->Message() + "; nothing has changed");
+  if (outcome.claim_error) return Fail(kRefused, outcome.claim_error->Message() + "; nothing has changed");
   const bool left_open = PrintLeftOpen(outcome);
   switch (outcome.end) {
     case rollout::ChangeEnd::kCompleted:
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -74,7 +74,7 @@
   OpenChange();
   const Agent::Answer answer = Accept("i0", step_);
   EXPECT_EQ(answer.refusal, Refusal::kNone);
-  EXPECT_EQ(answer.refused, "");
+  EXPECT_EQ(answer.refusal_text, "");
   ASSERT_TRUE(answer.report);
   EXPECT_EQ(answer.report->phase, Phase::kAccepted);
   EXPECT_EQ(agent_.GenerationOf("i0"), "g2");
@@ -98,7 +98,7 @@
   step.generation = "g3";
   const Agent::Answer unknown = Accept("i0", step);
   EXPECT_EQ(unknown.refusal, Refusal::kUnknownGeneration);
-  EXPECT_EQ(unknown.refused, "it has no configuration g3");
+  EXPECT_EQ(unknown.refusal_text, "it has no configuration g3");
   EXPECT_EQ(agent_.GenerationOf("i0"), "g1") << "a refused step has no effect";
 }
 
@@ -113,7 +113,7 @@
   Agent agent(store_, machine_, stored, {{"i0", "g1"}}, {}, std::chrono::seconds(10), kNow);
   const Agent::Answer answer = agent.AcceptStep("i0", step_, 1, "ann.1", kNow, 0);
   EXPECT_EQ(answer.refusal, Refusal::kBusy);
-  EXPECT_EQ(answer.refused, "busy with c0/do.0");
+  EXPECT_EQ(answer.refusal_text, "busy with c0/do.0");
 }
 
 TEST_F(AgentTest, FailedSaveRefusesTheCommandAndHasNoEffect) {
@@ -121,7 +121,7 @@
   store_.failure = StoreError{StoreError::Cause::kSaveFailed, "state.sqlite: disk is full"};
   const Agent::Answer step = Accept("i0", step_);
   EXPECT_EQ(step.refusal, Refusal::kSaveFailed);
-  EXPECT_EQ(step.refused, "its state can't be saved to disk; fix that first");
+  EXPECT_EQ(step.refusal_text, "its state can't be saved to disk; fix that first");
   EXPECT_EQ(step.report->phase, Phase::kNone);
   EXPECT_EQ(agent_.GenerationOf("i0"), "g1");
   EXPECT_EQ(agent_.Release(1, "ann.1", true, 0).refusal, Refusal::kSaveFailed);
--- a/tests/ctl/claim_error_test.cpp
+++ b/tests/ctl/claim_error_test.cpp
@@ -24,7 +24,7 @@
 
 TEST(ClaimError, RefusedChangePrintsTheTextOnStandardError) {
   Driver::Outcome outcome;
-  outcome.refused = ClaimError{Cause::kAgentError, "agent-1", "answered 500"};
+  outcome.claim_error = ClaimError{Cause::kAgentError, "agent-1", "answered 500"};
   ::testing::internal::CaptureStderr();
   const ExitCode code = PrintOutcome(outcome);
   EXPECT_EQ(::testing::internal::GetCapturedStderr(),
--- a/tests/rollout/fleet_model_tools.cpp
+++ b/tests/rollout/fleet_model_tools.cpp
@@ -98,7 +98,7 @@
                          : agent.Acquire(command.epoch, holder, now_, 0);
             },
             [&tool, command, holder](const agent::Agent::Answer& answer) {
-              if (tool.claim && answer.refused.empty())
+              if (tool.claim && answer.refusal_text.empty())
                 tool.claim->OnLeaseAnswer(holder.claim_id, command.agent, command.epoch, answer.verdict,
                                           answer.holder, answer.open);
             });
@@ -160,7 +160,7 @@
           }
           tool.change->OnLeaseRenewed(command.name.agent, sent_at);
           if (answer.report) tool.change->OnReport(command.name, command.number, *answer.report, sent_at);
-          if (!answer.refused.empty()) tool.change->OnStepRejected(command.name, answer.refused);
+          if (!answer.refusal_text.empty()) tool.change->OnStepRejected(command.name, answer.refusal_text);
         },
         command.kind == ChangeCommand::Kind::kSendStep ? 0.15 : 0.02);
   }
