--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -16,7 +16,7 @@
   for (const auto& [name, generation] : instances) {
     rollout::InstanceRecord record;
     record.generation = generation;
-    // The record takes precedence over the agent file, which names only the generation to begin with.
+    // The record takes precedence over the agent file, which names only the initial generation.
     if (const auto it = stored.records.find(name); it != stored.records.end()) record = it->second;
     instances_.emplace(name, SupervisedInstance{rollout::Instance(record, limits), record});
   }
--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -2,7 +2,7 @@
 // processes. It answers commands (src/agent/agent_api.h receives them over HTTP), supervises its instances,
 // and acts through a Machine. It makes state durable before it reports it; a failed save has no effect.
 //
-// While the store fails, it continues to supervise by the records in memory and accepts no steps. Not
+// While the store fails, the agent continues to supervise by the records in memory and accepts no steps. Not
 // thread-safe: called from the event loop only. docs/operators/rollouts.md is the operators' guide.
 #pragma once
 
@@ -43,14 +43,14 @@
 
 // Why a command that the lease would allow was refused.
 enum class Refusal {
-  kNone,                // it was not refused
+  kNone,                // the command was not refused
   kPlanOfOtherChange,   // the plan to open is of another change than the lease
   kUnknownInstance,     // this agent has no such instance
   kStepOfOtherChange,   // the step is of a change or an epoch that is not open here
   kBusy,                // the instance has an accepted step of another change that has not ended
-  kGenerationMismatch,  // the instance has another generation than the step starts from
+  kGenerationMismatch,  // the instance's generation is not the one that the step starts from
   kUnknownGeneration,   // the step's generation is not stored here
-  kSaveFailed           // the store could not save, and nothing has changed; Store::error() has the cause
+  kSaveFailed           // the store could not save, so nothing has changed; Store::error() has the cause
 };
 
 class Agent {
--- a/src/agent/agent_file.cpp
+++ b/src/agent/agent_file.cpp
@@ -59,8 +59,9 @@
   std::optional<std::string> Text(const char* key) override {
     return section_.Has(key) ? std::optional(section_.Text(key)) : std::nullopt;
   }
-  std::optional<std::int64_t> Number(const char* key, std::int64_t least, std::int64_t most) override {
-    return section_.Has(key) ? std::optional(section_.Number(key, least, least, most)) : std::nullopt;
+  std::optional<std::int64_t> Number(const char* key, std::int64_t min, std::int64_t max) override {
+    // The fallback (the second argument) is not used, because the key is present.
+    return section_.Has(key) ? std::optional(section_.Number(key, min, min, max)) : std::nullopt;
   }
   std::optional<std::vector<std::string>> Texts(const char* key) override { return section_.Strings(key); }
   [[noreturn]] void Fail(const std::string& key, std::optional<std::size_t>,
--- a/src/agent/generation_store.h
+++ b/src/agent/generation_store.h
@@ -50,7 +50,8 @@
   // The directory of a generation's files, whether or not it exists.
   std::string DirectoryOf(const std::string& generation) const { return directory_ + '/' + generation; }
 
-  // Stores a generation durably. Succeeds without effect if it is already stored with the same files.
+  // Stores a generation durably. Succeeds without effect if the generation is already stored with the same
+  // files.
   std::optional<GenerationError> Add(const std::string& generation, const Files& files);
 
  private:
--- a/src/agent/process_supervisor.cpp
+++ b/src/agent/process_supervisor.cpp
@@ -105,10 +105,10 @@
 }
 
 void ProcessSupervisor::CollectExit(ManagedInstance& instance) const {
-  const auto how = PollExit(instance.process);
-  if (!how) return;
+  const auto exit_status = PollExit(instance.process);
+  if (!exit_status) return;
   log_.Info("process_exited",
-            {{"instance", instance.spec.name}, {"pid", instance.process.pid}, {"how", *how}});
+            {{"instance", instance.spec.name}, {"pid", instance.process.pid}, {"how", *exit_status}});
   instance.ForgetProcess();
 }
 
--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -49,9 +49,10 @@
     std::uint64_t max_log_bytes = std::uint64_t{8} * 1024 * 1024;
     rollout::Duration poll_timeout{1000};
     rollout::Duration poll_interval_settled{1000};
-    // While a change of state is awaited. The admin API answers 20 times a second.
+    // While a change of state is awaited. The sidecar's admin API answers at most 20 requests per second.
     rollout::Duration poll_interval_awaited{60};
-    // While a change of state is awaited and the admin API can't be reached, as while a sidecar starts.
+    // While a change of state is awaited and the admin API can't be reached, for example because the sidecar
+    // is still starting.
     rollout::Duration poll_interval_unreachable{20};
   };
 
--- a/src/agent/rendered_files.cpp
+++ b/src/agent/rendered_files.cpp
@@ -17,7 +17,7 @@
                                        const std::map<std::string, std::string>& placeholders) {
   using Cause = RenderError::Cause;
   std::error_code ignored;
-  fs::create_directories(to, ignored);  // if this fails, so does writing the first file
+  fs::create_directories(to, ignored);  // if this fails, writing the first file fails as well
   // If the directory can't be read completely, the files that were read are still rendered.
   const DirectoryFiles read = ReadDirectory(from, DirectoryEntries::kAll);
   for (const auto& [name, text] : read.files) {
--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -159,12 +159,12 @@
   if (!failed_before) save_error_.reset();  // losing a line of the history is no reason to refuse changes
 }
 
-std::vector<Event> SqliteStore::Events(std::size_t most) const {
+std::vector<Event> SqliteStore::Events(std::size_t max_events) const {
   std::vector<Event> events;
   if (!db_) return events;
   try {
     Statement read(*db_, "SELECT at, change, line FROM event ORDER BY number DESC LIMIT ?");
-    read.Number(1, static_cast<std::int64_t>(most));
+    read.Number(1, static_cast<std::int64_t>(max_events));
     while (read.Step()) events.push_back({read.Number(0), read.Text(1), read.Text(2)});
   } catch (const std::exception&) {
     return {};
--- a/src/agent/sqlite_store.h
+++ b/src/agent/sqlite_store.h
@@ -30,7 +30,7 @@
                                        const Event& note) override;
   void Note(const Event& event) override;
   // Returns an empty list if the events can't be read.
-  std::vector<Event> Events(std::size_t most) const override;
+  std::vector<Event> Events(std::size_t max_events) const override;
   std::optional<StoreError> error() const override { return open_error_ ? open_error_ : save_error_; }
 
   // The version of the file's schema (PRAGMA user_version).
--- a/src/agent/store.h
+++ b/src/agent/store.h
@@ -35,7 +35,7 @@
     kUnreadable,    // the file can't be opened or read; permanent
     kLaterVersion,  // the file was written by a later version of the program; permanent
     kDamaged,       // the content of the file contradicts itself or can't be parsed; permanent
-    kSaveFailed     // the last save: no space, locked, I/O error, ... The next one may succeed
+    kSaveFailed     // the last save failed: no space, locked, I/O error, ... The next one may succeed
   };
   Cause cause = Cause::kUnreadable;
   std::string message;  // for the operator: the file, the cause and, if it is permanent, how to repair it
@@ -56,8 +56,8 @@
                                                              const Event& note) = 0;
   // Adds only a line to the history. It may be lost, since nothing depends on it.
   virtual void Note(const Event& event) = 0;
-  // Returns the latest `most` lines of the history, oldest first.
-  virtual std::vector<Event> Events(std::size_t most) const = 0;
+  // Returns the latest lines of the history, `max_events` at most, oldest first.
+  virtual std::vector<Event> Events(std::size_t max_events) const = 0;
   // Why the store can't save; nullopt if the last save succeeded.
   virtual std::optional<StoreError> error() const = 0;
   // The message of error(); empty if there is no error.
