--- a/src/ctl/claim_error.h
+++ b/src/ctl/claim_error.h
@@ -1,4 +1,4 @@
-// Why the agents did not grant the lease, so that a change was not begun.
+// Why the agents did not grant the lease; the change was not begun then.
 #pragma once
 
 #include <string>
@@ -8,7 +8,7 @@
 struct ClaimError {
   enum class Cause {
     kAgentError,    // an agent answered with an error instead of a verdict
-    kAgentRefused,  // an agent refuses the change although the lease would allow it
+    kAgentRefused,  // an agent refused the change although the lease would allow it
     kInterrupted,   // the operator interrupted the claim
     kRejected       // the claim was rejected: another holder, too few agents reached, ...
   };
--- a/src/ctl/command_history.cpp
+++ b/src/ctl/command_history.cpp
@@ -1,4 +1,4 @@
-// mothrackctl history: what the agents did, by time.
+// mothrackctl history: the events that the agents recorded, in the order of their times.
 #include <iostream>
 #include <map>
 #include <set>
--- a/src/ctl/command_status.cpp
+++ b/src/ctl/command_status.cpp
@@ -77,7 +77,7 @@
   std::vector<std::vector<std::string>> rows_ = {
       {"HALL", "AGENT", "INSTANCE", "STATE", "GENERATION", "TAKEN", "BAD", "STEP"}};
   std::string notes_;
-  std::set<std::string> open_changes_;  // that have a note
+  std::set<std::string> open_changes_;  // the open changes that have a note already
   std::size_t ready_ = 0;
   std::size_t instances_ = 0;
 };
--- a/src/ctl/driver.cpp
+++ b/src/ctl/driver.cpp
@@ -28,7 +28,7 @@
 struct Driver::LeaseAnswer {
   rollout::Lessor::Verdict verdict = rollout::Lessor::Verdict::kFenced;
   std::optional<rollout::Holder> holder;  // another holder of the lease
-  std::string refusal_text;               // why it was refused, if the verdict is not the reason
+  std::string refusal_text;               // why the request was refused, if the verdict is not the reason
   bool open = false;
   rollout::Epoch highest = 0;
 };
@@ -47,7 +47,7 @@
   rollout::Change change(plan, direction, lease.epoch, lease_time, lease.since);
   RunChange(change, lease.epoch, holder.claim_id);
   outcome.end = change.end().value_or(rollout::ChangeEnd::kHeld);
-  // A change that has ended has printed its end and the reason itself.
+  // Change has already printed the end and its reason if it ended by itself.
   if (!change.end())
     print_line_(plan.id + " held: interrupted; the agents finish the steps that they have accepted");
   const bool close = outcome.end != rollout::ChangeEnd::kHeld;
@@ -75,8 +75,8 @@
   return {plan.id, who, plan.why, agent::UnixNow(), claim_id};
 }
 
-// One claim under way and the state that answers to it change. It is a local variable of AcquireLease(), so
-// answers that arrive after the claim's end must not access it; see Driver::run_lifetime_.
+// The claim in progress, with the state that the agents' answers change. It is a local variable of
+// AcquireLease(), so answers that arrive after the claim's end must not access it; see Driver::run_lifetime_.
 struct Driver::ClaimRun {
   const rollout::Plan& plan;
   const rollout::Holder& holder;
@@ -114,8 +114,8 @@
   } else {
     lease.claim_error = ClaimError{ClaimError::Cause::kRejected, {}, claim.rejection()};
   }
-  // The claim releases what it was granted when it is rejected, but not after an interrupt or an agent's
-  // error.
+  // A rejected claim has released the leases that it was granted, but a claim that ended by an interrupt or
+  // an agent's error has not.
   if (lease.epoch > 0) Release(lease.epoch, holder.claim_id, false);
   return lease;
 }
@@ -174,7 +174,7 @@
       });
 }
 
-// A change under way, and the lease that its commands are sent with.
+// The change in progress, and the lease that its commands are sent with.
 struct Driver::ChangeRun {
   rollout::Change& change;
   const rollout::Epoch epoch;
@@ -301,7 +301,7 @@
 
 const agent::AgentEndpoint& Driver::EndpointOf(const std::string& agent) const {
   return *std::find_if(agents_.begin(), agents_.end(),
-                       [&](const agent::AgentEndpoint& a) { return a.name == agent; });
+                       [&](const agent::AgentEndpoint& endpoint) { return endpoint.name == agent; });
 }
 
 void Driver::Send(const std::string& agent, const std::string& target, json body,
@@ -323,7 +323,7 @@
 
 void Driver::RunEventLoop(rollout::Duration time) {
   io_.restart();
-  // Whatever has arrived is handled at once; `time` only bounds the wait for the first event.
+  // All events that are ready are handled at once; `time` only bounds the wait for the first one.
   if (io_.run_one_for(time) > 0) io_.poll();
 }
 
--- a/src/ctl/driver.h
+++ b/src/ctl/driver.h
@@ -43,7 +43,7 @@
                    const std::string& who, rollout::Duration lease_time);
   // Claims the open change and closes it without undoing its steps.
   Outcome Close(const rollout::Plan& plan, const std::string& who);
-  // Interrupts the claim or change under way; the change stays open. Called from a signal handler in the
+  // Interrupts the claim or change in progress; the change stays open. Called from a signal handler in the
   // event loop.
   void Interrupt() { interrupted_ = true; }
 
@@ -96,7 +96,7 @@
   const agent::AgentEndpoint& EndpointOf(const std::string& agent) const;
   void Send(const std::string& agent, const std::string& target, nlohmann::json body,
             std::function<void(const admin_client::Response&)> on_response);
-  // Ends the claim or change under way: later answers to it are dropped.
+  // Ends the claim or change in progress: later answers to it are dropped.
   void EndRun();
   // Runs the handlers that are ready. If none is, waits for one, for `time` at most.
   void RunEventLoop(rollout::Duration time);
@@ -106,8 +106,8 @@
   const std::function<void(const std::string&)> print_line_;
   bool interrupted_ = false;
   int claims_ = 0;
-  // Expires with the claim or change under way. Handlers refer to its locals and hold this weakly, so that an
-  // answer that comes after its end is dropped.
+  // Expires when the claim or change in progress ends. Handlers refer to local variables of that claim or
+  // change and hold a weak pointer to this, so that an answer that arrives after the end is dropped.
   std::shared_ptr<int> run_lifetime_ = std::make_shared<int>();
 };
 
--- a/src/ctl/show.cpp
+++ b/src/ctl/show.cpp
@@ -20,9 +20,10 @@
   std::vector<std::size_t> changed;  // indices into `lines`
 };
 
-// Compares by the longest common subsequence of lines. Time and memory grow with the product of both sizes.
+// Compares two texts by their longest common subsequence of lines. Time and memory grow with the product of
+// both numbers of lines.
 DiffLines Compare(const std::vector<std::string>& before, const std::vector<std::string>& after) {
-  // The subsequence's length for the remaining lines from each pair of positions on.
+  // By position in `before` and in `after`: the length of the subsequence of the lines from there on.
   std::vector<std::vector<unsigned>> common(before.size() + 1, std::vector<unsigned>(after.size() + 1, 0));
   for (std::size_t i = before.size(); i-- > 0;) {
     for (std::size_t j = after.size(); j-- > 0;) {
--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -244,7 +244,7 @@
     if (random() % 2 == 0) ::kill(ctl_pid, SIGKILL);
     const int code = Fleet::WaitCtl(ctl_pid).code;
     // The change may be completed, held or not begun.
-    EXPECT_TRUE(ResumeUntilNoneIsOpen(fleet)) << seed;
+    EXPECT_TRUE(ResumeUntilNoneIsOpen(fleet)) << "seed " << seed;
     if (code != 0)
       fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", fleet.path("g2"), "--why", "the rest"}));
     EXPECT_TRUE(fleet.AllReady("g2")) << "seed " << seed << ": " << fleet.Ctl({"status"}).out;
--- a/tests/ctl/fleet_traffic_test.cpp
+++ b/tests/ctl/fleet_traffic_test.cpp
@@ -75,9 +75,9 @@
       }
     }
     std::cout << "seed " << seed << ": served " << traffic.count(End::kServed) << ", refused "
-              << traffic.count(End::kRefused) << ", failed " << traffic.count(End::kFailed) << ", not taken "
-              << traffic.count(End::kNotAccepted) << ", crossed " << traffic.count(End::kIdleCloseRace)
-              << ", lost " << traffic.count(End::kLost) << "; tool "
+              << traffic.count(End::kRefused) << ", failed " << traffic.count(End::kFailed)
+              << ", not accepted " << traffic.count(End::kNotAccepted) << ", idle close races "
+              << traffic.count(End::kIdleCloseRace) << ", lost " << traffic.count(End::kLost) << "; tool "
               << (ctl_killed ? "killed" : "ended with ") << (ctl_killed ? "" : std::to_string(code))
               << std::endl;
   }
