--- a/src/change_freeze/agent_permits.h
+++ b/src/change_freeze/agent_permits.h
@@ -9,9 +9,9 @@
 // Without a leader no change begins, and running changes wait. An operator can override this with
 // break-glass (break_glass.h).
 //
-// A value without clock, disk or socket; one thread at a time. For a call that changes record(): call it on a
-// copy, make the copy's record durable, then keep the copy. Source: docs/design/change_freeze.md, "Rules of
-// permits".
+// A value without clock, disk or socket; one thread at a time. Make a call that changes record() on a copy,
+// make the copy's record durable, and then replace the original by the copy. Source:
+// docs/design/change_freeze.md, "Rules of permits".
 #pragma once
 
 #include <cstdint>
@@ -43,7 +43,7 @@
   enum class Verdict : std::uint8_t {
     kAllowed,
     kBreakGlass,  // allowed, by an override
-    kNoPermit,    // the leader granted none, or none for this kind or batch
+    kNoPermit,    // the leader has granted no permit, or none for this kind or batch
     kPaused,      // this batch may not begin
     kBlocked,
     kLapsed,  // not confirmed for too long: there is no leader, or it is unreachable
@@ -58,7 +58,7 @@
       : agent_(std::move(agent)), record_(std::move(record)) {}
 
   // Handles the leader's answer to a poll that was sent at `request_sent`, on this agent's clock. Returns
-  // false if it belongs to an older term or state; nothing has changed then.
+  // false, and changes nothing, if it belongs to an older term or state.
   bool OnConfirmation(const PermitConfirmation& confirmation, TimePoint request_sent);
   // A voter that is not the leader answered a poll; `reason` says which voters are missing.
   void OnLeaderless(const std::string& reason) { leaderless_reason_ = reason; }
--- a/src/change_freeze/apply_durably.h
+++ b/src/change_freeze/apply_durably.h
@@ -1,5 +1,5 @@
-// The only order in which a voter may act: decide, write, keep, send. A decision that could not be written
-// has not happened.
+// The only order in which a voter may act: decide on a copy, write the copy's record, adopt the copy, send
+// its messages. A decision that could not be written has no effect.
 #pragma once
 
 #include <utility>
--- a/src/change_freeze/conflicts.cpp
+++ b/src/change_freeze/conflicts.cpp
@@ -19,13 +19,14 @@
   return !a.empty() && !b.empty() && Compare(a, b) == Relation::kOutside;
 }
 
+// Abbreviations, so that a row of the table fits on one line.
 constexpr Effect kB = Effect::kBlocked;
 constexpr Effect kP = Effect::kPaused;
 constexpr Effect kA = Effect::kAllowed;
 constexpr Effect kR = Effect::kRemedy;
 
 // Indexed by kind of change, relation (inside, overlapping, outside, fleet) and kind of incident (zone left,
-// crash loop, refusals, operator).
+// crash loop, rejections, operator).
 // clang-format off
 constexpr Effect kEffectTable[8][4][4] = {
     {{kB, kB, kB, kB}, {kP, kB, kP, kP}, {kP, kP, kA, kA}, {kB, kB, kB, kB}},  // new generation
--- a/src/change_freeze/encoding.h
+++ b/src/change_freeze/encoding.h
@@ -1,5 +1,5 @@
 // Encoding of the replicated state: numbers are decimal and end with a colon; texts are preceded by their
-// length in bytes. The decoder detects any other input.
+// length in bytes. The decoder rejects any other input.
 //
 // Values; not thread-safe. The bytes are stored on the voters' disks and exchanged between agents of
 // different releases, so the format must not change without a new kEncodingVersion
--- a/src/change_freeze/freeze_state.h
+++ b/src/change_freeze/freeze_state.h
@@ -58,13 +58,14 @@
 
   const std::vector<Permit>& permits() const { return permits_; }
   const std::vector<BreakGlassRecord>& break_glass() const { return break_glass_; }
-  // Whether both states are equal except for times, which are not worth a write.
+  // Whether both states are equal except for times. A change of times alone is not written.
   bool EqualIgnoringTimes(const FreezeState& other) const;
 
   // Times are encoded as ages relative to `now`.
   std::string Encode(TimePoint now) const;
-  // Each permit gets its full time again, because another leader may have confirmed it until now. Returns
-  // std::nullopt if the bytes are no valid state. No bytes at all are the state of a newly founded fleet.
+  // Each permit is valid for its full time again, because another leader may have confirmed it until now.
+  // Returns std::nullopt if the bytes are not a valid state. An empty string is the state of a newly founded
+  // fleet.
   static std::optional<FreezeState> Decode(const std::string& bytes, TimePoint now);
 
  private:
--- a/src/change_freeze/incarnation_table.h
+++ b/src/change_freeze/incarnation_table.h
@@ -1,4 +1,4 @@
-// The latest incarnation of each voter that this one knows, from any message. What a voter said in an earlier
+// The latest incarnation of each voter that this one knows, from any message. What a voter sent in an earlier
 // incarnation is no longer valid, because its file from that time is lost.
 //
 // A value owned by its Voter; not thread-safe.
@@ -23,7 +23,7 @@
   bool IsCurrent(const std::string& voter, Incarnation incarnation) const {
     return incarnation >= Latest(voter);
   }
-  // Number of `voters` (with the incarnation in which each spoke) that are current.
+  // Number of `voters` that are current. The map has the incarnation in which each of them sent its message.
   std::size_t CountCurrent(const std::map<std::string, Incarnation>& voters) const;
 
  private:
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -1,7 +1,7 @@
 // The incidents in the fleet, reported by operators or by evidence, and their lifetime. Incidents are part of
 // the replicated state (freeze_state.h). While one is open, stale or calming, the table of conflicts.h
-// applies to its scope. No incident closes because of silence: one that is not renewed becomes stale, is
-// shown as stale, and stays in force.
+// applies to its scope. An incident does not close because reports stop: one that is not renewed becomes
+// stale, is shown as stale, and stays in force.
 //
 // Times are on the leader's steady clock; ages are replicated. Another leader continues from the age that it
 // reads, so that timeouts end late, never early.
@@ -117,8 +117,8 @@
   bool Renew(std::uint64_t id, const std::string& owner, TimePoint now);
   // Returns false if there is no such incident.
   bool Close(std::uint64_t id, TimePoint now);
-  // Returns the id of the incident to which the evidence belongs, whether opened by it or before; 0 and ok if
-  // there is none. Fails like Open().
+  // Returns the id of the incident to which the evidence belongs, whether this evidence or an earlier one
+  // opened it; 0 and ok if there is none. Fails like Open().
   IncidentResult OnEvidence(const Evidence& evidence, TimePoint now);
   // Marks incidents that were not renewed in time as stale; removes them if they are muted.
   void ExpireStale(TimePoint now);
--- a/src/change_freeze/permit.h
+++ b/src/change_freeze/permit.h
@@ -17,7 +17,7 @@
 // How long a confirmation is valid from the time of its request, in true time. A decision of the leader is in
 // force at every agent after this time. An agent shortens it by the clock tolerance, the leader lengthens it.
 inline constexpr Duration kPermitValidity{2000};
-// How often the host polls for a permit in use: three chances before it lapses.
+// How often the host polls for a permit in use: three attempts before the permit lapses.
 inline constexpr Duration kPermitPollInterval{500};
 // A permit that was not polled for this long ends. Its change stays open at the agents
 // (rollout/lease.h).
--- a/src/change_freeze/permit_service.h
+++ b/src/change_freeze/permit_service.h
@@ -1,6 +1,6 @@
-// A voter and its work as the leader. It reads the replicated state once it has won, changes it by writes
-// that take effect when they are committed, and answers agents and operators from the committed state while
-// its lease holds.
+// A voter and its service as the leader. A leader reads the replicated state once it has won the election,
+// changes it by writes that take effect when they are committed, and answers agents and operators from the
+// committed state while its lease holds.
 //
 // A value without clock, disk or socket; one thread at a time. Every call that adds messages to `out` must go
 // through ApplyDurably (apply_durably.h), like those of a Voter.
@@ -30,10 +30,10 @@
   const VoterRecord& record() const { return voter_.record(); }
   const Voter& voter() const { return voter_; }
 
-  // Whether it may answer agents and change the state at `now`.
+  // Whether this voter may answer agents and change the state at `now`.
   bool HoldsLease(TimePoint now) const { return voter_.HoldsLease(now) && state_.has_value(); }
-  // Returns why it does not hold the lease, as human-readable text: who leads, or which voters are
-  // unreachable. Empty if it holds the lease.
+  // Returns why this voter does not hold the lease, as human-readable text: which voter is the leader, or
+  // which voters are unreachable. Empty if it holds the lease.
   std::string LeaderlessReason(TimePoint now) const;
 
   // The result of Change(). It names the version that must be committed for the change to take
@@ -51,7 +51,7 @@
   Receipt Change(TimePoint now, const Edit& edit, std::vector<VoterMessage>& out);
   bool IsCommitted(const Receipt& receipt) const;
 
-  // The answer to an agent's poll; std::nullopt if it does not hold the lease.
+  // The answer to an agent's poll; std::nullopt if this voter does not hold the lease.
   std::optional<PermitConfirmation> ConfirmPermit(const std::string& change, TimePoint now);
   // Handles evidence, which arrives often but seldom changes anything. A mere renewal of an incident is kept
   // in memory and written every third of kEvidenceTimeout. Evidence is dropped if this voter is not the
--- a/src/change_freeze/voter.cpp
+++ b/src/change_freeze/voter.cpp
@@ -19,13 +19,14 @@
 
 void Voter::Receive(const VoterMessage& message, TimePoint now, std::vector<VoterMessage>& out) {
   const bool for_this_voter = message.to == settings_.local_voter;
-  const bool of_another = message.from != settings_.local_voter && settings_.voters.contains(message.from);
-  if (!for_this_voter || !of_another) return;
+  const bool from_other_voter =
+      message.from != settings_.local_voter && settings_.voters.contains(message.from);
+  if (!for_this_voter || !from_other_voter) return;
   const VoterRecord before = record_;
   const std::size_t first = out.size();
   ObservePeer(message, now);
   if (IsBehind(message) && role_ != Role::kRejoining) BeginRejoin(now);
-  // A rejoining voter does not know what it would have to answer.
+  // A rejoining voter lacks the record that its answers would depend on.
   if (role_ != Role::kRejoining) HandleRequest(message, now, out);
   HandleResponse(message, now);
   AdvanceRole(now, out);
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -51,7 +51,7 @@
   std::set<std::string> voters;  // all voters, including this one; an odd number
   // A leader that sends nothing can be replaced after this time plus the clock tolerance.
   Duration lease{3000};
-  Duration heartbeat_interval{500};  // six chances per lease
+  Duration heartbeat_interval{500};  // six heartbeats per lease
   Duration request_timeout{800};     // for a request to all voters: a round trip of 200 ms with one loss
 };
 
--- a/src/change_freeze/voter_election.cpp
+++ b/src/change_freeze/voter_election.cpp
@@ -13,7 +13,7 @@
 // on every machine would do; another one would change the times of campaigns.
 constexpr std::uint64_t kFnvOffset = 1469598103934665603U;
 constexpr std::uint64_t kFnvPrime = 1099511628211U;
-// Delays differ by sixteenths of a request's timeout; there are never more voters than that.
+// Delays differ by sixteenths of the request timeout. A fleet never has more than sixteen voters.
 constexpr int kDelaySteps = 16;
 constexpr int kDelayShift = 20;  // the low bits of FNV are mixed less well
 
--- a/src/change_freeze/voter_rejoin.cpp
+++ b/src/change_freeze/voter_rejoin.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// VoterRecord::voted_for of a voter that has rejoined: it votes for nobody in this term. No voter has this
+// VoterRecord::voted_for of a voter that has rejoined: it grants no vote in this term. No voter has this
 // name.
 constexpr char kVotedForNobody = '-';
 
@@ -24,9 +24,9 @@
   next_action_ = now;
 }
 
-// Goes above whatever this voter may have voted for or stored, as far as the granting voters know. Beyond
-// that, those voters pass on the new incarnation (IncarnationTable), which invalidates what the voter sent
-// before.
+// Adopts the highest term and the latest value that the granting voters know. Anything later that this voter
+// may have voted for or stored is invalidated by its new incarnation, which those voters pass on
+// (IncarnationTable).
 void Voter::FinishRejoin(TimePoint now) {
   record_.stale = false;
   record_.incarnation = wanted_incarnation_;
--- a/src/change_freeze/voter_replication.cpp
+++ b/src/change_freeze/voter_replication.cpp
@@ -43,7 +43,7 @@
   if (message.term < record_.term) return false;
   if (message.term > record_.term) {
     record_.term = message.term;
-    record_.voted_for = message.from;  // it has won, so nobody else can in its term
+    record_.voted_for = message.from;  // the sender has won this term, so no other voter can win it
   }
   if (role_ != Role::kFollower) BecomeFollower(now);
   PromiseLease(now);
--- a/tests/change_freeze/cluster_clients.cpp
+++ b/tests/change_freeze/cluster_clients.cpp
@@ -178,13 +178,13 @@
     return;
   }
   RequestPermit(leader, changes_.back());
-  const bool all = std::all_of(machines_.begin(), machines_.end(), [&](const auto& machine) {
+  const bool permitted_everywhere = std::all_of(machines_.begin(), machines_.end(), [&](const auto& machine) {
     return machine->up &&
            machine->agent_permits->Check("last", ChangeKind::kRestart, 0, Clock(*machine)).verdict ==
                AgentPermits::Verdict::kAllowed &&
            machine->permit_record.unreported.empty() && machine->role != Voter::Role::kRejoining;
   });
-  if (all) stage_ = RecoveryStage::kFreezing;
+  if (permitted_everywhere) stage_ = RecoveryStage::kFreezing;
 }
 
 void SimulatedCluster::AwaitFreeze(Machine& leader) {
@@ -195,8 +195,8 @@
   if (freezes_.empty()) return;
   Freeze& freeze = freezes_.back();
   PollFreeze(freeze);
-  const bool lost = freeze.closing || (freeze.committed_at < 0 && now_ > stage_since_ + 2000);
-  stage_ = lost ? RecoveryStage::kFreezing : RecoveryStage::kConfirming;
+  const bool must_reopen = freeze.closing || (freeze.committed_at < 0 && now_ > stage_since_ + 2000);
+  stage_ = must_reopen ? RecoveryStage::kFreezing : RecoveryStage::kConfirming;
   finished_ = freeze.committed_at >= 0 && !freeze.closing && now_ > freeze.committed_at + kPermitBound + 200;
 }
 
--- a/tests/change_freeze/freeze_histories_test.cpp
+++ b/tests/change_freeze/freeze_histories_test.cpp
@@ -105,12 +105,12 @@
 class FreezeInjectedFault : public ::testing::TestWithParam<int> {};
 
 TEST_P(FreezeInjectedFault, IsDetectedByTheRules) {
-  std::string found;
+  std::string violation;
   std::uint64_t seed = 0;
-  while (found.empty() && seed < 2000)
-    found = testing::RunHistory(++seed, 3, static_cast<testing::InjectedFault>(GetParam())).violation;
-  EXPECT_NE(found, "");
-  std::cout << "seed " << seed << ": " << found.substr(0, 70) << std::endl;
+  while (violation.empty() && seed < 2000)
+    violation = testing::RunHistory(++seed, 3, static_cast<testing::InjectedFault>(GetParam())).violation;
+  EXPECT_NE(violation, "");
+  std::cout << "seed " << seed << ": " << violation.substr(0, 70) << std::endl;
 }
 
 INSTANTIATE_TEST_SUITE_P(Faults, FreezeInjectedFault,
--- a/tests/change_freeze/freeze_model.h
+++ b/tests/change_freeze/freeze_model.h
@@ -9,7 +9,8 @@
 
 namespace mothrack::change_freeze::testing {
 
-// Faults injected where the parts are connected to the machine. The rules must detect each of them.
+// Faults that the simulated cluster injects between the tested parts and its machines. The rules must detect
+// each of them.
 enum class InjectedFault {
   kNothing,
   kSentBeforeDurable,          // messages leave before the record is on disk
--- a/tests/change_freeze/simulated_cluster.h
+++ b/tests/change_freeze/simulated_cluster.h
@@ -112,9 +112,10 @@
   bool CrashesHere();
   void CrashPoint();
   void InjectFaults();
-  // Injects faults that do harm only in combination. Either half of the followers are cut off while the
-  // leader and the others continue, and then those others restart with an old file while the leader is
-  // paused. Or the leader is cut off, and all followers restart at once.
+  // Injects one of two combinations of faults that do harm only together. In the first, half of the followers
+  // are cut off while the leader and the other followers continue; then those other followers restart with a
+  // stale file while the leader is paused. In the second, the leader is cut off, and all followers restart at
+  // once.
   void InjectCombinedFault();
   void Pause(Machine& machine);
   bool OthersCurrent(const Machine& machine) const;
