--- a/src/zone_failover/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -85,9 +85,9 @@
     UpdateShare(zone, locally_reachable);
   }
 
-  // True for this member's own zone if it still responds to the members inside: to this member and to two
-  // thirds of them. All of them are considered, because a member with little traffic may not have noticed a
-  // failure yet.
+  // True for this member's own zone if the zone still responds to this member and to more than two thirds of
+  // the members inside it that have a verdict. The other members count because a member with little traffic
+  // may not have noticed a failure yet.
   bool IsLocallyReachable(const std::string& name) const {
     Verdict own_verdict = Verdict::kNone;
     std::size_t insiders = 0;
--- a/src/zone_failover/evidence.h
+++ b/src/zone_failover/evidence.h
@@ -1,5 +1,5 @@
-// Evidence: what one member observed of each zone within the last two seconds, the zone's peak load, and what
-// the member decided on it. Plain values; observer.h fills them in, evidence_codec.h encodes them.
+// Evidence: what one member observed of each zone within the last two seconds, the zone's peak load, and the
+// member's decision on the zone. Plain values; observer.h fills them in, evidence_codec.h encodes them.
 #pragma once
 
 #include <cstddef>
@@ -42,7 +42,7 @@
   std::uint16_t sent = 0;
   std::uint16_t answered = 0;    // in time or late
   std::uint16_t in_time = 0;     // of these, those within the latency objective
-  std::uint16_t rejected = 0;    // rejected by the upstream, which is a response too
+  std::uint16_t rejected = 0;    // by the upstream, which is a response too
   std::uint16_t unanswered = 0;  // timed out, not connected, or reset
   // Unanswered attempts that were sent after the zone's last response.
   std::uint16_t unanswered_run = 0;
--- a/src/zone_failover/state_machine.h
+++ b/src/zone_failover/state_machine.h
@@ -11,33 +11,33 @@
 
 namespace mothrack::zone_failover {
 
-// The condition of a zone, in the order of the page's table. Each comment starts with the page's word.
+// The condition of a zone, in the order of the page's table. Each comment starts with the page's word for it.
 // conditions.h has the rules.
 enum class Condition {
   kIsolated,         // alone: this member hears from fewer than half of the members that it knew
-  kOverrideDrain,    // leave
-  kOverrideHold,     // stay
-  kOverrideRecover,  // return: not carried out yet
+  kOverrideDrain,    // leave: an operator's override drains the zone
+  kOverrideHold,     // stay: an operator's override holds the zone's phase
+  kOverrideRecover,  // return: an operator's override to recover the zone was not carried out yet
   kNoAlternative,    // last: unavailable or to be drained, but no other zone in use can take its load
   kOverload,         // late: a quorum finds it unresponsive, but the other zones answer late as well
   kUnavailable,      // lost: a quorum finds it unresponsive
   kDoubtful,         // doubt: many find it unresponsive, or a quorum lacks judges
   kNoEvidence,       // unknown: no member has a verdict
   kRecoveryProven,   // proved: enough answers to enough members since the step began
-  kHealthy,          // well
+  kHealthy,          // well: no other condition holds
 };
 
-// The actions of transitions. Each comment starts with the page's word.
+// The actions of transitions. Each comment starts with the page's word for it.
 enum class Action {
-  kKeep,           // keep
-  kWatch,          // watch: suspected from now on
-  kStartDrain,     // leave
+  kKeep,           // keep: no action
+  kWatch,          // watch: the zone is suspected from now on
+  kStartDrain,     // leave: the first step of the drain
   kShiftMore,      // move: a further step of the drain
   kProbe,          // try: the probing members send probes
-  kStartRecovery,  // return
-  kStepUp,         // step on
-  kStepDown,       // step back
-  kAbortRecovery,  // put back: drained again at once
+  kStartRecovery,  // return: the first step of the recovery
+  kStepUp,         // step on: the next step of the recovery; from the last one, active
+  kStepDown,       // step back: the previous step of the recovery; from the first one, drained
+  kAbortRecovery,  // put back: the zone is drained again at once
 };
 
 // An entry of the table.
@@ -52,8 +52,8 @@
   Condition condition = Condition::kHealthy;
   std::uint64_t override_number = 0;  // of the effective override; 0 if there is none
   std::uint64_t spare_capacity = 0;   // calls per second that the other zones in use can serve in addition
-  bool others_late = false;           // their answers are late, so no more load may be shifted to them
-  bool locally_reachable = false;     // it is this member's own zone, and this member can reach it
+  bool others_late = false;           // the other zones answer late, so no more load may be shifted to them
+  bool locally_reachable = false;     // the zone is this member's own, and this member can reach it
   TimePoint now;
 };
 
--- a/src/zone_failover/traffic_plan.cpp
+++ b/src/zone_failover/traffic_plan.cpp
@@ -44,7 +44,7 @@
 };
 
 // A member's need in any zone is estimated by all calls that it sends. Live members without recent evidence
-// count as the mean of the others, so that no allowance is given away that they may need.
+// count as the mean of the others, so that the allowance that they may need is not assigned to other members.
 Needs NeedsOf(const std::vector<EvidenceReport>& reports, const MemberList& members,
               const FailoverConfig& config) {
   Needs needs;
--- a/src/zone_failover/votes.cpp
+++ b/src/zone_failover/votes.cpp
@@ -8,7 +8,7 @@
 namespace mothrack::zone_failover {
 namespace {
 
-// A single member is never a quorum: its balancer already acts on this member's own view.
+// A single member is never a quorum: its balancer already acts on the member's own observations.
 constexpr std::size_t kMinFleetJudges = 2;
 
 struct Judge {
--- a/src/zone_failover/zone_state.cpp
+++ b/src/zone_failover/zone_state.cpp
@@ -8,7 +8,8 @@
 
 using std::chrono::seconds;
 
-// The peak decays by 1/866 per second, so by half in ten minutes. By then the zone may have other machines.
+// The peak decays by 1/866 per second, so by half in ten minutes. By then the zone's machines, and with them
+// its capacity, may have changed.
 constexpr std::uint64_t kPeakDecayDivisor = 866;
 constexpr std::uint64_t kWindowsPer1000s = 1'000'000 / kWindow.count();
 
--- a/src/zone_failover/zone_state.h
+++ b/src/zone_failover/zone_state.h
@@ -21,7 +21,7 @@
   TimePoint drain_started;             // start of the latest drain
   int losses = 0;                      // recent ones (FailoverConfig::loss_memory)
   std::uint64_t applied_override = 0;  // number of the latest kRecover that was carried out
-  // Drained by an operator although it responds, so it still gets what the others do not take.
+  // Drained by an operator although it responds, so it still gets the load that the other zones do not take.
   bool by_operator = false;
   // This member's own zone, which it can reach although the others cannot: its traffic there continues.
   bool retained = false;
--- a/tests/zone_failover/histories_test.cpp
+++ b/tests/zone_failover/histories_test.cpp
@@ -1,5 +1,5 @@
-// Random histories of evidence, checked against rules that must hold whatever is reported. With faults
-// injected into the configuration, the same checks must find each fault. The environment variable HISTORIES
+// Random histories of evidence, checked against rules that must hold whatever is reported. The same checks
+// must find each fault that is injected as a wrong configuration value. The environment variable HISTORIES
 // sets the number of histories, HISTORIES_FROM the first seed (by default 1).
 #include <gtest/gtest.h>
 
@@ -49,7 +49,7 @@
     for (const MemberId& member : fleet.members.live) {
       std::string verdicts = actual;
       if (random() % 12 == 0) verdicts[random() % 3] = "ws-"[random() % 3];
-      // All members of a zone but one, with many more attempts than the others.
+      // All members of one zone but one report falsely, with many more attempts than the others.
       const bool reports_falsely = has_false_reporters && member.zone == "c" && member.name != "c3";
       if (reports_falsely) verdicts = "sww";
       const std::uint16_t sent = reports_falsely ? 5000 : 20;
--- a/tests/zone_failover/operator_override_test.cpp
+++ b/tests/zone_failover/operator_override_test.cpp
@@ -31,7 +31,7 @@
                                                         : OverrideKind::kHold;
       overrides.push_back({"a", kind, number, owner, "", At(expired.empty() ? 1 : 0)});
     }
-    // In both orders.
+    // The order of the overrides must not matter.
     for (int order = 0; order < 2; ++order) {
       const OperatorOverride* effective = EffectiveOverride("a", overrides, At(0));
       const std::vector<std::string> kind_names{"stay", "return", "leave"};
--- a/tests/zone_failover/state_machine_test.cpp
+++ b/tests/zone_failover/state_machine_test.cpp
@@ -59,14 +59,14 @@
     ZoneStates before;
     for (const std::string& name : kZoneNames)
       before[name].share_updated = At(-60'000), before[name].since = At(-60'000);
-    ZoneState& a = before["a"];
-    a.phase = EnumNamed<Phase>(kPhases, row.at("state"));
-    a.step = a.phase == Phase::kRecovering ? 2 : a.phase == Phase::kDraining ? 1 : 0;
-    a.generation = 7;
-    a.baseline_load = 100;
-    a.shifted = 250;
-    a.drain_started = At(-60'000);
-    if (condition == "doubt" || condition == "late") a.share = 500;
+    ZoneState& zone_a = before["a"];
+    zone_a.phase = EnumNamed<Phase>(kPhases, row.at("state"));
+    zone_a.step = zone_a.phase == Phase::kRecovering ? 2 : zone_a.phase == Phase::kDraining ? 1 : 0;
+    zone_a.generation = 7;
+    zone_a.baseline_load = 100;
+    zone_a.shifted = 250;
+    zone_a.drain_started = At(-60'000);
+    if (condition == "doubt" || condition == "late") zone_a.share = 500;
     std::vector<OperatorOverride> overrides;
     if (condition == "leave" || condition == "stay" || condition == "return") {
       const std::map<std::string, OverrideKind> override_kinds{
@@ -80,7 +80,8 @@
     if (condition == "late") fleet.Report("sll", 6, "lll");
     if (condition == "doubt") fleet.Report("sww", 4, "www");
     if (condition == "unknown") fleet.Report("-ww", 8, "-ww");
-    if (condition == "well") fleet.Report("lww", 0, "lww"), a.since = At(-1000), a.drain_started = At(-1000);
+    if (condition == "well")
+      fleet.Report("lww", 0, "lww"), zone_a.since = At(-1000), zone_a.drain_started = At(-1000);
     const ZoneStates after = Decide(before, kZoneNames, fleet.reports, overrides, fleet.members, {}, At(0));
     const ZoneState& zone = after.at("a");
     EXPECT_EQ(kPhases[static_cast<std::size_t>(zone.phase)], row.at("becomes"))
--- a/tests/zone_failover/zone_fixtures.h
+++ b/tests/zone_failover/zone_fixtures.h
@@ -18,8 +18,11 @@
 // The time `ms` after the start of a test; may be negative.
 inline TimePoint At(int ms) { return TimePoint(std::chrono::milliseconds(1'000'000 + ms)); }
 
-// The report of a member whose attempts to each zone ended as `verdicts` says, one letter per zone: w:
-// answered in time, l: answered late, s: unanswered, -: no attempts.
+// The report of a member whose attempts to each zone ended as `verdicts` says, one letter per zone:
+//   w  answered in time (well)
+//   l  answered late
+//   s  unanswered (silent)
+//   -  no attempts
 inline EvidenceReport ReportOf(const MemberId& owner, const std::string& verdicts, std::uint16_t sent = 10,
                                const std::vector<ReportedState>& reported = {}) {
   auto evidence = std::make_shared<Evidence>();
