--- a/src/hash_ring/bounded_load.cpp
+++ b/src/hash_ring/bounded_load.cpp
@@ -75,8 +75,8 @@
 }
 
 std::uint32_t BoundedLoad::owners_of(std::uint64_t key) const {
-  const auto at = owners_.find(key);
-  return at == owners_.end() ? 1 : at->second;
+  const auto entry = owners_.find(key);
+  return entry == owners_.end() ? 1 : entry->second;
 }
 
 void BoundedLoad::Pick(std::uint64_t key, std::uint64_t request, std::size_t max,
@@ -121,20 +121,20 @@
   rate_ = (rate_ + requests_ + 1) / 2;
   if (requests_ == 0 && rate_ == 1) rate_ = 0;
   requests_ = 0;
-  AssignOwners(FleetDemand(TakeOwnRates()));
+  AssignOwners(FleetDemand(UpdateOwnRates()));
 }
 
-std::vector<BoundedLoad::KeyRate> BoundedLoad::TakeOwnRates() {
+std::vector<BoundedLoad::KeyRate> BoundedLoad::UpdateOwnRates() {
   std::map<std::uint64_t, std::uint32_t> rates;
   for (const auto& [key, rate] : own_rates_) rates[key] = rate / 2;
-  // Use only the certain part of the count: a key that replaced another one is not hot because of the other's
-  // count.
+  // Use only the part of the count that is certain: a key that replaced another one must not become hot
+  // because of the other key's count.
   for (const HeavyHitterSketch::Entry& entry : sketch_)
     rates[entry.key] += (entry.count - entry.overcount + 1) / 2;
   sketch_.Clear();
 
-  // Keep as many as the sketch has. Among equal rates the lower key comes first, so that all members choose
-  // the same.
+  // Keep at most as many keys as the sketch holds. Among equal rates the lower key comes first, so that all
+  // members choose the same.
   std::vector<KeyRate> ranked;
   for (const auto& [key, rate] : rates) {
     if (rate > 0) ranked.push_back({key, rate});
@@ -180,7 +180,7 @@
         std::clamp<std::uint64_t>((rate + rate_per_owner - 1) / rate_per_owner, 1, config_.max_owners));
   };
   for (const auto& [key, demand] : demands) {
-    // Between the two numbers a key keeps its current number of owners.
+    // From `fewest` to `most`, a key keeps its current number of owners.
     const std::uint32_t fewest = owners_for(demand.rate, allowance);
     const std::uint32_t most = std::max(fewest, owners_for(demand.rate, cooled_allowance));
     const std::uint32_t owners = std::clamp(demand.owners, fewest, most);
--- a/src/hash_ring/bounded_load.h
+++ b/src/hash_ring/bounded_load.h
@@ -73,8 +73,8 @@
 
   // Replaces the ring, which must not be null. Counts stay with their nodes.
   void SetRing(std::shared_ptr<const Ring> ring);
-  // Handles a report that another member sent `age` ago, as far as known. Ignored if it is too old, older
-  // than the latest one, beyond a bound, or from too many members.
+  // Handles a report that another member sent `age` ago, as far as known. Ignores a report that is too old,
+  // older than the member's latest one or beyond a bound, and a new member's once there are kMaxMembers.
   void OnReport(const std::string& member, LoadReport report, Duration age, TimePoint now);
   // This member's report.
   LoadReport Report() const;
@@ -86,7 +86,7 @@
   // most `max`. `request` is any number that differs from request to request. Empty only if no node serves or
   // `max` is 0.
   void Pick(std::uint64_t key, std::uint64_t request, std::size_t max, std::vector<std::uint32_t>& nodes);
-  // Count an attempt of this member to a node as in flight, and as ended.
+  // Records the start and the end of an attempt of this member to a node.
   void OnAttemptStarted(std::string_view uid);
   void OnAttemptEnded(std::string_view uid);
 
@@ -120,8 +120,9 @@
   // Recomputes the counts of requests in flight; called when the ring or a report has changed.
   void RecountInFlight();
   void ClosePeriod();
-  // Smooths the rates of the keys in the sketch into own_rates_. Returns them, the heaviest first.
-  std::vector<KeyRate> TakeOwnRates();
+  // Smooths the rates of the keys in the sketch into own_rates_ and clears the sketch. Returns the rates, the
+  // highest first.
+  std::vector<KeyRate> UpdateOwnRates();
   // The demand for this member's heaviest keys and for the reported ones.
   std::map<std::uint64_t, KeyDemand> FleetDemand(const std::vector<KeyRate>& own) const;
   void AssignOwners(const std::map<std::uint64_t, KeyDemand>& demands);
@@ -139,7 +140,7 @@
   std::map<std::uint64_t, std::uint32_t> own_rates_;  // smoothed, of heavy keys
   std::map<std::uint64_t, std::uint32_t> owners_;     // only of keys with more than one
   std::uint64_t over_limit_ = 0;
-  std::vector<Owner> scratch_;
+  std::vector<Owner> scratch_;  // of Pick(); reused to avoid allocations
 };
 
 }  // namespace mothrack::hash_ring
--- a/src/hash_ring/ring.h
+++ b/src/hash_ring/ring.h
@@ -87,8 +87,8 @@
 class Ring {
  public:
   Ring() : Ring(0, {}) {}
-  // `nodes` may be in any order. Of two nodes with the same uid the first counts, and nodes beyond kMaxNodes,
-  // by uid, are ignored.
+  // `nodes` may be in any order. Of two nodes with the same uid the second one is ignored, and so are nodes
+  // beyond the first kMaxNodes by uid.
   Ring(std::uint64_t generation, std::vector<Node> nodes);
 
   // Stores the first `max` owners in order, or fewer if fewer nodes serve. `owners` is overwritten; reuse it
--- a/src/hash_ring/ring_builder.h
+++ b/src/hash_ring/ring_builder.h
@@ -3,7 +3,7 @@
 // independently it is one change, and two different changes are merged to the same result at all members.
 //
 // A node's record has its level, its weight share and the generation in which it last changed. Of two records
-// the later one counts; within one generation, the one with less weight (Supersedes()). So records can be
+// the later one applies; within one generation, the one with less weight (Supersedes()). So records can be
 // merged in any order and repeatedly, and members that know the same records have the same ring. A ring's
 // generation is the highest of its records; its content has a hash.
 //
--- a/tests/hash_ring/histories_test.cpp
+++ b/tests/hash_ring/histories_test.cpp
@@ -20,11 +20,11 @@
 // A fault of one of the members.
 enum class Fault {
   kNone,
-  kNoHysteresis,    // does not hold a level against measurement noise
+  kNoHysteresis,    // changes a node's level because of measurement noise
   kNoGrace,         // removes a missing node's record at once
-  kIgnoresCutOff,   // takes the empty list for the truth while it is cut off
+  kIgnoresCutOff,   // applies the empty list that it has while it is cut off
   kOwnMeasurement,  // uses its own measurement instead of the fleet's
-  kWrongAges,       // takes nodes for younger than they are
+  kWrongAges,       // uses ages of nodes that are lower than the actual ones
 };
 constexpr std::int64_t kMaxDelayMs = 1000, kTickMs = 100, kChangesEndMs = 60'000;
 
@@ -68,8 +68,8 @@
   // By member.
   std::vector<std::uint64_t> sent_generations(kMembers, 0), generations(kMembers, 0);
   std::vector<std::int64_t> cut_off_until(kMembers, -1), last_sent_at(kMembers, 0);
-  std::uint64_t changes = 1;           // of the nodes
-  std::uint64_t final_generation = 0;  // when all changes have been made
+  std::uint64_t changes = 1;           // changes of the nodes
+  std::uint64_t final_generation = 0;  // the generation once all changes have been made
   // Since when members that are not cut off have had different rings, after the last change; -1 if they have
   // the same.
   std::int64_t differ_since = -1;
--- a/tests/hash_ring/ring_test.cpp
+++ b/tests/hash_ring/ring_test.cpp
@@ -59,7 +59,8 @@
   }
 }
 
-// The expected values are the same on every machine.
+// The expected values are the same on every machine, because members on different machines must agree on the
+// owners of a key.
 TEST(Ring, OwnersAreTheSameEverywhere) {
   std::vector<Owner> owners;
   const Ring ring(1, Nodes(100));
