--- a/src/rollout/instance.cpp
+++ b/src/rollout/instance.cpp
@@ -63,7 +63,7 @@
   if (!record_.wanted) return Finish(Phase::kDone, {}, actions);
   if (!seen.running) {
     if (step_exits_ >= limits_.max_step_starts) {
-      return Finish(Phase::kFailed, "it ended " + std::to_string(step_exits_) + " times", actions);
+      return Finish(Phase::kFailed, "its process exited " + std::to_string(step_exits_) + " times", actions);
     }
     if (!next_start_time_ || now >= *next_start_time_) Start(now, actions);
     return;
--- a/tests/rollout/instance_test.cpp
+++ b/tests/rollout/instance_test.cpp
@@ -120,7 +120,7 @@
     if (Reconcile(crashing, {}, now).starts_with("start")) ++starts;
   }
   EXPECT_EQ(starts, 3);
-  EXPECT_EQ(crashing.record().failure_reason, "it ended 3 times");
+  EXPECT_EQ(crashing.record().failure_reason, "its process exited 3 times");
 }
 
 TEST(Instance, CrashLoopBacksOffAndIsHeldUntilAStep) {
