--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -94,7 +94,7 @@
   next.Release(epoch, claim_id, close);
   if (next.state() == lease_.state()) return answer;
   const std::string change = lease_.state().holder ? lease_.state().holder->change : "";
-  SaveLease(next, nullptr, {unix_ms, change, close ? "closed" : "given back"}, answer);
+  SaveLease(next, nullptr, {unix_ms, change, close ? "closed" : "released"}, answer);
   return answer;
 }
 
@@ -135,7 +135,7 @@
       return answer.Refuse(Refusal::kBusy, "busy with " + next.record().step.token());
     case rollout::Instance::Verdict::kGenerationMismatch:
       return answer.Refuse(Refusal::kGenerationMismatch,
-                           "it has " + next.record().generation + ", not " + step.from);
+                           "its generation is " + next.record().generation + ", not " + step.from);
     case rollout::Instance::Verdict::kStale:  // the report shows the undo that preceded the step
     case rollout::Instance::Verdict::kAccepted:
       break;
@@ -143,7 +143,7 @@
   const rollout::InstanceRecord& record = next.record();
   if (record != saved && record.phase == rollout::Phase::kAccepted &&
       !machine_.HasGeneration(record.generation)) {
-    answer.Refuse(Refusal::kUnknownGeneration, "it has no configuration " + record.generation);
+    answer.Refuse(Refusal::kUnknownGeneration, "its agent has not stored generation " + record.generation);
   }
 }
 
--- a/tests/agent/agent_test.cpp
+++ b/tests/agent/agent_test.cpp
@@ -98,7 +98,7 @@
   step.generation = "g3";
   const Agent::Answer unknown = Accept("i0", step);
   EXPECT_EQ(unknown.refusal, Refusal::kUnknownGeneration);
-  EXPECT_EQ(unknown.refusal_text, "it has no configuration g3");
+  EXPECT_EQ(unknown.refusal_text, "its agent has not stored generation g3");
   EXPECT_EQ(agent_.GenerationOf("i0"), "g1") << "a refused step has no effect";
 }
 
--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -176,7 +176,7 @@
   EXPECT_EQ(fleet.Pid(0, 0), pid);
   const auto unknown = fleet.Ctl(WithQuickOptions({"apply", "g7", "--why", "a test"}));
   EXPECT_EQ(unknown.code, 3) << unknown.out;  // held before its first step
-  EXPECT_NE(unknown.out.find("no configuration g7"), std::string::npos) << unknown.out;
+  EXPECT_NE(unknown.out.find("its agent has not stored generation g7"), std::string::npos) << unknown.out;
   EXPECT_EQ(fleet.Pid(0, 0), pid);
   EXPECT_EQ(fleet.Ctl({"abort"}).code, 0);
   EXPECT_EQ(fleet.Ctl({"abort"}).code, 2) << "nothing is open any more";
