--- a/src/ctl/options.cpp
+++ b/src/ctl/options.cpp
@@ -14,7 +14,7 @@
   command->add_option("--only", options.only, "change only these AGENT/INSTANCE");
   command
       ->add_option("--max-unavailable", options.max_unavailable,
-                   "most instances of one hall that are down at once")
+                   "maximum number of instances of one hall that are down at once")
       ->check(CLI::Range(std::size_t{1}, std::size_t{1000}));
   command->add_flag("--no-canary", options.no_canary,
                     "do not change one instance first, as a batch of its own");
@@ -57,7 +57,8 @@
   for (CLI::App* command : {resume, undo, abort})
     command->add_option("--who", options.who, "name of the operator (default: the user's name)");
   CLI::App* history = app.add_subcommand("history", "show what the agents did, by time");
-  history->add_option("--most", options.max_events, "most events from each agent")->check(CLI::Range(1, 500));
+  history->add_option("--most", options.max_events, "maximum number of events from each agent")
+      ->check(CLI::Range(1, 500));
   CLI::App* explain =
       app.add_subcommand("explain", "show one instance: its state, its last step and the end of its log");
   explain->add_option("INSTANCE", options.instance, "AGENT/INSTANCE")->required();
