--- a/src/change_freeze/freeze_state.cpp
+++ b/src/change_freeze/freeze_state.cpp
@@ -15,7 +15,7 @@
       "incident " + std::to_string(incident.id) + " (" + incident.cause + ", " + incident.owner + ')';
   if (effect == Effect::kRemedy) {
     effect = remedies.contains(incident.id) ? Effect::kAllowed : Effect::kPaused;
-    reason += "; as its remedy, name it";
+    reason += "; a change that remedies it must name it";
   }
   return {effect, std::move(reason)};
 }
@@ -35,7 +35,7 @@
     const Incident* incident = incidents.Find(id);
     if (strongest.effect != Effect::kAllowed || incident == nullptr) continue;
     if (EffectOf(kind, RelationOf(footprint, incident->scope), incident->kind) != Effect::kRemedy) {
-      strongest = {Effect::kBlocked, "this is no remedy of incident " + std::to_string(id)};
+      strongest = {Effect::kBlocked, "the change is not a remedy of incident " + std::to_string(id)};
     }
   }
   return strongest;
@@ -67,7 +67,7 @@
     if (permit.ended) return ending;
     if (permit.kind == request.kind && permit.footprint == request.footprint) continue;
     Terminate(permit, PermitState::kBlocked,
-              "it goes on as " + std::string(kChangeKinds[static_cast<int>(request.kind)]), now);
+              "the change continues as " + std::string(kChangeKinds[static_cast<int>(request.kind)]), now);
     return ending;
   }
   return {};
@@ -109,7 +109,8 @@
 }
 
 void FreezeState::EndPermit(const std::string& change, TimePoint now) {
-  if (Permit* permit = FindPermit(change)) Terminate(*permit, PermitState::kNone, "it has ended", now);
+  if (Permit* permit = FindPermit(change))
+    Terminate(*permit, PermitState::kNone, "the permit has ended", now);
 }
 
 PermitConfirmation FreezeState::ConfirmPermit(const std::string& change, TimePoint now) {
@@ -142,7 +143,7 @@
   for (Permit& permit : permits_) {
     if (permit.ended) continue;
     if (now - permit.last_polled >= kPermitIdleTimeout) {
-      Terminate(permit, PermitState::kNone, "nobody asked for it any more", now);
+      Terminate(permit, PermitState::kNone, "the permit timed out: no agent or tool polled it", now);
       continue;
     }
     // An incident that the change was to fix may have been closed since.
--- a/src/change_freeze/incidents.cpp
+++ b/src/change_freeze/incidents.cpp
@@ -28,10 +28,11 @@
     return {StatusCode::kInvalidRequest,
             "a cause, owner or name is longer than " + std::to_string(kMaxTextBytes) +
                 " bytes, or the scope has more than " + std::to_string(kMaxScopeNames) +
-                " names; shorten it, or take a wider scope"};
+                " names; shorten it, or use a wider scope"};
   }
   if (scope.names.empty() != (scope.kind == Scope::Kind::kFleet)) {
-    return {StatusCode::kInvalidRequest, "a scope has names, unless it is the fleet"};
+    return {StatusCode::kInvalidRequest,
+            "the scope of the fleet has no names, and any other scope needs one"};
   }
   return {};
 }
@@ -101,7 +102,7 @@
     return {0,
             {StatusCode::kLimitReached,
              "there are " + std::to_string(kMaxIncidents) +
-                 " incidents already; close one, or open one for the fleet instead of some"}};
+                 " incidents already; close one, or replace several by one for the fleet"}};
   }
   all_.push_back({++last_id_, kind, scope, cause, owner, State::kOpen, now, now, stale_after, {}});
   return {last_id_, {}};
--- a/src/change_freeze/permit_service.cpp
+++ b/src/change_freeze/permit_service.cpp
@@ -62,12 +62,13 @@
 std::string PermitService::LeaderlessReason(TimePoint now) const {
   if (HoldsLease(now)) return {};
   const std::string leader = voter_.LeaderAt(now);
-  if (!leader.empty() && voter_.role() == Voter::Role::kFollower) return "ask " + leader;
+  if (!leader.empty() && voter_.role() == Voter::Role::kFollower)
+    return "the coordinator is " + leader + "; send the request there";
   std::string unreachable;
   for (const std::string& name : voter_.UnreachableVoters(now))
     unreachable += (unreachable.empty() ? "" : ", ") + name;
   return "there is no coordinator; unreachable voters: " +
-         (unreachable.empty() ? "none, wait for the election" : unreachable);
+         (unreachable.empty() ? "none; wait for the election" : unreachable);
 }
 
 PermitService::Receipt PermitService::Change(TimePoint now, const Edit& edit,
