--- a/src/agent/agent.h
+++ b/src/agent/agent.h
@@ -2,7 +2,7 @@
 // processes. It answers commands (src/agent/agent_api.h receives them over HTTP), supervises its instances,
 // and acts through a Machine. It makes state durable before it reports it; a failed save has no effect.
 //
-// While the store fails, it continues to supervise by the records in memory and accepts no steps. Not
+// While the store fails, the agent continues to supervise by the records in memory and accepts no steps. Not
 // thread-safe: called from the event loop only. docs/operators/rollouts.md is the operators' guide.
 #pragma once
 
@@ -43,14 +43,14 @@
 
 // Why a command that the lease would allow was refused.
 enum class Refusal {
-  kNone,                // it was not refused
+  kNone,                // the command was not refused
   kPlanOfOtherChange,   // the plan to open is of another change than the lease
   kUnknownInstance,     // this agent has no such instance
   kStepOfOtherChange,   // the step is of a change or an epoch that is not open here
   kBusy,                // the instance has an accepted step of another change that has not ended
-  kGenerationMismatch,  // the instance has another generation than the step starts from
+  kGenerationMismatch,  // the instance's generation is not the one that the step starts from
   kUnknownGeneration,   // the step's generation is not stored here
-  kSaveFailed           // the store could not save, and nothing has changed; Store::error() has the cause
+  kSaveFailed           // the store could not save, so nothing has changed; Store::error() has the cause
 };
 
 class Agent {
@@ -62,19 +62,19 @@
     bool open = false;                      // the command's change is open here
     rollout::Epoch highest = 0;             // the highest epoch ever granted here
     Refusal refusal = Refusal::kNone;
-    std::string refused;                    // the refusal's text for the operator; empty if there is none
+    std::string refusal_text;               // the refusal's text for the operator; empty if there is none
     std::optional<rollout::Report> report;  // on the instance that a step was for
 
     void Refuse(Refusal why, std::string message) {
       refusal = why;
-      refused = std::move(message);
+      refusal_text = std::move(message);
     }
   };
 
   // `stored`: the content of the store when it was opened. `instances`: the supervised instances, each with
   // the generation to begin with if the store has no record of it. `store` and `machine` must outlive the
   // agent.
-  Agent(Store& store, Machine& machine, const Stored& stored,
+  Agent(Store& store, Machine& machine, const StoredState& stored,
         const std::map<std::string, std::string>& instances, const rollout::InstanceLimits& limits,
         rollout::Duration lease_time, rollout::TimePoint now);
 
@@ -110,7 +110,7 @@
     return instances_.at(instance).saved.generation;
   }
   // Returns whether the instance is to run, by its durable record.
-  bool WantedOf(const std::string& instance) const { return instances_.at(instance).saved.wanted; }
+  bool ShouldRun(const std::string& instance) const { return instances_.at(instance).saved.wanted; }
   const rollout::LeaseState& lease() const { return lease_.state(); }
   std::optional<rollout::Holder> holder(rollout::TimePoint now) const { return lease_.holder(now); }
   // Returns the plan of a change that was opened here; null if it was not, or if its plan has been deleted.
--- a/src/agent/agent_api.cpp
+++ b/src/agent/agent_api.cpp
@@ -25,7 +25,7 @@
   json response = {{"verdict", rollout::WireName(answer.verdict)},
                    {"open", answer.open},
                    {"highest", answer.highest},
-                   {"refused", answer.refused}};
+                   {"refused", answer.refusal_text}};
   if (answer.holder) response["holder"] = rollout::ToJson(*answer.holder);
   if (answer.report) response["report"] = rollout::ToJson(*answer.report);
   return response;
@@ -84,7 +84,7 @@
     instances[name] = rollout::ToJson(agent_.ReportOf(name));
     instances[name]["pid"] = processes_.pid(name);
     instances[name]["configured"] = agent_.GenerationOf(name);
-    instances[name]["wanted"] = agent_.WantedOf(name);
+    instances[name]["wanted"] = agent_.ShouldRun(name);
   }
   const rollout::LeaseState& lease = agent_.lease();
   json about = {{"name", file_.name},
@@ -122,7 +122,7 @@
   }
   const bool close = rollout::Member<bool>(body, "close");
   const Agent::Answer answer = agent_.Release(epoch, claim_id, close, UnixNow());
-  if (answer.refusal == Refusal::kSaveFailed) return admin::Fault(kInsufficientStorage, answer.refused);
+  if (answer.refusal == Refusal::kSaveFailed) return admin::Fault(kInsufficientStorage, answer.refusal_text);
   return {200, ToJson(answer)};
 }
 
@@ -147,7 +147,7 @@
           {"POST", "/v1/lease", with_body(&AgentApi::Lease)},
           {"POST", "/v1/report", with_body(&AgentApi::Report)},
           {"POST", "/v1/take", with_body(&AgentApi::AcceptStep)},
-          {"POST", "/v1/generation", with_body(&AgentApi::KeepGeneration)}};
+          {"POST", "/v1/generation", with_body(&AgentApi::AddGeneration)}};
 }
 
 Answer AgentApi::History(const std::string& query) const {
@@ -200,14 +200,15 @@
       agent_.AcceptStep(name, rollout::StepFrom(rollout::Member<json>(body, "step")),
                         rollout::Member<std::uint64_t>(body, "epoch"),
                         rollout::Member<std::string>(body, "tool"), SteadyNow(), UnixNow());
-  if (!answer.refused.empty()) {
-    log_.Warn("step_refused", {{"instance", name.substr(0, kMaxLoggedName)}, {"reason", answer.refused}});
+  if (!answer.refusal_text.empty()) {
+    log_.Warn("step_refused",
+              {{"instance", name.substr(0, kMaxLoggedName)}, {"reason", answer.refusal_text}});
   }
   if (on_step_received_) on_step_received_();
   return {200, ToJson(answer)};
 }
 
-Answer AgentApi::KeepGeneration(const json& body) {
+Answer AgentApi::AddGeneration(const json& body) {
   GenerationStore::Files files;
   const json given = rollout::Member<json>(body, "files");
   if (!given.is_object()) return admin::Fault(400, "files is of the wrong kind");
@@ -216,7 +217,7 @@
     files[name] = text.get<std::string>();
   }
   const auto generation = rollout::Member<std::string>(body, "name");
-  if (const auto error = processes_.generations().Keep(generation, files)) {
+  if (const auto error = processes_.generations().Add(generation, files)) {
     return admin::Fault(409, error->message);
   }
   store_.Note({UnixNow(), "", "kept generation " + generation});
--- a/src/agent/sqlite_store.h
+++ b/src/agent/sqlite_store.h
@@ -22,7 +22,7 @@
   ~SqliteStore() override;
 
   // The content of the file when it was opened; empty if error() is permanent.
-  const Stored& stored() const { return stored_; }
+  const StoredState& stored() const { return stored_; }
 
   std::optional<StoreError> SaveLease(const rollout::LeaseState& state, const rollout::Plan* opened,
                                       const Event& note) override;
@@ -30,7 +30,7 @@
                                        const Event& note) override;
   void Note(const Event& event) override;
   // Returns an empty list if the events can't be read.
-  std::vector<Event> Events(std::size_t most) const override;
+  std::vector<Event> Events(std::size_t max_events) const override;
   std::optional<StoreError> error() const override { return open_error_ ? open_error_ : save_error_; }
 
   // The version of the file's schema (PRAGMA user_version).
@@ -48,7 +48,7 @@
 
   const std::string path_;
   std::unique_ptr<storage::Database> db_;
-  Stored stored_;
+  StoredState stored_;
   std::optional<StoreError> open_error_;  // permanent until the file is replaced and the agent restarted
   std::optional<StoreError> save_error_;  // of the last save
 };
