--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -77,8 +77,8 @@
       paused_(where.paused),
       self_(std::make_shared<Acceptor*>(this)) {
   const auto protocol = where.endpoint.protocol();
-  if (where.taken >= 0) {
-    socket_.assign(protocol, where.taken);
+  if (where.inherited_socket >= 0) {
+    socket_.assign(protocol, where.inherited_socket);
   } else {
     socket_.open(protocol);
     // After a kill, do not wait until the former process's connections have left TIME_WAIT.
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -27,7 +27,8 @@
   ListenOn(Endpoint endpoint)
       : endpoint(std::move(endpoint)) {}  // NOLINT: an endpoint alone is the usual case
   Endpoint endpoint;
-  int taken = -1;           // an inherited listening socket; the endpoint tells its protocol
+  // A socket that already listens, for the address family of `endpoint`; negative to bind a new socket.
+  int inherited_socket = -1;
   bool share_port = false;  // another process of the same user may listen as well (SO_REUSEPORT)
   bool paused = false;      // does not accept until Resume()
 };
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -33,7 +33,7 @@
 
 runtime::ListenOn ListenOptionsOf(const Config& config, const Sidecar::Inheritance& inheritance) {
   runtime::ListenOn where(config.listen);
-  where.taken = inheritance.listening;
+  where.inherited_socket = inheritance.listening;
   where.share_port = inheritance.share_port;
   where.paused = inheritance.wait_for_list;
   return where;
