--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -116,11 +116,11 @@
 
 }  // namespace
 
-HttpFrontend::HttpFrontend(boost::asio::io_context& io, const runtime::ListenOn& where,
+HttpFrontend::HttpFrontend(boost::asio::io_context& io, const runtime::ListenOptions& options,
                            runtime::Descriptors& descriptors, runtime::ByteBudget& budget,
                            runtime::Logger& log, dispatch::Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
-      listener_(io, where, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
+      listener_(io, options, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
                 [this](HttpRequest&& request, ComingBody coming, const ReplyCallback& reply) {
                   return Accept(std::move(request), std::move(coming), reply);
                 }) {
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -19,8 +19,9 @@
 class HttpFrontend {
  public:
   // Accepts connections at once. Throws boost::system::system_error if it cannot listen.
-  HttpFrontend(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
-               runtime::ByteBudget& budget, runtime::Logger& log, dispatch::Dispatcher& dispatcher);
+  HttpFrontend(boost::asio::io_context& io, const runtime::ListenOptions& options,
+               runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
+               dispatch::Dispatcher& dispatcher);
 
   // The functions below forward to Listener.
   runtime::Endpoint local() const { return listener_.local(); }
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -43,13 +43,13 @@
 
 }  // namespace
 
-Listener::Listener(boost::asio::io_context& io, const runtime::ListenOn& where,
+Listener::Listener(boost::asio::io_context& io, const runtime::ListenOptions& options,
                    runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
                    const DeadlineRange& deadlines, RequestHandler handler)
     : descriptors_(descriptors),
       budget_(budget),
       handler_(std::move(handler)),
-      acceptor_(io, where, "http", *this, log),
+      acceptor_(io, options, "http", *this, log),
       sweep_every_(std::clamp(deadlines.shortest / kSweepsInDeadline, kPollInterval, kSweepInterval)),
       stop_within_(StopWithin(deadlines.longest)),
       sweep_timer_(
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -37,9 +37,9 @@
   // of `deadlines` matter: the backlog is polled several times within the shortest one, in case the kernel's
   // notification for a waiting client was missed, and a planned stop ends before the SIGKILL that may follow
   // the longest one.
-  Listener(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
-           runtime::ByteBudget& budget, runtime::Logger& log, const DeadlineRange& deadlines,
-           RequestHandler handler);
+  Listener(boost::asio::io_context& io, const runtime::ListenOptions& options,
+           runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
+           const DeadlineRange& deadlines, RequestHandler handler);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -65,7 +65,7 @@
 
 }  // namespace
 
-Acceptor::Acceptor(boost::asio::io_context& io, const ListenOn& where, std::string label, Owner& owner,
+Acceptor::Acceptor(boost::asio::io_context& io, const ListenOptions& options, std::string label, Owner& owner,
                    Logger& log)
     : io_(io),
       label_(std::move(label)),
@@ -74,19 +74,19 @@
       socket_(io),
       pause_(io),
       retry_pause_(kMinRetryPause),
-      paused_(where.paused),
+      paused_(options.paused),
       self_(std::make_shared<Acceptor*>(this)) {
-  const auto protocol = where.endpoint.protocol();
-  if (where.inherited_socket >= 0) {
-    socket_.assign(protocol, where.inherited_socket);
+  const auto protocol = options.endpoint.protocol();
+  if (options.inherited_socket >= 0) {
+    socket_.assign(protocol, options.inherited_socket);
   } else {
     socket_.open(protocol);
     // After a kill, do not wait until the former process's connections have left TIME_WAIT.
     socket_.set_option(boost::asio::socket_base::reuse_address(true));
-    if (where.share_port) {
+    if (options.share_port) {
       socket_.set_option(boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
     }
-    socket_.bind(where.endpoint);
+    socket_.bind(options.endpoint);
     socket_.listen(boost::asio::socket_base::max_listen_connections);
   }
   socket_.non_blocking(true);
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -23,8 +23,8 @@
 namespace mothrack::runtime {
 
 // Where to listen.
-struct ListenOn {
-  ListenOn(Endpoint endpoint)
+struct ListenOptions {
+  ListenOptions(Endpoint endpoint)
       : endpoint(std::move(endpoint)) {}  // NOLINT: an endpoint alone is the usual case
   Endpoint endpoint;
   // A socket that already listens, for the address family of `endpoint`; negative to bind a new socket.
@@ -51,7 +51,8 @@
 
   // Binds and listens, and calls `owner` from the event loop until Close(); throws
   // boost::system::system_error. `label` names the listener in log lines, for example "dns".
-  Acceptor(boost::asio::io_context& io, const ListenOn& where, std::string label, Owner& owner, Logger& log);
+  Acceptor(boost::asio::io_context& io, const ListenOptions& options, std::string label, Owner& owner,
+           Logger& log);
 
   Endpoint local() const { return socket_.local_endpoint(); }
   bool is_open() const { return socket_.is_open(); }
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -31,12 +31,12 @@
 // completely may use as much again, and so may the kernel's buffers.
 constexpr std::size_t kBodyMemoryDivisor = 4;
 
-runtime::ListenOn ListenOptionsOf(const Config& config, const Sidecar::Inheritance& inheritance) {
-  runtime::ListenOn where(config.listen);
-  where.inherited_socket = inheritance.listening;
-  where.share_port = inheritance.share_port;
-  where.paused = inheritance.wait_for_list;
-  return where;
+runtime::ListenOptions ListenOptionsOf(const Config& config, const Sidecar::Inheritance& inheritance) {
+  runtime::ListenOptions options(config.listen);
+  options.inherited_socket = inheritance.listening;
+  options.share_port = inheritance.share_port;
+  options.paused = inheritance.wait_for_list;
+  return options;
 }
 
 }  // namespace
--- a/tests/http/listener_fixture.h
+++ b/tests/http/listener_fixture.h
@@ -97,8 +97,8 @@
     listener.reset();
     descriptors.emplace(sockets);
     budget.emplace(budget_bytes);
-    const runtime::ListenOn where(runtime::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    listener.emplace(io, where, *descriptors, *budget, log,
+    const runtime::ListenOptions options(runtime::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
+    listener.emplace(io, options, *descriptors, *budget, log,
                      http::DeadlineRange{std::chrono::seconds(5), std::chrono::seconds(5)},
                      [this](http::HttpRequest request, http::ComingBody coming, http::ReplyCallback reply) {
                        return HandleRequest(std::move(request), std::move(coming), std::move(reply));
--- a/tests/runtime/acceptor_fixture.h
+++ b/tests/runtime/acceptor_fixture.h
@@ -51,9 +51,9 @@
     system_.descriptors = RLIM_INFINITY;
     system_.after_refusal = nullptr;
     system_.blocked = system_.interrupts = system_.timers = 0;
-    runtime::ListenOn where(runtime::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    where.paused = paused;
-    acceptor.emplace(io, where, "", static_cast<runtime::Acceptor::Owner&>(*this), log);
+    runtime::ListenOptions options(runtime::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
+    options.paused = paused;
+    acceptor.emplace(io, options, "", static_cast<runtime::Acceptor::Owner&>(*this), log);
     system_.listening = acceptor->native_handle();
   }
 
