--- a/src/admin/operator_api.cpp
+++ b/src/admin/operator_api.cpp
@@ -22,7 +22,7 @@
 std::vector<Route> OperatorApi::Routes() {
   const auto drain = [this](bool on) {
     if (!source_.drain(on)) return Fault(409, "a planned stop is under way and can't be taken back");
-    log_.Stated(on ? "ops: drain" : "ops: drain ended, takes clients again");
+    log_.FreeText(on ? "ops: drain" : "ops: drain ended, takes clients again");
     return Answer{200, {{"draining", on}}};
   };
   return {{"GET", "/ops/readiness",
@@ -50,7 +50,7 @@
   const auto uid = name->get<std::string>();
   if (uid.empty() || uid.size() > kMaxIdSize) return Fault(400, "name is empty or longer than any id");
   if (!act(uid)) return Fault(404, "no upstream of this name was ever listed");
-  log_.Stated(std::string("ops: ") + done + ' ' + uid);
+  log_.FreeText(std::string("ops: ") + done + ' ' + uid);
   return {200, {{"name", uid}, {"state", done}}};
 }
 
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -313,7 +313,7 @@
   const std::string method = Printable(call.method);
   const std::string path = Printable(call.path);
   if (label_ == kOperatorApi) {
-    log_.Stated(label_ + ": refused " + method + ' ' + path + ": " + reason);
+    log_.FreeText(label_ + ": refused " + method + ' ' + path + ": " + reason);
   } else {
     log_.Warn("command_refused", {{"api", label_}, {"reason", reason}, {"method", method}, {"path", path}});
   }
--- a/src/discovery/discovery.cpp
+++ b/src/discovery/discovery.cpp
@@ -126,7 +126,7 @@
 void Discovery::Accept(dispatch::MembershipList list) {
   ++(list.update.kind == MembershipUpdate::Kind::kFull ? counts_.full_lists : counts_.change_lists);
   counts_.upstreams += list.update.upstreams.size();
-  if (consecutive_failures_ > 0) log_.Stated("discovery answers again");
+  if (consecutive_failures_ > 0) log_.FreeText("discovery answers again");
   consecutive_failures_ = 0;
   state_ = State::kFollowing;
   last_answer_had_changes_ = !list.update.upstreams.empty();
@@ -151,7 +151,7 @@
   ++counts_.failed;
   state_ = State::kSynchronizing;
   if (!policy_.on_request) revision_.reset();
-  if (consecutive_failures_++ == 0) log_.Stated("discovery: " + error.cause);
+  if (consecutive_failures_++ == 0) log_.FreeText("discovery: " + error.cause);
   const FailedCall call{error.kind, call_kind_ == CallKind::kWatch, consecutive_failures_,
                         runtime::Now() - call_started_};
   const runtime::Duration backoff = policy_.BackoffAfter(call, Jitter());
--- a/src/gossip/task_worker.cpp
+++ b/src/gossip/task_worker.cpp
@@ -150,7 +150,7 @@
 void TaskWorker::Run(const ReloadKeysCommand&, TimePoint) {
   try {
     seal_.ReplaceKeys(LoadKeys(settings_.key_file));
-    log_.Stated("peers: " + settings_.key_file + " read again");
+    log_.FreeText("peers: " + settings_.key_file + " read again");
   } catch (const std::exception& e) {
     log_.Error("peers_keys_kept", {{"cause", e.what()}});
   }
--- a/src/hot_restart/client.cpp
+++ b/src/hot_restart/client.cpp
@@ -102,7 +102,7 @@
     }
     if (inherited.listening >= 0) ::close(inherited.listening);
     if (!busy || std::chrono::steady_clock::now() + kRetryInterval > deadline) {
-      log.Stated("handover: nothing taken over from the process that serves: " + cause);
+      log.FreeText("handover: nothing taken over from the process that serves: " + cause);
       return std::nullopt;
     }
     std::this_thread::sleep_for(kRetryInterval);
--- a/src/hot_restart/server.cpp
+++ b/src/hot_restart/server.cpp
@@ -115,7 +115,7 @@
   if (link == successor_) {
     if (!line.contains(kReadyKey)) return handler_.OnUpdate(ParseUpdate(line));
     if (std::exchange(successor_ready_, true)) return;
-    log_.Stated("handover: a successor takes clients");
+    log_.FreeText("handover: a successor takes clients");
     return handler_.OnSuccessorReady();
   }
   if (!line.contains(kTakeOverKey)) return link->Close();
@@ -135,7 +135,7 @@
       [this, raw = link.get()](const json& line) { OnCandidateMessage(raw->shared_from_this(), line); },
       [this] {
         successor_.reset();
-        log_.Stated("handover: the successor is gone");
+        log_.FreeText("handover: the successor is gone");
         // The path belonged to the successor.
         if (std::exchange(successor_ready_, false)) ListenOrLog();
         handler_.OnSuccessorExited();
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -115,7 +115,7 @@
   }
 }
 
-void Logger::Stated(std::string_view text) noexcept {
+void Logger::FreeText(std::string_view text) noexcept {
   try {
     if (!Admit()) return;
     std::string line;
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -85,7 +85,7 @@
 
   // Writes `<name>: <text>`, for the few lines whose wording the operators' pages document; rate-limited like
   // the others.
-  void Stated(std::string_view text) noexcept;
+  void FreeText(std::string_view text) noexcept;
 
   // Writes `<name>: <text>` unchanged and without limits, for the periodic counter lines.
   void Figures(std::string_view text) noexcept;
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -40,7 +40,7 @@
   }
   inherited_ = hot_restart::TakeOver(io, path_, kTakeOverTimeout, log);
   if (inherited_) {
-    log_.Stated("handover: takes over from the process that serves");
+    log_.FreeText("handover: takes over from the process that serves");
     bans_ = inherited_->state.bans;
     ReserveForPredecessor(inherited_->state.sockets);
   } else {
@@ -152,7 +152,7 @@
 }
 
 void HotRestartCoordinator::OnPredecessorExited() {
-  log_.Stated("handover: the former process is gone");
+  log_.FreeText("handover: the former process is gone");
   descriptors_.Uncap();
   sidecar_->ShareMemory(false);
 }
--- a/tests/runtime/log_test.cpp
+++ b/tests/runtime/log_test.cpp
@@ -127,8 +127,8 @@
   }
 }
 
-TEST_F(LogTest, StatedLineKeepsItsWordsAndIsOneLine) {
-  log.Stated("discovery: \"malformed\" list: a=b\nn: error forged \x1b");
+TEST_F(LogTest, FreeTextKeepsItsWordsAndIsOneLine) {
+  log.FreeText("discovery: \"malformed\" list: a=b\nn: error forged \x1b");
   EXPECT_EQ(Take(), "n: discovery: \"malformed\" list: a=b\\nn: error forged \\x1b\n");
 }
 
@@ -150,9 +150,9 @@
   // A key that does not fit with its value is left out completely.
   const std::string most(room - std::string(" after=").size(), 'x');
   EXPECT_EQ(LineOf(most), head + most + '\n');
-  log.Stated(std::string(2000, 'x'));
+  log.FreeText(std::string(2000, 'x'));
   EXPECT_EQ(Take(), "n: " + std::string(Logger::kMaxLineLength, 'x') + '\n');
-  log.Stated(std::string(2000, '\n'));
+  log.FreeText(std::string(2000, '\n'));
   EXPECT_EQ(Take().size(), Logger::kMaxLineLength + kNameSize + 1);
 }
 
@@ -163,7 +163,7 @@
     if (++attempted % 2 == 0) {
       log.Info("event");
     } else {
-      log.Stated("stated");
+      log.FreeText("free text");
     }
   };
   for (int i = 0; i < 100; ++i) log_one();
--- a/tests/support/log_events.sh
+++ b/tests/support/log_events.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
 # Checks that docs/operators/logs.md lists every event that the sources log, with its level and keys, and no other event,
-# and that it has the texts that are logged through Logger::Stated(): log_events.sh SOURCE
+# and that it has the texts that are logged through Logger::FreeText(): log_events.sh SOURCE
 set -eu
 source=$1
 page=$source/docs/operators/logs.md
@@ -33,9 +33,9 @@
 [ "$(wc -l <"$work/logged")" -gt 20 ] || fail "hardly an event was found in the sources"
 diff "$work/page" "$work/logged" || fail "docs/operators/logs.md (<) and the sources (>) differ"
 
-# The literals that are passed to Logger::Stated(), each of which must be on the page.
-grep -oE '(\.|->)Stated\([^;]*;' "$work/sources" | grep -oE '"[^"]{4,}"' | tr -d '"' >"$work/stated"
-[ "$(wc -l <"$work/stated")" -gt 5 ] || fail "hardly a stated line was found in the sources"
+# The literals that are passed to Logger::FreeText(), each of which must be on the page.
+grep -oE '(\.|->)FreeText\([^;]*;' "$work/sources" | grep -oE '"[^"]{4,}"' | tr -d '"' >"$work/free_text"
+[ "$(wc -l <"$work/free_text")" -gt 5 ] || fail "too few calls of Logger::FreeText() were found in the sources"
 while read -r words; do
   grep -qF -- "$words" "$page" || fail "docs/operators/logs.md does not have the line \"$words\""
-done <"$work/stated"
+done <"$work/free_text"
