--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -130,7 +130,7 @@
   }
 }
 
-void Logger::Figures(std::string_view text) noexcept {
+void Logger::CounterLine(std::string_view text) noexcept {
   try {
     writer_->Write(spdlog::level::info, text);
   } catch (...) {
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -88,7 +88,7 @@
   void FreeText(std::string_view text) noexcept;
 
   // Writes `<name>: <text>` unchanged and without limits, for the periodic counter lines.
-  void Figures(std::string_view text) noexcept;
+  void CounterLine(std::string_view text) noexcept;
 
  private:
   enum class Level { kInfo, kWarning, kError };
--- a/src/sidecar/counter_logger.cpp
+++ b/src/sidecar/counter_logger.cpp
@@ -79,7 +79,7 @@
   PutDecisions(line);
   PutConnections(line);
   PutUpstreams(line);
-  log_.Figures("counts " + line.dump());
+  log_.CounterLine("counts " + line.dump());
 }
 
 void CounterLogger::PutDecisions(json& line) {
--- a/tests/runtime/log_test.cpp
+++ b/tests/runtime/log_test.cpp
@@ -190,14 +190,14 @@
   EXPECT_GE(seconds, 0.2);  // at 5 lines a second, the first line after the burst takes 0.2 s
 }
 
-TEST_F(LogTest, FiguresAreWrittenUnchangedAndWithoutLimit) {
+TEST_F(LogTest, CounterLinesAreWrittenUnchangedAndWithoutLimit) {
   const std::string text = "counts {\"a\":\"" + std::string(2000, 'x') + "\"}";
-  for (int i = 0; i < 300; ++i) log.Figures(text);
+  for (int i = 0; i < 300; ++i) log.CounterLine(text);
   const auto lines = LinesOf(Take());
   ASSERT_EQ(lines.size(), 300U);
   for (const std::string& line : lines) ASSERT_EQ(line, "n: " + text);
   log.Info("event");
-  EXPECT_EQ(Take(), "n: info event\n") << "figures do not count towards the limit of other lines";
+  EXPECT_EQ(Take(), "n: info event\n") << "counter lines must not count towards the limit of other lines";
 }
 
 // ---- Standard error ----
@@ -207,7 +207,7 @@
   ::testing::internal::CaptureStderr();
   const auto write = [](const std::string& name) {
     Logger log(name);
-    for (int i = 0; i < kLines; ++i) log.Figures("counts {}");
+    for (int i = 0; i < kLines; ++i) log.CounterLine("counts {}");
   };
   std::thread other(write, "other");
   write("one");
