--- a/src/runtime/descriptors.h
+++ b/src/runtime/descriptors.h
@@ -17,14 +17,16 @@
 
   // `further`: descriptors beyond kReserved that are always open.
   explicit Descriptors(std::size_t limit, std::size_t further = 0)
-      : fixed_(kFixed + further), full_(limit > fixed_ ? limit - fixed_ : 1), limit_(full_) {}
+      : fixed_(kFixed + further),
+        uncapped_limit_(limit > fixed_ ? limit - fixed_ : 1),
+        limit_(uncapped_limit_) {}
 
   // Another process of this sidecar uses part of the limit: this one may have at most `most` from now on.
   // Open ones above that stay until they are closed.
-  void Cap(std::size_t most) { limit_ = std::clamp<std::size_t>(most, 1, full_); }
-  void Uncap() { limit_ = full_; }
+  void Cap(std::size_t most) { limit_ = std::clamp<std::size_t>(most, 1, uncapped_limit_); }
+  void Uncap() { limit_ = uncapped_limit_; }
   // The limit for both sides together, if no other process uses part of it.
-  std::size_t full() const { return full_; }
+  std::size_t uncapped_limit() const { return uncapped_limit_; }
   // Number that is always open.
   std::size_t fixed() const { return fixed_; }
   // Number open now, on both sides.
@@ -55,7 +57,7 @@
 
  private:
   std::size_t fixed_;
-  std::size_t full_;
+  std::size_t uncapped_limit_;
   std::size_t limit_;
   std::size_t clients_ = 0;
   std::size_t upstreams_ = 0;
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -119,7 +119,7 @@
   state.quiescing = sidecar_->quiescing();
   state.starts = sidecar_->ProcessStarts();
   state.last_list = sidecar_->LastListTime();
-  reserved_descriptors_ = std::max(descriptors_.used(), descriptors_.full() / 2);
+  reserved_descriptors_ = std::max(descriptors_.used(), descriptors_.uncapped_limit() / 2);
   descriptors_.Cap(reserved_descriptors_);
   sidecar_->ShareMemory(true);
   state.sockets = reserved_descriptors_;
@@ -159,7 +159,7 @@
 
 void HotRestartCoordinator::ReserveForPredecessor(std::size_t sockets) {
   const std::size_t reserved = sockets + descriptors_.fixed();
-  descriptors_.Cap(descriptors_.full() > reserved ? descriptors_.full() - reserved : 1);
+  descriptors_.Cap(descriptors_.uncapped_limit() > reserved ? descriptors_.uncapped_limit() - reserved : 1);
 }
 
 void HotRestartCoordinator::OnUpdate(const hot_restart::Update& update) {
--- a/tests/runtime/descriptors_test.cpp
+++ b/tests/runtime/descriptors_test.cpp
@@ -25,7 +25,7 @@
 
 TEST(Descriptors, AreSharedWithAnotherProcessUntilItEnds) {
   runtime::Descriptors descriptors(100, 4);
-  const std::size_t full = descriptors.full();
+  const std::size_t full = descriptors.uncapped_limit();
   descriptors.Cap(20);
   std::vector<std::unique_ptr<runtime::Descriptors::Slot>> slots;
   while (descriptors.HasCapacity(runtime::Descriptors::Side::kClient)) {
