--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -267,11 +267,11 @@
 
 // ---- Serving ----
 
-void ClientConnection::Serve(HttpRequest&& request, ComingBody coming) {
+void ClientConnection::Serve(HttpRequest&& request, StreamedBody streamed_body) {
   // Check the framing again, because trailers have been merged into the head. Bytes after the body must look
   // like the start of a request; otherwise the body length was wrong.
   if (const char* error = FindFramingError(request)) return Reject(beast_http::status::bad_request, error);
-  if (!coming && reader_.NextRequestIsInvalid()) {
+  if (!streamed_body && reader_.NextRequestIsInvalid()) {
     return Reject(beast_http::status::bad_request, "no request behind the body");
   }
   if (!request.keep_alive()) close_after_ = true;
@@ -284,12 +284,12 @@
   }
   // The request may have been queued here for longer than its client waited.
   if (ClientDisconnected()) return Close();
-  auto reply = [self = shared_from_this()](HttpResponse response, ComingBody answer) {
+  auto reply = [self = shared_from_this()](HttpResponse response, StreamedBody answer) {
     if (!answer) self->observer_ = {};
     if (!self->closed_) return self->Respond(std::move(response), std::move(answer));
     if (answer) answer.stream->Abandon();
   };
-  auto observer = owner_->HandleRequest(std::move(request), std::move(coming), std::move(reply));
+  auto observer = owner_->HandleRequest(std::move(request), std::move(streamed_body), std::move(reply));
   if (phase_ == Phase::kServing) observer_ = std::move(observer);
 }
 
@@ -302,7 +302,7 @@
     if (const auto self = weak.lock()) self->Progress();
   };
   const auto keep_alive = upload_;
-  Serve(std::move(request), ComingBody{keep_alive, reader_.content_length()});
+  Serve(std::move(request), StreamedBody{keep_alive, reader_.content_length()});
   if (upload_) PassOnChunk();
 }
 
@@ -342,7 +342,7 @@
   Respond(PlainResponse(status, reason));
 }
 
-void ClientConnection::Respond(HttpResponse response, ComingBody coming) {
+void ClientConnection::Respond(HttpResponse response, StreamedBody streamed_body) {
   phase_ = Phase::kWriting;
   since_ = runtime::Now();
   // The response is sent before the request body has arrived. The client may not read it before it has sent
@@ -353,8 +353,8 @@
   }
   // A handler that finds the request malformed clears the response's keep-alive flag to close the connection.
   if (!response.keep_alive() || owner_->ClosesAfterResponse()) close_after_ = true;
-  if (ResponseWriter::EndsWithConnection(coming, http_version_)) close_after_ = true;
-  writer_.Start(std::move(response), std::move(coming), http_version_, !close_after_);
+  if (ResponseWriter::EndsWithConnection(streamed_body, http_version_)) close_after_ = true;
+  writer_.Start(std::move(response), std::move(streamed_body), http_version_, !close_after_);
 }
 
 void ClientConnection::OnResponseWritten() {
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -55,7 +55,8 @@
     // Whether `/up` answers that the address accepts no new clients.
     virtual bool ReportsDraining() const = 0;
     // Serves one request, whose body may still be arriving. `reply` must be called once.
-    virtual RequestObserver HandleRequest(HttpRequest&& request, ComingBody coming, ReplyCallback reply) = 0;
+    virtual RequestObserver HandleRequest(HttpRequest&& request, StreamedBody streamed_body,
+                                          ReplyCallback reply) = 0;
 
    protected:
     ~Owner() = default;
@@ -117,13 +118,13 @@
   void SendContinue();
 
   // Serving
-  void Serve(HttpRequest&& request, ComingBody coming);
+  void Serve(HttpRequest&& request, StreamedBody streamed_body);
   void BeginUpload();
   bool ContinueUpload(const RequestReader::Step& step);
   bool PassOnChunk();
   void FinishUpload();
   void Reject(beast_http::status status, const std::string& reason);
-  void Respond(HttpResponse response, ComingBody coming = {});
+  void Respond(HttpResponse response, StreamedBody streamed_body = {});
 
   // ResponseWriter::Owner
   void OnWriteProgress() override { since_ = runtime::Now(); }
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -97,8 +97,8 @@
   return range;
 }
 
-ComingBody TakeComingBody(dispatch::FinalAnswer& final) {
-  return final.streaming ? std::move(static_cast<HttpReply&>(*final.reply).coming) : ComingBody{};
+StreamedBody TakeStreamedBody(dispatch::FinalAnswer& final) {
+  return final.streaming ? std::move(static_cast<HttpReply&>(*final.reply).streamed_body) : StreamedBody{};
 }
 
 HttpResponse ToResponse(dispatch::FinalAnswer& final) {
@@ -121,8 +121,8 @@
                            runtime::Logger& log, dispatch::Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
       listener_(io, options, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
-                [this](HttpRequest&& request, ComingBody coming, const ReplyCallback& reply) {
-                  return Accept(std::move(request), std::move(coming), reply);
+                [this](HttpRequest&& request, StreamedBody streamed_body, const ReplyCallback& reply) {
+                  return Accept(std::move(request), std::move(streamed_body), reply);
                 }) {
   const balancer::Settings& settings = dispatcher.settings();
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
@@ -133,10 +133,11 @@
   }
 }
 
-RequestObserver HttpFrontend::Accept(HttpRequest&& request, ComingBody coming, const ReplyCallback& reply) {
+RequestObserver HttpFrontend::Accept(HttpRequest&& request, StreamedBody streamed_body,
+                                     const ReplyCallback& reply) {
   const runtime::TimePoint now = runtime::Now();
   RemoveHopByHop(request);  // first, because `Connection` may name fields that are checked below
-  const bool has_body = coming || !request.body().empty();
+  const bool has_body = streamed_body || !request.body().empty();
   auto parsed = Parse(request, has_body);
   if (const auto* invalid = std::get_if<InvalidRequest>(&parsed)) {
     reply(InvalidRequestResponse(invalid->reason), {});
@@ -148,14 +149,14 @@
   dispatch::NewRequest accepted;
   accepted.request_class = attributes.request_class;
   accepted.deadline = now + timeout;
-  accepted.arriving = static_cast<bool>(coming);
+  accepted.arriving = static_cast<bool>(streamed_body);
   accepted.tenant = attributes.tenant;
   accepted.work = attributes.work;
   accepted.client_retry = attributes.client_retry;
   accepted.key = std::move(attributes.id);  // upstreams could not tell two requests with the same id apart
-  accepted.message = std::make_shared<const HttpMessage>(std::move(request), std::move(coming));
+  accepted.message = std::make_shared<const HttpMessage>(std::move(request), std::move(streamed_body));
   accepted.on_final = [reply](dispatch::FinalAnswer final) {
-    ComingBody answer = TakeComingBody(final);
+    StreamedBody answer = TakeStreamedBody(final);
     reply(ToResponse(final), std::move(answer));
   };
   const auto id = dispatcher_.Submit(std::move(accepted));
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -49,7 +49,7 @@
     std::string reason;
   };
 
-  RequestObserver Accept(HttpRequest&& request, ComingBody coming, const ReplyCallback& reply);
+  RequestObserver Accept(HttpRequest&& request, StreamedBody streamed_body, const ReplyCallback& reply);
   std::variant<RequestAttributes, InvalidRequest> Parse(const HttpRequest& request, bool has_body) const;
 
   dispatch::Dispatcher& dispatcher_;
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -92,8 +92,9 @@
   }
 }
 
-RequestObserver Listener::HandleRequest(HttpRequest&& request, ComingBody coming, ReplyCallback reply) {
-  return handler_(std::move(request), std::move(coming), std::move(reply));
+RequestObserver Listener::HandleRequest(HttpRequest&& request, StreamedBody streamed_body,
+                                        ReplyCallback reply) {
+  return handler_(std::move(request), std::move(streamed_body), std::move(reply));
 }
 
 void Listener::Quiesce(bool on) {
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -79,7 +79,8 @@
   // `/up` reports whether the address accepts clients. With a successor it does, even while this process
   // drains.
   bool ReportsDraining() const override { return quiescing() && !has_successor_; }
-  RequestObserver HandleRequest(HttpRequest&& request, ComingBody coming, ReplyCallback reply) override;
+  RequestObserver HandleRequest(HttpRequest&& request, StreamedBody streamed_body,
+                                ReplyCallback reply) override;
 
   runtime::Duration SweepInterval() const;
   // Called by the timer; returns false when the stop is complete.
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -26,7 +26,7 @@
 
 // A body that is still arriving while its message is already being forwarded. The message's own body is empty
 // then.
-struct ComingBody {
+struct StreamedBody {
   std::shared_ptr<runtime::Stream> stream;  // null if the message is complete
   std::optional<std::uint64_t> length;      // absent if unknown until the body ends
   explicit operator bool() const { return stream != nullptr; }
@@ -34,18 +34,18 @@
 
 // A request in the form in which attempts send it.
 struct HttpMessage : dispatch::Message {
-  explicit HttpMessage(HttpRequest request, ComingBody coming = {})
-      : request(std::move(request)), coming(std::move(coming)) {}
+  explicit HttpMessage(HttpRequest request, StreamedBody streamed_body = {})
+      : request(std::move(request)), streamed_body(std::move(streamed_body)) {}
   HttpRequest request;
-  ComingBody coming;
+  StreamedBody streamed_body;
 };
 
 // An upstream's response.
 struct HttpReply : dispatch::Reply {
-  explicit HttpReply(HttpResponse response, ComingBody coming = {})
-      : response(std::move(response)), coming(std::move(coming)) {}
+  explicit HttpReply(HttpResponse response, StreamedBody streamed_body = {})
+      : response(std::move(response)), streamed_body(std::move(streamed_body)) {}
   HttpResponse response;
-  ComingBody coming;
+  StreamedBody streamed_body;
 };
 
 // Bodies up to this size are buffered whole. A buffered request can be retried from the start, and a
--- a/src/http/request_handler.h
+++ b/src/http/request_handler.h
@@ -11,7 +11,7 @@
 
 // Delivers the response to one request. Must be called exactly once, possibly before the handler returns. The
 // response body may still be arriving. If the client has disconnected, the call only abandons the body.
-using ReplyCallback = std::function<void(HttpResponse, ComingBody)>;
+using ReplyCallback = std::function<void(HttpResponse, StreamedBody)>;
 
 // Notifications about the client to the handler of its request. Either function may be empty.
 struct RequestObserver {
@@ -24,6 +24,6 @@
 // Handles one request, whose body may still be arriving. The handler may move from `request`, which is a
 // reference because a move of a message costs about a hundred instructions.
 using RequestHandler =
-    std::function<RequestObserver(HttpRequest&& request, ComingBody coming, ReplyCallback reply)>;
+    std::function<RequestObserver(HttpRequest&& request, StreamedBody streamed_body, ReplyCallback reply)>;
 
 }  // namespace mothrack::http
--- a/src/http/request_writer.cpp
+++ b/src/http/request_writer.cpp
@@ -17,7 +17,7 @@
   request_->base() = request.base();
   request_->version(11);
   request_->set("X-Timeout-Ms", std::to_string(std::max<std::int64_t>(timeout.count(), 1)));
-  if (message.coming) return StartStreaming(message.coming);
+  if (message.streamed_body) return StartStreaming(message.streamed_body);
   request_->body() = {request.body().data(), request.body().size()};
   request_->prepare_payload();
   serializer_.emplace(*request_);
@@ -29,14 +29,14 @@
                           });
 }
 
-void RequestWriter::StartStreaming(const ComingBody& coming) {
-  if (coming.length) request_->content_length(*coming.length);
-  if (!coming.length) request_->chunked(true);
-  coming.stream->on_bytes = [weak = std::weak_ptr(owner_.shared_writer())] {
+void RequestWriter::StartStreaming(const StreamedBody& streamed_body) {
+  if (streamed_body.length) request_->content_length(*streamed_body.length);
+  if (!streamed_body.length) request_->chunked(true);
+  streamed_body.stream->on_bytes = [weak = std::weak_ptr(owner_.shared_writer())] {
     if (const auto self = weak.lock()) self->Pump();
   };
-  body_writer_.emplace(ToText(request_->base()), coming.stream,
-                       coming.length ? BodyWriter::Framing::kLength : BodyWriter::Framing::kChunked);
+  body_writer_.emplace(ToText(request_->base()), streamed_body.stream,
+                       streamed_body.length ? BodyWriter::Framing::kLength : BodyWriter::Framing::kChunked);
   Pump();
 }
 
--- a/src/http/request_writer.h
+++ b/src/http/request_writer.h
@@ -60,7 +60,7 @@
  private:
   using BorrowedBody = beast_http::span_body<const char>;
 
-  void StartStreaming(const ComingBody& coming);
+  void StartStreaming(const StreamedBody& streamed_body);
   // Writes the body bytes that are available. Called again when the socket is writable or more bytes arrive.
   void Pump();
   void WaitUntilWritable();
--- a/src/http/response_writer.cpp
+++ b/src/http/response_writer.cpp
@@ -11,23 +11,24 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-BodyWriter::Framing FramingOf(const ComingBody& body, unsigned http_version) {
+BodyWriter::Framing FramingOf(const StreamedBody& body, unsigned http_version) {
   if (body.length) return BodyWriter::Framing::kLength;
   return http_version == 11 ? BodyWriter::Framing::kChunked : BodyWriter::Framing::kConnection;
 }
 
 }  // namespace
 
-bool ResponseWriter::EndsWithConnection(const ComingBody& body, unsigned http_version) {
+bool ResponseWriter::EndsWithConnection(const StreamedBody& body, unsigned http_version) {
   return body && FramingOf(body, http_version) == BodyWriter::Framing::kConnection;
 }
 
-void ResponseWriter::Start(HttpResponse response, ComingBody coming, unsigned http_version, bool keep_alive) {
+void ResponseWriter::Start(HttpResponse response, StreamedBody streamed_body, unsigned http_version,
+                           bool keep_alive) {
   response_ = std::move(response);
   response_.version(http_version);
-  if (coming) {
-    const auto framing = FramingOf(coming, http_version);
-    return StartStreaming(std::move(coming), framing, keep_alive);
+  if (streamed_body) {
+    const auto framing = FramingOf(streamed_body, http_version);
+    return StartStreaming(std::move(streamed_body), framing, keep_alive);
   }
   response_.keep_alive(keep_alive);
   response_.prepare_payload();
@@ -39,14 +40,15 @@
                           });
 }
 
-void ResponseWriter::StartStreaming(ComingBody coming, BodyWriter::Framing framing, bool keep_alive) {
-  if (framing == BodyWriter::Framing::kLength) response_.content_length(*coming.length);
+void ResponseWriter::StartStreaming(StreamedBody streamed_body, BodyWriter::Framing framing,
+                                    bool keep_alive) {
+  if (framing == BodyWriter::Framing::kLength) response_.content_length(*streamed_body.length);
   if (framing == BodyWriter::Framing::kChunked) response_.chunked(true);
   response_.keep_alive(keep_alive);
-  coming.stream->on_bytes = [weak = std::weak_ptr(owner_.shared_writer())] {
+  streamed_body.stream->on_bytes = [weak = std::weak_ptr(owner_.shared_writer())] {
     if (const auto self = weak.lock()) self->Pump();
   };
-  body_writer_.emplace(ToText(response_.base()), std::move(coming.stream), framing);
+  body_writer_.emplace(ToText(response_.base()), std::move(streamed_body.stream), framing);
   Pump();
 }
 
--- a/src/http/response_writer.h
+++ b/src/http/response_writer.h
@@ -41,10 +41,10 @@
 
   // Whether this response ends with its connection. That is so if the length is unknown and the client uses
   // HTTP/1.0, which has no chunked coding.
-  static bool EndsWithConnection(const ComingBody& body, unsigned http_version);
+  static bool EndsWithConnection(const StreamedBody& body, unsigned http_version);
 
   // Starts writing. `http_version` is that of the request, 10 or 11.
-  void Start(HttpResponse response, ComingBody coming, unsigned http_version, bool keep_alive);
+  void Start(HttpResponse response, StreamedBody streamed_body, unsigned http_version, bool keep_alive);
 
   // Whether the body of the current response is streamed.
   bool streaming() const { return body_writer_.has_value(); }
@@ -53,7 +53,7 @@
   void AbandonBody();
 
  private:
-  void StartStreaming(ComingBody coming, BodyWriter::Framing framing, bool keep_alive);
+  void StartStreaming(StreamedBody streamed_body, BodyWriter::Framing framing, bool keep_alive);
   // Writes the body bytes that are available. Called again when the socket is writable or more bytes arrive.
   void Pump();
   void WaitUntilWritable();
--- a/src/http/transport.cpp
+++ b/src/http/transport.cpp
@@ -48,7 +48,7 @@
   auto connection = pools_.Acquire(uid);
   auto http_message = std::static_pointer_cast<const HttpMessage>(message);
   // A body can only be sent (again) while its stream still holds it from the first byte on.
-  if (connection && http_message->coming && !http_message->coming.stream->BeginConsuming()) {
+  if (connection && http_message->streamed_body && !http_message->streamed_body.stream->BeginConsuming()) {
     pools_.Release(std::exchange(connection, nullptr));
   }
   if (!connection) return hooks.on_end({Outcome::kNotSent, runtime::Duration::zero(), {}, nullptr});
--- a/src/http/upstream_exchange.cpp
+++ b/src/http/upstream_exchange.cpp
@@ -100,8 +100,8 @@
   sent_at_ = runtime::Now();
   deadline_ = sent_at_ + request_.timeout;
   // The timeout of a request whose body is still arriving counts from its last byte.
-  const ComingBody& coming = request_.message->coming;
-  arriving_ = coming && coming.stream->state() == runtime::Stream::State::kComing;
+  const StreamedBody& streamed_body = request_.message->streamed_body;
+  arriving_ = streamed_body && streamed_body.stream->state() == runtime::Stream::State::kComing;
   connection_->BeginUse();
   if (connection_->connected()) return BeginWriting();
   phase_ = Phase::kConnecting;
@@ -260,9 +260,9 @@
   buffering_until_.reset();
   HttpResponse head;
   head.base() = parser_->get().base();
-  ComingBody coming{std::make_shared<runtime::Stream>(budget_, 0), std::nullopt};
-  if (const auto length = parser_->content_length()) coming.length = *length;
-  response_stream_ = coming.stream;
+  StreamedBody streamed_body{std::make_shared<runtime::Stream>(budget_, 0), std::nullopt};
+  if (const auto length = parser_->content_length()) streamed_body.length = *length;
+  response_stream_ = streamed_body.stream;
   response_stream_->Append(parser_->get().body().bytes);
   parser_->get().body().bytes.clear();
   response_stream_->on_capacity = [weak = weak_from_this()] {
@@ -270,7 +270,7 @@
   };
   DisarmTimer();
   streaming_ = true;
-  hooks_.on_started(std::make_unique<HttpReply>(std::move(head), std::move(coming)));
+  hooks_.on_started(std::make_unique<HttpReply>(std::move(head), std::move(streamed_body)));
   if (reading_body_ && !connection_->closed()) return ArmTimer(runtime::Now() + kResponseIdleTimeout);
   ReadSomeBody();
 }
@@ -360,7 +360,7 @@
 // From here on another attempt may consume the request body.
 void UpstreamExchange::ReleaseRequestBody() {
   writer_->StopBody();
-  if (request_.message->coming) request_.message->coming.stream->StopConsuming();
+  if (request_.message->streamed_body) request_.message->streamed_body.stream->StopConsuming();
 }
 
 // Discards all state of this exchange so that the next one starts clean.
--- a/tests/http/listener_disconnect_test.cpp
+++ b/tests/http/listener_disconnect_test.cpp
@@ -45,9 +45,9 @@
       EXPECT_TRUE(forwarded[0].disconnected);
       EXPECT_EQ(descriptors->used(), 0U);
       EXPECT_EQ(forwarded.size(), 1U);
-      EXPECT_EQ(disconnect_case.streamed, static_cast<bool>(forwarded[0].coming));
+      EXPECT_EQ(disconnect_case.streamed, static_cast<bool>(forwarded[0].streamed_body));
       if (disconnect_case.streamed) {
-        EXPECT_EQ(forwarded[0].coming.stream->state(), runtime::Stream::State::kBroken);
+        EXPECT_EQ(forwarded[0].streamed_body.stream->state(), runtime::Stream::State::kBroken);
       }
       forwarded.clear();
       clients.clear();
--- a/tests/http/listener_fixture.h
+++ b/tests/http/listener_fixture.h
@@ -80,7 +80,7 @@
     std::string target;
     std::string body;
     http::ReplyCallback reply;
-    http::ComingBody coming;
+    http::StreamedBody streamed_body;
     bool disconnected = false;
     bool complete = false;
   };
@@ -98,30 +98,31 @@
     descriptors.emplace(sockets);
     budget.emplace(budget_bytes);
     const runtime::ListenOptions options(runtime::Endpoint(boost::asio::ip::make_address("127.0.0.1"), 0));
-    listener.emplace(io, options, *descriptors, *budget, log,
-                     http::DeadlineRange{std::chrono::seconds(5), std::chrono::seconds(5)},
-                     [this](http::HttpRequest request, http::ComingBody coming, http::ReplyCallback reply) {
-                       return HandleRequest(std::move(request), std::move(coming), std::move(reply));
-                     });
+    listener.emplace(
+        io, options, *descriptors, *budget, log,
+        http::DeadlineRange{std::chrono::seconds(5), std::chrono::seconds(5)},
+        [this](http::HttpRequest request, http::StreamedBody streamed_body, http::ReplyCallback reply) {
+          return HandleRequest(std::move(request), std::move(streamed_body), std::move(reply));
+        });
     intercepted_calls.listening = listener->native_handle();
   }
 
-  http::RequestObserver HandleRequest(http::HttpRequest request, http::ComingBody coming,
+  http::RequestObserver HandleRequest(http::HttpRequest request, http::StreamedBody streamed_body,
                                       http::ReplyCallback reply) {
     ForwardedRequest& forwarded_request = forwarded.emplace_back();
     forwarded_request.target = std::string(request.target());
     forwarded_request.body = request.body();
-    forwarded_request.coming = coming;
+    forwarded_request.streamed_body = streamed_body;
     forwarded_request.reply = std::move(reply);
-    if (coming && consumes_bodies) {
-      coming.stream->BeginConsuming();
-      const auto consume = [&forwarded_request, stream = coming.stream.get()] {
+    if (streamed_body && consumes_bodies) {
+      streamed_body.stream->BeginConsuming();
+      const auto consume = [&forwarded_request, stream = streamed_body.stream.get()] {
         forwarded_request.body += stream->Ready();
         stream->Consume(stream->Ready().size());
       };
-      coming.stream->on_bytes = consume;
+      streamed_body.stream->on_bytes = consume;
     }
-    if (replies_at_once && !coming) Reply(forwarded_request);
+    if (replies_at_once && !streamed_body) Reply(forwarded_request);
     return {[&forwarded_request] { forwarded_request.disconnected = true; },
             [this, &forwarded_request] {
               forwarded_request.complete = true;
