--- a/src/http/body_writer.cpp
+++ b/src/http/body_writer.cpp
@@ -37,7 +37,7 @@
 std::optional<BodyWriter::Progress> BodyWriter::BeginChunk() {
   chunk_left_ = stream_->Ready().size();
   const bool empty = chunk_left_ == 0;
-  if (empty && stream_->state() == runtime::Stream::State::kBroken) return Progress::kCut;
+  if (empty && stream_->state() == runtime::Stream::State::kTruncated) return Progress::kTruncated;
   const bool ends = empty && stream_->done();
   if (ends && (framing_ != Framing::kChunked || last_chunk_framed_)) return Progress::kDone;
   if (empty && !ends) return Progress::kNoBytes;
--- a/src/http/body_writer.h
+++ b/src/http/body_writer.h
@@ -39,7 +39,7 @@
     kSocketFull,  // the socket is not writable, or this call has used up its byte budget
     kNoBytes,     // the stream has no more bytes for now
     kDone,        // the whole message is written
-    kCut,         // the stream broke: the receiver must be able to see that the message is truncated
+    kTruncated,   // the stream broke: the receiver must be able to see that the message is truncated
     kFailed,      // writing to the socket failed
   };
   // Writes as much as possible without blocking; at most 256 KiB of the body per call.
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -54,7 +54,7 @@
   // Notify the observer first: it ends the attempts, so that none of them still reads from `upload_` when the
   // stream breaks.
   if (const auto on_disconnect = std::exchange(observer_, {}).on_disconnect) on_disconnect();
-  if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kBroken);
+  if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kTruncated);
   writer_.AbandonBody();
 }
 
@@ -332,7 +332,7 @@
   const auto upload = std::exchange(upload_, nullptr);
   if (reader_.NextRequestIsInvalid()) close_after_ = true;
   if (const auto on_complete = std::exchange(observer_.on_complete, nullptr)) on_complete();
-  upload->End(runtime::Stream::State::kWhole);
+  upload->End(runtime::Stream::State::kComplete);
 }
 
 // After a malformed request the message boundaries are unknown, so nothing after it on this connection is
--- a/src/http/framing.cpp
+++ b/src/http/framing.cpp
@@ -26,7 +26,7 @@
     if (c != '\n') continue;
     if (next == ' ' || next == '\t') return HeadStatus::kInvalid;  // a folded header
     if (next == '\r' && scanned + 2 < bytes.size())
-      return bytes[scanned + 2] == '\n' ? HeadStatus::kWhole : HeadStatus::kInvalid;
+      return bytes[scanned + 2] == '\n' ? HeadStatus::kComplete : HeadStatus::kInvalid;
     if (next == '\r') return HeadStatus::kPartial;
   }
   return bytes.size() < kMaxHeaderSize ? HeadStatus::kPartial : HeadStatus::kInvalid;
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -16,7 +16,7 @@
 // How much of a request's head has arrived, and whether it is acceptable.
 enum class HeadStatus {
   kPartial,
-  kWhole,
+  kComplete,
   kInvalid,  // another parser might read it differently from this one
 };
 // Rejects bare CR or LF, NUL bytes, folded headers, heads longer than kMaxHeaderSize, and methods other than
--- a/src/http/request_writer.cpp
+++ b/src/http/request_writer.cpp
@@ -55,7 +55,7 @@
     case BodyWriter::Progress::kDone:
       body_writer_.reset();
       return owner_.OnBodyWritten();
-    case BodyWriter::Progress::kCut:
+    case BodyWriter::Progress::kTruncated:
     case BodyWriter::Progress::kFailed:
       return owner_.OnBodyFailed();
   }
--- a/src/http/response_writer.cpp
+++ b/src/http/response_writer.cpp
@@ -70,7 +70,7 @@
     case BodyWriter::Progress::kDone:
       body_writer_.reset();
       return Finish();
-    case BodyWriter::Progress::kCut:
+    case BodyWriter::Progress::kTruncated:
       if (body_writer_->framing() == BodyWriter::Framing::kConnection) ResetOnClose();
       [[fallthrough]];
     case BodyWriter::Progress::kFailed:
--- a/src/http/upstream_exchange.cpp
+++ b/src/http/upstream_exchange.cpp
@@ -101,7 +101,7 @@
   deadline_ = sent_at_ + request_.timeout;
   // The timeout of a request whose body is still arriving counts from its last byte.
   const StreamedBody& streamed_body = request_.message->streamed_body;
-  arriving_ = streamed_body && streamed_body.stream->state() == runtime::Stream::State::kComing;
+  arriving_ = streamed_body && streamed_body.stream->state() == runtime::Stream::State::kArriving;
   connection_->BeginUse();
   if (connection_->connected()) return BeginWriting();
   phase_ = Phase::kConnecting;
@@ -305,7 +305,7 @@
   on_end(std::move(result));
   // Last, because the stream's consumer may react by closing its connection or by reading its next request.
   // The dispatcher must have finished this request by then.
-  if (stream) stream->End(runtime::Stream::State::kWhole);
+  if (stream) stream->End(runtime::Stream::State::kComplete);
 }
 
 // The connection was established but is not needed; it is pooled for the next request.
@@ -336,7 +336,7 @@
   const auto self = shared_from_this();
   const auto on_end = MarkEnded();
   on_end({outcome, runtime::Now() - sent_at_, {}, nullptr});
-  if (stream) stream->End(runtime::Stream::State::kBroken);
+  if (stream) stream->End(runtime::Stream::State::kTruncated);
 }
 
 void UpstreamExchange::Abandon() {
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -18,27 +18,29 @@
 using boost::asio::ip::tcp;
 using boost::system::error_code;
 
-// Pause after a failed accept(), doubled from the minimum to the maximum while nothing is accepted: a
-// momentary lack of descriptors or memory costs little time, and a lasting one does not make the event loop
-// spin. If the owner has no capacity, the maximum applies.
-constexpr Duration kMinRetryPause = std::chrono::milliseconds(1);
-constexpr Duration kMaxRetryPause = std::chrono::milliseconds(20);
-// Posted once, a handler runs after the event loop has polled the kernel but before the handlers of what it
-// found; posted twice, it runs after those as well.
-constexpr int kRoundsBeforeMissed = 2;
-// Bound on consecutive clients that had disconnected before accept(), before other handlers run.
-constexpr int kMaxAbortedInARow = 64;
-
-bool IsExhausted(const error_code& error) {
+// Delay between a failed accept() and the next one. It doubles from the minimum to the maximum until a client
+// is accepted: a momentary lack of descriptors or memory costs little time, and a lasting one does not make
+// the event loop spin. If the owner has no capacity, the maximum applies.
+constexpr Duration kMinRetryDelay = std::chrono::milliseconds(1);
+constexpr Duration kMaxRetryDelay = std::chrono::milliseconds(20);
+// How many times a check is posted to the event loop before a wake-up counts as missed. A handler that is
+// posted once runs after the event loop has polled the kernel, but before the handlers of the events that it
+// found. A handler that is posted again runs after those handlers as well.
+constexpr int kConfirmationRounds = 2;
+// Maximum number of consecutive accept() calls that may fail because of a single connection before the event
+// loop runs other handlers.
+constexpr int kMaxConsecutiveAborts = 64;
+
+bool IsResourceShortage(const error_code& error) {
   return error == boost::asio::error::no_descriptors || error == boost::asio::error::no_memory ||
          error == boost::asio::error::no_buffer_space ||
          error == boost::system::errc::too_many_files_open_in_system;
 }
 
-// Whether the error concerns only the connection at the head of the queue or this one call, not the listening
-// socket. accept(2): pending network errors of a queued connection are reported by accept() and should be
-// treated like EAGAIN by retrying; EPERM means that a firewall rejects one client.
-bool IsOfOneConnection(const error_code& error) {
+// Whether the error concerns only the connection at the head of the backlog or this one call, not the
+// listening socket. accept(2): accept() reports pending network errors of a connection in the backlog, and
+// they should be treated like EAGAIN by retrying; EPERM means that a firewall rejects one client.
+bool ConcernsOneConnection(const error_code& error) {
   if (error.category() != boost::system::system_category()) return false;
   switch (error.value()) {
     case EINTR:
@@ -72,8 +74,8 @@
       owner_(owner),
       log_(log),
       socket_(io),
-      pause_(io),
-      retry_pause_(kMinRetryPause),
+      retry_timer_(io),
+      retry_delay_(kMinRetryDelay),
       paused_(options.paused),
       self_(std::make_shared<Acceptor*>(this)) {
   const auto protocol = options.endpoint.protocol();
@@ -81,7 +83,7 @@
     socket_.assign(protocol, options.inherited_socket);
   } else {
     socket_.open(protocol);
-    // After a kill, do not wait until the former process's connections have left TIME_WAIT.
+    // After a kill, the address can be bound although connections of the killed process are in TIME_WAIT.
     socket_.set_option(boost::asio::socket_base::reuse_address(true));
     if (options.share_port) {
       socket_.set_option(boost::asio::detail::socket_option::boolean<SOL_SOCKET, SO_REUSEPORT>(true));
@@ -90,12 +92,12 @@
     socket_.listen(boost::asio::socket_base::max_listen_connections);
   }
   socket_.non_blocking(true);
-  // Otherwise asio would block the event loop in accept() if a client disconnected before its turn.
+  // Without this option, Asio would block the event loop in accept() if a client disconnected in the backlog.
   socket_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
   WaitForClient();
 }
 
-// Waits for a client without reserving a descriptor, and makes room only once one is waiting.
+// Waits until a client is in the backlog. Accept() evicts a connection, if necessary, only then.
 void Acceptor::WaitForClient() {
   if (paused_ || waiting_) return;
   waiting_ = true;
@@ -107,36 +109,38 @@
     ++acceptor.wakeups_;
     if (acceptor.paused_ || !acceptor.socket_.is_open()) return;
     if (!error) return acceptor.Accept();
-    // The wait of before a pause that has ended since.
+    // Pause() cancelled this wait, and Resume() was called before this handler ran.
     if (error == boost::asio::error::operation_aborted) return acceptor.WaitForClient();
-    // Unexpected; listening must go on.
+    // No other error is expected; the acceptor must keep accepting in any case.
     acceptor.log_.Warn("accept_wait_failed", {{"listener", acceptor.label_}, {"cause", error.message()}});
-    acceptor.RetryAfter(kMaxRetryPause);
+    acceptor.RetryAfter(kMaxRetryDelay);
   });
 }
 
-void Acceptor::RetryAfter(Duration pause) {
-  pause_.expires_after(pause);
-  pause_.async_wait([this](error_code error) {
+void Acceptor::RetryAfter(Duration delay) {
+  retry_timer_.expires_after(delay);
+  retry_timer_.async_wait([this](error_code error) {
     if (error || !socket_.is_open() || paused_) return;
-    // A wait that missed a client is not notified of it after the pause either.
+    // A pending wait that has missed a client is not notified of that client later either.
     waiting_ ? Accept() : WaitForClient();
   });
 }
 
-// If the kernel can't tell, assume that a client is waiting: closing the socket would reset it.
-bool Acceptor::ClientWaits() {
+// Whether a client is in the backlog. Returns true if the kernel can't tell, because closing the socket would
+// reset such a client.
+bool Acceptor::HasWaitingClient() {
   return (PollNow(socket_.native_handle(), POLLIN).value_or(POLLIN) & POLLIN) != 0;
 }
 
 void Acceptor::PollForMissedClients() {
-  // Without a pending wait there is a pause, which a timer ends.
-  if (!waiting_ || paused_ || confirming_ || !socket_.is_open() || !ClientWaits()) return;
+  // If no wait is pending, accepting is paused, or the retry timer is running.
+  if (!waiting_ || paused_ || confirming_ || !socket_.is_open() || !HasWaitingClient()) return;
   confirming_ = true;
-  ConfirmMissedWakeup(kRoundsBeforeMissed);
+  ConfirmMissedWakeup(kConfirmationRounds);
 }
 
-// The client may have arrived just now: give the event loop the chance to report it first.
+// Accepts the client that polling found, unless the event loop reports it within `rounds` rounds. The client
+// may have arrived just now; then the wake-up was not missed.
 void Acceptor::ConfirmMissedWakeup(int rounds) {
   boost::asio::post(io_, [weak = std::weak_ptr(self_), rounds, woken = wakeups_] {
     const auto self = weak.lock();
@@ -145,8 +149,8 @@
     const bool notified = acceptor.wakeups_ != woken || !acceptor.waiting_;
     if (!notified && rounds > 1) return acceptor.ConfirmMissedWakeup(rounds - 1);
     acceptor.confirming_ = false;
-    if (notified || acceptor.paused_ || !acceptor.socket_.is_open() || !acceptor.ClientWaits()) return;
-    if (acceptor.missed_++ == 0) {
+    if (notified || acceptor.paused_ || !acceptor.socket_.is_open() || !acceptor.HasWaitingClient()) return;
+    if (acceptor.missed_wakeups_++ == 0) {
       acceptor.log_.Warn("accept_wakeup_missed", {{"listener", acceptor.label_}});
     }
     acceptor.Accept();
@@ -154,34 +158,34 @@
 }
 
 void Acceptor::Accept() {
-  int aborted = 0;
+  int aborts = 0;
   while (true) {
     while (!owner_.HasCapacity()) {
-      if (!owner_.EvictOne()) return RetryAfter(kMaxRetryPause);
+      if (!owner_.EvictOne()) return RetryAfter(kMaxRetryDelay);
     }
     tcp::socket socket(io_);
     error_code error;
     socket_.accept(socket, error);
     if (!error) {
-      retry_pause_ = kMinRetryPause;
+      retry_delay_ = kMinRetryDelay;
       owner_.Admit(std::move(socket));
-      // Do not evict for the next client before it is there: this one, which has sent nothing yet, would be
-      // evicted.
+      // Nothing is evicted for the next client before it has arrived. Otherwise this connection, which has
+      // sent nothing yet, would be evicted.
       if (!owner_.HasCapacity()) break;
       continue;
     }
     if (error == boost::asio::error::would_block || error == boost::asio::error::try_again) break;
-    if (IsOfOneConnection(error)) {
-      if (++aborted < kMaxAbortedInARow) continue;
-      return RetryAfter(NextRetryPause());
+    if (ConcernsOneConnection(error)) {
+      if (++aborts < kMaxConsecutiveAborts) continue;
+      return RetryAfter(NextRetryDelay());
     }
     log_.Warn("accept_failed", {{"listener", label_}, {"cause", error.message()}});
     if (error == boost::asio::error::bad_descriptor) return;
-    // Out of descriptors or memory: the client stays in the backlog for a pause, which avoids a busy loop.
-    // Other connections are evicted only if the lack outlasts a pause.
-    const bool lasting = retry_pause_ > kMinRetryPause;
-    if (IsExhausted(error) && lasting) owner_.EvictOne();
-    return RetryAfter(NextRetryPause());
+    // Out of descriptors or memory: the client stays in the backlog until the retry, which avoids a busy
+    // loop. Another connection is evicted only if the shortage outlasts a retry.
+    const bool lasting = retry_delay_ > kMinRetryDelay;
+    if (IsResourceShortage(error) && lasting) owner_.EvictOne();
+    return RetryAfter(NextRetryDelay());
   }
   WaitForClient();
 }
@@ -197,7 +201,8 @@
   WaitForClient();
 }
 
-// Closing alone would leave the socket in this process's epoll set, since the other process keeps it open.
+// Releases the socket from the event loop before it closes the descriptor. A plain close would leave the
+// socket in this process's epoll set, because the other process keeps it open.
 void Acceptor::Release() {
   if (!socket_.is_open()) return;
   boost::system::error_code ignored;
@@ -205,15 +210,16 @@
   if (!ignored) ::close(handle);
 }
 
-Duration Acceptor::NextRetryPause() {
-  return std::exchange(retry_pause_, std::min(retry_pause_ * 2, kMaxRetryPause));
+Duration Acceptor::NextRetryDelay() {
+  return std::exchange(retry_delay_, std::min(retry_delay_ * 2, kMaxRetryDelay));
 }
 
-// Closing the socket resets clients in the backlog. An error alone does not say whether one is waiting: it
-// may concern a single client, or a lack of descriptors.
+// Closing the socket resets clients in the backlog, so it is polled again after Accept(). An error of
+// accept() does not tell whether another client is waiting: it may concern a single client or a lack of
+// descriptors.
 bool Acceptor::Close() {
-  if (ClientWaits()) Accept();
-  if (ClientWaits()) return false;
+  if (HasWaitingClient()) Accept();
+  if (HasWaitingClient()) return false;
   error_code ignored;
   socket_.close(ignored);
   return true;
--- a/src/runtime/acceptor.h
+++ b/src/runtime/acceptor.h
@@ -1,12 +1,13 @@
-// A listening TCP socket. A connection is evicted to make room only once a client is waiting. If the system
-// is out of descriptors or memory, clients stay in the backlog until a short pause is over, and the event
-// loop does not spin.
+// A listening TCP socket. Passes each connection that it accepts to its owner, a server.
+//
+// The owner is asked to evict a connection only once another client is waiting. If the system is out of
+// descriptors or memory, clients stay in the backlog for a short delay, and the event loop does not spin.
 //
 // The kernel notifies the event loop once per waiting client. The owner calls PollForMissedClients()
 // periodically, so that a client is accepted even if that notification was missed: docs/design/wakeups.md.
 //
-// Owned by a server, used on the thread of its event loop only. Errors of accept() are logged and retried
-// after a pause of 1 to 20 ms; errors of single connections are ignored.
+// Used on the thread of the owner's event loop only. Errors of accept() are logged and retried after a delay
+// of 1 to 20 ms; errors of single connections are ignored.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,15 +23,15 @@
 
 namespace mothrack::runtime {
 
-// Where to listen.
+// Options of a listening socket.
 struct ListenOptions {
   ListenOptions(Endpoint endpoint)
       : endpoint(std::move(endpoint)) {}  // NOLINT: an endpoint alone is the usual case
   Endpoint endpoint;
   // A socket that already listens, for the address family of `endpoint`; negative to bind a new socket.
   int inherited_socket = -1;
-  bool share_port = false;  // another process of the same user may listen as well (SO_REUSEPORT)
-  bool paused = false;      // does not accept until Resume()
+  bool share_port = false;  // another process of the same user may also listen (SO_REUSEPORT)
+  bool paused = false;      // accepts no clients before Resume()
 };
 
 class Acceptor {
@@ -40,7 +41,7 @@
    public:
     // Whether one more connection may be accepted.
     virtual bool HasCapacity() const = 0;
-    // Closes the connection with the lowest eviction rank; false if there is none.
+    // Closes the connection with the lowest eviction rank. Returns false if none can be evicted.
     virtual bool EvictOne() = 0;
     // Takes over a new connection, as returned by accept().
     virtual void Admit(boost::asio::ip::tcp::socket socket) = 0;
@@ -56,10 +57,10 @@
 
   Endpoint local() const { return socket_.local_endpoint(); }
   bool is_open() const { return socket_.is_open(); }
-  // Stops listening. Clients in the backlog are admitted first. False if there was no capacity for all of
-  // them: then it still listens, and the caller tries again.
+  // Admits the clients in the backlog, then stops listening. Returns false, and still listens, if there was
+  // no capacity for all of them; the caller must then call Close() again.
   bool Close();
-  // Leaves new clients to another process that has the same socket; accepts again.
+  // Accepts no clients until Resume(), so that another process that has the same socket accepts them.
   void Pause();
   void Resume();
   // Closes this process's descriptor of the socket; the other process keeps it, and with it the backlog.
@@ -67,18 +68,19 @@
   bool paused() const { return paused_; }
   int native_handle() { return socket_.native_handle(); }
 
-  // Accepts clients that are waiting although the event loop was not notified. Costs one system call if there
-  // is none. To be called from the event loop.
+  // Accepts clients that are waiting although the event loop was not notified. Costs one system call if no
+  // client is waiting. Must be called from the event loop.
   void PollForMissedClients();
-  // How often only polling found a client; above 0 the kernel or the event loop lost a notification.
-  std::uint64_t missed_wakeups() const { return missed_; }
+  // The number of clients that only PollForMissedClients() found. If it is above 0, the kernel or the event
+  // loop lost a notification.
+  std::uint64_t missed_wakeups() const { return missed_wakeups_; }
 
  private:
   void WaitForClient();
-  void RetryAfter(Duration pause);
-  Duration NextRetryPause();
+  void RetryAfter(Duration delay);
+  Duration NextRetryDelay();
   void Accept();
-  bool ClientWaits();
+  bool HasWaitingClient();
   void ConfirmMissedWakeup(int rounds);
 
   boost::asio::io_context& io_;
@@ -86,15 +88,15 @@
   Owner& owner_;
   Logger& log_;
   boost::asio::ip::tcp::acceptor socket_;
-  boost::asio::steady_timer pause_;
-  Duration retry_pause_;  // after the next failure of accept()
+  boost::asio::steady_timer retry_timer_;
+  Duration retry_delay_;  // applies after the next failure of accept()
   bool paused_ = false;
   bool waiting_ = false;     // an asynchronous wait for a client is pending
   bool confirming_ = false;  // polling found a client that the event loop may still report
   std::uint64_t wakeups_ = 0;
-  std::uint64_t missed_ = 0;
-  const std::shared_ptr<Acceptor*>
-      self_;  // reset on destruction: pending handlers must not use the object then
+  std::uint64_t missed_wakeups_ = 0;
+  // Pending handlers hold a weak pointer to it, so that they do not use a destroyed Acceptor.
+  const std::shared_ptr<Acceptor*> self_;
 };
 
 }  // namespace mothrack::runtime
--- a/src/runtime/address.cpp
+++ b/src/runtime/address.cpp
@@ -14,9 +14,9 @@
   if (error != std::errc() || stop != end) return std::nullopt;
   std::string host = text.substr(0, colon);
   if (host.size() > 2 && host.front() == '[' && host.back() == ']') host = host.substr(1, host.size() - 2);
-  boost::system::error_code bad;
-  const auto address = boost::asio::ip::make_address(host, bad);
-  if (bad) return std::nullopt;
+  boost::system::error_code address_error;
+  const auto address = boost::asio::ip::make_address(host, address_error);
+  if (address_error) return std::nullopt;
   return Endpoint(address, port);
 }
 
--- a/src/runtime/clock.h
+++ b/src/runtime/clock.h
@@ -1,6 +1,6 @@
-// The program's steady clock, in microseconds. The wall clock is read here only, to convert Unix times of
-// others; it may be stepped at any time by any amount, so it never measures an interval. May be called on any
-// thread.
+// The program's steady clock, in microseconds. The wall clock is read in this file only, to convert the Unix
+// times of other processes. It may be stepped at any time by any amount, so no interval is measured with it.
+// All functions may be called on any thread.
 #pragma once
 
 #include <chrono>
@@ -13,12 +13,12 @@
 using balancer::Duration;
 using balancer::TimePoint;
 
-inline TimePoint ToTimePoint(std::chrono::steady_clock::time_point t) {
-  return TimePoint(std::chrono::duration_cast<Duration>(t.time_since_epoch()));
+inline TimePoint ToTimePoint(std::chrono::steady_clock::time_point time) {
+  return TimePoint(std::chrono::duration_cast<Duration>(time.time_since_epoch()));
 }
 
-inline std::chrono::steady_clock::time_point ToSteady(TimePoint t) {
-  return std::chrono::steady_clock::time_point(t.time_since_epoch());
+inline std::chrono::steady_clock::time_point ToSteady(TimePoint time) {
+  return std::chrono::steady_clock::time_point(time.time_since_epoch());
 }
 
 inline TimePoint Now() { return ToTimePoint(std::chrono::steady_clock::now()); }
--- a/src/runtime/connection_set.h
+++ b/src/runtime/connection_set.h
@@ -25,20 +25,20 @@
   bool empty() const { return connections_.empty(); }
   std::size_t size() const { return connections_.size(); }
 
-  // The connections that are open now; keeps them alive even if they leave the set meanwhile.
+  // Returns the connections that are open now. The result keeps them alive even if they leave the set.
   std::vector<std::shared_ptr<Connection>> Snapshot() const {
     return {connections_.begin(), connections_.end()};
   }
 
-  // Removes and returns all, for the destruction of the server.
+  // Removes and returns all connections, for the destruction of the server.
   std::vector<std::shared_ptr<Connection>> TakeAll() {
     const auto all = std::exchange(connections_, {});
     return {all.begin(), all.end()};
   }
 
-  // The connection with the lowest rank; null if none has one. `rank_of` is called once for each connection,
-  // must not add or remove any, and returns a std::optional of a type with operator<: nothing for a
-  // connection that must stay.
+  // Returns the connection with the lowest rank, or null if none has a rank. `rank_of` is called once for
+  // each connection and must not add or remove any. It returns a std::optional of a type with operator<,
+  // which is empty for a connection that must stay open.
   template <typename RankOf>
   std::shared_ptr<Connection> Lowest(RankOf rank_of) const {
     std::shared_ptr<Connection> best;
--- a/src/runtime/descriptors.h
+++ b/src/runtime/descriptors.h
@@ -1,7 +1,7 @@
-// Counts open sockets against the deployment's limit.
+// Counts open sockets against the deployment's limit on file descriptors.
 //
-// One per process, passed to everything that opens sockets; used on the thread of the event loop only. All
-// numbers are file descriptors.
+// Each process has one object, which is passed to everything that opens sockets. Used on the thread of the
+// event loop only. All numbers are file descriptors.
 #pragma once
 
 #include <algorithm>
@@ -11,25 +11,25 @@
 
 class Descriptors {
  public:
-  // Always open: standard streams, event loop, timer, signals, listening socket, discovery and its next
-  // connection, with a reserve.
+  // Descriptors that are always open: standard streams, event loop, timer, signals, listening socket,
+  // discovery and its next connection, and a reserve.
   static constexpr std::size_t kFixed = 16;
 
-  // `further`: descriptors beyond kReserved that are always open.
-  explicit Descriptors(std::size_t limit, std::size_t further = 0)
-      : fixed_(kFixed + further),
+  // `extra_fixed`: descriptors beyond kFixed that are always open.
+  explicit Descriptors(std::size_t limit, std::size_t extra_fixed = 0)
+      : fixed_(kFixed + extra_fixed),
         uncapped_limit_(limit > fixed_ ? limit - fixed_ : 1),
         limit_(uncapped_limit_) {}
 
-  // Another process of this sidecar uses part of the limit: this one may have at most `most` from now on.
-  // Open ones above that stay until they are closed.
-  void Cap(std::size_t most) { limit_ = std::clamp<std::size_t>(most, 1, uncapped_limit_); }
+  // Lowers the limit for both sides together to `limit`, because another process of this sidecar uses the
+  // rest. Descriptors that are open above that stay open.
+  void Cap(std::size_t limit) { limit_ = std::clamp<std::size_t>(limit, 1, uncapped_limit_); }
   void Uncap() { limit_ = uncapped_limit_; }
-  // The limit for both sides together, if no other process uses part of it.
+  // The limit for both sides together while no other process uses part of it.
   std::size_t uncapped_limit() const { return uncapped_limit_; }
-  // Number that is always open.
+  // The number of descriptors that are always open.
   std::size_t fixed() const { return fixed_; }
-  // Number open now, on both sides.
+  // The number of descriptors that are open now, on both sides together.
   std::size_t used() const { return clients_ + upstreams_; }
 
   enum class Side { kClient, kUpstream };
@@ -48,9 +48,9 @@
     std::size_t& used_;
   };
 
-  // Whether one more may be opened. Each side has half of the limit: idle clients must not use up the
-  // descriptors needed to serve them, nor make the pools close connections that the next request needs. A
-  // request takes one descriptor on either side, and a hedge one more.
+  // Whether one more descriptor may be opened on this side. Each side has half of the limit: idle clients
+  // must not use up the descriptors needed to serve them, nor make the pools close connections that the next
+  // request needs. A request takes one descriptor on either side, and a hedge one more.
   bool HasCapacity(Side side) const {
     return side == Side::kClient ? clients_ < limit_ / 2 : upstreams_ < limit_ - limit_ / 2;
   }
--- a/src/runtime/log.cpp
+++ b/src/runtime/log.cpp
@@ -12,8 +12,8 @@
 
 constexpr bool IsPrintable(char c) { return c >= ' ' && c <= '~'; }
 
-// One byte of a value. A backslash, and whatever is not printable ASCII, becomes an escape of two or four
-// bytes, so that no control sequence reaches a terminal and truncation never splits a character.
+// Escapes one byte of a value. A backslash, or a byte that is not printable ASCII, becomes an escape of two
+// or four bytes, so that no control sequence reaches a terminal and truncation never splits a character.
 std::string Escaped(char c) {
   static constexpr std::array<char, 16> kDigits{'0', '1', '2', '3', '4', '5', '6', '7',
                                                 '8', '9', 'a', 'b', 'c', 'd', 'e', 'f'};
@@ -26,7 +26,8 @@
   return {'\\', 'x', kDigits.at(byte >> 4U), kDigits.at(byte & 0xfU)};
 }
 
-bool MayStandBare(std::string_view value) {
+// Whether a value can be written without quotes and escapes.
+bool IsBareValue(std::string_view value) {
   if (value.empty()) return false;
   for (const char c : value) {
     if (!IsPrintable(c) || c == ' ' || c == '"' || c == '\\' || c == '=') return false;
@@ -34,13 +35,13 @@
   return true;
 }
 
-// Appends as much of `value` as fits into `line`, with a closing quote in any case; false if it was
+// Appends as much of `value` as fits into `line`, with a closing quote in any case. Returns false if it was
 // truncated.
 bool AppendValue(std::string& line, std::string_view value) {
-  if (MayStandBare(value)) {
-    const std::size_t room = Logger::kMaxLineLength - line.size();
-    line += value.substr(0, room);
-    return value.size() <= room;
+  if (IsBareValue(value)) {
+    const std::size_t space = Logger::kMaxLineLength - line.size();
+    line += value.substr(0, space);
+    return value.size() <= space;
   }
   line += '"';
   for (const char c : value) {
@@ -55,8 +56,8 @@
   return true;
 }
 
-// The bytes of a key with an empty value: ` key=""`.
-std::size_t LeastSize(const LogField& field) { return field.key().size() + 4; }
+// The size in bytes of a key with an empty value: ` key=""`.
+std::size_t MinSize(const LogField& field) { return field.key().size() + 4; }
 
 }  // namespace
 
@@ -67,7 +68,8 @@
     logger_.set_error_handler([](const std::string&) {});
   }
 
-  // With a constant time: otherwise spdlog would read the wall clock for each line, which no line shows.
+  // Passes a constant time. Otherwise spdlog would read the wall clock for each line, although no line has a
+  // time stamp.
   void Write(spdlog::level::level_enum level, std::string_view text) {
     logger_.log(spdlog::log_clock::time_point{}, spdlog::source_loc{}, level,
                 spdlog::string_view_t(text.data(), text.size()));
@@ -89,7 +91,7 @@
   spdlog::logger logger_;
 };
 
-// The sinks are synchronized, so that loggers on several threads write whole lines.
+// The sinks are synchronized, so that lines of loggers on several threads are not mixed.
 Logger::Logger(std::string name) : Logger(std::move(name), Limits{}) {}
 
 Logger::Logger(std::string name, const Limits& limits)
@@ -103,11 +105,11 @@
 
 Logger::~Logger() = default;
 
-void Logger::Error(LogName event, Fields fields) noexcept { Put(Level::kError, event, fields); }
-void Logger::Warn(LogName event, Fields fields) noexcept { Put(Level::kWarning, event, fields); }
-void Logger::Info(LogName event, Fields fields) noexcept { Put(Level::kInfo, event, fields); }
+void Logger::Error(LogName event, Fields fields) noexcept { WriteIfAdmitted(Level::kError, event, fields); }
+void Logger::Warn(LogName event, Fields fields) noexcept { WriteIfAdmitted(Level::kWarning, event, fields); }
+void Logger::Info(LogName event, Fields fields) noexcept { WriteIfAdmitted(Level::kInfo, event, fields); }
 
-void Logger::Put(Level level, LogName event, Fields fields) noexcept {
+void Logger::WriteIfAdmitted(Level level, LogName event, Fields fields) noexcept {
   try {
     if (Admit()) Write(level, event, fields);
   } catch (...) {
@@ -126,7 +128,7 @@
     }
     writer_->Write(spdlog::level::info, line);
   } catch (...) {
-    // As in Put().
+    // The line is lost, as in WriteIfAdmitted().
   }
 }
 
@@ -134,7 +136,7 @@
   try {
     writer_->Write(spdlog::level::info, text);
   } catch (...) {
-    // As in Put().
+    // The line is lost, as in WriteIfAdmitted().
   }
 }
 
@@ -149,12 +151,12 @@
 
 void Logger::Write(Level level, LogName event, Fields fields) {
   const spdlog::level::level_enum severity = Writer::LevelOf(level);
-  const spdlog::string_view_t word = spdlog::level::to_string_view(severity);
-  std::string line(word.data(), word.size());
+  const spdlog::string_view_t level_name = spdlog::level::to_string_view(severity);
+  std::string line(level_name.data(), level_name.size());
   line += ' ';
   line += event.text();
   for (const LogField& field : fields) {
-    if (line.size() + LeastSize(field) > kMaxLineLength) break;
+    if (line.size() + MinSize(field) > kMaxLineLength) break;
     line += ' ';
     line += field.key();
     line += '=';
--- a/src/runtime/log.h
+++ b/src/runtime/log.h
@@ -2,10 +2,10 @@
 //
 //   <name>: <level> <event> key=value key="value with spaces"
 //
-// Bounded in lines per second and bytes per line. Event and keys are literals that are checked at compile
-// time; values are escaped, so that input from outside can't forge a line or a key. No time stamp, no
-// background thread. Each logger is used on one thread; several loggers may write at the same time, line by
-// line. Errors of the stream are ignored.
+// Lines per second and bytes per line are bounded. Event and keys are literals that are checked at compile
+// time; values are escaped, so that input from outside can't forge a line or a key. Lines have no time stamp,
+// and there is no background thread. Each logger is used on one thread; several loggers may write at the same
+// time, line by line. Errors of the stream are ignored.
 #pragma once
 
 #include <concepts>
@@ -26,7 +26,7 @@
  public:
   // NOLINTNEXTLINE(google-explicit-constructor): a literal at the call site
   consteval LogName(const char* text) : text_(text) {
-    if (!IsSnakeCase(text_)) throw "not snake_case";  // where it is compiled: an error there
+    if (!IsSnakeCase(text_)) throw "not snake_case";  // a compile error at the call site
   }
 
   static constexpr bool IsSnakeCase(std::string_view text) {
@@ -43,7 +43,7 @@
   std::string_view text_;
 };
 
-// One key and its value, for the duration of the logging statement.
+// A key and its value; lives only for the duration of the logging statement.
 class LogField {
  public:
   LogField(LogName key, std::string_view value) : key_(key), value_(value) {}
@@ -61,8 +61,8 @@
  public:
   using Fields = std::initializer_list<LogField>;
 
-  // Token bucket: after `burst` lines at once only `per_second` lines per second are written. The next line
-  // is preceded by lines_left_out with the number of lines that were dropped.
+  // Limits of a token bucket: after `burst` lines at once only `per_second` lines per second are written. The
+  // event lines_left_out, with the number of dropped lines, precedes the next line that is written.
   struct Limits {
     double burst = 100;
     double per_second = 5;
@@ -78,30 +78,30 @@
   Logger(const Logger&) = delete;
   Logger& operator=(const Logger&) = delete;
 
-  // None of them throws: a line that can't be written is lost.
+  // None of the methods below throws: a line that can't be written is lost.
   void Error(LogName event, Fields fields = {}) noexcept;  // an operator has to act
   void Warn(LogName event, Fields fields = {}) noexcept;   // degraded, recovers by itself
-  void Info(LogName event, Fields fields = {}) noexcept;   // life cycle
+  void Info(LogName event, Fields fields = {}) noexcept;   // a normal change of state
 
-  // Writes `<name>: <text>`, for the few lines whose wording the operators' pages document; rate-limited like
-  // the others.
+  // Writes `<name>: <text>`, for the few lines whose text the operators' pages document. The text is escaped,
+  // and the rate limit applies.
   void FreeText(std::string_view text) noexcept;
 
-  // Writes `<name>: <text>` unchanged and without limits, for the periodic counter lines.
+  // Writes `<name>: <text>` without escaping and limits, for the periodic lines with counters.
   void CounterLine(std::string_view text) noexcept;
 
  private:
   enum class Level { kInfo, kWarning, kError };
   class Writer;  // spdlog's headers stay in log.cpp
 
-  void Put(Level level, LogName event, Fields fields) noexcept;
+  void WriteIfAdmitted(Level level, LogName event, Fields fields) noexcept;
   void Write(Level level, LogName event, Fields fields);
-  // Whether one more line may be written; writes lines_left_out first, if lines were dropped.
+  // Whether the rate limit allows one more line. Writes lines_left_out before it if lines were dropped.
   bool Admit();
 
   std::unique_ptr<Writer> writer_;
   RateLimiter rate_limiter_;
-  std::uint64_t dropped_ = 0;  // lines since the last one written
+  std::uint64_t dropped_ = 0;  // lines dropped since the last one that was written
 };
 
 }  // namespace mothrack::runtime
--- a/src/runtime/rate_limiter.h
+++ b/src/runtime/rate_limiter.h
@@ -1,6 +1,7 @@
-// Token bucket: limits log lines and answers so that they do not use up what requests need.
+// A token bucket. Limits the rate of log lines and answers, so that they do not use up the resources that
+// requests need.
 //
-// Owned by its only user, on its thread; the time is a parameter and must not decrease.
+// Owned by its only user, used on its thread. The time is a parameter and must not decrease.
 #pragma once
 
 #include <algorithm>
@@ -14,22 +15,22 @@
  public:
   // Starts with a full bucket of `burst` tokens.
   RateLimiter(double per_second, double burst, TimePoint now)
-      : per_second_(per_second), burst_(burst), left_(burst), refilled_(now) {}
+      : per_second_(per_second), burst_(burst), tokens_(burst), refilled_(now) {}
 
-  // Takes a token; false if none is left.
+  // Takes a token. Returns false if none is left.
   bool Take(TimePoint now) {
-    const double passed = std::chrono::duration<double>(now - refilled_).count();
-    left_ = std::min(burst_, left_ + passed * per_second_);
+    const double seconds = std::chrono::duration<double>(now - refilled_).count();
+    tokens_ = std::min(burst_, tokens_ + seconds * per_second_);
     refilled_ = now;
-    if (left_ < 1) return false;
-    left_ -= 1;
+    if (tokens_ < 1) return false;
+    tokens_ -= 1;
     return true;
   }
 
  private:
   const double per_second_;
   const double burst_;
-  double left_;
+  double tokens_;
   TimePoint refilled_;
 };
 
--- a/src/runtime/secure_random.h
+++ b/src/runtime/secure_random.h
@@ -1,6 +1,6 @@
 // Cryptographically secure random numbers from the kernel (getrandom(2)), read in blocks.
 //
-// Owned by its only user, on its thread. Throws std::runtime_error if the kernel has none.
+// Owned by its only user, used on its thread. Throws std::runtime_error if the kernel provides none.
 #pragma once
 
 #include <sys/random.h>
@@ -15,15 +15,16 @@
 
 class SecureRandom {
  public:
-  // Uniform over all 16 bits.
+  // Returns a number that is uniformly distributed over all 16-bit values.
   std::uint16_t Next16() {
-    if (at_ + 2 > block_.size()) Refill();
+    if (position_ + 2 > block_.size()) Refill();
     std::uint16_t value = 0;
-    std::memcpy(&value, block_.data() + at_, 2);
-    at_ += 2;
+    std::memcpy(&value, block_.data() + position_, 2);
+    position_ += 2;
     return value;
   }
-  // Below `bound`, which is at most 2^16; even enough for choosing among few.
+  // Returns a number below `bound`, which is at most 2^16. Its distribution is nearly uniform if `bound` is
+  // small.
   std::size_t Below(std::size_t bound) { return (std::size_t{Next16()} * bound) >> 16; }
 
  private:
@@ -32,11 +33,11 @@
     if (::getrandom(block_.data(), block_.size(), 0) != static_cast<ssize_t>(block_.size())) {
       throw std::runtime_error("no random numbers from the system");
     }
-    at_ = 0;
+    position_ = 0;
   }
 
   std::array<std::uint8_t, 256> block_{};
-  std::size_t at_ = 256;
+  std::size_t position_ = 256;
 };
 
 }  // namespace mothrack::runtime
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -1,10 +1,10 @@
-// The body of one message while it passes through the sidecar: the producer appends received bytes, the
-// consumer takes what it can write. The buffer in between is bounded by a window, this stream's share of the
-// process's budget. A short body is retained after it was consumed, so that a retry can send it from its
-// beginning.
+// The body of one message while it passes through the sidecar. The producer appends received bytes, and the
+// consumer reads as many as it can write. The buffer between them is bounded by a window, which is this
+// stream's part of the process's budget. A short body is retained after it was consumed, so that a retry can
+// send it from its beginning.
 //
-// Shared by the two sides through a shared_ptr, on the thread of the event loop; sizes are bytes. Has no
-// errors of its own: a body that is cut off ends as kBroken.
+// Shared by the producer and the consumer through a shared_ptr, used on the thread of the event loop. Sizes
+// are in bytes. No call fails: a body that is truncated ends in State::kTruncated.
 #pragma once
 
 #include <cstddef>
@@ -19,20 +19,21 @@
 // The bytes that all streams of the process may buffer together, shared evenly among the open ones.
 class ByteBudget {
  public:
-  // `bytes`: of the whole process.
-  explicit ByteBudget(std::size_t bytes) : bytes_(bytes), full_(bytes) {}
+  // `bytes`: the budget of the process.
+  explicit ByteBudget(std::size_t bytes) : bytes_(bytes), full_bytes_(bytes) {}
 
-  // The window of each open stream, from kMinWindow, so that every stream makes progress, to kMaxWindow. The
-  // sum may exceed the budget by kMinWindow for each stream too many; the number of streams is bounded by the
-  // descriptors.
+  // The window of each open stream. It is at least kMinWindow, so that every stream makes progress, and at
+  // most kMaxWindow. If there are more streams than windows of kMinWindow fit into the budget, each further
+  // stream exceeds the budget by up to kMinWindow. The number of streams is bounded by the descriptors.
   std::size_t Window() const;
-  // While another process of this sidecar uses the other half.
-  void Halve() { bytes_ = full_ / 2; }
-  void Restore() { bytes_ = full_; }
+  // Halves the budget, because another process of this sidecar uses the other half.
+  void Halve() { bytes_ = full_bytes_ / 2; }
+  // Restores the full budget, once that process has exited.
+  void Restore() { bytes_ = full_bytes_; }
 
-  // Buffered bytes, and the number of open streams.
-  std::size_t held() const { return held_; }
-  std::size_t open() const { return open_; }
+  // The number of bytes that all open streams buffer.
+  std::size_t buffered() const { return buffered_; }
+  std::size_t open_streams() const { return open_streams_; }
 
   static constexpr std::size_t kMinWindow = std::size_t{16} * 1024;
   static constexpr std::size_t kMaxWindow = std::size_t{256} * 1024;
@@ -40,53 +41,55 @@
  private:
   friend class Stream;
   std::size_t bytes_;
-  std::size_t full_;
-  std::size_t held_ = 0;
-  std::size_t open_ = 0;
+  std::size_t full_bytes_;
+  std::size_t buffered_ = 0;
+  std::size_t open_streams_ = 0;
 };
 
 class Stream {
  public:
   enum class State {
-    kComing,  // more may be appended
-    kWhole,   // complete
-    kBroken,  // cut off: the rest will never arrive
+    kArriving,   // more bytes may be appended
+    kComplete,   // all bytes of the body are appended
+    kTruncated,  // the rest of the body will never arrive
   };
 
-  // Consumed bytes are retained until the body exceeds `keep`, or half of the budget is in use.
-  Stream(ByteBudget& budget, std::size_t keep);
+  // Consumed bytes are retained until the body exceeds `max_retained`, or half of the budget is in use.
+  Stream(ByteBudget& budget, std::size_t max_retained);
   ~Stream();
   Stream(const Stream&) = delete;
   Stream& operator=(const Stream&) = delete;
 
   // ---- Producer ----
 
-  // Number of bytes that may be appended now.
+  // The number of bytes that may be appended now.
   std::size_t Capacity() const;
-  // Appends `bytes`, even beyond Capacity(), which is 0 then.
+  // Appends `bytes`, even beyond Capacity(), which is then 0.
   void Append(std::string_view bytes);
   // Ends the body; calls after the first have no effect.
   void End(State state);
-  // There is capacity again, or the stream was abandoned. Called from within the consumer's calls.
+  // Called when there may be capacity again, or when the stream was abandoned, from within a call of the
+  // consumer.
   std::function<void()> on_capacity;
 
   // ---- Consumer; one at a time ----
 
-  // Starts from the first byte, whatever an earlier consumer took; false if that byte is no longer retained.
+  // Starts from the first byte, also if an earlier consumer has read it. Returns false if that byte is no
+  // longer retained, if there is a consumer, or if the stream is abandoned.
   bool BeginConsuming();
-  // The present consumer stops; another one may begin.
+  // Ends the current consumer; another one may begin.
   void StopConsuming();
   // The bytes available to the consumer; valid until the next call of either side.
   std::string_view Ready() const { return std::string_view(bytes_).substr(head_ + (next_ - base_)); }
   // Consumes the first `size` bytes of Ready(), which must have at least that many.
   void Consume(std::size_t size);
   State state() const { return state_; }
-  // Complete and completely consumed.
-  bool done() const { return state_ == State::kWhole && next_ == size(); }
-  // The rest is not needed: it is dropped as it arrives.
+  // Whether the body is complete and has been consumed completely.
+  bool done() const { return state_ == State::kComplete && next_ == size(); }
+  // Drops the rest of the body, also bytes that arrive later, because it is not needed.
   void Abandon();
   bool abandoned() const { return abandoned_; }
-  // More bytes or the end arrived. Called from within the producer's calls.
+  // Called when more bytes or the end arrived, from within a call of the producer.
   std::function<void()> on_bytes;
 
   std::uint64_t size() const { return base_ + bytes_.size() - head_; }  // appended so far
@@ -96,12 +99,12 @@
   void Drop(std::size_t size);
 
   ByteBudget& budget_;
-  const std::size_t keep_;
-  std::string bytes_;  // from base_ on, after `head_` bytes that are already dropped
+  const std::size_t max_retained_;
+  std::string bytes_;  // the body from offset base_ on, after `head_` bytes that are already dropped
   std::size_t head_ = 0;
   std::uint64_t base_ = 0;  // offset in the body of the first buffered byte
   std::uint64_t next_ = 0;  // offset in the body of the next byte to be consumed
-  State state_ = State::kComing;
+  State state_ = State::kArriving;
   bool abandoned_ = false;
   bool has_consumer_ = false;  // between BeginConsuming() and StopConsuming()
 };
--- a/src/runtime/system_calls.h
+++ b/src/runtime/system_calls.h
@@ -1,6 +1,6 @@
-// System calls on non-blocking sockets, repeated on EINTR, which is no error of the socket: treating it as
-// one would close a connection although a request was read from it. Other errors are returned unchanged. May
-// be called on any thread.
+// System calls on non-blocking sockets, repeated on EINTR. EINTR is no error of the socket: treating it as
+// one would close a connection although a request was read from it. Other errors are returned unchanged. All
+// functions may be called on any thread.
 #pragma once
 
 #include <poll.h>
@@ -15,8 +15,8 @@
 
 namespace mothrack::runtime {
 
-// The events among `events` (poll(2)) that are set for the descriptor now, including errors and hang-ups;
-// absent if the kernel can't tell (ENOMEM).
+// Returns which of `events` (poll(2)) are set for the descriptor now, and also errors and hang-ups. Returns
+// nothing if the kernel can't tell (ENOMEM).
 inline std::optional<short> PollNow(int descriptor, short events) {
   pollfd polled{descriptor, events, 0};
   int ready = 0;
@@ -27,7 +27,7 @@
   return ready == 1 ? polled.revents : short{0};
 }
 
-// As socket.read_some(), on a non-blocking socket.
+// Calls socket.read_some(). The socket must be non-blocking.
 template <typename Socket, typename Buffers>
 std::size_t ReadSome(Socket& socket, const Buffers& buffers, boost::system::error_code& error) {
   std::size_t size = 0;
@@ -37,7 +37,7 @@
   return size;
 }
 
-// As socket.write_some(), on a non-blocking socket.
+// Calls socket.write_some(). The socket must be non-blocking.
 template <typename Socket, typename Buffers>
 std::size_t WriteSome(Socket& socket, const Buffers& buffers, boost::system::error_code& error) {
   std::size_t size = 0;
@@ -47,8 +47,8 @@
   return size;
 }
 
-// Peeks at one byte (MSG_PEEK) of a non-blocking socket. No error: there is something to read; would_block:
-// there is not, and the connection is open.
+// Peeks at one byte (MSG_PEEK) of a non-blocking socket. Without an error there is something to read. The
+// error would_block means that there is nothing to read and that the connection is open.
 template <typename Socket>
 void PeekByte(Socket& socket, boost::system::error_code& error) {
   char byte = 0;
--- a/src/runtime/timer_queue.cpp
+++ b/src/runtime/timer_queue.cpp
@@ -2,29 +2,30 @@
 
 namespace mothrack::runtime {
 
-void EventLoopTimer::Set(TimePoint at, std::function<void()> due) {
+void EventLoopTimer::Set(TimePoint at, std::function<void()> callback) {
   timer_.expires_at(ToSteady(at));
-  timer_.async_wait([due = std::move(due)](boost::system::error_code error) {
-    if (!error) due();
+  timer_.async_wait([callback = std::move(callback)](boost::system::error_code error) {
+    if (!error) callback();
   });
 }
 
 void TimerQueue::Arm() {
-  if (due_) return;  // Due() arms at its end
+  if (calling_handlers_) return;  // CallDueHandlers() calls Arm() at its end
   const TimePoint next = queue_.empty() ? TimePoint::max() : queue_.top().first;
   // A timer armed for an earlier time fires without effect and rearms, which is cheaper than resetting it
   // each time.
   if (next >= armed_for_) return;
   armed_for_ = next;
-  timer_->Set(next, [this] { Due(); });
+  timer_->Set(next, [this] { CallDueHandlers(); });
 }
 
-void TimerQueue::Due() {
-  // Rearms even if a handler throws: without the timer the whole process would stop working.
+void TimerQueue::CallDueHandlers() {
+  // Rearms even if a handler throws. Otherwise no pending token would ever be handled, and the whole process
+  // would stop working.
   struct Rearm {
-    explicit Rearm(TimerQueue& timers) : timers(timers) { timers.due_ = true; }
+    explicit Rearm(TimerQueue& timers) : timers(timers) { timers.calling_handlers_ = true; }
     ~Rearm() {
-      timers.due_ = false;
+      timers.calling_handlers_ = false;
       timers.Arm();
     }
     TimerQueue& timers;
--- a/src/runtime/timer_queue.h
+++ b/src/runtime/timer_queue.h
@@ -1,7 +1,7 @@
-// Many expiry times on one timer, of the event loop or of a simulated clock.
+// Many expiry times on one timer, which is one of the event loop or of a simulated clock.
 //
-// Owned by its only user, on the thread of the event loop. If a handler throws, the queue stays armed for the
-// rest, and the exception propagates to the event loop.
+// Owned by its only user, used on the thread of the event loop. If a handler throws, the queue stays armed
+// for the remaining times, and the exception propagates to the event loop.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -22,8 +22,9 @@
  public:
   virtual ~Timer() = default;
   virtual TimePoint Now() const = 0;
-  // Calls `due` once, at or after `at`, from the loop and never from within Set(); not after destruction.
-  virtual void Set(TimePoint at, std::function<void()> due) = 0;
+  // Calls `callback` once, at or after `at`, from the event loop and never from within Set(). It is not
+  // called after the timer was destroyed.
+  virtual void Set(TimePoint at, std::function<void()> callback) = 0;
 };
 
 // The steady clock and a timer of the event loop.
@@ -31,7 +32,7 @@
  public:
   explicit EventLoopTimer(boost::asio::io_context& io) : timer_(io) {}
   TimePoint Now() const override { return runtime::Now(); }
-  void Set(TimePoint at, std::function<void()> due) override;
+  void Set(TimePoint at, std::function<void()> callback) override;
 
  private:
   boost::asio::steady_timer timer_;
@@ -47,23 +48,23 @@
   TimerQueue(boost::asio::io_context& io, OnDue on_due)
       : TimerQueue(std::make_unique<EventLoopTimer>(io), std::move(on_due)) {}
 
-  // Takes effect at the next Arm(), so that several are armed by one call.
+  // Takes effect at the next Arm(), so that one call arms the timer for several tokens.
   void Set(TimePoint at, std::uint64_t token) { queue_.emplace(at, token); }
   void Arm();
   // The timer's clock.
   TimePoint Now() const { return timer_->Now(); }
-  // Number of pending tokens.
+  // The number of pending tokens.
   std::size_t size() const { return queue_.size(); }
 
  private:
   using Entry = std::pair<TimePoint, std::uint64_t>;
 
-  void Due();
+  void CallDueHandlers();
 
   std::priority_queue<Entry, std::vector<Entry>, std::greater<>> queue_;
   const std::unique_ptr<Timer> timer_;
   TimePoint armed_for_ = TimePoint::max();
-  bool due_ = false;  // handlers are being called
+  bool calling_handlers_ = false;
   const OnDue on_due_;
 };
 
--- a/src/runtime/write_stream.h
+++ b/src/runtime/write_stream.h
@@ -1,4 +1,4 @@
-// An asynchronous write stream that survives short writes.
+// An asynchronous write stream that does not hang after a short write.
 //
 // The event loop registers sockets edge-triggered and assumes after a short write that the socket buffer is
 // full: the next asynchronous write then waits for an edge. The kernel may also write less although there is
@@ -30,7 +30,8 @@
 
   executor_type get_executor() { return stream_.get_executor(); }
 
-  // As the stream's own async_write_some(): `handler` gets the error and the number of bytes moved, once.
+  // Like the stream's own async_write_some(): calls `handler` once with the error and the number of bytes
+  // written.
   template <typename Buffers, typename Handler>
   void async_write_some(const Buffers& buffers, Handler&& handler) {
     const std::size_t size = boost::asio::buffer_size(buffers);
@@ -42,7 +43,8 @@
   }
 
  private:
-  // The following write is what needs the edge; the handler of this wait does nothing.
+  // Waits until the socket is writable, which rearms the edge for the next write. The wait's handler has
+  // nothing to do.
   void ArmWritable() {
     Socket().async_wait(boost::asio::socket_base::wait_write, [](boost::system::error_code) {});
   }
--- a/tests/http/listener_disconnect_test.cpp
+++ b/tests/http/listener_disconnect_test.cpp
@@ -47,7 +47,7 @@
       EXPECT_EQ(forwarded.size(), 1U);
       EXPECT_EQ(disconnect_case.streamed, static_cast<bool>(forwarded[0].streamed_body));
       if (disconnect_case.streamed) {
-        EXPECT_EQ(forwarded[0].streamed_body.stream->state(), runtime::Stream::State::kBroken);
+        EXPECT_EQ(forwarded[0].streamed_body.stream->state(), runtime::Stream::State::kTruncated);
       }
       forwarded.clear();
       clients.clear();
--- a/tests/http/listener_framing_test.cpp
+++ b/tests/http/listener_framing_test.cpp
@@ -72,7 +72,7 @@
         for (const ForwardedRequest& begun : forwarded) {
           EXPECT_TRUE(begun.disconnected);
           EXPECT_FALSE(begun.complete);
-          EXPECT_EQ(begun.streamed_body.stream->state(), runtime::Stream::State::kBroken);
+          EXPECT_EQ(begun.streamed_body.stream->state(), runtime::Stream::State::kTruncated);
         }
         forwarded.clear();
         clients.clear();
--- a/tests/http/listener_limits_test.cpp
+++ b/tests/http/listener_limits_test.cpp
@@ -56,7 +56,7 @@
   const std::string sent = PostOfLength(8 << 20, 8 << 20);
   EXPECT_LT(SendAll(client, sent), sent.size());
   RunUntilIdle();
-  EXPECT_LE(budget->held(), http::kBufferLimit + runtime::ByteBudget::kMaxWindow);
+  EXPECT_LE(budget->buffered(), http::kBufferLimit + runtime::ByteBudget::kMaxWindow);
   const auto waits = intercepted_calls.waits;
   RunUntilIdle();
   EXPECT_LE(intercepted_calls.waits - waits, 2U);
--- a/tests/runtime/stream_test.cpp
+++ b/tests/runtime/stream_test.cpp
@@ -1,4 +1,4 @@
-// A body stream: its window, restarts from the first byte, and abandonment.
+// Tests a body stream: its window, consuming it again from the first byte, and abandoning it.
 #include "runtime/stream.h"
 
 #include <memory>
@@ -14,18 +14,18 @@
   runtime::ByteBudget budget(64 * 1024);
   runtime::Stream stream(budget, 0);
   int capacity_events = 0;
-  int bytes = 0;
+  int bytes_events = 0;
   stream.on_capacity = [&] { ++capacity_events; };
-  stream.on_bytes = [&] { ++bytes; };
+  stream.on_bytes = [&] { ++bytes_events; };
   ASSERT_TRUE(stream.BeginConsuming());
   EXPECT_EQ(stream.Capacity(), 64U * 1024);
   stream.Append(std::string(64 * 1024, 'a'));
   EXPECT_EQ(stream.Capacity(), 0U);
-  EXPECT_EQ(bytes, 1);
+  EXPECT_EQ(bytes_events, 1);
   stream.Consume(40 * 1024);
   EXPECT_EQ(capacity_events, 1);
   EXPECT_EQ(stream.Capacity(), 40U * 1024);
-  EXPECT_EQ(budget.held(), 24U * 1024);
+  EXPECT_EQ(budget.buffered(), 24U * 1024);
   {
     // The budget is shared evenly among open streams, with a minimum window for each.
     std::vector<std::unique_ptr<runtime::Stream>> others;
@@ -33,13 +33,13 @@
     EXPECT_EQ(others[0]->Capacity(), runtime::ByteBudget::kMinWindow);
   }
   stream.Append("end");
-  stream.End(runtime::Stream::State::kWhole);
+  stream.End(runtime::Stream::State::kComplete);
   EXPECT_FALSE(stream.done());
   stream.Consume(24 * 1024);
   EXPECT_EQ(stream.Ready(), "end");
   stream.Consume(3);
   EXPECT_TRUE(stream.done());
-  EXPECT_EQ(budget.held(), 0U);
+  EXPECT_EQ(budget.buffered(), 0U);
 }
 
 TEST(Stream, CanBeConsumedAgainOnlyWhileAllIsBuffered) {
@@ -59,7 +59,7 @@
   EXPECT_FALSE(stream.BeginConsuming());
 }
 
-TEST(Stream, UnwantedDataIsDroppedOnArrival) {
+TEST(Stream, BytesThatArriveAfterAnAbandonAreDropped) {
   runtime::ByteBudget budget(1024 * 1024);
   runtime::Stream stream(budget, 1000);
   ASSERT_TRUE(stream.BeginConsuming());
@@ -69,7 +69,7 @@
     ASSERT_GT(stream.Capacity(), 0U);
     stream.Append(std::string(10000, 'x'));
   }
-  EXPECT_EQ(budget.held(), 0U);
+  EXPECT_EQ(budget.buffered(), 0U);
 }
 
 }  // namespace
