--- a/tests/runtime/acceptor_close_test.cpp
+++ b/tests/runtime/acceptor_close_test.cpp
@@ -1,4 +1,4 @@
-// Closing the acceptor while clients wait in its queue.
+// Tests closing the acceptor while clients wait in its backlog.
 #include <boost/asio/ip/tcp.hpp>
 #include <cerrno>
 
@@ -7,13 +7,13 @@
 namespace mothrack {
 namespace {
 
-TEST_F(AcceptorTest, AnInterruptedPollOfTheQueueIsRepeatedAheadOfTheClose) {
-  Settle();
+TEST_F(AcceptorTest, AnInterruptedPollOfTheBacklogIsRepeatedBeforeTheClose) {
+  RunUntilIdle();
   Connect();
-  system_.interrupts = 3;
+  faults.poll_interrupts = 3;
   EXPECT_TRUE(acceptor->Close());
   EXPECT_EQ(admitted.size(), 1U);
-  EXPECT_EQ(system_.interrupts, 0);
+  EXPECT_EQ(faults.poll_interrupts, 0);
 }
 
 // Whether the connection is open and has no data to read.
@@ -25,43 +25,43 @@
   return error == boost::asio::error::would_block;
 }
 
-TEST_F(AcceptorTest, ClientsQueuedAtCloseAreAdmittedEvenBehindADisconnectedOne) {
-  Settle();
+TEST_F(AcceptorTest, ClientsInTheBacklogAtCloseAreAdmittedEvenBehindADisconnectedOne) {
+  RunUntilIdle();
   Connect();
   Connect();
   Connect();
-  system_.fails = 1;
-  system_.error = ECONNABORTED;
-  system_.takes = true;
+  faults.accept_failures = 1;
+  faults.accept_errno = ECONNABORTED;
+  faults.failure_drops_client = true;
   EXPECT_TRUE(acceptor->Close());
   EXPECT_EQ(admitted.size(), 2U);
-  EXPECT_EQ(system_.blocked, 0);
+  EXPECT_EQ(faults.blocking_polls, 0);
   EXPECT_FALSE(acceptor->is_open());
 }
 
 // The process has used up its descriptors: clients in the backlog stay there until descriptors are free.
-TEST_F(AcceptorTest, ClientsQueuedAtCloseWithoutADescriptorAreNotReset) {
-  Settle();
+TEST_F(AcceptorTest, ClientsInTheBacklogAtCloseWithoutADescriptorAreNotReset) {
+  RunUntilIdle();
   Connect();
   ASSERT_TRUE(Admits(1));
   Connect();
   Connect();
-  system_.descriptors = 3;  // all used by the standard streams
+  faults.descriptor_limit = 3;  // all of them are used by the standard streams
   EXPECT_FALSE(acceptor->Close());
-  Settle();
+  RunUntilIdle();
   EXPECT_FALSE(acceptor->Close());
   EXPECT_TRUE(acceptor->is_open());
   EXPECT_EQ(admitted.size(), 1U);
   for (tcp::socket& client : clients) EXPECT_TRUE(IsOpen(client));
   // Descriptors are available again.
-  system_.descriptors = RLIM_INFINITY;
+  faults.descriptor_limit = RLIM_INFINITY;
   EXPECT_TRUE(acceptor->Close());
   EXPECT_EQ(admitted.size(), 3U);
   for (tcp::socket& client : clients) EXPECT_TRUE(IsOpen(client));
 }
 
-TEST_F(AcceptorTest, ClientsQueuedAtCloseWithoutCapacityAreAdmittedOnceThereIsSome) {
-  Settle();
+TEST_F(AcceptorTest, ClientsInTheBacklogAtCloseWithoutCapacityAreAdmittedOnceThereIsSome) {
+  RunUntilIdle();
   Connect();
   ASSERT_TRUE(Admits(1));
   Connect();
--- a/tests/runtime/acceptor_errors_test.cpp
+++ b/tests/runtime/acceptor_errors_test.cpp
@@ -1,4 +1,4 @@
-// Failures of accept(): errors of one client, exhausted descriptors, and lasting errors.
+// Tests failures of accept(): errors of one client, a lack of descriptors, and lasting errors.
 #include <cerrno>
 #include <cstddef>
 
@@ -7,70 +7,70 @@
 namespace mothrack {
 namespace {
 
-TEST_F(AcceptorTest, AClientThatDisconnectedInTheQueueBlocksNobody) {
-  Settle();
-  system_.fails = 1;
-  system_.error = ECONNABORTED;
-  system_.takes = true;
+TEST_F(AcceptorTest, AClientThatDisconnectedInTheBacklogBlocksNoOtherClient) {
+  RunUntilIdle();
+  faults.accept_failures = 1;
+  faults.accept_errno = ECONNABORTED;
+  faults.failure_drops_client = true;
   Connect();
   Connect();
   EXPECT_TRUE(Admits(1));
-  Settle();
-  EXPECT_EQ(system_.blocked, 0);
+  RunUntilIdle();
+  EXPECT_EQ(faults.blocking_polls, 0);
   EXPECT_EQ(admitted.size(), 1U);
 }
 
-// An error that concerns one client or one call must not delay other clients by a pause.
-TEST_F(AcceptorTest, AnErrorOfOneClientOrAnInterruptionDelaysNobody) {
+// After an error that concerns one client or one call, accept() must be called again without a delay.
+TEST_F(AcceptorTest, AnErrorOfOneClientOrAnInterruptionDelaysNoOtherClient) {
   for (const int error : {EINTR, ECONNABORTED, EPERM, EPROTO, ENETDOWN, ENOPROTOOPT, EHOSTDOWN, ENONET,
                           EHOSTUNREACH, EOPNOTSUPP, ENETUNREACH, ETIMEDOUT}) {
-    const std::size_t before = admitted.size();
-    Settle();
-    system_.fails = 3;
-    system_.error = error;
-    system_.timers = 0;
+    const std::size_t admitted_before = admitted.size();
+    RunUntilIdle();
+    faults.accept_failures = 3;
+    faults.accept_errno = error;
+    faults.timer_sets = 0;
     Connect();
-    EXPECT_TRUE(Admits(before + 1)) << error;
-    EXPECT_EQ(system_.timers, 0) << "a pause, with error " << error;
+    EXPECT_TRUE(Admits(admitted_before + 1)) << error;
+    EXPECT_EQ(faults.timer_sets, 0) << "accept() was delayed after error " << error;
   }
 }
 
 // If the next accept() after a failure succeeds, no connection is evicted. Each repeated failure evicts one.
-TEST_F(AcceptorTest, OnlyALastingLackOfDescriptorsEvictsOthers) {
+TEST_F(AcceptorTest, OnlyALastingLackOfDescriptorsEvictsConnections) {
   for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS}) {
-    const std::size_t before = admitted.size();
-    Settle();
+    const std::size_t admitted_before = admitted.size();
+    RunUntilIdle();
     evicted = 0;
-    system_.error = error;
-    system_.fails = 1;
+    faults.accept_errno = error;
+    faults.accept_failures = 1;
     Connect();
-    EXPECT_TRUE(Admits(before + 1)) << error;
+    EXPECT_TRUE(Admits(admitted_before + 1)) << error;
     EXPECT_EQ(evicted, 0) << error;
-    system_.fails = 3;
+    faults.accept_failures = 3;
     Connect();
-    EXPECT_TRUE(Admits(before + 2)) << error;
+    EXPECT_TRUE(Admits(admitted_before + 2)) << error;
     EXPECT_EQ(evicted, 2) << error;
   }
 }
 
-TEST_F(AcceptorTest, AcceptIsNotRetriedForeverWhereItAlwaysFails) {
-  Settle();
-  system_.fails = 1000;
-  system_.error = ECONNABORTED;
+TEST_F(AcceptorTest, AcceptIsNotRetriedWithoutDelayForeverIfItAlwaysFails) {
+  RunUntilIdle();
+  faults.accept_failures = 1000;
+  faults.accept_errno = ECONNABORTED;
   Connect();
-  EXPECT_TRUE(Admits(1));  // after several pauses
-  EXPECT_EQ(system_.fails, 0);
+  EXPECT_TRUE(Admits(1));  // after several delays
+  EXPECT_EQ(faults.accept_failures, 0);
 }
 
-TEST_F(AcceptorTest, AdmitsOnceDescriptorsAreFreeWithoutAFurtherClient) {
+TEST_F(AcceptorTest, AWaitingClientIsAdmittedOnceDescriptorsAreFree) {
   for (const int error : {EMFILE, ENFILE, ENOMEM, ENOBUFS, ENETDOWN}) {
-    const std::size_t before = admitted.size();
-    Settle();
-    system_.fails = 3;
-    system_.error = error;
+    const std::size_t admitted_before = admitted.size();
+    RunUntilIdle();
+    faults.accept_failures = 3;
+    faults.accept_errno = error;
     Connect();
-    EXPECT_TRUE(Admits(before + 1)) << error;
-    EXPECT_EQ(system_.fails, 0);
+    EXPECT_TRUE(Admits(admitted_before + 1)) << error;
+    EXPECT_EQ(faults.accept_failures, 0);
   }
 }
 
--- a/tests/runtime/acceptor_fixture.cpp
+++ b/tests/runtime/acceptor_fixture.cpp
@@ -1,4 +1,4 @@
-// Wrappers of the system calls that the acceptor tests use: they inject the faults set in `system_` and
+// Wrappers of the system calls that the acceptor tests use: they inject the faults set in `faults` and
 // otherwise call the real functions.
 #include "runtime/acceptor_fixture.h"
 
@@ -15,86 +15,86 @@
 
 namespace mothrack {
 
-System system_;
+SystemCallFaults faults;
 
 namespace {
 
 template <typename F>
-F* Next(const char* name) {
+F* RealFunction(const char* name) {
   return reinterpret_cast<F*>(::dlsym(RTLD_NEXT, name));
 }
 
 }  // namespace
 }  // namespace mothrack
 
-using mothrack::Next;
-using mothrack::system_;
+using mothrack::faults;
+using mothrack::RealFunction;
 
 extern "C" int accept(int fd, sockaddr* from, socklen_t* size) {
-  static const auto next = Next<int(int, sockaddr*, socklen_t*)>("accept");
-  if (fd == system_.listening && system_.fails > 0) {
-    --system_.fails;
-    if (system_.takes) ::close(next(fd, from, size));
-    errno = system_.error;
+  static const auto real = RealFunction<int(int, sockaddr*, socklen_t*)>("accept");
+  if (fd == faults.listening && faults.accept_failures > 0) {
+    --faults.accept_failures;
+    if (faults.failure_drops_client) ::close(real(fd, from, size));
+    errno = faults.accept_errno;
     return -1;
   }
-  rlimit usual{};
-  const bool limited = fd == system_.listening && system_.descriptors != RLIM_INFINITY;
+  rlimit previous{};
+  const bool limited = fd == faults.listening && faults.descriptor_limit != RLIM_INFINITY;
   if (limited) {
-    ::getrlimit(RLIMIT_NOFILE, &usual);
-    const rlimit few{system_.descriptors, usual.rlim_max};
-    ::setrlimit(RLIMIT_NOFILE, &few);
+    ::getrlimit(RLIMIT_NOFILE, &previous);
+    const rlimit lowered{faults.descriptor_limit, previous.rlim_max};
+    ::setrlimit(RLIMIT_NOFILE, &lowered);
   }
-  const int accepted = next(fd, from, size);
+  const int accepted = real(fd, from, size);
   if (limited) {
     const int error = errno;
-    ::setrlimit(RLIMIT_NOFILE, &usual);
+    ::setrlimit(RLIMIT_NOFILE, &previous);
     errno = error;
   }
-  if (fd == system_.listening && accepted < 0 && system_.after_refusal) {
+  if (fd == faults.listening && accepted < 0 && faults.after_failed_accept) {
     const int error = errno;
-    std::exchange(system_.after_refusal, nullptr)();
+    std::exchange(faults.after_failed_accept, nullptr)();
     errno = error;
   }
   return accepted;
 }
 
 extern "C" int poll(pollfd* fds, nfds_t count, int timeout) {
-  static const auto next = Next<int(pollfd*, nfds_t, int)>("poll");
-  if (timeout < 0 && count == 1 && fds->fd == system_.listening) {
-    ++system_.blocked;
+  static const auto real = RealFunction<int(pollfd*, nfds_t, int)>("poll");
+  if (timeout < 0 && count == 1 && fds->fd == faults.listening) {
+    ++faults.blocking_polls;
     errno = EINTR;
     return -1;
   }
-  if (system_.interrupts > 0 && count == 1 && fds->fd == system_.listening) {
-    --system_.interrupts;
+  if (faults.poll_interrupts > 0 && count == 1 && fds->fd == faults.listening) {
+    --faults.poll_interrupts;
     errno = EINTR;
     return -1;
   }
-  return next(fds, count, timeout);
+  return real(fds, count, timeout);
 }
 
 extern "C" int timerfd_settime(int fd, int flags, const itimerspec* value, itimerspec* old) noexcept {
-  static const auto next = Next<int(int, int, const itimerspec*, itimerspec*)>("timerfd_settime");
-  ++system_.timers;
-  return next(fd, flags, value, old);
+  static const auto real = RealFunction<int(int, int, const itimerspec*, itimerspec*)>("timerfd_settime");
+  ++faults.timer_sets;
+  return real(fd, flags, value, old);
 }
 
-extern "C" int epoll_ctl(int epoll, int what, int fd, epoll_event* event) {
-  static const auto next = Next<int(int, int, int, epoll_event*)>("epoll_ctl");
-  if (event != nullptr) system_.registered[fd] = event->data.ptr;
-  return next(epoll, what, fd, event);
+extern "C" int epoll_ctl(int epoll, int operation, int fd, epoll_event* event) {
+  static const auto real = RealFunction<int(int, int, int, epoll_event*)>("epoll_ctl");
+  if (event != nullptr) faults.epoll_data[fd] = event->data.ptr;
+  return real(epoll, operation, fd, event);
 }
 
-extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
-  static const auto next = Next<int(int, epoll_event*, int, int)>("epoll_wait");
-  const int notified = next(epoll, events, most, timeout);
+extern "C" int epoll_wait(int epoll, epoll_event* events, int max_events, int timeout) {
+  static const auto real = RealFunction<int(int, epoll_event*, int, int)>("epoll_wait");
+  const int notified = real(epoll, events, max_events, timeout);
   int retained = 0;
   for (int i = 0; i < notified; ++i) {
-    const auto listening = system_.registered.find(system_.listening);
-    if (system_.lost_wakes > 0 && listening != system_.registered.end() &&
+    const auto listening = faults.epoll_data.find(faults.listening);
+    if (faults.suppressed_wakeups > 0 && listening != faults.epoll_data.end() &&
         events[i].data.ptr == listening->second && (events[i].events & EPOLLIN) != 0) {
-      --system_.lost_wakes;
+      --faults.suppressed_wakeups;
       continue;
     }
     events[retained++] = events[i];
--- a/tests/runtime/acceptor_pause_test.cpp
+++ b/tests/runtime/acceptor_pause_test.cpp
@@ -1,4 +1,4 @@
-// Pausing and resuming the acceptor.
+// Tests pausing and resuming the acceptor.
 #include <cerrno>
 #include <functional>
 
@@ -7,46 +7,47 @@
 namespace mothrack {
 namespace {
 
-TEST_F(AcceptorTest, ClientsQueuedDuringAPauseAreAdmittedAfterIt) {
-  Settle();
+TEST_F(AcceptorTest, ClientsThatConnectDuringAPauseAreAdmittedAfterIt) {
+  RunUntilIdle();
   acceptor->Pause();
   Connect();
-  Settle();
+  RunUntilIdle();
   acceptor->PollForMissedClients();
-  Settle();
+  RunUntilIdle();
   EXPECT_TRUE(admitted.empty());
   acceptor->Resume();
   EXPECT_TRUE(Admits(1));
 }
 
-TEST_F(AcceptorTest, ResumedAtOnceRegistersOneWait) {
+TEST_F(AcceptorTest, RepeatedPauseAndResumeLeaveOneWait) {
   for (int i = 0; i < 50; ++i) {
     acceptor->Pause();
     acceptor->Resume();
   }
   Connect();
   EXPECT_TRUE(Admits(1));
-  Settle();
-  // Each wait that ends calls accept() until none is queued, so one wait means exactly one refusal.
-  int refusals = 0;
+  RunUntilIdle();
+  // Each wait that ends calls accept() until the backlog is empty, so one wait causes exactly one failed
+  // accept().
+  int failed_accepts = 0;
   std::function<void()> count = [&] {
-    ++refusals;
-    system_.after_refusal = count;
+    ++failed_accepts;
+    faults.after_failed_accept = count;
   };
-  system_.after_refusal = count;
+  faults.after_failed_accept = count;
   Connect();
   EXPECT_TRUE(Admits(2));
-  Settle();
-  system_.after_refusal = nullptr;
-  EXPECT_EQ(refusals, 1);
+  RunUntilIdle();
+  faults.after_failed_accept = nullptr;
+  EXPECT_EQ(failed_accepts, 1);
 }
 
-TEST_F(AcceptorTest, PausedWithoutDescriptorsItAdmitsAfterBoth) {
-  Settle();
-  system_.fails = 1;
-  system_.error = EMFILE;
+TEST_F(AcceptorTest, PausedAndResumedDuringALackOfDescriptorsItAdmitsTheClient) {
+  RunUntilIdle();
+  faults.accept_failures = 1;
+  faults.accept_errno = EMFILE;
   Connect();
-  Settle();
+  RunUntilIdle();
   acceptor->Pause();
   acceptor->Resume();
   EXPECT_TRUE(Admits(1));
--- a/tests/runtime/acceptor_wakeups_test.cpp
+++ b/tests/runtime/acceptor_wakeups_test.cpp
@@ -1,4 +1,4 @@
-// The acceptor serves all clients even if wake-ups of the event loop are lost.
+// Tests that the acceptor admits all clients even if wake-ups of the event loop are lost.
 #include <cstddef>
 
 #include "runtime/acceptor_fixture.h"
@@ -7,22 +7,22 @@
 namespace {
 
 TEST_F(AcceptorTest, AdmitsAClientThatConnectsBetweenTheLastEagainAndTheWait) {
-  Settle();
-  system_.after_refusal = [this] { Connect(); };
+  RunUntilIdle();
+  faults.after_failed_accept = [this] { Connect(); };
   Connect();
   EXPECT_TRUE(Admits(2));
   EXPECT_EQ(acceptor->missed_wakeups(), 0U);
 }
 
 TEST_F(AcceptorTest, APollFindsAClientThatTheEventLoopDidNotReport) {
-  Settle();
-  system_.lost_wakes = 1;
+  RunUntilIdle();
+  faults.suppressed_wakeups = 1;
   Connect();
-  Settle();
+  RunUntilIdle();
   ASSERT_TRUE(admitted.empty());
-  ASSERT_EQ(system_.lost_wakes, 0);
+  ASSERT_EQ(faults.suppressed_wakeups, 0);
   acceptor->PollForMissedClients();
-  Settle();
+  RunUntilIdle();
   EXPECT_EQ(admitted.size(), 1U);
   EXPECT_EQ(acceptor->missed_wakeups(), 1U);
   // Later clients are reported by the event loop as usual.
@@ -31,34 +31,34 @@
   EXPECT_EQ(acceptor->missed_wakeups(), 1U);
 }
 
-TEST_F(AcceptorTest, APollLeavesToTheEventLoopWhatItIsAboutToReport) {
-  Settle();
+TEST_F(AcceptorTest, AClientThatTheEventLoopIsAboutToReportIsNoMissedWakeUp) {
+  RunUntilIdle();
   Connect();
   acceptor->PollForMissedClients();
   EXPECT_TRUE(Admits(1));
-  Settle();
+  RunUntilIdle();
   EXPECT_EQ(acceptor->missed_wakeups(), 0U);
 }
 
-TEST_F(AcceptorTest, APollOfAnEmptyQueueFindsNothing) {
-  Settle();
+TEST_F(AcceptorTest, APollOfAnEmptyBacklogFindsNothing) {
+  RunUntilIdle();
   for (int i = 0; i < 10; ++i) acceptor->PollForMissedClients();
-  Settle();
+  RunUntilIdle();
   EXPECT_EQ(acceptor->missed_wakeups(), 0U);
   EXPECT_TRUE(admitted.empty());
 }
 
-// If every wake-up is lost, polls suffice to admit all clients, also one that first met a lack of capacity.
-TEST_F(AcceptorTest, PollsServeAllClientsWhereEveryWakeUpIsLost) {
-  Settle();
-  system_.lost_wakes = 1 << 30;
+// If every wake-up is lost, polls suffice to admit all clients, also one that had to wait for capacity.
+TEST_F(AcceptorTest, PollsAdmitAllClientsIfEveryWakeUpIsLost) {
+  RunUntilIdle();
+  faults.suppressed_wakeups = 1 << 30;
   capacity = 0;
   Connect();
-  Settle();
+  RunUntilIdle();
   acceptor->PollForMissedClients();
-  Settle();
+  RunUntilIdle();
   EXPECT_TRUE(admitted.empty());
-  capacity = 1 << 30;  // a timer ends the pause for lack of capacity
+  capacity = 1 << 30;  // the retry timer is running because of the lack of capacity
   EXPECT_TRUE(Admits(1));
   for (std::size_t i = 2; i < 6; ++i) {
     Connect();
@@ -68,19 +68,19 @@
 }
 
 TEST_F(AcceptorTest, DeferredHandlersDoNotTouchADestroyedAcceptor) {
-  Settle();
-  system_.lost_wakes = 1;
+  RunUntilIdle();
+  faults.suppressed_wakeups = 1;
   Connect();
-  Settle();
+  RunUntilIdle();
   acceptor->PollForMissedClients();
-  system_.listening = -1;
+  faults.listening = -1;
   acceptor.reset();
-  Settle();
+  RunUntilIdle();
   EXPECT_TRUE(admitted.empty());
 }
 
 // Clients connect one after the other while the acceptor has nothing else to do.
-TEST_F(AcceptorTest, TenThousandSingleClientsInSequence) {
+TEST_F(AcceptorTest, TenThousandClientsInSequenceCauseNoMissedWakeUp) {
   constexpr std::size_t kClients = 10000;
   for (std::size_t i = 0; i < kClients; ++i) {
     Connect();
--- a/tests/runtime/address_test.cpp
+++ b/tests/runtime/address_test.cpp
@@ -1,4 +1,4 @@
-// Addresses as operators and discovery write them.
+// Tests the parsing of addresses as operators and discovery write them.
 #include "runtime/address.h"
 
 #include "gtest/gtest.h"
@@ -6,7 +6,7 @@
 namespace mothrack {
 namespace {
 
-TEST(Address, IsParsedOrNot) {
+TEST(Address, OnlyAnIpAddressWithAPortIsParsed) {
   EXPECT_TRUE(runtime::ParseEndpoint("127.0.0.1:53"));
   EXPECT_EQ(runtime::ParseEndpoint("[::1]:53")->port(), 53);
   for (const char* bad :
--- a/tests/runtime/connection_set_test.cpp
+++ b/tests/runtime/connection_set_test.cpp
@@ -1,4 +1,4 @@
-// The set of a server's open connections, and which one it evicts first.
+// Tests the set of a server's open connections, and the choice of the one to evict first.
 #include "runtime/connection_set.h"
 
 #include <memory>
@@ -14,7 +14,7 @@
   std::optional<int> rank;
 };
 
-TEST(ConnectionSet, LowestIsTheOneOfLowestRankAmongThoseThatHaveOne) {
+TEST(ConnectionSet, LowestIgnoresConnectionsWithoutARank) {
   runtime::ConnectionSet<Connection> connections;
   const auto rank_of = [](const Connection& connection) { return connection.rank; };
   EXPECT_EQ(connections.Lowest(rank_of), nullptr);
--- a/tests/runtime/deadlines_test.cpp
+++ b/tests/runtime/deadlines_test.cpp
@@ -1,4 +1,4 @@
-// Deadlines that can be cancelled.
+// Tests that cancelled deadlines do not expire.
 #include "runtime/deadlines.h"
 
 #include <boost/asio/io_context.hpp>
--- a/tests/runtime/descriptors_test.cpp
+++ b/tests/runtime/descriptors_test.cpp
@@ -1,4 +1,5 @@
-// Accounting of sockets against the descriptor limit, by side and when another process shares the limit.
+// Tests the accounting of sockets against the descriptor limit, for each side, and while another process
+// shares the limit.
 #include "runtime/descriptors.h"
 
 #include <cstddef>
@@ -10,7 +11,7 @@
 namespace mothrack {
 namespace {
 
-TEST(Descriptors, EachSideHasItsHalfOfWhatIsNotFixed) {
+TEST(Descriptors, EachSideHasHalfOfTheDescriptorsThatAreNotFixed) {
   runtime::Descriptors descriptors(64, 4);
   std::vector<std::unique_ptr<runtime::Descriptors::Slot>> slots;
   while (descriptors.HasCapacity(runtime::Descriptors::Side::kClient)) {
@@ -23,9 +24,9 @@
   EXPECT_TRUE(descriptors.HasCapacity(runtime::Descriptors::Side::kClient));
 }
 
-TEST(Descriptors, AreSharedWithAnotherProcessUntilItEnds) {
+TEST(Descriptors, ACapLowersTheLimitUntilItIsRemoved) {
   runtime::Descriptors descriptors(100, 4);
-  const std::size_t full = descriptors.uncapped_limit();
+  const std::size_t uncapped_limit = descriptors.uncapped_limit();
   descriptors.Cap(20);
   std::vector<std::unique_ptr<runtime::Descriptors::Slot>> slots;
   while (descriptors.HasCapacity(runtime::Descriptors::Side::kClient)) {
@@ -35,7 +36,7 @@
   EXPECT_EQ(slots.size(), 10U);
   descriptors.Uncap();
   EXPECT_TRUE(descriptors.HasCapacity(runtime::Descriptors::Side::kClient));
-  descriptors.Cap(full * 2);
+  descriptors.Cap(uncapped_limit * 2);
   EXPECT_EQ(descriptors.used(), 10U);
 }
 
--- a/tests/runtime/log_test.cpp
+++ b/tests/runtime/log_test.cpp
@@ -1,4 +1,4 @@
-// Format of log lines, escaping that prevents forged lines, and bounds on their length and rate.
+// Tests the format of log lines, the escaping that prevents forged lines, and the bounds on length and rate.
 #include "runtime/log.h"
 
 #include <gtest/gtest.h>
@@ -25,18 +25,20 @@
   return lines;
 }
 
-// Whether a literal compiles as the name of an event or a key.
+// A string literal as a template argument.
 template <std::size_t N>
-struct Literal {
-  consteval Literal(const char (&literal)[N]) { std::copy_n(literal, N, text); }  // NOLINT: a literal
+struct LiteralText {
+  consteval LiteralText(const char (&literal)[N]) { std::copy_n(literal, N, text); }  // NOLINT: a literal
   char text[N];
 };
-template <Literal L, int = (LogName(L.text), 0)>
-constexpr bool IsTaken(int) {
+// Whether the literal compiles as the name of an event or a key. The second overload is chosen if it does
+// not.
+template <LiteralText Name, int = (LogName(Name.text), 0)>
+constexpr bool Compiles(int) {
   return true;
 }
-template <Literal L>
-constexpr bool IsTaken(long) {
+template <LiteralText Name>
+constexpr bool Compiles(long) {
   return false;
 }
 
@@ -48,47 +50,48 @@
     return text;
   }
 
-  // Returns the line of one value, from a new logger so that the rate limit has no effect.
+  // Returns the line with one value, from a new logger, so that the rate limit has no effect.
   static std::string LineOf(const std::string& value) {
-    std::ostringstream own;
-    Logger("n", own).Info("event", {{"key", value}, {"after", 1}});
-    return own.str();
+    std::ostringstream line_out;
+    Logger("n", line_out).Info("event", {{"key", value}, {"after", 1}});
+    return line_out.str();
   }
 
   std::ostringstream out;
   Logger log{"n", out};
 };
 
-// ---- Form ----
+// ---- Format ----
 
-TEST_F(LogTest, LineIsNameLevelEventAndKeys) {
+TEST_F(LogTest, ALineHasNameLevelEventAndKeys) {
   log.Warn("discovery_failed", {{"cause", "refused"}, {"calls", 17U}, {"left", -3}});
   EXPECT_EQ(Take(), "n: warning discovery_failed cause=refused calls=17 left=-3\n");
   log.Info("ready");
   EXPECT_EQ(Take(), "n: info ready\n");
 }
 
-TEST_F(LogTest, EachLevelHasItsWord) {
+TEST_F(LogTest, EachLevelIsWritten) {
   log.Error("event");
   log.Warn("event");
   log.Info("event");
   EXPECT_EQ(Take(), "n: error event\nn: warning event\nn: info event\n");
 }
 
-TEST_F(LogTest, PlainValuesStandBareAndOthersInQuotes) {
+TEST_F(LogTest, OnlyValuesThatNeedItAreQuoted) {
   EXPECT_EQ(LineOf("127.0.0.1:80/a?b&c"), "n: info event key=127.0.0.1:80/a?b&c after=1\n");
   EXPECT_EQ(LineOf("two words"), "n: info event key=\"two words\" after=1\n");
   EXPECT_EQ(LineOf(""), "n: info event key=\"\" after=1\n");
 }
 
 // Names of events and keys must be literals in snake_case; anything else does not compile.
-TEST_F(LogTest, NamesAreConstants) {
+TEST_F(LogTest, NamesAreSnakeCaseLiterals) {
   static_assert(std::is_constructible_v<LogField, LogName, std::string>);
   static_assert(!std::is_constructible_v<LogName, std::string>);
   static_assert(!std::is_constructible_v<LogName, std::string_view>);
   static_assert(LogName("snake_case_2").text() == "snake_case_2");
-  static_assert(IsTaken<"snake_case">(0));
-  static_assert(!IsTaken<"Camel">(0) && !IsTaken<"two words">(0) && !IsTaken<"a=b">(0) && !IsTaken<"">(0));
+  static_assert(Compiles<"snake_case">(0));
+  static_assert(!Compiles<"Camel">(0) && !Compiles<"two words">(0) && !Compiles<"a=b">(0) &&
+                !Compiles<"">(0));
   for (const char* name : {"a", "a_b", "a2"}) EXPECT_TRUE(LogName::IsSnakeCase(name)) << name;
   for (const char* name : {"", "A", "aB", "2a", "_a", "a b", "a=b", "a\n", "a\"", "a-b", "a:", "\xc3\xa4"}) {
     EXPECT_FALSE(LogName::IsSnakeCase(name)) << name;
@@ -134,30 +137,31 @@
 
 // ---- Bounds ----
 
-TEST_F(LogTest, LineHas500BytesAtMostAndItsQuoteIsClosed) {
-  const std::string head = "n: info event key=";
-  const std::size_t room = Logger::kMaxLineLength + kNameSize - head.size();
-  EXPECT_EQ(LineOf(std::string(2000, 'x')), head + std::string(room, 'x') + '\n');
-  EXPECT_EQ(LineOf(std::string(2000, ' ')), head + '"' + std::string(room - 2, ' ') + "\"\n");
+TEST_F(LogTest, ALineHasAtMost500BytesAndItsQuoteIsClosed) {
+  const std::string prefix = "n: info event key=";
+  const std::size_t space = Logger::kMaxLineLength + kNameSize - prefix.size();
+  EXPECT_EQ(LineOf(std::string(2000, 'x')), prefix + std::string(space, 'x') + '\n');
+  EXPECT_EQ(LineOf(std::string(2000, ' ')), prefix + '"' + std::string(space - 2, ' ') + "\"\n");
   // An escape is never cut in half, wherever the limit falls.
   for (std::size_t before = 0; before < 4; ++before) {
     const std::string line = LineOf(std::string(before, 'x') + std::string(2000, '\x01'));
-    const std::string value = line.substr(head.size() + 1 + before, line.size() - head.size() - before - 3);
+    const std::string value =
+        line.substr(prefix.size() + 1 + before, line.size() - prefix.size() - before - 3);
     EXPECT_LE(line.size(), Logger::kMaxLineLength + kNameSize + 1);
     EXPECT_EQ(line.substr(line.size() - 2), "\"\n");
     EXPECT_EQ(value.size() % 4, 0U) << line;
   }
   // A key that does not fit with its value is left out completely.
-  const std::string most(room - std::string(" after=").size(), 'x');
-  EXPECT_EQ(LineOf(most), head + most + '\n');
+  const std::string longest(space - std::string(" after=").size(), 'x');
+  EXPECT_EQ(LineOf(longest), prefix + longest + '\n');
   log.FreeText(std::string(2000, 'x'));
   EXPECT_EQ(Take(), "n: " + std::string(Logger::kMaxLineLength, 'x') + '\n');
   log.FreeText(std::string(2000, '\n'));
   EXPECT_EQ(Take().size(), Logger::kMaxLineLength + kNameSize + 1);
 }
 
-TEST_F(LogTest, BurstOf100LinesThen5ASecondAndTheNextTellsHowManyWereLeftOut) {
-  const TimePoint begun = Now();
+TEST_F(LogTest, ABurstOf100LinesThen5LinesPerSecondAndTheNumberLeftOut) {
+  const TimePoint started_at = Now();
   std::size_t attempted = 0;
   const auto log_one = [&] {
     if (++attempted % 2 == 0) {
@@ -170,10 +174,10 @@
   ASSERT_EQ(LinesOf(out.str()).size(), 100U);
   // Logs until a line reports the number of lines left out.
   while (out.str().find("lines_left_out") == std::string::npos) {
-    ASSERT_LT(Now() - begun, std::chrono::seconds(20));
+    ASSERT_LT(Now() - started_at, std::chrono::seconds(20));
     log_one();
   }
-  const double seconds = std::chrono::duration<double>(Now() - begun).count();
+  const double seconds = std::chrono::duration<double>(Now() - started_at).count();
   std::size_t written = 0;
   std::size_t left_out = 0;
   const std::string left_out_prefix = "n: warning lines_left_out count=";
@@ -187,7 +191,7 @@
   EXPECT_GT(left_out, 0U);
   EXPECT_EQ(written + left_out, attempted);
   EXPECT_LE(static_cast<double>(written), 100 + 5 * seconds);
-  EXPECT_GE(seconds, 0.2);  // at 5 lines a second, the first line after the burst takes 0.2 s
+  EXPECT_GE(seconds, 0.2);  // at 5 lines per second, the first line after the burst takes 0.2 s
 }
 
 TEST_F(LogTest, CounterLinesAreWrittenUnchangedAndWithoutLimit) {
@@ -202,7 +206,7 @@
 
 // ---- Standard error ----
 
-TEST(LogOnStandardError, LoggersOfTwoThreadsWriteWholeLines) {
+TEST(LogOnStandardError, LinesOfLoggersOnTwoThreadsAreNotMixed) {
   constexpr int kLines = 2000;
   ::testing::internal::CaptureStderr();
   const auto write = [](const std::string& name) {
@@ -222,7 +226,7 @@
   EXPECT_EQ(others, kLines);
 }
 
-TEST(LogOnStandardError, LimitsOfItsOwn) {
+TEST(LogOnStandardError, ALoggerMayHaveOtherLimits) {
   ::testing::internal::CaptureStderr();
   Logger log("n", {.burst = 3, .per_second = 0});
   for (int i = 0; i < 9; ++i) log.Info("event");
--- a/tests/runtime/secure_random_test.cpp
+++ b/tests/runtime/secure_random_test.cpp
@@ -1,4 +1,4 @@
-// The range of SecureRandom's numbers.
+// Tests the range of SecureRandom's numbers.
 #include "runtime/secure_random.h"
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 namespace mothrack {
 namespace {
 
-TEST(SecureRandom, CoversItsRange) {
+TEST(SecureRandom, NumbersBelowABoundCoverItsRange) {
   runtime::SecureRandom random;
   std::set<std::size_t> seen;
   for (int i = 0; i < 1000; ++i) {
--- a/tests/runtime/sweep_timer_test.cpp
+++ b/tests/runtime/sweep_timer_test.cpp
@@ -1,4 +1,4 @@
-// A sweep repeats until its function returns false.
+// Tests that a sweep repeats until its function returns false.
 #include "runtime/sweep_timer.h"
 
 #include <boost/asio/io_context.hpp>
--- a/tests/runtime/timer_queue_test.cpp
+++ b/tests/runtime/timer_queue_test.cpp
@@ -1,4 +1,4 @@
-// Many due times on one timer: their order, and a handler that throws.
+// Tests several expiry times on one timer: their order, and a handler that throws.
 #include "runtime/timer_queue.h"
 
 #include <boost/asio/io_context.hpp>
@@ -15,11 +15,11 @@
 
 using std::chrono::milliseconds;
 
-TEST(TimerQueue, FireByDeadlineAndContinueAfterAnException) {
+TEST(TimerQueue, TokensAreHandledInOrderOfTimeAndAfterAnException) {
   boost::asio::io_context io;
-  std::vector<std::uint64_t> fired;
+  std::vector<std::uint64_t> handled;
   runtime::TimerQueue timers(io, [&](std::uint64_t token) {
-    fired.push_back(token);
+    handled.push_back(token);
     if (token == 1) throw std::runtime_error("one");
   });
   const runtime::TimePoint now = runtime::Now();
@@ -30,7 +30,7 @@
   EXPECT_THROW(io.run(), std::runtime_error);
   io.restart();
   io.run();
-  EXPECT_EQ(fired, (std::vector<std::uint64_t>{1, 3, 2}));
+  EXPECT_EQ(handled, (std::vector<std::uint64_t>{1, 3, 2}));
 }
 
 }  // namespace
