--- a/src/http/body_writer.cpp
+++ b/src/http/body_writer.cpp
@@ -22,9 +22,9 @@
 }  // namespace
 
 BodyWriter::Progress BodyWriter::Write(boost::asio::ip::tcp::socket& socket) {
-  for (const std::uint64_t begun = written_; written_ - begun < kMaxBytesPerCall;) {
+  for (const std::uint64_t written_before = written_; written_ - written_before < kMaxBytesPerCall;) {
     if (frame_written_ == frame_.size() && chunk_left_ == 0) {
-      if (const auto stopped = BeginChunk()) return *stopped;
+      if (const auto progress = BeginChunk()) return *progress;
     }
     error_code error;
     WritePart(socket, error);
--- a/src/http/body_writer.h
+++ b/src/http/body_writer.h
@@ -1,4 +1,4 @@
-// Writes a message head and then a body that arrives through a Stream. The body is delimited by
+// Writes a message head and then a body that arrives through a Stream. The end of the body is marked by
 // Content-Length, by chunked coding (RFC 9112 section 7.1) or by the end of the connection.
 //
 // Writes never block, and no body bytes are copied into this object. The owner of the socket calls Write()
@@ -39,7 +39,7 @@
     kSocketFull,  // the socket is not writable, or this call has used up its byte budget
     kNoBytes,     // the stream has no more bytes for now
     kDone,        // the whole message is written
-    kTruncated,   // the stream broke: the receiver must be able to see that the message is truncated
+    kTruncated,   // the stream is truncated: the receiver must be able to detect that the message is too
     kFailed,      // writing to the socket failed
   };
   // Writes as much as possible without blocking; at most 256 KiB of the body per call.
--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -20,9 +20,10 @@
 using boost::system::error_code;
 
 constexpr std::size_t kReadSize = 8192;
-// Minimum rate of a request body, in bytes per second, and the longest pause while a client reads a response.
-// Both tolerate ordinary clients on bad links. The pause is long because the kernel's send buffer may hold
-// much of the response, and the socket becomes writable only after the client has read much of that.
+// Minimum rate of a request body, in bytes per second, and the time after which a response that cannot be
+// written further ends the connection. Both tolerate ordinary clients on bad links. The timeout is long
+// because the kernel's send buffer may hold much of the response, and the socket becomes writable only after
+// the client has read much of that.
 constexpr std::int64_t kMinBodyRate = std::int64_t{16} * 1024;
 constexpr runtime::Duration kWriteIdleTimeout = std::chrono::seconds(30);
 // A connection younger than this that has sent nothing is assumed to be about to send a request.
@@ -52,7 +53,7 @@
   const auto self = shared_from_this();
   if (owner_ != nullptr) owner_->Remove(self);
   // Notify the observer first: it ends the attempts, so that none of them still reads from `upload_` when the
-  // stream breaks.
+  // stream ends.
   if (const auto on_disconnect = std::exchange(observer_, {}).on_disconnect) on_disconnect();
   if (const auto upload = std::exchange(upload_, nullptr)) upload->End(runtime::Stream::State::kTruncated);
   writer_.AbandonBody();
@@ -71,7 +72,7 @@
 }
 
 void ClientConnection::CloseNow() {
-  if (phase_ == Phase::kLingering) linger_.DropUnread();
+  if (phase_ == Phase::kLingering) linger_.DiscardUnread();
   Close();
 }
 
@@ -88,7 +89,7 @@
 }
 
 runtime::Duration ClientConnection::Timeout(runtime::TimePoint now) const {
-  if (phase_ == Phase::kLingering && upload_was_cut_) return kRequestTimeout;
+  if (phase_ == Phase::kLingering && upload_interrupted_) return kRequestTimeout;
   if (AwaitsClose()) return kLingerTimeout;
   if (phase_ == Phase::kWriting) return writer_.streaming() ? kWriteIdleTimeout : kRequestTimeout;
   const auto body_bytes = static_cast<std::int64_t>(reader_.body_bytes());
@@ -135,14 +136,15 @@
   owner_->OnAwaitingRequest(since_);
 }
 
-// Waits for readability without allocating a buffer, because hundreds of connections may be idle.
+// Waits until the socket is readable. No buffer is allocated meanwhile, because hundreds of connections may
+// be idle.
 void ClientConnection::Read() {
   if (reading_ || closed_) return;
-  // The upstream consumes the body more slowly than it arrives.
+  // Whether the upstream consumes the body more slowly than it arrives.
   const bool stalled = upload_ && upload_->Capacity() == 0;
   if (stalled && !upload_stall_.stalled()) upload_stall_.Stall(runtime::Now());
   const bool buffer_full = reader_.buffer().size() == reader_.buffer().max_size();
-  if (stalled || buffer_full || (flooded_ && linger_.dropped_bytes() > kMaxLingerBytes)) {
+  if (stalled || buffer_full || (pipeline_overflowed_ && linger_.discarded_bytes() > kMaxLingerBytes)) {
     owner_->CheckForDisconnects();
     return;
   }
@@ -157,8 +159,8 @@
   });
 }
 
-// A half-closed connection is readable. If that is the client's close, the connection is finished. Otherwise
-// unread bytes precede the close, and the sweep polls for it.
+// Called when a half-closed connection is readable. If the reason is the client's close, the connection is
+// finished. Otherwise unread bytes precede the close, and the owner's sweep polls for it.
 void ClientConnection::AwaitClose() {
   error_code error;
   runtime::PeekByte(socket_, error);
@@ -179,19 +181,19 @@
 
 void ClientConnection::Progress() {
   if (parsing_ || closed_) return;
-  if (phase_ == Phase::kLingering || flooded_) {
-    if (upload_was_cut_ && reader_.buffer().size() > 0) since_ = runtime::Now();
+  if (phase_ == Phase::kLingering || pipeline_overflowed_) {
+    if (upload_interrupted_ && reader_.buffer().size() > 0) since_ = runtime::Now();
     DiscardBuffered();
-    const std::size_t limit = upload_was_cut_ ? kMaxBodySize : kMaxLingerBytes;
-    if (phase_ == Phase::kLingering && linger_.dropped_bytes() > limit) return Close();
+    const std::size_t limit = upload_interrupted_ ? kMaxBodySize : kMaxLingerBytes;
+    if (phase_ == Phase::kLingering && linger_.discarded_bytes() > limit) return Close();
   }
   parsing_ = true;
   Parse();
   parsing_ = false;
-  // A client that waits for responses does not pipeline this much. Keep reading and discarding, because that
-  // reveals whether the client has disconnected.
+  // A client that waits for responses does not pipeline this much. Reading and discarding continues, because
+  // it reveals whether the client has disconnected.
   if (phase_ != Phase::kReading && !upload_ && reader_.buffer().size() == kMaxReadAhead) {
-    flooded_ = close_after_ = true;
+    pipeline_overflowed_ = close_after_ = true;
     DiscardBuffered();
   }
   Read();
@@ -200,7 +202,7 @@
 // Discards the buffered bytes without parsing them as a request.
 void ClientConnection::DiscardBuffered() {
   auto& buffer = reader_.buffer();
-  linger_.CountDropped(buffer.size());
+  linger_.CountDiscarded(buffer.size());
   buffer.consume(buffer.size());
 }
 
@@ -260,8 +262,8 @@
     unsent.remove_prefix(runtime::WriteSome(socket_, boost::asio::buffer(unsent), error));
   }
   // If no byte of it was written, no harm is done: the client sends the body after a pause anyway (RFC 9110
-  // section 10.1.1). A partial write would be taken for the start of the final response, so the connection is
-  // closed.
+  // section 10.1.1). After a partial write the client would parse the final response as the rest of this one,
+  // so the connection is closed.
   if (!unsent.empty() && unsent.size() < kContinue.size()) Close();
 }
 
@@ -282,12 +284,12 @@
                        ? PlainResponse(beast_http::status::service_unavailable, "draining")
                        : PlainResponse(beast_http::status::ok, "up"));
   }
-  // The request may have been queued here for longer than its client waited.
+  // The client may have disconnected while its request waited in the buffer.
   if (ClientDisconnected()) return Close();
-  auto reply = [self = shared_from_this()](HttpResponse response, StreamedBody answer) {
-    if (!answer) self->observer_ = {};
-    if (!self->closed_) return self->Respond(std::move(response), std::move(answer));
-    if (answer) answer.stream->Abandon();
+  auto reply = [self = shared_from_this()](HttpResponse response, StreamedBody response_body) {
+    if (!response_body) self->observer_ = {};
+    if (!self->closed_) return self->Respond(std::move(response), std::move(response_body));
+    if (response_body) response_body.stream->Abandon();
   };
   auto observer = owner_->HandleRequest(std::move(request), std::move(streamed_body), std::move(reply));
   if (phase_ == Phase::kServing) observer_ = std::move(observer);
@@ -301,9 +303,9 @@
   upload_->on_capacity = [weak = weak_from_this()] {
     if (const auto self = weak.lock()) self->Progress();
   };
-  const auto keep_alive = upload_;
-  Serve(std::move(request), StreamedBody{keep_alive, reader_.content_length()});
-  if (upload_) PassOnChunk();
+  const auto upload = upload_;  // Serve() may reset the member
+  Serve(std::move(request), StreamedBody{upload, reader_.content_length()});
+  if (upload_) ForwardChunk();
 }
 
 // Returns false if nothing more can be parsed for now.
@@ -312,7 +314,7 @@
     Close();
     return false;
   }
-  if (!PassOnChunk()) return false;
+  if (!ForwardChunk()) return false;
   if (reader_.complete()) {
     FinishUpload();
     return true;
@@ -321,7 +323,7 @@
 }
 
 // Appends the parsed part of the body to the upload stream. Returns false if that ended the upload.
-bool ClientConnection::PassOnChunk() {
+bool ClientConnection::ForwardChunk() {
   const auto upload = upload_;
   upload->Append(reader_.chunk());
   reader_.chunk().clear();
@@ -345,11 +347,11 @@
 void ClientConnection::Respond(HttpResponse response, StreamedBody streamed_body) {
   phase_ = Phase::kWriting;
   since_ = runtime::Now();
-  // The response is sent before the request body has arrived. The client may not read it before it has sent
-  // the whole body.
+  // With an upload the response precedes the end of the request body. The client may not read the response
+  // before it has sent the whole body.
   if (const auto upload = std::exchange(upload_, nullptr)) {
     upload->Abandon();
-    upload_was_cut_ = close_after_ = true;
+    upload_interrupted_ = close_after_ = true;
   }
   // A handler that finds the request malformed clears the response's keep-alive flag to close the connection.
   if (!response.keep_alive() || owner_->ClosesAfterResponse()) close_after_ = true;
--- a/src/http/client_connection.h
+++ b/src/http/client_connection.h
@@ -5,9 +5,10 @@
 // because that is how a client disconnect is noticed. When there is no buffer space, the owner polls the
 // socket instead (ReadsNothing(), ClientDisconnected()).
 //
-// Bounds: kMaxReadAhead bytes ahead of the parser; a request body up to kBufferLimit or its stream's window;
-// the timeouts below and in the source file. Socket errors close the connection. An invalid request gets a
-// 4xx response and ends the connection (RFC 9112 section 9.6).
+// A connection holds at most kMaxReadAhead bytes ahead of the parser, and of a request body kBufferLimit or
+// its stream's window. Its phases are bounded by the timeouts below and in the source file. Socket errors
+// close the connection. An invalid request gets a 4xx response and ends the connection (RFC 9112
+// section 9.6).
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -30,9 +31,9 @@
 
 namespace mothrack::http {
 
-// Time limit for the first complete request, counted from the start of the connection; for a later request,
-// counted from its first byte; and for writing a response. Trickling bytes does not renew it: the deployment
-// requires silent and stalled clients to be gone within 3 s of connecting.
+// Time limit for three phases: for the first complete request, from the start of the connection; for a later
+// request, from its first byte; and for writing a response. Trickling bytes does not renew it, because the
+// deployment requires that silent and stalled clients are disconnected within 3 s of connecting.
 inline constexpr runtime::Duration kRequestTimeout = std::chrono::milliseconds(2500);
 // How long to wait for the client's close after the sidecar's half-close. Closing at once could send an RST
 // that overtakes the response. The time is short because a planned stop waits for it too.
@@ -44,13 +45,13 @@
   // The listener. It must outlive the connection or call Orphan().
   class Owner {
    public:
-    // The connection is closed; drop it from the set.
+    // The connection is closed; the owner drops it from its set.
     virtual void Remove(const std::shared_ptr<ClientConnection>& connection) = 0;
     // The connection waits for its next request, starting at `now`.
     virtual void OnAwaitingRequest(runtime::TimePoint now) = 0;
     // The connection has stopped reading, so only polling can detect that its client has disconnected.
     virtual void CheckForDisconnects() = 0;
-    // Whether each connection must be closed after the response that is being written.
+    // Whether each connection must be closed after its current response.
     virtual bool ClosesAfterResponse() const = 0;
     // Whether `/up` answers that the address accepts no new clients.
     virtual bool ReportsDraining() const = 0;
@@ -73,9 +74,9 @@
   // The owner is being destroyed: closes the connection, and handlers that run later must not touch the
   // owner.
   void Orphan();
-  // Ends an idle connection whose descriptor is not needed at once. A request that arrives between the last
-  // check and this call does not cause an RST: the client sees the half-close and closes its side, and only
-  // then is this side closed.
+  // Ends an idle connection whose descriptor is not needed immediately. A request that arrives between the
+  // last check and this call does not cause an RST: the client sees the half-close and closes its side, and
+  // only then is this side closed.
   void HalfClose();
   // Closes without waiting any longer for the client's close.
   void CloseNow();
@@ -84,26 +85,31 @@
 
   // Start of the current phase, or the time of the first byte of the current request.
   runtime::TimePoint since() const { return since_; }
-  // Waits for a request of which no byte has arrived.
+  // Whether the connection waits for a request of which no byte has arrived.
   bool Idle() const { return phase_ == Phase::kReading && !reader_.started(); }
-  // The client connected recently and has sent nothing yet, so a request is likely to follow.
+  // Whether the client connected recently and has sent nothing yet, so that a request is likely to follow.
   bool IsNew(runtime::TimePoint now) const;
-  // All responses are written; only the client's close is awaited.
+  // Whether all responses are written and only the client's close is awaited.
   bool AwaitsClose() const { return phase_ == Phase::kLingering || phase_ == Phase::kHalfClosed; }
-  // No read is pending, so a disconnect of the client is not reported by the event loop.
+  // Whether no read is pending, so that the event loop does not report a disconnect of the client.
   bool ReadsNothing() const;
-  // The kernel's receive buffer holds request bytes that were not read. Closing now would lose them.
+  // Whether the kernel's receive buffer holds request bytes that were not read. Closing now would lose them.
   bool HasUnreadBytes();
-  // The client has half-closed or closed the connection, even if unread bytes precede the close.
+  // Whether the client has half-closed or closed the connection, even if unread bytes precede the close.
   bool ClientDisconnected();
   // Input of the eviction policy for the case that descriptors run out.
   ConnectionActivity Activity(runtime::TimePoint now) const;
 
  private:
-  // kLingering: half-closed after the last response; incoming bytes are read and discarded. kHalfClosed:
-  // half-closed between requests. Nothing more is read, so a request that crosses the half-close on the wire
-  // counts as never read, and its client can safely send it on another connection.
-  enum class Phase { kReading, kServing, kWriting, kLingering, kHalfClosed };
+  enum class Phase {
+    kReading,    // waits for a request or reads one
+    kServing,    // the handler has the request
+    kWriting,    // the response is being written
+    kLingering,  // half-closed after the last response; incoming bytes are read and discarded
+    // Half-closed between requests. Nothing more is read, so a request that crosses the half-close on the
+    // wire counts as never read, and its client can safely send it on another connection.
+    kHalfClosed,
+  };
 
   // Reading
   void AwaitRequest();
@@ -121,7 +127,7 @@
   void Serve(HttpRequest&& request, StreamedBody streamed_body);
   void BeginUpload();
   bool ContinueUpload(const RequestReader::Step& step);
-  bool PassOnChunk();
+  bool ForwardChunk();
   void FinishUpload();
   void Reject(beast_http::status status, const std::string& reason);
   void Respond(HttpResponse response, StreamedBody streamed_body = {});
@@ -142,19 +148,20 @@
   RequestReader reader_;
   ResponseWriter writer_;
   LingeringClose linger_;
-  RequestObserver observer_;  // of the request being served
-  // Body, still arriving, of a request already passed to the handler.
+  RequestObserver observer_;  // its functions notify the handler of the current request
+  // The body, still arriving, of a request that was already passed to the handler; null otherwise.
   std::shared_ptr<runtime::Stream> upload_;
-  // Time during which reading is paused because the upload is not consumed.
+  // Measures how long reading was paused because the upload was not consumed.
   StallTimer upload_stall_;
   Phase phase_ = Phase::kReading;
   runtime::TimePoint since_;
-  unsigned http_version_ = 11;      // of the current request
-  bool unused_ = true;              // no byte has ever arrived
-  bool extension_granted_ = false;  // was overdue once, but had unread bytes and got one extension
-  bool close_after_ = false;        // close after the current response
-  bool upload_was_cut_ = false;     // the response was sent before the request body had fully arrived
-  bool flooded_ = false;  // more pipelined bytes than the buffer holds: none of them is parsed as a request
+  unsigned http_version_ = 11;       // of the current request
+  bool unused_ = true;               // no byte has ever arrived
+  bool extension_granted_ = false;   // was overdue once, but had unread bytes and got one extension
+  bool close_after_ = false;         // close after the current response
+  bool upload_interrupted_ = false;  // the response was sent before the request body had fully arrived
+  // The client pipelined more bytes than the buffer holds, so none of them is parsed as a request.
+  bool pipeline_overflowed_ = false;
   bool parsing_ = false;  // guards Parse() against re-entry
   bool reading_ = false;  // a wait for readability is pending
   bool closed_ = false;
--- a/src/http/connection_pools.cpp
+++ b/src/http/connection_pools.cpp
@@ -13,13 +13,13 @@
 
 // The upstream's idle timer starts when it has written its response, the pool's when the response was read,
 // and the next request also needs time to arrive. So an idle connection is closed earlier than the upstream's
-// limit: by a tenth of the limit, and at least by kIdleMargin.
-constexpr int kIdleShare = 10;
-constexpr runtime::Duration kIdleMargin = milliseconds(500);
+// limit: by a tenth of the limit and at least by kMinIdleMargin, but never before half of the limit.
+constexpr int kIdleMarginDivisor = 10;
+constexpr runtime::Duration kMinIdleMargin = milliseconds(500);
 constexpr runtime::Duration kSweepInterval = milliseconds(250);
 
-runtime::Duration TrustedIdle(runtime::Duration limit) {
-  return std::max(limit / 2, limit - std::max(limit / kIdleShare, kIdleMargin));
+runtime::Duration MaxIdle(runtime::Duration limit) {
+  return std::max(limit / 2, limit - std::max(limit / kIdleMarginDivisor, kMinIdleMargin));
 }
 
 }  // namespace
@@ -29,7 +29,7 @@
     : io_(io),
       descriptors_(descriptors),
       counters_(counters),
-      trusted_idle_(TrustedIdle(upstream_idle_limit)),
+      max_idle_(MaxIdle(upstream_idle_limit)),
       sweep_timer_(
           io, [] { return kSweepInterval; },
           [this] {
@@ -54,7 +54,7 @@
   if (location.state == UpstreamState::kServing && !moved) return nullptr;
   auto old = pool;
   if (moved) {
-    // Connections that are in use belong to the previous process or address and are not pooled again.
+    // Connections that are in use lead to the previous process or address, so they are not pooled again.
     pool = std::make_shared<UpstreamPool>();
     pool->location = location;
     old->location.state = UpstreamState::kGone;
@@ -75,7 +75,7 @@
   while (!pool.idle.empty()) {
     auto connection = std::move(pool.idle.back());
     pool.idle.pop_back();
-    if (connection->LooksAlive() && runtime::Now() - connection->idle_since() < trusted_idle_) {
+    if (connection->LooksAlive() && runtime::Now() - connection->idle_since() < max_idle_) {
       return connection;
     }
     connection->Close();
@@ -110,17 +110,18 @@
 }
 
 bool ConnectionPools::EvictIdle() {
-  UpstreamPool* longest = nullptr;
+  UpstreamPool* pool_of_longest_idle = nullptr;
   for (const auto& [uid, pool] : pools_) {
     if (pool->idle.empty()) continue;
-    if (longest == nullptr || pool->idle.front()->idle_since() < longest->idle.front()->idle_since()) {
-      longest = pool.get();
+    if (pool_of_longest_idle == nullptr ||
+        pool->idle.front()->idle_since() < pool_of_longest_idle->idle.front()->idle_since()) {
+      pool_of_longest_idle = pool.get();
     }
   }
-  if (longest == nullptr) return false;
+  if (pool_of_longest_idle == nullptr) return false;
   ++counters_.evicted;
-  longest->idle.front()->Close();
-  longest->idle.erase(longest->idle.begin());
+  pool_of_longest_idle->idle.front()->Close();
+  pool_of_longest_idle->idle.erase(pool_of_longest_idle->idle.begin());
   return true;
 }
 
@@ -131,7 +132,7 @@
   const runtime::TimePoint now = runtime::Now();
   for (const auto& [uid, pool] : pools_) {
     std::erase_if(pool->idle, [&](const auto& connection) {
-      if (now - connection->idle_since() < trusted_idle_) return false;
+      if (now - connection->idle_since() < max_idle_) return false;
       connection->Close();
       return true;
     });
--- a/src/http/connection_pools.h
+++ b/src/http/connection_pools.h
@@ -1,8 +1,8 @@
 // The pools of idle connections to all upstreams. Decides which connection carries the next exchange and when
 // an idle connection is closed.
 //
-// Owned by HttpTransport, on the thread of its event loop. Bounded by the upstream side of Descriptors: idle
-// connections are evicted to free descriptors for new ones. There are no error codes: if no connection is
+// Owned by HttpTransport, used on the thread of its event loop. Bounded by the upstream side of Descriptors:
+// idle connections are evicted to free descriptors for new ones. No function throws: if no connection is
 // available, a null pointer is returned.
 #pragma once
 
@@ -53,7 +53,7 @@
   runtime::Descriptors& descriptors_;
   TransportCounters& counters_;
   // Beyond this idle time the upstream may already be closing the connection.
-  const runtime::Duration trusted_idle_;
+  const runtime::Duration max_idle_;
   std::map<std::string, std::shared_ptr<UpstreamPool>> pools_;  // keyed by upstream uid
   runtime::SweepTimer sweep_timer_;
 };
--- a/src/http/eviction_policy.h
+++ b/src/http/eviction_policy.h
@@ -21,16 +21,16 @@
   runtime::Duration age{};       // since the start of the phase or the request's first byte
 };
 
-// The lowest rank is evicted first. Connections of ordinary clients outlast those of clients that send
-// nothing.
+// The order of eviction: the lowest rank is evicted first. Connections of ordinary clients are evicted after
+// those of clients that send nothing.
 enum class EvictionRank {
   kAwaitingClose,
   kNothingSent,  // connected a while ago and has sent nothing
   // Closing an idle keep-alive connection costs little: its client sends the next request on another one.
   kIdleReusable,
-  kSlowRequest,  // has taken long over a request that is still incomplete
-  kNew,          // connected recently and is about to send a request
-  kRequestArriving,
+  kSlowRequest,      // has sent part of a request, which is still incomplete after a long time
+  kNew,              // connected recently and is about to send a request
+  kRequestArriving,  // part of a request has arrived recently
 };
 
 // Returns nothing if the connection must not be closed.
--- a/src/http/framing.cpp
+++ b/src/http/framing.cpp
@@ -9,7 +9,8 @@
 
 namespace {
 
-bool MayBegin(boost::beast::string_view bytes, boost::beast::string_view method) {
+// Whether `bytes` start with `method`, or are too few to tell and agree with its start.
+bool IsCompatiblePrefix(boost::beast::string_view bytes, boost::beast::string_view method) {
   const auto size = std::min(bytes.size(), method.size());
   return bytes.substr(0, size) == method.substr(0, size);
 }
@@ -17,8 +18,8 @@
 }  // namespace
 
 HeadStatus InspectHead(boost::beast::string_view bytes, std::size_t& scanned) {
-  if (!MayBegin(bytes, "GET ") && !MayBegin(bytes, "POST ")) return HeadStatus::kInvalid;
-  // Each line end is checked together with the byte after it, so the last byte waits for the next call.
+  if (!IsCompatiblePrefix(bytes, "GET ") && !IsCompatiblePrefix(bytes, "POST ")) return HeadStatus::kInvalid;
+  // Each byte is checked together with the one after it, so the last byte is left for the next call.
   for (; scanned + 1 < bytes.size(); ++scanned) {
     const char c = bytes[scanned];
     const char next = bytes[scanned + 1];
@@ -51,12 +52,12 @@
 }
 
 void RemoveHopByHop(beast_http::fields& fields) {
-  std::vector<std::string> named;
+  std::vector<std::string> connection_options;
   const auto range = fields.equal_range(beast_http::field::connection);
   for (auto it = range.first; it != range.second; ++it) {
-    for (const auto& token : beast_http::token_list(it->value())) named.emplace_back(token);
+    for (const auto& token : beast_http::token_list(it->value())) connection_options.emplace_back(token);
   }
-  for (const auto& name : named) fields.erase(name);
+  for (const auto& name : connection_options) fields.erase(name);
   for (const auto field :
        {beast_http::field::connection, beast_http::field::keep_alive, beast_http::field::proxy_connection,
         beast_http::field::te, beast_http::field::trailer, beast_http::field::transfer_encoding,
--- a/src/http/framing.h
+++ b/src/http/framing.h
@@ -1,7 +1,7 @@
-// Checks of message framing. Both ends of a message must be unambiguous: bytes that one parser takes for a
-// body may be a request to the next one (request smuggling, RFC 9112 section 11.2). These pure functions run
-// before and after Beast's parser, which is more lenient, and remove header fields that a proxy must not
-// forward.
+// Checks of message framing. The start and the end of a message must be unambiguous: bytes that one parser
+// reads as a body may be a request to the next one (request smuggling, RFC 9112 section 11.2). These pure
+// functions run before and after Beast's parser, which is more lenient, and remove header fields that a proxy
+// must not forward.
 #pragma once
 
 #include <boost/beast/core/string.hpp>
--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -16,15 +16,16 @@
 using boost::beast::string_view;
 using std::chrono::milliseconds;
 
-// The client's timeout started when it sent the request, which is at least this long before it was read here.
+// Minimum time between the moment when the client sent the request, which is when its timeout started, and
+// the moment when the request was read here.
 constexpr runtime::Duration kClientLatency = milliseconds(2);
 constexpr std::size_t kMaxIdSize = 128;
 // A timeout of more than this many deadlines of the request's class is invalid.
 constexpr int kMaxDeadlines = 2;
 
 // Response to a request that does not follow the protocol. Its connection is closed as well.
-HttpResponse InvalidRequestResponse(const std::string& why) {
-  auto response = PlainResponse(beast_http::status::bad_request, why);
+HttpResponse InvalidRequestResponse(const std::string& reason) {
+  auto response = PlainResponse(beast_http::status::bad_request, reason);
   response.keep_alive(false);
   return response;
 }
@@ -44,9 +45,9 @@
 
 // Whether the method agrees with the effect of the class. A request that contradicts its class might be
 // retried although the class forbids it.
-bool MethodFitsEffect(const HttpRequest& request, bool body, balancer::Effect effect) {
+bool MethodFitsEffect(const HttpRequest& request, bool has_body, balancer::Effect effect) {
   if (effect == balancer::Effect::kSafe) {
-    return request.method() == beast_http::verb::get && !body;
+    return request.method() == beast_http::verb::get && !has_body;
   }
   const auto key = SingleValue(request, "Idempotency-Key");
   const bool has_key = key && IsValidId(*key);
@@ -156,8 +157,8 @@
   accepted.key = std::move(attributes.id);  // upstreams could not tell two requests with the same id apart
   accepted.message = std::make_shared<const HttpMessage>(std::move(request), std::move(streamed_body));
   accepted.on_final = [reply](dispatch::FinalAnswer final) {
-    StreamedBody answer = TakeStreamedBody(final);
-    reply(ToResponse(final), std::move(answer));
+    StreamedBody body = TakeStreamedBody(final);
+    reply(ToResponse(final), std::move(body));
   };
   const auto id = dispatcher_.Submit(std::move(accepted));
   if (!id) {
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -1,7 +1,7 @@
 // Translates between HTTP messages and the dispatcher. Reads a request's class, idempotency key, tenant and
 // deadline from its head, and turns each final answer into an HTTP response.
 //
-// Owned by the sidecar, on the thread of its event loop. A request that does not follow the protocol is
+// Owned by the sidecar, used on the thread of its event loop. A request that does not follow the protocol is
 // answered with 400 and never reaches the dispatcher.
 #pragma once
 
@@ -41,8 +41,8 @@
     balancer::ClassId request_class{};
     std::optional<balancer::TenantId> tenant;
     std::string id;
-    runtime::Duration timeout{};  // remaining time until the client's deadline
-    std::optional<runtime::Duration> work;
+    runtime::Duration timeout{};            // remaining time until the client's deadline
+    std::optional<runtime::Duration> work;  // from the header X-Cost
     bool client_retry = false;
   };
   struct InvalidRequest {
--- a/src/http/incremental_body.h
+++ b/src/http/incremental_body.h
@@ -1,7 +1,7 @@
-// A Beast Body type whose parser hands out the body in bounded chunks, so that a parser never holds more than
-// one chunk.
+// A Body type for Beast's parsers. The parser delivers the body in chunks of bounded size and never holds
+// more than one chunk.
 //
-// The owner of the parser takes `bytes` out of the parser's message, clears it, and continues parsing.
+// The owner of the parser reads BodyChunk::bytes from the parser's message, clears it, and continues parsing.
 #pragma once
 
 #include <algorithm>
@@ -19,7 +19,7 @@
 
 namespace mothrack::http {
 
-// Body bytes that were parsed and not yet taken.
+// Body bytes that were parsed and that the owner has not read yet.
 struct BodyChunk {
   std::string bytes;
   std::size_t capacity = 0;  // bytes at which the parser stops with http::error::need_buffer
--- a/src/http/lingering_close.cpp
+++ b/src/http/lingering_close.cpp
@@ -16,7 +16,7 @@
 }  // namespace
 
 void LingeringClose::Begin() {
-  dropped_bytes_ = 0;
+  discarded_bytes_ = 0;
   ShutdownSend();
 }
 
@@ -25,11 +25,11 @@
   socket_.shutdown(boost::asio::ip::tcp::socket::shutdown_send, ignored);
 }
 
-void LingeringClose::DropUnread() {
+void LingeringClose::DiscardUnread() {
   std::array<char, kReadSize> bytes;
   error_code error;
-  while (!error && dropped_bytes_ <= kMaxLingerBytes) {
-    dropped_bytes_ += runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
+  while (!error && discarded_bytes_ <= kMaxLingerBytes) {
+    discarded_bytes_ += runtime::ReadSome(socket_, boost::asio::buffer(bytes), error);
   }
 }
 
--- a/src/http/lingering_close.h
+++ b/src/http/lingering_close.h
@@ -2,7 +2,7 @@
 // what still arrives until the client closes. Closing a socket with unread bytes sends an RST, which may
 // destroy the end of the response (RFC 9112 section 9.6).
 //
-// Owned by a ClientConnection, on its thread. The connection limits how many bytes are discarded. Socket
+// Owned by a ClientConnection, used on its thread. The connection limits how many bytes are discarded. Socket
 // errors are ignored, because the socket is closed next.
 #pragma once
 
@@ -13,7 +13,7 @@
 
 // Bound on the bytes discarded after the last response. A client that keeps sending beyond it gets an RST,
 // because reading megabytes only to discard them would waste processor time. The same bound applies to bytes
-// that arrive behind a request that is being served.
+// that arrive after a request while it is being served.
 inline constexpr std::size_t kMaxLingerBytes = std::size_t{256} * 1024;
 
 class LingeringClose {
@@ -26,16 +26,16 @@
   void ShutdownSend();
 
   // Counts bytes that were read and belong to no request.
-  void CountDropped(std::size_t bytes) { dropped_bytes_ += bytes; }
-  std::size_t dropped_bytes() const { return dropped_bytes_; }
+  void CountDiscarded(std::size_t bytes) { discarded_bytes_ += bytes; }
+  std::size_t discarded_bytes() const { return discarded_bytes_; }
 
   // Reads and discards pending bytes, up to kMaxLingerBytes in total, since unread bytes would turn a close
   // into an RST.
-  void DropUnread();
+  void DiscardUnread();
 
  private:
   boost::asio::ip::tcp::socket& socket_;
-  std::size_t dropped_bytes_ = 0;  // behind the request of a flooding client, or since the last response
+  std::size_t discarded_bytes_ = 0;  // after the current request, or since the last response
 };
 
 }  // namespace mothrack::http
--- a/src/http/listener.cpp
+++ b/src/http/listener.cpp
@@ -20,24 +20,24 @@
 // If the deadlines are short, this many sweeps run within the shortest one, so that clients in the listen
 // backlog are found in time.
 constexpr int kSweepsInDeadline = 3;
-// While requests pass, the backlog is polled at this interval. One system call every 20 ms costs little
+// While requests are served, the backlog is polled at this interval. One system call every 20 ms costs little
 // compared with serving them.
 constexpr runtime::Duration kPollInterval = milliseconds(20);
 constexpr runtime::Duration kDrainSweepInterval = milliseconds(10);
-// How soon a disconnected client is detected when nothing is read from it. An attempt that starts 0.1 s after
-// the client has left counts as one too many.
+// Interval at which connections from which nothing is read are checked for a disconnect. No attempt may start
+// more than 0.1 s after the client has disconnected.
 constexpr runtime::Duration kDisconnectCheckInterval = milliseconds(25);
 // Clients keep opening connections for a moment after a planned stop began, so accepting continues this long.
 constexpr runtime::Duration kAcceptWhileDraining = milliseconds(800);
-// SIGKILL may follow SIGTERM after the longest deadline (counted as kMaxCountedDeadline at most) plus
+// SIGKILL may follow SIGTERM after the longest deadline, of which at most kMaxCountedDeadline counts, plus
 // kKillAfter.
 constexpr runtime::Duration kMaxCountedDeadline = seconds(3);
 constexpr runtime::Duration kKillAfter = milliseconds(700);
-// Safety margin: the stop is complete this long before SIGKILL.
+// The stop must be complete this long before SIGKILL.
 constexpr runtime::Duration kKillMargin = milliseconds(50);
 
-// How long a planned stop may take.
-runtime::Duration StopWithin(runtime::Duration longest_deadline) {
+// Returns how long a planned stop may take.
+runtime::Duration MaxDrainTime(runtime::Duration longest_deadline) {
   return std::min(longest_deadline, kMaxCountedDeadline) + kKillAfter - kKillMargin;
 }
 
@@ -50,8 +50,8 @@
       budget_(budget),
       handler_(std::move(handler)),
       acceptor_(io, options, "http", *this, log),
-      sweep_every_(std::clamp(deadlines.shortest / kSweepsInDeadline, kPollInterval, kSweepInterval)),
-      stop_within_(StopWithin(deadlines.longest)),
+      sweep_interval_(std::clamp(deadlines.shortest / kSweepsInDeadline, kPollInterval, kSweepInterval)),
+      max_drain_time_(MaxDrainTime(deadlines.longest)),
       sweep_timer_(
           io, [this] { return SweepInterval(); }, [this] { return OnSweep(); }) {
   sweep_timer_.Restart();
@@ -106,8 +106,8 @@
 }
 
 void Listener::Drain(std::function<void()> done) {
-  if (drained_) return;
-  drained_ = std::move(done);
+  if (on_drained_) return;
+  on_drained_ = std::move(done);
   drain_started_ = runtime::Now();
   has_successor_ = acceptor_.paused();
   if (has_successor_) acceptor_.Release();
@@ -129,18 +129,18 @@
 // ---- Sweeps ----
 
 runtime::Duration Listener::SweepInterval() const {
-  runtime::Duration interval = sweep_every_;
+  runtime::Duration interval = sweep_interval_;
   if (has_unread_connections_) interval = std::min(interval, kDisconnectCheckInterval);
   if (quiescing()) interval = std::min(interval, kDrainSweepInterval);
   return interval;
 }
 
 bool Listener::OnSweep() {
-  if (ended_) return false;
+  if (drain_complete_) return false;
   Sweep();
-  if (!drained_ || acceptor_.is_open() || !connections_.empty()) return true;
-  ended_ = true;  // a sweep that was due when another one was requested runs as well
-  drained_();
+  if (!on_drained_ || acceptor_.is_open() || !connections_.empty()) return true;
+  drain_complete_ = true;  // checked above: a sweep that was already due may run after this one
+  on_drained_();
   return false;
 }
 
@@ -149,17 +149,17 @@
   PollAcceptor(now);
   const auto connections = connections_.Snapshot();
   has_unread_connections_ = false;
-  const runtime::Duration draining_for = drained_ ? now - drain_started_ : runtime::Duration::zero();
+  const runtime::Duration draining_for = on_drained_ ? now - drain_started_ : runtime::Duration::zero();
   for (const auto& connection : connections) SweepConnection(*connection, now, draining_for);
   StopAccepting(draining_for);
 }
 
 void Listener::SweepConnection(ClientConnection& connection, runtime::TimePoint now,
                                runtime::Duration draining_for) {
-  if (draining_for >= stop_within_ && connection.AwaitsClose()) return connection.CloseNow();
+  if (draining_for >= max_drain_time_ && connection.AwaitsClose()) return connection.CloseNow();
   // Near the end of the stop there is no time left to wait for a request on a new connection.
-  const bool spares_new = draining_for < stop_within_ - kLingerTimeout;
-  const bool closes = quiescing() && connection.Idle() && !(spares_new && connection.IsNew(now));
+  const bool keeps_new = draining_for < max_drain_time_ - kLingerTimeout;
+  const bool closes = quiescing() && connection.Idle() && !(keeps_new && connection.IsNew(now));
   if (closes && !connection.HasUnreadBytes()) connection.HalfClose();
   connection.CloseIfOverdue(now);
   if (!connection.ReadsNothing()) return;
@@ -171,7 +171,7 @@
 }
 
 void Listener::StopAccepting(runtime::Duration draining_for) {
-  if (draining_for <= std::min(kAcceptWhileDraining, stop_within_ - kLingerTimeout)) return;
+  if (draining_for <= std::min(kAcceptWhileDraining, max_drain_time_ - kLingerTimeout)) return;
   if (!acceptor_.is_open() || acceptor_.Close()) return;
   // If there is no capacity for the clients in the backlog, accepting continues until the existing
   // connections have had their time.
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,8 +1,8 @@
 // The listening socket for the application's clients. Accepts connections, closes overdue ones in periodic
 // sweeps, evicts one when descriptors run out, and closes all of them gradually during a planned stop.
 //
-// Owned by HttpFrontend, on the thread of its event loop. Holds as many connections as the client side of
-// Descriptors allows; ClientConnection bounds what each may hold. An error on one connection closes that
+// Owned by HttpFrontend, used on the thread of its event loop. Holds as many connections as the client side
+// of Descriptors allows; ClientConnection bounds what each may hold. An error on one connection closes that
 // connection. The constructor throws boost::system::system_error if it cannot listen.
 #pragma once
 
@@ -56,11 +56,11 @@
   // closed, and the others are closed after their response. The socket keeps listening so that `/up` can be
   // requested, and requests that still arrive are served.
   void Quiesce(bool on);
-  bool quiescing() const { return quiescing_ || drained_; }
+  bool quiescing() const { return quiescing_ || on_drained_; }
   // How often clients waited in the listen backlog without a notification to the event loop.
   std::uint64_t missed_wakeups() const { return acceptor_.missed_wakeups(); }
-  // Starts a planned stop: serves requests that still arrive for a while, unless a successor does so, closes
-  // each connection, then calls `done` once. Later calls have no effect.
+  // Starts a planned stop. Accepts clients for a while longer, unless a successor accepts them, and closes
+  // each connection after its last response. Then calls `done` once. Later calls have no effect.
   void Drain(std::function<void()> done);
 
  private:
@@ -76,8 +76,8 @@
   void OnAwaitingRequest(runtime::TimePoint now) override { PollAcceptor(now); }
   void CheckForDisconnects() override;
   bool ClosesAfterResponse() const override { return quiescing(); }
-  // `/up` reports whether the address accepts clients. With a successor it does, even while this process
-  // drains.
+  // `/up` reports whether the address accepts clients. If there is a successor, it does even while this
+  // process drains.
   bool ReportsDraining() const override { return quiescing() && !has_successor_; }
   RequestObserver HandleRequest(HttpRequest&& request, StreamedBody streamed_body,
                                 ReplyCallback reply) override;
@@ -98,14 +98,14 @@
   const RequestHandler handler_;
   runtime::ConnectionSet<ClientConnection> connections_;
   runtime::Acceptor acceptor_;
-  const runtime::Duration sweep_every_;
-  const runtime::Duration stop_within_;  // duration of a planned stop
-  runtime::TimePoint last_poll_;         // of the listen backlog
+  const runtime::Duration sweep_interval_;
+  const runtime::Duration max_drain_time_;  // maximum duration of a planned stop
+  runtime::TimePoint last_poll_;            // when the listen backlog was last polled
   runtime::SweepTimer sweep_timer_;
-  std::function<void()> drained_;  // set while draining
+  std::function<void()> on_drained_;  // called when the planned stop is complete; set once it has started
   bool quiescing_ = false;
-  bool has_unread_connections_ = false;  // a connection is being served while nothing is read from it
-  bool ended_ = false;                   // draining is complete and the owner was notified
+  bool has_unread_connections_ = false;  // there is a connection from which nothing is read
+  bool drain_complete_ = false;          // the planned stop is complete, and on_drained_ was called
   bool has_successor_ = false;           // draining while a successor accepts clients at the same address
   runtime::TimePoint drain_started_;
 };
--- a/src/http/load_report.cpp
+++ b/src/http/load_report.cpp
@@ -10,7 +10,7 @@
 using balancer::LoadReport;
 using boost::beast::string_view;
 
-// Upper bound of a plausible load value, in any unit.
+// Maximum of a plausible load value, whatever its unit.
 constexpr double kMaxLoad = 1e6;
 
 std::optional<double> ParseLoad(string_view text) {
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -48,15 +48,15 @@
   StreamedBody streamed_body;
 };
 
-// Bodies up to this size are buffered whole. A buffered request can be retried from the start, and a
+// Bodies up to this size are buffered completely. A buffered request can be retried from the start, and a
 // truncated response is never forwarded. Longer bodies are streamed.
 inline constexpr std::size_t kBufferLimit = std::size_t{64} * 1024;
 // A response of unknown length may be streamed from this size on, because it may take long to grow further.
 inline constexpr std::size_t kMinStreamedSize = std::size_t{16} * 1024;
 // Longer bodies are rejected.
 inline constexpr std::uint64_t kMaxBodySize = std::uint64_t{64} * 1024 * 1024;
-// A streamed request body is kept for replay until it exceeds this size, so that it can be sent again if
-// nothing has run.
+// A streamed request body is retained until it exceeds this size, so that it can be sent again if no upstream
+// has processed the request.
 inline constexpr std::size_t kMaxReplaySize = std::size_t{512} * 1024;
 // Maximum size of a message head, including the empty line that ends it.
 inline constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
--- a/src/http/plain_response.h
+++ b/src/http/plain_response.h
@@ -7,7 +7,7 @@
 
 namespace mothrack::http {
 
-// HTTP/1.1, text/plain. `text` is one line without a line end.
+// Returns a response with HTTP/1.1 and text/plain. `text` is one line without a line end.
 inline HttpResponse PlainResponse(beast_http::status status, const std::string& text) {
   HttpResponse response(status, 11);
   response.set(beast_http::field::content_type, "text/plain");
--- a/src/http/request_handler.h
+++ b/src/http/request_handler.h
@@ -21,8 +21,8 @@
   std::function<void()> on_complete;
 };
 
-// Handles one request, whose body may still be arriving. The handler may move from `request`, which is a
-// reference because a move of a message costs about a hundred instructions.
+// Handles one request, whose body may still be arriving. The handler may move from `request`. It is a
+// reference, because moving a message costs about a hundred instructions.
 using RequestHandler =
     std::function<RequestObserver(HttpRequest&& request, StreamedBody streamed_body, ReplyCallback reply)>;
 
--- a/src/http/request_reader.h
+++ b/src/http/request_reader.h
@@ -1,9 +1,9 @@
 // Parses the successive requests of one client connection (RFC 9112). Does no I/O: the connection puts bytes
 // into buffer() and calls Advance() until it makes no more progress.
 //
-// Owned by a ClientConnection, on its thread. Holds at most kMaxReadAhead bytes ahead of the parser, a head
-// of kMaxHeaderSize, and a body chunk of the size set by set_chunk_capacity(). An invalid request is reported
-// as a Step with the response status; nothing throws.
+// Owned by a ClientConnection, used on its thread. Holds at most kMaxReadAhead bytes ahead of the parser, a
+// head of kMaxHeaderSize, and a body chunk of the size set by set_chunk_capacity(). An invalid request is
+// reported as a Step with the response status; nothing throws.
 #pragma once
 
 #include <boost/beast/core/flat_buffer.hpp>
@@ -26,7 +26,7 @@
   struct Step {
     enum class Result {
       kParsed,       // check complete(); if nothing was consumed, more bytes are needed
-      kBodyBlocked,  // like kParsed, but the body chunk is full and must be taken before the next step
+      kBodyBlocked,  // like kParsed, but the body chunk is full and must be emptied before the next step
       kInvalid,      // no further bytes can be parsed as a request
     };
     Result result = Result::kParsed;
@@ -47,7 +47,7 @@
   // Whether any byte of the current request has arrived.
   bool started() const { return started_; }
   void set_started() { started_ = true; }
-  // True once per request: after the step that completed its head.
+  // Returns true once per request: after the step that completed its head.
   bool TakeHeadCompleted();
   // Whether the current request has been parsed completely, including its body.
   bool complete() const { return parser_->is_done(); }
@@ -57,7 +57,7 @@
   std::optional<std::uint64_t> content_length() const;
   const beast_http::request_header<>& head() const { return parser_->get(); }
 
-  // Body bytes that were parsed and not taken yet.
+  // Body bytes that were parsed. The caller reads them and clears the string.
   std::string& chunk() { return parser_->get().body().bytes; }
   void set_chunk_capacity(std::size_t bytes) { parser_->get().body().capacity = bytes; }
 
@@ -75,7 +75,7 @@
   std::optional<beast_http::request_parser<IncrementalBody>> parser_;
   bool started_ = false;
   bool head_reported_ = false;
-  std::size_t head_scanned_ = 0;  // bytes already inspected of an incomplete head
+  std::size_t head_scanned_ = 0;  // number of bytes of an incomplete head that were already inspected
   std::uint64_t body_bytes_ = 0;
 };
 
--- a/src/http/request_writer.h
+++ b/src/http/request_writer.h
@@ -1,8 +1,8 @@
 // Writes one request to an upstream's socket. A complete request is written with one asynchronous write. A
 // body that is still arriving is streamed, framed by Content-Length or in chunks (RFC 9112 section 6).
 //
-// Owned by an UpstreamExchange, on its thread; used once. Holds the head and refers to the message's body
-// without copying it. The owner is notified once of an error.
+// Owned by an UpstreamExchange, used on its thread and only once. Holds the head and refers to the message's
+// body without copying it. The owner is notified once of an error.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -50,7 +50,7 @@
   // it has `timeout` from now on to answer.
   void Start(const HttpMessage& message, std::chrono::milliseconds timeout);
 
-  // A complete request is being written, and OnWriteEnded() has not been called yet.
+  // Whether a complete request is being written and OnWriteEnded() has not been called yet.
   bool pending() const { return pending_; }
   // Stops reading from the body's stream.
   void StopBody();
--- a/src/http/response_writer.cpp
+++ b/src/http/response_writer.cpp
@@ -54,12 +54,12 @@
 
 void ResponseWriter::Pump() {
   if (!socket_.is_open() || !body_writer_ || pumping_ || waiting_until_writable_) return;
-  const auto before = body_writer_->written();
+  const auto written_before = body_writer_->written();
   pumping_ = true;
   const auto progress = body_writer_->Write(socket_);
   pumping_ = false;
   if (!socket_.is_open()) return;
-  if (body_writer_->written() > before || progress == BodyWriter::Progress::kNoBytes) {
+  if (body_writer_->written() > written_before || progress == BodyWriter::Progress::kNoBytes) {
     owner_.OnWriteProgress();
   }
   switch (progress) {
--- a/src/http/response_writer.h
+++ b/src/http/response_writer.h
@@ -2,8 +2,8 @@
 // asynchronous write. A body that is still arriving is streamed, framed by Content-Length, in chunks, or by
 // the end of the connection (RFC 9112 section 6).
 //
-// Owned by a ClientConnection, on its thread; one response at a time. Holds one complete response, or only
-// the stream of a body that is still arriving, which has its own bound. The owner is notified once of an
+// Owned by a ClientConnection, used on its thread for one response at a time. Holds one complete response, or
+// only the stream of a body that is still arriving, which has its own bound. The owner is notified once of an
 // error.
 #pragma once
 
--- a/src/http/stall_timer.h
+++ b/src/http/stall_timer.h
@@ -1,4 +1,4 @@
-// Sums up how long something was stalled, over several pauses.
+// Measures the total time of several stalls.
 //
 // A plain value, not bound to a thread; the caller passes in the time.
 #pragma once
@@ -25,7 +25,7 @@
     total_ = runtime::Duration::zero();
     since_.reset();
   }
-  // The total of all pauses up to `now`, including the current one.
+  // Returns the total time of all stalls up to `now`, including the current one.
   runtime::Duration Total(runtime::TimePoint now) const {
     return total_ + (since_ ? now - *since_ : runtime::Duration::zero());
   }
--- a/src/http/transport.cpp
+++ b/src/http/transport.cpp
@@ -25,18 +25,18 @@
       pools_(io, limits.idle_close, descriptors, counters_) {}
 
 HttpTransport::~HttpTransport() {
-  for (const auto& [id, exchange] : exchanges_) exchange->Close();
+  for (const auto& [id, exchange] : open_exchanges_) exchange->Close();
 }
 
 void HttpTransport::Apply(const std::string& uid, const dispatch::Location& location) {
   // Requests that were submitted before the drain was reported must not reach the upstream either, so those
   // that wait for a connection are ended.
-  if (const auto retired = pools_.Apply(uid, location)) EndUnsent(retired);
+  if (const auto retired_pool = pools_.Apply(uid, location)) EndUnsent(retired_pool);
 }
 
 void HttpTransport::EndUnsent(const std::shared_ptr<UpstreamPool>& pool) {
   std::vector<std::shared_ptr<UpstreamExchange>> unsent;
-  for (const auto& [id, exchange] : exchanges_) {
+  for (const auto& [id, exchange] : open_exchanges_) {
     if (exchange->unsent() && exchange->pool() == pool) unsent.push_back(exchange);
   }
   for (const auto& exchange : unsent) exchange->End(UpstreamExchange::Cause::kNotSent);
@@ -56,7 +56,7 @@
   const auto exchange = std::make_shared<UpstreamExchange>(
       owner, budget_, std::move(connection),
       UpstreamExchange::Request{id, std::move(http_message), connect_timeout_, timeout}, std::move(hooks));
-  exchanges_.emplace(id, exchange);
+  open_exchanges_.emplace(id, exchange);
   exchange->Start();
 }
 
@@ -76,15 +76,15 @@
 }
 
 void HttpTransport::Cancel(dispatch::ExchangeId id) {
-  const auto it = exchanges_.find(id);
-  if (it == exchanges_.end()) return;
+  const auto it = open_exchanges_.find(id);
+  if (it == open_exchanges_.end()) return;
   const auto exchange = it->second;
   exchange->End(UpstreamExchange::Cause::kCancelled);
 }
 
 void HttpTransport::Abandon(dispatch::ExchangeId id) {
-  const auto it = exchanges_.find(id);
-  if (it == exchanges_.end()) return;
+  const auto it = open_exchanges_.find(id);
+  if (it == open_exchanges_.end()) return;
   const auto exchange = it->second;
   exchange->Abandon();
 }
--- a/src/http/transport.h
+++ b/src/http/transport.h
@@ -1,8 +1,8 @@
 // The upstream side of HTTP/1.1: carries the dispatcher's attempts and probes and reports the result of each.
 //
-// Owned by the sidecar, on the thread of its event loop. Holds as many connections as the upstream side of
-// Descriptors allows. A connection error becomes the Outcome of its exchange (see UpstreamExchange); nothing
-// throws.
+// Owned by the sidecar, used on the thread of its event loop. Holds as many connections as the upstream side
+// of Descriptors allows. A connection error becomes the Outcome of its exchange (see UpstreamExchange);
+// nothing throws.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -23,7 +23,7 @@
 
 class HttpTransport : public dispatch::Transport, private UpstreamExchange::Owner {
  public:
-  // `load_by_probe`: probes request the upstream's load, not only a sign of life.
+  // `load_by_probe`: probes request a load report, not only an answer that shows that the upstream is alive.
   HttpTransport(boost::asio::io_context& io, const balancer::Limits& limits, bool load_by_probe,
                 runtime::Descriptors& descriptors, runtime::ByteBudget& budget);
   // Closes all connections. Callbacks of open exchanges are not called.
@@ -31,7 +31,8 @@
   HttpTransport(const HttpTransport&) = delete;
   HttpTransport& operator=(const HttpTransport&) = delete;
 
-  // Also closes the idle connections of an upstream that drains, is gone, has moved or has restarted.
+  // Stores the upstream's address and state. Closes the idle connections of an upstream that drains, is gone,
+  // has moved or has restarted, and ends the requests to it that are not sent yet.
   void Apply(const std::string& uid, const dispatch::Location& location) override;
   // `message` must be an HttpMessage. It is sent with X-Timeout-Ms set to the remaining timeout.
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
@@ -50,7 +51,7 @@
 
  private:
   // UpstreamExchange::Owner
-  void Remove(dispatch::ExchangeId id) override { exchanges_.erase(id); }
+  void Remove(dispatch::ExchangeId id) override { open_exchanges_.erase(id); }
   void Release(const std::shared_ptr<UpstreamConnection>& connection) override { pools_.Release(connection); }
 
   // Ends the exchanges to this pool's upstream that have not begun to write.
@@ -61,7 +62,7 @@
   runtime::ByteBudget& budget_;
   TransportCounters counters_;
   ConnectionPools pools_;
-  std::map<dispatch::ExchangeId, std::shared_ptr<UpstreamExchange>> exchanges_;  // the open ones
+  std::map<dispatch::ExchangeId, std::shared_ptr<UpstreamExchange>> open_exchanges_;
 };
 
 }  // namespace mothrack::http
--- a/src/http/upstream_connection.h
+++ b/src/http/upstream_connection.h
@@ -1,8 +1,8 @@
 // One connection to an upstream, and the pool that holds it while it is idle.
 //
 // A connection is owned by its pool while idle and by an UpstreamExchange while in use. It runs on the thread
-// of the event loop. While idle it is only watched: any event, a close or unexpected bytes, closes it. So
-// each exchange starts with empty read and parse buffers.
+// of the event loop. While it is idle, any event (a close or unexpected bytes) closes it. So each exchange
+// starts with empty read and parse buffers.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -26,9 +26,9 @@
 
 // Counters since the start of the process.
 struct TransportCounters {
-  // Connections. `failed` counts those for which connect() did not succeed.
+  // Numbers of connections. `failed` counts those for which connect() did not succeed.
   std::uint64_t opened = 0, failed = 0, closed = 0, evicted = 0;
-  std::uint64_t probes = 0;
+  std::uint64_t probes = 0;  // probes that were requested
 };
 
 // The idle connections to one upstream. An upstream that moved or restarted gets a new pool. The old pool,
@@ -54,7 +54,7 @@
   // Closes the socket. Pending handlers have no effect any more.
   void Close();
 
-  // Marks the start of an exchange.
+  // Marks the start of an exchange. Events are handled by the exchange from now on.
   void BeginUse() { ++use_; }
   // The exchange has ended: discards its buffered bytes. Any event from now on closes the connection.
   void BeginIdle();
@@ -79,6 +79,7 @@
   boost::asio::steady_timer& timer() { return timer_; }
 
  private:
+  // Closes the connection at the next event, unless an exchange begins before.
   void Watch();
 
   TransportCounters& counters_;
@@ -89,7 +90,8 @@
   boost::asio::steady_timer timer_;
   bool connected_ = false;
   bool closed_ = false;
-  std::uint64_t use_ = 0;  // number of exchanges: a watch set before the latest one is void
+  // The number of exchanges so far. A wait of Watch() that began before the latest one has no effect.
+  std::uint64_t use_ = 0;
   runtime::TimePoint idle_since_;
 };
 
--- a/src/http/upstream_exchange.cpp
+++ b/src/http/upstream_exchange.cpp
@@ -20,12 +20,13 @@
 
 // Maximum number of interim (1xx) responses before the final one. A well-behaved upstream does not send more.
 constexpr int kMaxInterimResponses = 8;
-// An upstream that does not read a streamed request body, or pauses in a streamed response, for this long has
-// failed.
+// An upstream has failed if it does not read a streamed request body, or pauses in a streamed response, for
+// this long.
 constexpr runtime::Duration kWriteIdleTimeout = seconds(5);
 constexpr runtime::Duration kResponseIdleTimeout = seconds(15);
-// A response of unknown length is buffered like one of known length, but once it is no longer small only for
-// this long: the part of a long response that has arrived must not be withheld from its client for 2 s.
+// A response of unknown length is buffered like one of known length. Once it is no longer small, it is
+// buffered only for this long: the part of a long response that has arrived must not be withheld from its
+// client for 2 s.
 constexpr runtime::Duration kBufferingTimeout = seconds(1);
 
 // Whether the head determines where the response ends. A response may end with its connection (RFC 9112
@@ -63,7 +64,8 @@
 Outcome OutcomeOf(const beast_http::response_header<>& header) {
   const unsigned status = header.result_int();
   if (status == 200) return Outcome::kServed;
-  // Only this header proves that nothing has run. A bare 503 may be sent after the work was done.
+  // Only this header proves that the upstream has not processed the request. A 503 without it may be sent
+  // after the work was done.
   if ((status == 503 || status == 504) && header["X-Not-Processed"] == "1") return Outcome::kFull;
   return Outcome::kError;
 }
@@ -97,15 +99,15 @@
       timer_(connection_->timer()) {}
 
 void UpstreamExchange::Start() {
-  sent_at_ = runtime::Now();
-  deadline_ = sent_at_ + request_.timeout;
+  started_at_ = runtime::Now();
+  deadline_ = started_at_ + request_.timeout;
   // The timeout of a request whose body is still arriving counts from its last byte.
   const StreamedBody& streamed_body = request_.message->streamed_body;
-  arriving_ = streamed_body && streamed_body.stream->state() == runtime::Stream::State::kArriving;
+  request_arriving_ = streamed_body && streamed_body.stream->state() == runtime::Stream::State::kArriving;
   connection_->BeginUse();
   if (connection_->connected()) return BeginWriting();
   phase_ = Phase::kConnecting;
-  ArmTimer(std::min(deadline_, sent_at_ + request_.connect_timeout));
+  ArmTimer(std::min(deadline_, started_at_ + request_.connect_timeout));
   connection_->Connect([self = shared_from_this()](error_code error) { self->OnConnected(error); });
 }
 
@@ -119,20 +121,21 @@
 
 void UpstreamExchange::BeginWriting() {
   phase_ = Phase::kWriting;
-  if (arriving_) {
+  if (request_arriving_) {
     DisarmTimer();
   } else {
     ArmTimer(deadline_);
   }
   ReadHeader();
   // Send the upstream the time that remains after connecting.
-  const runtime::Duration left = arriving_ ? request_.timeout : runtime::Duration(deadline_ - runtime::Now());
+  const runtime::Duration left =
+      request_arriving_ ? request_.timeout : runtime::Duration(deadline_ - runtime::Now());
   writer_->Start(*request_.message, std::chrono::duration_cast<milliseconds>(left));
 }
 
 void UpstreamExchange::OnWriteEnded(bool written, error_code error) {
   if (written) SetWritten();
-  if (pending_end_) return FinishWithout(*pending_end_);
+  if (pending_end_) return FinishWithoutResponse(*pending_end_);
   if (connection_->closed()) return;
   if (error) return End(Cause::kBroken);
   phase_ = Phase::kAwaitingResponse;
@@ -140,18 +143,18 @@
 
 // The time that the client needs to send its body does not count against the upstream.
 void UpstreamExchange::OnBodyAwaited() {
-  if (arriving_) DisarmTimer();
+  if (request_arriving_) DisarmTimer();
 }
 
 void UpstreamExchange::OnSocketFull() {
-  if (arriving_) ArmTimer(runtime::Now() + kWriteIdleTimeout);
+  if (request_arriving_) ArmTimer(runtime::Now() + kWriteIdleTimeout);
 }
 
 void UpstreamExchange::OnBodyWritten() {
   phase_ = Phase::kAwaitingResponse;
-  if (std::exchange(arriving_, false)) {
-    sent_at_ = runtime::Now();
-    deadline_ = sent_at_ + request_.timeout;
+  if (std::exchange(request_arriving_, false)) {
+    started_at_ = runtime::Now();
+    deadline_ = started_at_ + request_.timeout;
     ArmTimer(deadline_);
   }
   SetWritten();
@@ -181,8 +184,8 @@
   if (error) return End(Cause::kBroken);
   const unsigned status = parser_->get().result_int();
   if (status / 100 == 1) {
-    const bool switches = status == static_cast<unsigned>(beast_http::status::switching_protocols);
-    if (switches || ++interim_responses_ > kMaxInterimResponses) return End(Cause::kBroken);
+    const bool switches_protocol = status == static_cast<unsigned>(beast_http::status::switching_protocols);
+    if (switches_protocol || ++interim_responses_ > kMaxInterimResponses) return End(Cause::kBroken);
     return ReadHeader();
   }
   // A 200 before the whole request was written is invalid too.
@@ -240,15 +243,15 @@
   ReadSomeBody();
 }
 
-void UpstreamExchange::ContinueBuffering(bool beyond_bound) {
+void UpstreamExchange::ContinueBuffering(bool beyond_limit) {
   const std::size_t size = parser_->get().body().bytes.size();
   const bool long_enough = size >= kMinStreamedSize && runtime::Now() >= *buffering_until_;
-  if (beyond_bound || long_enough) return StartStreaming();
+  if (beyond_limit || long_enough) return StartStreaming();
   ReadSomeBody();
 }
 
-// A response that is large by now is streamed. A small one may still end before the deadline: complete, or
-// broken and retried.
+// A response that is large by now is streamed. A small one is buffered further: it may be complete before the
+// deadline, or it may break off, and then the request can be retried.
 void UpstreamExchange::OnBufferingTimeout() {
   if (parser_->get().body().bytes.size() >= kMinStreamedSize) return StartStreaming();
   ArmTimer(deadline_);
@@ -278,17 +281,17 @@
 // ---- Ending ----
 
 void UpstreamExchange::FinishWithResponse() {
-  const bool whole = parser_->is_done();
+  const bool complete = parser_->is_done();
   const bool keep_alive = parser_->get().keep_alive() && !parser_->need_eof();
   auto message = parser_->release();
   HttpResponse response;
   response.base() = std::move(message.base());
   response.body() = std::move(message.body().bytes);
-  dispatch::ExchangeResult result{OutcomeOf(response), runtime::Now() - sent_at_,
+  dispatch::ExchangeResult result{OutcomeOf(response), runtime::Now() - started_at_,
                                   ParseLoadReport(response["X-Server-Load"]), nullptr};
   // If the response came before the request was fully written, the connection is in the middle of a message
   // and cannot be reused.
-  const bool reusable = keep_alive && whole && written_ && connection_->buffer().size() == 0;
+  const bool reusable = keep_alive && complete && written_ && connection_->buffer().size() == 0;
   if (result.outcome == Outcome::kServed && !streaming_) {
     result.reply = std::make_unique<HttpReply>(std::move(response));
   }
@@ -315,7 +318,7 @@
   const auto self = shared_from_this();
   const auto on_end = MarkEnded();
   ReleaseConnection();
-  on_end({Outcome::kNotSent, connection_->idle_since() - sent_at_, {}, nullptr});
+  on_end({Outcome::kNotSent, connection_->idle_since() - started_at_, {}, nullptr});
 }
 
 void UpstreamExchange::End(Cause cause) {
@@ -326,16 +329,16 @@
     pending_end_ = cause;
     return;
   }
-  FinishWithout(cause);
+  FinishWithoutResponse(cause);
 }
 
-void UpstreamExchange::FinishWithout(Cause cause) {
+void UpstreamExchange::FinishWithoutResponse(Cause cause) {
   ReleaseRequestBody();
   const auto stream = std::exchange(response_stream_, nullptr);
   const Outcome outcome = OutcomeOf(cause, written_);
   const auto self = shared_from_this();
   const auto on_end = MarkEnded();
-  on_end({outcome, runtime::Now() - sent_at_, {}, nullptr});
+  on_end({outcome, runtime::Now() - started_at_, {}, nullptr});
   if (stream) stream->End(runtime::Stream::State::kTruncated);
 }
 
--- a/src/http/upstream_exchange.h
+++ b/src/http/upstream_exchange.h
@@ -4,9 +4,9 @@
 // event loop. It ends exactly once: ExchangeHooks::on_end is called once, unless the transport is destroyed
 // first.
 //
-// Bounds: one response head of kMaxHeaderSize; of the body, kBufferLimit or its stream's window; the timeouts
-// in the source file. Errors become an Outcome, which distinguishes requests that were certainly not written
-// from those that may have run.
+// An exchange holds at most one response head of kMaxHeaderSize, and of the body kBufferLimit or its stream's
+// window. Its phases are bounded by the request's timeouts and those in the source file. Errors become an
+// Outcome, which distinguishes requests that were certainly not written from those that may have run.
 #pragma once
 
 #include <boost/asio/steady_timer.hpp>
@@ -27,7 +27,7 @@
 
 class UpstreamExchange : public std::enable_shared_from_this<UpstreamExchange>, private RequestWriter::Owner {
  public:
-  // The transport.
+  // Implemented by the transport.
   class Owner {
    public:
     // The exchange has ended and can no longer be cancelled.
@@ -78,6 +78,7 @@
   std::shared_ptr<UpstreamPool> pool() const { return connection_->pool(); }
 
  private:
+  // An exchange is in kEnded before Start() and after its end.
   enum class Phase { kEnded, kConnecting, kWriting, kAwaitingResponse };
 
   // Connecting and writing
@@ -98,14 +99,14 @@
   void OnWholeBody(boost::system::error_code error);
   void ReadSomeBody();
   void OnSomeBody(boost::system::error_code error);
-  void ContinueBuffering(bool beyond_bound);
+  void ContinueBuffering(bool beyond_limit);
   void OnBufferingTimeout();
   void StartStreaming();
 
   // Ending
   void FinishWithResponse();
   void FinishUnused();
-  void FinishWithout(Cause cause);
+  void FinishWithoutResponse(Cause cause);
   // Marks the exchange as ended; no hook is called after this. Returns on_end, which the caller still has to
   // call.
   dispatch::Transport::OnEnd MarkEnded();
@@ -124,20 +125,20 @@
   // Never null. A separate object, so that both fit the size classes that the allocator caches (1,032 bytes
   // in glibc).
   const std::unique_ptr<RequestWriter> writer_;
-  boost::asio::steady_timer& timer_;  // of the connection
+  boost::asio::steady_timer& timer_;  // belongs to the connection
   std::optional<beast_http::response_parser<IncrementalBody>> parser_;
-  std::shared_ptr<runtime::Stream> response_stream_;  // of a response that is being streamed
+  std::shared_ptr<runtime::Stream> response_stream_;  // the body of a response that is being streamed
   Phase phase_ = Phase::kEnded;
   std::optional<Cause> pending_end_;  // cause of an end that waits for the pending write
   int interim_responses_ = 0;
-  bool arriving_ = false;      // the request body was still arriving at Start() and is not fully written
-  bool written_ = false;       // the last byte of the request was written
-  bool abandoned_ = false;     // the request has its final answer and must not be written any more
-  bool streaming_ = false;     // the response is, or was, streamed
-  bool reading_body_ = false;  // a read of ReadSomeBody() is pending
+  bool request_arriving_ = false;  // the request body was still arriving at Start() and is not fully written
+  bool written_ = false;           // the last byte of the request was written
+  bool abandoned_ = false;         // the request has its final answer and must not be written any more
+  bool streaming_ = false;         // the response is, or was, streamed
+  bool reading_body_ = false;      // a read of ReadSomeBody() is pending
   // Until when a response of unknown length is buffered before it is streamed.
   std::optional<runtime::TimePoint> buffering_until_;
-  runtime::TimePoint sent_at_;  // start of the exchange's time, see Request::timeout
+  runtime::TimePoint started_at_;  // when the request's timeout began to run, see Request::timeout
   runtime::TimePoint deadline_;
 };
 
