--- a/tests/http/bulk_test.cpp
+++ b/tests/http/bulk_test.cpp
@@ -1,4 +1,5 @@
-// Tests bodies longer than the buffer limit in both directions: split at any point, slow, and truncated.
+// Tests bodies that are longer than the buffer limit, in requests and responses: sent in pieces, slowly, and
+// truncated.
 
 #include <unistd.h>
 
@@ -23,13 +24,14 @@
 
 constexpr std::size_t kMegabyte = 1024 * 1024;
 
-// AddressSanitizer keeps freed memory for a while, which is not the program's own use.
+// AddressSanitizer delays the reuse of freed memory, so the resident memory grows further with it.
 #ifdef __SANITIZE_ADDRESS__
 constexpr std::size_t kMaxMemoryGrowth = 300 * kMegabyte;
 #else
 constexpr std::size_t kMaxMemoryGrowth = 30 * kMegabyte;
 #endif
 
+// Returns a body of pseudo-random bytes, the same for each call.
 std::string Pattern(std::size_t size) {
   std::string text(size, '\0');
   std::uint32_t state = 12345;
@@ -52,13 +54,15 @@
   return answer ? answer->body["transactions"]["page"] : json();
 }
 
-std::size_t Resident(const Node& node) {
+// Returns the resident memory of the node's process in bytes.
+std::size_t ResidentBytes(const Node& node) {
   std::size_t pages = 0;
   std::size_t resident = 0;
   std::ifstream("/proc/" + std::to_string(node.pid()) + "/statm") >> pages >> resident;
   return resident * static_cast<std::size_t>(::sysconf(_SC_PAGESIZE));
 }
 
+// Returns the body in chunked coding, with chunk extensions and a trailer.
 std::string Chunked(const std::string& body, std::size_t chunk) {
   std::string text;
   char head[32];
@@ -71,7 +75,7 @@
 }
 
 // Sends the text in pieces of irregular sizes.
-void SendCut(Wire& wire, const std::string& text) {
+void SendInPieces(Wire& wire, const std::string& text) {
   for (std::size_t at = 0, size = 1; at < text.size(); at += size) {
     size = 1 + (at * 7919) % 65000;
     if (!wire.Write(text.substr(at, size))) return;
@@ -80,17 +84,17 @@
 
 // ---- Responses ----
 
-TEST(BulkAnswer, OfEachFramingArrivesComplete) {
+TEST(BulkResponse, ABodyOfEachFramingArrivesComplete) {
   const std::string body = Pattern(3 * kMegabyte);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     const std::string head = "HTTP/1.1 200 OK\r\n";
     if (request.target() == "/page/length") {
-      return SendCut(wire, head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
+      return SendInPieces(wire, head + "Content-Length: " + std::to_string(body.size()) + "\r\n\r\n" + body);
     }
     if (request.target() == "/page/chunked") {
-      return SendCut(wire, head + "Transfer-Encoding: chunked\r\n\r\n" + Chunked(body, 70001));
+      return SendInPieces(wire, head + "Transfer-Encoding: chunked\r\n\r\n" + Chunked(body, 70001));
     }
-    SendCut(wire, head + "Connection: close\r\n\r\n" + body);
+    SendInPieces(wire, head + "Connection: close\r\n\r\n" + body);
     wire.socket.close();
   });
   Node node(NodeOptions(List({Target("u1", upstream.address())})));
@@ -108,7 +112,7 @@
   EXPECT_EQ(page["sends"], 3);
 }
 
-TEST(BulkAnswer, TruncatedIsForwardedAsTruncatedAndCountsAsFailed) {
+TEST(BulkResponse, ATruncatedOneIsForwardedAsTruncatedAndCountsAsFailed) {
   const std::string body = Pattern(300 * 1024);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     const bool chunked = request.target() == "/page/chunked";
@@ -128,7 +132,7 @@
   EXPECT_EQ(upstream.requests().size(), 2U);  // no retry: the client has part of the response
 }
 
-TEST(BulkAnswer, ThirtySlowReadersFitTheMemoryAndLeaveCapacityForPages) {
+TEST(BulkResponse, ThirtySlowReadersStayWithinTheMemoryLimitAndOthersAreServed) {
   const std::string body = Pattern(32 * kMegabyte);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() != "/page/big") return (void)wire.Answer(200, "small");
@@ -148,7 +152,7 @@
     const auto size = readers.back()->wire.socket.read_some(boost::asio::buffer(piece));
     ASSERT_EQ(std::string(piece.data(), std::min<std::size_t>(size, 12)), "HTTP/1.1 200");
   }
-  const auto before = Resident(node);
+  const auto resident_before = ResidentBytes(node);
   std::size_t max_resident = 0;
   Client pages(node.port());
   for (int i = 0; i < 40; ++i) {
@@ -156,10 +160,10 @@
     const auto response = pages.Get("/page/small", "s" + std::to_string(i));
     ASSERT_TRUE(response);
     EXPECT_EQ(response->result_int(), 200U);
-    max_resident = std::max(max_resident, Resident(node));
+    max_resident = std::max(max_resident, ResidentBytes(node));
   }
   // Thirty windows of 256 KiB, twice that while they are copied, and the read-ahead.
-  EXPECT_LT(max_resident, before + kMaxMemoryGrowth);
+  EXPECT_LT(max_resident, resident_before + kMaxMemoryGrowth);
   readers.clear();
   EXPECT_TRUE(Eventually([&] {
     const auto stats = AdminClient(node.ops()).Get("/ops/stats");
@@ -169,7 +173,7 @@
 
 // ---- Uploads ----
 
-TEST(BulkUpload, OfEachFramingArrivesCompleteAndOnce) {
+TEST(BulkUpload, ABodyOfEachFramingArrivesCompleteAndOnce) {
   const std::string body = Pattern(3 * kMegabyte);
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     wire.Answer(200, request.body() == body ? "same" : "other");
@@ -177,14 +181,14 @@
   Node node(NodeOptions(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
-  SendCut(client.wire, PostText("/submit/k", "length", body));
+  SendInPieces(client.wire, PostText("/submit/k", "length", body));
   auto response = client.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "same");
-  SendCut(client.wire,
-          "POST /submit/k HTTP/1.1\r\nHost: x\r\nX-Request-ID: chunked\r\nX-Timeout-Ms: 5000\r\n"
-          "Trailer: X-Check\r\nTransfer-Encoding: chunked\r\n\r\n" +
-              Chunked(body, 40001));
+  SendInPieces(client.wire,
+               "POST /submit/k HTTP/1.1\r\nHost: x\r\nX-Request-ID: chunked\r\nX-Timeout-Ms: 5000\r\n"
+               "Trailer: X-Check\r\nTransfer-Encoding: chunked\r\n\r\n" +
+                   Chunked(body, 40001));
   response = client.Read();
   ASSERT_TRUE(response);
   EXPECT_EQ(response->body(), "same");
@@ -195,7 +199,7 @@
   EXPECT_EQ(upstream.requests().size(), 3U);
 }
 
-TEST(BulkUpload, ASlowOneHasItsDeadlineFromTheLastByte) {
+TEST(BulkUpload, TheTimeoutOfASlowOneCountsFromItsLastByte) {
   Upstream upstream(Upstream::Echo("u"));
   Node node(NodeOptions(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
@@ -211,7 +215,7 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-TEST(BulkUpload, IsRetriedElsewhereIfNothingRanAndAllIsBuffered) {
+TEST(BulkUpload, ABufferedOneIsRetriedElsewhereIfNothingRan) {
   Upstream upstream(Upstream::Echo("u"));
   Refusing refusing;
   Upstream full([](Wire& wire, const Request&, int) { wire.Answer(503, "x", "X-Not-Processed: 1\r\n"); });
@@ -229,7 +233,7 @@
   EXPECT_EQ(upstream.requests().size(), 6U);
 }
 
-TEST(BulkUpload, RejectedBeforeItsEndTheAnswerArrivesComplete) {
+TEST(BulkUpload, TheResponseArrivesCompleteIfItPrecedesTheEndOfTheUpload) {
   // There is no upstream: the response is sent while the client still sends, and no reset overtakes it.
   Node node(NodeOptions(List({})));
   ASSERT_TRUE(node.Listening());
@@ -245,7 +249,7 @@
   EXPECT_FALSE(response->keep_alive());
 }
 
-TEST(BulkUpload, AClientThatDisconnectsLeavesNothingBehind) {
+TEST(BulkUpload, AClientThatDisconnectsEndsItsRequest) {
   std::atomic<bool> ended{false};
   Peer peer([&](Wire& wire, int) {
     if (wire.ReadsEnd()) ended = true;
--- a/tests/http/listener_disconnect_test.cpp
+++ b/tests/http/listener_disconnect_test.cpp
@@ -28,7 +28,7 @@
   };
 }
 
-TEST_F(ListenerTest, ADisconnectIsDetectedWithin100MsDespitePipelinedData) {
+TEST_F(ListenerTest, ADisconnectIsDetectedWithin100MsDespiteBytesBeforeIt) {
   replies_at_once = consumes_bodies = false;
   for (const DisconnectCase& disconnect_case : DisconnectCases()) {
     for (const DisconnectKind disconnect_kind : {DisconnectKind::kClose, DisconnectKind::kReset}) {
@@ -55,7 +55,7 @@
   }
 }
 
-// The request and the disconnect are both pending before the sidecar reads, and it reads the request first.
+// The request and the disconnect are both pending before the listener reads, and it reads the request first.
 TEST_F(ListenerTest, AQueuedRequestOfADisconnectedClientIsNotForwarded) {
   for (const std::string& sent : {Get("/p"), Get("/p") + PipelinedRequests(5000), PostOfLength(5, 5)}) {
     for (const DisconnectKind disconnect_kind : {DisconnectKind::kClose, DisconnectKind::kReset}) {
@@ -68,8 +68,9 @@
   }
 }
 
-// Otherwise the pipelined requests of a client that has disconnected would be forwarded one by one. The
-// response to the first request must still arrive completely.
+// A client that pipelines more than the buffer holds may have disconnected without the listener's notice. Its
+// pipelined requests must not be forwarded one by one. The response to the first request must still arrive
+// completely.
 TEST_F(ListenerTest, RequestsAfterAFloodAreNotForwarded) {
   extra_response_bytes = 200000;
   for (const std::size_t size : {100000, 280000}) {
--- a/tests/http/listener_drain_test.cpp
+++ b/tests/http/listener_drain_test.cpp
@@ -1,4 +1,4 @@
-// Tests how quiescing and draining end connections between requests.
+// Tests how quiescing and draining end connections: between requests, during one, and in the backlog.
 #include <boost/asio/steady_timer.hpp>
 #include <chrono>
 #include <cstddef>
@@ -32,7 +32,7 @@
 INSTANTIATE_TEST_SUITE_P(Listener, ConnectionEnd, ::testing::Bool(),
                          [](const auto& info) { return info.param ? "Drained" : "Quiesced"; });
 
-TEST_P(ConnectionEnd, RequestsBeforeTheEndAreServedAndAnsweredWithClose) {
+TEST_P(ConnectionEnd, RequestsBeforeTheHalfCloseAreServedAndAnsweredWithClose) {
   Client& client = ConnectAndServe();
   Send(client, Get("/second"));
   BeginStop();
@@ -41,7 +41,7 @@
   EXPECT_TRUE(Ends(client));
 }
 
-TEST_P(ConnectionEnd, RequestsThatCrossTheEndAreNeitherReadNorReset) {
+TEST_P(ConnectionEnd, RequestsThatCrossTheHalfCloseAreNeitherReadNorReset) {
   for (Hook InterceptedCalls::*const moment : {&InterceptedCalls::before_end, &InterceptedCalls::after_end}) {
     SCOPED_TRACE(moment == &InterceptedCalls::before_end ? "before the half-close" : "after the half-close");
     Client& client = ConnectAndServe();
@@ -68,13 +68,13 @@
 }
 
 TEST_P(ConnectionEnd, IdleClientsAreClosed) {
-  Client& closes = ConnectAndServe();
-  Client& stays = ConnectAndServe();
+  Client& closing = ConnectAndServe();
+  Client& staying = ConnectAndServe();
   BeginStop();
-  EXPECT_TRUE(Ends(closes));
-  EXPECT_TRUE(Ends(stays));
+  EXPECT_TRUE(Ends(closing));
+  EXPECT_TRUE(Ends(staying));
   EXPECT_EQ(descriptors->used(), 2U);
-  Disconnect(closes, DisconnectKind::kClose);
+  Disconnect(closing, DisconnectKind::kClose);
   RunUntilIdle();
   EXPECT_EQ(descriptors->used(), 1U);
   AdvanceTime(milliseconds(280));
@@ -102,7 +102,7 @@
   }
 }
 
-TEST_P(ConnectionEnd, RequestsAfterTheLastAnswerAreNotForwarded) {
+TEST_P(ConnectionEnd, RequestsAfterTheLastResponseAreNotForwarded) {
   replies_at_once = false;
   Client& ahead = Connect();
   Send(ahead, Get("/held") + Get("/ahead"));
@@ -128,7 +128,7 @@
   EXPECT_EQ(forwarded.size(), 3U);
 }
 
-TEST_F(ListenerTest, ADrainEndsOnceAndOnlyWhenAllIsAnswered) {
+TEST_F(ListenerTest, ADrainEndsOnceAndOnlyWhenAllRequestsAreAnswered) {
   replies_at_once = false;
   Client& in_flight = Connect();
   Send(in_flight, Get("/held"));
@@ -157,7 +157,7 @@
 
 TEST_F(ListenerTest, ADrainDuringASweepEndsOnce) {
   listener->PauseAccepting();
-  // The sweep is due, and the signal handler runs before it.
+  // Both the sweep and the handler below are due, and the handler, which starts the drain, runs first.
   boost::asio::steady_timer signal(io, std::chrono::steady_clock::time_point());
   signal.async_wait([this](error_code) { listener->Drain([this] { ++drains_ended; }); });
   JumpTime(milliseconds(300));
--- a/tests/http/listener_eviction_test.cpp
+++ b/tests/http/listener_eviction_test.cpp
@@ -36,7 +36,7 @@
   EXPECT_TRUE(Receives(next, "answer /next"));
 }
 
-TEST_F(Eviction, ALastAnswerIsNotResetByPipelinedData) {
+TEST_F(Eviction, ALastResponseIsNotResetByPipelinedData) {
   OccupyDescriptor();
   extra_response_bytes = 200000;
   Client& last = Connect(true);
@@ -54,39 +54,39 @@
   EXPECT_EQ(forwarded.size(), 3U);
 }
 
-// All connections are busy when the listener would close its socket: a client in the backlog is accepted as
-// soon as a descriptor is free.
-TEST_F(Eviction, ADrainAwaitsQueuedClients) {
+// All connections are busy when the accepting period of the drain ends. A client in the backlog is still
+// accepted as soon as a descriptor is free.
+TEST_F(Eviction, ADrainAcceptsClientsInTheBacklog) {
   OccupyDescriptor();
   OccupyDescriptor();
-  Client& waits = ConnectToBacklog();
+  Client& waiting = ConnectToBacklog();
   RunUntilIdle();
   listener->Drain([this] { ++drains_ended; });
   AdvanceTime(milliseconds(900), milliseconds(10));
-  EXPECT_FALSE((Receive(waits), waits.end));
+  EXPECT_FALSE((Receive(waiting), waiting.end));
   const std::size_t accepted = intercepted_calls.accepted.size();
   Reply(forwarded[0]);
   EXPECT_TRUE(Ends(clients[0]));
   Disconnect(clients[0], DisconnectKind::kClose);
   AdvanceTime(milliseconds(30));
   ASSERT_EQ(intercepted_calls.accepted.size(), accepted + 1);
-  waits.server = intercepted_calls.accepted.back();
-  Send(waits, Get("/waits"));
-  EXPECT_TRUE(Receives(waits, "answer /waits"));
+  waiting.server = intercepted_calls.accepted.back();
+  Send(waiting, Get("/waits"));
+  EXPECT_TRUE(Receives(waiting, "answer /waits"));
   Reply(forwarded[1]);
   AdvanceTime(milliseconds(400));
   EXPECT_EQ(drains_ended, 1);
 }
 
-TEST_F(Eviction, ADrainAbandonsQueuedClientsWhereNoConnectionEnds) {
+TEST_F(Eviction, ADrainResetsClientsInTheBacklogIfNoConnectionEnds) {
   OccupyDescriptor();
   OccupyDescriptor();
-  Client& waits = ConnectToBacklog();
+  Client& waiting = ConnectToBacklog();
   listener->Drain([this] { ++drains_ended; });
   AdvanceTime(milliseconds(3200), milliseconds(10));
-  EXPECT_FALSE((Receive(waits), waits.end));
+  EXPECT_FALSE((Receive(waiting), waiting.end));
   AdvanceTime(milliseconds(200), milliseconds(10));
-  EXPECT_TRUE(WaitUntil([&] { return Receive(waits), waits.end.failed(); }));
+  EXPECT_TRUE(WaitUntil([&] { return Receive(waiting), waiting.end.failed(); }));
 }
 
 }  // namespace
--- a/tests/http/listener_fixture.cpp
+++ b/tests/http/listener_fixture.cpp
@@ -42,34 +42,34 @@
 using mothrack::RealFunction;
 
 extern "C" int clock_gettime(clockid_t clock, timespec* time) {
-  static const auto next = RealFunction<int(clockid_t, timespec*)>("clock_gettime");
-  if (clock != CLOCK_MONOTONIC) return next(clock, time);
-  if (!intercepted_calls.now) next(clock, &intercepted_calls.now.emplace());
+  static const auto real = RealFunction<int(clockid_t, timespec*)>("clock_gettime");
+  if (clock != CLOCK_MONOTONIC) return real(clock, time);
+  if (!intercepted_calls.now) real(clock, &intercepted_calls.now.emplace());
   *time = *intercepted_calls.now;
   return 0;
 }
 
 extern "C" int accept(int fd, sockaddr* from, socklen_t* size) {
-  static const auto next = RealFunction<int(int, sockaddr*, socklen_t*)>("accept");
-  const int accepted = next(fd, from, size);
+  static const auto real = RealFunction<int(int, sockaddr*, socklen_t*)>("accept");
+  const int accepted = real(fd, from, size);
   if (fd == intercepted_calls.listening && accepted >= 0) intercepted_calls.accepted.push_back(accepted);
   return accepted;
 }
 
 extern "C" int shutdown(int fd, int how) {
-  static const auto next = RealFunction<int(int, int)>("shutdown");
-  return CallWithEndHooks(fd, [&] { return next(fd, how); });
+  static const auto real = RealFunction<int(int, int)>("shutdown");
+  return CallWithEndHooks(fd, [&] { return real(fd, how); });
 }
 
 extern "C" int close(int fd) {
-  static const auto next = RealFunction<int(int)>("close");
-  return CallWithEndHooks(fd, [&] { return next(fd); });
+  static const auto real = RealFunction<int(int)>("close");
+  return CallWithEndHooks(fd, [&] { return real(fd); });
 }
 
-extern "C" int epoll_wait(int epoll, epoll_event* events, int most, int timeout) {
-  static const auto next = RealFunction<int(int, epoll_event*, int, int)>("epoll_wait");
+extern "C" int epoll_wait(int epoll, epoll_event* events, int max_events, int timeout) {
+  static const auto real = RealFunction<int(int, epoll_event*, int, int)>("epoll_wait");
   ++intercepted_calls.waits;
-  const int ready = next(epoll, events, most, timeout);
+  const int ready = real(epoll, events, max_events, timeout);
   if (ready > 0) CallOnce(intercepted_calls.after_wake);
   return ready;
 }
--- a/tests/http/listener_fixture.h
+++ b/tests/http/listener_fixture.h
@@ -33,15 +33,16 @@
 
 using Hook = std::function<void()>;
 
+// Hooks into the wrapped system calls, and what these observed.
 struct InterceptedCalls {
   std::optional<timespec> now;  // time of the steady clock
-  int listening = -1;
-  std::vector<int> accepted;  // descriptors that the listener accepted, in order
-  int watched = -1;           // descriptor whose next shutdown() or close() calls the two hooks below
-  Hook before_end;            // called once, then cleared
-  Hook after_end;             // called once, then cleared
-  Hook after_wake;            // called once, after epoll_wait() reports events and before their handlers run
-  std::uint64_t waits = 0;    // number of epoll_wait() calls
+  int listening = -1;           // descriptor of the listening socket; -1 for none
+  std::vector<int> accepted;    // descriptors that the listener accepted, in order
+  int watched = -1;             // descriptor whose next shutdown() or close() calls the two hooks below
+  Hook before_end;              // called once, then cleared
+  Hook after_end;               // called once, then cleared
+  Hook after_wake;          // called once, after epoll_wait() reports events and before their handlers run
+  std::uint64_t waits = 0;  // number of epoll_wait() calls
 };
 extern InterceptedCalls intercepted_calls;
 
@@ -158,18 +159,20 @@
   void AdvanceTime(runtime::Duration by, runtime::Duration step = milliseconds(5)) {
     for (; by > runtime::Duration::zero(); by -= step) JumpTime(std::min(by, step));
   }
+  // Advances the clock at once and runs the event loop.
   void JumpTime(runtime::Duration by) {
     const long nanoseconds = intercepted_calls.now->tv_nsec + std::chrono::nanoseconds(by).count();
     intercepted_calls.now->tv_sec += nanoseconds / 1000000000;
     intercepted_calls.now->tv_nsec = nanoseconds % 1000000000;
     // The event loop reads the clock again when a timer is set that is earlier than all others.
     bool woken = false;
-    boost::asio::steady_timer now(io, std::chrono::steady_clock::time_point());
-    now.async_wait([&](error_code) { woken = true; });
+    boost::asio::steady_timer waker(io, std::chrono::steady_clock::time_point());
+    waker.async_wait([&](error_code) { woken = true; });
     ASSERT_TRUE(WaitUntil([&] { return woken; }));
     RunUntilIdle();
   }
 
+  // Connects a client and waits until the listener has accepted it.
   Client& Connect(bool small_receive_buffer = false) {
     Client& client = ConnectToBacklog(small_receive_buffer);
     const std::size_t before = intercepted_calls.accepted.size();
@@ -190,13 +193,14 @@
     return client;
   }
 
+  // Returns the number of bytes from the client that the listener has not read.
   static std::size_t Unread(const Client& client) {
     int size = 0;
     return ::ioctl(client.server, FIONREAD, &size) == 0 ? static_cast<std::size_t>(size) : 0;
   }
 
-  // Sends as much as the socket takes and returns its size. The bytes are then in the listener's receive
-  // buffer, and the listener has not read them.
+  // Sends as much as the socket accepts and returns its size. The bytes are then in the receive buffer of the
+  // listener's socket, and the listener has not read them.
   std::size_t Send(Client& client, const std::string& bytes) {
     const std::size_t before = Unread(client);
     error_code error;
@@ -209,14 +213,14 @@
   // reading.
   std::size_t SendAll(Client& client, const std::string& bytes) {
     std::size_t sent = 0;
-    for (int refusals = 0; sent < bytes.size() && refusals < 200;) {
+    for (int blocked_writes = 0; sent < bytes.size() && blocked_writes < 200;) {
       error_code error;
       // Written in small parts, because the kernel accounts a large one as buffered until all of it is read.
       const auto remaining =
           boost::asio::buffer(&bytes[sent], std::min<std::size_t>(bytes.size() - sent, 8192));
       const std::size_t size = client.socket.write_some(remaining, error);
       if (error && error != boost::asio::error::would_block) break;
-      refusals = size == 0 ? refusals + 1 : 0;
+      blocked_writes = size == 0 ? blocked_writes + 1 : 0;
       sent += size;
       if (size == 0) ::poll(nullptr, 0, 1);
       RunUntilIdle();
@@ -250,6 +254,7 @@
     }
     return client.received;
   }
+  // Whether the client receives bytes that contain `part`.
   bool Receives(Client& client, const std::string& part) {
     return WaitUntil([&] { return Receive(client).find(part) != std::string::npos; });
   }
@@ -266,7 +271,7 @@
   bool consumes_bodies = true;  // the handler consumes bodies that are still arriving
   std::size_t extra_response_bytes = 0;
   runtime::Logger log{"t"};
-  boost::asio::io_context clients_io;  // for the clients' sockets; never run
+  boost::asio::io_context clients_io;  // of the clients' sockets; never run
   boost::asio::io_context io{1};
   std::optional<runtime::Descriptors> descriptors;
   std::optional<runtime::ByteBudget> budget;
--- a/tests/http/listener_framing_test.cpp
+++ b/tests/http/listener_framing_test.cpp
@@ -69,10 +69,10 @@
         // A request whose body is streamed may already have been forwarded; its handler is notified of the
         // disconnect.
         ASSERT_LE(forwarded.size(), request_case.body.size() > http::kBufferLimit ? 1U : 0U);
-        for (const ForwardedRequest& begun : forwarded) {
-          EXPECT_TRUE(begun.disconnected);
-          EXPECT_FALSE(begun.complete);
-          EXPECT_EQ(begun.streamed_body.stream->state(), runtime::Stream::State::kTruncated);
+        for (const ForwardedRequest& forwarded_request : forwarded) {
+          EXPECT_TRUE(forwarded_request.disconnected);
+          EXPECT_FALSE(forwarded_request.complete);
+          EXPECT_EQ(forwarded_request.streamed_body.stream->state(), runtime::Stream::State::kTruncated);
         }
         forwarded.clear();
         clients.clear();
--- a/tests/http/listener_limits_test.cpp
+++ b/tests/http/listener_limits_test.cpp
@@ -7,7 +7,7 @@
 namespace mothrack {
 namespace {
 
-TEST_F(ListenerTest, APipelinedFloodIsReadToABoundWithoutBusyLoopOrStarvation) {
+TEST_F(ListenerTest, APipelinedFloodIsReadUpToABoundWithoutABusyLoopOrStarvation) {
   replies_at_once = false;
   Client& client = Connect();
   const std::string sent = Get("/p") + PipelinedRequests(64 << 20);
@@ -15,11 +15,11 @@
   EXPECT_LT(sent_bytes, sent.size());
   // The listener has stopped reading, and the event loop does not wake up for the unread bytes.
   RunUntilIdle();
-  const std::size_t waiting = Unread(client);
-  const auto waits = intercepted_calls.waits;
+  const std::size_t unread_before = Unread(client);
+  const auto waits_before = intercepted_calls.waits;
   RunUntilIdle();
-  EXPECT_LE(intercepted_calls.waits - waits, 2U);
-  EXPECT_EQ(Unread(client), waiting);
+  EXPECT_LE(intercepted_calls.waits - waits_before, 2U);
+  EXPECT_EQ(Unread(client), unread_before);
   EXPECT_FALSE(forwarded[0].disconnected);
   // Other clients are served meanwhile, and the flooding client's own request is answered.
   replies_at_once = true;
@@ -32,34 +32,34 @@
 
 // After the last response a bounded number of bytes is discarded. Other connections are served between two
 // reads.
-TEST_F(ListenerTest, AFloodBehindALastAnswerIsResetWhileOthersAreServed) {
+TEST_F(ListenerTest, AFloodAfterTheLastResponseIsResetWhileOthersAreServed) {
   Client& client = Connect();
   Client& other = Connect();
   Send(client, Get("/p", "Connection: close\r\n"));
   EXPECT_TRUE(Receives(client, "answer /p"));
   Send(client, std::string(60000, 'x'));
   Send(other, Get("/other"));
-  const std::size_t waiting = Unread(client);
+  const std::size_t unread_before = Unread(client);
   io.restart();
   for (int turns = 0; turns < 6 && forwarded.size() < 2; ++turns) io.poll_one();
   EXPECT_EQ(forwarded.size(), 2U);
-  EXPECT_GE(Unread(client) + 4 * 8192, waiting);
+  EXPECT_GE(Unread(client) + 4 * 8192, unread_before);
   const std::string sent(8 << 20, 'x');
   EXPECT_LT(SendAll(client, sent), sent.size());
   EXPECT_TRUE(WaitUntil([&] { return descriptors->used() == 1; }));
   EXPECT_EQ(forwarded.size(), 2U);
 }
 
-TEST_F(ListenerTest, AnUnconsumedUploadIsReadToItsWindowWithoutBusyLoop) {
+TEST_F(ListenerTest, AnUnconsumedUploadIsReadUpToItsWindowWithoutABusyLoop) {
   consumes_bodies = false;
   Client& client = Connect();
   const std::string sent = PostOfLength(8 << 20, 8 << 20);
   EXPECT_LT(SendAll(client, sent), sent.size());
   RunUntilIdle();
   EXPECT_LE(budget->buffered(), http::kBufferLimit + runtime::ByteBudget::kMaxWindow);
-  const auto waits = intercepted_calls.waits;
+  const auto waits_before = intercepted_calls.waits;
   RunUntilIdle();
-  EXPECT_LE(intercepted_calls.waits - waits, 2U);
+  EXPECT_LE(intercepted_calls.waits - waits_before, 2U);
   Disconnect(client, DisconnectKind::kReset);
   AdvanceTime(milliseconds(100));
   EXPECT_TRUE(forwarded[0].disconnected);
--- a/tests/http/listener_timeouts_test.cpp
+++ b/tests/http/listener_timeouts_test.cpp
@@ -1,4 +1,4 @@
-// Tests timeouts that expire while unread data has already arrived.
+// Tests timeouts that expire when bytes have arrived that are not read yet.
 #include <cstddef>
 #include <string>
 
@@ -35,7 +35,7 @@
   EXPECT_TRUE(Ends(client));
 }
 
-TEST_F(ListenerTest, ALastAnswerIsNotResetByDataAtTheEndOfTheLingeringClose) {
+TEST_F(ListenerTest, ALastResponseIsNotResetByBytesAtTheEndOfTheLingeringClose) {
   extra_response_bytes = 200000;
   Client& client = Connect(true);
   Send(client, Get("/last", "Connection: close\r\n"));
--- a/tests/http/recorded_messages_test.cpp
+++ b/tests/http/recorded_messages_test.cpp
@@ -1,6 +1,6 @@
 // Compares the requests to an upstream and the responses to a client, byte for byte, with those of version
-// 0.2.0. Masked, because they differ between runs: the upstream's port, as 127.0.0.1:PORT, and the digits of
-// the X-Timeout-Ms sent to the upstream, which is the time left of the client's timeout.
+// 0.2.0. Two values differ between runs and are masked: the upstream's port, as 127.0.0.1:PORT, and the
+// digits of the X-Timeout-Ms that is sent to the upstream, which is the time left of the client's timeout.
 #include <gtest/gtest.h>
 
 #include <boost/asio/buffer.hpp>
@@ -64,12 +64,12 @@
 struct ExchangeCase {
   const char* name;
   std::string request;
-  std::string answer;  // the upstream's response; empty if it never responds
-  bool upstream = true;
-  bool closes = false;  // the program closes the client's connection after its response
+  std::string answer;    // the upstream's response; empty if it never responds
+  bool upstream = true;  // whether there is an upstream
+  bool closes = false;   // the program closes the client's connection after its response
 };
 
-std::vector<ExchangeCase> ServedRows() {
+std::vector<ExchangeCase> ServedCases() {
   return {
       {"get", Get("Accept: text/x\r\nTE: trailers\r\nX-Own: a, b\r\nX-Own: c\r\n" + kProtocolHeaders), kOk},
       {"get with Connection: close", Get("Connection: close, X-Hop\r\nX-Hop: 1\r\n" + kProtocolHeaders), kOk,
@@ -93,7 +93,7 @@
   };
 }
 
-std::vector<ExchangeCase> FaultRows() {
+std::vector<ExchangeCase> FaultCases() {
   return {
       {"502", Post("Content-Length: 2\r\n" + kProtocolHeaders, "ab"),
        "HTTP/1.1 500 Internal Server Error\r\nX-Own: 1\r\nContent-Length: 1\r\n\r\nx"},
@@ -116,7 +116,8 @@
   };
 }
 
-// Sends the row's request. Returns the bytes sent to the upstream and those sent to the client.
+// Sends the request of one case. Stores the bytes that the upstream got in `sent`, and those that the client
+// got in `received`.
 void Exchange(const ExchangeCase& row, std::string& sent, std::string& received) {
   std::mutex mutex;  // guards `sent` while the upstream's thread runs
   Peer upstream([&](Wire& wire, int) {
@@ -139,10 +140,10 @@
       ReadRaw(client.wire, [&row](const std::string& text) { return !row.closes && IsComplete(text); });
 }
 
-TEST(RecordedHttp, MessagesAreThoseOfTheFormerVersion) {
+TEST(RecordedHttp, MessagesAreThoseOfVersion020) {
   Recorded recorded(MOTHRACK_FIXTURES "/messages.txt");
-  std::vector<ExchangeCase> rows = ServedRows();
-  for (ExchangeCase& row : FaultRows()) rows.push_back(std::move(row));
+  std::vector<ExchangeCase> rows = ServedCases();
+  for (ExchangeCase& row : FaultCases()) rows.push_back(std::move(row));
   for (const ExchangeCase& row : rows) {
     std::string sent;
     std::string received;
--- a/tests/http/transport_test.cpp
+++ b/tests/http/transport_test.cpp
@@ -56,7 +56,7 @@
     });
   }
 
-  bool up() const { return socket_.has_value(); }
+  bool connected() const { return socket_.has_value(); }
   const std::string& received() const { return received_; }
   void Answer(const std::string& text) { boost::asio::write(*socket_, boost::asio::buffer(text)); }
 
@@ -133,8 +133,8 @@
   int written = 0;
 };
 
-// Guards against a fault that occurred: an attempt whose connection was established 50 ms after the request's
-// final answer was still written, and ran.
+// Guards against this failure: the connection of an attempt was established 50 ms after the request's final
+// answer, and the upstream still got and processed the request.
 TEST_F(TransportTest, AnAttemptAbandonedWhileConnectingIsNotSentAndItsConnectionIsPooled) {
   DelayedUpstream delayed_upstream(io);
   AddUpstream("u1", delayed_upstream.address());
@@ -147,7 +147,7 @@
   RunUntil([&] { return !outcomes.empty(); });
   EXPECT_EQ(outcomes, std::vector{Outcome::kNotSent});
   EXPECT_EQ(written, 0);
-  RunUntil([&] { return delayed_upstream.up(); });
+  RunUntil([&] { return delayed_upstream.connected(); });
   Send(dispatch::ExchangeId{2}, "u1", "/page/next");
   RunUntil([&] { return delayed_upstream.received().find("\r\n\r\n") != std::string::npos; });
   EXPECT_EQ(delayed_upstream.received().rfind("GET /page/next ", 0), 0U) << delayed_upstream.received();
@@ -210,7 +210,7 @@
 }
 
 // The upstream reads nothing, so the kernel has accepted only part of the request.
-TEST_F(TransportTest, AnAttemptAbandonedHalfWrittenNeverArrivesComplete) {
+TEST_F(TransportTest, AnAttemptAbandonedDuringItsWriteNeverArrivesComplete) {
   tcp::acceptor acceptor(io, tcp::endpoint(boost::asio::ip::address_v4::loopback(), 0));
   AddUpstream("u1", "127.0.0.1:" + std::to_string(acceptor.local_endpoint().port()));
   const std::size_t size = 16 << 20;
@@ -247,7 +247,7 @@
 
 // A response of unknown length: its outcome, and whether it stays buffered, so that another attempt is
 // possible.
-TEST_F(TransportTest, AnAnswerWithoutALengthIsBufferedUpToItsBound) {
+TEST_F(TransportTest, AResponseWithoutALengthIsBufferedUpToTheLimits) {
   constexpr std::size_t kKilo = 1024;
   enum class Continuation { kCompletes, kPauses, kBreaks, kContinues };
   struct ResponseCase {
