--- a/src/hot_restart/client.cpp
+++ b/src/hot_restart/client.cpp
@@ -23,7 +23,7 @@
 using nlohmann::json;
 using Protocol = boost::asio::local::stream_protocol;
 
-// Delay before asking again while another successor is starting.
+// Delay before the takeover is requested again while another successor is starting.
 constexpr auto kRetryInterval = std::chrono::milliseconds(50);
 constexpr std::size_t kReadSize = 16384;  // bytes
 
@@ -37,22 +37,22 @@
   return true;
 }
 
-// Waits until the descriptor is readable (data or the end of the stream). Returns false if it is not by
-// `deadline`.
+// Waits until the descriptor is readable (data or the end of the stream). Returns false if it is still not
+// readable at `deadline`.
 bool WaitUntilReadable(int descriptor, std::chrono::steady_clock::time_point deadline) {
   while (true) {
-    const auto left =
+    const auto remaining =
         std::chrono::duration_cast<std::chrono::milliseconds>(deadline - std::chrono::steady_clock::now());
-    if (left.count() <= 0) return false;
+    if (remaining.count() <= 0) return false;
     pollfd ready{descriptor, POLLIN, 0};
-    const int events = ::poll(&ready, 1, static_cast<int>(left.count()));
+    const int events = ::poll(&ready, 1, static_cast<int>(remaining.count()));
     if (events >= 0) return events > 0;
     if (errno != EINTR) return false;
   }
 }
 
-// Requests the takeover once. Returns the reply line, or nothing if the connection ended or took too long.
-// `listening` receives the passed socket, `remainder` the bytes after the line.
+// Requests the takeover once. Returns the reply line, or nothing if the connection ended or the deadline
+// passed before. Stores the passed socket in `listening` and the bytes after the line in `remainder`.
 std::optional<json> FetchState(Protocol::socket& socket, std::chrono::steady_clock::time_point deadline,
                                int& listening, std::string& remainder) {
   const std::string request = json{{kTakeOverKey, kVersion}}.dump() + '\n';
@@ -67,7 +67,7 @@
     while (!text.empty() && text.front() == kSocketMarker) text.erase(0, 1);
     if (const auto end = text.find('\n'); end != std::string::npos) {
       json line = json::parse(text.begin(), text.begin() + static_cast<std::ptrdiff_t>(end), nullptr, false);
-      remainder = text.substr(end + 1);  // sent after the line
+      remainder = text.substr(end + 1);  // bytes that belong to the next lines
       if (line.is_object()) return line;
       return std::nullopt;
     }
@@ -87,12 +87,12 @@
     if (error) return std::nullopt;  // no process is serving
     InheritedState inherited;
     std::string remainder;
-    const auto answer = FetchState(socket, deadline, inherited.listening, remainder);
-    const bool busy = answer && answer->contains(kBusyKey);
+    const auto reply = FetchState(socket, deadline, inherited.listening, remainder);
+    const bool busy = reply && reply->contains(kBusyKey);
     std::string cause = busy ? "another successor is starting" : "it did not answer";
-    if (answer && !busy) {
+    if (reply && !busy) {
       try {
-        inherited.state = FromJson(*answer);
+        inherited.state = FromJson(*reply);
         if (!IsListening(inherited.listening)) throw std::runtime_error("it passed no listening socket");
         inherited.link = std::make_shared<Link>(std::move(socket), std::move(remainder));
         return inherited;
--- a/src/hot_restart/client.h
+++ b/src/hot_restart/client.h
@@ -1,5 +1,5 @@
 // The successor's side of a hot restart: finds the serving process and takes over its state and its listening
-// socket. server.h has the other side and the messages.
+// socket. server.h describes the protocol and has the other side.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -14,11 +14,11 @@
 
 namespace mothrack::hot_restart {
 
-// The state, the socket and the link that the serving process handed over.
+// The state, the socket and the link that a successor got from the serving process.
 struct InheritedState {
   State state;
   int listening = -1;          // the listening socket for clients; the caller must close it
-  std::shared_ptr<Link> link;  // to the predecessor; not started yet
+  std::shared_ptr<Link> link;  // the link to the predecessor; Start() is not called yet
 };
 
 // Takes over from the process that listens at `path`, within `timeout`. Returns nothing if there is no such
--- a/src/hot_restart/link.cpp
+++ b/src/hot_restart/link.cpp
@@ -25,7 +25,7 @@
 
 void Link::Send(const nlohmann::json& line) {
   pending_ += line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace) + '\n';
-  // The other process does not read what was sent.
+  // The other process does not read the lines that were sent.
   if (pending_.size() > 2 * kMaxLineSize) return Disconnect();
   if (writing_.empty()) Write();
 }
@@ -50,7 +50,7 @@
 }
 
 // Calls on_line_ for each complete line received. The first `scanned` bytes are known to contain no line end.
-// Returns false if the link is closed.
+// Returns false if the link was closed.
 bool Link::DeliverLines(std::size_t scanned) {
   std::size_t begin = 0;
   for (auto end = received_.find('\n', scanned); end != std::string::npos;
--- a/src/hot_restart/link.h
+++ b/src/hot_restart/link.h
@@ -17,7 +17,8 @@
 inline constexpr std::size_t kMaxLineSize = std::size_t{4} * 1024 * 1024;
 
 // Used on the thread of the event loop only. Held by shared_ptr and kept alive by its pending operations.
-// Buffers at most twice kMaxLineSize bytes for sending; a link that exceeds a bound is closed.
+// Buffers at most twice kMaxLineSize bytes for sending, and one line of kMaxLineSize that is received. A link
+// that exceeds one of these bounds is closed.
 class Link : public std::enable_shared_from_this<Link> {
  public:
   using Socket = boost::asio::local::stream_protocol::socket;
@@ -50,9 +51,9 @@
   runtime::WriteStream<Socket> write_stream_;
   OnLine on_line_;
   OnEnd on_end_;
-  std::string received_;
-  std::string pending_;
-  std::string writing_;
+  std::string received_;  // bytes that are not parsed yet
+  std::string pending_;   // lines that are sent after the current write
+  std::string writing_;   // lines of the current write; empty if there is none
 };
 
 }  // namespace mothrack::hot_restart
--- a/src/hot_restart/messages.cpp
+++ b/src/hot_restart/messages.cpp
@@ -11,6 +11,7 @@
 constexpr const char* kQuiesceKey = "rest";
 constexpr const char* kSocketsKey = "sockets";
 
+// Returns the value of the key, or nothing unless it is a string that is not empty.
 std::optional<std::string> TextOf(const json& line, const char* key) {
   const auto it = line.find(key);
   if (it == line.end() || !it->is_string()) return std::nullopt;
--- a/src/hot_restart/messages.h
+++ b/src/hot_restart/messages.h
@@ -14,11 +14,11 @@
 inline constexpr const char* kBusyKey = "busy";          // the reply while another successor is starting
 inline constexpr const char* kReadyKey = "ready";        // the successor accepts clients
 
-// A change in one process that applies to the other too. Usually only one member is set.
+// A change in one process that the other one must apply too. Usually only one member is set.
 struct Update {
   std::optional<std::string> ban{};         // uid of an upstream, never empty
   std::optional<std::string> unban{};       // uid of an upstream, never empty
-  std::optional<std::string> request_id{};  // of a request that must not be accepted again, never empty
+  std::optional<std::string> request_id{};  // id of a request that must not be accepted again, never empty
   std::optional<bool> quiesce{};            // true: accept no new clients; false: accept them again
   std::optional<std::size_t> sockets{};     // descriptors that the predecessor still uses
 };
--- a/src/hot_restart/server.cpp
+++ b/src/hot_restart/server.cpp
@@ -44,7 +44,7 @@
   for (const auto& link : {predecessor_, successor_, candidate_}) {
     if (link) link->Close();
   }
-  // If the successor is ready, the path belongs to it.
+  // If the successor is ready, it listens at the path.
   if (acceptor_.is_open() && !successor_ready_) ::unlink(path_.c_str());
 }
 
@@ -63,8 +63,8 @@
   }
 }
 
-// Binds under a temporary name and renames it. So a successor finds one of the two processes at the path at
-// any time.
+// Binds the socket to a temporary path and renames that path. So a successor finds either this process or its
+// predecessor at the path at any time.
 void HotRestartServer::Listen() {
   const std::string temporary = path_ + '.' + std::to_string(::getpid());
   ::unlink(temporary.c_str());
@@ -72,10 +72,10 @@
   // By default Asio hides ECONNABORTED and waits for the next connection. If a successor disconnected while
   // in the backlog, those behind it would then not be accepted until another one connects.
   acceptor_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
-  const mode_t before = ::umask(0177);
+  const mode_t previous_mask = ::umask(0177);
   error_code error;
   acceptor_.bind(Protocol::endpoint(temporary), error);
-  ::umask(before);
+  ::umask(previous_mask);
   if (!error) acceptor_.listen(kBacklog, error);
   if (!error && std::rename(temporary.c_str(), path_.c_str()) != 0) {
     error = error_code(errno, boost::system::system_category());
@@ -91,10 +91,11 @@
 void HotRestartServer::Accept() {
   acceptor_.async_accept([this](error_code error, Protocol::socket socket) {
     if (error == boost::asio::error::operation_aborted || !acceptor_.is_open()) return;
-    // Descriptors or memory ran out for a moment. Retry, because a successor must be able to find this
-    // process.
+    // Descriptors or memory may have run out for a moment. Accepting is retried, because a successor must be
+    // able to reach this process.
     if (error) return AcceptLater();
-    // A real successor sends its request at once, so an earlier connection without one is closed.
+    // A successor sends its request right after it has connected. So an earlier connection that has sent none
+    // is closed.
     if (candidate_) std::exchange(candidate_, nullptr)->Close();
     candidate_ = std::make_shared<Link>(std::move(socket));
     candidate_->Start([this, link = candidate_.get()](
@@ -136,7 +137,7 @@
       [this] {
         successor_.reset();
         log_.FreeText("handover: the successor is gone");
-        // The path belonged to the successor.
+        // The ready successor listened at the path.
         if (std::exchange(successor_ready_, false)) ListenOrLog();
         handler_.OnSuccessorExited();
       });
--- a/src/hot_restart/server.h
+++ b/src/hot_restart/server.h
@@ -2,8 +2,8 @@
 // exits. The successor finds the serving process through a Unix socket in a shared directory. It receives the
 // listening socket itself (SCM_RIGHTS, unix(7)), so that no connection in the listen backlog is lost when
 // either process exits, and the state that must survive the restart (state.h). From then on each process
-// notifies the other of changes. This file has the side of the serving process; client.h has the successor's
-// first step.
+// notifies the other of changes. This file has the side of the serving process; client.h has the takeover by
+// the successor.
 //
 // Lines, in either direction (link.h): {"takeover":1} requests the takeover; the reply is the state, or
 // {"busy":true} while another successor is starting; {"ready":true} says that the successor accepts clients.
@@ -30,14 +30,15 @@
   // Implemented by the serving process. Called on the thread of the event loop.
   class Handler {
    public:
-    // The current state, for a successor.
+    // Returns the current state, for a successor.
     virtual State ExportState() = 0;
-    // The listening socket for clients. The handler keeps its ownership.
+    // Returns the listening socket for clients. The handler keeps the ownership.
     virtual int ListeningSocket() = 0;
     // The successor accepts clients from now on.
     virtual void OnSuccessorReady() = 0;
     // The successor exited, whether it was ready or not.
     virtual void OnSuccessorExited() = 0;
+    // The predecessor exited.
     virtual void OnPredecessorExited() = 0;
     // An update from the other process.
     virtual void OnUpdate(const Update& update) = 0;
@@ -54,11 +55,12 @@
   HotRestartServer(const HotRestartServer&) = delete;
   HotRestartServer& operator=(const HotRestartServer&) = delete;
 
-  // Called when this process accepts clients. Notifies its predecessor and takes over the path, so that the
-  // next successor finds this process. A failure to listen there is logged.
+  // Must be called when this process accepts clients. Notifies its predecessor and listens at the path, so
+  // that the next successor finds this process. A failure to listen there is logged.
   void AnnounceReady();
-  // Notifies the predecessor and the successor, if there are any.
+  // Sends the update to the predecessor and the successor, if there are any.
   void Notify(const Update& update);
+  // Sends the update to the successor, if there is one.
   void NotifySuccessor(const Update& update);
 
   // Whether there is a successor that accepts clients.
@@ -80,10 +82,10 @@
   runtime::Logger& log_;
   Protocol::acceptor acceptor_;
   boost::asio::steady_timer accept_timer_;
-  std::shared_ptr<Link> predecessor_;
-  std::shared_ptr<Link> successor_;
-  std::shared_ptr<Link> candidate_;  // has connected but not yet requested the takeover
-  bool successor_ready_ = false;     // the successor accepts clients
+  std::shared_ptr<Link> predecessor_;  // null if there is none
+  std::shared_ptr<Link> successor_;    // has got the state; null if there is none
+  std::shared_ptr<Link> candidate_;    // has connected but not yet requested the takeover
+  bool successor_ready_ = false;       // the successor accepts clients
 };
 
 }  // namespace mothrack::hot_restart
--- a/src/hot_restart/socket_passing.h
+++ b/src/hot_restart/socket_passing.h
@@ -7,16 +7,16 @@
 
 namespace mothrack::hot_restart {
 
-// The byte that accompanies the socket, before the state's line: a message without data cannot carry a
-// descriptor.
+// The byte that is sent with the socket, before the line with the state. A message without data cannot carry
+// a descriptor.
 inline constexpr char kSocketMarker = '\n';
 
 // Sends `socket` with kSocketMarker over the Unix socket `to`. Returns false and sets errno on failure.
 bool SendSocket(int to, int socket);
 
-// Receives at most `size` bytes from `from`, as recvmsg(2): returns 0 at the end of the stream, or a negative
-// value with errno set. A received socket is stored in `socket` and belongs to the caller; the previous value
-// is closed unless negative.
+// Receives at most `size` bytes from `from`. Like recvmsg(2), it returns 0 at the end of the stream, or a
+// negative value with errno set. A received socket is stored in `socket` and belongs to the caller; the
+// previous value is closed unless negative.
 ssize_t Receive(int from, char* bytes, std::size_t size, int& socket);
 
 // Whether `socket` is a listening socket (SO_ACCEPTCONN).
--- a/src/hot_restart/state.cpp
+++ b/src/hot_restart/state.cpp
@@ -27,7 +27,7 @@
   }
 }
 
-// Returns false and sets errno unless all of the text is on disk.
+// Writes the file. Returns false and sets errno unless all of the text is on disk.
 bool WriteAndSync(const std::string& file, std::string_view text) {
   const int descriptor = ::open(file.c_str(), O_WRONLY | O_CREAT | O_TRUNC | O_CLOEXEC, S_IRUSR | S_IWUSR);
   if (descriptor < 0) return false;
--- a/src/hot_restart/state.h
+++ b/src/hot_restart/state.h
@@ -14,28 +14,27 @@
 
 namespace mothrack::hot_restart {
 
-// The version of the JSON, raised with each change that an earlier program would misinterpret. A state of
-// another version is ignored completely.
+// The version of the JSON, raised with each change that an earlier version of the program would misinterpret.
+// A state of another version is ignored completely.
 inline constexpr int kVersion = 1;
 
-// The state that must survive the change of processes.
+// The state that must survive the replacement of the serving process.
 struct State {
   std::set<std::string> bans;            // uids of upstreams that an operator banned
-  std::vector<std::string> request_ids;  // of requests that must not be accepted again
+  std::vector<std::string> request_ids;  // ids of requests that must not be accepted again
   bool quiescing = false;                // an operator's command to accept no new clients is in force
   std::size_t sockets = 0;               // number of descriptors that the serving process still uses
-  // When the upstreams' processes started, on this machine's steady clock, and when the last list was read.
-  // Both are absent in the state of an earlier program.
+  // When the upstreams' processes started, on this machine's steady clock, and when the last endpoint list
+  // was read. Both are absent in the state of an earlier version of the program.
   std::vector<dispatch::ProcessStart> starts;
   std::optional<runtime::TimePoint> last_list;
 };
 
 nlohmann::json ToJson(const State& state);
-// Throws std::runtime_error, which says what is wrong with the JSON.
+// Throws std::runtime_error, with the reason, if the JSON is not a state of this version.
 State FromJson(const nlohmann::json& json);
 
-// Replaces `file` atomically. Returns nothing once the file is on disk, otherwise the error. Blocks until the
-// disk has written it.
+// Replaces `file` atomically and blocks until it is on disk. Returns the error, or nothing on success.
 std::optional<std::string> WriteBans(const std::string& file, const std::set<std::string>& bans);
 // Returns an empty set if there is no such file. A file that is unreadable, truncated or of another version
 // is logged and ignored completely.
--- a/tests/hot_restart/stored_fixture_test.cpp
+++ b/tests/hot_restart/stored_fixture_test.cpp
@@ -1,5 +1,5 @@
-// The state and the file of bans as version 0.2.0 wrote them. The current version reads them completely and
-// writes the same bytes.
+// Tests the state and the file of bans as version 0.2.0 wrote them. The current version must read them
+// completely and write the same bytes.
 #include <gtest/gtest.h>
 
 #include <sstream>
@@ -16,7 +16,8 @@
 const std::string kStateFile = MOTHRACK_FIXTURES "/state_lines.txt";
 const std::string kBansFile = MOTHRACK_FIXTURES "/bans.json";
 
-// The states that the fixtures were written from. The second one is of a process that never received a list.
+// The states that the fixtures were written from. The second one is that of a process that never received an
+// endpoint list.
 State FullState() {
   State state;
   state.bans = {"u-2", "u \"9\""};
@@ -53,7 +54,7 @@
   }
 }
 
-TEST(StoredFixture, AStateOfAnEarlierVersionIsReadCompletelyAndWrittenWithTheSameBytes) {
+TEST(StoredFixture, AStateOfVersion020IsReadCompletelyAndWrittenWithTheSameBytes) {
   std::istringstream lines(testing::ReadFixture(kStateFile));
   for (const State& written : {FullState(), StateWithoutList()}) {
     std::string line;
@@ -64,7 +65,7 @@
   EXPECT_EQ(lines.peek(), std::istringstream::traits_type::eof());
 }
 
-TEST(StoredFixture, BansOfAnEarlierVersionAreReadCompletelyAndWrittenWithTheSameBytes) {
+TEST(StoredFixture, BansOfVersion020AreReadCompletelyAndWrittenWithTheSameBytes) {
   runtime::Logger log("test");
   EXPECT_EQ(ReadBans(kBansFile, log), FullState().bans);
   const testing::FixtureDirectory directory;
