--- a/src/http/client_connection.cpp
+++ b/src/http/client_connection.cpp
@@ -347,8 +347,8 @@
 void ClientConnection::Respond(HttpResponse response, StreamedBody streamed_body) {
   phase_ = Phase::kWriting;
   since_ = runtime::Now();
-  // With an upload the response precedes the end of the request body. The client may not read the response
-  // before it has sent the whole body.
+  // An upload is still in progress, so the response precedes the end of the request body. The client may not
+  // read the response before it has sent the whole body.
   if (const auto upload = std::exchange(upload_, nullptr)) {
     upload->Abandon();
     upload_interrupted_ = close_after_ = true;
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -30,7 +30,7 @@
   int native_handle() { return listener_.native_handle(); }
   void Quiesce(bool on) { listener_.Quiesce(on); }
   bool quiescing() const { return listener_.quiescing(); }
-  // How often clients waited in the listen backlog without a notification from the kernel.
+  // The number of clients that waited in the listen backlog without a notification to the event loop.
   std::uint64_t missed_wakeups() const { return listener_.missed_wakeups(); }
   // Starts a planned stop. `done` is called when every accepted request has been answered.
   void Drain(std::function<void()> done) { listener_.Drain(std::move(done)); }
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -47,8 +47,9 @@
   // The listening address, with the port that the kernel chose if none was given.
   runtime::Endpoint local() const { return acceptor_.local(); }
 
-  // Used in a hot restart: while a successor accepts from the same socket, this process leaves new clients to
-  // it. ResumeAccepting() undoes this if the successor is gone. native_handle() is the descriptor to pass on.
+  // Used in a hot restart: while a successor accepts from the same socket, this process accepts no new
+  // clients. ResumeAccepting() undoes this if the successor has exited. native_handle() is the descriptor
+  // that is passed to the successor.
   void PauseAccepting() { acceptor_.Pause(); }
   void ResumeAccepting() { acceptor_.Resume(); }
   int native_handle() { return acceptor_.native_handle(); }
@@ -57,7 +58,7 @@
   // requested, and requests that still arrive are served.
   void Quiesce(bool on);
   bool quiescing() const { return quiescing_ || on_drained_; }
-  // How often clients waited in the listen backlog without a notification to the event loop.
+  // The number of clients that waited in the listen backlog without a notification to the event loop.
   std::uint64_t missed_wakeups() const { return acceptor_.missed_wakeups(); }
   // Starts a planned stop. Accepts clients for a while longer, unless a successor accepts them, and closes
   // each connection after its last response. Then calls `done` once. Later calls have no effect.
--- a/src/runtime/stream.h
+++ b/src/runtime/stream.h
@@ -40,8 +40,8 @@
 
  private:
   friend class Stream;
-  std::size_t bytes_;
-  std::size_t full_bytes_;
+  std::size_t bytes_;       // the budget now
+  std::size_t full_bytes_;  // the budget while no other process uses half of it
   std::size_t buffered_ = 0;
   std::size_t open_streams_ = 0;
 };
@@ -92,7 +92,7 @@
   // Called when more bytes or the end arrived, from within a call of the producer.
   std::function<void()> on_bytes;
 
-  std::uint64_t size() const { return base_ + bytes_.size() - head_; }  // appended so far
+  std::uint64_t size() const { return base_ + bytes_.size() - head_; }  // bytes appended so far
 
  private:
   void DropConsumed();
