--- a/src/http/frontend.cpp
+++ b/src/http/frontend.cpp
@@ -16,15 +16,16 @@
 using boost::beast::string_view;
 using std::chrono::milliseconds;
 
-// The client's timeout started when it sent the request, which is at least this long before it was read here.
+// Minimum time between the moment when the client sent the request, which is when its timeout started, and
+// the moment when the request was read here.
 constexpr runtime::Duration kClientLatency = milliseconds(2);
 constexpr std::size_t kMaxIdSize = 128;
 // A timeout of more than this many deadlines of the request's class is invalid.
 constexpr int kMaxDeadlines = 2;
 
 // Response to a request that does not follow the protocol. Its connection is closed as well.
-HttpResponse InvalidRequestResponse(const std::string& why) {
-  auto response = PlainResponse(beast_http::status::bad_request, why);
+HttpResponse InvalidRequestResponse(const std::string& reason) {
+  auto response = PlainResponse(beast_http::status::bad_request, reason);
   response.keep_alive(false);
   return response;
 }
@@ -44,9 +45,9 @@
 
 // Whether the method agrees with the effect of the class. A request that contradicts its class might be
 // retried although the class forbids it.
-bool MethodFitsEffect(const HttpRequest& request, bool body, balancer::Effect effect) {
+bool MethodFitsEffect(const HttpRequest& request, bool has_body, balancer::Effect effect) {
   if (effect == balancer::Effect::kSafe) {
-    return request.method() == beast_http::verb::get && !body;
+    return request.method() == beast_http::verb::get && !has_body;
   }
   const auto key = SingleValue(request, "Idempotency-Key");
   const bool has_key = key && IsValidId(*key);
@@ -97,8 +98,8 @@
   return range;
 }
 
-ComingBody TakeComingBody(dispatch::FinalAnswer& final) {
-  return final.streaming ? std::move(static_cast<HttpReply&>(*final.reply).coming) : ComingBody{};
+StreamedBody TakeStreamedBody(dispatch::FinalAnswer& final) {
+  return final.streaming ? std::move(static_cast<HttpReply&>(*final.reply).streamed_body) : StreamedBody{};
 }
 
 HttpResponse ToResponse(dispatch::FinalAnswer& final) {
@@ -116,13 +117,13 @@
 
 }  // namespace
 
-HttpFrontend::HttpFrontend(boost::asio::io_context& io, const runtime::ListenOn& where,
+HttpFrontend::HttpFrontend(boost::asio::io_context& io, const runtime::ListenOptions& options,
                            runtime::Descriptors& descriptors, runtime::ByteBudget& budget,
                            runtime::Logger& log, dispatch::Dispatcher& dispatcher)
     : dispatcher_(dispatcher),
-      listener_(io, where, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
-                [this](HttpRequest&& request, ComingBody coming, const ReplyCallback& reply) {
-                  return Accept(std::move(request), std::move(coming), reply);
+      listener_(io, options, descriptors, budget, log, DeadlinesOf(dispatcher.settings()),
+                [this](HttpRequest&& request, StreamedBody streamed_body, const ReplyCallback& reply) {
+                  return Accept(std::move(request), std::move(streamed_body), reply);
                 }) {
   const balancer::Settings& settings = dispatcher.settings();
   for (std::size_t i = 0; i < settings.classes.size(); ++i) {
@@ -133,10 +134,11 @@
   }
 }
 
-RequestObserver HttpFrontend::Accept(HttpRequest&& request, ComingBody coming, const ReplyCallback& reply) {
+RequestObserver HttpFrontend::Accept(HttpRequest&& request, StreamedBody streamed_body,
+                                     const ReplyCallback& reply) {
   const runtime::TimePoint now = runtime::Now();
   RemoveHopByHop(request);  // first, because `Connection` may name fields that are checked below
-  const bool has_body = coming || !request.body().empty();
+  const bool has_body = streamed_body || !request.body().empty();
   auto parsed = Parse(request, has_body);
   if (const auto* invalid = std::get_if<InvalidRequest>(&parsed)) {
     reply(InvalidRequestResponse(invalid->reason), {});
@@ -148,15 +150,15 @@
   dispatch::NewRequest accepted;
   accepted.request_class = attributes.request_class;
   accepted.deadline = now + timeout;
-  accepted.arriving = static_cast<bool>(coming);
+  accepted.arriving = static_cast<bool>(streamed_body);
   accepted.tenant = attributes.tenant;
   accepted.work = attributes.work;
   accepted.client_retry = attributes.client_retry;
   accepted.key = std::move(attributes.id);  // upstreams could not tell two requests with the same id apart
-  accepted.message = std::make_shared<const HttpMessage>(std::move(request), std::move(coming));
+  accepted.message = std::make_shared<const HttpMessage>(std::move(request), std::move(streamed_body));
   accepted.on_final = [reply](dispatch::FinalAnswer final) {
-    ComingBody answer = TakeComingBody(final);
-    reply(ToResponse(final), std::move(answer));
+    StreamedBody body = TakeStreamedBody(final);
+    reply(ToResponse(final), std::move(body));
   };
   const auto id = dispatcher_.Submit(std::move(accepted));
   if (!id) {
--- a/src/http/frontend.h
+++ b/src/http/frontend.h
@@ -1,7 +1,7 @@
 // Translates between HTTP messages and the dispatcher. Reads a request's class, idempotency key, tenant and
 // deadline from its head, and turns each final answer into an HTTP response.
 //
-// Owned by the sidecar, on the thread of its event loop. A request that does not follow the protocol is
+// Owned by the sidecar, used on the thread of its event loop. A request that does not follow the protocol is
 // answered with 400 and never reaches the dispatcher.
 #pragma once
 
@@ -19,8 +19,9 @@
 class HttpFrontend {
  public:
   // Accepts connections at once. Throws boost::system::system_error if it cannot listen.
-  HttpFrontend(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
-               runtime::ByteBudget& budget, runtime::Logger& log, dispatch::Dispatcher& dispatcher);
+  HttpFrontend(boost::asio::io_context& io, const runtime::ListenOptions& options,
+               runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
+               dispatch::Dispatcher& dispatcher);
 
   // The functions below forward to Listener.
   runtime::Endpoint local() const { return listener_.local(); }
@@ -29,7 +30,7 @@
   int native_handle() { return listener_.native_handle(); }
   void Quiesce(bool on) { listener_.Quiesce(on); }
   bool quiescing() const { return listener_.quiescing(); }
-  // How often clients waited in the listen backlog without a notification from the kernel.
+  // The number of clients that waited in the listen backlog without a notification to the event loop.
   std::uint64_t missed_wakeups() const { return listener_.missed_wakeups(); }
   // Starts a planned stop. `done` is called when every accepted request has been answered.
   void Drain(std::function<void()> done) { listener_.Drain(std::move(done)); }
@@ -40,15 +41,15 @@
     balancer::ClassId request_class{};
     std::optional<balancer::TenantId> tenant;
     std::string id;
-    runtime::Duration timeout{};  // remaining time until the client's deadline
-    std::optional<runtime::Duration> work;
+    runtime::Duration timeout{};            // remaining time until the client's deadline
+    std::optional<runtime::Duration> work;  // from the header X-Cost
     bool client_retry = false;
   };
   struct InvalidRequest {
     std::string reason;
   };
 
-  RequestObserver Accept(HttpRequest&& request, ComingBody coming, const ReplyCallback& reply);
+  RequestObserver Accept(HttpRequest&& request, StreamedBody streamed_body, const ReplyCallback& reply);
   std::variant<RequestAttributes, InvalidRequest> Parse(const HttpRequest& request, bool has_body) const;
 
   dispatch::Dispatcher& dispatcher_;
--- a/src/http/listener.h
+++ b/src/http/listener.h
@@ -1,8 +1,8 @@
 // The listening socket for the application's clients. Accepts connections, closes overdue ones in periodic
 // sweeps, evicts one when descriptors run out, and closes all of them gradually during a planned stop.
 //
-// Owned by HttpFrontend, on the thread of its event loop. Holds as many connections as the client side of
-// Descriptors allows; ClientConnection bounds what each may hold. An error on one connection closes that
+// Owned by HttpFrontend, used on the thread of its event loop. Holds as many connections as the client side
+// of Descriptors allows; ClientConnection bounds what each may hold. An error on one connection closes that
 // connection. The constructor throws boost::system::system_error if it cannot listen.
 #pragma once
 
@@ -37,9 +37,9 @@
   // of `deadlines` matter: the backlog is polled several times within the shortest one, in case the kernel's
   // notification for a waiting client was missed, and a planned stop ends before the SIGKILL that may follow
   // the longest one.
-  Listener(boost::asio::io_context& io, const runtime::ListenOn& where, runtime::Descriptors& descriptors,
-           runtime::ByteBudget& budget, runtime::Logger& log, const DeadlineRange& deadlines,
-           RequestHandler handler);
+  Listener(boost::asio::io_context& io, const runtime::ListenOptions& options,
+           runtime::Descriptors& descriptors, runtime::ByteBudget& budget, runtime::Logger& log,
+           const DeadlineRange& deadlines, RequestHandler handler);
   ~Listener();
   Listener(const Listener&) = delete;
   Listener& operator=(const Listener&) = delete;
@@ -47,8 +47,9 @@
   // The listening address, with the port that the kernel chose if none was given.
   runtime::Endpoint local() const { return acceptor_.local(); }
 
-  // Used in a hot restart: while a successor accepts from the same socket, this process leaves new clients to
-  // it. ResumeAccepting() undoes this if the successor is gone. native_handle() is the descriptor to pass on.
+  // Used in a hot restart: while a successor accepts from the same socket, this process accepts no new
+  // clients. ResumeAccepting() undoes this if the successor has exited. native_handle() is the descriptor
+  // that is passed to the successor.
   void PauseAccepting() { acceptor_.Pause(); }
   void ResumeAccepting() { acceptor_.Resume(); }
   int native_handle() { return acceptor_.native_handle(); }
@@ -56,11 +57,11 @@
   // closed, and the others are closed after their response. The socket keeps listening so that `/up` can be
   // requested, and requests that still arrive are served.
   void Quiesce(bool on);
-  bool quiescing() const { return quiescing_ || drained_; }
-  // How often clients waited in the listen backlog without a notification to the event loop.
+  bool quiescing() const { return quiescing_ || on_drained_; }
+  // The number of clients that waited in the listen backlog without a notification to the event loop.
   std::uint64_t missed_wakeups() const { return acceptor_.missed_wakeups(); }
-  // Starts a planned stop: serves requests that still arrive for a while, unless a successor does so, closes
-  // each connection, then calls `done` once. Later calls have no effect.
+  // Starts a planned stop. Accepts clients for a while longer, unless a successor accepts them, and closes
+  // each connection after its last response. Then calls `done` once. Later calls have no effect.
   void Drain(std::function<void()> done);
 
  private:
@@ -76,10 +77,11 @@
   void OnAwaitingRequest(runtime::TimePoint now) override { PollAcceptor(now); }
   void CheckForDisconnects() override;
   bool ClosesAfterResponse() const override { return quiescing(); }
-  // `/up` reports whether the address accepts clients. With a successor it does, even while this process
-  // drains.
+  // `/up` reports whether the address accepts clients. If there is a successor, it does even while this
+  // process drains.
   bool ReportsDraining() const override { return quiescing() && !has_successor_; }
-  RequestObserver HandleRequest(HttpRequest&& request, ComingBody coming, ReplyCallback reply) override;
+  RequestObserver HandleRequest(HttpRequest&& request, StreamedBody streamed_body,
+                                ReplyCallback reply) override;
 
   runtime::Duration SweepInterval() const;
   // Called by the timer; returns false when the stop is complete.
@@ -97,14 +99,14 @@
   const RequestHandler handler_;
   runtime::ConnectionSet<ClientConnection> connections_;
   runtime::Acceptor acceptor_;
-  const runtime::Duration sweep_every_;
-  const runtime::Duration stop_within_;  // duration of a planned stop
-  runtime::TimePoint last_poll_;         // of the listen backlog
+  const runtime::Duration sweep_interval_;
+  const runtime::Duration max_drain_time_;  // maximum duration of a planned stop
+  runtime::TimePoint last_poll_;            // when the listen backlog was last polled
   runtime::SweepTimer sweep_timer_;
-  std::function<void()> drained_;  // set while draining
+  std::function<void()> on_drained_;  // called when the planned stop is complete; set once it has started
   bool quiescing_ = false;
-  bool has_unread_connections_ = false;  // a connection is being served while nothing is read from it
-  bool ended_ = false;                   // draining is complete and the owner was notified
+  bool has_unread_connections_ = false;  // there is a connection from which nothing is read
+  bool drain_complete_ = false;          // the planned stop is complete, and on_drained_ was called
   bool has_successor_ = false;           // draining while a successor accepts clients at the same address
   runtime::TimePoint drain_started_;
 };
--- a/src/http/messages.h
+++ b/src/http/messages.h
@@ -26,7 +26,7 @@
 
 // A body that is still arriving while its message is already being forwarded. The message's own body is empty
 // then.
-struct ComingBody {
+struct StreamedBody {
   std::shared_ptr<runtime::Stream> stream;  // null if the message is complete
   std::optional<std::uint64_t> length;      // absent if unknown until the body ends
   explicit operator bool() const { return stream != nullptr; }
@@ -34,29 +34,29 @@
 
 // A request in the form in which attempts send it.
 struct HttpMessage : dispatch::Message {
-  explicit HttpMessage(HttpRequest request, ComingBody coming = {})
-      : request(std::move(request)), coming(std::move(coming)) {}
+  explicit HttpMessage(HttpRequest request, StreamedBody streamed_body = {})
+      : request(std::move(request)), streamed_body(std::move(streamed_body)) {}
   HttpRequest request;
-  ComingBody coming;
+  StreamedBody streamed_body;
 };
 
 // An upstream's response.
 struct HttpReply : dispatch::Reply {
-  explicit HttpReply(HttpResponse response, ComingBody coming = {})
-      : response(std::move(response)), coming(std::move(coming)) {}
+  explicit HttpReply(HttpResponse response, StreamedBody streamed_body = {})
+      : response(std::move(response)), streamed_body(std::move(streamed_body)) {}
   HttpResponse response;
-  ComingBody coming;
+  StreamedBody streamed_body;
 };
 
-// Bodies up to this size are buffered whole. A buffered request can be retried from the start, and a
+// Bodies up to this size are buffered completely. A buffered request can be retried from the start, and a
 // truncated response is never forwarded. Longer bodies are streamed.
 inline constexpr std::size_t kBufferLimit = std::size_t{64} * 1024;
 // A response of unknown length may be streamed from this size on, because it may take long to grow further.
 inline constexpr std::size_t kMinStreamedSize = std::size_t{16} * 1024;
 // Longer bodies are rejected.
 inline constexpr std::uint64_t kMaxBodySize = std::uint64_t{64} * 1024 * 1024;
-// A streamed request body is kept for replay until it exceeds this size, so that it can be sent again if
-// nothing has run.
+// A streamed request body is retained until it exceeds this size, so that it can be sent again if no upstream
+// has processed the request.
 inline constexpr std::size_t kMaxReplaySize = std::size_t{512} * 1024;
 // Maximum size of a message head, including the empty line that ends it.
 inline constexpr std::uint32_t kMaxHeaderSize = 16 * 1024;
--- a/src/sidecar/hot_restart_coordinator.cpp
+++ b/src/sidecar/hot_restart_coordinator.cpp
@@ -40,7 +40,7 @@
   }
   inherited_ = hot_restart::TakeOver(io, path_, kTakeOverTimeout, log);
   if (inherited_) {
-    log_.Stated("handover: takes over from the process that serves");
+    log_.FreeText("handover: takes over from the process that serves");
     bans_ = inherited_->state.bans;
     ReserveForPredecessor(inherited_->state.sockets);
   } else {
@@ -119,7 +119,7 @@
   state.quiescing = sidecar_->quiescing();
   state.starts = sidecar_->ProcessStarts();
   state.last_list = sidecar_->LastListTime();
-  reserved_descriptors_ = std::max(descriptors_.used(), descriptors_.full() / 2);
+  reserved_descriptors_ = std::max(descriptors_.used(), descriptors_.uncapped_limit() / 2);
   descriptors_.Cap(reserved_descriptors_);
   sidecar_->ShareMemory(true);
   state.sockets = reserved_descriptors_;
@@ -152,14 +152,14 @@
 }
 
 void HotRestartCoordinator::OnPredecessorExited() {
-  log_.Stated("handover: the former process is gone");
+  log_.FreeText("handover: the former process is gone");
   descriptors_.Uncap();
   sidecar_->ShareMemory(false);
 }
 
 void HotRestartCoordinator::ReserveForPredecessor(std::size_t sockets) {
   const std::size_t reserved = sockets + descriptors_.fixed();
-  descriptors_.Cap(descriptors_.full() > reserved ? descriptors_.full() - reserved : 1);
+  descriptors_.Cap(descriptors_.uncapped_limit() > reserved ? descriptors_.uncapped_limit() - reserved : 1);
 }
 
 void HotRestartCoordinator::OnUpdate(const hot_restart::Update& update) {
