--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -62,7 +62,7 @@
 void SqliteStore::Open(const std::string& path) {
   db_ = std::make_unique<storage::Database>(path);
   ::chmod(path.c_str(), kFileMode);
-  db_->WaitFor(kBusyTimeoutMs);
+  db_->SetBusyTimeout(kBusyTimeoutMs);
   // The journal is written ahead, and the file is synced before a commit returns. This uses a rollback
   // journal rather than WAL, since saves are few and one file is easier to copy than three.
   db_->Run("PRAGMA journal_mode = DELETE");
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -106,7 +106,7 @@
 
 Results::Results(const std::string& path) try : db_(path) {
   constexpr int kBusyMs = 5000;
-  db_.WaitFor(kBusyMs);
+  db_.SetBusyTimeout(kBusyMs);
   db_.Run(
       "CREATE TABLE IF NOT EXISTS run (label TEXT, scenario TEXT, settings TEXT, seed INTEGER, build TEXT, "
       "machine TEXT, "
--- a/src/storage/sqlite.h
+++ b/src/storage/sqlite.h
@@ -34,8 +34,8 @@
   Database& operator=(const Database&) = delete;
 
   sqlite3* get() const { return db_; }
-  // How long to wait for a lock of another process before an operation fails, in milliseconds.
-  void WaitFor(int ms) { sqlite3_busy_timeout(db_, ms); }
+  // Sets how long an operation waits for a lock of another process before it fails, in milliseconds.
+  void SetBusyTimeout(int ms) { sqlite3_busy_timeout(db_, ms); }
   // Executes one or more statements without parameters or results.
   void Run(const char* sql) {
     if (sqlite3_exec(db_, sql, nullptr, nullptr, nullptr) != SQLITE_OK)
