--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -23,23 +23,25 @@
   return kNames.at(static_cast<std::size_t>(rule));
 }
 
-Rules::Rules(Limits limits) : limits_(std::move(limits)) {}
+RuleChecker::RuleChecker(Limits limits) : limits_(std::move(limits)) {}
 
-std::size_t Rules::total() const { return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0}); }
+std::size_t RuleChecker::total() const {
+  return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0});
+}
 
-void Rules::RecordBreach(Rule rule, runtime::TimePoint at, std::string what) {
+void RuleChecker::RecordBreach(Rule rule, runtime::TimePoint at, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ == 0)
     first_breaches_.push_back({rule, InSeconds(at), std::move(what)});
 }
 
-void Rules::ForgetEnded(runtime::TimePoint now) {
+void RuleChecker::ForgetEnded(runtime::TimePoint now) {
   while (!ended_.empty() && now - ended_.front().first > kEndedRequestRetention) {
     open_.erase(ended_.front().second);
     ended_.pop_front();
   }
 }
 
-void Rules::Record(const SimulationEvent& event) {
+void RuleChecker::Record(const SimulationEvent& event) {
   using Kind = SimulationEvent::Kind;
   ForgetEnded(event.at);
   switch (event.kind) {
@@ -91,17 +93,17 @@
   }
 }
 
-Rules::OpenRequest* Rules::Find(std::uint64_t request) {
+RuleChecker::OpenRequest* RuleChecker::Find(std::uint64_t request) {
   const auto it = open_.find(request);
   return it == open_.end() ? nullptr : &it->second;
 }
 
-void Rules::RecordLeft(runtime::TimePoint at, std::uint64_t request, OpenRequest& open) {
+void RuleChecker::RecordLeft(runtime::TimePoint at, std::uint64_t request, OpenRequest& open) {
   open.answered = open.left = true;
   ended_.emplace_back(at, request);
 }
 
-void Rules::RecordAnswer(const SimulationEvent& event) {
+void RuleChecker::RecordAnswer(const SimulationEvent& event) {
   const std::string request = "request " + std::to_string(event.request);
   OpenRequest* open = Find(event.request);
   if (open == nullptr) {
@@ -123,7 +125,7 @@
   ended_.emplace_back(event.at, event.request);
 }
 
-void Rules::RecordAttempt(const SimulationEvent& event) {
+void RuleChecker::RecordAttempt(const SimulationEvent& event) {
   const std::string request = "request " + std::to_string(event.request);
   if (OpenRequest* open = Find(event.request); open != nullptr) {
     if (limits_.unsafe.at(open->cls) && open->possibly_run_attempts > 0) {
@@ -141,7 +143,7 @@
                    " ms after it was told as leaving");
 }
 
-void Rules::RecordStart(const SimulationEvent& event) {
+void RuleChecker::RecordStart(const SimulationEvent& event) {
   OpenRequest* open = Find(event.request);
   if (open == nullptr) return;
   ++open->runs;
@@ -153,7 +155,7 @@
 
 // Compares the work that all sidecars together send to a server in slow start within the window with its
 // capacity.
-void Rules::RecordArrival(const SimulationEvent& event) {
+void RuleChecker::RecordArrival(const SimulationEvent& event) {
   if (event.server >= servers_.size()) return;
   ServerLoad& server = servers_[event.server];
   if (server.booted == runtime::TimePoint::min() || event.at - server.booted >= limits_.slow_start_duration)
@@ -178,7 +180,7 @@
   }
 }
 
-void Rules::End(runtime::TimePoint at) {
+void RuleChecker::End(runtime::TimePoint at) {
   for (const auto& [id, open] : open_) {
     if (open.answered || at <= open.until + limits_.grace) continue;
     RecordBreach(Rule::kLost, at, "request " + std::to_string(id) + " was never answered");
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -30,7 +30,7 @@
 
 // The rule checker. Keeps the state of each open request, and of an ended one for another 20 s because its
 // attempts may still run.
-class Rules {
+class RuleChecker {
  public:
   struct Limits {
     std::vector<bool> unsafe;          // indexed by class
@@ -41,7 +41,7 @@
     double slow_start_initial_share = 0.2;
     runtime::Duration slow_start_duration{15'000'000};
   };
-  explicit Rules(Limits limits);
+  explicit RuleChecker(Limits limits);
 
   // Checks one event. Events must come in the order in which they happened.
   void Record(const SimulationEvent& event);
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -18,8 +18,8 @@
 constexpr runtime::Duration kStopTimeout = std::chrono::seconds(5);
 constexpr double kMinRateShare = 0.02;  // of the mean rate: every sidecar gets some requests
 
-Rules::Limits LimitsOf(const Scenario& scenario) {
-  Rules::Limits limits;
+RuleChecker::Limits LimitsOf(const Scenario& scenario) {
+  RuleChecker::Limits limits;
   for (const ClassLoad& c : scenario.classes) limits.unsafe.push_back(c.effect == balancer::Effect::kUnsafe);
   limits.slow_start_initial_share = scenario.slow_start_initial_share;
   limits.slow_start_duration = SecondsOf(scenario.slow_start_s);
@@ -54,7 +54,7 @@
       arrivals_(random_.Fork()),
       network_(random_.Fork()),
       figures_(scenario_),
-      rules_(LimitsOf(scenario_)),
+      rule_checker_(LimitsOf(scenario_)),
       zone_cut_off_(scenario.zones.size()),
       zone_lost_(scenario.zones.size()),
       hash_(std::make_unique<Hash>()) {
@@ -107,15 +107,15 @@
   runtime::Duration longest{};
   for (const ClassLoad& c : scenario_.classes) longest = std::max(longest, Milliseconds(c.deadline_ms));
   sim_.RunUntil(end + longest + std::chrono::seconds(1));
-  rules_.End(runtime::TimePoint(sim_.now() - kEpoch));
+  rule_checker_.End(runtime::TimePoint(sim_.now() - kEpoch));
   figures_.Finish();
   Outcome outcome;
   outcome.digest = XXH64_digest(hash_->state.get());
   outcome.recorded_events = recorded_events_;
   outcome.events = sim_.events();
   outcome.requests = accepted_;
-  outcome.breaches = rules_.breaches();
-  outcome.broken = rules_.total();
+  outcome.breaches = rule_checker_.breaches();
+  outcome.broken = rule_checker_.total();
   for (const auto& sidecar : sidecars_) {
     if (sidecar->dispatcher) outcome.still_open += sidecar->dispatcher->in_flight();
   }
@@ -140,7 +140,7 @@
   if (event.until != runtime::TimePoint{}) event.until = runtime::TimePoint(event.until - kEpoch);
   ++recorded_events_;
   hash_->Add(event);
-  rules_.Record(event);
+  rule_checker_.Record(event);
   figures_.Record(event);
 }
 
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -115,7 +115,7 @@
   std::ostream null_stream_{nullptr};
   runtime::Logger log_{"lab", null_stream_};
   Figures figures_;
-  Rules rules_;
+  RuleChecker rule_checker_;
   std::vector<Machine> machines_;
   std::vector<std::unique_ptr<Sidecar>> sidecars_;
   std::vector<bool> zone_cut_off_;  // by zone
--- a/tests/simulation/invariants_test.cpp
+++ b/tests/simulation/invariants_test.cpp
@@ -15,8 +15,8 @@
 class CheckedEvents {
  public:
   CheckedEvents()
-      : rules([] {
-          Rules::Limits limits;
+      : rule_checker([] {
+          RuleChecker::Limits limits;
           limits.unsafe = {false, true};
           return limits;
         }()) {}
@@ -33,13 +33,13 @@
   }
   std::size_t Count(Rule rule) {
     Flush();
-    return rules.count(rule);
+    return rule_checker.count(rule);
   }
   void Flush() {
-    if (next) rules.Record(*next);
+    if (next) rule_checker.Record(*next);
     next.reset();
   }
-  Rules rules;
+  RuleChecker rule_checker;
   std::optional<SimulationEvent> next;
 };
 
@@ -82,12 +82,12 @@
   left.Add(Kind::kAccepted, 0);
   left.Add(Kind::kClientLeft, 10);
   left.Flush();
-  left.rules.End(runtime::TimePoint(Milliseconds(5000)));
+  left.rule_checker.End(runtime::TimePoint(Milliseconds(5000)));
   EXPECT_EQ(left.Count(Rule::kLost), 0U);
   CheckedEvents none;
   none.Add(Kind::kAccepted, 0);
   none.Flush();
-  none.rules.End(runtime::TimePoint(Milliseconds(1051)));
+  none.rule_checker.End(runtime::TimePoint(Milliseconds(1051)));
   EXPECT_EQ(none.Count(Rule::kLost), 1U);
 }
 
--- a/tests/standins/traffic_record.cpp
+++ b/tests/standins/traffic_record.cpp
@@ -175,11 +175,11 @@
 }
 
 void TrafficRecord::AddBreaches(milliseconds drain, std::vector<std::string>& violations) const {
-  simulation::Rules::Limits limits;
+  simulation::RuleChecker::Limits limits;
   limits.unsafe = {false, true};
   limits.grace = kAnswerGrace;
   limits.drain = drain;
-  simulation::Rules rules(limits);
+  simulation::RuleChecker rules(limits);
   for (const SimulationEvent& event : EventsInOrder()) rules.Record(event);
   rules.End(runtime::TimePoint::max());  // requests that are unanswered now stay unanswered
   for (const simulation::Breach& breach : rules.breaches()) {
