--- a/src/simulation/command_run.cpp
+++ b/src/simulation/command_run.cpp
@@ -106,7 +106,7 @@
     const Scenario scenario = LoadScenario(path, options.changes);
     SimulationRun simulated(scenario, options.seed, options.injected_fault);
     const auto begin = std::chrono::steady_clock::now();
-    const Outcome outcome = simulated.Run();
+    const RunOutcome outcome = simulated.Run();
     const double took = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
     const json run = ToJson(scenario, options.seed, outcome, simulated.figures(), true);
     Print(run);
--- a/src/simulation/command_shrink.cpp
+++ b/src/simulation/command_shrink.cpp
@@ -13,7 +13,7 @@
   const Scenario scenario = LoadScenario(options.scenarios.at(0), options.changes);
   const auto find_fault = [&](const Scenario& s) {
     SimulationRun simulated(s, options.seed, options.injected_fault);
-    const Outcome outcome = simulated.Run();
+    const RunOutcome outcome = simulated.Run();
     return FindFault(s, outcome, simulated.figures());
   };
   const std::string original_fault = find_fault(scenario);
@@ -26,7 +26,7 @@
   const Scenario shrunk = ShrinkWhile(
       scenario, [&](const Scenario& s) { return find_fault(s).starts_with(kind); }, options.budget);
   SimulationRun simulated(shrunk, options.seed, options.injected_fault);
-  const Outcome outcome = simulated.Run();
+  const RunOutcome outcome = simulated.Run();
   std::printf("# %s; seed %llu\n", FindFault(shrunk, outcome, simulated.figures()).c_str(),
               static_cast<unsigned long long>(options.seed));
   for (const Breach& b : outcome.breaches) std::printf("# %.3f s: %s\n", b.at_s, b.what.c_str());
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -62,7 +62,7 @@
   return hash;
 }
 
-json ToJson(const Scenario& scenario, std::uint64_t seed, const Outcome& outcome, const Figures& figures,
+json ToJson(const Scenario& scenario, std::uint64_t seed, const RunOutcome& outcome, const Figures& figures,
             bool with_seconds) {
   const Second sum = figures.Sum();
   const double client_attempts = static_cast<double>(std::max<std::uint64_t>(1, sum.client_attempts));
--- a/src/simulation/results.h
+++ b/src/simulation/results.h
@@ -33,7 +33,7 @@
 const std::vector<Figure>& ComparedFigures();
 
 // Returns a run as JSON, as it is stored and shown.
-nlohmann::json ToJson(const Scenario& scenario, std::uint64_t seed, const Outcome& outcome,
+nlohmann::json ToJson(const Scenario& scenario, std::uint64_t seed, const RunOutcome& outcome,
                       const Figures& figures, bool with_seconds);
 // Returns a hash of the scenario's TOML text as 16 hexadecimal digits.
 std::string HashOf(const Scenario& scenario);
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -112,7 +112,7 @@
 
 }  // namespace
 
-std::string FindFault(const Scenario& scenario, const Outcome& outcome, const Figures& figures) {
+std::string FindFault(const Scenario& scenario, const RunOutcome& outcome, const Figures& figures) {
   if (!outcome.breaches.empty()) return std::string("rule ") + NameOf(outcome.breaches.front().rule);
   if (outcome.still_open > 0) return "requests without an answer";
   const auto recovery = figures.recovery();
--- a/src/simulation/search.h
+++ b/src/simulation/search.h
@@ -14,7 +14,7 @@
 
 // Describes what is wrong with a run: a broken rule, a request without an answer, or degraded service that
 // outlasts its cause. Empty if nothing is wrong.
-std::string FindFault(const Scenario& scenario, const Outcome& outcome, const Figures& figures);
+std::string FindFault(const Scenario& scenario, const RunOutcome& outcome, const Figures& figures);
 
 // Returns a mutation of the scenario: fleet, load and faults are changed at random, and faults are added and
 // removed. The result is always valid.
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -99,7 +99,7 @@
   for (const auto& sidecar : sidecars_) sidecar->dispatcher.reset();
 }
 
-Outcome SimulationRun::Run() {
+RunOutcome SimulationRun::Run() {
   const runtime::TimePoint end = runtime::TimePoint(kEpoch) + SecondsOf(scenario_.length_s);
   sim_.RunUntil(end);
   // No new requests; those that are open are run to their end.
@@ -109,7 +109,7 @@
   sim_.RunUntil(end + longest + std::chrono::seconds(1));
   rule_checker_.End(runtime::TimePoint(sim_.now() - kEpoch));
   figures_.Finish();
-  Outcome outcome;
+  RunOutcome outcome;
   outcome.digest = XXH64_digest(hash_->state.get());
   outcome.recorded_events = recorded_events_;
   outcome.events = sim_.events();
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -22,7 +22,7 @@
 namespace mothrack::simulation {
 
 // The results of a run in addition to its figures.
-struct Outcome {
+struct RunOutcome {
   std::uint64_t digest = 0;  // hash of all recorded events in their order
   std::uint64_t recorded_events = 0;
   std::uint64_t events = 0;    // of the event queue (src/simulation/simulator.h)
@@ -39,7 +39,7 @@
                 InjectedFault injected_fault = InjectedFault::kNone);
   ~SimulationRun() override;
 
-  Outcome Run();
+  RunOutcome Run();
   const Figures& figures() const { return figures_; }
 
  private:
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -28,7 +28,7 @@
   int code = 1;
   try {
     SimulationRun simulated(job.scenario, job.seed);
-    const Outcome outcome = simulated.Run();
+    const RunOutcome outcome = simulated.Run();
     const std::string text = ToJson(job.scenario, job.seed, outcome, simulated.figures(), false).dump();
     std::size_t at = 0;
     while (at < text.size()) {
--- a/tests/simulation/program_test.cpp
+++ b/tests/simulation/program_test.cpp
@@ -94,7 +94,7 @@
     for (std::uint64_t seed = 1; seed <= 4; ++seed) {
       Scenario changed = LoadScenario(ScenarioPath("calm"), {"length_s=6", "fleet.sidecars=8", hedging});
       SimulationRun simulated(changed, seed);
-      const Outcome outcome = simulated.Run();
+      const RunOutcome outcome = simulated.Run();
       RunKey of_seed = key;
       of_seed.seed = seed;
       results.Store(of_seed, "x", "y", ToJson(changed, seed, outcome, simulated.figures(), false));
--- a/tests/simulation/simulation_support.h
+++ b/tests/simulation/simulation_support.h
@@ -25,13 +25,13 @@
 
 // The results of one run: its outcome, and its figures as JSON, with those of each second.
 struct CompletedRun {
-  Outcome outcome;
+  RunOutcome outcome;
   nlohmann::json run;
 };
 inline CompletedRun RunScenario(const Scenario& scenario, std::uint64_t seed,
                                 InjectedFault injected_fault = InjectedFault::kNone) {
   SimulationRun simulated(scenario, seed, injected_fault);
-  const Outcome outcome = simulated.Run();
+  const RunOutcome outcome = simulated.Run();
   return {outcome, ToJson(scenario, seed, outcome, simulated.figures(), true)};
 }
 
--- a/tests/simulation/stored_fixture_test.cpp
+++ b/tests/simulation/stored_fixture_test.cpp
@@ -24,7 +24,7 @@
 // database.
 nlohmann::json RunScenario(const Scenario& scenario, std::uint64_t seed) {
   SimulationRun run(scenario, seed);
-  const Outcome outcome = run.Run();
+  const RunOutcome outcome = run.Run();
   return ToJson(scenario, seed, outcome, run.figures(), seed == kSeeds);
 }
 
