--- a/tests/balancer/module_limits.sh
+++ b/tests/balancer/module_limits.sh
@@ -1,14 +1,14 @@
 #!/bin/sh
-# Fails if a file of the decision module is too long or too wide, or if `policy` in the operators' file does not
-# name every file that takes decisions, or names one that is missing. Usage: module_limits.sh SRC_BALANCER
-# BALANCER_TOML
+# Fails if a file of the decision module (src/balancer) is too long or has too long lines. Also fails if the
+# list `policy` in the operators' file (deploy/balancer.toml) does not name every file that takes decisions,
+# or names a file that does not exist. Usage: module_limits.sh SRC_BALANCER BALANCER_TOML
 set -eu
 module=$1
 operators_file=$2
 max_lines=500          # of any file
-max_routing_lines=300  # of balancer.cpp, which only routes
+max_routing_lines=300  # of balancer.cpp, which only passes events to the other files
 max_columns=110
-# The interface and the validation of its settings take no decisions about requests.
+# These files are the interface and the validation of the settings. They take no decisions about requests.
 interface="actions.h balancer.h events.h settings.cpp settings.h types.h"
 
 failed=0
@@ -29,11 +29,11 @@
   case " $interface " in *" $name "*) continue ;; esac
   case "$policy" in
     *"\"src/balancer/$name\""*) ;;
-    *) fail "$name: not named by policy in $operators_file" ;;
+    *) fail "$name: not in the list policy of $operators_file" ;;
   esac
 done
 # Every named file must exist.
 for named in $(echo "$policy" | grep -o '"src/balancer/[^"]*"' | tr -d '"'); do
-  [ -f "$module/$(basename "$named")" ] || fail "$named: named by policy but missing"
+  [ -f "$module/$(basename "$named")" ] || fail "$named: in the list policy of $operators_file, but does not exist"
 done
 exit "$failed"
--- a/tests/support/log_events.sh
+++ b/tests/support/log_events.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Checks that docs/operators/logs.md lists every event that the sources log, with its level and keys, and no other event,
-# and that it has the texts that are logged through Logger::Stated(): log_events.sh SOURCE
+# Checks that docs/operators/logs.md lists every event that the sources log, with its level and keys, and no
+# other event. Also checks that the page has the texts that are logged through Logger::Stated(). Usage:
+# log_events.sh SOURCE
 set -eu
 source=$1
 page=$source/docs/operators/logs.md
@@ -11,7 +12,8 @@
   exit 1
 }
 
-# The sources, one file per line, without the formatter's line breaks.
+# Writes the sources with one file per line, so that calls are found although the formatter broke them into
+# lines.
 find "$source/src" -name '*.h' -o -name '*.cpp' | sort | while read -r file; do
   tr '\n' ' ' <"$file" | tr -s ' '
   echo
@@ -26,16 +28,16 @@
 # Checks that the pattern above misses no call.
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\(' "$work/sources" | wc -l >"$work/calls"
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\( ?"[a-z0-9_]+"' "$work/sources" | wc -l >"$work/named"
-cmp -s "$work/calls" "$work/named" || fail "an event is not a literal at its call: $(cat "$work/calls") calls, $(cat "$work/named") named"
+cmp -s "$work/calls" "$work/named" || fail "an event name is not a literal at its call: $(cat "$work/calls") calls, $(cat "$work/named") with a literal"
 
 sed -n '/^## Events/,/^## /p' "$page" | grep -E '^\| `' | tr -d '`,' |
   awk -F'|' '{ gsub(/ +/, " ", $0); print $2 $3 $4 }' | sed -E 's/ +/ /g; s/^ //; s/ $//' | sort >"$work/page"
-[ "$(wc -l <"$work/logged")" -gt 20 ] || fail "hardly an event was found in the sources"
+[ "$(wc -l <"$work/logged")" -gt 20 ] || fail "too few events found in the sources"
 diff "$work/page" "$work/logged" || fail "docs/operators/logs.md (<) and the sources (>) differ"
 
-# The literals that are passed to Logger::Stated(), each of which must be on the page.
+# Checks that each literal that is passed to Logger::Stated() is on the page.
 grep -oE '(\.|->)Stated\([^;]*;' "$work/sources" | grep -oE '"[^"]{4,}"' | tr -d '"' >"$work/stated"
-[ "$(wc -l <"$work/stated")" -gt 5 ] || fail "hardly a stated line was found in the sources"
+[ "$(wc -l <"$work/stated")" -gt 5 ] || fail "too few texts of Logger::Stated() found in the sources"
 while read -r words; do
   grep -qF -- "$words" "$page" || fail "docs/operators/logs.md does not have the line \"$words\""
 done <"$work/stated"
--- a/tools/install.sh
+++ b/tools/install.sh
@@ -1,5 +1,5 @@
 #!/bin/sh
-# Installs those of the named Debian packages that are missing: install.sh PACKAGE...
+# Installs the given Debian packages that are not installed yet: install.sh PACKAGE...
 set -eu
 missing=
 for package in "$@"; do
@@ -9,5 +9,5 @@
 sudo=
 [ "$(id -u)" -eq 0 ] || sudo=sudo
 $sudo apt-get update -q
-# shellcheck disable=SC2086  # a list
+# shellcheck disable=SC2086  # $missing is a list of words
 $sudo apt-get install -y -q --no-install-recommends $missing
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,6 +1,7 @@
 #!/bin/sh
-# Fails if a source file is not formatted as .clang-format says, or if clang-tidy reports anything in src: lint.sh BUILD.
-# BUILD is the folder of a build with tests; the linter reads its compile_commands.json and generated headers.
+# Fails if a source file is not formatted as .clang-format says, or if clang-tidy reports anything in src:
+# lint.sh BUILD. BUILD is the directory of a build with tests; the linter reads its compile_commands.json and
+# generated headers.
 set -eu
 cd "$(dirname "$0")/.."
 build=$1
