--- a/src/simulation/chart.cpp
+++ b/src/simulation/chart.cpp
@@ -109,18 +109,18 @@
   std::ostringstream out;
   const long lines = std::lround(scale.max_value / scale.step);
   for (long i = 0; i <= lines; ++i) {
-    const double v = static_cast<double>(i) * scale.step;
-    out << "<line class=grid x1=" << kLeft << " x2=" << kWidth - kRight << " y1=" << scale.Y(v)
-        << " y2=" << scale.Y(v) << " />"
-        << "<text x=" << kLeft - 6 << " y=" << scale.Y(v) + 4 << " text-anchor=end>" << FormatNumber(v)
-        << "</text>\n";
+    const double value = static_cast<double>(i) * scale.step;
+    out << "<line class=grid x1=" << kLeft << " x2=" << kWidth - kRight << " y1=" << scale.Y(value)
+        << " y2=" << scale.Y(value) << " />"
+        << "<text x=" << kLeft - 6 << " y=" << scale.Y(value) + 4 << " text-anchor=end>"
+        << FormatNumber(value) << "</text>\n";
   }
   const double tick = std::max(1.0, GridStep(static_cast<double>(seconds_)));
   const auto ticks = static_cast<long>(static_cast<double>(seconds_) / tick);
   for (long i = 0; i <= ticks; ++i) {
-    const double s = static_cast<double>(i) * tick;
-    out << "<text x=" << scale.X(s) << " y=" << kHeight - 8 << " text-anchor=middle>" << FormatNumber(s)
-        << "</text>\n";
+    const double second = static_cast<double>(i) * tick;
+    out << "<text x=" << scale.X(second) << " y=" << kHeight - 8 << " text-anchor=middle>"
+        << FormatNumber(second) << "</text>\n";
   }
   return out.str();
 }
--- a/src/simulation/chart.h
+++ b/src/simulation/chart.h
@@ -25,7 +25,7 @@
 
 // Returns the text with the characters <, >, & and " escaped for HTML.
 std::string EscapeHtml(const std::string& text);
-// Formats a number with up to three decimal places: fewer for larger numbers, no trailing zeros.
+// Formats a number with up to three decimal places, fewer for larger numbers, and without trailing zeros.
 std::string FormatNumber(double value);
 
 // Holds copies of the series and bands. Not thread-safe.
--- a/src/simulation/command_compare.cpp
+++ b/src/simulation/command_compare.cpp
@@ -18,14 +18,14 @@
 
 // Returns the pairs of runs by scenario. Throws if the labels have no run in common.
 std::map<std::string, Pairs> PairedRuns(const Results& results, const std::string& a, const std::string& b) {
-  const auto of_a = results.RunsWithLabel(a);
-  const auto of_b = results.RunsWithLabel(b);
+  const auto runs_a = results.RunsWithLabel(a);
+  const auto runs_b = results.RunsWithLabel(b);
   std::map<std::string, Pairs> pairs;
-  for (const auto& [key, run] : of_a) {
-    RunKey other = key;
-    other.label = b;
-    const auto it = of_b.find(other);
-    if (it != of_b.end()) pairs[key.scenario].emplace_back(run, it->second);
+  for (const auto& [key, run] : runs_a) {
+    RunKey key_b = key;
+    key_b.label = b;
+    const auto it = runs_b.find(key_b);
+    if (it != runs_b.end()) pairs[key.scenario].emplace_back(run, it->second);
   }
   if (pairs.empty())
     throw std::runtime_error("no run of label '" + a +
@@ -40,11 +40,11 @@
   std::vector<double> differences;
   for (const auto& [first, second] : runs) {
     if (!first.contains(figure.name)) continue;
-    const double x = first.value(figure.name, 0.0);
-    const double y = second.value(figure.name, 0.0);
-    row.mean_a += x / static_cast<double>(runs.size());
-    row.mean_b += y / static_cast<double>(runs.size());
-    differences.push_back(y - x);
+    const double value_a = first.value(figure.name, 0.0);
+    const double value_b = second.value(figure.name, 0.0);
+    row.mean_a += value_a / static_cast<double>(runs.size());
+    row.mean_b += value_b / static_cast<double>(runs.size());
+    differences.push_back(value_b - value_a);
   }
   if (differences.empty()) return std::nullopt;
   row.difference = Compare(differences);
@@ -53,12 +53,15 @@
 
 void PrintRows(const std::string& a, const std::string& b, const std::vector<ComparisonRow>& rows) {
   std::printf("%-22s %-15s %5s %9s %9s %9s  95%% confidence\n", "scenario", "figure", "pairs", a.c_str(),
-              b.c_str(), "less");
+              b.c_str(), "b minus a");
   for (const ComparisonRow& row : rows) {
-    const Difference& d = row.difference;
-    const char* mark = !d.significant() ? "" : row.higher_is_better == (d.mean > 0) ? "better" : "WORSE";
+    const Difference& difference = row.difference;
+    const char* mark = !difference.significant()                       ? ""
+                       : row.higher_is_better == (difference.mean > 0) ? "better"
+                                                                       : "WORSE";
     std::printf("%-22s %-15s %5zu %9.4f %9.4f %9.4f  %.4f to %.4f  %s\n", row.scenario.c_str(),
-                row.figure.c_str(), d.pairs, row.mean_a, row.mean_b, d.mean, d.low, d.high, mark);
+                row.figure.c_str(), difference.pairs, row.mean_a, row.mean_b, difference.mean, difference.low,
+                difference.high, mark);
   }
 }
 
--- a/src/simulation/command_load.cpp
+++ b/src/simulation/command_load.cpp
@@ -1,4 +1,4 @@
-// The command load: open-loop HTTP load on a real sidecar of this machine, and the latencies measured.
+// The command load: sends open-loop HTTP load to a real sidecar on this machine and prints the latencies.
 #include <cstdio>
 
 #include "simulation/commands.h"
--- a/src/simulation/command_run.cpp
+++ b/src/simulation/command_run.cpp
@@ -1,5 +1,5 @@
-// The command run: runs each scenario once and prints its verdicts; on request also its figures by second and
-// an HTML page.
+// The command run: runs each scenario once and prints its verdicts. On request it also prints the figures of
+// each second and writes an HTML page.
 #include <algorithm>
 #include <chrono>
 #include <cstdio>
@@ -23,9 +23,9 @@
     verdicts.push_back((expectations_met ? "held: " : "not held: ") + what);
   };
   add(run.value("broken", 0) == 0, "the four rules");
-  for (const json& b : run["breaks"]) {
-    add(false, "rule " + b.value("rule", "") + " at " + std::to_string(b.value("at_s", 0.0)) +
-                   " s: " + b.value("what", ""));
+  for (const json& breach : run["breaks"]) {
+    add(false, "rule " + breach.value("rule", "") + " at " + std::to_string(breach.value("at_s", 0.0)) +
+                   " s: " + breach.value("what", ""));
   }
   char text[96];
   if (scenario.served_at_least) {
@@ -44,7 +44,7 @@
 
 bool AllExpectationsMet(const std::vector<std::string>& verdicts) {
   return std::all_of(verdicts.begin(), verdicts.end(),
-                     [](const std::string& v) { return v.starts_with("held"); });
+                     [](const std::string& verdict) { return verdict.starts_with("held"); });
 }
 
 void Print(const json& run) {
@@ -76,25 +76,25 @@
 }
 
 void PrintSeconds(const json& run) {
-  const char* const names[] = {"asked",    "good",   "late",   "refused",  "failed",  "overload", "nobody",
-                               "given_up", "copies", "trials", "connects", "ejected", "shed",     "able",
-                               "demand",   "held",   "cold",   "down",     "p50",     "p95"};
+  const char* const keys[] = {"asked",    "good",   "late",   "refused",  "failed",  "overload", "nobody",
+                              "given_up", "copies", "trials", "connects", "ejected", "shed",     "able",
+                              "demand",   "held",   "cold",   "down",     "p50",     "p95"};
   std::printf("%4s", "s");
-  for (const char* name : names) std::printf(" %8s", name);
+  for (const char* key : keys) std::printf(" %8s", key);
   std::printf("\n");
-  int i = 0;
-  for (const json& s : run["seconds"]) {
-    std::printf("%4d", i++);
-    for (const char* name : names)
-      std::printf(s[name].is_number_float() ? " %8.2f" : " %8.0f", s[name].get<double>());
+  int number = 0;
+  for (const json& second : run["seconds"]) {
+    std::printf("%4d", number++);
+    for (const char* key : keys)
+      std::printf(second[key].is_number_float() ? " %8.2f" : " %8.0f", second[key].get<double>());
     std::printf("\n");
   }
 }
 
 std::vector<FaultBand> FaultBands(const Scenario& scenario) {
   std::vector<FaultBand> bands;
-  for (const Fault& f : scenario.faults)
-    bands.push_back({NameOf(f.kind), f.at_s, std::max(f.at_s + 0.2, f.at_s + f.len_s)});
+  for (const Fault& fault : scenario.faults)
+    bands.push_back({NameOf(fault.kind), fault.at_s, std::max(fault.at_s + 0.2, fault.at_s + fault.len_s)});
   return bands;
 }
 
--- a/src/simulation/command_search.cpp
+++ b/src/simulation/command_search.cpp
@@ -17,22 +17,23 @@
 
 // Degraded service that lasts longer than this after its cause has ended is reported.
 constexpr double kMaxRecoverySeconds = 12;
-// Runs that end sooner than this after the cause are too short to judge.
+// A run is too short to judge if it ends sooner than this after the cause has ended.
 constexpr double kMinRemainingSeconds = 17;
 
-// Describes what is wrong with a run; empty if nothing is. `run` is null if its process died.
-std::string FaultOf(const Scenario& scenario, const json& run) {
-  if (run.is_null()) return "its process died";
+// Describes the fault that a run shows; empty if it shows none. `run` is null if its process crashed.
+std::string DescribeFault(const Scenario& scenario, const json& run) {
+  if (run.is_null()) return "its process crashed";
   if (run.value("broken", 0) > 0) return "rule " + run["breaks"][0].value("rule", "");
   if (!run.contains("took_s")) return {};
-  const double covered = run.value("covered_s", 0.0);
-  const double from = std::max(covered, scenario.FaultsEnd());
-  const double recovered_at =
-      run.value("recovered", false) ? covered + run.value("took_s", 0.0) : scenario.length_s;
-  if (scenario.length_s - from < kMinRemainingSeconds || recovered_at - from <= kMaxRecoverySeconds)
+  const double covered_s = run.value("covered_s", 0.0);
+  const double cause_end_s = std::max(covered_s, scenario.FaultsEnd());
+  const double recovered_s =
+      run.value("recovered", false) ? covered_s + run.value("took_s", 0.0) : scenario.length_s;
+  if (scenario.length_s - cause_end_s < kMinRemainingSeconds ||
+      recovered_s - cause_end_s <= kMaxRecoverySeconds)
     return {};
-  return "degraded service outlasts its cause by " + std::to_string(static_cast<int>(recovered_at - from)) +
-         " s";
+  return "degraded service outlasts its cause by " +
+         std::to_string(static_cast<int>(recovered_s - cause_end_s)) + " s";
 }
 
 std::vector<Job> MutatedJobs(const Options& options) {
@@ -55,15 +56,15 @@
   std::size_t found = 0;
   RunAll(jobs, options.jobs, [&](std::size_t job, const json& run) {
     const auto& [scenario, seed] = jobs[job];
-    const std::string fault = FaultOf(scenario, run);
+    const std::string fault = DescribeFault(scenario, run);
     if (fault.empty()) return true;
     ++found;
     std::printf("%s seed %llu: %s\n", scenario.name.c_str(), static_cast<unsigned long long>(seed),
                 fault.c_str());
     if (!options.found_directory.empty()) {
-      Scenario shown = scenario;
-      shown.about = fault + ", seed " + std::to_string(seed);
-      WriteFile(options.found_directory + '/' + shown.name + ".toml", ToToml(shown));
+      Scenario found_scenario = scenario;
+      found_scenario.about = fault + ", seed " + std::to_string(seed);
+      WriteFile(options.found_directory + '/' + found_scenario.name + ".toml", ToToml(found_scenario));
     }
     return true;
   });
--- a/src/simulation/command_shrink.cpp
+++ b/src/simulation/command_shrink.cpp
@@ -29,7 +29,8 @@
   const RunOutcome outcome = simulated.Run();
   std::printf("# %s; seed %llu\n", FindFault(shrunk, outcome, simulated.figures()).c_str(),
               static_cast<unsigned long long>(options.seed));
-  for (const Breach& b : outcome.breaches) std::printf("# %.3f s: %s\n", b.at_s, b.what.c_str());
+  for (const Breach& breach : outcome.breaches)
+    std::printf("# %.3f s: %s\n", breach.at_s, breach.what.c_str());
   std::printf("%s", ToToml(shrunk).c_str());
   return kExpectationsMissed;
 }
--- a/src/simulation/command_sweep.cpp
+++ b/src/simulation/command_sweep.cpp
@@ -23,11 +23,11 @@
 // Changes to a scenario in the form of --set: "table.key=value" each.
 using Changes = std::vector<std::string>;
 
-// The runs that are still to be made: a job and the key of its result have the same index.
+// The runs that are to be made. A job and the key of its result have the same index.
 struct PendingRuns {
   std::vector<Job> jobs;
   std::vector<RunKey> keys;
-  std::size_t present = 0;  // runs left out because the database has them
+  std::size_t skipped = 0;  // number of runs left out because the database has them
 };
 
 std::string MachineName() {
@@ -37,8 +37,8 @@
          std::to_string(std::thread::hardware_concurrency()) + " cores";
 }
 
-// Reads a range of seeds: "1..20" or "7".
-std::pair<std::uint64_t, std::uint64_t> SeedsOf(const std::string& text) {
+// Parses a range of seeds such as "1..20", or a single seed such as "7".
+std::pair<std::uint64_t, std::uint64_t> ParseSeeds(const std::string& text) {
   const auto dots = text.find("..");
   try {
     const std::uint64_t from = std::stoull(text.substr(0, dots));
@@ -65,10 +65,10 @@
 // Returns each combination of the values of --vary, on top of the changes of --set.
 std::vector<Changes> Combinations(const Changes& common, const std::vector<std::string>& vary) {
   std::vector<Changes> combinations = {common};
-  for (const std::string& v : vary) {
+  for (const std::string& option : vary) {
     std::vector<Changes> extended;
     for (const Changes& base : combinations) {
-      for (const std::string& change : Variants(v)) {
+      for (const std::string& change : Variants(option)) {
         extended.push_back(base);
         extended.back().push_back(change);
       }
@@ -86,7 +86,7 @@
 }
 
 PendingRuns FindPendingRuns(const Options& options, const Results& results) {
-  const auto [from, to] = SeedsOf(options.seeds);
+  const auto [from, to] = ParseSeeds(options.seeds);
   const std::vector<Changes> combinations = Combinations(options.changes, options.vary);
   PendingRuns pending;
   for (const std::string& path : options.scenarios) {
@@ -96,7 +96,7 @@
       for (std::uint64_t seed = from; seed <= to; ++seed) {
         const RunKey key{options.label, scenario.name, hash, seed};
         if (results.Has(key)) {
-          ++pending.present;
+          ++pending.skipped;
           continue;
         }
         pending.jobs.push_back({scenario, seed});
@@ -107,11 +107,12 @@
   return pending;
 }
 
-// Prints what is wrong with a run and returns false if anything is. `run` is null if its process died.
+// Prints the fault that a run shows and returns false; returns true if it shows none. `run` is null if its
+// process crashed.
 bool CheckRun(const RunKey& key, const json& run) {
   const auto seed = static_cast<unsigned long long>(key.seed);
   if (run.is_null()) {
-    std::printf("%s seed %llu: its process died\n", key.scenario.c_str(), seed);
+    std::printf("%s seed %llu: its process crashed\n", key.scenario.c_str(), seed);
     return false;
   }
   if (run.value("broken", 0) == 0) return true;
@@ -121,46 +122,46 @@
 }
 
 // Runs and stores the pending runs. Returns the number of runs with a fault.
-std::size_t RunPending(const PendingRuns& pending, std::size_t at_once, Results& results) {
+std::size_t RunPending(const PendingRuns& pending, std::size_t max_parallel, Results& results) {
   const auto begin = std::chrono::steady_clock::now();
   const std::string machine = MachineName();
   const bool on_terminal = ::isatty(1) != 0;
-  std::size_t done = 0;
-  std::size_t bad = 0;
-  RunAll(pending.jobs, at_once, [&](std::size_t job, const json& run) {
-    ++done;
+  std::size_t ended = 0;
+  std::size_t faulty = 0;
+  RunAll(pending.jobs, max_parallel, [&](std::size_t job, const json& run) {
+    ++ended;
     if (!run.is_null()) results.Store(pending.keys[job], MOTHRACK_VERSION, machine, run);
-    if (!CheckRun(pending.keys[job], run)) ++bad;
+    if (!CheckRun(pending.keys[job], run)) ++faulty;
     if (on_terminal && !run.is_null()) {
       const double passed = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-      std::printf("\r%zu of %zu, %.0f s left ", done, pending.jobs.size(),
-                  passed / static_cast<double>(done) * static_cast<double>(pending.jobs.size() - done));
+      std::printf("\r%zu of %zu, %.0f s left ", ended, pending.jobs.size(),
+                  passed / static_cast<double>(ended) * static_cast<double>(pending.jobs.size() - ended));
       std::fflush(stdout);
     }
     return true;
   });
   if (on_terminal) std::printf("\n");
-  return bad;
+  return faulty;
 }
 
 // Prints one row for each scenario, over all seeds stored under the label.
 void PrintTable(const Results& results, const std::string& label) {
   std::map<std::string, std::vector<json>> runs_by_scenario;
   for (const auto& [key, run] : results.RunsWithLabel(label)) runs_by_scenario[key.scenario].push_back(run);
-  std::printf("%-34s %5s %8s %8s %8s %8s %8s %8s\n", "scenario", "runs", "gained", "worst", "took_s", "worst",
-              "needless", "p99_ms");
+  std::printf("%-34s %5s %8s %8s %8s %8s %8s %8s\n", "scenario", "runs", "gained", "lowest", "took_s",
+              "longest", "needless", "p99_ms");
   for (const auto& [name, runs] : runs_by_scenario) {
-    double gained = 0, least = 1, took = 0, longest = 0, needless = 0, p99 = 0;
+    double gained = 0, lowest = 1, took = 0, longest = 0, needless = 0, p99 = 0;
     for (const json& run : runs) {
       const auto count = static_cast<double>(runs.size());
       gained += run.value("gained", 0.0) / count;
-      least = std::min(least, run.value("gained", 0.0));
+      lowest = std::min(lowest, run.value("gained", 0.0));
       took += run.value("took_s", 0.0) / count;
       longest = std::max(longest, run.value("took_s", 0.0));
       needless += run.value("needless", 0.0) / count;
       p99 += run.value("p99_ms", 0.0) / count;
     }
-    std::printf("%-34s %5zu %8.4f %8.4f %8.2f %8.1f %8.4f %8.1f\n", name.c_str(), runs.size(), gained, least,
+    std::printf("%-34s %5zu %8.4f %8.4f %8.2f %8.1f %8.4f %8.1f\n", name.c_str(), runs.size(), gained, lowest,
                 took, longest, needless, p99);
   }
 }
@@ -170,10 +171,10 @@
 int SweepScenarios(const Options& options) {
   Results results(options.db);
   const PendingRuns pending = FindPendingRuns(options, results);
-  if (pending.present > 0) std::printf("%zu runs are there already, skipped\n", pending.present);
-  const std::size_t bad = RunPending(pending, options.jobs, results);
+  if (pending.skipped > 0) std::printf("%zu runs skipped: the database has their results\n", pending.skipped);
+  const std::size_t faulty = RunPending(pending, options.jobs, results);
   PrintTable(results, options.label);
-  return bad == 0 ? kExpectationsMet : kExpectationsMissed;
+  return faulty == 0 ? kExpectationsMet : kExpectationsMissed;
 }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/fault_injector.cpp
+++ b/src/simulation/fault_injector.cpp
@@ -4,7 +4,7 @@
 namespace {
 
 constexpr double kFaultProbability = 0.02;        // for each attempt
-constexpr std::uint64_t kResentBit = 1ULL << 62;  // the dispatcher's ids never reach it
+constexpr std::uint64_t kResentBit = 1ULL << 62;  // the dispatcher's exchange ids are smaller
 
 }  // namespace
 
@@ -13,17 +13,17 @@
                          dispatch::ExchangeHooks hooks) {
   const auto& client_request = static_cast<const ClientRequest&>(*message);
   const bool unsafe = scenario_.classes[client_request.cls].effect == balancer::Effect::kUnsafe;
-  std::string to = uid;
+  std::string target_uid = uid;
   if (injected_fault_ == InjectedFault::kResend && unsafe && random_.Chance(kFaultProbability)) {
     inner_.Send(dispatch::ExchangeId{static_cast<std::uint64_t>(id) | kResentBit}, uid, message, timeout, {});
   }
   if (injected_fault_ == InjectedFault::kAfterDrain && random_.Chance(kFaultProbability)) {
-    if (const auto leaving = find_server_(true)) to = SimulatedTransport::NameOf(*leaving);
+    if (const auto leaving = find_server_(true)) target_uid = SimulatedTransport::NameOf(*leaving);
   }
   if (injected_fault_ == InjectedFault::kOverloadWarmingUp) {
-    if (const auto warming_up = find_server_(false)) to = SimulatedTransport::NameOf(*warming_up);
+    if (const auto warming_up = find_server_(false)) target_uid = SimulatedTransport::NameOf(*warming_up);
   }
-  inner_.Send(id, to, std::move(message), timeout, std::move(hooks));
+  inner_.Send(id, target_uid, std::move(message), timeout, std::move(hooks));
 }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/fault_injector.h
+++ b/src/simulation/fault_injector.h
@@ -1,4 +1,5 @@
-// Breaks a rule on purpose, to check that the rule checker detects it: `mothrack-sim run --plant`.
+// Breaks one of the rules (src/simulation/invariants.h) on purpose, to show that the rule checker detects it.
+// `mothrack-sim run --plant` uses it.
 #pragma once
 
 #include <cstdint>
@@ -15,7 +16,7 @@
 
 namespace mothrack::simulation {
 
-// The fault that a run injects.
+// The faults that a run can inject.
 // kResend: some unsafe attempts are sent twice. kAfterDrain: some attempts go to a draining server.
 // kDroppedAnswer: some final answers are dropped. kOverloadWarmingUp: all attempts go to a server in slow
 // start.
--- a/src/simulation/figures.h
+++ b/src/simulation/figures.h
@@ -1,5 +1,5 @@
 // The figures of a run: counts for each second, latencies, and how soon service recovered after a fault.
-// docs/design/simulation.md, "Recovery", defines recovery. Does no I/O and reads no clock; for one thread.
+// docs/design/simulation.md, "Recovery", defines recovery. Does no I/O and reads no clock. Not thread-safe.
 #pragma once
 
 #include <boost/histogram.hpp>
@@ -18,8 +18,8 @@
 using LatencyHistogram = boost::histogram::histogram<
     std::tuple<boost::histogram::axis::regular<double, boost::histogram::axis::transform::log>>>;
 LatencyHistogram NewLatencyHistogram();
-// Returns the quantile `q`, from 0 to 1, in milliseconds; 0 if the histogram is empty.
-double Quantile(const LatencyHistogram& times, double q);
+// Returns the quantile `level`, from 0 to 1, in milliseconds; 0 if the histogram is empty.
+double Quantile(const LatencyHistogram& latencies, double level);
 
 // The figures of one second of a run.
 struct Second {
@@ -31,20 +31,21 @@
   std::uint64_t failed = 0;
   double priority_weight = 0;         // of all client requests
   double served_priority_weight = 0;  // of those served within their latency objective
-  // What happened in this second.
+  // Events that happened in this second.
   std::uint64_t client_attempts = 0;  // requests that sidecars accepted
   std::uint64_t rejected_client_attempts = 0;
   std::uint64_t attempts = 0;
   std::uint64_t connects = 0;
-  // Counts of the sidecars' decision modules: requests rejected as overload, rejected with no upstream to
-  // send to, and given up after attempts; then retries, hedged requests and half-open probes.
+  // Counts of the sidecars' balancers: requests rejected because of overload, requests rejected because no
+  // upstream was available, and requests that failed after attempts; then retries, hedged requests and
+  // half-open probes.
   std::uint64_t overload = 0, no_upstream = 0, given_up = 0;
   std::uint64_t retries = 0, hedges = 0, half_open_probes = 0;
-  double shed = 0;  // share of the work that is shed as overload, mean over the sidecars
-  std::uint64_t ejected = 0;
-  std::uint64_t returned = 0;
-  // As shares of the capacity of all servers when warm: the capacity that can serve, and the demand of first
-  // attempts.
+  double shed = 0;             // share of the work that is shed because of overload, mean over the sidecars
+  std::uint64_t ejected = 0;   // ejections of upstreams
+  std::uint64_t returned = 0;  // ends of ejections
+  // The capacity that can serve, and the demand of first attempts. Both are shares of the capacity of all
+  // servers without slow start.
   double available_capacity = 0;
   double demand = 0;
   double in_flight = 0;              // calls queued or running at servers
@@ -55,13 +56,15 @@
 
 // How soon service recovered once there was enough capacity. Times are seconds from the start of the run.
 struct Recovery {
-  double covered_s = 0;  // from here on, capacity covered the demand
-  double recovered_s =
-      0;  // from here on, less than 2% rejected or failed and less than 5% late, for three seconds
+  double covered_s = 0;  // the capacity covered the demand from this time on
+  // The start of the first three seconds after that in which less than 2% of the client requests were
+  // rejected or failed and less than 5% were late.
+  double recovered_s = 0;
   bool recovered = false;
   double took_s = 0;  // from covered_s to recovered_s, or to the end of the run
-  double needless =
-      0;  // share of all client requests that were not served although capacity exceeded demand by a tenth
+  // The share of all client requests that were not served although the capacity exceeded the demand by a
+  // tenth.
+  double needless = 0;
 };
 
 // Collects the figures of a run from its events. Holds a reference to the scenario, which must outlive it.
@@ -70,18 +73,19 @@
   Figures(const Scenario& scenario);
 
   void Record(const SimulationEvent& event);
-  // Returns the figures of the second that contains the time `s`; for later times those of the last second.
-  Second& At(double s);
+  // Returns the figures of the second that contains the time `time_s`, in seconds from the start of the run.
+  // A time after the end belongs to the last second.
+  Second& At(double time_s);
   // Computes the quantiles of each second. Call once, at the end of the run.
   void Finish();
 
   const std::vector<Second>& seconds() const { return seconds_; }
   // Returns the counts added up over all seconds.
   Second Sum() const;
-  double LatencyQuantile(double q) const { return Quantile(all_, q); }
+  double LatencyQuantile(double level) const { return Quantile(all_latencies_, level); }
   double served_share() const;  // of the client requests, within the latency objective or late
   double gained_share() const;  // of the priority weight, served within the latency objective
-  // Returns the recovery from the first fault on; nothing if the scenario has no faults.
+  // Returns the recovery after the first fault, or nothing if the scenario has no faults.
   std::optional<Recovery> recovery() const;
 
  private:
@@ -91,9 +95,9 @@
   };
   const Scenario& scenario_;
   std::vector<Second> seconds_;
-  std::vector<LatencyHistogram> times_;
-  LatencyHistogram all_;
-  std::unordered_map<std::uint64_t, Requested> requested_;
+  std::vector<LatencyHistogram> latencies_;  // by second
+  LatencyHistogram all_latencies_;
+  std::unordered_map<std::uint64_t, Requested> requested_;  // open client requests, by number
 };
 
 }  // namespace mothrack::simulation
--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -8,7 +8,7 @@
 namespace mothrack::simulation {
 namespace {
 
-// How long an attempt may still run after its request has ended; servers drop expired calls.
+// The longest time that an attempt may still run after its request has ended; servers drop expired calls.
 constexpr runtime::Duration kEndedRequestRetention = std::chrono::seconds(20);
 
 bool NeverRan(balancer::Outcome outcome) {
@@ -99,7 +99,7 @@
 }
 
 void RuleChecker::RecordLeft(runtime::TimePoint at, std::uint64_t request, OpenRequest& open) {
-  open.answered = open.left = true;
+  open.answered = open.client_left = true;
   ended_.emplace_back(at, request);
 }
 
@@ -111,7 +111,7 @@
     return;
   }
   if (open->answered) RecordBreach(Rule::kLost, event.at, request + " was answered twice");
-  if (!open->left && event.at > open->until + limits_.grace) {
+  if (!open->client_left && event.at > open->until + limits_.grace) {
     RecordBreach(Rule::kLost, event.at,
                  request + " was answered " + std::to_string(InMilliseconds(event.at - open->until)) +
                      " ms after its time");
@@ -153,30 +153,30 @@
   if (open->refused) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran after it was refused");
 }
 
-// Compares the work that all sidecars together send to a server in slow start within the window with its
-// capacity.
+// Compares the work that all sidecars together send to a server in slow start, within the window, with the
+// capacity of the server.
 void RuleChecker::RecordArrival(const SimulationEvent& event) {
   if (event.server >= servers_.size()) return;
   ServerLoad& server = servers_[event.server];
   if (server.booted == runtime::TimePoint::min() || event.at - server.booted >= limits_.slow_start_duration)
     return;
   server.work.emplace_back(event.at, event.work);
-  server.sum += event.work;
+  server.total_work += event.work;
   while (event.at - server.work.front().first > limits_.overload_window) {
-    server.sum -= server.work.front().second;
+    server.total_work -= server.work.front().second;
     server.work.pop_front();
   }
-  const double age = InSeconds(event.at - server.booted) / InSeconds(limits_.slow_start_duration);
+  const double elapsed_share = InSeconds(event.at - server.booted) / InSeconds(limits_.slow_start_duration);
   const double slow_start_factor =
-      limits_.slow_start_initial_share + (1 - limits_.slow_start_initial_share) * age;
+      limits_.slow_start_initial_share + (1 - limits_.slow_start_initial_share) * elapsed_share;
   const double capacity = slow_start_factor * server.capacity * InMilliseconds(limits_.overload_window);
-  if (server.sum > limits_.overload_multiple * capacity) {
+  if (server.total_work > limits_.overload_multiple * capacity) {
     RecordBreach(Rule::kSlowStart, event.at,
                  "server " + std::to_string(event.server) + ", " +
                      std::to_string(InSeconds(event.at - server.booted)) + " s old, was sent " +
-                     std::to_string(server.sum / capacity) + " times what it can do");
+                     std::to_string(server.total_work / capacity) + " times what it can do");
     server.work.clear();
-    server.sum = 0;
+    server.total_work = 0;
   }
 }
 
--- a/src/simulation/invariants.h
+++ b/src/simulation/invariants.h
@@ -1,6 +1,6 @@
-// Checks the four rules that every version must keep, over events alone, whatever program reports them. Each
-// breach tells its time, the request or server concerned, and what happened. Does no I/O and reads no clock;
-// for one thread.
+// Checks the four rules that every version must keep. Events are the only input, so the checker serves both
+// the simulator and tests with real processes. Each breach states its time, the request or server concerned,
+// and what happened. Does no I/O and reads no clock. Not thread-safe.
 #pragma once
 
 #include <array>
@@ -18,7 +18,7 @@
 // kLost: a request does not get exactly one answer in time. kTwice: an unsafe request may run twice. kDrain:
 // an attempt goes to a draining server. kSlowStart: a server in slow start is sent more than it can do.
 enum class Rule { kLost, kTwice, kDrain, kSlowStart };
-// Returns the name of the rule in results and pages.
+// Returns the name that the rule has in results and on pages.
 const char* NameOf(Rule rule);
 
 // One breach of a rule.
@@ -32,11 +32,15 @@
 // attempts may still run.
 class RuleChecker {
  public:
+  // Durations are in microseconds.
   struct Limits {
-    std::vector<bool> unsafe;          // indexed by class
-    runtime::Duration grace{50'000};   // after a request's deadline
-    runtime::Duration drain{550'000};  // after the notice that a server drains; includes the grace of sockets
-    double overload_multiple = 4;      // of the capacity of a server in slow start
+    std::vector<bool> unsafe;         // by class: whether its requests must not run twice
+    runtime::Duration grace{50'000};  // an answer may come this much after the request's deadline
+    // Attempts may go to a server for this long after the notice that it drains. Includes the time that
+    // sockets need.
+    runtime::Duration drain{550'000};
+    // The work that a server in slow start may be sent within the window, as a multiple of its capacity.
+    double overload_multiple = 4;
     runtime::Duration overload_window{1'000'000};
     double slow_start_initial_share = 0.2;
     runtime::Duration slow_start_duration{15'000'000};
@@ -64,17 +68,18 @@
     int runs = 0;
     bool answered = false;
     bool refused = false;
-    bool left = false;
-    runtime::TimePoint notified;  // its end
+    bool client_left = false;
+    runtime::TimePoint ended_at;  // not used
   };
   struct ServerLoad {
     runtime::TimePoint booted = runtime::TimePoint::min();
-    double capacity = 0;  // when warm, in milliseconds of work per millisecond
+    double capacity = 0;  // without slow start, in milliseconds of work per millisecond
     std::deque<std::pair<runtime::TimePoint, double>> work;  // accepted within the overload window
-    double sum = 0;
+    double total_work = 0;                                   // sum of `work`
   };
 
   void RecordBreach(Rule rule, runtime::TimePoint at, std::string what);
+  // Returns the state of the request, or null if there is none.
   OpenRequest* Find(std::uint64_t request);
   void ForgetEnded(runtime::TimePoint now);
   void RecordAnswer(const SimulationEvent& event);
@@ -85,10 +90,10 @@
 
   const Limits limits_;
   std::unordered_map<std::uint64_t, OpenRequest> open_;
-  std::deque<std::pair<runtime::TimePoint, std::uint64_t>>
-      ended_;  // by time of their end; kept because attempts may still run
-  std::unordered_map<std::uint64_t, std::unordered_map<std::size_t, runtime::TimePoint>>
-      leaving_;  // time of the first notice that a server drains, by sidecar and server
+  // Ended requests in the order of their end; kept because their attempts may still run.
+  std::deque<std::pair<runtime::TimePoint, std::uint64_t>> ended_;
+  // The time of the first notice that a server drains, by sidecar and server.
+  std::unordered_map<std::uint64_t, std::unordered_map<std::size_t, runtime::TimePoint>> leaving_;
   std::vector<ServerLoad> servers_;
   std::vector<Breach> first_breaches_;
   std::array<std::size_t, 4> counts_{};
--- a/src/simulation/load_generator.cpp
+++ b/src/simulation/load_generator.cpp
@@ -49,7 +49,7 @@
   bool connected_ = false;
 };
 
-// Starts each request when it is due, or as soon as one of the connections is free, and counts the results.
+// Starts each request when it is due and a connection is free, and counts the results.
 class LoadGenerator {
  public:
   explicit LoadGenerator(const LoadConfig& config)
@@ -124,7 +124,7 @@
   Clock::time_point begin_;
   std::uint64_t total_ = 0;
   Random random_{config_.poisson_seed};
-  std::vector<double> due_s_;
+  std::vector<double> due_s_;  // by request: its due time, from the start of the load
   std::size_t connections_ = 0;
   std::vector<std::shared_ptr<Connection>> idle_;
   std::deque<std::uint64_t> waiting_;
--- a/src/simulation/options.cpp
+++ b/src/simulation/options.cpp
@@ -113,7 +113,7 @@
   Options options;
   options.jobs = std::max(1U, std::thread::hardware_concurrency());
   std::string injected_fault = "none";
-  // The order is that of --help.
+  // --help lists the commands in this order.
   const Subcommands subcommands = {{Command::kRun, AddRunCommand(app, options, injected_fault)},
                                    {Command::kSweep, AddSweepCommand(app, options)},
                                    {Command::kCompare, AddCompareCommand(app, options)},
--- a/src/simulation/options.h
+++ b/src/simulation/options.h
@@ -14,7 +14,7 @@
 
 enum class Command { kRun, kSweep, kCompare, kSearch, kShrink, kLoad };
 
-// The values of the options and arguments of all commands. Each command reads its own.
+// The options and arguments of all commands. Each command reads the ones it has.
 struct Options {
   Command command = Command::kRun;
   std::vector<std::string> scenarios;  // paths
@@ -32,7 +32,7 @@
   std::string first_label;        // the labels to compare
   std::string second_label;
   std::string found_directory;  // for scenarios that a search finds; empty if not written
-  int budget = 200;             // number of runs
+  int budget = 200;             // maximum number of runs of a search or a shrink
   LoadConfig load;
 };
 
--- a/src/simulation/report.cpp
+++ b/src/simulation/report.cpp
@@ -42,7 +42,8 @@
          body + "</body></html>\n";
 }
 
-// One chart of a run's page. `key` is a member of the JSON object of a second (src/simulation/results.cpp).
+// One chart of a run's page. SeriesSpec::key is a key of the JSON object of a second
+// (src/simulation/results.cpp).
 struct ChartSpec {
   struct SeriesSpec {
     const char* name = nullptr;
@@ -51,7 +52,7 @@
   };
   const char* title;
   const char* unit;
-  bool stacked;  // stacked areas; else lines
+  bool stacked;  // draws stacked areas instead of lines
   std::array<SeriesSpec, 4> series;
 };
 constexpr std::array<ChartSpec, 6> kCharts = {{
@@ -62,8 +63,8 @@
        {"served late", kYellow, "late"},
        {"rejected", kSky, "refused"},
        {"failed", kRed, "failed"}}}},
-    {"Room",
-     "share of the capacity of all servers when warm",
+    {"Capacity and demand",
+     "share of the capacity of all servers without slow start",
      false,
      {{{"available capacity", kGreen, "able"},
        {"demand", kBlue, "demand"},
@@ -93,9 +94,32 @@
        {"ejections", kRed, "ejected"}}}},
 }};
 
-std::vector<double> SeriesValues(const json& seconds, const char* name) {
+// The rows of the table at the top of a run's page: a key of the run's JSON object
+// (src/simulation/results.cpp) and what it means.
+struct SummaryRow {
+  const char* key;
+  const char* label;
+};
+constexpr std::array<SummaryRow, 14> kSummaryRows = {{
+    {"asked", "client requests"},
+    {"good", "served within the latency objective"},
+    {"late", "served late"},
+    {"refused", "rejected"},
+    {"failed", "failed"},
+    {"gained", "share of the priority weight served within the latency objective"},
+    {"p50_ms", "median latency, ms"},
+    {"p99_ms", "99th percentile of the latency, ms"},
+    {"attempts_a_try", "attempts per request to a sidecar"},
+    {"connects_a_try", "new connections per request to a sidecar"},
+    {"covered_s", "time from which the capacity covered the demand, s"},
+    {"took_s", "time from then until service recovered, s"},
+    {"needless", "share of client requests not served despite spare capacity"},
+    {"digest", "digest"},
+}};
+
+std::vector<double> SeriesValues(const json& seconds, const char* key) {
   std::vector<double> values;
-  for (const json& s : seconds) values.push_back(s.value(name, 0.0));
+  for (const json& second : seconds) values.push_back(second.value(key, 0.0));
   return values;
 }
 
@@ -104,15 +128,13 @@
 std::string RunPage(const json& run, const std::string& about, const std::vector<FaultBand>& faults,
                     const std::vector<std::string>& verdicts) {
   const json& seconds = run.at("seconds");
-  const std::size_t n = seconds.size();
   std::ostringstream body;
   body << "<h1>" << EscapeHtml(run.value("scenario", "")) << ", seed " << run.value("seed", std::uint64_t{0})
        << "</h1>\n<p>" << EscapeHtml(about) << "</p>\n<table>";
-  for (const char* name : {"asked", "good", "late", "refused", "failed", "gained", "p50_ms", "p99_ms",
-                           "attempts_a_try", "connects_a_try", "covered_s", "took_s", "needless", "digest"}) {
-    if (!run.contains(name)) continue;
-    const json& value = run[name];
-    body << "<tr><td>" << name << "</td><td>"
+  for (const SummaryRow& row : kSummaryRows) {
+    if (!run.contains(row.key)) continue;
+    const json& value = run[row.key];
+    body << "<tr><td>" << row.label << "</td><td>"
          << (value.is_string() ? EscapeHtml(value) : FormatNumber(value.get<double>())) << "</td></tr>";
   }
   body << "</table>\n<ul>";
@@ -123,7 +145,7 @@
   body << "</ul>\n";
 
   for (const ChartSpec& spec : kCharts) {
-    Chart chart(spec.title, spec.unit, n, faults);
+    Chart chart(spec.title, spec.unit, seconds.size(), faults);
     for (const ChartSpec::SeriesSpec& series_spec : spec.series) {
       if (series_spec.key == nullptr) break;
       Series series{series_spec.name, series_spec.colour, SeriesValues(seconds, series_spec.key)};
@@ -157,20 +179,22 @@
         std::max({figure_max, std::abs(row.difference.low), std::abs(row.difference.high), min_scale});
   }
   for (const ComparisonRow& row : rows) {
-    const Difference& d = row.difference;
-    const bool better = row.higher_is_better == (d.mean > 0);
-    const char* style = !d.significant() ? "" : better ? "good" : "bad";
-    const auto x = [&](double v) { return 100 + 95 * v / max_difference[row.figure]; };
+    const Difference& difference = row.difference;
+    const bool better = row.higher_is_better == (difference.mean > 0);
+    const char* style = !difference.significant() ? "" : better ? "good" : "bad";
+    // Maps a difference to the x coordinate of the drawing; zero is at 100.
+    const auto x = [&](double value) { return 100 + 95 * value / max_difference[row.figure]; };
     body << "<tr><td>" << EscapeHtml(row.scenario) << "</td><td>" << EscapeHtml(row.figure) << "</td><td>"
-         << d.pairs << "</td><td>" << FormatNumber(row.mean_a) << "</td><td>" << FormatNumber(row.mean_b)
-         << "</td><td class=\"" << style << "\">" << FormatNumber(d.mean) << " (" << FormatNumber(d.low)
-         << " to " << FormatNumber(d.high) << R"()</td><td><svg style="width:200px" viewBox="0 0 200 16">)"
+         << difference.pairs << "</td><td>" << FormatNumber(row.mean_a) << "</td><td>"
+         << FormatNumber(row.mean_b) << "</td><td class=\"" << style << "\">" << FormatNumber(difference.mean)
+         << " (" << FormatNumber(difference.low) << " to " << FormatNumber(difference.high)
+         << R"()</td><td><svg style="width:200px" viewBox="0 0 200 16">)"
          << "<line class=grid x1=100 x2=100 y1=0 y2=16 /><line stroke=\""
-         << (!d.significant() ? "#888"
-             : better         ? kGreen
-                              : kRed)
-         << "\" stroke-width=3 x1=" << x(d.low) << " x2=" << x(d.high)
-         << " y1=8 y2=8 /><circle cx=" << x(d.mean) << " cy=8 r=3 /></svg></td></tr>\n";
+         << (!difference.significant() ? "#888"
+             : better                  ? kGreen
+                                       : kRed)
+         << "\" stroke-width=3 x1=" << x(difference.low) << " x2=" << x(difference.high)
+         << " y1=8 y2=8 /><circle cx=" << x(difference.mean) << " cy=8 r=3 /></svg></td></tr>\n";
   }
   body << "</table></div>\n";
   return HtmlPage(a + " and " + b, body.str());
--- a/src/simulation/results.cpp
+++ b/src/simulation/results.cpp
@@ -18,31 +18,31 @@
       .Number(4, static_cast<std::int64_t>(key.seed));
 }
 
-json ToJson(const Second& s) {
-  return {{"asked", s.requested},
-          {"good", s.good},
-          {"late", s.late},
-          {"refused", s.refused},
-          {"failed", s.failed},
-          {"tries", s.client_attempts},
-          {"attempts", s.attempts},
-          {"connects", s.connects},
-          {"overload", s.overload},
-          {"nobody", s.no_upstream},
-          {"given_up", s.given_up},
-          {"copies", s.hedges},
-          {"trials", s.half_open_probes},
-          {"shed", s.shed},
-          {"ejected", s.ejected},
-          {"returned", s.returned},
-          {"able", s.available_capacity},
-          {"demand", s.demand},
-          {"held", s.in_flight},
-          {"cold", s.warming_up},
-          {"down", s.down},
-          {"p50", s.p50},
-          {"p95", s.p95},
-          {"p99", s.p99}};
+json ToJson(const Second& second) {
+  return {{"asked", second.requested},
+          {"good", second.good},
+          {"late", second.late},
+          {"refused", second.refused},
+          {"failed", second.failed},
+          {"tries", second.client_attempts},
+          {"attempts", second.attempts},
+          {"connects", second.connects},
+          {"overload", second.overload},
+          {"nobody", second.no_upstream},
+          {"given_up", second.given_up},
+          {"copies", second.hedges},
+          {"trials", second.half_open_probes},
+          {"shed", second.shed},
+          {"ejected", second.ejected},
+          {"returned", second.returned},
+          {"able", second.available_capacity},
+          {"demand", second.demand},
+          {"held", second.in_flight},
+          {"cold", second.warming_up},
+          {"down", second.down},
+          {"p50", second.p50},
+          {"p95", second.p95},
+          {"p99", second.p99}};
 }
 
 }  // namespace
@@ -87,8 +87,8 @@
               {"connects_a_try", static_cast<double>(sum.connects) / client_attempts},
               {"ejected", sum.ejected}};
   json breaches = json::array();
-  for (const Breach& b : outcome.breaches)
-    breaches.push_back({{"rule", NameOf(b.rule)}, {"at_s", b.at_s}, {"what", b.what}});
+  for (const Breach& breach : outcome.breaches)
+    breaches.push_back({{"rule", NameOf(breach.rule)}, {"at_s", breach.at_s}, {"what", breach.what}});
   run["breaks"] = std::move(breaches);
   if (const auto recovery = figures.recovery()) {
     run["covered_s"] = recovery->covered_s;
@@ -98,15 +98,15 @@
   }
   if (with_seconds) {
     json seconds = json::array();
-    for (const Second& s : figures.seconds()) seconds.push_back(ToJson(s));
+    for (const Second& second : figures.seconds()) seconds.push_back(ToJson(second));
     run["seconds"] = std::move(seconds);
   }
   return run;
 }
 
 Results::Results(const std::string& path) try : db_(path) {
-  constexpr int kBusyMs = 5000;
-  db_.SetBusyTimeout(kBusyMs);
+  constexpr int kBusyTimeoutMs = 5000;
+  db_.SetBusyTimeout(kBusyTimeoutMs);
   db_.Run(
       "CREATE TABLE IF NOT EXISTS run (label TEXT, scenario TEXT, settings TEXT, seed INTEGER, build TEXT, "
       "machine TEXT, "
@@ -123,8 +123,8 @@
 
 void Results::Store(const RunKey& key, const std::string& build, const std::string& machine,
                     const json& run) {
-  storage::Statement keep(db_, "INSERT OR REPLACE INTO run VALUES (?, ?, ?, ?, ?, ?, ?)");
-  Bind(keep, key).Text(5, build).Text(6, machine).Text(7, run.dump()).Step();
+  storage::Statement insert(db_, "INSERT OR REPLACE INTO run VALUES (?, ?, ?, ?, ?, ?, ?)");
+  Bind(insert, key).Text(5, build).Text(6, machine).Text(7, run.dump()).Step();
 }
 
 std::map<RunKey, json> Results::RunsWithLabel(const std::string& label) const {
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -19,8 +19,8 @@
     "kill",     "restart",   "burst",  "crowd", "stale",  "impatient"};
 constexpr std::array<const char*, 3> kEffectNames = {"safe", "keyed", "unsafe"};
 
-// Reads the keys of one TOML table. Every error throws ScenarioError with table, key and remedy. A key that
-// nothing has read is an error in RejectUnknownKeys.
+// Reads the keys of one TOML table. Throws ScenarioError with table, key and remedy on any error.
+// RejectUnknownKeys() throws for a key that no reading function was called for.
 class TableReader {
  public:
   TableReader(const toml::table* table, std::string name) : table_(table), name_(std::move(name)) {}
@@ -65,7 +65,7 @@
     Text(key, name);
     const auto it = std::find(names.begin(), names.end(), name);
     std::string all;
-    for (const char* n : names) all += (all.empty() ? "" : ", ") + std::string(n);
+    for (const char* known : names) all += (all.empty() ? "" : ", ") + std::string(known);
     if (it == names.end()) Fail(key, "'" + name + "' is unknown; give one of " + all);
     return static_cast<std::size_t>(it - names.begin());
   }
@@ -104,46 +104,47 @@
       into = root.get(table)->as_table();
       if (into == nullptr) throw ScenarioError("--set " + change + ": '" + table + "' is not a table");
     }
-    value.get("v")->visit([&](auto&& v) { into->insert_or_assign(key, v); });
+    value.get("v")->visit([&](auto&& new_value) { into->insert_or_assign(key, new_value); });
   } catch (const toml::parse_error& e) {
     throw ScenarioError("--set " + change + ": " + std::string(e.description()));
   }
 }
 
 ClassLoad ReadClass(const toml::table& table) {
-  ClassLoad c;
+  ClassLoad class_load;
   TableReader reader(&table, "class");
-  reader.Text("name", c.name);
-  if (c.name.empty()) reader.Fail("name", "give a name");
-  reader.Number("share", c.share, 0, 1e6);
-  reader.Number("work_ms", c.work_ms, 0.01, 1e5);
-  reader.Number("work_cv", c.work_cv, 0, 10);
-  reader.Number("aim_ms", c.latency_objective_ms, 1, 1e6);
-  reader.Number("deadline_ms", c.deadline_ms, 1, 1e6);
-  reader.Number("worth", c.priority_weight, 0, 1e6);
-  c.effect = static_cast<balancer::Effect>(reader.OneOf("effect", kEffectNames));
-  if (c.deadline_ms < c.latency_objective_ms) reader.Fail("deadline_ms", "give no less than aim_ms");
+  reader.Text("name", class_load.name);
+  if (class_load.name.empty()) reader.Fail("name", "give a name");
+  reader.Number("share", class_load.share, 0, 1e6);
+  reader.Number("work_ms", class_load.work_ms, 0.01, 1e5);
+  reader.Number("work_cv", class_load.work_cv, 0, 10);
+  reader.Number("aim_ms", class_load.latency_objective_ms, 1, 1e6);
+  reader.Number("deadline_ms", class_load.deadline_ms, 1, 1e6);
+  reader.Number("worth", class_load.priority_weight, 0, 1e6);
+  class_load.effect = static_cast<balancer::Effect>(reader.OneOf("effect", kEffectNames));
+  if (class_load.deadline_ms < class_load.latency_objective_ms)
+    reader.Fail("deadline_ms", "give no less than aim_ms");
   reader.RejectUnknownKeys();
-  return c;
+  return class_load;
 }
 
-Fault ReadFault(const toml::table& table, const Scenario& s) {
-  Fault f;
+Fault ReadFault(const toml::table& table, const Scenario& scenario) {
+  Fault fault;
   TableReader reader(&table, "fault");
-  f.kind = static_cast<FaultKind>(reader.OneOf("kind", kFaultKindNames));
-  reader.Number("at_s", f.at_s, 0, s.length_s);
-  reader.Number("len_s", f.len_s, 0, s.length_s);
-  reader.Number("part", f.part, 0, 1);
-  reader.Number("size", f.size, 0, 1000);
-  reader.Text("zone", f.zone);
-  const bool zoned = f.kind == FaultKind::kCutZone || f.kind == FaultKind::kLoseZone;
-  if (zoned && std::find(s.zones.begin(), s.zones.end(), f.zone) == s.zones.end()) {
-    reader.Fail("zone", "'" + f.zone + "' is not one of [servers] zones");
+  fault.kind = static_cast<FaultKind>(reader.OneOf("kind", kFaultKindNames));
+  reader.Number("at_s", fault.at_s, 0, scenario.length_s);
+  reader.Number("len_s", fault.len_s, 0, scenario.length_s);
+  reader.Number("part", fault.part, 0, 1);
+  reader.Number("size", fault.size, 0, 1000);
+  reader.Text("zone", fault.zone);
+  const bool zoned = fault.kind == FaultKind::kCutZone || fault.kind == FaultKind::kLoseZone;
+  if (zoned && std::find(scenario.zones.begin(), scenario.zones.end(), fault.zone) == scenario.zones.end()) {
+    reader.Fail("zone", "'" + fault.zone + "' is not one of [servers] zones");
   }
-  if (f.kind == FaultKind::kFlap && f.size < 0.1)
+  if (fault.kind == FaultKind::kFlap && fault.size < 0.1)
     reader.Fail("size", "give the time that a server stays down, at least 0.1 s");
   reader.RejectUnknownKeys();
-  return f;
+  return fault;
 }
 
 // Returns a reader for the table `name` of the file. An absent table reads as an empty one.
@@ -164,71 +165,72 @@
   return zones;
 }
 
-void ReadFleet(TableReader& top, Scenario& s) {
+void ReadFleet(TableReader& top, Scenario& scenario) {
   TableReader fleet = ReadSubtable(top, "fleet");
-  fleet.Count("sidecars", s.sidecars, 100'000);
-  fleet.Number("skew", s.skew, 0, 10);
-  fleet.Number("start_ms", s.start_ms, 0, 60'000);
+  fleet.Count("sidecars", scenario.sidecars, 100'000);
+  fleet.Number("skew", scenario.skew, 0, 10);
+  fleet.Number("start_ms", scenario.start_ms, 0, 60'000);
   fleet.RejectUnknownKeys();
 }
 
-void ReadServers(TableReader& top, Scenario& s) {
+void ReadServers(TableReader& top, Scenario& scenario) {
   TableReader servers = ReadSubtable(top, "servers");
-  servers.Count("count", s.servers, 100'000);
-  if (const toml::node* zones = servers.FindNode("zones")) s.zones = ReadZones(servers, *zones);
-  servers.Number("cores", s.cores, 1, 1024);
-  servers.Number("slowest", s.slowest, 0.01, 100);
-  servers.Number("fastest", s.fastest, 0.01, 100);
-  servers.Number("queue_per_core", s.queue_per_core, 0, 1e6);
-  servers.Number("thrash", s.thrash, 0, 10);
-  servers.Number("thrash_at", s.thrash_at, 0, 1e6);
-  servers.Number("cold_from", s.slow_start_initial_share, 0.01, 1);
-  servers.Number("cold_s", s.slow_start_s, 0, 600);
-  servers.Number("pause_every_s", s.pause_every_s, 0.1, 1e6);
-  servers.Number("pause_ms", s.pause_ms, 0, 60'000);
-  servers.Number("error_rate", s.error_rate, 0, 1);
-  servers.Number("drain_s", s.drain_s, 0, 600);
+  servers.Count("count", scenario.servers, 100'000);
+  if (const toml::node* zones = servers.FindNode("zones")) scenario.zones = ReadZones(servers, *zones);
+  servers.Number("cores", scenario.cores, 1, 1024);
+  servers.Number("slowest", scenario.slowest, 0.01, 100);
+  servers.Number("fastest", scenario.fastest, 0.01, 100);
+  servers.Number("queue_per_core", scenario.queue_per_core, 0, 1e6);
+  servers.Number("thrash", scenario.thrash, 0, 10);
+  servers.Number("thrash_at", scenario.thrash_at, 0, 1e6);
+  servers.Number("cold_from", scenario.slow_start_initial_share, 0.01, 1);
+  servers.Number("cold_s", scenario.slow_start_s, 0, 600);
+  servers.Number("pause_every_s", scenario.pause_every_s, 0.1, 1e6);
+  servers.Number("pause_ms", scenario.pause_ms, 0, 60'000);
+  servers.Number("error_rate", scenario.error_rate, 0, 1);
+  servers.Number("drain_s", scenario.drain_s, 0, 600);
   servers.RejectUnknownKeys();
 }
 
-void ReadNet(TableReader& top, Scenario& s) {
+void ReadNet(TableReader& top, Scenario& scenario) {
   TableReader net = ReadSubtable(top, "net");
-  net.Number("same_ms", s.same_ms, 0, 10'000);
-  net.Number("cross_ms", s.cross_ms, 0, 10'000);
-  net.Number("jitter", s.jitter, 0, 5);
-  net.Number("handshake_ms", s.handshake_ms, 0, 10'000);
-  net.Number("notice_from_s", s.notice_from_s, 0, 600);
-  net.Number("notice_to_s", s.notice_to_s, 0, 600);
-  if (s.notice_to_s < s.notice_from_s) net.Fail("notice_to_s", "give no less than notice_from_s");
+  net.Number("same_ms", scenario.same_ms, 0, 10'000);
+  net.Number("cross_ms", scenario.cross_ms, 0, 10'000);
+  net.Number("jitter", scenario.jitter, 0, 5);
+  net.Number("handshake_ms", scenario.handshake_ms, 0, 10'000);
+  net.Number("notice_from_s", scenario.notice_from_s, 0, 600);
+  net.Number("notice_to_s", scenario.notice_to_s, 0, 600);
+  if (scenario.notice_to_s < scenario.notice_from_s)
+    net.Fail("notice_to_s", "give no less than notice_from_s");
   net.RejectUnknownKeys();
 }
 
-void ReadLoad(TableReader& top, Scenario& s) {
+void ReadLoad(TableReader& top, Scenario& scenario) {
   TableReader load = ReadSubtable(top, "load");
-  load.Number("use", s.use, 0, 100);
-  load.Number("wave", s.wave, 0, 1);
-  load.Number("wave_s", s.wave_s, 1, 36'000);
-  load.Number("retries", s.retries, 0, 100);
-  load.Number("backoff_ms", s.backoff_ms, 1, 60'000);
+  load.Number("use", scenario.use, 0, 100);
+  load.Number("wave", scenario.wave, 0, 1);
+  load.Number("wave_s", scenario.wave_s, 1, 36'000);
+  load.Number("retries", scenario.retries, 0, 100);
+  load.Number("backoff_ms", scenario.backoff_ms, 1, 60'000);
   load.RejectUnknownKeys();
 }
 
-void ReadAllowedActions(TableReader& top, Scenario& s) {
+void ReadAllowedActions(TableReader& top, Scenario& scenario) {
   TableReader allow = ReadSubtable(top, "allow");
-  allow.Count("max_attempts", s.max_attempts, 100);
-  allow.Flag("second_copies", s.hedging);
+  allow.Count("max_attempts", scenario.max_attempts, 100);
+  allow.Flag("second_copies", scenario.hedging);
   allow.RejectUnknownKeys();
 }
 
-void ReadExpectations(TableReader& top, Scenario& s) {
+void ReadExpectations(TableReader& top, Scenario& scenario) {
   TableReader must = ReadSubtable(top, "must");
   double served = -1;
   double recovers = -1;
   must.Number("served_at_least", served, 0, 1);
   must.Number("recovers_within_s", recovers, 0, 36'000);
   must.RejectUnknownKeys();
-  if (served >= 0) s.served_at_least = served;
-  if (recovers >= 0) s.recovers_within_s = recovers;
+  if (served >= 0) scenario.served_at_least = served;
+  if (recovers >= 0) scenario.recovers_within_s = recovers;
 }
 
 // Calls `read` with each [[name]] table of the file.
@@ -256,76 +258,80 @@
 
 // Throws ScenarioError with a text that does not include the path of the file.
 Scenario ReadScenario(const toml::table& root) {
-  Scenario s;
+  Scenario scenario;
   TableReader top(&root, "top");
-  top.Text("name", s.name);
-  top.Text("about", s.about);
-  top.Number("length_s", s.length_s, 1, 36'000);
-  ReadFleet(top, s);
-  ReadServers(top, s);
-  ReadNet(top, s);
-  ReadLoad(top, s);
-  ReadAllowedActions(top, s);
-  ReadExpectations(top, s);
-  ReadTables(top, "class", [&](const toml::table& t) { s.classes.push_back(ReadClass(t)); });
-  ReadTables(top, "fault", [&](const toml::table& t) { s.faults.push_back(ReadFault(t, s)); });
+  top.Text("name", scenario.name);
+  top.Text("about", scenario.about);
+  top.Number("length_s", scenario.length_s, 1, 36'000);
+  ReadFleet(top, scenario);
+  ReadServers(top, scenario);
+  ReadNet(top, scenario);
+  ReadLoad(top, scenario);
+  ReadAllowedActions(top, scenario);
+  ReadExpectations(top, scenario);
+  ReadTables(top, "class", [&](const toml::table& table) { scenario.classes.push_back(ReadClass(table)); });
+  ReadTables(top, "fault",
+             [&](const toml::table& table) { scenario.faults.push_back(ReadFault(table, scenario)); });
   top.RejectUnknownKeys();
-  if (s.name.empty()) top.Fail("name", "give a name");
-  if (s.classes.empty()) top.Fail("class", "give at least one [[class]]");
+  if (scenario.name.empty()) top.Fail("name", "give a name");
+  if (scenario.classes.empty()) top.Fail("class", "give at least one [[class]]");
   double share = 0;
-  for (const ClassLoad& c : s.classes) share += c.share;
+  for (const ClassLoad& class_load : scenario.classes) share += class_load.share;
   if (share <= 0) top.Fail("class", "give at least one class a share above 0");
-  return s;
+  return scenario;
 }
 
-toml::table ServersToToml(const Scenario& s) {
+toml::table ServersToToml(const Scenario& scenario) {
   toml::array zones;
-  for (const std::string& zone : s.zones) zones.push_back(zone);
-  return toml::table{{"count", static_cast<std::int64_t>(s.servers)},
+  for (const std::string& zone : scenario.zones) zones.push_back(zone);
+  return toml::table{{"count", static_cast<std::int64_t>(scenario.servers)},
                      {"zones", zones},
-                     {"cores", s.cores},
-                     {"slowest", s.slowest},
-                     {"fastest", s.fastest},
-                     {"queue_per_core", s.queue_per_core},
-                     {"thrash", s.thrash},
-                     {"thrash_at", s.thrash_at},
-                     {"cold_from", s.slow_start_initial_share},
-                     {"cold_s", s.slow_start_s},
-                     {"pause_every_s", s.pause_every_s},
-                     {"pause_ms", s.pause_ms},
-                     {"error_rate", s.error_rate},
-                     {"drain_s", s.drain_s}};
+                     {"cores", scenario.cores},
+                     {"slowest", scenario.slowest},
+                     {"fastest", scenario.fastest},
+                     {"queue_per_core", scenario.queue_per_core},
+                     {"thrash", scenario.thrash},
+                     {"thrash_at", scenario.thrash_at},
+                     {"cold_from", scenario.slow_start_initial_share},
+                     {"cold_s", scenario.slow_start_s},
+                     {"pause_every_s", scenario.pause_every_s},
+                     {"pause_ms", scenario.pause_ms},
+                     {"error_rate", scenario.error_rate},
+                     {"drain_s", scenario.drain_s}};
 }
 
-toml::table ExpectationsToToml(const Scenario& s) {
+toml::table ExpectationsToToml(const Scenario& scenario) {
   toml::table must;
-  if (s.served_at_least) must.insert("served_at_least", *s.served_at_least);
-  if (s.recovers_within_s) must.insert("recovers_within_s", *s.recovers_within_s);
+  if (scenario.served_at_least) must.insert("served_at_least", *scenario.served_at_least);
+  if (scenario.recovers_within_s) must.insert("recovers_within_s", *scenario.recovers_within_s);
   return must;
 }
 
-toml::array ClassesToToml(const Scenario& s) {
+toml::array ClassesToToml(const Scenario& scenario) {
   toml::array classes;
-  for (const ClassLoad& c : s.classes) {
-    classes.push_back(toml::table{{"name", c.name},
-                                  {"share", c.share},
-                                  {"work_ms", c.work_ms},
-                                  {"work_cv", c.work_cv},
-                                  {"aim_ms", c.latency_objective_ms},
-                                  {"deadline_ms", c.deadline_ms},
-                                  {"worth", c.priority_weight},
-                                  {"effect", kEffectNames.at(static_cast<std::size_t>(c.effect))}});
+  for (const ClassLoad& class_load : scenario.classes) {
+    classes.push_back(toml::table{{"name", class_load.name},
+                                  {"share", class_load.share},
+                                  {"work_ms", class_load.work_ms},
+                                  {"work_cv", class_load.work_cv},
+                                  {"aim_ms", class_load.latency_objective_ms},
+                                  {"deadline_ms", class_load.deadline_ms},
+                                  {"worth", class_load.priority_weight},
+                                  {"effect", kEffectNames.at(static_cast<std::size_t>(class_load.effect))}});
   }
   return classes;
 }
 
-toml::array FaultsToToml(const Scenario& s) {
+toml::array FaultsToToml(const Scenario& scenario) {
   toml::array faults;
-  for (const Fault& f : s.faults) {
-    toml::table fault{
-        {"kind", NameOf(f.kind)}, {"at_s", f.at_s}, {"len_s", f.len_s}, {"part", f.part}, {"size", f.size}};
-    if (!f.zone.empty()) fault.insert("zone", f.zone);
-    faults.push_back(fault);
+  for (const Fault& fault : scenario.faults) {
+    toml::table table{{"kind", NameOf(fault.kind)},
+                      {"at_s", fault.at_s},
+                      {"len_s", fault.len_s},
+                      {"part", fault.part},
+                      {"size", fault.size}};
+    if (!fault.zone.empty()) table.insert("zone", fault.zone);
+    faults.push_back(table);
   }
   return faults;
 }
@@ -353,31 +359,31 @@
   return ParseScenario(text.str(), path, changes);
 }
 
-std::string ToToml(const Scenario& s) {
-  toml::table root{{"name", s.name},
-                   {"about", s.about},
-                   {"length_s", s.length_s},
-                   {"fleet", toml::table{{"sidecars", static_cast<std::int64_t>(s.sidecars)},
-                                         {"skew", s.skew},
-                                         {"start_ms", s.start_ms}}},
-                   {"servers", ServersToToml(s)},
-                   {"net", toml::table{{"same_ms", s.same_ms},
-                                       {"cross_ms", s.cross_ms},
-                                       {"jitter", s.jitter},
-                                       {"handshake_ms", s.handshake_ms},
-                                       {"notice_from_s", s.notice_from_s},
-                                       {"notice_to_s", s.notice_to_s}}},
-                   {"load", toml::table{{"use", s.use},
-                                        {"wave", s.wave},
-                                        {"wave_s", s.wave_s},
-                                        {"retries", s.retries},
-                                        {"backoff_ms", s.backoff_ms}}},
-                   {"allow", toml::table{{"max_attempts", static_cast<std::int64_t>(s.max_attempts)},
-                                         {"second_copies", s.hedging}}}};
-  toml::table must = ExpectationsToToml(s);
+std::string ToToml(const Scenario& scenario) {
+  toml::table root{{"name", scenario.name},
+                   {"about", scenario.about},
+                   {"length_s", scenario.length_s},
+                   {"fleet", toml::table{{"sidecars", static_cast<std::int64_t>(scenario.sidecars)},
+                                         {"skew", scenario.skew},
+                                         {"start_ms", scenario.start_ms}}},
+                   {"servers", ServersToToml(scenario)},
+                   {"net", toml::table{{"same_ms", scenario.same_ms},
+                                       {"cross_ms", scenario.cross_ms},
+                                       {"jitter", scenario.jitter},
+                                       {"handshake_ms", scenario.handshake_ms},
+                                       {"notice_from_s", scenario.notice_from_s},
+                                       {"notice_to_s", scenario.notice_to_s}}},
+                   {"load", toml::table{{"use", scenario.use},
+                                        {"wave", scenario.wave},
+                                        {"wave_s", scenario.wave_s},
+                                        {"retries", scenario.retries},
+                                        {"backoff_ms", scenario.backoff_ms}}},
+                   {"allow", toml::table{{"max_attempts", static_cast<std::int64_t>(scenario.max_attempts)},
+                                         {"second_copies", scenario.hedging}}}};
+  toml::table must = ExpectationsToToml(scenario);
   if (!must.empty()) root.insert("must", must);
-  root.insert("class", ClassesToToml(s));
-  toml::array faults = FaultsToToml(s);
+  root.insert("class", ClassesToToml(scenario));
+  toml::array faults = FaultsToToml(scenario);
   if (!faults.empty()) root.insert("fault", faults);
   std::ostringstream text;
   text << root << '\n';
@@ -386,21 +392,21 @@
 
 double Scenario::FaultsEnd() const {
   double end = 0;
-  for (const Fault& f : faults) end = std::max(end, f.at_s + f.len_s);
+  for (const Fault& fault : faults) end = std::max(end, fault.at_s + fault.len_s);
   return end;
 }
 
 balancer::Settings Scenario::SettingsOf(std::size_t self) const {
   balancer::Settings settings;
-  for (const ClassLoad& c : classes) {
-    balancer::RequestClass cls;
-    cls.name = c.name;
-    cls.latency_objective = Milliseconds(c.latency_objective_ms);
-    cls.deadline = Milliseconds(c.deadline_ms);
-    cls.effect = c.effect;
-    cls.priority_weight = c.priority_weight;
-    cls.key_window = Milliseconds(2 * c.deadline_ms);
-    settings.classes.push_back(cls);
+  for (const ClassLoad& class_load : classes) {
+    balancer::RequestClass request_class;
+    request_class.name = class_load.name;
+    request_class.latency_objective = Milliseconds(class_load.latency_objective_ms);
+    request_class.deadline = Milliseconds(class_load.deadline_ms);
+    request_class.effect = class_load.effect;
+    request_class.priority_weight = class_load.priority_weight;
+    request_class.key_window = Milliseconds(2 * class_load.deadline_ms);
+    settings.classes.push_back(request_class);
   }
   settings.zone = zones[self % zones.size()];
   settings.sidecar_count = sidecars;
--- a/src/simulation/scenario.h
+++ b/src/simulation/scenario.h
@@ -1,5 +1,5 @@
-// A scenario is what a run simulates: a fleet, its load, the faults over time, and the expectations. It is
-// read from a TOML file; every error in a file names table, key and remedy. Times are in milliseconds or
+// Scenarios: a scenario describes a fleet, its load, the faults over time, and the expectations of a run. It
+// is read from a TOML file; every error in a file names table, key and remedy. Times are in milliseconds or
 // seconds, as the names say; shares are from 0 to 1. docs/operators/simulator.md describes the keys of a
 // file.
 #pragma once
@@ -15,16 +15,17 @@
 
 namespace mothrack::simulation {
 
-// A scenario cannot be read; the text has path, place, cause and remedy.
+// Thrown if a scenario cannot be read. The text names path, place, cause and remedy.
 class ScenarioError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
+// The kinds of faults. `size` is Fault::size; "a share" is Fault::part.
 enum class FaultKind {
   kCutZone,       // a zone is cut off from the others; packets are dropped silently
-  kLoseZone,      // a zone's servers vanish without notice, and later start again in slow start
-  kUnresponsive,  // a share of the servers drops everything that it is sent
+  kLoseZone,      // a zone's servers become unreachable without notice, and later start again in slow start
+  kUnresponsive,  // a share of the servers drops all packets that it is sent
   kSlow,          // calls at a share of the servers take `size` times as long
   kErrors,        // a share of the servers fails the share `size` of its calls with an error
   kFlap,          // a share of the servers stops and starts again after `size` seconds, repeatedly
@@ -73,33 +74,35 @@
   std::size_t servers = 12;
   std::vector<std::string> zones = {"bole-hall", "kality-hall"};
   double cores = 3;
-  double slowest = 1;  // speeds are spread evenly from slowest to fastest
+  // The speeds of the servers are spread evenly from slowest to fastest.
+  double slowest = 1;
   double fastest = 1.6;
   double queue_per_core = 25;
-  double thrash = 0.3;  // slowdown, in proportion to how far calls per core exceed thrash_at
+  // Under overload, a call takes 1 + thrash * (calls per core / thrash_at - 1) times as long.
+  double thrash = 0.3;
   double thrash_at = 6;
   double slow_start_initial_share = 0.2;
   double slow_start_s = 15;
-  double pause_every_s = 8;
-  double pause_ms = 40;
+  double pause_every_s = 8;  // mean time between the pauses of a server
+  double pause_ms = 40;      // length of a pause
   double error_rate = 0.0005;
-  // The network; latencies are one way.
+  // The network: mean one-way latencies within a zone and between zones, their coefficient of variation, and
+  // the time that a new connection takes in addition to one round trip.
   double same_ms = 0.25;
   double cross_ms = 2;
   double jitter = 0.25;
   double handshake_ms = 1.5;
-  // The delay after which discovery notifies a sidecar, drawn once for each sidecar.
+  // The range of the delay after which discovery notifies a sidecar; drawn once for each sidecar.
   double notice_from_s = 0.3;
   double notice_to_s = 1.5;
   double drain_s = 6;  // from the time a server is listed as draining until it stops
-  // Load, as a share of the capacity of the servers when warm.
-  double use = 0.6;
+  double use = 0.6;    // load as a share of the capacity of all servers, without slow start
   double wave = 0;     // amplitude of a sine wave on top of the load, as a share of it
   double wave_s = 30;  // period of the wave
   std::vector<ClassLoad> classes;
-  // Mean number of retries of a client before its deadline.
-  double retries = 1;
-  double backoff_ms = 80;
+  double retries = 1;      // mean number of retries of a client before its deadline
+  double backoff_ms = 80;  // mean time before the first retry of a client
+  // What the sidecars may do for each request that they accept.
   std::size_t max_attempts = 4;
   bool hedging = true;
   std::vector<Fault> faults;
@@ -113,13 +116,13 @@
   double FaultsEnd() const;
 };
 
-// Read a scenario. `changes` are applied to the file first: "table.key=value" each. Throw ScenarioError.
+// Read a scenario. `changes` ("table.key=value" each) are applied to the file first. Throw ScenarioError.
 Scenario LoadScenario(const std::string& path, const std::vector<std::string>& changes = {});
 Scenario ParseScenario(const std::string& text, const std::string& path,
                        const std::vector<std::string>& changes = {});
-// Returns the text of a file that reads as the same scenario.
+// Returns the text of a scenario file from which the same scenario is read.
 std::string ToToml(const Scenario& scenario);
-// Returns the name of the kind in scenario files.
+// Returns the name that the kind has in scenario files.
 const char* NameOf(FaultKind kind);
 
 }  // namespace mothrack::simulation
--- a/src/simulation/search.cpp
+++ b/src/simulation/search.cpp
@@ -8,28 +8,29 @@
 namespace mothrack::simulation {
 namespace {
 
-// Degraded service that lasts longer than this after its cause has ended, with enough capacity, is reported.
+// Degraded service is reported if it lasts longer than this after its cause has ended and the capacity covers
+// the demand again.
 constexpr double kMaxRecoverySeconds = 12;
-constexpr double kMinRunSeconds = 10;  // a shrunk run is not made shorter
+constexpr double kMinRunSeconds = 10;  // a run is not shortened below this
 
 double ScaleAtRandom(double value, Random& random, double min, double max) {
   return std::clamp(value * random.Between(0.6, 1.6), min, max);
 }
 
-Fault RandomFault(const Scenario& s, Random& random) {
-  Fault f;
-  f.kind = static_cast<FaultKind>(random.Below(13));
-  f.at_s = random.Between(5, s.length_s * 0.4);
-  f.len_s = random.Between(0.5, s.length_s * 0.3);
-  f.part = random.Between(0.02, 0.6);
-  f.size = f.kind == FaultKind::kErrors ? random.Between(0.05, 1) : random.Between(0.5, 5);
-  if (f.kind == FaultKind::kFlap) f.size = random.Between(0.5, 4);
-  if (f.kind == FaultKind::kBurst) f.size = random.Between(1.1, 2.5);
-  f.zone = s.zones[random.Below(s.zones.size())];
-  return f;
+Fault RandomFault(const Scenario& scenario, Random& random) {
+  Fault fault;
+  fault.kind = static_cast<FaultKind>(random.Below(13));
+  fault.at_s = random.Between(5, scenario.length_s * 0.4);
+  fault.len_s = random.Between(0.5, scenario.length_s * 0.3);
+  fault.part = random.Between(0.02, 0.6);
+  fault.size = fault.kind == FaultKind::kErrors ? random.Between(0.05, 1) : random.Between(0.5, 5);
+  if (fault.kind == FaultKind::kFlap) fault.size = random.Between(0.5, 4);
+  if (fault.kind == FaultKind::kBurst) fault.size = random.Between(1.1, 2.5);
+  fault.zone = scenario.zones[random.Below(scenario.zones.size())];
+  return fault;
 }
 
-// Makes a scenario smaller step by step. A step is kept only if the result still shows the fault.
+// Makes a scenario smaller step by step. Keeps a step only if the result still shows the fault.
 class Shrinker {
  public:
   Shrinker(Scenario scenario, const std::function<bool(const Scenario&)>& shows_fault, int budget)
@@ -48,7 +49,8 @@
   }
 
  private:
-  // Runs the candidate and keeps it if it shows the fault; false if not, or if no runs are left.
+  // Runs the candidate and keeps it if it shows the fault. Returns false if it does not, or if no runs are
+  // left.
   bool KeepIfShown(const Scenario& candidate) {
     if (budget_-- <= 0 || !shows_fault_(candidate)) return false;
     scenario_ = candidate;
@@ -93,8 +95,8 @@
     if (scenario_.length_s <= kMinRunSeconds) return false;
     return KeepChange([](Scenario& s) {
       s.length_s = std::max(kMinRunSeconds, std::floor(s.length_s / 2));
-      std::erase_if(s.faults, [&](const Fault& f) { return f.at_s > s.length_s; });
-      for (Fault& f : s.faults) f.len_s = std::min(f.len_s, s.length_s);
+      std::erase_if(s.faults, [&](const Fault& fault) { return fault.at_s > s.length_s; });
+      for (Fault& fault : s.faults) fault.len_s = std::min(fault.len_s, s.length_s);
     });
   }
   bool SimplifyLoad() {
@@ -117,7 +119,8 @@
   if (outcome.still_open > 0) return "requests without an answer";
   const auto recovery = figures.recovery();
   if (!recovery) return {};
-  // Judged only if the run continues long enough after its faults have ended and capacity has returned.
+  // Recovery is judged only if the run continues long enough after its faults have ended and the capacity has
+  // returned.
   const double cause_end_s = std::max(recovery->covered_s, scenario.FaultsEnd());
   if (scenario.length_s - cause_end_s < kMaxRecoverySeconds + 5) return {};
   const double recovery_s =
@@ -127,30 +130,33 @@
   return {};
 }
 
-Scenario Mutate(const Scenario& scenario, Random& random) {
-  Scenario s = scenario;
-  s.length_s = 70;
-  s.skew = ScaleAtRandom(std::max(s.skew, 0.1), random, 0, 2);
-  s.use = ScaleAtRandom(s.use, random, 0.2, 0.8);
-  s.retries = ScaleAtRandom(std::max(s.retries, 0.3), random, 0, 4);
-  s.backoff_ms = ScaleAtRandom(s.backoff_ms, random, 10, 500);
-  s.slow_start_s = ScaleAtRandom(s.slow_start_s, random, 5, 25);
-  s.slow_start_initial_share = ScaleAtRandom(s.slow_start_initial_share, random, 0.1, 0.5);
-  s.pause_ms = ScaleAtRandom(std::max(s.pause_ms, 5.0), random, 0, 300);
-  s.notice_to_s = std::max(s.notice_from_s, ScaleAtRandom(s.notice_to_s, random, 0.3, 6));
-  s.sidecars = static_cast<std::size_t>(ScaleAtRandom(static_cast<double>(s.sidecars), random, 4, 120));
-  s.servers = static_cast<std::size_t>(ScaleAtRandom(static_cast<double>(s.servers), random, 6, 40));
-  if (!s.faults.empty() && random.Chance(0.3)) {
-    s.faults.erase(s.faults.begin() + static_cast<std::ptrdiff_t>(random.Below(s.faults.size())));
+Scenario Mutate(const Scenario& original, Random& random) {
+  Scenario mutated = original;
+  mutated.length_s = 70;
+  mutated.skew = ScaleAtRandom(std::max(mutated.skew, 0.1), random, 0, 2);
+  mutated.use = ScaleAtRandom(mutated.use, random, 0.2, 0.8);
+  mutated.retries = ScaleAtRandom(std::max(mutated.retries, 0.3), random, 0, 4);
+  mutated.backoff_ms = ScaleAtRandom(mutated.backoff_ms, random, 10, 500);
+  mutated.slow_start_s = ScaleAtRandom(mutated.slow_start_s, random, 5, 25);
+  mutated.slow_start_initial_share = ScaleAtRandom(mutated.slow_start_initial_share, random, 0.1, 0.5);
+  mutated.pause_ms = ScaleAtRandom(std::max(mutated.pause_ms, 5.0), random, 0, 300);
+  mutated.notice_to_s = std::max(mutated.notice_from_s, ScaleAtRandom(mutated.notice_to_s, random, 0.3, 6));
+  mutated.sidecars =
+      static_cast<std::size_t>(ScaleAtRandom(static_cast<double>(mutated.sidecars), random, 4, 120));
+  mutated.servers =
+      static_cast<std::size_t>(ScaleAtRandom(static_cast<double>(mutated.servers), random, 6, 40));
+  if (!mutated.faults.empty() && random.Chance(0.3)) {
+    mutated.faults.erase(mutated.faults.begin() +
+                         static_cast<std::ptrdiff_t>(random.Below(mutated.faults.size())));
   }
-  for (Fault& f : s.faults) {
-    f.at_s = ScaleAtRandom(f.at_s, random, 3, 30);
-    f.len_s = ScaleAtRandom(std::max(f.len_s, 0.5), random, 0, 20);
-    f.part = ScaleAtRandom(f.part, random, 0, 0.8);
+  for (Fault& fault : mutated.faults) {
+    fault.at_s = ScaleAtRandom(fault.at_s, random, 3, 30);
+    fault.len_s = ScaleAtRandom(std::max(fault.len_s, 0.5), random, 0, 20);
+    fault.part = ScaleAtRandom(fault.part, random, 0, 0.8);
   }
-  while (s.faults.empty() || (s.faults.size() < 4 && random.Chance(0.5)))
-    s.faults.push_back(RandomFault(s, random));
-  return s;
+  while (mutated.faults.empty() || (mutated.faults.size() < 4 && random.Chance(0.5)))
+    mutated.faults.push_back(RandomFault(mutated, random));
+  return mutated;
 }
 
 Scenario ShrinkWhile(Scenario scenario, const std::function<bool(const Scenario&)>& shows_fault, int budget) {
--- a/src/simulation/search.h
+++ b/src/simulation/search.h
@@ -1,5 +1,5 @@
-// Search for faults of the program: judges runs, mutates scenarios at random, and reduces a scenario to a
-// smaller one that still shows a fault. Reads no clock and does no I/O.
+// Searches for faults of the sidecar's code: judges runs, mutates scenarios at random, and reduces a scenario
+// to a smaller one that still shows a fault. Reads no clock and does no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,13 +12,13 @@
 
 namespace mothrack::simulation {
 
-// Describes what is wrong with a run: a broken rule, a request without an answer, or degraded service that
-// outlasts its cause. Empty if nothing is wrong.
+// Describes the fault that a run shows: a broken rule, a request without an answer, or degraded service that
+// outlasts its cause. Returns an empty text if it shows none.
 std::string FindFault(const Scenario& scenario, const RunOutcome& outcome, const Figures& figures);
 
 // Returns a mutation of the scenario: fleet, load and faults are changed at random, and faults are added and
 // removed. The result is always valid.
-Scenario Mutate(const Scenario& scenario, Random& random);
+Scenario Mutate(const Scenario& original, Random& random);
 
 // Returns a smaller scenario for which `shows_fault` is still true: with fewer faults, classes, sidecars and
 // servers, a shorter run and simpler load. Calls `shows_fault` at most `budget` times.
--- a/src/simulation/server.cpp
+++ b/src/simulation/server.cpp
@@ -11,8 +11,9 @@
 
 double Server::slow_start_factor() const {
   if (!ever_booted_ || scenario_.slow_start_s <= 0) return 1;
-  const double age = InSeconds(sim_.now() - booted_) / scenario_.slow_start_s;
-  return std::min(1.0, scenario_.slow_start_initial_share + (1 - scenario_.slow_start_initial_share) * age);
+  const double elapsed_share = InSeconds(sim_.now() - booted_) / scenario_.slow_start_s;
+  return std::min(
+      1.0, scenario_.slow_start_initial_share + (1 - scenario_.slow_start_initial_share) * elapsed_share);
 }
 
 bool Server::Accept(Job job) {
@@ -28,23 +29,23 @@
     Job job = std::move(queue_.front());
     queue_.pop_front();
     const double load = static_cast<double>(in_flight() + 1) / scenario_.cores;
-    const double thrash =
+    const double thrash_factor =
         1 + scenario_.thrash * std::max(0.0, load / std::max(scenario_.thrash_at, 1e-9) - 1);
-    double ms = job.work / (speed_ * slow_start_factor()) * slowdown_ * thrash;
+    double service_ms = job.work / (speed_ * slow_start_factor()) * slowdown_ * thrash_factor;
     if (scenario_.pause_ms > 0 && sim_.now() >= next_pause_) {
-      ms += scenario_.pause_ms;
+      service_ms += scenario_.pause_ms;
       next_pause_ = sim_.now() + SecondsOf(random_.Exponential(scenario_.pause_every_s));
     }
     const bool fails = random_.Chance(std::max(injected_error_rate_, scenario_.error_rate));
     const std::uint64_t id = job.id;
     if (job.on_started) job.on_started();
     running_.emplace(id, std::move(job));
-    sim_.After(Milliseconds(ms), [this, id, fails, incarnation = incarnation_] {
+    sim_.After(Milliseconds(service_ms), [this, id, fails, incarnation = incarnation_] {
       if (incarnation != incarnation_) return;
       const auto it = running_.find(id);
-      const Job done = std::move(it->second);
+      const Job ended = std::move(it->second);
       running_.erase(it);
-      if (done.on_ended) done.on_ended(fails ? End::kError : End::kDone);
+      if (ended.on_ended) ended.on_ended(fails ? End::kError : End::kDone);
       StartQueued();
     });
   }
@@ -58,14 +59,14 @@
 void Server::Kill() {
   up_ = draining_ = false;
   ++incarnation_;
-  std::vector<Job> all;
-  for (auto& job : queue_) all.push_back(std::move(job));
-  for (auto& [id, job] : running_) all.push_back(std::move(job));
+  std::vector<Job> reset;
+  for (auto& job : queue_) reset.push_back(std::move(job));
+  for (auto& [id, job] : running_) reset.push_back(std::move(job));
   queue_.clear();
   running_.clear();
   // Sorted by id, so that the order of the resets does not depend on the order of the hash table.
-  std::sort(all.begin(), all.end(), [](const Job& a, const Job& b) { return a.id < b.id; });
-  for (const Job& job : all) {
+  std::sort(reset.begin(), reset.end(), [](const Job& a, const Job& b) { return a.id < b.id; });
+  for (const Job& job : reset) {
     if (job.on_ended) job.on_ended(End::kReset);
   }
 }
--- a/src/simulation/server.h
+++ b/src/simulation/server.h
@@ -1,5 +1,5 @@
 // A simulated server: its cores work through a queue bounded by Scenario::queue_per_core. It becomes slower
-// under overload, has a slow start and pauses now and then.
+// under overload, has a slow start, and pauses at random times.
 #pragma once
 
 #include <cstdint>
@@ -18,14 +18,14 @@
   enum class End { kDone, kError, kReset };
   struct Job {
     std::uint64_t id = 0;
-    double work = 0;  // milliseconds of a core of speed 1
+    double work = 0;  // in milliseconds on a core of speed 1
     std::function<void()> on_started;
     std::function<void(End)> on_ended;
   };
 
   Server(Simulator& sim, const Scenario& scenario, Random random, double speed);
 
-  // Queues the call. False if it was rejected without effect because the server is full or draining.
+  // Queues the call. Returns false, without effect, if the server is full or draining.
   bool Accept(Job job);
   // Removes a call that has not started, because its caller no longer waits. A call that has started
   // continues.
@@ -39,16 +39,17 @@
   bool up() const { return up_; }
   bool draining() const { return draining_; }
   double slow_start_factor() const;
-  // Milliseconds of work per millisecond: when warm and without faults, and at present.
+  // Capacities are in milliseconds of work per millisecond. capacity() is that without slow start and faults,
+  // available_capacity() the present one.
   double capacity() const { return scenario_.cores * speed_; }
   double available_capacity() const {
     return up_ && !draining_ ? capacity() * slow_start_factor() / slowdown_ : 0;
   }
   std::size_t in_flight() const { return queue_.size() + running_.size(); }
 
-  // Injected faults: calls take `times` as long; the share `share` of them, 0 to 1, ends with an error.
-  void SetSlowdown(double times) { slowdown_ = times; }
-  void SetErrorRate(double share) { injected_error_rate_ = share; }
+  // Inject faults: calls take `factor` times as long; the share `rate` of them, 0 to 1, ends with an error.
+  void SetSlowdown(double factor) { slowdown_ = factor; }
+  void SetErrorRate(double rate) { injected_error_rate_ = rate; }
 
  private:
   void StartQueued();
--- a/src/simulation/simulated_transport.cpp
+++ b/src/simulation/simulated_transport.cpp
@@ -6,6 +6,14 @@
 
 using balancer::Outcome;
 
+namespace {
+
+constexpr runtime::Duration kIdleTimeout = std::chrono::seconds(15);  // for idle connections
+// Without a response, a connect or a probe fails after this time, as in Scenario::SettingsOf.
+constexpr runtime::Duration kConnectTimeout = std::chrono::milliseconds(200);
+
+}  // namespace
+
 void SimulatedTransport::Apply(const std::string& uid, const dispatch::Location& location) {
   Pool& pool = At(uid);
   const bool same =
@@ -31,15 +39,14 @@
   call->client_request = std::static_pointer_cast<const ClientRequest>(message);
   call->hooks = std::move(hooks);
   call->began = sim_.now();
-  call->job = network_link_.NextJob();
+  call->job = network_.NextJob();
   calls_.emplace(id, call);
   sim_.After(timeout, [this, weak = std::weak_ptr(call), incarnation = std::weak_ptr(incarnation_)] {
     const auto call = weak.lock();
     if (!incarnation.expired() && call) End(call, Outcome::kTimeout, false);
   });
   Pool& pool = At(uid);
-  std::erase_if(pool.idle,
-                [this](runtime::TimePoint since) { return sim_.now() - since >= std::chrono::seconds(15); });
+  std::erase_if(pool.idle, [this](runtime::TimePoint since) { return sim_.now() - since >= kIdleTimeout; });
   if (pool.idle.empty()) return Connect(call);
   pool.idle.pop_back();
   Write(call);
@@ -47,22 +54,21 @@
 
 void SimulatedTransport::Connect(const CallPtr& call) {
   ++connects_;
-  const runtime::Duration delay = network_link_.Delay(zone_, call->server);
+  const runtime::Duration delay = network_.Delay(zone_, call->server);
   const runtime::Duration connect_time = Milliseconds(scenario_.handshake_ms) + 2 * delay;
-  const auto later = [this, call, incarnation = std::weak_ptr(incarnation_)](runtime::Duration wait,
-                                                                             auto act) {
-    sim_.After(wait, [call, incarnation, act] {
-      if (!incarnation.expired() && !call->ended) act();
+  const auto after = [this, call, incarnation = std::weak_ptr(incarnation_)](runtime::Duration wait,
+                                                                             auto action) {
+    sim_.After(wait, [call, incarnation, action] {
+      if (!incarnation.expired() && !call->ended) action();
     });
   };
-  if (!network_link_.IsReachable(zone_, call->server)) {
-    // No response; a socket gives up after the connect timeout of the settings (Scenario::SettingsOf).
-    return later(std::chrono::milliseconds(200), [this, call] { End(call, Outcome::kConnectFailed, false); });
+  if (!network_.IsReachable(zone_, call->server)) {
+    return after(kConnectTimeout, [this, call] { End(call, Outcome::kConnectFailed, false); });
   }
-  if (!network_link_.At(call->server).up()) {
-    return later(2 * delay, [this, call] { End(call, Outcome::kConnectFailed, false); });
+  if (!network_.At(call->server).up()) {
+    return after(2 * delay, [this, call] { End(call, Outcome::kConnectFailed, false); });
   }
-  later(connect_time, [this, call] { Write(call); });
+  after(connect_time, [this, call] { Write(call); });
 }
 
 void SimulatedTransport::Write(const CallPtr& call) {
@@ -73,20 +79,19 @@
   event.sidecar = sidecar_;
   event.request = call->client_request->request;
   event.server = call->server;
-  network_link_.Record(event);
+  network_.Record(event);
   if (call->hooks.on_written) call->hooks.on_written();
-  if (!network_link_.IsReachable(zone_, call->server)) return;  // no answer comes; the attempt times out
-  sim_.After(network_link_.Delay(zone_, call->server),
-             [this, call, incarnation = std::weak_ptr(incarnation_)] {
-               if (!incarnation.expired()) Arrive(call);
-             });
+  if (!network_.IsReachable(zone_, call->server)) return;  // no answer comes; the attempt times out
+  sim_.After(network_.Delay(zone_, call->server), [this, call, incarnation = std::weak_ptr(incarnation_)] {
+    if (!incarnation.expired()) Arrive(call);
+  });
 }
 
-// The call reaches the server, whether or not its sidecar still waits.
+// Hands the request to the server at the time of its arrival.
 void SimulatedTransport::Arrive(const CallPtr& call) {
-  if (call->ended) return;  // its connection was closed meanwhile
-  Server& server = network_link_.At(call->server);
-  if (!network_link_.IsReachable(zone_, call->server)) return;
+  if (call->ended) return;  // the sidecar closed its connection meanwhile
+  Server& server = network_.At(call->server);
+  if (!network_.IsReachable(zone_, call->server)) return;
   if (!server.up()) return Answer(call, Outcome::kReset);
   SimulationEvent event;
   event.sidecar = sidecar_;
@@ -97,8 +102,8 @@
   Server::Job job;
   job.id = call->job;
   job.work = call->client_request->work;
-  // The server may outlive this sidecar.
-  job.on_started = [&network = network_link_, event]() mutable {
+  // The callbacks must not use `this` unchecked: the server may outlive this sidecar.
+  job.on_started = [&network = network_, event]() mutable {
     event.kind = SimulationEvent::Kind::kCallStarted;
     network.Record(event);
   };
@@ -111,12 +116,12 @@
   event.kind = SimulationEvent::Kind::kCallArrived;
   const bool accepted = server.Accept(std::move(job));
   if (!accepted) return Answer(call, Outcome::kFull);
-  network_link_.Record(event);
+  network_.Record(event);
 }
 
 void SimulatedTransport::Answer(const CallPtr& call, Outcome outcome) {
-  if (!network_link_.IsReachable(zone_, call->server)) return;
-  sim_.After(network_link_.Delay(zone_, call->server),
+  if (!network_.IsReachable(zone_, call->server)) return;
+  sim_.After(network_.Delay(zone_, call->server),
              [this, call, outcome, incarnation = std::weak_ptr(incarnation_)] {
                if (!incarnation.expired()) End(call, outcome, outcome != Outcome::kReset);
              });
@@ -127,12 +132,10 @@
   call->ended = true;
   calls_.erase(call->id);
   if (keep_connection) At(NameOf(call->server)).idle.push_back(sim_.now());
-  const bool given_up = outcome == Outcome::kTimeout || outcome == Outcome::kCancelled;
-  if (given_up && call->connected && network_link_.IsReachable(zone_, call->server)) {
-    sim_.After(network_link_.Delay(zone_, call->server),
-               [&network = network_link_, server = call->server, job = call->job] {
-                 network.At(server).Cancel(job);
-               });
+  const bool abandoned = outcome == Outcome::kTimeout || outcome == Outcome::kCancelled;
+  if (abandoned && call->connected && network_.IsReachable(zone_, call->server)) {
+    sim_.After(network_.Delay(zone_, call->server), [&network = network_, server = call->server,
+                                                     job = call->job] { network.At(server).Cancel(job); });
   }
   // An attempt that ended before the first byte of its request was written cannot have run.
   const bool unsent = !call->connected && (outcome == Outcome::kTimeout || outcome == Outcome::kCancelled);
@@ -146,7 +149,7 @@
     event.request = call->client_request->request;
     event.server = call->server;
     event.outcome = proven;
-    network_link_.Record(event);
+    network_.Record(event);
   }
   dispatch::ExchangeResult result;
   result.outcome = proven;
@@ -158,9 +161,9 @@
 
 void SimulatedTransport::Probe(dispatch::ExchangeId, const std::string& uid, OnEnd on_end) {
   const std::size_t server = NumberOf(uid);
-  const runtime::Duration delay = network_link_.Delay(zone_, server);
-  const bool reachable = network_link_.IsReachable(zone_, server) && network_link_.At(server).up();
-  sim_.After(reachable ? 2 * delay : runtime::Duration(std::chrono::milliseconds(200)),
+  const runtime::Duration delay = network_.Delay(zone_, server);
+  const bool reachable = network_.IsReachable(zone_, server) && network_.At(server).up();
+  sim_.After(reachable ? 2 * delay : kConnectTimeout,
              [on_end = std::move(on_end), reachable, delay, incarnation = std::weak_ptr(incarnation_)] {
                if (incarnation.expired()) return;
                dispatch::ExchangeResult result;
--- a/src/simulation/simulated_transport.h
+++ b/src/simulation/simulated_transport.h
@@ -1,6 +1,6 @@
-// The transport of a simulated sidecar: does in simulated time over simulated links what src/http/transport.h
-// does with sockets. It reuses idle connections, opens new ones, and reports no more about each attempt than
-// a socket can show.
+// The transport of a simulated sidecar: the counterpart of src/http/transport.h in simulated time and over
+// simulated links. It reuses idle connections and opens new ones. About each attempt it reports only what a
+// sidecar can learn from a socket.
 #pragma once
 
 #include <functional>
@@ -32,22 +32,19 @@
   // False if packets between the zone and the server are dropped silently.
   virtual bool IsReachable(std::size_t zone, std::size_t server) const = 0;
   virtual Server& At(std::size_t server) = 0;
+  // Records the event with the present time.
   virtual void Record(SimulationEvent event) = 0;
+  // Returns a new job id (Server::Job), unique within the run.
   virtual std::uint64_t NextJob() = 0;
 };
 
-// There is one for each start of a sidecar. Holds references to simulator, network and scenario, which must
-// outlive it. Callbacks that are still scheduled when it is destroyed do nothing.
+// Each start of a sidecar has its own transport. Holds references to simulator, network and scenario, which
+// must outlive it. Callbacks that are still scheduled when it is destroyed do nothing.
 class SimulatedTransport : public dispatch::Transport {
  public:
   SimulatedTransport(Simulator& sim, SimulatedNetwork& network, const Scenario& scenario,
                      std::uint64_t sidecar, std::size_t zone, Random random)
-      : sim_(sim),
-        network_link_(network),
-        scenario_(scenario),
-        sidecar_(sidecar),
-        zone_(zone),
-        random_(random) {}
+      : sim_(sim), network_(network), scenario_(scenario), sidecar_(sidecar), zone_(zone), random_(random) {}
 
   void Apply(const std::string& uid, const dispatch::Location& location) override;
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
@@ -57,7 +54,7 @@
   void Abandon(dispatch::ExchangeId id) override;
   void CloseIdle(const std::string& uid) override { At(uid).idle.clear(); }
 
-  // Called when the server's process has ended and its connections were closed visibly.
+  // Called when the server's process has ended and the sidecar has seen its connections close.
   void OnServerStopped(std::size_t server);
 
   std::uint64_t connects() const { return connects_; }
@@ -73,14 +70,14 @@
     dispatch::ExchangeHooks hooks;
     runtime::TimePoint began;
     std::uint64_t job = 0;
-    bool connected = false;  // its request is being written or was written
+    bool connected = false;  // the request is being written or was written
     bool abandoned = false;
     bool ended = false;
   };
   using CallPtr = std::shared_ptr<Call>;
   struct Pool {
     dispatch::Location location;
-    std::vector<runtime::TimePoint> idle;  // start of the idle time of each idle connection
+    std::vector<runtime::TimePoint> idle;  // for each idle connection, the time since when it is idle
   };
 
   Pool& At(const std::string& uid) { return pools_[uid]; }
@@ -91,7 +88,7 @@
   void End(const CallPtr& call, balancer::Outcome outcome, bool keep_connection);
 
   Simulator& sim_;
-  SimulatedNetwork& network_link_;
+  SimulatedNetwork& network_;
   const Scenario& scenario_;
   const std::uint64_t sidecar_;
   const std::size_t zone_;
@@ -99,7 +96,7 @@
   std::unordered_map<std::string, Pool> pools_;
   std::unordered_map<dispatch::ExchangeId, CallPtr> calls_;
   std::uint64_t connects_ = 0;
-  // Scheduled callbacks hold a weak reference to it and do nothing once the transport is destroyed.
+  // Scheduled callbacks hold a weak reference to this object and do nothing once the transport is destroyed.
   std::shared_ptr<int> incarnation_ = std::make_shared<int>(0);
 };
 
--- a/src/simulation/simulation_clients.cpp
+++ b/src/simulation/simulation_clients.cpp
@@ -8,11 +8,11 @@
 namespace mothrack::simulation {
 namespace {
 
-// Seconds after which the next arrival is drawn again, because the rate may have changed.
+// Seconds after which the next arrival is drawn again if none was due, because the rate may have changed.
 constexpr double kMaxArrivalWait = 0.25;
-// Additional attempts of a client that disconnects early and retries at once.
+// Retries that a client which disconnects early makes in addition to Scenario::retries.
 constexpr int kImpatientRetries = 2;
-// Where dropped answers are injected, one in this many answers is dropped.
+// InjectedFault::kDroppedAnswer drops the answer to one in this many requests.
 constexpr std::uint64_t kDroppedAnswerEvery = 997;
 
 RequestOutcome RequestOutcomeOf(const dispatch::FinalAnswer& final) {
@@ -30,24 +30,24 @@
 }  // namespace
 
 double SimulationRun::LoadFactor() const {
-  const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
-  return burst_factor_ * (1 + scenario_.wave * std::sin(6.283185307179586 * s / scenario_.wave_s));
+  const double now_s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
+  return burst_factor_ * (1 + scenario_.wave * std::sin(6.283185307179586 * now_s / scenario_.wave_s));
 }
 
-void SimulationRun::NextArrival(Sidecar& sidecar) {
-  const double rate = sidecar.rate * sidecar.times * LoadFactor();
+void SimulationRun::ScheduleNextArrival(Sidecar& sidecar) {
+  const double rate = sidecar.rate * sidecar.rate_factor * LoadFactor();
   const double wait = sidecar.random.Exponential(1 / std::max(rate, 1e-9));
   sim_.After(SecondsOf(std::min(wait, kMaxArrivalWait)),
              [this, &sidecar, wait, incarnation = std::weak_ptr(sidecar.incarnation)] {
                if (incarnation.expired() || !sidecar.open) return;
                if (wait <= kMaxArrivalWait) BeginClientRequest(sidecar);
-               NextArrival(sidecar);
+               ScheduleNextArrival(sidecar);
              });
 }
 
 std::size_t SimulationRun::DrawClass() {
   double draw = 0;
-  for (const ClassLoad& c : scenario_.classes) draw += c.share;
+  for (const ClassLoad& class_load : scenario_.classes) draw += class_load.share;
   draw *= arrivals_.Uniform();
   std::size_t cls = 0;
   while (cls + 1 < scenario_.classes.size() && draw >= scenario_.classes[cls].share) {
@@ -58,22 +58,22 @@
 
 void SimulationRun::BeginClientRequest(Sidecar& sidecar) {
   const std::size_t cls = DrawClass();
-  const ClassLoad& c = scenario_.classes[cls];
+  const ClassLoad& class_load = scenario_.classes[cls];
   auto pending = std::make_shared<PendingClientRequest>();
-  pending->client_request = ++last_client_request_;
+  pending->number = ++last_client_request_;
   pending->cls = cls;
   pending->requested_at = sim_.now();
-  pending->until = sim_.now() + Milliseconds(c.deadline_ms);
-  pending->work = c.work_ms * arrivals_.LogNormal(c.work_cv);
+  pending->until = sim_.now() + Milliseconds(class_load.deadline_ms);
+  pending->work = class_load.work_ms * arrivals_.LogNormal(class_load.work_cv);
   pending->impatient = impatient_share_ > 0 && arrivals_.Chance(impatient_share_);
   const double retries = scenario_.retries;
   pending->max_client_attempts =
       1 + static_cast<int>(retries) + (arrivals_.Chance(retries - std::floor(retries)) ? 1 : 0);
   if (pending->impatient) pending->max_client_attempts += kImpatientRetries;
-  sidecar.pending_requests[pending->client_request] = pending;
+  sidecar.pending_requests[pending->number] = pending;
   SimulationEvent event;
   event.kind = SimulationEvent::Kind::kRequested;
-  event.request = pending->client_request;
+  event.request = pending->number;
   event.cls = cls;
   Record(event);
   SendRequest(sidecar, pending);
@@ -109,7 +109,7 @@
   const int client_attempts = pending->client_attempts;
   sim_.After(leaves_after, [this, &sidecar, request, id, client_attempts,
                             incarnation = std::weak_ptr(sidecar.incarnation), pending = std::move(pending)] {
-    if (incarnation.expired() || !sidecar.pending_requests.contains(pending->client_request) ||
+    if (incarnation.expired() || !sidecar.pending_requests.contains(pending->number) ||
         pending->client_attempts != client_attempts)
       return;
     if (pending->client_attempts >= pending->max_client_attempts) return;
@@ -141,8 +141,8 @@
       Milliseconds(scenario_.backoff_ms * (0.5 + sidecar.random.Uniform()) * pending->client_attempts);
   wait = std::max(wait, final.retry_after);
   if (!may_retry || sim_.now() + wait >= pending->until) {
-    Close(*pending, event.request_outcome);
-    sidecar.pending_requests.erase(pending->client_request);
+    RecordResolved(*pending, event.request_outcome);
+    sidecar.pending_requests.erase(pending->number);
     return;
   }
   sim_.After(wait, [this, &sidecar, pending, incarnation = std::weak_ptr(sidecar.incarnation)] {
@@ -150,10 +150,10 @@
   });
 }
 
-void SimulationRun::Close(const PendingClientRequest& pending, RequestOutcome request_outcome) {
+void SimulationRun::RecordResolved(const PendingClientRequest& pending, RequestOutcome request_outcome) {
   SimulationEvent event;
   event.kind = SimulationEvent::Kind::kResolved;
-  event.request = pending.client_request;
+  event.request = pending.number;
   event.cls = pending.cls;
   event.request_outcome = request_outcome;
   event.late =
--- a/src/simulation/simulation_faults.cpp
+++ b/src/simulation/simulation_faults.cpp
@@ -1,4 +1,4 @@
-// The faults of a SimulationRun: what each kind does and how it ends.
+// The faults of a SimulationRun: the effect of each kind, and how the effect ends.
 #include <algorithm>
 #include <cmath>
 #include <numeric>
@@ -10,18 +10,18 @@
 
 using balancer::UpstreamState;
 
-// The time until discovery notices servers that vanished without notice.
+// The time until discovery lists servers that stopped without notice as gone.
 constexpr runtime::Duration kLossDetectionTime = std::chrono::seconds(5);
 // The time from listing a server as draining until its replacement has started.
 constexpr runtime::Duration kReplacementDelay = std::chrono::seconds(1);
 
 }  // namespace
 
-std::vector<std::size_t> SimulationRun::ChooseIndices(std::size_t of, double part) {
-  std::vector<std::size_t> all(of);
+std::vector<std::size_t> SimulationRun::ChooseIndices(std::size_t count, double part) {
+  std::vector<std::size_t> all(count);
   std::iota(all.begin(), all.end(), std::size_t{0});
-  for (std::size_t i = of; i > 1; --i) std::swap(all[i - 1], all[random_.Below(i)]);
-  all.resize(static_cast<std::size_t>(std::llround(part * static_cast<double>(of))));
+  for (std::size_t i = count; i > 1; --i) std::swap(all[i - 1], all[random_.Below(i)]);
+  all.resize(static_cast<std::size_t>(std::llround(part * static_cast<double>(count))));
   return all;
 }
 
@@ -47,12 +47,12 @@
 
 void SimulationRun::BeginFault(const Fault& fault) {
   const runtime::Duration length = SecondsOf(fault.len_s);
-  const auto later = [this, length](auto act) { sim_.After(length, act); };
+  const auto at_end = [this, length](auto action) { sim_.After(length, action); };
   switch (fault.kind) {
     case FaultKind::kCutZone: {
       const std::size_t zone = ZoneOf(fault);
       zone_cut_off_[zone] = true;
-      return later([this, zone] { zone_cut_off_[zone] = false; });
+      return at_end([this, zone] { zone_cut_off_[zone] = false; });
     }
     case FaultKind::kLoseZone:
       return LoseZone(ZoneOf(fault), length);
@@ -66,21 +66,21 @@
     case FaultKind::kReplace:
       return ReplaceServers(fault);
     case FaultKind::kKill:
-      for (const std::size_t i : ChooseIndices(sidecars_.size(), fault.part)) Stop(*sidecars_[i]);
+      for (const std::size_t i : ChooseIndices(sidecars_.size(), fault.part)) KillAndRestart(*sidecars_[i]);
       return;
     case FaultKind::kRestart:
       return RestartSidecars(fault);
     case FaultKind::kBurst:
       burst_factor_ *= fault.size;
-      return later([this, &fault] { burst_factor_ /= fault.size; });
+      return at_end([this, &fault] { burst_factor_ /= fault.size; });
     case FaultKind::kHotSidecars:
       return RaiseRates(fault);
     case FaultKind::kStale:
       stale_ = true;
-      return later([this] { stale_ = false; });
+      return at_end([this] { stale_ = false; });
     case FaultKind::kImpatient:
       impatient_share_ = fault.part;
-      return later([this] { impatient_share_ = 0; });
+      return at_end([this] { impatient_share_ = 0; });
   }
 }
 
@@ -128,10 +128,10 @@
 
 void SimulationRun::ReplaceServers(const Fault& fault) {
   const std::vector<std::size_t> chosen = ChooseServers(fault.part);
-  for (std::size_t n = 0; n < chosen.size(); ++n) {
-    const double along =
-        static_cast<double>(n) / static_cast<double>(std::max<std::size_t>(1, chosen.size()));
-    sim_.After(SecondsOf(fault.len_s * along), [this, server = chosen[n]] { ReplaceServer(server); });
+  for (std::size_t i = 0; i < chosen.size(); ++i) {
+    const double position =
+        static_cast<double>(i) / static_cast<double>(std::max<std::size_t>(1, chosen.size()));
+    sim_.After(SecondsOf(fault.len_s * position), [this, server = chosen[i]] { ReplaceServer(server); });
   }
 }
 
@@ -149,23 +149,23 @@
 
 void SimulationRun::RestartSidecars(const Fault& fault) {
   for (const auto& sidecar : sidecars_) {
-    const double along = static_cast<double>(sidecar->number) / static_cast<double>(sidecars_.size());
-    sim_.After(SecondsOf(fault.len_s * along), [this, &sidecar = *sidecar] { PlannedStop(sidecar); });
+    const double position = static_cast<double>(sidecar->number) / static_cast<double>(sidecars_.size());
+    sim_.After(SecondsOf(fault.len_s * position), [this, &sidecar = *sidecar] { PlannedRestart(sidecar); });
   }
 }
 
 void SimulationRun::RaiseRates(const Fault& fault) {
   for (const std::size_t i : ChooseIndices(sidecars_.size(), fault.part)) {
-    sidecars_[i]->times *= fault.size;
-    sim_.After(SecondsOf(fault.len_s), [this, i, &fault] { sidecars_[i]->times /= fault.size; });
+    sidecars_[i]->rate_factor *= fault.size;
+    sim_.After(SecondsOf(fault.len_s), [this, i, &fault] { sidecars_[i]->rate_factor /= fault.size; });
   }
 }
 
-void SimulationRun::Flap(std::size_t server, double away_s, runtime::TimePoint end) {
+void SimulationRun::Flap(std::size_t server, double down_s, runtime::TimePoint end) {
   if (sim_.now() >= end) return;
   KillServer(server);
-  sim_.After(SecondsOf(away_s), [this, server] { BootServer(server); });
-  sim_.After(SecondsOf(2 * away_s), [this, server, away_s, end] { Flap(server, away_s, end); });
+  sim_.After(SecondsOf(down_s), [this, server] { BootServer(server); });
+  sim_.After(SecondsOf(2 * down_s), [this, server, down_s, end] { Flap(server, down_s, end); });
 }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/simulation_run.cpp
+++ b/src/simulation/simulation_run.cpp
@@ -16,11 +16,13 @@
 // The longest time that a planned stop waits for open requests: the longest deadline of the scenarios plus a
 // margin.
 constexpr runtime::Duration kStopTimeout = std::chrono::seconds(5);
-constexpr double kMinRateShare = 0.02;  // of the mean rate: every sidecar gets some requests
+// The minimum rate of a sidecar as a share of the mean rate, so that every sidecar gets some requests.
+constexpr double kMinRateShare = 0.02;
 
 RuleChecker::Limits LimitsOf(const Scenario& scenario) {
   RuleChecker::Limits limits;
-  for (const ClassLoad& c : scenario.classes) limits.unsafe.push_back(c.effect == balancer::Effect::kUnsafe);
+  for (const ClassLoad& class_load : scenario.classes)
+    limits.unsafe.push_back(class_load.effect == balancer::Effect::kUnsafe);
   limits.slow_start_initial_share = scenario.slow_start_initial_share;
   limits.slow_start_duration = SecondsOf(scenario.slow_start_s);
   return limits;
@@ -28,7 +30,7 @@
 
 }  // namespace
 
-// Hashes the recorded events to the digest of the run.
+// Computes the digest of the run: a hash of the recorded events.
 struct SimulationRun::Hash {
   Hash() { XXH64_reset(state.get(), 0); }
   void Add(const SimulationEvent& event) {
@@ -42,7 +44,7 @@
     XXH64_update(state.get(), words, sizeof words);
   }
   struct Free {
-    void operator()(XXH64_state_t* s) const { XXH64_freeState(s); }
+    void operator()(XXH64_state_t* hash_state) const { XXH64_freeState(hash_state); }
   };
   std::unique_ptr<XXH64_state_t, Free> state{XXH64_createState()};
 };
@@ -59,20 +61,23 @@
       zone_lost_(scenario.zones.size()),
       hash_(std::make_unique<Hash>()) {
   sim_.RunUntil(runtime::TimePoint(kEpoch));
-  // Servers are assigned to the zones in turn.
+  // Servers are assigned to the zones in turn; this is the index of a server within its zone.
   const auto place_in_zone = [&](std::size_t server) { return server / scenario_.zones.size(); };
   for (std::size_t i = 0; i < scenario_.servers; ++i) {
-    const double along = scenario_.servers > 1
-                             ? static_cast<double>(place_in_zone(i)) /
-                                   std::max(1.0, static_cast<double>(place_in_zone(scenario_.servers - 1)))
-                             : 0;
-    const double speed = scenario_.slowest + (scenario_.fastest - scenario_.slowest) * std::min(1.0, along);
+    // The position is 0 for the slowest server of a zone and 1 for the fastest.
+    const double position = scenario_.servers > 1
+                                ? static_cast<double>(place_in_zone(i)) /
+                                      std::max(1.0, static_cast<double>(place_in_zone(scenario_.servers - 1)))
+                                : 0;
+    const double speed =
+        scenario_.slowest + (scenario_.fastest - scenario_.slowest) * std::min(1.0, position);
     AddServer(i % scenario_.zones.size(), speed);
     warm_capacity_ += machines_.back().server->capacity();
   }
-  double share = 0;
-  for (const ClassLoad& c : scenario_.classes) share += c.share;
-  for (const ClassLoad& c : scenario_.classes) mean_work_ += c.share / share * c.work_ms;
+  double total_share = 0;
+  for (const ClassLoad& class_load : scenario_.classes) total_share += class_load.share;
+  for (const ClassLoad& class_load : scenario_.classes)
+    mean_work_ += class_load.share / total_share * class_load.work_ms;
   request_rate_ = scenario_.use * warm_capacity_ * 1000 / mean_work_;
 
   std::vector<double> weights;
@@ -87,7 +92,8 @@
     sidecar->zone = i % scenario_.zones.size();
     sidecar->rate = request_rate_ * weights[i] / sum;
     sidecar->random = random_.Fork();
-    sidecar->notice = SecondsOf(sidecar->random.Between(scenario_.notice_from_s, scenario_.notice_to_s));
+    sidecar->discovery_delay =
+        SecondsOf(sidecar->random.Between(scenario_.notice_from_s, scenario_.notice_to_s));
     sidecars_.push_back(std::move(sidecar));
     Start(*sidecars_.back());
   }
@@ -102,10 +108,11 @@
 RunOutcome SimulationRun::Run() {
   const runtime::TimePoint end = runtime::TimePoint(kEpoch) + SecondsOf(scenario_.length_s);
   sim_.RunUntil(end);
-  // No new requests; those that are open are run to their end.
+  // Sidecars accept no new requests; the open ones are run to their end.
   for (const auto& sidecar : sidecars_) sidecar->open = false;
-  runtime::Duration longest{};
-  for (const ClassLoad& c : scenario_.classes) longest = std::max(longest, Milliseconds(c.deadline_ms));
+  runtime::Duration longest{};  // deadline
+  for (const ClassLoad& class_load : scenario_.classes)
+    longest = std::max(longest, Milliseconds(class_load.deadline_ms));
   sim_.RunUntil(end + longest + std::chrono::seconds(1));
   rule_checker_.End(runtime::TimePoint(sim_.now() - kEpoch));
   figures_.Finish();
@@ -179,7 +186,8 @@
 
 void SimulationRun::NotifySidecars(std::size_t server) {
   for (const auto& sidecar : sidecars_) {
-    sim_.After(sidecar->notice, [this, &sidecar = *sidecar, server] { DeliverUpdate(sidecar, server); });
+    sim_.After(sidecar->discovery_delay,
+               [this, &sidecar = *sidecar, server] { DeliverUpdate(sidecar, server); });
   }
 }
 
@@ -206,7 +214,7 @@
     sim_.After(std::chrono::milliseconds(500), [this, &sidecar, server] { DeliverUpdate(sidecar, server); });
     return;
   }
-  if (!sidecar.dispatcher) return;  // it gets the full list when it starts
+  if (!sidecar.dispatcher) return;  // a sidecar gets the full list when it starts
   SimulationEvent event;
   event.kind = SimulationEvent::Kind::kSidecarNotified;
   event.sidecar = sidecar.id;
@@ -223,40 +231,41 @@
   sidecar.id = static_cast<std::uint64_t>(sidecar.starts) << 32 | sidecar.number;
   sidecar.incarnation = std::make_shared<int>(0);
   sidecar.last_counts = {};
-  sidecar.connects = 0;
+  sidecar.last_connects = 0;
   sidecar.transport =
       std::make_unique<SimulatedTransport>(sim_, static_cast<SimulatedNetwork&>(*this), scenario_, sidecar.id,
                                            sidecar.zone, sidecar.random.Fork());
   dispatch::Transport* transport = sidecar.transport.get();
   if (injected_fault_ != InjectedFault::kNone) {
-    sidecar.fault_injector = std::make_unique<FaultInjector>(
-        *sidecar.transport, scenario_, injected_fault_, sidecar.random.Fork(),
-        [this](bool leaving) -> std::optional<std::size_t> {
-          for (std::size_t i = machines_.size(); i-- > 0;) {
-            const Machine& m = machines_[i];
-            if (leaving ? m.state == UpstreamState::kDraining
-                        : m.started && m.server->up() && m.server->slow_start_factor() < 1 &&
-                              m.state == UpstreamState::kServing) {
-              return i;
-            }
-          }
-          return std::nullopt;
-        });
+    sidecar.fault_injector =
+        std::make_unique<FaultInjector>(*sidecar.transport, scenario_, injected_fault_, sidecar.random.Fork(),
+                                        [this](bool leaving) -> std::optional<std::size_t> {
+                                          for (std::size_t i = machines_.size(); i-- > 0;) {
+                                            const Machine& machine = machines_[i];
+                                            if (leaving ? machine.state == UpstreamState::kDraining
+                                                        : machine.started && machine.server->up() &&
+                                                              machine.server->slow_start_factor() < 1 &&
+                                                              machine.state == UpstreamState::kServing) {
+                                              return i;
+                                            }
+                                          }
+                                          return std::nullopt;
+                                        });
     transport = sidecar.fault_injector.get();
   }
   sidecar.dispatcher = std::make_unique<dispatch::Dispatcher>(std::make_unique<SimulatedTimer>(sim_),
                                                               scenario_.SettingsOf(sidecar.number),
                                                               sidecar.random.Next(), *transport, log_);
-  std::vector<std::size_t> all;
+  std::vector<std::size_t> listed;
   for (std::size_t i = 0; i < machines_.size(); ++i) {
-    if (machines_[i].state != UpstreamState::kGone) all.push_back(i);
+    if (machines_[i].state != UpstreamState::kGone) listed.push_back(i);
   }
-  sidecar.dispatcher->Apply(ListOf(all, balancer::MembershipUpdate::Kind::kRestored));
+  sidecar.dispatcher->Apply(ListOf(listed, balancer::MembershipUpdate::Kind::kRestored));
   sidecar.open = true;
-  NextArrival(sidecar);
+  ScheduleNextArrival(sidecar);
 }
 
-void SimulationRun::Stop(Sidecar& sidecar) {
+void SimulationRun::KillAndRestart(Sidecar& sidecar) {
   if (!sidecar.dispatcher) return;
   SimulationEvent event;
   event.kind = SimulationEvent::Kind::kSidecarKilled;
@@ -268,31 +277,30 @@
   sidecar.transport.reset();
   sidecar.incarnation.reset();
   const auto pending_requests = std::exchange(sidecar.pending_requests, {});
-  for (const auto& [client_request, pending] : pending_requests) Close(*pending, RequestOutcome::kFailed);
+  for (const auto& [number, pending] : pending_requests) RecordResolved(*pending, RequestOutcome::kFailed);
   sim_.After(Milliseconds(scenario_.start_ms), [this, &sidecar] {
     if (!sidecar.dispatcher) Start(sidecar);
   });
 }
 
-void SimulationRun::PlannedStop(Sidecar& sidecar) {
+void SimulationRun::PlannedRestart(Sidecar& sidecar) {
   if (!sidecar.dispatcher || !sidecar.open) return;
   sidecar.open = false;
   AwaitQuiescence(sidecar, sidecar.incarnation, sim_.now() + kStopTimeout);
 }
 
 void SimulationRun::AwaitQuiescence(Sidecar& sidecar, std::weak_ptr<int> incarnation,
-                                    runtime::TimePoint most) {
+                                    runtime::TimePoint deadline) {
   if (incarnation.expired()) return;
-  if (sidecar.dispatcher->open() == 0 || sim_.now() >= most) return Stop(sidecar);
-  sim_.After(std::chrono::milliseconds(100), [this, &sidecar, incarnation = std::move(incarnation), most] {
-    AwaitQuiescence(sidecar, incarnation, most);
-  });
+  if (sidecar.dispatcher->open() == 0 || sim_.now() >= deadline) return KillAndRestart(sidecar);
+  sim_.After(std::chrono::milliseconds(100), [this, &sidecar, incarnation = std::move(incarnation),
+                                              deadline] { AwaitQuiescence(sidecar, incarnation, deadline); });
 }
 
 void SimulationRun::SampleSecond() {
-  const double s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
-  if (s >= scenario_.length_s) return;
-  Second& second = figures_.At(s);
+  const double now_s = InSeconds(runtime::TimePoint(sim_.now() - kEpoch));
+  if (now_s >= scenario_.length_s) return;
+  Second& second = figures_.At(now_s);
   double available_capacity = 0;
   double demand = 0;
   for (const Machine& machine : machines_) {
@@ -305,7 +313,7 @@
   }
   for (const auto& sidecar : sidecars_) {
     if (!sidecar->dispatcher) continue;
-    if (sidecar->open) demand += sidecar->rate * sidecar->times;
+    if (sidecar->open) demand += sidecar->rate * sidecar->rate_factor;
     const balancer::Counts counts = sidecar->dispatcher->counts();
     second.overload += counts.overload - sidecar->last_counts.overload;
     second.no_upstream += counts.no_upstream - sidecar->last_counts.no_upstream;
@@ -316,9 +324,9 @@
     second.shed += counts.shed / static_cast<double>(sidecars_.size());
     second.ejected += counts.ejected - sidecar->last_counts.ejected;
     second.returned += counts.returned - sidecar->last_counts.returned;
-    second.connects += sidecar->transport->connects() - sidecar->connects;
+    second.connects += sidecar->transport->connects() - sidecar->last_connects;
     sidecar->last_counts = counts;
-    sidecar->connects = sidecar->transport->connects();
+    sidecar->last_connects = sidecar->transport->connects();
   }
   second.available_capacity = available_capacity / warm_capacity_;
   second.demand = demand * LoadFactor() * mean_work_ / 1000 / warm_capacity_;
--- a/src/simulation/simulation_run.h
+++ b/src/simulation/simulation_run.h
@@ -1,6 +1,6 @@
-// One run in simulated time: sidecars that use the program's own dispatcher and decision module, and
-// simulated servers, zones, discovery, clients and faults. The same seed gives the same history. For one
-// thread. The methods are in simulation_run.cpp (servers, lists, sidecars), simulation_clients.cpp and
+// One run in simulated time: sidecars that use the dispatcher and the balancer of the real sidecar, and
+// simulated servers, zones, discovery, clients and faults. The same seed gives the same history. Not
+// thread-safe. The methods are in simulation_run.cpp (servers, lists, sidecars), simulation_clients.cpp and
 // simulation_faults.cpp.
 #pragma once
 
@@ -25,7 +25,7 @@
 struct RunOutcome {
   std::uint64_t digest = 0;  // hash of all recorded events in their order
   std::uint64_t recorded_events = 0;
-  std::uint64_t events = 0;    // of the event queue (src/simulation/simulator.h)
+  std::uint64_t events = 0;    // events of the event queue (src/simulation/simulator.h) that were run
   std::uint64_t requests = 0;  // requests that sidecars accepted
   std::vector<Breach> breaches;
   std::size_t broken = 0;      // number of breaches of all rules
@@ -45,6 +45,7 @@
  private:
   struct Sidecar;
   struct PendingClientRequest;
+  // A server and its state in discovery and on the network.
   struct Machine {
     std::unique_ptr<Server> server;
     std::size_t zone = 0;
@@ -55,7 +56,7 @@
     double speed = 1;
   };
 
-  // The simulated network.
+  // Implement the simulated network.
   runtime::Duration Delay(std::size_t zone, std::size_t server) override;
   bool IsReachable(std::size_t zone, std::size_t server) const override;
   Server& At(std::size_t server) override { return *machines_[server].server; }
@@ -64,8 +65,10 @@
 
   // Servers and lists.
   std::size_t AddServer(std::size_t zone, double speed);
+  // Ends the server process; the sidecars that reach it see their connections close.
   void KillServer(std::size_t server);
   void BootServer(std::size_t server);
+  // Sends each sidecar the server's state, after the sidecar's discovery delay.
   void NotifySidecars(std::size_t server);
   dispatch::MembershipList ListOf(const std::vector<std::size_t>& servers,
                                   balancer::MembershipUpdate::Kind kind) const;
@@ -73,16 +76,19 @@
 
   // Sidecars and clients.
   void Start(Sidecar& sidecar);
-  void Stop(Sidecar& sidecar);
-  void PlannedStop(Sidecar& sidecar);
-  void AwaitQuiescence(Sidecar& sidecar, std::weak_ptr<int> incarnation, runtime::TimePoint most);
-  void NextArrival(Sidecar& sidecar);
+  // Kills the sidecar and starts it again after Scenario::start_ms.
+  void KillAndRestart(Sidecar& sidecar);
+  // Accepts no more requests, waits for the open ones to end, and then restarts the sidecar.
+  void PlannedRestart(Sidecar& sidecar);
+  void AwaitQuiescence(Sidecar& sidecar, std::weak_ptr<int> incarnation, runtime::TimePoint deadline);
+  void ScheduleNextArrival(Sidecar& sidecar);
   std::size_t DrawClass();
   void BeginClientRequest(Sidecar& sidecar);
   void SendRequest(Sidecar& sidecar, std::shared_ptr<PendingClientRequest> pending);
   void OnFinalAnswer(Sidecar& sidecar, const std::shared_ptr<PendingClientRequest>& pending,
                      std::uint64_t request, const dispatch::FinalAnswer& final);
-  void Close(const PendingClientRequest& pending, RequestOutcome request_outcome);
+  void RecordResolved(const PendingClientRequest& pending, RequestOutcome request_outcome);
+  // The load at this time relative to the scenario's mean load: its wave times the bursts.
   double LoadFactor() const;
 
   // Faults.
@@ -99,11 +105,12 @@
   void ReplaceServer(std::size_t server);
   void RestartSidecars(const Fault& fault);
   void RaiseRates(const Fault& fault);
-  void Flap(std::size_t server, double away_s, runtime::TimePoint end);
-  // Draws the share `part` of the indices below `of` at random.
-  std::vector<std::size_t> ChooseIndices(std::size_t of, double part);
-  // Adds the state of the fleet to the figures once a second: the true state, not what the sidecars know of
-  // it.
+  // Stops the server and starts it after `down_s` seconds; does so again every 2 * `down_s` until `end`.
+  void Flap(std::size_t server, double down_s, runtime::TimePoint end);
+  // Draws the share `part` of the indices below `count` at random.
+  std::vector<std::size_t> ChooseIndices(std::size_t count, double part);
+  // Adds the actual state of the fleet, rather than what the sidecars know of it, to the figures once a
+  // second.
   void SampleSecond();
 
   const Scenario scenario_;
@@ -123,9 +130,9 @@
   bool stale_ = false;
   double burst_factor_ = 1;
   double impatient_share_ = 0;
-  double request_rate_ = 0;  // client requests per second of the whole fleet
-  double warm_capacity_ =
-      0;                  // capacity of the initial servers when warm: milliseconds of work per millisecond
+  double request_rate_ = 0;  // client requests per second, over all sidecars
+  // Capacity of the initial servers without slow start, in milliseconds of work per millisecond.
+  double warm_capacity_ = 0;
   double mean_work_ = 0;  // mean work of a client request, milliseconds
   std::uint64_t last_request_ = 0;
   std::uint64_t last_client_request_ = 0;
--- a/src/simulation/simulator.h
+++ b/src/simulation/simulator.h
@@ -1,5 +1,5 @@
 // Simulated time: events run in the order of their times, and in the order of scheduling at equal times. The
-// clock of the machine is not used, so the same seed gives the same order. For one thread.
+// machine's clock is not read, so the same seed gives the same order. Not thread-safe.
 #pragma once
 
 #include <algorithm>
@@ -17,10 +17,12 @@
 inline runtime::Duration Milliseconds(double ms) {
   return runtime::Duration(static_cast<runtime::Duration::rep>(std::llround(ms * 1000)));
 }
-inline runtime::Duration SecondsOf(double s) { return Milliseconds(s * 1000); }
-inline double InSeconds(runtime::Duration d) { return static_cast<double>(d.count()) / 1e6; }
-inline double InSeconds(runtime::TimePoint t) { return InSeconds(t.time_since_epoch()); }
-inline double InMilliseconds(runtime::Duration d) { return static_cast<double>(d.count()) / 1e3; }
+inline runtime::Duration SecondsOf(double seconds) { return Milliseconds(seconds * 1000); }
+inline double InSeconds(runtime::Duration duration) { return static_cast<double>(duration.count()) / 1e6; }
+inline double InSeconds(runtime::TimePoint time) { return InSeconds(time.time_since_epoch()); }
+inline double InMilliseconds(runtime::Duration duration) {
+  return static_cast<double>(duration.count()) / 1e3;
+}
 
 // Random numbers from a seed. They are the same with every standard library, unlike the distributions of
 // <random>.
@@ -38,15 +40,15 @@
   }
   double Uniform() { return static_cast<double>(Next() >> 11) * 0x1p-53; }
   double Between(double low, double high) { return low + (high - low) * Uniform(); }
-  bool Chance(double p) { return Uniform() < p; }
+  bool Chance(double probability) { return Uniform() < probability; }
   std::size_t Below(std::size_t n) { return static_cast<std::size_t>(Uniform() * static_cast<double>(n)); }
   double Exponential(double mean) { return -mean * std::log(1 - Uniform()); }
-  // Draws from a log-normal distribution with mean 1 and this coefficient of variation.
-  double LogNormal(double cv) {
-    if (cv <= 0) return 1;
-    const double s2 = std::log(1 + cv * cv);
+  // Draws from a log-normal distribution with mean 1 and the coefficient of variation `variation`.
+  double LogNormal(double variation) {
+    if (variation <= 0) return 1;
+    const double log_variance = std::log(1 + variation * variation);
     const double normal = std::sqrt(-2 * std::log(1 - Uniform())) * std::cos(6.283185307179586 * Uniform());
-    return std::exp(std::sqrt(s2) * normal - s2 / 2);
+    return std::exp(std::sqrt(log_variance) * normal - log_variance / 2);
   }
 
  private:
@@ -62,7 +64,7 @@
   std::uint64_t events() const { return events_; }
 
   void At(runtime::TimePoint at, Action action) {
-    heap_.push_back({std::max(at, now_), ++last_, std::move(action)});
+    heap_.push_back({std::max(at, now_), ++last_sequence_, std::move(action)});
     std::push_heap(heap_.begin(), heap_.end(), Later);
   }
   void After(runtime::Duration wait, Action action) { At(now_ + wait, std::move(action)); }
@@ -83,17 +85,17 @@
  private:
   struct Event {
     runtime::TimePoint at;
-    std::uint64_t number;
+    std::uint64_t sequence;  // order of scheduling
     Action action;
   };
   static bool Later(const Event& a, const Event& b) {
-    return a.at != b.at ? a.at > b.at : a.number > b.number;
+    return a.at != b.at ? a.at > b.at : a.sequence > b.sequence;
   }
 
   std::vector<Event> heap_;
   runtime::TimePoint now_{};
-  std::uint64_t last_ = 0;
-  std::uint64_t events_ = 0;
+  std::uint64_t last_sequence_ = 0;
+  std::uint64_t events_ = 0;  // run so far
 };
 
 // The timer of a dispatcher in simulated time.
@@ -111,8 +113,8 @@
 
  private:
   Simulator& sim_;
-  // The number of the latest Set(); scheduled events hold a weak reference. An event runs only if the timer
-  // still exists and it is the latest.
+  // The number of the latest Set(). Scheduled events hold a weak reference to it: an event calls its function
+  // only if the timer still exists and no later Set() has replaced the event.
   std::shared_ptr<std::uint64_t> latest_ = std::make_shared<std::uint64_t>(0);
 };
 
--- a/src/simulation/statistics.h
+++ b/src/simulation/statistics.h
@@ -1,4 +1,4 @@
-// Statistics of paired differences: runs with the same seeds under two labels.
+// Statistics of paired differences. A pair is two runs with the same seed under two labels.
 #pragma once
 
 #include <boost/math/distributions/students_t.hpp>
@@ -18,20 +18,21 @@
 };
 
 inline Difference Compare(const std::vector<double>& differences) {
-  Difference d;
-  d.pairs = differences.size();
-  if (d.pairs == 0) return d;
-  const auto n = static_cast<double>(d.pairs);
-  for (const double difference : differences) d.mean += difference / n;
-  d.low = d.high = d.mean;
-  if (d.pairs < 2) return d;
+  Difference result;
+  result.pairs = differences.size();
+  if (result.pairs == 0) return result;
+  const auto count = static_cast<double>(result.pairs);
+  for (const double difference : differences) result.mean += difference / count;
+  result.low = result.high = result.mean;
+  if (result.pairs < 2) return result;
   double squares = 0;
-  for (const double difference : differences) squares += (difference - d.mean) * (difference - d.mean);
-  const double t_quantile = boost::math::quantile(boost::math::students_t(n - 1), 0.975);
-  const double half_width = t_quantile * std::sqrt(squares / (n - 1) / n);
-  d.low = d.mean - half_width;
-  d.high = d.mean + half_width;
-  return d;
+  for (const double difference : differences)
+    squares += (difference - result.mean) * (difference - result.mean);
+  const double t_quantile = boost::math::quantile(boost::math::students_t(count - 1), 0.975);
+  const double half_width = t_quantile * std::sqrt(squares / (count - 1) / count);
+  result.low = result.mean - half_width;
+  result.high = result.mean + half_width;
+  return result;
 }
 
 }  // namespace mothrack::simulation
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -21,20 +21,20 @@
   pid_t pid = 0;
   std::string output;
 };
-using Workers = std::map<int, Worker>;  // by the file descriptor their output is read from
+using Workers = std::map<int, Worker>;  // by the file descriptor from which their output is read
 
-// Runs the job in the worker process, writes its result to the descriptor `to` and ends the process.
-[[noreturn]] void RunWorker(const Job& job, int to) {
+// Runs the job in the worker process, writes its result to the descriptor `output_fd` and ends the process.
+[[noreturn]] void RunWorker(const Job& job, int output_fd) {
   int code = 1;
   try {
     SimulationRun simulated(job.scenario, job.seed);
     const RunOutcome outcome = simulated.Run();
     const std::string text = ToJson(job.scenario, job.seed, outcome, simulated.figures(), false).dump();
-    std::size_t at = 0;
-    while (at < text.size()) {
-      const ssize_t written = ::write(to, text.data() + at, text.size() - at);
+    std::size_t offset = 0;
+    while (offset < text.size()) {
+      const ssize_t written = ::write(output_fd, text.data() + offset, text.size() - offset);
       if (written <= 0) ::_exit(1);
-      at += static_cast<std::size_t>(written);
+      offset += static_cast<std::size_t>(written);
     }
     code = 0;
   } catch (const std::exception&) {
@@ -61,7 +61,8 @@
   std::vector<pollfd> waits;
   waits.reserve(workers.size());
   for (const auto& [fd, worker] : workers) waits.push_back({fd, POLLIN, 0});
-  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR) throw std::runtime_error("poll");
+  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR)
+    throw std::runtime_error("cannot poll the pipes of the worker processes");
   std::vector<int> ready;
   for (const pollfd& wait : waits) {
     if (wait.revents != 0) ready.push_back(wait.fd);
@@ -69,8 +70,8 @@
   return ready;
 }
 
-// Reads what the worker has written. Returns its result once it has ended, a JSON null if it died, and
-// nothing while it still runs.
+// Reads the output that the worker has written. Returns its result once it has ended, a JSON null if it
+// crashed, and nothing while it still runs.
 std::optional<nlohmann::json> ReadOutput(int fd, Worker& worker) {
   char buffer[4096];
   const ssize_t count = ::read(fd, buffer, sizeof buffer);
@@ -88,18 +89,19 @@
 
 }  // namespace
 
-void RunAll(const std::vector<Job>& jobs, std::size_t at_once,
-            const std::function<bool(std::size_t, const nlohmann::json&)>& done) {
+void RunAll(const std::vector<Job>& jobs, std::size_t max_parallel,
+            const std::function<bool(std::size_t, const nlohmann::json&)>& on_result) {
   Workers workers;
   std::size_t next = 0;
   bool starting = true;
   while (!workers.empty() || (starting && next < jobs.size())) {
-    while (starting && next < jobs.size() && workers.size() < at_once) StartWorker(jobs, next++, workers);
+    while (starting && next < jobs.size() && workers.size() < max_parallel)
+      StartWorker(jobs, next++, workers);
     for (const int fd : WaitForOutput(workers)) {
       Worker& worker = workers[fd];
       const auto run = ReadOutput(fd, worker);
       if (!run) continue;
-      starting = done(worker.job, *run) && starting;
+      starting = on_result(worker.job, *run) && starting;
       workers.erase(fd);
     }
   }
--- a/src/storage/sqlite.h
+++ b/src/storage/sqlite.h
@@ -1,8 +1,8 @@
 // RAII wrappers of SQLite's C interface (https://www.sqlite.org/cintro.html) for the agent's store and the
 // simulator's results. The sidecar does not link it.
 //
-// Every failure is a DatabaseError with SQLite's own message. An object is used on one thread, and statements
-// and transactions must not outlive their database.
+// Every failure throws DatabaseError with the message of SQLite. Objects are not thread-safe. Statements and
+// transactions must not outlive their database.
 #pragma once
 
 #include <sqlite3.h>
@@ -13,6 +13,7 @@
 
 namespace mothrack::storage {
 
+// Thrown if an operation on a database fails.
 class DatabaseError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -25,9 +26,9 @@
   explicit Database(const std::string& path) {
     if (sqlite3_open_v2(path.c_str(), &db_, SQLITE_OPEN_READWRITE | SQLITE_OPEN_CREATE, nullptr) == SQLITE_OK)
       return;
-    const std::string why = db_ == nullptr ? "no memory" : sqlite3_errmsg(db_);
+    const std::string reason = db_ == nullptr ? "out of memory" : sqlite3_errmsg(db_);
     sqlite3_close(db_);
-    throw DatabaseError(why);
+    throw DatabaseError(reason);
   }
   ~Database() { sqlite3_close(db_); }
   Database(const Database&) = delete;
@@ -46,7 +47,7 @@
   sqlite3* db_ = nullptr;
 };
 
-// A prepared statement: bind parameters, then Step() row by row.
+// A prepared statement. Bind its parameters first, then call Step() for each row.
 class Statement {
  public:
   Statement(const Database& db, const char* sql) : db_(db.get()) {
@@ -57,22 +58,22 @@
   Statement(const Statement&) = delete;
   Statement& operator=(const Statement&) = delete;
 
-  // Bind a parameter; the first one is 1. The text is copied.
-  Statement& Text(int at, const std::string& text) {
-    sqlite3_bind_text(statement_, at, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
+  // Bind a parameter; the first one has the number 1. The text is copied.
+  Statement& Text(int parameter, const std::string& text) {
+    sqlite3_bind_text(statement_, parameter, text.data(), static_cast<int>(text.size()), SQLITE_TRANSIENT);
     return *this;
   }
-  Statement& Number(int at, std::int64_t number) {
-    sqlite3_bind_int64(statement_, at, number);
+  Statement& Number(int parameter, std::int64_t number) {
+    sqlite3_bind_int64(statement_, parameter, number);
     return *this;
   }
-  // Executes up to the next row; false if there is none.
+  // Executes the statement up to its next row. Returns false if there is none.
   bool Step() {
     const int result = sqlite3_step(statement_);
     if (result != SQLITE_ROW && result != SQLITE_DONE) throw DatabaseError(sqlite3_errmsg(db_));
     return result == SQLITE_ROW;
   }
-  // Read a column of the current row; the first one is 0. A null is read as an empty text or 0.
+  // Read a column of the current row; the first one has the number 0. NULL is read as an empty text or 0.
   std::string Text(int column) const {
     const auto* text = reinterpret_cast<const char*>(sqlite3_column_text(statement_, column));
     if (text == nullptr) return {};
--- a/tests/simulation/figures_test.cpp
+++ b/tests/simulation/figures_test.cpp
@@ -7,14 +7,14 @@
 namespace {
 
 TEST(Figures, QuantilesAreWithinOneBinOfTheTrueValues) {
-  LatencyHistogram times = NewLatencyHistogram();
-  for (int i = 1; i <= 1000; ++i) times(i);
-  EXPECT_NEAR(Quantile(times, 0.5), 500, 25);
-  EXPECT_NEAR(Quantile(times, 0.99), 990, 50);
+  LatencyHistogram latencies = NewLatencyHistogram();
+  for (int i = 1; i <= 1000; ++i) latencies(i);
+  EXPECT_NEAR(Quantile(latencies, 0.5), 500, 25);
+  EXPECT_NEAR(Quantile(latencies, 0.99), 990, 50);
   EXPECT_EQ(Quantile(NewLatencyHistogram(), 0.5), 0);
 }
 
-// Capacity is back at 6 s, rejections stop at 9 s: for three seconds requests are rejected needlessly.
+// Capacity returns at 6 s, and rejections stop at 9 s: requests are rejected needlessly for three seconds.
 TEST(Figures, RecoveryCountsFromReturningCapacityAndNotFromTheFault) {
   Scenario scenario = LoadSmallScenario("mass_restart", 20);
   scenario.faults = {{FaultKind::kSlow, 3, 3, 0.5, 4, ""}};
--- a/tests/simulation/program_test.cpp
+++ b/tests/simulation/program_test.cpp
@@ -59,26 +59,29 @@
 
 TEST(Program, AKilledSweepContinuesToTheSameResults) {
   const testing::TemporaryDirectory directory("simulation");
-  ASSERT_EQ(
-      WaitForExitCode(StartProgram(SweepArguments(directory.File("whole")), directory.File("whole.out"))), 0);
-  const pid_t pid = StartProgram(SweepArguments(directory.File("cut")), directory.File("cut.out"));
+  ASSERT_EQ(WaitForExitCode(StartProgram(SweepArguments(directory.File("uninterrupted")),
+                                         directory.File("uninterrupted.out"))),
+            0);
+  const pid_t pid =
+      StartProgram(SweepArguments(directory.File("interrupted")), directory.File("interrupted.out"));
   ASSERT_TRUE(testing::Eventually([&] {
     try {
-      return fs::exists(directory.File("cut")) &&
-             Results(directory.File("cut")).RunsWithLabel("now").size() >= 3;
+      return fs::exists(directory.File("interrupted")) &&
+             Results(directory.File("interrupted")).RunsWithLabel("now").size() >= 3;
     } catch (const std::exception&) {
       return false;
     }
   }));
   ::kill(pid, SIGKILL);
   WaitForExitCode(pid);
-  ASSERT_EQ(WaitForExitCode(StartProgram(SweepArguments(directory.File("cut")), directory.File("cut.out"))),
+  ASSERT_EQ(WaitForExitCode(StartProgram(SweepArguments(directory.File("interrupted")),
+                                         directory.File("interrupted.out"))),
             0);
-  const std::string cut = ReadAll(directory.File("cut.out"));
-  EXPECT_NE(cut.find("runs are there already"), std::string::npos) << cut;
-  EXPECT_EQ(Results(directory.File("cut")).RunsWithLabel("now"),
-            Results(directory.File("whole")).RunsWithLabel("now"));
-  EXPECT_EQ(Results(directory.File("whole")).RunsWithLabel("now").size(), 24U);
+  const std::string output = ReadAll(directory.File("interrupted.out"));
+  EXPECT_NE(output.find("the database has their results"), std::string::npos) << output;
+  EXPECT_EQ(Results(directory.File("interrupted")).RunsWithLabel("now"),
+            Results(directory.File("uninterrupted")).RunsWithLabel("now"));
+  EXPECT_EQ(Results(directory.File("uninterrupted")).RunsWithLabel("now").size(), 24U);
 }
 
 TEST(Program, ComparesRunsOfTheSameSeedsAndWritesAPage) {
@@ -113,30 +116,32 @@
   const testing::TemporaryDirectory directory("simulation");
   const std::string out = directory.File("out");
   const std::vector<std::string> small = {"--set", "length_s=8", "--set", "fleet.sidecars=8"};
-  auto with = [&](std::vector<std::string> arguments) {
+  auto with_small = [&](std::vector<std::string> arguments) {
     arguments.insert(arguments.end(), small.begin(), small.end());
     return arguments;
   };
   ASSERT_EQ(WaitForExitCode(StartProgram(
-                with({"run", ScenarioPath("calm"), "--report", directory.File("page.html")}), out)),
+                with_small({"run", ScenarioPath("calm"), "--report", directory.File("page.html")}), out)),
             0)
       << ReadAll(out);
   const std::string text = ReadAll(out);
   const auto at = text.find("digest ") + 7;
   const std::string digest = text.substr(at, 16);
-  EXPECT_EQ(WaitForExitCode(StartProgram(with({"run", ScenarioPath("calm"), "--expect", digest}), out)), 0)
+  EXPECT_EQ(WaitForExitCode(StartProgram(with_small({"run", ScenarioPath("calm"), "--expect", digest}), out)),
+            0)
       << ReadAll(out);
-  EXPECT_EQ(WaitForExitCode(
-                StartProgram(with({"run", ScenarioPath("calm"), "--expect", digest, "--seed", "2"}), out)),
+  EXPECT_EQ(WaitForExitCode(StartProgram(
+                with_small({"run", ScenarioPath("calm"), "--expect", digest, "--seed", "2"}), out)),
             2);
-  EXPECT_EQ(WaitForExitCode(StartProgram(with({"run", ScenarioPath("calm"), "--plant", "resend"}), out)), 2);
+  EXPECT_EQ(
+      WaitForExitCode(StartProgram(with_small({"run", ScenarioPath("calm"), "--plant", "resend"}), out)), 2);
   EXPECT_NE(ReadAll(out).find("not held: rule twice"), std::string::npos);
   EXPECT_EQ(WaitForExitCode(StartProgram({"run", ScenarioPath("calm"), "--set", "fleet.sidecars=none"}, out)),
             1);
   const std::string page = ReadAll(directory.File("page.html"));
-  for (const char* part : {"<figcaption>Room", "<table>", "held: the four rules"})
+  for (const char* part : {"<figcaption>Capacity and demand", "<table>", "held: the four rules"})
     EXPECT_NE(page.find(part), std::string::npos) << part;
-  EXPECT_EQ(page.find("http://"), std::string::npos) << "a page fetches nothing";
+  EXPECT_EQ(page.find("http://"), std::string::npos) << "a page loads nothing from elsewhere";
 }
 
 }  // namespace
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -14,7 +14,8 @@
 TEST(Scenario, AnErrorOfAFileNamesPlaceAndRemedy) {
   const std::string head = "name = \"x\"\n";
   const std::string cls = "[[class]]\nname = \"p\"\neffect = \"safe\"\n";
-  const std::map<std::string, std::string> faults = {
+  // By the text of a file: a part of the error that it must cause.
+  const std::map<std::string, std::string> expected_errors = {
       {head, "[[class]]"},
       {cls, "[top] name: give a name"},
       {head + "speed = 3\n" + cls, "[top] speed: there is no such key"},
@@ -28,12 +29,12 @@
        "no less than aim_ms"},
       {head + "x = \n", "x.toml:2"},
   };
-  for (const auto& [text, what] : faults) {
+  for (const auto& [text, expected] : expected_errors) {
     try {
       ParseScenario(text, "x.toml");
       ADD_FAILURE() << "accepted: " << text;
     } catch (const ScenarioError& e) {
-      EXPECT_NE(std::string(e.what()).find(what), std::string::npos) << e.what();
+      EXPECT_NE(std::string(e.what()).find(expected), std::string::npos) << e.what();
       EXPECT_NE(std::string(e.what()).find("x.toml"), std::string::npos) << e.what();
     }
   }
--- a/tests/simulation/simulation_run_test.cpp
+++ b/tests/simulation/simulation_run_test.cpp
@@ -46,13 +46,14 @@
                                                          {InjectedFault::kDroppedAnswer, "lost"},
                                                          {InjectedFault::kOverloadWarmingUp, "cold"}};
   Scenario scenario = LoadSmallScenario("rolling_deploy");
-  // Enough sidecars to overload a warming server.
+  // Enough sidecars to overload a server in slow start.
   scenario.sidecars = 30;
   scenario.servers = 14;
   for (const auto& [injected_fault, rule] : injected) {
     const CompletedRun completed = RunScenario(scenario, 2, injected_fault);
     ASSERT_FALSE(completed.outcome.breaches.empty()) << rule;
-    for (const Breach& b : completed.outcome.breaches) EXPECT_EQ(NameOf(b.rule), rule) << b.what;
+    for (const Breach& breach : completed.outcome.breaches)
+      EXPECT_EQ(NameOf(breach.rule), rule) << breach.what;
   }
 }
 
--- a/tests/simulation/simulation_support.h
+++ b/tests/simulation/simulation_support.h
@@ -15,11 +15,12 @@
   return std::string(MOTHRACK_SCENARIOS) + '/' + name + ".toml";
 }
 
-// Loads a scenario with a small fleet, a shorter run, and its faults moved into that time.
+// Loads a scenario with a small fleet, a shorter run, and faults that begin and end within that run.
 inline Scenario LoadSmallScenario(const std::string& name, double length_s = 25) {
   Scenario scenario = LoadScenario(ScenarioPath(name), {"fleet.sidecars=12", "servers.count=8"});
   scenario.length_s = length_s;
-  for (Fault& f : scenario.faults) f.at_s = std::min(f.at_s, 8.0), f.len_s = std::min(f.len_s, 6.0);
+  for (Fault& fault : scenario.faults)
+    fault.at_s = std::min(fault.at_s, 8.0), fault.len_s = std::min(fault.len_s, 6.0);
   return scenario;
 }
 
--- a/tests/simulation/stored_fixture_test.cpp
+++ b/tests/simulation/stored_fixture_test.cpp
@@ -39,10 +39,10 @@
     for (std::uint64_t seed = 1; seed <= kSeeds; ++seed) {
       const RunKey key{label, "calm", HashOf(scenario), seed};
       ASSERT_TRUE(results.Has(key)) << label << ' ' << seed;
-      const nlohmann::json& read = runs.at(key);
-      const nlohmann::json played = RunScenario(scenario, seed);
-      EXPECT_EQ(read.size(), played.size());
-      for (const auto& [name, figure] : played.items()) EXPECT_EQ(read.at(name), figure) << name;
+      const nlohmann::json& stored = runs.at(key);
+      const nlohmann::json replayed = RunScenario(scenario, seed);
+      EXPECT_EQ(stored.size(), replayed.size());
+      for (const auto& [name, figure] : replayed.items()) EXPECT_EQ(stored.at(name), figure) << name;
     }
   }
 }
