--- a/demo/clients.cpp
+++ b/demo/clients.cpp
@@ -14,7 +14,7 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr std::chrono::milliseconds kPause{8};  // between two requests of a client
-constexpr int kNames = 50;                      // number of different names in requests
+constexpr int kNames = 50;                      // number of different stations or host names
 constexpr int kHttpTimeoutMs = 1500;
 
 constexpr unsigned kHttpOk = 200;
--- a/demo/clients.h
+++ b/demo/clients.h
@@ -1,4 +1,4 @@
-// Clients that send one request after another through the sidecar and count how they ended.
+// The demo's clients: each sends one request after another through the sidecar and counts the outcomes.
 #pragma once
 
 #include <atomic>
@@ -7,10 +7,11 @@
 
 namespace mothrack::demo {
 
+// The outcomes of the requests of one client.
 struct RequestCounters {
   int sent = 0;
   int served = 0;
-  int refused = 0;
+  int refused = 0;  // rejected by the sidecar
   int failed = 0;
   int unanswered = 0;
   double slowest_ms = 0;
@@ -25,7 +26,8 @@
 
 enum class DnsProtocol { kUdp, kTcp };
 
-// Both send to `port` until `stop` is set, and return within the deadline of the request under way.
+// Both functions send to `port` until `stop` is set, and then return within the deadline of the request in
+// flight.
 RequestCounters SendHttp(std::uint16_t port, const std::atomic<bool>& stop, HttpRequestKind kind);
 RequestCounters SendDns(std::uint16_t port, const std::atomic<bool>& stop, DnsProtocol protocol);
 
--- a/demo/demo.cpp
+++ b/demo/demo.cpp
@@ -25,13 +25,14 @@
 using testing::Node;
 using testing::StandinResolver;
 
-constexpr int kServers = 3;  // of each kind
-constexpr milliseconds kPhase{2500};
-// Long enough for recovery: a half-open probe of an unresponsive upstream takes the deadline of its class,
-// and the next probe follows 1 s later.
-constexpr milliseconds kReturn{6000};
-
-// The page servers and resolvers behind the sidecar. The last of each kind is the one that fails.
+constexpr int kServers = 3;           // of each kind
+constexpr milliseconds kPhase{2500};  // of healthy and of unresponsive servers
+// The phase after the servers have recovered. It is long enough for the sidecar to use them again: a
+// half-open probe of an unresponsive upstream takes the deadline of its class, and the next probe follows 1 s
+// later.
+constexpr milliseconds kRecoveryPhase{6000};
+
+// The page servers and resolvers behind the sidecar. The last one of each kind becomes unresponsive.
 class Servers {
  public:
   Servers() {
@@ -58,7 +59,7 @@
     return file;
   }
 
-  void SilenceLast() {
+  void MakeLastUnresponsive() {
     pages_.back()->SetUnresponsive(true);
     resolvers_.back()->SetScript(StandinResolver::Unresponsive());
   }
@@ -68,7 +69,7 @@
     resolvers_.back()->SetScript(StandinResolver::Echo());
   }
 
-  // A row for each server, pages first, without counts.
+  // Returns a row without counts for each server, page servers first.
   std::vector<ServerRow> Rows() const {
     std::vector<ServerRow> rows;
     for (int i = 1; i <= kServers; ++i) rows.push_back({PageName(i)});
@@ -76,14 +77,15 @@
     return rows;
   }
 
-  // Stores the requests received up to now in the field `when` of each row of Rows().
-  void CountInto(std::vector<ServerRow>& rows, std::size_t ServerRow::*when) const {
+  // Stores the number of requests that each server has received so far in the member `count` of its row.
+  // `rows` must come from Rows().
+  void CountInto(std::vector<ServerRow>& rows, std::size_t ServerRow::*count) const {
     auto row = rows.begin();
-    for (const auto& page : pages_) (*row++).*when = page->requests().size();
-    for (const auto& resolver : resolvers_) (*row++).*when = static_cast<std::size_t>(resolver->queries());
+    for (const auto& page : pages_) (*row++).*count = page->requests().size();
+    for (const auto& resolver : resolvers_) (*row++).*count = static_cast<std::size_t>(resolver->queries());
   }
 
-  // The number of unsafe requests that ran more than once, counted over all page servers together.
+  // Returns the number of unsafe requests that ran more than once on all page servers together.
   int CountRepeatedSubmissions() const {
     std::map<std::string, int> runs;
     for (const auto& page : pages_) {
@@ -106,7 +108,7 @@
 };
 
 // Sends requests of all kinds through `node` while the last servers are healthy, unresponsive and recovered.
-ClientTotals PlayPhases(const Node& node, Servers& servers, std::vector<ServerRow>& rows) {
+ClientTotals RunPhases(const Node& node, Servers& servers, std::vector<ServerRow>& rows) {
   std::atomic<bool> stop{false};
   ClientTotals totals;
   std::vector<std::thread> clients;
@@ -116,16 +118,16 @@
   clients.emplace_back([&] { totals.tcp = SendDns(node.dns_port(), stop, DnsProtocol::kTcp); });
 
   std::this_thread::sleep_for(kPhase);
-  servers.CountInto(rows, &ServerRow::when_well);
-  servers.SilenceLast();
+  servers.CountInto(rows, &ServerRow::when_healthy);
+  servers.MakeLastUnresponsive();
   std::this_thread::sleep_for(kPhase);
-  servers.CountInto(rows, &ServerRow::when_silent);
+  servers.CountInto(rows, &ServerRow::when_unresponsive);
   servers.RestoreLast();
-  std::this_thread::sleep_for(kReturn);
+  std::this_thread::sleep_for(kRecoveryPhase);
 
   stop = true;
   for (auto& client : clients) client.join();
-  servers.CountInto(rows, &ServerRow::when_back);
+  servers.CountInto(rows, &ServerRow::when_recovered);
   return totals;
 }
 
@@ -153,7 +155,7 @@
       << " s all servers are healthy; then page-3 and resolver-3 become unresponsive; then they recover.\n\n";
 
   std::vector<ServerRow> rows = servers.Rows();
-  const ClientTotals totals = PlayPhases(node, servers, rows);
+  const ClientTotals totals = RunPhases(node, servers, rows);
   PrintClients(totals);
   PrintServers(rows);
   const int repeated = servers.CountRepeatedSubmissions();
--- a/demo/page_server.h
+++ b/demo/page_server.h
@@ -1,4 +1,5 @@
-// A stand-in page server that answers with its name, or accepts requests and does not respond.
+// A stand-in page server. It answers each request with its name, or, while unresponsive, accepts requests
+// without responding.
 #pragma once
 
 #include <atomic>
@@ -10,12 +11,13 @@
 
 namespace mothrack::demo {
 
+// An HTTP server on a free loopback port.
 class PageServer {
  public:
   explicit PageServer(const std::string& name);
   ~PageServer() { ended_ = true; }
 
-  // Requests that arrive while unresponsive are answered when it no longer is.
+  // Requests that arrive while the server is unresponsive are answered once it no longer is.
   void SetUnresponsive(bool unresponsive) { unresponsive_ = unresponsive; }
 
   std::string address() const { return upstream_.address(); }
--- a/demo/report.h
+++ b/demo/report.h
@@ -19,15 +19,15 @@
   int unanswered() const { return page.unanswered + submit.unanswered + udp.unanswered + tcp.unanswered; }
 };
 
-// The number of requests that one server had received by the end of each phase.
+// The number of requests that one server had received by the end of each phase of the last servers.
 struct ServerRow {
   std::string name;
-  std::size_t when_well = 0;
-  std::size_t when_silent = 0;
-  std::size_t when_back = 0;
+  std::size_t when_healthy = 0;
+  std::size_t when_unresponsive = 0;
+  std::size_t when_recovered = 0;
 };
 
-// Both print to standard output.
+// Both functions print to standard output.
 void PrintClients(const ClientTotals& totals);
 void PrintServers(const std::vector<ServerRow>& rows);
 
--- a/demo/run.sh
+++ b/demo/run.sh
@@ -1,6 +1,6 @@
 #!/bin/sh
-# Installs the build's packages, builds, and runs the demo: the sidecar between stand-ins for HTTP and DNS, of which
-# one server and one resolver become unresponsive for a time.
+# Installs the packages that the build needs, then builds and runs the demo: the sidecar between stand-ins for
+# HTTP and DNS. One page server and one resolver become unresponsive for a time.
 set -eu
 cd "$(dirname "$0")/.."
 sh tools/install.sh cmake g++ make libboost-dev nlohmann-json3-dev libtomlplusplus-dev libcli11-dev libspdlog-dev
--- a/fuzz/fleet_wire_fuzz.cpp
+++ b/fuzz/fleet_wire_fuzz.cpp
@@ -1,6 +1,6 @@
-// Fuzzes the readers of JSON that comes from the agent or the tool on another machine, or from the disk. A
-// value that can be read must be the same after it is written and read again. A reader reports invalid input
-// by std::invalid_argument and by no other exception. A broken invariant aborts.
+// Fuzzes the readers of JSON that comes from an agent or from mothrackctl on another machine, or from the
+// disk. A value that can be read must be the same after it is written and read again. A reader must reject
+// invalid input with std::invalid_argument and no other exception. A broken invariant aborts.
 #include <cstdint>
 #include <cstdlib>
 #include <stdexcept>
@@ -17,8 +17,7 @@
   try {
     const T value = read(input);
     const json written = ToJson(value);
-    // Also checks the text that is sent: dump() throws for invalid UTF-8, which the reader must have
-    // rejected.
+    // dump() throws for invalid UTF-8, which the reader must have rejected.
     if (ToJson(read(json::parse(written.dump()))) != written) std::abort();
   } catch (const std::invalid_argument&) {
   }
--- a/fuzz/replay.cpp
+++ b/fuzz/replay.cpp
@@ -1,5 +1,5 @@
-// Runs a fuzz target over every file of a folder in builds without libFuzzer. Fails if the folder has no
-// files.
+// The main() of a fuzz target in builds without libFuzzer: runs the target on every file of a directory.
+// Fails if the directory has no files.
 #include <cstdint>
 #include <filesystem>
 #include <fstream>
@@ -11,7 +11,7 @@
 
 int main(int argc, char** argv) {
   if (argc != 2) {
-    std::cerr << "usage: " << argv[0] << " FOLDER\n";
+    std::cerr << "usage: " << argv[0] << " DIRECTORY\n";
     return 2;
   }
   int files = 0;
