--- a/bench/ring_bench.cpp
+++ b/bench/ring_bench.cpp
@@ -182,7 +182,7 @@
 
 // Returns the time of a lookup of up to `max_owners` owners: the best of five rounds.
 template <class Hash>
-double Nanoseconds(Hash& hash, std::size_t most) {
+double Nanoseconds(Hash& hash, std::size_t max_owners) {
   std::vector<std::uint32_t> owners;
   double best = 1e9;
   for (int round = 0; round < 5; ++round) {
