--- a/bench/child_process.cpp
+++ b/bench/child_process.cpp
@@ -31,7 +31,7 @@
 ChildProcess::ChildProcess(const std::vector<std::string>& command,
                            const std::vector<std::string>& environment, int output_descriptor) {
   int pipe_ends[2];
-  if (::pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("cannot create a pipe");
+  if (::pipe2(pipe_ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
   pid_ = ::fork();
   if (pid_ == 0) {
     ::dup2(pipe_ends[1], output_descriptor);
--- a/bench/closed_loop.cpp
+++ b/bench/closed_loop.cpp
@@ -99,7 +99,7 @@
 
 int ConnectToPort(int type, std::uint16_t port) {
   const int fd = testing::ConnectLoopback(type, port);
-  if (fd < 0) throw std::runtime_error("cannot connect to port " + std::to_string(port) + " on loopback");
+  if (fd < 0) throw std::runtime_error("connect");
   if (type == SOCK_STREAM) {
     const int on = 1;
     ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
--- a/bench/http_standin.cpp
+++ b/bench/http_standin.cpp
@@ -24,7 +24,7 @@
 
 HttpStandin::HttpStandin() {
   listening_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-  if (!testing::BindLoopback(listening_, 0)) throw std::runtime_error("cannot bind a loopback port");
+  if (!testing::BindLoopback(listening_, 0)) throw std::runtime_error("bind");
   port_ = testing::LocalPort(listening_);
   ::listen(listening_, kBacklog);
   epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
--- a/src/simulation/command_compare.cpp
+++ b/src/simulation/command_compare.cpp
@@ -53,7 +53,7 @@
 
 void PrintRows(const std::string& a, const std::string& b, const std::vector<ComparisonRow>& rows) {
   std::printf("%-22s %-15s %5s %9s %9s %9s  95%% confidence\n", "scenario", "figure", "pairs", a.c_str(),
-              b.c_str(), "b minus a");
+              b.c_str(), "less");  // label b less label a
   for (const ComparisonRow& row : rows) {
     const Difference& difference = row.difference;
     const char* mark = !difference.significant()                       ? ""
--- a/src/simulation/command_sweep.cpp
+++ b/src/simulation/command_sweep.cpp
@@ -148,8 +148,8 @@
 void PrintTable(const Results& results, const std::string& label) {
   std::map<std::string, std::vector<json>> runs_by_scenario;
   for (const auto& [key, run] : results.RunsWithLabel(label)) runs_by_scenario[key.scenario].push_back(run);
-  std::printf("%-34s %5s %8s %8s %8s %8s %8s %8s\n", "scenario", "runs", "gained", "lowest", "took_s",
-              "longest", "needless", "p99_ms");
+  std::printf("%-34s %5s %8s %8s %8s %8s %8s %8s\n", "scenario", "runs", "gained", "worst", "took_s", "worst",
+              "needless", "p99_ms");
   for (const auto& [name, runs] : runs_by_scenario) {
     double gained = 0, lowest = 1, took = 0, longest = 0, needless = 0, p99 = 0;
     for (const json& run : runs) {
--- a/src/simulation/sweep.cpp
+++ b/src/simulation/sweep.cpp
@@ -61,8 +61,7 @@
   std::vector<pollfd> waits;
   waits.reserve(workers.size());
   for (const auto& [fd, worker] : workers) waits.push_back({fd, POLLIN, 0});
-  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR)
-    throw std::runtime_error("cannot poll the pipes of the worker processes");
+  if (::poll(waits.data(), waits.size(), -1) < 0 && errno != EINTR) throw std::runtime_error("poll");
   std::vector<int> ready;
   for (const pollfd& wait : waits) {
     if (wait.revents != 0) ready.push_back(wait.fd);
