--- a/src/simulation/invariants.cpp
+++ b/src/simulation/invariants.cpp
@@ -8,7 +8,7 @@
 namespace mothrack::simulation {
 namespace {
 
-// How long an attempt may still run after its request has ended; servers drop expired calls.
+// The longest time that an attempt may still run after its request has ended; servers drop expired calls.
 constexpr runtime::Duration kEndedRequestRetention = std::chrono::seconds(20);
 
 bool NeverRan(balancer::Outcome outcome) {
@@ -23,23 +23,25 @@
   return kNames.at(static_cast<std::size_t>(rule));
 }
 
-Rules::Rules(Limits limits) : limits_(std::move(limits)) {}
+RuleChecker::RuleChecker(Limits limits) : limits_(std::move(limits)) {}
 
-std::size_t Rules::total() const { return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0}); }
+std::size_t RuleChecker::total() const {
+  return std::accumulate(counts_.begin(), counts_.end(), std::size_t{0});
+}
 
-void Rules::RecordBreach(Rule rule, runtime::TimePoint at, std::string what) {
+void RuleChecker::RecordBreach(Rule rule, runtime::TimePoint at, std::string what) {
   if (counts_[static_cast<std::size_t>(rule)]++ == 0)
     first_breaches_.push_back({rule, InSeconds(at), std::move(what)});
 }
 
-void Rules::ForgetEnded(runtime::TimePoint now) {
+void RuleChecker::ForgetEnded(runtime::TimePoint now) {
   while (!ended_.empty() && now - ended_.front().first > kEndedRequestRetention) {
     open_.erase(ended_.front().second);
     ended_.pop_front();
   }
 }
 
-void Rules::Record(const SimulationEvent& event) {
+void RuleChecker::Record(const SimulationEvent& event) {
   using Kind = SimulationEvent::Kind;
   ForgetEnded(event.at);
   switch (event.kind) {
@@ -91,17 +93,17 @@
   }
 }
 
-Rules::OpenRequest* Rules::Find(std::uint64_t request) {
+RuleChecker::OpenRequest* RuleChecker::Find(std::uint64_t request) {
   const auto it = open_.find(request);
   return it == open_.end() ? nullptr : &it->second;
 }
 
-void Rules::RecordLeft(runtime::TimePoint at, std::uint64_t request, OpenRequest& open) {
-  open.answered = open.left = true;
+void RuleChecker::RecordLeft(runtime::TimePoint at, std::uint64_t request, OpenRequest& open) {
+  open.answered = open.client_left = true;
   ended_.emplace_back(at, request);
 }
 
-void Rules::RecordAnswer(const SimulationEvent& event) {
+void RuleChecker::RecordAnswer(const SimulationEvent& event) {
   const std::string request = "request " + std::to_string(event.request);
   OpenRequest* open = Find(event.request);
   if (open == nullptr) {
@@ -109,7 +111,7 @@
     return;
   }
   if (open->answered) RecordBreach(Rule::kLost, event.at, request + " was answered twice");
-  if (!open->left && event.at > open->until + limits_.grace) {
+  if (!open->client_left && event.at > open->until + limits_.grace) {
     RecordBreach(Rule::kLost, event.at,
                  request + " was answered " + std::to_string(InMilliseconds(event.at - open->until)) +
                      " ms after its time");
@@ -123,7 +125,7 @@
   ended_.emplace_back(event.at, event.request);
 }
 
-void Rules::RecordAttempt(const SimulationEvent& event) {
+void RuleChecker::RecordAttempt(const SimulationEvent& event) {
   const std::string request = "request " + std::to_string(event.request);
   if (OpenRequest* open = Find(event.request); open != nullptr) {
     if (limits_.unsafe.at(open->cls) && open->possibly_run_attempts > 0) {
@@ -141,7 +143,7 @@
                    " ms after it was told as leaving");
 }
 
-void Rules::RecordStart(const SimulationEvent& event) {
+void RuleChecker::RecordStart(const SimulationEvent& event) {
   OpenRequest* open = Find(event.request);
   if (open == nullptr) return;
   ++open->runs;
@@ -151,34 +153,34 @@
   if (open->refused) RecordBreach(Rule::kTwice, event.at, request + ", unsafe, ran after it was refused");
 }
 
-// Compares the work that all sidecars together send to a server in slow start within the window with its
-// capacity.
-void Rules::RecordArrival(const SimulationEvent& event) {
+// Compares the work that all sidecars together send to a server in slow start, within the window, with the
+// capacity of the server.
+void RuleChecker::RecordArrival(const SimulationEvent& event) {
   if (event.server >= servers_.size()) return;
   ServerLoad& server = servers_[event.server];
   if (server.booted == runtime::TimePoint::min() || event.at - server.booted >= limits_.slow_start_duration)
     return;
   server.work.emplace_back(event.at, event.work);
-  server.sum += event.work;
+  server.total_work += event.work;
   while (event.at - server.work.front().first > limits_.overload_window) {
-    server.sum -= server.work.front().second;
+    server.total_work -= server.work.front().second;
     server.work.pop_front();
   }
-  const double age = InSeconds(event.at - server.booted) / InSeconds(limits_.slow_start_duration);
+  const double elapsed_share = InSeconds(event.at - server.booted) / InSeconds(limits_.slow_start_duration);
   const double slow_start_factor =
-      limits_.slow_start_initial_share + (1 - limits_.slow_start_initial_share) * age;
+      limits_.slow_start_initial_share + (1 - limits_.slow_start_initial_share) * elapsed_share;
   const double capacity = slow_start_factor * server.capacity * InMilliseconds(limits_.overload_window);
-  if (server.sum > limits_.overload_multiple * capacity) {
+  if (server.total_work > limits_.overload_multiple * capacity) {
     RecordBreach(Rule::kSlowStart, event.at,
                  "server " + std::to_string(event.server) + ", " +
                      std::to_string(InSeconds(event.at - server.booted)) + " s old, was sent " +
-                     std::to_string(server.sum / capacity) + " times what it can do");
+                     std::to_string(server.total_work / capacity) + " times what it can do");
     server.work.clear();
-    server.sum = 0;
+    server.total_work = 0;
   }
 }
 
-void Rules::End(runtime::TimePoint at) {
+void RuleChecker::End(runtime::TimePoint at) {
   for (const auto& [id, open] : open_) {
     if (open.answered || at <= open.until + limits_.grace) continue;
     RecordBreach(Rule::kLost, at, "request " + std::to_string(id) + " was never answered");
