--- a/tests/admin/recorded_answers_test.cpp
+++ b/tests/admin/recorded_answers_test.cpp
@@ -67,7 +67,7 @@
 // A node with one upstream that serves, one in the state "leaving", and DNS in addition to HTTP, after three
 // served requests and a failed one.
 TEST(RecordedAdmin, AnswersAreThoseOfTheFormerVersion) {
-  Recorded recorded(MOTHRACK_FIXTURES "/admin_answers.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/admin_answers.txt");
   const FixtureDirectory folder;
   const std::string file = AdminSection(folder) +
                            "[dns]\nlisten = [\"127.0.0.1:0\"]\n[[dns.resolver]]\nuid = \"r 1\"\nendpoint = "
@@ -109,7 +109,7 @@
 }
 
 TEST(RecordedAdmin, AnAnswerWithoutTheTokenIsThatOfTheFormerVersion) {
-  Recorded recorded(MOTHRACK_FIXTURES "/admin_token_answers.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/admin_token_answers.txt");
   const FixtureDirectory folder;
   const std::string token = "5f1c0a7e9b3d48265f1c0a7e9b3d4826";
   const std::string token_file = folder.File("token");
@@ -133,7 +133,7 @@
 }
 
 TEST(RecordedOperatorApi, AnswersAreThoseOfTheFormerVersion) {
-  Recorded recorded(MOTHRACK_FIXTURES "/operator_answers.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/operator_answers.txt");
   Upstream upstream([](Wire& wire, const testing::Request& request, int) {
     wire.Answer(request.method_string() == "GET" ? 200 : 500, "x");
   });
--- a/tests/agent/recorded_answers_test.cpp
+++ b/tests/agent/recorded_answers_test.cpp
@@ -128,7 +128,7 @@
 TEST(RecordedAgent, AnswersAreThoseOfTheFormerVersion) {
   // The pid and start time in the process file, by which the next agent finds the process.
   static const std::regex kProcessNumbers("(\"pid\":|\"started\":)[0-9]+");
-  Recorded recorded(MOTHRACK_FIXTURES "/answers.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/answers.txt");
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   const AdminClient agent("unix:" + fleet.path("a0.sock"));
@@ -147,7 +147,7 @@
 }
 
 TEST(RecordedAgent, AnswersToAViewerAreThoseOfTheFormerVersion) {
-  Recorded recorded(MOTHRACK_FIXTURES "/token_answers.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/token_answers.txt");
   Fleet::Options options;
   options.agents = 1;
   options.instances = 1;
--- a/tests/dns/recorded_messages_test.cpp
+++ b/tests/dns/recorded_messages_test.cpp
@@ -85,7 +85,7 @@
 }
 
 // Runs each row over UDP and over TCP, each time with a new node and a new resolver.
-void Exchange(const Row& row, bool by_tcp, Recorded& recorded) {
+void Exchange(const Row& row, bool by_tcp, RecordedSections& recorded) {
   const std::string name = std::string(row.name) + (by_tcp ? ", over TCP" : ", over UDP");
   StandinResolver resolver(row.script, row.tcp);
   const std::string classes =
@@ -109,7 +109,7 @@
 }
 
 TEST(RecordedDns, MessagesAreThoseOfTheFormerVersion) {
-  Recorded recorded(MOTHRACK_FIXTURES "/messages.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/messages.txt");
   for (const Row& row : Rows()) {
     for (const bool by_tcp : {false, true}) Exchange(row, by_tcp, recorded);
   }
--- a/tests/http/recorded_messages_test.cpp
+++ b/tests/http/recorded_messages_test.cpp
@@ -140,7 +140,7 @@
 }
 
 TEST(RecordedHttp, MessagesAreThoseOfTheFormerVersion) {
-  Recorded recorded(MOTHRACK_FIXTURES "/messages.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/messages.txt");
   std::vector<ExchangeCase> rows = ServedRows();
   for (ExchangeCase& row : FaultRows()) rows.push_back(std::move(row));
   for (const ExchangeCase& row : rows) {
--- a/tests/support/fixtures.h
+++ b/tests/support/fixtures.h
@@ -78,9 +78,9 @@
 
 // A fixture of many sections, each "=== NAME" and the lines below it. Every section has to be compared with
 // once, and no other section may be: the destructor reports sections that were not compared.
-class Recorded {
+class RecordedSections {
  public:
-  explicit Recorded(const std::string& path) {
+  explicit RecordedSections(const std::string& path) {
     std::istringstream text(ReadFixture(path));
     std::string name;
     for (std::string line; std::getline(text, line);) {
@@ -92,11 +92,11 @@
       }
     }
   }
-  ~Recorded() {
+  ~RecordedSections() {
     for (const auto& [name, text] : sections_) ADD_FAILURE() << "not compared: " << name;
   }
-  Recorded(const Recorded&) = delete;
-  Recorded& operator=(const Recorded&) = delete;
+  RecordedSections(const RecordedSections&) = delete;
+  RecordedSections& operator=(const RecordedSections&) = delete;
 
   // Adds a line end to `text` if it has none at its end, as in the file.
   void Expect(const std::string& name, std::string text) {
