--- a/src/admin_client/admin_client.cpp
+++ b/src/admin_client/admin_client.cpp
@@ -112,7 +112,7 @@
   return "answered " + std::to_string(status);
 }
 
-std::string FaultOfAddress(const std::string& address) {
+std::string AddressError(const std::string& address) {
   if (address.rfind(kUnix, 0) == 0) {
     const std::size_t length = address.size() - kUnix.size();
     if (length == 0) return "names no path";
--- a/src/admin_client/admin_client.h
+++ b/src/admin_client/admin_client.h
@@ -42,6 +42,6 @@
                  std::function<void(Response)> on_response);
 
 // Returns why an address is invalid; empty if it is valid.
-std::string FaultOfAddress(const std::string& address);
+std::string AddressError(const std::string& address);
 
 }  // namespace mothrack::admin_client
--- a/src/agent/toml_section.h
+++ b/src/agent/toml_section.h
@@ -109,7 +109,7 @@
   // Reads the address of an admin API: "unix:/path" or a loopback address with its port.
   std::string Address(const std::string& key) {
     std::string address = Text(key);
-    if (const std::string fault = admin_client::FaultOfAddress(address); !fault.empty()) Fail(key, fault);
+    if (const std::string fault = admin_client::AddressError(address); !fault.empty()) Fail(key, fault);
     return address;
   }
   // Throws FileError if the table has a key that no reader was called with. Call it last.
