--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -12,7 +12,7 @@
 
 int Check(const std::string& path) {
   try {
-    std::cout << mothrack::sidecar::Effective(mothrack::sidecar::LoadOperatorFile(path));
+    std::cout << mothrack::sidecar::EffectiveSettings(mothrack::sidecar::LoadOperatorFile(path));
     return 0;
   } catch (const mothrack::sidecar::ConfigError& e) {
     std::cerr << e.what() << std::endl;
--- a/src/sidecar/operator_file.cpp
+++ b/src/sidecar/operator_file.cpp
@@ -103,7 +103,7 @@
   return file;
 }
 
-std::string Effective(const OperatorFile& file) {
+std::string EffectiveSettings(const OperatorFile& file) {
   toml::table root{{"name", file.name}};
   if (file.sockets) root.insert("limits", toml::table{{"sockets", static_cast<std::int64_t>(*file.sockets)}});
   if (file.dns) root.insert("dns", ToToml(*file.dns));
--- a/src/sidecar/operator_file.h
+++ b/src/sidecar/operator_file.h
@@ -37,6 +37,6 @@
 std::string HashOf(const std::string& bytes);
 
 // All settings in effect, including defaults, in the file's format; the inverse of LoadOperatorFile().
-std::string Effective(const OperatorFile& file);
+std::string EffectiveSettings(const OperatorFile& file);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/peers_link.cpp
+++ b/src/sidecar/peers_link.cpp
@@ -9,7 +9,7 @@
 std::string SectionOf(const OperatorFile& file) {
   OperatorFile only;
   only.peers = file.peers;
-  return Effective(only);
+  return EffectiveSettings(only);
 }
 
 }  // namespace
--- a/src/sidecar/program.cpp
+++ b/src/sidecar/program.cpp
@@ -156,7 +156,7 @@
               {{"file", settings.file->path}, {"resolvers", settings.file->dns->resolvers.size()}});
     OperatorFile others = *settings.file;
     others.dns->resolvers = settings_.file->dns->resolvers;
-    if (Effective(others) != Effective(*settings_.file)) {
+    if (EffectiveSettings(others) != EffectiveSettings(*settings_.file)) {
       log_.Warn("changes_await_restart", {{"file", settings.file->path}, {"part", "all but resolvers"}});
     }
   }
--- a/tests/gossip/settings_test.cpp
+++ b/tests/gossip/settings_test.cpp
@@ -74,9 +74,9 @@
       "file.toml",
       "[peers]\nlisten = \"127.0.0.1:7600\"\nadvertise = \"127.0.0.1:7700\"\nzone = \"hall\"\nkey_file = \"" +
           directory.File("keys") + "\"\nseeds = [\"[::1]:7601\"]\nprobe_ms = 300\n"));
-  const std::string effective = sidecar::Effective(file);
+  const std::string effective = sidecar::EffectiveSettings(file);
   const auto again = sidecar::LoadOperatorFile(directory.Write("again.toml", effective));
-  EXPECT_EQ(sidecar::Effective(again), effective);
+  EXPECT_EQ(sidecar::EffectiveSettings(again), effective);
   ASSERT_TRUE(again.peers);
   EXPECT_EQ(again.peers->protocol.probe_interval, Duration(300));
   EXPECT_EQ(again.peers->protocol.gossip_interval, ProtocolConfig().gossip_interval);
--- a/tests/sidecar/operator_file_test.cpp
+++ b/tests/sidecar/operator_file_test.cpp
@@ -59,9 +59,9 @@
       "name = \"n\"\n[limits]\nsockets = 100\n" + kDns + "edns_size = 1400\n" +
       "[[dns.class]]\nname = \"big\"\nopcode = \"QUERY\"\nqtypes = [\"TXT\", \"TYPE999\"]\naim_ms = 5\n" +
       kResolver + "state = \"leaving\"\nzone = \"bole-hall\"\nweight = 2.5\n");
-  const std::string effective = sidecar::Effective(file);
+  const std::string effective = sidecar::EffectiveSettings(file);
   const auto again = Load(effective);
-  EXPECT_EQ(sidecar::Effective(again), effective);
+  EXPECT_EQ(sidecar::EffectiveSettings(again), effective);
   ASSERT_TRUE(again.dns);
   EXPECT_EQ(again.sockets, 100U);
   EXPECT_EQ(again.dns->edns_size, 1400);
