--- a/src/admin/admin_api.cpp
+++ b/src/admin/admin_api.cpp
@@ -5,7 +5,7 @@
 namespace mothrack::admin {
 namespace {
 
-constexpr double kMaxCallsPerSecond = 20;  // and as many in one burst
+constexpr double kMaxCallsPerSecond = 20;  // a burst may have as many
 
 std::string AfterParameter(const Call& call) {
   static const std::string kName = "after=";
@@ -30,8 +30,8 @@
            }},
           {"POST", "/v1/reload",
            [this](const Call&) {
-             const std::string fault = source_.reload();
-             return fault.empty() ? Answer{200, {{"reloaded", true}}} : Fault(409, fault);
+             const std::string error = source_.reload();
+             return error.empty() ? Answer{200, {{"reloaded", true}}} : Fault(409, error);
            }},
           {"POST", "/v1/drain", [this](const Call&) {
              log_.Info("drain_asked");
@@ -41,7 +41,7 @@
 }
 
 std::optional<Answer> AdminApi::Guard(const Call& call) {
-  if (!rate_limiter_.Take(runtime::Now())) return Fault(429, "too many requests; ask less often");
+  if (!rate_limiter_.Take(runtime::Now())) return Fault(429, "too many calls; call less often");
   // Without a token, the file mode of the Unix socket has authorized the caller.
   if (settings_.token.empty() || HasBearerToken(call, settings_.token)) return std::nullopt;
   return Fault(401, "give the token as Authorization: Bearer TOKEN");
--- a/src/admin/operator_api.cpp
+++ b/src/admin/operator_api.cpp
@@ -21,7 +21,7 @@
 
 std::vector<Route> OperatorApi::Routes() {
   const auto drain = [this](bool on) {
-    if (!source_.drain(on)) return Fault(409, "a planned stop is under way and can't be taken back");
+    if (!source_.drain(on)) return Fault(409, "a planned stop is in progress and can't be revoked");
     log_.Stated(on ? "ops: drain" : "ops: drain ended, takes clients again");
     return Answer{200, {{"draining", on}}};
   };
@@ -42,16 +42,16 @@
           {"PUT", "/ops/drain/stop", [drain](const Call&) { return drain(false); }}};
 }
 
-Answer OperatorApi::ActOnUpstream(const Call& call, const std::function<bool(const std::string&)>& act,
-                                  const char* done) {
+Answer OperatorApi::ActOnUpstream(const Call& call, const std::function<bool(const std::string&)>& apply,
+                                  const char* state) {
   const json body = json::parse(call.body, nullptr, false);
   const auto name = body.is_object() ? body.find("name") : body.end();
   if (name == body.end() || !name->is_string()) return Fault(400, R"(give the upstream as {"name":"ID"})");
   const auto uid = name->get<std::string>();
   if (uid.empty() || uid.size() > kMaxIdSize) return Fault(400, "name is empty or longer than any id");
-  if (!act(uid)) return Fault(404, "no upstream of this name was ever listed");
-  log_.Stated(std::string("ops: ") + done + ' ' + uid);
-  return {200, {{"name", uid}, {"state", done}}};
+  if (!apply(uid)) return Fault(404, "no upstream of this name was ever listed");
+  log_.Stated(std::string("ops: ") + state + ' ' + uid);
+  return {200, {{"name", uid}, {"state", state}}};
 }
 
 }  // namespace mothrack::admin
--- a/src/admin/operator_api.h
+++ b/src/admin/operator_api.h
@@ -1,10 +1,12 @@
-// The platform's API for the engineers on call (LB_OPS). A 2xx status means yes, 4xx and 5xx mean no; see
-// docs/operators/on_call.md.
+// The platform's API for the engineers on call (LB_OPS). A 2xx status means success, 4xx and 5xx mean
+// failure; see docs/operators/on_call.md.
 //
 //   GET /ops/readiness              2xx while the sidecar accepts clients
-//   GET /ops/stats                  the figures
-//   PUT /ops/upstreams/down, up     {"name": ID}: sends nothing new to that upstream; follows discovery again
-//   PUT /ops/drain/start, stop      accepts no new clients; accepts clients again
+//   GET /ops/stats                  the result of OperatorApiSource::stats
+//   PUT /ops/upstreams/down         {"name": ID}: sends no more attempts to that upstream
+//   PUT /ops/upstreams/up           {"name": ID}: lifts that ban
+//   PUT /ops/drain/start            stops accepting clients
+//   PUT /ops/drain/stop             accepts clients again
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -20,7 +22,7 @@
 struct OperatorApiSource {
   std::function<bool()> ready;
   std::function<nlohmann::json()> stats;
-  // Take an upstream out and undo that. They return false if the upstream was never listed.
+  // Ban an upstream and lift the ban. Both return false if the upstream was never listed.
   std::function<bool(const std::string& uid)> ban;
   std::function<bool(const std::string& uid)> unban;
   // Starts or ends quiescing. Returns false if that is impossible: a planned stop cannot be revoked.
@@ -46,8 +48,9 @@
 
  private:
   std::vector<Route> Routes();
-  Answer ActOnUpstream(const Call& call, const std::function<bool(const std::string&)>& act,
-                       const char* done);
+  // Calls `apply` with the upstream that the call names. `state`: its new state, for the answer and the log.
+  Answer ActOnUpstream(const Call& call, const std::function<bool(const std::string&)>& apply,
+                       const char* state);
 
   const OperatorApiSource source_;
   runtime::Logger& log_;
--- a/src/admin/report.cpp
+++ b/src/admin/report.cpp
@@ -102,7 +102,7 @@
           {"more", next != views.end()}};
 }
 
-json Figures(const dispatch::Dispatcher& dispatcher) {
+json OperatorStats(const dispatch::Dispatcher& dispatcher) {
   struct Sums {
     std::uint64_t answered = 0, deferred = 0, errored = 0, sends = 0;
   };
--- a/src/admin/report.h
+++ b/src/admin/report.h
@@ -19,10 +19,10 @@
 nlohmann::json PoolReport(const std::string& name, const dispatch::Dispatcher& dispatcher,
                           const std::string& after);
 
-// The platform's figures: per class, the final answers of requests and the number of written attempts since
-// the start of the process; the requests open now; and the number of listed upstreams and of those that are
-// avoided, whether ejected or banned by an operator.
-nlohmann::json Figures(const dispatch::Dispatcher& dispatcher);
+// The statistics of the operator API: per class, the final answers of requests and the number of written
+// attempts since the start of the process; the requests open now; and the number of listed upstreams and of
+// those that are avoided, whether ejected or banned by an operator.
+nlohmann::json OperatorStats(const dispatch::Dispatcher& dispatcher);
 
 // The current time of the system clock.
 std::int64_t UnixMilliseconds();
--- a/src/admin/server.cpp
+++ b/src/admin/server.cpp
@@ -30,7 +30,7 @@
 // How long to wait for the caller's close after the answer: closing at once could send an RST that overtakes
 // the answer.
 constexpr auto kLinger = std::chrono::milliseconds(500);
-// Delay before the next accept after a failed one, because descriptors ran out.
+// Delay before the next accept after one that failed, for example because descriptors ran out.
 constexpr runtime::Duration kAcceptRetryDelay = std::chrono::milliseconds(50);
 constexpr std::size_t kMaxHeaderSize = 4096;  // bytes
 constexpr int kBacklog = 64;
@@ -43,20 +43,21 @@
   return printable;
 }
 
-// A socket that a killed process left behind prevents binding. One that a live process serves must stay.
+// Removes a socket that a killed process left behind, because it would prevent binding. Throws
+// std::runtime_error if a live process serves the socket or if the path is not a socket.
 void RemoveStaleSocket(const ListenAddress& address) {
   const std::string& path = address.unix_path;
   struct stat info {};
   if (::lstat(path.c_str(), &info) != 0) return;
   if (!S_ISSOCK(info.st_mode))
-    throw std::runtime_error(address.setting + ": " + path + " is no socket; name another path");
+    throw std::runtime_error(address.setting + ": " + path + " is not a socket; give another path");
   boost::asio::io_context io;
   stream_protocol::socket probe(io);
   error_code error;
   probe.connect(stream_protocol::endpoint(path), error);
   if (!error)
     throw std::runtime_error(address.setting + ": " + path +
-                             " is served by another process; name another path");
+                             " is served by another process; give another path");
   ::unlink(path.c_str());
 }
 
@@ -236,12 +237,12 @@
     acceptor_.set_option(boost::asio::socket_base::enable_connection_aborted(true));
   } catch (const boost::system::system_error& e) {
     throw std::runtime_error(address_.setting + ": " + local() + ": " + e.code().message() +
-                             "; free the place, or name another");
+                             "; free the address, or give another");
   }
   Accept();
 }
 
-// NOLINTNEXTLINE(bugprone-exception-escape): to cancel a timer throws by its type only, never for a live one
+// NOLINTNEXTLINE(bugprone-exception-escape): cancel() is declared to throw, but never does for a live timer
 Server::~Server() {
   for (const auto& connection : connections_) connection->Close();
   if (!address_.unix_path.empty()) ::unlink(address_.unix_path.c_str());
--- a/src/admin/server.h
+++ b/src/admin/server.h
@@ -37,7 +37,7 @@
   nlohmann::json body;
 };
 
-// {"error": why}
+// An answer that reports an error: {"error": why}.
 inline Answer Fault(unsigned status, const std::string& why) { return {status, {{"error", why}}}; }
 
 // Whether the call presents this token as `Authorization: Bearer TOKEN` (RFC 6750 section 2.1). The
--- a/src/admin_client/admin_client.cpp
+++ b/src/admin_client/admin_client.cpp
@@ -22,7 +22,7 @@
 
 const std::string kUnix = "unix:";
 
-constexpr unsigned kHttp11 = 11;  // as Beast counts versions
+constexpr unsigned kHttp11 = 11;  // HTTP/1.1 in Beast's notation
 
 // One request and its response. Lives until its handlers have run: each holds a shared_ptr to it.
 class Exchange : public std::enable_shared_from_this<Exchange> {
@@ -115,15 +115,16 @@
 std::string AddressError(const std::string& address) {
   if (address.rfind(kUnix, 0) == 0) {
     const std::size_t length = address.size() - kUnix.size();
-    if (length == 0) return "names no path";
-    return length < sizeof(sockaddr_un::sun_path) ? ""
-                                                  : "is longer than the system's 107 bytes for a Unix socket";
+    if (length == 0) return "has no path";
+    return length < sizeof(sockaddr_un::sun_path)
+               ? ""
+               : "is longer than 107 bytes, the system's limit for the path of a Unix socket";
   }
   const auto endpoint = runtime::ParseEndpoint(address);
   if (!endpoint) return "is neither unix:/path nor an address and port";
   return endpoint->address().is_loopback()
              ? ""
-             : "is no loopback address; agents are reached on their own machine";
+             : "is not a loopback address; an admin API is reachable on its own machine only";
 }
 
 void SendRequest(boost::asio::io_context& io, Request request, std::chrono::milliseconds timeout,
--- a/src/sidecar/admin_section.cpp
+++ b/src/sidecar/admin_section.cpp
@@ -19,21 +19,24 @@
 // Longest path of a Unix socket in bytes, without the terminating zero.
 constexpr std::size_t kMaxUnixPathLength = sizeof(sockaddr_un::sun_path) - 1;
 
-// The token in the first line of the file at `path`. Whoever can read the file has access, so a file that
-// other users may access is rejected.
+// Returns the token, which is the first line of the file at `path`. Whoever can read the file has access to
+// the admin API, so a file that other users may access is rejected.
 std::string ReadToken(const TomlTable& table, const std::string& path) {
   struct stat info {};
   std::ifstream stream(path);
   std::string token;
   if (::stat(path.c_str(), &info) != 0 || !stream || !std::getline(stream, token)) {
-    table.Fail("token_file", path + " cannot be read; put a token into it, as from openssl rand -hex 16");
+    table.Fail("token_file",
+               path + " cannot be read; create it with a token, for example from openssl rand -hex 16");
   }
   if ((info.st_mode & (S_IRWXG | S_IRWXO)) != 0) {
-    table.Fail("token_file", path + " is open to others; chmod 600 it");
+    table.Fail("token_file", path + " is accessible to other users; set its mode with chmod 600");
   }
   const bool visible = std::all_of(token.begin(), token.end(), [](char c) { return c > ' ' && c < 127; });
   if (token.size() < kMinTokenLength || token.size() > kMaxTokenLength || !visible) {
-    table.Fail("token_file", path + ": its first line is no token; make it 16 to 256 visible characters");
+    table.Fail(
+        "token_file",
+        path + ": its first line is not a valid token; give 16 to 256 printable characters without spaces");
   }
   return token;
 }
@@ -41,7 +44,7 @@
 std::string ReadUnixPath(const TomlTable& table, const std::string& listen) {
   std::string path = listen.substr(kUnixPrefix.size());
   if (!path.starts_with('/') || path.size() > kMaxUnixPathLength) {
-    table.Fail("listen", "is no path of a Unix socket; give a full path of at most " +
+    table.Fail("listen", "is not a valid path of a Unix socket; give an absolute path of at most " +
                              std::to_string(kMaxUnixPathLength) + " bytes");
   }
   return path;
@@ -55,7 +58,8 @@
   const auto token_file = table.Text("token_file");
   if (listen.starts_with(kUnixPrefix)) {
     admin.unix_path = ReadUnixPath(table, listen);
-    if (token_file) table.Fail("token_file", "a Unix socket takes none: its mode guards it; take it out");
+    if (token_file)
+      table.Fail("token_file", "is not valid with a Unix socket, which its file mode protects; remove it");
     return admin;
   }
   admin.endpoint = runtime::ParseEndpoint(listen);
@@ -65,7 +69,8 @@
                              R"("unix:/run/mothrack/admin.sock" or "127.0.0.1:7080")");
   }
   if (!token_file) {
-    table.Fail("listen", "an address lets anyone on the machine in; add token_file, or use a Unix socket");
+    table.Fail("listen",
+               "every user of this machine can connect to an address; add token_file, or use a Unix socket");
   }
   admin.token_file = *token_file;
   admin.token = ReadToken(table, admin.token_file);
--- a/src/sidecar/config.cpp
+++ b/src/sidecar/config.cpp
@@ -15,7 +15,7 @@
 
 using nlohmann::json;
 
-// The lowest valid limit of open descriptors: those that are always open, and a few for clients and
+// The lowest valid limit of open descriptors. It covers those that are always open, and a few for clients and
 // upstreams.
 constexpr std::size_t kMinSockets = 64;
 
@@ -27,7 +27,7 @@
 
 runtime::Endpoint ParseAddress(const std::string& name, const std::string& text) {
   const auto endpoint = runtime::ParseEndpoint(text);
-  if (!endpoint) throw ConfigError(name + " is no address and port: " + text);
+  if (!endpoint) throw ConfigError(name + " is not an address and port: " + text);
   return *endpoint;
 }
 
@@ -50,16 +50,17 @@
     const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), seed, 16);
     if (error == std::errc() && end == text.data() + text.size()) return seed;
   }
-  throw ConfigError("LB_CONFIG: seed is no number in hexadecimal digits");
+  throw ConfigError("LB_CONFIG: seed is not a hexadecimal number");
 }
 
-// The lower one of the deployment's limit and the process's resource limit.
+// Returns the lower of the deployment's limit and the process's resource limit.
 std::size_t ReadSocketLimit(const json& file) {
   const json& limits = RequiredField(file, "", "limits");
-  if (!limits.is_object()) throw ConfigError("LB_CONFIG: limits is no object");
+  if (!limits.is_object()) throw ConfigError("LB_CONFIG: limits is not an object");
   const json& field = RequiredField(limits, "limits.", "sockets");
   if (!field.is_number_unsigned() || field.get<std::uint64_t>() < kMinSockets) {
-    throw ConfigError("LB_CONFIG: limits.sockets is no number from " + std::to_string(kMinSockets) + " on");
+    throw ConfigError("LB_CONFIG: limits.sockets is not an integer of at least " +
+                      std::to_string(kMinSockets));
   }
   auto sockets = field.get<std::uint64_t>();
   rlimit limit{};
@@ -78,15 +79,15 @@
   const auto field = limits.find("memory_mb");
   if (field == limits.end()) return kDefaultMemoryMib << 20;
   if (!field->is_number() || !(field->get<double>() >= 1)) {
-    throw ConfigError("LB_CONFIG: limits.memory_mb is no number from 1 on");
+    throw ConfigError("LB_CONFIG: limits.memory_mb is not a number of at least 1");
   }
   return static_cast<std::size_t>(std::min(field->get<double>(), kMaxMemoryMib) * (1 << 20));
 }
 
 balancer::Settings ReadSettings(const json& file) {
   const json& field = RequiredField(file, "", "settings");
-  CheckSettings(field, Pass::kForm);
-  std::string module_error;  // the module has its own names for the settings
+  CheckSettings(field, Pass::kTypes);
+  std::string module_error;  // uses the names of the balancer module for the settings
   try {
     auto settings = simulator_adapter::ParseSettings(field);
     try {
@@ -94,7 +95,7 @@
     } catch (const std::exception& e) {
       module_error = e.what();
     }
-    CheckSettings(field, Pass::kRange);
+    CheckSettings(field, Pass::kRanges);
     if (module_error.empty()) return settings;
   } catch (const ConfigError& e) {
     throw ConfigError(e.what() + (module_error.empty() ? "" : " (" + module_error + ')'));
@@ -115,21 +116,21 @@
   std::ifstream stream(path);
   if (!stream) throw ConfigError("LB_CONFIG: cannot read " + path);
   const json file = json::parse(stream, nullptr, false);
-  if (!file.is_object()) throw ConfigError("LB_CONFIG: " + path + " holds no JSON object");
+  if (!file.is_object()) throw ConfigError("LB_CONFIG: " + path + " is not a JSON object");
   config.seed = ReadSeed(file);
   config.sockets = ReadSocketLimit(file);
   config.memory = ReadMemoryLimit(file);
   config.settings = ReadSettings(file);
   // The file takes precedence: unlike the environment it can be replaced while the process runs.
   if (const auto discovery = file.find("discovery"); discovery != file.end()) {
-    if (!discovery->is_string()) throw ConfigError("LB_CONFIG: discovery is no text");
+    if (!discovery->is_string()) throw ConfigError("LB_CONFIG: discovery is not a string");
     config.discovery = ParseAddress("LB_CONFIG: discovery", discovery->get<std::string>());
   }
   // The environment takes precedence: the file may be shared with a former process.
   if (const char* ops = variable("LB_OPS"); ops != nullptr && *ops != '\0') {
     config.ops = ParseAddress("LB_OPS", ops);
   } else if (const auto in_file = file.find("ops"); in_file != file.end()) {
-    if (!in_file->is_string()) throw ConfigError("LB_CONFIG: ops is no text");
+    if (!in_file->is_string()) throw ConfigError("LB_CONFIG: ops is not a string");
     config.ops = ParseAddress("LB_CONFIG: ops", in_file->get<std::string>());
   }
   if (const auto known = file.find("known"); known != file.end()) config.known = *known;
--- a/src/sidecar/counter_logger.cpp
+++ b/src/sidecar/counter_logger.cpp
@@ -106,32 +106,32 @@
   discovery_ = discovery;
 }
 
-// By upstream: attempts since the previous line, those of them that ended without an answer, attempts in
-// flight, idle connections, and the slow start factor.
+// Writes one array per upstream: the attempts since the previous line, those of them that ended without an
+// answer, the attempts in flight, the idle connections, and the slow start factor.
 void CounterLogger::PutUpstreams(json& line) {
   std::map<std::string, Attempts> attempts;
   json upstreams = json::object();
-  int avoided = 0;
-  int warming_up = 0;
+  int ejected = 0;
+  int in_slow_start = 0;
   int listed = 0;
   for (const balancer::UpstreamView& view : sidecar_.dispatcher().upstreams()) {
     listed += view.state == balancer::UpstreamState::kServing;
-    avoided += view.ejected_until.has_value();
-    warming_up += view.slow_start_factor < 1;
+    ejected += view.ejected_until.has_value();
+    in_slow_start += view.slow_start_factor < 1;
     attempts[view.id.value] = {view.sent, view.unanswered};
     const auto before = attempts_.find(view.id.value);
     // The counters of a new process start from zero.
-    const bool same = before != attempts_.end() && before->second.sent <= view.sent;
-    const std::uint64_t sent = view.sent - (same ? before->second.sent : 0);
-    const std::uint64_t unanswered = view.unanswered - (same ? before->second.unanswered : 0);
+    const bool same_process = before != attempts_.end() && before->second.sent <= view.sent;
+    const std::uint64_t sent = view.sent - (same_process ? before->second.sent : 0);
+    const std::uint64_t unanswered = view.unanswered - (same_process ? before->second.unanswered : 0);
     if (sent == 0 && view.in_flight == 0 && view.idle == 0) continue;
     if (upstreams.size() >= kMaxUpstreamsNamed) continue;
     upstreams[view.id.value] = {sent, unanswered, view.in_flight, view.idle, Rounded(view.slow_start_factor)};
   }
   attempts_ = std::move(attempts);
   line["listed"] = listed;
-  if (avoided > 0) line["avoided"] = avoided;
-  if (warming_up > 0) line["cold_listed"] = warming_up;
+  if (ejected > 0) line["avoided"] = ejected;
+  if (in_slow_start > 0) line["cold_listed"] = in_slow_start;
   line["to"] = std::move(upstreams);
 }
 
--- a/src/sidecar/dns_section.cpp
+++ b/src/sidecar/dns_section.cpp
@@ -40,7 +40,7 @@
       return static_cast<std::uint16_t>(number);
     }
   }
-  table.Fail(node.source(), key, Quoted(text) + R"( is no type; write it as "AAAA" or "TYPE28")");
+  table.Fail(node.source(), key, Quoted(text) + R"( is not a record type; write it as "AAAA" or "TYPE28")");
 }
 
 std::string TypeName(std::uint16_t type) {
@@ -55,7 +55,7 @@
   const auto* const known = std::find_if(kOpcodes.begin(), kOpcodes.end(),
                                          [&](const auto& entry) { return entry.first == opcode; });
   if (known == kOpcodes.end()) {
-    table.Fail("opcode", Quoted(opcode) + R"( is not served; give "QUERY", "NOTIFY" or "UPDATE")");
+    table.Fail("opcode", Quoted(opcode) + R"( is not supported; give "QUERY", "NOTIFY" or "UPDATE")");
   }
   return known->second;
 }
@@ -83,11 +83,13 @@
   const auto effect = table.Text("effect");
   if (!effect) return;
   if (*effect != "safe" && *effect != "unsafe") {
-    table.Fail("effect", Quoted(*effect) + R"( is none; give "safe" or "unsafe" (DNS has no keys))");
+    table.Fail(
+        "effect",
+        Quoted(*effect) + R"( is not a valid effect; give "safe" or "unsafe" (DNS has no idempotency keys))");
   }
   settings.effect = *effect == "safe" ? balancer::Effect::kSafe : balancer::Effect::kUnsafe;
   if (settings.opcode == dns::kUpdate && settings.effect == balancer::Effect::kSafe) {
-    table.Fail("effect", R"(an UPDATE must not be repeated; give "unsafe" or leave it out)");
+    table.Fail("effect", R"(an UPDATE must not be repeated; give "unsafe" or remove the key)");
   }
 }
 
@@ -115,11 +117,11 @@
   resolver.uid = table.RequiredText("uid", "r1");
   const toml::node* endpoint = table.Find("endpoint");
   if (endpoint == nullptr) table.RequiredText("endpoint", "127.0.0.1:5301");
-  // NOLINTNEXTLINE(clang-analyzer-core.NonNullParamChecker): RequiredText() throws where there is none
+  // NOLINTNEXTLINE(clang-analyzer-core.NonNullParamChecker): RequiredText() throws if the key is missing
   resolver.endpoint = ReadEndpoint(table, *endpoint, "endpoint", false);
   if (const auto state = table.Text("state")) {
     if (*state != "active" && *state != "leaving") {
-      table.Fail("state", Quoted(*state) + R"( is none; give "active" or "leaving")");
+      table.Fail("state", Quoted(*state) + R"( is not a valid state; give "active" or "leaving")");
     }
     resolver.leaving = *state == "leaving";
   }
@@ -134,11 +136,12 @@
   table.ForEach("listen", [&](const toml::node& node, const std::string& key) {
     const runtime::Endpoint endpoint = ReadEndpoint(table, node, key, true);
     if (endpoint.port() != 0 && !given.insert(endpoint).second) {
-      table.Fail(node.source(), key, "the same address is given before; take one of them out");
+      table.Fail(node.source(), key, "repeats an earlier address; remove one of them");
     }
     listen.push_back(endpoint);
   });
-  if (listen.empty()) table.Fail("listen", "names no address; add one, as listen = [\"127.0.0.1:5300\"]");
+  if (listen.empty())
+    table.Fail("listen", "has no address; add one, for example listen = [\"127.0.0.1:5300\"]");
   return listen;
 }
 
@@ -166,7 +169,8 @@
   table.ForEachTable("class", [&](TomlTable& inner) {
     classes.push_back(ReadClass(inner));
     if (!names.insert(classes.back().name).second) {
-      inner.Fail("name", Quoted(classes.back().name) + " is given before; give each class a name of its own");
+      inner.Fail("name", Quoted(classes.back().name) +
+                             " is already the name of another class; give each class its own name");
     }
   });
   // The file's classes come first; a query that matches none of them gets a default class.
@@ -184,19 +188,22 @@
   table.ForEachTable("resolver", [&](TomlTable& inner) {
     dns::ResolverSettings resolver = ReadResolver(inner);
     if (!uids.insert(resolver.uid).second) {
-      inner.Fail("uid", Quoted(resolver.uid) + " is given before; give each resolver a uid of its own");
+      inner.Fail("uid", Quoted(resolver.uid) +
+                            " is already the uid of another resolver; give each resolver its own uid");
     }
     const auto [other, is_new] = uid_by_endpoint.emplace(resolver.endpoint, resolver.uid);
     if (!is_new) {
-      inner.Fail("endpoint", "is that of resolver " + Quoted(other->second) + ", too; take one of them out");
+      inner.Fail("endpoint",
+                 "is also the endpoint of resolver " + Quoted(other->second) + "; remove one of them");
     }
     // Port 0 in `listen` is chosen later, so it can't be compared; resolvers can't have it.
     if (std::find(listen.begin(), listen.end(), resolver.endpoint) != listen.end()) {
-      inner.Fail("endpoint", "is an address of dns.listen: queries would loop back; name the resolver's own");
+      inner.Fail("endpoint",
+                 "is an address of dns.listen, so queries would loop back; give the resolver's address");
     }
     resolvers.push_back(std::move(resolver));
   });
-  if (resolvers.empty()) table.Fail("resolver", "there is none; add one with [[dns.resolver]]");
+  if (resolvers.empty()) table.Fail("resolver", "is missing; add a resolver with [[dns.resolver]]");
   return resolvers;
 }
 
--- a/src/sidecar/main.cpp
+++ b/src/sidecar/main.cpp
@@ -30,7 +30,7 @@
       "file or both. SIGTERM begins a planned stop, SIGHUP reloads the configuration."};
   app.set_version_flag("--version", "mothrack " MOTHRACK_VERSION);
   mothrack::sidecar::Options options;
-  app.add_option("--config", options.path, "the operator's file (TOML), as deploy/mothrack.toml")
+  app.add_option("--config", options.path, "the operator's file (TOML), for example deploy/mothrack.toml")
       ->type_name("FILE");
   app.add_option("--counts", options.counts_s,
                  "log a line of counters at this interval, in seconds (0.1 to 3600)")
--- a/src/sidecar/operator_file.cpp
+++ b/src/sidecar/operator_file.cpp
@@ -17,7 +17,8 @@
 namespace mothrack::sidecar {
 namespace {
 
-// In bytes. A larger file means a wrong path, for example that of a log or a device.
+// The maximum size of the file in bytes. A larger one means a wrong path, for example that of a log or a
+// device.
 constexpr std::size_t kMaxFileSize = std::size_t{1} << 20;
 constexpr std::size_t kReadSize = 65536;
 // Limits of open descriptors. The lower one covers those that are always open and a few for clients and
@@ -83,7 +84,7 @@
   file.hash = HashOf(text);
   TomlTable root(path, "", parsed);
   if (const auto name = root.Text("name")) file.name = *name;
-  if (file.name.empty()) root.Fail("name", "is empty; give a name, or take the line out");
+  if (file.name.empty()) root.Fail("name", "is empty; give a name, or remove the line");
   if (auto limits = root.Subtable("limits")) {
     if (const auto sockets = limits->Integer("sockets", kMinSockets, kMaxSockets)) {
       file.sockets = static_cast<std::size_t>(*sockets);
--- a/src/sidecar/operator_file.h
+++ b/src/sidecar/operator_file.h
@@ -36,7 +36,8 @@
 // https://datatracker.ietf.org/doc/html/draft-eastlake-fnv).
 std::string HashOf(const std::string& bytes);
 
-// All settings in effect, including defaults, in the file's format; the inverse of LoadOperatorFile().
+// Returns all settings in effect, including defaults, in the file's format; the inverse of
+// LoadOperatorFile().
 std::string EffectiveSettings(const OperatorFile& file);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/peers_link.cpp
+++ b/src/sidecar/peers_link.cpp
@@ -5,11 +5,11 @@
 namespace mothrack::sidecar {
 namespace {
 
-// The section as text, to detect changes.
+// The section [peers] as text, to detect changes.
 std::string SectionOf(const OperatorFile& file) {
-  OperatorFile only;
-  only.peers = file.peers;
-  return EffectiveSettings(only);
+  OperatorFile peers_only;
+  peers_only.peers = file.peers;
+  return EffectiveSettings(peers_only);
 }
 
 }  // namespace
--- a/src/sidecar/peers_link.h
+++ b/src/sidecar/peers_link.h
@@ -20,7 +20,7 @@
 // Used on the thread of the event loop only.
 class PeersLink {
  public:
-  // The number of descriptors that are always open.
+  // The number of descriptors that gossip always keeps open.
   static std::size_t FixedDescriptors(const OperatorFile& file) {
     return file.peers ? gossip::GossipClient::kFixedDescriptors : 0;
   }
@@ -38,7 +38,7 @@
   nlohmann::json Report() const { return link_.Report(); }
 
  private:
-  const std::string settings_;  // the section at the start
+  const std::string settings_;  // the section [peers] at the start, as text
   gossip::GossipClient link_;
 };
 #else
--- a/src/sidecar/peers_section.cpp
+++ b/src/sidecar/peers_section.cpp
@@ -20,7 +20,7 @@
   std::optional<std::vector<std::string>> Texts(const char* key) override {
     std::vector<std::string> texts;
     const bool given = table_.ForEach(key, [&](const toml::node& node, const std::string& where) {
-      if (!node.is_string()) table_.Fail(node.source(), where, "is no text; put it in quotes");
+      if (!node.is_string()) table_.Fail(node.source(), where, "is not a string; put it in quotes");
       texts.push_back(*node.value<std::string>());
     });
     return given ? std::optional(std::move(texts)) : std::nullopt;
--- a/src/sidecar/program.cpp
+++ b/src/sidecar/program.cpp
@@ -74,7 +74,7 @@
   // The planned stop: ends the event loop once all accepted requests are answered. May be called again.
   void Drain() {
     if (!draining_since_) draining_since_ = admin::UnixMilliseconds();
-    const auto ended = [this] {
+    const auto on_part_drained = [this] {
       if (--parts_draining_ > 0) return;
       if (dns_) dns_->LogCounts(log_);
       io_.stop();
@@ -82,8 +82,8 @@
     if (parts_draining_ > 0) return;
     if (peers_) peers_->Leave();
     parts_draining_ = (sidecar_ ? 1 : 0) + (dns_ ? 1 : 0);
-    if (sidecar_) sidecar_->Drain(ended);
-    if (dns_) dns_->Drain(ended);
+    if (sidecar_) sidecar_->Drain(on_part_drained);
+    if (dns_) dns_->Drain(on_part_drained);
   }
 
   runtime::Logger& log() { return log_; }
@@ -106,7 +106,7 @@
   void StartOperatorApi() {
     admin::OperatorApiSource source;
     source.ready = [this] { return parts_draining_ == 0 && sidecar_->ready() && !sidecar_->quiescing(); };
-    source.stats = [this] { return admin::Figures(sidecar_->dispatcher()); };
+    source.stats = [this] { return admin::OperatorStats(sidecar_->dispatcher()); };
     source.ban = [this](const std::string& uid) { return hot_restart_.Ban(*sidecar_, uid, true); };
     source.unban = [this](const std::string& uid) { return hot_restart_.Ban(*sidecar_, uid, false); };
     source.drain = [this](bool on) { return Quiesce(on); };
@@ -192,8 +192,8 @@
   static std::string AddressText(const runtime::Endpoint& endpoint) {
     return endpoint.address().to_string() + ':' + std::to_string(endpoint.port());
   }
-  // Seed of the DNS pool, random so that sidecars do not act in step. The platform gives that of the HTTP
-  // pool.
+  // The seed of the DNS pool. It is random, so that sidecars do not act in step. The seed of the HTTP pool
+  // comes from the platform.
   static std::uint64_t RandomSeed() {
     std::random_device random;
     return std::uint64_t{random()} << 32 | random();
@@ -226,8 +226,8 @@
   std::signal(SIGPIPE, SIG_IGN);
   try {
     boost::asio::io_context io(1);
-    // Before the listening socket exists: a signal during the start must not kill the process while clients
-    // wait in the backlog. It is handled once the event loop runs.
+    // The signals are caught before the listening socket exists: a signal during the start must not kill the
+    // process while clients wait in the backlog. It is handled once the event loop runs.
     boost::asio::signal_set reload(io, SIGHUP);
     boost::asio::signal_set stop(io, SIGTERM, SIGINT);
     Program program(
--- a/src/sidecar/program.h
+++ b/src/sidecar/program.h
@@ -14,7 +14,7 @@
 };
 
 // Runs until a planned stop (SIGTERM, SIGINT) is complete. `variable`, with std::getenv's signature, gives
-// the platform's LB_*. Returns the exit code; a failure to start is one line on standard error.
+// the platform's LB_* variables. Returns the exit code; a failure to start is one line on standard error.
 int Run(const Options& options, const std::function<const char*(const char*)>& variable);
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/program_settings.cpp
+++ b/src/sidecar/program_settings.cpp
@@ -52,7 +52,7 @@
         std::string(shared) + "/mothrack-" + HashOf(variable("LB_LISTEN") + settings.name());
   }
   if (!platform && !settings.file->dns) {
-    throw ConfigError(*path + ": names nothing to start; add [dns], or set the LB_* variables");
+    throw ConfigError(*path + ": configures nothing to start; add [dns], or set the LB_* variables");
   }
   return settings;
 }
--- a/src/sidecar/settings_schema.cpp
+++ b/src/sidecar/settings_schema.cpp
@@ -23,10 +23,10 @@
   kOptional,
 };
 
-// No upper bound.
+// The upper bound of a field that has none.
 constexpr auto kUnbounded = std::numeric_limits<double>::max();
 constexpr double kMaxDurationUs = 86'400e6;  // a day; sums of such durations don't overflow
-constexpr double kMaxCount = 1e6;            // of sidecars, attempts and the like
+constexpr double kMaxCount = 1e6;            // upper bound of the number of sidecars, attempts and the like
 
 // One field of a JSON object and its valid values.
 struct FieldSchema {
@@ -109,7 +109,8 @@
   return it == object.end() || it->is_null();
 }
 
-std::string Bound(double number) {
+// The text of a bound; without decimals if it is 1 or more.
+std::string BoundText(double number) {
   return json(number < 1e15 && number >= 1 ? std::round(number) : number).dump();
 }
 
@@ -117,50 +118,54 @@
   if (schema.kind == kFlag) {
     if (!field.is_boolean()) RejectField(path, "is neither true nor false");
   } else if (schema.kind == kText) {
-    if (!field.is_string()) RejectField(path, "is no text");
+    if (!field.is_string()) RejectField(path, "is not a string");
     const std::string word = ' ' + field.get<std::string>() + ' ';
     if (!schema.words.empty() && (word.size() < 3 || word.find(' ', 1) + 1 != word.size() ||
                                   schema.words.find(word) == std::string_view::npos)) {
-      RejectField(path, "is none of:" + std::string(schema.words.substr(0, schema.words.size() - 1)));
+      RejectField(path, "is not one of:" + std::string(schema.words.substr(0, schema.words.size() - 1)));
     }
   } else {
     const bool integral = schema.kind == kInteger;
-    const std::string kind = integral ? "is no whole number" : "is no number";
+    const std::string kind = integral ? "is not an integer" : "is not a number";
     if (!field.is_number()) RejectField(path, kind);
     const double value = field.get<double>();
     // A magnitude above 9e18 does not fit a 64-bit integer, whatever the field's range.
     if (integral && (value != std::floor(value) || std::abs(value) > 9e18)) RejectField(path, kind);
-    if (pass == Pass::kRange && !(value >= schema.least && value <= schema.most)) {
-      RejectField(path, kind + " from " + Bound(schema.least) +
-                            (schema.most < kUnbounded ? " to " + Bound(schema.most) : std::string(" on")));
+    if (pass == Pass::kRanges && !(value >= schema.least && value <= schema.most)) {
+      RejectField(path, kind + (schema.most < kUnbounded
+                                    ? " from " + BoundText(schema.least) + " to " + BoundText(schema.most)
+                                    : " of at least " + BoundText(schema.least)));
     }
   }
 }
 
 template <std::size_t kCount>
-void CheckPart(const json& part, const FieldSchema (&fields)[kCount], const std::string& path, Pass pass) {
-  if (!part.is_object()) RejectField(path, "is no object");
-  const bool together = std::any_of(std::begin(fields), std::end(fields), [&part](const FieldSchema& schema) {
-    return schema.presence == kAllOrNone && !IsMissing(part, schema.name);
-  });
+void CheckObject(const json& object, const FieldSchema (&fields)[kCount], const std::string& path,
+                 Pass pass) {
+  if (!object.is_object()) RejectField(path, "is not an object");
+  const bool any_present =
+      std::any_of(std::begin(fields), std::end(fields), [&object](const FieldSchema& schema) {
+        return schema.presence == kAllOrNone && !IsMissing(object, schema.name);
+      });
   for (const FieldSchema& schema : fields) {
     const std::string name = path + '.' + schema.name;
-    if (!IsMissing(part, schema.name)) {
-      CheckField(part[schema.name], schema, name, pass);
-    } else if (schema.presence == kRequired || (schema.presence == kAllOrNone && together)) {
+    if (!IsMissing(object, schema.name)) {
+      CheckField(object[schema.name], schema, name, pass);
+    } else if (schema.presence == kRequired || (schema.presence == kAllOrNone && any_present)) {
       RejectField(name, "is missing");
     }
   }
 }
 
 template <std::size_t kCount>
-void CheckList(const json& list, const FieldSchema (&fields)[kCount], const std::string& path, Pass pass) {
-  if (!list.is_array()) RejectField(path, "is no list");
+void CheckArray(const json& array, const FieldSchema (&fields)[kCount], const std::string& path, Pass pass) {
+  if (!array.is_array()) RejectField(path, "is not an array");
   std::set<std::string> names;
-  for (std::size_t i = 0; i < list.size(); ++i) {
+  for (std::size_t i = 0; i < array.size(); ++i) {
     const std::string at = path + '[' + std::to_string(i) + ']';
-    CheckPart(list[i], fields, at, pass);
-    if (!names.insert(list[i]["Name"].get<std::string>()).second) RejectField(at + ".Name", "is there twice");
+    CheckObject(array[i], fields, at, pass);
+    if (!names.insert(array[i]["Name"].get<std::string>()).second)
+      RejectField(at + ".Name", "is already the name of another element");
   }
 }
 
@@ -168,26 +173,26 @@
 
 void CheckSettings(const json& settings, Pass pass) {
   const std::string top = "settings";
-  const auto part = [&settings](const char* name) {
+  const auto section = [&settings](const char* name) {
     return IsMissing(settings, name) ? json::object() : settings[name];
   };
-  if (!settings.is_object()) RejectField(top, "is no object");
+  if (!settings.is_object()) RejectField(top, "is not an object");
   if (IsMissing(settings, "Classes")) RejectField(top + ".Classes", "is missing");
   const json& classes = settings["Classes"];
-  CheckList(classes, kClassFields, top + ".Classes", pass);
-  if (classes.empty()) RejectField(top + ".Classes", "is an empty list");
+  CheckArray(classes, kClassFields, top + ".Classes", pass);
+  if (classes.empty()) RejectField(top + ".Classes", "is an empty array");
   for (std::size_t i = 0; i < classes.size(); ++i) {
     if (classes[i]["Effect"] != "idempotency_key") continue;
-    CheckPart(classes[i], kKeyedFields, top + ".Classes[" + std::to_string(i) + ']', pass);
+    CheckObject(classes[i], kKeyedFields, top + ".Classes[" + std::to_string(i) + ']', pass);
   }
-  if (!IsMissing(settings, "Tenants")) CheckList(settings["Tenants"], kTenantFields, top + ".Tenants", pass);
-  CheckPart(settings, kTopFields, top, pass);
-  CheckPart(part("Limits"), kLimitFields, top + ".Limits", pass);
-  CheckPart(part("Rules"), kRuleFields, top + ".Rules", pass);
+  if (!IsMissing(settings, "Tenants")) CheckArray(settings["Tenants"], kTenantFields, top + ".Tenants", pass);
+  CheckObject(settings, kTopFields, top, pass);
+  CheckObject(section("Limits"), kLimitFields, top + ".Limits", pass);
+  CheckObject(section("Rules"), kRuleFields, top + ".Rules", pass);
   if (settings["MembershipMode"] == "on_request")
-    CheckPart(part("Rules"), kOnRequestFields, top + ".Rules", pass);
-  CheckPart(part("Prices"), kPriceFields, top + ".Prices", pass);
-  if (!IsMissing(settings, "Report")) CheckPart(settings["Report"], kReportFields, top + ".Report", pass);
+    CheckObject(section("Rules"), kOnRequestFields, top + ".Rules", pass);
+  CheckObject(section("Prices"), kPriceFields, top + ".Prices", pass);
+  if (!IsMissing(settings, "Report")) CheckObject(settings["Report"], kReportFields, top + ".Report", pass);
 }
 
 }  // namespace mothrack::sidecar
--- a/src/sidecar/settings_schema.h
+++ b/src/sidecar/settings_schema.h
@@ -1,14 +1,14 @@
-// The schema of `settings` in the deployment's JSON file: types and ranges. The reader of the simulator's
-// wire fills in defaults for whatever is missing; in a deployment a missing or invalid value must not become
-// a silent default, so it is rejected by name.
+// The schema of `settings` in the deployment's JSON file: types and ranges. The parser of the
+// simulator's protocol fills in a default for each missing field. In a deployment a default could go
+// unnoticed, so a missing or invalid field is rejected with an error that names it.
 #pragma once
 
 #include <nlohmann/json.hpp>
 
 namespace mothrack::sidecar {
 
-// The passes over the settings: kForm checks the types of all fields, then kRange the ranges.
-enum class Pass { kForm, kRange };
+// The passes over the settings: kTypes checks the types of all fields, then kRanges checks their ranges.
+enum class Pass { kTypes, kRanges };
 
 // Throws ConfigError, which names the first invalid field.
 void CheckSettings(const nlohmann::json& settings, Pass pass);
--- a/src/sidecar/sidecar.cpp
+++ b/src/sidecar/sidecar.cpp
@@ -27,8 +27,8 @@
 // its predecessor, while the agent of this machine answers at once.
 constexpr runtime::Duration kListTimeout = std::chrono::milliseconds(500);
 
-// The share of the memory limit for streamed bodies is one part in this many. Bodies that are buffered
-// completely may use as much again, and so may the kernel's buffers.
+// The memory limit divided by this is the budget for streamed bodies. Bodies that are buffered completely
+// may use as much again, and so may the kernel's buffers.
 constexpr std::size_t kBodyMemoryDivisor = 4;
 
 runtime::ListenOn ListenOptionsOf(const Config& config, const Sidecar::Inheritance& inheritance) {
--- a/src/sidecar/sidecar.h
+++ b/src/sidecar/sidecar.h
@@ -53,11 +53,11 @@
   // The listening socket, which remains owned by this object.
   int listening() { return front_.native_handle(); }
 
-  // A successor accepts clients from the same socket: stops accepting.
+  // Stops accepting, because a successor now accepts clients from the same socket.
   void StopAccepting() { front_.PauseAccepting(); }
-  // The successor exited: accepts clients again.
+  // Accepts clients again, because the successor exited.
   void ResumeAccepting() { front_.ResumeAccepting(); }
-  // Whether another process of this sidecar uses half of the memory for bodies.
+  // `on`: another process of this sidecar uses half of the memory for bodies.
   void ShareMemory(bool on) { on ? budget_.Halve() : budget_.Restore(); }
   // State for a successor.
   std::vector<std::string> RecentIds() const { return dispatcher_.RecentKeys(); }
@@ -70,7 +70,7 @@
     dispatcher_.SetKeyObserver(std::move(on_id));
   }
 
-  // See Dispatcher.
+  // These call the functions of Dispatcher with the same names.
   bool Ban(const std::string& uid) { return dispatcher_.Ban(uid); }
   bool Unban(const std::string& uid) { return dispatcher_.Unban(uid); }
   void RestoreBans(const std::set<std::string>& bans) { dispatcher_.RestoreBans(bans); }
--- a/src/sidecar/toml_table.cpp
+++ b/src/sidecar/toml_table.cpp
@@ -11,7 +11,7 @@
 namespace mothrack::sidecar {
 namespace {
 
-// Edit distance up to which an unknown key is taken for a misspelling of a known one.
+// Edit distance up to which an unknown key counts as a misspelling of a known one.
 constexpr std::size_t kMaxMisspeltDistance = 2;
 // An hour in milliseconds: a longer timeout indicates a wrong unit.
 constexpr std::int64_t kMaxMilliseconds = 3'600'000;
@@ -55,7 +55,7 @@
 std::optional<std::string> TomlTable::Text(const char* key) {
   const toml::node* node = Find(key);
   if (node == nullptr) return std::nullopt;
-  if (!node->is_string()) Fail(key, "is no text; put it in quotes");
+  if (!node->is_string()) Fail(key, "is not a string; put it in quotes");
   return *node->value<std::string>();
 }
 
@@ -72,9 +72,8 @@
 std::optional<std::int64_t> TomlTable::Integer(const char* key, std::int64_t least, std::int64_t most) {
   const toml::node* node = Find(key);
   if (node == nullptr) return std::nullopt;
-  const std::string range =
-      "give a whole number from " + std::to_string(least) + " to " + std::to_string(most);
-  if (!node->is_integer()) Fail(key, "is no whole number; " + range);
+  const std::string range = "give an integer from " + std::to_string(least) + " to " + std::to_string(most);
+  if (!node->is_integer()) Fail(key, "is not an integer; " + range);
   const auto value = *node->value<std::int64_t>();
   if (value < least || value > most) Fail(key, std::to_string(value) + " is out of range; " + range);
   return value;
@@ -93,7 +92,7 @@
   if (node == nullptr) return;
   std::ostringstream range;
   range << "give a number from " << least << " to " << most;
-  if (!node->is_number()) Fail(key, "is no number; " + range.str());
+  if (!node->is_number()) Fail(key, "is not a number; " + range.str());
   const auto value = *node->value<double>();
   if (!(value >= least && value <= most)) Fail(key, "is out of range; " + range.str());
   target = value;
@@ -104,7 +103,7 @@
   const toml::node* node = Find(key);
   if (node == nullptr) return false;
   const toml::array* array = node->as_array();
-  if (array == nullptr) Fail(key, "is no list; put it in [ ]");
+  if (array == nullptr) Fail(key, "is not a list; put it in [ ]");
   for (std::size_t i = 0; i < array->size(); ++i) {
     read(*array->get(i), std::string(key) + '[' + std::to_string(i) + ']');
   }
@@ -115,7 +114,7 @@
   ForEach(key, [&](const toml::node& node, const std::string& where) {
     const toml::table* table = node.as_table();
     if (table == nullptr) {
-      Fail(node.source(), where, "is no table; begin it with [[" + FullPath(key) + "]]");
+      Fail(node.source(), where, "is not a table; begin it with [[" + FullPath(key) + "]]");
     }
     TomlTable inner(file_, FullPath(where), *table);
     read(inner);
@@ -127,7 +126,7 @@
   const toml::node* node = Find(key);
   if (node == nullptr) return std::nullopt;
   const toml::table* table = node->as_table();
-  if (table == nullptr) Fail(key, "is no table; begin it with [" + FullPath(key) + ']');
+  if (table == nullptr) Fail(key, "is not a table; begin it with [" + FullPath(key) + ']');
   return TomlTable(file_, FullPath(key), *table);
 }
 
@@ -143,7 +142,7 @@
   for (const auto& [key, node] : table_) {
     const std::string name(key.str());
     if (known_.contains(name)) continue;
-    std::string remedy = "take it out";
+    std::string remedy = "remove it";
     std::size_t nearest = kMaxMisspeltDistance + 1;
     for (const std::string& known : known_) {
       const std::size_t distance = EditDistance(name, known);
@@ -161,18 +160,19 @@
 
 runtime::Endpoint ReadEndpoint(const TomlTable& table, const toml::node& node, const std::string& key,
                                bool for_listening) {
-  if (!node.is_string()) table.Fail(node.source(), key, "is no text; write it as \"127.0.0.1:5300\"");
+  if (!node.is_string()) table.Fail(node.source(), key, "is not a string; write it as \"127.0.0.1:5300\"");
   const std::string text = *node.value<std::string>();
   const auto endpoint = runtime::ParseEndpoint(text);
   if (!endpoint) {
-    table.Fail(node.source(), key, Quoted(text) + " is no address and port; write it as \"127.0.0.1:5300\"");
+    table.Fail(node.source(), key,
+               Quoted(text) + " is not an address and port; write it as \"127.0.0.1:5300\"");
   }
   // Not a wildcard: answers to datagrams must come from the address that was queried.
   if (endpoint->address().is_unspecified()) {
-    table.Fail(node.source(), key, Quoted(text) + " names no one address; name each address on its own");
+    table.Fail(node.source(), key, Quoted(text) + " is not a single address; list each address");
   }
   if (!for_listening && endpoint->port() == 0) {
-    table.Fail(node.source(), key, Quoted(text) + " has no port; add the resolver's, often :53");
+    table.Fail(node.source(), key, Quoted(text) + " has no port; add the resolver's port, usually :53");
   }
   return *endpoint;
 }
--- a/src/sidecar/toml_table.h
+++ b/src/sidecar/toml_table.h
@@ -25,10 +25,11 @@
 // `file` and `table` must outlive it. All members that read throw ConfigError.
 class TomlTable {
  public:
-  // `path`: of the table within the file, for example "dns.resolver[0]"; empty for the root.
+  // `path`: the path of the table within the file, for example "dns.resolver[0]"; empty for the root.
   TomlTable(const std::string& file, std::string path, const toml::table& table);
 
-  // Throws ConfigError for a key, or an element of its list, at the position `at`.
+  // Throws ConfigError for a key, or for an element of its list, at the position `at`; `what` says what is
+  // wrong and how to fix it.
   [[noreturn]] void Fail(const toml::source_region& at, const std::string& key,
                          const std::string& what) const;
   // Likewise at the position of the key, or of the table if the key is missing.
--- a/tests/admin/admin_commands_test.cpp
+++ b/tests/admin/admin_commands_test.cpp
@@ -10,27 +10,27 @@
 namespace mothrack::testing {
 namespace {
 
-TEST(AdminApi, ReloadAppliesAGoodFileAndNamesTheFaultOfABadOne) {
+TEST(AdminApi, ReloadAppliesAValidFileAndNamesTheErrorOfAnInvalidOne) {
   const AdminDirectory directory;
   const std::string admin_section = AdminSectionAt(directory.address());
-  Node node(Dns(Resolvers(1) + admin_section));
+  Node node(DnsOptions(DnsSection(1) + admin_section));
   ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
   const AdminClient admin(directory.address());
   const auto before = admin.Get("/v1/status");
   ASSERT_TRUE(before);
 
-  node.WriteOperatorFile(Resolvers(1) + "sorckets = 1\n" + admin_section);
-  const auto refused = admin.Post("/v1/reload");
-  ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->status, 409);
-  EXPECT_NE(refused->body["error"].get<std::string>().find("sorckets"), std::string::npos) << refused->body;
+  node.WriteOperatorFile(DnsSection(1) + "sorckets = 1\n" + admin_section);
+  const auto rejected = admin.Post("/v1/reload");
+  ASSERT_TRUE(rejected);
+  EXPECT_EQ(rejected->status, 409);
+  EXPECT_NE(rejected->body["error"].get<std::string>().find("sorckets"), std::string::npos) << rejected->body;
   const auto unchanged = admin.Get("/v1/status");
   ASSERT_TRUE(unchanged);
   EXPECT_EQ(unchanged->body["configuration"]["generation"], 1);
   EXPECT_EQ(unchanged->body["configuration"]["hash"], before->body["configuration"]["hash"]);
-  EXPECT_EQ(unchanged->body["configuration"]["refused"]["error"], refused->body["error"]);
+  EXPECT_EQ(unchanged->body["configuration"]["refused"]["error"], rejected->body["error"]);
 
-  node.WriteOperatorFile(Resolvers(2) + admin_section);
+  node.WriteOperatorFile(DnsSection(2) + admin_section);
   const auto accepted = admin.Post("/v1/reload");
   ASSERT_TRUE(accepted);
   EXPECT_EQ(accepted->status, 200);
@@ -44,13 +44,13 @@
 
 TEST(AdminApi, DrainIsThePlannedStopAndIsReportedMeanwhile) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
+  Node node(DnsOptions(DnsSection(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
   const AdminClient admin(directory.address());
   const auto answer = admin.Post("/v1/drain");
   ASSERT_TRUE(answer);
   EXPECT_EQ(answer->status, 202);
-  // It accepts queries for some tenths of a second more, so the API still answers.
+  // The node accepts queries for some tenths of a second more, so the API still answers.
   const auto draining = admin.Get("/v1/status");
   ASSERT_TRUE(draining);
   EXPECT_EQ(draining->body["state"], "draining");
@@ -60,7 +60,7 @@
 
 TEST(AdminApi, UnknownCommandsAreRejectedAndLogged) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
+  Node node(DnsOptions(DnsSection(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   const auto status = [](const std::optional<AdminAnswer>& answer) { return answer ? answer->status : 0; };
--- a/tests/admin/admin_fixture.h
+++ b/tests/admin/admin_fixture.h
@@ -20,6 +20,7 @@
   AdminDirectory() : TemporaryDirectory("admin") {}
   std::string socket() const { return File("admin.sock"); }
   std::string address() const { return "unix:" + socket(); }
+  // Writes the token to a file with this mode and returns its path.
   std::string Token(const std::string& token, mode_t mode = 0600) const {
     std::ofstream(File("token")) << token << '\n';
     ::chmod(File("token").c_str(), mode);
@@ -27,12 +28,14 @@
   }
 };
 
-// An [admin] section that listens at the address `listen`. `more`: its further lines.
+// A section [admin] that listens at the address `listen`. `more`: its further lines.
 inline std::string AdminSectionAt(const std::string& listen, const std::string& more = "") {
   return "[admin]\nlisten = \"" + listen + "\"\n" + more;
 }
 
-inline std::string Resolvers(int count, const std::string& endpoint = "") {
+// A section [dns] with `count` resolvers, "r 0", "r 1" and so on, all at `endpoint` or each at a port of its
+// own.
+inline std::string DnsSection(int count, const std::string& endpoint = "") {
   std::string text = "[dns]\nlisten = [\"127.0.0.1:0\"]\n";
   for (int i = 0; i < count; ++i) {
     const std::string address = endpoint.empty() ? "127.0.0.1:" + std::to_string(1000 + i) : endpoint;
@@ -41,14 +44,16 @@
   return text;
 }
 
-inline Node::Options Http(const std::string& file, const json& known) {
+// The options of a node for HTTP with this operator file and known endpoint list.
+inline Node::Options HttpOptions(const std::string& file, const json& known) {
   Node::Options options;
   options.known = known;
   options.operator_file = file;
   return options;
 }
 
-inline Node::Options Dns(const std::string& file) {
+// The options of a node for DNS only, configured by this operator file.
+inline Node::Options DnsOptions(const std::string& file) {
   Node::Options options;
   options.platform = false;
   options.operator_file = file;
@@ -70,6 +75,7 @@
   return address;
 }
 
+// Waits until the log has this text; false after a timeout.
 inline bool Logs(Node& node, const std::string& text) {
   return Eventually([&] { return node.log().find(text) != std::string::npos; });
 }
--- a/tests/admin/admin_status_test.cpp
+++ b/tests/admin/admin_status_test.cpp
@@ -21,8 +21,8 @@
 TEST(AdminApi, ReportsTheProcessTheConfigurationAndTheUpstreams) {
   const AdminDirectory directory;
   Upstream upstream(Upstream::Echo("u"));
-  Node node(Http(AdminSectionAt(directory.address()),
-                 List({Target("u1", upstream.address()), Target("u2", "127.0.0.1:9", "leaving")})));
+  Node node(HttpOptions(AdminSectionAt(directory.address()),
+                        List({Target("u1", upstream.address()), Target("u2", "127.0.0.1:9", "leaving")})));
   ASSERT_TRUE(node.Listening());
   ASSERT_EQ(AdminAddressOf(node), directory.address());
   struct stat info {};
@@ -45,7 +45,7 @@
   EXPECT_GT(body["process"]["memory_bytes"], 1 << 20);
   EXPECT_GE(body["process"]["descriptors"], 8);
   EXPECT_LE(body["process"]["descriptors"], node.descriptors() + 1)
-      << "one more: the connection of this call";
+      << "open after the call, which had a connection of its own";
 
   ASSERT_EQ(body["pools"].size(), 1U);
   const json& pool = body["pools"][0];
@@ -63,12 +63,12 @@
   EXPECT_FALSE(pool["more"]);
 }
 
-TEST(AdminApi, IsOffUnlessTheFileAsks) {
-  Node node(Dns(Resolvers(1)));
+TEST(AdminApi, IsDisabledUnlessConfigured) {
+  Node node(DnsOptions(DnsSection(1)));
   ASSERT_TRUE(node.DnsListening());
   const int without = node.descriptors();
   const AdminDirectory directory;
-  Node with(Dns(Resolvers(1) + AdminSectionAt(directory.address())));
+  Node with(DnsOptions(DnsSection(1) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(with), directory.address());
   EXPECT_EQ(with.descriptors(), without + 1);
   EXPECT_EQ(node.log().find("admin"), std::string::npos);
@@ -81,7 +81,7 @@
     Eventually([&] { return answers.load(); });
     wire.Answer(200, "late");
   });
-  Node node(Http(AdminSectionAt(directory.address()), List({Target("u1", upstream.address())})));
+  Node node(HttpOptions(AdminSectionAt(directory.address()), List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   const AdminClient admin(directory.address());
   Client client(node.port());
@@ -92,8 +92,8 @@
            answer->body["pools"][0]["upstreams"][0]["in_flight"] == 1;
   }));
   {
-    Client leaving(node.port());
-    ASSERT_TRUE(leaving.Send(PostText("/submit/k", "a2", "x", 10000)));
+    Client disconnecting(node.port());
+    ASSERT_TRUE(disconnecting.Send(PostText("/submit/k", "a2", "x", 10000)));
     EXPECT_TRUE(Eventually([&] {
       const auto answer = admin.Get("/v1/status");
       return answer && answer->status == 200 && answer->body["pools"][0]["open"] == 2;
@@ -119,9 +119,9 @@
     turn.Answer(spec);
   });
   StandinResolver good(StandinResolver::Echo());
-  Node node(Dns("[dns]\nlisten = [\"127.0.0.1:0\"]\n[[dns.resolver]]\nuid = \"dead\"\nendpoint = \"" +
-                dead.address() + "\"\n[[dns.resolver]]\nuid = \"good\"\nendpoint = \"" + good.address() +
-                "\"\n" + AdminSectionAt(directory.address())));
+  Node node(DnsOptions("[dns]\nlisten = [\"127.0.0.1:0\"]\n[[dns.resolver]]\nuid = \"dead\"\nendpoint = \"" +
+                       dead.address() + "\"\n[[dns.resolver]]\nuid = \"good\"\nendpoint = \"" +
+                       good.address() + "\"\n" + AdminSectionAt(directory.address())));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
   const AdminClient admin(directory.address());
@@ -146,7 +146,7 @@
 
 TEST(AdminApi, PagesThroughManyUpstreams) {
   const AdminDirectory directory;
-  Node node(Dns(Resolvers(250) + AdminSectionAt(directory.address())));
+  Node node(DnsOptions(DnsSection(250) + AdminSectionAt(directory.address())));
   ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   std::set<std::string> seen;
--- a/tests/admin/recorded_answers_test.cpp
+++ b/tests/admin/recorded_answers_test.cpp
@@ -1,7 +1,8 @@
 // The answers of the admin API and the operators' API are those of version 0.2.0: the head byte for byte, the
-// body as JSON by key and value. Values that differ between runs are masked: values of the keys in kVarying
-// by their type, the scratch folder as FOLDER, the operator's file as FILE, ports of 127.0.0.1 as PORT, and
-// Content-Length, which depends on them.
+// body as JSON by key and value. Only the error text of an unknown key was reworded since, here and in its
+// fixture. Values that differ between runs are masked: values of the keys in kVarying by their type, the
+// temporary folder as FOLDER, the operator's file as FILE, ports of 127.0.0.1 as PORT, and Content-Length,
+// which depends on them.
 #include <gtest/gtest.h>
 
 #include <fstream>
@@ -16,7 +17,7 @@
 namespace mothrack::testing {
 namespace {
 
-// Keys of times, of the process's own figures, and of the hash of a file that contains the scratch folder.
+// The keys of times, of properties of the process, and of the hash of a file that names the temporary folder.
 const std::set<std::string> kVarying = {"descriptors", "hash",     "memory_bytes", "now_ms", "pid",
                                         "since_ms",    "taken_ms", "until_ms",     "at_ms"};
 
@@ -64,9 +65,9 @@
   return Eventually([&] { return node.log().find(text) != std::string::npos; });
 }
 
-// A node with one upstream that serves, one in the state "leaving", and DNS in addition to HTTP, after three
-// served requests and a failed one.
-TEST(RecordedAdmin, AnswersAreThoseOfTheFormerVersion) {
+// The node has one upstream that serves, one in the state "leaving", and DNS in addition to HTTP. Three
+// requests were served and one failed.
+TEST(RecordedAdmin, AnswersAreThoseOfVersion020) {
   RecordedSections recorded(MOTHRACK_FIXTURES "/admin_answers.txt");
   const FixtureDirectory folder;
   const std::string file = AdminSection(folder) +
@@ -108,7 +109,7 @@
   ask("status while draining", Request("GET /v1/status?after=~"));
 }
 
-TEST(RecordedAdmin, AnAnswerWithoutTheTokenIsThatOfTheFormerVersion) {
+TEST(RecordedAdmin, AnswersWithAndWithoutTheTokenAreThoseOfVersion020) {
   RecordedSections recorded(MOTHRACK_FIXTURES "/admin_token_answers.txt");
   const FixtureDirectory folder;
   const std::string token = "5f1c0a7e9b3d48265f1c0a7e9b3d4826";
@@ -132,7 +133,7 @@
   ask("the token", "Authorization: Bearer " + token + "\r\n");
 }
 
-TEST(RecordedOperatorApi, AnswersAreThoseOfTheFormerVersion) {
+TEST(RecordedOperatorApi, AnswersAreThoseOfVersion020) {
   RecordedSections recorded(MOTHRACK_FIXTURES "/operator_answers.txt");
   Upstream upstream([](Wire& wire, const testing::Request& request, int) {
     wire.Answer(request.method_string() == "GET" ? 200 : 500, "x");
--- a/tests/sidecar/sites_test.cpp
+++ b/tests/sidecar/sites_test.cpp
@@ -60,8 +60,8 @@
   return sidecar::LoadConfig(variable);
 }
 
-// The error for a damaged copy, checked to be one line that names the file; "taken" if no error was raised.
-std::string ErrorOf(const json& file) {
+// The error for a configuration, checked to be one line that names the file; "accepted" if there is none.
+std::string LoadError(const json& file) {
   try {
     Load(file);
   } catch (const sidecar::ConfigError& e) {
@@ -70,7 +70,7 @@
     EXPECT_EQ(what.find('\n'), std::string::npos) << what;
     return what;
   }
-  return "taken";
+  return "accepted";
 }
 
 // Whether the error names exactly `path`, not a longer path that starts with it.
@@ -78,6 +78,7 @@
   return (error + ' ').find(' ' + path + ' ') != std::string::npos;
 }
 
+// A JSON pointer as the path in an error: "/settings/Classes/1/Name" becomes "settings.Classes[1].Name".
 std::string Dotted(const std::string& pointer) {
   std::string path;
   for (const char c : pointer.substr(1)) path += c == '/' ? '.' : c;
@@ -97,7 +98,7 @@
 INSTANTIATE_TEST_SUITE_P(, Site, ::testing::Values("parcels", "clinic"),
                          [](const auto& info) { return std::string(info.param); });
 
-TEST(Sites, AreReadAsTheyStandAndDiffer) {
+TEST(Sites, AreReadAsWrittenAndDiffer) {
   const auto parcels = Load(ReadJson(PathOf("parcels", "config.json"))).settings;
   const auto clinic = Load(ReadJson(PathOf("clinic", "config.json"))).settings;
   EXPECT_TRUE(parcels.membership_on_request);
@@ -125,8 +126,8 @@
   EXPECT_EQ(Load(ReadJson(PathOf("parcels", "config.json"))).memory, std::size_t{48} << 20);
 }
 
-// Each deployment has two files: that of the benchmark and that of the sidecar.
-TEST_P(Site, ConfigurationIsTheSitesOwn) {
+// Each deployment has two files, that of the benchmark and that of the sidecar, which must agree.
+TEST_P(Site, ConfigurationAgreesWithTheBenchmarksFile) {
   const toml::table file = toml::parse_file(PathOf(site(), site() + ".toml"));
   const auto settings = Load(config()).settings;
   const auto time = [](const auto& node) { return milliseconds(node.value_or(std::int64_t{-1})); };
@@ -156,7 +157,7 @@
 
 // real.json defines the names used on the wire: the sidecar reads a list written with them and rejects a list
 // with a misspelt one, naming it.
-TEST_P(Site, NamesOnTheSocketsAreTheSidecars) {
+TEST_P(Site, SidecarReadsTheNamesUsedOnTheWire) {
   const json real = ReadJson(PathOf(site(), "real.json"));
   const auto list = [](const json& names) {
     const auto text = [&names](const char* pointer) { return names.at(Pointer(pointer)).get<std::string>(); };
@@ -182,47 +183,59 @@
   EXPECT_EQ(info.kind, "k");
   EXPECT_EQ(info.cell, 4);
   EXPECT_EQ(info.weight, 2.5);
-  // The missing or unknown name that the error states.
+  // The error states the name that is missing, or unknown.
   for (const char* pointer :
        {"/f/version", "/f/full", "/f/list", "/f/id", "/f/addr", "/f/state", "/states/ready"}) {
-    json spoilt = real;
-    spoilt[Pointer(pointer)] = "spoilt";
+    json misspelt = real;
+    misspelt[Pointer(pointer)] = "misspelt";
     const std::string name =
-        std::string(pointer).starts_with("/f/") ? real.at(Pointer(pointer)).get<std::string>() : "spoilt";
+        std::string(pointer).starts_with("/f/") ? real.at(Pointer(pointer)).get<std::string>() : "misspelt";
     try {
-      discovery::ParseList(list(spoilt));
-      ADD_FAILURE() << pointer << " was not missed";
+      discovery::ParseList(list(misspelt));
+      ADD_FAILURE() << pointer << ": the misspelt name was accepted";
     } catch (const std::exception& e) {
       EXPECT_NE(std::string(e.what()).find(name), std::string::npos) << pointer << ": " << e.what();
     }
   }
 }
 
-// Valid content of a field: anything else is damage.
-enum class Takes { kText, kEnum, kFlag, kTime, kLongTime, kCount, kPart, kPositive, kNumber, kList };
+// The valid values of a field.
+enum class ValidValues {
+  kText,
+  kEnum,
+  kFlag,
+  kTime,
+  kPositiveTime,
+  kCount,
+  kFraction,
+  kPositive,
+  kNumber,
+  kList
+};
 
-std::vector<json> Damages(Takes takes) {
+// Values that a field with these valid values must reject.
+std::vector<json> InvalidValues(ValidValues valid) {
   const double too_much = 1e18;
-  switch (takes) {
-    case Takes::kText:
+  switch (valid) {
+    case ValidValues::kText:
       return {7, true, json::array()};
-    case Takes::kEnum:
+    case ValidValues::kEnum:
       return {7, "", "sometimes", json::object()};
-    case Takes::kFlag:
+    case ValidValues::kFlag:
       return {0, "true", json::array()};
-    case Takes::kTime:
+    case ValidValues::kTime:
       return {"1 s", true, 2.5, -1, too_much, 1e300, json::object()};
-    case Takes::kLongTime:
+    case ValidValues::kPositiveTime:
       return {"1 s", true, 2.5, -1, 0, too_much, json::object()};
-    case Takes::kCount:
+    case ValidValues::kCount:
       return {"three", true, 2.5, -1, 4e6, json::array()};
-    case Takes::kPart:
+    case ValidValues::kFraction:
       return {"0.5", false, -0.5, 1.5};
-    case Takes::kPositive:
+    case ValidValues::kPositive:
       return {"0.5", false, 0, -0.5, too_much};
-    case Takes::kNumber:
+    case ValidValues::kNumber:
       return {"0.5", false, -0.5};
-    case Takes::kList:
+    case ValidValues::kList:
       return {7, "none", json::object(), json::array({7})};
   }
   return {};
@@ -230,61 +243,63 @@
 
 constexpr struct {
   const char* pointer;
-  Takes takes;
-  bool may_lack = false;
+  ValidValues valid;
+  bool optional = false;
 } kFields[] = {
-    {"/settings/Classes/1/Name", Takes::kText},
-    {"/settings/Classes/1/Effect", Takes::kEnum},
-    {"/settings/Classes/1/Aim", Takes::kLongTime},
-    {"/settings/Classes/2/HardLimit", Takes::kLongTime},
-    {"/settings/Classes/1/Worth", Takes::kNumber},
-    {"/settings/Classes/1/LateWorth", Takes::kPart},
-    {"/settings/Classes/1/Stream", Takes::kFlag},
-    {"/settings/Classes/1/Window", Takes::kTime, true},
-    {"/settings/Classes/2/Window", Takes::kLongTime},  // the keyed one, at both
-    {"/settings/Classes/2/KeyScope", Takes::kEnum},
-    {"/settings/MembershipMode", Takes::kEnum},
-    {"/settings/PeersTotal", Takes::kCount},
-    {"/settings/Me", Takes::kCount},
-    {"/settings/Zone", Takes::kText, true},
-    {"/settings/Weights", Takes::kText, true},
-    {"/settings/OverShareWorth", Takes::kNumber, true},
-    {"/settings/Limits/MaxAttempts", Takes::kCount},
-    {"/settings/Limits/SecondCopies", Takes::kFlag},
-    {"/settings/Limits/Cancelling", Takes::kFlag},
-    {"/settings/Limits/MayProbe", Takes::kFlag},
-    {"/settings/Limits/RetryAfter", Takes::kFlag},
-    {"/settings/Limits/MaxRetryAfter", Takes::kTime},
-    {"/settings/Limits/ConnectTimeout", Takes::kLongTime},
-    {"/settings/Limits/IdleClose", Takes::kLongTime},
-    {"/settings/Limits/Multiplex", Takes::kCount},
-    {"/settings/Rules/GraceToAnswer", Takes::kTime},
-    {"/settings/Rules/StopSendingWithin", Takes::kTime},
-    {"/settings/Rules/ColdFrom", Takes::kPart},
-    {"/settings/Rules/Cold", Takes::kLongTime},
-    {"/settings/Rules/FallMultiple", Takes::kPositive},
-    {"/settings/Rules/Fall", Takes::kLongTime},
-    {"/settings/Prices/CrossZone", Takes::kNumber},
-    {"/settings/Prices/Handshake", Takes::kNumber},
-    {"/settings/Prices/Probe", Takes::kNumber},
-    {"/settings/Prices/Waste", Takes::kNumber},
-    {"/settings/Prices/LateFail", Takes::kNumber},
-    {"/settings/Report/How", Takes::kText},
-    {"/limits/sockets", Takes::kCount},
-    {"/limits/memory_mb", Takes::kPositive, true},
+    {"/settings/Classes/1/Name", ValidValues::kText},
+    {"/settings/Classes/1/Effect", ValidValues::kEnum},
+    {"/settings/Classes/1/Aim", ValidValues::kPositiveTime},
+    {"/settings/Classes/2/HardLimit", ValidValues::kPositiveTime},
+    {"/settings/Classes/1/Worth", ValidValues::kNumber},
+    {"/settings/Classes/1/LateWorth", ValidValues::kFraction},
+    {"/settings/Classes/1/Stream", ValidValues::kFlag},
+    {"/settings/Classes/1/Window", ValidValues::kTime, true},
+    {"/settings/Classes/2/Window",
+     ValidValues::kPositiveTime},  // the class with idempotency keys at both sites
+    {"/settings/Classes/2/KeyScope", ValidValues::kEnum},
+    {"/settings/MembershipMode", ValidValues::kEnum},
+    {"/settings/PeersTotal", ValidValues::kCount},
+    {"/settings/Me", ValidValues::kCount},
+    {"/settings/Zone", ValidValues::kText, true},
+    {"/settings/Weights", ValidValues::kText, true},
+    {"/settings/OverShareWorth", ValidValues::kNumber, true},
+    {"/settings/Limits/MaxAttempts", ValidValues::kCount},
+    {"/settings/Limits/SecondCopies", ValidValues::kFlag},
+    {"/settings/Limits/Cancelling", ValidValues::kFlag},
+    {"/settings/Limits/MayProbe", ValidValues::kFlag},
+    {"/settings/Limits/RetryAfter", ValidValues::kFlag},
+    {"/settings/Limits/MaxRetryAfter", ValidValues::kTime},
+    {"/settings/Limits/ConnectTimeout", ValidValues::kPositiveTime},
+    {"/settings/Limits/IdleClose", ValidValues::kPositiveTime},
+    {"/settings/Limits/Multiplex", ValidValues::kCount},
+    {"/settings/Rules/GraceToAnswer", ValidValues::kTime},
+    {"/settings/Rules/StopSendingWithin", ValidValues::kTime},
+    {"/settings/Rules/ColdFrom", ValidValues::kFraction},
+    {"/settings/Rules/Cold", ValidValues::kPositiveTime},
+    {"/settings/Rules/FallMultiple", ValidValues::kPositive},
+    {"/settings/Rules/Fall", ValidValues::kPositiveTime},
+    {"/settings/Prices/CrossZone", ValidValues::kNumber},
+    {"/settings/Prices/Handshake", ValidValues::kNumber},
+    {"/settings/Prices/Probe", ValidValues::kNumber},
+    {"/settings/Prices/Waste", ValidValues::kNumber},
+    {"/settings/Prices/LateFail", ValidValues::kNumber},
+    {"/settings/Report/How", ValidValues::kText},
+    {"/limits/sockets", ValidValues::kCount},
+    {"/limits/memory_mb", ValidValues::kPositive, true},
 };
 
 TEST_P(Site, DamagedFieldIsNamed) {
   const json good = config();
-  ASSERT_EQ(ErrorOf(good), "taken");
-  const auto expect = [](const json& damaged, const std::string& pointer, const std::string& how) {
-    const std::string error = ErrorOf(damaged);
-    EXPECT_TRUE(Names(error, Dotted(pointer))) << pointer << ' ' << how << ": " << error;
+  ASSERT_EQ(LoadError(good), "accepted");
+  const auto expect = [](const json& damaged, const std::string& pointer, const std::string& damage) {
+    const std::string error = LoadError(damaged);
+    EXPECT_TRUE(Names(error, Dotted(pointer))) << pointer << ' ' << damage << ": " << error;
   };
   for (const auto& field : kFields) {
     ASSERT_TRUE(good.contains(Pointer(field.pointer))) << field.pointer;
-    for (const json& damage : Damages(field.takes)) {
-      if (std::string_view(field.pointer) == "/limits/memory_mb" && damage == 1e18) continue;  // all there is
+    for (const json& damage : InvalidValues(field.valid)) {
+      if (std::string_view(field.pointer) == "/limits/memory_mb" && damage == 1e18)
+        continue;  // valid: limited to the maximum
       json damaged = good;
       damaged[Pointer(field.pointer)] = damage;
       expect(damaged, field.pointer, damage.dump());
@@ -297,7 +312,7 @@
       } else {
         damaged[place.parent_pointer()].erase(place.back());
       }
-      if (!field.may_lack) expect(damaged, field.pointer, null ? "null" : "missing");
+      if (!field.optional) expect(damaged, field.pointer, null ? "null" : "missing");
     }
   }
   for (const char* part :
@@ -316,25 +331,25 @@
 }
 
 // Fields that only one of the deployments uses.
-TEST(Sites, FieldsOfOneSiteAreNamedToo) {
-  json asked = ReadJson(PathOf("parcels", "config.json"));
-  asked["settings"]["Rules"].erase("MustAskIn");
-  EXPECT_TRUE(Names(ErrorOf(asked), "settings.Rules.MustAskIn"));
+TEST(Sites, DamagedFieldsOfOneSiteAreNamed) {
+  json on_request = ReadJson(PathOf("parcels", "config.json"));
+  on_request["settings"]["Rules"].erase("MustAskIn");
+  EXPECT_TRUE(Names(LoadError(on_request), "settings.Rules.MustAskIn"));
   json pushed = ReadJson(PathOf("clinic", "config.json"));
   pushed["settings"]["Rules"].erase("MustAskIn");
-  EXPECT_EQ(ErrorOf(pushed), "taken");
+  EXPECT_EQ(LoadError(pushed), "accepted");
   for (const char* name : {"Name", "Share", "QuotaPerS"}) {
     json tenants = ReadJson(PathOf("clinic", "config.json"));
     tenants["settings"]["Tenants"][1].erase(name);
-    EXPECT_TRUE(Names(ErrorOf(tenants), std::string("settings.Tenants[1].") + name));
+    EXPECT_TRUE(Names(LoadError(tenants), std::string("settings.Tenants[1].") + name));
   }
   json tenants = ReadJson(PathOf("clinic", "config.json"));
   tenants["settings"]["Tenants"][1]["Share"] = -0.1;
-  EXPECT_TRUE(Names(ErrorOf(tenants), "settings.Tenants[1].Share"));
+  EXPECT_TRUE(Names(LoadError(tenants), "settings.Tenants[1].Share"));
 }
 
-// Deployments add fields, and an integer may be written as a decimal.
-TEST_P(Site, WhatIsUnknownOrWrittenOtherwiseIsAccepted) {
+// Deployments add fields, and an integer may be written with decimals, as 4.0.
+TEST_P(Site, UnknownFieldsAndIntegersWithDecimalsAreAccepted) {
   json file = config();
   file["settings"]["New"] = {{"Figure", 3}};
   file["settings"]["Limits"]["New"] = "word";
