--- a/tests/sidecar/client_limits_test.cpp
+++ b/tests/sidecar/client_limits_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: bounds on descriptors, and clients whose wake-ups are lost.
+// The real program between stand-ins: bounds on descriptors, and clients whose wake-ups are lost.
 
 #include <chrono>
 #include <memory>
@@ -17,7 +17,7 @@
 
 TEST(Descriptors, StayWithinTheLimitAndClientsAreServed) {
   Upstream upstream(Upstream::Echo("u"));
-  Node::Options options = With(List({Target("u1", upstream.address())}));
+  Node::Options options = OptionsWith(List({Target("u1", upstream.address())}));
   options.sockets = 64;
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -32,10 +32,10 @@
   }
 }
 
-// No connection may be evicted for a client that has already disconnected.
-TEST(Descriptors, LastOneThatFitsIsServedThoughItTakesAMoment) {
+// The last connection that fits the limit must not be evicted while no further client waits for its place.
+TEST(Descriptors, LastConnectionThatFitsIsNotEvictedWhileItsClientPauses) {
   Upstream upstream(Upstream::Echo("u"));
-  Node::Options options = With(List({Target("u1", upstream.address())}));
+  Node::Options options = OptionsWith(List({Target("u1", upstream.address())}));
   options.sockets = 64;
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -50,17 +50,17 @@
 }
 
 // Many clients connect and send nothing: other clients are still served.
-TEST(Descriptors, IdleClientsKeepNobodyOut) {
+TEST(Descriptors, IdleClientsDoNotBlockOthers) {
   Upstream upstream(Upstream::Echo("u"));
-  Node::Options options = With(List({Target("u1", upstream.address())}));
+  Node::Options options = OptionsWith(List({Target("u1", upstream.address())}));
   options.sockets = 64;
   Node node(options);
   ASSERT_TRUE(node.Listening());
   std::vector<std::unique_ptr<Client>> idle;
   for (int i = 0; i < 100; ++i) idle.push_back(std::make_unique<Client>(node.port()));
   for (int i = 0; i < 5; ++i) {
-    Client usual(node.port());
-    const auto response = usual.Get("/page/k", "v" + std::to_string(i));
+    Client active(node.port());
+    const auto response = active.Get("/page/k", "v" + std::to_string(i));
     ASSERT_TRUE(response) << i;
     EXPECT_EQ(response->result_int(), 200U);
   }
@@ -69,12 +69,12 @@
 
 TEST(Descriptors, RunningOutOfThemIsSurvived) {
   Upstream upstream(Upstream::Echo("u"));
-  Node::Options options = With(List({Target("u1", upstream.address())}));
+  Node::Options options = OptionsWith(List({Target("u1", upstream.address())}));
   {
-    Node usual(options);
-    ASSERT_TRUE(usual.Listening());
+    Node unlimited(options);
+    ASSERT_TRUE(unlimited.Listening());
     // The process limit is below the configured one.
-    options.socket_limit = usual.descriptors() + 6;
+    options.socket_limit = unlimited.descriptors() + 6;
   }
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -95,10 +95,10 @@
   return count;
 }
 
-// The deadline of a class is 5 s here: a client whose wake-up is lost is found well within it.
-TEST(WakeUps, ClientsAreServedWhereTheSystemNeverNotifiesOfThem) {
+// A client whose wake-up is lost is found by polling, well within the deadline of its class, 5 s here.
+TEST(WakeUps, ClientsAreServedThoughTheSystemNeverReportsThem) {
   Upstream upstream(Upstream::Echo("u"));
-  Node::Options options = With(List({Target("u1", upstream.address())}));
+  Node::Options options = OptionsWith(List({Target("u1", upstream.address())}));
   options.lost_wakeups = true;
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -112,9 +112,9 @@
   EXPECT_EQ(Count(node.log(), " warning accept_wakeup_missed listener=http\n"), 1U);
 }
 
-// The sidecar is otherwise idle, and no further client connects.
-TEST(WakeUps, LoneClientsOneAfterTheOther) {
-  Node node(With(List({})));
+// No wake-up is lost although the sidecar is otherwise idle and no further client connects.
+TEST(WakeUps, NoneIsMissedForSingleClientsInTurn) {
+  Node node(OptionsWith(List({})));
   ASSERT_TRUE(node.Listening());
   for (int i = 0; i < 10000; ++i) {
     Client client(node.port());
--- a/tests/sidecar/client_requests_test.cpp
+++ b/tests/sidecar/client_requests_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: requests that are rejected, clients that stall or disconnect.
+// The real program between stand-ins: requests that are rejected, clients that stall or disconnect.
 
 #include <atomic>
 #include <chrono>
@@ -17,14 +17,14 @@
 
 using std::chrono::milliseconds;
 
-TEST(Application, ThatDisconnectsEndsItsAttempt) {
+TEST(Application, DisconnectEndsItsAttempt) {
   std::promise<bool> ended;
   Gate requested;
   Upstream upstream([&](Wire& wire, const Request&, int) {
     requested.Open();
     ended.set_value(wire.ReadsEnd());
   });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   {
     Client client(node.port());
@@ -36,7 +36,7 @@
 
 TEST(Application, BadRequestsAreRejectedAndNotForwarded) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   const std::string id = "X-Request-ID: a1\r\n";
   const std::string time = "X-Timeout-Ms: 100\r\n";
@@ -81,8 +81,8 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-// Sends these bytes on a connection of its own. Returns the status of the answer, 0 if the connection is
-// closed without one; the connection must end after the answer.
+// Sends these bytes on a new connection. Returns the status of the answer; 0 if the connection is closed
+// without one. Fails the test if the connection does not end after the answer.
 unsigned StatusAndClose(Node& node, const std::string& bytes) {
   Client client(node.port());
   client.Send(bytes);
@@ -91,11 +91,11 @@
   return response ? response->result_int() : 0;
 }
 
-// Request smuggling, and retries against the class of a request: each of these is rejected, and nothing that
-// follows on its connection is read.
-TEST(Application, RequestsThatMustNotPassEndTheirConnection) {
+// Requests that smuggle another one, and requests whose method or idempotency key does not match their class.
+// Each is rejected, and nothing that follows on its connection is read.
+TEST(Application, RequestsThatMustNotBeForwardedEndTheirConnection) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   const std::string next = GetText("/page/hidden", "h1");
   const auto post = [&](const std::string& headers, const std::string& body,
@@ -162,9 +162,9 @@
   EXPECT_TRUE(upstream.requests().empty());
 }
 
-// The limit is 3 s from connecting, however the bytes trickle in.
+// A request must be complete 3 s after its client connected, even if bytes still arrive.
 TEST(Application, IdleAndStalledClientsAreDisconnected) {
-  Node node(With(json::array()));
+  Node node(OptionsWith(json::array()));
   ASSERT_TRUE(node.Listening());
   Client idle(node.port());
   Client half(node.port());
@@ -186,16 +186,16 @@
   feeding.join();
 }
 
-TEST(Application, DuplicateThatCrossesTheAnswerDoesNotRunAgain) {
+TEST(Application, DuplicateOfAnAnsweredRequestDoesNotRunAgain) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   ASSERT_TRUE(client.Post("/submit/k", "same", "x"));
   Client other(node.port());
-  const auto refused = other.Post("/submit/k", "same", "x");
-  ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->result_int(), 400U);
+  const auto rejected = other.Post("/submit/k", "same", "x");
+  ASSERT_TRUE(rejected);
+  EXPECT_EQ(rejected->result_int(), 400U);
   EXPECT_EQ(upstream.requests().size(), 1U);
 }
 
@@ -207,15 +207,15 @@
     gate.Pass();
     wire.Answer(200, "x");
   });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client first(node.port());
   ASSERT_TRUE(first.Send(PostText("/submit/k", "same", "x", 15000)));
   requested.Pass();
   Client second(node.port());
-  const auto refused = second.Post("/submit/k", "same", "x");
-  ASSERT_TRUE(refused);
-  EXPECT_EQ(refused->result_int(), 400U);
+  const auto rejected = second.Post("/submit/k", "same", "x");
+  ASSERT_TRUE(rejected);
+  EXPECT_EQ(rejected->result_int(), 400U);
   gate.Open();
   const auto response = first.Read();
   ASSERT_TRUE(response);
@@ -223,9 +223,9 @@
   EXPECT_EQ(upstream.requests().size(), 1U);
 }
 
-TEST(Application, RequestSentAheadIsServedInTurn) {
+TEST(Application, PipelinedRequestIsServedInTurn) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   ASSERT_TRUE(client.Send(GetText("/page/1", "a1") + GetText("/page/2", "a2")));
@@ -236,9 +236,9 @@
   }
 }
 
-TEST(Application, ThatExpects100ContinueGetsIt) {
+TEST(Application, Expect100ContinueIsAnswered) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   const std::string text = PostText("/submit/k", "a1", "x", 15000, "Expect: 100-continue\r\n");
--- a/tests/sidecar/forwarding_test.cpp
+++ b/tests/sidecar/forwarding_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: requests and answers pass unchanged, connections to upstreams are
+// The real program between stand-ins: requests and answers pass unchanged, connections to upstreams are
 // reused.
 
 #include <future>
@@ -15,7 +15,7 @@
   std::string body;
   for (int i = 0; i < 65536; ++i) body.push_back(static_cast<char>(i * 7));
   Upstream upstream([&](Wire& wire, const Request&, int) { wire.Answer(200, body); });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   const auto response = client.Post("/keyed/a%20b?x=1&y=/", "9b1f03aa5c7e2d41", body, 5000,
@@ -39,7 +39,7 @@
 
 TEST(Node, ReusesOneConnectionForRequestsInTurn) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   for (int i = 0; i < 5; ++i) {
@@ -50,13 +50,13 @@
   EXPECT_EQ(upstream.connections(), 1);
 }
 
-TEST(Node, TakesChunkedAnswersAndRequestsInPieces) {
+TEST(Node, ForwardsChunkedAnswersAndRequestsInPieces) {
   Upstream upstream([](Wire& wire, const Request& request, int) {
     wire.Write("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
     for (const char c : request.body()) wire.Write(std::string("1\r\n") + c + "\r\n");
     wire.Write("0\r\n\r\n");
   });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   const std::string text = PostText("/submit/k", "p1", "hello");
@@ -74,7 +74,7 @@
     wire.socket.close();
     closed.Open();
   });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   ASSERT_TRUE(client.Post("/submit/k", "a1", "x"));
@@ -95,7 +95,7 @@
   });
   json settings = Settings();
   settings["Limits"]["IdleClose"] = 1500000;
-  Node node(With(List({Target("u1", peer.address())}), settings));
+  Node node(OptionsWith(List({Target("u1", peer.address())}), settings));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   ASSERT_TRUE(client.Get("/page/k", "a1"));
@@ -108,7 +108,7 @@
     if (number == 0) late.Pass();
     wire.Answer(200, std::string(request["X-Request-ID"]));
   });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   const auto first = client.Post("/submit/k", "slow", "x", 300);
@@ -123,7 +123,7 @@
 
 TEST(Pool, ConnectionThatTheAnswerClosesIsNotReused) {
   Upstream upstream([](Wire& wire, const Request&, int) { wire.Answer(200, "x", "Connection: close\r\n"); });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   for (const char* id : {"a1", "a2"}) {
--- a/tests/sidecar/membership_test.cpp
+++ b/tests/sidecar/membership_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: it follows discovery and survives its faults.
+// The real program between stand-ins: it follows discovery and survives its faults.
 
 #include <atomic>
 #include <chrono>
@@ -15,7 +15,7 @@
 
 TEST(Membership, StartsFromKnownWhileDiscoveryIsDown) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   const auto response = client.Get("/page/k", "a1");
@@ -28,14 +28,14 @@
   Upstream b(Upstream::Echo("b"));
   Upstream c(Upstream::Echo("c"));
   Discovery discovery(List({Target("u1", a.address())}));
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.discovery = discovery.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
   discovery.Publish(List({Target("u2", b.address())}), true);  // u1 is missing: it is removed
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
-  discovery.Publish(List({Target("u2", c.address())}), false);  // moved
+  discovery.Publish(List({Target("u2", c.address())}), false);  // u2 moved to another address
   EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
   const std::size_t before = a.requests().size() + b.requests().size();
   for (int i = 0; i < 10; ++i) EXPECT_TRUE(BecomesServedBy(node, "c /page/k"));
@@ -44,25 +44,25 @@
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
 }
 
-TEST(Membership, NothingNewGoesToADrainingUpstream) {
-  Gate asked;
+TEST(Membership, DrainingUpstreamGetsNoNewRequests) {
+  Gate requested;
   Gate gate;
   Upstream leaving([&](Wire& wire, const Request& request, int) {
     if (request.target() == "/submit/held") {
-      asked.Open();
+      requested.Open();
       gate.Pass();
     }
     wire.Answer(200, "old");
   });
   Upstream staying(Upstream::Echo("new"));
   Discovery discovery(List({Target("u1", leaving.address())}));
-  Node::Options options = With(List({Target("u1", leaving.address())}));
+  Node::Options options = OptionsWith(List({Target("u1", leaving.address())}));
   options.discovery = discovery.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
   Client in_flight(node.port());
   ASSERT_TRUE(in_flight.Send(PostText("/submit/held", "h1", "x", 15000)));
-  asked.Pass();
+  requested.Pass();
   discovery.Publish(List({Target("u1", leaving.address(), "leaving"), Target("u2", staying.address())}),
                     false);
   ASSERT_TRUE(BecomesServedBy(node, "new /page/k"));
@@ -81,7 +81,7 @@
   Discovery discovery(List({Target("u1", hole.address())}));
   json settings = Settings();
   settings["Limits"]["ConnectTimeout"] = 60000000;
-  Node::Options options = With(List({Target("u1", hole.address())}), settings);
+  Node::Options options = OptionsWith(List({Target("u1", hole.address())}), settings);
   options.discovery = discovery.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -101,7 +101,7 @@
   for (const auto behavior : {Discovery::Behavior::kClosesConnection, Discovery::Behavior::kMalformed,
                               Discovery::Behavior::kUnresponsive}) {
     Discovery discovery(List({Target("u1", a.address())}));
-    Node::Options options = With(nullptr);
+    Node::Options options = OptionsWith(nullptr);
     options.discovery = discovery.address();
     Node node(options);
     ASSERT_TRUE(node.Listening());
@@ -109,14 +109,14 @@
     const int calls = discovery.calls();
     discovery.SetBehavior(behavior);
     ASSERT_TRUE(Eventually([&] { return discovery.calls() > calls + 1; }));
-    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));  // the old list holds
+    EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));  // the old list stays in effect
     discovery.Publish(List({Target("u2", b.address())}));
     discovery.SetBehavior(Discovery::Behavior::kAnswers);
     EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   }
 }
 
-TEST(Membership, AgentThatAnswersAtOnceIsNotPolledInASpin) {
+TEST(Membership, AgentThatAnswersAtOnceIsNotPolledInABusyLoop) {
   Upstream a(Upstream::Echo("a"));
   std::atomic<int> calls{0};
   const std::string body =
@@ -125,7 +125,7 @@
     ++calls;
     wire.Answer(200, body);
   });
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.discovery = agent.address();
   const auto start = std::chrono::steady_clock::now();
   Node node(options);
@@ -134,7 +134,7 @@
   EXPECT_GT(std::chrono::steady_clock::now() - start, milliseconds(200));
 }
 
-TEST(Membership, WatchGoesOnFromTheLastVersion) {
+TEST(Membership, WatchContinuesFromTheLastRevision) {
   Upstream a(Upstream::Echo("a"));
   std::atomic<bool> watched{false};
   const std::string body =
@@ -143,7 +143,7 @@
     if (std::string(request.target()).find("index=41&") != std::string::npos) watched = true;
     wire.Answer(200, body);
   });
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.discovery = agent.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -151,8 +151,9 @@
   EXPECT_EQ(agent.requests().front().target(), "/discovery/hosts");
 }
 
-// A discovery service shared by all sidecars: a restarted sidecar holds a list, and a failed call keeps it.
-TEST(Membership, SharedServiceIsPolledForChangesAlsoAfterAFailure) {
+// All sidecars share one discovery service. A restarted sidecar polls it for the changes since its known
+// list, not for the complete list, and a failed call does not discard that list.
+TEST(Membership, SharedServiceIsPolledForChangesEvenAfterAFailure) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   const std::string changes =
@@ -170,16 +171,16 @@
   json settings = Settings();
   settings["MembershipMode"] = "on_request";
   settings["Rules"]["MustAskIn"] = 1000000;
-  Node::Options options = With(List({Target("u1", a.address())}), settings);
+  Node::Options options = OptionsWith(List({Target("u1", a.address())}), settings);
   options.discovery = service.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   ASSERT_TRUE(Eventually([&] { return service.requests().size() >= 4; }));
-  const auto asked = service.requests();
+  const auto polls = service.requests();
   for (int i = 0; i < 3; ++i)
-    EXPECT_NE(std::string(asked[i].target()).find("?index=0&"), std::string::npos) << i;
-  EXPECT_NE(std::string(asked[3].target()).find("?index=5&"), std::string::npos);
+    EXPECT_NE(std::string(polls[i].target()).find("?index=0&"), std::string::npos) << i;
+  EXPECT_NE(std::string(polls[3].target()).find("?index=5&"), std::string::npos);
 }
 
 }  // namespace
--- a/tests/sidecar/node_cases.h
+++ b/tests/sidecar/node_cases.h
@@ -1,4 +1,4 @@
-// Shared by tests of the real program: nodes between scripted upstreams, and common checks.
+// Shared by the tests that run the real program (a Node) between stand-ins: options and common checks.
 #pragma once
 
 #include <cstddef>
@@ -9,7 +9,7 @@
 
 namespace mothrack::testing {
 
-// Blocks a script until the test opens it.
+// Blocks the handler of a stand-in until the test opens it.
 class Gate {
  public:
   void Open() { promise_.set_value(); }
@@ -20,25 +20,25 @@
   std::shared_future<void> opened_ = promise_.get_future().share();
 };
 
-// A node with `known` as its initial list of upstreams.
-inline Node::Options With(const json& known, json settings = Settings()) {
+// The options of a node whose initial endpoint list is `known`.
+inline Node::Options OptionsWith(const json& known, json settings = Settings()) {
   Node::Options options;
   options.known = known;
   options.settings = std::move(settings);
   return options;
 }
 
-// The status of an unsafe request if the only upstream behaves like this: 503 means that nothing ran, 502 and
-// 504 that it may have run.
+// Returns the status that a client gets for an unsafe request if the only upstream is the one at `address`:
+// 503 means that nothing ran, 502 and 504 that the request may have run, and 0 that there was no answer.
 inline unsigned UnsafeStatus(const std::string& address, int timeout_ms, std::size_t body = 10) {
-  Node node(With(List({Target("u1", address)})));
+  Node node(OptionsWith(List({Target("u1", address)})));
   if (!node.Listening()) return 0;
   Client client(node.port());
   const auto response = client.Post("/submit/k", "a1", std::string(body, 'x'), timeout_ms);
   return response ? response->result_int() : 0;
 }
 
-// How many bytes of a message a connection accepts if its peer has a small buffer and never reads.
+// Returns how many bytes of a message a connection accepts if its peer has a small buffer and never reads.
 inline std::size_t BytesAcceptedUnread() {
   boost::asio::io_context io;
   tcp::acceptor acceptor(io, tcp::v4());
@@ -55,7 +55,8 @@
   return written;
 }
 
-// Sends requests until one is answered with this body.
+// Sends requests until one is answered with this body; false if that does not happen before Eventually()
+// times out.
 inline bool BecomesServedBy(Node& node, const std::string& body) {
   static int number = 0;
   return Eventually([&] {
--- a/tests/sidecar/outcome_test.cpp
+++ b/tests/sidecar/outcome_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: the answer of a client for each outcome of an attempt, and for
+// The real program between stand-ins: the answer of a client for each outcome of an attempt, and for
 // invalid answers.
 
 #include <string>
@@ -46,7 +46,8 @@
 }
 
 TEST(Outcome, BreakBeforeTheLastByteProvesThatNothingRan) {
-  if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system takes a whole message that nobody reads";
+  if (BytesAcceptedUnread() >= 65536)
+    GTEST_SKIP() << "this system buffers a complete message that its peer does not read";
   Peer peer(
       [](Wire& wire, int) {
         char byte = 0;
@@ -78,7 +79,7 @@
   EXPECT_EQ(UnsafeStatus(upstream.address(), 5000), 502U);
 }
 
-TEST(Outcome, AnswerBeyondTheBoundIsNoAnswer) {
+TEST(Outcome, AnswerBeyondTheSizeLimitIsNoAnswer) {
   Upstream upstream([](Wire& wire, const Request&, int) {
     wire.Write("HTTP/1.1 200 OK\r\nContent-Length: 70000000\r\n\r\nhalf");
   });
@@ -96,7 +97,7 @@
 TEST(Outcome, SafeRequestIsRetriedElsewhereOnlyAsTheModuleSays) {
   Upstream good(Upstream::Echo("good"));
   Upstream bad([](Wire& wire, const Request&, int) { wire.Answer(500, "x"); });
-  Node node(With(List({Target("u1", good.address()), Target("u2", bad.address())})));
+  Node node(OptionsWith(List({Target("u1", good.address()), Target("u2", bad.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   for (int i = 0; i < 8; ++i) {
@@ -110,7 +111,7 @@
 
 TEST(Outcome, RejectionHasRetryAfter) {
   Refusing refusing;
-  Node node(With(List({Target("u1", refusing.address())})));
+  Node node(OptionsWith(List({Target("u1", refusing.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   const auto response = client.Get("/page/k", "a1");
@@ -129,7 +130,7 @@
   return status;
 }
 
-TEST(Spoilt, AnswerWithoutARecognizableEndHasFailed) {
+TEST(InvalidAnswer, BodyWithoutARecognizableEndHasFailed) {
   for (const char* head :
        {"", "Transfer-Encoding: gzip\r\n", "Transfer-Encoding: chunked, gzip\r\n", "Content-Length: -5\r\n",
         "Content-Length: 3000000000\r\n", "Content-Length: 4\r\nTransfer-Encoding: gzip\r\n",
@@ -138,24 +139,25 @@
   }
 }
 
-TEST(Spoilt, AnswerThatEndsOnlyWithItsConnectionHasFailed) {
+TEST(InvalidAnswer, AnswerThatEndsOnlyWithItsConnectionHasFailed) {
   Upstream upstream([](Wire& wire, const Request&, int) {
-    wire.Write("HTTP/1.1 200 OK\r\n\r\nperhaps not all of it");
+    wire.Write("HTTP/1.1 200 OK\r\n\r\nperhaps incomplete");
     wire.socket.close();
   });
   EXPECT_EQ(UnsafeStatus(upstream.address(), 5000), 502U);
 }
 
-TEST(Spoilt, InterimAnswersWithoutEndHaveFailed) {
+TEST(InvalidAnswer, InterimAnswersWithoutEndHaveFailed) {
   std::string many;
   for (int i = 0; i < 100; ++i) many += "HTTP/1.1 103 Early Hints\r\n\r\n";
   EXPECT_EQ(StatusForBytes(many), 502U);
   EXPECT_EQ(StatusForBytes("HTTP/1.1 101 Switching Protocols\r\n\r\n"), 502U);
 }
 
-// An answer before the request was written cannot be an answer to it.
-TEST(Spoilt, AnswerBeforeTheLastByteWasWrittenIsNone) {
-  if (BytesAcceptedUnread() >= 65536) GTEST_SKIP() << "this system takes a whole message that nobody reads";
+// An answer that arrives before the request was written cannot be the answer to it.
+TEST(InvalidAnswer, AnswerBeforeTheLastByteWasWrittenIsNoAnswer) {
+  if (BytesAcceptedUnread() >= 65536)
+    GTEST_SKIP() << "this system buffers a complete message that its peer does not read";
   Gate end;
   Peer peer(
       [&](Wire& wire, int) {
@@ -168,7 +170,7 @@
 }
 
 // Bytes received on an idle connection must never be read as the next answer, or as a part of it.
-TEST(Spoilt, BytesBehindAnAnswerReachNoOtherRequest) {
+TEST(InvalidAnswer, BytesBehindAnAnswerReachNoOtherRequest) {
   const std::string complete = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray";
   for (const std::string& stray : {complete, complete.substr(0, 20), std::string("noise")}) {
     for (const bool later : {false, true}) {
@@ -186,7 +188,7 @@
         }
         strayed.Open();
       });
-      Node node(With(List({Target("u1", upstream.address())})));
+      Node node(OptionsWith(List({Target("u1", upstream.address())})));
       ASSERT_TRUE(node.Listening());
       Client client(node.port());
       const auto first = client.Post("/submit/k", "one", "x");
@@ -202,7 +204,7 @@
   }
 }
 
-TEST(Spoilt, LoadReportThatCannotBeReadLeavesTheAnswerGood) {
+TEST(InvalidAnswer, LoadReportThatCannotBeReadLeavesTheAnswerGood) {
   for (const char* report :
        {"inflight=nan", "inflight=inf,queue=2", "util=-1", "queue=1e300", "inflight=", "=,=,"}) {
     Upstream upstream([&](Wire& wire, const Request&, int) {
--- a/tests/sidecar/reload_test.cpp
+++ b/tests/sidecar/reload_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: SIGHUP reloads the configuration.
+// The real program between stand-ins: SIGHUP reloads the configuration.
 
 #include <csignal>
 #include <string>
@@ -17,8 +17,8 @@
   return config.dump();
 }
 
-// SIGHUP must not end the process, and neither version nor back-off of the old address may apply to the new
-// one.
+// SIGHUP must not end the process, and neither the revision nor the backoff of the old address may apply to
+// the new one.
 TEST(Reload, FollowsTheNewDiscoveryEachTime) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
@@ -26,30 +26,30 @@
   for (int i = 0; i < 5; ++i)
     first.Publish(List({Target("u1", a.address())}));  // a higher version than the next
   Discovery second(List({Target("u2", b.address())}));
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.discovery = first.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
   ASSERT_TRUE(BecomesServedBy(node, "a /page/k"));
-  node.Reload(ConfigWithDiscovery(node, second.address()));  // with a watch open
+  node.Reload(ConfigWithDiscovery(node, second.address()));  // while a watch is open
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
   first.SetBehavior(Discovery::Behavior::kClosesConnection);
   node.Reload(ConfigWithDiscovery(node, first.address()));
   ASSERT_TRUE(Eventually([&] { return node.log().find("discovery: ") != std::string::npos; }));
-  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list holds
+  EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));  // the old list stays in effect
   for (int i = 0; i < 3; ++i) node.Reload(ConfigWithDiscovery(node, second.address()));
   second.Publish(List({Target("u1", a.address())}));
   EXPECT_TRUE(BecomesServedBy(node, "a /page/k"));
   node.Signal(SIGTERM);
-  node.Reload(ConfigWithDiscovery(node, first.address()));  // in a drain
+  node.Reload(ConfigWithDiscovery(node, first.address()));  // while it drains
   EXPECT_EQ(node.Wait(), 0);
 }
 
-TEST(Reload, FaultIsLoggedAndTheOldConfigurationStays) {
+TEST(Reload, ErrorIsLoggedAndTheOldConfigurationStaysInEffect) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   Discovery discovery(List({Target("u1", a.address())}));
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.discovery = discovery.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -57,26 +57,27 @@
   json known = node.config();
   known["known"] = {{"no", "list"}};
   for (const auto& text : {std::string("{"), ConfigWithDiscovery(node, "nowhere"), known.dump()}) {
-    const auto faults = [&node] {
+    const auto errors = [&node] {
       const std::string log = node.log();
-      const std::string fault = " error configuration_not_taken cause=";
+      const std::string event = " error configuration_not_taken cause=";
       int count = 0;
-      for (auto at = log.find(fault); at != std::string::npos; at = log.find(fault, at + 1)) ++count;
+      for (auto at = log.find(event); at != std::string::npos; at = log.find(event, at + 1)) ++count;
       return count;
     };
-    const int before = faults();
+    const int before = errors();
     node.Reload(text);
-    EXPECT_TRUE(Eventually([&] { return faults() > before; })) << text;
+    EXPECT_TRUE(Eventually([&] { return errors() > before; })) << text;
   }
   discovery.Publish(List({Target("u2", b.address())}));
   EXPECT_TRUE(BecomesServedBy(node, "b /page/k"));
 }
 
-// The file of a running process can be replaced, its environment cannot: that applies after a restart.
-TEST(Reload, FileCountsBeforeTheEnvironment) {
+// `discovery` in the file takes precedence over LB_DISCOVERY: the file of a running process can be replaced,
+// its environment cannot. The same holds at the start.
+TEST(Reload, FileTakesPrecedenceOverTheEnvironment) {
   Upstream a(Upstream::Echo("a"));
   Discovery discovery(List({Target("u1", a.address())}));
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.discovery = "127.0.0.1:1";
   json config = Node(options).config();
   config["discovery"] = discovery.address();
--- a/tests/sidecar/service_test.cpp
+++ b/tests/sidecar/service_test.cpp
@@ -20,14 +20,15 @@
 
 using std::chrono::milliseconds;
 
-Node::Options Served(const json& known) {
+Node::Options OptionsWithOps(const json& known) {
   Node::Options options;
   options.known = known;
   options.ops = "127.0.0.1:0";
   return options;
 }
 
-std::string Named(const std::string& uid) { return json{{"name", uid}}.dump(); }
+// The body of a call that names an upstream.
+std::string UpstreamBody(const std::string& uid) { return json{{"name", uid}}.dump(); }
 
 int StatusOf(const std::optional<AdminAnswer>& answer) { return answer ? answer->status : 0; }
 
@@ -40,7 +41,8 @@
 
 TEST(OperatorApi, ReportsReadinessAndCounters) {
   Upstream upstream(Upstream::Echo("u"));
-  Node node(Served(List({Target("u1", upstream.address()), Target("u2", upstream.address(), "leaving")})));
+  Node node(
+      OptionsWithOps(List({Target("u1", upstream.address()), Target("u2", upstream.address(), "leaving")})));
   ASSERT_TRUE(node.OpsListening());
   ASSERT_TRUE(node.Listening());
   const AdminClient ops(node.ops());
@@ -65,7 +67,7 @@
     if (request.target() == "/submit/bad") return (void)wire.Answer(500, "x");
     wire.Answer(200, "fine");
   });
-  Node node(Served(List({Target("u1", upstream.address())})));
+  Node node(OptionsWithOps(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.OpsListening());
   ASSERT_TRUE(node.Listening());
   const AdminClient ops(node.ops());
@@ -89,8 +91,8 @@
   EXPECT_EQ(Stats(ops)["current"], 0);
 }
 
-TEST(OperatorApi, CallersThatHoldTheirConnectionsKeepNobodyWaiting) {
-  Node node(Served(List({})));
+TEST(OperatorApi, CallersThatHoldTheirConnectionsDoNotBlockOthers) {
+  Node node(OptionsWithOps(List({})));
   ASSERT_TRUE(node.OpsListening());
   const AdminClient ops(node.ops());
   std::vector<int> half_sent;
@@ -106,7 +108,7 @@
 }
 
 TEST(OperatorApi, UnknownCallsAreRejected) {
-  Node node(Served(List({})));
+  Node node(OptionsWithOps(List({})));
   ASSERT_TRUE(node.OpsListening());
   const AdminClient ops(node.ops());
   EXPECT_EQ(StatusOf(ops.Get("/ops/upstreams/down")), 405);
@@ -119,7 +121,7 @@
 
 // ---- Bans ----
 
-// Sends this many requests in sequence and returns which upstreams answered.
+// Sends this many requests in sequence and returns the names of the upstreams that answered.
 std::set<std::string> AnswerersOf(Node& node, int requests, const std::string& prefix) {
   Client client(node.port());
   std::set<std::string> names;
@@ -127,17 +129,17 @@
     const auto response = client.Get("/page/x", prefix + std::to_string(i));
     if (!response) return {"no answer"};
     names.insert(response->result_int() == 200 ? response->body().substr(0, response->body().find(' '))
-                                               : "refused");
+                                               : "rejected");
   }
   return names;
 }
 
-TEST(Ban, HoldsWhateverTheListSaysUntilItIsLifted) {
+TEST(Ban, HoldsForAnyEndpointListUntilItIsLifted) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   const json both = List({Target("ua", a.address()), Target("ub", b.address())});
   Discovery discovery(both);
-  Node::Options options = Served(both);
+  Node::Options options = OptionsWithOps(both);
   options.discovery = discovery.address();
   Node node(options);
   ASSERT_TRUE(node.OpsListening());
@@ -145,8 +147,8 @@
   const AdminClient ops(node.ops());
   using Names = std::set<std::string>;
   EXPECT_EQ(AnswerersOf(node, 8, "p"), (Names{"a", "b"}));
-  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", Named("ua"))), 200);
-  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", Named("ua"))), 200);
+  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", UpstreamBody("ua"))), 200);
+  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", UpstreamBody("ua"))), 200);
   EXPECT_EQ(AnswerersOf(node, 8, "q"), Names{"b"});
   EXPECT_EQ(Stats(ops)["cluster_unhealthy"], 1);
   EXPECT_EQ(Stats(ops)["cluster_size"], 2);
@@ -154,12 +156,12 @@
   Upstream again(Upstream::Echo("again"));
   discovery.Publish(List({Target("ub", b.address())}));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 1; }));
-  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", Named("ua"))), 200);
+  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", UpstreamBody("ua"))), 200);
   discovery.Publish(
       List({Target("ua", again.address(), "active", 1700000000000), Target("ub", b.address())}));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 2; }));
   EXPECT_EQ(AnswerersOf(node, 8, "r"), Names{"b"});
-  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", Named("ua"))), 200);
+  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", UpstreamBody("ua"))), 200);
   // It is new to the list and in slow start, and still gets a share of the requests.
   Names back;
   int tries = 0;
@@ -172,18 +174,18 @@
 }
 
 TEST(Ban, OfAnUpstreamNeverListedIsRejected) {
-  Node node(Served(List({})));
+  Node node(OptionsWithOps(List({})));
   ASSERT_TRUE(node.OpsListening());
   const AdminClient ops(node.ops());
-  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", Named("nobody"))), 404);
-  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", Named("nobody"))), 404);
+  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", UpstreamBody("nobody"))), 404);
+  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", UpstreamBody("nobody"))), 404);
 }
 
 TEST(Ban, EndsAttemptsThatAreOnlyConnecting) {
   BlackHole hole;
   json settings = Settings();
   settings["Limits"]["ConnectTimeout"] = 15000000;
-  Node::Options options = Served(List({Target("u1", hole.address())}));
+  Node::Options options = OptionsWithOps(List({Target("u1", hole.address())}));
   options.settings = settings;
   Node node(options);
   ASSERT_TRUE(node.OpsListening());
@@ -193,28 +195,29 @@
   const AdminClient ops(node.ops());
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["current"] == 1; }));
   const auto began = std::chrono::steady_clock::now();
-  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", Named("u1"))), 200);
+  EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/down", UpstreamBody("u1"))), 200);
   EXPECT_EQ(client.Read()->result_int(), 503U);
   EXPECT_LT(std::chrono::steady_clock::now() - began, std::chrono::seconds(10));
 }
 
 // ---- Draining the sidecar ----
 
-unsigned Up(Node& node) {
+// The status of GET /up on a new connection; 0 without an answer.
+unsigned HealthStatus(Node& node) {
   Client client(node.port());
   if (!client.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n")) return 0;
   const auto response = client.Read();
   return response ? response->result_int() : 0;
 }
 
-TEST(DrainByHand, ClosesIdleConnectionsAnswersOpenRequestsAndAcceptsAgain) {
+TEST(ManualDrain, ClosesIdleConnectionsAnswersOpenRequestsAndAcceptsAgain) {
   std::promise<void> release;
   const auto open = release.get_future().share();
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() == "/page/held") open.wait();
     wire.Answer(200, "fine");
   });
-  Node node(Served(List({Target("u1", upstream.address())})));
+  Node node(OptionsWithOps(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.OpsListening());
   ASSERT_TRUE(node.Listening());
   const AdminClient ops(node.ops());
@@ -228,9 +231,9 @@
   ASSERT_TRUE(busy.Send(GetText("/page/held", "b")));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["current"] == 1; }));
 
-  EXPECT_EQ(Up(node), 200U);
+  EXPECT_EQ(HealthStatus(node), 200U);
   EXPECT_EQ(StatusOf(ops.Put("/ops/drain/start")), 200);
-  EXPECT_EQ(Up(node), 503U);
+  EXPECT_EQ(HealthStatus(node), 503U);
   EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 503);
   EXPECT_TRUE(idle.wire.ReadsEnd());
   EXPECT_TRUE(new_client.wire.ReadsEnd());
@@ -248,7 +251,7 @@
 
   for (int i = 0; i < 2; ++i) {
     EXPECT_EQ(StatusOf(ops.Put("/ops/drain/stop")), 200);
-    EXPECT_EQ(Up(node), 200U);
+    EXPECT_EQ(HealthStatus(node), 200U);
     EXPECT_EQ(StatusOf(ops.Get("/ops/readiness")), 200);
     Client keep_alive(node.port());
     ASSERT_TRUE(keep_alive.Get("/page/x", "k" + std::to_string(2 * i)));
--- a/tests/sidecar/start_stop_test.cpp
+++ b/tests/sidecar/start_stop_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted peers: start, planned stop, and starts that fail.
+// The real program between stand-ins: start, planned stop, and starts that fail.
 
 #include <algorithm>
 #include <csignal>
@@ -11,23 +11,23 @@
 namespace mothrack::testing {
 namespace {
 
-TEST(Process, PlannedStopServesWhatItAcceptedAndWhatStillComes) {
-  Gate asked;
+TEST(Process, PlannedStopServesAcceptedAndLateRequests) {
+  Gate requested;
   Gate gate;
   Upstream upstream([&](Wire& wire, const Request& request, int) {
     if (request.target() == "/submit/held") {
-      asked.Open();
+      requested.Open();
       gate.Pass();
     }
     wire.Answer(200, std::string(request.target()));
   });
-  Node node(With(List({Target("u1", upstream.address())})));
+  Node node(OptionsWith(List({Target("u1", upstream.address())})));
   ASSERT_TRUE(node.Listening());
   Client idle(node.port());
   ASSERT_TRUE(idle.Get("/page/k", "i1"));
   Client held(node.port());
   ASSERT_TRUE(held.Send(PostText("/submit/held", "h1", "x", 15000)));
-  asked.Pass();
+  requested.Pass();
   node.Signal(SIGTERM);
   EXPECT_TRUE(idle.wire.ReadsEnd());
   Client late(node.port());
@@ -44,7 +44,7 @@
 }
 
 TEST(Process, PlannedStopEndsThoughClientsStall) {
-  Node node(With(json::array()));
+  Node node(OptionsWith(json::array()));
   ASSERT_TRUE(node.Listening());
   Client half(node.port());
   ASSERT_TRUE(half.Send("GET /page/k HTTP/1.1\r\nX-"));
@@ -57,7 +57,7 @@
   Upstream upstream(Upstream::Echo("u"));
   std::uint16_t port = 0;
   {
-    Node node(With(List({Target("u1", upstream.address())})));
+    Node node(OptionsWith(List({Target("u1", upstream.address())})));
     ASSERT_TRUE(node.Listening());
     port = node.port();
     Client client(port);
@@ -65,7 +65,7 @@
     node.Signal(SIGKILL);
     EXPECT_EQ(node.Wait(), 128 + SIGKILL);
   }
-  Node::Options options = With(List({Target("u1", upstream.address())}));
+  Node::Options options = OptionsWith(List({Target("u1", upstream.address())}));
   options.listen = "127.0.0.1:" + std::to_string(port);
   Node node(options);
   ASSERT_TRUE(node.Listening());
@@ -75,8 +75,8 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-TEST(Process, AnswersUp) {
-  Node node(With(json::array()));
+TEST(Process, AnswersHealthChecks) {
+  Node node(OptionsWith(json::array()));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
   ASSERT_TRUE(client.Send("GET /up HTTP/1.1\r\nHost: x\r\n\r\n"));
@@ -85,8 +85,8 @@
   EXPECT_EQ(response->result_int(), 200U);
 }
 
-// The one line on standard error that a bad start leaves; checks the exit code.
-std::string BadStart(const Node::Options& options) {
+// Starts a node that must fail. Checks its exit code and returns its output, which must be one line.
+std::string FailedStart(const Node::Options& options) {
   Node node(options);
   EXPECT_NE(node.Wait(), 0);
   const std::string log = node.log();
@@ -94,48 +94,48 @@
   return log;
 }
 
-TEST(Process, BadConfigurationIsNamed) {
+TEST(Process, InvalidSettingIsNamed) {
   const auto has = [](const std::string& text, const std::string& part) {
     return text.find(part) != std::string::npos;
   };
   for (const char* name : {"LB_NAME", "LB_LISTEN", "LB_DISCOVERY", "LB_CONFIG"}) {
-    Node::Options options = With(nullptr);
+    Node::Options options = OptionsWith(nullptr);
     options.unset = {name};
-    EXPECT_TRUE(has(BadStart(options), name));
+    EXPECT_TRUE(has(FailedStart(options), name));
   }
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.listen = "nowhere";
-  EXPECT_TRUE(has(BadStart(options), "LB_LISTEN"));
-  options = With(nullptr);
+  EXPECT_TRUE(has(FailedStart(options), "LB_LISTEN"));
+  options = OptionsWith(nullptr);
   options.discovery = "127.0.0.1:99999";
-  EXPECT_TRUE(has(BadStart(options), "LB_DISCOVERY"));
-  options = With(nullptr);
+  EXPECT_TRUE(has(FailedStart(options), "LB_DISCOVERY"));
+  options = OptionsWith(nullptr);
   options.config_text = "{";
-  EXPECT_TRUE(has(BadStart(options), "LB_CONFIG"));
+  EXPECT_TRUE(has(FailedStart(options), "LB_CONFIG"));
   options.config_text = R"({"limits":{"sockets":256},"settings":{}})";
-  EXPECT_TRUE(has(BadStart(options), "seed"));
+  EXPECT_TRUE(has(FailedStart(options), "seed"));
   options.config_text = R"({"seed":"xyz","limits":{"sockets":256},"settings":{}})";
-  EXPECT_TRUE(has(BadStart(options), "seed"));
+  EXPECT_TRUE(has(FailedStart(options), "seed"));
   options.config_text = R"({"seed":"1","settings":{}})";
-  EXPECT_TRUE(has(BadStart(options), "limits"));
+  EXPECT_TRUE(has(FailedStart(options), "limits"));
   options.config_text = R"({"seed":"1","limits":{"sockets":"many"},"settings":{}})";
-  EXPECT_TRUE(has(BadStart(options), "sockets"));
+  EXPECT_TRUE(has(FailedStart(options), "sockets"));
   options.config_text = R"({"seed":"1","limits":{"sockets":256},"settings":{}})";
-  EXPECT_TRUE(has(BadStart(options), "Classes"));
-  options = With(json{{"no", "list"}});
-  EXPECT_TRUE(has(BadStart(options), "known"));
+  EXPECT_TRUE(has(FailedStart(options), "Classes"));
+  options = OptionsWith(json{{"no", "list"}});
+  EXPECT_TRUE(has(FailedStart(options), "known"));
   json settings = Settings();
   settings["Limits"]["MaxAttempts"] = 0;
-  EXPECT_TRUE(has(BadStart(With(nullptr, settings)), "max_attempts"));
+  EXPECT_TRUE(has(FailedStart(OptionsWith(nullptr, settings)), "max_attempts"));
   settings["Limits"]["MaxAttempts"] = "three";
-  EXPECT_TRUE(has(BadStart(With(nullptr, settings)), "MaxAttempts"));
+  EXPECT_TRUE(has(FailedStart(OptionsWith(nullptr, settings)), "MaxAttempts"));
 }
 
 TEST(Process, AddressInUseIsNamed) {
   Peer peer([](Wire&, int) {});
-  Node::Options options = With(nullptr);
+  Node::Options options = OptionsWith(nullptr);
   options.listen = peer.address();
-  EXPECT_NE(BadStart(options).find(peer.address()), std::string::npos);
+  EXPECT_NE(FailedStart(options).find(peer.address()), std::string::npos);
 }
 
 }  // namespace
--- a/tests/sidecar/upgrade_test.cpp
+++ b/tests/sidecar/upgrade_test.cpp
@@ -27,8 +27,8 @@
 class SharedDirectory : public TemporaryDirectory {
  public:
   SharedDirectory() : TemporaryDirectory("shared") {}
-  // Contents of the file with the bans; empty if there is no file.
-  std::string Bans() const {
+  // The path of the file with the bans; empty if there is no such file.
+  std::string BansFile() const {
     for (const auto& entry : std::filesystem::directory_iterator(path())) {
       if (entry.path().extension() == ".bans") return entry.path();
     }
@@ -36,7 +36,7 @@
   }
 };
 
-Node::Options In(const SharedDirectory& shared, const json& known) {
+Node::Options OptionsIn(const SharedDirectory& shared, const json& known) {
   Node::Options options;
   options.known = known;
   options.ops = "127.0.0.1:0";
@@ -58,8 +58,8 @@
   return answer ? answer->status : 0;
 }
 
-// A client like those of the platform: it keeps its connection, and if that is closed before any byte of an
-// answer, it retries the request once, under its id, on another.
+// A client that sends requests one after the other, like those of the platform: it keeps its connection, and
+// if that is closed before any byte of an answer, it retries the request once with the same id on a new one.
 class LoadingClient {
  public:
   LoadingClient(std::uint16_t port, std::string name)
@@ -70,7 +70,7 @@
     if (thread_.joinable()) thread_.join();
   }
   int answered() const { return answered_; }
-  std::vector<std::string> faults() const { return faults_; }
+  std::vector<std::string> errors() const { return errors_; }
 
  private:
   void Run() {
@@ -83,14 +83,14 @@
           if (!client) client = std::make_unique<Client>(port_);
           response = client->Post("/submit/k", id, "sheet");
         } catch (const std::exception& e) {
-          faults_.push_back(id + ": " + e.what());
+          errors_.push_back(id + ": " + e.what());
         }
         if (!response || !response->keep_alive()) client.reset();
       }
       if (!response) {
-        faults_.push_back(id + ": no answer");
+        errors_.push_back(id + ": no answer");
       } else if (response->result_int() != 200) {
-        faults_.push_back(id + ": " + std::to_string(response->result_int()));
+        errors_.push_back(id + ": " + std::to_string(response->result_int()));
       } else {
         ++answered_;
       }
@@ -101,11 +101,11 @@
   const std::string name_;
   std::atomic<bool> stop_{false};
   std::atomic<int> answered_{0};
-  std::vector<std::string> faults_;  // read after Stop()
+  std::vector<std::string> errors_;  // read after Stop()
   std::thread thread_;
 };
 
-TEST(Upgrade, ThirtyInARowUnderLoadLoseNothingAndRunNothingTwice) {
+TEST(Upgrade, ThirtyInARowUnderLoadLoseAndRepeatNoRequest) {
   std::mutex mutex;
   std::map<std::string, int> runs;
   Upstream upstream([&](Wire& wire, const Request& request, int) {
@@ -118,7 +118,7 @@
   const SharedDirectory shared;
   const json list = List({Target("u1", upstream.address())});
   Discovery discovery(list);
-  auto options = In(shared, list);
+  auto options = OptionsIn(shared, list);
   options.discovery = discovery.address();
   auto serving = std::make_unique<Node>(options);
   ASSERT_TRUE(Ready(*serving));
@@ -141,18 +141,18 @@
   for (const auto& client : clients) {
     client->Stop();
     answered += client->answered();
-    EXPECT_TRUE(client->faults().empty()) << client->faults().front();
+    EXPECT_TRUE(client->errors().empty()) << client->errors().front();
   }
   const std::lock_guard lock(mutex);
   EXPECT_EQ(runs.size(), static_cast<std::size_t>(answered));
   for (const auto& [id, times] : runs) EXPECT_EQ(times, 1) << id;
 }
 
-TEST(Upgrade, BansHoldAtBothProcessesWhicheverReceivedThem) {
+TEST(Upgrade, BansHoldInBothProcessesWhicheverReceivedThem) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   const SharedDirectory shared;
-  const auto options = In(shared, List({Target("ua", a.address()), Target("ub", b.address())}));
+  const auto options = OptionsIn(shared, List({Target("ua", a.address()), Target("ub", b.address())}));
   Node old(options);
   ASSERT_TRUE(Ready(old));
   Client keep_alive(old.port());
@@ -160,12 +160,12 @@
   EXPECT_EQ(Put(old, "/ops/upstreams/down", "ua"), 200);
   Node successor(options);
   ASSERT_TRUE(Ready(successor));
-  const auto by = [](Client& client, const std::string& id) {
+  const auto answerer = [](Client& client, const std::string& id) {
     const auto response = client.Get("/page/x", id);
     return response ? response->body().substr(0, 1) : "none";
   };
   Client late(successor.port());
-  for (int i = 0; i < 6; ++i) EXPECT_EQ(by(late, "l" + std::to_string(i)), "b");
+  for (int i = 0; i < 6; ++i) EXPECT_EQ(answerer(late, "l" + std::to_string(i)), "b");
   // While both processes run: lifts the ban at the old one, then bans the other upstream at the new one.
   EXPECT_EQ(Put(old, "/ops/upstreams/up", "ua"), 200);
   const auto banned = [](Node& node) {
@@ -175,8 +175,8 @@
   ASSERT_TRUE(Eventually([&] { return banned(successor) == 0; }));
   EXPECT_EQ(Put(successor, "/ops/upstreams/down", "ub"), 200);
   ASSERT_TRUE(Eventually([&] { return banned(old) == 1; }));
-  for (int i = 0; i < 6; ++i) EXPECT_EQ(by(keep_alive, "k" + std::to_string(i + 1)), "a");
-  for (int i = 0; i < 6; ++i) EXPECT_EQ(by(late, "m" + std::to_string(i)), "a");
+  for (int i = 0; i < 6; ++i) EXPECT_EQ(answerer(keep_alive, "k" + std::to_string(i + 1)), "a");
+  for (int i = 0; i < 6; ++i) EXPECT_EQ(answerer(late, "m" + std::to_string(i)), "a");
 }
 
 TEST(Upgrade, RequestIdsOfThePredecessorAreRejectedAtTheSuccessor) {
@@ -187,7 +187,7 @@
     wire.Answer(200, "done");
   });
   const SharedDirectory shared;
-  const auto options = In(shared, List({Target("u1", upstream.address())}));
+  const auto options = OptionsIn(shared, List({Target("u1", upstream.address())}));
   Node old(options);
   ASSERT_TRUE(Ready(old));
   Client first(old.port());
@@ -206,11 +206,11 @@
   EXPECT_EQ(upstream.requests().size(), 1U);
 }
 
-TEST(Upgrade, APredecessorThatIsKilledLeavesTheSocketAndTheBans) {
+TEST(Upgrade, SuccessorKeepsSocketAndBansOfAKilledPredecessor) {
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   const SharedDirectory shared;
-  const auto options = In(shared, List({Target("ua", a.address()), Target("ub", b.address())}));
+  const auto options = OptionsIn(shared, List({Target("ua", a.address()), Target("ub", b.address())}));
   auto old = std::make_unique<Node>(options);
   ASSERT_TRUE(Ready(*old));
   EXPECT_EQ(Put(*old, "/ops/upstreams/down", "ua"), 200);
@@ -222,10 +222,10 @@
   for (int i = 0; i < 4; ++i) EXPECT_EQ(client.Get("/page/x", "i" + std::to_string(i))->body(), "b /page/x");
 }
 
-TEST(Upgrade, ASuccessorThatDiesLeavesThePredecessorServing) {
+TEST(Upgrade, PredecessorServesAgainAfterItsSuccessorFailed) {
   Upstream upstream(Upstream::Echo("u"));
   const SharedDirectory shared;
-  const auto options = In(shared, List({Target("u1", upstream.address())}));
+  const auto options = OptionsIn(shared, List({Target("u1", upstream.address())}));
   Node old(options);
   ASSERT_TRUE(Ready(old));
   auto broken = options;
@@ -240,9 +240,9 @@
     dies.Wait();
     ASSERT_TRUE(Eventually([&] {
       const std::string log = old.log();
-      const std::string gone = "the successor is gone";
-      const auto at = log.find(gone);
-      return at != std::string::npos && (i == 0 || log.find(gone, at + 1) != std::string::npos);
+      const std::string event = "the successor is gone";
+      const auto at = log.find(event);
+      return at != std::string::npos && (i == 0 || log.find(event, at + 1) != std::string::npos);
     }));
     Client client(old.port());
     const auto response = client.Get("/page/x", "i" + std::to_string(i));
@@ -258,7 +258,7 @@
   Upstream a(Upstream::Echo("a"));
   Upstream b(Upstream::Echo("b"));
   const SharedDirectory shared;
-  const auto options = In(shared, List({Target("ua", a.address()), Target("ub", b.address())}));
+  const auto options = OptionsIn(shared, List({Target("ua", a.address()), Target("ub", b.address())}));
   {
     Node old(options);
     ASSERT_TRUE(Ready(old));
@@ -271,8 +271,8 @@
     for (int i = 0; i < 4; ++i)
       EXPECT_EQ(client.Get("/page/x", "i" + std::to_string(i))->body(), "b /page/x");
   }
-  // Truncated, or of a later version: logged, and ignored completely.
-  const std::string file = shared.Bans();
+  // A file that is truncated or has a later version is logged, and ignored completely.
+  const std::string file = shared.BansFile();
   ASSERT_FALSE(file.empty());
   for (const char* text : {"{\"version\":1,\"ba", "{\"version\":2,\"bans\":[\"ua\"]}"}) {
     std::ofstream(file) << text;
@@ -289,7 +289,7 @@
 
 TEST(Upgrade, AQuiescedSidecarStaysQuiesced) {
   const SharedDirectory shared;
-  const auto options = In(shared, List({}));
+  const auto options = OptionsIn(shared, List({}));
   Node old(options);
   ASSERT_TRUE(Ready(old));
   EXPECT_EQ(Put(old, "/ops/drain/start"), 200);
