--- a/tests/sidecar/ban_storage_test.cpp
+++ b/tests/sidecar/ban_storage_test.cpp
@@ -18,9 +18,8 @@
   const struct {
     SystemCall call;
     int error;
-  } faults_of_disks[] = {
-      {SystemCall::kWrite, ENOSPC}, {SystemCall::kSync, EIO}, {SystemCall::kRename, ENOSPC}};
-  for (const auto& fault : faults_of_disks) {
+  } disk_faults[] = {{SystemCall::kWrite, ENOSPC}, {SystemCall::kSync, EIO}, {SystemCall::kRename, ENOSPC}};
+  for (const auto& fault : disk_faults) {
     const TemporaryDirectory directory;
     FaultPlanFile plan;
     Upstream first(Upstream::Echo("first"));
--- a/tests/sidecar/faulty_service.h
+++ b/tests/sidecar/faulty_service.h
@@ -1,5 +1,4 @@
-// A sidecar whose system calls fail as a test plans, between upstreams, discovery and clients that record
-// requests and answers.
+// A sidecar whose system calls fail as a test plans, between stand-ins that record requests and answers.
 #pragma once
 
 #include <chrono>
@@ -23,8 +22,9 @@
 using std::chrono::steady_clock;
 
 inline constexpr std::size_t kClients = 6;
-// Applies to clients and upstreams. Low, so that new connections are made throughout the test.
-inline constexpr int kRequestsOnAConnection = 3;
+// The number of requests after which clients and upstreams close a connection. Low, so that new connections
+// are made throughout the test.
+inline constexpr int kRequestsPerConnection = 3;
 
 // A sidecar between two upstreams, its discovery and clients that record requests and answers.
 class Service {
@@ -32,7 +32,7 @@
   explicit Service(std::vector<std::string> environment = {})
       : first_(Handler()), second_(Handler()), discovery(Targets()), node(Options(environment)) {}
   ~Service() {
-    // Clients that wait for a missing answer would block the end of this test.
+    // Kills the sidecar, because clients that wait for a missing answer would block the end of this test.
     if (traffic_) node.Signal(SIGKILL);
   }
 
@@ -40,7 +40,7 @@
     if (!node.Listening()) return false;
     traffic_ = std::make_unique<Traffic>(std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
                                          std::function<void(const Traffic::CompletedRequest&)>(),
-                                         kRequestsOnAConnection);
+                                         kRequestsPerConnection);
     return Serves(50);
   }
 
@@ -53,7 +53,7 @@
   Upstream::Handler Handler() {
     return [this](Wire& wire, const Request& request, int number) {
       if (request.method() == boost::beast::http::verb::post) runs_.Note(request.body());
-      wire.Answer(200, "fine", number % kRequestsOnAConnection == 0 ? "Connection: close\r\n" : "");
+      wire.Answer(200, "fine", number % kRequestsPerConnection == 0 ? "Connection: close\r\n" : "");
     };
   }
 
@@ -63,23 +63,23 @@
   std::size_t served() const { return traffic_->count(Traffic::Outcome::kServed); }
 
   // Ends the traffic and compares the answers that clients got with the requests that ran. `stopped`: the
-  // sidecar made a planned stop, so requests may have been under way when it closed their connections.
-  void ExpectNothingLostOrTwice(bool stopped = false) {
-    const auto ends = traffic_->Stop();
+  // sidecar made a planned stop, so requests may have been in transit when it closed their connections.
+  void ExpectNoRequestLostOrRepeated(bool stopped = false) {
+    const auto outcomes = traffic_->Stop();
     EXPECT_EQ(traffic_->count(Traffic::Outcome::kLost), 0U) << "requests without an answer\n" << node.log();
     if (!stopped) {
       EXPECT_EQ(traffic_->count(Traffic::Outcome::kIdleCloseRace), 0U) << "requests without an answer\n"
                                                                        << node.log();
     }
     traffic_.reset();
-    const auto ran = runs_.all();
-    for (const auto& [id, times] : ran) EXPECT_EQ(times, 1) << id << " ran more than once";
-    for (const auto& [id, end] : ends) {
-      if (end == Traffic::Outcome::kServed) {
-        EXPECT_TRUE(ran.contains(id)) << id << " was answered and never ran";
+    const auto runs = runs_.all();
+    for (const auto& [id, times] : runs) EXPECT_EQ(times, 1) << id << " ran more than once";
+    for (const auto& [id, outcome] : outcomes) {
+      if (outcome == Traffic::Outcome::kServed) {
+        EXPECT_TRUE(runs.contains(id)) << id << " was answered, but never ran";
       }
-      if (end == Traffic::Outcome::kRefused) {
-        EXPECT_FALSE(ran.contains(id)) << id << " was refused and ran";
+      if (outcome == Traffic::Outcome::kRefused) {
+        EXPECT_FALSE(runs.contains(id)) << id << " was rejected, but ran";
       }
     }
   }
--- a/tests/sidecar/hot_restart_messages_test.cpp
+++ b/tests/sidecar/hot_restart_messages_test.cpp
@@ -24,7 +24,7 @@
   }
 }
 
-TEST(HotRestartUpdate, IgnoresWhatItCanNotUse) {
+TEST(HotRestartUpdate, IgnoresUnknownAndInvalidMembers) {
   for (const char* line :
        {"{}", R"({"ban":""})", R"({"ban":7})", R"({"rest":1})", R"({"sockets":-1})", R"({"later":true})"}) {
     EXPECT_EQ(ToJson(ParseUpdate(nlohmann::json::parse(line))).dump(), "{}") << line;
--- a/tests/sidecar/short_transfers_test.cpp
+++ b/tests/sidecar/short_transfers_test.cpp
@@ -1,4 +1,4 @@
-// Short writes and reads throughout.
+// Writes and reads that move fewer bytes than requested.
 #include <string>
 
 #include "gtest/gtest.h"
@@ -8,8 +8,8 @@
 namespace mothrack::testing {
 namespace {
 
-// Half of the writes move one byte: answers, requests and discovery calls still complete.
-TEST(ShortTransfers, EveryWriterGoesOn) {
+// Every second write moves one byte only: answers, requests and discovery calls still complete.
+TEST(ShortTransfers, EveryWriterCompletes) {
   Service service;
   CallFaults& faults = service.faults.plan().Of(SystemCall::kSend);
   faults.every = 2;
@@ -28,21 +28,22 @@
     EXPECT_TRUE(answer->body.contains("pools"));
   }
   EXPECT_GT(faults.hits, 1000U);
-  service.ExpectNothingLostOrTwice();
+  service.ExpectNoRequestLostOrRepeated();
 }
 
-TEST(ShortTransfers, EveryReaderGoesOn) {
+// Every second read moves one byte only.
+TEST(ShortTransfers, EveryReaderCompletes) {
   Service service;
   CallFaults& faults = service.faults.plan().Of(SystemCall::kReceive);
   faults.every = 2;
   faults.remaining = -1;
   ASSERT_TRUE(service.Start()) << service.node.log();
   EXPECT_TRUE(service.Serves(500)) << service.node.log();
-  service.ExpectNothingLostOrTwice();
+  service.ExpectNoRequestLostOrRepeated();
 }
 
-// A body that is streamed in both directions.
-TEST(ShortTransfers, LongBodiesArriveWhole) {
+// A long body is streamed in both directions.
+TEST(ShortTransfers, LongBodiesArriveComplete) {
   const std::string body(3'000'000, 'b');
   FaultPlanFile faults;
   Upstream upstream([&](Wire& wire, const Request& request, int) { wire.Answer(200, request.body()); });
--- a/tests/sidecar/system_faults_test.cpp
+++ b/tests/sidecar/system_faults_test.cpp
@@ -15,8 +15,9 @@
 namespace {
 
 constexpr auto kFaultDuration = milliseconds(200);
-// The bound is a second; the margin is for a machine loaded by other tests and sanitizers.
-constexpr auto kRecovery = seconds(1) + milliseconds(500);
+// The sidecar has to recover within a second; the margin is for a machine loaded by other tests and
+// sanitizers.
+constexpr auto kMaxRecoveryTime = seconds(1) + milliseconds(500);
 
 struct FaultCase {
   const char* name;
@@ -26,8 +27,8 @@
 };
 std::ostream& operator<<(std::ostream& out, const FaultCase& fault_case) { return out << fault_case.name; }
 
-// A fault of a client's own connection ends it together with its answers: errors of broken connections are
-// injected towards upstreams and discovery only.
+// Errors of broken connections are injected into connections to upstreams and discovery only
+// (`outgoing_only`): a broken connection of a client would lose its answers.
 const FaultCase kFaultCases[] = {
     {"AcceptInterrupted", SystemCall::kAccept, EINTR},
     {"AcceptAborted", SystemCall::kAccept, ECONNABORTED},
@@ -65,9 +66,9 @@
 
 class SystemFaults : public ::testing::TestWithParam<FaultCase> {};
 
-// Injects the fault into single uses of the call (each of its first 200 if SYSTEM_FAULTS=whole), then into
-// every third one for a while.
-TEST_P(SystemFaults, LoseNothingAndItServesAgain) {
+// Injects the fault into single uses of the call, then into every third one for kFaultDuration. The single
+// uses are every 37th of the first 200, or all of these if the environment has SYSTEM_FAULTS=whole.
+TEST_P(SystemFaults, LoseNoRequestAndTheSidecarRecovers) {
   const FaultCase& fault_case = GetParam();
   Service service;
   ASSERT_TRUE(service.Start()) << service.node.log();
@@ -76,8 +77,8 @@
   faults.outgoing_only = fault_case.outgoing_only;
 
   const char* setting = std::getenv("SYSTEM_FAULTS");
-  const bool whole = setting != nullptr && std::strcmp(setting, "whole") == 0;
-  for (std::uint64_t use = 1; use <= 200; use += whole ? 1 : 37) {
+  const bool every_use = setting != nullptr && std::strcmp(setting, "whole") == 0;
+  for (std::uint64_t use = 1; use <= 200; use += every_use ? 1 : 37) {
     faults.skip = faults.uses + use;
     faults.every = 1;
     faults.remaining = 1;
@@ -92,15 +93,15 @@
   faults.remaining = 0;
   const auto over = steady_clock::now();
   ASSERT_TRUE(service.Serves(20 * kClients)) << service.node.log();
-  EXPECT_LE(steady_clock::now() - over, kRecovery);
+  EXPECT_LE(steady_clock::now() - over, kMaxRecoveryTime);
   EXPECT_GE(faults.hits, 5U) << "of " << faults.uses << " uses";
-  service.ExpectNothingLostOrTwice();
+  service.ExpectNoRequestLostOrRepeated();
 }
 
 INSTANTIATE_TEST_SUITE_P(Calls, SystemFaults, ::testing::ValuesIn(kFaultCases),
                          [](const auto& row) { return std::string(row.param.name); });
 
-// Running out of local ports is no failure of the upstreams.
+// If local ports run out, that is not a failure of the upstreams.
 TEST(LocalFailures, EjectNoUpstream) {
   Service service;
   ASSERT_TRUE(service.Start()) << service.node.log();
@@ -112,7 +113,7 @@
   faults.remaining = 0;
   ASSERT_TRUE(service.Serves(20 * kClients)) << service.node.log();
   EXPECT_EQ(service.node.log().find("ejected"), std::string::npos) << service.node.log();
-  service.ExpectNothingLostOrTwice();
+  service.ExpectNoRequestLostOrRepeated();
 }
 
 }  // namespace
--- a/tests/sidecar/wall_clock_test.cpp
+++ b/tests/sidecar/wall_clock_test.cpp
@@ -25,9 +25,9 @@
 
 class WallClock : public ::testing::TestWithParam<int> {};
 
-// The wall clock steps while the sidecar serves: an upstream process that starts then, stamped by the stepped
-// clock or by a steady one, is in slow start, and no timer is affected.
-TEST_P(WallClock, StepsAndTheSidecarServesAndANewUpstreamWarmsUp) {
+// The wall clock steps while the sidecar serves. An upstream process that starts then is in slow start,
+// whether its start time is of the stepped clock or of a correct one, and no timer is affected.
+TEST_P(WallClock, StepsWhileTheSidecarServesAndANewUpstreamIsInSlowStart) {
   const auto step = std::chrono::microseconds(std::chrono::seconds(GetParam()));
   Service service;
   ASSERT_TRUE(service.Start()) << service.node.log();
@@ -35,17 +35,17 @@
   ASSERT_TRUE(Eventually([&] { return SlowStartFactorOf(operator_client, "u1") == 1; }));
   service.faults.plan().wall_step_us = step.count();
   ASSERT_TRUE(service.Serves(100)) << service.node.log();
-  // -1 is no answer: it is polled again.
-  double placed = -1;
-  ASSERT_TRUE(Eventually([&] { return (placed = SlowStartFactorOf(operator_client, "u1")) >= 0; }))
+  // -1 means no answer: polls again.
+  double factor_after_step = -1;
+  ASSERT_TRUE(Eventually([&] { return (factor_after_step = SlowStartFactorOf(operator_client, "u1")) >= 0; }))
       << service.node.log();
-  EXPECT_EQ(placed, 1) << "what has been placed keeps its time";
+  EXPECT_EQ(factor_after_step, 1) << "the step moved the start time of a known upstream";
 
   Upstream new_upstream(service.Handler());
-  for (const bool stamped_by_stepped_clock : {true, false}) {
+  for (const bool uses_stepped_clock : {true, false}) {
     const auto unix_time = std::chrono::system_clock::now().time_since_epoch() +
-                           (stamped_by_stepped_clock ? step : std::chrono::microseconds::zero());
-    const std::string uid = stamped_by_stepped_clock ? "stepped" : "steady";
+                           (uses_stepped_clock ? step : std::chrono::microseconds::zero());
+    const std::string uid = uses_stepped_clock ? "stepped" : "steady";
     service.discovery.Publish(List({Target(uid, new_upstream.address(), "active",
                                            std::chrono::duration_cast<milliseconds>(unix_time).count())}),
                               false);
@@ -70,16 +70,16 @@
   service.node.Reload(service.node.config().dump());
   service.faults.plan().wall_step_us = step.count();
   ASSERT_TRUE(service.Serves(100));
-  const auto notified = steady_clock::now();
+  const auto signalled = steady_clock::now();
   service.node.Signal(SIGTERM);
   service.faults.plan().wall_step_us = 0;
   EXPECT_EQ(service.node.Wait(), 0);
-  EXPECT_LE(steady_clock::now() - notified, seconds(5));
-  service.ExpectNothingLostOrTwice(true);
+  EXPECT_LE(steady_clock::now() - signalled, seconds(5));
+  service.ExpectNoRequestLostOrRepeated(true);
 }
 
 INSTANTIATE_TEST_SUITE_P(Steps, WallClock, ::testing::Values(-3600, -5, 5, 3600), [](const auto& row) {
-  return std::string(row.param < 0 ? "Back" : "On") + std::to_string(std::abs(row.param)) + "s";
+  return std::string(row.param < 0 ? "Back" : "Forward") + std::to_string(std::abs(row.param)) + "s";
 });
 
 }  // namespace
--- a/tests/support/fault_injection.cpp
+++ b/tests/support/fault_injection.cpp
@@ -22,8 +22,8 @@
 using mothrack::testing::FaultPlan;
 using mothrack::testing::SystemCall;
 
-constexpr std::int64_t kMicroseconds = 1'000'000;
-constexpr long kNanosecondsInMicrosecond = 1000;
+constexpr std::int64_t kMicrosecondsPerSecond = 1'000'000;
+constexpr long kNanosecondsPerMicrosecond = 1000;
 
 FaultPlan* MapPlan() {
   const char* path = std::getenv("FAULT_PLAN");
@@ -54,7 +54,7 @@
          connected[static_cast<std::size_t>(descriptor)];
 }
 
-// The faults planned for this use of a call, if any.
+// Counts this use of a call. Returns the faults planned for it; null if there are none.
 const CallFaults* Hit(SystemCall call, int descriptor) {
   FaultPlan* plan = Plan();
   if (plan == nullptr) return nullptr;
@@ -67,7 +67,7 @@
   return &faults;
 }
 
-// Whether this use of a call fails; then errno is set.
+// Whether this use of a call fails; sets errno if so.
 bool Fails(SystemCall call, int descriptor = -1) {
   const CallFaults* faults = Hit(call, descriptor);
   if (faults == nullptr || faults->error == 0) return false;
@@ -75,7 +75,7 @@
   return true;
 }
 
-// Like Fails(); otherwise limits `size` to what this use may move.
+// Like Fails(), but if the use does not fail, limits `size` to the bytes that it may move.
 bool FailsOrShortens(SystemCall call, int descriptor, std::size_t& size) {
   const CallFaults* faults = Hit(call, descriptor);
   if (faults == nullptr) return false;
@@ -93,15 +93,15 @@
   return size;
 }
 
-// The parts of a message that hold its first `size` bytes.
+// A message limited to the first `size` bytes of another one.
 struct Shortened {
   std::array<iovec, 64> parts{};
   msghdr message{};
 
-  Shortened(const msghdr& whole, std::size_t size) : message(whole) {
+  Shortened(const msghdr& original, std::size_t size) : message(original) {
     std::size_t count = 0;
-    for (; count < std::min<std::size_t>(whole.msg_iovlen, parts.size()) && size > 0; ++count) {
-      parts[count] = whole.msg_iov[count];
+    for (; count < std::min<std::size_t>(original.msg_iovlen, parts.size()) && size > 0; ++count) {
+      parts[count] = original.msg_iov[count];
       parts[count].iov_len = std::min(parts[count].iov_len, size);
       size -= parts[count].iov_len;
     }
@@ -133,18 +133,18 @@
 
 int accept4(int descriptor, sockaddr* from, socklen_t* size, int flags) {
   if (Fails(SystemCall::kAccept, descriptor)) return -1;
-  const int taken = static_cast<int>(::syscall(SYS_accept4, descriptor, from, size, flags));
-  SetConnected(taken, false);
-  return taken;
+  const int accepted = static_cast<int>(::syscall(SYS_accept4, descriptor, from, size, flags));
+  SetConnected(accepted, false);
+  return accepted;
 }
 
 int accept(int descriptor, sockaddr* from, socklen_t* size) { return accept4(descriptor, from, size, 0); }
 
 int socket(int domain, int type, int protocol) noexcept {
   if (Fails(SystemCall::kSocket)) return -1;
-  const int made = static_cast<int>(::syscall(SYS_socket, domain, type, protocol));
-  SetConnected(made, false);
-  return made;
+  const int created = static_cast<int>(::syscall(SYS_socket, domain, type, protocol));
+  SetConnected(created, false);
+  return created;
 }
 
 int connect(int descriptor, const sockaddr* to, socklen_t size) {
@@ -208,10 +208,10 @@
   if (FailsOrShortens(SystemCall::kReceive, descriptor, most)) return -1;
   if (most == size || !IsStream(descriptor)) return ::syscall(SYS_recvmsg, descriptor, message, flags);
   Shortened part(*message, most);
-  const ssize_t got = ::syscall(SYS_recvmsg, descriptor, &part.message, flags);
+  const ssize_t received = ::syscall(SYS_recvmsg, descriptor, &part.message, flags);
   message->msg_controllen = part.message.msg_controllen;
   message->msg_flags = part.message.msg_flags;
-  return got;
+  return received;
 }
 
 ssize_t read(int descriptor, void* bytes, std::size_t size) {
@@ -226,12 +226,12 @@
 
 ssize_t writev(int descriptor, const iovec* parts, int count) {
   if (!IsFileOrSocket(descriptor)) return ::syscall(SYS_writev, descriptor, parts, count);
-  msghdr whole{};
-  whole.msg_iov = const_cast<iovec*>(parts);
-  whole.msg_iovlen = static_cast<std::size_t>(count);
-  std::size_t size = SizeOf(parts, whole.msg_iovlen);
+  msghdr message{};
+  message.msg_iov = const_cast<iovec*>(parts);
+  message.msg_iovlen = static_cast<std::size_t>(count);
+  std::size_t size = SizeOf(parts, message.msg_iovlen);
   if (FailsOrShortens(SystemCall::kWrite, descriptor, size)) return -1;
-  const Shortened part(whole, size);
+  const Shortened part(message, size);
   return ::syscall(SYS_writev, descriptor, part.message.msg_iov, part.message.msg_iovlen);
 }
 
@@ -252,9 +252,9 @@
   const int result = static_cast<int>(::syscall(SYS_clock_gettime, clock, time));
   if (result != 0 || clock != CLOCK_REALTIME) return result;
   const std::int64_t microseconds =
-      time->tv_sec * kMicroseconds + time->tv_nsec / kNanosecondsInMicrosecond + WallStep();
-  time->tv_sec = microseconds / kMicroseconds;
-  time->tv_nsec = microseconds % kMicroseconds * kNanosecondsInMicrosecond;
+      time->tv_sec * kMicrosecondsPerSecond + time->tv_nsec / kNanosecondsPerMicrosecond + WallStep();
+  time->tv_sec = microseconds / kMicrosecondsPerSecond;
+  time->tv_nsec = microseconds % kMicrosecondsPerSecond * kNanosecondsPerMicrosecond;
   return 0;
 }
 
@@ -262,7 +262,7 @@
   timespec precise{};
   if (clock_gettime(CLOCK_REALTIME, &precise) != 0) return -1;
   time->tv_sec = precise.tv_sec;
-  time->tv_usec = precise.tv_nsec / kNanosecondsInMicrosecond;
+  time->tv_usec = precise.tv_nsec / kNanosecondsPerMicrosecond;
   return 0;
 }
 
--- a/tests/support/fault_plan.h
+++ b/tests/support/fault_plan.h
@@ -32,9 +32,8 @@
 };
 constexpr std::size_t kSystemCalls = static_cast<std::size_t>(SystemCall::kCount);
 
-// The faults of one system call. A use is hit if it comes after the first `skip` ones and is an `every`-th
-// one from there on; other uses are unaffected. All numbers may be changed while the process runs,
-// `remaining` last.
+// The faults of one system call. After its first `skip` uses every `every`-th use is a hit, which has the
+// fault; other uses are unaffected. All numbers may be changed while the process runs, `remaining` last.
 struct CallFaults {
   std::atomic<int> error{0};  // errno of a hit; 0: it moves at most `short_to` bytes
   std::atomic<std::uint64_t> short_to{1};
@@ -48,7 +47,7 @@
 
 struct FaultPlan {
   std::array<CallFaults, kSystemCalls> calls;
-  std::atomic<std::int64_t> wall_step_us{0};  // added to the wall clock; the monotonic one runs on
+  std::atomic<std::int64_t> wall_step_us{0};  // added to the wall clock; the monotonic clock is unaffected
 
   CallFaults& Of(SystemCall call) { return calls[static_cast<std::size_t>(call)]; }
 };
@@ -59,11 +58,12 @@
   FaultPlanFile() {
     std::string pattern = "/tmp/mothrack-faults-XXXXXX";
     const int file = ::mkstemp(pattern.data());
-    if (file < 0 || ::ftruncate(file, sizeof(FaultPlan)) != 0) throw std::runtime_error("no file for faults");
+    if (file < 0 || ::ftruncate(file, sizeof(FaultPlan)) != 0)
+      throw std::runtime_error("cannot create the file of the fault plan");
     path_ = pattern;
     void* mapped = ::mmap(nullptr, sizeof(FaultPlan), PROT_READ | PROT_WRITE, MAP_SHARED, file, 0);
     ::close(file);
-    if (mapped == MAP_FAILED) throw std::runtime_error("no memory for faults");
+    if (mapped == MAP_FAILED) throw std::runtime_error("cannot map the file of the fault plan");
     plan_ = new (mapped) FaultPlan();
   }
   ~FaultPlanFile() {
