--- a/tests/support/demo_configures.sh
+++ b/tests/support/demo_configures.sh
@@ -4,6 +4,6 @@
 build=$(mktemp -d)
 trap 'rm -rf "$build"' EXIT
 options=$(sed -n 's/^cmake -B build-demo \(.*\) > .*$/\1/p' "$1/demo/run.sh")
-[ -n "$options" ] || { echo "demo/run.sh names no options of cmake any more" >&2; exit 1; }
-# shellcheck disable=SC2086  # a list
+[ -n "$options" ] || { echo "demo/run.sh has no line \"cmake -B build-demo OPTIONS > ...\"" >&2; exit 1; }
+# shellcheck disable=SC2086  # one word per option
 cmake -S "$1" -B "$build" $options
--- a/tests/support/faulty_relay_fixture.h
+++ b/tests/support/faulty_relay_fixture.h
@@ -24,8 +24,9 @@
 using Clock = std::chrono::steady_clock;
 using std::chrono::milliseconds;
 
-constexpr milliseconds kTimeout(10'000);  // for what must arrive
-constexpr milliseconds kQuietTime(150);   // for what must not arrive; a loopback takes far less
+constexpr milliseconds kTimeout(10'000);  // for data that must arrive
+constexpr milliseconds kQuietTime(
+    150);  // for data that must not arrive; over loopback it would take far less
 
 // A socket that is closed with the object.
 class Socket {
@@ -105,16 +106,17 @@
             static_cast<ssize_t>(bytes.size()));
 }
 
-// The result of one read: bytes, nothing before the timeout, the end of the stream, or an error.
+// The result of one read: bytes, nothing before the timeout, the end of the stream, or an error such as a
+// reset.
 enum class ReadResult { kBytes, kTimedOut, kEnd, kReset };
 
 // Reads the available bytes once and appends them to `bytes`.
 inline ReadResult ReadOnce(const Socket& socket, milliseconds timeout = kTimeout,
                            std::string* bytes = nullptr) {
   if (!socket.Ready(timeout)) return ReadResult::kTimedOut;
-  char some[65'536];
-  const ssize_t got = ::recv(socket.fd(), some, sizeof some, 0);
-  if (got > 0 && bytes != nullptr) bytes->append(some, static_cast<std::size_t>(got));
+  char buffer[65'536];
+  const ssize_t got = ::recv(socket.fd(), buffer, sizeof buffer, 0);
+  if (got > 0 && bytes != nullptr) bytes->append(buffer, static_cast<std::size_t>(got));
   if (got > 0) return ReadResult::kBytes;
   return got == 0 ? ReadResult::kEnd : ReadResult::kReset;
 }
@@ -126,7 +128,8 @@
     relay.AddEndpoint("b", {"bole"}, b.port());
     relay.AddEndpoint("c", {"kality"}, c.port());
   }
-  std::uint16_t at(const std::string& name) const { return relay.advertised_port(name); }
+  // The port at which the relay serves this endpoint.
+  std::uint16_t port_of(const std::string& name) const { return relay.advertised_port(name); }
 
   Udp a, b, c;
   FaultyRelay relay;
@@ -134,21 +137,21 @@
 
 // Sends `count` numbered datagrams from a to b, slowly enough that no buffer overflows; returns those that
 // arrive.
-inline std::vector<int> SendAndCollect(ThreeEndpoints& t, int count) {
+inline std::vector<int> SendAndCollect(ThreeEndpoints& udp, int count) {
   std::vector<int> received;
   for (int i = 0; i < count; ++i) {
-    t.a.Send(t.at("b"), std::to_string(i));
+    udp.a.Send(udp.port_of("b"), std::to_string(i));
     if (i % 50 == 49) std::this_thread::sleep_for(milliseconds(1));
   }
-  while (t.relay.counts("a", "b").received < static_cast<std::uint64_t>(count))
+  while (udp.relay.counts("a", "b").received < static_cast<std::uint64_t>(count))
     std::this_thread::sleep_for(milliseconds(1));
-  while (const auto got = t.b.Receive(kQuietTime)) received.push_back(std::stoi(*got));
+  while (const auto got = udp.b.Receive(kQuietTime)) received.push_back(std::stoi(*got));
   return received;
 }
 
-// A TCP client a, and a server behind it at b.
-struct Pair {
-  Pair() {
+// Endpoint a for a TCP client, which connects to `port`, and endpoint b for its server, which listens.
+struct TcpPair {
+  TcpPair() {
     relay.AddEndpoint("a", {"bole"});
     relay.AddEndpoint("b", {"kality"});
     port = relay.AddTcpPort("a", "b", listener.port());
--- a/tests/support/faulty_relay_timing_test.cpp
+++ b/tests/support/faulty_relay_timing_test.cpp
@@ -14,64 +14,64 @@
 constexpr std::size_t kHeaders = 28;  // bytes of IP and UDP headers, which count towards the bandwidth
 
 TEST(FaultyRelayUdp, DelayIsALowerBoundAndJitterDoesNotReorder) {
-  ThreeEndpoints t;
-  t.relay.ChangeFaults(
+  ThreeEndpoints udp;
+  udp.relay.ChangeFaults(
       "a", "b", [](auto& faults) { faults.delay = milliseconds(100), faults.jitter = milliseconds(60); });
   const auto sent = Clock::now();
-  for (int i = 0; i < 50; ++i) t.a.Send(t.at("b"), std::to_string(i));
+  for (int i = 0; i < 50; ++i) udp.a.Send(udp.port_of("b"), std::to_string(i));
   for (int i = 0; i < 50; ++i) {
-    EXPECT_EQ(t.b.Receive(), std::to_string(i));
+    EXPECT_EQ(udp.b.Receive(), std::to_string(i));
     EXPECT_GE(Clock::now() - sent, milliseconds(100));
   }
-  EXPECT_GE(Clock::now() - sent, milliseconds(130)) << "no jitter";
+  EXPECT_GE(Clock::now() - sent, milliseconds(130)) << "no datagram was delayed by jitter";
   // The opposite direction has no delay.
   const auto back = Clock::now();
-  t.b.Send(t.at("a"), "back");
-  EXPECT_TRUE(t.a.Receive());
+  udp.b.Send(udp.port_of("a"), "back");
+  EXPECT_TRUE(udp.a.Receive());
   EXPECT_LT(Clock::now() - back, milliseconds(100));
 }
 
 TEST(FaultyRelayUdp, ChangedFaultsApplyToQueuedDatagrams) {
-  ThreeEndpoints t;
-  t.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(60'000); });
-  t.a.Send(t.at("b"), "late");
-  t.a.Send(t.at("c"), "cut off");
-  EXPECT_FALSE(t.b.Receive(kQuietTime));
-  EXPECT_EQ(t.relay.queued_bytes(), 11U + 2 * kHeaders);
-  t.relay.Cut("a", "c");
-  t.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(0); });
-  EXPECT_EQ(t.b.Receive(), "late");
-  EXPECT_FALSE(t.c.Receive(kQuietTime));
-  EXPECT_EQ(t.relay.counts("a", "c").cut, 1U);
+  ThreeEndpoints udp;
+  udp.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(60'000); });
+  udp.a.Send(udp.port_of("b"), "late");
+  udp.a.Send(udp.port_of("c"), "cut off");
+  EXPECT_FALSE(udp.b.Receive(kQuietTime));
+  EXPECT_EQ(udp.relay.queued_bytes(), 11U + 2 * kHeaders);
+  udp.relay.Cut("a", "c");
+  udp.relay.ChangeFaults("*", "*", [](auto& faults) { faults.delay = milliseconds(0); });
+  EXPECT_EQ(udp.b.Receive(), "late");
+  EXPECT_FALSE(udp.c.Receive(kQuietTime));
+  EXPECT_EQ(udp.relay.counts("a", "c").cut, 1U);
 }
 
 TEST(FaultyRelayUdp, BandwidthLimitIsMetAndTheQueueIsBounded) {
-  ThreeEndpoints t;
-  t.relay.ChangeFaults("a", "b",
-                       [](auto& faults) { faults.bytes_per_s = 100'000, faults.queue_bytes = 50'000; });
+  ThreeEndpoints udp;
+  udp.relay.ChangeFaults("a", "b",
+                         [](auto& faults) { faults.bytes_per_s = 100'000, faults.queue_bytes = 50'000; });
   const auto sent = Clock::now();
   const std::string kilobyte(1000 - kHeaders, 'x');
-  for (int i = 0; i < 100; ++i) t.a.Send(t.at("b"), kilobyte);
+  for (int i = 0; i < 100; ++i) udp.a.Send(udp.port_of("b"), kilobyte);
   int received = 0;
-  while (received < 50 && t.b.Receive()) ++received;
+  while (received < 50 && udp.b.Receive()) ++received;
   const auto took = Clock::now() - sent;
   EXPECT_EQ(received, 50);
   EXPECT_GE(took, milliseconds(490));
   EXPECT_LT(took, milliseconds(2000));
-  // A few more arrive if the first was forwarded before the last was queued.
-  while (t.b.Receive(kQuietTime)) ++received;
-  const auto counts = t.relay.counts("a", "b");
+  // A few more than 50 arrive if the first was forwarded before the last was queued.
+  while (udp.b.Receive(kQuietTime)) ++received;
+  const auto counts = udp.relay.counts("a", "b");
   EXPECT_EQ(static_cast<std::uint64_t>(received), counts.delivered);
   EXPECT_EQ(counts.delivered + counts.queue_full, 100U);
   EXPECT_GE(counts.queue_full, 20U);
-  EXPECT_EQ(t.relay.queued_bytes(), 0U);
+  EXPECT_EQ(udp.relay.queued_bytes(), 0U);
 }
 
 TEST(FaultyRelayTcp, DelayIsALowerBound) {
-  Pair p;
-  const Socket client = Connect(p.port);
-  const Socket server = Accept(p.listener);
-  p.relay.ChangeFaults("a", "b", [](auto& faults) { faults.delay = milliseconds(120); });
+  TcpPair tcp;
+  const Socket client = Connect(tcp.port);
+  const Socket server = Accept(tcp.listener);
+  tcp.relay.ChangeFaults("a", "b", [](auto& faults) { faults.delay = milliseconds(120); });
   const auto sent = Clock::now();
   Write(client, "question");
   EXPECT_EQ(ReadOnce(server), ReadResult::kBytes);
@@ -79,18 +79,18 @@
 }
 
 TEST(FaultyRelayTcp, BandwidthLimitIsMetByBackpressure) {
-  Pair p;
-  const Socket client = Connect(p.port);
-  const Socket server = Accept(p.listener);
-  p.relay.ChangeFaults("a", "b",
-                       [](auto& faults) { faults.bytes_per_s = 1'000'000, faults.queue_bytes = 20'000; });
+  TcpPair tcp;
+  const Socket client = Connect(tcp.port);
+  const Socket server = Accept(tcp.listener);
+  tcp.relay.ChangeFaults("a", "b",
+                         [](auto& faults) { faults.bytes_per_s = 1'000'000, faults.queue_bytes = 20'000; });
   constexpr std::size_t kSize = 500'000;
   const auto begin = Clock::now();
   std::thread writing([&] { Write(client, std::string(kSize, 'x')); });
   std::string received;
   std::size_t most = 0;
   while (received.size() < kSize && ReadOnce(server, kTimeout, &received) == ReadResult::kBytes) {
-    most = std::max(most, p.relay.queued_bytes());
+    most = std::max(most, tcp.relay.queued_bytes());
   }
   writing.join();
   const auto took = Clock::now() - begin;
--- a/tests/support/fixtures.h
+++ b/tests/support/fixtures.h
@@ -1,5 +1,6 @@
-// Fixtures: what version 0.2.0 of the programs (commit de65f91) wrote or sent, kept as files in the folders
-// of the tests that compare the present version with them. They were recorded once; no test regenerates them.
+// Fixtures: files with the data that version 0.2.0 of the programs (commit de65f91) wrote or sent. They are
+// in the folders of the tests that compare the present version with them. They were recorded once; no test
+// regenerates them.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -27,7 +28,7 @@
   return text.str();
 }
 
-// Bytes as lower-case hex digits, and back; throws std::invalid_argument for a pair that is not hexadecimal.
+// Encodes bytes as lower-case hex digits.
 inline std::string ToHex(std::string_view bytes) {
   constexpr std::string_view kDigits = "0123456789abcdef";
   std::string hex;
@@ -39,6 +40,7 @@
   return hex;
 }
 
+// Decodes pairs of hex digits. Throws std::invalid_argument for a pair that is not hexadecimal.
 inline std::string FromHex(const std::string& hex) {
   std::string bytes;
   for (std::size_t at = 0; at + 1 < hex.size(); at += 2) {
@@ -47,7 +49,7 @@
   return bytes;
 }
 
-// Lines of "name hex", in the file's order.
+// Reads lines of the form "name hex", in the order of the file. Returns the names and the decoded bytes.
 inline std::vector<std::pair<std::string, std::string>> ReadHexLines(const std::string& path) {
   std::vector<std::pair<std::string, std::string>> lines;
   std::istringstream text(ReadFixture(path));
@@ -55,8 +57,8 @@
   return lines;
 }
 
-// Printable text: a line end is written as an escape followed by a line break; other bytes that are not
-// printable are written as \xNN.
+// Converts bytes to printable text: a line end is written as an escape followed by a line break; other bytes
+// that are not printable are written as \xNN.
 inline std::string Escaped(std::string_view bytes) {
   std::string text;
   for (const char c : bytes) {
@@ -98,7 +100,8 @@
   RecordedSections(const RecordedSections&) = delete;
   RecordedSections& operator=(const RecordedSections&) = delete;
 
-  // Adds a line end to `text` if it has none at its end, as in the file.
+  // Compares `text` with the section `name`. A line end is added to `text` if it does not end with one,
+  // because each section of the file does.
   void Expect(const std::string& name, std::string text) {
     if (!text.ends_with('\n')) text += '\n';
     const auto section = sections_.extract(name);
--- a/tests/support/log_events.sh
+++ b/tests/support/log_events.sh
@@ -23,19 +23,19 @@
   sed -E 's/^Error/error/; s/^Warn/warning/; s/^Info/info/; s/^([a-z]+)\( ?"([a-z0-9_]+)"/\2 \1/; s/, ?\{ ?\{/ {{/' |
   sed -E 's/\{"([a-z0-9_]+)", [^{}]*\},? ?/ \1 /g; s/[{}]/ /g; s/ +/ /g; s/ $//' | sort -u >"$work/logged"
 
-# Checks that the pattern above misses no call.
+# Checks that each call of the logger names its event by a literal, which the pattern above needs.
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\(' "$work/sources" | wc -l >"$work/calls"
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\( ?"[a-z0-9_]+"' "$work/sources" | wc -l >"$work/named"
 cmp -s "$work/calls" "$work/named" || fail "an event is not a literal at its call: $(cat "$work/calls") calls, $(cat "$work/named") named"
 
 sed -n '/^## Events/,/^## /p' "$page" | grep -E '^\| `' | tr -d '`,' |
   awk -F'|' '{ gsub(/ +/, " ", $0); print $2 $3 $4 }' | sed -E 's/ +/ /g; s/^ //; s/ $//' | sort >"$work/page"
-[ "$(wc -l <"$work/logged")" -gt 20 ] || fail "hardly an event was found in the sources"
+[ "$(wc -l <"$work/logged")" -gt 20 ] || fail "too few events in the sources; the pattern no longer matches"
 diff "$work/page" "$work/logged" || fail "docs/operators/logs.md (<) and the sources (>) differ"
 
 # The literals that are passed to Logger::Stated(), each of which must be on the page.
 grep -oE '(\.|->)Stated\([^;]*;' "$work/sources" | grep -oE '"[^"]{4,}"' | tr -d '"' >"$work/stated"
-[ "$(wc -l <"$work/stated")" -gt 5 ] || fail "hardly a stated line was found in the sources"
-while read -r words; do
-  grep -qF -- "$words" "$page" || fail "docs/operators/logs.md does not have the line \"$words\""
+[ "$(wc -l <"$work/stated")" -gt 5 ] || fail "too few calls of Stated() in the sources; the pattern fails"
+while read -r text; do
+  grep -qF -- "$text" "$page" || fail "docs/operators/logs.md does not have the text \"$text\""
 done <"$work/stated"
--- a/tests/support/platform_links.sh
+++ b/tests/support/platform_links.sh
@@ -13,12 +13,12 @@
 fi
 libraries=$(ldd "$program")
 if echo "$libraries" | grep -E 'protobuf|sodium|spdlog|libfmt|xxhash'; then
-  echo "$program links what only peers need" >&2
+  echo "$program links libraries that only gossip needs" >&2
   exit 1
 fi
 # It must reject the section [peers], too.
 file=$(mktemp)
 printf '[peers]\nlisten = "127.0.0.1:7600"\n' >"$file"
-said=$("$program" check "$file" 2>&1) && { echo "$program takes [peers]" >&2; rm "$file"; exit 1; }
+output=$("$program" check "$file" 2>&1) && { echo "$program accepts [peers]" >&2; rm "$file"; exit 1; }
 rm "$file"
-echo "$said" | grep -q 'built without peers; build it with -DMOTHRACK_PEERS=ON' || { echo "$said" >&2; exit 1; }
+echo "$output" | grep -q 'built without peers; build it with -DMOTHRACK_PEERS=ON' || { echo "$output" >&2; exit 1; }
--- a/tests/support/sqlite_dump.h
+++ b/tests/support/sqlite_dump.h
@@ -1,5 +1,5 @@
-// The contents of an SQLite file as text, to compare two files: their bytes may differ in what the library
-// writes for itself, but their schema and rows must not.
+// The contents of an SQLite file as text, to compare two files: their schema and rows must be equal, while
+// other bytes, which the library manages, may differ.
 #pragma once
 
 #include <string>
@@ -8,8 +8,8 @@
 
 namespace mothrack::testing {
 
-// The version, each object of the schema, and each row of each table, by the order of their keys. The text
-// separates columns and distinguishes NULL from an empty text.
+// Returns the version, each object of the schema in the order of the names, and the rows of each table in the
+// order of the first column. The text separates columns and distinguishes NULL from an empty string.
 inline std::string DumpSqlite(const std::string& path) {
   const storage::Database db(path);
   storage::Statement version(db, "PRAGMA user_version");
--- a/tests/support/tables.h
+++ b/tests/support/tables.h
@@ -1,5 +1,5 @@
-// Conformance tables: the first table under a heading of a design page, as rows of cells by column. Tests
-// run them row by row, so that page and code agree.
+// Reads conformance tables: the first table under a heading of a design page, as rows of cells by column.
+// Tests run them row by row, so that page and code agree.
 #pragma once
 
 #include <fstream>
@@ -12,6 +12,7 @@
 
 using Row = std::map<std::string, std::string>;
 
+// The cells of a row, without the spaces and backquotes around them.
 inline std::vector<std::string> Cells(const std::string& line) {
   std::vector<std::string> cells;
   for (std::size_t at = line.find('|'); at != std::string::npos;) {
@@ -26,17 +27,18 @@
   return cells;
 }
 
-// Throws if there is no such heading or table, or if a row's number of cells is not that of the columns.
+// Returns the table under this heading. Throws std::runtime_error if there is no such page, heading or table,
+// or if a row does not have one cell per column.
 inline std::vector<Row> TableOf(const std::string& path, const std::string& heading) {
   std::ifstream page(path);
-  if (!page) throw std::runtime_error("no page " + path);
+  if (!page) throw std::runtime_error("cannot read the page " + path);
   std::vector<std::string> columns;
   std::vector<Row> rows;
-  bool there = false;
+  bool in_section = false;
   for (std::string line; std::getline(page, line);) {
-    const bool title = line.starts_with('#');
-    if (!there) {
-      there = title && line.substr(line.find_first_not_of("# ")) == heading;
+    const bool is_heading = line.starts_with('#');
+    if (!in_section) {
+      in_section = is_heading && line.substr(line.find_first_not_of("# ")) == heading;
       continue;
     }
     if (line.starts_with('|')) {
@@ -49,7 +51,7 @@
         for (std::size_t i = 0; i < cells.size(); ++i) row[columns[i]] = cells[i];
         rows.push_back(row);
       }
-    } else if (!columns.empty() || title) {
+    } else if (!columns.empty() || is_heading) {
       break;
     }
   }
--- a/tests/support/temporary_directory_test.cpp
+++ b/tests/support/temporary_directory_test.cpp
@@ -1,5 +1,5 @@
-// The directory for the files of a test: only its user may access it, it is removed with its object, and an
-// exception fails the test if it can't be created.
+// The directory for the files of a test: only its user may access it, it is removed with its object, and the
+// constructor throws if it can't be created.
 #include "support/temporary_directory.h"
 
 #include <sys/stat.h>
@@ -17,7 +17,7 @@
 
 namespace fs = std::filesystem;
 
-TEST(TemporaryDirectory, IsItsUsersAloneAndAnotherForEachObject) {
+TEST(TemporaryDirectory, IsPrivateAndUnique) {
   const TemporaryDirectory first("same");
   const TemporaryDirectory second("same");
   EXPECT_NE(first.path(), second.path());
@@ -28,7 +28,7 @@
   EXPECT_EQ(info.st_mode & 0777U, 0700U);
 }
 
-TEST(TemporaryDirectory, IsRemovedWithItsObjectAndAllThatIsInIt) {
+TEST(TemporaryDirectory, IsRemovedWithItsObjectAndContents) {
   std::string path;
   {
     const TemporaryDirectory directory;
@@ -41,7 +41,7 @@
   EXPECT_FALSE(fs::exists(path));
 }
 
-TEST(TemporaryDirectory, ThrowsWhereItCannotBeMade) {
+TEST(TemporaryDirectory, ThrowsIfItCannotBeCreated) {
   try {
     const TemporaryDirectory directory("no-such-directory/below");
     FAIL() << directory.path();
--- a/tests/support/test_cluster_test.cpp
+++ b/tests/support/test_cluster_test.cpp
@@ -1,5 +1,5 @@
 // The test cluster itself: its processes run, and its checks find each violation that a test causes on
-// purpose. Gossip is disabled, so that a fleet without it is covered, too.
+// purpose. Gossip is disabled, so that the tests also cover a fleet without it.
 #include "standins/test_cluster.h"
 
 #include <signal.h>
@@ -22,7 +22,7 @@
   return options;
 }
 
-TEST(TestCluster, SidecarsServeWhileOthersAreKilledStoppedAndStartedAnew) {
+TEST(TestCluster, SidecarsServeWhileOthersAreKilledPausedAndRestarted) {
   TestCluster cluster(WithoutGossip());
   EXPECT_EQ(cluster.Names("bole-hall-0"), (std::vector<std::string>{"a0", "s0"}));
   EXPECT_EQ(cluster.Names("agents"), (std::vector<std::string>{"a0", "a1", "a2"}));
@@ -45,7 +45,7 @@
   EXPECT_GT(cluster.count(Traffic::Outcome::kNotAccepted), 0U);
 }
 
-TEST(TestCluster, TrafficBreaksNoRuleWhileAZoneIsCutOffAndLinksAreBad) {
+TEST(TestCluster, TrafficBreaksNoRuleDuringAPartitionAndLinkFaults) {
   TestCluster cluster(WithoutGossip());
   cluster.BeginTraffic();
   std::this_thread::sleep_for(milliseconds(300));
@@ -64,24 +64,25 @@
   EXPECT_GT(cluster.relay().counts("sidecars", "upstreams").resets, 0U);
 }
 
-// Each of four violations, caused on purpose, is found.
-TEST(TestCluster, JudgesByTheFourRules) {
+// The test violates each of the four rules on purpose: drain, slow start ("cold"), no lost request, and no
+// request that runs twice. The cluster must report all of them.
+TEST(TestCluster, ReportsViolationsOfAllFourRules) {
   TestCluster cluster(WithoutGossip());
   cluster.BeginTraffic();
   std::this_thread::sleep_for(milliseconds(500));
   // Discovery is cut off: its changes to an upstream don't reach the sidecars, so they keep sending to it.
   cluster.relay().Cut("discovery", "sidecars");
   cluster.SetUpstreamState("adama-hall-u0", "leaving");
-  // Slow start, violated by an upstream with almost no capacity.
+  // A restarted upstream has a capacity near zero, so that the requests it gets violate slow start.
   cluster.AnnounceRestart("kality-hall-u0", 0.01);
   std::this_thread::sleep_for(milliseconds(2000));
-  // Killed without the cluster's knowledge: requests in flight there are lost. The sidecar's client sends
-  // again once the sidecar's stop is over.
+  // A sidecar is killed without the cluster's knowledge, so that requests in flight there count as lost. It
+  // is paused first, and its client sends again once it ended.
   cluster.Signal("s1", SIGSTOP);
   std::this_thread::sleep_for(milliseconds(200));
   cluster.Signal("s1", SIGKILL);
   std::this_thread::sleep_for(milliseconds(300));
-  // The first unsafe request of a client, sent a second time directly to an upstream.
+  // The first unsafe request of a client is sent a second time, directly to an upstream.
   const std::string upstream = cluster.AddressOf("bole-hall-u1");
   Client again(static_cast<std::uint16_t>(std::stoi(upstream.substr(upstream.find(':') + 1))));
   EXPECT_TRUE(again.Post("/submit/s0-1", "s0-1", "s0-1"));
--- a/tests/support/traffic_record_test.cpp
+++ b/tests/support/traffic_record_test.cpp
@@ -1,5 +1,5 @@
-// Which outcomes the record of a test cluster counts as violations if a process is killed between a request
-// and the reading of its answer.
+// Which outcomes the record of a test cluster counts as violations, above all if a sidecar is killed between
+// the sending of a request and the reading of its answer.
 #include "standins/traffic_record.h"
 
 #include <chrono>
@@ -23,7 +23,7 @@
 // A safe request at an even index, an unsafe one at an odd one, as Traffic sends them.
 struct Sent {
   int index = 0;
-  Outcome how{};
+  Outcome outcome{};
   int begin_ms = 0;
   int connected_ms = 0;
   int end_ms = 0;
@@ -35,9 +35,9 @@
 
   void Complete(const Sent& sent) {
     const bool unsafe = sent.index % 2 == 1;
-    record_.RequestCompleted({kSidecar, sent.index, Id(sent.index), unsafe, sent.how, After(sent.begin_ms),
-                              After(sent.connected_ms), After(sent.end_ms)});
-    if (unsafe) unsafe_[Id(sent.index)] = sent.how;
+    record_.RequestCompleted({kSidecar, sent.index, Id(sent.index), unsafe, sent.outcome,
+                              After(sent.begin_ms), After(sent.connected_ms), After(sent.end_ms)});
+    if (unsafe) unsafe_[Id(sent.index)] = sent.outcome;
   }
   void Run(int index, int at_ms) {
     record_.RequestStarted(0, Id(index), After(at_ms));
@@ -50,26 +50,26 @@
   std::map<std::string, int> runs_;
 };
 
-TEST_F(TrafficRecordTest, AnAnswerThatIsReadAfterItsSidecarWasKilledIsTheOnlyOne) {
+TEST_F(TrafficRecordTest, AnAnswerThatIsReadAfterItsSidecarWasKilledIsNoViolation) {
   Complete({0, Outcome::kRefused, 0, 1, 20});
   record_.SidecarKilled(kSidecar, After(10));
   EXPECT_EQ(Violations(), std::vector<std::string>{});
 }
 
-TEST_F(TrafficRecordTest, AnAnswerThatIsReadAsItsSidecarIsKilledIsTheOnlyOne) {
+TEST_F(TrafficRecordTest, AnAnswerThatIsReadWhenItsSidecarIsKilledIsNoViolation) {
   Complete({0, Outcome::kServed, 0, 1, 10});
   record_.SidecarKilled(kSidecar, After(10));
   EXPECT_EQ(Violations(), std::vector<std::string>{});
 }
 
-TEST_F(TrafficRecordTest, AnAnswerOfTheNextProcessIsTheOnlyOne) {
+TEST_F(TrafficRecordTest, AnAnswerOfTheNextProcessIsNoViolation) {
   Complete({1, Outcome::kServed, 0, 30, 50});
   Run(1, 40);
   record_.SidecarKilled(kSidecar, After(10));
   EXPECT_EQ(Violations(), std::vector<std::string>{});
 }
 
-TEST_F(TrafficRecordTest, ARequestWithoutAnAnswerIsLostUnlessItsSidecarWasKilled) {
+TEST_F(TrafficRecordTest, ARequestWithoutAnAnswerIsAViolationUnlessItsSidecarWasKilled) {
   Complete({0, Outcome::kLost, 0, 1, 20});
   const std::vector<std::string> lost = {
       "s1-0 was taken and never answered",
@@ -87,7 +87,7 @@
   EXPECT_EQ(Violations().size(), 2U);
 }
 
-TEST_F(TrafficRecordTest, AnAnswerAfterItsTimeIsAViolationBesideKills) {
+TEST_F(TrafficRecordTest, ALateAnswerIsAViolationEvenIfItsSidecarIsKilledLater) {
   Complete({0, Outcome::kServed, 0, 1, 6001});
   const std::vector<std::string> late = {
       "rule lost: request 4294967296 was answered 1001.000000 ms after its time (1 times)"};
@@ -96,14 +96,14 @@
   EXPECT_EQ(Violations(), late);
 }
 
-TEST_F(TrafficRecordTest, AnEffectTwiceIsAViolation) {
+TEST_F(TrafficRecordTest, AnUnsafeRequestThatRunsTwiceIsAViolation) {
   Complete({1, Outcome::kServed, 0, 1, 20});
   Run(1, 5);
   Run(1, 10);
   EXPECT_EQ(Violations().front(), "s1-1 ran 2 times");
 }
 
-TEST_F(TrafficRecordTest, ARefusedRequestThatRanIsAViolationAlsoWhereItsSidecarWasKilled) {
+TEST_F(TrafficRecordTest, ARejectedRequestThatRanIsAViolationEvenIfItsSidecarWasKilled) {
   Complete({1, Outcome::kRefused, 0, 1, 20});
   Run(1, 5);
   record_.SidecarKilled(kSidecar, After(10));
