--- a/tests/http/recorded_messages_test.cpp
+++ b/tests/http/recorded_messages_test.cpp
@@ -141,7 +141,7 @@
 }
 
 TEST(RecordedHttp, MessagesAreThoseOfVersion020) {
-  Recorded recorded(MOTHRACK_FIXTURES "/messages.txt");
+  RecordedSections recorded(MOTHRACK_FIXTURES "/messages.txt");
   std::vector<ExchangeCase> rows = ServedCases();
   for (ExchangeCase& row : FaultCases()) rows.push_back(std::move(row));
   for (const ExchangeCase& row : rows) {
--- a/tests/support/log_events.sh
+++ b/tests/support/log_events.sh
@@ -25,7 +25,7 @@
   sed -E 's/^Error/error/; s/^Warn/warning/; s/^Info/info/; s/^([a-z]+)\( ?"([a-z0-9_]+)"/\2 \1/; s/, ?\{ ?\{/ {{/' |
   sed -E 's/\{"([a-z0-9_]+)", [^{}]*\},? ?/ \1 /g; s/[{}]/ /g; s/ +/ /g; s/ $//' | sort -u >"$work/logged"
 
-# Checks that the pattern above misses no call.
+# Checks that each call of the logger names its event by a literal, which the pattern above needs.
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\(' "$work/sources" | wc -l >"$work/calls"
 grep -oE '(log|log_|log\(\))(\.|->)(Error|Warn|Info)\( ?"[a-z0-9_]+"' "$work/sources" | wc -l >"$work/named"
 cmp -s "$work/calls" "$work/named" || fail "an event name is not a literal at its call: $(cat "$work/calls") calls, $(cat "$work/named") with a literal"
