--- a/tests/admin/admin_status_test.cpp
+++ b/tests/admin/admin_status_test.cpp
@@ -113,10 +113,10 @@
 
 TEST(AdminApi, ReportsWhichUpstreamIsEjectedUntilWhenAndWhy) {
   const AdminDirectory directory;
-  StandinResolver dead([](StandinResolver::Turn& turn) {
+  StandinResolver dead([](StandinResolver::Responder& responder) {
     AnswerSpec spec;
     spec.rcode = 2;
-    turn.Answer(spec);
+    responder.Answer(spec);
   });
   StandinResolver good(StandinResolver::Echo());
   Node node(Dns("[dns]\nlisten = [\"127.0.0.1:0\"]\n[[dns.resolver]]\nuid = \"dead\"\nendpoint = \"" +
--- a/tests/dns/dns_forwarding_test.cpp
+++ b/tests/dns/dns_forwarding_test.cpp
@@ -18,7 +18,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Turn = StandinResolver::Turn;
+using Responder = StandinResolver::Responder;
 
 // ---- Forwarding ----
 
@@ -64,11 +64,11 @@
 }
 
 TEST(Dns, TcpQueriesAreAnsweredAsAnswersArrive) {
-  StandinResolver resolver([](Turn& turn) {
-    if (NameOf(turn.query()) == "slow.org") {
-      turn.SendAfter(milliseconds(300), MakeAnswer(turn.query()));
+  StandinResolver resolver([](Responder& responder) {
+    if (NameOf(responder.query()) == "slow.org") {
+      responder.SendAfter(milliseconds(300), MakeAnswer(responder.query()));
     } else {
-      turn.Answer();
+      responder.Answer();
     }
   });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
@@ -87,7 +87,8 @@
 }
 
 TEST(Dns, ClientThatEndsItsSendingStillGetsItsAnswers) {
-  StandinResolver resolver([](Turn& turn) { turn.SendAfter(milliseconds(100), MakeAnswer(turn.query())); });
+  StandinResolver resolver(
+      [](Responder& responder) { responder.SendAfter(milliseconds(100), MakeAnswer(responder.query())); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsTcpClient client(node.dns_port());
@@ -120,11 +121,11 @@
 
 TEST(Edns, SizesAreHonouredBothWays) {
   std::atomic<int> records{40};
-  StandinResolver resolver([&](Turn& turn) {
+  StandinResolver resolver([&](Responder& responder) {
     AnswerSpec spec;
     spec.records = records;
     spec.edns_size = 4096;
-    turn.Answer(spec);
+    responder.Answer(spec);
   });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
@@ -224,8 +225,8 @@
   failed.rcode = kServFail;
   failed.edns_size = 1232;
   failed.extended_error = 13;
-  StandinResolver one([&](Turn& turn) { turn.Answer(failed); });
-  StandinResolver two([&](Turn& turn) { turn.Answer(failed); });
+  StandinResolver one([&](Responder& responder) { responder.Answer(failed); });
+  StandinResolver two([&](Responder& responder) { responder.Answer(failed); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()))));
   ASSERT_TRUE(node.DnsListening());
   QuerySpec spec;
@@ -244,8 +245,8 @@
   AnswerSpec bogus;
   bogus.rcode = kServFail;
   bogus.extended_error = 6;
-  StandinResolver one([&](Turn& turn) { turn.Answer(bogus); });
-  StandinResolver two([&](Turn& turn) { turn.Answer(bogus); });
+  StandinResolver one([&](Responder& responder) { responder.Answer(bogus); });
+  StandinResolver two([&](Responder& responder) { responder.Answer(bogus); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", one.address()).Add("r2", two.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
--- a/tests/dns/dns_hostile_input_test.cpp
+++ b/tests/dns/dns_hostile_input_test.cpp
@@ -20,38 +20,38 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Turn = StandinResolver::Turn;
+using Responder = StandinResolver::Responder;
 using Via = StandinResolver::Via;
 
 // ---- Forgeries ----
 
 TEST(Forged, AnswersAreDroppedAndTheRightOneIsAccepted) {
   constexpr int kGuesses = 10000;
-  StandinResolver resolver([](Turn& turn) {
-    const Octets right = MakeAnswer(turn.query());
+  StandinResolver resolver([](Responder& responder) {
+    const Octets right = MakeAnswer(responder.query());
     Octets forged = right;
     // Wrong ids; then the right id with another question, another letter case, the QR bit of a query, no
     // question, or a cut-off end.
     std::uint16_t id = IdOf(right);
     for (int i = 0; i < kGuesses; ++i) {
       SetId(forged, ++id);
-      turn.Send(forged);
+      responder.Send(forged);
     }
     // Sent after the flood has been received, because the kernel's buffer may drop datagrams during it.
     constexpr milliseconds kLater{150};
     QuerySpec other = QueryFor("evil.example.org", IdOf(right));
-    turn.SendAfter(kLater, MakeAnswer(MakeQuery(other)));
+    responder.SendAfter(kLater, MakeAnswer(MakeQuery(other)));
     forged = right;
     forged[13] ^= 0x20;
-    turn.SendAfter(kLater, forged);
+    responder.SendAfter(kLater, forged);
     forged = right;
     forged[2] &= 0x7f;
-    turn.SendAfter(kLater, forged);
+    responder.SendAfter(kLater, forged);
     forged = Octets(right.begin(), right.begin() + 12);
     for (std::size_t i = 4; i < 12; ++i) forged[i] = 0;
-    turn.SendAfter(kLater, forged);
-    turn.SendAfter(kLater, Octets(right.begin(), right.end() - 3));  // cut
-    turn.SendAfter(2 * kLater, right);
+    responder.SendAfter(kLater, forged);
+    responder.SendAfter(kLater, Octets(right.begin(), right.end() - 3));  // cut
+    responder.SendAfter(2 * kLater, right);
   });
   const std::string file = OperatorFile(ResolverList().Add("r1", resolver.address()));
   Node node(DnsOnlyOptions(file));
@@ -74,7 +74,7 @@
   // A second socket sends matching answers to the port that sent the query. The kernel drops them, because
   // the program's socket is connected to the resolver's port.
   resolver = std::make_unique<StandinResolver>(
-      [](Turn& turn) { turn.SendAfter(milliseconds(300), MakeAnswer(turn.query())); });
+      [](Responder& responder) { responder.SendAfter(milliseconds(300), MakeAnswer(responder.query())); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver->address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient client(node.dns_port());
@@ -223,27 +223,27 @@
 }
 
 TEST(HostileBytes, FromAResolverOverTcpHarmNobody) {
-  std::atomic<int> turn_number{0};
-  StandinResolver resolver([&](Turn& turn) {
-    if (turn.via() == Via::kUdp) {
+  std::atomic<int> query_number{0};
+  StandinResolver resolver([&](Responder& responder) {
+    if (responder.via() == Via::kUdp) {
       AnswerSpec spec;
       spec.truncated = true;
-      return turn.Answer(spec);
+      return responder.Answer(spec);
     }
-    switch (turn_number++) {
+    switch (query_number++) {
       case 0:
-        return turn.SendRaw({0, 0, 0, 1, 9, 0, 3, 1, 2, 3});  // empty and short frames, then silence
+        return responder.SendRaw({0, 0, 0, 1, 9, 0, 3, 1, 2, 3});  // empty and short frames, then silence
       case 1:
-        turn.SendRaw({0xff, 0xff, 0});
-        return turn.Reset();
+        responder.SendRaw({0xff, 0xff, 0});
+        return responder.Reset();
       case 2: {
-        Octets wrong = MakeAnswer(turn.query());
+        Octets wrong = MakeAnswer(responder.query());
         SetId(wrong, static_cast<std::uint16_t>(IdOf(wrong) + 1));
-        turn.Send(wrong);
-        return turn.Answer();
+        responder.Send(wrong);
+        return responder.Answer();
       }
       default:
-        return turn.Answer();
+        return responder.Answer();
     }
   });
   const std::string classes =
@@ -255,7 +255,7 @@
   EXPECT_TRUE(Eventually([&] {
     const auto answer = client.Query(MakeQuery(QueryFor("a.org", ++id)));
     EXPECT_TRUE(answer);
-    return answer && AnswersOf(*answer) == 1 && turn_number > 3;
+    return answer && AnswersOf(*answer) == 1 && query_number > 3;
   }));
 }
 
--- a/tests/dns/dns_limits_test.cpp
+++ b/tests/dns/dns_limits_test.cpp
@@ -21,7 +21,7 @@
 namespace {
 
 using std::chrono::milliseconds;
-using Turn = StandinResolver::Turn;
+using Responder = StandinResolver::Responder;
 using Via = StandinResolver::Via;
 
 // ---- Bounds ----
@@ -48,7 +48,8 @@
 
 TEST(Bounds, PipelinedQueriesBeyondTheBoundWaitAndAreAnswered) {
   std::atomic<int> most{0};
-  StandinResolver resolver([&](Turn& turn) { turn.SendAfter(milliseconds(5), MakeAnswer(turn.query())); });
+  StandinResolver resolver(
+      [&](Responder& responder) { responder.SendAfter(milliseconds(5), MakeAnswer(responder.query())); });
   Node node(DnsOnlyOptions(
       OperatorFile(ResolverList().Add("r1", resolver.address()), "max_open_per_connection = 4\n")));
   ASSERT_TRUE(node.DnsListening());
@@ -97,10 +98,10 @@
 TEST(DnsDescriptors, StayWithinALimitOf64) {
   StandinResolver one(StandinResolver::Echo());
   StandinResolver two(StandinResolver::Echo());
-  StandinResolver three([](Turn& turn) {
+  StandinResolver three([](Responder& responder) {
     AnswerSpec spec;
-    spec.truncated = turn.via() == Via::kUdp;
-    turn.Answer(spec);
+    spec.truncated = responder.via() == Via::kUdp;
+    responder.Answer(spec);
   });
   Node node(DnsOnlyOptions(OperatorFile(
       ResolverList().Add("r1", one.address()).Add("r2", two.address()).Add("r3", three.address()), "",
@@ -171,7 +172,8 @@
 // ---- Planned stop ----
 
 TEST(DnsStop, AnswersAcceptedQueriesAndEnds) {
-  StandinResolver resolver([](Turn& turn) { turn.SendAfter(milliseconds(1200), MakeAnswer(turn.query())); });
+  StandinResolver resolver(
+      [](Responder& responder) { responder.SendAfter(milliseconds(1200), MakeAnswer(responder.query())); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
   DnsUdpClient udp(node.dns_port());
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -21,7 +21,7 @@
 
 using std::chrono::milliseconds;
 using Script = StandinResolver::Script;
-using Turn = StandinResolver::Turn;
+using Responder = StandinResolver::Responder;
 using Via = StandinResolver::Via;
 
 // ---- Unresponsive resolvers ----
@@ -135,11 +135,11 @@
 // ---- Membership ----
 
 TEST(Drain, NoAttemptStartsAtALeavingResolverAfterTheWindow) {
-  const Script script = [](Turn& turn) {
+  const Script script = [](Responder& responder) {
     AnswerSpec spec;
-    spec.truncated = turn.via() == Via::kUdp && NameOf(turn.query()).starts_with("t");
-    const auto delay = milliseconds(NameOf(turn.query()) == "slow.org" ? 900 : 2);
-    turn.SendAfter(delay, MakeAnswer(turn.query(), spec));
+    spec.truncated = responder.via() == Via::kUdp && NameOf(responder.query()).starts_with("t");
+    const auto delay = milliseconds(NameOf(responder.query()) == "slow.org" ? 900 : 2);
+    responder.SendAfter(delay, MakeAnswer(responder.query(), spec));
   };
   StandinResolver leaving(script);
   StandinResolver staying(script);
--- a/tests/dns/dns_truncation_test.cpp
+++ b/tests/dns/dns_truncation_test.cpp
@@ -16,15 +16,15 @@
 
 using std::chrono::milliseconds;
 using Script = StandinResolver::Script;
-using Turn = StandinResolver::Turn;
+using Responder = StandinResolver::Responder;
 using Via = StandinResolver::Via;
 
 TEST(Truncation, IsRetriedOverTcpAtTheSameResolver) {
-  StandinResolver resolver([](Turn& turn) {
+  StandinResolver resolver([](Responder& responder) {
     AnswerSpec spec;
-    spec.truncated = turn.via() == Via::kUdp;
+    spec.truncated = responder.via() == Via::kUdp;
     spec.records = 3;
-    turn.Answer(spec);
+    responder.Answer(spec);
   });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver.address()))));
   ASSERT_TRUE(node.DnsListening());
@@ -46,19 +46,19 @@
   for (const bool first_wins : {false, true}) {
     SharedQueryCount query_count;
     std::atomic<bool> move_done{false};
-    const Script script = [&](Turn& turn) {
-      if (turn.via() == Via::kTcp) {
+    const Script script = [&](Responder& responder) {
+      if (responder.via() == Via::kTcp) {
         move_done = true;
         AnswerSpec spec;
         spec.records = 5;
-        turn.SendAfter(milliseconds(first_wins ? 1500 : 0), MakeAnswer(turn.query(), spec));
+        responder.SendAfter(milliseconds(first_wins ? 1500 : 0), MakeAnswer(responder.query(), spec));
       } else if (query_count.queries++ == 0) {
         // Later than the hedge, which is sent at 750 ms.
-        turn.SendAfter(milliseconds(first_wins ? 1000 : 1500), MakeAnswer(turn.query()));
+        responder.SendAfter(milliseconds(first_wins ? 1000 : 1500), MakeAnswer(responder.query()));
       } else {
         AnswerSpec spec;
         spec.truncated = true;
-        turn.Answer(spec);
+        responder.Answer(spec);
       }
     };
     StandinResolver one(script);
@@ -80,10 +80,10 @@
 }
 
 TEST(Truncation, TcpRefusedIsTriedElsewhere) {
-  const Script truncating = [](Turn& turn) {
+  const Script truncating = [](Responder& responder) {
     AnswerSpec spec;
     spec.truncated = true;
-    turn.Answer(spec);
+    responder.Answer(spec);
   };
   StandinResolver refusing(truncating, false);
   StandinResolver good(StandinResolver::Echo());
@@ -105,15 +105,15 @@
   enum class Way { kRefused, kUnresponsive, kCut, kTruncatedAgain };
   for (const Way way : {Way::kRefused, Way::kUnresponsive, Way::kCut, Way::kTruncatedAgain}) {
     StandinResolver resolver(
-        [way](Turn& turn) {
-          if (turn.via() == Via::kTcp && way == Way::kUnresponsive) return;
-          if (turn.via() == Via::kTcp && way == Way::kCut) {
-            turn.SendRaw({0, 40, 1, 2, 3});
-            return turn.Reset();
+        [way](Responder& responder) {
+          if (responder.via() == Via::kTcp && way == Way::kUnresponsive) return;
+          if (responder.via() == Via::kTcp && way == Way::kCut) {
+            responder.SendRaw({0, 40, 1, 2, 3});
+            return responder.Reset();
           }
           AnswerSpec spec;
           spec.truncated = true;
-          turn.Answer(spec);
+          responder.Answer(spec);
         },
         way != Way::kRefused);
     const std::string classes =
--- a/tests/dns/dns_update_test.cpp
+++ b/tests/dns/dns_update_test.cpp
@@ -19,7 +19,7 @@
 
 using std::chrono::milliseconds;
 using Script = StandinResolver::Script;
-using Turn = StandinResolver::Turn;
+using Responder = StandinResolver::Responder;
 
 // ---- Updates ----
 
@@ -43,11 +43,11 @@
 TEST(Update, IsNotSentAgainWhenItMayHaveRun) {
   enum class Way { kUnresponsive, kReset, kTruncated };
   for (const Way way : {Way::kUnresponsive, Way::kReset, Way::kTruncated}) {
-    const Script script = [way](Turn& turn) {
+    const Script script = [way](Responder& responder) {
       AnswerSpec spec;
       spec.truncated = true;
-      if (way == Way::kReset) return turn.Reset();
-      if (way == Way::kTruncated) return turn.Answer(spec);
+      if (way == Way::kReset) return responder.Reset();
+      if (way == Way::kTruncated) return responder.Answer(spec);
     };
     StandinResolver one(script);
     StandinResolver two(script);
@@ -101,10 +101,10 @@
 // one over each protocol.
 TEST(Update, IsRetriedIfRefusedBeforeItWasSeen) {
   StandinResolver good(StandinResolver::Echo());
-  StandinResolver refusing([](Turn& turn) {
+  StandinResolver refusing([](Responder& responder) {
     AnswerSpec spec;
     spec.rcode = kRefused;
-    turn.Answer(spec);
+    responder.Answer(spec);
   });
   const std::string file =
       OperatorFile(ResolverList().Add("bad", refusing.address()).Add("good", good.address()));
@@ -138,9 +138,9 @@
 
 TEST(Retransmission, OfAnOpenQueryIsNoSecondQuery) {
   std::atomic<bool> answering{false};
-  StandinResolver resolver([&](Turn& turn) {
-    if (NameOf(turn.query()) != "slow.org") return turn.Answer();
-    turn.SendAfter(milliseconds(400), MakeAnswer(turn.query()));
+  StandinResolver resolver([&](Responder& responder) {
+    if (NameOf(responder.query()) != "slow.org") return responder.Answer();
+    responder.SendAfter(milliseconds(400), MakeAnswer(responder.query()));
   });
   const std::string file = OperatorFile(ResolverList().Add("r1", resolver.address()));
   Node node(DnsOnlyOptions(file));
--- a/tests/dns/recorded_messages_test.cpp
+++ b/tests/dns/recorded_messages_test.cpp
@@ -11,7 +11,7 @@
 namespace mothrack::testing {
 namespace {
 
-using Turn = StandinResolver::Turn;
+using Responder = StandinResolver::Responder;
 using Via = StandinResolver::Via;
 using Script = StandinResolver::Script;
 
@@ -24,7 +24,9 @@
 std::string WithoutId(const Octets& message) { return "...." + HexOf(message).substr(kIdDigits); }
 
 Script Answering(const AnswerSpec& over_udp, const AnswerSpec& over_tcp = {}) {
-  return [over_udp, over_tcp](Turn& turn) { turn.Answer(turn.via() == Via::kUdp ? over_udp : over_tcp); };
+  return [over_udp, over_tcp](Responder& responder) {
+    responder.Answer(responder.via() == Via::kUdp ? over_udp : over_tcp);
+  };
 }
 
 struct Row {
--- a/tests/standins/resolver.cpp
+++ b/tests/standins/resolver.cpp
@@ -126,14 +126,14 @@
     socklen_t size = sizeof from;
     const ssize_t got = ::recvfrom(udp_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (got < 0) return;
-    Turn turn(*this);
-    turn.fd_ = udp_;
-    turn.peer_.resize(size);
-    std::memcpy(turn.peer_.data(), &from, size);
-    turn.seen_.query.assign(bytes, bytes + got);
-    turn.seen_.from_port = ntohs(from.sin_port);
+    Responder responder(*this);
+    responder.fd_ = udp_;
+    responder.peer_.resize(size);
+    std::memcpy(responder.peer_.data(), &from, size);
+    responder.seen_.query.assign(bytes, bytes + got);
+    responder.seen_.from_port = ntohs(from.sin_port);
     ++udp_queries_;
-    Handle(turn);
+    Handle(responder);
   }
 }
 
@@ -148,27 +148,28 @@
     Octets& buffered = open_[fd].read;
     const std::size_t size = std::size_t{buffered[0]} << 8 | buffered[1];
     if (buffered.size() - 2 < size) return;
-    Turn turn(*this);
-    turn.fd_ = fd;
-    turn.seen_.via = Via::kTcp;
-    turn.seen_.connection = open_[fd].number;
-    turn.seen_.query.assign(buffered.begin() + 2, buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
+    Responder responder(*this);
+    responder.fd_ = fd;
+    responder.seen_.via = Via::kTcp;
+    responder.seen_.connection = open_[fd].number;
+    responder.seen_.query.assign(buffered.begin() + 2,
+                                 buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
     buffered.erase(buffered.begin(), buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
     ++tcp_queries_;
-    Handle(turn);
+    Handle(responder);
   }
 }
 
-void StandinResolver::Handle(Turn& turn) {
-  turn.seen_.at = std::chrono::steady_clock::now();
+void StandinResolver::Handle(Responder& responder) {
+  responder.seen_.at = std::chrono::steady_clock::now();
   Script script;
   {
     const std::lock_guard lock(mutex_);
-    turn.number_ = udp_queries_ + tcp_queries_ - 1;
-    if (recording_) seen_.push_back(turn.seen_);
+    responder.number_ = udp_queries_ + tcp_queries_ - 1;
+    if (recording_) seen_.push_back(responder.seen_);
     script = script_;
   }
-  script(turn);
+  script(responder);
 }
 
 void StandinResolver::SendNow(int fd, const std::vector<std::uint8_t>& peer, const Octets& bytes) {
@@ -190,19 +191,19 @@
   ::close(fd);
 }
 
-void StandinResolver::Turn::Send(const Octets& answer) {
+void StandinResolver::Responder::Send(const Octets& answer) {
   owner_.SendNow(fd_, peer_, via() == Via::kTcp ? Framed(answer) : answer);
 }
 
-void StandinResolver::Turn::SendRaw(const Octets& bytes) { owner_.SendNow(fd_, peer_, bytes); }
+void StandinResolver::Responder::SendRaw(const Octets& bytes) { owner_.SendNow(fd_, peer_, bytes); }
 
-void StandinResolver::Turn::Reset() {
+void StandinResolver::Responder::Reset() {
   const linger now{1, 0};
   ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
   owner_.CloseConnection(fd_);
 }
 
-void StandinResolver::Turn::SendAfter(std::chrono::milliseconds delay, const Octets& answer) {
+void StandinResolver::Responder::SendAfter(std::chrono::milliseconds delay, const Octets& answer) {
   owner_.delayed_.emplace(
       std::chrono::steady_clock::now() + delay,
       DelayedAnswer{fd_, seen_.connection, peer_, via() == Via::kTcp ? Framed(answer) : answer});
--- a/tests/standins/resolver.h
+++ b/tests/standins/resolver.h
@@ -31,7 +31,7 @@
 
   // One query and the ways to answer it. Valid only while the script runs; SendAfter() schedules a later
   // answer.
-  class Turn {
+  class Responder {
    public:
     const Octets& query() const { return seen_.query; }
     Via via() const { return seen_.via; }
@@ -54,16 +54,16 @@
     int fd_ = -1;  // of the connection, or the UDP socket
     std::vector<std::uint8_t> peer_;
 
-    explicit Turn(StandinResolver& owner) : owner_(owner) {}
+    explicit Responder(StandinResolver& owner) : owner_(owner) {}
   };
 
-  using Script = std::function<void(Turn&)>;
+  using Script = std::function<void(Responder&)>;
   static Script Echo() {
-    return [](Turn& turn) { turn.Answer(); };
+    return [](Responder& responder) { responder.Answer(); };
   }
   // Reads all queries and answers none.
   static Script Unresponsive() {
-    return [](Turn&) {};
+    return [](Responder&) {};
   }
 
   // `tcp`: false leaves the TCP port closed. `port` 0 takes a free one.
@@ -97,7 +97,7 @@
   void Loop();
   void ReceiveDatagrams();
   void ReceiveBytes(int fd);
-  void Handle(Turn& turn);
+  void Handle(Responder& responder);
   void SendNow(int fd, const std::vector<std::uint8_t>& peer, const Octets& bytes);
   void CloseConnection(int fd);
 
--- a/tests/standins/resolver_main.cpp
+++ b/tests/standins/resolver_main.cpp
@@ -17,18 +17,18 @@
 using mothrack::testing::NameOf;
 using mothrack::testing::StandinResolver;
 
-void Answer(StandinResolver::Turn& turn) {
+void Answer(StandinResolver::Responder& responder) {
   AnswerSpec spec;
-  spec.edns_size = EdnsSizeOf(turn.query()) >= 0 ? 4096 : -1;
-  const std::string name = NameOf(turn.query());
+  spec.edns_size = EdnsSizeOf(responder.query()) >= 0 ? 4096 : -1;
+  const std::string name = NameOf(responder.query());
   if (name.starts_with("big")) spec.records = std::atoi(name.c_str() + 3);
-  auto answer = MakeAnswer(turn.query(), spec);
-  const auto max_size = static_cast<std::size_t>(std::max(512, EdnsSizeOf(turn.query())));
-  if (turn.via() == StandinResolver::Via::kUdp && answer.size() > max_size) {
+  auto answer = MakeAnswer(responder.query(), spec);
+  const auto max_size = static_cast<std::size_t>(std::max(512, EdnsSizeOf(responder.query())));
+  if (responder.via() == StandinResolver::Via::kUdp && answer.size() > max_size) {
     spec.truncated = true;
-    answer = MakeAnswer(turn.query(), spec);
+    answer = MakeAnswer(responder.query(), spec);
   }
-  turn.Send(answer);
+  responder.Send(answer);
 }
 
 }  // namespace
