--- a/tests/ctl/fleet_traffic_test.cpp
+++ b/tests/ctl/fleet_traffic_test.cpp
@@ -36,7 +36,7 @@
   for (int seed = begin; seed < begin + runs; ++seed) {
     SCOPED_TRACE("seed " + std::to_string(seed));
     std::mt19937 random(static_cast<unsigned>(seed));
-    Runs runs_by_request;
+    RunCounter runs_by_request;
     Upstream one(runs_by_request.Handler());
     Upstream two(runs_by_request.Handler());
     Upstream three(runs_by_request.Handler());
--- a/tests/sidecar/faulty_service.h
+++ b/tests/sidecar/faulty_service.h
@@ -52,7 +52,7 @@
 
   Upstream::Handler Handler() {
     return [this](Wire& wire, const Request& request, int number) {
-      if (request.method() == boost::beast::http::verb::post) runs_.Note(request.body());
+      if (request.method() == boost::beast::http::verb::post) runs_.CountRun(request.body());
       wire.Answer(200, "fine", number % kRequestsOnAConnection == 0 ? "Connection: close\r\n" : "");
     };
   }
@@ -103,7 +103,7 @@
     return options;
   }
 
-  Runs runs_;
+  RunCounter runs_;
   Upstream first_;
   Upstream second_;
 
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -144,7 +144,7 @@
   const Options options_;
   const TemporaryDirectory directory_{"cluster"};
   std::unique_ptr<FaultyRelay> relay_;
-  Runs ran_;
+  RunCounter ran_;
   TrafficRecord record_;
   std::vector<UpstreamEntry> upstreams_;
   std::map<std::string, Process> processes_;
--- a/tests/standins/traffic.cpp
+++ b/tests/standins/traffic.cpp
@@ -17,19 +17,19 @@
 
 }  // namespace
 
-Upstream::Handler Runs::Handler() {
+Upstream::Handler RunCounter::Handler() {
   return [this](Wire& wire, const Request& request, int) {
-    if (request.method() == boost::beast::http::verb::post) Note(request.body());
+    if (request.method() == boost::beast::http::verb::post) CountRun(request.body());
     wire.Answer(200, "fine");
   };
 }
 
-void Runs::Note(const std::string& id) {
+void RunCounter::CountRun(const std::string& id) {
   const std::lock_guard lock(mutex_);
   ++runs_[id];
 }
 
-std::map<std::string, int> Runs::all() const {
+std::map<std::string, int> RunCounter::all() const {
   const std::lock_guard lock(mutex_);
   return runs_;
 }
--- a/tests/standins/traffic.h
+++ b/tests/standins/traffic.h
@@ -17,11 +17,11 @@
 
 namespace mothrack::testing {
 
-// Records which unsafe requests ran at the upstreams, and how often.
-class Runs {
+// Counts how often each unsafe request ran at the upstreams.
+class RunCounter {
  public:
   Upstream::Handler Handler();
-  void Note(const std::string& id);  // records one run
+  void CountRun(const std::string& id);
   std::map<std::string, int> all() const;
 
  private:
