--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -85,7 +85,7 @@
 TEST(Agent, SecondAgentOverOneDirectoryIsRefused) {
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
-  EXPECT_EQ(fleet.StartAgentAgain(0), 1);
+  EXPECT_EQ(fleet.RunSecondAgent(0), 1);
   EXPECT_NE(fleet.AgentLog(0).find("another agent uses it"), std::string::npos);
   EXPECT_EQ(Count(fleet.AgentLog(0), " info process_started instance=n0 pid="), 1U);
 }
@@ -101,7 +101,7 @@
   })) << fleet.AgentLog(0);
   fleet.KillAgent(0);
   std::filesystem::remove_all(fleet.path("g1"));
-  EXPECT_EQ(fleet.StartAgentAgain(0), 1);
+  EXPECT_EQ(fleet.RunSecondAgent(0), 1);
   const std::string text =
       "mothrack-agent: generations.g1: " + fleet.path("g1") + ": No such file or directory\n";
   EXPECT_NE(fleet.AgentLog(0).find(text), std::string::npos) << fleet.AgentLog(0);
--- a/tests/standins/fleet.cpp
+++ b/tests/standins/fleet.cpp
@@ -171,7 +171,7 @@
   agents_[agent] = Spawn({MOTHRACK_AGENT, path(name + ".toml")}, path(name + ".log"), file_bytes);
 }
 
-int Fleet::StartAgentAgain(int agent) {
+int Fleet::RunSecondAgent(int agent) {
   const std::string name = "a" + std::to_string(agent);
   return CodeOf(Spawn({MOTHRACK_AGENT, path(name + ".toml")}, path(name + ".log")));
 }
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -61,7 +61,8 @@
   std::string DirectoryOf(int agent, int instance) const;
   std::string AgentLog(int agent) const;
   pid_t AgentPid(int agent) const { return agents_.at(agent); }
-  int StartAgentAgain(int agent);  // while the first one runs; returns the exit code
+  // Runs a second process of the agent while the first one runs. Returns its exit code.
+  int RunSecondAgent(int agent);
 
  private:
   pid_t Spawn(const std::vector<std::string>& command, const std::string& out,
