--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -144,7 +144,7 @@
 TEST(Ctl, AppliesDrainsAndReportsAChange) {
   Fleet fleet({2, 2, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
-  const auto plan = fleet.Ctl({"plan", "g2", "--dir", fleet.Generation("g2")});
+  const auto plan = fleet.Ctl({"plan", "g2", "--dir", fleet.WriteGeneration("g2")});
   EXPECT_EQ(plan.code, 0);
   EXPECT_NE(plan.out.find("- # g1\n+ # g2\n"), std::string::npos) << plan.out;
   const auto dry =
@@ -169,8 +169,8 @@
   Fleet fleet({2, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   const int pid = fleet.Pid(0, 0);
-  const auto bad =
-      fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", fleet.Generation("g2", true), "--why", "a test"}));
+  const auto bad = fleet.Ctl(
+      WithQuickOptions({"apply", "g2", "--dir", fleet.WriteGeneration("g2", true), "--why", "a test"}));
   EXPECT_EQ(bad.code, 2);
   EXPECT_NE(bad.out.find("nonsense"), std::string::npos) << bad.out;
   EXPECT_EQ(fleet.Pid(0, 0), pid);
@@ -238,8 +238,8 @@
     std::mt19937 random(static_cast<unsigned>(seed));
     Fleet fleet({4, 2, "", "", false});
     ASSERT_TRUE(fleet.AllReady("g1"));
-    const pid_t ctl_pid =
-        fleet.StartCtl(WithQuickOptions({"apply", "g2", "--dir", fleet.Generation("g2"), "--why", "a test"}));
+    const pid_t ctl_pid = fleet.StartCtl(
+        WithQuickOptions({"apply", "g2", "--dir", fleet.WriteGeneration("g2"), "--why", "a test"}));
     CrashAgents(fleet, random, 4, 3);
     if (random() % 2 == 0) ::kill(ctl_pid, SIGKILL);
     const int code = Fleet::WaitCtl(ctl_pid).code;
--- a/tests/ctl/fleet_traffic_test.cpp
+++ b/tests/ctl/fleet_traffic_test.cpp
@@ -51,7 +51,7 @@
     // Odd seeds apply another generation; even seeds restart with the present one.
     const std::string generation = seed % 2 == 0 ? "g1" : "g2";
     std::vector<std::string> apply = {"restart"};
-    if (generation == "g2") apply = {"apply", "g2", "--dir", fleet.Generation("g2")};
+    if (generation == "g2") apply = {"apply", "g2", "--dir", fleet.WriteGeneration("g2")};
     for (const char* argument : {"--why", "a test", "--max-unavailable", "5", "--watch-ms", "100"})
       apply.push_back(argument);
     const pid_t ctl_pid = fleet.StartCtl(apply);
--- a/tests/standins/fleet.cpp
+++ b/tests/standins/fleet.cpp
@@ -63,7 +63,7 @@
 }  // namespace
 
 Fleet::Fleet(const Options& options) : options_(options) {
-  Generation("g1");
+  WriteGeneration("g1");
   const auto sidecars =
       static_cast<std::size_t>(options_.agents) * static_cast<std::size_t>(options_.instances);
   const auto reservations = std::make_shared<PortReservations>();
@@ -129,7 +129,7 @@
   return path("a" + std::to_string(agent)) + "/instances/n" + std::to_string(instance);
 }
 
-std::string Fleet::Generation(const std::string& remark, bool fault) const {
+std::string Fleet::WriteGeneration(const std::string& remark, bool fault) const {
   fs::create_directories(path(remark));
   std::ofstream(path(remark) + "/mothrack.toml")
       << "name = \"{instance}\"\n# " << remark << "\n[admin]\nlisten = \"unix:{directory}/door\"\n"
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -54,7 +54,7 @@
   int Pid(int agent, int instance) const { return Instance(agent, instance).value("pid", 0); }
 
   // Writes a generation's files with a remark in them; `fault`: the check rejects the generation.
-  std::string Generation(const std::string& remark, bool fault = false) const;
+  std::string WriteGeneration(const std::string& remark, bool fault = false) const;
   std::string path(const std::string& name) const { return directory_.File(name); }
   // The ports on which the sidecars listen, in the order of agents.
   const std::vector<std::uint16_t>& ports() const { return ports_; }
