--- a/tests/discovery/discovery_process_test.cpp
+++ b/tests/discovery/discovery_process_test.cpp
@@ -121,7 +121,7 @@
   Upstream upstream_a(Upstream::Echo("a"));
   Upstream upstream_b(Upstream::Echo("b"));
   BlackHole black_hole;
-  Refusing refusing;
+  RefusingAddress refusing;
   for (const bool on_request : {false, true}) {
     for (const std::string& old_address : {black_hole.address(), refusing.address()}) {
       Discovery next(List({Target("u2", upstream_b.address())}));
@@ -253,7 +253,7 @@
 // after a kill.
 TEST(Ready, AtOnceWhateverDiscoveryDoes) {
   BlackHole black_hole;
-  Refusing refusing;
+  RefusingAddress refusing;
   Upstream stalling([](Wire& wire, const Request&, int) {
     wire.Write("HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\n{");
     wire.ReadsEnd();
--- a/tests/discovery/discovery_test.cpp
+++ b/tests/discovery/discovery_test.cpp
@@ -116,7 +116,7 @@
   const discovery::PollPolicy policy = discovery::PollPolicy::For(MakeRules(false, kDrain));
   const runtime::Duration time = seconds(2);
   testing::BlackHole hole;
-  testing::Refusing refusing;
+  testing::RefusingAddress refusing;
   Source malformed;
   malformed.AnswerWith(OkResponse(R"({"rev":99,"all":true,"targets":[{"uid":7}]})"), 100000);
   Source broken;
--- a/tests/http/bulk_test.cpp
+++ b/tests/http/bulk_test.cpp
@@ -213,7 +213,7 @@
 
 TEST(BulkUpload, IsRetriedElsewhereIfNothingRanAndAllIsBuffered) {
   Upstream upstream(Upstream::Echo("u"));
-  Refusing refusing;
+  RefusingAddress refusing;
   Upstream full([](Wire& wire, const Request&, int) { wire.Answer(503, "x", "X-Not-Processed: 1\r\n"); });
   Node node(NodeOptions(List(
       {Target("u1", refusing.address()), Target("u2", upstream.address()), Target("u3", full.address())})));
--- a/tests/sidecar/outcome_test.cpp
+++ b/tests/sidecar/outcome_test.cpp
@@ -36,7 +36,7 @@
 }
 
 TEST(Outcome, RefusedConnectionProvesThatNothingRan) {
-  Refusing refusing;
+  RefusingAddress refusing;
   EXPECT_EQ(UnsafeStatus(refusing.address(), 5000), 503U);
 }
 
@@ -109,7 +109,7 @@
 }
 
 TEST(Outcome, RejectionHasRetryAfter) {
-  Refusing refusing;
+  RefusingAddress refusing;
   Node node(With(List({Target("u1", refusing.address())})));
   ASSERT_TRUE(node.Listening());
   Client client(node.port());
--- a/tests/simulation/load_generator_test.cpp
+++ b/tests/simulation/load_generator_test.cpp
@@ -41,7 +41,7 @@
   LoadConfig config;
   config.host = "192.0.2.1";
   EXPECT_THROW(Load(config), std::invalid_argument);
-  const testing::Refusing refusing_server;
+  const testing::RefusingAddress refusing_server;
   config.host = "127.0.0.1";
   config.port = static_cast<std::uint16_t>(
       std::stoi(refusing_server.address().substr(refusing_server.address().find(':') + 1)));
--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -168,12 +168,12 @@
   return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
 }
 
-Refusing::Refusing() : acceptor_(io_) {
+RefusingAddress::RefusingAddress() : acceptor_(io_) {
   acceptor_.open(tcp::v4());
   acceptor_.bind(Loopback(0));
 }
 
-std::string Refusing::address() const {
+std::string RefusingAddress::address() const {
   return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
 }
 
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -106,9 +106,9 @@
 };
 
 // An address that refuses connections: its socket is bound but does not listen.
-class Refusing {
+class RefusingAddress {
  public:
-  Refusing();
+  RefusingAddress();
   std::string address() const;
 
  private:
