--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -19,12 +19,13 @@
 namespace mothrack::balancer {
 namespace {
 
-// A failed membership call is followed by the next one within a fifth of `poll_within`, or of this if
-// shorter. A change counts as announced 6 s after it could have been polled. Of these the failed call and the
-// next one take up to 2 s each, and the delay and the tick take the rest.
+// After a failed membership call, the next one follows within a fifth of `poll_within` or of this interval,
+// whichever is shorter. The deployment counts a change as announced 6 s after it could first have been
+// polled. The failed call and the next one take up to 2 s each. A fifth of this interval and one tick are the
+// other 2 s.
 constexpr Duration kMaxPollInterval = std::chrono::milliseconds(8750);
-// The delay is a random share of that interval, from this to twice this, so that sidecars do not poll in
-// step.
+// The delay is a random share of that interval, from this share to twice this share, so that the sidecars do
+// not all poll at the same time.
 constexpr double kResubscribeShare = 0.1;
 
 }  // namespace
@@ -95,7 +96,7 @@
   Fleet fleet_;
   RequestHandler request_handler_;
   bool running_ = false;
-  std::optional<TimePoint> subscribe_at_;  // set after a failed membership call
+  std::optional<TimePoint> subscribe_at_;  // the time of the next Subscribe after a failed membership call
 };
 
 Balancer::Balancer(Settings settings, std::uint64_t seed)
--- a/src/balancer/connection_model.h
+++ b/src/balancer/connection_model.h
@@ -10,13 +10,14 @@
 
 namespace mothrack::balancer {
 
-// Minimum idle time up to which a connection is reused. The limit is otherwise half the idle time at which a
-// connection was found closed.
+// A connection is reused up to a trusted idle time. Once a connection was found closed, the trusted idle time
+// is half of the time for which that connection had been idle, but at least this.
 inline constexpr Duration kMinTrustedIdle = std::chrono::milliseconds(100);
-// Factor by which the trusted idle time, up to which a connection is reused, grows each tick until it reaches
-// Limits::idle_close. It doubles in about ten seconds.
+// Factor by which the trusted idle time grows each tick until it reaches Limits::idle_close. It doubles in
+// about ten seconds.
 inline constexpr double kTrustedIdleGrowth = 1.02;
-// A reset within this share of the connect time-out means that the connection was already closed.
+// A reset of a reused connection within this share of the connect time-out means that the connection was
+// already closed.
 inline constexpr double kImmediateShare = 0.1;
 // Difficulty of connecting above which connecting counts as hard: about half of the attempts that open a
 // connection take twice their usual time or fail.
@@ -52,9 +53,9 @@
 
   // Whether the idle connections are too old to be reused; if so, the record counts them as closed.
   bool DropStale(ConnectionRecord& record, TimePoint now) const;
-  // An attempt is being sent.
+  // An attempt is being sent. Returns how it gets its connection, and removes an idle one from the record.
   ConnectionUse Use(ConnectionRecord& record, int in_flight, TimePoint now) const;
-  // An attempt has ended. `usual_time`: of answers to its class.
+  // An attempt has ended. `usual_time`: the usual answer time of its class.
   void RecordOutcome(ConnectionRecord& record, const ConnectionUse& use, Outcome outcome, Duration elapsed,
                      Duration usual_time, TimePoint now);
   void RecordTick();
--- a/src/balancer/events.h
+++ b/src/balancer/events.h
@@ -90,7 +90,7 @@
   AttemptId attempt{};
   Outcome outcome = Outcome::kServed;
   Duration elapsed{};     // since it was sent
-  bool finished = false;  // the client got its final answer from this attempt
+  bool finished = false;  // the client needs no further answer, usually since this attempt was served
   LoadReport load;
 };
 
--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -38,9 +38,9 @@
   upstreams_.FinishUpdate();
   zone_health_.KeepOnly([this](const std::string& zone) { return upstreams_.HasZone(zone); });
   MarkSubset();
-  // Done only once the complete list is known: with credit drawn from a partial sum, the first upstreams of
-  // the list would come first at every sidecar, and all sidecars would send their first requests to the same
-  // few.
+  // Upstreams enter the rotation only once the complete list is known. If their credit were drawn from a
+  // partial sum of the weights, the first upstreams of the list would have the most credit at every sidecar,
+  // and all sidecars would send their first requests to the same few.
   for (const UpstreamPtr& upstream : entering) EnterRotation(*upstream);
 }
 
@@ -57,9 +57,9 @@
   subset_members_.clear();
   for (const UpstreamPtr& upstream : upstreams_.ranked()) {
     const bool serving = upstream->info.state == UpstreamState::kServing;
-    const bool takes_place = serving && !upstream->outlier.ejected && !IsSuspect(*upstream);
+    const bool fills_place = serving && !upstream->outlier.ejected && !IsSuspect(*upstream);
     subset_members_.push_back({&upstream->subset, serving ? upstream->info.weight : 0,
-                               takes_place ? SlowStartFactor(*upstream) : 0});
+                               fills_place ? SlowStartFactor(*upstream) : 0});
   }
   subset_.Mark(subset_members_, SubsetSize(), request_rate_.IsKnown(context_.now),
                upstreams_.ServingWeight());
@@ -258,7 +258,7 @@
     round_robin_.Add({&upstream.rotation, i, RotationWeight(upstream), upstream.in_flight.attempts, tried,
                       suspect, MustConnect(upstream)});
     if (!suspect && !tried)
-      places_left -= SlowStartFactor(upstream);  // one in slow start takes only part of a place
+      places_left -= SlowStartFactor(upstream);  // an upstream in slow start fills only part of a place
   }
   const auto chosen = round_robin_.Choose(only_untried_healthy);
   return chosen ? ranked[*chosen] : nullptr;
--- a/src/balancer/fleet.h
+++ b/src/balancer/fleet.h
@@ -72,7 +72,7 @@
   const std::vector<UpstreamPtr>& ranked() const { return upstreams_.ranked(); }
   // Whether the upstream may get a request; checked before every attempt. An ejected upstream gets half-open
   // probes only.
-  bool MayTake(Upstream& upstream, bool half_open_probe = false) {
+  bool MaySendTo(Upstream& upstream, bool half_open_probe = false) {
     return IsAvailable(upstream, half_open_probe) && HasSlowStartBudget(upstream);
   }
   // The next upstream by round robin; null if none can take the request. `only_untried_healthy`: excludes
--- a/src/balancer/load_shedder.cpp
+++ b/src/balancer/load_shedder.cpp
@@ -9,11 +9,12 @@
 
 double LoadShedder::AdmittedShare(std::size_t class_index, const std::vector<Duration>& usual_times) const {
   double total_demand = 0, lower_demand = 0, total_floor = 0;
-  const double own_priority = PriorityForTime(class_index, usual_times);
+  const double own_priority = PriorityPerServiceTime(class_index, usual_times);
   for (std::size_t other_class = 0; other_class < classes_.size(); ++other_class) {
     total_demand += demand_[other_class];
     total_floor += demand_[other_class] * kClassFloor;
-    if (other_class == class_index || PriorityForTime(other_class, usual_times) > own_priority) continue;
+    if (other_class == class_index || PriorityPerServiceTime(other_class, usual_times) > own_priority)
+      continue;
     lower_demand += demand_[other_class];
   }
   const double lower_cut = lower_demand * (1 - kClassFloor);
@@ -24,7 +25,8 @@
   return 1 - std::clamp((cut - lower_cut) / own_demand, 0.0, 1 - kClassFloor);
 }
 
-double LoadShedder::PriorityForTime(std::size_t class_index, const std::vector<Duration>& usual_times) const {
+double LoadShedder::PriorityPerServiceTime(std::size_t class_index,
+                                           const std::vector<Duration>& usual_times) const {
   return classes_[class_index].priority_weight / static_cast<double>(usual_times[class_index].count());
 }
 
--- a/src/balancer/load_shedder.h
+++ b/src/balancer/load_shedder.h
@@ -101,7 +101,7 @@
   bool RejectionsEnded(TimePoint now);
 
  private:
-  double PriorityForTime(std::size_t class_index, const std::vector<Duration>& usual_times) const;
+  double PriorityPerServiceTime(std::size_t class_index, const std::vector<Duration>& usual_times) const;
 
   const std::vector<RequestClass>& classes_;
   double shed_ = 0;
--- a/src/balancer/request_handler.cpp
+++ b/src/balancer/request_handler.cpp
@@ -83,7 +83,7 @@
   if (!attempt->started) RecordLateness(*request, *attempt, event.outcome, event.elapsed);
   fleet_.RecordOutcome(*request, *attempt, event.elapsed);
   if (request->streaming && !attempt->started) {
-    // An attempt that was cancelled for the one whose answer is being streamed.
+    // This attempt was cancelled because another one's answer is being streamed. Nothing is left to decide.
   } else if (event.finished) {
     if (event.outcome == Outcome::kServed) fleet_.RecordOvertaken(*request, *attempt);
     End(*request);
@@ -157,15 +157,15 @@
   return context_.random.Uniform() < shedder_.AdmittedShare(request.class_index, usual_times_);
 }
 
-// Sends the request to the next upstream, or first probes the load of the next few. Returns false if there is
-// none.
+// Sends the request to the next upstream, or first probes the load of the next few. Returns false if no
+// upstream can get it.
 bool RequestHandler::SendOrProbe(Request& request) {
   const UpstreamPtr first = fleet_.Choose(request, retries_);
   if (!first) return false;
   request.probed = {{first}};
   while (request.probed.size() < probes_.upstreams_per_request()) {
     const UpstreamPtr next = fleet_.Choose(request, retries_);
-    if (!next || request.HasTried(*next)) break;  // no further upstream
+    if (!next || request.HasTried(*next)) break;  // there is no further upstream
     request.probed.push_back({next});
   }
   if (request.probed.size() == 1) {
@@ -187,7 +187,7 @@
   LeastLoaded least_loaded(request.latency_objective);
   for (std::size_t i = 0; i < probed.size(); ++i) {
     Upstream& upstream = *probed[i].upstream;
-    if (!probed[i].in_flight || !fleet_.MayTake(upstream) ||
+    if (!probed[i].in_flight || !fleet_.MaySendTo(upstream) ||
         !retries_.MaySend(request, upstream.info, context_.now))
       continue;
     least_loaded.Consider(i, fleet_.LoadOf(probed[i]));
@@ -225,7 +225,7 @@
   if (!retries_.MayProbe(request)) return false;
   for (const UpstreamPtr& upstream : fleet_.ranked()) {
     if (request.HasTried(*upstream)) continue;
-    if (!fleet_.MayTake(*upstream, true) || !retries_.MaySend(request, upstream->info, context_.now))
+    if (!fleet_.MaySendTo(*upstream, true) || !retries_.MaySend(request, upstream->info, context_.now))
       continue;
     SendTo(request, upstream, Reason::kHalfOpenProbe);
     return true;
@@ -303,7 +303,7 @@
   End(request);
 }
 
-// No further attempt is made; those in flight are cancelled.
+// Ends the request: no further attempt is made, and those in flight are cancelled.
 void RequestHandler::End(Request& request) {
   request.ended = true;
   probes_.StopWaiting(request.id);
--- a/src/balancer/retry_policy.cpp
+++ b/src/balancer/retry_policy.cpp
@@ -37,8 +37,8 @@
   // same without losing the first attempt.
   if (request.request_class->late_priority_weight > 0 && limits_.hedging) return left;
   const TimePoint latency_objective = request.arrived + request.latency_objective;
-  // Under overload this applies to unsafe requests too: past the objective the answer has no weight and only
-  // delays others.
+  // While the fleet is overloaded, unsafe requests time out at the objective as well, unless late answers
+  // keep some weight: their upstream would only spend time that other requests need.
   const bool time_out_at_objective = request.request_class->effect != Effect::kUnsafe ||
                                      (request.request_class->late_priority_weight <= 0 && shedding);
   if (time_out_at_objective && now < latency_objective)
--- a/src/balancer/round_robin.cpp
+++ b/src/balancer/round_robin.cpp
@@ -11,7 +11,7 @@
 constexpr int kTriedRank = 3;  // added to the rank of a tried candidate
 constexpr int kWorstRank = kTriedRank + kSuspectRank;
 
-void Gain(RotationRecord& record, double weight, double sum) {
+void AddCredit(RotationRecord& record, double weight, double sum) {
   // Bounds the credit that an upstream kept while it was no candidate, since the sum may have changed.
   record.credit = std::clamp(record.credit, -sum, sum) + weight;
 }
@@ -39,11 +39,11 @@
   for (const Candidate* candidate : best_) sum += candidate->weight;
   const Candidate* chosen = best_.front();
   for (const Candidate* candidate : best_) {
-    Gain(*candidate->record, candidate->weight, sum);
+    AddCredit(*candidate->record, candidate->weight, sum);
     if (candidate->record->credit > chosen->record->credit) chosen = candidate;
   }
   chosen->record->credit -= sum;
-  for (const Waiting& waiting : waiting_) Gain(*waiting.record, waiting.weight, sum);
+  for (const Waiting& waiting : waiting_) AddCredit(*waiting.record, waiting.weight, sum);
   return chosen->index;
 }
 
--- a/src/balancer/round_robin.h
+++ b/src/balancer/round_robin.h
@@ -1,7 +1,7 @@
 // Smooth weighted round robin: chooses among the upstreams that may take a request.
 //
 // The algorithm is nginx's (upstream_round_robin): each candidate gains its weight as credit, and the one
-// with the most credit is chosen and pays the sum of all weights. Consecutive requests are so spread evenly.
+// with the most credit is chosen and pays the sum of all weights. This spreads consecutive requests evenly.
 // Upstreams that were already tried for the request, are suspect or are crowded are chosen only if no better
 // one is left.
 #pragma once
--- a/src/balancer/settings.h
+++ b/src/balancer/settings.h
@@ -40,6 +40,7 @@
   double quota_per_s = 0;  // requests per second over all sidecars that count as within its share
 };
 
+// What the balancer may do with a request, and how the sidecar treats its connections.
 struct Limits {
   std::size_t max_attempts = 3;  // per request, including the first
   bool hedging = false;          // two attempts of one request may be in flight at once
@@ -53,10 +54,11 @@
   std::size_t streams = 1;  // concurrent attempts per connection
 };
 
+// The requirements of the deployment that the balancer has to meet.
 struct Rules {
-  // A final answer up to this long after the deadline still counts.
+  // A final answer up to this long after the deadline still counts as in time.
   Duration answer_grace = std::chrono::milliseconds(20);
-  // With membership_on_request: the longest time between two polls.
+  // The longest time between two polls of the endpoint list, if Settings::membership_on_request is set.
   Duration poll_within = std::chrono::seconds(10);
   // No attempt may start at a draining upstream later than this after discovery announced the drain. The
   // balancer stops at once, so all of this time is available for delivering the endpoint list to it.
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -54,9 +54,9 @@
 }
 
 // The share of this sidecar's requests that an upstream of this weight past slow start would usually get. In
-// a big fleet each sidecar calls a few upstreams of a long list, so the sidecars that call this one have to
-// use the share of all others as well. A sidecar with the upstream in its subset sends it its share of the
-// subset; averaged over the fleet these shares add up to its share of the list.
+// a big fleet each sidecar sends to a few upstreams of a long list, so the sidecars that send to this one
+// have to use the share of all others as well. A sidecar with the upstream in its subset sends it its share
+// of the subset; averaged over the fleet these shares add up to its share of the list.
 double SlowStart::ShareOfRequests(const SlowStartUpstream& upstream) const {
   const double of_list = upstream.weight / std::max(usual_weight_, upstream.weight);
   if (upstream.subset_share <= 0) return of_list;
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -1,8 +1,8 @@
 // Slow start: the ramp of an upstream that has just started, and the budget of attempts that enforces it.
 //
 // Guards new processes, which have little capacity at first, against the sum of what all sidecars send. The
-// round robin already reduces their weight; the budget still holds when requests move over from upstreams
-// that fail. See docs/design/slow_start.md.
+// round robin already reduces their weight; the budget still holds when requests shift to them from
+// upstreams that fail. See docs/design/slow_start.md.
 #pragma once
 
 #include <algorithm>
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -29,7 +29,7 @@
 struct SubsetMember {
   SubsetRecord* record = nullptr;
   double weight = 0;  // listed; 0 if it does not serve
-  // The part of a place in the subset that it takes: its slow start factor; 0 if ejected or suspect.
+  // The part of a place in the subset that it fills: its slow start factor; 0 if ejected or suspect.
   double capacity = 0;
 };
 
--- a/src/balancer/tick.h
+++ b/src/balancer/tick.h
@@ -5,7 +5,8 @@
 
 namespace mothrack::balancer {
 
-// Nothing done on a tick is urgent, since each decision compares its times with the event's time.
+// Nothing that happens on a tick is urgent, since each decision compares its deadlines with the time of its
+// event, not of the last tick.
 inline constexpr Duration kTickInterval = std::chrono::milliseconds(250);
 
 }  // namespace mothrack::balancer
--- a/src/balancer/types.h
+++ b/src/balancer/types.h
@@ -18,7 +18,7 @@
   using rep = duration::rep;
   using period = duration::period;
   using time_point = std::chrono::time_point<Clock>;
-  // NOLINTNEXTLINE(readability-identifier-naming): the name that the standard gives it
+  // NOLINTNEXTLINE(readability-identifier-naming): the standard library requires this name
   static constexpr bool is_steady = true;
 };
 using TimePoint = Clock::time_point;
@@ -30,7 +30,7 @@
 enum class AttemptId : std::size_t {};  // index of the attempt within its request, in SendAttempt order
 struct UpstreamId {
   std::string value;
-  // NOLINTNEXTLINE(modernize-use-nullptr): the linter finds the comparison's own literal 0
+  // NOLINTNEXTLINE(modernize-use-nullptr): the linter reports the literal 0 of the generated comparison
   auto operator<=>(const UpstreamId&) const = default;
 };
 
--- a/src/balancer/upstream_set.cpp
+++ b/src/balancer/upstream_set.cpp
@@ -34,7 +34,7 @@
   return {upstream, new_process, new_process || !was_serving};
 }
 
-// Removes the upstreams with the state kGone.
+// Removes the upstreams with the state kGone and those that a full list does not contain.
 void UpstreamSet::FinishUpdate() {
   std::erase_if(by_id_, [](const auto& entry) {
     UpstreamState& state = entry.second->info.state;
--- a/src/balancer/zone_health.h
+++ b/src/balancer/zone_health.h
@@ -19,7 +19,8 @@
 
 class ZoneHealth {
  public:
-  // Returns early since it is called for every upstream on every request and is nearly always false.
+  // Whether no upstream of the zone answers. Returns early, since it is called for every upstream on every
+  // request and is nearly always false.
   bool IsUnavailable(const std::string& zone) const {
     if (unavailable_zones_ == 0) return false;
     const auto it = zones_.find(zone);
--- a/tests/balancer/action_digest_test.cpp
+++ b/tests/balancer/action_digest_test.cpp
@@ -1,6 +1,6 @@
-// A digest of the actions of the decision module in 10,000 histories of random events. A change of the code
-// that is not meant to change decisions must not change the digest. A change that is meant to states the new
-// digest and the reason.
+// A digest of the actions of the decision module in 10,000 histories of random events. It guards against
+// unintended changes of decisions. A commit that changes decisions on purpose updates the digest and states
+// the reason.
 #include <algorithm>
 #include <cstdint>
 #include <cstring>
--- a/tests/balancer/attempts_test.cpp
+++ b/tests/balancer/attempts_test.cpp
@@ -23,7 +23,8 @@
   ASSERT_EQ(sidecar.sent.size(), before + 1);
   const SentAttempt attempt = sidecar.sent[before];
   EXPECT_EQ(attempt.timeout, Duration(2s));
-  // No latency is counted yet: its upstream keeps its share, and the request gets no final answer.
+  // The time until its body is complete does not count as latency: its upstream keeps its share of requests,
+  // and the request gets no final answer.
   const auto spread = sidecar.CountServed(60);
   EXPECT_GT(spread.at(attempt.upstream), 10);
   sidecar.Advance(30s);
@@ -50,7 +51,7 @@
   sidecar.EndAttempt(sidecar.sent[0], Outcome::kFull);
   ASSERT_EQ(sidecar.sent.size(), 2U);
   EXPECT_NE(sidecar.sent[1].upstream, sidecar.sent[0].upstream);
-  // Its body is no longer buffered: further attempts prove that nothing has run.
+  // Its body is no longer buffered, so further attempts end as kNotSent: nothing has run.
   for (std::size_t i = 1; i < sidecar.sent.size(); ++i)
     sidecar.EndAttempt(sidecar.sent[i], Outcome::kNotSent);
   EXPECT_EQ(sidecar.rejected.size(), 1U);
@@ -105,7 +106,7 @@
   ASSERT_EQ(sidecar.sent.size(), before + 2);
   EXPECT_NE(sidecar.sent[before].upstream, sidecar.sent[before + 1].upstream);
   sidecar.EndAttempt(sidecar.sent[before + 1], Outcome::kServed);
-  EXPECT_EQ(sidecar.cancelled.back().second, AttemptId{0}) << "the overtaken attempt is cancelled";
+  EXPECT_EQ(sidecar.cancelled.back().second, AttemptId{0}) << "the overtaken attempt must be cancelled";
 }
 
 TEST(RetryBudget, BoundsFurtherAttempts) {
@@ -119,7 +120,7 @@
       sidecar.EndAttempt(sidecar.sent[k], Outcome::kError);
   }
   EXPECT_LE(sidecar.sent.size(), 500u + 150u + 10u + 50u)
-      << "first attempts, three tenths of them as retries, the burst, and half-open probes";
+      << "more than the first attempts, three tenths of them as retries, the burst, and half-open probes";
 }
 
 }  // namespace
--- a/tests/balancer/balancer_test.cpp
+++ b/tests/balancer/balancer_test.cpp
@@ -16,11 +16,11 @@
   sidecar.ListUpstreams(2);
   EXPECT_EQ(sidecar.subscribed, 1);
   sidecar.Handle(MembershipUpdate{MembershipUpdate::Kind::kFailed, {}});
-  EXPECT_EQ(sidecar.subscribed, 1) << "not at once";
-  sidecar.Advance(settings.rules.poll_within / 5 +
-                  250ms);  // tests/discovery/endpoint_staleness_test.cpp relies on it
+  EXPECT_EQ(sidecar.subscribed, 1) << "subscribed again at once";
+  // tests/discovery/endpoint_staleness_test.cpp relies on this delay.
+  sidecar.Advance(settings.rules.poll_within / 5 + 250ms);
   EXPECT_EQ(sidecar.subscribed, 2);
-  EXPECT_GT(sidecar.CountServed(10)["a"], 0) << "the old list stays in force";
+  EXPECT_GT(sidecar.CountServed(10)["a"], 0) << "the list from before the failure is not used any more";
 }
 
 TEST(Settings, InvalidValuesAreNamed) {
--- a/tests/balancer/connections_test.cpp
+++ b/tests/balancer/connections_test.cpp
@@ -21,8 +21,8 @@
     sidecar.Arrive(kUnsafe);
     for (std::size_t k = before; k < sidecar.sent.size(); ++k) {
       sidecar.now += 5ms;
-      const bool has = connected.count(sidecar.sent[k].upstream) > 0;
-      sidecar.EndAttempt(sidecar.sent[k], has ? Outcome::kServed : Outcome::kConnectFailed);
+      const bool has_connection = connected.count(sidecar.sent[k].upstream) > 0;
+      sidecar.EndAttempt(sidecar.sent[k], has_connection ? Outcome::kServed : Outcome::kConnectFailed);
     }
     sidecar.Advance(20ms);
   }
@@ -37,7 +37,7 @@
   sidecar.Serve(kUnsafe);
   sidecar.Advance(2s);
   EXPECT_EQ(sidecar.Serve(kUnsafe), "a");
-  EXPECT_TRUE(sidecar.closed.empty()) << "trusted until one is found dropped";
+  EXPECT_TRUE(sidecar.closed.empty()) << "closed an idle connection before one was found closed";
   sidecar.Advance(2s);
   sidecar.Arrive(kUnsafe);
   sidecar.now += 1ms;
@@ -45,16 +45,17 @@
   sidecar.Serve(kUnsafe);
   sidecar.Advance(1500ms);
   sidecar.Serve(kUnsafe);
-  EXPECT_EQ(sidecar.closed, std::vector<std::string>{"a"}) << "idle for longer than half of that";
+  EXPECT_EQ(sidecar.closed, std::vector<std::string>{"a"})
+      << "not closed, although idle for longer than half of the 2 s";
   sidecar.Advance(500ms);
   sidecar.Serve(kUnsafe);
-  EXPECT_EQ(sidecar.closed.size(), 1u) << "used a short time ago";
+  EXPECT_EQ(sidecar.closed.size(), 1u) << "closed a connection that was idle for a short time only";
   sidecar.Advance(90s);
   sidecar.Serve(kUnsafe);
   sidecar.closed.clear();
   sidecar.Advance(10s);
   sidecar.Serve(kUnsafe);
-  EXPECT_TRUE(sidecar.closed.empty()) << "trusted again with time";
+  EXPECT_TRUE(sidecar.closed.empty()) << "the trusted idle time has not grown again";
 }
 
 TEST(StaleIdleConnections, AreNotInferredFromAResetDuringARequest) {
--- a/tests/balancer/ejection_test.cpp
+++ b/tests/balancer/ejection_test.cpp
@@ -90,7 +90,7 @@
   sidecar.ChangeUpstream(MakeUpstream(in_flight.upstream, UpstreamState::kGone));
   sidecar.ChangeUpstream(MakeUpstream(in_flight.upstream));
   EXPECT_GT(sidecar.CountServed(40)[in_flight.upstream], 0);
-  sidecar.EndAttempt(in_flight, Outcome::kServed);  // of the earlier process
+  sidecar.EndAttempt(in_flight, Outcome::kServed);  // an attempt at the removed process
   EXPECT_GT(sidecar.CountServed(40)[in_flight.upstream], 0);
 }
 
@@ -145,7 +145,7 @@
   sidecar.ListUpstreams(3);
   sidecar.FailInARow("b", 5);
   int probes = 0;
-  for (int i = 0; i < 300; ++i) {  // 30 s: after 1, 2, 4 and 8 s, then every 8
+  for (int i = 0; i < 300; ++i) {  // 30 s; probes are due after 1, 2, 4 and 8 s, then every 8 s
     const std::size_t before = sidecar.sent.size();
     sidecar.Arrive(kSafe);
     sidecar.now += 10ms;
@@ -179,12 +179,12 @@
   EXPECT_TRUE(sidecar.HasLogged("returned a after its ejection"));
 }
 
-// If all rejected clients got the same value, they would retry at the same time. The maxima are those of
-// different deployments.
+// If all rejected clients got the same Retry-After, they would retry at the same time. The maxima are those
+// of different deployments.
 TEST(AllEjected, RetryAfterIsJitteredWithinItsSettings) {
-  for (const auto longest : {20ms, 200ms, 1500ms, 2000ms, 20000ms}) {
+  for (const auto max_retry_after : {20ms, 200ms, 1500ms, 2000ms, 20000ms}) {
     Settings settings = DefaultSettings();
-    settings.limits.max_retry_after = longest;
+    settings.limits.max_retry_after = max_retry_after;
     TestSidecar sidecar(settings);
     sidecar.ListUpstreams(1);
     sidecar.FailInARow("a", 5);
@@ -193,11 +193,11 @@
       const std::size_t rejected_before = sidecar.rejected.size();
       sidecar.Arrive(kUnsafe);
       ASSERT_EQ(sidecar.rejected.size(), rejected_before + 1);
-      EXPECT_LE(sidecar.last_retry_after, longest);
-      EXPECT_GE(sidecar.last_retry_after, std::min<Duration>(longest * 3 / 4, 1500ms));
+      EXPECT_LE(sidecar.last_retry_after, max_retry_after);
+      EXPECT_GE(sidecar.last_retry_after, std::min<Duration>(max_retry_after * 3 / 4, 1500ms));
       retry_afters.insert(sidecar.last_retry_after);
     }
-    EXPECT_GT(retry_afters.size(), 8U) << longest / 1ms;
+    EXPECT_GT(retry_afters.size(), 8U) << max_retry_after / 1ms;
   }
 }
 
--- a/tests/balancer/embed_example.cpp
+++ b/tests/balancer/embed_example.cpp
@@ -1,4 +1,4 @@
-// A sidecar in small: it hands events to the balancer and carries out what comes back. README.md shows it.
+// A minimal sidecar: passes events to the balancer and carries out the returned actions. README.md shows it.
 #include <cstdio>
 #include <variant>
 #include <vector>
@@ -7,7 +7,8 @@
 
 using namespace std::chrono_literals;
 
-// Where a real sidecar would use its sockets and timers. Anything not named here is left out for brevity.
+// Prints the actions; a real sidecar would use its sockets and timers here. The actions that are not named
+// are left out for brevity.
 struct CarryOut {
   void operator()(const mothrack::balancer::SendAttempt& a) {
     std::printf("send to %s\n", a.upstream.value.c_str());
--- a/tests/balancer/fleet_slow_start_test.cpp
+++ b/tests/balancer/fleet_slow_start_test.cpp
@@ -30,15 +30,15 @@
     sidecar->ChangeUpstream(in_slow_start);
     sent += send_requests(*sidecar, Duration(1s) * kSeconds);
   }
-  // Past slow start it would get a 21st of all requests; in slow start it may get a tenth to a quarter of
-  // that. If each sidecar waited for a budget of one request, or kept its turn meanwhile, it would get a
-  // third of this.
+  // Past slow start the upstream would get a 21st of all requests; in slow start it may get a tenth to a
+  // quarter of that. If each sidecar waited until its budget reached one request, or gained no round robin
+  // credit meanwhile, the upstream would get a third of that.
   const double share = kSidecars * 16.5 * kSeconds / (kUpstreams + 1);
   EXPECT_GT(sent, 0.045 * share);
   EXPECT_LT(sent, 0.45 * share);
 }
 
-// The endpoint list states the minimum capacity of an upstream in slow start; its answers show the real one.
+// The settings state the minimum capacity of an upstream in slow start; its answers show the real one.
 TEST(FleetSlowStart, UpstreamsOfUsualLatencyGetMoreThanTheMinimum) {
   const auto slow_start_requests = [](Duration slow_start_latency) {
     TestSidecar sidecar;
--- a/tests/balancer/helpers.h
+++ b/tests/balancer/helpers.h
@@ -62,7 +62,7 @@
   TimePoint at;
 };
 
-// Stands for the sidecar: passes events to a balancer and records the resulting actions.
+// A fake sidecar: passes events to a balancer and records the resulting actions.
 class TestSidecar {
  public:
   explicit TestSidecar(Settings settings = DefaultSettings(), std::uint64_t seed = 7)
@@ -143,7 +143,8 @@
   }
 
   // Sends requests that are served except at `bad`, where they end with `outcome`, until that has happened
-  // `failures` times. They are slow enough for half-open probes, which are all that a suspect upstream gets.
+  // `failures` times. There are 100 ms between two requests, so that half-open probes become due: a suspect
+  // upstream gets no other requests.
   void FailInARow(const std::string& bad, int failures, Outcome outcome = Outcome::kError) {
     for (int guard = 0; failures > 0 && guard < 3000; ++guard) {
       const std::size_t before = sent.size();
--- a/tests/balancer/overload_test.cpp
+++ b/tests/balancer/overload_test.cpp
@@ -70,7 +70,8 @@
   }
   sidecar.ReplaceList(list);
   LoadGenerator load{sidecar};
-  // While positive: an upstream past slow start answers one of so many requests, late, and the others never.
+  // If this is positive, each upstream past slow start answers only one of this many requests, and that one
+  // late. The others time out.
   int requests_per_answer = 0;
   std::map<std::string, int> answers;
   const auto run = [&](int requests) {
@@ -92,14 +93,14 @@
   ASSERT_TRUE(sidecar.HasLogged("refusing: overload"));
   run(10);
   const std::size_t first = sidecar.sent.size();
-  ASSERT_LT(run(100), 50u) << "most are rejected";
+  ASSERT_LT(run(100), 50u) << "most requests must still be rejected at this point";
   const auto in_slow_start =
       std::count_if(sidecar.sent.begin() + static_cast<std::ptrdiff_t>(first), sidecar.sent.end(),
                     [](const SentAttempt& sent) { return sent.upstream >= "x"; });
   EXPECT_GT(2 * in_slow_start, static_cast<std::ptrdiff_t>(sidecar.sent.size() - first))
-      << "those past slow start are still avoided";
+      << "upstreams past slow start must still be avoided at this point";
   run(40);
-  EXPECT_EQ(run(40), 40u) << "7 s after the overload";
+  EXPECT_EQ(run(40), 40u) << "requests are still rejected 7 s after the overload";
 }
 
 TEST(LatencyObjective, GrowsWithTheWorkOfARequestUpToItsDeadline) {
@@ -122,7 +123,7 @@
   };
   EXPECT_EQ(timeout(std::nullopt), std::pair(Duration(400ms), false));
   EXPECT_EQ(timeout(100ms), std::pair(Duration(600ms), true));
-  EXPECT_EQ(timeout(10s), std::pair(Duration(2s), true)) << "an answer after the deadline has no value";
+  EXPECT_EQ(timeout(10s), std::pair(Duration(2s), true)) << "the objective must not grow past the deadline";
 }
 
 TEST(OverloadedFleet, AnUnsafeRequestTimesOutAtItsLatencyObjectiveOnlyUnderOverload) {
--- a/tests/balancer/random_events_test.cpp
+++ b/tests/balancer/random_events_test.cpp
@@ -1,5 +1,5 @@
-// Random events: every action is checked against the rules of retries, draining, slow start and final
-// answers.
+// Passes random events to the balancer and checks every action against the rules of retries, draining, slow
+// start and final answers.
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
@@ -43,8 +43,8 @@
   };
   std::map<RequestId, OpenRequest> requests;
   std::map<std::string, UpstreamInfo> upstreams;
-  std::map<std::string, std::deque<std::pair<TimePoint, double>>>
-      slow_start_sends;  // time and slow start factor
+  // The time of each attempt at an upstream in slow start, and its slow start factor then; by upstream.
+  std::map<std::string, std::deque<std::pair<TimePoint, double>>> slow_start_sends;
 
   const auto check = [&]() {
     for (const Action& action : sidecar.actions) {
--- a/tests/balancer/rotation_test.cpp
+++ b/tests/balancer/rotation_test.cpp
@@ -134,7 +134,7 @@
     sidecar.EndAttempt(sidecar.sent[before], Outcome::kServed);
   }
   EXPECT_NEAR(requests["fast"], 2 * requests["slow"], 60)
-      << "by their weights only, although one kind answers twice as fast";
+      << "requests must follow the weights only, although one kind answers twice as fast";
 }
 
 TEST(HeterogeneousUpstreams, ANewUpstreamStartsWithTheLatencyOfItsKind) {
--- a/tests/balancer/rules_test.cpp
+++ b/tests/balancer/rules_test.cpp
@@ -33,7 +33,7 @@
     EXPECT_TRUE(sidecar.failed.empty());
     sidecar.Advance(2ms);
     EXPECT_EQ(sidecar.failed.size() + sidecar.rejected.size(), 1u);
-    EXPECT_EQ(sidecar.sent.size(), 1u + 0u) << "nothing is sent after the final answer";
+    EXPECT_EQ(sidecar.sent.size(), 1u + 0u) << "nothing may be sent after the final answer";
   }
 }
 
@@ -94,7 +94,7 @@
     sidecar.EndAttempt(sidecar.sent[0], outcome);
     ASSERT_EQ(sidecar.sent.size(), 2u);
     EXPECT_NE(sidecar.sent[0].upstream, sidecar.sent[1].upstream)
-        << "never the same again while another is usable";
+        << "must not be sent to the same upstream again while another one is usable";
   }
 }
 
@@ -127,7 +127,7 @@
     }
     EXPECT_EQ(seen.size(), 3u);
     EXPECT_TRUE(sidecar.rejected.empty())
-        << "unless all upstreams share the key, the request may have had an effect";
+        << "a request that may have had an effect must not be rejected unless all upstreams share its key";
   }
 }
 
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -1,6 +1,6 @@
-// The aggregate load that a fleet of sidecars sends to upstreams in slow start while each sidecar knows only
-// its own traffic. Decision modules and simple upstreams run in simulated time. docs/design/slow_start.md
-// states the bound and the reason for it.
+// Checks the aggregate load that a fleet of sidecars sends to upstreams in slow start. Each sidecar knows
+// only its own traffic. Decision modules and simple upstreams run in simulated time.
+// docs/design/slow_start.md states the bound and the reason for it.
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
@@ -41,7 +41,7 @@
   Duration fault_at;
   Duration duration_after;  // of the simulation after the fault
   double min_share = 0;     // of their fair share, for the upstreams in slow start
-  double multiple = 4;      // this and the following: the rules of the settings
+  double multiple = 4;      // Rules::overload_multiple; the members that follow are further Rules
   double slow_start_initial_share = 0.13;
   Duration slow_start_duration = 24s;
   Duration window = 1s;
@@ -103,7 +103,7 @@
   struct {
     double ratio = 0;
     std::size_t requests = 0;
-    double allowed = 0;  // the bound without the margin
+    double allowed = 0;  // the bound without the margin for chance
     Duration at{};       // after the start
   } worst;
   // Requests to the upstreams in slow start, divided by their fair share, which is summed over time at the
@@ -119,7 +119,8 @@
   struct SimulatedSidecar {
     double rate = 0;
     std::unique_ptr<TestSidecar> sidecar;
-    std::size_t seen = 0, rejected = 0, failed = 0, cancelled = 0;
+    // The numbers of the sidecar's actions that ApplyActions() has already delivered.
+    std::size_t sent = 0, rejected = 0, failed = 0, cancelled = 0;
     std::vector<Answer> answers;
     std::vector<TimePoint> retries;
   };
@@ -158,8 +159,8 @@
       simulated.sidecar->EndAttempt(answer.sent, answer.outcome);
       ApplyActions(simulated);
     }
-    const int times = fault_ == Fault::kDoubleLoad ? 2 : fault_ == Fault::kOverload ? 5 : 1;
-    int arrivals = Uniform() < times * simulated.rate * InSeconds(kTimeStep) ? 1 : 0;
+    const int load_factor = fault_ == Fault::kDoubleLoad ? 2 : fault_ == Fault::kOverload ? 5 : 1;
+    int arrivals = Uniform() < load_factor * simulated.rate * InSeconds(kTimeStep) ? 1 : 0;
     arrivals +=
         static_cast<int>(std::erase_if(simulated.retries, [this](TimePoint at) { return at <= now_; }));
     for (; arrivals > 0; --arrivals) {
@@ -179,8 +180,8 @@
         answer.outcome = Outcome::kCancelled;
       }
     }
-    for (; simulated.seen < sidecar.sent.size(); ++simulated.seen)
-      simulated.answers.push_back(AnswerOf(sidecar.sent[simulated.seen]));
+    for (; simulated.sent < sidecar.sent.size(); ++simulated.sent)
+      simulated.answers.push_back(AnswerOf(sidecar.sent[simulated.sent]));
     const std::size_t ended =
         sidecar.rejected.size() - simulated.rejected + sidecar.failed.size() - simulated.failed;
     for (std::size_t i = 0; i < ended; ++i) {
@@ -256,6 +257,7 @@
     const std::string tag = "seed_" + std::to_string(seed);
     RecordProperty(tag + "_of_bound", std::to_string(fleet.worst.ratio));
     RecordProperty(tag + "_sent", std::to_string(fleet.SentShare()));
+    // Prints the figures if the environment variable COLD_FIGURES is set.
     if (std::getenv("COLD_FIGURES") != nullptr) {
       std::printf("%s seed %d: %.2f of the bound, %.2f sent\n", GetParam().name, static_cast<int>(seed),
                   fleet.worst.ratio, fleet.SentShare());
@@ -264,7 +266,7 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    Days, SlowStartFleet,
+    Cases, SlowStartFleet,
     ::testing::Values(
         // All sidecars and all upstreams are new.
         Case{"AllNew20", 20, 8, 8, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
@@ -273,7 +275,7 @@
         Case{"AllNew300Over100", 300, 100, 100, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 1},
         Case{"AllNewLongWindow", 300, 40, 40, 0.75, Fault::kAllSidecarsReplaced, 5ms, 6s, 0.5, 2, 0.1, 20s,
              3s},
-        Case{"AllNewHalfOfTheListCold", 300, 40, 20, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 0.5},
+        Case{"AllNewHalfInSlowStart", 300, 40, 20, 0.75, Fault::kAllSidecarsReplaced, 5ms, 5s, 0.5},
         // No fault.
         Case{"OneJoins", 300, 40, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
         Case{"HalfReplaced", 300, 40, 20, 0.75, Fault::kNone, 1s, 10s, 1},
@@ -289,14 +291,15 @@
         Case{"OneJoins8", 8, 8, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
         Case{"OneJoins900Over400", 900, 400, 1, 0.75, Fault::kNone, 1s, 10s, 0.6},
         Case{"HalfReplaced900Over400", 900, 400, 200, 0.75, Fault::kNone, 1s, 5s, 0.6},
-        Case{"HalfAndASurge900Over400", 900, 400, 200, 0.75, Fault::kDoubleLoad, 4s, 3s},
-        // Load shifts to the upstreams in slow start after each sidecar has accumulated some budget.
-        Case{"FullAndAShortWindow", 30, 10, 1, 0.75, Fault::kOtherUpstreamsFull, 8s, 3s, 0, 4, 0.13, 24s,
+        Case{"HalfReplacedDoubleLoad900Over400", 900, 400, 200, 0.75, Fault::kDoubleLoad, 4s, 3s},
+        // Load shifts to the upstreams in slow start, or rises, after each sidecar has accumulated some
+        // budget.
+        Case{"OthersFullShortWindow", 30, 10, 1, 0.75, Fault::kOtherUpstreamsFull, 8s, 3s, 0, 4, 0.13, 24s,
              200ms},
-        Case{"HalfAndTheWarmFail", 300, 40, 20, 0.75, Fault::kOtherUpstreamsFail, 6s, 4s},
-        Case{"HalfAndASurge", 300, 40, 20, 0.75, Fault::kDoubleLoad, 8s, 6s},
-        Case{"HalfAndACrowdToTheEnd", 300, 40, 20, 0.75, Fault::kOverload, 2s, 22s},
-        Case{"HalfAndACrowdToTheEnd30", 30, 10, 5, 0.75, Fault::kOverload, 2s, 22s}),
+        Case{"HalfReplacedOthersFail", 300, 40, 20, 0.75, Fault::kOtherUpstreamsFail, 6s, 4s},
+        Case{"HalfReplacedDoubleLoad", 300, 40, 20, 0.75, Fault::kDoubleLoad, 8s, 6s},
+        Case{"HalfReplacedOverloadUntilTheEnd", 300, 40, 20, 0.75, Fault::kOverload, 2s, 22s},
+        Case{"HalfReplacedOverloadUntilTheEnd30", 30, 10, 5, 0.75, Fault::kOverload, 2s, 22s}),
     [](const auto& row) { return std::string(row.param.name); });
 
 }  // namespace
--- a/tests/balancer/slow_start_test.cpp
+++ b/tests/balancer/slow_start_test.cpp
@@ -9,7 +9,7 @@
 using std::chrono::seconds;
 
 TEST(SlowStart, TheFactorRisesEvenlyFromTheInitialShare) {
-  const Rules rules;  // a tenth, 20 s
+  const Rules rules;  // from a tenth of the capacity to all of it in 20 s
   const SlowStart slow_start(rules);
   struct Case {
     int age_s;
@@ -27,7 +27,7 @@
   SlowStart slow_start(rules);
   SlowStartTick tick{25, 25, seconds(10), 2, 2, 2};  // 100 requests a second
   for (int i = 0; i < 400; ++i) slow_start.RecordTick(tick);
-  const SlowStartUpstream upstream{0.1, 1, false, 0};  // of two alike, 50 a second past slow start
+  const SlowStartUpstream upstream{0.1, 1, false, 0};  // one of two; past slow start each gets 50 a second
   SlowStartRecord record;
   const TimePoint now{seconds(100)};
   slow_start.RecordEntry(record, upstream, 0.5, now);
--- a/tests/balancer/unavailable_zone_test.cpp
+++ b/tests/balancer/unavailable_zone_test.cpp
@@ -44,7 +44,8 @@
 TEST(UnavailableZone, IsAvoidedAfterThreeUnresponsiveUpstreamsUntilItsFirstAnswer) {
   TwoZones zones;
   EXPECT_GT(zones.SendRequests(200, false).first, 80);
-  EXPECT_LE(zones.SendRequests(100, true).first, 4) << "not two at each of the six upstreams";
+  EXPECT_LE(zones.SendRequests(100, true).first, 4)
+      << "the zone must be avoided after three unresponsive upstreams, not after all six";
   EXPECT_EQ(zones.SendRequests(100, true).first, 0);
   // Safe requests probe it for 3 s. After each probe, the next one waits for a minimum delay that is drawn at
   // random from 0.5 s to 1.5 s.
@@ -72,7 +73,7 @@
   TwoZones zones;
   EXPECT_EQ(zones.SendRequests(400, false).second, 0);
   EXPECT_GE(zones.SendRequests(60, true).second, 1)
-      << "half of the capacity is lost, and no answer is late yet";
+      << "no request was rejected before answers were late, although half of the capacity is lost";
   zones.SendRequests(400, true);
   EXPECT_LE(zones.SendRequests(100, true).second, 2);
 }
--- a/tests/balancer/zone_health_test.cpp
+++ b/tests/balancer/zone_health_test.cpp
@@ -20,7 +20,7 @@
   ZoneHealth health;
   health.RecordAnswer("z", kSent + seconds(1));
   for (const char* id : {"a", "b", "c"}) health.RecordUnanswered("z", UpstreamId{id}, kSent);
-  EXPECT_FALSE(health.IsUnavailable("z"));  // all sent before the answer
+  EXPECT_FALSE(health.IsUnavailable("z"));  // all attempts were sent before the answer
   for (const char* id : {"a", "a", "b"}) health.RecordUnanswered("z", UpstreamId{id}, kSent + seconds(2));
   EXPECT_FALSE(health.IsUnavailable("z"));
   health.RecordUnanswered("z", UpstreamId{"c"}, kSent + seconds(2));
