--- a/src/dispatch/dispatcher.cpp
+++ b/src/dispatch/dispatcher.cpp
@@ -73,7 +73,7 @@
   timers_.Arm();
 }
 
-// The module gets the list before the ends of attempts that the list caused, and acts on it only once the
+// The module gets the list before the ends of attempts that the list causes, and acts on it only once the
 // transport has it too: otherwise it would retry at draining upstreams, or at ones that the transport does
 // not know.
 void Dispatcher::UpdateMembership(MembershipList list) {
@@ -256,7 +256,7 @@
   for (const ExchangeId attempt : attempts) transport_.Abandon(attempt);
 }
 
-// Deferred while events are queued: the module may still send attempts for the request, and is owed the
+// Deferred while events are queued: the module may still send attempts for the request, and must be told the
 // end of each.
 void Dispatcher::EraseIfDone(RequestId id) {
   if (delivering_) return possibly_done_.push_back(id);
--- a/src/dispatch/dispatcher.h
+++ b/src/dispatch/dispatcher.h
@@ -1,7 +1,7 @@
 // Drives one Balancer, the decision module ("the module" below), for one pool of upstreams: owns its clock,
-// timers and request table, passes it events and executes its actions in order. Independent of the protocol:
-// see exchange.h for the front ends and transports, request_state.h for the states of a request. No other
-// class calls the module, sends an attempt or ends a request.
+// timers and request table, passes it events and executes its actions in order. The dispatcher does not
+// depend on a protocol: exchange.h describes the front ends and transports, request_state.h the states of a
+// request. No other class calls the module, sends an attempt or ends a request.
 #pragma once
 
 #include <boost/asio/io_context.hpp>
@@ -42,12 +42,13 @@
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr)
       : Dispatcher(std::make_unique<runtime::EventLoopTimer>(io), settings, seed, transport, log,
                    std::move(on_subscribe)) {}
-  // The same with another clock and timer, for example those of a simulation. The timer must not fire once
-  // this object is destroyed.
+  // Uses another clock and timer, for example those of a simulation. The timer must not fire once this object
+  // is destroyed.
   Dispatcher(std::unique_ptr<runtime::Timer> timer, const balancer::Settings& settings, std::uint64_t seed,
              Transport& transport, runtime::Logger& log, OnSubscribe on_subscribe = nullptr);
 
-  // Accepts a request. Returns nothing, and gives no final answer, if its key is among RecentKeys().
+  // Accepts a request and returns its id. If its key is among RecentKeys(), returns nothing and gives no
+  // final answer.
   std::optional<balancer::RequestId> Submit(NewRequest request);
   // The body of a request that was submitted with `arriving` is complete; its deadline counts from now on.
   // Ids that are unknown, or not arriving, are ignored.
@@ -60,7 +61,8 @@
   void Apply(MembershipList list);
   // A call to discovery failed.
   void MembershipFailed();
-  // An operator's ban of an upstream, regardless of the list, and its end; false if it was never listed.
+  // Bans an upstream for an operator, or lifts its ban. A ban holds whatever the list says. Returns false if
+  // the upstream was never listed.
   bool Ban(const std::string& uid);
   bool Unban(const std::string& uid);
   // Restores the bans of a previous process.
@@ -72,7 +74,7 @@
   std::vector<std::string> RecentKeys() const { return keys_.All(); }
   // Adds the key of a request that another process of this sidecar accepted.
   void ImportKey(const std::string& key) { keys_.Import(key, Now()); }
-  // `on_key` is called with the key of each accepted request that must not be repeated.
+  // `on_key` is called with the key of each accepted request whose class is not kSafe.
   void SetKeyObserver(std::function<void(const std::string&)> on_key) { on_key_ = std::move(on_key); }
 
   const balancer::Settings& settings() const { return settings_; }
@@ -97,7 +99,7 @@
     RequestState state = RequestState::kArriving;
     balancer::AttemptId winner{};        // the attempt whose answer is being streamed, if any
     OnFinal on_final;                    // called at most once, while AwaitsFinal(state)
-    std::vector<ExchangeId> attempts;    // by AttemptId
+    std::vector<ExchangeId> attempts;    // indexed by AttemptId
     std::size_t attempts_in_flight = 0;  // number of attempts that have not ended
     std::optional<balancer::Outcome> last_outcome;
     std::unique_ptr<Reply> last_reply;
@@ -116,8 +118,8 @@
   void OnAnswerStarted(balancer::RequestId id, balancer::AttemptId attempt, std::unique_ptr<Reply> reply);
   void OnAttemptEnded(balancer::RequestId id, balancer::AttemptId attempt, ExchangeResult result);
   void GiveFinal(balancer::RequestId id, FinalAnswer final);
-  // Called when the request needs no answer any more. Stops attempts whose message is not yet completely
-  // written.
+  // Stops the attempts whose message is not yet completely written. Called when the request needs no answer
+  // any more.
   void AbandonUnsentAttempts(balancer::RequestId id);
   void EraseIfDone(balancer::RequestId id);
   // Moves the request to its next state and updates in_flight_; false, without effect, if the event does not
--- a/src/dispatch/exchange.h
+++ b/src/dispatch/exchange.h
@@ -42,8 +42,8 @@
   std::unique_ptr<Reply> reply;
   bool streaming = false;           // the body of `reply` is still arriving; the client may still disconnect
   runtime::Duration retry_after{};  // for the Retry-After of a rejection; zero: none
-  bool late = false;                // the request's deadline has passed
-  std::size_t attempts = 0;         // so far; some may still be in flight
+  bool late = false;                // the answer comes after the request's deadline
+  std::size_t attempts = 0;         // sent so far; some may still be in flight
   std::optional<balancer::Outcome> last;  // outcome of the attempt that ended last; absent if none has
 };
 using OnFinal = std::function<void(FinalAnswer)>;
--- a/src/dispatch/recent_request_ids.h
+++ b/src/dispatch/recent_request_ids.h
@@ -27,7 +27,7 @@
   void Import(const std::string& id, runtime::TimePoint now);
   // All known ids, sorted.
   std::vector<std::string> All() const { return {ids_.begin(), ids_.end()}; }
-  // A request added by Insert() has ended; to be called once for each.
+  // A request added by Insert() has ended. Must be called once for each.
   void OnRequestEnded(std::string id, runtime::TimePoint now);
 
  private:
--- a/src/dispatch/request_counters.h
+++ b/src/dispatch/request_counters.h
@@ -33,8 +33,8 @@
     std::uint64_t Count(Outcome outcome) const { return ended[static_cast<std::size_t>(outcome)]; }
   };
 
-  // `classes`, `tenants`: their numbers in the settings, which bound the table. Unknown tenants count as
-  // none.
+  // `classes`, `tenants`: how many the settings have, which bounds the table. Requests of unknown tenants are
+  // counted as requests without a tenant.
   RequestCounters(std::size_t classes, std::size_t tenants)
       : tenants_(tenants), rows_(classes * (tenants + 1)) {
     for (std::size_t i = 0; i < rows_.size(); ++i) {
--- a/src/dispatch/request_state.h
+++ b/src/dispatch/request_state.h
@@ -30,10 +30,10 @@
   kAnswerStarted,       // an attempt's answer has begun and is streamed to the client
   kStreamEnded,         // the attempt whose answer is streaming has ended, complete or not
   kFinalGiven,          // a complete answer, a rejection or a failure was given
-  kClientDisconnected,  // the client needs no answer any more
+  kClientDisconnected,  // the client closed its connection and needs no answer any more
 };
 
-// The next state; nothing if `event` does not apply to `state`.
+// Returns the next state, or nothing if `event` does not apply to `state`.
 std::optional<RequestState> NextState(RequestState state, RequestEvent event);
 
 // Whether the request still needs its final answer.
--- a/src/dispatch/start_times.h
+++ b/src/dispatch/start_times.h
@@ -1,5 +1,5 @@
-// Maps the start times of upstreams' processes to the program's steady clock. Pure: no I/O, clock readings
-// are parameters.
+// Maps the start times of upstreams' processes to the program's steady clock. The class does no I/O; clock
+// readings are parameters.
 //
 // Discovery gives the start of a process as Unix time (`boot_ms`). The balancer needs a TimePoint that is the
 // same in every list, since a different start time means a different process, and that is not too early,
@@ -8,8 +8,8 @@
 //   * A new process started no later than the first list that contains it was received, and no earlier than
 //     the previous list, which does not contain it.
 //   * Within these bounds the wall clock decides. If it was stepped between the two lists, it is unknown
-//     which setting `boot_ms` refers to, and the later start counts: a process assumed too young gets fewer
-//     requests during its slow start, one assumed too old may be overloaded.
+//     whether `boot_ms` was read before or after the step, and the later start counts: a process assumed too
+//     young gets fewer requests during its slow start, one assumed too old may be overloaded.
 #pragma once
 
 #include <cstddef>
@@ -43,8 +43,8 @@
   // for later ones.
   void SetStartTimes(MembershipList& list, const runtime::ClockReading& reading);
 
-  // The start times that another process of this sidecar on the same machine has determined, and when it
-  // received its last list. To be called before the first SetStartTimes().
+  // Adopts the start times that another process of this sidecar on the same machine has determined, and when
+  // it received its last list. Must be called before the first SetStartTimes().
   void Import(const std::vector<ProcessStart>& processes, std::optional<runtime::TimePoint> last_list);
   // The start times of the listed processes.
   std::vector<ProcessStart> Export() const;
@@ -60,7 +60,8 @@
     runtime::TimePoint started;
   };
 
-  // The start of a new process. `after_last_list`: it is not in the last list, so it started after that.
+  // Returns the start of a new process. `after_last_list`: the last list does not contain the process, so it
+  // started after that list.
   runtime::TimePoint Estimate(std::int64_t boot_ms, const runtime::ClockReading& reading,
                               bool after_last_list) const;
   const KnownProcess* Find(const std::string& uid, std::int64_t boot_ms) const;
--- a/src/dispatch/upstream_overrides.cpp
+++ b/src/dispatch/upstream_overrides.cpp
@@ -70,14 +70,14 @@
 void UpstreamOverrides::RememberListed(const std::string& uid) {
   if (!remembered_.insert(uid).second) return;
   remembered_in_order_.push_back(uid);
-  for (std::size_t tries = remembered_in_order_.size();
-       remembered_in_order_.size() > kMaxRemembered && tries > 0; --tries) {
-    std::string first = std::move(remembered_in_order_.front());
+  for (std::size_t unchecked = remembered_in_order_.size();
+       remembered_in_order_.size() > kMaxRemembered && unchecked > 0; --unchecked) {
+    std::string oldest = std::move(remembered_in_order_.front());
     remembered_in_order_.pop_front();
-    if (bans_.contains(first) || listed_.contains(first)) {
-      remembered_in_order_.push_back(std::move(first));
+    if (bans_.contains(oldest) || listed_.contains(oldest)) {
+      remembered_in_order_.push_back(std::move(oldest));
     } else {
-      remembered_.erase(first);
+      remembered_.erase(oldest);
     }
   }
 }
--- a/src/dispatch/upstream_overrides.h
+++ b/src/dispatch/upstream_overrides.h
@@ -1,6 +1,6 @@
-// Operators' bans on top of the endpoint list from discovery. Both are kept separately: a ban holds, whatever
-// the list says, until it is lifted. From then on the current list applies. A banned upstream drains: it
-// gets no new attempts.
+// Applies operators' bans to the endpoint list from discovery. Both are kept separately: a ban holds,
+// whatever the list says, until it is lifted. From then on the current list applies. A banned upstream
+// drains: it gets no new attempts.
 #pragma once
 
 #include <cstddef>
@@ -25,7 +25,8 @@
   // empty, or nothing if the upstream was never listed.
   std::optional<MembershipList> Ban(const std::string& uid);
   std::optional<MembershipList> Unban(const std::string& uid);
-  // Adds the bans of another process, also of upstreams that were never listed here.
+  // Adds the bans of another process, also those of upstreams that were never listed here. Returns the
+  // resulting changes of the list, which may be empty.
   MembershipList Restore(const std::set<std::string>& bans);
 
   // Number of upstreams in the current list, banned or not.
--- a/tests/dispatch/dispatch_history.h
+++ b/tests/dispatch/dispatch_history.h
@@ -1,7 +1,7 @@
 // One random history of the dispatcher in simulated time, drawn from a seed. Clients, upstreams and the
-// endpoint list do anything that they may do, at random moments and also from within callbacks. After each
-// event the rules of src/dispatch/exchange.h and src/balancer/balancer.h are checked. The settings, and how
-// often the transport ends attempts within Send(), differ by seed.
+// endpoint list do anything that the interfaces allow, at random times and also from within callbacks. After
+// each event the rules of src/dispatch/exchange.h and src/balancer/balancer.h are checked. The settings, and
+// how often the transport ends attempts within Send(), differ by seed.
 #pragma once
 
 #include <algorithm>
@@ -32,7 +32,7 @@
 using balancer::UpstreamState;
 using std::chrono::milliseconds;
 
-// Timers fire up to this much late, as those of an event loop do.
+// Timers fire late by at most this, as those of an event loop do.
 inline constexpr runtime::Duration kMaxTimerDelay = milliseconds(1);
 inline constexpr int kUpstreams = 5;
 inline constexpr int kEventsPerHistory = 120;
@@ -93,10 +93,10 @@
 
 // The rules by which violations are reported. Each has a test of its own.
 enum class Rule {
-  kGeneral,  // all that the others do not cover
-  kAttemptEnds,
-  kLateMark,
-  kKeyScope,
+  kGeneral,      // all that the others do not cover
+  kAttemptEnds,  // each attempt that the module decides on ends exactly once
+  kLateMark,     // a final answer states whether its deadline has passed
+  kKeyScope,     // a keyed request is repeated only at upstreams that share its key
 };
 
 class DispatchHistory : private dispatch::Transport {
@@ -144,7 +144,7 @@
     dispatch::ExchangeHooks hooks{};
   };
   struct Event {
-    int weight;
+    int weight;  // how often it is drawn, relative to the others
     void (DispatchHistory::*run)();
   };
   static const std::vector<Event>& WeightedEvents() {
@@ -192,7 +192,7 @@
   void Send(dispatch::ExchangeId id, const std::string& uid, std::shared_ptr<const dispatch::Message> message,
             runtime::Duration timeout, dispatch::ExchangeHooks hooks) override;
 
-  // Ends the attempt at once or leaves it to a later event, in either case perhaps with another outcome.
+  // Ends the attempt at once or leaves its end to a later event. The outcome is not always kCancelled.
   void Cancel(dispatch::ExchangeId id) override;
 
   void Abandon(dispatch::ExchangeId id) override;
@@ -257,7 +257,7 @@
   void ChangeOneUpstream();
   void PublishFullList() { ChangeList(MembershipUpdate::Kind::kFull); }
   void FailMembership() { dispatcher_.MembershipFailed(); }
-  // Called while the dispatcher executes the module's actions. The source may fail at once.
+  // Called while the dispatcher executes the module's actions. The call to discovery may fail at once.
   void OnSubscribe();
   void Ban();
   void Unban();
--- a/tests/dispatch/dispatch_history_checks.cpp
+++ b/tests/dispatch/dispatch_history_checks.cpp
@@ -14,9 +14,9 @@
   int total_weight = 0;
   for (const Event& event : WeightedEvents()) total_weight += event.weight;
   for (int i = 0; i < kEventsPerHistory && !HasFailed(); ++i) {
-    auto dice = static_cast<int>(random_.Below(static_cast<std::size_t>(total_weight)));
+    auto drawn = static_cast<int>(random_.Below(static_cast<std::size_t>(total_weight)));
     for (const Event& event : WeightedEvents()) {
-      if ((dice -= event.weight) >= 0) continue;
+      if ((drawn -= event.weight) >= 0) continue;
       (this->*event.run)();
       break;
     }
@@ -78,7 +78,7 @@
   for (std::size_t i = 0; i < requests_.size(); ++i) {
     if (requests_[i].arriving) random_.Chance(0.5) ? DisconnectClientOf(i) : CompleteBody(i);
   }
-  // Longer than the longest deadline. Attempts that are sent meanwhile end as well.
+  // Runs for 5 s, longer than the longest deadline. Attempts that are sent meanwhile end as well.
   for (int i = 0; i < 100 && !HasFailed(); ++i) {
     while (!in_flight_.empty() && !HasFailed()) EndDrawnAttempt();
     while (!probes_.empty()) EndProbe();
--- a/tests/dispatch/dispatch_history_transport.cpp
+++ b/tests/dispatch/dispatch_history_transport.cpp
@@ -1,5 +1,4 @@
-// The transport of a history. Attempts end within Send(), Cancel(), Abandon() or Apply(), or in events of
-// their own.
+// The transport of a history. Attempts end within Send(), Cancel(), Abandon() or Apply(), or in later events.
 #include <algorithm>
 #include <chrono>
 #include <cstddef>
--- a/tests/dispatch/dispatcher_test.cpp
+++ b/tests/dispatch/dispatcher_test.cpp
@@ -1,5 +1,5 @@
-// The dispatcher between a scripted front end and a scripted transport: each request gets one final answer
-// and each attempt ends once, whatever the two do and in whichever order.
+// The dispatcher with a scripted front end and a scripted transport: each request gets one final answer and
+// each attempt ends once, whatever the two do and in whichever order.
 #include "dispatch/dispatcher.h"
 
 #include <algorithm>
@@ -208,7 +208,7 @@
 TEST_F(DispatcherTest, OnlyTheLastAttemptsReplyIsForwarded) {
   ASSERT_TRUE(Submit(0));
   transport.End(transport.OnlyAttempt(), Outcome::kError, "the first's");
-  ASSERT_EQ(transport.in_flight.size(), 1U) << "no retry";
+  ASSERT_EQ(transport.in_flight.size(), 1U) << "the request was not retried once";
   while (!transport.in_flight.empty()) transport.End(transport.in_flight.begin()->first, Outcome::kReset);
   ASSERT_EQ(finals.size(), 1U);
   EXPECT_FALSE(finals[0].reply);
@@ -265,7 +265,7 @@
   while (finals.empty()) io.run_one();
   EXPECT_TRUE(finals[0].late);
   EXPECT_EQ(finals[0].attempts, 1U);
-  EXPECT_TRUE(transport.in_flight.empty()) << "not cancelled";
+  EXPECT_TRUE(transport.in_flight.empty()) << "the attempt was not cancelled";
 }
 
 // In any order of arrivals, ends of attempts, disconnects and changes of the list, each request gets at most
--- a/tests/dispatch/start_times_test.cpp
+++ b/tests/dispatch/start_times_test.cpp
@@ -1,5 +1,5 @@
-// The estimated start times of upstreams' processes, from lists with given boot times and stepped wall
-// clocks.
+// StartTimes: the estimated start times of upstreams' processes, from lists with given boot times and stepped
+// wall clocks.
 #include "dispatch/start_times.h"
 
 #include <chrono>
@@ -63,7 +63,7 @@
   const char* name;
   runtime::Duration step;
   bool stamped_after;  // the boot time refers to the clock after the step
-  bool exact;          // the estimate must be exact; otherwise it may be later than the start, never earlier
+  bool exact;          // the estimate must be exact; if not set, it may be later than the start
 };
 std::ostream& operator<<(std::ostream& out, const Step& step) { return out << step.name; }
 
