--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,5 +1,5 @@
 // simulator_adapter: speaks the simulator's protocol on standard input and output, one JSON object per line.
-// Each input line gets one reply line. Exits with status 1 at a line that is not a valid batch.
+// Each input line gets one reply line. Exits with status 1 at the first line that is not a valid batch.
 #include <iostream>
 #include <string>
 
--- a/src/simulator_adapter/wire.cpp
+++ b/src/simulator_adapter/wire.cpp
@@ -16,7 +16,7 @@
   return *it;
 }
 
-// The value of a required field of the given type.
+// Returns the value of a required field. Throws ProtocolError if it is missing or of another type.
 template <typename T>
 T GetRequired(const json& object, const char* name) {
   try {
@@ -26,7 +26,7 @@
   }
 }
 
-// The value of a field that may be absent or null.
+// Returns the value of a field, or nothing if it is absent or null.
 template <typename T>
 std::optional<T> GetOptional(const json& object, const char* name) {
   const auto it = object.find(name);
@@ -43,7 +43,7 @@
   if (const auto value = GetOptional<std::int64_t>(object, name)) target = balancer::Duration(*value);
 }
 
-// A named section of the settings; an empty object if it is missing.
+// Returns a named section of the settings, or an empty object if it is missing.
 const json& Section(const json& params, const char* name) {
   static const json empty = json::object();
   const auto it = params.find(name);
@@ -61,6 +61,7 @@
   try {
     value = std::stoull(text, &used, 16);
   } catch (const std::logic_error&) {
+    // `used` stays 0, so the text is rejected below.
   }
   if (text.size() != 16 || used != text.size()) throw ProtocolError("bad value in field Handle");
   return balancer::RequestId{value};
@@ -277,7 +278,7 @@
     static const std::vector<std::string> handled_types = {
         "Launch", "Halt", "Membership", "Order", "Streaming", "Finished", "Dropped", "Ring", "Checked"};
     if (std::find(handled_types.begin(), handled_types.end(), type) == handled_types.end())
-      return;  // this adapter does not use the event
+      return;  // the adapter ignores events of other types
     const auto number = GetRequired<std::int64_t>(item, "I");
     const ActionWriter writer{number};
     actions_.clear();
@@ -286,7 +287,7 @@
       if (type == "Launch") Launch(number, item);
       if (type == "Halt" || type == "Launch") return;
       const auto it = instances_.find(number);
-      if (it == instances_.end()) return;  // the instance was halted
+      if (it == instances_.end()) return;  // the instance was halted or never launched
       it->second.balancer.handle(now, ToEvent(type, item, it->second), actions_);
     } catch (const ProtocolError&) {
       throw;
--- a/src/simulator_adapter/wire.h
+++ b/src/simulator_adapter/wire.h
@@ -1,5 +1,5 @@
-// The simulator's protocol: translates JSON to the balancer's events and its actions to JSON. Makes no
-// decisions. Used on one thread.
+// The simulator's protocol: translates JSON to the balancer's events and the balancer's actions to JSON. It
+// makes no decisions. Not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,8 @@
 
 namespace mothrack::simulator_adapter {
 
-// A line that is not a batch, or lacks a required field. The text names the field or the event.
+// Thrown for a line that is not a batch, or that lacks a required field or has an invalid one. The text names
+// the field, if there is one, and the type of the event that has it.
 class ProtocolError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
@@ -23,7 +24,8 @@
 // Throws ProtocolError.
 balancer::Settings ParseSettings(const nlohmann::json& params);
 
-// The balancer instances of one process. They share only the numbered upstream lists, which are inputs.
+// The balancer instances of one simulator_adapter process. They share only the upstream lists, which the
+// simulator sends once and refers to by number.
 class Host {
  public:
   // Handles one batch and returns the reply without a line end. Throws ProtocolError.
@@ -33,13 +35,13 @@
   struct Instance {
     balancer::Settings settings;
     balancer::Balancer balancer;
-    std::map<std::string, std::size_t> class_numbers;   // by name; the index in the settings
-    std::map<std::string, std::size_t> tenant_numbers;  // the same for tenants
+    std::map<std::string, std::size_t> class_numbers;   // indexes in Settings::classes, by name
+    std::map<std::string, std::size_t> tenant_numbers;  // indexes in Settings::tenants, by name
   };
 
   // Handles one event of a batch and appends the resulting actions to `cmds`.
   void HandleEvent(const nlohmann::json& item, balancer::TimePoint now, nlohmann::json& cmds);
-  // `item`: a Launch event of this instance.
+  // Starts an instance. `item`: its Launch event.
   void Launch(std::int64_t number, const nlohmann::json& item);
   balancer::Event ToEvent(const std::string& type, const nlohmann::json& item,
                           const Instance& instance) const;
--- a/tests/simulator_adapter/wire_test.cpp
+++ b/tests/simulator_adapter/wire_test.cpp
@@ -1,4 +1,5 @@
-// The adapter: JSON to events, actions to JSON, and its errors for lines that are not a batch.
+// The simulator adapter: the translation of JSON to events and of actions to JSON, and the errors for invalid
+// lines.
 #include "simulator_adapter/wire.h"
 
 #include "gtest/gtest.h"
