--- a/tests/standins/admin_client.h
+++ b/tests/standins/admin_client.h
@@ -25,11 +25,11 @@
   std::optional<AdminAnswer> Get(const std::string& target) const { return Request("GET", target); }
   std::optional<AdminAnswer> Post(const std::string& target) const { return Request("POST", target); }
   std::optional<AdminAnswer> Put(const std::string& target, const std::string& body = "") const;
-  // Sends `bytes` and reads until the server closes; nullopt where the answer is not HTTP/1.1 or none
-  // arrives.
+  // Sends `bytes` and reads until the server closes the connection. Returns nullopt if no answer arrives or
+  // the answer is not HTTP/1.1.
   std::optional<AdminAnswer> Raw(const std::string& bytes) const;
 
-  // A connection that the caller closes; -1 where it fails.
+  // Returns the descriptor of a new connection, which the caller closes; -1 if connecting fails.
   int Connect() const;
 
  private:
--- a/tests/standins/dns_client.h
+++ b/tests/standins/dns_client.h
@@ -1,5 +1,5 @@
-// Clients of a DNS server on a loopback port, as a test drives them: one over UDP, one over TCP. All waits
-// end after a timeout far longer than an answer should take.
+// Blocking clients of a DNS server on a loopback port: one over UDP, one over TCP. All waits end after a
+// timeout that is far longer than an answer should take.
 #pragma once
 
 #include <chrono>
@@ -39,9 +39,9 @@
   DnsTcpClient& operator=(const DnsTcpClient&) = delete;
 
   bool connected() const { return fd_ >= 0; }
-  void Send(const Octets& query);  // with the length prefix
-  void SendRaw(const Octets& bytes);
-  void EndSending();
+  void Send(const Octets& query);     // with the length prefix
+  void SendRaw(const Octets& bytes);  // without a length prefix
+  void EndSending();                  // closes the sending direction
   // Returns the next message, or nullopt on timeout or at the connection's end.
   std::optional<Octets> Receive(std::chrono::milliseconds timeout = kDnsTimeout);
   std::optional<Octets> Query(const Octets& query) {
--- a/tests/standins/dns_wire.cpp
+++ b/tests/standins/dns_wire.cpp
@@ -6,13 +6,17 @@
 namespace mothrack::testing {
 namespace {
 
+constexpr std::uint16_t kTypeOpt = 41;
+constexpr std::uint16_t kOptionExtendedError = 15;
+constexpr std::uint8_t kOpcodeUpdate = 5;
+
 void Put(Octets& out, std::uint16_t value) {
   out.push_back(static_cast<std::uint8_t>(value >> 8));
   out.push_back(static_cast<std::uint8_t>(value));
 }
 
-std::uint16_t Get(const Octets& in, std::size_t at) {
-  return static_cast<std::uint16_t>(in.at(at) << 8 | in.at(at + 1));
+std::uint16_t Get(const Octets& message, std::size_t at) {
+  return static_cast<std::uint16_t>(message.at(at) << 8 | message.at(at + 1));
 }
 
 void PutName(Octets& out, const std::string& name) {
@@ -30,7 +34,7 @@
 
 void PutOpt(Octets& out, int size, std::uint8_t version, const Octets& options) {
   out.push_back(0);
-  Put(out, 41);
+  Put(out, kTypeOpt);
   Put(out, static_cast<std::uint16_t>(size));
   out.push_back(0);
   out.push_back(version);
@@ -39,23 +43,25 @@
   out.insert(out.end(), options.begin(), options.end());
 }
 
-std::size_t SkipName(const Octets& in, std::size_t at) {
-  while (in.at(at) != 0) {
-    if (in.at(at) >= 0xc0) return at + 2;
-    at += 1 + in.at(at);
+std::size_t SkipName(const Octets& message, std::size_t at) {
+  while (message.at(at) != 0) {
+    if (message.at(at) >= 0xc0) return at + 2;
+    at += 1 + message.at(at);
   }
   return at + 1;
 }
 
-std::size_t QuestionEnd(const Octets& in) { return Get(in, 4) == 0 ? 12 : SkipName(in, 12) + 4; }
+std::size_t QuestionEnd(const Octets& message) {
+  return Get(message, 4) == 0 ? 12 : SkipName(message, 12) + 4;
+}
 
 // The offset of the OPT record's type; 0 if there is none.
-std::size_t FindOpt(const Octets& in) {
-  std::size_t at = QuestionEnd(in);
-  for (int left = Get(in, 6) + Get(in, 8) + Get(in, 10); left > 0; --left) {
-    at = SkipName(in, at);
-    if (Get(in, at) == 41) return at;
-    at += 10 + Get(in, at + 8);
+std::size_t FindOpt(const Octets& message) {
+  std::size_t at = QuestionEnd(message);
+  for (int left = Get(message, 6) + Get(message, 8) + Get(message, 10); left > 0; --left) {
+    at = SkipName(message, at);
+    if (Get(message, at) == kTypeOpt) return at;
+    at += 10 + Get(message, at + 8);
   }
   return 0;
 }
@@ -83,7 +89,7 @@
   spec.name = zone;
   spec.id = id;
   spec.type = kTypeSoa;
-  spec.opcode = 5;
+  spec.opcode = kOpcodeUpdate;
   PutName(spec.update, record + '.' + zone);
   Put(spec.update, kTypeA);
   Put(spec.update, 1);
@@ -117,7 +123,7 @@
   if (opt) {
     Octets options;
     if (spec.extended_error >= 0) {
-      Put(options, 15);
+      Put(options, kOptionExtendedError);
       Put(options, 2);
       Put(options, static_cast<std::uint16_t>(spec.extended_error));
     }
@@ -157,7 +163,7 @@
   if (opt == 0) return -1;
   const std::size_t end = opt + 10 + Get(message, opt + 8);
   for (std::size_t at = opt + 10; at < end; at += 4 + Get(message, at + 2)) {
-    if (Get(message, at) == 15) return Get(message, at + 4);
+    if (Get(message, at) == kOptionExtendedError) return Get(message, at + 4);
   }
   return -1;
 }
--- a/tests/standins/dns_wire.h
+++ b/tests/standins/dns_wire.h
@@ -1,5 +1,5 @@
-// Writes and reads DNS messages for test peers, on purpose without the program's own code, so that a fault
-// there cannot hide itself.
+// Writes and reads DNS messages for test peers, on purpose without the program's own code, so that a fault in
+// that code does not go unnoticed.
 #pragma once
 
 #include <cstdint>
@@ -24,14 +24,15 @@
   Octets update{};  // the one record of an UPDATE's update section, in wire format
 };
 Octets MakeQuery(const QuerySpec& spec);
+// Makes an UPDATE that adds an A record with the name `record` to the zone.
 Octets MakeUpdate(const std::string& zone, std::uint16_t id, const std::string& record);
 
 struct AnswerSpec {
   int rcode = 0;
   bool truncated = false;
-  int records = 1;  // A records
-  int extended_error = -1;
-  int edns_size = -1;  // below 0: OPT only where an extended error needs one
+  int records = 1;          // A records
+  int extended_error = -1;  // code of the extended error; below 0: none
+  int edns_size = -1;       // below 0: an OPT record only if an extended error needs one
 };
 // Makes an answer to `query`, with the question copied byte for byte.
 Octets MakeAnswer(const Octets& query, const AnswerSpec& spec = {});
@@ -46,6 +47,6 @@
 // The code of the first extended error, below 0 if there is none. The message's records must be those that
 // MakeAnswer and the program's own answers have.
 int ExtendedErrorOf(const Octets& message);
-int EdnsSizeOf(const Octets& message);  // below 0: no OPT
+int EdnsSizeOf(const Octets& message);  // below 0: there is no OPT record
 
 }  // namespace mothrack::testing
--- a/tests/standins/faulty_relay.h
+++ b/tests/standins/faulty_relay.h
@@ -1,15 +1,15 @@
 // A relay on loopback between the processes of a test, with faults for each ordered pair of endpoints: loss,
 // duplication, reordering, delay, bandwidth, cuts, resets. An endpoint is selected by its name, by one of its
-// groups or by "*"; a change of faults applies at once, to what is queued as well.
+// groups or by "*". A change of faults applies at once, to queued data as well.
 //
-// UDP: the relay has one socket for each endpoint, whose address the endpoint advertises as its own. What
-// arrives at the socket of B from A's real address is sent to B's real address *from the socket of A*, so B
-// reaches A through the relay whether it replies to the source address or to the advertised one.
+// UDP: the relay has one socket for each endpoint, whose address the endpoint advertises as its own. A
+// datagram that arrives at the socket of B from A's real address is sent to B's real address *from the socket
+// of A*. So B reaches A through the relay whether it replies to the source address or to the advertised one.
 // TCP: one port for each ordered pair, relayed to a real port. The kernel does the handshake, so a connection
 // over a cut link is established, and no byte crosses it; loss, duplication and reordering do not apply.
 //
 // Threads: all public functions may be called from any thread; one thread of the relay does all I/O. Errors:
-// std::runtime_error where the system gives no socket, std::logic_error for an endpoint or link that does not
+// std::runtime_error if the system provides no socket, std::logic_error for an endpoint or link that does not
 // exist. Bounds: 4,096 connections at once (more are reset), Faults::queue_bytes on each link.
 //
 // Its parts: relay_link (faults, counts, random decisions, schedule), relay_topology (endpoints, links,
@@ -51,7 +51,8 @@
   // Sets another real port for a restarted endpoint; the advertised port stays.
   void MoveEndpoint(const std::string& name, std::uint16_t udp_port);
   std::uint16_t advertised_port(const std::string& name) const;
-  // The port by which `from` reaches `to`'s real TCP port. Several for one pair share its link.
+  // Opens and returns a port by which `from` reaches `to`'s real TCP port. Several ports of one pair share
+  // its link.
   std::uint16_t AddTcpPort(const std::string& from, const std::string& to, std::uint16_t real_port);
 
   // Changes the faults on every link from one selector to the other: a name, a group, or "*".
@@ -70,14 +71,14 @@
   Counts counts(const std::string& from = "*", const std::string& to = "*") const;
   std::uint64_t unknown_senders() const;  // datagrams dropped because no endpoint has their source address
   std::size_t queued_bytes() const;       // bytes queued now
-  std::string Describe()
-      const;  // lists the links on which anything was dropped, duplicated, reordered or reset
+  // Lists the links on which anything was dropped, duplicated, reordered or reset.
+  std::string Describe() const;
 
  private:
   // Reschedules queued data after a change of faults, and wakes the thread.
   void ApplyChangedFaults();
   void Loop();
-  int PollTimeoutMs() const;  // milliseconds until something is due; -1: nothing is queued
+  int PollTimeoutMs() const;  // milliseconds until queued data is due; -1: nothing is queued
   void HandleEvents(int fd, std::uint32_t events, relay::Clock::time_point now);
 
   relay::Poller poller_;
--- a/tests/standins/fleet.cpp
+++ b/tests/standins/fleet.cpp
@@ -25,7 +25,8 @@
   return text.str();
 }
 
-int CodeOf(pid_t pid) {
+// Waits for the process to end. Returns its exit code, or 128 plus the signal that killed it.
+int WaitForExitCode(pid_t pid) {
   int status = 0;
   if (::waitpid(pid, &status, 0) != pid) return -1;
   return WIFEXITED(status) ? WEXITSTATUS(status) : 128 + WTERMSIG(status);
@@ -38,7 +39,7 @@
 class PortReservations {
  public:
   // Returns distinct ports below the range of ephemeral ports, so that no connection uses one of them.
-  std::vector<std::uint16_t> Take(std::size_t count) {
+  std::vector<std::uint16_t> Reserve(std::size_t count) {
     std::vector<std::uint16_t> ports;
     static std::uint16_t next = static_cast<std::uint16_t>(10'000 + ::getpid() % 200 * 100);
     while (ports.size() < count) {
@@ -68,7 +69,7 @@
       static_cast<std::size_t>(options_.agents) * static_cast<std::size_t>(options_.instances);
   const auto reservations = std::make_shared<PortReservations>();
   reserved_ports_ = reservations;
-  ports_ = options_.ports ? reservations->Take(sidecars) : std::vector<std::uint16_t>(sidecars, 0);
+  ports_ = options_.ports ? reservations->Reserve(sidecars) : std::vector<std::uint16_t>(sidecars, 0);
   std::string list;
   std::string viewers;
   if (options_.tokens) {
@@ -80,10 +81,11 @@
   for (int a = 0; a < options_.agents; ++a) {
     const std::string name = "a" + std::to_string(a);
     const std::string hall = a < (options_.agents + 1) / 2 ? "bole" : "kality";
-    const std::string place = options_.tokens ? "127.0.0.1:" + std::to_string(reservations->Take(1).front())
-                                              : "unix:" + path(name + ".sock");
+    const std::string address = options_.tokens
+                                    ? "127.0.0.1:" + std::to_string(reservations->Reserve(1).front())
+                                    : "unix:" + path(name + ".sock");
     std::ofstream file(path(name + ".toml"));
-    file << "[agent]\nname = \"" << name << "\"\nhall = \"" << hall << "\"\nlisten = \"" << place
+    file << "[agent]\nname = \"" << name << "\"\nhall = \"" << hall << "\"\nlisten = \"" << address
          << "\"\ndirectory = \"" << path(name) << "\"\nlease_ms = 3000\ncheck = [\"" MOTHRACK_PROGRAM
          << "\", \"check\", \"{generation}/mothrack.toml\"]\n";
     if (options_.tokens) file << "tokens = \"" << path("tokens") << "\"\n";
@@ -100,7 +102,7 @@
               "\"{generation}/config.json\" }\ngeneration = \"g1\"\n";
     }
     const std::string entry =
-        "[[agent]]\nname = \"" + name + "\"\nhall = \"" + hall + "\"\nplace = \"" + place + "\"\n";
+        "[[agent]]\nname = \"" + name + "\"\nhall = \"" + hall + "\"\nplace = \"" + address + "\"\n";
     list += entry + (options_.tokens ? "token_file = \"" + path("operator") + "\"\n" : "");
     viewers += entry + "token_file = \"" + path("viewer") + "\"\n";
   }
@@ -110,9 +112,9 @@
 }
 
 Fleet::~Fleet() {
-  for (const auto& [agent, pid] : agents_) ::kill(pid, SIGKILL), CodeOf(pid);
-  // The sidecars outlive their agents. Their process files have the pids, and a reservations lock shows that
-  // a sidecar still runs.
+  for (const auto& [agent, pid] : agents_) ::kill(pid, SIGKILL), WaitForExitCode(pid);
+  // The sidecars outlive their agents. Their process files have the pids, and a lock file that is locked
+  // shows that the sidecar still runs.
   for (int a = 0; a < options_.agents; ++a) {
     for (int i = 0; i < options_.instances; ++i) {
       const auto file = json::parse(ReadAll(DirectoryOf(a, i) + "/process.json"), nullptr, false);
@@ -129,10 +131,10 @@
   return path("a" + std::to_string(agent)) + "/instances/n" + std::to_string(instance);
 }
 
-std::string Fleet::WriteGeneration(const std::string& remark, bool fault) const {
-  fs::create_directories(path(remark));
-  std::ofstream(path(remark) + "/mothrack.toml")
-      << "name = \"{instance}\"\n# " << remark << "\n[admin]\nlisten = \"unix:{directory}/door\"\n"
+std::string Fleet::WriteGeneration(const std::string& name, bool fault) const {
+  fs::create_directories(path(name));
+  std::ofstream(path(name) + "/mothrack.toml")
+      << "name = \"{instance}\"\n# " << name << "\n[admin]\nlisten = \"unix:{directory}/door\"\n"
       << (fault ? "nonsense = 1\n" : "");
   json config = {{"name", "n"},
                  {"seed", "8c1f30d27a5be964"},
@@ -141,8 +143,8 @@
   if (!options_.upstreams.is_null()) {
     config["known"] = {{"rev", 0}, {"all", true}, {"targets", options_.upstreams}};
   }
-  std::ofstream(path(remark) + "/config.json") << config.dump();
-  return path(remark);
+  std::ofstream(path(name) + "/config.json") << config.dump();
+  return path(name);
 }
 
 pid_t Fleet::Spawn(const std::vector<std::string>& command, const std::string& out,
@@ -173,14 +175,14 @@
 
 int Fleet::RunSecondAgent(int agent) {
   const std::string name = "a" + std::to_string(agent);
-  return CodeOf(Spawn({MOTHRACK_AGENT, path(name + ".toml")}, path(name + ".log")));
+  return WaitForExitCode(Spawn({MOTHRACK_AGENT, path(name + ".toml")}, path(name + ".log")));
 }
 
 void Fleet::KillAgent(int agent) {
   const auto it = agents_.find(agent);
   if (it == agents_.end()) return;
   ::kill(it->second, SIGKILL);
-  CodeOf(it->second);
+  WaitForExitCode(it->second);
   agents_.erase(it);
 }
 
@@ -192,7 +194,7 @@
   std::string out = path("out.XXXXXX");
   ::close(::mkstemp(out.data()));
   CtlResult result;
-  result.code = CodeOf(Spawn(command, out));
+  result.code = WaitForExitCode(Spawn(command, out));
   result.out = ReadAll(out);
   ::unlink(out.c_str());
   return result;
@@ -204,7 +206,7 @@
   return Spawn(command, path("ctl.log"));
 }
 
-CtlResult Fleet::WaitCtl(pid_t pid) { return {CodeOf(pid), {}}; }
+CtlResult Fleet::WaitCtl(pid_t pid) { return {WaitForExitCode(pid), {}}; }
 
 json Fleet::Status() const { return json::parse(Ctl({"status", "--json"}).out, nullptr, false); }
 
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -1,5 +1,5 @@
-// A fleet on this machine as a test runs it: agents over directories of their own, real sidecars under them,
-// and the tool. Every process that was started is ended with its object, by its pid.
+// A fleet on this machine as a test runs it: agents, each with its own directory, the sidecar processes that
+// they run, and the control tool mothrackctl. The destructor kills all processes by their pids.
 #pragma once
 
 #include <sys/types.h>
@@ -26,12 +26,12 @@
   struct Options {
     int agents = 2;  // the first half is in one hall, the rest in another
     int instances = 2;
-    std::string limits;         // lines of [limits]
-    std::string first_command;  // run by the first agent's first instance instead of the sidecar: a TOML list
-    bool tokens = false;        // agents listen on addresses, with tokens
-    bool ports = false;         // each sidecar listens on a port of its own, the same after a restart
+    std::string limits;          // further lines of the section [limits] of the agents' files
+    std::string first_command;   // run by the first agent's first instance, instead of `command`; a TOML list
+    bool tokens = false;         // agents listen on TCP and require tokens, instead of on Unix sockets
+    bool ports = false;          // each sidecar listens on a port of its own, the same after a restart
     nlohmann::json upstreams{};  // the endpoint list known to all sidecars; null: none
-    std::string command{};       // run by all instances instead of the sidecar: a TOML list
+    std::string command{};       // run by all instances instead of the sidecar; a TOML list
   };
   explicit Fleet(const Options& options);
   ~Fleet();
@@ -41,7 +41,7 @@
   // `file_bytes`: the largest file that the agent may write; a write beyond it raises SIGXFSZ.
   void StartAgent(int agent, std::optional<std::uint64_t> file_bytes = std::nullopt);
   void KillAgent(int agent);
-  // Runs the tool and waits for it to exit.
+  // Runs the tool and waits for it to exit. `agents`: the file with the list of agents.
   CtlResult Ctl(const std::vector<std::string>& arguments, const std::string& agents = "agents.toml") const;
   // Starts the tool in the background and returns its pid.
   pid_t StartCtl(const std::vector<std::string>& arguments) const;
@@ -53,8 +53,9 @@
   nlohmann::json Instance(int agent, int instance) const;
   int Pid(int agent, int instance) const { return Instance(agent, instance).value("pid", 0); }
 
-  // Writes a generation's files with a remark in them; `fault`: the check rejects the generation.
-  std::string WriteGeneration(const std::string& remark, bool fault = false) const;
+  // Writes the files of a generation and returns their directory. The files contain the generation's name, so
+  // that those of two generations differ. `fault`: the check rejects the generation.
+  std::string WriteGeneration(const std::string& name, bool fault = false) const;
   std::string path(const std::string& name) const { return directory_.File(name); }
   // The ports on which the sidecars listen, in the order of agents.
   const std::vector<std::uint16_t>& ports() const { return ports_; }
@@ -72,7 +73,7 @@
   const TemporaryDirectory directory_{"fleet"};
   std::map<int, pid_t> agents_;
   std::vector<std::uint16_t> ports_;
-  std::shared_ptr<void> reserved_ports_;  // holds the ports as long as it exists
+  std::shared_ptr<void> reserved_ports_;  // keeps the ports reserved as long as it exists
 };
 
 }  // namespace mothrack::testing
--- a/tests/standins/full_send_buffer.cpp
+++ b/tests/standins/full_send_buffer.cpp
@@ -1,6 +1,6 @@
 // Loaded into a program by LD_PRELOAD: only every UDP_SEND_INTERVAL-th call that sends a datagram succeeds.
-// The others fail with EAGAIN, as with a full send buffer, which does not occur on the loopback network
-// itself.
+// The others fail with EAGAIN, as if the send buffer were full, which does not occur on the loopback
+// interface.
 #include <dlfcn.h>
 #include <sys/socket.h>
 
--- a/tests/standins/lost_wakeups.cpp
+++ b/tests/standins/lost_wakeups.cpp
@@ -7,8 +7,8 @@
 
 namespace {
 
-// The epoll data of each descriptor. Unguarded: one thread of the program under test registers and waits.
-// Events of higher descriptors are reported as usual.
+// The epoll data of each descriptor. There is no lock, since one thread of the program under test both
+// registers and waits. Events of higher descriptors are reported as usual.
 std::array<void*, 4096> registered{};
 
 bool Listens(const void* tag) {
@@ -28,7 +28,7 @@
   static const auto next = reinterpret_cast<Function>(::dlsym(RTLD_NEXT, "epoll_ctl"));
   if (event != nullptr && fd >= 0 && fd < static_cast<int>(registered.size())) {
     for (void*& tag : registered) {
-      if (tag == event->data.ptr) tag = nullptr;  // left by a closed descriptor
+      if (tag == event->data.ptr) tag = nullptr;  // the entry of a descriptor that was closed
     }
     registered[static_cast<std::size_t>(fd)] = event->data.ptr;
   }
--- a/tests/standins/node.cpp
+++ b/tests/standins/node.cpp
@@ -16,10 +16,10 @@
 namespace mothrack::testing {
 namespace {
 
-// The environment that preloads the fault library for `options`, with its settings. A process has at most one
-// kind of fault.
+// Returns the environment variables that preload the library for the fault in `options`, and its settings. A
+// process has at most one kind of fault.
 std::vector<std::string> FaultEnvironment(const Node::Options& options) {
-  // The sanitizer's check that it is loaded first is off: here the preloaded library comes first.
+  // Turns off the address sanitizer's check that it is loaded first, since the preloaded library comes first.
   const std::string sanitizer = "ASAN_OPTIONS=verify_asan_link_order=0";
   if (!options.fault_plan.empty()) {
     return {"LD_PRELOAD=" MOTHRACK_FAULT_INJECTION, "FAULT_PLAN=" + options.fault_plan, sanitizer};
@@ -36,7 +36,8 @@
   return {};
 }
 
-// The sidecar's environment, as NAME=VALUE by NAME: that of this process with the changes of `options`.
+// Returns the sidecar's environment, as NAME=VALUE by NAME: that of this process with the changes of
+// `options`.
 std::map<std::string, std::string> Environment(const Node::Options& options, const std::string& config_path) {
   std::map<std::string, std::string> variables;
   for (char** entry = environ; *entry != nullptr; ++entry) {
@@ -76,7 +77,8 @@
 void FillPipe(int writing_end) {
   const int size = ::fcntl(writing_end, F_SETPIPE_SZ, 1);
   const std::string full(static_cast<std::size_t>(std::max(size, 1)), '\n');
-  if (::write(writing_end, full.data(), full.size()) != size) throw std::runtime_error("pipe");
+  if (::write(writing_end, full.data(), full.size()) != size)
+    throw std::runtime_error("cannot fill the log pipe of the node");
 }
 
 }  // namespace
@@ -106,7 +108,7 @@
   const std::vector<char*> argv = Pointers(arguments);
 
   int ends[2];
-  if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("pipe");
+  if (::pipe2(ends, O_CLOEXEC) != 0) throw std::runtime_error("cannot create the log pipe of the node");
   if (options.log_blocked) FillPipe(ends[1]);
   pid_ = ::fork();
   if (pid_ == 0) {
@@ -143,21 +145,21 @@
   std::filesystem::remove(operator_path_);
 }
 
-bool Node::Announced(const std::string& mark, std::uint16_t& port) {
+bool Node::WaitForPort(const std::string& prefix, std::uint16_t& port) {
   return Eventually([&] {
     const std::string text = log();
-    const auto at = text.find(mark);
+    const auto at = text.find(prefix);
     if (at == std::string::npos || text.find('\n', at) == std::string::npos) return false;
-    port = static_cast<std::uint16_t>(std::stoi(text.substr(at + mark.size())));
+    port = static_cast<std::uint16_t>(std::stoi(text.substr(at + prefix.size())));
     return true;
   });
 }
 
-bool Node::Listening() { return Announced("listening on 127.0.0.1:", port_); }
+bool Node::Listening() { return WaitForPort("listening on 127.0.0.1:", port_); }
 
-bool Node::OpsListening() { return Announced("ops on 127.0.0.1:", ops_port_); }
+bool Node::OpsListening() { return WaitForPort("ops on 127.0.0.1:", ops_port_); }
 
-bool Node::DnsListening() { return Announced("dns on 127.0.0.1:", dns_port_); }
+bool Node::DnsListening() { return WaitForPort("dns on 127.0.0.1:", dns_port_); }
 
 void Node::WriteOperatorFile(const std::string& text) {
   std::ofstream(operator_path_ + ".new") << text;
--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -151,7 +151,7 @@
   acceptor_.open(tcp::v4());
   acceptor_.bind(Loopback(0));
   acceptor_.listen(0);
-  // Fill the backlog until a connection hangs.
+  // Fills the backlog until a connection attempt hangs.
   for (int i = 0; i < 16; ++i) {
     auto& socket = waiting_.emplace_back(io_, tcp::v4());
     socket.native_non_blocking(true);
@@ -161,7 +161,7 @@
     pollfd ready{socket.native_handle(), POLLOUT, 0};
     if (::poll(&ready, 1, 100) == 0) return;
   }
-  throw std::runtime_error("the listener's backlog does not fill");
+  throw std::runtime_error("cannot fill the backlog of the listener");
 }
 
 std::string BlackHole::address() const {
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -1,5 +1,5 @@
-// Small scripted peers for tests of the node: the program itself, its application, upstreams and discovery,
-// all over loopback sockets on ports that the system picks.
+// Small scripted peers for tests of the sidecar, and the sidecar process itself (Node): its application,
+// upstreams and discovery. All use loopback sockets on ports that the system picks.
 #pragma once
 
 #include <sys/types.h>
@@ -28,11 +28,11 @@
 using Request = boost::beast::http::request<boost::beast::http::string_body>;
 using Response = boost::beast::http::response<boost::beast::http::string_body>;
 
-// Waits until the condition holds, far longer than it should take. Returns false on timeout.
+// Polls until the condition holds. Returns false after 20 s, far longer than it should take.
 bool Eventually(const std::function<bool()>& condition);
 
-// A connection as a script sees it. Everything blocks (the test runner's time-out is the
-// bound); failures end what is under way.
+// A connection of a scripted peer. All calls block, bounded only by the test runner's time-out. If the
+// connection fails, they return nullopt or false.
 class Wire {
  public:
   explicit Wire(boost::asio::io_context& io) : socket(io) {}
@@ -56,7 +56,7 @@
 // Listens on a free port and plays a script for each connection, each in a thread of its own.
 class Peer {
  public:
-  using Script = std::function<void(Wire&, int number)>;
+  using Script = std::function<void(Wire&, int connection_number)>;
   explicit Peer(Script script, bool small_receive_buffer = false);
   ~Peer();
   std::uint16_t port() const { return port_; }
@@ -81,6 +81,7 @@
  public:
   using Handler = std::function<void(Wire&, const Request&, int request_number)>;
   explicit Upstream(Handler handler);
+  // A handler that answers 200, with the name and the request's target as the body.
   static Handler Echo(const std::string& name);
   std::string address() const { return peer_.address(); }
   int connections() const { return peer_.connections(); }
@@ -116,6 +117,7 @@
   tcp::acceptor acceptor_;
 };
 
+// An entry of discovery's endpoint list.
 json Target(const std::string& uid, const std::string& endpoint, const std::string& state = "active",
             std::int64_t boot_ms = 0);
 
@@ -154,26 +156,27 @@
   std::unique_ptr<Peer> peer_;
 };
 
+// Settings with the classes page (safe), submit (unsafe) and keyed.
 json Settings();
 
-// The program under test.
+// The sidecar process under test. The destructor kills it if it still runs.
 class Node {
  public:
   struct Options {
     std::string discovery = "127.0.0.1:1";
-    json known = nullptr;
+    json known = nullptr;  // the endpoint list in the configuration file; null: there is none
     json settings = Settings();
     int sockets = 256;
     std::string listen = "127.0.0.1:0";
-    std::string ops = "";     // LB_OPS: the listening address of the operators' port; empty: not set
-    std::string tmpdir = "";  // $TMPDIR; empty: none is set
-    std::vector<std::string> unset;
-    std::string config_text;                 // in place of the JSON made from the rest
-    bool platform = true;                    // the LB_* variables are set
-    std::string operator_file;               // the text of the operator file; empty: there is none
+    std::string ops = "";            // LB_OPS: the listening address of the operators' port; empty: not set
+    std::string tmpdir = "";         // $TMPDIR; empty: not set
+    std::vector<std::string> unset;  // names of variables that are removed from the environment
+    std::string config_text;         // in place of the JSON made from the rest
+    bool platform = true;            // the LB_* variables are set
+    std::string operator_file;       // the text of the operator file; empty: there is none
     std::vector<std::string> environment{};  // further NAME=VALUE
-    int udp_send_interval = 0;    // the system accepts only every n-th datagram at the first try; 0: all
-    int socket_limit = 0;         // descriptors of this number or more are refused; 0: no limit
+    int udp_send_interval = 0;               // only every n-th call that sends a datagram succeeds; 0: all do
+    int socket_limit = 0;                    // descriptors of this number or more are refused; 0: no limit
     std::string fault_plan = "";  // the file of the FaultPlan that makes its system calls fail; empty: none
     bool lost_wakeups = false;    // epoll never reports a client that waits at a listening socket
     bool log_blocked = false;     // writes to its log block until UnblockLog()
@@ -183,7 +186,7 @@
   void UnblockLog();  // starts to read the log; for log_blocked
   bool Listening();   // waits until the node listens
   std::uint16_t port() const { return port_; }
-  void Signal(int number);
+  void Signal(int number);                      // sends the signal to the process
   void Reload(const std::string& config_text);  // replaces the file and sends SIGHUP
   bool OpsListening();                          // waits until the operators' port listens
   std::string ops() const { return "127.0.0.1:" + std::to_string(ops_port_); }
@@ -195,12 +198,13 @@
   int Wait();  // returns the exit code, or 128 plus the signal that killed the process
   pid_t pid() const { return pid_; }
   std::string log() const;
-  int descriptors() const;
+  int descriptors() const;  // number of open file descriptors
 
  private:
   pid_t pid_ = -1;
   std::optional<int> status_;
-  bool Announced(const std::string& mark, std::uint16_t& port);
+  // Waits until the log contains `prefix` and a port after it, and sets `port`. Returns false on timeout.
+  bool WaitForPort(const std::string& prefix, std::uint16_t& port);
 
   std::uint16_t port_ = 0;
   std::uint16_t dns_port_ = 0;
@@ -228,6 +232,7 @@
   Wire wire{io};
 };
 
+// The text of a request as an application sends it.
 std::string GetText(const std::string& target, const std::string& id, int timeout_ms = 5000);
 std::string PostText(const std::string& target, const std::string& id, const std::string& body,
                      int timeout_ms = 5000, const std::string& headers = "");
--- a/tests/standins/relay_connections.cpp
+++ b/tests/standins/relay_connections.cpp
@@ -22,8 +22,8 @@
 }
 
 void SetNoDelay(int fd) {
-  const int at_once = 1;
-  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &at_once, sizeof at_once);
+  const int on = 1;
+  ::setsockopt(fd, IPPROTO_TCP, TCP_NODELAY, &on, sizeof on);
 }
 
 }  // namespace
@@ -117,7 +117,7 @@
 }
 
 void ConnectionRelay::StopWatching(Side& side) const {
-  poller_.Remove(side.fd);  // epoll would report the error or hang-up again and again
+  poller_.Remove(side.fd);  // otherwise epoll would report the error or hang-up on every wait
   side.watched = false;
   side.incoming.Unblock();
 }
--- a/tests/standins/relay_connections.h
+++ b/tests/standins/relay_connections.h
@@ -1,4 +1,4 @@
-// The TCP side of a FaultyRelay: a listening port for each ordered pair, and the connections that came to it.
+// The TCP side of a FaultyRelay: a listening port for each ordered pair, and the connections accepted there.
 // Bounds: 4,096 connections at once (more are reset), Faults::queue_bytes for each direction of one. Not
 // thread-safe: FaultyRelay holds its mutex around every call.
 #pragma once
@@ -24,15 +24,14 @@
   ConnectionRelay(const ConnectionRelay&) = delete;
   ConnectionRelay& operator=(const ConnectionRelay&) = delete;
 
-  // Listens on a port for connections to `real_port`, whose bytes cross the two links. Returns
-  // the port.
+  // Listens on a port for connections to `real_port`, whose bytes cross the two links. Returns the port.
   std::uint16_t Listen(Link& forward, Link& backward, std::uint16_t real_port);
 
   bool OwnsListener(int fd) const { return listeners_.contains(fd); }
   void Accept(int listener);
   // Handles the poller's events for either socket of a connection; ignores sockets that are already closed.
   void HandleEvents(int fd, std::uint32_t events, Clock::time_point now);
-  // Connects, delivers and closes whatever is due now.
+  // Opens, serves and closes the connections for which this is due now.
   void Advance();
   // When Advance() has something to do next; time_point::max() if it waits only for events.
   Clock::time_point NextDue() const;
@@ -56,7 +55,7 @@
     int fd = -1;
     std::uint32_t events = 0;  // the epoll events that are registered
     bool watched = true;       // false: closed or reset, and removed from the poller
-    bool was_reset = false;    // a cut link delays the reset of the other side
+    bool was_reset = false;    // this side was reset while its link was cut; the other side is reset later
   };
   struct Connection {
     explicit Connection(const Listener& listener)
--- a/tests/standins/relay_datagrams.cpp
+++ b/tests/standins/relay_datagrams.cpp
@@ -86,7 +86,7 @@
 
 void DatagramRelay::Add(Datagram datagram) {
   const auto due =
-      datagram.link->Schedule(datagram.came, datagram.size(), datagram.extra_delay, datagram.ordered);
+      datagram.link->Schedule(datagram.arrived_at, datagram.size(), datagram.extra_delay, datagram.ordered);
   queue_.emplace(due, std::move(datagram));
 }
 
@@ -131,7 +131,7 @@
     changed.push_back(std::move(it->second));
     it = queue_.erase(it);
   }
-  std::ranges::stable_sort(changed, {}, &Datagram::came);
+  std::ranges::stable_sort(changed, {}, &Datagram::arrived_at);
   for (Datagram& datagram : changed) Add(std::move(datagram));
 }
 
--- a/tests/standins/relay_datagrams.h
+++ b/tests/standins/relay_datagrams.h
@@ -45,7 +45,7 @@
  private:
   struct Datagram {
     Link* link = nullptr;
-    Clock::time_point came;
+    Clock::time_point arrived_at;
     std::chrono::microseconds extra_delay{0};
     bool ordered = true;
     std::string bytes;
--- a/tests/standins/relay_io.h
+++ b/tests/standins/relay_io.h
@@ -10,16 +10,15 @@
 
 namespace mothrack::testing::relay {
 
-constexpr std::size_t kReadBytes = 65'536;  // the most that one read takes
+constexpr std::size_t kReadBytes = 65'536;  // the most bytes that one read returns
 
 // Opens a non-blocking socket of `type` on a loopback port that the system chooses, and sets `port` to it.
 int OpenLoopbackSocket(int type, std::uint16_t& port);
 // Makes a later close() reset the connection.
 void ResetOnClose(int fd);
 
-// An epoll set, and a way to end a wait from another thread. Wake may be called from any thread; the rest as
-// epoll allows it, which is from any thread too, but the set does not guard what the caller knows of a
-// socket.
+// An epoll set, and a way to end a wait from another thread. All functions may be called from any thread, as
+// epoll allows, but the caller has to guard its own records of the sockets.
 class Poller {
  public:
   Poller();
--- a/tests/standins/relay_link.cpp
+++ b/tests/standins/relay_link.cpp
@@ -50,12 +50,12 @@
   return draws;
 }
 
-Clock::time_point Link::Schedule(Clock::time_point came, std::size_t size, microseconds extra_delay,
+Clock::time_point Link::Schedule(Clock::time_point arrived_at, std::size_t size, microseconds extra_delay,
                                  bool ordered) {
-  Clock::time_point sent = came;
+  Clock::time_point sent = arrived_at;
   if (faults.bytes_per_s > 0) {
     const double seconds = static_cast<double>(size) / static_cast<double>(faults.bytes_per_s);
-    sent = std::max(came, busy_until_) + microseconds(static_cast<std::int64_t>(seconds * 1e6));
+    sent = std::max(arrived_at, busy_until_) + microseconds(static_cast<std::int64_t>(seconds * 1e6));
     busy_until_ = sent;
   }
   Clock::time_point due = sent + faults.delay + extra_delay;
--- a/tests/standins/relay_report.h
+++ b/tests/standins/relay_report.h
@@ -1,4 +1,4 @@
-// What a FaultyRelay did to its traffic, as text for a test's log.
+// Describes what a FaultyRelay did to its traffic, as text for a test's log.
 #pragma once
 
 #include <cstdint>
@@ -8,8 +8,8 @@
 
 namespace mothrack::testing::relay {
 
-// One line for each link on which anything was dropped, repeated, reordered or reset, and one for the
-// datagrams of unknown senders where there were any.
+// Returns one line for each link on which anything was dropped, duplicated, reordered or reset, and one for
+// the datagrams of unknown senders if there were any.
 std::string Describe(const Topology& topology, std::uint64_t unknown_senders);
 
 }  // namespace mothrack::testing::relay
--- a/tests/standins/relay_stream.cpp
+++ b/tests/standins/relay_stream.cpp
@@ -39,7 +39,7 @@
 }
 
 void Stream::Enqueue(Chunk chunk) {
-  chunk.due = link_.Schedule(chunk.came, chunk.bytes.size(), kNoExtraDelay, true);
+  chunk.due = link_.Schedule(chunk.arrived_at, chunk.bytes.size(), kNoExtraDelay, true);
   queued_bytes_ += chunk.bytes.size();
   link_.queued_bytes += chunk.bytes.size();
   ended_ = chunk.end;
@@ -89,7 +89,7 @@
 
 void Stream::Reschedule() {
   for (Chunk& chunk : chunks_) {
-    chunk.due = link_.Schedule(chunk.came, chunk.bytes.size(), kNoExtraDelay, true);
+    chunk.due = link_.Schedule(chunk.arrived_at, chunk.bytes.size(), kNoExtraDelay, true);
   }
 }
 
--- a/tests/standins/relay_stream.h
+++ b/tests/standins/relay_stream.h
@@ -45,7 +45,7 @@
 
  private:
   struct Chunk {
-    Clock::time_point came, due;
+    Clock::time_point arrived_at, due;
     std::string bytes;
     bool end = false;  // the end of the sender's data; the chunk has no bytes then
   };
--- a/tests/standins/relay_topology.h
+++ b/tests/standins/relay_topology.h
@@ -18,12 +18,12 @@
 
 class Topology {
  public:
-  // Links by the names of their two endpoints. A link is made when it is first needed, and stays.
+  // Links by the names of their two endpoints. A link is created when it is first needed, and never removed.
   using Links = std::map<std::pair<std::string, std::string>, std::unique_ptr<Link>>;
 
   explicit Topology(std::uint64_t seed) : seed_(seed) {}
 
-  // Endpoints and links stay where they are as long as the topology lives.
+  // References to endpoints and links stay valid as long as the topology exists.
   Endpoint& AddEndpoint(const std::string& name, const std::vector<std::string>& groups,
                         std::uint16_t udp_port);
   Endpoint& EndpointOf(const std::string& name);
--- a/tests/standins/resolver.cpp
+++ b/tests/standins/resolver.cpp
@@ -40,7 +40,8 @@
   // Looks for a port that is free for both UDP and TCP.
   for (int i = 0; i < 50; ++i) {
     udp_ = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (!BindLoopback(udp_, port)) throw std::runtime_error("bind UDP");
+    if (!BindLoopback(udp_, port))
+      throw std::runtime_error("the stand-in resolver cannot bind its UDP socket");
     port_ = LocalPort(udp_);
     listening_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int on = 1;
@@ -50,7 +51,8 @@
     ::close(listening_);
     udp_ = listening_ = -1;
   }
-  if (udp_ < 0) throw std::runtime_error("no port free for UDP and TCP");
+  if (udp_ < 0)
+    throw std::runtime_error("the stand-in resolver found no port that is free for both UDP and TCP");
   const int buffer = 4 << 20;
   ::setsockopt(udp_, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
   epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
@@ -78,7 +80,7 @@
   script_ = std::move(script);
 }
 
-std::vector<StandinResolver::Seen> StandinResolver::seen() const {
+std::vector<StandinResolver::RecordedQuery> StandinResolver::seen() const {
   const std::lock_guard lock(mutex_);
   return seen_;
 }
@@ -95,11 +97,11 @@
     const int ready = ::epoll_wait(epoll_, events, 64, wait);
     const auto now = std::chrono::steady_clock::now();
     while (!delayed_.empty() && delayed_.begin()->first <= now) {
-      const DelayedAnswer later = delayed_.begin()->second;
+      const DelayedAnswer answer = delayed_.begin()->second;
       delayed_.erase(delayed_.begin());
-      const auto it = open_.find(later.fd);
-      const bool connected = later.number < 0 || (it != open_.end() && it->second.number == later.number);
-      if (connected) SendNow(later.fd, later.peer, later.bytes);
+      const auto it = open_.find(answer.fd);
+      const bool connected = answer.number < 0 || (it != open_.end() && it->second.number == answer.number);
+      if (connected) SendNow(answer.fd, answer.peer, answer.bytes);
     }
     for (int i = 0; i < ready; ++i) {
       const int fd = events[i].data.fd;
@@ -130,8 +132,8 @@
     responder.fd_ = udp_;
     responder.peer_.resize(size);
     std::memcpy(responder.peer_.data(), &from, size);
-    responder.seen_.query.assign(bytes, bytes + got);
-    responder.seen_.from_port = ntohs(from.sin_port);
+    responder.query_.query.assign(bytes, bytes + got);
+    responder.query_.from_port = ntohs(from.sin_port);
     ++udp_queries_;
     Handle(responder);
   }
@@ -150,10 +152,10 @@
     if (buffered.size() - 2 < size) return;
     Responder responder(*this);
     responder.fd_ = fd;
-    responder.seen_.via = Via::kTcp;
-    responder.seen_.connection = open_[fd].number;
-    responder.seen_.query.assign(buffered.begin() + 2,
-                                 buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
+    responder.query_.via = Via::kTcp;
+    responder.query_.connection = open_[fd].number;
+    responder.query_.query.assign(buffered.begin() + 2,
+                                  buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
     buffered.erase(buffered.begin(), buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
     ++tcp_queries_;
     Handle(responder);
@@ -161,12 +163,12 @@
 }
 
 void StandinResolver::Handle(Responder& responder) {
-  responder.seen_.at = std::chrono::steady_clock::now();
+  responder.query_.at = std::chrono::steady_clock::now();
   Script script;
   {
     const std::lock_guard lock(mutex_);
     responder.number_ = udp_queries_ + tcp_queries_ - 1;
-    if (recording_) seen_.push_back(responder.seen_);
+    if (recording_) seen_.push_back(responder.query_);
     script = script_;
   }
   script(responder);
@@ -206,7 +208,7 @@
 void StandinResolver::Responder::SendAfter(std::chrono::milliseconds delay, const Octets& answer) {
   owner_.delayed_.emplace(
       std::chrono::steady_clock::now() + delay,
-      DelayedAnswer{fd_, seen_.connection, peer_, via() == Via::kTcp ? Framed(answer) : answer});
+      DelayedAnswer{fd_, query_.connection, peer_, via() == Via::kTcp ? Framed(answer) : answer});
 }
 
 }  // namespace mothrack::testing
--- a/tests/standins/resolver.h
+++ b/tests/standins/resolver.h
@@ -21,7 +21,7 @@
  public:
   enum class Via { kUdp, kTcp };
 
-  struct Seen {
+  struct RecordedQuery {
     Octets query;
     Via via = Via::kUdp;
     std::uint16_t from_port = 0;
@@ -29,14 +29,13 @@
     int connection = -1;  // over TCP: the connection's number
   };
 
-  // One query and the ways to answer it. Valid only while the script runs; SendAfter() schedules a later
-  // answer.
+  // Answers one query. Valid only while the script runs; SendAfter() schedules a later answer.
   class Responder {
    public:
-    const Octets& query() const { return seen_.query; }
-    Via via() const { return seen_.via; }
+    const Octets& query() const { return query_.query; }
+    Via via() const { return query_.via; }
     int number() const { return number_; }  // the query's number, from 0
-    // Sends the octets unchanged, over TCP with the length prefix.
+    // Sends a message; over TCP with the length prefix.
     void Send(const Octets& answer);
     void Answer(const AnswerSpec& spec = {}) { Send(MakeAnswer(query(), spec)); }
     // Over TCP: sends the bytes without a length prefix.
@@ -49,7 +48,7 @@
    private:
     friend class StandinResolver;
     StandinResolver& owner_;
-    Seen seen_;
+    RecordedQuery query_;
     int number_ = 0;
     int fd_ = -1;  // of the connection, or the UDP socket
     std::vector<std::uint8_t> peer_;
@@ -66,7 +65,7 @@
     return [](Responder&) {};
   }
 
-  // `tcp`: false leaves the TCP port closed. `port` 0 takes a free one.
+  // `tcp`: whether the TCP port listens. `port`: 0 selects a free port.
   explicit StandinResolver(Script script, bool tcp = true, std::uint16_t port = 0);
   ~StandinResolver();
 
@@ -74,12 +73,13 @@
   std::uint16_t port() const { return port_; }
   void SetScript(Script script);  // from now on
 
-  std::vector<Seen> seen() const;
+  // The queries received so far, in order, up to StopRecording().
+  std::vector<RecordedQuery> seen() const;
   int queries() const { return udp_queries_ + tcp_queries_; }
   int udp_queries() const { return udp_queries_; }
   int tcp_queries() const { return tcp_queries_; }
   int connections() const { return connections_; }
-  // Queries are counted and no longer recorded, for long runs.
+  // From now on queries are only counted, not recorded; for long runs.
   void StopRecording() { recording_ = false; }
 
  private:
@@ -108,7 +108,7 @@
   std::uint16_t port_ = 0;
   mutable std::mutex mutex_;
   Script script_;
-  std::vector<Seen> seen_;
+  std::vector<RecordedQuery> seen_;
   std::atomic<bool> recording_{true};
   std::atomic<int> udp_queries_{0};
   std::atomic<int> tcp_queries_{0};
--- a/tests/standins/resolver_main.cpp
+++ b/tests/standins/resolver_main.cpp
@@ -1,7 +1,7 @@
-// standin_resolver PORT [silent]: a resolver for manual tests with dig and dnsperf. Port 0 takes a free port.
-// The port is printed. Answers each query with one record, and "bigN.example.org" with N records (truncated
-// over UDP if they exceed the size that the query allows); with "silent" it answers none. On SIGTERM or
-// SIGINT it prints how many queries it received and exits.
+// standin_resolver PORT [silent]: a resolver for manual tests with dig and dnsperf. Port 0 selects a free
+// port. It prints the port. Answers each query with one record, and "bigN.example.org" with N records
+// (truncated over UDP if they exceed the size that the query allows); with "silent" it answers none. On
+// SIGTERM or SIGINT it prints how many queries it received and exits.
 #include <csignal>
 #include <cstdlib>
 #include <iostream>
--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -29,10 +29,10 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int kMaxPrintedLines = 10;
-constexpr int kMaxPortAttempts = 5;         // restarts on other ports if one was taken meanwhile
+constexpr int kMaxPortAttempts = 5;         // restarts on other ports if a port is in use meanwhile
 constexpr milliseconds kDefaultProbe{500};  // default probe_ms of [peers], by which its intervals are scaled
-constexpr const char* kDiscoveryEndpoint =
-    "discovery";  // in no zone, so that a partition leaves it with the endpoints on no side
+// Discovery is in no zone, so that it is on no side of a partition of zones.
+constexpr const char* kDiscoveryEndpoint = "discovery";
 
 std::string ReadAll(const std::string& path) {
   std::ostringstream text;
@@ -134,7 +134,7 @@
 
 void TestCluster::AddUpstream(const std::string& zone, const std::string& name) {
   relay_->AddEndpoint(name, {zone, "upstreams"});
-  const auto run = [this, server = upstreams_.size(), handler = ran_.Handler()](
+  const auto run = [this, server = upstreams_.size(), handler = runs_.Handler()](
                        Wire& wire, const Request& request, int number) {
     const std::string target(request.target());
     record_.RequestStarted(server, std::string_view(target).substr(target.rfind('/') + 1), Clock::now());
@@ -197,23 +197,23 @@
   return names;
 }
 
-const TestCluster::Process& TestCluster::At(const std::string& name) const {
+const TestCluster::Process& TestCluster::ProcessNamed(const std::string& name) const {
   const auto it = processes_.find(name);
   if (it == processes_.end()) throw std::logic_error("the cluster has no process " + name);
   return it->second;
 }
 
-std::string TestCluster::MachineOf(const std::string& name) const { return At(name).machine; }
-pid_t TestCluster::pid(const std::string& name) const { return At(name).pid; }
-bool TestCluster::runs(const std::string& name) const { return At(name).pid > 0; }
+std::string TestCluster::MachineOf(const std::string& name) const { return ProcessNamed(name).machine; }
+pid_t TestCluster::pid(const std::string& name) const { return ProcessNamed(name).pid; }
+bool TestCluster::runs(const std::string& name) const { return ProcessNamed(name).pid > 0; }
 
 json TestCluster::ListFor(const Process& process) const {
   std::vector<json> targets;
-  for (const UpstreamEntry& served : upstreams_) {
-    if (served.state == "gone") continue;
+  for (const UpstreamEntry& entry : upstreams_) {
+    if (entry.state == "gone") continue;
     json target =
-        Target(served.name, Loopback(process.relay_ports.at(served.name)), served.state, served.boot_ms);
-    target["az"] = served.zone;
+        Target(entry.name, Loopback(process.relay_ports.at(entry.name)), entry.state, entry.boot_ms);
+    target["az"] = entry.zone;
     targets.push_back(std::move(target));
   }
   return List(targets);
@@ -271,8 +271,8 @@
 
 // The section [peers], with intervals scaled to the probe interval of the options.
 std::string TestCluster::PeersSection(const Process& process) const {
-  const auto scaled = [&](int of_default) {
-    return std::max<std::int64_t>(options_.probe.count() * of_default / kDefaultProbe.count(), 10);
+  const auto scaled = [&](int default_ms) {
+    return std::max<std::int64_t>(options_.probe.count() * default_ms / kDefaultProbe.count(), 10);
   };
   std::ostringstream peers;
   peers << "[peers]\nlisten = \"" << Loopback(process.udp) << "\"\nadvertise = \""
@@ -346,8 +346,8 @@
   const bool up = Eventually([&] {
     ended = ::waitpid(process.pid, nullptr, WNOHANG) == process.pid;
     const std::string text = Log(process.name).substr(process.log_from);
-    // A sidecar opens its admin API last. Until then a call there meets the socket that the previous process
-    // left.
+    // A sidecar opens its admin API last. Until then a call there reaches the socket file of the previous
+    // process.
     return ended || text.find(process.agent ? "agent on " : "admin on ") != std::string::npos;
   });
   if (ended) process.pid = -1;
@@ -401,11 +401,12 @@
 void TestCluster::Pause(const std::string& selector) { Signal(selector, SIGSTOP); }
 void TestCluster::Continue(const std::string& selector) { Signal(selector, SIGCONT); }
 
-// The instance outlives its agent. Its process file has the pid, and a held lock shows that it still runs.
+// The instance outlives its agent. Its process file has the pid, and a lock file that is locked shows that it
+// still runs.
 void TestCluster::EndInstance(const Process& agent) const {
-  const std::string place = path(agent.name) + "/instances/idle";
-  const auto file = json::parse(ReadAll(place + "/process.json"), nullptr, false);
-  const int lock = ::open((place + "/lock").c_str(), O_RDWR | O_CLOEXEC);
+  const std::string directory = path(agent.name) + "/instances/idle";
+  const auto file = json::parse(ReadAll(directory + "/process.json"), nullptr, false);
+  const int lock = ::open((directory + "/lock").c_str(), O_RDWR | O_CLOEXEC);
   if (lock < 0) return;
   const bool runs = ::flock(lock, LOCK_EX | LOCK_NB) != 0;
   if (runs && file.is_object() && file.value("pid", 0) > 0) ::kill(file.value("pid", 0), SIGKILL);
@@ -415,7 +416,7 @@
 std::string TestCluster::Log(const std::string& name) const { return ReadAll(path(name + ".log")); }
 
 json TestCluster::Status(const std::string& name) const {
-  const Process& process = At(name);
+  const Process& process = ProcessNamed(name);
   if (process.pid <= 0) return nullptr;
   const AdminClient admin("unix:" + path(name + ".sock"));
   const auto answer = admin.Get(process.agent ? "/v1/agent" : "/v1/status");
@@ -430,8 +431,8 @@
 std::string TestCluster::StateAt(const std::string& observer, const std::string& member) const {
   const json peers = Peers(observer);
   if (!peers.is_object() || !peers.contains("members")) return "unknown";
-  for (const json& notified : peers["members"]) {
-    if (notified.value("name", "") == member) return notified.value("state", "unknown");
+  for (const json& entry : peers["members"]) {
+    if (entry.value("name", "") == member) return entry.value("state", "unknown");
   }
   return "unknown";
 }
@@ -442,8 +443,7 @@
     const json peers = Peers(observer);
     if (!peers.is_object() || !peers.contains("members")) return false;
     std::map<std::string, std::string> states;
-    for (const json& notified : peers["members"])
-      states[notified.value("name", "")] = notified.value("state", "");
+    for (const json& entry : peers["members"]) states[entry.value("name", "")] = entry.value("state", "");
     for (const std::string& member : members) {
       if (member != observer && states[member] != state) return false;
     }
@@ -463,16 +463,16 @@
 
 void TestCluster::BeginTraffic() {
   std::vector<std::uint16_t> ports;
-  for (int i = 0; i < options_.sidecars; ++i) ports.push_back(At("s" + std::to_string(i)).tcp);
+  for (int i = 0; i < options_.sidecars; ++i) ports.push_back(ProcessNamed("s" + std::to_string(i)).tcp);
   traffic_ = std::make_unique<Traffic>(ports, options_.every,
-                                       [this](const auto& ended) { record_.RequestCompleted(ended); });
+                                       [this](const auto& request) { record_.RequestCompleted(request); });
 }
 
 std::vector<std::string> TestCluster::StopTrafficAndCheck(milliseconds drain) {
   if (!traffic_) return {"there was no traffic to check"};
   Continue("*");  // a client of a paused process would wait for it
   const auto unsafe = traffic_->Stop();
-  return record_.Violations(unsafe, ran_.all(), drain);
+  return record_.Violations(unsafe, runs_.all(), drain);
 }
 
 }  // namespace mothrack::testing
--- a/tests/standins/test_cluster.h
+++ b/tests/standins/test_cluster.h
@@ -1,7 +1,7 @@
 // A cluster of real processes over several zones of this machine: sidecars and agents that are gossip peers,
 // upstreams and discovery by zone, clients that record every outcome, and a FaultyRelay between all of them.
-// A process is selected by its name, its machine, its zone, its kind ("sidecars", "agents") or "*". Every
-// process that was started is ended with its object, by its pid.
+// A process is selected by its name, its machine, its zone, its kind ("sidecars", "agents") or "*". The
+// destructor kills all processes by their pids.
 #pragma once
 
 #include <sys/types.h>
@@ -24,16 +24,16 @@
 
 namespace mothrack::testing {
 
-// The first lines of a list, each with a line end, for a failure message.
+// Returns the first ten lines of a list, each with a line end, for a failure message.
 std::string FirstLines(const std::vector<std::string>& lines);
 
 class TestCluster {
  public:
   struct Options {
     std::vector<std::string> zones = {"bole-hall", "kality-hall", "adama-hall"};
-    int sidecars = 6;                      // s0, s1, ... over the zones in turn
-    int agents = 3;                        // a0, a1, ..., the same
-    int upstreams = 2;                     // in each zone: "bole-hall-u0", ...
+    int sidecars = 6;                      // s0, s1, ..., assigned to the zones in rotation
+    int agents = 3;                        // a0, a1, ..., assigned likewise
+    int upstreams = 2;                     // in each zone, named "bole-hall-u0", ...
     std::chrono::milliseconds probe{200};  // the other intervals of [peers] are scaled with it
     std::chrono::milliseconds every{25};   // the pause between requests of each sidecar's client
     std::uint64_t seed = 1;
@@ -51,15 +51,16 @@
 
   FaultyRelay& relay() { return *relay_; }
   std::vector<std::string> Names(const std::string& selector = "*") const;
-  // The machine of zone "bole-hall" with number 0 is "bole-hall-0": an agent, where there is one, and its
-  // sidecars.
+  // The first machine of zone "bole-hall" is "bole-hall-0". The n-th sidecar and the n-th agent of a zone are
+  // on its n-th machine.
   std::string MachineOf(const std::string& name) const;
 
   void Kill(const std::string& selector);      // SIGKILL
   void Pause(const std::string& selector);     // SIGSTOP
   void Continue(const std::string& selector);  // SIGCONT
   void Signal(const std::string& selector, int number);
-  void Start(const std::string& selector);  // those that don't run, on the same ports if free
+  // Starts the selected processes that do not run, on the same ports as before if these are free.
+  void Start(const std::string& selector);
   pid_t pid(const std::string& name) const;
   bool runs(const std::string& name) const;
 
@@ -70,7 +71,8 @@
 
   // The peers section of a process's status; null if the process does not answer.
   nlohmann::json Peers(const std::string& name) const;
-  nlohmann::json Status(const std::string& name) const;  // the whole status
+  // The complete status of a process; null if it does not answer.
+  nlohmann::json Status(const std::string& name) const;
   // The state of a member as the observer reports it: "alive", "suspect", "dead", "left", "unknown".
   std::string StateAt(const std::string& observer, const std::string& member) const;
   // Whether every observer reports every member other than itself in this state. Polls each observer once,
@@ -85,14 +87,13 @@
   std::optional<std::chrono::milliseconds> Await(const std::function<bool()>& condition,
                                                  std::chrono::milliseconds timeout) const;
 
-  // Traffic through all sidecars, from now on. StopTrafficAndCheck() ends it and returns the violations: by
-  // the clients' records (no request lost, nothing run twice, none that was refused run; only what was under
-  // way at a sidecar that was killed may be lost), and by the simulator's rules (src/simulation/invariants.h)
-  // over what happened.
+  // BeginTraffic() starts traffic through all sidecars. StopTrafficAndCheck() ends it and returns the
+  // violations of the simulator's rules (src/simulation/invariants.h) and of these: no request is lost,
+  // except those in flight at a sidecar that was killed; none runs twice; none that was refused runs.
   void BeginTraffic();
   std::vector<std::string> StopTrafficAndCheck(
       std::chrono::milliseconds drain = std::chrono::milliseconds(1050));
-  std::size_t count(Traffic::Outcome end) const { return traffic_ ? traffic_->count(end) : 0; }
+  std::size_t count(Traffic::Outcome outcome) const { return traffic_ ? traffic_->count(outcome) : 0; }
 
   // Sets the state that discovery reports for an upstream: "active" or "leaving"; "gone" removes it from the
   // list.
@@ -112,9 +113,9 @@
     std::size_t number = 0;  // among the sidecars or among the agents
     std::uint16_t udp = 0, tcp = 0;
     pid_t pid = -1;
-    std::size_t log_from = 0;  // where the log of this run begins
+    std::size_t log_from = 0;  // offset in the log file at which the log of this run begins
     std::unique_ptr<Discovery> discovery;
-    std::map<std::string, std::uint16_t> relay_ports;  // by upstream, and of discovery
+    std::map<std::string, std::uint16_t> relay_ports;  // to the upstreams and discovery, by endpoint name
   };
   struct UpstreamEntry {
     std::string name, zone, state;
@@ -125,7 +126,7 @@
   struct NotStarted {};  // selects the constructor that starts no process
   TestCluster(const Options& options, NotStarted);
   std::vector<Process*> Select(const std::string& selector);
-  const Process& At(const std::string& name) const;
+  const Process& ProcessNamed(const std::string& name) const;
   nlohmann::json ListFor(const Process& process) const;
   void WriteSharedFiles() const;
   void AddUpstream(const std::string& zone, const std::string& name);
@@ -139,12 +140,12 @@
   bool WaitUntilListening(Process& process);  // false if the process has ended
   void StartAll(const std::vector<Process*>& processes);
   void EndInstance(const Process& agent) const;
-  void RecordNotified(const Process& sidecar);  // records that it knows the upstreams from now on
+  void RecordNotified(const Process& sidecar);  // records that it now knows the states of the upstreams
 
   const Options options_;
   const TemporaryDirectory directory_{"cluster"};
   std::unique_ptr<FaultyRelay> relay_;
-  RunCounter ran_;
+  RunCounter runs_;
   TrafficRecord record_;
   std::vector<UpstreamEntry> upstreams_;
   std::map<std::string, Process> processes_;
--- a/tests/standins/traffic.cpp
+++ b/tests/standins/traffic.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-// Whether the other side has closed an idle connection. A client checks before it writes.
-bool Closed(Wire& wire) {
+// Whether the other side has closed an idle connection. A client checks this before it writes.
+bool IsClosed(Wire& wire) {
   char byte = 0;
   return ::recv(wire.socket.native_handle(), &byte, 1, MSG_PEEK | MSG_DONTWAIT) >= 0;
 }
@@ -57,9 +57,9 @@
   for (int i = 0; !stopping_; ++i, std::this_thread::sleep_for(every)) {
     const std::string id = "s" + std::to_string(number) + "-" + std::to_string(i);
     const bool unsafe = i % 2 == 1;
-    if (wire && Closed(*wire)) wire.reset();
+    if (wire && IsClosed(*wire)) wire.reset();
     const bool reused = wire != nullptr;
-    Outcome end = Outcome::kLost;
+    Outcome outcome = Outcome::kLost;
     const auto begin = std::chrono::steady_clock::now();
     auto connected = begin;
     boost::system::error_code error;
@@ -70,28 +70,28 @@
       if (!error) connected = std::chrono::steady_clock::now();
     }
     if (error) {
-      end = Outcome::kNotAccepted;
+      outcome = Outcome::kNotAccepted;
     } else {
       wire->Write(unsafe ? PostText("/submit/" + id, id, id) : GetText("/page/" + id, id));
       const auto response = wire->ReadResponse();
       if (!response) {
-        end = reused ? Outcome::kIdleCloseRace : Outcome::kLost;
+        outcome = reused ? Outcome::kIdleCloseRace : Outcome::kLost;
       } else {
-        end = response->result_int() == 200   ? Outcome::kServed
-              : response->result_int() == 503 ? Outcome::kRefused
-                                              : Outcome::kFailed;
+        outcome = response->result_int() == 200   ? Outcome::kServed
+                  : response->result_int() == 503 ? Outcome::kRefused
+                                                  : Outcome::kFailed;
       }
-      const bool enough = requests_on_a_connection_ > 0 && i % requests_on_a_connection_ == 0;
-      if (!response || !response->keep_alive() || enough) error = boost::asio::error::eof;
+      const bool connection_used_up = requests_on_a_connection_ > 0 && i % requests_on_a_connection_ == 0;
+      if (!response || !response->keep_alive() || connection_used_up) error = boost::asio::error::eof;
     }
     if (error) wire.reset();
-    ++counts_[static_cast<std::size_t>(end)];
+    ++counts_[static_cast<std::size_t>(outcome)];
     if (on_completed_) {
-      on_completed_({number, i, id, unsafe, end, begin, connected, std::chrono::steady_clock::now()});
+      on_completed_({number, i, id, unsafe, outcome, begin, connected, std::chrono::steady_clock::now()});
     }
     if (!unsafe) continue;
     const std::lock_guard lock(mutex_);
-    unsafe_[id] = end;
+    unsafe_[id] = outcome;
   }
 }
 
--- a/tests/standins/traffic_record.cpp
+++ b/tests/standins/traffic_record.cpp
@@ -37,13 +37,13 @@
          std::stoull(std::string(id.substr(dash + 1)));
 }
 
-bool HasAnswer(Outcome how) {
-  return how == Outcome::kServed || how == Outcome::kRefused || how == Outcome::kFailed;
+bool HasAnswer(Outcome outcome) {
+  return outcome == Outcome::kServed || outcome == Outcome::kRefused || outcome == Outcome::kFailed;
 }
 
-simulation::RequestOutcome OutcomeOf(Outcome how) {
-  if (how == Outcome::kServed) return simulation::RequestOutcome::kServed;
-  if (how == Outcome::kRefused) return simulation::RequestOutcome::kRefused;
+simulation::RequestOutcome OutcomeOf(Outcome outcome) {
+  if (outcome == Outcome::kServed) return simulation::RequestOutcome::kServed;
+  if (outcome == Outcome::kRefused) return simulation::RequestOutcome::kRefused;
   return simulation::RequestOutcome::kFailed;
 }
 
@@ -118,8 +118,8 @@
 std::vector<SimulationEvent> TrafficRecord::EventsInOrder() const {
   std::vector<SimulationEvent> events;
   for (const Traffic::CompletedRequest& request : completed_) {
-    const bool answered = HasAnswer(request.how);
-    if (!answered && request.how != Outcome::kLost) continue;
+    const bool answered = HasAnswer(request.outcome);
+    if (!answered && request.outcome != Outcome::kLost) continue;
     // It is not known which process accepted a lost request: the first that may have done so is assumed.
     SimulationEvent event =
         EventAt(SimulationEvent::Kind::kAccepted, answered ? request.connected : request.begin);
@@ -132,7 +132,7 @@
     if (!answered) continue;
     event.kind = SimulationEvent::Kind::kAnswered;
     event.at = runtime::ToTimePoint(AnsweredAt(request));
-    event.request_outcome = OutcomeOf(request.how);
+    event.request_outcome = OutcomeOf(request.outcome);
     events.push_back(event);
   }
   events.insert(events.end(), events_.begin(), events_.end());
@@ -142,12 +142,13 @@
 
 void TrafficRecord::AddLostRequests(std::vector<std::string>& violations) const {
   for (const Traffic::CompletedRequest& request : completed_) {
-    if (request.how != Outcome::kLost && request.how != Outcome::kIdleCloseRace) continue;
-    // A connection that was closed as the request came ends at once. If it ends later, the sidecar had
-    // accepted the request.
-    const bool accepted = request.how == Outcome::kLost || request.end - request.begin > kDeathNoticeDelay;
+    if (request.outcome != Outcome::kLost && request.outcome != Outcome::kIdleCloseRace) continue;
+    // If the sidecar closed the connection before it read the request, the client notices it at once. If the
+    // client notices it later, the sidecar had accepted the request.
+    const bool accepted =
+        request.outcome == Outcome::kLost || request.end - request.begin > kDeathNoticeDelay;
     if (accepted && !KilledMeanwhile(request)) {
-      violations.push_back(request.id + " was taken and never answered");
+      violations.push_back(request.id + " was accepted and never answered");
     }
   }
 }
@@ -161,16 +162,16 @@
   }
   std::set<std::string> killed;
   for (const Traffic::CompletedRequest& request : completed_) {
-    const bool unanswered = request.how == Outcome::kLost || request.how == Outcome::kIdleCloseRace;
+    const bool unanswered = request.outcome == Outcome::kLost || request.outcome == Outcome::kIdleCloseRace;
     if (unanswered && KilledMeanwhile(request)) killed.insert(request.id);
   }
-  for (const auto& [id, how] : unsafe) {
+  for (const auto& [id, outcome] : unsafe) {
     // A failed request may have run or not.
-    if (how == Outcome::kFailed || how == Outcome::kLost || killed.contains(id)) continue;
+    if (outcome == Outcome::kFailed || outcome == Outcome::kLost || killed.contains(id)) continue;
     const bool has_run = runs.contains(id);
-    if (has_run == (how == Outcome::kServed)) continue;
+    if (has_run == (outcome == Outcome::kServed)) continue;
     violations.push_back(id + (has_run ? " ran, and ended as " : " did not run, and ended as ") +
-                         std::to_string(static_cast<int>(how)));
+                         std::to_string(static_cast<int>(outcome)));
   }
 }
 
--- a/tests/standins/traffic_record.h
+++ b/tests/standins/traffic_record.h
@@ -1,6 +1,6 @@
-// What clients, upstreams and sidecars of a test cluster reported, and which violations of the rules are in
-// it: a request lost, an effect twice, a request sent to an upstream that drains. Reports come from several
-// threads in any order; they are judged once, when the traffic has ended.
+// Records what clients, upstreams and sidecars of a test cluster report, and finds the violations of the
+// rules: a lost request, an effect that happened twice, a request sent to a draining upstream. Reports come
+// from several threads in any order; they are checked once, when the traffic has ended.
 #pragma once
 
 #include <chrono>
@@ -28,16 +28,16 @@
   // Called by the upstreams' threads when the request with this id, as Traffic forms it, runs at an upstream.
   // Other ids are ignored.
   void RequestStarted(std::size_t upstream, std::string_view id, TimePoint at);
-  // The process of a sidecar was seen to be gone: whatever it sent, it sent before `at`.
+  // The process of a sidecar has ended: all that it sent, it sent before `at`.
   void SidecarKilled(std::size_t sidecar, TimePoint at);
-  // A sidecar is notified of all upstreams; `draining` has an entry for each of them.
+  // Discovery notifies a sidecar of all upstreams. `draining`: for each upstream, whether it drains.
   void SidecarNotified(std::size_t sidecar, const std::vector<bool>& draining, TimePoint at);
   // An upstream is in slow start from `at`, and handles this many requests a second after it.
   void UpstreamRestarted(std::size_t upstream, double requests_per_second, TimePoint at);
 
   // Returns all violations, one line each. `unsafe`: how the unsafe requests ended for their clients; `runs`:
-  // how often each of them ran; `drain`: from the notice that an upstream drains to the last request that it
-  // may get. To be called after the traffic has ended.
+  // how often each of them ran; `drain`: how long after the notice that it drains an upstream may still get
+  // requests. Must be called after the traffic has ended.
   std::vector<std::string> Violations(const std::map<std::string, Traffic::Outcome>& unsafe,
                                       const std::map<std::string, int>& runs,
                                       std::chrono::milliseconds drain) const;
--- a/tests/support/faulty_relay_cuts_test.cpp
+++ b/tests/support/faulty_relay_cuts_test.cpp
@@ -20,7 +20,8 @@
   EXPECT_EQ(t.c.Receive(), "another");
   EXPECT_FALSE(t.b.Receive(kQuietTime));
   EXPECT_EQ(t.relay.counts("a", "b").cut, 1U);
-  EXPECT_NE(t.relay.Describe().find("a > b: 1 came, 0 delivered"), std::string::npos) << t.relay.Describe();
+  EXPECT_NE(t.relay.Describe().find("a > b: 1 received, 0 delivered"), std::string::npos)
+      << t.relay.Describe();
   t.relay.Restore("a", "b");
   t.a.Send(t.at("b"), "joined");
   EXPECT_EQ(t.b.Receive(), "joined") << "what was cut is gone";
--- a/tests/support/test_cluster_test.cpp
+++ b/tests/support/test_cluster_test.cpp
@@ -88,7 +88,7 @@
   const std::string violations = FirstLines(cluster.StopTrafficAndCheck());
   EXPECT_NE(violations.find("rule drain"), std::string::npos) << violations;
   EXPECT_NE(violations.find("rule cold"), std::string::npos) << violations;
-  EXPECT_NE(violations.find("was taken and never answered"), std::string::npos) << violations;
+  EXPECT_NE(violations.find("was accepted and never answered"), std::string::npos) << violations;
   EXPECT_NE(violations.find("rule twice"), std::string::npos) << violations;
   EXPECT_NE(violations.find("s0-1 ran 2 times"), std::string::npos) << violations;
 }
--- a/tests/support/traffic_record_test.cpp
+++ b/tests/support/traffic_record_test.cpp
@@ -72,7 +72,7 @@
 TEST_F(TrafficRecordTest, ARequestWithoutAnAnswerIsLostUnlessItsSidecarWasKilled) {
   Complete({0, Outcome::kLost, 0, 1, 20});
   const std::vector<std::string> lost = {
-      "s1-0 was taken and never answered",
+      "s1-0 was accepted and never answered",
       "rule lost: request 4294967296 was never answered (1 times)",
   };
   EXPECT_EQ(Violations(), lost);
