--- a/tests/ctl/fleet_programs_test.cpp
+++ b/tests/ctl/fleet_programs_test.cpp
@@ -85,7 +85,7 @@
 TEST(Agent, SecondAgentOverOneDirectoryIsRefused) {
   Fleet fleet({1, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
-  EXPECT_EQ(fleet.StartAgentAgain(0), 1);
+  EXPECT_EQ(fleet.RunSecondAgent(0), 1);
   EXPECT_NE(fleet.AgentLog(0).find("another agent uses it"), std::string::npos);
   EXPECT_EQ(Count(fleet.AgentLog(0), " info process_started instance=n0 pid="), 1U);
 }
@@ -101,7 +101,7 @@
   })) << fleet.AgentLog(0);
   fleet.KillAgent(0);
   std::filesystem::remove_all(fleet.path("g1"));
-  EXPECT_EQ(fleet.StartAgentAgain(0), 1);
+  EXPECT_EQ(fleet.RunSecondAgent(0), 1);
   const std::string text =
       "mothrack-agent: generations.g1: " + fleet.path("g1") + ": No such file or directory\n";
   EXPECT_NE(fleet.AgentLog(0).find(text), std::string::npos) << fleet.AgentLog(0);
@@ -144,7 +144,7 @@
 TEST(Ctl, AppliesDrainsAndReportsAChange) {
   Fleet fleet({2, 2, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
-  const auto plan = fleet.Ctl({"plan", "g2", "--dir", fleet.Generation("g2")});
+  const auto plan = fleet.Ctl({"plan", "g2", "--dir", fleet.WriteGeneration("g2")});
   EXPECT_EQ(plan.code, 0);
   EXPECT_NE(plan.out.find("- # g1\n+ # g2\n"), std::string::npos) << plan.out;
   const auto dry =
@@ -169,8 +169,8 @@
   Fleet fleet({2, 1, "", "", false});
   ASSERT_TRUE(fleet.AllReady("g1"));
   const int pid = fleet.Pid(0, 0);
-  const auto bad =
-      fleet.Ctl(WithQuickOptions({"apply", "g2", "--dir", fleet.Generation("g2", true), "--why", "a test"}));
+  const auto bad = fleet.Ctl(
+      WithQuickOptions({"apply", "g2", "--dir", fleet.WriteGeneration("g2", true), "--why", "a test"}));
   EXPECT_EQ(bad.code, 2);
   EXPECT_NE(bad.out.find("nonsense"), std::string::npos) << bad.out;
   EXPECT_EQ(fleet.Pid(0, 0), pid);
@@ -238,8 +238,8 @@
     std::mt19937 random(static_cast<unsigned>(seed));
     Fleet fleet({4, 2, "", "", false});
     ASSERT_TRUE(fleet.AllReady("g1"));
-    const pid_t ctl_pid =
-        fleet.StartCtl(WithQuickOptions({"apply", "g2", "--dir", fleet.Generation("g2"), "--why", "a test"}));
+    const pid_t ctl_pid = fleet.StartCtl(
+        WithQuickOptions({"apply", "g2", "--dir", fleet.WriteGeneration("g2"), "--why", "a test"}));
     CrashAgents(fleet, random, 4, 3);
     if (random() % 2 == 0) ::kill(ctl_pid, SIGKILL);
     const int code = Fleet::WaitCtl(ctl_pid).code;
--- a/tests/standins/resolver.cpp
+++ b/tests/standins/resolver.cpp
@@ -40,7 +40,8 @@
   // Looks for a port that is free for both UDP and TCP.
   for (int i = 0; i < 50; ++i) {
     udp_ = ::socket(AF_INET, SOCK_DGRAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
-    if (!BindLoopback(udp_, port)) throw std::runtime_error("bind UDP");
+    if (!BindLoopback(udp_, port))
+      throw std::runtime_error("the stand-in resolver cannot bind its UDP socket");
     port_ = LocalPort(udp_);
     listening_ = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     const int on = 1;
@@ -50,7 +51,8 @@
     ::close(listening_);
     udp_ = listening_ = -1;
   }
-  if (udp_ < 0) throw std::runtime_error("no port free for UDP and TCP");
+  if (udp_ < 0)
+    throw std::runtime_error("the stand-in resolver found no port that is free for both UDP and TCP");
   const int buffer = 4 << 20;
   ::setsockopt(udp_, SOL_SOCKET, SO_RCVBUF, &buffer, sizeof buffer);
   epoll_ = ::epoll_create1(EPOLL_CLOEXEC);
@@ -78,7 +80,7 @@
   script_ = std::move(script);
 }
 
-std::vector<StandinResolver::Seen> StandinResolver::seen() const {
+std::vector<StandinResolver::RecordedQuery> StandinResolver::seen() const {
   const std::lock_guard lock(mutex_);
   return seen_;
 }
@@ -95,11 +97,11 @@
     const int ready = ::epoll_wait(epoll_, events, 64, wait);
     const auto now = std::chrono::steady_clock::now();
     while (!delayed_.empty() && delayed_.begin()->first <= now) {
-      const DelayedAnswer later = delayed_.begin()->second;
+      const DelayedAnswer answer = delayed_.begin()->second;
       delayed_.erase(delayed_.begin());
-      const auto it = open_.find(later.fd);
-      const bool connected = later.number < 0 || (it != open_.end() && it->second.number == later.number);
-      if (connected) SendNow(later.fd, later.peer, later.bytes);
+      const auto it = open_.find(answer.fd);
+      const bool connected = answer.number < 0 || (it != open_.end() && it->second.number == answer.number);
+      if (connected) SendNow(answer.fd, answer.peer, answer.bytes);
     }
     for (int i = 0; i < ready; ++i) {
       const int fd = events[i].data.fd;
@@ -126,14 +128,14 @@
     socklen_t size = sizeof from;
     const ssize_t got = ::recvfrom(udp_, bytes, sizeof bytes, 0, reinterpret_cast<sockaddr*>(&from), &size);
     if (got < 0) return;
-    Turn turn(*this);
-    turn.fd_ = udp_;
-    turn.peer_.resize(size);
-    std::memcpy(turn.peer_.data(), &from, size);
-    turn.seen_.query.assign(bytes, bytes + got);
-    turn.seen_.from_port = ntohs(from.sin_port);
+    Responder responder(*this);
+    responder.fd_ = udp_;
+    responder.peer_.resize(size);
+    std::memcpy(responder.peer_.data(), &from, size);
+    responder.query_.query.assign(bytes, bytes + got);
+    responder.query_.from_port = ntohs(from.sin_port);
     ++udp_queries_;
-    Handle(turn);
+    Handle(responder);
   }
 }
 
@@ -148,27 +150,28 @@
     Octets& buffered = open_[fd].read;
     const std::size_t size = std::size_t{buffered[0]} << 8 | buffered[1];
     if (buffered.size() - 2 < size) return;
-    Turn turn(*this);
-    turn.fd_ = fd;
-    turn.seen_.via = Via::kTcp;
-    turn.seen_.connection = open_[fd].number;
-    turn.seen_.query.assign(buffered.begin() + 2, buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
+    Responder responder(*this);
+    responder.fd_ = fd;
+    responder.query_.via = Via::kTcp;
+    responder.query_.connection = open_[fd].number;
+    responder.query_.query.assign(buffered.begin() + 2,
+                                  buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
     buffered.erase(buffered.begin(), buffered.begin() + 2 + static_cast<std::ptrdiff_t>(size));
     ++tcp_queries_;
-    Handle(turn);
+    Handle(responder);
   }
 }
 
-void StandinResolver::Handle(Turn& turn) {
-  turn.seen_.at = std::chrono::steady_clock::now();
+void StandinResolver::Handle(Responder& responder) {
+  responder.query_.at = std::chrono::steady_clock::now();
   Script script;
   {
     const std::lock_guard lock(mutex_);
-    turn.number_ = udp_queries_ + tcp_queries_ - 1;
-    if (recording_) seen_.push_back(turn.seen_);
+    responder.number_ = udp_queries_ + tcp_queries_ - 1;
+    if (recording_) seen_.push_back(responder.query_);
     script = script_;
   }
-  script(turn);
+  script(responder);
 }
 
 void StandinResolver::SendNow(int fd, const std::vector<std::uint8_t>& peer, const Octets& bytes) {
@@ -190,22 +193,22 @@
   ::close(fd);
 }
 
-void StandinResolver::Turn::Send(const Octets& answer) {
+void StandinResolver::Responder::Send(const Octets& answer) {
   owner_.SendNow(fd_, peer_, via() == Via::kTcp ? Framed(answer) : answer);
 }
 
-void StandinResolver::Turn::SendRaw(const Octets& bytes) { owner_.SendNow(fd_, peer_, bytes); }
+void StandinResolver::Responder::SendRaw(const Octets& bytes) { owner_.SendNow(fd_, peer_, bytes); }
 
-void StandinResolver::Turn::Reset() {
+void StandinResolver::Responder::Reset() {
   const linger now{1, 0};
   ::setsockopt(fd_, SOL_SOCKET, SO_LINGER, &now, sizeof now);
   owner_.CloseConnection(fd_);
 }
 
-void StandinResolver::Turn::SendAfter(std::chrono::milliseconds delay, const Octets& answer) {
+void StandinResolver::Responder::SendAfter(std::chrono::milliseconds delay, const Octets& answer) {
   owner_.delayed_.emplace(
       std::chrono::steady_clock::now() + delay,
-      DelayedAnswer{fd_, seen_.connection, peer_, via() == Via::kTcp ? Framed(answer) : answer});
+      DelayedAnswer{fd_, query_.connection, peer_, via() == Via::kTcp ? Framed(answer) : answer});
 }
 
 }  // namespace mothrack::testing
--- a/tests/support/faulty_relay_cuts_test.cpp
+++ b/tests/support/faulty_relay_cuts_test.cpp
@@ -20,7 +20,7 @@
   EXPECT_EQ(udp.c.Receive(), "another");
   EXPECT_FALSE(udp.b.Receive(kQuietTime));
   EXPECT_EQ(udp.relay.counts("a", "b").cut, 1U);
-  EXPECT_NE(udp.relay.Describe().find("a > b: 1 came, 0 delivered"), std::string::npos)
+  EXPECT_NE(udp.relay.Describe().find("a > b: 1 received, 0 delivered"), std::string::npos)
       << udp.relay.Describe();
   udp.relay.Restore("a", "b");
   udp.a.Send(udp.port_of("b"), "joined");
