--- a/src/agent/agent.cpp
+++ b/src/agent/agent.cpp
@@ -94,7 +94,7 @@
   next.Release(epoch, claim_id, close);
   if (next.state() == lease_.state()) return answer;
   const std::string change = lease_.state().holder ? lease_.state().holder->change : "";
-  SaveLease(next, nullptr, {unix_ms, change, close ? "closed" : "released"}, answer);
+  SaveLease(next, nullptr, {unix_ms, change, close ? "closed" : "given back"}, answer);
   return answer;
 }
 
