--- a/src/balancer/fleet.cpp
+++ b/src/balancer/fleet.cpp
@@ -73,7 +73,7 @@
   slow_start_.RecordTick({request_rate_.arrivals(), request_rate_.served(), request_rate_.Age(context_.now),
                           weights.healthy_past_slow_start, weights.serving, upstreams_.ServingWeight()});
   request_rate_.RecordTick(context_.now, slow_start_.RateMemorySeconds());
-  subset_.RecordTick(slow_start_.DecayPerTick());
+  subset_.RecordTick(slow_start_.DecayFactorPerTick());
   MarkSubset();
   connections_.RecordTick();
 }
--- a/src/balancer/slow_start.cpp
+++ b/src/balancer/slow_start.cpp
@@ -6,11 +6,11 @@
 
 void SlowStart::RecordEntry(SlowStartRecord& record, const SlowStartUpstream& upstream, double uniform,
                             TimePoint now) const {
-  record.budget = uniform - std::min(1.0, Rate(upstream));
+  record.budget = uniform - std::min(1.0, RefillRate(upstream));
   record.refilled = now;
 }
 
-double SlowStart::DecayPerTick() const {
+double SlowStart::DecayFactorPerTick() const {
   return 1 - Seconds(kTickInterval) / (2 * Seconds(rules_.slow_start_duration));
 }
 
@@ -26,16 +26,16 @@
   const double smoothing = std::min(1.0, interval / std::min(std::max(age, two_windows), memory));
   requests_per_s_ += (static_cast<double>(tick.arrivals) / interval - requests_per_s_) * smoothing;
   served_per_s_ += (static_cast<double>(tick.served) / interval - served_per_s_) * smoothing;
-  most_served_per_s_ = std::max(served_per_s_, most_served_per_s_ * DecayPerTick());
+  most_served_per_s_ = std::max(served_per_s_, most_served_per_s_ * DecayFactorPerTick());
   const bool rate_known = age >= two_windows;
   enough_past_slow_start_ =
       enough_past_slow_start_ || (rate_known && tick.healthy_past_slow_start_weight > 0 &&
                                   2 * tick.healthy_past_slow_start_weight >= tick.serving_weight);
-  usual_weight_ = std::max(tick.listed_weight, usual_weight_ * DecayPerTick());
+  usual_weight_ = std::max(tick.listed_weight, usual_weight_ * DecayFactorPerTick());
 }
 
 double SlowStart::Refill(SlowStartRecord& record, const SlowStartUpstream& upstream, TimePoint now) const {
-  const double rate = Rate(upstream);
+  const double rate = RefillRate(upstream);
   const double max_budget = std::max(1.0, rate * Seconds(rules_.overload_window) / 2);
   record.budget = std::min(max_budget, record.budget + rate * Seconds(now - record.refilled));
   record.refilled = now;
@@ -44,7 +44,7 @@
 
 // Attempts per second that this sidecar may send to the upstream, derived from what it usually sends to an
 // upstream of the same weight past slow start.
-double SlowStart::Rate(const SlowStartUpstream& upstream) const {
+double SlowStart::RefillRate(const SlowStartUpstream& upstream) const {
   // Requests that are not served are not load that the other upstreams carry. So they do not count beyond the
   // maximum that was served, once enough upstreams have been past slow start.
   const double countable_per_s =
--- a/src/balancer/slow_start.h
+++ b/src/balancer/slow_start.h
@@ -71,15 +71,15 @@
                    TimePoint now) const;
   void RecordTick(const SlowStartTick& tick);
 
-  // The factor per tick for slowly decaying values, which halve in somewhat more than the slow start
-  // duration.
-  double DecayPerTick() const;
+  // The factor by which slowly decaying values are multiplied at each tick. They halve in somewhat more than
+  // the slow start duration.
+  double DecayFactorPerTick() const;
   // Time constant of the usual request rate, in seconds.
   double RateMemorySeconds() const { return Seconds(rules_.slow_start_duration) / 2; }
 
  private:
   double Refill(SlowStartRecord& record, const SlowStartUpstream& upstream, TimePoint now) const;
-  double Rate(const SlowStartUpstream& upstream) const;
+  double RefillRate(const SlowStartUpstream& upstream) const;
   double ShareOfRequests(const SlowStartUpstream& upstream) const;
 
   const Rules& rules_;
--- a/src/balancer/subset.h
+++ b/src/balancer/subset.h
@@ -49,8 +49,8 @@
 
   // Marks the upstreams that first attempts may be sent to. `listed_weight`: of all serving upstreams.
   void Mark(const std::vector<SubsetMember>& ranked, double size, bool rate_known, double listed_weight);
-  // `decay`: factor of the share per tick.
-  void RecordTick(double decay) { share_ *= decay; }
+  // `decay_factor`: the factor by which the share is multiplied at each tick.
+  void RecordTick(double decay_factor) { share_ *= decay_factor; }
 
  private:
   const Limits& limits_;
--- a/src/gossip/seal.cpp
+++ b/src/gossip/seal.cpp
@@ -39,24 +39,24 @@
 
 }  // namespace
 
-bool ReplayWindow::Accept(std::uint64_t stream, std::uint64_t count) {
+bool ReplayWindow::Accept(std::uint64_t stream, std::uint64_t sequence_number) {
   const auto found = by_id_.find(stream);
   if (found == by_id_.end()) {
     if (streams_.size() >= max_streams_) {
       by_id_.erase(streams_.back().id);
       streams_.pop_back();
     }
-    streams_.push_front({stream, count, 1});
+    streams_.push_front({stream, sequence_number, 1});
     by_id_[stream] = streams_.begin();
     return true;
   }
   Stream& known = *found->second;
-  if (count > known.latest) {
-    const std::uint64_t ahead = count - known.latest;
+  if (sequence_number > known.latest) {
+    const std::uint64_t ahead = sequence_number - known.latest;
     known.received = (ahead < kWindowSize ? known.received << ahead : 0) | 1;
-    known.latest = count;
+    known.latest = sequence_number;
   } else {
-    const std::uint64_t behind = known.latest - count;
+    const std::uint64_t behind = known.latest - sequence_number;
     if (behind >= kWindowSize) return false;
     const std::uint64_t bit = std::uint64_t{1} << behind;
     if ((known.received & bit) != 0) return false;
--- a/src/gossip/seal.h
+++ b/src/gossip/seal.h
@@ -33,8 +33,8 @@
   // Tracks at most `max_streams` streams, by default one per member. Beyond that, the stream that has been
   // idle for longest is evicted.
   explicit ReplayWindow(std::size_t max_streams = kMaxMembers) : max_streams_(max_streams) {}
-  // Returns false if the number was, or may have been, received before.
-  bool Accept(std::uint64_t stream, std::uint64_t count);
+  // Returns false if the datagram with this sequence number was, or may have been, received before.
+  bool Accept(std::uint64_t stream, std::uint64_t sequence_number);
   std::size_t streams() const { return streams_.size(); }
 
  private:
--- a/src/hash_ring/ring.cpp
+++ b/src/hash_ring/ring.cpp
@@ -155,12 +155,13 @@
   owners.clear();
   max = std::min(max, serving_nodes_.size());
   if (max == 0) return;
-  // A max-heap by time. A time is never shorter than the number from which it is computed, -ln(1 - v) >= v,
-  // which rules out most nodes without computing the logarithm.
-  std::uint64_t latest = ~std::uint64_t{0};
+  // `owners` is a max-heap by cost. Because -ln(1 - v) >= v, a lower bound of a node's cost can be computed
+  // from v. It rules out most nodes without computing the logarithm.
+  // The upper 64 bits of the highest cost in the heap once it has `max` owners; before, no cost is above it.
+  std::uint64_t max_kept_cost_high = ~std::uint64_t{0};
   for (const ServingNode& serving : serving_nodes_) {
     const std::uint64_t v = Mix(key ^ serving.hash);
-    if (MultiplyHigh(v >> (64 - kFractionBits), serving.inverse) > latest) continue;
+    if (MultiplyHigh(v >> (64 - kFractionBits), serving.inverse) > max_kept_cost_high) continue;
     const Owner owner{Uint128{Exponential(v)} * serving.inverse, serving.node};
     if (owners.size() == max) {
       if (!(owner < owners.front())) continue;
@@ -170,7 +171,7 @@
       owners.push_back(owner);
     }
     std::push_heap(owners.begin(), owners.end());
-    if (owners.size() == max) latest = static_cast<std::uint64_t>(owners.front().cost >> 64);
+    if (owners.size() == max) max_kept_cost_high = static_cast<std::uint64_t>(owners.front().cost >> 64);
   }
   std::sort_heap(owners.begin(), owners.end());
 }
--- a/src/simulation/scenario.cpp
+++ b/src/simulation/scenario.cpp
@@ -224,13 +224,14 @@
 
 void ReadExpectations(TableReader& top, Scenario& scenario) {
   TableReader must = ReadSubtable(top, "must");
-  double served = -1;
-  double recovers = -1;
-  must.Number("served_at_least", served, 0, 1);
-  must.Number("recovers_within_s", recovers, 0, 36'000);
+  // -1: the key is not in the file.
+  double served_at_least = -1;
+  double recovers_within_s = -1;
+  must.Number("served_at_least", served_at_least, 0, 1);
+  must.Number("recovers_within_s", recovers_within_s, 0, 36'000);
   must.RejectUnknownKeys();
-  if (served >= 0) scenario.served_at_least = served;
-  if (recovers >= 0) scenario.recovers_within_s = recovers;
+  if (served_at_least >= 0) scenario.served_at_least = served_at_least;
+  if (recovers_within_s >= 0) scenario.recovers_within_s = recovers_within_s;
 }
 
 // Calls `read` with each [[name]] table of the file.
--- a/tests/gossip/wire_test.cpp
+++ b/tests/gossip/wire_test.cpp
@@ -260,18 +260,18 @@
   EXPECT_FALSE(window.Accept(1, 1));
 }
 
-// Compares the window with a record of all accepted numbers.
+// Compares the window with a record of all accepted sequence numbers.
 TEST(PeersSeal, TheReplayWindowAcceptsNothingTwiceInAnySequence) {
   MessageGenerator generator(32);
   ReplayWindow window;
   std::vector<bool> already_accepted(4000);
   std::uint64_t latest = 0;
   for (std::uint64_t i = 0; i < 40'000; ++i) {
-    const std::uint64_t count = std::min<std::uint64_t>(3999, i / 10 + generator.Below(100));
-    latest = std::max(latest, count);
-    const bool accepted = window.Accept(7, count);
-    ASSERT_EQ(accepted, !already_accepted[count] && latest - count < 64) << i;
-    if (accepted) already_accepted[count] = true;
+    const std::uint64_t sequence_number = std::min<std::uint64_t>(3999, i / 10 + generator.Below(100));
+    latest = std::max(latest, sequence_number);
+    const bool accepted = window.Accept(7, sequence_number);
+    ASSERT_EQ(accepted, !already_accepted[sequence_number] && latest - sequence_number < 64) << i;
+    if (accepted) already_accepted[sequence_number] = true;
   }
 }
 
--- a/tests/rollout/fleet_model.cpp
+++ b/tests/rollout/fleet_model.cpp
@@ -142,7 +142,7 @@
   return std::nullopt;
 }
 
-void FleetModel::Send(const Host& host, std::function<void()> arrive, double late_probability) {
+void FleetModel::Send(const Host& host, std::function<void()> on_delivery, double late_probability) {
   if (host.unreachable) return;
   if (!faults_stopped_ && Chance(0.05 * fault_rate_)) return;
   for (int deliveries = !faults_stopped_ && Chance(0.05 * fault_rate_) ? 2 : 1; deliveries > 0;
@@ -150,15 +150,15 @@
     int delay = UniformUpTo(150);
     if (!faults_stopped_ && Chance(late_probability * fault_rate_))
       delay = UniformUpTo(12'000);  // a long delay
-    messages_.emplace(now_ + milliseconds(delay), arrive);
+    messages_.emplace(now_ + milliseconds(delay), on_delivery);
   }
 }
 
 void FleetModel::Deliver() {
   while (!messages_.empty() && messages_.begin()->first <= now_) {
-    const auto arrive = std::move(messages_.begin()->second);
+    const auto on_delivery = std::move(messages_.begin()->second);
     messages_.erase(messages_.begin());
-    arrive();
+    on_delivery();
   }
 }
 
--- a/tests/rollout/fleet_model.h
+++ b/tests/rollout/fleet_model.h
@@ -55,7 +55,7 @@
 
 // An instance's process. It survives a crash of its agent.
 struct Process {
-  std::string token;
+  std::string token;  // identifies the step that the process was started for; empty if for none
   std::string generation;
   TimePoint ready_at;
   std::optional<TimePoint> exits_at;  // std::nullopt: keeps running
@@ -141,9 +141,9 @@
 
   // ---- Messages ----
 
-  // Calls `arrive` after a delay, unless the message is lost. `late_probability`: the probability of a long
-  // delay.
-  void Send(const Host& host, std::function<void()> arrive, double late_probability = 0.02);
+  // Calls `on_delivery` after a delay, unless the message is lost. `late_probability`: the probability of a
+  // long delay.
+  void Send(const Host& host, std::function<void()> on_delivery, double late_probability = 0.02);
   void Deliver();
   // Calls `serve` at the agent, and then `on_answer` with its result at the tool, unless the tool has crashed
   // in the meantime.
@@ -155,7 +155,7 @@
         history_.commands++ == script_->tool_crashes_at) {
       tool_crash_due_ = true;
     }
-    const auto arrive = [this, &tool, &host, incarnation = tool.incarnation, serve, on_answer] {
+    const auto on_delivery = [this, &tool, &host, incarnation = tool.incarnation, serve, on_answer] {
       if (!host.up) return;
       const auto answer = Call(host, serve);
       if (!answer) return;
@@ -163,7 +163,7 @@
         if (tool.up && tool.incarnation == incarnation) on_answer(*answer);
       });
     };
-    Send(host, arrive, late_probability);
+    Send(host, on_delivery, late_probability);
   }
 
   // ---- Agents ----
