--- a/src/balancer/outlier_detection.h
+++ b/src/balancer/outlier_detection.h
@@ -61,7 +61,8 @@
     return record.ejected && now >= record.ejected_until;
   }
 
-  // Whether its consecutive failures make it suspect. The first comparison suffices for most upstreams.
+  // Whether the upstream is suspect because of its consecutive failures. The cheap comparison comes first:
+  // it is false for most upstreams, so RunAsRareAs() is rarely computed.
   bool IsSuspect(const OutlierRecord& record) const {
     return record.failure_run >= kFailuresToSuspect &&
            record.failure_run >= RunAsRareAs(kFailuresToSuspect, record);
--- a/src/balancer/request_handler.h
+++ b/src/balancer/request_handler.h
@@ -32,7 +32,7 @@
   void Handle(const ProbeEnded& event);
   void HandleTimer(std::uint64_t token);
   void RecordTick() { shedder_.RecordTick(fleet_.SumWeights()); }
-  // Logs the end of an interval of rejections.
+  // Logs the end of an interval of rejections if it has just ended.
   void LogEndOfRejections();
 
   const LoadShedder& shedder() const { return shedder_; }
--- a/src/change_freeze/incidents.h
+++ b/src/change_freeze/incidents.h
@@ -63,6 +63,7 @@
   kStale,    // not renewed in time
   kMuted,    // closed by an operator while its evidence was not clear: not in force, and prevents a new one
 };
+// Human-readable names, indexed by IncidentState.
 inline constexpr const char* kIncidentStates[] = {"open", "calming", "stale", "muted"};
 
 // The events that change the state of an incident.
--- a/src/discovery/endpoint_staleness.h
+++ b/src/discovery/endpoint_staleness.h
@@ -28,7 +28,7 @@
   // the watch.
   kWatchTimeout,
   kListTimeout,  // a call without a wait got no answer; counted in the same way
-  // Any number of calls failed. Counted from when the source has the change and is reachable.
+  // One or more calls failed. Counted from when the source has the change and is reachable.
   kAfterOutage,
   kAddressChanged,  // SIGHUP named another source; counted from the signal
   kNewProcess,      // a process started; counted from its start
--- a/src/dispatch/exchange.h
+++ b/src/dispatch/exchange.h
@@ -89,8 +89,8 @@
   using OnEnd = std::function<void(ExchangeResult)>;
   virtual ~Transport() = default;
 
-  // The current location of an upstream. If the upstream drains, moved, restarted or was removed, attempts
-  // that are not yet being written are not sent and end as kNotSent.
+  // Sets the current location of an upstream. If the upstream drains, moved, restarted or was removed,
+  // attempts that are not yet being written are not sent and end as kNotSent.
   virtual void Apply(const std::string& uid, const Location& location) = 0;
   // Calls on_end exactly once, also if nothing could be sent, possibly before returning. `timeout` counts
   // from now, or from the last byte of a message that is still arriving, and covers the attempt until its
--- a/src/dispatch/start_times.h
+++ b/src/dispatch/start_times.h
@@ -39,8 +39,9 @@
   explicit StartTimes(const runtime::ClockReading& at_start) : last_reading_(at_start) {}
 
   // Sets `started` of each upstream with a known boot_ms. `reading`: the clocks when the list was received;
-  // lists must be passed in that order. A restored list may be older than the program and is no lower bound
-  // for later ones.
+  // lists must be passed in that order. A restored list (MembershipUpdate::Kind::kRestored) may have been
+  // received before the program started. Therefore it does not count as the earliest possible start time of
+  // processes that appear in the next list.
   void SetStartTimes(MembershipList& list, const runtime::ClockReading& reading);
 
   // Adopts the start times that another process of this sidecar on the same machine has determined, and when
--- a/src/gossip/wire.h
+++ b/src/gossip/wire.h
@@ -29,12 +29,13 @@
   std::string_view cause;  // human-readable; static; empty for kNone
 };
 
-// The rule of names in the fleet: letters, digits, '-', '_' and '.', at most 64, not starting with a dot.
+// Whether a name of a member or zone is valid: 1 to 64 letters, digits, '-', '_' and '.', not starting with a
+// dot.
 bool IsValidName(std::string_view name);
-// The rule of addresses: "ip:port" of digits, hex digits, '.', ':', '[' and ']', at most 48. Whether the
-// address can be used shows only when a datagram is sent to it.
+// Whether an address is valid: "ip:port" of digits, hex digits, '.', ':', '[' and ']', at most 48 bytes.
+// Whether the address can be used is known only when a datagram is sent to it.
 bool IsValidAddress(std::string_view address);
-// The rule of keys: printable ASCII without blanks, 1 to 24 characters.
+// Whether a value's key is valid: 1 to 24 printable ASCII characters without blanks.
 bool IsValidKey(std::string_view key);
 
 // Encodes a message that is within the bounds. The result is never longer than the sum of MaxEncodedSize() of
--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -97,7 +97,8 @@
   WaitForClient();
 }
 
-// Waits until a client is in the backlog. Accept() evicts a connection, if necessary, only then.
+// Waits until a client is in the backlog, then calls Accept(). So Accept() does not evict a connection before
+// another client is waiting.
 void Acceptor::WaitForClient() {
   if (paused_ || waiting_) return;
   waiting_ = true;
--- a/src/zone_failover/decision.cpp
+++ b/src/zone_failover/decision.cpp
@@ -200,7 +200,7 @@
     if (!majority) continue;
     AdoptState(zone, *majority, now);
     if (IsDrainingOrDrained(zone.phase)) zone.shifted = kWholeShare;
-    // The share of a recovering zone also starts at 0 and rises with the ramp.
+    // The share of a zone that is not in use starts at 0. That of a recovering zone then rises with the ramp.
     if (!IsInUse(zone.phase)) zone.share = 0;
   }
   return states;
--- a/src/zone_failover/state_machine.h
+++ b/src/zone_failover/state_machine.h
@@ -11,8 +11,8 @@
 
 namespace mothrack::zone_failover {
 
-// The condition of a zone, in the order of the page's table. Each comment starts with the page's word for it.
-// conditions.h has the rules.
+// The condition of a zone, in the order of the table "Rules of a zone" of docs/design/zone_failover.md. Each
+// comment starts with the condition's name in that table. conditions.h has the rules.
 enum class Condition {
   kIsolated,         // alone: this member hears from fewer than half of the members that it knew
   kOverrideDrain,    // leave: an operator's override drains the zone
@@ -27,7 +27,7 @@
   kHealthy,          // well: no other condition holds
 };
 
-// The actions of transitions. Each comment starts with the page's word for it.
+// The actions of transitions. Each comment starts with the action's name in that table.
 enum class Action {
   kKeep,           // keep: no action
   kWatch,          // watch: the zone is suspected from now on
