--- a/tests/admin/admin_commands_test.cpp
+++ b/tests/admin/admin_commands_test.cpp
@@ -14,7 +14,8 @@
   const AdminDirectory directory;
   const std::string admin_section = AdminSectionAt(directory.address());
   Node node(DnsOptions(DnsSection(1) + admin_section));
-  ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
+  // Waits until the node has started, since the admin API is its last part to listen.
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   const auto before = admin.Get("/v1/status");
   ASSERT_TRUE(before);
@@ -45,7 +46,8 @@
 TEST(AdminApi, DrainIsThePlannedStopAndIsReportedMeanwhile) {
   const AdminDirectory directory;
   Node node(DnsOptions(DnsSection(1) + AdminSectionAt(directory.address())));
-  ASSERT_EQ(AdminAddressOf(node), directory.address());  // the API opens after DNS
+  // Waits until the node has started, since the admin API is its last part to listen.
+  ASSERT_EQ(AdminAddressOf(node), directory.address());
   const AdminClient admin(directory.address());
   const auto answer = admin.Post("/v1/drain");
   ASSERT_TRUE(answer);
--- a/tests/balancer/fleet_slow_start_test.cpp
+++ b/tests/balancer/fleet_slow_start_test.cpp
@@ -38,7 +38,8 @@
   EXPECT_LT(sent, 0.45 * share);
 }
 
-// The settings state the minimum capacity of an upstream in slow start; its answers show the real one.
+// The settings give the minimum capacity of an upstream in slow start; its latency shows the actual capacity.
+// With the usual latency it gets more requests than with a higher one.
 TEST(FleetSlowStart, UpstreamsOfUsualLatencyGetMoreThanTheMinimum) {
   const auto slow_start_requests = [](Duration slow_start_latency) {
     TestSidecar sidecar;
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -234,8 +234,10 @@
   std::mt19937_64 random_;
   std::vector<UpstreamInfo> list_;
   std::vector<SimulatedSidecar> sidecars_;
-  std::map<std::string, std::deque<TimePoint>> in_slow_start_;  // arrivals at each within the window
-  std::map<std::string, std::deque<TimePoint>> served_;         // served by each within the last second
+  // By upstream id, for upstreams in slow start only: the times of the arrivals within the last case_.window.
+  std::map<std::string, std::deque<TimePoint>> in_slow_start_;
+  // By upstream id: the times of the requests served within the last second.
+  std::map<std::string, std::deque<TimePoint>> served_;
   double all_rate_ = 0;
   double sent_ = 0, fair_share_ = 0;
   TimePoint now_{1000s};
--- a/tests/discovery/endpoint_staleness_test.cpp
+++ b/tests/discovery/endpoint_staleness_test.cpp
@@ -213,7 +213,8 @@
   enum class InitialState { kWatching, kWatchingInStep, kJustStarted };
   static constexpr int kSidecars = 300;
 
-  // `capacity_per_second`: the calls that the recovered service answers; it rejects the others.
+  // `capacity_per_second`: the maximum number of calls that the recovered service answers in a second; it
+  // rejects the others.
   Fleet(discovery::FailedCall::Kind fault, InitialState initial_state, runtime::Duration outage,
         int capacity_per_second = kSidecars * 1000)
       : policy_(discovery::PollPolicy::For(MakeRules(true, milliseconds(500)))),
--- a/tests/dispatch/dispatch_history.h
+++ b/tests/dispatch/dispatch_history.h
@@ -267,8 +267,10 @@
   simulation::Simulator sim_;
   simulation::Random random_;
   const balancer::Settings settings_;
-  const double immediate_end_chance_;  // how often an attempt ends within Send()
-  const double reentry_chance_;        // how often a front end acts within on_final
+  // Probability that an attempt ends within Send().
+  const double immediate_end_chance_;
+  // Probability that a front end submits another request, or a client disconnects, within on_final.
+  const double reentry_chance_;
   std::ostream discarded_{nullptr};
   runtime::Logger log_{"history", discarded_};
   std::deque<Request> requests_;  // accepted ones, by number; a deque keeps references valid
--- a/tests/gossip/settings_test.cpp
+++ b/tests/gossip/settings_test.cpp
@@ -10,7 +10,7 @@
 namespace mothrack::gossip {
 namespace {
 
-// The operator file and the agent file follow the same rules.
+// The section [peers] follows the same rules in the operator file and in the agent file.
 TEST(Settings, ErrorsNameLocationAndRemedy) {
   const TaskDirectory directory;
   const std::string listen = "listen = \"127.0.0.1:7600\"\n", zone = "zone = \"hall\"\n";
--- a/tests/hash_ring/bounded_load_test.cpp
+++ b/tests/hash_ring/bounded_load_test.cpp
@@ -53,8 +53,8 @@
         load->OnAttemptStarted(ring->nodes()[ranked_owners[i]].uid);
     }
   }
-  // Another member reports `rate` requests for the key of 10,000 requests in total. Returns the resulting
-  // number of owners of the key. With 10 nodes the allowance for a key is 500.
+  // Another member reports that `rate` of its 10,000 requests were for the key, which it sent to `owners`
+  // owners. Returns the resulting number of owners of the key. With 10 nodes the allowance for a key is 500.
   std::string OwnersAfterReport(std::uint32_t rate, std::int64_t now, std::uint32_t owners = 1) {
     load->OnReport("other", {{}, 10'000, {{kKey, rate, owners}}}, Duration{0}, At(now));
     load->Update(At(now));
--- a/tests/hash_ring/histories_test.cpp
+++ b/tests/hash_ring/histories_test.cpp
@@ -68,7 +68,7 @@
   // By member.
   std::vector<std::uint64_t> sent_generations(kMembers, 0), generations(kMembers, 0);
   std::vector<std::int64_t> cut_off_until(kMembers, -1), last_sent_at(kMembers, 0);
-  std::uint64_t changes = 1;           // changes of the nodes
+  std::uint64_t changes = 1;           // changes of the nodes; the initial nodes count as one
   std::uint64_t final_generation = 0;  // the generation once all changes have been made
   // Since when members that are not cut off have had different rings, after the last change; -1 if they have
   // the same.
--- a/tests/http/listener_fixture.h
+++ b/tests/http/listener_fixture.h
@@ -47,8 +47,8 @@
 extern InterceptedCalls intercepted_calls;
 
 inline constexpr std::size_t kManyDescriptors = 256;
-inline constexpr std::size_t kDescriptorsForTwoClients =
-    runtime::Descriptors::kFixed + 4;  // each side gets half of the four
+// Of the 4 descriptors, half are for client connections and half for upstream connections.
+inline constexpr std::size_t kDescriptorsForTwoClients = runtime::Descriptors::kFixed + 4;
 
 inline std::string Get(const std::string& target, const std::string& headers = "") {
   return "GET " + target + " HTTP/1.1\r\nHost: h\r\n" + headers + "\r\n";
--- a/tests/simulation/scenario_test.cpp
+++ b/tests/simulation/scenario_test.cpp
@@ -14,7 +14,7 @@
 TEST(Scenario, AnErrorOfAFileNamesPlaceAndRemedy) {
   const std::string head = "name = \"x\"\n";
   const std::string cls = "[[class]]\nname = \"p\"\neffect = \"safe\"\n";
-  // By the text of a file: a part of the error that it must cause.
+  // Maps the text of a scenario file to a part of the error that it must cause.
   const std::map<std::string, std::string> expected_errors = {
       {head, "[[class]]"},
       {cls, "[top] name: give a name"},
--- a/tests/standins/fleet.h
+++ b/tests/standins/fleet.h
@@ -26,12 +26,14 @@
   struct Options {
     int agents = 2;  // the first half is in one hall, the rest in another
     int instances = 2;
-    std::string limits;          // further lines of the section [limits] of the agents' files
-    std::string first_command;   // run by the first agent's first instance, instead of `command`; a TOML list
+    std::string limits;  // further lines of the section [limits] of the agents' files
+    // The command of the first agent's first instance, a TOML list; empty: as for all instances.
+    std::string first_command;
     bool tokens = false;         // agents listen on TCP and require tokens, instead of on Unix sockets
     bool ports = false;          // each sidecar listens on a port of its own, the same after a restart
     nlohmann::json upstreams{};  // the endpoint list known to all sidecars; null: none
-    std::string command{};       // run by all instances instead of the sidecar; a TOML list
+    // The command of all instances, a TOML list; empty: the sidecar.
+    std::string command{};
   };
   explicit Fleet(const Options& options);
   ~Fleet();
--- a/tests/standins/lost_wakeups.cpp
+++ b/tests/standins/lost_wakeups.cpp
@@ -28,7 +28,9 @@
   static const auto next = reinterpret_cast<Function>(::dlsym(RTLD_NEXT, "epoll_ctl"));
   if (event != nullptr && fd >= 0 && fd < static_cast<int>(registered.size())) {
     for (void*& tag : registered) {
-      if (tag == event->data.ptr) tag = nullptr;  // the entry of a descriptor that was closed
+      // Another descriptor with the same data was closed, and the memory of its data was reused. With
+      // EPOLL_CTL_MOD this is the entry of `fd` itself, which is set again below.
+      if (tag == event->data.ptr) tag = nullptr;
     }
     registered[static_cast<std::size_t>(fd)] = event->data.ptr;
   }
--- a/tests/standins/traffic_record.cpp
+++ b/tests/standins/traffic_record.cpp
@@ -17,7 +17,8 @@
 
 // The longest time between a sidecar's death and the moment its client notices it.
 constexpr milliseconds kDeathNoticeDelay{100};
-// How late an answer may come: all processes of the cluster and the clients share one machine.
+// How long after its request's deadline an answer may come: all processes of the cluster and the clients
+// share one machine.
 constexpr milliseconds kAnswerGrace{1000};
 // The number of a request has its sidecar in the high bits and its index in the low ones.
 constexpr int kSidecarShift = 32;
