--- a/src/runtime/acceptor.cpp
+++ b/src/runtime/acceptor.cpp
@@ -97,8 +97,8 @@
   WaitForClient();
 }
 
-// Waits until a client is in the backlog, then calls Accept(). So Accept() does not evict a connection before
-// another client is waiting.
+// Calls Accept() once a client is in the backlog, and not before, since Accept() may evict a connection for
+// the client.
 void Acceptor::WaitForClient() {
   if (paused_ || waiting_) return;
   waiting_ = true;
