--- a/tests/sidecar/membership_test.cpp
+++ b/tests/sidecar/membership_test.cpp
@@ -85,10 +85,9 @@
   options.discovery = discovery.address();
   Node node(options);
   ASSERT_TRUE(node.Listening());
-  const int idle = node.descriptors();
   Client client(node.port());
   ASSERT_TRUE(client.Send(PostText("/submit/k", "a1", "x", 15000)));
-  ASSERT_TRUE(Eventually([&] { return node.descriptors() >= idle + 2; }));  // the client and the attempt
+  ASSERT_TRUE(Eventually([&] { return hole.hanging_attempts() > 0; }));
   discovery.Publish(List({Target("u1", hole.address(), "leaving"), Target("u2", staying.address())}), false);
   const auto response = client.Read();
   ASSERT_TRUE(response);
--- a/tests/standins/peers.cpp
+++ b/tests/standins/peers.cpp
@@ -9,6 +9,8 @@
 #include <boost/beast/http/parser.hpp>
 #include <boost/beast/http/read.hpp>
 #include <chrono>
+#include <fstream>
+#include <sstream>
 #include <stdexcept>
 #include <utility>
 
@@ -159,7 +161,9 @@
     // A direct call, because Asio's connect() blocks until the connection attempt ends.
     [[maybe_unused]] const int begun = ::connect(socket.native_handle(), to.data(), to.size());
     pollfd ready{socket.native_handle(), POLLOUT, 0};
-    if (::poll(&ready, 1, 100) == 0) return;
+    if (::poll(&ready, 1, 100) != 0) continue;
+    own_hanging_ = CountHanging();
+    return;
   }
   throw std::runtime_error("cannot fill the backlog of the listener");
 }
@@ -168,6 +172,28 @@
   return "127.0.0.1:" + std::to_string(acceptor_.local_endpoint().port());
 }
 
+// Reads the kernel's table of TCP sockets (proc(5), /proc/net/tcp), whose columns are the number of the
+// entry, the local address, the remote address and the state.
+int BlackHole::CountHanging() const {
+  static constexpr int kSynSent = 2;
+  std::ifstream table("/proc/net/tcp");
+  std::string line;
+  int count = 0;
+  while (std::getline(table, line)) {
+    std::istringstream columns(line);
+    std::string entry;
+    std::string local;
+    std::string remote;
+    int state = 0;
+    columns >> entry >> local >> remote >> std::hex >> state;
+    const auto colon = remote.find(':');
+    if (!columns || colon == std::string::npos || state != kSynSent) continue;
+    const unsigned long port = std::stoul(remote.substr(colon + 1), nullptr, 16);
+    if (port == acceptor_.local_endpoint().port()) ++count;
+  }
+  return count;
+}
+
 RefusingAddress::RefusingAddress() : acceptor_(io_) {
   acceptor_.open(tcp::v4());
   acceptor_.bind(Loopback(0));
--- a/tests/standins/peers.h
+++ b/tests/standins/peers.h
@@ -99,11 +99,16 @@
  public:
   BlackHole();
   std::string address() const;
+  // The number of connection attempts to this address that hang, without those that fill the backlog.
+  int hanging_attempts() const { return CountHanging() - own_hanging_; }
 
  private:
+  int CountHanging() const;
+
   boost::asio::io_context io_;
   tcp::acceptor acceptor_;
   std::vector<tcp::socket> waiting_;
+  int own_hanging_ = 0;
 };
 
 // An address that refuses connections: its socket is bound but does not listen.
