--- a/tests/sidecar/faulty_service.h
+++ b/tests/sidecar/faulty_service.h
@@ -43,9 +43,9 @@
 
   bool Start() {
     if (!node.Listening()) return false;
-    traffic_ = std::make_unique<Traffic>(std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
-                                         std::function<void(const Traffic::CompletedRequest&)>(),
-                                         kRequestsPerConnection);
+    traffic_ = std::make_unique<Traffic>(
+        std::vector<std::uint16_t>(kClients, node.port()), milliseconds(2),
+        [this](const Traffic::CompletedRequest& request) { RecordIfLost(request); }, kRequestsPerConnection);
     return Serves(50);
   }
 
@@ -73,6 +73,7 @@
   // it closed its listening socket.
   void ExpectNoRequestLostOrRepeated(std::optional<steady_clock::time_point> stop_requested = std::nullopt) {
     const auto outcomes = traffic_->Stop();
+    EXPECT_EQ(lost().size(), traffic_->count(Traffic::Outcome::kLost));
     for (const Traffic::CompletedRequest& request : lost()) {
       const bool after_accept_period =
           stop_requested && request.connected >= *stop_requested + kAcceptPeriodOfStop;
