--- a/tests/gossip/settings_test.cpp
+++ b/tests/gossip/settings_test.cpp
@@ -39,7 +39,7 @@
        "5:28: peers.seeds[1]: ", "is listed twice; remove one of them"},
       {good + "probe_ms = 1\n", "5:12: peers.probe_ms: ", "from 50 to 60000"},
       {good + "probe_patience_ms = 500\n", "5:21: peers.probe_patience_ms: ", "set it below probe_ms"},
-      {good + "fanout = 1.5\n", "5:10: peers.fanout: ", "no whole number"},
+      {good + "fanout = 1.5\n", "5:10: peers.fanout: ", "is not an integer"},
       {good + "datagrams_per_s = 5000\n", "5:19: peers.datagrams_per_s: ", "out of range"},
       {good + "gosip_ms = 100\n", "5:1: peers.gosip_ms: ", "did you mean \"gossip_ms\"?"},
   };
