--- a/src/agent/process_supervisor.h
+++ b/src/agent/process_supervisor.h
@@ -36,7 +36,7 @@
   std::string name;
   std::vector<std::string> command;                // the program's absolute path first
   std::map<std::string, std::string> environment;  // nothing is inherited
-  std::string admin_address;                       // of the sidecar's admin API; key `door`
+  std::string admin_address;                       // of the sidecar's admin API; key `door` of the agent file
   std::string generation;                          // the generation to begin with
 };
 
--- a/src/agent/sqlite_store.cpp
+++ b/src/agent/sqlite_store.cpp
@@ -63,8 +63,9 @@
   db_ = std::make_unique<storage::Database>(path);
   ::chmod(path.c_str(), kFileMode);
   db_->SetBusyTimeout(kBusyTimeoutMs);
-  // The journal is written ahead, and the file is synced before a commit returns. This uses a rollback
-  // journal rather than WAL, since saves are few and one file is easier to copy than three.
+  // SQLite writes the old pages to a rollback journal before it changes the database file, and syncs the
+  // file before a commit returns. The store uses a rollback journal rather than a write-ahead log (WAL),
+  // since saves are few and one file is easier to copy than three.
   db_->Run("PRAGMA journal_mode = DELETE");
   db_->Run("PRAGMA synchronous = FULL");
   Statement version(*db_, "PRAGMA user_version");
--- a/src/balancer/balancer.cpp
+++ b/src/balancer/balancer.cpp
@@ -65,7 +65,8 @@
   void Route(const MembershipUpdate& update) {
     if (update.kind != MembershipUpdate::Kind::kFailed) return fleet_.UpdateMembership(update);
     if (!context_.settings.membership_on_request) return;
-    // An immediate retry would add to the load that may have caused the failure.
+    // The subscription to the endpoint list failed. An immediate new subscription would add to the load that
+    // may have caused the failure.
     const Duration interval = std::min(context_.settings.rules.poll_within, kMaxPollInterval);
     const double share = kResubscribeShare + kResubscribeShare * context_.random.Uniform();
     subscribe_at_ = context_.now + Scaled(interval, share);
--- a/src/change_freeze/voter.h
+++ b/src/change_freeze/voter.h
@@ -142,10 +142,12 @@
   VoterRecord record_;
   // The members below belong to this process only and are not stored on disk.
   Role role_ = Role::kFollower;
-  TimePoint promised_until_;     // until then this voter grants no new vote and does not campaign
-  TimePoint next_action_;        // time of the next OnActionDue()
-  std::uint64_t campaigns_ = 0;  // varies ElectionDelay
-  Term highest_seen_term_ = 0;   // in responses; the next campaign uses a higher one
+  TimePoint promised_until_;  // until then this voter grants no new vote and does not campaign
+  TimePoint next_action_;     // time of the next OnActionDue()
+  // The number of calls of ElectionDelay(), which derives the delay from it, so that the delay changes with
+  // each call.
+  std::uint64_t campaigns_ = 0;
+  Term highest_seen_term_ = 0;  // in responses; the next campaign uses a higher one
   std::string leader_;
   std::map<std::string, TimePoint> last_contact_;
   std::map<std::string, RecordPosition> peer_positions_;  // as received from the other voters
--- a/src/dns/query.h
+++ b/src/dns/query.h
@@ -18,7 +18,9 @@
   std::uint16_t question_end = 0;
   std::uint8_t opcode = kQuery;
   bool repeatable = false;  // from its class: may be sent again over TCP after a truncated response
-  bool over_tcp = false;    // the client sent it over TCP; matters if it is not repeatable
+  // The client sent the query over TCP. The transport then sends a query that is not repeatable to the
+  // resolver over TCP too.
+  bool over_tcp = false;
 };
 
 // A resolver's response.
--- a/src/gossip/anti_entropy_exchange.cpp
+++ b/src/gossip/anti_entropy_exchange.cpp
@@ -5,8 +5,8 @@
 namespace mothrack::gossip {
 namespace {
 
-// Maximum size in bytes of the two ends of a range: a name each, plus one byte for an end directly after a
-// name.
+// Maximum size in bytes of the two ends of a range. An end is a name, or the smallest string that sorts after
+// a given name, which is that name with one more byte.
 constexpr std::size_t kRangeReserve = 2 * (kMaxNameSize + 1);
 
 bool IsValid(const DigestEntry& entry) {
--- a/src/http/upstream_exchange.h
+++ b/src/http/upstream_exchange.h
@@ -122,8 +122,8 @@
   const std::shared_ptr<UpstreamConnection> connection_;
   Request request_;
   dispatch::ExchangeHooks hooks_;
-  // Never null. A separate object, so that both fit the size classes that the allocator caches (1,032 bytes
-  // in glibc).
+  // Never null. The writer is a separate object, so that the exchange and the writer each fit the size
+  // classes that the allocator caches (1,032 bytes in glibc).
   const std::unique_ptr<RequestWriter> writer_;
   boost::asio::steady_timer& timer_;  // belongs to the connection
   std::optional<beast_http::response_parser<IncrementalBody>> parser_;
--- a/src/rollout/change.cpp
+++ b/src/rollout/change.cpp
@@ -90,7 +90,8 @@
 }
 
 std::string Change::UnresponsiveAgent(TimePoint now) const {
-  // The holder stops at half of the duration that the agents count (src/rollout/lease.h).
+  // The holder of the lease sends no more steps once an agent has not confirmed the lease for half of its
+  // duration. The agents count the whole duration (src/rollout/lease.h).
   for (const auto& [agent, confirmed] : lease_confirmed_at_) {
     if (now - confirmed >= lease_duration_ / 2) return agent;
   }
--- a/tests/balancer/slow_start_fleet_test.cpp
+++ b/tests/balancer/slow_start_fleet_test.cpp
@@ -104,7 +104,7 @@
     double ratio = 0;
     std::size_t requests = 0;
     double allowed = 0;  // the bound without the margin for chance
-    Duration at{};       // after the start
+    Duration at{};       // since the upstreams in slow start started
   } worst;
   // Requests to the upstreams in slow start, divided by their fair share, which is summed over time at the
   // slow start factor of each moment.
--- a/tests/dns/dns_hostile_input_test.cpp
+++ b/tests/dns/dns_hostile_input_test.cpp
@@ -71,8 +71,8 @@
 
 TEST(Forged, AnswersFromAnotherPortAreIgnored) {
   std::unique_ptr<StandinResolver> resolver;
-  // A second socket sends matching answers to the port that sent the query. The kernel drops them, because
-  // the program's socket is connected to the resolver's port.
+  // The socket `forger` below sends matching answers to the port that sent the query. The kernel drops them,
+  // because the program's socket is connected to the resolver's port.
   resolver = std::make_unique<StandinResolver>(
       [](Responder& responder) { responder.SendAfter(milliseconds(300), MakeAnswer(responder.query())); });
   Node node(DnsOnlyOptions(OperatorFile(ResolverList().Add("r1", resolver->address()))));
--- a/tests/dns/dns_resolver_fault_test.cpp
+++ b/tests/dns/dns_resolver_fault_test.cpp
@@ -185,7 +185,7 @@
   for (const auto& seen : leaving.seen()) {
     EXPECT_LT(seen.at, notified + milliseconds(500)) << NameOf(seen.query);
   }
-  // It is removed, and a new one is added.
+  // The draining resolver is removed from the list, and a new resolver is added.
   StandinResolver added(script);
   node.ReloadOperatorFile(OperatorFile(ResolverList().Add("s", staying.address()).Add("f", added.address())));
   DnsUdpClient client(node.dns_port());
--- a/tests/http/bulk_test.cpp
+++ b/tests/http/bulk_test.cpp
@@ -162,7 +162,9 @@
     EXPECT_EQ(response->result_int(), 200U);
     max_resident = std::max(max_resident, ResidentBytes(node));
   }
-  // Thirty windows of 256 KiB, twice that while they are copied, and the read-ahead.
+  // The limit covers the data that the sidecar buffers for the readers: thirty windows of 256 KiB
+  // (runtime::ByteBudget::kMaxWindow), twice that while they are copied, and the bytes that each connection
+  // reads ahead of its parser (http::kMaxReadAhead).
   EXPECT_LT(max_resident, resident_before + kMaxMemoryGrowth);
   readers.clear();
   EXPECT_TRUE(Eventually([&] {
--- a/tests/sidecar/service_test.cpp
+++ b/tests/sidecar/service_test.cpp
@@ -152,7 +152,7 @@
   EXPECT_EQ(AnswerersOf(node, 8, "q"), Names{"b"});
   EXPECT_EQ(Stats(ops)["cluster_unhealthy"], 1);
   EXPECT_EQ(Stats(ops)["cluster_size"], 2);
-  // It leaves the list, returns, and restarts at another address.
+  // The banned upstream `ua` leaves the list and returns, restarted at another address.
   Upstream again(Upstream::Echo("again"));
   discovery.Publish(List({Target("ub", b.address())}));
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 1; }));
@@ -162,7 +162,8 @@
   ASSERT_TRUE(Eventually([&] { return Stats(ops)["cluster_size"] == 2; }));
   EXPECT_EQ(AnswerersOf(node, 8, "r"), Names{"b"});
   EXPECT_EQ(StatusOf(ops.Put("/ops/upstreams/up", UpstreamBody("ua"))), 200);
-  // It is new to the list and in slow start, and still gets a share of the requests.
+  // The upstream `ua`, now at another address, is new to the list and in slow start. It still gets a share of
+  // the requests.
   Names back;
   int tries = 0;
   EXPECT_TRUE(Eventually([&] {
--- a/tests/standins/test_cluster.cpp
+++ b/tests/standins/test_cluster.cpp
@@ -29,7 +29,9 @@
 using Clock = std::chrono::steady_clock;
 
 constexpr int kMaxPrintedLines = 10;
-constexpr int kMaxPortAttempts = 5;         // restarts on other ports if a port is in use meanwhile
+// If a process does not start because a port is in use, StartAll() restarts it on other ports. This is the
+// maximum number of such restarts.
+constexpr int kMaxPortAttempts = 5;
 constexpr milliseconds kDefaultProbe{500};  // default probe_ms of [peers], by which its intervals are scaled
 // Discovery is in no zone, so that it is on no side of a partition of zones.
 constexpr const char* kDiscoveryEndpoint = "discovery";
